--- /dev/null
+++ b/internal/confstream/stored_test.go
@@ -0,0 +1,82 @@
+package confstream_test
+
+import (
+	"os"
+	"path/filepath"
+	"testing"
+	"time"
+
+	"github.com/google/go-cmp/cmp"
+	"github.com/google/go-cmp/cmp/cmpopts"
+
+	"archknot/choice"
+	"archknot/internal/confstream"
+	"archknot/internal/contract"
+	"archknot/internal/revision"
+)
+
+// A configuration store written by the build of commit b3142ba is read with all its
+// fields: the last good version with each type of resource, the versions that must
+// not be taken again, and the history.
+func TestStoredConfiguration(t *testing.T) {
+	text, err := os.ReadFile("testdata/stored/config.db")
+	if err != nil {
+		t.Fatal(err)
+	}
+	path := filepath.Join(t.TempDir(), "config.db")
+	if err := os.WriteFile(path, text, 0o600); err != nil {
+		t.Fatal(err)
+	}
+	s, aside, err := confstream.OpenStore(path)
+	if err != nil || aside != "" {
+		t.Fatalf("set aside as %q, %v", aside, err)
+	}
+	defer s.Close()
+	got, never, err := s.Load()
+	if err != nil {
+		t.Fatal(err)
+	}
+	want := &revision.Config{
+		Number: 42, Stage: revision.Stage{FirstPercent: 25, Hold: 60000000, WorseBy: 0.125},
+		HasClasses: true, HasTenants: true, HasWorkers: true, HasContracts: true,
+		Classes: []choice.Class{
+			{Name: "chat", Aim: 800000, AimPer1000: 90000, TokenAim: 50000, Deadline: 4000000, Worth: 2.5, LateWorth: 0.25, Stream: true},
+			{Name: "order", Aim: 1000000, Deadline: 6000000, Worth: 3, LateWorth: 0.5, Effect: 1, Scope: 2, RepeatsKept: 30000000},
+			{Name: "mail", Aim: 1000001, Deadline: 6000001, Worth: 1, Effect: 2, Scope: 1},
+		},
+		Tenants:     []revision.Tenant{{Name: "quay", QuotaPerS: 12.5, Share: 0.25}, {Name: "reef", QuotaPerS: 20, Share: 0.5}},
+		Workers:     []revision.Mark{{Name: "s-1", Mark: 0}, {Name: "s-2", Mark: 1}},
+		Attempts:    &revision.Attempts{Most: 3, SecondCopies: true, HedgeShare: 0.0625, RetryShare: 0.125},
+		Admission:   &revision.Admission{MostHeld: 500, OverShareWorth: 0.75, MaxRetryAfter: 2000000},
+		Connections: &revision.Connections{Clients: 300, Workers: 400, Idle: 15000000, ConnectTimeout: 250000},
+		Watch:       &revision.Watch{Wait: 5000000, CallTimeout: 1500000},
+		Capture:     &revision.Capture{Record: true, Checkpoint: 30000000, KeepBytes: 1048576, KeepAge: 3600000000},
+		Log:         &revision.Log{Level: "warn"},
+		Contracts: []contract.Terms{{Team: "quay", Tenants: []string{"a", "b"}, Classes: []string{"chat"}, Rate: 1500.5, Burst: 90000, Worth: 1.5, Over: 0.05, Hard: true,
+			Prices: map[string]contract.Price{"chat": {Read: 0.5, Made: 2}}, Floors: map[string]float64{"chat": 100},
+			Budgets: []contract.Budget{{Period: 1, Soft: 800000, Hard: 1000000}}, From: 1796083200000000, Until: 1796169600000000, Successor: "reef",
+			NoBorrow: true, Borrow: 250, Surge: 4}},
+	}
+	if diff := cmp.Diff(want, got, cmpopts.IgnoreFields(revision.Config{}, "Resources")); diff != "" {
+		t.Error(diff)
+	}
+	count := map[string]int{}
+	for kind, list := range got.Resources {
+		count[string(kind)] = len(list)
+	}
+	wantCount := map[string]int{"Version": 1, "Class": 3, "Tenant": 2, "Attempts": 1, "Admission": 1, "Connections": 1, "Watch": 1, "Worker": 2, "Capture": 1, "Log": 1, "Contract": 1}
+	if diff := cmp.Diff(wantCount, count); diff != "" {
+		t.Error(diff)
+	}
+	if diff := cmp.Diff([]revision.Number{40, 41}, never); diff != "" {
+		t.Error(diff)
+	}
+	lines, err := s.History()
+	wantLines := []confstream.Line{
+		{At: time.Date(2026, 12, 2, 9, 30, 0, 123000000, time.UTC), Version: 41, What: "refused", Reason: "Class chat: aim_us: longer than the deadline"},
+		{At: time.Date(2026, 12, 2, 9, 31, 0, 0, time.UTC), Version: 42, What: "taken"},
+	}
+	if diff := cmp.Diff(wantLines, lines); err != nil || diff != "" {
+		t.Error(err, diff)
+	}
+}
--- /dev/null
+++ b/internal/lifecycle/stored_test.go
@@ -0,0 +1,97 @@
+package lifecycle_test
+
+import (
+	"bytes"
+	"context"
+	"encoding/json"
+	"os"
+	"path/filepath"
+	"testing"
+	"time"
+
+	"github.com/google/go-cmp/cmp"
+
+	"archknot/internal/confstream"
+	"archknot/internal/contract"
+	"archknot/internal/control"
+	"archknot/internal/figures"
+	"archknot/internal/lifecycle"
+)
+
+// message is one order on the control socket and its answer, as JSON.
+type message struct {
+	Name   string          `json:"name"`
+	Order  json.RawMessage `json:"order"`
+	Answer json.RawMessage `json:"answer"`
+}
+
+func storedMessages(t *testing.T) map[string]message {
+	t.Helper()
+	text, err := os.ReadFile("testdata/stored/control.jsonl")
+	if err != nil {
+		t.Fatal(err)
+	}
+	out := map[string]message{}
+	for line := range bytes.Lines(text) {
+		var m message
+		if err := json.Unmarshal(line, &m); err != nil {
+			t.Fatal(err)
+		}
+		out[m.Name] = m
+	}
+	return out
+}
+
+// The control socket's messages are those of the build of commit b3142ba: orders go out
+// in the stored form, stored answers are read with all their fields, and the same
+// answers would be given in the stored form.
+func TestStoredControlMessages(t *testing.T) {
+	stored := storedMessages(t)
+	orders := map[string]control.Handler{}
+	for name, m := range stored {
+		orders[name] = func(_ context.Context, order json.RawMessage) (any, error) {
+			if string(order) != string(m.Order) {
+				t.Errorf("%s: the order is %s, expected %s", name, order, m.Order)
+			}
+			return m.Answer, nil
+		}
+	}
+	socket := filepath.Join(t.TempDir(), "c.sock")
+	server, err := control.Listen(socket, orders)
+	if err != nil {
+		t.Fatal(err)
+	}
+	defer server.Close()
+	at := time.Date(2026, 12, 2, 9, 30, 0, 123000000, time.UTC)
+	for _, c := range []struct {
+		name              string
+		order, read, want any
+	}{
+		{"capture/save", lifecycle.SaveOrder{Reason: "chat is late"}, &lifecycle.SaveAnswer{}, &lifecycle.SaveAnswer{Path: "captures/incidents/1", Segments: 3, Bytes: 4096}},
+		{"config/status", struct{}{}, &lifecycle.Status{}, &lifecycle.Status{Service: "127.0.0.1:18000", Connected: true, Version: 42, Classes: 3, Tenants: 2, Marks: 1}},
+		{"config/history", struct{}{}, &[]confstream.Line{}, &[]confstream.Line{{At: at, Version: 41, What: "refused", Reason: "no"},
+			{At: time.Date(2026, 12, 2, 9, 31, 0, 0, time.UTC), Version: 42, What: "taken"}}},
+		{"config/rollback", lifecycle.RollbackOrder{Reason: "ordered"}, &lifecycle.Status{}, &lifecycle.Status{Service: "127.0.0.1:18000"}},
+		{"figures", struct{}{}, &figures.Control{}, &figures.Control{Listed: 1, Ready: 2, Subset: 3, Guests: 4, Joined: 5, Left: 6, RefusedLists: 7, OddEntries: 8, UnknownKeys: 9,
+			Closed: map[string]int64{"idle": 10}, ReplicasOut: 11, Drained: true, OrdersLost: true, Calls: []figures.OperatorCalls{{Call: "drain", Yes: true, N: 12}}, Version: 13,
+			InForce: time.Date(2026, 12, 2, 9, 32, 0, 0, time.UTC), Connections: 14, Busy: 15, Reports: figures.ReportAge{Known: 16, Unknown: 17, Sum: 18},
+			Traffic: [3]figures.Traffic{{Calls: 19, Opened: 20, BytesIn: 21, BytesOut: 22}, {Calls: 23, Opened: 24, BytesIn: 25, BytesOut: 26}, {Calls: 27, Opened: 28, BytesIn: 29, BytesOut: 30}}}},
+		{"contracts/accounts", struct{}{}, &[]contract.Account{}, &[]contract.Account{{Team: "quay", Level: 1, Open: 2, Used: [3]contract.Units{3, 4, 5}, Ends: [3]int64{6, 7, 8},
+			Limit: [3]contract.Units{9, 10, 11}, Part: 0.5, Valid: true,
+			Count: contract.Count{Taken: 12, Over: 13, Refused: 14, TakenUnits: 15, OverUnits: 16, RefusedUnits: 17, Borrowed: 18, Used: 19}}}},
+	} {
+		if err := control.Call(t.Context(), socket, c.name, c.order, c.read); err != nil {
+			t.Errorf("%s: %v", c.name, err)
+		}
+		if diff := cmp.Diff(c.want, c.read); diff != "" {
+			t.Errorf("%s: %s", c.name, diff)
+		}
+		if text, err := json.Marshal(c.want); err != nil || string(text) != string(stored[c.name].Answer) {
+			t.Errorf("%s: the answer is %s, expected %s (%v)", c.name, text, stored[c.name].Answer, err)
+		}
+		delete(stored, c.name)
+	}
+	if len(stored) > 0 {
+		t.Errorf("not looked at: %v", stored)
+	}
+}
