--- /dev/null
+++ b/internal/cli/publicnames_test.go
@@ -0,0 +1,54 @@
+package cli
+
+import (
+	"fmt"
+	"os"
+	"path/filepath"
+	"testing"
+
+	"github.com/alecthomas/kong"
+
+	"archknot/internal/publicnames"
+)
+
+// Commands keep their names, flags and arguments.
+func TestCommandsStay(t *testing.T) {
+	parser, err := kong.New(&commands{}, kong.Name("archknot"), kong.Bind(&streams{}))
+	if err != nil {
+		t.Fatal(err)
+	}
+	var names []string
+	err = kong.Visit(parser.Model, func(node kong.Visitable, next kong.Next) error {
+		switch n := node.(type) {
+		case *kong.Command:
+			names = append(names, fmt.Sprint(n.FullPath(), " ", n.Aliases))
+			for _, f := range n.Flags {
+				names = append(names, fmt.Sprintf("%s --%s env=%v default=%q enum=%q required=%v hidden=%v", n.FullPath(), f.Name, f.Envs, f.Default, f.Enum, f.Required, f.Hidden))
+			}
+			for i, p := range n.Positional {
+				names = append(names, fmt.Sprintf("%s argument %d %s", n.FullPath(), i, p.Summary()))
+			}
+		}
+		return next(nil)
+	})
+	if err != nil {
+		t.Fatal(err)
+	}
+	publicnames.Compare(t, "commands", names)
+}
+
+// Exit codes are 0, 1 and 2 for good, no, and wrong use.
+func TestExitCodesStay(t *testing.T) {
+	bad := filepath.Join(t.TempDir(), "bad.conf")
+	if err := os.WriteFile(bad, []byte("[log]\nlevel loud\n"), 0o600); err != nil {
+		t.Fatal(err)
+	}
+	for _, c := range []struct {
+		want int
+		args []string
+	}{{0, []string{"version"}}, {1, []string{"config", "check", bad}}, {2, []string{"nosuchcommand"}}} {
+		if code, _, errOut := run(c.args...); code != c.want {
+			t.Errorf("%v: exit code %d, want %d: %s", c.args, code, c.want, errOut)
+		}
+	}
+}
--- /dev/null
+++ b/internal/lifecycle/publicnames_test.go
@@ -0,0 +1,20 @@
+package lifecycle
+
+import (
+	"reflect"
+	"testing"
+
+	"archknot/internal/publicnames"
+	"archknot/internal/wire"
+)
+
+// NODE_CONFIG keeps its keys: those that are read, and those that are known and left unread.
+func TestConfigurationKeysStay(t *testing.T) {
+	names := publicnames.JSONFields("read", reflect.TypeFor[file]())
+	names = append(names, publicnames.JSONFields("read.settings", wire.SettingsType())...)
+	names = append(names, publicnames.JSONFields("read.settings", reflect.TypeFor[extraSettings]())...)
+	for _, u := range unusedKeys {
+		names = append(names, "unread."+u.key)
+	}
+	publicnames.Compare(t, "nodeconfig", names)
+}
