--- a/internal/cli/publicnames_test.go
+++ b/internal/cli/publicnames_test.go
@@ -1,6 +1,7 @@
 package cli
 
 import (
+	"encoding/json"
 	"fmt"
 	"os"
 	"path/filepath"
@@ -37,6 +38,29 @@
 	publicnames.Compare(t, "commands", names)
 }
 
+// What the check of a settings file prints as JSON keeps its fields' names.
+func TestConfigCheckJSONStays(t *testing.T) {
+	bad := filepath.Join(t.TempDir(), "bad.conf")
+	if err := os.WriteFile(bad, []byte("[log]\nlevel loud\n"), 0o600); err != nil {
+		t.Fatal(err)
+	}
+	_, out, _ := run("config", "check", "--json", bad)
+	var got map[string]any
+	if err := json.Unmarshal([]byte(out), &got); err != nil {
+		t.Fatalf("%v: %s", err, out)
+	}
+	problems, _ := got["problems"].([]any)
+	if len(got) != 2 || got["good"] != false || len(problems) != 1 {
+		t.Fatalf("got %v", got)
+	}
+	problem, _ := problems[0].(map[string]any)
+	for _, key := range []string{"file", "line", "column", "key", "what"} {
+		if _, ok := problem[key]; !ok || len(problem) != 5 {
+			t.Errorf("problem %v: want %s, and five keys", problem, key)
+		}
+	}
+}
+
 // Exit codes are 0, 1 and 2 for good, no, and wrong use.
 func TestExitCodesStay(t *testing.T) {
 	bad := filepath.Join(t.TempDir(), "bad.conf")
--- a/internal/publicnames/publicnames_test.go
+++ b/internal/publicnames/publicnames_test.go
@@ -26,11 +26,13 @@
 	"archknot/internal/confstream"
 	"archknot/internal/contract"
 	"archknot/internal/contract/ledger"
+	"archknot/internal/contract/trial"
 	"archknot/internal/experiment"
 	"archknot/internal/figures"
 	"archknot/internal/lifecycle"
 	"archknot/internal/metrics"
 	"archknot/internal/publicnames"
+	"archknot/internal/replay"
 	"archknot/internal/revision"
 	"archknot/internal/wire"
 )
@@ -150,22 +152,26 @@
 func TestJSONFields(t *testing.T) {
 	var names []string
 	for root, of := range map[string]reflect.Type{
-		"capture settings":      reflect.TypeFor[choice.Settings](),
-		"capture manifest":      reflect.TypeFor[capture.Manifest](),
-		"capture missing":       reflect.TypeFor[capture.Missing](),
-		"config history":        reflect.TypeFor[confstream.Line](),
-		"control accounts":      reflect.TypeFor[contract.Account](),
-		"control figures":       reflect.TypeFor[figures.Control](),
-		"control rollback":      reflect.TypeFor[lifecycle.RollbackOrder](),
-		"control save":          reflect.TypeFor[lifecycle.SaveOrder](),
-		"control save answer":   reflect.TypeFor[lifecycle.SaveAnswer](),
-		"control status":        reflect.TypeFor[lifecycle.Status](),
-		"contracts":             reflect.TypeFor[contract.Terms](),
-		"experiment record":     reflect.TypeFor[experiment.Record](),
-		"experiment report":     reflect.TypeFor[experiment.Summary](),
-		"settings shown":        reflect.TypeFor[conf.Setting](),
-		"simulator settings":    wire.SettingsType(),
-		"configuration problem": reflect.TypeFor[conf.Problem](),
+		"capture settings":    reflect.TypeFor[choice.Settings](),
+		"capture manifest":    reflect.TypeFor[capture.Manifest](),
+		"capture missing":     reflect.TypeFor[capture.Missing](),
+		"config history":      reflect.TypeFor[confstream.Line](),
+		"control accounts":    reflect.TypeFor[contract.Account](),
+		"control figures":     reflect.TypeFor[figures.Control](),
+		"control rollback":    reflect.TypeFor[lifecycle.RollbackOrder](),
+		"control save":        reflect.TypeFor[lifecycle.SaveOrder](),
+		"control save answer": reflect.TypeFor[lifecycle.SaveAnswer](),
+		"control status":      reflect.TypeFor[lifecycle.Status](),
+		"contracts":           reflect.TypeFor[contract.Terms](),
+		"experiment record":   reflect.TypeFor[experiment.Record](),
+		"experiment report":   reflect.TypeFor[experiment.Summary](),
+		"settings shown":      reflect.TypeFor[conf.Setting](),
+		"simulator settings":  wire.SettingsType(),
+		"contracts simulated": reflect.TypeFor[trial.Result](),
+		"replay builds":       reflect.TypeFor[replay.AgainstResult](),
+		"replay difference":   reflect.TypeFor[replay.Difference](),
+		"replay perturbed":    reflect.TypeFor[replay.PerturbResult](),
+		"replay result":       reflect.TypeFor[replay.Result](),
 	} {
 		names = append(names, publicnames.JSONFields(root, of)...)
 	}
