--- a/cmd/archknot/faults_test.go
+++ b/cmd/archknot/faults_test.go
@@ -195,7 +195,7 @@
 	go func() { next.exited <- next.cmd.Wait() }()
 	until(t, "it waits for the address", func() bool {
 		text, _ := os.ReadFile(log.Name())
-		return strings.Contains(string(text), "msg=trying_again")
+		return strings.Contains(string(text), "msg=retrying")
 	})
 	p.cmd.Process.Kill()
 	<-p.exited
--- a/cmd/archknot/fleet_test.go
+++ b/cmd/archknot/fleet_test.go
@@ -384,7 +384,7 @@
 	var out []string
 	lines := strings.Split(string(log), "\n")
 	for i, line := range lines {
-		if i >= len(lines)-15 || !strings.Contains(line, "answer=served") && !strings.Contains(line, "msg=list") && len(out) < 60 {
+		if i >= len(lines)-15 || !strings.Contains(line, "outcome=served") && !strings.Contains(line, "msg=endpoint_list") && len(out) < 60 {
 			out = append(out, line)
 		}
 	}
--- a/internal/gateway/clients.go
+++ b/internal/gateway/clients.go
@@ -97,7 +97,7 @@
 	conn.mu.Unlock()
 	c.closedFor[why].Add(1)
 	if slog.Default().Enabled(context.Background(), slog.LevelDebug) {
-		slog.Debug("client_closed", "reason", why.String(), "client", conn.RemoteAddr(), "requests", served, "quiet_ms", (c.clock.now()-quiet)/1000)
+		slog.Debug("client_conn_closed", "reason", why.String(), "client", conn.RemoteAddr(), "requests", served, "idle_ms", (c.clock.now()-quiet)/1000)
 	}
 }
 
@@ -190,7 +190,7 @@
 		if err == nil {
 			return conn, nil
 		}
-		slog.Debug("client_unusable", "err", err)
+		slog.Debug("client_conn_unusable", "err", err)
 		nc.Close()
 	}
 }
--- a/internal/gateway/contracts.go
+++ b/internal/gateway/contracts.go
@@ -92,7 +92,7 @@
 		return err
 	}
 	if n := book.Resume(stored); n > 0 {
-		slog.Info("balances", "resumed", n)
+		slog.Info("contract_ledger_resumed", "resumed", n)
 	}
 	if l.book = book; l.record != nil {
 		l.record.r.Renew(l.now, book, unix, stored)
@@ -194,7 +194,7 @@
 	l.books.Kept(l.now, e.number, e.err == nil)
 	if e.err != nil && l.now-l.shares.toldAt >= failedEvery {
 		l.shares.toldAt = l.now
-		slog.Error("balances_failed", "err", e.err, "exposed", l.book.Exposed()/contract.Token)
+		slog.Error("contract_ledger_write_failed", "err", e.err, "unsaved_tokens", l.book.Exposed()/contract.Token)
 	}
 }
 
@@ -367,7 +367,7 @@
 // notices logs budgets that have come to half, four fifths and all.
 func (l *loop) notices() {
 	for _, n := range l.book.Notices() {
-		slog.Info("budget", "team", n.Team, "period", n.Period.String(), "percent", n.Percent, "used", n.Used/contract.Token,
+		slog.Info("contract_budget", "team", n.Team, "period", n.Period.String(), "percent", n.Percent, "used", n.Used/contract.Token,
 			"limit", n.Limit/contract.Token)
 	}
 }
--- a/internal/gateway/loop.go
+++ b/internal/gateway/loop.go
@@ -126,12 +126,12 @@
 	lost, alone := l.b.LostSites()
 	for _, name := range lost {
 		if !slices.Contains(l.lost, name) {
-			slog.Warn("site_lost", "site", name, "cut_off", alone)
+			slog.Warn("zone_lost", "zone", name, "isolated", alone)
 		}
 	}
 	for _, name := range l.lost {
 		if !slices.Contains(lost, name) {
-			slog.Info("site_back", "site", name)
+			slog.Info("zone_recovered", "zone", name)
 		}
 	}
 	l.lost = lost
@@ -217,9 +217,9 @@
 	code   int  // the answer's status, where it was not 200
 }
 
-var statusWords = map[choice.Status]string{choice.Served: "served", choice.Errored: "error", choice.Shed: "declined",
+var statusWords = map[choice.Status]string{choice.Served: "served", choice.Errored: "error", choice.Shed: "shed",
 	choice.TimedOut: "timeout", choice.ConnectFailed: "connect_failed", choice.ConnBroken: "reset",
-	choice.Cancelled: "cancelled", choice.NotSent: "not_sent", choice.Spoilt: "spoilt", choice.Rejected: "rejected"}
+	choice.Cancelled: "cancelled", choice.NotSent: "not_sent", choice.Spoilt: "malformed", choice.Rejected: "rejected"}
 
 func (e ended) apply(l *loop) {
 	if !l.requests.Ended(e.d) {
@@ -233,10 +233,10 @@
 	l.settle(&e)
 	l.reported(e.d.Worker, &e.report)
 	if e.status != choice.Served {
-		slog.LogAttrs(context.Background(), slog.LevelInfo, "attempt", slog.String("id", r.Name), slog.Int("n", e.d.N),
-			slog.String("why", e.d.Why), slog.String("replica", e.d.Worker.Instance.ID), slog.String("status", statusWords[e.status]),
+		slog.LogAttrs(context.Background(), slog.LevelInfo, "attempt", slog.String("id", r.Name), slog.Int("attempt", e.d.N),
+			slog.String("kind", e.d.Why), slog.String("replica", e.d.Worker.Instance.ID), slog.String("status", statusWords[e.status]),
 			slog.Int64("elapsed_ms", (l.now-e.d.SentAt)/1000), slog.Bool("streamed", r.Bound == e.d), slog.Bool("reused", e.reused),
-			slog.Int("code", e.code))
+			slog.Int("http_status", e.code))
 	}
 	l.m.AttemptEnded(l.now, choice.Outcome{ID: r.ID, Attempt: e.d.N, Replica: e.d.Worker.ID, Status: e.status,
 		Elapsed: l.now - e.d.SentAt, Final: r.Done, Kept: e.kept, Tokens: e.tokens, Report: e.report})
@@ -273,7 +273,7 @@
 }
 
 func (e listFailed) apply(l *loop) {
-	slog.Info("registry_failed", "err", e.err)
+	slog.Info("discovery_failed", "err", e.err)
 	kind := choice.ListFailed
 	if e.unreached {
 		kind = choice.ListUnreached
@@ -314,7 +314,7 @@
 	l.inForce = l.g.clock.at(l.now)
 	if len(in.Instances) > 0 {
 		of := l.view.Stats()
-		slog.Info("list", "kind", kindWords[kind], "version", in.Generation, "entries", len(in.Instances), "ready", l.registry.Ready(),
+		slog.Info("endpoint_list", "kind", kindWords[kind], "version", in.Generation, "entries", len(in.Instances), "ready", l.registry.Ready(),
 			"subset", of.Subset, "joined", of.Joined, "left", of.Left)
 	}
 }
@@ -347,7 +347,7 @@
 // turn for some of them for seconds.
 func (l *loop) setReady() {
 	if (l.registry.Ready() > 0 || l.onlyOut()) && !l.g.ready.Swap(true) {
-		slog.Info("ready", "workers", l.registry.Ready(), "from_registry", l.told)
+		slog.Info("ready", "replicas", l.registry.Ready(), "from_discovery", l.told)
 	}
 }
 
--- a/internal/gateway/orders.go
+++ b/internal/gateway/orders.go
@@ -151,7 +151,7 @@
 func (g *Gateway) ordersChanged() {
 	drained := g.o.Orders.Drained()
 	if g.clients.setDrained(drained) {
-		slog.Info("service", "drained", drained, "client_conns", g.clients.count(), "requests", g.clients.held())
+		slog.Info("client_drain", "drained", drained, "client_conns", g.clients.count(), "requests", g.clients.held())
 	}
 	select {
 	case g.ordersNews <- struct{}{}:
--- a/internal/gateway/server.go
+++ b/internal/gateway/server.go
@@ -101,7 +101,7 @@
 	} else {
 		r.last = now
 	}
-	slog.Info(msg, append(args, "skipped", r.skipped)...)
+	slog.Info(msg, append(args, "suppressed", r.skipped)...)
 	r.skipped = 0
 }
 
@@ -131,7 +131,7 @@
 	}
 	body, problem := g.readBody(w, r)
 	if problem == noRoom {
-		g.rareFull.log("bodies_full", "bytes", g.clients.bytes.Load())
+		g.rareFull.log("body_memory_exhausted", "bytes", g.clients.bytes.Load())
 		full(w, live)
 		return
 	}
@@ -155,7 +155,7 @@
 			g.turnAway(w, inHand)
 			return
 		}
-		g.rareFull.log("full", "id", job.ID, "held", g.clients.held())
+		g.rareFull.log("at_capacity", "id", job.ID, "in_flight", g.clients.held())
 		full(w, live)
 		return
 	}
@@ -171,15 +171,15 @@
 	defer end()
 	req := memory.NewRequest(ctx, job.ID, job.Request, sentAt+job.Wait, max(mostAttempts, g.o.Settings.MaxAttempts))
 	req.Left, req.End = conn.gone, end
-	answer, reason, replica, attempts, first, retryAfter := "left", "", "", 0, choice.Micros(0), choice.Micros(0)
+	answer, reason, replica, attempts, first, retryAfter := "client_gone", "", "", 0, choice.Micros(0), choice.Micros(0)
 	defer func() {
 		if g.o.Ended != nil {
 			g.o.Ended(live.bad(&job, answer, first))
 		}
 		slog.LogAttrs(context.Background(), slog.LevelInfo, "request", slog.String("id", job.ID), slog.String("class", job.Request.Class),
-			slog.String("key", fmt.Sprintf("%016x", job.Request.Session)), slog.String("answer", answer), slog.String("reason", reason),
-			slog.Int("attempts", attempts), slog.String("replica", replica), slog.Int64("wait_ms", job.Wait/1000), slog.Int64("first_ms", first/1000),
-			slog.Int64("total_ms", (g.clock.now()-sentAt)/1000), slog.Int64("retry_ms", retryAfter/1000))
+			slog.String("session", fmt.Sprintf("%016x", job.Request.Session)), slog.String("outcome", answer), slog.String("reason", reason),
+			slog.Int("attempts", attempts), slog.String("replica", replica), slog.Int64("timeout_ms", job.Wait/1000), slog.Int64("first_token_ms", first/1000),
+			slog.Int64("total_ms", (g.clock.now()-sentAt)/1000), slog.Int64("retry_after_ms", retryAfter/1000))
 	}()
 	g.loop.events <- arrived{req, live, told}
 	for {
@@ -189,7 +189,7 @@
 		case <-ctx.Done(): // its attempts end with it
 			g.loop.events <- left{req}
 			if hand.lost() {
-				answer = "lost"
+				answer = "taken_over"
 				panic(http.ErrAbortHandler)
 			}
 			return
@@ -206,7 +206,7 @@
 			} else if whole {
 				answer = "served"
 			} else {
-				answer = "broken"
+				answer = "stream_broken"
 			}
 			if !whole {
 				// Closes the connection without the last chunk: the client can
@@ -215,15 +215,15 @@
 			}
 			return
 		case memory.Overload:
-			answer, reason, retryAfter = "overload", a.Reason, a.RetryAfter
+			answer, reason, retryAfter = "shed", a.Reason, a.RetryAfter
 			overload(w, a.RetryAfter)
 			return
 		case memory.Contract:
-			answer, reason, retryAfter = "contract", a.Reason, a.RetryAfter
+			answer, reason, retryAfter = "contract_rejected", a.Reason, a.RetryAfter
 			notAgreed(w, a.Reason, a.RetryAfter)
 			return
 		case memory.TurnAway:
-			answer, reason = "turned_away", a.Reason
+			answer, reason = "rejected", a.Reason
 			g.turnAway(w, badRequest(a.Reason))
 			return
 		case memory.Fail:
@@ -329,7 +329,7 @@
 // turnAway answers what is not taken on, and closes the connection: who goes on
 // sending such requests has to connect for each.
 func (g *Gateway) turnAway(w http.ResponseWriter, p *problem) {
-	g.rareAway.log("turned_away", "status", p.status, "reason", p.text)
+	g.rareAway.log("rejected", "status", p.status, "reason", p.text)
 	w.Header().Set("Connection", "close")
 	http.Error(w, p.text, p.status)
 }
--- a/internal/gateway/service.go
+++ b/internal/gateway/service.go
@@ -103,7 +103,7 @@
 // refuseLate answers a request that has come whole too late in a drain to be taken.
 func (g *Gateway) refuseLate(w http.ResponseWriter, job *socket.Job, v *live) {
 	full(w, v)
-	slog.Info("request", "id", job.ID, "class", job.Request.Class, "answer", "overload", "reason", "draining", "attempts", 0)
+	slog.Info("request", "id", job.ID, "class", job.Request.Class, "outcome", "shed", "reason", "draining", "attempts", 0)
 }
 
 // Where processes share the listening socket, what one accepts the others don't get. A process that
--- a/internal/gateway/takeover.go
+++ b/internal/gateway/takeover.go
@@ -62,7 +62,7 @@
 	ctx, stop := context.WithDeadline(h.ctx, g.clock.at(sentAt+job.Wait))
 	defer stop()
 	held, grant, err := g.o.Peers.Claim(ctx, rest.ID, rest.Ask, h.cancel)
-	slog.Info("take_over", "id", job.ID, "of", rest.ID, "ask", rest.Ask, "had_bytes", rest.Bytes, "made", grant.Made, "left_ms", grant.Left.Milliseconds(), "err", err)
+	slog.Info("takeover", "id", job.ID, "of", rest.ID, "claim", rest.Ask, "received_bytes", rest.Bytes, "attempts", grant.Made, "remaining_ms", grant.Left.Milliseconds(), "err", err)
 	if err != nil {
 		h.cancel()
 		var no peers.Refusal
@@ -158,7 +158,7 @@
 	select {
 	case <-time.After(g.o.Peers.HandOverAfter()):
 		if n := g.o.Peers.HandOver(); n > 0 {
-			slog.Info("handed_over", "requests", n)
+			slog.Info("requests_handed_over", "requests", n)
 		}
 	case <-ctx.Done():
 	}
--- a/internal/gateway/version.go
+++ b/internal/gateway/version.go
@@ -36,7 +36,7 @@
 
 // bad tells whether a request came late or was not served.
 func (v *live) bad(job *socket.Job, answer string, first choice.Micros) bool {
-	if answer != "served" && answer != "broken" {
+	if answer != "served" && answer != "stream_broken" {
 		return true
 	}
 	c, err := v.class(job.Request.Class)
--- a/internal/gateway/watch.go
+++ b/internal/gateway/watch.go
@@ -46,7 +46,7 @@
 				// What it missed counts as told by now, so it is begun anew at once, but once. The
 				// gateways' calls are as far apart as the watches were begun: in turns.
 				silent = true
-				slog.Warn("registry_silent", "err", err)
+				slog.Warn("discovery_silent", "err", err)
 				continue
 			}
 			if err != nil {
@@ -69,7 +69,7 @@
 // moved leaves the registry's old address.
 func (g *Gateway) moved(from, to string) string {
 	g.registry.pool.CloseIdle(from)
-	slog.Info("registry_moved", "from", from, "to", to)
+	slog.Info("discovery_moved", "from", from, "to", to)
 	return to
 }
 
@@ -104,13 +104,13 @@
 	if list.OddEntries > 0 && err == nil {
 		g.oddEntries.Add(int64(list.OddEntries))
 		for _, odd := range list.Odd {
-			g.rareOdd.log("list_odd_entry", "index", odd.Index, "replica", odd.ID, "reason", odd.Reason, "odd_entries", g.oddEntries.Load())
+			g.rareOdd.log("endpoint_list_invalid_entry", "index", odd.Index, "replica", odd.ID, "reason", odd.Reason, "invalid_entries", g.oddEntries.Load())
 		}
 	}
 	var bad *socket.BadList
 	if errors.As(err, &bad) {
 		g.refusedLists.Add(1)
-		slog.Error("list_refused", "err", bad.Reason, "refused_lists", g.refusedLists.Load())
+		slog.Error("endpoint_list_rejected", "err", bad.Reason, "rejected_lists", g.refusedLists.Load())
 	}
 	return list, err
 }
--- a/internal/lifecycle/patience.go
+++ b/internal/lifecycle/patience.go
@@ -20,7 +20,7 @@
 		}
 		if !told {
 			told = true
-			slog.Warn("trying_again", "err", err, "for", patience)
+			slog.Warn("retrying", "err", err, "for", patience)
 		}
 	}
 }
--- a/internal/lifecycle/run.go
+++ b/internal/lifecycle/run.go
@@ -129,7 +129,7 @@
 		return nil, fmt.Errorf("contracts.store: %w", err)
 	}
 	if aside != "" {
-		slog.Error("balances_damaged", "set_aside", aside)
+		slog.Error("contract_ledger_corrupted", "set_aside", aside)
 	}
 	s.c.Gateway.Ledger = store
 	return func() { store.Close() }, nil
@@ -209,7 +209,7 @@
 	ctx, stop := context.WithCancel(context.Background())
 	defer stop()
 	slog.Info("start", "name", s.c.Gateway.Name, "listen", s.c.Listen, "discovery", s.c.Gateway.Discovery, "cores", s.c.Cores,
-		"heap_mb", s.c.MemoryMB, "client_conns", s.c.Gateway.ClientConns, "worker_conns", s.c.Gateway.WorkerConns,
+		"heap_mb", s.c.MemoryMB, "client_conns", s.c.Gateway.ClientConns, "replica_conns", s.c.Gateway.WorkerConns,
 		"conf", s.file, "capture", s.conf.Capture.Record, "build", build.Version())
 	if s.c.Admin != "" {
 		following, stopFollowing := context.WithCancel(context.Background())
@@ -232,7 +232,7 @@
 	go s.rerecord(ctx)
 	time.AfterFunc(dropAfter, func() {
 		if _, err := dropStartup(); err != nil {
-			slog.Debug("drop_startup", "err", err)
+			slog.Debug("startup_pages_release_failed", "err", err)
 		}
 	})
 	drained := make(chan error, 1)
@@ -260,7 +260,7 @@
 				_ = atTheEnd(s.c.Gateway.Orders.Close) // what cannot be saved was told
 			}
 			if err := atTheEnd(s.g.CloseBooks); err != nil {
-				slog.Error("balances_failed", "err", err)
+				slog.Error("contract_ledger_write_failed", "err", err)
 			}
 			_ = atTheEnd(func(ctx context.Context) error { return s.g.Record(ctx, nil) }) // what is not whole is told by the capture itself
 			if err != nil {
--- a/internal/lifecycle/stream.go
+++ b/internal/lifecycle/stream.go
@@ -46,7 +46,7 @@
 			return nil, fmt.Errorf("control-service.store: %w", err)
 		}
 		if aside != "" {
-			slog.Error("config_store_damaged", "path", v.Store, "aside", aside)
+			slog.Error("config_store_corrupted", "path", v.Store, "set_aside", aside)
 		}
 		s.store, o.Store = store, store
 		closers = append(closers, func() { store.Close() })
--- a/internal/lifecycle/unknown.go
+++ b/internal/lifecycle/unknown.go
@@ -177,9 +177,9 @@
 		slog.Warn("config_unknown_key", "key", u.Key, "file", c.path, "line", u.Line, "column", u.Column)
 	}
 	for _, odd := range c.Gateway.Known.Odd {
-		slog.Warn("list_odd_entry", "list", "known", "index", odd.Index, "replica", odd.ID, "reason", odd.Reason, "odd_entries", c.Gateway.Known.OddEntries)
+		slog.Warn("endpoint_list_invalid_entry", "list", "known", "index", odd.Index, "replica", odd.ID, "reason", odd.Reason, "invalid_entries", c.Gateway.Known.OddEntries)
 	}
 	if c.UnknownKeys > len(c.Unknown) {
-		slog.Warn("config_unknown_keys", "all", c.UnknownKeys, "told", len(c.Unknown))
+		slog.Warn("config_unknown_keys", "total", c.UnknownKeys, "reported", len(c.Unknown))
 	}
 }
--- a/internal/maintenance/handoff.go
+++ b/internal/maintenance/handoff.go
@@ -39,7 +39,7 @@
 	if err != nil {
 		if !errors.Is(err, syscall.EADDRINUSE) && !h.lacks {
 			h.lacks = true
-			slog.Warn("orders_handoff", "err", err)
+			slog.Warn("maintenance_orders_handoff_failed", "err", err)
 		}
 		return
 	}
--- a/internal/maintenance/store.go
+++ b/internal/maintenance/store.go
@@ -76,14 +76,14 @@
 	err := s.until(ctx, s.load)
 	stop()
 	if err != nil {
-		slog.Error("orders_not_read", "path", s.path, "err", err)
+		slog.Error("maintenance_orders_read_failed", "path", s.path, "err", err)
 	}
 	s.succeed()
 	s.mu.Lock()
 	n, drained := s.state.out(), s.state.Drain.On
 	s.mu.Unlock()
 	if n > 0 || drained {
-		slog.Info("orders_taken_over", "replicas_out", n, "drained", drained)
+		slog.Info("maintenance_orders_restored", "ejected_replicas", n, "drained", drained)
 	}
 	return s
 }
@@ -276,9 +276,9 @@
 	s.mu.Unlock()
 	switch {
 	case err != nil && was == nil:
-		slog.Error("orders_not_saved", "path", s.path, "err", err)
+		slog.Error("maintenance_orders_save_failed", "path", s.path, "err", err)
 	case err == nil && was != nil:
-		slog.Info("orders_saved", "path", s.path)
+		slog.Info("maintenance_orders_saved", "path", s.path)
 	}
 	return err
 }
@@ -324,7 +324,7 @@
 	s.mu.Lock()
 	if now := time.Now(); now.Sub(s.damaged) >= tellDamageEach {
 		s.damaged = now
-		slog.Error("orders_damaged", "path", s.path, "err", damage, "set_aside", aside)
+		slog.Error("maintenance_orders_corrupted", "path", s.path, "err", damage, "set_aside", aside)
 	}
 	s.stamp, s.saved = "", newState()
 	s.mu.Unlock()
--- a/internal/operator/server.go
+++ b/internal/operator/server.go
@@ -105,7 +105,7 @@
 	if l, err := net.Listen("tcp", addr); err == nil {
 		go s.run(l)
 	} else {
-		slog.Error("operators_address", "listen", addr, "err", err)
+		slog.Error("admin_listener", "listen", addr, "err", err)
 		go s.bind(addr)
 	}
 	return s
@@ -120,7 +120,7 @@
 		case <-time.After(bindEach):
 		}
 		if l, err := net.Listen("tcp", addr); err == nil {
-			slog.Info("operators_address", "listen", addr)
+			slog.Info("admin_listener", "listen", addr)
 			s.run(l)
 			return
 		}
@@ -129,7 +129,7 @@
 
 func (s *Server) run(l net.Listener) {
 	if err := s.http.Serve(s.slots.listen(sockets.Persistent(l))); !errors.Is(err, http.ErrServerClosed) {
-		slog.Error("operators_address", "err", err)
+		slog.Error("admin_listener", "err", err)
 	}
 }
 
@@ -257,6 +257,6 @@
 	} else if status != http.StatusOK {
 		level = slog.LevelWarn
 	}
-	slog.Log(r.Context(), level, "operator", "call", c.String(), "replica", replica, "client", r.RemoteAddr, "request_id", r.Header.Get("Req-Id"),
+	slog.Log(r.Context(), level, "admin_call", "call", c.String(), "replica", replica, "client", r.RemoteAddr, "request_id", r.Header.Get("Req-Id"),
 		"status", status, "answer", text, "took_ms", took.Milliseconds())
 }
--- a/internal/peers/peers.go
+++ b/internal/peers/peers.go
@@ -380,7 +380,7 @@
 		now := s.now()
 		switch {
 		case errors.Is(err, syscall.ECONNREFUSED) || err == nil && life > who.Life:
-			slog.Info("peer_dead", "peer", who.Name, "life", who.Life, "answers", life)
+			slog.Info("peer_dead", "peer", who.Name, "incarnation", who.Life, "answered_by", life)
 			s.table.Proof(now, who)
 			s.node.Dead(now, who)
 		case err == nil && life == who.Life:
