--- a/internal/maintenance/files.go
+++ b/internal/maintenance/files.go
@@ -14,8 +14,9 @@
 type Files interface {
 	// Read returns a file's text; an error of fs.ErrNotExist says that there is none.
 	Read(path string) ([]byte, error)
-	// Replace gives a file a new text: the whole of it, on disk, or none of it.
-	Replace(path string, text []byte) error
+	// Replace gives a file a new text, all of it, on disk, or none of it. It returns the stamp of the
+	// file that it wrote, also if somebody has changed that file since.
+	Replace(path string, text []byte) (stamp string, err error)
 	// Stamp changes whenever a file does; "" where there is none.
 	Stamp(path string) (string, error)
 	// Aside renames a file.
@@ -48,15 +49,22 @@
 	return text, err
 }
 
-func (disk) Replace(path string, text []byte) error {
+func (disk) Replace(path string, text []byte) (stamp string, err error) {
 	f, err := os.CreateTemp(filepath.Dir(path), filepath.Base(path)+".new-*")
 	if err != nil {
-		return err
+		return "", err
 	}
 	_, err = f.Write(text)
 	if err == nil {
 		err = f.Sync()
 	}
+	if err == nil {
+		// Taken here, for a file that is damaged right after the rename must not pass for this one.
+		var info fs.FileInfo
+		if info, err = f.Stat(); err == nil {
+			stamp = stampOf(info)
+		}
+	}
 	if cerr := f.Close(); err == nil {
 		err = cerr
 	}
@@ -65,9 +73,9 @@
 	}
 	if err != nil {
 		os.Remove(f.Name())
-		return err
+		return "", err
 	}
-	return syncFolder(filepath.Dir(path))
+	return stamp, syncFolder(filepath.Dir(path))
 }
 
 // syncFolder has the folder's entries on disk.
@@ -91,11 +99,15 @@
 	if err != nil {
 		return "", err
 	}
+	return stampOf(info), nil
+}
+
+func stampOf(info fs.FileInfo) string {
 	inode := uint64(0)
 	if s, ok := info.Sys().(*syscall.Stat_t); ok {
 		inode = s.Ino
 	}
-	return fmt.Sprint(inode, info.Size(), info.ModTime().UnixNano()), nil
+	return fmt.Sprint(inode, info.Size(), info.ModTime().UnixNano())
 }
 
 func (disk) Aside(path, to string) error { return os.Rename(path, to) }
--- a/internal/maintenance/store.go
+++ b/internal/maintenance/store.go
@@ -340,12 +340,9 @@
 	if same {
 		return nil
 	}
-	if err := s.o.Files.Replace(s.path, now.text()); err != nil {
-		return err
-	}
-	stamp, err := s.o.Files.Stamp(s.path)
+	stamp, err := s.o.Files.Replace(s.path, now.text())
 	if err != nil {
-		stamp = "" // read at the next look
+		return err
 	}
 	s.mu.Lock()
 	s.saved, s.stamp = now, stamp
--- a/internal/maintenance/store_test.go
+++ b/internal/maintenance/store_test.go
@@ -8,6 +8,7 @@
 	"os"
 	"path/filepath"
 	"slices"
+	"sync"
 	"sync/atomic"
 	"syscall"
 	"testing"
@@ -32,13 +33,13 @@
 	return &os.PathError{Op: "write", Path: "x", Err: all[rand.IntN(len(all))]}
 }
 
-func (f *flaky) Replace(path string, text []byte) error {
+func (f *flaky) Replace(path string, text []byte) (string, error) {
 	if f.half.Load() {
 		_ = os.WriteFile(path, text[:len(text)/2], 0o600)
-		return syscall.EIO
+		return "", syscall.EIO
 	}
 	if err := f.fails(); err != nil {
-		return err
+		return "", err
 	}
 	return f.disk.Replace(path, text)
 }
@@ -222,6 +223,32 @@
 	}
 }
 
+// damaging truncates a file once, right after it was written.
+type damaging struct {
+	disk
+	once sync.Once
+}
+
+func (d *damaging) Replace(path string, text []byte) (string, error) {
+	stamp, err := d.disk.Replace(path, text)
+	d.once.Do(func() { _ = os.Truncate(path, 10) })
+	return stamp, err
+}
+
+// Damage that comes before the store has looked at what it wrote does not pass for the written file.
+func TestDamageRightAfterAWrite(t *testing.T) {
+	s, end := open(t, t.TempDir(), &damaging{}, true)
+	defer end()
+	if err := s.SetOut(context.Background(), "s-1", true); err != nil {
+		t.Fatal(err)
+	}
+	until(t, "written anew", func() bool {
+		text, _ := os.ReadFile(s.path)
+		in, err := parse(text)
+		return err == nil && in.out() == 1
+	})
+}
+
 // A file system that hangs holds up no order, and keeps one task at most.
 func TestAHangingDisk(t *testing.T) {
 	hang := &hanging{free: make(chan struct{})}
