--- a/choice/api.go
+++ b/choice/api.go
@@ -35,16 +35,16 @@
 // Class describes one class of requests.
 type Class struct {
 	Name        string
-	Aim         Micros // full worth for a first token (or answer) within this
-	AimPer1000  Micros // added to Aim for each 1,000 prompt tokens
-	TokenAim    Micros // time allowed for each streamed token
-	Deadline    Micros // the client's total wait
-	Worth       float64
-	LateWorth   float64 // share of Worth paid between aim and deadline
-	Effect      Effect
-	Scope       Scope  // for Keyed
-	RepeatsKept Micros // for Keyed: how long the group remembers
-	Stream      bool
+	Aim         Micros  `json:"Aim"`        // full worth for a first token (or answer) within this
+	AimPer1000  Micros  `json:"AimPer1000"` // added to Aim for each 1,000 prompt tokens
+	TokenAim    Micros  `json:"TokenAim"`   // time allowed for each streamed token
+	Deadline    Micros  // the client's total wait
+	Worth       float64 `json:"Worth"`
+	LateWorth   float64 `json:"LateWorth"` // share of Worth paid between aim and deadline
+	Effect      Effect  `json:"Effect"`
+	Scope       Scope   `json:"Scope"`       // for Keyed
+	RepeatsKept Micros  `json:"RepeatsKept"` // for Keyed: how long the group remembers
+	Stream      bool    `json:"Stream"`
 }
 
 // Tenant is a party that shares the fleet.
@@ -78,30 +78,39 @@
 	Zones, Kinds   []string
 	Classes        []Class
 	Tenants        []Tenant
-	OverShareWorth float64
-	ReportVia      ReportVia
-	Weights        WeightMeaning
-	AskRegistry    bool   // the server list answers only when asked
-	ListsPushed    bool   // whom to ask is an agent on this machine, which answers at no cost
-	WatchWait      Micros // a call that waits for news is answered at least so often; 0: no news means that there is none
-	Tick           Micros // least time between two rounds of events
-
-	MayProbe, MayTellPeers, MayCancel, SecondCopies, RetryAfter bool
-	MaxAttempts                                                 int
-	MaxRetryAfter                                               Micros
-	HedgeShare, RetryShare                                      float64 // further attempts allowed a request; 0: the module's own figures
+	OverShareWorth float64       `json:"OverShareWorth"`
+	ReportVia      ReportVia     `json:"ReportVia"`
+	Weights        WeightMeaning `json:"Weights"`
+	AskRegistry    bool          `json:"AskRegistry"` // the server list answers only when asked
+	ListsPushed    bool          `json:"ListsPushed"` // whom to ask is an agent on this machine, which answers at no cost
+	WatchWait      Micros        `json:"WatchWait"`   // a call that waits for news is answered at least so often; 0: no news means that there is none
+	Tick           Micros        // least time between two rounds of events
+
+	MayProbe      bool `json:"MayProbe"`
+	MayTellPeers  bool `json:"MayTellPeers"`
+	MayCancel     bool
+	SecondCopies  bool `json:"SecondCopies"`
+	RetryAfter    bool
+	MaxAttempts   int
+	MaxRetryAfter Micros
+	HedgeShare    float64 `json:"HedgeShare"` // further attempts allowed a request; 0: the module's own figures
+	RetryShare    float64 `json:"RetryShare"`
 
 	// Cold replicas: sent more than FallMultiple times their present capacity
 	// for FallSpan by all gateways together, they fall over.
-	StartCapacity, FallMultiple float64
-	ColdFor, FallSpan           Micros
+	StartCapacity float64 `json:"StartCapacity"`
+	FallMultiple  float64 `json:"FallMultiple"`
+	ColdFor       Micros  `json:"ColdFor"`
+	FallSpan      Micros  `json:"FallSpan"`
 
 	// Connections: attempts that share one, and how long an idle one stays open.
-	ConnStreams int
-	ConnIdle    Micros
+	ConnStreams int    `json:"ConnStreams"`
+	ConnIdle    Micros `json:"ConnIdle"`
 
 	// Points of service for one of each, a request.
-	PriceCrossZone, PriceHandshake, PriceProbe float64
+	PriceCrossZone float64 `json:"PriceCrossZone"`
+	PriceHandshake float64 `json:"PriceHandshake"`
+	PriceProbe     float64 `json:"PriceProbe"`
 }
 
 // MemberState is a replica's state in the server list.
--- a/internal/conf/scalerun.go
+++ b/internal/conf/scalerun.go
@@ -10,26 +10,26 @@
 
 // ScaleRun is the plan of a scale run: which sizes of fleet are measured, and how.
 type ScaleRun struct {
-	Seed         int
-	Repeat       int           // runs of each size
-	For          time.Duration // what is measured of each
-	Settle       time.Duration // before it
-	Replicas     []int         // sizes to vary, before the base number of gateways
-	Gateways     []int         // and the other way round
-	BaseReplicas int
-	BaseGateways int
-	Of           int     // gateways that each is told there are
-	Processes    int     // gateways that are processes of their own, beside the hollow ones
-	Rate         float64 // requests a second at each gateway
-	First        time.Duration
-	Events       int // of an answer
-	Gap          time.Duration
-	Zones        int
-	Subset       int
-	Probe        bool
-	Changes      time.Duration // of the list: one each
-	Framing      string        // of the list
-	MemoryMB     int           // of all processes together
+	Seed         int           `json:"Seed"`
+	Repeat       int           `json:"Repeat"`   // runs of each size
+	For          time.Duration `json:"For"`      // what is measured of each
+	Settle       time.Duration `json:"Settle"`   // before it
+	Replicas     []int         `json:"Replicas"` // sizes to vary, before the base number of gateways
+	Gateways     []int         `json:"Gateways"` // and the other way round
+	BaseReplicas int           `json:"BaseReplicas"`
+	BaseGateways int           `json:"BaseGateways"`
+	Of           int           `json:"Of"`        // gateways that each is told there are
+	Processes    int           `json:"Processes"` // gateways that are processes of their own, beside the hollow ones
+	Rate         float64       `json:"Rate"`      // requests a second at each gateway
+	First        time.Duration `json:"First"`
+	Events       int           `json:"Events"` // of an answer
+	Gap          time.Duration `json:"Gap"`
+	Zones        int           `json:"Zones"`
+	Subset       int           `json:"Subset"`
+	Probe        bool          `json:"Probe"`
+	Changes      time.Duration `json:"Changes"`  // of the list: one each
+	Framing      string        `json:"Framing"`  // of the list
+	MemoryMB     int           `json:"MemoryMB"` // of all processes together
 }
 
 // Framings of the list that a scale run's discovery can write.
--- a/internal/contract/contract.go
+++ b/internal/contract/contract.go
@@ -138,10 +138,14 @@
 // Count is what a team asked for since the book was made: requests and further
 // copies, and the units they were thought to take.
 type Count struct {
-	Taken, Over, Refused                int64 // at full worth, beyond the rate, not at all
-	TakenUnits, OverUnits, RefusedUnits Units
-	Borrowed                            Units // of what others left idle
-	Used                                Units // as settled
+	Taken        int64 `json:"Taken"` // at full worth, beyond the rate, not at all
+	Over         int64 `json:"Over"`
+	Refused      int64 `json:"Refused"`
+	TakenUnits   Units `json:"TakenUnits"`
+	OverUnits    Units `json:"OverUnits"`
+	RefusedUnits Units `json:"RefusedUnits"`
+	Borrowed     Units `json:"Borrowed"` // of what others left idle
+	Used         Units `json:"Used"`     // as settled
 }
 
 // Asked is all that was asked for, in units.
@@ -213,15 +217,15 @@
 
 // Account is what a team's books say.
 type Account struct {
-	Team  string
-	Level Units
-	Open  int
-	Used  [periods]Units // by Period
-	Ends  [periods]choice.Micros
-	Limit [periods]Units // hard, or else soft; 0: none
-	Part  float64        // of the contract that this gateway holds
-	Valid bool
-	Count Count
+	Team  string                 `json:"Team"`
+	Level Units                  `json:"Level"`
+	Open  int                    `json:"Open"`
+	Used  [periods]Units         `json:"Used"` // by Period
+	Ends  [periods]choice.Micros `json:"Ends"`
+	Limit [periods]Units         `json:"Limit"` // hard, or else soft; 0: none
+	Part  float64                `json:"Part"`  // of the contract that this gateway holds
+	Valid bool                   `json:"Valid"`
+	Count Count                  `json:"Count"`
 }
 
 // Accounts lists them, in the contracts' order.
--- a/internal/contract/terms.go
+++ b/internal/contract/terms.go
@@ -17,39 +17,42 @@
 
 // Price is what a token of a class costs, read from the prompt or made for the
 // answer.
-type Price struct{ Read, Made float64 }
+type Price struct {
+	Read float64 `json:"Read"`
+	Made float64 `json:"Made"`
+}
 
 // Terms are one contract.
 type Terms struct {
-	Team    string
-	Tenants []string // that it covers
-	Classes []string // that it covers; none: all
-	Rate    float64  // units a second
-	Burst   Units    // that may be saved up
-	Worth   float64  // a factor on the class's worth; 0: 1
-	Over    float64  // the factor beyond the rate
-	Hard    bool     // beyond the rate nothing is taken at all
-	Prices  map[string]Price
-	Floors  map[string]float64 // units a second by class, that no other class of the team can take
-	Budgets []Budget
-	From    choice.Micros // Unix time from which it holds; 0: always has
-	Until   choice.Micros // and until; 0: for good
+	Team    string             `json:"Team"`
+	Tenants []string           `json:"Tenants"` // that it covers
+	Classes []string           `json:"Classes"` // that it covers; none: all
+	Rate    float64            `json:"Rate"`    // units a second
+	Burst   Units              `json:"Burst"`   // that may be saved up
+	Worth   float64            `json:"Worth"`   // a factor on the class's worth; 0: 1
+	Over    float64            `json:"Over"`    // the factor beyond the rate
+	Hard    bool               `json:"Hard"`    // beyond the rate nothing is taken at all
+	Prices  map[string]Price   `json:"Prices"`
+	Floors  map[string]float64 `json:"Floors"` // units a second by class, that no other class of the team can take
+	Budgets []Budget           `json:"Budgets"`
+	From    choice.Micros      `json:"From"`  // Unix time from which it holds; 0: always has
+	Until   choice.Micros      `json:"Until"` // and until; 0: for good
 	// Successor is the contract that takes this one's place at Until: it goes on
 	// with the level, and with what was used in the periods at hand.
-	Successor string
+	Successor string `json:"Successor"`
 	// Surge, where above 0: a team that lately asked for more than so many times its
 	// rate competes beyond it with all that it sends, floors apart, not only with
 	// what is too much.
-	Surge    float64
-	NoBorrow bool    // nothing of what others leave idle
-	Borrow   float64 // or at most so many units a second; 0: no bound
+	Surge    float64 `json:"Surge"`
+	NoBorrow bool    `json:"NoBorrow"` // nothing of what others leave idle
+	Borrow   float64 `json:"Borrow"`   // or at most so many units a second; 0: no bound
 }
 
 // Budget is what may be used in a period.
 type Budget struct {
-	Period Period
-	Soft   Units // from here on requests compete as beyond the rate; 0: none
-	Hard   Units // from here on they are refused; 0: none
+	Period Period `json:"Period"`
+	Soft   Units  `json:"Soft"` // from here on requests compete as beyond the rate; 0: none
+	Hard   Units  `json:"Hard"` // from here on they are refused; 0: none
 }
 
 // Period is a span of the calendar.
