--- a/choice/admission.go
+++ b/choice/admission.go
@@ -11,115 +11,115 @@
 	// tickEvery is the rhythm of upkeep: well under the second in which
 	// reports are renewed.
 	tickEvery Micros = 250_000
-	// hedgeShare and retryShare are the further attempts allowed a request.
-	hedgeShare, retryShare, budgetCap = 0.02, 0.2, 8.0
-	// backoffFirst and backoffMost bound the rest of a failing replica.
-	backoffFirst, backoffMost Micros = 500_000, 16_000_000
-	// coldCare is the part of the allowed cold work that is used: the sum of what all gateways
+	// defaultHedgeRatio and defaultRetryRatio are the further attempts allowed a request.
+	defaultHedgeRatio, defaultRetryRatio, budgetCap = 0.02, 0.2, 8.0
+	// backoffMin and backoffMax bound the rest of a failing replica.
+	backoffMin, backoffMax Micros = 500_000, 16_000_000
+	// slowStartMargin is the part of the allowed cold work that is used: the sum of what all gateways
 	// send scatters by chance, and traffic has bursts. See docs/design/standing-test.md.
-	coldCare = 0.45
-	// coldFavor is by how much less the score of the cold replica that an attempt is offered
+	slowStartMargin = 0.45
+	// slowStartPreference is by how much less the score of the cold replica that an attempt is offered
 	// weighs: an offer passed by is room that nobody else uses.
-	coldFavor = 0.35
-	// leastUtil bounds what reports of how busy warm replicas are may tell of their room.
-	leastUtil = 0.5
-	// lateMost is the share of late requests from which less is admitted, and
-	// leastPart the part of the limit that even the least worth may fill.
-	lateMost, leastPart = 0.2, 0.3
-	// lateFades is over how many seconds what was seen of lateness fades.
-	lateFades = 12.0
-	// openGrows is the part by which the limit opens each second.
-	openGrows = 0.2
-	// closesMost is the part it closes to in a tick: counted one by one, all that a
+	slowStartPreference = 0.35
+	// minUtilization bounds what reports of how busy warm replicas are may tell of their room.
+	minUtilization = 0.5
+	// maxLateShare is the share of late requests from which less is admitted, and
+	// minLimitShare the part of the limit that even the least worth may fill.
+	maxLateShare, minLimitShare = 0.2, 0.3
+	// latenessDecay is over how many seconds what was seen of lateness fades.
+	latenessDecay = 12.0
+	// limitGrowth is the part by which the limit opens each second.
+	limitGrowth = 0.2
+	// minLimitPerTick is the part it closes to in a tick: counted one by one, all that a
 	// jam makes late closed it to next to nothing.
-	closesMost = 0.9
-	// paceOver is how many token aims first tokens may take beyond their reading and
+	minLimitPerTick = 0.9
+	// slowStepFactor is how many token aims first tokens may take beyond their reading and
 	// the least time seen, at the median, before streams count as too slow.
-	paceOver = 1.5
-	// comeBackFirst and comeBackLast bound the advice to a refused client, in
+	slowStepFactor = 1.5
+	// minRetryAfter and maxRetryAfter bound the advice to a refused client, in
 	// aims: sooner nothing has changed, later the answer would be late.
-	comeBackFirst, comeBackLast = 0.125, 0.5
+	minRetryAfter, maxRetryAfter = 0.125, 0.5
 )
 
-// warmth is the least share of its capacity that w has by now: the slowest
+// warmCapacity is the least share of its capacity that w has by now: the slowest
 // even ramp from the least start.
-func (b *Balancer) warmth(now Micros, w *row) float64 {
-	if now >= w.coldUntil || b.s.ColdFor <= 0 {
+func (b *Balancer) warmCapacity(now Micros, w *replicaRow) float64 {
+	if now >= w.warmingUntil || b.settings.SlowStartFor <= 0 {
 		return 1
 	}
-	age := math.Max(0, float64(now-w.coldFrom)/float64(b.s.ColdFor))
-	return b.s.StartCapacity + (1-b.s.StartCapacity)*age
+	age := math.Max(0, float64(now-w.warmingSince)/float64(b.settings.SlowStartFor))
+	return b.settings.InitialCapacity + (1-b.settings.InitialCapacity)*age
 }
 
-// offerCold draws the cold replica that this attempt of r may go to, nil for none. It is rule 4:
+// offerWarming draws the cold replica that this attempt of r may go to, nil for none. It is rule 4:
 // all gateways together may send a cold replica no more than a multiple of what it can do now, N
 // requests of mean work in a span. Each attempt is offered one cold replica at most, by a chance
-// that is the same wherever the attempt comes and whatever else it prefers: coldCare * N offers in
+// that is the same wherever the attempt comes and whatever else it prefers: slowStartMargin * N offers in
 // the mean, by chance as a Poisson count has it. How many gateways there are, what each gets, and a
 // preference that all of them share change nothing about it, and nothing is learnt or saved up.
-func (b *Balancer) offerCold(now Micros, r *request) *row {
-	if b.cold == 0 {
+func (b *Balancer) offerWarming(now Micros, r *request) *replicaRow {
+	if b.warmingCount == 0 {
 		return nil
 	}
-	heavy := math.Max(1, b.work(r)/math.Max(1, b.meanWork))
+	heavy := math.Max(1, b.workTokens(r)/math.Max(1, b.meanWork))
 	// Gateways may be given the same seed: by its number each draws otherwise.
-	drawn := mix(math.Float64bits(b.random()) ^ mix(uint64(b.s.Self)))
-	draw := unit(drawn)
+	drawn := splitmix(math.Float64bits(b.random()) ^ splitmix(uint64(b.settings.Self)))
+	draw := unitFloat(drawn)
 	n := len(b.rows)
-	for i, start := 0, int(unit(mix(drawn))*float64(n)); i < n; i++ { // chances may be over 1 in all: from any on
+	for i, start := 0, int(unitFloat(splitmix(drawn))*float64(n)); i < n; i++ { // chances may be over 1 in all: from any on
 		w := b.rows[(start+i)%n]
-		if w.state != MemberReady || now >= w.coldUntil {
+		if w.state != EndpointReady || now >= w.warmingUntil {
 			continue
 		}
-		if draw -= b.coldChance(now, w) / (heavy * heavy); draw < 0 {
+		if draw -= b.offerChance(now, w) / (heavy * heavy); draw < 0 {
 			return w
 		}
 	}
 	return nil
 }
 
-// coldChance is the chance by which an attempt of mean work is offered w. Of R attempts in the span
-// to n replicas, N is FallMultiple * warmth * R / n. A heavy request is offered it by the square of
+// offerChance is the chance by which an attempt of mean work is offered w. Of R attempts in the span
+// to n replicas, N is OverloadMultiple * warmth * R / n. A heavy request is offered it by the square of
 // its work less often: by its work, and that it scatters the sum no more than others.
-func (b *Balancer) coldChance(now Micros, w *row) float64 {
-	share := coldCare * b.s.FallMultiple * b.warmth(now, w) / math.Max(1, w.slow)
-	if b.util > 0 { // what replicas can do is more than what they get
-		share /= math.Max(leastUtil, math.Min(1, b.util))
+func (b *Balancer) offerChance(now Micros, w *replicaRow) float64 {
+	share := slowStartMargin * b.settings.OverloadMultiple * b.warmCapacity(now, w) / math.Max(1, w.slowness)
+	if b.warmUtilization > 0 { // what replicas can do is more than what they get
+		share /= math.Max(minUtilization, math.Min(1, b.warmUtilization))
 	}
-	return share / float64(max(1, b.ready))
+	return share / float64(max(1, b.readyCount))
 }
 
-// work is what r takes of a replica that has kept nothing, in held tokens.
-func (b *Balancer) work(r *request) float64 {
-	return readCost*float64(r.PromptTokens) + b.holdTokens(r)
+// workTokens is what r takes of a replica that has kept nothing, in held tokens.
+func (b *Balancer) workTokens(r *request) float64 {
+	return prefillCost*float64(r.PromptTokens) + b.expectedHeldTokens(r)
 }
 
-// noteSent counts a dispatch.
-func (b *Balancer) noteSent(now Micros, w *row) {
-	b.sentNow++
-	b.sites.Due(now, w.zone, 0.5) // where nothing else may, this request tries a lost site
+// countDispatch counts a dispatch.
+func (b *Balancer) countDispatch(now Micros, w *replicaRow) {
+	b.dispatchesSinceTick++
+	b.zones.TrialDue(now, w.zone, 0.5) // where nothing else may, this request tries a lost site
 }
 
 // lastResort tells whether every replica that r may use is resting: then the
 // rest is cut short, for sending somewhere beats sending nowhere.
 func (b *Balancer) lastResort(now Micros, r *request) bool {
 	for _, w := range b.rows {
-		if b.usable(now, w, r, false) {
+		if b.eligible(now, w, r, false) {
 			return false
 		}
 	}
 	return true
 }
 
-// usable tells whether r may go to w at all.
-func (b *Balancer) usable(now Micros, w *row, r *request, last bool) bool {
-	if w.state != MemberReady {
+// eligible tells whether r may go to w at all.
+func (b *Balancer) eligible(now Micros, w *replicaRow, r *request, last bool) bool {
+	if w.state != EndpointReady {
 		return false
 	}
-	if !last && (now < w.retryAt || !b.siteOpen(now, w) || w.fails > 0 && len(w.open) > 0) {
+	if !last && (now < w.backoffUntil || !b.zoneOpen(now, w) || w.consecutiveFailures > 0 && len(w.ledger) > 0) {
 		return false
 	}
-	if !last && b.unanswered(now, w) || b.doubted(now, w) && !b.asking && (b.s.MayProbe || !last) {
+	if !last && b.healthCheckOverdue(now, w) || b.mayBeStale(now, w) && !b.mayPoll && (b.settings.MayHealthCheck || !last) {
 		return false
 	}
 	for _, a := range r.attempts {
@@ -127,135 +127,135 @@
 			return false
 		}
 	}
-	if len(r.attempts) > 0 && !b.mayRepeat(now, r, w) {
+	if len(r.attempts) > 0 && !b.idempotencyAllows(now, r, w) {
 		return false
 	}
-	return now >= w.coldUntil || w == b.offered
+	return now >= w.warmingUntil || w == b.offeredWarming
 }
 
-// guardFactor weighs a usable row's predicted load: a replica that errs wastes
+// penaltyFactor weighs a usable row's predicted load: a replica that errs wastes
 // attempts, one in another zone or without a connection costs a little.
-func (b *Balancer) guardFactor(now Micros, w *row, r *request) float64 {
+func (b *Balancer) penaltyFactor(now Micros, w *replicaRow, r *request) float64 {
 	f := 1.0
-	if now < w.coldUntil { // it reads and streams as much slower
-		f = coldFavor / b.warmth(now, w)
+	if now < w.warmingUntil { // it reads and streams as much slower
+		f = slowStartPreference / b.warmCapacity(now, w)
 	}
-	if w.errors > 0.02 {
-		f /= (1 - w.errors) * (1 - w.errors)
+	if w.errorRate > 0.02 {
+		f /= (1 - w.errorRate) * (1 - w.errorRate)
 	}
-	if w.zone != b.myZone && b.firstFit.mean() <= 0 {
-		f *= 1 + b.s.PriceCrossZone // nothing yet to weigh it by: see crossCost
+	if w.zone != b.ownZone && b.firstTokenFit.mean() <= 0 {
+		f *= 1 + b.settings.CrossZoneCost // nothing yet to weigh it by: see crossZoneCost
 	}
-	if b.s.PriceHandshake > 0 && b.connects(now, w) {
-		f *= 1 + b.s.PriceHandshake
+	if b.settings.HandshakeCost > 0 && b.needsConnection(now, w) {
+		f *= 1 + b.settings.HandshakeCost
 	}
 	if w.zone == r.avoidZone {
 		f *= 4
 	}
-	return f * b.sitePrice(now, w)
+	return f * b.zonePenalty(now, w)
 }
 
-// crossCost is what a crossing adds to r's score: a share of r's worth, lost once the
+// crossZoneCost is what a crossing adds to r's score: a share of r's worth, lost once the
 // first token is past the aim. The load that would use up what is left to the aim is
 // (aim - usual first) / usual first times the usual load; 0 at the aim. Before first
-// tokens are known, guardFactor prices a crossing.
-func (b *Balancer) crossCost(r *request) float64 {
-	if first := b.firstFit.mean(); first > 0 {
-		return b.s.PriceCrossZone * math.Max(0, float64(b.aim(r))-first) / first * (b.meanLoad + b.meanHold)
+// tokens are known, penaltyFactor prices a crossing.
+func (b *Balancer) crossZoneCost(r *request) float64 {
+	if first := b.firstTokenFit.mean(); first > 0 {
+		return b.settings.CrossZoneCost * math.Max(0, float64(b.latencyObjective(r))-first) / first * (b.meanLoad + b.meanHeldTokens)
 	}
 	return 0
 }
 
-// connects tells whether a dispatch to w needs a new connection.
-func (b *Balancer) connects(now Micros, w *row) bool {
-	if len(w.open) == 0 && now-w.usedAt > b.s.ConnIdle {
+// needsConnection tells whether a dispatch to w needs a new connection.
+func (b *Balancer) needsConnection(now Micros, w *replicaRow) bool {
+	if len(w.ledger) == 0 && now-w.lastUsedAt > b.settings.ConnIdleTimeout {
 		return true
 	}
-	return len(w.open) >= w.conns*max(1, b.s.ConnStreams)
+	return len(w.ledger) >= w.openConns*max(1, b.settings.StreamsPerConn)
 }
 
-// discharge takes the end of an attempt off the ledger and into the health.
-func (b *Balancer) discharge(now Micros, a *attempt, o Outcome) {
+// dischargeLedger takes the end of an attempt off the ledger and into the health.
+func (b *Balancer) dischargeLedger(now Micros, a *attempt, o Outcome) {
 	w := a.row
-	b.release(w, a, true)
-	b.hear(now, w, o.Status, false)
-	w.usedAt = now
+	b.releaseCharge(w, a, true)
+	b.recordAnswer(now, w, o.Status, false)
+	w.lastUsedAt = now
 	if o.Status == ConnectFailed || o.Status == ConnBroken {
-		w.conns = 0
+		w.openConns = 0
 	}
 	switch o.Status {
 	case Served:
-		b.answered(w)
-		w.errors *= 0.8
+		b.clearFailures(w)
+		w.errorRate *= 0.8
 	case Errored, ConnectFailed, ConnBroken:
-		b.failed(now, w, o.Status)
-	case Spoilt: // from a good worker too: weighs, but is no reason to rest
-		w.errors += 0.2 * (1 - w.errors)
+		b.recordFailure(now, w, o.Status)
+	case Malformed: // from a good worker too: weighs, but is no reason to rest
+		w.errorRate += 0.2 * (1 - w.errorRate)
 	case Shed:
 		// Full: what its last report said is wrong. Take it for as loaded as
 		// twice the fleet until a newer report comes.
-		b.setHeld(now, w, math.Max(w.held, 2*b.meanLoad/w.slow))
+		b.setReportedLoad(now, w, math.Max(w.reportedTokens, 2*b.meanLoad/w.slowness))
 	}
 }
 
-// answered clears what stood against w.
-func (b *Balancer) answered(w *row) {
-	w.fails, w.retryAt = 0, 0
+// clearFailures clears what stood against w.
+func (b *Balancer) clearFailures(w *replicaRow) {
+	w.consecutiveFailures, w.backoffUntil = 0, 0
 }
 
-// failed notes a failure. Quick errors free memory and would top the scan: the
+// recordFailure notes a failure. Quick errors free memory and would top the scan: the
 // replica rests, longer each time, and comes back one attempt at a time.
-func (b *Balancer) failed(now Micros, w *row, s Status) {
-	if b.sites.Lost(w.zone) {
+func (b *Balancer) recordFailure(now Micros, w *replicaRow, s Status) {
+	if b.zones.IsUnavailable(w.zone) {
 		return // its site's failure, not its own
 	}
-	w.errors += 0.2 * (1 - w.errors)
-	w.fails++
+	w.errorRate += 0.2 * (1 - w.errorRate)
+	w.consecutiveFailures++
 	many := 1.0
-	if b.sparse() {
-		many = b.sharers() / sparseFrom
+	if b.largeFleet() {
+		many = b.gatewaysPerReplica() / largeFleetGateways
 	}
-	rests := site.Rests{First: backoffFirst, Most: backoffMost}
-	w.retryAt = now + rests.Rest(w.fails, s != Errored, many, b.random())
+	rests := site.Backoff{Min: backoffMin, Max: backoffMax}
+	w.backoffUntil = now + rests.Delay(w.consecutiveFailures, s != Errored, many, b.random())
 }
 
-// mayRetry tells whether the budget allows a further attempt after s. What
+// takeRetry tells whether the budget allows a further attempt after s. What
 // never ran cost no work.
-func (b *Balancer) mayRetry(s Status) bool {
+func (b *Balancer) takeRetry(s Status) bool {
 	if s.NeverRan() {
 		return true
 	}
-	if b.retries < 1 {
+	if b.retryBudget < 1 {
 		return false
 	}
-	b.retries--
+	b.retryBudget--
 	return true
 }
 
-// noteArrival counts a request.
-func (b *Balancer) noteArrival(r *request) {
-	b.notePrefix(r)
-	mean(&b.meanWork, b.work(r))
-	if r.tenant >= 0 {
-		b.usedNow[r.tenant]++
-	}
-	calm := 1 - b.late // budgets of further attempts shrink as the fleet falls behind
-	b.hedges = math.Min(budgetCap, b.hedges+cmp.Or(b.s.HedgeShare, hedgeShare)*calm)
-	b.retries = math.Min(budgetCap, b.retries+cmp.Or(b.s.RetryShare, retryShare)*calm)
+// countArrival counts a request.
+func (b *Balancer) countArrival(r *request) {
+	b.countPrefix(r)
+	updateMean(&b.meanWork, b.workTokens(r))
+	if r.tenantIndex >= 0 {
+		b.tenantArrivals[r.tenantIndex]++
+	}
+	calm := 1 - b.lateShare // budgets of further attempts shrink as the fleet falls behind
+	b.hedgeBudget = math.Min(budgetCap, b.hedgeBudget+cmp.Or(b.settings.HedgeRatio, defaultHedgeRatio)*calm)
+	b.retryBudget = math.Min(budgetCap, b.retryBudget+cmp.Or(b.settings.RetryRatio, defaultRetryRatio)*calm)
 }
 
-// worth is what r is worth a token of its charge.
-func (b *Balancer) worth(r *request) float64 {
-	v := b.cls(r).Worth
-	if r.Factor > 0 {
-		v *= r.Factor
-	} else if r.tenant >= 0 {
-		quota := b.s.Tenants[r.tenant].QuotaPerS / float64(b.s.Gateways)
-		if b.usage[r.tenant] > 1.25*quota {
-			v *= b.s.OverShareWorth
+// weightPerToken is what r is worth a token of its charge.
+func (b *Balancer) weightPerToken(r *request) float64 {
+	v := b.classOf(r).PriorityWeight
+	if r.PriorityFactor > 0 {
+		v *= r.PriorityFactor
+	} else if r.tenantIndex >= 0 {
+		quota := b.settings.Tenants[r.tenantIndex].QuotaPerS / float64(b.settings.Gateways)
+		if b.tenantRate[r.tenantIndex] > 1.25*quota {
+			v *= b.settings.OverQuotaWeight
 		}
 	}
-	return v / (readCost*float64(r.PromptTokens)*(1-b.stats[r.class].kept) + b.holdTokens(r))
+	return v / (prefillCost*float64(r.PromptTokens)*(1-b.stats[r.classIndex].cachedShare) + b.expectedHeldTokens(r))
 }
 
 // admit refuses early, what is worth least for its work first, once this
@@ -263,77 +263,77 @@
 // what is open lets in again as soon as work ends; a limit on what comes in
 // kept refusing long after the fleet stood idle.
 func (b *Balancer) admit(r *request) bool {
-	mean(&b.worthPerToken, b.worth(r))
-	if b.openLimit == 0 {
+	updateMean(&b.meanWeightPerToken, b.weightPerToken(r))
+	if b.tokenLimit == 0 {
 		return true
 	}
-	return b.openTokens+b.random()*b.holdTokens(r) <= b.part(r)*b.openLimit
+	return b.inFlightTokens+b.random()*b.expectedHeldTokens(r) <= b.limitShare(r)*b.tokenLimit
 }
 
-// part is the part of the limit that r may fill, by its worth.
-func (b *Balancer) part(r *request) float64 {
-	return math.Max(leastPart, math.Min(1, b.worth(r)/b.worthPerToken))
+// limitShare is the part of the limit that r may fill, by its worth.
+func (b *Balancer) limitShare(r *request) float64 {
+	return math.Max(minLimitShare, math.Min(1, b.weightPerToken(r)/b.meanWeightPerToken))
 }
 
-// noteFirst takes the lateness of a request whose answer begins. One whose aim
+// recordFirstToken takes the lateness of a request whose answer begins. One whose aim
 // passed before was counted then: counted when its answer came, seconds later,
 // the jam of before went on closing the limit of an idle fleet.
-func (b *Balancer) noteFirst(r *request, tooSlow bool) {
+func (b *Balancer) recordFirstToken(r *request, tooSlow bool) {
 	if !r.late {
-		b.noteLate(one(tooSlow))
+		b.recordLateness(boolToFloat(tooSlow))
 	}
 }
 
-// noteLate moves the limit by one request's lateness, down from what is open. It
-// holds still where a share of lateMost comes late.
-func (b *Balancer) noteLate(late float64) {
-	b.late += learnRate * (late - b.late)
-	if late > 0 && (b.openLimit > 0 || b.late > lateMost) {
-		if most := math.Max(b.openMean, b.openTokens); b.openLimit == 0 || b.openLimit > most {
-			b.openLimit = most
+// recordLateness moves the limit by one request's lateness, down from what is open. It
+// holds still where a share of maxLateShare comes late.
+func (b *Balancer) recordLateness(late float64) {
+	b.lateShare += learnRate * (late - b.lateShare)
+	if late > 0 && (b.tokenLimit > 0 || b.lateShare > maxLateShare) {
+		if most := math.Max(b.meanInFlightTokens, b.inFlightTokens); b.tokenLimit == 0 || b.tokenLimit > most {
+			b.tokenLimit = most
 		}
-		b.openLimit = math.Max(math.Max(b.meanHold, b.openFloor), b.openLimit*(1-learnRate))
+		b.tokenLimit = math.Max(math.Max(b.meanHeldTokens, b.tokenLimitFloor), b.tokenLimit*(1-learnRate))
 	} else {
-		b.openLimit *= 1 + learnRate*lateMost/(1-lateMost)
+		b.tokenLimit *= 1 + learnRate*maxLateShare/(1-maxLateShare)
 	}
 }
 
-// tooSlow tells whether streams like r's now run slower than their token aim.
+// streamsTooSlow tells whether streams like r's now run slower than their token aim.
 // Nobody tells the length of an answer, so a stream's end does not show its
 // pace; but a first token waits for about one step beside its own reading, and
 // each further token takes a step. What a step takes with nothing else to do
 // stands in the least time seen, with the network's, and is put at a third of
 // the aim. Without this, a fleet that answers at once but streams too slowly
 // for its aims takes on all that comes.
-func (b *Balancer) tooSlow(r *request, a *attempt) bool {
-	aim := float64(b.cls(r).TokenAim)
-	if aim == 0 || b.firstFit.n < 16 {
+func (b *Balancer) streamsTooSlow(r *request, a *attempt) bool {
+	aim := float64(b.classOf(r).TokenObjective)
+	if aim == 0 || b.firstTokenFit.n < 16 {
 		return false
 	}
-	step := float64(a.opened) - a.unread*b.firstFit.slope()
+	step := float64(a.timeToFirstToken) - a.prefillTokens*b.firstTokenFit.slope()
 	at := 2 * a.row.zone // the least differs by zone and, by the handshake, for new connections
-	if a.connected {
+	if a.newConn {
 		at++
 	}
-	floor := b.paceFloor[at]
+	floor := b.stepFloor[at]
 	if floor == 0 || step > 0 && step < floor {
 		floor = math.Max(1, step)
-		b.paceFloor[at] = floor
+		b.stepFloor[at] = floor
 	}
-	if step-floor > b.pace { // follows the median
-		b.pace += learnRate * aim
+	if step-floor > b.stepExcess { // follows the median
+		b.stepExcess += learnRate * aim
 	} else {
-		b.pace -= learnRate * aim
+		b.stepExcess -= learnRate * aim
 	}
 	// Streams that tell their length must bear it out: a new gateway guesses badly.
-	return b.pace > aim*paceOver && (!b.told || b.slowStreams > lateMost)
+	return b.stepExcess > aim*slowStepFactor && (!b.lengthsReported || b.slowStreamShare > maxLateShare)
 }
 
-// notePace takes the time of a whole stream against what its tokens may take.
-func (b *Balancer) notePace(took, most float64) {
+// recordStreamPace takes the time of a whole stream against what its tokens may take.
+func (b *Balancer) recordStreamPace(took, most float64) {
 	if most > 0 {
-		b.told = true
-		b.slowStreams += 2 * learnRate * (one(took > most) - b.slowStreams)
+		b.lengthsReported = true
+		b.slowStreamShare += 2 * learnRate * (boolToFloat(took > most) - b.slowStreamShare)
 	}
 }
 
@@ -342,119 +342,119 @@
 // is kept within a part of r's aim, for an answer past that is worth little, and
 // scattered, so that those refused together do not come back together.
 func (b *Balancer) retryAfter(r *request) Micros {
-	if !b.s.RetryAfter {
+	if !b.settings.RetryAfter {
 		return 0
 	}
 	wait := 0.0
-	if over := b.openTokens + b.holdTokens(r) - b.part(r)*b.openLimit; b.openLimit > 0 && over > 0 {
-		wait = b.lifetime * over / (b.openTokens + b.holdTokens(r))
+	if over := b.inFlightTokens + b.expectedHeldTokens(r) - b.limitShare(r)*b.tokenLimit; b.tokenLimit > 0 && over > 0 {
+		wait = b.meanLifetime * over / (b.inFlightTokens + b.expectedHeldTokens(r))
 	}
-	aim := float64(b.aim(r))
-	wait = math.Max(aim*comeBackFirst, math.Min(aim*comeBackLast, wait)) * (0.75 + 0.5*b.random())
-	return min(b.s.MaxRetryAfter, int64(wait))
+	aim := float64(b.latencyObjective(r))
+	wait = math.Max(aim*minRetryAfter, math.Min(aim*maxRetryAfter, wait)) * (0.75 + 0.5*b.random())
+	return min(b.settings.MaxRetryAfter, int64(wait))
 }
 
 // tick is the upkeep.
 func (b *Balancer) tick(now Micros) {
-	dt := math.Max(1e-3, float64(now-b.lastTick)/1e6)
-	b.lastTick = now
+	dt := math.Max(1e-3, float64(now-b.lastTickAt)/1e6)
+	b.lastTickAt = now
 	const span = 8.0 // seconds over which rates are averaged
 	g := math.Min(1, dt/span)
-	b.sendRate += g * (b.sentNow/dt - b.sendRate)
-	b.sentNow = 0
-	for i := range b.usage {
-		b.usage[i] += g * (b.usedNow[i]/dt - b.usage[i])
-		b.usedNow[i] = 0
+	b.dispatchRate += g * (b.dispatchesSinceTick/dt - b.dispatchRate)
+	b.dispatchesSinceTick = 0
+	for i := range b.tenantRate {
+		b.tenantRate[i] += g * (b.tenantArrivals[i]/dt - b.tenantRate[i])
+		b.tenantArrivals[i] = 0
 	}
 	// What was seen fades with time too: a gateway that refuses most of what
 	// comes sees too little to find out that the jam is over.
-	b.late *= 1 - math.Min(1, dt/lateFades)
-	b.pace *= 1 - math.Min(1, dt/lateFades)
-	b.openMean += math.Min(1, dt/2) * (b.openTokens - b.openMean)
-	if b.openLimit > 4*b.openMean+b.meanHold {
-		b.openLimit = 0 // far from binding
-	}
-	b.openLimit *= 1 + openGrows*dt
-	b.openFloor = b.openLimit * closesMost
-	b.followList(now)
-	b.refresh(now)
-	b.probe(now)
-	b.trySites(now)
+	b.lateShare *= 1 - math.Min(1, dt/latenessDecay)
+	b.stepExcess *= 1 - math.Min(1, dt/latenessDecay)
+	b.meanInFlightTokens += math.Min(1, dt/2) * (b.inFlightTokens - b.meanInFlightTokens)
+	if b.tokenLimit > 4*b.meanInFlightTokens+b.meanHeldTokens {
+		b.tokenLimit = 0 // far from binding
+	}
+	b.tokenLimit *= 1 + limitGrowth*dt
+	b.tokenLimitFloor = b.tokenLimit * minLimitPerTick
+	b.followDiscovery(now)
+	b.refreshEstimates(now)
+	b.runHealthChecks(now)
+	b.tryUnavailableZones(now)
 }
 
-// probe asks replicas for reports where those come no other way. The gateways
+// runHealthChecks asks replicas for reports where those come no other way. The gateways
 // share the work by hash, and tell each other, where they may.
-func (b *Balancer) probe(now Micros) {
-	if !b.s.MayProbe || b.s.ReportVia == ReportNone || b.sparse() {
+func (b *Balancer) runHealthChecks(now Micros) {
+	if !b.settings.MayHealthCheck || b.settings.ReportSource == ReportNone || b.largeFleet() {
 		return
 	}
 	for _, w := range b.rows {
-		if w.state != MemberReady || w.probing {
+		if w.state != EndpointReady || w.healthCheckPending {
 			continue
 		}
-		age := now - max(w.reportAt, w.probed)
-		due := b.probeInterval()
-		if b.s.MayTellPeers && !b.owns(w) {
+		age := now - max(w.reportedAt, w.healthCheckedAt)
+		due := b.healthCheckInterval()
+		if b.settings.MayGossip && !b.ownsHealthCheck(w) {
 			// Its owner is silent: step in, but not all of us at once.
-			if age < 3*due || b.random() > 2/float64(b.s.Gateways) {
+			if age < 3*due || b.random() > 2/float64(b.settings.Gateways) {
 				continue
 			}
 		}
 		if age >= due {
-			b.ask(now, w)
+			b.sendHealthCheck(now, w)
 		}
 	}
 }
 
-// probeInterval is no faster than reports are renewed. Where peers do not share
+// healthCheckInterval is no faster than reports are renewed. Where peers do not share
 // the work, it keeps probes to a part of the requests, within their price.
-func (b *Balancer) probeInterval() Micros {
+func (b *Balancer) healthCheckInterval() Micros {
 	const each Micros = 1_000_000
 	const mostShare, mostCost = 0.25, 0.005 // probes, and points for them, a request
-	if b.s.MayTellPeers || b.sendRate <= 0 {
+	if b.settings.MayGossip || b.dispatchRate <= 0 {
 		return each
 	}
-	rate := mostShare * b.sendRate
-	if b.s.PriceProbe > 0 {
-		rate = math.Min(rate, mostCost/b.s.PriceProbe*b.sendRate)
+	rate := mostShare * b.dispatchRate
+	if b.settings.HealthCheckCost > 0 {
+		rate = math.Min(rate, mostCost/b.settings.HealthCheckCost*b.dispatchRate)
 	}
-	return max(each, int64(1e6*float64(b.ready)/rate))
+	return max(each, int64(1e6*float64(b.readyCount)/rate))
 }
 
-// owns tells whether this gateway is the one that probes w, by rendezvous.
-func (b *Balancer) owns(w *row) bool {
+// ownsHealthCheck tells whether this gateway is the one that probes w, by rendezvous.
+func (b *Balancer) ownsHealthCheck(w *replicaRow) bool {
 	best, owner := uint64(0), 0
-	for i := range b.s.Gateways {
-		if h := mix(w.hash ^ uint64(i+1)); h > best {
+	for i := range b.settings.Gateways {
+		if h := splitmix(w.hash ^ uint64(i+1)); h > best {
 			best, owner = h, i
 		}
 	}
-	return owner == b.s.Self
+	return owner == b.settings.Self
 }
 
-// ProbeEnded takes a probe's result.
-func (b *Balancer) ProbeEnded(now Micros, o Outcome) {
-	w := b.byID[o.Replica]
+// HealthCheckEnded takes a probe's result.
+func (b *Balancer) HealthCheckEnded(now Micros, o Outcome) {
+	w := b.rowByID[o.Replica]
 	if w == nil {
 		return
 	}
-	w.probing = false
-	if b.sparse() {
-		defer b.resume(now)
+	w.healthCheckPending = false
+	if b.largeFleet() {
+		defer b.resumeWaiting(now)
 	}
-	b.hear(now, w, o.Status, true)
+	b.recordAnswer(now, w, o.Status, true)
 	if o.Status != Served {
-		if o.Status == ConnectFailed || o.Status == Errored || o.Status == TimedOut && b.sparse() {
-			b.failed(now, w, o.Status)
+		if o.Status == ConnectFailed || o.Status == Errored || o.Status == TimedOut && b.largeFleet() {
+			b.recordFailure(now, w, o.Status)
 		}
 		return
 	}
-	w.provedAt = w.probed
-	b.report(now, w, o.Report)
-	if w.retryAt > 0 && w.errors < 0.1 {
-		b.answered(w)
+	w.confirmedReadyAt = w.healthCheckedAt
+	b.applyReport(now, w, o.Report)
+	if w.backoffUntil > 0 && w.errorRate < 0.1 {
+		b.clearFailures(w)
 	}
-	if b.s.MayTellPeers && b.s.Gateways > 1 && w.reportAt == now {
-		b.out.TellPeers(b.relay(nil, w))
+	if b.settings.MayGossip && b.settings.Gateways > 1 && w.reportedAt == now {
+		b.sink.Gossip(b.packPeerReport(nil, w))
 	}
 }
--- a/choice/numeric.go
+++ b/choice/numeric.go
@@ -5,8 +5,8 @@
 
 import "math"
 
-// mix is the finalizer of splitmix64, used as a hash.
-func mix(x uint64) uint64 {
+// splitmix is the finalizer of splitmix64, used as a hash.
+func splitmix(x uint64) uint64 {
 	x += 0x9e3779b97f4a7c15
 	x = (x ^ x>>30) * 0xbf58476d1ce4e5b9
 	x = (x ^ x>>27) * 0x94d049bb133111eb
@@ -20,22 +20,22 @@
 	return float64(b.rng>>11) / (1 << 53)
 }
 
-func mean(m *float64, v float64) {
+func updateMean(m *float64, v float64) {
 	if *m == 0 {
 		*m = v
 	}
 	*m += learnRate * (v - *m)
 }
 
-// one is 1 for true.
-func one(v bool) float64 {
+// boolToFloat is 1 for true.
+func boolToFloat(v bool) float64 {
 	if v {
 		return 1
 	}
 	return 0
 }
 
-func unit(h uint64) float64 { return float64(h>>11) / (1 << 53) }
+func unitFloat(h uint64) float64 { return float64(h>>11) / (1 << 53) }
 
 // linearFit is a fading least-squares line.
 type linearFit struct{ n, x, y, xx, xy float64 }
@@ -46,8 +46,8 @@
 	f.xx, f.xy = f.xx*keep+x*x, f.xy*keep+x*y
 }
 
-// at is the line's value, no less than half the mean; 0 before it has points.
-func (f *linearFit) at(x float64) float64 {
+// predict is the line's value, no less than half the mean; 0 before it has points.
+func (f *linearFit) predict(x float64) float64 {
 	if f.n < 4 {
 		return 0
 	}
@@ -71,8 +71,8 @@
 	return 0
 }
 
-// logByte packs a value from 0 to 2^21 in steps of 6 percent; unlogByte unpacks it.
+// packLog packs a value from 0 to 2^21 in steps of 6 percent; unpackLog unpacks it.
 
-func logByte(v float64) byte { return byte(math.Min(255, math.Round(12*math.Log2(1+v)))) }
+func packLog(v float64) byte { return byte(math.Min(255, math.Round(12*math.Log2(1+v)))) }
 
-func unlogByte(c byte) float64 { return math.Exp2(float64(c)/12) - 1 }
+func unpackLog(c byte) float64 { return math.Exp2(float64(c)/12) - 1 }
--- a/choice/pick.go
+++ b/choice/pick.go
@@ -6,24 +6,24 @@
 )
 
 const (
-	// sparseFrom is the number of gateways above which reports are asked for.
-	sparseFrom = 10
-	// shortList is of how many workers, askOlder for how old a report, and askWait for
+	// largeFleetGateways is the number of gateways above which reports are asked for.
+	largeFleetGateways = 10
+	// shortlistSize is of how many workers, pollReportAge for how old a report, and pollTimeout for
 	// how long an answer is waited for.
-	shortList                = 3
-	askOlder, askWait Micros = 400_000, 60_000
-	// readMore is how many times as much reading weighs where each request sees the
-	// load of three workers, and trustLeast what is trusted there to be kept: trust that
+	shortlistSize                     = 3
+	pollReportAge, pollTimeout Micros = 400_000, 60_000
+	// largeFleetPrefillFactor is how many times as much reading weighs where each request sees the
+	// load of three workers, and minCacheTrust what is trusted there to be kept: trust that
 	// falls as sessions scatter scattered them more.
-	readMore, trustLeast = 1.5, 0.9
-	// readWaits is how many times the time of a worker's reading weighs against that of
-	// its slots: all that came before is read first. readMost bounds readWeight.
-	readWaits, readMost = 6.0, 12 * readCost
-	// idleMost is the part of the mean load below which a report is not believed.
-	idleMost = 0.5
-	// readCost is the charge of a prompt token that must be read, in held
+	largeFleetPrefillFactor, minCacheTrust = 1.5, 0.9
+	// prefillQueueFactor is how many times the time of a worker's reading weighs against that of
+	// its slots: all that came before is read first. maxPrefillWeight bounds prefillWeight.
+	prefillQueueFactor, maxPrefillWeight = 6.0, 12 * prefillCost
+	// minBelievedLoad is the part of the mean load below which a report is not believed.
+	minBelievedLoad = 0.5
+	// prefillCost is the charge of a prompt token that must be read, in held
 	// tokens: reading takes a replica's whole step, holding a part of it.
-	readCost = 4.0
+	prefillCost = 4.0
 	// reportLag is how long before its arrival a report may have been taken:
 	// charges younger than that are not in it. Reports are refreshed about
 	// once a second.
@@ -36,129 +36,129 @@
 	homeSpread = 3.0
 )
 
-// listed takes one entry of the server list over into the table.
-func (b *Balancer) listed(now Micros, m Member, first bool) *row {
-	w := b.byID[m.Replica]
-	if m.State == MemberGone {
+// applyEndpoint takes one entry of the server list over into the table.
+func (b *Balancer) applyEndpoint(now Micros, m Endpoint, first bool) *replicaRow {
+	w := b.rowByID[m.Replica]
+	if m.State == EndpointGone {
 		if w != nil {
-			w.state = MemberGone
+			w.state = EndpointGone
 		}
 		return w
 	}
 	if w == nil {
-		w = &row{id: m.Replica, hash: mix(uint64(m.Replica)), reportAt: -1, slow: 1, since: m.Since}
-		w.probed = now // its owner probes it first
-		b.byID[m.Replica] = w
+		w = &replicaRow{id: m.Replica, hash: splitmix(uint64(m.Replica)), reportedAt: -1, slowness: 1, startedAt: m.StartedAt}
+		w.healthCheckedAt = now // its owner probes it first
+		b.rowByID[m.Replica] = w
 		i := sort.Search(len(b.rows), func(i int) bool { return b.rows[i].id >= m.Replica })
 		b.rows = append(b.rows, nil)
 		copy(b.rows[i+1:], b.rows[i:])
 		b.rows[i] = w
-		if m.Since > 0 {
-			b.startCold(w, m.Since)
+		if m.StartedAt > 0 {
+			b.beginSlowStart(w, m.StartedAt)
 		} else if !first {
-			b.startCold(w, now)
+			b.beginSlowStart(w, now)
 		}
-	} else if b.fleet > 0 && w.state == MemberGone && m.Since == w.since && m.Since > 0 {
-		w.reportAt = -1 // on this gateway's part of the list again, in the same life
-	} else if m.Since != w.since && m.Since > 0 || w.state == MemberGone {
-		b.startCold(w, max(m.Since, w.since))
-		if m.Since == w.since || m.Since == 0 {
-			b.startCold(w, now) // back on the list with no word of a start: assume one
+	} else if b.fleetSize > 0 && w.state == EndpointGone && m.StartedAt == w.startedAt && m.StartedAt > 0 {
+		w.reportedAt = -1 // on this gateway's part of the list again, in the same life
+	} else if m.StartedAt != w.startedAt && m.StartedAt > 0 || w.state == EndpointGone {
+		b.beginSlowStart(w, max(m.StartedAt, w.startedAt))
+		if m.StartedAt == w.startedAt || m.StartedAt == 0 {
+			b.beginSlowStart(w, now) // back on the list with no word of a start: assume one
 		}
-		w.since, w.reportAt, w.slowNum, w.slowDen = m.Since, -1, 0, 0
+		w.startedAt, w.reportedAt, w.slownessSum, w.slownessCount = m.StartedAt, -1, 0, 0
 	}
-	w.state, w.cell, w.zone, w.kind = m.State, m.Cell, b.zone(m.Zone), b.kindOf(m.Kind)
+	w.state, w.cell, w.zone, w.kind = m.State, m.Cell, b.zoneOf(m.Zone), b.kindOf(m.Kind)
 	switch {
-	case b.s.Weights == WeightLive && m.Weight > 0:
-		b.liveWeight(now, w, m.Weight)
-	case b.s.Weights == WeightNominal:
+	case b.settings.WeightKind == WeightLive && m.Weight > 0:
+		b.applyLiveWeight(now, w, m.Weight)
+	case b.settings.WeightKind == WeightNominal:
 		w.size = m.Weight
 	}
 	return w
 }
 
-// holdTokens is what r will hold while it runs: its prompt and its answer.
-func (b *Balancer) holdTokens(r *request) float64 {
+// expectedHeldTokens is what r will hold while it runs: its prompt and its answer.
+func (b *Balancer) expectedHeldTokens(r *request) float64 {
 	answer := float64(r.MaxTokens) / 4 // limits are seldom reached
-	if st := &b.stats[r.class]; st.stream > 0 && b.cls(r).TokenAim > 0 {
+	if st := &b.stats[r.classIndex]; st.streamTime > 0 && b.classOf(r).TokenObjective > 0 {
 		// healthy streams run at about half the token aim
-		answer = math.Min(float64(r.MaxTokens), 2*st.stream/float64(b.cls(r).TokenAim))
+		answer = math.Min(float64(r.MaxTokens), 2*st.streamTime/float64(b.classOf(r).TokenObjective))
 	}
 	return float64(r.PromptTokens) + answer
 }
 
-// charge enters a dispatch in the ledger.
-func (b *Balancer) charge(now Micros, w *row, a *attempt) {
-	if a.connected = b.connects(now, w); a.connected {
-		w.conns = len(w.open)/max(1, b.s.ConnStreams) + 1
+// chargeLedger enters a dispatch in the ledger.
+func (b *Balancer) chargeLedger(now Micros, w *replicaRow, a *attempt) {
+	if a.newConn = b.needsConnection(now, w); a.newConn {
+		w.openConns = len(w.ledger)/max(1, b.settings.StreamsPerConn) + 1
 	}
-	w.usedAt = now
-	w.open = append(w.open, a)
+	w.lastUsedAt = now
+	w.ledger = append(w.ledger, a)
 	c := a.charge()
 	w.charge += c
-	w.unseen += c
-	b.openTokens += a.hold
-	mean(&b.meanHold, a.hold)
-	mean(&b.meanCharge, c)
-	b.noteSent(now, w)
+	w.unreported += c
+	b.inFlightTokens += a.heldTokens
+	updateMean(&b.meanHeldTokens, a.heldTokens)
+	updateMean(&b.meanCharge, c)
+	b.countDispatch(now, w)
 }
 
 // pick chooses a replica for r and tells how many prompt tokens are expected to be kept
 // there, or that r is to wait for reports.
-func (b *Balancer) pick(now Micros, r *request) (best *row, kept float64, wait bool) {
-	b.asking = b.sparse() && len(r.attempts) == 0 && now == r.arrived && r.deadline-now >= 8*askWait
-	b.offered = b.offerCold(now, r)
+func (b *Balancer) pick(now Micros, r *request) (best *replicaRow, kept float64, wait bool) {
+	b.mayPoll = b.largeFleet() && len(r.attempts) == 0 && now == r.arrivedAt && r.deadline-now >= 8*pollTimeout
+	b.offeredWarming = b.offerWarming(now, r)
 	b.scan(now, r)
-	if b.inquire(now, r) {
-		b.weighed = b.weighed[:0]
+	if b.pollShortlist(now, r) {
+		b.breakdowns = b.breakdowns[:0]
 		return nil, 0, true
 	}
-	asked := b.asking
-	b.asking = false                                                          // from here on r is sent, and to none that is doubted
-	if best := b.short[0].row; asked && best != nil && b.doubted(now, best) { // nor can it be asked now
-		b.weighed = b.weighed[:0]
+	asked := b.mayPoll
+	b.mayPoll = false                                                                // from here on r is sent, and to none that is doubted
+	if best := b.shortlist[0].row; asked && best != nil && b.mayBeStale(now, best) { // nor can it be asked now
+		b.breakdowns = b.breakdowns[:0]
 		b.scan(now, r)
 	}
-	best, kept = b.short[0].row, b.short[0].kept
-	if b.judge != nil {
-		best, kept = b.judged(r, best, kept)
+	best, kept = b.shortlist[0].row, b.shortlist[0].cachedTokens
+	if b.interceptor != nil {
+		best, kept = b.interceptPick(r, best, kept)
 	}
 	return best, kept, false
 }
 
 // scan goes over all rows for those of the least predicted load: the short list.
 func (b *Balancer) scan(now Micros, r *request) {
-	home, second, holder, holderTokens := b.holders(r)
-	hold := b.holdTokens(r)
+	home, second, holder, holderTokens := b.sessionHomes(r)
+	hold := b.expectedHeldTokens(r)
 	prompt := float64(r.PromptTokens)
 	prefix := math.Min(prompt, float64(r.PrefixTokens))
-	threshold := b.prefixThreshold(r)
-	phash := mix(r.Prefix)
+	threshold := b.prefixHomeShare(r)
+	phash := splitmix(r.Prefix)
 	perReplica := 0.0
-	if b.ready > 0 {
-		perReplica = b.sendRate * b.sharers() / float64(b.ready)
+	if b.readyCount > 0 {
+		perReplica = b.dispatchRate * b.gatewaysPerReplica() / float64(b.readyCount)
 	}
-	sights := (b.popular[r.Prefix] / math.Max(1, b.popTotal)) * perReplica / math.Min(1, threshold)
-	sharers := b.sharers()
+	sights := (b.prefixCounts[r.Prefix] / math.Max(1, b.prefixTotal)) * perReplica / math.Min(1, threshold)
+	sharers := b.gatewaysPerReplica()
 	peers := (sharers - 1) / sharers * b.meanLoad
-	invLife := 1 / math.Max(1, b.lifetime)
+	invLife := 1 / math.Max(1, b.meanLifetime)
 	// A report that reaches all gateways alike is shared among them. Where each asks for
 	// its own as it needs them, no two have the same; and moved for every small
 	// difference, sessions scatter and nothing is kept.
-	sparse, crowd, read, trust := b.sparse(), sharers, readCost, b.keptTrust
+	sparse, crowd, read, trust := b.largeFleet(), sharers, prefillCost, b.cacheTrust
 	if sparse {
-		crowd, read, trust = 1, b.readWeight(), math.Max(trust, trustLeast)
+		crowd, read, trust = 1, b.prefillWeight(), math.Max(trust, minCacheTrust)
 	}
-	b.short = [shortList]candidate{}
+	b.shortlist = [shortlistSize]candidate{}
 	last := b.lastResort(now, r)
-	cross := b.crossCost(r) // the same for every worker in another zone
+	cross := b.crossZoneCost(r) // the same for every worker in another zone
 	for _, w := range b.rows {
-		if !b.usable(now, w, r, last) {
+		if !b.eligible(now, w, r, last) {
 			continue
 		}
 		kept := 0.0
-		if r.Prefix != 0 && (w == home || r.Home == 0 && (threshold >= 1 || unit(mix(phash^w.hash)) < threshold)) {
-			kept = prefix * b.seen(now, w, sights)
+		if r.Prefix != 0 && (w == home || r.HomeReplica == 0 && (threshold >= 1 || unitFloat(splitmix(phash^w.hash)) < threshold)) {
+			kept = prefix * b.prefixCachedChance(now, w, sights)
 		}
 		if w == holder {
 			kept = math.Min(prompt, holderTokens)
@@ -170,31 +170,31 @@
 		kept *= trust
 		// A report fades with age: old, the row says no more than that peers
 		// share their load as we do.
-		fresh, arrivals := 0.0, perReplica*b.lifetime/1e6
-		if w.reportAt >= 0 {
-			age := float64(now-w.reportAt) + float64(reportLag)/2
+		fresh, arrivals := 0.0, perReplica*b.meanLifetime/1e6
+		if w.reportedAt >= 0 {
+			age := float64(now-w.reportedAt) + float64(reportLag)/2
 			fresh = math.Max(0, 1-age*invLife/2) / crowd
 			arrivals = math.Min(arrivals, perReplica*age/1e6)
 		}
-		usual, reported := peers/w.slow, w.held
+		usual, reported := peers/w.slowness, w.reportedTokens
 		switch {
 		case !sparse:
-		case now < w.coldUntil: // it holds what it can bear, or nothing would go there
-			usual *= b.warmth(now, w)
+		case now < w.warmingUntil: // it holds what it can bear, or nothing would go there
+			usual *= b.warmCapacity(now, w)
 		default: // idle for its quick errors, may be
-			reported = math.Max(reported, idleMost*usual)
+			reported = math.Max(reported, minBelievedLoad*usual)
 		}
-		held := (1-fresh)*(usual+w.charge) + fresh*(reported+w.unseen)
+		held := (1-fresh)*(usual+w.charge) + fresh*(reported+w.unreported)
 		// Gateways that read one report must not all pick one replica: the
 		// sends of peers that it cannot show yet are a noise of their own.
-		noise := fresh * b.random() * b.meanHold
-		reading := read * b.kinds[w.kind].first * (prompt - kept)
+		noise := fresh * b.random() * b.meanHeldTokens
+		reading := read * b.kinds[w.kind].firstTokenRatio * (prompt - kept)
 		// Noise and guard only add, but for the favour: most rows need neither to be behind the short list.
-		least := w.slow*(held+hold) + reading
-		if now < w.coldUntil {
-			least *= coldFavor
+		least := w.slowness*(held+hold) + reading
+		if now < w.warmingUntil {
+			least *= slowStartPreference
 		}
-		if worst := &b.short[shortList-1]; worst.row != nil && b.judge == nil && least >= worst.score {
+		if worst := &b.shortlist[shortlistSize-1]; worst.row != nil && b.interceptor == nil && least >= worst.score {
 			continue
 		}
 		if noise > 0 {
@@ -203,71 +203,71 @@
 		held += noise
 		// A worker's own slowness weighs what is held; weighing the reading by it would make
 		// gateways leave homes for whatever worker seemed fast just then. Its kind's stays.
-		guard := b.guardFactor(now, w, r)
-		score := (w.slow*(held+hold) + reading) * guard
-		if w.zone != b.myZone {
+		guard := b.penaltyFactor(now, w, r)
+		score := (w.slowness*(held+hold) + reading) * guard
+		if w.zone != b.ownZone {
 			score += cross
 		}
-		if b.judge != nil {
-			b.weighed = append(b.weighed, Terms{Worker: w.id, Score: score, Fresh: fresh, Reported: reported, Unseen: w.unseen,
-				Peers: usual, Charge: w.charge, Noise: noise, Slow: w.slow, Hold: hold, Read: read, Prompt: prompt,
-				Kept: kept, Guard: guard, Holder: w == holder, Home: w == home})
+		if b.interceptor != nil {
+			b.breakdowns = append(b.breakdowns, ScoreBreakdown{Replica: w.id, Score: score, ReportWeight: fresh, Reported: reported, Unreported: w.unreported,
+				PeerLoad: usual, LedgerLoad: w.charge, Noise: noise, Slowness: w.slowness, RequestTokens: hold, PrefillCost: read, PromptTokens: prompt,
+				CachedTokens: kept, Penalty: guard, ServedSession: w == holder, HomeReplica: w == home})
 		}
-		b.shorten(candidate{w, score, kept})
+		b.addToShortlist(candidate{w, score, kept})
 	}
 }
 
-// readWeight is what a prompt token that must be read weighs, in held tokens: the time that
+// prefillWeight is what a prompt token that must be read weighs, in held tokens: the time that
 // reading it takes, which the aims allow for, against the part of a slot's time that one holds.
-func (b *Balancer) readWeight() float64 {
+func (b *Balancer) prefillWeight() float64 {
 	weight := 0.0
-	if held := b.lifetime * b.slotShare / math.Max(1, b.meanHold); held > 0 {
-		weight = math.Min(readMost, readWaits*b.s.readPace()/held)
+	if held := b.meanLifetime * b.meanSlotShare / math.Max(1, b.meanHeldTokens); held > 0 {
+		weight = math.Min(maxPrefillWeight, prefillQueueFactor*b.settings.prefillTimePerToken()/held)
 	}
-	return math.Max(weight, readCost*readMore)
+	return math.Max(weight, prefillCost*largeFleetPrefillFactor)
 }
 
-// seen tells how likely w, if it started lately, has read what it gets so often.
-func (b *Balancer) seen(now Micros, w *row, perSecond float64) float64 {
-	if w.coldUntil == 0 {
+// prefixCachedChance tells how likely w, if it started lately, has read what it gets so often.
+func (b *Balancer) prefixCachedChance(now Micros, w *replicaRow, perSecond float64) float64 {
+	if w.warmingUntil == 0 {
 		return 1
 	}
-	return 1 - math.Exp(-perSecond*math.Max(0, float64(now-w.coldFrom))/1e6)
+	return 1 - math.Exp(-perSecond*math.Max(0, float64(now-w.warmingSince))/1e6)
 }
 
-// prefixThreshold is the share of replicas that are home to r's prefix: as
+// prefixHomeShare is the share of replicas that are home to r's prefix: as
 // much as its share of the traffic needs, and some to spare. The one added
 // sight keeps gateways that have seen little near to all replicas, and so near
 // to each other: on a few sights, homes moved about with the counts. Of many
 // gateways each counts too few to tell a share: what the others have seen stands
 // beside it as sights of other prefixes, half as many as they are. There a prefix has
 // more homes the longer the prompt is: few save the prefix and crowd all the rest.
-func (b *Balancer) prefixThreshold(r *request) float64 {
-	if r.Prefix == 0 || b.popTotal <= 0 || b.ready == 0 {
+func (b *Balancer) prefixHomeShare(r *request) float64 {
+	if r.Prefix == 0 || b.prefixTotal <= 0 || b.readyCount == 0 {
 		return 1
 	}
-	unseen := math.Max(1, b.sharers()/2-1)
+	unseen := math.Max(1, b.gatewaysPerReplica()/2-1)
 	spread := homeSpread
-	if b.sparse() {
+	if b.largeFleet() {
 		spread *= math.Max(1, float64(r.PromptTokens)/math.Max(1, float64(r.PrefixTokens)))
 	}
-	return math.Max(2/float64(b.ready), spread*(b.popular[r.Prefix]+1)/(b.popTotal+unseen))
+	return math.Max(2/float64(b.readyCount), spread*(b.prefixCounts[r.Prefix]+1)/(b.prefixTotal+unseen))
 }
 
-// holders finds the replicas that all gateways take for the first and the second
+// sessionHomes finds the replicas that all gateways take for the first and the second
 // home of r's session, by weighted rendezvous within its prefix's homes, and the one that
 // this gateway knows to have served the session. Weights are by kind, in coarse
 // steps: weighted by what each has learned of a replica, gateways disagreed.
-func (b *Balancer) holders(r *request) (home, second, holder *row, tokens float64) {
+func (b *Balancer) sessionHomes(r *request) (home, second, holder *replicaRow, tokens float64) {
 	if r.Session != 0 {
 		if s, ok := b.sessions[r.Session]; ok {
-			if w := b.byID[s.at]; w != nil && w.state == MemberReady {
+			if w := b.rowByID[s.replica]; w != nil && w.state == EndpointReady {
 				holder, tokens = w, float64(s.tokens)
 			}
 		}
 	}
-	if r.Home != 0 {
-		return b.readyRow(r.Home), nil, holder, tokens
+	if r.HomeReplica != 0 {
+		return b.readyRow(r.HomeReplica), nil, holder, tokens
 	}
 	key := r.Session
 	if key == 0 {
@@ -276,16 +276,16 @@
 	if key == 0 {
 		return nil, nil, holder, tokens
 	}
-	khash, phash := mix(key), mix(r.Prefix)
-	threshold := b.prefixThreshold(r)
+	khash, phash := splitmix(key), splitmix(r.Prefix)
+	threshold := b.prefixHomeShare(r)
 	best, next := math.Inf(1), math.Inf(1)
-	ofKind := b.ofKind[:0] // the first home on each kind of machines
+	ofKind := b.homeByKind[:0] // the first home on each kind of machines
 	for range b.kinds {
 		ofKind = append(ofKind, candidate{score: math.Inf(1)})
 	}
-	b.ofKind = ofKind
-	enter := func(w *row, over float64) {
-		score := -math.Log(unit(mix(khash^w.hash))+1e-18)*b.kinds[w.kind].share + over
+	b.homeByKind = ofKind
+	enter := func(w *replicaRow, over float64) {
+		score := -math.Log(unitFloat(splitmix(khash^w.hash))+1e-18)*b.kinds[w.kind].slownessStep + over
 		if score < best {
 			second, next = home, best
 			best, home = score, w
@@ -297,37 +297,37 @@
 		}
 	}
 	for i, hash := range b.hashes {
-		if threshold >= 1 || unit(mix(phash^hash)) < threshold {
-			if w := b.rows[i]; w.state == MemberReady {
+		if threshold >= 1 || unitFloat(splitmix(phash^hash)) < threshold {
+			if w := b.rows[i]; w.state == EndpointReady {
 				enter(w, 0)
 			}
 		}
 	}
 	if second != nil {
-		return home, b.otherKind(home, second), holder, tokens
+		return home, b.secondHome(home, second), holder, tokens
 	}
 	for _, w := range b.rows { // no homes of the prefix: only if there are none at all
-		if u := unit(mix(phash ^ w.hash)); w.state == MemberReady && threshold < 1 && u >= threshold {
+		if u := unitFloat(splitmix(phash ^ w.hash)); w.state == EndpointReady && threshold < 1 && u >= threshold {
 			enter(w, 1e6*(1+u))
 		}
 	}
-	return home, b.otherKind(home, second), holder, tokens
+	return home, b.secondHome(home, second), holder, tokens
 }
 
 // readyRow is the row of a replica that takes work, nil if there is none.
-func (b *Balancer) readyRow(id ReplicaID) *row {
-	if w := b.byID[id]; w != nil && w.state == MemberReady {
+func (b *Balancer) readyRow(id ReplicaID) *replicaRow {
+	if w := b.rowByID[id]; w != nil && w.state == EndpointReady {
 		return w
 	}
 	return nil
 }
 
-// otherKind is the second home: the first on another kind of machines than home's, if there is
+// secondHome is the second home: the first on another kind of machines than home's, if there is
 // one. What leaves its home leaves it most often for machines that read faster or are less
 // loaded as a kind, from all gateways; each turn at another one of these found nothing kept.
-func (b *Balancer) otherKind(home, second *row) *row {
+func (b *Balancer) secondHome(home, second *replicaRow) *replicaRow {
 	best := math.Inf(1)
-	for _, c := range b.ofKind {
+	for _, c := range b.homeByKind {
 		if c.row != nil && c.row.kind != home.kind && c.score < best {
 			best, second = c.score, c.row
 		}
@@ -335,21 +335,21 @@
 	return second
 }
 
-// standsOut is how many times slower than its kind a replica must seem to be
+// slownessThreshold is how many times slower than its kind a replica must seem to be
 // before its own slowness counts.
-const standsOut = 1.6
+const slownessThreshold = 1.6
 
-// refresh renews what scans use: slowness by kind and replica, the fleet's mean load.
-func (b *Balancer) refresh(now Micros) {
+// refreshEstimates renews what scans use: slowness by kind and replica, the fleet's mean load.
+func (b *Balancer) refreshEstimates(now Micros) {
 	for i := range b.kinds {
 		k := &b.kinds[i]
 		const prior = 8 // streams before a kind's own pace counts half
-		k.slow = math.Max(0.25, math.Min(4, (prior+k.slowNum)/(prior+k.slowDen)))
-		k.share = math.Exp2(math.Round(2*math.Log2(k.slow)) / 2)
-		k.slowNum, k.slowDen = k.slowNum*0.99, k.slowDen*0.99
+		k.slowness = math.Max(0.25, math.Min(4, (prior+k.slownessSum)/(prior+k.slownessCount)))
+		k.slownessStep = math.Exp2(math.Round(2*math.Log2(k.slowness)) / 2)
+		k.slownessSum, k.slownessCount = k.slownessSum*0.99, k.slownessCount*0.99
 	}
-	b.weighKinds()
-	b.ready, b.cold = 0, 0
+	b.updateKindRatios()
+	b.readyCount, b.warmingCount = 0, 0
 	load, weight, size, sized := 0.0, 0.0, 0.0, 0.0
 	for _, w := range b.rows {
 		if w.size > 0 {
@@ -357,26 +357,26 @@
 		}
 	}
 	for _, w := range b.rows {
-		if w.state != MemberReady {
+		if w.state != EndpointReady {
 			continue
 		}
-		b.ready++
-		b.cold += int(one(now < w.coldUntil))
+		b.readyCount++
+		b.warmingCount += int(boolToFloat(now < w.warmingUntil))
 		const prior = 6 // observations before a replica's own slowness outweighs its kind's
-		keep := math.Max(0, 1-float64(now-w.slowAt)/float64(slowFades))
-		w.slow = b.kinds[w.kind].slow
-		own := (prior*w.slow + w.slowNum*keep) / (prior + w.slowDen*keep)
+		keep := math.Max(0, 1-float64(now-w.slownessAt)/float64(slownessDecay))
+		w.slowness = b.kinds[w.kind].slowness
+		own := (prior*w.slowness + w.slownessSum*keep) / (prior + w.slownessCount*keep)
 		// First-token times scatter, and reported ones reach all gateways alike:
 		// only what stands out is held against a replica.
-		if own > standsOut*w.slow {
-			w.slow = math.Min(8, own)
+		if own > slownessThreshold*w.slowness {
+			w.slowness = math.Min(8, own)
 		}
 		if w.size > 0 { // twice the size bears twice what is held
-			w.slow *= size / sized / w.size
+			w.slowness *= size / sized / w.size
 		}
-		if w.reportAt >= 0 {
-			if f := 1 - float64(now-w.reportAt)/(2*math.Max(1, b.lifetime)); f > 0 {
-				load += f * w.slow * w.held
+		if w.reportedAt >= 0 {
+			if f := 1 - float64(now-w.reportedAt)/(2*math.Max(1, b.meanLifetime)); f > 0 {
+				load += f * w.slowness * w.reportedTokens
 				weight += f
 			}
 		}
--- a/choice/polling_test.go
+++ b/choice/polling_test.go
@@ -6,15 +6,15 @@
 	"testing"
 )
 
-// eighty are the settings of one of eighty gateways, as a large fleet's.
-func eighty() Settings {
+// eightyGateways are the settings of one of eighty gateways, as a large fleet's.
+func eightyGateways() Settings {
 	s := settings()
-	s.Gateways, s.MayProbe, s.StartCapacity, s.FallMultiple, s.ColdFor, s.FallSpan = 80, true, 0.3, 3, 9*sec, sec*3/2
+	s.Gateways, s.MayHealthCheck, s.InitialCapacity, s.OverloadMultiple, s.SlowStartFor, s.OverloadWindow = 80, true, 0.3, 3, 9*second, second*3/2
 	return s
 }
 
-// asked are the workers that were asked for a report.
-func asked(rec *recorder) []ReplicaID {
+// healthChecked are the workers that were asked for a report.
+func healthChecked(rec *recorder) []ReplicaID {
 	var out []ReplicaID
 	for _, a := range rec.take("probe") {
 		out = append(out, a.to)
@@ -22,25 +22,25 @@
 	return out
 }
 
-func load(inFlight float64) Report {
-	return Report{Has: HasInFlight | HasMemory, InFlight: inFlight, MemoryShare: inFlight / 20}
+func reportInFlight(inFlight float64) LoadReport {
+	return LoadReport{Has: HasInFlight | HasMemory, InFlight: inFlight, MemoryShare: inFlight / 20}
 }
 
 // One of eighty gateways hears of a worker once in a minute. Before a request goes
 // out, the likeliest workers are asked, and the least loaded of them gets it; three
 // gateways send at once. Guards against requests placed without any view of the load.
-func TestOneOfEightyAsksBeforeItSends(t *testing.T) {
-	s := eighty()
-	b, rec := start(t, s, fleet(40)...)
+func TestOneOfEightyPollsBeforeItSends(t *testing.T) {
+	s := eightyGateways()
+	b, rec := startBalancer(t, s, fleet(40)...)
 	for i, w := range b.rows { // told long ago, all alike
-		b.ProbeEnded(100*sec, Outcome{Replica: w.id, Status: Served, Report: load(8)})
-		w.usedAt = Micros(i)
+		b.HealthCheckEnded(100*second, Outcome{Replica: w.id, Status: Served, Report: reportInFlight(8)})
+		w.lastUsedAt = Micros(i)
 	}
-	b.meanHold, b.meanLoad = 1200, 9600
+	b.meanHeldTokens, b.meanLoad = 1200, 9600
 	rec.acts = nil
-	now := 110 * sec
-	b.RequestArrived(now, req(1))
-	if got := len(rec.acts); got == 0 || slices.ContainsFunc(rec.acts, func(a action) bool { return a.what == "dispatch" }) {
+	now := 110 * second
+	b.RequestArrived(now, testRequest(1))
+	if got := len(rec.acts); got == 0 || slices.ContainsFunc(rec.acts, func(a recordedAction) bool { return a.what == "dispatch" }) {
 		t.Fatalf("%d actions, a send among them: %v", got, rec.acts)
 	}
 	for _, a := range rec.acts {
@@ -48,49 +48,49 @@
 			t.Errorf("a timer's token %d, which the simulator's wire does not know", a.token)
 		}
 	}
-	ask := asked(rec)
-	if len(ask) != shortList {
-		t.Fatalf("asked %v, want %d workers", ask, shortList)
+	ask := healthChecked(rec)
+	if len(ask) != shortlistSize {
+		t.Fatalf("asked %v, want %d workers", ask, shortlistSize)
 	}
 	for i, id := range ask {
 		in := 20.0
 		if i == 1 {
 			in = 5
 		}
-		b.ProbeEnded(now+5000, Outcome{Replica: id, Status: Served, Report: load(in)})
+		b.HealthCheckEnded(now+5000, Outcome{Replica: id, Status: Served, Report: reportInFlight(in)})
 		sent := rec.take("dispatch")
 		if last := i == len(ask)-1; last != (len(sent) == 1) || last && sent[0].to != ask[1] {
 			t.Fatalf("after answer %d: sent %v, the least loaded is %d", i, sent, ask[1])
 		}
 	}
 	// What was told a moment ago is not asked again; what does not answer is not waited for.
-	b.RequestArrived(now+6000, req(2))
-	asked(rec)
-	b.RequestArrived(now+6000, req(3))
-	asked(rec)
+	b.RequestArrived(now+6000, testRequest(2))
+	healthChecked(rec)
+	b.RequestArrived(now+6000, testRequest(3))
+	healthChecked(rec)
 	for range 2 { // the second time as one whose reports came: it gets no second copy
 		for _, id := range []uint64{2, 3} {
-			b.TimerFired(now+6000+askWait, timerAsked|id<<timerBits)
+			b.TimerFired(now+6000+pollTimeout, timerPoll|id<<timerBits)
 			if r := b.requests[RequestID(id)]; r == nil || len(r.attempts) != 1 {
 				t.Fatal("a request waits for a report that does not come")
 			}
 		}
 	}
 	s.Gateways = 3
-	few, rec := start(t, s, fleet(14)...)
-	if dispatched(few, rec, 110*sec, req(1)) == 0 {
+	few, rec := startBalancer(t, s, fleet(14)...)
+	if dispatched(few, rec, 110*second, testRequest(1)) == 0 {
 		t.Fatal("one of three gateways waits")
 	}
 }
 
 // Gateways that have not had a request yet asked every worker each second: eighty
 // did so three thousand times in the first second.
-func TestEightyDoNotAskInIdleness(t *testing.T) {
-	b, rec := start(t, eighty(), fleet(40)...)
+func TestEightyDoNotPollWhenIdle(t *testing.T) {
+	b, rec := startBalancer(t, eightyGateways(), fleet(40)...)
 	for i := range Micros(40) {
-		b.tick(100*sec + i*tickEvery)
+		b.tick(100*second + i*tickEvery)
 	}
-	if n := len(asked(rec)); n != 0 {
+	if n := len(healthChecked(rec)); n != 0 {
 		t.Fatalf("%d workers asked without a request", n)
 	}
 }
@@ -98,12 +98,12 @@
 // Workers that are new are used by the fleet: each gateway's share of what they may
 // get is a hundredth of a request, which came to none at all, while the warm ones
 // bore everything. And they do not get more than the rule allows.
-func TestColdWorkersAreUsedByEighty(t *testing.T) {
+func TestWarmingReplicasAreUsedByEighty(t *testing.T) {
 	const gateways, cold = 80, 24
-	s := eighty()
+	s := eightyGateways()
 	members := fleet(40)
 	for i := range cold {
-		members[i].Since = 100 * sec
+		members[i].StartedAt = 100 * second
 	}
 	sent, perSpan := map[ReplicaID]int{}, map[[2]int64]int{}
 	id := RequestID(0)
@@ -112,27 +112,27 @@
 		s.Self = self
 		rec := &recorder{}
 		b, _ := New(s, uint64(self+1), rec)
-		b.Start(100 * sec)
-		b.ListChanged(100*sec, ServerList{Kind: ListFull, Members: members})
-		b.meanHold, b.meanLoad, b.meanCharge = 1200, 9600, 5000
-		b.sendRate, b.meanWork = 0.8, 5000
+		b.Start(100 * second)
+		b.ListChanged(100*second, EndpointList{Kind: ListFull, Endpoints: members})
+		b.meanHeldTokens, b.meanLoad, b.meanCharge = 1200, 9600, 5000
+		b.dispatchRate, b.meanWork = 0.8, 5000
 		// 0.8 requests a second, nine seconds; whatever is asked answers as loaded as all.
-		for now := 100*sec + Micros(self)*15_000; now < 109*sec; now += sec * 5 / 4 {
+		for now := 100*second + Micros(self)*15_000; now < 109*second; now += second * 5 / 4 {
 			id++
 			rec.acts = nil
-			r := req(id)
+			r := testRequest(id)
 			r.Session, r.Prefix, r.PrefixTokens = uint64(id)*7919, uint64(id%50+1), 500
 			b.RequestArrived(now, r)
-			for _, w := range asked(&recorder{acts: slices.Clone(rec.acts)}) {
-				b.ProbeEnded(now+2000, Outcome{Replica: w, Status: Served, Report: load(8 * b.warmth(now, b.byID[w]))})
+			for _, w := range healthChecked(&recorder{acts: slices.Clone(rec.acts)}) {
+				b.HealthCheckEnded(now+2000, Outcome{Replica: w, Status: Served, Report: reportInFlight(8 * b.warmCapacity(now, b.rowByID[w]))})
 			}
 			for _, a := range slices.Clone(rec.acts) {
 				if a.what == "dispatch" {
 					total++
 					sent[a.to]++
-					perSpan[[2]int64{int64(a.to), (now - 100*sec) / s.FallSpan}]++
-					b.FirstToken(now+sec/2, Outcome{ID: id, Replica: a.to, Elapsed: sec / 2})
-					b.AttemptEnded(now+sec, Outcome{ID: id, Replica: a.to, Elapsed: sec, Status: Served, Final: true, Tokens: 50})
+					perSpan[[2]int64{int64(a.to), (now - 100*second) / s.OverloadWindow}]++
+					b.FirstToken(now+second/2, Outcome{ID: id, Replica: a.to, Elapsed: second / 2})
+					b.AttemptEnded(now+second, Outcome{ID: id, Replica: a.to, Elapsed: second, Status: Served, Final: true, OutputTokens: 50})
 				}
 			}
 		}
@@ -151,8 +151,8 @@
 		if k[0] > cold {
 			continue
 		}
-		warm := min(1, s.StartCapacity+(1-s.StartCapacity)*(float64(k[1])+0.5)*1.5/9)
-		if most := s.FallMultiple * warm * mean / 0.6; float64(n) > most+3 { // the fleet is 60% busy; 3 for chance
+		warm := min(1, s.InitialCapacity+(1-s.InitialCapacity)*(float64(k[1])+0.5)*1.5/9)
+		if most := s.OverloadMultiple * warm * mean / 0.6; float64(n) > most+3 { // the fleet is 60% busy; 3 for chance
 			t.Errorf("worker %d: %d requests in span %d, at most %.1f may go", k[0], n, k[1], most)
 		}
 	}
@@ -160,44 +160,44 @@
 
 // A worker that errs at once looks idle. One of eighty gateways meets it seldom: it
 // must not be drawn by the idleness, nor come again half a second after the error.
-func TestEightyAreNotDrawnByQuickErrors(t *testing.T) {
-	b, rec := start(t, eighty(), fleet(40)...)
-	b.meanHold, b.meanLoad = 1200, 9600
-	now := 110 * sec
+func TestQuickErrorsDoNotAttractEighty(t *testing.T) {
+	b, rec := startBalancer(t, eightyGateways(), fleet(40)...)
+	b.meanHeldTokens, b.meanLoad = 1200, 9600
+	now := 110 * second
 	for _, w := range b.rows {
 		n := 8.0
 		if w.id == 1 {
 			n = 0
 		}
-		b.ProbeEnded(now, Outcome{Replica: w.id, Status: Served, Report: load(n)})
+		b.HealthCheckEnded(now, Outcome{Replica: w.id, Status: Served, Report: reportInFlight(n)})
 	}
 	b.meanLoad = 9600
-	r := &request{Request: req(1), terms: b.terms[0], tenant: -1, avoidZone: -1, arrived: now - sec, deadline: now + 3*sec}
+	r := &request{Request: testRequest(1), policy: b.policies[0], tenantIndex: -1, avoidZone: -1, arrivedAt: now - second, deadline: now + 3*second}
 	b.pick(now, r)
-	if c := b.short[0]; c.row.id == 1 && c.score < 0.6*b.short[1].score {
-		t.Errorf("the idle one scores %.0f, the next %.0f", c.score, b.short[1].score)
+	if c := b.shortlist[0]; c.row.id == 1 && c.score < 0.6*b.shortlist[1].score {
+		t.Errorf("the idle one scores %.0f, the next %.0f", c.score, b.shortlist[1].score)
 	}
 	rec.acts = nil
-	b.failed(now, b.byID[1], Errored)
-	if rest := b.byID[1].retryAt - now; rest < 3*sec || rest > backoffMost*5/4 {
+	b.recordFailure(now, b.rowByID[1], Errored)
+	if rest := b.rowByID[1].backoffUntil - now; rest < 3*second || rest > backoffMax*5/4 {
 		t.Errorf("rests for %d us", rest)
 	}
 }
 
 // Of the three that are asked one is drawn by chance: a worker that is new is behind
 // all others in any reckoning, and no gateway would ever hear that it is idle.
-func TestOneOfTheAskedIsDrawn(t *testing.T) {
+func TestOneOfThePolledIsRandom(t *testing.T) {
 	members := fleet(40)
-	members[39].Since = 95 * sec
+	members[39].StartedAt = 95 * second
 	drawn := 0
 	for seed := range uint64(400) {
 		rec := &recorder{}
-		b, _ := New(eighty(), seed, rec)
-		b.Start(100 * sec)
-		b.ListChanged(100*sec, ServerList{Kind: ListFull, Members: members})
-		b.meanHold, b.meanLoad = 1200, 9600
-		b.RequestArrived(101*sec, req(1))
-		if slices.Contains(asked(rec), 40) {
+		b, _ := New(eightyGateways(), seed, rec)
+		b.Start(100 * second)
+		b.ListChanged(100*second, EndpointList{Kind: ListFull, Endpoints: members})
+		b.meanHeldTokens, b.meanLoad = 1200, 9600
+		b.RequestArrived(101*second, testRequest(1))
+		if slices.Contains(healthChecked(rec), 40) {
 			drawn++
 		}
 	}
@@ -212,21 +212,21 @@
 	for session := range uint64(50) {
 		var first ReplicaID
 		for self := range 2 {
-			s := eighty()
+			s := eightyGateways()
 			s.Self = self
-			b, rec := start(t, s, fleet(40)...)
-			b.meanHold, b.meanLoad = 1200, 9600
-			in := req(1)
+			b, rec := startBalancer(t, s, fleet(40)...)
+			b.meanHeldTokens, b.meanLoad = 1200, 9600
+			in := testRequest(1)
 			in.Session, in.Prefix, in.PrefixTokens, in.PromptTokens = 1000+session, 7, 500, 6000
-			now := 101 * sec
+			now := 101 * second
 			b.RequestArrived(now, in)
-			home, second, _, _ := b.holders(b.requests[1])
-			for _, id := range asked(rec) {
+			home, second, _, _ := b.sessionHomes(b.requests[1])
+			for _, id := range healthChecked(rec) {
 				n := 4.0
 				if id == home.id {
 					n = 60
 				}
-				b.ProbeEnded(now+2000, Outcome{Replica: id, Status: Served, Report: load(n)})
+				b.HealthCheckEnded(now+2000, Outcome{Replica: id, Status: Served, Report: reportInFlight(n)})
 			}
 			to := b.requests[1].attempts[0].row.id
 			if to == home.id {
@@ -249,11 +249,11 @@
 func TestEightyAgreeOnHomes(t *testing.T) {
 	var all []*Balancer
 	for self := range 40 {
-		s := eighty()
+		s := eightyGateways()
 		s.Self = self
-		b, _ := start(t, s, fleet(40)...)
+		b, _ := startBalancer(t, s, fleet(40)...)
 		for i := range 1 + self%12 { // what it has seen so far
-			b.notePrefix(&request{Request: Request{Prefix: uint64(100 + (self*7+i*3)%25)}})
+			b.countPrefix(&request{Request: Request{Prefix: uint64(100 + (self*7+i*3)%25)}})
 		}
 		all = append(all, b)
 	}
@@ -261,10 +261,10 @@
 	for session := range uint64(60) {
 		count := map[ReplicaID]int{}
 		for _, b := range all {
-			in := req(1)
+			in := testRequest(1)
 			in.Session, in.Prefix, in.PrefixTokens = 1000+session, 100+session%25, 800
-			r := &request{Request: in, terms: b.terms[0]}
-			home, _, _, _ := b.holders(r)
+			r := &request{Request: in, policy: b.policies[0]}
+			home, _, _, _ := b.sessionHomes(r)
 			count[home.id]++
 			n++
 		}
@@ -279,20 +279,20 @@
 	}
 }
 
-// adds is a judge that checks that a pick's terms make up its scores.
-type adds struct {
+// breakdownChecker is a judge that checks that a pick's terms make up its scores.
+type breakdownChecker struct {
 	t *testing.T
 	n int
 }
 
-func (adds) Admit(_ RequestID, own bool) bool { return own }
-func (adds) Again(_ RequestID, own bool) bool { return own }
-func (j *adds) Pick(_ RequestID, own ReplicaID, any bool, weighed []Terms) (ReplicaID, bool) {
+func (breakdownChecker) Admit(_ RequestID, own bool) bool { return own }
+func (breakdownChecker) Retry(_ RequestID, own bool) bool { return own }
+func (j *breakdownChecker) Pick(_ RequestID, own ReplicaID, any bool, weighed []ScoreBreakdown) (ReplicaID, bool) {
 	for _, w := range weighed {
-		held := (1-w.Fresh)*(w.Peers+w.Charge) + w.Fresh*(w.Reported+w.Unseen) + w.Noise
-		score := (w.Slow*(held+w.Hold) + w.Read*(w.Prompt-w.Kept)) * w.Guard
+		held := (1-w.ReportWeight)*(w.PeerLoad+w.LedgerLoad) + w.ReportWeight*(w.Reported+w.Unreported) + w.Noise
+		score := (w.Slowness*(held+w.RequestTokens) + w.PrefillCost*(w.PromptTokens-w.CachedTokens)) * w.Penalty
 		if math.Abs(score-w.Score) > 1e-9*w.Score {
-			j.t.Errorf("worker %d: terms make %.1f, its score is %.1f", w.Worker, score, w.Score)
+			j.t.Errorf("worker %d: terms make %.1f, its score is %.1f", w.Replica, score, w.Score)
 		}
 		j.n++
 	}
@@ -300,16 +300,16 @@
 }
 
 // What replay explains is what was weighed, also where a report is not believed.
-func TestTermsMakeUpTheScore(t *testing.T) {
-	b, _ := start(t, eighty(), fleet(40)...)
-	j := &adds{t: t}
-	b.SetJudge(j)
-	b.meanHold, b.meanLoad = 1200, 9600
+func TestBreakdownAddsUpToTheScore(t *testing.T) {
+	b, _ := startBalancer(t, eightyGateways(), fleet(40)...)
+	j := &breakdownChecker{t: t}
+	b.SetInterceptor(j)
+	b.meanHeldTokens, b.meanLoad = 1200, 9600
 	for _, w := range b.rows { // a third of them idle
-		b.ProbeEnded(110*sec, Outcome{Replica: w.id, Status: Served, Report: load(float64(w.id % 3 * 6))})
+		b.HealthCheckEnded(110*second, Outcome{Replica: w.id, Status: Served, Report: reportInFlight(float64(w.id % 3 * 6))})
 	}
 	b.meanLoad = 9600
-	b.RequestArrived(110*sec, req(1))
+	b.RequestArrived(110*second, testRequest(1))
 	if j.n != 40 {
 		t.Errorf("%d workers were weighed", j.n)
 	}
--- a/choice/reconfigure.go
+++ b/choice/reconfigure.go
@@ -5,20 +5,20 @@
 	"fmt"
 )
 
-// setTerms makes what requests are taken on under from the settings.
-func (b *Balancer) setTerms() {
-	b.class, b.ten, b.terms = map[string]int{}, map[string]int{}, nil
+// setPolicies makes what requests are taken on under from the settings.
+func (b *Balancer) setPolicies() {
+	b.classIndex, b.tenantIndex, b.policies = map[string]int{}, map[string]int{}, nil
 	add := func(c Class) {
-		b.terms = append(b.terms, &terms{Class: c, maxAttempts: b.s.MaxAttempts, secondCopies: b.s.SecondCopies})
+		b.policies = append(b.policies, &requestPolicy{Class: c, maxAttempts: b.settings.MaxAttempts, mayHedge: b.settings.MayHedge})
 	}
-	for i, c := range b.s.Classes {
-		b.class[c.Name] = i
+	for i, c := range b.settings.Classes {
+		b.classIndex[c.Name] = i
 		add(c)
 	}
 	// A class that is on no list is treated as the most fragile one.
-	add(Class{Effect: Unsafe, Aim: b.s.Classes[0].Aim})
-	for i, t := range b.s.Tenants {
-		b.ten[t.Name] = i
+	add(Class{Idempotency: NonIdempotent, LatencyObjective: b.settings.Classes[0].LatencyObjective})
+	for i, t := range b.settings.Tenants {
+		b.tenantIndex[t.Name] = i
 	}
 }
 
@@ -27,68 +27,68 @@
 // was taken on under (its class, its attempts) to its end, also if its class is
 // gone; it counts for its class of the same name. An error changes nothing.
 func (b *Balancer) Reconfigure(now Micros, s Settings) error {
-	if err := s.check(); err != nil {
+	if err := s.validate(); err != nil {
 		return err
 	}
-	if err := b.s.fixed(&s); err != nil {
+	if err := b.settings.checkUnchanged(&s); err != nil {
 		return err
 	}
-	class, ten, stats, usage, usedNow := b.class, b.ten, b.stats, b.usage, b.usedNow
-	b.s = s
-	b.setTerms()
-	b.stats = make([]classStats, len(b.terms))
+	class, ten, stats, usage, usedNow := b.classIndex, b.tenantIndex, b.stats, b.tenantRate, b.tenantArrivals
+	b.settings = s
+	b.setPolicies()
+	b.stats = make([]classStats, len(b.policies))
 	b.stats[len(b.stats)-1] = stats[len(stats)-1]
-	for name, i := range b.class {
+	for name, i := range b.classIndex {
 		if old, ok := class[name]; ok {
 			b.stats[i] = stats[old]
 		}
 	}
-	b.usage, b.usedNow = make([]float64, len(s.Tenants)), make([]float64, len(s.Tenants))
-	for name, i := range b.ten {
+	b.tenantRate, b.tenantArrivals = make([]float64, len(s.Tenants)), make([]float64, len(s.Tenants))
+	for name, i := range b.tenantIndex {
 		if old, ok := ten[name]; ok {
-			b.usage[i], b.usedNow[i] = usage[old], usedNow[old]
+			b.tenantRate[i], b.tenantArrivals[i] = usage[old], usedNow[old]
 		}
 	}
 	// Old places to new ones, so that no name is looked up for each request; what
 	// had no place may have one now.
 	classTo, tenTo := make([]int, len(stats)), make([]int, len(usage))
 	for name, old := range class {
-		classTo[old] = place(b.class, name, len(b.terms)-1)
+		classTo[old] = indexOr(b.classIndex, name, len(b.policies)-1)
 	}
 	for name, old := range ten {
-		tenTo[old] = place(b.ten, name, -1)
+		tenTo[old] = indexOr(b.tenantIndex, name, -1)
 	}
 	for _, r := range b.requests {
-		if r.class < len(stats)-1 {
-			r.class = classTo[r.class]
+		if r.classIndex < len(stats)-1 {
+			r.classIndex = classTo[r.classIndex]
 		} else {
-			r.class = place(b.class, r.Class, len(b.terms)-1)
+			r.classIndex = indexOr(b.classIndex, r.Class, len(b.policies)-1)
 		}
-		if r.tenant >= 0 {
-			r.tenant = tenTo[r.tenant]
+		if r.tenantIndex >= 0 {
+			r.tenantIndex = tenTo[r.tenantIndex]
 		} else {
-			r.tenant = place(b.ten, r.Tenant, -1)
+			r.tenantIndex = indexOr(b.tenantIndex, r.Tenant, -1)
 		}
 	}
-	b.refresh(now)
+	b.refreshEstimates(now)
 	return nil
 }
 
-func place(in map[string]int, name string, otherwise int) int {
+func indexOr(in map[string]int, name string, otherwise int) int {
 	if i, ok := in[name]; ok {
 		return i
 	}
 	return otherwise
 }
 
-// fixed tells what may not change while the module runs.
-func (s *Settings) fixed(next *Settings) error {
+// checkUnchanged tells what may not change while the module runs.
+func (s *Settings) checkUnchanged(next *Settings) error {
 	switch {
 	case s.Self != next.Self || s.Gateways != next.Gateways:
 		return fmt.Errorf("choice: gateway %d of %d cannot become %d of %d", s.Self, s.Gateways, next.Self, next.Gateways)
 	case s.Zone != next.Zone:
 		return errors.New("choice: the zone cannot change")
-	case s.ReportVia != next.ReportVia || s.Weights != next.Weights || s.AskRegistry != next.AskRegistry || s.ListsPushed != next.ListsPushed || s.Tick != next.Tick || s.MayTellPeers != next.MayTellPeers:
+	case s.ReportSource != next.ReportSource || s.WeightKind != next.WeightKind || s.PollDiscovery != next.PollDiscovery || s.LocalDiscovery != next.LocalDiscovery || s.Tick != next.Tick || s.MayGossip != next.MayGossip:
 		return errors.New("choice: how the module hears of the fleet cannot change")
 	}
 	return nil
--- a/choice/rules_test.go
+++ b/choice/rules_test.go
@@ -10,104 +10,104 @@
 // Rule 1: every accepted request gets its one answer before its client leaves,
 // also when every replica is gone.
 func TestDeadlineAnswersWhateverHappens(t *testing.T) {
-	b, rec := start(t, settings(), fleet(2)...)
-	b.RequestArrived(101*sec, req(1))
-	var deadline action
+	b, rec := startBalancer(t, settings(), fleet(2)...)
+	b.RequestArrived(101*second, testRequest(1))
+	var deadline recordedAction
 	for _, a := range rec.take("timer") {
 		if a.token&(1<<timerBits-1) == timerDeadline {
 			deadline = a
 		}
 	}
-	if deadline.delay <= 0 || deadline.delay >= 4*sec {
+	if deadline.delay <= 0 || deadline.delay >= 4*second {
 		t.Fatalf("deadline timer %+v", deadline)
 	}
-	b.ListChanged(102*sec, ServerList{Kind: ListFull})
-	b.TimerFired(101*sec+deadline.delay, deadline.token)
+	b.ListChanged(102*second, EndpointList{Kind: ListFull})
+	b.TimerFired(101*second+deadline.delay, deadline.token)
 	if n := len(rec.take("refuse")); n != 1 {
 		t.Fatalf("%d answers at the deadline", n)
 	}
-	b.TimerFired(110*sec, deadline.token)
-	b.AttemptEnded(110*sec, Outcome{ID: 1, Status: TimedOut, Final: true})
-	b.AttemptEnded(110*sec, Outcome{ID: 99, Status: Served, Final: true})
+	b.TimerFired(110*second, deadline.token)
+	b.AttemptEnded(110*second, Outcome{ID: 1, Status: TimedOut, Final: true})
+	b.AttemptEnded(110*second, Outcome{ID: 99, Status: Served, Final: true})
 	if len(rec.acts) != 0 || len(b.requests) != 0 {
 		t.Fatalf("after the answer: %v, %d requests", rec.acts, len(b.requests))
 	}
 }
 
-func TestNoneReadyIsRefusedAtOnce(t *testing.T) {
-	b, rec := start(t, settings())
-	b.RequestArrived(101*sec, req(1))
+func TestNoReadyReplicaShedsAtOnce(t *testing.T) {
+	b, rec := startBalancer(t, settings())
+	b.RequestArrived(101*second, testRequest(1))
 	if r := rec.take("refuse"); len(r) != 1 || r[0].delay <= 0 {
 		t.Fatalf("refusals %v", r)
 	}
 }
 
 // Rule 2: what may follow an attempt, by effect, scope and outcome.
-func TestEffects(t *testing.T) {
+func TestIdempotency(t *testing.T) {
 	members := fleet(4)
 	members[2].Zone, members[3].Zone = "b", "b"
 	members[0].Cell, members[1].Cell = 5, 5
 	all := []ReplicaID{2, 3, 4}
 	for _, c := range []struct {
 		name   string
-		effect Effect
-		scope  Scope
+		effect Idempotency
+		scope  DedupScope
 		status Status
 		after  Micros
 		may    []ReplicaID // for a second attempt, the first went to 1
 		refuse bool
 	}{
-		{"safe", Safe, ScopeAll, Errored, 0, all, true},
-		{"unsafe ran", Unsafe, ScopeAll, Errored, 0, nil, false},
-		{"unsafe never ran", Unsafe, ScopeAll, ConnectFailed, 0, all, true},
-		{"keyed all", Keyed, ScopeAll, ConnBroken, 0, all, true},
-		{"keyed zone", Keyed, ScopeZone, Errored, 0, []ReplicaID{2}, false},
-		{"keyed cell", Keyed, ScopeCell, Errored, 0, []ReplicaID{2}, false},
-		{"keyed zone never ran", Keyed, ScopeZone, Shed, 0, all, true},
-		{"keyed forgotten", Keyed, ScopeAll, Errored, 5 * sec, nil, true},
-		{"keyed zone, cancelled may have run", Keyed, ScopeZone, Cancelled, 0, []ReplicaID{2}, false},
+		{"safe", Idempotent, DedupAll, Errored, 0, all, true},
+		{"unsafe ran", NonIdempotent, DedupAll, Errored, 0, nil, false},
+		{"unsafe never ran", NonIdempotent, DedupAll, ConnectFailed, 0, all, true},
+		{"keyed all", IdempotentWithKey, DedupAll, ConnBroken, 0, all, true},
+		{"keyed zone", IdempotentWithKey, DedupZone, Errored, 0, []ReplicaID{2}, false},
+		{"keyed cell", IdempotentWithKey, DedupCell, Errored, 0, []ReplicaID{2}, false},
+		{"keyed zone never ran", IdempotentWithKey, DedupZone, Shed, 0, all, true},
+		{"keyed forgotten", IdempotentWithKey, DedupAll, Errored, 5 * second, nil, true},
+		{"keyed zone, cancelled may have run", IdempotentWithKey, DedupZone, Cancelled, 0, []ReplicaID{2}, false},
 	} {
 		s := settings()
-		s.Classes[0].Effect, s.Classes[0].Scope, s.Classes[0].RepeatsKept = c.effect, c.scope, 5*sec
-		b, _ := start(t, s, members...)
-		r := &request{Request: req(1), terms: b.terms[0], tenant: -1, avoidZone: -1}
-		r.attempts = []*attempt{{row: b.rows[0], sent: 101 * sec, ended: true, status: c.status}}
+		s.Classes[0].Idempotency, s.Classes[0].DedupScope, s.Classes[0].DedupWindow = c.effect, c.scope, 5*second
+		b, _ := startBalancer(t, s, members...)
+		r := &request{Request: testRequest(1), policy: b.policies[0], tenantIndex: -1, avoidZone: -1}
+		r.attempts = []*attempt{{row: b.rows[0], sentAt: 101 * second, ended: true, status: c.status}}
 		var got []ReplicaID
 		for _, w := range b.rows[1:] {
-			if b.mayRepeat(101*sec+c.after, r, w) {
+			if b.idempotencyAllows(101*second+c.after, r, w) {
 				got = append(got, w.id)
 			}
 		}
-		if fmt.Sprint(got) != fmt.Sprint(c.may) || b.mayRefuse(r) != c.refuse {
-			t.Errorf("%s: may go to %v, refuse %v", c.name, got, b.mayRefuse(r))
+		if fmt.Sprint(got) != fmt.Sprint(c.may) || b.mayShed(r) != c.refuse {
+			t.Errorf("%s: may go to %v, refuse %v", c.name, got, b.mayShed(r))
 		}
 	}
 }
 
-func TestNoSecondCopyWhereForbidden(t *testing.T) {
+func TestNoHedgeWhereForbidden(t *testing.T) {
 	s := settings()
-	s.SecondCopies = false
-	b, rec := start(t, s, fleet(3)...)
-	b.hedges = 8
-	b.RequestArrived(101*sec, req(1))
+	s.MayHedge = false
+	b, rec := startBalancer(t, s, fleet(3)...)
+	b.hedgeBudget = 8
+	b.RequestArrived(101*second, testRequest(1))
 	rec.acts = nil
-	b.TimerFired(103*sec, timerHedge|1<<timerBits)
+	b.TimerFired(103*second, timerHedge|1<<timerBits)
 	if len(rec.take("dispatch")) != 0 {
 		t.Fatal("a second copy went out")
 	}
 }
 
 // Rule 3: nothing goes to what drains or is gone, from the moment of the news.
-func TestDrainsAreKept(t *testing.T) {
-	for _, change := range []ServerList{
-		{Kind: ListDelta, Members: []Member{{Replica: 1, State: MemberDraining, Kind: "k", Zone: "a"}}},
-		{Kind: ListDelta, Members: []Member{{Replica: 1, State: MemberGone}}},
-		{Kind: ListFull, Members: fleet(2)[1:]},
+func TestDrainingReplicasGetNothing(t *testing.T) {
+	for _, change := range []EndpointList{
+		{Kind: ListDelta, Endpoints: []Endpoint{{Replica: 1, State: EndpointDraining, Kind: "k", Zone: "a"}}},
+		{Kind: ListDelta, Endpoints: []Endpoint{{Replica: 1, State: EndpointGone}}},
+		{Kind: ListFull, Endpoints: fleet(2)[1:]},
 	} {
-		b, rec := start(t, settings(), fleet(2)...)
-		b.ListChanged(101*sec, change)
+		b, rec := startBalancer(t, settings(), fleet(2)...)
+		b.ListChanged(101*second, change)
 		for i := range RequestID(20) {
-			if got := dispatched(b, rec, 101*sec, req(i)); got == 1 {
+			if got := dispatched(b, rec, 101*second, testRequest(i)); got == 1 {
 				t.Fatalf("%+v: still sent to 1", change)
 			}
 		}
@@ -117,7 +117,7 @@
 // Rule 4: all gateways together stay under the multiple of what a cold replica
 // can do, in any span, though each one's share is far under one request and
 // the cold one looks empty. Guards against shares saved up and spent at once.
-func TestColdShareOfManyGateways(t *testing.T) {
+func TestSlowStartShareOfManyGateways(t *testing.T) {
 	const gateways, perGateway = 50, 5.0 // requests a second at each
 	s := settings()
 	s.Gateways = gateways
@@ -131,32 +131,32 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		b.ListChanged(0, ServerList{Kind: ListFull, Members: members})
-		b.sendRate, b.meanCharge, b.meanWork = perGateway, 5100, 5100
+		b.ListChanged(0, EndpointList{Kind: ListFull, Endpoints: members})
+		b.dispatchRate, b.meanCharge, b.meanWork = perGateway, 5100, 5100
 		nodes, recs = append(nodes, b), append(recs, rec)
 	}
-	begin := 100 * sec
+	begin := 100 * second
 	for _, b := range nodes {
-		b.ListChanged(begin, ServerList{Kind: ListDelta, Members: []Member{
-			{Replica: 1, Kind: "k", Zone: "a", Since: begin}}})
+		b.ListChanged(begin, EndpointList{Kind: ListDelta, Endpoints: []Endpoint{
+			{Replica: 1, Kind: "k", Zone: "a", StartedAt: begin}}})
 	}
 	// The first seconds send nothing there: shares that could be saved up.
 	capacity := gateways * perGateway / 80 / 0.6 // requests a second of one warm replica, fleet 60% busy
 	sent := 0
 	for i, b := range nodes {
 		for k := range 10 {
-			now := begin + 8*sec + int64(k)*s.FallSpan/10
-			r := req(RequestID(k + 1))
+			now := begin + 8*second + int64(k)*s.OverloadWindow/10
+			r := testRequest(RequestID(k + 1))
 			for _, w := range b.rows[1:] { // everything else looks full
-				w.charge, w.unseen = 1e9, 1e9
+				w.charge, w.unreported = 1e9, 1e9
 			}
 			if dispatched(b, recs[i], now, r) == 1 {
 				sent++
 			}
 		}
 	}
-	warm := s.StartCapacity + (1-s.StartCapacity)*8/24
-	most := s.FallMultiple * warm * capacity * float64(s.FallSpan) / 1e6
+	warm := s.InitialCapacity + (1-s.InitialCapacity)*8/24
+	most := s.OverloadMultiple * warm * capacity * float64(s.OverloadWindow) / 1e6
 	if float64(sent) > most {
 		t.Fatalf("%d requests in a span, at most %.1f may go", sent, most)
 	}
@@ -165,53 +165,53 @@
 	}
 }
 
-func TestWhatCountsAsCold(t *testing.T) {
-	b, _ := start(t, settings(), fleet(2)...)
-	now := 200 * sec
+func TestWhichReplicasWarmUp(t *testing.T) {
+	b, _ := startBalancer(t, settings(), fleet(2)...)
+	now := 200 * second
 	old := b.rows[0]
-	if old.coldUntil > now {
+	if old.warmingUntil > now {
 		t.Fatal("a replica that runs since long ago is cold")
 	}
 	m := fleet(4)
-	m[0].Since = now - sec // restarted
-	m[2].Since = now - sec // new, with a start time
-	b.ListChanged(now, ServerList{Kind: ListDelta, Members: m})
+	m[0].StartedAt = now - second // restarted
+	m[2].StartedAt = now - second // new, with a start time
+	b.ListChanged(now, EndpointList{Kind: ListDelta, Endpoints: m})
 	for _, w := range b.rows {
-		cold := now < w.coldUntil
+		cold := now < w.warmingUntil
 		if want := w.id != 2; cold != want {
 			t.Errorf("replica %d cold: %v", w.id, cold)
 		}
 	}
 	// a gateway that itself restarts judges by the start time alone
-	b, _ = start(t, settings(), Member{Replica: 1, Zone: "a", Since: 99 * sec}, Member{Replica: 2, Zone: "a"})
-	if b.rows[0].coldUntil <= 100*sec || b.rows[1].coldUntil > 100*sec {
+	b, _ = startBalancer(t, settings(), Endpoint{Replica: 1, Zone: "a", StartedAt: 99 * second}, Endpoint{Replica: 2, Zone: "a"})
+	if b.rows[0].warmingUntil <= 100*second || b.rows[1].warmingUntil > 100*second {
 		t.Fatal("a restarted gateway misjudges cold replicas")
 	}
 }
 
 // Quick errors must not make a replica the emptiest: it rests and comes back
 // one attempt at a time.
-func TestQuickErrorsRest(t *testing.T) {
-	b, rec := start(t, settings(), fleet(2)...)
+func TestQuickErrorsBackOff(t *testing.T) {
+	b, rec := startBalancer(t, settings(), fleet(2)...)
 	id := RequestID(1)
 	for ; ; id++ {
-		to := dispatched(b, rec, 101*sec, req(id))
+		to := dispatched(b, rec, 101*second, testRequest(id))
 		if to == 1 {
 			break
 		}
 	}
-	b.AttemptEnded(101*sec, Outcome{ID: id, Replica: 1, Status: Errored, Elapsed: 1000})
+	b.AttemptEnded(101*second, Outcome{ID: id, Replica: 1, Status: Errored, Elapsed: 1000})
 	if d := rec.take("dispatch"); len(d) != 1 || d[0].to != 2 {
 		t.Fatalf("retry went to %v", d)
 	}
 	for i := range RequestID(10) {
-		if dispatched(b, rec, 101*sec, req(100+i)) == 1 {
+		if dispatched(b, rec, 101*second, testRequest(100+i)) == 1 {
 			t.Fatal("sent to a resting replica")
 		}
 	}
 	sent := 0
 	for i := range RequestID(10) {
-		if dispatched(b, rec, 110*sec, req(200+i)) == 1 {
+		if dispatched(b, rec, 110*second, testRequest(200+i)) == 1 {
 			sent++
 		}
 	}
@@ -221,17 +221,17 @@
 }
 
 func TestRetriesAreBounded(t *testing.T) {
-	b, rec := start(t, settings(), fleet(30)...)
+	b, rec := startBalancer(t, settings(), fleet(30)...)
 	extra := 0
 	for i := range RequestID(300) {
-		b.RequestArrived(101*sec, req(i))
+		b.RequestArrived(101*second, testRequest(i))
 		for n := 0; n < 3; n++ {
 			r := b.requests[i]
 			if r == nil || r.attempts[n].ended {
 				break
 			}
 			before := len(r.attempts)
-			b.AttemptEnded(101*sec, Outcome{ID: i, Attempt: n, Replica: r.attempts[n].row.id, Status: Errored})
+			b.AttemptEnded(101*second, Outcome{ID: i, Attempt: n, Replica: r.attempts[n].row.id, Status: Errored})
 			if b.requests[i] == nil || len(r.attempts) == before {
 				break
 			}
@@ -239,7 +239,7 @@
 		}
 		rec.acts = nil
 	}
-	if most := int(budgetCap + retryShare*300 + 1); extra > most || extra == 0 {
+	if most := int(budgetCap + defaultRetryRatio*300 + 1); extra > most || extra == 0 {
 		t.Fatalf("%d further attempts for 300 requests that all fail, at most %d", extra, most)
 	}
 }
@@ -248,8 +248,8 @@
 // first tokens come in time: else a jammed fleet takes on all that comes.
 func TestSlowStreamsLimitAdmission(t *testing.T) {
 	serve := func(first Micros) (refused int) {
-		b, rec := start(t, settings(), fleet(4)...)
-		now := 101 * sec
+		b, rec := startBalancer(t, settings(), fleet(4)...)
+		now := 101 * second
 		for i := range RequestID(600) {
 			now += 50_000
 			wait := first
@@ -260,7 +260,7 @@
 				b.tick(now)
 			}
 			rec.acts = nil
-			b.RequestArrived(now, req(i))
+			b.RequestArrived(now, testRequest(i))
 			if len(rec.take("refuse")) > 0 {
 				refused++
 				continue
@@ -269,7 +269,7 @@
 			b.FirstToken(now+wait, Outcome{ID: i, Replica: to, Elapsed: wait})
 			if j := i - 20; i > 20 && b.requests[j] != nil {
 				w := b.requests[j].attempts[0].row.id
-				b.AttemptEnded(now, Outcome{ID: j, Replica: w, Status: Served, Elapsed: sec, Final: true})
+				b.AttemptEnded(now, Outcome{ID: j, Replica: w, Status: Served, Elapsed: second, Final: true})
 			}
 		}
 		return refused
@@ -284,31 +284,31 @@
 
 // Once the jam is over, requests are let in again though few had been
 // admitted: refusals must not feed themselves.
-func TestRefusalsEndWithTheJam(t *testing.T) {
-	b, rec := start(t, settings(), fleet(4)...)
-	b.meanHold, b.openMean = 1100, 50000
+func TestSheddingEndsWithTheOverload(t *testing.T) {
+	b, rec := startBalancer(t, settings(), fleet(4)...)
+	b.meanHeldTokens, b.meanInFlightTokens = 1100, 50000
 	for range 200 {
-		b.noteLate(1)
+		b.recordLateness(1)
 	}
-	if b.openLimit == 0 || b.openLimit > 2000 {
-		t.Fatalf("limit %v after 200 late requests", b.openLimit)
+	if b.tokenLimit == 0 || b.tokenLimit > 2000 {
+		t.Fatalf("limit %v after 200 late requests", b.tokenLimit)
 	}
-	low := b.openLimit
-	for now := 101 * sec; now < 102*sec; now += tickEvery {
-		b.openMean = 50000
+	low := b.tokenLimit
+	for now := 101 * second; now < 102*second; now += tickEvery {
+		b.meanInFlightTokens = 50000
 		b.tick(now) // nothing comes: only time opens it
 	}
-	if b.openLimit < 1.1*low {
-		t.Fatalf("limit %v after a second, was %v", b.openLimit, low)
+	if b.tokenLimit < 1.1*low {
+		t.Fatalf("limit %v after a second, was %v", b.tokenLimit, low)
 	}
-	now, refused := 102*sec, 0
+	now, refused := 102*second, 0
 	for i := range RequestID(200) { // the fleet is idle: each is served at once
 		now += 50_000
 		if i%5 == 0 {
 			b.tick(now)
 		}
 		rec.acts = nil
-		b.RequestArrived(now, req(i))
+		b.RequestArrived(now, testRequest(i))
 		if len(rec.take("refuse")) > 0 {
 			refused++
 			continue
@@ -324,29 +324,29 @@
 
 // Handshakes of several round trips must not look like slow steps.
 func TestConnectionsDoNotLookSlow(t *testing.T) {
-	b, _ := start(t, settings(), fleet(1)...)
-	b.firstFit.n = 100
-	r := &request{Request: req(1), terms: b.terms[0]}
+	b, _ := startBalancer(t, settings(), fleet(1)...)
+	b.firstTokenFit.n = 100
+	r := &request{Request: testRequest(1), policy: b.policies[0]}
 	slow := false
 	for i := range 400 {
-		a := &attempt{row: b.rows[0], opened: 50_000, connected: i%8 != 0}
-		if a.connected {
-			a.opened = 150_000
+		a := &attempt{row: b.rows[0], timeToFirstToken: 50_000, newConn: i%8 != 0}
+		if a.newConn {
+			a.timeToFirstToken = 150_000
 		}
-		slow = b.tooSlow(r, a) || slow
+		slow = b.streamsTooSlow(r, a) || slow
 	}
 	if slow {
 		t.Fatal("handshakes counted as slow streams")
 	}
 }
 
-func TestOverShareIsWorthLess(t *testing.T) {
+func TestOverQuotaWeighsLess(t *testing.T) {
 	s := settings()
-	s.Tenants, s.OverShareWorth = []Tenant{{Name: "x", QuotaPerS: 10}, {Name: "y", QuotaPerS: 10}}, 0.1
-	b, _ := start(t, s, fleet(1)...)
-	b.usage[0], b.usage[1] = 30, 5
-	over := b.worth(&request{Request: req(1), terms: b.terms[0], tenant: 0})
-	within := b.worth(&request{Request: req(1), terms: b.terms[0], tenant: 1})
+	s.Tenants, s.OverQuotaWeight = []Tenant{{Name: "x", QuotaPerS: 10}, {Name: "y", QuotaPerS: 10}}, 0.1
+	b, _ := startBalancer(t, s, fleet(1)...)
+	b.tenantRate[0], b.tenantRate[1] = 30, 5
+	over := b.weightPerToken(&request{Request: testRequest(1), policy: b.policies[0], tenantIndex: 0})
+	within := b.weightPerToken(&request{Request: testRequest(1), policy: b.policies[0], tenantIndex: 1})
 	if over > within*0.11 {
 		t.Fatalf("over share %v, within %v", over, within)
 	}
@@ -357,14 +357,14 @@
 type queue struct{ free Micros }
 
 func (q *queue) call(now Micros) (at Micros, ok bool) {
-	q.free = max(q.free, now) + sec/10
-	return min(q.free, now+2*sec), q.free <= now+2*sec
+	q.free = max(q.free, now) + second/10
+	return min(q.free, now+2*second), q.free <= now+2*second
 }
 
 // Eighty gateways that all start at once, as after a mass kill, have the list of a
 // registry that answers ten of them a second within twelve seconds, and hardly a
 // call fails. All at once, one in five had it.
-func TestEightyGatewaysDoNotStallTheRegistry(t *testing.T) {
+func TestEightyGatewaysDoNotStallDiscovery(t *testing.T) {
 	const gateways = 80
 	var q queue
 	type one struct {
@@ -377,14 +377,14 @@
 	var all []*one
 	for i := range gateways {
 		s := settings()
-		s.AskRegistry, s.Gateways, s.Self = true, gateways, i
+		s.PollDiscovery, s.Gateways, s.Self = true, gateways, i
 		g := &one{rec: &recorder{}}
 		g.b, _ = New(s, uint64(i+1), g.rec)
 		g.b.Start(0)
 		all = append(all, g)
 	}
 	failed := 0
-	for now := Micros(0); now < 12*sec; now += tickEvery {
+	for now := Micros(0); now < 12*second; now += tickEvery {
 		for _, g := range all {
 			if g.at > 0 && now >= g.at {
 				g.at, g.told = 0, g.ok
@@ -393,7 +393,7 @@
 					kind = ListFailed
 					failed++
 				}
-				g.b.ListChanged(now, ServerList{Kind: kind, Members: fleet(2)})
+				g.b.ListChanged(now, EndpointList{Kind: kind, Endpoints: fleet(2)})
 			}
 			g.b.tick(now)
 			if asked := len(g.rec.take("watch")) > 0; asked && g.at == 0 && !g.told {
@@ -412,9 +412,9 @@
 	}
 }
 
-func TestRegistryIsAskedAgainApart(t *testing.T) {
+func TestDiscoveryPollsAreSpread(t *testing.T) {
 	s := settings()
-	s.AskRegistry = true
+	s.PollDiscovery = true
 	rec := &recorder{}
 	b, _ := New(s, 3, rec)
 	b.Start(0)
@@ -423,23 +423,23 @@
 	}
 	last := Micros(0)
 	for range 6 {
-		b.ListChanged(last, ServerList{Kind: ListFailed})
-		wait := b.askAt - last
-		if wait <= 0 || wait > askMost {
+		b.ListChanged(last, EndpointList{Kind: ListFailed})
+		wait := b.nextPollAt - last
+		if wait <= 0 || wait > pollBackoffMax {
 			t.Fatalf("waits %d", wait)
 		}
-		b.tick(b.askAt - 1)
+		b.tick(b.nextPollAt - 1)
 		if len(rec.take("watch")) != 0 {
 			t.Fatal("asked too early")
 		}
-		last = b.askAt
+		last = b.nextPollAt
 		b.tick(last)
 		if len(rec.take("watch")) != 1 {
 			t.Fatal("not asked again")
 		}
 	}
-	b.ListChanged(last, ServerList{Kind: ListFull, Members: fleet(1)})
-	b.tick(last + 60*sec)
+	b.ListChanged(last, EndpointList{Kind: ListFull, Endpoints: fleet(1)})
+	b.tick(last + 60*second)
 	if len(rec.take("watch")) != 0 {
 		t.Fatal("asked while subscribed")
 	}
@@ -456,7 +456,7 @@
 	sent     map[RequestID][]sentAttempt
 	deadline map[RequestID]Micros
 	blocked  map[ReplicaID]bool
-	member   map[ReplicaID]Member
+	member   map[ReplicaID]Endpoint
 }
 
 type sentAttempt struct {
@@ -466,7 +466,7 @@
 	status Status
 }
 
-func (c *checker) take(acts []action) {
+func (c *checker) take(acts []recordedAction) {
 	for _, a := range acts {
 		switch a.what {
 		case "dispatch":
@@ -478,15 +478,15 @@
 				c.t.Fatalf("request %d: sent to %d, which drains or is gone", a.id, a.to)
 			}
 			for _, e := range c.sent[a.id] {
-				if !e.ended && !c.s.SecondCopies {
+				if !e.ended && !c.s.MayHedge {
 					c.t.Fatalf("request %d: two attempts out", a.id)
 				}
-				if cl.Effect == Safe || e.ended && e.status.NeverRan() {
+				if cl.Idempotency == Idempotent || e.ended && e.status.NeverRan() {
 					continue
 				}
 				m, n := c.member[e.to], c.member[a.to]
-				if cl.Effect == Unsafe || c.now-e.at > cl.RepeatsKept || cl.Scope == ScopeZone && m.Zone != n.Zone ||
-					cl.Scope == ScopeCell && m.Cell != n.Cell {
+				if cl.Idempotency == NonIdempotent || c.now-e.at > cl.DedupWindow || cl.DedupScope == DedupZone && m.Zone != n.Zone ||
+					cl.DedupScope == DedupCell && m.Cell != n.Cell {
 					c.t.Fatalf("request %d (%s): a second effect", a.id, cl.Name)
 				}
 			}
@@ -495,7 +495,7 @@
 			if c.answered[a.id] || c.over[a.id] {
 				c.t.Fatalf("request %d: a second answer", a.id)
 			}
-			if cl := c.class[a.id]; a.what == "refuse" && cl.Effect != Safe && !(cl.Effect == Keyed && cl.Scope == ScopeAll) {
+			if cl := c.class[a.id]; a.what == "refuse" && cl.Idempotency != Idempotent && !(cl.Idempotency == IdempotentWithKey && cl.DedupScope == DedupAll) {
 				for _, e := range c.sent[a.id] {
 					if !e.ended || !e.status.NeverRan() {
 						c.t.Fatalf("request %d (%s): refused though it may have run", a.id, cl.Name)
@@ -513,22 +513,22 @@
 func randomRun(t *testing.T, seed int64, renew func(*Balancer) *Balancer) string {
 	rng := rand.New(rand.NewSource(seed))
 	s := settings()
-	s.Gateways, s.SecondCopies, s.MayCancel = 1+rng.Intn(40), rng.Intn(2) == 0, rng.Intn(2) == 0
-	s.AskRegistry = rng.Intn(2) == 0
+	s.Gateways, s.MayHedge, s.MayCancel = 1+rng.Intn(40), rng.Intn(2) == 0, rng.Intn(2) == 0
+	s.PollDiscovery = rng.Intn(2) == 0
 	s.Classes = nil
-	for i, e := range []Effect{Safe, Keyed, Keyed, Keyed, Unsafe, Safe} {
-		s.Classes = append(s.Classes, Class{Name: fmt.Sprint(i), Aim: sec / 2, Deadline: 3 * sec, Worth: float64(1 + i),
-			Effect: e, Scope: Scope(i % 4 % 3), RepeatsKept: sec, Stream: i < 5, TokenAim: 50_000})
+	for i, e := range []Idempotency{Idempotent, IdempotentWithKey, IdempotentWithKey, IdempotentWithKey, NonIdempotent, Idempotent} {
+		s.Classes = append(s.Classes, Class{Name: fmt.Sprint(i), LatencyObjective: second / 2, Deadline: 3 * second, PriorityWeight: float64(1 + i),
+			Idempotency: e, DedupScope: DedupScope(i % 4 % 3), DedupWindow: second, Streaming: i < 5, TokenObjective: 50_000})
 	}
 	c := &checker{t: t, s: s, class: map[RequestID]*Class{}, answered: map[RequestID]bool{}, over: map[RequestID]bool{},
 		sent: map[RequestID][]sentAttempt{}, deadline: map[RequestID]Micros{}, blocked: map[ReplicaID]bool{},
-		member: map[ReplicaID]Member{}}
+		member: map[ReplicaID]Endpoint{}}
 	rec := &recorder{}
 	b, err := New(s, uint64(seed), rec)
 	if err != nil {
 		t.Fatal(err)
 	}
-	var log []action
+	var log []recordedAction
 	timers := map[Micros][]uint64{}
 	flush := func() {
 		c.take(rec.acts)
@@ -541,21 +541,21 @@
 		log = append(log, rec.acts...)
 		rec.acts = nil
 	}
-	member := func(id int) Member {
-		m := Member{Replica: ReplicaID(id), Weight: 1, Kind: "k", Zone: []string{"a", "b"}[id%2], Cell: int64(id % 4)}
+	member := func(id int) Endpoint {
+		m := Endpoint{Replica: ReplicaID(id), Weight: 1, Kind: "k", Zone: []string{"a", "b"}[id%2], Cell: int64(id % 4)}
 		c.member[m.Replica] = m
 		return m
 	}
-	var all []Member
+	var all []Endpoint
 	for i := range 12 {
 		all = append(all, member(i+1))
 	}
 	b.Start(0)
-	b.ListChanged(0, ServerList{Kind: ListFull, Members: all})
+	b.ListChanged(0, EndpointList{Kind: ListFull, Endpoints: all})
 	flush()
 	next := RequestID(1)
 	var live []RequestID
-	for c.now = s.Tick; c.now < 30*sec; c.now += s.Tick {
+	for c.now = s.Tick; c.now < 30*second; c.now += s.Tick {
 		due := timers[c.now]
 		delete(timers, c.now)
 		if renew != nil && int64(c.now)%(37*s.Tick) == 0 {
@@ -566,7 +566,7 @@
 			flush()
 		}
 		if rng.Intn(3) == 0 {
-			r := Request{ID: next, Class: fmt.Sprint(rng.Intn(6)), TimeLeft: int64(1+rng.Intn(3)) * sec,
+			r := Request{ID: next, Class: fmt.Sprint(rng.Intn(6)), TimeLeft: int64(1+rng.Intn(3)) * second,
 				PromptTokens: rng.Intn(4000), MaxTokens: 400, Session: uint64(rng.Intn(50)), Prefix: uint64(rng.Intn(9))}
 			c.class[next], c.deadline[next] = &s.Classes[r.Class[0]-'0'], c.now+r.TimeLeft
 			live = append(live, next)
@@ -576,12 +576,12 @@
 		}
 		if rng.Intn(100) == 0 {
 			m := member(1 + rng.Intn(16))
-			m.State = MemberState(rng.Intn(3))
+			m.State = EndpointState(rng.Intn(3))
 			if rng.Intn(2) == 0 {
-				m.Since = c.now
+				m.StartedAt = c.now
 			}
-			c.blocked[m.Replica] = m.State != MemberReady
-			b.ListChanged(c.now, ServerList{Kind: ListDelta, Members: []Member{m}})
+			c.blocked[m.Replica] = m.State != EndpointReady
+			b.ListChanged(c.now, EndpointList{Kind: ListDelta, Endpoints: []Endpoint{m}})
 			flush()
 		}
 		keep := live[:0]
@@ -591,7 +591,7 @@
 				if e.ended || rng.Intn(60) != 0 {
 					continue
 				}
-				if rng.Intn(2) == 0 && c.class[id].Stream && !c.over[id] {
+				if rng.Intn(2) == 0 && c.class[id].Streaming && !c.over[id] {
 					b.FirstToken(c.now, Outcome{ID: id, Attempt: n, Replica: e.to, Elapsed: c.now - e.at})
 					flush()
 					c.deadline[id] = 1 << 60
@@ -605,7 +605,7 @@
 					c.over[id] = true
 				}
 				b.AttemptEnded(c.now, Outcome{ID: id, Attempt: n, Replica: e.to, Status: e.status,
-					Elapsed: c.now - e.at, Final: final, Report: Report{Has: HasMemory, MemoryShare: rng.Float64()}})
+					Elapsed: c.now - e.at, Final: final, Report: LoadReport{Has: HasMemory, MemoryShare: rng.Float64()}})
 				flush()
 			}
 			if !c.over[id] && !c.answered[id] {
@@ -650,44 +650,44 @@
 
 // Lateness is counted once, when the aim passes: counted when the answer came,
 // a jam went on closing the limit long after it was over.
-func TestLatenessCountsWhenTheAimPasses(t *testing.T) {
-	b, rec := start(t, settings(), fleet(2)...)
-	b.RequestArrived(101*sec, req(1))
-	var aim action
+func TestLatenessCountsWhenTheObjectivePasses(t *testing.T) {
+	b, rec := startBalancer(t, settings(), fleet(2)...)
+	b.RequestArrived(101*second, testRequest(1))
+	var aim recordedAction
 	for _, a := range rec.take("timer") {
-		if a.token&(1<<timerBits-1) == timerAim {
+		if a.token&(1<<timerBits-1) == timerObjective {
 			aim = a
 		}
 	}
-	if aim.delay != sec {
+	if aim.delay != second {
 		t.Fatalf("aim timer %+v", aim)
 	}
-	b.TimerFired(101*sec+aim.delay, aim.token)
-	late := b.late
+	b.TimerFired(101*second+aim.delay, aim.token)
+	late := b.lateShare
 	if late == 0 {
 		t.Fatal("not counted when the aim passed")
 	}
-	b.FirstToken(104*sec, Outcome{ID: 1, Replica: b.requests[1].attempts[0].row.id, Elapsed: 3 * sec})
-	if b.late != late {
+	b.FirstToken(104*second, Outcome{ID: 1, Replica: b.requests[1].attempts[0].row.id, Elapsed: 3 * second})
+	if b.lateShare != late {
 		t.Fatal("counted again when the answer came")
 	}
 }
 
 // A lost zone is tried as a whole: else each of its replicas must fail on its
 // own, a connect time-out each.
-func TestLostZoneIsTriedAsAWhole(t *testing.T) {
+func TestUnavailableZoneIsTriedAsAWhole(t *testing.T) {
 	members := fleet(20)
 	for i := range 10 {
 		members[i].Zone = "b"
 	}
-	b, rec := start(t, settings(), members...)
+	b, rec := startBalancer(t, settings(), members...)
 	fail := func(i int) {
-		b.hear(101*sec, b.rows[i], ConnectFailed, false)
-		b.failed(101*sec, b.rows[i], ConnectFailed)
+		b.recordAnswer(101*second, b.rows[i], ConnectFailed, false)
+		b.recordFailure(101*second, b.rows[i], ConnectFailed)
 	}
 	inZone := func(now Micros, from RequestID) (n int) {
 		for i := range RequestID(15) {
-			if dispatched(b, rec, now, req(from+i)) <= 10 {
+			if dispatched(b, rec, now, testRequest(from+i)) <= 10 {
 				n++
 			}
 		}
@@ -696,45 +696,45 @@
 	for i := range 3 {
 		fail(i)
 	}
-	if b.sites.Lost(b.rows[0].zone) || inZone(101*sec, 50) == 0 {
+	if b.zones.IsUnavailable(b.rows[0].zone) || inZone(101*second, 50) == 0 {
 		t.Fatal("three bad workers of ten took their site out of use")
 	}
 	fail(3)
-	if n := inZone(101*sec, 1); n != 0 {
+	if n := inZone(101*second, 1); n != 0 {
 		t.Fatalf("%d sent to the zone right after", n)
 	}
 	rec.acts = nil
-	b.tick(103 * sec)
-	if n := len(rec.take("probe")); b.s.MayProbe != (n >= 1) {
+	b.tick(103 * second)
+	if n := len(rec.take("probe")); b.settings.MayHealthCheck != (n >= 1) {
 		t.Fatalf("%d trials by probes", n)
 	}
-	if n := inZone(103*sec, 100); b.s.MayProbe != (n == 0) || n > 1 {
+	if n := inZone(103*second, 100); b.settings.MayHealthCheck != (n == 0) || n > 1 {
 		t.Fatalf("%d trials by requests in the zone", n)
 	}
-	b.hear(103*sec, b.rows[5], Served, false)
-	if n := inZone(103*sec+settle, 200); n < 2 {
+	b.recordAnswer(103*second, b.rows[5], Served, false)
+	if n := inZone(103*second+settleTime, 200); n < 2 {
 		t.Fatalf("%d sent to the zone after a success there", n)
 	}
-	if w := b.rows[1]; w.retryAt > 0 || w.fails > 0 {
+	if w := b.rows[1]; w.backoffUntil > 0 || w.consecutiveFailures > 0 {
 		t.Fatal("what was the site's stands against a worker")
 	}
 }
 
-const settle = 3 * sec
+const settleTime = 3 * second
 
 // A spoilt stream may come from any worker, and a rejected request speaks of
 // itself: neither has a worker rest, and the second is tried nowhere else.
-func TestSpoiltAndRejectedLeaveTheWorkerInUse(t *testing.T) {
-	for status, want := range map[Status]string{Spoilt: "dispatch", Rejected: "fail"} {
-		b, rec := start(t, settings(), fleet(2)...)
-		b.RequestArrived(101*sec, req(1))
+func TestMalformedAndRejectedLeaveTheReplicaInUse(t *testing.T) {
+	for status, want := range map[Status]string{Malformed: "dispatch", Rejected: "fail"} {
+		b, rec := startBalancer(t, settings(), fleet(2)...)
+		b.RequestArrived(101*second, testRequest(1))
 		w := b.requests[1].attempts[0].row
 		rec.acts = nil
-		b.AttemptEnded(101*sec, Outcome{ID: 1, Replica: w.id, Status: status})
+		b.AttemptEnded(101*second, Outcome{ID: 1, Replica: w.id, Status: status})
 		if n := len(rec.take(want)); n != 1 {
 			t.Errorf("status %d: %d times %s", status, n, want)
 		}
-		if r := (&request{Request: req(2), terms: b.terms[0], tenant: -1, avoidZone: -1}); !b.usable(101*sec, w, r, false) {
+		if r := (&request{Request: testRequest(2), policy: b.policies[0], tenantIndex: -1, avoidZone: -1}); !b.eligible(101*second, w, r, false) {
 			t.Errorf("status %d: the worker rests", status)
 		}
 	}
@@ -743,79 +743,79 @@
 // All that a jam makes late is one jam: the limit closes by a part a tick, and
 // not by as much for each. Counted one by one, 60 late requests left a seventh of
 // it, and a gateway refused for seconds after the jam was over.
-func TestOneJamClosesTheLimitSlowly(t *testing.T) {
-	b, _ := start(t, settings(), fleet(2)...)
-	b.openTokens, b.openMean, b.meanHold, b.late = 100_000, 100_000, 1000, 1
-	b.noteLate(1)
-	b.tick(101 * sec)
-	before := b.openLimit
+func TestOneOverloadLowersTheLimitSlowly(t *testing.T) {
+	b, _ := startBalancer(t, settings(), fleet(2)...)
+	b.inFlightTokens, b.meanInFlightTokens, b.meanHeldTokens, b.lateShare = 100_000, 100_000, 1000, 1
+	b.recordLateness(1)
+	b.tick(101 * second)
+	before := b.tokenLimit
 	for range 100 {
-		b.noteLate(1)
+		b.recordLateness(1)
 	}
-	if b.openLimit < closesMost*before || b.openLimit > 0.95*before {
-		t.Errorf("from %.0f to %.0f by one jam", before, b.openLimit)
+	if b.tokenLimit < minLimitPerTick*before || b.tokenLimit > 0.95*before {
+		t.Errorf("from %.0f to %.0f by one jam", before, b.tokenLimit)
 	}
 	for range 20 { // a jam that lasts still closes it
-		b.openTokens, b.late = b.openLimit, 1
-		b.tick(b.lastTick + tickEvery)
+		b.inFlightTokens, b.lateShare = b.tokenLimit, 1
+		b.tick(b.lastTickAt + tickEvery)
 		for range 100 {
-			b.noteLate(1)
+			b.recordLateness(1)
 		}
 	}
-	if b.openLimit > before/2 {
-		t.Errorf("%.0f of %.0f after five seconds", b.openLimit, before)
+	if b.tokenLimit > before/2 {
+		t.Errorf("%.0f of %.0f after five seconds", b.tokenLimit, before)
 	}
 }
 
 // A gateway that takes over another's traffic has more open than its mean of
 // late: the limit starts from what is open.
-func TestLimitStartsFromWhatIsOpen(t *testing.T) {
-	b, _ := start(t, settings(), fleet(2)...)
-	b.openTokens, b.openMean, b.late = 100_000, 5_000, 1
-	if b.noteLate(1); b.openLimit < 90_000 {
-		t.Errorf("limit %.0f with 100000 open", b.openLimit)
+func TestLimitStartsFromInFlightTokens(t *testing.T) {
+	b, _ := startBalancer(t, settings(), fleet(2)...)
+	b.inFlightTokens, b.meanInFlightTokens, b.lateShare = 100_000, 5_000, 1
+	if b.recordLateness(1); b.tokenLimit < 90_000 {
+		t.Errorf("limit %.0f with 100000 open", b.tokenLimit)
 	}
 }
 
 // What first tokens make one guess of the pace counts only if ended streams bear
 // it out, where they tell their length.
-func TestSlowPaceIsBorneOut(t *testing.T) {
-	b, _ := start(t, settings(), fleet(1)...)
-	a := &attempt{row: b.rows[0], opened: 400_000}
-	r := &request{Request: req(1), terms: b.terms[0], tenant: -1}
-	b.firstFit.n, b.pace, b.paceFloor[2*a.row.zone] = 20, 1e6, 1000
-	if !b.tooSlow(r, a) {
+func TestSlowPaceIsConfirmedByStreams(t *testing.T) {
+	b, _ := startBalancer(t, settings(), fleet(1)...)
+	a := &attempt{row: b.rows[0], timeToFirstToken: 400_000}
+	r := &request{Request: testRequest(1), policy: b.policies[0], tenantIndex: -1}
+	b.firstTokenFit.n, b.stepExcess, b.stepFloor[2*a.row.zone] = 20, 1e6, 1000
+	if !b.streamsTooSlow(r, a) {
 		t.Error("not too slow where lengths are not told")
 	}
-	b.notePace(2e6, 100*50_000) // 100 tokens in 2 s: well within 50 ms each
-	if b.tooSlow(r, a) {
+	b.recordStreamPace(2e6, 100*50_000) // 100 tokens in 2 s: well within 50 ms each
+	if b.streamsTooSlow(r, a) {
 		t.Error("too slow, although streams are quick")
 	}
 	for range 20 {
-		b.notePace(9e6, 100*50_000)
+		b.recordStreamPace(9e6, 100*50_000)
 	}
-	if !b.tooSlow(r, a) {
+	if !b.streamsTooSlow(r, a) {
 		t.Error("not too slow, although streams are")
 	}
 }
 
 // A worker that started lately has read nothing of what its place is home to,
 // and is slow: one replaced at the same place inherits neither.
-func TestYoungWorkers(t *testing.T) {
+func TestRecentlyStartedReplicas(t *testing.T) {
 	members := fleet(2)
-	members[1].Since = 100 * sec
-	b, _ := start(t, settings(), members...)
-	old, young := b.byID[1], b.byID[2]
-	for now, want := range map[Micros]float64{100 * sec: 0, 101 * sec: 0.39, 160 * sec: 1} {
-		if got := b.seen(now, young, 0.5); math.Abs(got-want) > 0.01 {
-			t.Errorf("%d s: has read %.2f, want %.2f", now/sec, got, want)
+	members[1].StartedAt = 100 * second
+	b, _ := startBalancer(t, settings(), members...)
+	old, young := b.rowByID[1], b.rowByID[2]
+	for now, want := range map[Micros]float64{100 * second: 0, 101 * second: 0.39, 160 * second: 1} {
+		if got := b.prefixCachedChance(now, young, 0.5); math.Abs(got-want) > 0.01 {
+			t.Errorf("%d s: has read %.2f, want %.2f", now/second, got, want)
 		}
-		if b.seen(now, old, 0.5) != 1 {
-			t.Errorf("%d s: the old worker has read nothing", now/sec)
+		if b.prefixCachedChance(now, old, 0.5) != 1 {
+			t.Errorf("%d s: the old worker has read nothing", now/second)
 		}
 	}
-	r := &request{Request: req(1), terms: b.terms[0], tenant: -1, avoidZone: -1}
-	if f, g := b.guardFactor(101*sec, young, r), b.guardFactor(101*sec, old, r); f < 2*g {
+	r := &request{Request: testRequest(1), policy: b.policies[0], tenantIndex: -1, avoidZone: -1}
+	if f, g := b.penaltyFactor(101*second, young, r), b.penaltyFactor(101*second, old, r); f < 2*g {
 		t.Errorf("a cold worker weighs %.2f, a warm one %.2f", f, g)
 	}
 }
--- a/choice/snapshot.go
+++ b/choice/snapshot.go
@@ -34,9 +34,9 @@
 	}
 	a := &archive{}
 	a.parse(state)
-	b.zoneNo, b.kindNo, b.kinds = map[string]int{}, map[string]int{}, nil
+	b.zoneIndex, b.kindIndex, b.kinds = map[string]int{}, map[string]int{}, nil
 	b.archive(a)
-	b.rehash()
+	b.rebuildHashes()
 	if a.finish(); a.err != nil {
 		return nil, fmt.Errorf("choice: snapshot: %w", a.err)
 	}
@@ -130,7 +130,7 @@
 	}
 }
 
-func whole[T ~int | ~int64 | ~uint8 | ~uint32](a *archive, tag protowire.Number, v *T) {
+func integer[T ~int | ~int64 | ~uint8 | ~uint32](a *archive, tag protowire.Number, v *T) {
 	u := protowire.EncodeZigZag(int64(*v))
 	a.uint(tag, &u)
 	if *v = T(protowire.DecodeZigZag(u)); !a.saving && int64(*v) != protowire.DecodeZigZag(u) {
@@ -139,7 +139,7 @@
 }
 
 func (a *archive) bool(tag protowire.Number, v *bool) {
-	u := uint64(one(*v))
+	u := uint64(boolToFloat(*v))
 	a.uint(tag, &u)
 	*v = u != 0
 }
@@ -223,8 +223,8 @@
 	}
 }
 
-// sorted carries a map's entries in the order of their keys.
-func sorted[K cmp.Ordered, V any](a *archive, tag protowire.Number, m *map[K]V, fields func(k *K, v *V, sub *archive)) {
+// sortedMap carries a map's entries in the order of their keys.
+func sortedMap[K cmp.Ordered, V any](a *archive, tag protowire.Number, m *map[K]V, fields func(k *K, v *V, sub *archive)) {
 	var keys []K
 	if a.saving {
 		keys = slices.Sorted(maps.Keys(*m))
@@ -249,11 +249,11 @@
 			a.fail(fmt.Errorf("%d classes, the settings have %d", n-1, len(b.stats)-1))
 		}
 	}, func(i int, s *archive) {
-		s.float(1, &b.stats[i].stream)
-		s.float(2, &b.stats[i].kept)
+		s.float(1, &b.stats[i].streamTime)
+		s.float(2, &b.stats[i].cachedShare)
 	})
 	a.message(4, func(s *archive) {
-		f := &b.firstFit
+		f := &b.firstTokenFit
 		for i, v := range []*float64{&f.n, &f.x, &f.y, &f.xx, &f.xy} {
 			s.float(protowire.Number(i+1), v)
 		}
@@ -264,7 +264,7 @@
 }
 
 func (b *Balancer) archiveTable(a *archive) {
-	t := &b.table
+	t := &b.loadTable
 	names := func(tag protowire.Number, no *map[string]int) {
 		var list []string
 		if a.saving {
@@ -278,28 +278,28 @@
 			(*no)[list[i]] = i
 		})
 	}
-	names(1, &t.zoneNo)
-	names(2, &t.kindNo)
-	whole(a, 3, &t.myZone)
+	names(1, &t.zoneIndex)
+	names(2, &t.kindIndex)
+	integer(a, 3, &t.ownZone)
 	a.each(4, len(t.kinds), func(n int) { t.kinds = make([]kindStats, n) }, func(i int, s *archive) {
 		k := &t.kinds[i]
-		for i, v := range []*float64{&k.slowNum, &k.slowDen, &k.slow, &k.share, &k.idleWeight, &k.firstNum, &k.firstDen, &k.first} {
+		for i, v := range []*float64{&k.slownessSum, &k.slownessCount, &k.slowness, &k.slownessStep, &k.idleWeight, &k.firstTokenSum, &k.firstTokenCount, &k.firstTokenRatio} {
 			s.float(protowire.Number(i+1), v)
 		}
-		if k.first == 0 { // of a build that did not know it
-			k.first = 1
+		if k.firstTokenRatio == 0 { // of a build that did not know it
+			k.firstTokenRatio = 1
 		}
 	})
-	whole(a, 5, &t.ready)
-	for i, v := range []*float64{&t.meanLoad, &t.shareRatio, &t.liveScale, &t.lifetime, &t.meanHold, &t.meanCharge,
-		&t.openTokens, &t.popTotal, &t.keptTrust} {
+	integer(a, 5, &t.readyCount)
+	for i, v := range []*float64{&t.meanLoad, &t.memoryPerToken, &t.tokensPerLiveLoad, &t.meanLifetime, &t.meanHeldTokens, &t.meanCharge,
+		&t.inFlightTokens, &t.prefixTotal, &t.cacheTrust} {
 		a.float(protowire.Number(6+i), v)
 	}
-	whole(a, 15, &t.sessNext)
+	integer(a, 15, &t.sessionRingNext)
 	// The ring has each remembered session once: the map's order and its own in one.
 	var at []int
 	if a.saving {
-		for i, key := range t.sessRing {
+		for i, key := range t.sessionRing {
 			if key != 0 {
 				at = append(at, i)
 			}
@@ -309,76 +309,76 @@
 		var key uint64
 		var v session
 		if s.saving {
-			key = t.sessRing[at[i]]
+			key = t.sessionRing[at[i]]
 			v = t.sessions[key]
 		}
-		whole(s, 1, &at[i])
+		integer(s, 1, &at[i])
 		s.fixed(2, &key)
-		whole(s, 3, &v.at)
-		whole(s, 4, &v.tokens)
+		integer(s, 3, &v.replica)
+		integer(s, 4, &v.tokens)
 		if !s.saving {
-			if at[i] < 0 || at[i] >= len(t.sessRing) {
+			if at[i] < 0 || at[i] >= len(t.sessionRing) {
 				s.fail(errors.New("no such place in the ring"))
 				return
 			}
-			t.sessRing[at[i]] = key
+			t.sessionRing[at[i]] = key
 			t.sessions[key] = v
 		}
 	})
-	sorted(a, 17, &t.popular, func(k *uint64, v *float64, s *archive) {
+	sortedMap(a, 17, &t.prefixCounts, func(k *uint64, v *float64, s *archive) {
 		s.fixed(1, k)
 		s.float(2, v)
 	})
-	a.float(18, &t.slotShare)
-	whole(a, 19, &t.cold)
-	a.float(20, &t.util)
-	whole(a, 21, &t.fleet)
+	a.float(18, &t.meanSlotShare)
+	integer(a, 19, &t.warmingCount)
+	a.float(20, &t.warmUtilization)
+	integer(a, 21, &t.fleetSize)
 }
 
 func (b *Balancer) archiveGuard(a *archive) {
 	g := &b.guard
-	whole(a, 1, &g.lastTick)
-	a.bool(2, &g.firstList)
+	integer(a, 1, &g.lastTickAt)
+	a.bool(2, &g.listReceived)
 	a.bool(3, &g.watching)
-	whole(a, 4, &g.askAt)
-	whole(a, 5, &g.askBackoff)
-	for i, v := range []*float64{&g.sendRate, nil, &g.sentNow, nil, &g.serviceMs, &g.hedges,
-		&g.retries, &g.pace, &g.slowStreams, &g.late, &g.openLimit, &g.openFloor, &g.openMean, &g.worthPerToken} {
+	integer(a, 4, &g.nextPollAt)
+	integer(a, 5, &g.pollBackoff)
+	for i, v := range []*float64{&g.dispatchRate, nil, &g.dispatchesSinceTick, nil, &g.meanServiceMs, &g.hedgeBudget,
+		&g.retryBudget, &g.stepExcess, &g.slowStreamShare, &g.lateShare, &g.tokenLimit, &g.tokenLimitFloor, &g.meanInFlightTokens, &g.meanWeightPerToken} {
 		if v != nil {
 			a.float(protowire.Number(6+i), v)
 		}
 	}
-	a.bool(20, &g.told)
-	sorted(a, 21, &g.paceFloor, func(k *int, v *float64, s *archive) {
-		whole(s, 1, k)
+	a.bool(20, &g.lengthsReported)
+	sortedMap(a, 21, &g.stepFloor, func(k *int, v *float64, s *archive) {
+		integer(s, 1, k)
 		s.float(2, v)
 	})
-	a.floats(22, &g.usage)
-	a.floats(23, &g.usedNow)
+	a.floats(22, &g.tenantRate)
+	a.floats(23, &g.tenantArrivals)
 	// Builds before 1.3 knew zones by failed connects in a row; those before 1.4 counted what
 	// cold replicas were sent, and those of 1.5 what they were wanted for.
 	a.skip(7, 9, 24, 25, 29, 30)
-	sorted(a, 26, &g.sites.Places, func(k *int, v **site.Place, s *archive) {
+	sortedMap(a, 26, &g.zones.Zones, func(k *int, v **site.Zone, s *archive) {
 		if !s.saving {
-			*v = &site.Place{}
+			*v = &site.Zone{}
 		}
 		p := *v
-		whole(s, 1, k)
-		whole(s, 2, &p.State)
-		whole(s, 3, &p.Since)
-		s.uints(4, &p.Missed)
-		whole(s, 5, &p.MissAt)
-		s.uints(6, &p.Heard)
-		whole(s, 7, &p.TrialAt)
-		whole(s, 8, &p.Trials)
-		whole(s, 9, &p.Losses)
-		whole(s, 10, &p.LostAt)
-		whole(s, 11, &p.Misses)
+		integer(s, 1, k)
+		integer(s, 2, &p.State)
+		integer(s, 3, &p.Since)
+		s.uints(4, &p.MissedReplicas)
+		integer(s, 5, &p.LastMissAt)
+		s.uints(6, &p.AnsweredReplicas)
+		integer(s, 7, &p.NextTrialAt)
+		integer(s, 8, &p.Trials)
+		integer(s, 9, &p.Outages)
+		integer(s, 10, &p.UnavailableAt)
+		integer(s, 11, &p.Misses)
 	})
-	whole(a, 27, &g.toldAt)
+	integer(a, 27, &g.lastHeardAt)
 	a.float(28, &g.meanWork)
-	if !a.saving && (len(g.usage) != len(b.s.Tenants) || len(g.usedNow) != len(b.s.Tenants)) {
-		a.fail(fmt.Errorf("%d tenants, the settings have %d", len(g.usage), len(b.s.Tenants)))
+	if !a.saving && (len(g.tenantRate) != len(b.settings.Tenants) || len(g.tenantArrivals) != len(b.settings.Tenants)) {
+		a.fail(fmt.Errorf("%d tenants, the settings have %d", len(g.tenantRate), len(b.settings.Tenants)))
 	}
 }
 
@@ -388,11 +388,11 @@
 // request and number, in the ledger's order: sums of floats depend on it.
 func (b *Balancer) archiveRequests(a *archive) {
 	var ids []RequestID
-	rows := append([]*row(nil), b.rows...)
-	place := map[*row]int{}
+	rows := append([]*replicaRow(nil), b.rows...)
+	place := map[*replicaRow]int{}
 	// Requests may hold terms that are in force no more: those go with them.
-	var old []*terms
-	oldPlace := map[*terms]int{}
+	var old []*requestPolicy
+	oldPlace := map[*requestPolicy]int{}
 	if a.saving {
 		ids = slices.Sorted(maps.Keys(b.requests))
 		for i, w := range rows {
@@ -400,9 +400,9 @@
 		}
 		for _, id := range ids {
 			r := b.requests[id]
-			if _, ok := oldPlace[r.terms]; !ok && r.terms != b.terms[r.class] {
-				oldPlace[r.terms] = len(old)
-				old = append(old, r.terms)
+			if _, ok := oldPlace[r.policy]; !ok && r.policy != b.policies[r.classIndex] {
+				oldPlace[r.policy] = len(old)
+				old = append(old, r.policy)
 			}
 			for _, t := range r.attempts {
 				if _, ok := place[t.row]; !ok {
@@ -413,24 +413,24 @@
 		}
 	}
 	a.each(7, len(rows), func(n int) {
-		rows = make([]*row, n)
+		rows = make([]*replicaRow, n)
 		for i := range rows {
-			rows[i] = &row{}
+			rows[i] = &replicaRow{}
 		}
 	}, func(i int, s *archive) {
 		w := rows[i]
-		listed := s.saving && b.byID[w.id] == w
+		listed := s.saving && b.rowByID[w.id] == w
 		s.bool(1, &listed)
 		archiveRow(s, w)
 		if listed && !s.saving {
 			b.rows = append(b.rows, w)
-			b.byID[w.id] = w
+			b.rowByID[w.id] = w
 		}
 	})
 	oldTerms := func() {
 		a.each(10, len(old), func(n int) {
 			for range n {
-				old = append(old, &terms{})
+				old = append(old, &requestPolicy{})
 			}
 		}, func(i int, s *archive) { archiveTerms(s, old[i]) })
 	}
@@ -444,24 +444,24 @@
 		}
 		archiveRequest(s, r, rows, place)
 		at := 0 // 0: the terms in force
-		if i, ok := oldPlace[r.terms]; ok {
+		if i, ok := oldPlace[r.policy]; ok {
 			at = i + 1
 		}
-		whole(s, 21, &at)
-		s.float(22, &r.Factor)
-		whole(s, 23, &r.Spent)
-		whole(s, 24, &r.Home)
+		integer(s, 21, &at)
+		s.float(22, &r.PriorityFactor)
+		integer(s, 23, &r.PriorAttempts)
+		integer(s, 24, &r.HomeReplica)
 		if !s.saving {
 			b.requests[r.ID] = r
 			switch {
 			case at > 0 && at <= len(old):
-				r.terms = old[at-1]
-			case at == 0 && r.class >= 0 && r.class < len(b.terms):
-				r.terms = b.terms[r.class]
+				r.policy = old[at-1]
+			case at == 0 && r.classIndex >= 0 && r.classIndex < len(b.policies):
+				r.policy = b.policies[r.classIndex]
 			default:
 				s.fail(fmt.Errorf("request %d: no such terms", r.ID))
 			}
-			if r.class < 0 || r.class >= len(b.terms) || r.tenant >= len(b.s.Tenants) {
+			if r.classIndex < 0 || r.classIndex >= len(b.policies) || r.tenantIndex >= len(b.settings.Tenants) {
 				s.fail(fmt.Errorf("request %d: no such class or tenant", r.ID))
 			}
 		}
@@ -474,19 +474,19 @@
 	a.each(9, 0, func(int) {}, func(_ int, s *archive) {
 		var at, n int
 		var id RequestID
-		whole(s, 1, &at)
-		whole(s, 2, &id)
-		whole(s, 3, &n)
+		integer(s, 1, &at)
+		integer(s, 2, &id)
+		integer(s, 3, &n)
 		r := b.requests[id]
 		if r == nil || n < 0 || n >= len(r.attempts) || at < 0 || at >= len(rows) {
 			s.fail(errors.New("a ledger names what is not there"))
 			return
 		}
-		rows[at].open = append(rows[at].open, r.attempts[n])
+		rows[at].ledger = append(rows[at].ledger, r.attempts[n])
 	})
 }
 
-func (b *Balancer) saveLedgers(a *archive, ids []RequestID, rows []*row) {
+func (b *Balancer) saveLedgers(a *archive, ids []RequestID, rows []*replicaRow) {
 	type name struct {
 		id RequestID
 		n  int
@@ -498,79 +498,79 @@
 		}
 	}
 	for at, w := range rows {
-		a.each(9, len(w.open), nil, func(i int, s *archive) {
-			nm := names[w.open[i]]
-			whole(s, 1, &at)
-			whole(s, 2, &nm.id)
-			whole(s, 3, &nm.n)
+		a.each(9, len(w.ledger), nil, func(i int, s *archive) {
+			nm := names[w.ledger[i]]
+			integer(s, 1, &at)
+			integer(s, 2, &nm.id)
+			integer(s, 3, &nm.n)
 		})
 	}
 }
 
-func archiveTerms(a *archive, t *terms) {
+func archiveTerms(a *archive, t *requestPolicy) {
 	a.string(1, &t.Name)
-	whole(a, 2, &t.Aim)
-	whole(a, 3, &t.AimPer1000)
-	whole(a, 4, &t.TokenAim)
-	whole(a, 5, &t.Deadline)
-	a.float(6, &t.Worth)
-	a.float(7, &t.LateWorth)
-	whole(a, 8, &t.Effect)
-	whole(a, 9, &t.Scope)
-	whole(a, 10, &t.RepeatsKept)
-	a.bool(11, &t.Stream)
-	whole(a, 12, &t.maxAttempts)
-	a.bool(13, &t.secondCopies)
+	integer(a, 2, &t.LatencyObjective)
+	integer(a, 3, &t.ObjectivePer1000Tokens)
+	integer(a, 4, &t.TokenObjective)
+	integer(a, 5, &t.Deadline)
+	a.float(6, &t.PriorityWeight)
+	a.float(7, &t.LateWeightShare)
+	integer(a, 8, &t.Idempotency)
+	integer(a, 9, &t.DedupScope)
+	integer(a, 10, &t.DedupWindow)
+	a.bool(11, &t.Streaming)
+	integer(a, 12, &t.maxAttempts)
+	a.bool(13, &t.mayHedge)
 }
 
-func archiveRow(a *archive, w *row) {
-	whole(a, 2, &w.id)
-	whole(a, 3, &w.state)
-	whole(a, 4, &w.zone)
-	whole(a, 5, &w.kind)
-	whole(a, 6, &w.cell)
+func archiveRow(a *archive, w *replicaRow) {
+	integer(a, 2, &w.id)
+	integer(a, 3, &w.state)
+	integer(a, 4, &w.zone)
+	integer(a, 5, &w.kind)
+	integer(a, 6, &w.cell)
 	a.float(7, &w.size)
-	whole(a, 8, &w.since)
-	a.float(9, &w.held)
-	whole(a, 10, &w.reportAt)
-	whole(a, 11, &w.conns)
-	whole(a, 12, &w.usedAt)
-	whole(a, 13, &w.slowAt)
-	for i, v := range []*float64{&w.ratio, &w.ratioN, &w.charge, &w.unseen, &w.slowNum, &w.slowDen, &w.slow, &w.live,
-		&w.errors} {
+	integer(a, 8, &w.startedAt)
+	a.float(9, &w.reportedTokens)
+	integer(a, 10, &w.reportedAt)
+	integer(a, 11, &w.openConns)
+	integer(a, 12, &w.lastUsedAt)
+	integer(a, 13, &w.slownessAt)
+	for i, v := range []*float64{&w.memoryPerToken, &w.memoryPerTokenSamples, &w.charge, &w.unreported, &w.slownessSum, &w.slownessCount, &w.slowness, &w.liveLoad,
+		&w.errorRate} {
 		a.float(protowire.Number(14+i), v)
 	}
-	whole(a, 24, &w.fails)
-	whole(a, 25, &w.retryAt)
-	a.bool(26, &w.probing)
-	whole(a, 27, &w.probed)
-	whole(a, 28, &w.coldFrom)
-	whole(a, 29, &w.coldUntil)
-	whole(a, 31, &w.provedAt)
+	integer(a, 24, &w.consecutiveFailures)
+	integer(a, 25, &w.backoffUntil)
+	a.bool(26, &w.healthCheckPending)
+	integer(a, 27, &w.healthCheckedAt)
+	integer(a, 28, &w.warmingSince)
+	integer(a, 29, &w.warmingUntil)
+	integer(a, 31, &w.confirmedReadyAt)
 	a.skip(23, 30, 32) // what a cold one was sent, in builds before 1.4, or wanted for, in those of 1.5
-	w.hash = mix(uint64(w.id))
+	w.hash = splitmix(uint64(w.id))
 }
 
-func archiveRequest(a *archive, r *request, rows []*row, place map[*row]int) {
-	whole(a, 1, &r.ID)
+func archiveRequest(a *archive, r *request, rows []*replicaRow, place map[*replicaRow]int) {
+	integer(a, 1, &r.ID)
 	a.string(2, &r.Class)
 	a.string(3, &r.Tenant)
-	whole(a, 4, &r.TimeLeft)
-	whole(a, 5, &r.PromptTokens)
-	whole(a, 6, &r.PrefixTokens)
-	whole(a, 7, &r.MaxTokens)
+	integer(a, 4, &r.TimeLeft)
+	integer(a, 5, &r.PromptTokens)
+	integer(a, 6, &r.PrefixTokens)
+	integer(a, 7, &r.MaxTokens)
 	a.fixed(8, &r.Session)
 	a.fixed(9, &r.Prefix)
-	whole(a, 10, &r.class)
-	whole(a, 11, &r.tenant)
-	whole(a, 12, &r.arrived)
-	whole(a, 13, &r.deadline)
-	whole(a, 14, &r.live)
-	a.bool(15, &r.opened)
+	integer(a, 10, &r.classIndex)
+	integer(a, 11, &r.tenantIndex)
+	integer(a, 12, &r.arrivedAt)
+	integer(a, 13, &r.deadline)
+	integer(a, 14, &r.inFlight)
+	a.bool(15, &r.streaming)
 	a.bool(16, &r.ended)
 	a.bool(17, &r.hedged)
 	a.bool(18, &r.late)
-	whole(a, 19, &r.avoidZone)
+	integer(a, 19, &r.avoidZone)
 	a.each(20, len(r.attempts), func(n int) {
 		for range n {
 			r.attempts = append(r.attempts, &attempt{})
@@ -578,7 +578,7 @@
 	}, func(i int, s *archive) {
 		t := r.attempts[i]
 		at := place[t.row]
-		whole(s, 1, &at)
+		integer(s, 1, &at)
 		if !s.saving {
 			if at < 0 || at >= len(rows) {
 				s.fail(errors.New("an attempt at no row"))
@@ -586,13 +586,13 @@
 			}
 			t.row = rows[at]
 		}
-		whole(s, 2, &t.sent)
-		s.float(3, &t.unread)
-		s.float(4, &t.read)
-		s.float(5, &t.hold)
-		whole(s, 6, &t.status)
+		integer(s, 2, &t.sentAt)
+		s.float(3, &t.prefillTokens)
+		s.float(4, &t.prefillCharge)
+		s.float(5, &t.heldTokens)
+		integer(s, 6, &t.status)
 		s.bool(7, &t.ended)
-		s.bool(8, &t.connected)
-		whole(s, 9, &t.opened)
+		s.bool(8, &t.newConn)
+		integer(s, 9, &t.timeToFirstToken)
 	})
 }
--- a/cmd/adapter/main.go
+++ b/cmd/adapter/main.go
@@ -149,7 +149,7 @@
 			n.book.Step(ev.Now)
 		}
 	case wire.Probed:
-		n.ProbeEnded(ev.Now, ev.Outcome)
+		n.HealthCheckEnded(ev.Now, ev.Outcome)
 	case wire.Returned:
 		n.AttemptEnded(ev.Now, ev.Outcome)
 	case wire.Lapsed:
@@ -174,7 +174,7 @@
 			rate := 1.25 * t.QuotaPerS * float64(contract.Token)
 			// Only what it asks for lately counts: the burst is never used up.
 			terms = append(terms, contract.Terms{Team: t.Name, Tenants: []string{t.Name}, Rate: rate, Burst: contract.Units(max(1, 1e5*rate)),
-				Over: s.OverShareWorth, Surge: 1})
+				Over: s.OverQuotaWeight, Surge: 1})
 			parts = append(parts, 1/float64(max(1, s.Gateways)))
 		}
 	}
@@ -193,7 +193,7 @@
 	var c contract.Charge
 	v := n.book.Take(ev.Now, ev.Request.Tenant, ev.Request.Class, contract.Use{Made: 1}, &c)
 	n.book.Settle(ev.Now, &c, contract.Use{Made: 1}, false)
-	ev.Request.Factor = max(1e-6, v.Worth)
+	ev.Request.PriorityFactor = max(1e-6, v.Worth)
 }
 
 func (n *node) now(now choice.Micros) {
--- a/example/teams/main.go
+++ b/example/teams/main.go
@@ -138,17 +138,17 @@
 		f.worker(fmt.Sprint("w-", i+1))
 	}
 	classes := []choice.Class{
-		{Name: "agent", Aim: 1_000_000, TokenAim: 300_000, Deadline: args.Deadline.Microseconds(), Worth: 2, LateWorth: 0.3, Stream: true},
-		{Name: "bulk", Aim: 1_000_000, TokenAim: 300_000, Deadline: args.Deadline.Microseconds(), Worth: 2, LateWorth: 0.3, Stream: true}}
+		{Name: "agent", LatencyObjective: 1_000_000, TokenObjective: 300_000, Deadline: args.Deadline.Microseconds(), PriorityWeight: 2, LateWeightShare: 0.3, Streaming: true},
+		{Name: "bulk", LatencyObjective: 1_000_000, TokenObjective: 300_000, Deadline: args.Deadline.Microseconds(), PriorityWeight: 2, LateWeightShare: 0.3, Streaming: true}}
 	o := gateway.Options{Name: "teams", Discovery: f.registry(), Seed: args.Seed, Known: socket.List{Generation: socket.NoVersion}, MostHeld: 4000, ClientConns: 4000, SpareConns: 16, WorkerConns: 2000,
 		BodyBytes: 1 << 20, ConnectTimeout: time.Second, ConnIdle: 30 * time.Second, ClientIdle: 30 * time.Second, Stall: 5 * time.Second,
 		ProbeTimeout: time.Second, AskWithin: 10 * time.Second, WatchWait: 2 * time.Second, CallTimeout: time.Second,
 		DrainAccept: 100 * time.Millisecond,
 		Settings: choice.Settings{Gateways: 1, Zone: "here", Zones: []string{"here"}, Kinds: []string{"toy"}, Classes: classes, MaxAttempts: 3,
-			OverShareWorth: 0.05, MayProbe: true}}
-	o.Settings.Tick, o.Settings.AskRegistry, o.Settings.ReportVia, o.Settings.MayCancel = 2000, true, choice.ReportInline, true
-	o.Settings.StartCapacity, o.Settings.FallMultiple, o.Settings.ColdFor, o.Settings.FallSpan = 0.3, 3, 8e6, 1.5e6
-	o.Settings.ConnStreams, o.Settings.ConnIdle = 1, 60e6
+			OverQuotaWeight: 0.05, MayHealthCheck: true}}
+	o.Settings.Tick, o.Settings.PollDiscovery, o.Settings.ReportSource, o.Settings.MayCancel = 2000, true, choice.ReportInline, true
+	o.Settings.InitialCapacity, o.Settings.OverloadMultiple, o.Settings.SlowStartFor, o.Settings.OverloadWindow = 0.3, 3, 8e6, 1.5e6
+	o.Settings.StreamsPerConn, o.Settings.ConnIdleTimeout = 1, 60e6
 	if !args.Off {
 		c := &gateway.Contracts{Settings: contract.Settings{Zone: time.UTC, Pool: 1, Unknown: 0.05}}
 		for i, name := range names {
--- a/internal/capture/convert.go
+++ b/internal/capture/convert.go
@@ -12,64 +12,64 @@
 
 // The module's words in the capture's form, and back.
 
-func putReport(to *pb.Report, r *choice.Report) *pb.Report {
+func putReport(to *pb.Report, r *choice.LoadReport) *pb.Report {
 	if r.Has == 0 {
 		return nil
 	}
-	to.Has, to.MemoryShare, to.UnreadK, to.InFlight = uint32(r.Has), r.MemoryShare, r.UnreadK, r.InFlight
-	to.Queued, to.ServiceMs, to.Util = r.Queued, r.ServiceMs, r.Util
+	to.Has, to.MemoryShare, to.UnreadK, to.InFlight = uint32(r.Has), r.MemoryShare, r.PrefillBacklogK, r.InFlight
+	to.Queued, to.ServiceMs, to.Util = r.Queued, r.ServiceMs, r.Utilization
 	return to
 }
 
 // GetReport is the module's form of a report; nil is none.
-func GetReport(r *pb.Report) choice.Report {
+func GetReport(r *pb.Report) choice.LoadReport {
 	if r == nil {
-		return choice.Report{}
+		return choice.LoadReport{}
 	}
-	return choice.Report{Has: uint8(r.Has), MemoryShare: r.MemoryShare, UnreadK: r.UnreadK, InFlight: r.InFlight,
-		Queued: r.Queued, ServiceMs: r.ServiceMs, Util: r.Util}
+	return choice.LoadReport{Has: uint8(r.Has), MemoryShare: r.MemoryShare, PrefillBacklogK: r.UnreadK, InFlight: r.InFlight,
+		Queued: r.Queued, ServiceMs: r.ServiceMs, Utilization: r.Util}
 }
 
 func putOutcome(to *pb.Outcome, report *pb.Report, o *choice.Outcome) *pb.Outcome {
 	to.Attempt, to.Worker, to.Status, to.ElapsedUs = int64(o.Attempt), uint32(o.Replica), uint32(o.Status), o.Elapsed
-	to.Final, to.Kept, to.Tokens, to.Report = o.Final, int64(o.Kept), int64(o.Tokens), putReport(report, &o.Report)
+	to.Final, to.Kept, to.Tokens, to.Report = o.Final, int64(o.CachedTokens), int64(o.OutputTokens), putReport(report, &o.Report)
 	return to
 }
 
 func getOutcome(id choice.RequestID, o *pb.Outcome) choice.Outcome {
 	return choice.Outcome{ID: id, Attempt: int(o.GetAttempt()), Replica: choice.ReplicaID(o.GetWorker()),
-		Status: choice.Status(o.GetStatus()), Elapsed: o.GetElapsedUs(), Final: o.GetFinal(), Kept: int(o.GetKept()),
-		Tokens: int(o.GetTokens()), Report: GetReport(o.GetReport())}
+		Status: choice.Status(o.GetStatus()), Elapsed: o.GetElapsedUs(), Final: o.GetFinal(), CachedTokens: int(o.GetKept()),
+		OutputTokens: int(o.GetTokens()), Report: GetReport(o.GetReport())}
 }
 
 func putArrival(to *pb.Arrival, in *choice.Request, name string) *pb.Arrival {
 	to.Class, to.Tenant, to.TimeLeftUs, to.Name = append(to.Class[:0], in.Class...), append(to.Tenant[:0], in.Tenant...), in.TimeLeft, text(name)
 	to.PromptTokens, to.PrefixTokens, to.MaxTokens = int64(in.PromptTokens), int64(in.PrefixTokens), int64(in.MaxTokens)
-	to.Session, to.Prefix, to.Factor, to.Spent = in.Session, in.Prefix, in.Factor, int64(in.Spent)
-	to.Home = uint32(in.Home)
+	to.Session, to.Prefix, to.Factor, to.Spent = in.Session, in.Prefix, in.PriorityFactor, int64(in.PriorAttempts)
+	to.Home = uint32(in.HomeReplica)
 	return to
 }
 
 func getArrival(id choice.RequestID, a *pb.Arrival) choice.Request {
 	return choice.Request{ID: id, Class: string(a.GetClass()), Tenant: string(a.GetTenant()), TimeLeft: a.GetTimeLeftUs(),
 		PromptTokens: int(a.GetPromptTokens()), PrefixTokens: int(a.GetPrefixTokens()), MaxTokens: int(a.GetMaxTokens()),
-		Session: a.GetSession(), Prefix: a.GetPrefix(), Factor: a.GetFactor(), Spent: int(a.GetSpent()), Home: choice.ReplicaID(a.GetHome())}
+		Session: a.GetSession(), Prefix: a.GetPrefix(), PriorityFactor: a.GetFactor(), PriorAttempts: int(a.GetSpent()), HomeReplica: choice.ReplicaID(a.GetHome())}
 }
 
-func putList(l *choice.ServerList, name func(choice.ReplicaID) string) *pb.List {
-	out := &pb.List{Kind: uint32(l.Kind), Version: l.Version, Fleet: int64(l.Fleet), Members: make([]*pb.Member, len(l.Members))}
-	for i, m := range l.Members {
+func putList(l *choice.EndpointList, name func(choice.ReplicaID) string) *pb.List {
+	out := &pb.List{Kind: uint32(l.Kind), Version: l.Version, Fleet: int64(l.FleetSize), Members: make([]*pb.Member, len(l.Endpoints))}
+	for i, m := range l.Endpoints {
 		out.Members[i] = &pb.Member{Worker: uint32(m.Replica), State: uint32(m.State), Weight: m.Weight, Cell: m.Cell,
-			Kind: []byte(m.Kind), Zone: []byte(m.Zone), SinceUs: m.Since, Name: text(name(m.Replica))}
+			Kind: []byte(m.Kind), Zone: []byte(m.Zone), SinceUs: m.StartedAt, Name: text(name(m.Replica))}
 	}
 	return out
 }
 
-func getList(l *pb.List) choice.ServerList {
-	out := choice.ServerList{Kind: choice.ListKind(l.GetKind()), Version: l.GetVersion(), Fleet: int(l.GetFleet())}
+func getList(l *pb.List) choice.EndpointList {
+	out := choice.EndpointList{Kind: choice.ListKind(l.GetKind()), Version: l.GetVersion(), FleetSize: int(l.GetFleet())}
 	for _, m := range l.GetMembers() {
-		out.Members = append(out.Members, choice.Member{Replica: choice.ReplicaID(m.Worker), State: choice.MemberState(m.State),
-			Weight: m.Weight, Cell: m.Cell, Kind: string(m.Kind), Zone: string(m.Zone), Since: m.SinceUs})
+		out.Endpoints = append(out.Endpoints, choice.Endpoint{Replica: choice.ReplicaID(m.Worker), State: choice.EndpointState(m.State),
+			Weight: m.Weight, Cell: m.Cell, Kind: string(m.Kind), Zone: string(m.Zone), StartedAt: m.SinceUs})
 	}
 	return out
 }
@@ -105,7 +105,7 @@
 	case pb.Kind_KIND_TIMER:
 		m.TimerFired(now, r.Token)
 	case pb.Kind_KIND_PROBED:
-		m.ProbeEnded(now, getOutcome(id, r.Outcome))
+		m.HealthCheckEnded(now, getOutcome(id, r.Outcome))
 	case pb.Kind_KIND_MESSAGE:
 		m.PeerMessage(now, int(r.Peer), r.Body)
 	case pb.Kind_KIND_RECONFIGURE:
--- a/internal/capture/recorder.go
+++ b/internal/capture/recorder.go
@@ -22,13 +22,13 @@
 // or a Recorder before it.
 type Module interface {
 	Start(now choice.Micros)
-	ListChanged(now choice.Micros, l choice.ServerList)
+	ListChanged(now choice.Micros, l choice.EndpointList)
 	RequestArrived(now choice.Micros, in choice.Request)
 	FirstToken(now choice.Micros, o choice.Outcome)
 	AttemptEnded(now choice.Micros, o choice.Outcome)
 	ClientGone(now choice.Micros, id choice.RequestID)
 	TimerFired(now choice.Micros, token uint64)
-	ProbeEnded(now choice.Micros, o choice.Outcome)
+	HealthCheckEnded(now choice.Micros, o choice.Outcome)
 	PeerMessage(now choice.Micros, from int, body []byte)
 	Reconfigure(now choice.Micros, s choice.Settings) error
 }
@@ -366,12 +366,12 @@
 	if t := r.firing; t != nil {
 		c.Timers = append(c.Timers, &pb.Timer{AtUs: t.At, Token: t.Token})
 	}
-	for _, w := range r.b.Workers() {
+	for _, w := range r.b.Endpoints() {
 		if name := text(r.host.WorkerName(w.Replica)); name != "" {
 			c.Workers = append(c.Workers, &pb.Name{Id: uint32(w.Replica), Name: name})
 		}
 	}
-	for _, id := range r.b.InHand() {
+	for _, id := range r.b.InFlightRequests() {
 		if name := text(r.host.RequestName(id)); name != "" {
 			c.Requests = append(c.Requests, &pb.Name{Id: uint32(id), Name: name})
 		}
@@ -398,7 +398,7 @@
 	r.end(rec)
 }
 
-func (r *Recorder) ListChanged(now choice.Micros, l choice.ServerList) {
+func (r *Recorder) ListChanged(now choice.Micros, l choice.EndpointList) {
 	rec := r.begin(now, pb.Kind_KIND_LIST)
 	if rec {
 		r.rec.List = putList(&l, r.host.WorkerName)
@@ -470,12 +470,12 @@
 	r.end(rec)
 }
 
-func (r *Recorder) ProbeEnded(now choice.Micros, o choice.Outcome) {
+func (r *Recorder) HealthCheckEnded(now choice.Micros, o choice.Outcome) {
 	rec := r.begin(now, pb.Kind_KIND_PROBED)
 	if rec {
 		r.rec.Outcome = putOutcome(&r.outcome, &r.report, &o)
 	}
-	r.b.ProbeEnded(now, o)
+	r.b.HealthCheckEnded(now, o)
 	r.end(rec)
 }
 
@@ -540,14 +540,14 @@
 	r.out.Dispatch(id, to, cutAt)
 }
 
-func (r *Recorder) Refuse(id choice.RequestID, retryAfter choice.Micros) {
+func (r *Recorder) Shed(id choice.RequestID, retryAfter choice.Micros) {
 	if a := r.order(pb.Action_REFUSE); a != nil {
 		a.Request, a.AtUs = uint32(id), retryAfter
 	}
 	if r.watch != nil {
 		r.note(r.watch.Answered(r.now, id))
 	}
-	r.out.Refuse(id, retryAfter)
+	r.out.Shed(id, retryAfter)
 }
 
 func (r *Recorder) Fail(id choice.RequestID) {
@@ -574,23 +574,23 @@
 	r.out.SetTimer(delay, token)
 }
 
-func (r *Recorder) Probe(to choice.ReplicaID) {
+func (r *Recorder) HealthCheck(to choice.ReplicaID) {
 	if a := r.order(pb.Action_PROBE); a != nil {
 		a.Worker = uint32(to)
 	}
-	r.out.Probe(to)
+	r.out.HealthCheck(to)
 }
 
-func (r *Recorder) TellPeers(body []byte) {
+func (r *Recorder) Gossip(body []byte) {
 	if a := r.order(pb.Action_TELL_PEERS); a != nil {
 		a.Body = body
 	}
-	r.out.TellPeers(body)
+	r.out.Gossip(body)
 }
 
-func (r *Recorder) WatchRegistry() {
+func (r *Recorder) WatchDiscovery() {
 	r.order(pb.Action_WATCH_REGISTRY)
-	r.out.WatchRegistry()
+	r.out.WatchDiscovery()
 }
 
 // Stats of a recording, for the log and for tests.
--- a/internal/capture/recorder_test.go
+++ b/internal/capture/recorder_test.go
@@ -11,27 +11,27 @@
 type nowhere struct{ timers int }
 
 func (n *nowhere) Dispatch(choice.RequestID, choice.ReplicaID, choice.Micros) {}
-func (n *nowhere) Refuse(choice.RequestID, choice.Micros)                     {}
+func (n *nowhere) Shed(choice.RequestID, choice.Micros)                       {}
 func (n *nowhere) Fail(choice.RequestID)                                      {}
 func (n *nowhere) Cancel(choice.RequestID, int)                               {}
 func (n *nowhere) SetTimer(choice.Micros, uint64)                             { n.timers++ }
-func (n *nowhere) Probe(choice.ReplicaID)                                     {}
-func (n *nowhere) TellPeers([]byte)                                           {}
-func (n *nowhere) WatchRegistry()                                             {}
+func (n *nowhere) HealthCheck(choice.ReplicaID)                               {}
+func (n *nowhere) Gossip([]byte)                                              {}
+func (n *nowhere) WatchDiscovery()                                            {}
 
 func module(tb testing.TB) *choice.Balancer {
-	b, err := choice.New(choice.Settings{Gateways: 3, Zone: "a", MaxAttempts: 3, Tick: 2000, MayCancel: true, SecondCopies: true,
-		ReportVia: choice.ReportInline, ConnStreams: 1, ConnIdle: 60e6,
-		Classes: []choice.Class{{Name: "chat", Aim: 1e6, TokenAim: 50_000, Deadline: 4e6, Worth: 1, Stream: true}}}, 3, &nowhere{})
+	b, err := choice.New(choice.Settings{Gateways: 3, Zone: "a", MaxAttempts: 3, Tick: 2000, MayCancel: true, MayHedge: true,
+		ReportSource: choice.ReportInline, StreamsPerConn: 1, ConnIdleTimeout: 60e6,
+		Classes: []choice.Class{{Name: "chat", LatencyObjective: 1e6, TokenObjective: 50_000, Deadline: 4e6, PriorityWeight: 1, Streaming: true}}}, 3, &nowhere{})
 	if err != nil {
 		tb.Fatal(err)
 	}
 	b.Start(1000)
-	var all []choice.Member
+	var all []choice.Endpoint
 	for i := range choice.ReplicaID(14) {
-		all = append(all, choice.Member{Replica: i + 1, Zone: "a", Kind: "k"})
+		all = append(all, choice.Endpoint{Replica: i + 1, Zone: "a", Kind: "k"})
 	}
-	b.ListChanged(1000, choice.ServerList{Kind: choice.ListFull, Members: all})
+	b.ListChanged(1000, choice.EndpointList{Kind: choice.ListFull, Endpoints: all})
 	return b
 }
 
@@ -43,8 +43,8 @@
 		Session: uint64(i%700) + 1, Prefix: uint64(i%12) + 1})
 	o := choice.Outcome{ID: id, Replica: 1, Elapsed: 150_000}
 	m.FirstToken(now+150_000, o)
-	o.Status, o.Final, o.Elapsed, o.Kept, o.Tokens = choice.Served, true, 700_000, 300, 90
-	o.Report = choice.Report{Has: choice.HasMemory | choice.HasInFlight, MemoryShare: 0.3, InFlight: 4}
+	o.Status, o.Final, o.Elapsed, o.CachedTokens, o.OutputTokens = choice.Served, true, 700_000, 300, 90
+	o.Report = choice.LoadReport{Has: choice.HasMemory | choice.HasInFlight, MemoryShare: 0.3, InFlight: 4}
 	m.AttemptEnded(now+700_000, o)
 	m.TimerFired(now+1_000_000, 1|uint64(id)<<2)
 }
--- a/internal/capture/stored_test.go
+++ b/internal/capture/stored_test.go
@@ -30,14 +30,14 @@
 	return choice.Settings{
 		Self: 1, Gateways: 3, Zone: "a", Zones: []string{"a", "b"}, Kinds: []string{"k", "l"},
 		Classes: []choice.Class{
-			{Name: "chat", Aim: 500000, AimPer1000: 60000, TokenAim: 50000, Deadline: 3000000, Worth: 2, LateWorth: 0.25, Stream: true},
-			{Name: "order", Aim: 1000000, Deadline: 4000000, Worth: 3, LateWorth: 0.5, Effect: 1, Scope: 1, RepeatsKept: 30000000},
+			{Name: "chat", LatencyObjective: 500000, ObjectivePer1000Tokens: 60000, TokenObjective: 50000, Deadline: 3000000, PriorityWeight: 2, LateWeightShare: 0.25, Streaming: true},
+			{Name: "order", LatencyObjective: 1000000, Deadline: 4000000, PriorityWeight: 3, LateWeightShare: 0.5, Idempotency: 1, DedupScope: 1, DedupWindow: 30000000},
 		},
-		Tenants:        []choice.Tenant{{Name: "quay", QuotaPerS: 20}, {Name: "reef", QuotaPerS: 12.5}},
-		OverShareWorth: 0.0625, ReportVia: 1, Weights: 1, AskRegistry: true, ListsPushed: true, WatchWait: 700000, Tick: 2000,
-		MayProbe: true, MayTellPeers: true, MayCancel: true, SecondCopies: true, RetryAfter: true, MaxAttempts: 3, MaxRetryAfter: 2000000,
-		HedgeShare: 0.125, RetryShare: 0.1875, StartCapacity: 0.375, FallMultiple: 3.5, ColdFor: 8000000, FallSpan: 1500000,
-		ConnStreams: 2, ConnIdle: 60000000, PriceCrossZone: 0.25, PriceHandshake: 0.5, PriceProbe: 0.75,
+		Tenants:         []choice.Tenant{{Name: "quay", QuotaPerS: 20}, {Name: "reef", QuotaPerS: 12.5}},
+		OverQuotaWeight: 0.0625, ReportSource: 1, WeightKind: 1, PollDiscovery: true, LocalDiscovery: true, WatchInterval: 700000, Tick: 2000,
+		MayHealthCheck: true, MayGossip: true, MayCancel: true, MayHedge: true, RetryAfter: true, MaxAttempts: 3, MaxRetryAfter: 2000000,
+		HedgeRatio: 0.125, RetryRatio: 0.1875, InitialCapacity: 0.375, OverloadMultiple: 3.5, SlowStartFor: 8000000, OverloadWindow: 1500000,
+		StreamsPerConn: 2, ConnIdleTimeout: 60000000, CrossZoneCost: 0.25, HandshakeCost: 0.5, HealthCheckCost: 0.75,
 	}
 }
 
@@ -175,16 +175,16 @@
 	c.list = append(c.list, call{name, at, with})
 }
 
-func (c *calls) Start(now choice.Micros)                            { c.note("Start", now, nil) }
-func (c *calls) ListChanged(now choice.Micros, l choice.ServerList) { c.note("ListChanged", now, l) }
+func (c *calls) Start(now choice.Micros)                              { c.note("Start", now, nil) }
+func (c *calls) ListChanged(now choice.Micros, l choice.EndpointList) { c.note("ListChanged", now, l) }
 func (c *calls) RequestArrived(now choice.Micros, in choice.Request) {
 	c.note("RequestArrived", now, in)
 }
-func (c *calls) FirstToken(now choice.Micros, o choice.Outcome)    { c.note("FirstToken", now, o) }
-func (c *calls) AttemptEnded(now choice.Micros, o choice.Outcome)  { c.note("AttemptEnded", now, o) }
-func (c *calls) ClientGone(now choice.Micros, id choice.RequestID) { c.note("ClientGone", now, id) }
-func (c *calls) TimerFired(now choice.Micros, token uint64)        { c.note("TimerFired", now, token) }
-func (c *calls) ProbeEnded(now choice.Micros, o choice.Outcome)    { c.note("ProbeEnded", now, o) }
+func (c *calls) FirstToken(now choice.Micros, o choice.Outcome)       { c.note("FirstToken", now, o) }
+func (c *calls) AttemptEnded(now choice.Micros, o choice.Outcome)     { c.note("AttemptEnded", now, o) }
+func (c *calls) ClientGone(now choice.Micros, id choice.RequestID)    { c.note("ClientGone", now, id) }
+func (c *calls) TimerFired(now choice.Micros, token uint64)           { c.note("TimerFired", now, token) }
+func (c *calls) HealthCheckEnded(now choice.Micros, o choice.Outcome) { c.note("ProbeEnded", now, o) }
 func (c *calls) PeerMessage(now choice.Micros, from int, body []byte) {
 	c.note("PeerMessage", now, []any{from, body})
 }
@@ -203,24 +203,24 @@
 	}
 	request := func(id choice.RequestID, session uint64) choice.Request {
 		return choice.Request{ID: id, Class: "chat", Tenant: "quay", TimeLeft: 2900000, PromptTokens: 900, PrefixTokens: 300, MaxTokens: 200, Session: session, Prefix: 34,
-			Factor: 1.5, Spent: 1, Home: 2}
+			PriorityFactor: 1.5, PriorAttempts: 1, HomeReplica: 2}
 	}
 	reconfigured := storedSettings()
 	reconfigured.MaxAttempts = 2
 	want := []call{
 		{"Start", 1000, nil},
-		{"ListChanged", 1100, choice.ServerList{Kind: 1, Version: 7, Fleet: 40, Members: []choice.Member{
-			{Replica: 1, Weight: 1.5, Kind: "k", Zone: "a", Since: 500},
-			{Replica: 2, Weight: 1.5, Cell: 1, Kind: "k", Zone: "a", Since: 500},
-			{Replica: 3, Weight: 1.5, Cell: 2, Kind: "k", Zone: "a", Since: 500},
-			{Replica: 4, State: 1, Weight: 1.5, Cell: 3, Kind: "l", Zone: "b", Since: 500},
+		{"ListChanged", 1100, choice.EndpointList{Kind: 1, Version: 7, FleetSize: 40, Endpoints: []choice.Endpoint{
+			{Replica: 1, Weight: 1.5, Kind: "k", Zone: "a", StartedAt: 500},
+			{Replica: 2, Weight: 1.5, Cell: 1, Kind: "k", Zone: "a", StartedAt: 500},
+			{Replica: 3, Weight: 1.5, Cell: 2, Kind: "k", Zone: "a", StartedAt: 500},
+			{Replica: 4, State: 1, Weight: 1.5, Cell: 3, Kind: "l", Zone: "b", StartedAt: 500},
 		}}},
 		{"RequestArrived", 1300, request(1, 17)},
 		{"FirstToken", 151300, choice.Outcome{ID: 1, Replica: 1, Elapsed: 150000}},
 		{"RequestArrived", 160000, request(2, 18)},
 		{"ClientGone", 170000, choice.RequestID(2)},
-		{"AttemptEnded", 701300, choice.Outcome{ID: 1, Replica: 1, Status: 0, Elapsed: 700000, Final: true, Kept: 250, Tokens: 90,
-			Report: choice.Report{Has: 63, MemoryShare: 0.25, UnreadK: 1.5, InFlight: 4, Queued: 2, ServiceMs: 35.5, Util: 0.75}}},
+		{"AttemptEnded", 701300, choice.Outcome{ID: 1, Replica: 1, Status: 0, Elapsed: 700000, Final: true, CachedTokens: 250, OutputTokens: 90,
+			Report: choice.LoadReport{Has: 63, MemoryShare: 0.25, PrefillBacklogK: 1.5, InFlight: 4, Queued: 2, ServiceMs: 35.5, Utilization: 0.75}}},
 		{"ProbeEnded", 900000, choice.Outcome{Replica: 3, Status: 3, Elapsed: 40000, Final: true}},
 		{"PeerMessage", 910000, []any{2, []byte{1, 2, 3}}},
 		{"TimerFired", 1001300, uint64(5)},
@@ -237,13 +237,13 @@
 type discard struct{}
 
 func (discard) Dispatch(choice.RequestID, choice.ReplicaID, choice.Micros) {}
-func (discard) Refuse(choice.RequestID, choice.Micros)                     {}
+func (discard) Shed(choice.RequestID, choice.Micros)                       {}
 func (discard) Fail(choice.RequestID)                                      {}
 func (discard) Cancel(choice.RequestID, int)                               {}
 func (discard) SetTimer(choice.Micros, uint64)                             {}
-func (discard) Probe(choice.ReplicaID)                                     {}
-func (discard) TellPeers([]byte)                                           {}
-func (discard) WatchRegistry()                                             {}
+func (discard) HealthCheck(choice.ReplicaID)                               {}
+func (discard) Gossip([]byte)                                              {}
+func (discard) WatchDiscovery()                                            {}
 
 // Settings, contracts and the states in checkpoints of the stored capture are read; the
 // states come out again byte for byte. A later build may add a field to a state: then
@@ -291,8 +291,8 @@
 		if diff := cmp.Diff(wantSettings, settings); diff != "" {
 			t.Errorf("checkpoint %d: %s", checkpoints, diff)
 		}
-		if got := b.InHand(); !cmp.Equal(append([]choice.RequestID(nil), got...), wantInHand) || len(b.Workers()) != wantWorkers {
-			t.Errorf("checkpoint %d: requests %v, %d replicas", checkpoints, got, len(b.Workers()))
+		if got := b.InFlightRequests(); !cmp.Equal(append([]choice.RequestID(nil), got...), wantInHand) || len(b.Endpoints()) != wantWorkers {
+			t.Errorf("checkpoint %d: requests %v, %d replicas", checkpoints, got, len(b.Endpoints()))
 		}
 		checkAgreed(c.Agreed)
 		l, err := capture.RestoreLedger(c)
--- a/internal/cli/cli_test.go
+++ b/internal/cli/cli_test.go
@@ -23,20 +23,20 @@
 type nowhere struct{}
 
 func (nowhere) Dispatch(choice.RequestID, choice.ReplicaID, choice.Micros) {}
-func (nowhere) Refuse(choice.RequestID, choice.Micros)                     {}
+func (nowhere) Shed(choice.RequestID, choice.Micros)                       {}
 func (nowhere) Fail(choice.RequestID)                                      {}
 func (nowhere) Cancel(choice.RequestID, int)                               {}
 func (nowhere) SetTimer(choice.Micros, uint64)                             {}
-func (nowhere) Probe(choice.ReplicaID)                                     {}
-func (nowhere) TellPeers([]byte)                                           {}
-func (nowhere) WatchRegistry()                                             {}
+func (nowhere) HealthCheck(choice.ReplicaID)                               {}
+func (nowhere) Gossip([]byte)                                              {}
+func (nowhere) WatchDiscovery()                                            {}
 
 // small makes a capture of a hundred requests.
 func small(t *testing.T) string {
 	t.Helper()
 	dir := t.TempDir()
 	b, err := choice.New(choice.Settings{Gateways: 1, Zone: "a", MaxAttempts: 3, Tick: 2000, MayCancel: true,
-		Classes: []choice.Class{{Name: "chat", Aim: 1e6, Deadline: 4e6, Worth: 1, Stream: true}}}, 3, nowhere{})
+		Classes: []choice.Class{{Name: "chat", LatencyObjective: 1e6, Deadline: 4e6, PriorityWeight: 1, Streaming: true}}}, 3, nowhere{})
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -47,7 +47,7 @@
 	r := capture.Record(1000, b, nil, nowhere{}, w, capture.Host{RequestName: func(id choice.RequestID) string { return "req" + string(rune('a'+id%26)) }},
 		capture.Options{Checkpoint: 10 * time.Second, Block: 4096, Flush: time.Second, SegmentSize: 1 << 20, SegmentAge: time.Hour})
 	r.Start(1000)
-	r.ListChanged(1000, choice.ServerList{Kind: choice.ListFull, Members: []choice.Member{{Replica: 1, Zone: "a"}, {Replica: 2, Zone: "a"}}})
+	r.ListChanged(1000, choice.EndpointList{Kind: choice.ListFull, Endpoints: []choice.Endpoint{{Replica: 1, Zone: "a"}, {Replica: 2, Zone: "a"}}})
 	for i := range choice.RequestID(100) {
 		now := 2000 + choice.Micros(i)*500_000
 		r.RequestArrived(now, choice.Request{ID: i + 1, Class: "chat", TimeLeft: 4e6, PromptTokens: 500})
--- a/internal/conf/plan.go
+++ b/internal/conf/plan.go
@@ -162,8 +162,8 @@
 
 func defaultSpec() *model.Spec {
 	s := &model.Spec{}
-	s.Settings = choice.Settings{ReportVia: choice.ReportInline, AskRegistry: true, Tick: 2000, MayCancel: true, SecondCopies: true, MaxAttempts: 3,
-		StartCapacity: 0.3, FallMultiple: 3, ColdFor: 8_000_000, FallSpan: 1_500_000, ConnStreams: 1, ConnIdle: 60_000_000, OverShareWorth: 0.05}
+	s.Settings = choice.Settings{ReportSource: choice.ReportInline, PollDiscovery: true, Tick: 2000, MayCancel: true, MayHedge: true, MaxAttempts: 3,
+		InitialCapacity: 0.3, OverloadMultiple: 3, SlowStartFor: 8_000_000, OverloadWindow: 1_500_000, StreamsPerConn: 1, ConnIdleTimeout: 60_000_000, OverQuotaWeight: 0.05}
 	return s
 }
 
@@ -275,25 +275,25 @@
 			micros("poll", &s.PollWait, "10s", 10*time.Millisecond, hour, "what a watch of the registry waits at most")}
 	case "gateway":
 		g := &s.Settings
-		return []key{count("attempts", &g.MaxAttempts, "3", 1, 3, "of a request, whatever kind"), onOff("second-copies", &g.SecondCopies, "on", "hedging"),
-			onOff("probe", &g.MayProbe, "off", "may ask workers for their load"), onOff("cancel", &g.MayCancel, "on", "may call an attempt off"),
+		return []key{count("attempts", &g.MaxAttempts, "3", 1, 3, "of a request, whatever kind"), onOff("second-copies", &g.MayHedge, "on", "hedging"),
+			onOff("probe", &g.MayHealthCheck, "off", "may ask workers for their load"), onOff("cancel", &g.MayCancel, "on", "may call an attempt off"),
 			onOff("retry-after", &g.RetryAfter, "on", "refusals advise when to come back"),
 			micros("retry-after-most", &g.MaxRetryAfter, "2s", 0, hour, "the most that is advised"),
-			factor("over-share-worth", &g.OverShareWorth, "0.05", 0, 1, "beyond a tenant's quota"),
-			factor("hedge-share", &g.HedgeShare, "0", 0, 1, "second copies a request; 0: the module's own"),
-			factor("retry-share", &g.RetryShare, "0", 0, 1, "retries a request; 0: the module's own"),
+			factor("over-share-worth", &g.OverQuotaWeight, "0.05", 0, 1, "beyond a tenant's quota"),
+			factor("hedge-share", &g.HedgeRatio, "0", 0, 1, "second copies a request; 0: the module's own"),
+			factor("retry-share", &g.RetryRatio, "0", 0, 1, "retries a request; 0: the module's own"),
 			choiceOf("reports", &b.reports, "inline", "how workers tell their load", "inline", "none"),
-			micros("cold-for", &g.ColdFor, "8s", 0, hour, "how long a worker counts as cold")}
+			micros("cold-for", &g.SlowStartFor, "8s", 0, hour, "how long a worker counts as cold")}
 	case "class":
 		c := &choice.Class{Name: label}
 		effect := new(string)
 		b.classes, b.effects = append(b.classes, c), append(b.effects, effect)
-		return []key{micros("aim", &c.Aim, "1s", 0, hour, "full worth for a first token within this"),
-			micros("aim-per-1000", &c.AimPer1000, "0s", 0, hour, "added for each 1,000 prompt tokens"),
-			micros("token-aim", &c.TokenAim, "300ms", 0, time.Minute, "for each token"),
+		return []key{micros("aim", &c.LatencyObjective, "1s", 0, hour, "full worth for a first token within this"),
+			micros("aim-per-1000", &c.ObjectivePer1000Tokens, "0s", 0, hour, "added for each 1,000 prompt tokens"),
+			micros("token-aim", &c.TokenObjective, "300ms", 0, time.Minute, "for each token"),
 			micros("deadline", &c.Deadline, "5s", time.Millisecond, hour, "the client's total wait"),
-			factor("worth", &c.Worth, "1", 0, 1e6, "points"), factor("late-worth", &c.LateWorth, "0.3", 0, 1, "part of it after the aim"),
-			onOff("stream", &c.Stream, "on", "answers come as streams"),
+			factor("worth", &c.PriorityWeight, "1", 0, 1e6, "points"), factor("late-worth", &c.LateWeightShare, "0.3", 0, 1, "part of it after the aim"),
+			onOff("stream", &c.Streaming, "on", "answers come as streams"),
 			choiceOf("effect", effect, "repeatable", "whether it may run twice", "repeatable", "once")}
 	case "tenant":
 		t := &choice.Tenant{Name: label}
@@ -383,13 +383,13 @@
 			}
 		}
 	}
-	s.Settings.ReportVia = choice.ReportInline
+	s.Settings.ReportSource = choice.ReportInline
 	if b.reports == "none" {
-		s.Settings.ReportVia = choice.ReportNone
+		s.Settings.ReportSource = choice.ReportNone
 	}
 	for i, c := range b.classes {
 		if *b.effects[i] == "once" {
-			c.Effect = choice.Unsafe
+			c.Idempotency = choice.NonIdempotent
 		}
 		s.Settings.Classes = append(s.Settings.Classes, *c)
 	}
--- a/internal/confstream/decode.go
+++ b/internal/confstream/decode.go
@@ -115,8 +115,8 @@
 		if err := read(&m); err != nil {
 			return nil, err
 		}
-		k := choice.Class{Name: m.Name, Aim: m.AimUs, AimPer1000: m.AimPer_1000Us, TokenAim: m.TokenAimUs, Deadline: m.DeadlineUs, Worth: m.Worth,
-			LateWorth: m.LateWorth, Effect: choice.Effect(min(uint32(m.Effect), 255)), Scope: choice.Scope(min(uint32(m.Scope), 255)), RepeatsKept: m.RepeatsKeptUs, Stream: m.Stream}
+		k := choice.Class{Name: m.Name, LatencyObjective: m.AimUs, ObjectivePer1000Tokens: m.AimPer_1000Us, TokenObjective: m.TokenAimUs, Deadline: m.DeadlineUs, PriorityWeight: m.Worth,
+			LateWeightShare: m.LateWorth, Idempotency: choice.Idempotency(min(uint32(m.Effect), 255)), DedupScope: choice.DedupScope(min(uint32(m.Scope), 255)), DedupWindow: m.RepeatsKeptUs, Streaming: m.Stream}
 		return func(c *revision.Config) { c.Classes = append(c.Classes, k) }, nil
 	case revision.TypeTenant:
 		var m pb.Tenant
--- a/internal/confstream/stored_test.go
+++ b/internal/confstream/stored_test.go
@@ -40,9 +40,9 @@
 		Number: 42, Stage: revision.Stage{FirstPercent: 25, Hold: 60000000, WorseBy: 0.125},
 		HasClasses: true, HasTenants: true, HasWorkers: true, HasContracts: true,
 		Classes: []choice.Class{
-			{Name: "chat", Aim: 800000, AimPer1000: 90000, TokenAim: 50000, Deadline: 4000000, Worth: 2.5, LateWorth: 0.25, Stream: true},
-			{Name: "order", Aim: 1000000, Deadline: 6000000, Worth: 3, LateWorth: 0.5, Effect: 1, Scope: 2, RepeatsKept: 30000000},
-			{Name: "mail", Aim: 1000001, Deadline: 6000001, Worth: 1, Effect: 2, Scope: 1},
+			{Name: "chat", LatencyObjective: 800000, ObjectivePer1000Tokens: 90000, TokenObjective: 50000, Deadline: 4000000, PriorityWeight: 2.5, LateWeightShare: 0.25, Streaming: true},
+			{Name: "order", LatencyObjective: 1000000, Deadline: 6000000, PriorityWeight: 3, LateWeightShare: 0.5, Idempotency: 1, DedupScope: 2, DedupWindow: 30000000},
+			{Name: "mail", LatencyObjective: 1000001, Deadline: 6000001, PriorityWeight: 1, Idempotency: 2, DedupScope: 1},
 		},
 		Tenants:     []revision.Tenant{{Name: "quay", QuotaPerS: 12.5, Share: 0.25}, {Name: "reef", QuotaPerS: 20, Share: 0.5}},
 		Workers:     []revision.Mark{{Name: "s-1", Mark: 0}, {Name: "s-2", Mark: 1}},
--- a/internal/confstream/stream_test.go
+++ b/internal/confstream/stream_test.go
@@ -213,7 +213,7 @@
 				if n := len(g.applied); n > 40 {
 					t.Errorf("%d versions were applied", n)
 				}
-				if w := g.force.Classes[0].Worth; w != 59 && g.force.Classes[1].Worth != 59 {
+				if w := g.force.Classes[0].PriorityWeight; w != 59 && g.force.Classes[1].PriorityWeight != 59 {
 					t.Errorf("in part: %+v", g.force)
 				}
 				g.mu.Unlock()
--- a/internal/contract/trial/trial_test.go
+++ b/internal/contract/trial/trial_test.go
@@ -16,13 +16,13 @@
 type nowhere struct{ choice.Sink }
 
 func (nowhere) Dispatch(choice.RequestID, choice.ReplicaID, choice.Micros) {}
-func (nowhere) Refuse(choice.RequestID, choice.Micros)                     {}
+func (nowhere) Shed(choice.RequestID, choice.Micros)                       {}
 func (nowhere) Fail(choice.RequestID)                                      {}
 func (nowhere) Cancel(choice.RequestID, int)                               {}
 func (nowhere) SetTimer(choice.Micros, uint64)                             {}
-func (nowhere) Probe(choice.ReplicaID)                                     {}
-func (nowhere) TellPeers([]byte)                                           {}
-func (nowhere) WatchRegistry()                                             {}
+func (nowhere) HealthCheck(choice.ReplicaID)                               {}
+func (nowhere) Gossip([]byte)                                              {}
+func (nowhere) WatchDiscovery()                                            {}
 
 // recording is ten seconds in which a sends 20 requests a second and b 5, each of
 // 100 tokens read and 50 made; each fourth of a's is declined at first and sent again.
@@ -34,14 +34,14 @@
 		t.Fatal(err)
 	}
 	b, err := choice.New(choice.Settings{Gateways: 1, Zone: "z", Zones: []string{"z"}, Kinds: []string{"k"}, MaxAttempts: 3, Tick: 2000,
-		Classes: []choice.Class{{Name: "chat", Aim: 1e6, TokenAim: 50_000, Deadline: 4e6, Worth: 1, Stream: true}}}, 1, nowhere{})
+		Classes: []choice.Class{{Name: "chat", LatencyObjective: 1e6, TokenObjective: 50_000, Deadline: 4e6, PriorityWeight: 1, Streaming: true}}}, 1, nowhere{})
 	if err != nil {
 		t.Fatal(err)
 	}
 	r := capture.Record(1000, b, nil, nowhere{}, w, capture.Host{}, capture.Options{Checkpoint: time.Minute, Block: 4 << 10, Flush: time.Second,
 		SegmentSize: 1 << 20, SegmentAge: time.Hour})
 	r.Start(1000)
-	r.ListChanged(1000, choice.ServerList{Kind: choice.ListFull, Version: 1, Members: []choice.Member{{Replica: 1, Zone: "z", Kind: "k", Weight: 1}, {Replica: 2, Zone: "z", Kind: "k", Weight: 1}}})
+	r.ListChanged(1000, choice.EndpointList{Kind: choice.ListFull, Version: 1, Endpoints: []choice.Endpoint{{Replica: 1, Zone: "z", Kind: "k", Weight: 1}, {Replica: 2, Zone: "z", Kind: "k", Weight: 1}}})
 	id := choice.RequestID(0)
 	for at := choice.Micros(2000); at < 10_002_000; at += 50_000 {
 		for _, tenant := range []string{"a", "b"} {
@@ -55,7 +55,7 @@
 				r.AttemptEnded(at+1000, choice.Outcome{ID: id, Attempt: 0, Replica: 1, Status: choice.Shed, Elapsed: 1000})
 				n = 1
 			}
-			r.AttemptEnded(at+30_000, choice.Outcome{ID: id, Attempt: n, Replica: 2, Status: choice.Served, Elapsed: 20_000, Final: true, Tokens: 50})
+			r.AttemptEnded(at+30_000, choice.Outcome{ID: id, Attempt: n, Replica: 2, Status: choice.Served, Elapsed: 20_000, Final: true, OutputTokens: 50})
 		}
 	}
 	r.Close()
--- a/internal/drill/drill.go
+++ b/internal/drill/drill.go
@@ -161,9 +161,9 @@
 	w.quiet()
 	res.measure(spec, w, s)
 	res.ToLost = toLost(spec, w, s.began)
-	rules := Rules{Attempts: spec.Settings.MaxAttempts, Beside: spec.Settings.SecondCopies, Once: map[string]bool{}, Slack: 50 * time.Millisecond, Drains: drains}
+	rules := Rules{Attempts: spec.Settings.MaxAttempts, Beside: spec.Settings.MayHedge, Once: map[string]bool{}, Slack: 50 * time.Millisecond, Drains: drains}
 	for _, k := range spec.Settings.Classes {
-		rules.Once[k.Name] = k.Effect == choice.Unsafe
+		rules.Once[k.Name] = k.Idempotency == choice.NonIdempotent
 	}
 	res.Breaks = Audit(rules, w.tries, w.attempts)
 	return res, nil
@@ -464,12 +464,12 @@
 		inTime := whole && firstAt > 0 && firstAt-r.first.Born <= r.first.Patience
 		worth := 0.0
 		if inTime {
-			if worth = k.Worth; firstAt-r.first.Born > k.Aim+k.AimPer1000 {
-				worth *= k.LateWorth
+			if worth = k.PriorityWeight; firstAt-r.first.Born > k.LatencyObjective+k.ObjectivePer1000Tokens {
+				worth *= k.LateWeightShare
 			}
 			firsts = append(firsts, float64(firstAt-r.first.Born)/1000)
 		}
-		res.Asked += k.Worth
+		res.Asked += k.PriorityWeight
 		res.Worth += worth
 		of := res.Classes[k.Name]
 		if of == nil {
@@ -477,16 +477,16 @@
 			res.Classes[k.Name] = of
 		}
 		of.Sent++
-		of.Asked, of.Worth = of.Asked+k.Worth, of.Worth+worth
-		of.InTime += one(worth >= k.Worth && k.Worth > 0)
+		of.Asked, of.Worth = of.Asked+k.PriorityWeight, of.Worth+worth
+		of.InTime += one(worth >= k.PriorityWeight && k.PriorityWeight > 0)
 		of.Refused += one(r.last.How == "refused")
 		struck := s.first.Sub(s.began).Microseconds()
 		if !s.first.IsZero() && r.last.At >= struck && r.first.Born < struck+10_000_000 {
-			res.LostIn += k.Worth - worth
+			res.LostIn += k.PriorityWeight - worth
 		}
 		for _, at := range s.ended[r.first.Gateway] {
 			died := at.Sub(s.began).Microseconds()
-			if k.Effect != choice.Unsafe && r.first.SentAt <= died-50_000 && r.first.At >= died {
+			if k.Idempotency != choice.NonIdempotent && r.first.SentAt <= died-50_000 && r.first.At >= died {
 				res.Caught++
 				if inTime {
 					res.Saved++
--- a/internal/drill/scale/gateways.go
+++ b/internal/drill/scale/gateways.go
@@ -40,11 +40,11 @@
 func (s *GatewaysSpec) config(index int, listen string) ([]byte, error) {
 	const second = 1_000_000
 	settings := choice.Settings{Self: index, Gateways: s.Of, Zone: zoneName(index % s.Zones), Kinds: []string{"kind-0", "kind-1"},
-		Classes:   []choice.Class{{Name: "chat", Aim: second, AimPer1000: second / 10, TokenAim: second, Deadline: 10 * second, Worth: 1, Stream: true}},
-		Tenants:   []choice.Tenant{{Name: "chats", QuotaPerS: 1e6}},
-		ReportVia: choice.ReportInline, Weights: choice.WeightNone, AskRegistry: true, Tick: 2000, MayProbe: s.Probe, MayCancel: true,
-		MaxAttempts: 3, MaxRetryAfter: second, StartCapacity: 0.3, FallMultiple: 3, ColdFor: 9 * second, FallSpan: 3 * second / 2,
-		ConnStreams: 1, ConnIdle: 45 * second, PriceCrossZone: 0.02, PriceHandshake: 0.02, PriceProbe: 0.002}
+		Classes:      []choice.Class{{Name: "chat", LatencyObjective: second, ObjectivePer1000Tokens: second / 10, TokenObjective: second, Deadline: 10 * second, PriorityWeight: 1, Streaming: true}},
+		Tenants:      []choice.Tenant{{Name: "chats", QuotaPerS: 1e6}},
+		ReportSource: choice.ReportInline, WeightKind: choice.WeightNone, PollDiscovery: true, Tick: 2000, MayHealthCheck: s.Probe, MayCancel: true,
+		MaxAttempts: 3, MaxRetryAfter: second, InitialCapacity: 0.3, OverloadMultiple: 3, SlowStartFor: 9 * second, OverloadWindow: 3 * second / 2,
+		StreamsPerConn: 1, ConnIdleTimeout: 45 * second, CrossZoneCost: 0.02, HandshakeCost: 0.02, HealthCheckCost: 0.002}
 	for i := range s.Zones {
 		settings.Zones = append(settings.Zones, zoneName(i))
 	}
--- a/internal/drill/soak.go
+++ b/internal/drill/soak.go
@@ -202,9 +202,9 @@
 	defer s.mu.Unlock()
 	r := &SoakResult{Seed: s.spec.Seed, Sent: len(s.clients.tries), Attempts: len(s.attempts), Events: s.events, Crashes: s.c.crashes(), Took: took}
 	r.Ends = s.clients.counts()
-	rules := Rules{Attempts: s.spec.Settings.MaxAttempts, Beside: s.spec.Settings.SecondCopies, Once: map[string]bool{}, Slack: 100 * time.Millisecond}
+	rules := Rules{Attempts: s.spec.Settings.MaxAttempts, Beside: s.spec.Settings.MayHedge, Once: map[string]bool{}, Slack: 100 * time.Millisecond}
 	for _, k := range s.spec.Settings.Classes {
-		rules.Once[k.Name] = k.Effect == choice.Unsafe
+		rules.Once[k.Name] = k.Idempotency == choice.NonIdempotent
 	}
 	s.spans.deadline = s.deadline
 	a := newSoakAuditor(s.spans, s.clients.tries, s.attempts)
--- a/internal/fleet/emulate/emulate_test.go
+++ b/internal/fleet/emulate/emulate_test.go
@@ -19,9 +19,9 @@
 	p := worker.Params{Slots: 8, Queue: 32, Memory: 50_000, Block: 16, Chunk: 512, Base: 4000, PerSequence: 100, PerContext: 20, PerPrompt: 20_000,
 		Start: 300_000, ColdFor: 1_000_000, ColdSlow: 2}
 	return &model.Spec{Seed: 3, For: 4_000_000, Warm: 500_000, Gateways: 1, Near: 100, Far: 100, PollWait: 1_000_000, Window: 1_000_000,
-		Settings: choice.Settings{MaxAttempts: 3, Tick: 2000, MayCancel: true, SecondCopies: true, AskRegistry: true, ReportVia: choice.ReportInline,
-			StartCapacity: 0.3, FallMultiple: 3, ColdFor: 1_000_000, FallSpan: 1_500_000, ConnStreams: 1, ConnIdle: 60_000_000,
-			Classes: []choice.Class{{Name: "chat", Aim: 600_000, TokenAim: 50_000, Deadline: 2_000_000, Worth: 1, LateWorth: 0.3, Stream: true}}},
+		Settings: choice.Settings{MaxAttempts: 3, Tick: 2000, MayCancel: true, MayHedge: true, PollDiscovery: true, ReportSource: choice.ReportInline,
+			InitialCapacity: 0.3, OverloadMultiple: 3, SlowStartFor: 1_000_000, OverloadWindow: 1_500_000, StreamsPerConn: 1, ConnIdleTimeout: 60_000_000,
+			Classes: []choice.Class{{Name: "chat", LatencyObjective: 600_000, TokenObjective: 50_000, Deadline: 2_000_000, PriorityWeight: 1, LateWeightShare: 0.3, Streaming: true}}},
 		Groups:  []model.Group{{Name: "k", Zone: "a", Count: 4, Weight: 1, Params: p}},
 		Streams: []model.Stream{{Class: "chat", Tenant: "t", PerS: 40, Turns: 3, Think: 0.3, Prompt: 100, Answer: 20, Spread: 0.4, MaxOut: 60, Prefixes: 3, Shared: 128}}}
 }
--- a/internal/fleet/fit/fit_test.go
+++ b/internal/fleet/fit/fit_test.go
@@ -18,10 +18,10 @@
 	p := worker.Params{Slots: 64, Queue: 64, Memory: 400_000, Block: 16, Chunk: 2048, Base: 4000, PerSequence: 50, PerContext: 10, PerPrompt: 10_000,
 		Start: 1_000_000, ColdFor: 1_000_000, ColdSlow: 2, Connect: 100}
 	s := &model.Spec{Seed: seed, For: 120_000_000, Warm: 5_000_000, Gateways: 3, Near: 250, Far: 10_000, PollWait: 10_000_000, Capture: t.TempDir(),
-		Settings: choice.Settings{MaxAttempts: 3, Tick: 2000, MayCancel: true, AskRegistry: true, ReportVia: choice.ReportInline, StartCapacity: 0.3,
-			FallMultiple: 3, ColdFor: 1_000_000, FallSpan: 1_500_000, ConnStreams: 1, ConnIdle: 60_000_000,
-			Classes: []choice.Class{{Name: "bulk", Aim: 4_000_000, TokenAim: 300_000, Deadline: 10_000_000, Worth: 1, Stream: true},
-				{Name: "chat", Aim: 4_000_000, TokenAim: 300_000, Deadline: 10_000_000, Worth: 2, Stream: true}}},
+		Settings: choice.Settings{MaxAttempts: 3, Tick: 2000, MayCancel: true, PollDiscovery: true, ReportSource: choice.ReportInline, InitialCapacity: 0.3,
+			OverloadMultiple: 3, SlowStartFor: 1_000_000, OverloadWindow: 1_500_000, StreamsPerConn: 1, ConnIdleTimeout: 60_000_000,
+			Classes: []choice.Class{{Name: "bulk", LatencyObjective: 4_000_000, TokenObjective: 300_000, Deadline: 10_000_000, PriorityWeight: 1, Streaming: true},
+				{Name: "chat", LatencyObjective: 4_000_000, TokenObjective: 300_000, Deadline: 10_000_000, PriorityWeight: 2, Streaming: true}}},
 		Groups: []model.Group{{Name: "k", Zone: "a", Count: 8, Weight: 1, Params: p}},
 		Streams: []model.Stream{{Class: "chat", Tenant: "t", PerS: 12, Turns: 3, Think: think, Prompt: 200, Answer: 60, Spread: 0.5, MaxOut: 600, Prefixes: 12, Shared: 512},
 			{Class: "bulk", Tenant: "u", PerS: 4, Turns: 1, Prompt: 900, Answer: 40, Spread: 0.5, MaxOut: 800}}}
--- a/internal/fleet/model/attempt.go
+++ b/internal/fleet/model/attempt.go
@@ -25,13 +25,13 @@
 }
 
 // report is the worker's load as it stands.
-func (h *host) report() choice.Report {
+func (h *host) report() choice.LoadReport {
 	if h.w == nil {
-		return choice.Report{}
+		return choice.LoadReport{}
 	}
 	running, waiting, memory, unread := h.w.Load()
-	return choice.Report{Has: choice.HasInFlight | choice.HasQueued | choice.HasMemory | choice.HasUnread, InFlight: float64(running + waiting),
-		Queued: float64(waiting), MemoryShare: memory, UnreadK: float64(unread) / 1000}
+	return choice.LoadReport{Has: choice.HasInFlight | choice.HasQueued | choice.HasMemory | choice.HasPrefillBacklog, InFlight: float64(running + waiting),
+		Queued: float64(waiting), MemoryShare: memory, PrefillBacklogK: float64(unread) / 1000}
 }
 
 // arrive is the request at the worker.
@@ -42,7 +42,7 @@
 		return
 	}
 	if h.w == nil {
-		a.tell(choice.ConnectFailed, choice.Report{})
+		a.tell(choice.ConnectFailed, choice.LoadReport{})
 		return
 	}
 	r := a.r
@@ -71,10 +71,10 @@
 }
 
 // reset is the end of the worker.
-func (a *attempt) reset() { a.tell(choice.ConnBroken, choice.Report{}) }
+func (a *attempt) reset() { a.tell(choice.ConnBroken, choice.LoadReport{}) }
 
 // tell has the gateway learn the outcome, one way later.
-func (a *attempt) tell(status choice.Status, rep choice.Report) {
+func (a *attempt) tell(status choice.Status, rep choice.LoadReport) {
 	x := a.g.x
 	at := max(x.e.Now()+x.way(a.h.zone, a.g.zone), a.firstComes)
 	x.e.At(at, func(now choice.Micros) { a.g.ended(now, a, status, rep) })
--- a/internal/fleet/model/clients.go
+++ b/internal/fleet/model/clients.go
@@ -175,7 +175,7 @@
 	// Turned away: it comes back with all it has, as often as it likes to.
 	if (how == "refused" || how == "contract") && r.tried < t.s.Retries {
 		again := &request{in: r.in, out: r.out, session: r.session, traffic: t, tried: r.tried + 1}
-		again.in.ID, again.in.Factor = 0, 0
+		again.in.ID, again.in.PriorityFactor = 0, 0
 		x.res.Retried(r.sentAt-start, &r.in)
 		x.e.After(after+t.from.Again(), func(now choice.Micros) { t.send(now, again) })
 		return
--- a/internal/fleet/model/faults.go
+++ b/internal/fleet/model/faults.go
@@ -44,7 +44,7 @@
 			case "lose":
 				x.lose(h, choice.Micros(f.Factor*1e6))
 			case "drain":
-				x.tell(h, choice.MemberDraining)
+				x.tell(h, choice.EndpointDraining)
 			case "silent":
 				h.silent = true
 			case "flush":
@@ -75,7 +75,7 @@
 				h.silent = false
 				x.revive(now, h)
 			case "drain":
-				x.tell(h, choice.MemberReady)
+				x.tell(h, choice.EndpointReady)
 			case "silent":
 				h.silent = false
 			}
@@ -99,7 +99,7 @@
 	life := h.life
 	x.e.After(500_000, func(choice.Micros) {
 		if h.life == life && h.w == nil {
-			x.tell(h, choice.MemberGone)
+			x.tell(h, choice.EndpointGone)
 		}
 	})
 }
@@ -116,7 +116,7 @@
 	life := h.life
 	x.e.After(told, func(choice.Micros) {
 		if h.life == life {
-			x.tell(h, choice.MemberGone)
+			x.tell(h, choice.EndpointGone)
 		}
 	})
 	x.e.After(stall, func(choice.Micros) {
@@ -140,5 +140,5 @@
 	h.life++
 	h.since = now
 	h.w = worker.New(h.group.Params, now+h.group.Params.Start)
-	x.e.After(h.group.Params.Start, func(choice.Micros) { x.tell(h, choice.MemberReady) })
+	x.e.After(h.group.Params.Start, func(choice.Micros) { x.tell(h, choice.EndpointReady) })
 }
--- a/internal/fleet/model/gateway.go
+++ b/internal/fleet/model/gateway.go
@@ -105,7 +105,7 @@
 	}
 	g.m = g.b
 	g.view = subset.NewView(subset.Settings{Most: x.s.Subset, Index: i, Gateways: x.s.Gateways, Zone: s.Zone, Remote: subset.DefaultRemote,
-		Weighted: s.Weights == choice.WeightNominal, ColdFor: s.ColdFor}, g.b)
+		Weighted: s.WeightKind == choice.WeightNominal, ColdFor: s.SlowStartFor}, g.b)
 	if len(x.s.Contracts) > 0 {
 		if g.book, err = contract.New(x.s.Book, x.s.Contracts, start, start); err != nil {
 			return nil, err
@@ -144,20 +144,20 @@
 func (g *gateway) start() {
 	now := g.x.e.Now()
 	g.m.Start(now)
-	list := choice.ServerList{Kind: choice.ListFull, Version: g.x.version}
+	list := choice.EndpointList{Kind: choice.ListFull, Version: g.x.version}
 	for _, h := range g.x.workers {
-		list.Members = append(list.Members, g.x.member(h))
+		list.Endpoints = append(list.Endpoints, g.x.member(h))
 	}
 	if !g.waiting { // its turn at the registry has not come
-		list.Kind = choice.ListSaved
+		list.Kind = choice.ListCached
 	}
 	if g.lives == 0 {
 		g.seen = g.x.version
 	} else { // what has changed since it does not know
 		for _, c := range g.x.changed {
 			if c.version > g.seen {
-				list.Members[c.member.Replica-1].State = choice.MemberReady
-				list.Members[c.member.Replica-1].Since = 0
+				list.Endpoints[c.member.Replica-1].State = choice.EndpointReady
+				list.Endpoints[c.member.Replica-1].StartedAt = 0
 			}
 		}
 	}
@@ -176,10 +176,10 @@
 	if g.dead {
 		return
 	}
-	l := choice.ServerList{Kind: choice.ListDelta, Version: g.x.version}
+	l := choice.EndpointList{Kind: choice.ListDelta, Version: g.x.version}
 	for _, c := range g.x.changed {
 		if c.version > g.seen {
-			l.Members = append(l.Members, c.member)
+			l.Endpoints = append(l.Endpoints, c.member)
 		}
 	}
 	g.seen = g.x.version
@@ -188,8 +188,8 @@
 	g.watched()
 }
 
-// WatchRegistry: choice.Sink.
-func (g *gateway) WatchRegistry() {
+// WatchDiscovery: choice.Sink.
+func (g *gateway) WatchDiscovery() {
 	if g.waiting {
 		return
 	}
@@ -202,7 +202,7 @@
 			g.x.res.AsksFailed++
 			g.x.e.After(askLimit, func(now choice.Micros) {
 				if g.waiting = false; !g.dead {
-					g.m.ListChanged(now, choice.ServerList{Kind: choice.ListFailed})
+					g.m.ListChanged(now, choice.EndpointList{Kind: choice.ListFailed})
 				}
 			})
 			return
@@ -224,7 +224,7 @@
 		}
 		g.waiting = false
 		if g.x.deaf && !g.dead {
-			g.m.ListChanged(now, choice.ServerList{Kind: choice.ListFailed})
+			g.m.ListChanged(now, choice.EndpointList{Kind: choice.ListFailed})
 			return
 		}
 		g.answer(now)
@@ -280,7 +280,7 @@
 			g.forget(r)
 			return
 		}
-		r.in.Factor, r.over, r.thought = max(1e-6, v.Worth), v.Over, r.charge.Thought
+		r.in.PriorityFactor, r.over, r.thought = max(1e-6, v.Worth), v.Over, r.charge.Thought
 	}
 	g.x.e.At(r.deadline, func(now choice.Micros) { g.leave(now, r) })
 	if home, tell := g.view.Home(now, &r.in); tell {
@@ -300,7 +300,7 @@
 		if !a.over {
 			a.over = true
 			a.cancel()
-			g.outcome(now, a, choice.Cancelled, choice.Report{})
+			g.outcome(now, a, choice.Cancelled, choice.LoadReport{})
 		}
 	}
 	g.x.ends(now, r, "late", 0)
@@ -337,7 +337,7 @@
 		if a.n == 0 {
 			*c, r.charge = r.charge, contract.Charge{}
 		} else if v := g.books.Charge(now, &r.in, a.n, c); v.Refuse {
-			g.x.e.After(0, func(now choice.Micros) { g.ended(now, a, choice.NotSent, choice.Report{}) })
+			g.x.e.After(0, func(now choice.Micros) { g.ended(now, a, choice.NotSent, choice.LoadReport{}) })
 			return
 		}
 		if r.charges == nil {
@@ -351,7 +351,7 @@
 	g.x.e.At(cutAt, func(now choice.Micros) {
 		if !a.over && r.bound != a && !r.done {
 			a.cancel()
-			g.ended(now, a, choice.TimedOut, choice.Report{})
+			g.ended(now, a, choice.TimedOut, choice.LoadReport{})
 		}
 	})
 	g.x.e.After(g.x.way(g.zone, h.zone)+h.group.Params.Connect, a.arrive)
@@ -366,14 +366,14 @@
 	a.first = true
 	if r.done || r.bound != nil { // nobody's any more
 		a.cancel()
-		g.ended(now, a, choice.Cancelled, choice.Report{})
+		g.ended(now, a, choice.Cancelled, choice.LoadReport{})
 		return
 	}
 	r.bound, r.firstAt = a, now
 	g.m.FirstToken(now, choice.Outcome{ID: r.in.ID, Attempt: a.n, Replica: choice.ReplicaID(a.h.no + 1), Elapsed: now - a.sent})
 }
 
-func (g *gateway) ended(now choice.Micros, a *attempt, status choice.Status, rep choice.Report) {
+func (g *gateway) ended(now choice.Micros, a *attempt, status choice.Status, rep choice.LoadReport) {
 	if a.over {
 		return
 	}
@@ -398,7 +398,7 @@
 }
 
 // outcome settles an attempt and tells the module.
-func (g *gateway) outcome(now choice.Micros, a *attempt, status choice.Status, rep choice.Report) {
+func (g *gateway) outcome(now choice.Micros, a *attempt, status choice.Status, rep choice.LoadReport) {
 	r := a.r
 	if c := r.charges[a.n]; c != nil {
 		used := c.Used(status, r.in.PromptTokens, a.kept, a.made)
@@ -412,11 +412,11 @@
 		}
 	}
 	g.m.AttemptEnded(now, choice.Outcome{ID: r.in.ID, Attempt: a.n, Replica: choice.ReplicaID(a.h.no + 1), Status: status, Elapsed: now - a.sent,
-		Final: r.done, Kept: a.kept, Tokens: a.made, Report: rep})
+		Final: r.done, CachedTokens: a.kept, OutputTokens: a.made, Report: rep})
 }
 
-// Refuse: choice.Sink.
-func (g *gateway) Refuse(id choice.RequestID, after choice.Micros) { g.giveUp(id, "refused", after) }
+// Shed: choice.Sink.
+func (g *gateway) Shed(id choice.RequestID, after choice.Micros) { g.giveUp(id, "refused", after) }
 
 // Fail: choice.Sink.
 func (g *gateway) Fail(id choice.RequestID) { g.giveUp(id, "failed", 0) }
@@ -443,11 +443,11 @@
 	}
 	a := r.attempts[n]
 	a.cancel()
-	g.x.e.After(0, func(now choice.Micros) { g.ended(now, a, choice.Cancelled, choice.Report{}) })
+	g.x.e.After(0, func(now choice.Micros) { g.ended(now, a, choice.Cancelled, choice.LoadReport{}) })
 }
 
-// Probe: choice.Sink.
-func (g *gateway) Probe(to choice.ReplicaID) {
+// HealthCheck: choice.Sink.
+func (g *gateway) HealthCheck(to choice.ReplicaID) {
 	g.x.res.Probes++
 	h, began := g.x.workers[to-1], g.x.e.Now()
 	g.x.e.After(g.x.way(g.zone, h.zone), func(choice.Micros) {
@@ -457,15 +457,15 @@
 		}
 		back := g.x.way(h.zone, g.zone)
 		if h.silent { // as the gateway gives a probe up
-			o.Status, o.Report, back = choice.TimedOut, choice.Report{}, 250_000
+			o.Status, o.Report, back = choice.TimedOut, choice.LoadReport{}, 250_000
 		}
 		g.x.e.After(back, func(now choice.Micros) {
 			if o.Elapsed = now - began; !g.dead {
-				g.m.ProbeEnded(now, o)
+				g.m.HealthCheckEnded(now, o)
 			}
 		})
 	})
 }
 
-// TellPeers: choice.Sink. The gateways here do not talk.
-func (g *gateway) TellPeers([]byte) {}
+// Gossip: choice.Sink. The gateways here do not talk.
+func (g *gateway) Gossip([]byte) {}
--- a/internal/fleet/model/model.go
+++ b/internal/fleet/model/model.go
@@ -40,7 +40,7 @@
 
 type change struct {
 	version int64
-	member  choice.Member
+	member  choice.Endpoint
 }
 
 // host is a worker at an address.
@@ -48,7 +48,7 @@
 	no     int
 	group  *Group
 	w      *worker.Worker
-	state  choice.MemberState
+	state  choice.EndpointState
 	since  choice.Micros
 	life   int // counts its starts
 	silent bool
@@ -126,7 +126,7 @@
 
 // The registry.
 
-func (x *sim) tell(h *host, state choice.MemberState) {
+func (x *sim) tell(h *host, state choice.EndpointState) {
 	h.state = state
 	x.version++
 	x.changed = append(x.changed, change{x.version, x.member(h)})
@@ -135,8 +135,8 @@
 	}
 }
 
-func (x *sim) member(h *host) choice.Member {
-	return choice.Member{Replica: choice.ReplicaID(h.no + 1), State: h.state, Weight: h.group.Weight, Kind: h.group.Name, Zone: h.zone, Since: h.since}
+func (x *sim) member(h *host) choice.Endpoint {
+	return choice.Endpoint{Replica: choice.ReplicaID(h.no + 1), State: h.state, Weight: h.group.Weight, Kind: h.group.Name, Zone: h.zone, StartedAt: h.since}
 }
 
 // sorted are a map's keys in their order, that each run goes by them alike.
--- a/internal/fleet/model/model_test.go
+++ b/internal/fleet/model/model_test.go
@@ -18,10 +18,10 @@
 	p := worker.Params{Slots: 16, Queue: 64, Memory: 100_000, Block: 16, Chunk: 512, Base: 8000, PerSequence: 150, PerContext: 40, PerPrompt: 40_000,
 		Start: 5_000_000, ColdFor: 8_000_000, ColdSlow: 3, Connect: 100}
 	return &Spec{Seed: 1, For: 40_000_000, Warm: 5_000_000, Gateways: 3, Near: 250, Far: 10_000, PollWait: 10_000_000,
-		Settings: choice.Settings{MaxAttempts: 3, Tick: 2000, MayCancel: true, SecondCopies: true, RetryAfter: true, MaxRetryAfter: 2_000_000, AskRegistry: true,
-			ReportVia: choice.ReportInline, StartCapacity: 0.3, FallMultiple: 3, ColdFor: 8_000_000, FallSpan: 1_500_000, ConnStreams: 1, ConnIdle: 60_000_000,
-			Classes: []choice.Class{{Name: "bulk", Aim: 4_000_000, TokenAim: 300_000, Deadline: 10_000_000, Worth: 1, LateWorth: 0.3, Stream: true},
-				{Name: "chat", Aim: 1_000_000, TokenAim: 300_000, Deadline: 5_000_000, Worth: 2, LateWorth: 0.3, Stream: true}}},
+		Settings: choice.Settings{MaxAttempts: 3, Tick: 2000, MayCancel: true, MayHedge: true, RetryAfter: true, MaxRetryAfter: 2_000_000, PollDiscovery: true,
+			ReportSource: choice.ReportInline, InitialCapacity: 0.3, OverloadMultiple: 3, SlowStartFor: 8_000_000, OverloadWindow: 1_500_000, StreamsPerConn: 1, ConnIdleTimeout: 60_000_000,
+			Classes: []choice.Class{{Name: "bulk", LatencyObjective: 4_000_000, TokenObjective: 300_000, Deadline: 10_000_000, PriorityWeight: 1, LateWeightShare: 0.3, Streaming: true},
+				{Name: "chat", LatencyObjective: 1_000_000, TokenObjective: 300_000, Deadline: 5_000_000, PriorityWeight: 2, LateWeightShare: 0.3, Streaming: true}}},
 		Groups: []Group{{Name: "k", Zone: "a", Count: 8, Weight: 1, Params: p}, {Name: "k", Zone: "b", Count: 6, Weight: 1, Params: p}},
 		Streams: []Stream{{Class: "chat", Tenant: "t", PerS: 18, Turns: 4, Think: 3, Prompt: 200, Answer: 120, Spread: 0.6, MaxOut: 600, Prefixes: 12, Shared: 512, Retries: 1},
 			{Class: "bulk", Tenant: "u", PerS: 5, Turns: 1, Prompt: 1000, Answer: 200, Spread: 0.5, MaxOut: 800}}}
@@ -63,7 +63,7 @@
 func vast(gateways int, faults ...Fault) *Spec {
 	s := spec()
 	s.Gateways, s.For, s.Faults = gateways, 25_000_000, faults
-	s.Settings.PriceProbe = 0.002
+	s.Settings.HealthCheckCost = 0.002
 	s.Groups[0].Count, s.Groups[1].Count = 40, 20
 	for i := range s.Streams {
 		s.Streams[i].PerS *= 15
@@ -93,7 +93,7 @@
 	for name, faults := range map[string][]Fault{"zone lost": zoneLost(), "replaced": replaced()} {
 		s := vast(80, faults...)
 		blind := play(t, s).All.WorthInTime()
-		s.Settings.MayProbe = true
+		s.Settings.MayHealthCheck = true
 		asked := play(t, s).All.WorthInTime()
 		t.Logf("%s: in time %.3f without asking, %.3f with", name, blind, asked)
 		if asked < blind+0.05 {
@@ -106,7 +106,7 @@
 // every small difference in load, 0.33 of the prompts' tokens were found in place of 0.39.
 func TestCalmGatewaysKeepPrompts(t *testing.T) {
 	s := spec()
-	s.Gateways, s.For, s.Settings.MayProbe, s.Settings.PriceProbe = 30, 20_000_000, true, 0.002
+	s.Gateways, s.For, s.Settings.MayHealthCheck, s.Settings.HealthCheckCost = 30, 20_000_000, true, 0.002
 	s.Groups[0].Count, s.Groups[1].Count = 80, 60
 	for i := range s.Streams {
 		s.Streams[i].PerS *= 20
@@ -125,7 +125,7 @@
 // workers that come back.
 func TestMassKillDoesNotStallTheRegistry(t *testing.T) {
 	s := vast(80, append(zoneLost(), Fault{At: 9e6, For: 1_600_000, Kind: "restart", Worker: -1, Factor: 0.7})...)
-	s.Settings.MayProbe, s.AskEach = true, 100_000
+	s.Settings.MayHealthCheck, s.AskEach = true, 100_000
 	r := play(t, s)
 	t.Logf("%d calls failed, %.3f in time, %v", r.AsksFailed, r.All.WorthInTime(), r.All.Ends)
 	if r.AsksFailed > 8 {
@@ -146,7 +146,7 @@
 			b.Run(fmt.Sprintf("%d/ask=%t", n, ask), func(b *testing.B) {
 				for range b.N {
 					zone, join := vast(n, zoneLost()...), vast(n, replaced()...)
-					zone.Settings.MayProbe, join.Settings.MayProbe = ask, ask
+					zone.Settings.MayHealthCheck, join.Settings.MayHealthCheck = ask, ask
 					b.ReportMetric(play(b, zone).All.WorthInTime(), "zone-lost")
 					b.ReportMetric(play(b, join).All.WorthInTime(), "replaced")
 				}
--- a/internal/fleet/model/result.go
+++ b/internal/fleet/model/result.go
@@ -119,19 +119,19 @@
 	}
 	res.Attempts += int64(e.Attempts)
 	res.Wasted += int64(e.Wasted)
-	aim := e.Class.Aim + e.Class.AimPer1000*int64(e.In.PromptTokens)/1000
+	aim := e.Class.LatencyObjective + e.Class.ObjectivePer1000Tokens*int64(e.In.PromptTokens)/1000
 	first := e.FirstAt - e.SentAt
 	inTime := e.How == "served" && first <= aim
 	points := 0.0
 	if e.How == "served" {
-		if points = e.Class.Worth; !inTime {
-			points *= e.Class.LateWorth
+		if points = e.Class.PriorityWeight; !inTime {
+			points *= e.Class.LateWeightShare
 		}
 	}
 	for _, c := range res.counts(e.In) {
 		c.Sent++
 		c.Ends[e.How]++
-		c.Most += e.Class.Worth
+		c.Most += e.Class.PriorityWeight
 		c.Points += points
 		if e.How == "served" {
 			c.Made += int64(e.Out)
@@ -144,7 +144,7 @@
 	}
 	w := &res.Windows[min(len(res.Windows)-1, int(e.SentAt/cmp.Or(res.s.Window, 10_000_000)))]
 	w.Sent++
-	w.Most += e.Class.Worth
+	w.Most += e.Class.PriorityWeight
 	w.Points += points
 	if e.How == "served" {
 		w.Served++
--- a/internal/gateway/attempt.go
+++ b/internal/gateway/attempt.go
@@ -183,7 +183,7 @@
 	case d.Ctx.Err() != nil:
 		return choice.Cancelled
 	case errors.Is(err, socket.ErrSpoilt):
-		return choice.Spoilt
+		return choice.Malformed
 	case errors.Is(err, os.ErrDeadlineExceeded):
 		return choice.TimedOut
 	}
--- a/internal/gateway/contracts.go
+++ b/internal/gateway/contracts.go
@@ -251,7 +251,7 @@
 const shareEvery choice.Micros = 1_000_000
 
 // reported notes what a worker says that it has in hand, beside what was sent there.
-func (l *loop) reported(w *memory.Worker, r *choice.Report) {
+func (l *loop) reported(w *memory.Worker, r *choice.LoadReport) {
 	if l.shares.way == nil || r.Has&choice.HasInFlight == 0 {
 		return
 	}
@@ -300,8 +300,8 @@
 	}
 	v := l.chargeFor(r, 0, &r.Charge)
 	l.notices()
-	if v.Refuse && r.In.Spent > 0 { // admitted once, where it was lost: it goes on, for the least worth
-		r.In.Factor = leastFactor
+	if v.Refuse && r.In.PriorAttempts > 0 { // admitted once, where it was lost: it goes on, for the least worth
+		r.In.PriorityFactor = leastFactor
 		return true
 	}
 	if v.Refuse {
@@ -310,7 +310,7 @@
 		l.requests.Forget(r)
 		return false
 	}
-	r.In.Factor, r.Over, r.Thought = max(leastFactor, v.Worth), v.Over, r.Charge.Thought
+	r.In.PriorityFactor, r.Over, r.Thought = max(leastFactor, v.Worth), v.Over, r.Charge.Thought
 	return true
 }
 
@@ -346,7 +346,7 @@
 // turnedAway tells the book that the module, or the workers, had no room for a
 // request. What ran and failed is no such thing.
 func (l *loop) turnedAway(r *memory.Request) {
-	if l.book == nil || r.In.Factor == 0 {
+	if l.book == nil || r.In.PriorityFactor == 0 {
 		return
 	}
 	for _, d := range r.Attempts {
--- a/internal/gateway/gateway_test.go
+++ b/internal/gateway/gateway_test.go
@@ -109,7 +109,7 @@
 	}
 	l := g.loop
 	l.now = g.clock.now()
-	l.list(socket.List{Instances: []socket.Instance{{ID: "s-1", Addr: "127.0.0.1:1", Zone: "a", Kind: "k", Lifecycle: "ready"}}}, choice.ListSaved)
+	l.list(socket.List{Instances: []socket.Instance{{ID: "s-1", Addr: "127.0.0.1:1", Zone: "a", Kind: "k", Lifecycle: "ready"}}}, choice.ListCached)
 	r := memory.NewRequest(context.Background(), "l1", choice.Request{Class: "chat"}, l.now+1e6, 3)
 	arrived{r, l.g.live.Load(), true}.apply(l)
 	if len(r.Actions) != 1 {
@@ -193,23 +193,23 @@
 		wait   time.Duration
 		want   ended
 	}{
-		"whole":           {script: whole, want: ended{status: choice.Served, kept: 4096, tokens: 200, report: choice.Report{Has: choice.HasService | choice.HasInFlight | choice.HasMemory, ServiceMs: 12.5, InFlight: 7, MemoryShare: 0.4}}},
-		"500":             {script: says("HTTP/1.1 500 Oops\r\nSrv-Load: x0=0.5\r\nContent-Length: 2\r\n\r\nno", true), want: ended{status: choice.Errored, code: 500, report: choice.Report{Has: choice.HasMemory, MemoryShare: 0.5}}},
+		"whole":           {script: whole, want: ended{status: choice.Served, kept: 4096, tokens: 200, report: choice.LoadReport{Has: choice.HasService | choice.HasInFlight | choice.HasMemory, ServiceMs: 12.5, InFlight: 7, MemoryShare: 0.4}}},
+		"500":             {script: says("HTTP/1.1 500 Oops\r\nSrv-Load: x0=0.5\r\nContent-Length: 2\r\n\r\nno", true), want: ended{status: choice.Errored, code: 500, report: choice.LoadReport{Has: choice.HasMemory, MemoryShare: 0.5}}},
 		"503 declined":    {script: says(declined, true), want: ended{status: choice.Shed, code: 503}},
 		"504 declined":    {script: says("HTTP/1.1 504 Over\r\nSrv-Declined: 1\r\nContent-Length: 0\r\n\r\n", true), want: ended{status: choice.Shed, code: 504}},
 		"bare 503":        {script: says("HTTP/1.1 503 Busy\r\nContent-Length: 0\r\n\r\n", true), want: ended{status: choice.Errored, code: 503}},
 		"400":             {script: says("HTTP/1.1 400 No\r\nContent-Length: 0\r\n\r\n", true), want: ended{status: choice.Rejected, code: 400}},
 		"1xx before":      {script: says(info+info+streamHead+chunk(event1)+lastChunk, true), want: ended{status: choice.Served}},
-		"1xx for ever":    {script: says(strings.Repeat(info, 100), true), want: ended{status: choice.Spoilt}},
-		"noise":           {script: says("\x00\x01\x02\x03", true), want: ended{status: choice.Spoilt}},
-		"odd head":        {script: says("HTTP/1.1 two hundred\r\n\r\n", true), want: ended{status: choice.Spoilt}},
-		"long head":       {script: says("HTTP/1.1 200 OK\r\nX: "+strings.Repeat("x", 20<<10), true), want: ended{status: choice.Spoilt}},
-		"endless head":    {script: says("HTTP/1.1 200 OK\r\n", true), want: ended{status: choice.Spoilt}},
-		"odd chunk":       {script: says(streamHead+"five\r\n", true), want: ended{status: choice.Spoilt}},
-		"huge chunk":      {script: says(streamHead+"c0000000\r\n"+event1, true), want: ended{status: choice.Spoilt}},
-		"chunk too short": {script: says(streamHead+"5\r\n"+event1, true), want: ended{status: choice.Spoilt}},
+		"1xx for ever":    {script: says(strings.Repeat(info, 100), true), want: ended{status: choice.Malformed}},
+		"noise":           {script: says("\x00\x01\x02\x03", true), want: ended{status: choice.Malformed}},
+		"odd head":        {script: says("HTTP/1.1 two hundred\r\n\r\n", true), want: ended{status: choice.Malformed}},
+		"long head":       {script: says("HTTP/1.1 200 OK\r\nX: "+strings.Repeat("x", 20<<10), true), want: ended{status: choice.Malformed}},
+		"endless head":    {script: says("HTTP/1.1 200 OK\r\n", true), want: ended{status: choice.Malformed}},
+		"odd chunk":       {script: says(streamHead+"five\r\n", true), want: ended{status: choice.Malformed}},
+		"huge chunk":      {script: says(streamHead+"c0000000\r\n"+event1, true), want: ended{status: choice.Malformed}},
+		"chunk too short": {script: says(streamHead+"5\r\n"+event1, true), want: ended{status: choice.Malformed}},
 		"odd report":      {script: says(streamHead+chunk(event1)+chunk(": Srv-Load: x0=0.5,svc_ms=-1\n\n")+lastChunk, true), want: ended{status: choice.Served}},
-		"not HTTP":        {script: says("hello\r\n\r\n", false), want: ended{status: choice.Spoilt}},
+		"not HTTP":        {script: says("hello\r\n\r\n", false), want: ended{status: choice.Malformed}},
 		"ends unanswered": {script: says("", false), want: ended{status: choice.ConnBroken}},
 		"breaks in head":  {script: says("HTTP/1.1 200 OK\r\nConte", false), want: ended{status: choice.ConnBroken}},
 		"breaks in chunk": {script: says(streamHead+"50\r\ndata", false), want: ended{status: choice.ConnBroken}},
@@ -280,7 +280,7 @@
 			return whole(conn, r)
 		}
 		// A head that does not end is given up after half a second: no second copy by then.
-		g := start(t, func(o *Options) { o.Settings.Classes[0].Aim = 3_000_000 }, newWorker(t, "s-1", firstIsBad), newWorker(t, "s-2", firstIsBad))
+		g := start(t, func(o *Options) { o.Settings.Classes[0].LatencyObjective = 3_000_000 }, newWorker(t, "s-1", firstIsBad), newWorker(t, "s-2", firstIsBad))
 		client := dial(t, g.addr)
 		client.ask("s1", "4000m")
 		body, err := io.ReadAll(client.head().Body)
--- a/internal/gateway/loop.go
+++ b/internal/gateway/loop.go
@@ -78,7 +78,7 @@
 func (l *loop) run(ctx context.Context) {
 	l.now = l.g.clock.now()
 	l.m.Start(l.now)
-	l.list(l.g.o.Known, choice.ListSaved)
+	l.list(l.g.o.Known, choice.ListCached)
 	wake := time.NewTimer(0)
 	defer wake.Stop()
 	for {
@@ -123,7 +123,7 @@
 		return
 	}
 	l.sitesAt = l.now + sitesEvery
-	lost, alone := l.b.LostSites()
+	lost, alone := l.b.UnavailableZones()
 	for _, name := range lost {
 		if !slices.Contains(l.lost, name) {
 			slog.Warn("zone_lost", "zone", name, "isolated", alone)
@@ -212,14 +212,14 @@
 	status choice.Status
 	kept   int
 	tokens int
-	report choice.Report
+	report choice.LoadReport
 	reused bool // over a kept connection
 	code   int  // the answer's status, where it was not 200
 }
 
 var statusWords = map[choice.Status]string{choice.Served: "served", choice.Errored: "error", choice.Shed: "shed",
 	choice.TimedOut: "timeout", choice.ConnectFailed: "connect_failed", choice.ConnBroken: "reset",
-	choice.Cancelled: "cancelled", choice.NotSent: "not_sent", choice.Spoilt: "malformed", choice.Rejected: "rejected"}
+	choice.Cancelled: "cancelled", choice.NotSent: "not_sent", choice.Malformed: "malformed", choice.Rejected: "rejected"}
 
 func (e ended) apply(l *loop) {
 	if !l.requests.Ended(e.d) {
@@ -239,7 +239,7 @@
 			slog.Int("http_status", e.code))
 	}
 	l.m.AttemptEnded(l.now, choice.Outcome{ID: r.ID, Attempt: e.d.N, Replica: e.d.Worker.ID, Status: e.status,
-		Elapsed: l.now - e.d.SentAt, Final: r.Done, Kept: e.kept, Tokens: e.tokens, Report: e.report})
+		Elapsed: l.now - e.d.SentAt, Final: r.Done, CachedTokens: e.kept, OutputTokens: e.tokens, Report: e.report})
 	l.requests.Forget(r)
 }
 
@@ -247,12 +247,12 @@
 	w       *memory.Worker
 	status  choice.Status
 	elapsed choice.Micros
-	report  choice.Report
+	report  choice.LoadReport
 }
 
 func (e probed) apply(l *loop) {
 	l.reported(e.w, &e.report)
-	l.m.ProbeEnded(l.now, choice.Outcome{Replica: e.w.ID, Status: e.status, Elapsed: e.elapsed, Report: e.report})
+	l.m.HealthCheckEnded(l.now, choice.Outcome{Replica: e.w.ID, Status: e.status, Elapsed: e.elapsed, Report: e.report})
 }
 
 // listed is an answer of the registry; failed, the lack of one.
@@ -276,19 +276,19 @@
 	slog.Info("discovery_failed", "err", e.err)
 	kind := choice.ListFailed
 	if e.unreached {
-		kind = choice.ListUnreached
+		kind = choice.ListUnreachable
 	}
 	select { // ordered while the call ran: answered by its failure
 	case <-l.watches:
 	default:
 	}
-	l.m.ListChanged(l.now, choice.ServerList{Kind: kind})
+	l.m.ListChanged(l.now, choice.EndpointList{Kind: kind})
 	close(e.heard)
 }
 
 func (l *loop) list(in socket.List, kind choice.ListKind) {
 	l.take(in, kind, false)
-	if kind != choice.ListSaved && !l.told {
+	if kind != choice.ListCached && !l.told {
 		l.told = true
 		l.g.heard.Store(true)
 		if l.g.o.Orders != nil {
@@ -305,7 +305,7 @@
 	in = l.marked(in, kind)
 	out, left := l.registry.Apply(in, kind, l.g.clock.since)
 	if own {
-		out.Kind = choice.ListOwn
+		out.Kind = choice.ListOverride
 	}
 	for _, key := range left {
 		l.g.pool.CloseIdle(key)
@@ -340,7 +340,7 @@
 	return out
 }
 
-var kindWords = map[choice.ListKind]string{choice.ListDelta: "delta", choice.ListFull: "full", choice.ListSaved: "saved"}
+var kindWords = map[choice.ListKind]string{choice.ListDelta: "delta", choice.ListFull: "full", choice.ListCached: "saved"}
 
 // setReady opens the gateway to the front once a worker can be sent to. The list
 // as last held will do: where all gateways come back at once, the registry has no
@@ -373,7 +373,7 @@
 	r.Actions <- memory.Action{Kind: memory.Begin, Attempt: d}
 }
 
-func (l *loop) Refuse(id choice.RequestID, retryAfter choice.Micros) {
+func (l *loop) Shed(id choice.RequestID, retryAfter choice.Micros) {
 	l.answer(id, memory.Action{Kind: memory.Overload, RetryAfter: retryAfter, Reason: l.whyRefused(id)})
 }
 
@@ -435,22 +435,22 @@
 	heap.Push(&l.timers, timer{at: l.now + delay, token: token})
 }
 
-func (l *loop) Probe(to choice.ReplicaID) {
+func (l *loop) HealthCheck(to choice.ReplicaID) {
 	if w := l.registry.Worker(to); w != nil {
 		go l.g.probe(w)
 	}
 }
 
-func (l *loop) WatchRegistry() {
+func (l *loop) WatchDiscovery() {
 	select {
 	case l.watches <- struct{}{}:
 	default: // one is ordered already
 	}
 }
 
-// TellPeers is never asked for: lifecycle tells the module that gateways here
+// Gossip is never asked for: lifecycle tells the module that gateways here
 // have no way to each other.
-func (l *loop) TellPeers([]byte) {}
+func (l *loop) Gossip([]byte) {}
 
 type timer struct {
 	at    choice.Micros
--- a/internal/gateway/peers_test.go
+++ b/internal/gateway/peers_test.go
@@ -221,9 +221,9 @@
 func options() Options {
 	return Options{Name: "t", Seed: 7, Known: socket.List{Generation: socket.NoVersion},
 		Settings: choice.Settings{Gateways: 1, Zone: "a", Zones: []string{"a"}, Kinds: []string{"k"},
-			Classes: []choice.Class{{Name: "chat", Aim: 1e6, TokenAim: 50_000, Deadline: 4e6, Worth: 1, Stream: true}},
-			Tick:    2000, AskRegistry: true, ReportVia: choice.ReportInline, MayCancel: true, SecondCopies: true, RetryAfter: true, MaxAttempts: 3,
-			MaxRetryAfter: 2e6, StartCapacity: 0.3, FallMultiple: 3, ColdFor: 8e6, FallSpan: 1.5e6, ConnStreams: 1, ConnIdle: 60e6},
+			Classes: []choice.Class{{Name: "chat", LatencyObjective: 1e6, TokenObjective: 50_000, Deadline: 4e6, PriorityWeight: 1, Streaming: true}},
+			Tick:    2000, PollDiscovery: true, ReportSource: choice.ReportInline, MayCancel: true, MayHedge: true, RetryAfter: true, MaxAttempts: 3,
+			MaxRetryAfter: 2e6, InitialCapacity: 0.3, OverloadMultiple: 3, SlowStartFor: 8e6, OverloadWindow: 1.5e6, StreamsPerConn: 1, ConnIdleTimeout: 60e6},
 		MostHeld: 50, ClientConns: 50, SpareConns: 5, WorkerConns: 50, BodyBytes: 8 << 20,
 		ConnectTimeout: time.Second, ConnIdle: 45 * time.Second, ClientIdle: time.Minute, Stall: 4 * time.Second,
 		ProbeTimeout: time.Second, WatchWait: 8 * time.Second, CallTimeout: 2 * time.Second,
