--- a/internal/gateway/probe.go
+++ b/internal/gateway/probe.go
@@ -19,7 +19,7 @@
 // probe asks a worker for its state, and for its load where there are reports.
 func (g *Gateway) probe(w *memory.Worker) {
 	path := socket.LivePath
-	if g.o.Settings.ReportVia != choice.ReportNone {
+	if g.o.Settings.ReportSource != choice.ReportNone {
 		path = socket.StatsPath
 	}
 	start, begin := g.clock.now(), time.Now()
@@ -44,7 +44,7 @@
 	case errors.Is(err, errConnect):
 		e.status = choice.ConnectFailed
 	case err != nil:
-		e.status, e.report = choice.TimedOut, choice.Report{}
+		e.status, e.report = choice.TimedOut, choice.LoadReport{}
 		g.pool.Doubt(w.Key(), begin)
 	}
 	e.elapsed = g.clock.now() - start
--- a/internal/gateway/subset_test.go
+++ b/internal/gateway/subset_test.go
@@ -33,7 +33,7 @@
 	part := map[string]bool{} // by name
 	looked := make(chan struct{})
 	g.loop.post(t.Context(), lookOrder{func(l *loop) {
-		for _, m := range l.b.Workers() {
+		for _, m := range l.b.Endpoints() {
 			part[l.registry.Worker(m.Replica).Instance.ID] = true
 		}
 		close(looked)
--- a/internal/gateway/takeover.go
+++ b/internal/gateway/takeover.go
@@ -35,8 +35,8 @@
 // termsOf tells what a class allows a second run.
 func (g *Gateway) termsOf(class string, v *live) takeover.Terms {
 	c, err := v.class(class)
-	safe := err == nil && c.Effect == choice.Safe
-	return takeover.Terms{Repeat: safe, Beside: safe && g.o.Settings.SecondCopies}
+	safe := err == nil && c.Idempotency == choice.Idempotent
+	return takeover.Terms{Repeat: safe, Beside: safe && g.o.Settings.MayHedge}
 }
 
 // takeUp holds a request, or goes on with one that another gateway had. sentAt is the
@@ -75,7 +75,7 @@
 		return nil, &problem{http.StatusBadGateway, "Req-Rest: " + err.Error()}
 	}
 	h.held, h.granted, h.rest, h.sum = held, true, rest, crc32.NewIEEE()
-	job.Request.Spent = grant.Made
+	job.Request.PriorAttempts = grant.Made
 	if rest.Bytes == 0 { // no first token yet: the first try's wait goes on
 		job.Wait = min(job.Wait, g.clock.now()-sentAt+grant.Left.Microseconds())
 	}
--- a/internal/gateway/version.go
+++ b/internal/gateway/version.go
@@ -40,7 +40,7 @@
 		return true
 	}
 	c, err := v.class(job.Request.Class)
-	return err == nil && first > c.Aim+c.AimPer1000*int64(job.Request.PromptTokens)/1000
+	return err == nil && first > c.LatencyObjective+c.ObjectivePer1000Tokens*int64(job.Request.PromptTokens)/1000
 }
 
 // Files are what holds where a version says nothing: the platform's
@@ -48,9 +48,9 @@
 func (g *Gateway) files() *revision.Config {
 	o := &g.o
 	c := &revision.Config{HasClasses: true, HasTenants: true, HasWorkers: true, Classes: o.Settings.Classes,
-		Attempts:    &revision.Attempts{Most: o.Settings.MaxAttempts, SecondCopies: o.Settings.SecondCopies},
-		Admission:   &revision.Admission{MostHeld: o.MostHeld, OverShareWorth: o.Settings.OverShareWorth, MaxRetryAfter: o.Settings.MaxRetryAfter},
-		Connections: &revision.Connections{Clients: o.ClientConns, Workers: o.WorkerConns, Idle: o.Settings.ConnIdle, ConnectTimeout: o.ConnectTimeout.Microseconds()},
+		Attempts:    &revision.Attempts{Most: o.Settings.MaxAttempts, SecondCopies: o.Settings.MayHedge},
+		Admission:   &revision.Admission{MostHeld: o.MostHeld, OverShareWorth: o.Settings.OverQuotaWeight, MaxRetryAfter: o.Settings.MaxRetryAfter},
+		Connections: &revision.Connections{Clients: o.ClientConns, Workers: o.WorkerConns, Idle: o.Settings.ConnIdleTimeout, ConnectTimeout: o.ConnectTimeout.Microseconds()},
 		Watch:       &revision.Watch{Wait: o.WatchWait.Microseconds(), CallTimeout: o.CallTimeout.Microseconds()}}
 	for _, t := range o.Settings.Tenants {
 		c.Tenants = append(c.Tenants, revision.Tenant{Name: t.Name, QuotaPerS: t.QuotaPerS})
@@ -128,7 +128,7 @@
 		watchWait: us(e.c.Watch.Wait), callTimeout: us(e.c.Watch.CallTimeout)})
 	g.clients.most.Store(int64(e.c.Connections.Clients))
 	// Well below the workers' own limit, as for the files' figure.
-	g.pool.SetLimits(e.c.Connections.Workers, us(s.ConnIdle)*3/4, us(e.c.Connections.ConnectTimeout))
+	g.pool.SetLimits(e.c.Connections.Workers, us(s.ConnIdleTimeout)*3/4, us(e.c.Connections.ConnectTimeout))
 	l.withhold(e.c.Drained(), l.out)
 	if had := l.versioned != nil; had || e.c.HasContracts {
 		if l.versioned = nil; e.c.HasContracts {
@@ -143,11 +143,11 @@
 
 // present is the gateway as a step must fit it.
 func (l *loop) present() *revision.Present {
-	classes, tenants, emptying := l.b.Load()
+	classes, tenants, emptying := l.b.InFlight()
 	p := &revision.Present{Settings: l.b.Settings(), Clients: l.g.clients.count(), Held: l.g.clients.held(),
 		InHand: map[string]revision.InHand{}, Tenants: map[string]int{}, Workers: map[string]revision.WorkerState{}}
 	for name, in := range classes {
-		p.InHand[name] = revision.InHand{Requests: in.Requests, Longest: in.Longest}
+		p.InHand[name] = revision.InHand{Requests: in.Requests, Longest: in.LongestTimeout}
 	}
 	for name, in := range tenants {
 		p.Tenants[name] = in.Requests
@@ -174,12 +174,12 @@
 	out := in
 	out.Instances = make([]socket.Instance, len(in.Instances))
 	for i, w := range in.Instances {
-		if w.State() == choice.MemberGone {
+		if w.State() == choice.EndpointGone {
 			delete(l.truth, w.ID)
 		} else {
 			l.truth[w.ID] = w
 		}
-		if l.withheld(w.ID) && w.State() == choice.MemberReady {
+		if l.withheld(w.ID) && w.State() == choice.EndpointReady {
 			w.Lifecycle = "draining"
 		}
 		out.Instances[i] = w
--- a/internal/gateway/version_test.go
+++ b/internal/gateway/version_test.go
@@ -301,20 +301,20 @@
 	for i := range 1000 {
 		list.Instances = append(list.Instances, socket.Instance{ID: fmt.Sprint("s-", i), Addr: "127.0.0.1:1", Zone: "a", Kind: "k", Lifecycle: "ready"})
 	}
-	l.list(list, choice.ListSaved)
+	l.list(list, choice.ListCached)
 	for i := range 10_000 {
 		r := memory.NewRequest(context.Background(), fmt.Sprint(i), choice.Request{Class: "chat", PromptTokens: 10}, l.now+60e6, 3)
 		arrived{r, l.g.live.Load(), true}.apply(l)
 	}
-	if n := l.b.Figures().Requests; n < 9_000 {
+	if n := l.b.Stats().Requests; n < 9_000 {
 		b.Fatal(n)
 	}
 	limits := revision.DefaultLimits
-	c := &revision.Config{Number: 1, HasClasses: true, Classes: []choice.Class{{Name: "chat", Aim: 1e6, Deadline: 4e6, Worth: 1, Stream: true}}}
+	c := &revision.Config{Number: 1, HasClasses: true, Classes: []choice.Class{{Name: "chat", LatencyObjective: 1e6, Deadline: 4e6, PriorityWeight: 1, Streaming: true}}}
 	done := make(chan revision.Refusals, 1)
 	for b.Loop() {
 		c.Number++
-		c.Classes[0].Worth++
+		c.Classes[0].PriorityWeight++
 		versionOrder{g.whole(c), nil, limits, done}.apply(l)
 		if r := <-done; len(r) > 0 {
 			b.Fatal(r)
@@ -331,7 +331,7 @@
 // whole, or turned away where its class is gone. Nothing of two versions meets in one request.
 func TestVersionMeetsARequest(t *testing.T) {
 	version := func(name string, deadline uint64) *revision.Config {
-		c := choice.Class{Name: name, Aim: 1_000_000, Deadline: choice.Micros(deadline), Worth: 1, Stream: true}
+		c := choice.Class{Name: name, LatencyObjective: 1_000_000, Deadline: choice.Micros(deadline), PriorityWeight: 1, Streaming: true}
 		return &revision.Config{HasClasses: true, Classes: []choice.Class{c}}
 	}
 	for name, c := range map[string]struct {
--- a/internal/gateway/watch_test.go
+++ b/internal/gateway/watch_test.go
@@ -23,9 +23,9 @@
 	off bool
 }
 
-func (o *orders) ListChanged(_ choice.Micros, l choice.ServerList) {
+func (o *orders) ListChanged(_ choice.Micros, l choice.EndpointList) {
 	if l.Kind.Failed() && !o.off {
-		o.l.WatchRegistry()
+		o.l.WatchDiscovery()
 	}
 }
 
@@ -47,13 +47,13 @@
 	g.loop.m = m
 	l.(*net.TCPListener).SetDeadline(time.Now().Add(5 * time.Second))
 	go g.watch(t.Context()) // the test stands for the loop
-	g.loop.WatchRegistry()
+	g.loop.WatchDiscovery()
 	for i := range 3 { // no more calls than were ordered, nor fewer
 		c, err := l.Accept()
 		if err != nil {
 			t.Fatal(err)
 		}
-		g.loop.WatchRegistry() // while the call runs: void
+		g.loop.WatchDiscovery() // while the call runs: void
 		c.Close()
 		e := (<-g.loop.events).(listFailed)
 		if i == 2 {
@@ -79,7 +79,7 @@
 	l := g.loop
 	l.now = g.clock.now()
 	l.list(socket.List{Instances: []socket.Instance{{ID: "s-1", Addr: "127.0.0.1:1", Zone: "a", Kind: "k", Lifecycle: "ready"},
-		{ID: "s-2", Addr: "127.0.0.1:2", Zone: "a", Kind: "k", Lifecycle: "ready"}}}, choice.ListSaved)
+		{ID: "s-2", Addr: "127.0.0.1:2", Zone: "a", Kind: "k", Lifecycle: "ready"}}}, choice.ListCached)
 	ctx := t.Context()
 	r := memory.NewRequest(ctx, "w1", choice.Request{Class: "chat"}, l.now+4e6, 3)
 	arrived{r, l.g.live.Load(), true}.apply(l)
--- a/internal/incident/watch.go
+++ b/internal/incident/watch.go
@@ -65,7 +65,7 @@
 type count struct{ all, bad int }
 
 type worker struct {
-	state  choice.MemberState
+	state  choice.EndpointState
 	usual  float64 // first-token time against the class's usual, slowly followed
 	seen   float64
 	ratios [spans]struct{ sum, n float64 }
@@ -106,16 +106,16 @@
 }
 
 // Listed takes news of the fleet.
-func (w *Watch) Listed(now choice.Micros, l choice.ServerList) {
+func (w *Watch) Listed(now choice.Micros, l choice.EndpointList) {
 	if l.Kind.Failed() {
 		return
 	}
-	if l.Kind.Whole() {
+	if l.Kind.Complete() {
 		for _, k := range w.workers {
-			k.state = choice.MemberGone
+			k.state = choice.EndpointGone
 		}
 	}
-	for _, m := range l.Members {
+	for _, m := range l.Endpoints {
 		k := w.workers[m.Replica]
 		if k == nil {
 			k = &worker{}
@@ -124,13 +124,13 @@
 		k.state = m.State
 	}
 	for id, k := range w.workers {
-		if k.state == choice.MemberGone && k.seen == 0 {
+		if k.state == choice.EndpointGone && k.seen == 0 {
 			delete(w.workers, id)
 		}
 	}
-	if len(w.workers) > 2*len(l.Members)+1024 { // those gone for good
+	if len(w.workers) > 2*len(l.Endpoints)+1024 { // those gone for good
 		for id, k := range w.workers {
-			if k.state == choice.MemberGone {
+			if k.state == choice.EndpointGone {
 				delete(w.workers, id)
 			}
 		}
@@ -140,7 +140,7 @@
 // Arrived takes a request on.
 func (w *Watch) Arrived(now choice.Micros, in choice.Request) {
 	c := w.classes[in.Class]
-	w.inHand[in.ID] = &request{class: c.Name, aim: now + c.Aim + c.AimPer1000*int64(in.PromptTokens)/1000, deadline: now + in.TimeLeft}
+	w.inHand[in.ID] = &request{class: c.Name, aim: now + c.LatencyObjective + c.ObjectivePer1000Tokens*int64(in.PromptTokens)/1000, deadline: now + in.TimeLeft}
 }
 
 // Dispatched takes the order of an attempt.
@@ -150,7 +150,7 @@
 			return w.trigger(Attempts, "request %d had %d attempts, %d are allowed", id, r.attempts, w.attempts)
 		}
 	}
-	if k := w.workers[to]; k != nil && k.state != choice.MemberReady {
+	if k := w.workers[to]; k != nil && k.state != choice.EndpointReady {
 		return w.trigger(Draining, "an attempt of request %d was ordered to worker %d, told as draining or gone", id, to)
 	}
 	return ""
--- a/internal/incident/watch_test.go
+++ b/internal/incident/watch_test.go
@@ -14,8 +14,8 @@
 	if change != nil {
 		change(&s)
 	}
-	w := New(s, choice.Settings{MaxAttempts: 3, Classes: []choice.Class{{Name: "chat", Aim: sec, Deadline: 4 * sec}}})
-	w.Listed(0, choice.ServerList{Kind: choice.ListFull, Members: []choice.Member{{Replica: 1}, {Replica: 2}, {Replica: 3}}})
+	w := New(s, choice.Settings{MaxAttempts: 3, Classes: []choice.Class{{Name: "chat", LatencyObjective: sec, Deadline: 4 * sec}}})
+	w.Listed(0, choice.EndpointList{Kind: choice.ListFull, Endpoints: []choice.Endpoint{{Replica: 1}, {Replica: 2}, {Replica: 3}}})
 	return w
 }
 
@@ -108,7 +108,7 @@
 	if why := w.Answered(4*sec-1000, 1); !strings.HasPrefix(why, Near) {
 		t.Errorf("near: %q", why)
 	}
-	w.Listed(sec, choice.ServerList{Kind: choice.ListDelta, Members: []choice.Member{{Replica: 2, State: choice.MemberDraining}}})
+	w.Listed(sec, choice.EndpointList{Kind: choice.ListDelta, Endpoints: []choice.Endpoint{{Replica: 2, State: choice.EndpointDraining}}})
 	w.Arrived(sec, choice.Request{ID: 2, Class: "chat", TimeLeft: 4 * sec})
 	if why := w.Dispatched(sec, 2, 2); !strings.HasPrefix(why, Draining) {
 		t.Errorf("draining: %q", why)
--- a/internal/lifecycle/config.go
+++ b/internal/lifecycle/config.go
@@ -263,14 +263,14 @@
 	o.ConnectTimeout = time.Duration(extra.Limits.ConnectTimeoutUs) * time.Microsecond
 	// Well below the workers' own limit: what is written to a connection that
 	// they have closed is lost with it.
-	o.ConnIdle = time.Duration(o.Settings.ConnIdle) * time.Microsecond * 3 / 4
+	o.ConnIdle = time.Duration(o.Settings.ConnIdleTimeout) * time.Microsecond * 3 / 4
 	o.ConnRest = connRest
 	o.ClientIdle = 15 * time.Second
 	o.Stall = 4 * time.Second
 	o.ProbeTimeout = 250 * time.Millisecond
 	o.AskWithin = time.Duration(extra.Rules.AskWithinUs) * time.Microsecond
 	o.WatchWait, o.CallTimeout = waits(&o.Settings, o.AskWithin)
-	o.Settings.WatchWait = o.WatchWait.Microseconds()
+	o.Settings.WatchInterval = o.WatchWait.Microseconds()
 	o.DrainAccept = drainAccept
 	return c, nil
 }
@@ -278,7 +278,7 @@
 // waits is how long discovery may hold a call for news, and how much longer its answer may
 // take. A watch that has fallen silent is noticed after both together.
 func waits(s *choice.Settings, askWithin time.Duration) (wait, answer time.Duration) {
-	if s.ListsPushed { // the agent is on this machine and its answers cost nothing
+	if s.LocalDiscovery { // the agent is on this machine and its answers cost nothing
 		return time.Second, 500 * time.Millisecond
 	}
 	// Longer than discovery has calls wait for their turn: a caller that leaves its queue
@@ -315,10 +315,10 @@
 		return wrong("settings.limits.maxAttempts", "expected 1 to 100, got %d", s.MaxAttempts)
 	case s.Tick < 0:
 		return wrong("settings.tickUs", "expected 0 or more, got %d", s.Tick)
-	case s.ConnIdle <= 0:
-		return wrong("settings.limits.connIdleUs", "expected above 0, got %d", s.ConnIdle)
-	case s.ColdFor > 0 && !(s.StartCapacity > 0 && s.StartCapacity <= 1):
-		return wrong("settings.rules.startCapacity", "expected above 0 and at most 1, got %v", s.StartCapacity)
+	case s.ConnIdleTimeout <= 0:
+		return wrong("settings.limits.connIdleUs", "expected above 0, got %d", s.ConnIdleTimeout)
+	case s.SlowStartFor > 0 && !(s.InitialCapacity > 0 && s.InitialCapacity <= 1):
+		return wrong("settings.rules.startCapacity", "expected above 0 and at most 1, got %v", s.InitialCapacity)
 	case s.Zone != "" && len(s.Zones) > 0 && !slices.Contains(s.Zones, s.Zone):
 		return wrong("settings.zone", "expected one of the zones %q, got %q", s.Zones, s.Zone)
 	case len(s.Classes) == 0:
@@ -327,7 +327,7 @@
 	for _, p := range []struct {
 		key   string
 		price float64
-	}{{"crossZone", s.PriceCrossZone}, {"handshake", s.PriceHandshake}, {"probe", s.PriceProbe}} {
+	}{{"crossZone", s.CrossZoneCost}, {"handshake", s.HandshakeCost}, {"probe", s.HealthCheckCost}} {
 		if !(p.price >= 0 && p.price <= 1) {
 			return wrong("settings.penalties."+p.key, "expected a share of a request's worth from 0 to 1, got %v", p.price)
 		}
@@ -341,21 +341,21 @@
 			return wrong(key+".name", "%q is named twice", c.Name)
 		case c.Deadline <= 0:
 			return wrong(key+".deadlineUs", "expected above 0, got %d", c.Deadline)
-		case c.Aim < 0 || c.Aim > c.Deadline:
-			return wrong(key+".targetUs", "expected 0 to the deadline %d, got %d", c.Deadline, c.Aim)
-		case !(c.Worth >= 0):
-			return wrong(key+".points", "expected 0 or more, got %v", c.Worth)
-		case !(c.LateWorth >= 0 && c.LateWorth <= 1):
-			return wrong(key+".lateShare", "expected 0 to 1, got %v", c.LateWorth)
+		case c.LatencyObjective < 0 || c.LatencyObjective > c.Deadline:
+			return wrong(key+".targetUs", "expected 0 to the deadline %d, got %d", c.Deadline, c.LatencyObjective)
+		case !(c.PriorityWeight >= 0):
+			return wrong(key+".points", "expected 0 or more, got %v", c.PriorityWeight)
+		case !(c.LateWeightShare >= 0 && c.LateWeightShare <= 1):
+			return wrong(key+".lateShare", "expected 0 to 1, got %v", c.LateWeightShare)
 		}
 	}
 	// limits.retryAfter binds the simulator's wire; on sockets the protocol
 	// allows the header, and clients are to be told when to come back.
 	s.RetryAfter = s.MaxRetryAfter > 0
 	// On sockets discovery speaks only when asked, be it itself or its agent on this machine.
-	s.AskRegistry = true
+	s.PollDiscovery = true
 	// Gateways have no way to talk to each other here.
-	s.MayTellPeers = false
+	s.MayGossip = false
 	return nil
 }
 
--- a/internal/lifecycle/config_test.go
+++ b/internal/lifecycle/config_test.go
@@ -65,10 +65,10 @@
 	if o.CallTimeout <= 2*time.Second || o.WatchWait+o.CallTimeout > o.AskWithin {
 		t.Errorf("calls end after %v, watches after %v, asked within %v", o.CallTimeout, o.WatchWait, o.AskWithin)
 	}
-	if !o.Settings.RetryAfter || !o.Settings.AskRegistry || o.Settings.MayTellPeers || len(o.Known.Instances) != 1 || o.Known.Generation != 0 {
+	if !o.Settings.RetryAfter || !o.Settings.PollDiscovery || o.Settings.MayGossip || len(o.Known.Instances) != 1 || o.Known.Generation != 0 {
 		t.Errorf("%+v", o)
 	}
-	want := choice.Class{Name: "chat", Aim: 1e6, Deadline: 3e6, Stream: true}
+	want := choice.Class{Name: "chat", LatencyObjective: 1e6, Deadline: 3e6, Streaming: true}
 	if diff := cmp.Diff(want, o.Settings.Classes[0]); diff != "" {
 		t.Error(diff)
 	}
--- a/internal/lifecycle/run.go
+++ b/internal/lifecycle/run.go
@@ -105,7 +105,7 @@
 		index = s.Self
 	}
 	return subset.Settings{Most: c.Most, Index: index, Gateways: s.Gateways, Zone: s.Zone, Remote: c.Remote,
-		Weighted: s.Weights == choice.WeightNominal, ColdFor: s.ColdFor}
+		Weighted: s.WeightKind == choice.WeightNominal, ColdFor: s.SlowStartFor}
 }
 
 // link opens the way to the other gateways, if there is one; nil: there is none.
--- a/internal/memory/memory_test.go
+++ b/internal/memory/memory_test.go
@@ -68,10 +68,10 @@
 	conversions := int64(0)
 	since := func(ms int64) choice.Micros { conversions++; return ms*1000 + conversions }
 	r := NewRegistry()
-	apply := func(kind choice.ListKind, in ...socket.Instance) (map[choice.ReplicaID]choice.MemberState, []string) {
+	apply := func(kind choice.ListKind, in ...socket.Instance) (map[choice.ReplicaID]choice.EndpointState, []string) {
 		out, left := r.Apply(socket.List{Instances: in}, kind, since)
-		states := map[choice.ReplicaID]choice.MemberState{}
-		for _, m := range out.Members {
+		states := map[choice.ReplicaID]choice.EndpointState{}
+		for _, m := range out.Endpoints {
 			states[m.Replica] = m.State
 		}
 		slices.Sort(left)
@@ -81,22 +81,22 @@
 	for i, step := range []struct {
 		kind  choice.ListKind
 		in    []socket.Instance
-		want  map[choice.ReplicaID]choice.MemberState
+		want  map[choice.ReplicaID]choice.EndpointState
 		left  []string
 		ready int
 	}{
-		{choice.ListSaved, []socket.Instance{entry("a", "ready", 0), entry("b", "ready", 50)},
-			map[choice.ReplicaID]choice.MemberState{a: choice.MemberReady, b: choice.MemberReady}, nil, 2},
+		{choice.ListCached, []socket.Instance{entry("a", "ready", 0), entry("b", "ready", 50)},
+			map[choice.ReplicaID]choice.EndpointState{a: choice.EndpointReady, b: choice.EndpointReady}, nil, 2},
 		{choice.ListDelta, []socket.Instance{entry("a", "draining", 0)},
-			map[choice.ReplicaID]choice.MemberState{a: choice.MemberDraining}, nil, 1},
+			map[choice.ReplicaID]choice.EndpointState{a: choice.EndpointDraining}, nil, 1},
 		{choice.ListDelta, []socket.Instance{entry("a", "gone", 0), entry("never", "gone", 0)},
-			map[choice.ReplicaID]choice.MemberState{a: choice.MemberGone}, []string{"a@127.0.0.1:a/0"}, 1},
+			map[choice.ReplicaID]choice.EndpointState{a: choice.EndpointGone}, []string{"a@127.0.0.1:a/0"}, 1},
 		{choice.ListDelta, []socket.Instance{entry("b", "ready", 50)},
-			map[choice.ReplicaID]choice.MemberState{b: choice.MemberReady}, nil, 1},
+			map[choice.ReplicaID]choice.EndpointState{b: choice.EndpointReady}, nil, 1},
 		{choice.ListDelta, []socket.Instance{entry("b", "ready", 60)}, // it restarted: its connections are dead
-			map[choice.ReplicaID]choice.MemberState{b: choice.MemberReady}, []string{"b@127.0.0.1:b/50"}, 1},
+			map[choice.ReplicaID]choice.EndpointState{b: choice.EndpointReady}, []string{"b@127.0.0.1:b/50"}, 1},
 		{choice.ListFull, []socket.Instance{entry("a", "odd word", 0)},
-			map[choice.ReplicaID]choice.MemberState{a: choice.MemberDraining}, []string{"b@127.0.0.1:b/60"}, 0},
+			map[choice.ReplicaID]choice.EndpointState{a: choice.EndpointDraining}, []string{"b@127.0.0.1:b/60"}, 0},
 	} {
 		got, left := apply(step.kind, step.in...)
 		if diff := cmp.Diff(step.want, got); diff != "" {
--- a/internal/memory/registry.go
+++ b/internal/memory/registry.go
@@ -85,8 +85,8 @@
 // workers have left behind, by their end or a restart. sinceOf converts a
 // start in Unix milliseconds; it is asked once for each start, because a worker
 // whose start seems to move by a few microseconds would seem to start anew.
-func (r *Registry) Apply(l socket.List, kind choice.ListKind, sinceOf func(int64) choice.Micros) (choice.ServerList, []string) {
-	out := choice.ServerList{Kind: kind, Version: l.Generation}
+func (r *Registry) Apply(l socket.List, kind choice.ListKind, sinceOf func(int64) choice.Micros) (choice.EndpointList, []string) {
+	out := choice.EndpointList{Kind: kind, Version: l.Generation}
 	r.version = l.Generation
 	if kind == choice.ListDelta && r.plain(l) {
 		return r.change(l, out, sinceOf)
@@ -102,7 +102,7 @@
 	for _, in := range l.Instances {
 		w := newWorker(in, old[in.ID], sinceOf)
 		changed[in.ID] = w
-		if w.State() == choice.MemberGone {
+		if w.State() == choice.EndpointGone {
 			delete(next, in.ID)
 		} else {
 			next[in.ID] = w
@@ -120,15 +120,15 @@
 		out.Kind, changed = choice.ListFull, next // numbers changed hands: tell everything
 	}
 	for id, w := range changed {
-		if w.State() == choice.MemberGone {
+		if w.State() == choice.EndpointGone {
 			if old[id] == nil {
 				continue
 			}
 			w.ID = old[id].ID
 		}
-		out.Members = append(out.Members, w.member())
+		out.Endpoints = append(out.Endpoints, w.member())
 	}
-	sortMembers(out.Members)
+	sortMembers(out.Endpoints)
 	return out, left
 }
 
@@ -149,7 +149,7 @@
 	} else {
 		w.gate = new(atomic.Bool)
 	}
-	w.gate.Store(w.State() == choice.MemberReady)
+	w.gate.Store(w.State() == choice.EndpointReady)
 	return w
 }
 
@@ -161,12 +161,12 @@
 }
 
 // member is the module's form of the worker.
-func (w *Worker) member() choice.Member {
-	return choice.Member{Replica: w.ID, State: w.State(), Weight: w.Weight, Cell: w.Cell, Kind: w.Kind, Zone: w.Zone, Since: w.Since}
+func (w *Worker) member() choice.Endpoint {
+	return choice.Endpoint{Replica: w.ID, State: w.State(), Weight: w.Weight, Cell: w.Cell, Kind: w.Kind, Zone: w.Zone, StartedAt: w.Since}
 }
 
-func sortMembers(list []choice.Member) {
-	slices.SortFunc(list, func(a, b choice.Member) int { return int(int64(a.Replica) - int64(b.Replica)) })
+func sortMembers(list []choice.Endpoint) {
+	slices.SortFunc(list, func(a, b choice.Endpoint) int { return int(int64(a.Replica) - int64(b.Replica)) })
 }
 
 // plain tells whether changes can be entered one by one: no two names share a number, before or after.
@@ -189,7 +189,7 @@
 }
 
 // change enters changes one by one: what it takes follows the changes and not the list.
-func (r *Registry) change(l socket.List, out choice.ServerList, sinceOf func(int64) choice.Micros) (choice.ServerList, []string) {
+func (r *Registry) change(l socket.List, out choice.EndpointList, sinceOf func(int64) choice.Micros) (choice.EndpointList, []string) {
 	before := map[string]*Worker{} // as they were, of those that change
 	after := map[string]*Worker{}
 	for _, in := range l.Instances {
@@ -210,24 +210,24 @@
 			was.leave()
 		}
 		if now != nil || was != nil {
-			out.Members = append(out.Members, after[name].member())
+			out.Endpoints = append(out.Endpoints, after[name].member())
 		}
 	}
-	sortMembers(out.Members)
+	sortMembers(out.Endpoints)
 	return out, left
 }
 
 // put has a worker take the place of what was there under its name.
 func (r *Registry) put(was, w *Worker) {
-	if was != nil && was.State() == choice.MemberReady {
+	if was != nil && was.State() == choice.EndpointReady {
 		r.ready--
 	}
-	if w.State() == choice.MemberGone {
+	if w.State() == choice.EndpointGone {
 		delete(r.workers, w.Instance.ID)
 		delete(r.byID, w.ID)
 		return
 	}
-	if w.State() == choice.MemberReady {
+	if w.State() == choice.EndpointReady {
 		r.ready++
 	}
 	r.workers[w.Instance.ID] = w
@@ -257,7 +257,7 @@
 		moved = moved || old[name] != nil && old[name].ID != id
 		w.ID = id
 		r.byID[id] = w
-		if w.State() == choice.MemberReady {
+		if w.State() == choice.EndpointReady {
 			r.ready++
 		}
 		if id != replicaID(name, 0) {
--- a/internal/replay/drive_test.go
+++ b/internal/replay/drive_test.go
@@ -17,12 +17,12 @@
 	return choice.Settings{
 		Gateways: 3, Zone: "a", Zones: []string{"a", "b"}, Kinds: []string{"k", "l"},
 		Classes: []choice.Class{
-			{Name: "chat", Aim: sec / 2, TokenAim: 50_000, Deadline: 3 * sec, Worth: 2, LateWorth: 0.3, Stream: true},
-			{Name: "agent", Aim: sec, AimPer1000: 60_000, TokenAim: 60_000, Deadline: 4 * sec, Worth: 3, Stream: true}},
-		Tenants:   []choice.Tenant{{Name: "t1", QuotaPerS: 20}, {Name: "t2", QuotaPerS: 10}},
-		ReportVia: choice.ReportInline, Tick: 2000, AskRegistry: true, MayProbe: true, MayCancel: true, SecondCopies: true, RetryAfter: true,
-		MaxAttempts: 3, MaxRetryAfter: 2 * sec, StartCapacity: 0.3, FallMultiple: 3, ColdFor: 8 * sec,
-		FallSpan: 3 * sec / 2, ConnStreams: 1, ConnIdle: 60 * sec, OverShareWorth: 0.05, PriceCrossZone: 0.02, PriceHandshake: 0.02, PriceProbe: 0.002,
+			{Name: "chat", LatencyObjective: sec / 2, TokenObjective: 50_000, Deadline: 3 * sec, PriorityWeight: 2, LateWeightShare: 0.3, Streaming: true},
+			{Name: "agent", LatencyObjective: sec, ObjectivePer1000Tokens: 60_000, TokenObjective: 60_000, Deadline: 4 * sec, PriorityWeight: 3, Streaming: true}},
+		Tenants:      []choice.Tenant{{Name: "t1", QuotaPerS: 20}, {Name: "t2", QuotaPerS: 10}},
+		ReportSource: choice.ReportInline, Tick: 2000, PollDiscovery: true, MayHealthCheck: true, MayCancel: true, MayHedge: true, RetryAfter: true,
+		MaxAttempts: 3, MaxRetryAfter: 2 * sec, InitialCapacity: 0.3, OverloadMultiple: 3, SlowStartFor: 8 * sec,
+		OverloadWindow: 3 * sec / 2, StreamsPerConn: 1, ConnIdleTimeout: 60 * sec, OverQuotaWeight: 0.05, CrossZoneCost: 0.02, HandshakeCost: 0.02, HealthCheckCost: 0.002,
 	}
 }
 
@@ -95,18 +95,18 @@
 // begin starts the module with a fleet.
 func (h *host) begin(workers int) {
 	h.m.Start(h.now)
-	var all []choice.Member
+	var all []choice.Endpoint
 	for i := range workers {
-		all = append(all, member(i, choice.MemberReady, 0))
+		all = append(all, member(i, choice.EndpointReady, 0))
 	}
-	h.m.ListChanged(h.now, choice.ServerList{Kind: choice.ListSaved, Members: all})
-	h.m.ListChanged(h.now, choice.ServerList{Kind: choice.ListFull, Version: 1, Members: all})
+	h.m.ListChanged(h.now, choice.EndpointList{Kind: choice.ListCached, Endpoints: all})
+	h.m.ListChanged(h.now, choice.EndpointList{Kind: choice.ListFull, Version: 1, Endpoints: all})
 	h.after(sec/2, h.churn(workers))
 }
 
-func member(i int, state choice.MemberState, since choice.Micros) choice.Member {
-	return choice.Member{Replica: choice.ReplicaID(1000 + i*17), State: state, Weight: 1, Kind: []string{"k", "l"}[i%2], Zone: []string{"a", "b"}[i%3%2],
-		Cell: int64(i), Since: since}
+func member(i int, state choice.EndpointState, since choice.Micros) choice.Endpoint {
+	return choice.Endpoint{Replica: choice.ReplicaID(1000 + i*17), State: state, Weight: 1, Kind: []string{"k", "l"}[i%2], Zone: []string{"a", "b"}[i%3%2],
+		Cell: int64(i), StartedAt: since}
 }
 
 // churn drains, replaces and fails to hear of workers.
@@ -116,14 +116,14 @@
 		i := h.rng.IntN(workers)
 		switch h.rng.IntN(5) {
 		case 0:
-			h.m.ListChanged(h.now, choice.ServerList{Kind: choice.ListDelta, Members: []choice.Member{member(i, choice.MemberDraining, 0)}})
+			h.m.ListChanged(h.now, choice.EndpointList{Kind: choice.ListDelta, Endpoints: []choice.Endpoint{member(i, choice.EndpointDraining, 0)}})
 		case 1:
-			h.m.ListChanged(h.now, choice.ServerList{Kind: choice.ListDelta, Members: []choice.Member{member(i, choice.MemberGone, 0)}})
+			h.m.ListChanged(h.now, choice.EndpointList{Kind: choice.ListDelta, Endpoints: []choice.Endpoint{member(i, choice.EndpointGone, 0)}})
 		case 2:
-			h.m.ListChanged(h.now, choice.ServerList{Kind: choice.ListFailed})
+			h.m.ListChanged(h.now, choice.EndpointList{Kind: choice.ListFailed})
 			h.reconfigure()
 		default:
-			h.m.ListChanged(h.now, choice.ServerList{Kind: choice.ListDelta, Members: []choice.Member{member(i, choice.MemberReady, h.now-sec)}})
+			h.m.ListChanged(h.now, choice.EndpointList{Kind: choice.ListDelta, Endpoints: []choice.Endpoint{member(i, choice.EndpointReady, h.now-sec)}})
 		}
 		h.told()
 		h.after(choice.Micros(h.rng.ExpFloat64()*0.7e6), next)
@@ -135,8 +135,8 @@
 func (h *host) reconfigure() {
 	s := settings()
 	h.versions++
-	s.MaxAttempts, s.OverShareWorth = 1+h.rng.IntN(3), h.rng.Float64()
-	s.Classes[h.rng.IntN(2)].Aim = sec/4 + choice.Micros(h.rng.IntN(1_000_000))
+	s.MaxAttempts, s.OverQuotaWeight = 1+h.rng.IntN(3), h.rng.Float64()
+	s.Classes[h.rng.IntN(2)].LatencyObjective = sec/4 + choice.Micros(h.rng.IntN(1_000_000))
 	if h.rng.IntN(3) == 0 {
 		s.Classes = s.Classes[h.rng.IntN(2):][:1]
 	}
@@ -186,8 +186,8 @@
 	}
 }
 
-func (h *host) report() choice.Report {
-	return choice.Report{Has: choice.HasMemory | choice.HasInFlight | choice.HasService, MemoryShare: h.rng.Float64(), InFlight: float64(h.rng.IntN(9)),
+func (h *host) report() choice.LoadReport {
+	return choice.LoadReport{Has: choice.HasMemory | choice.HasInFlight | choice.HasService, MemoryShare: h.rng.Float64(), InFlight: float64(h.rng.IntN(9)),
 		ServiceMs: 50 + 200*h.rng.Float64()}
 }
 
@@ -195,7 +195,7 @@
 	r, sent := h.open[id], h.now
 	n := len(r.ended)
 	r.ended = append(r.ended, false)
-	end := func(status choice.Status, report choice.Report, kept int) {
+	end := func(status choice.Status, report choice.LoadReport, kept int) {
 		if r.ended[n] {
 			return
 		}
@@ -205,17 +205,17 @@
 		} else if r.bound >= 0 {
 			status = choice.Cancelled
 		}
-		h.m.AttemptEnded(h.now, choice.Outcome{ID: id, Attempt: n, Replica: to, Status: status, Elapsed: h.now - sent, Final: r.done, Kept: kept,
-			Tokens: 40, Report: report})
+		h.m.AttemptEnded(h.now, choice.Outcome{ID: id, Attempt: n, Replica: to, Status: status, Elapsed: h.now - sent, Final: r.done, CachedTokens: kept,
+			OutputTokens: 40, Report: report})
 		h.told()
 	}
 	first := choice.Micros(h.slow * (50_000 + h.rng.ExpFloat64()*200_000))
 	switch h.rng.IntN(12) {
 	case 0:
 		status := choice.Status(h.rng.IntN(10))
-		h.after(first, func() { end(status, choice.Report{}, 0) })
+		h.after(first, func() { end(status, choice.LoadReport{}, 0) })
 	case 1:
-		h.after(cutAt-h.now, func() { end(choice.TimedOut, choice.Report{}, 0) })
+		h.after(cutAt-h.now, func() { end(choice.TimedOut, choice.LoadReport{}, 0) })
 	default:
 		h.after(first, func() {
 			if r.ended[n] || r.done || r.bound >= 0 || h.now > cutAt {
@@ -236,8 +236,8 @@
 	h.open[id].done = true
 }
 
-func (h *host) Refuse(id choice.RequestID, _ choice.Micros) { h.answer(id) }
-func (h *host) Fail(id choice.RequestID)                    { h.answer(id) }
+func (h *host) Shed(id choice.RequestID, _ choice.Micros) { h.answer(id) }
+func (h *host) Fail(id choice.RequestID)                  { h.answer(id) }
 
 func (h *host) Cancel(id choice.RequestID, n int) {
 	r := h.open[id]
@@ -265,15 +265,15 @@
 	}
 }
 
-func (h *host) Probe(to choice.ReplicaID) {
+func (h *host) HealthCheck(to choice.ReplicaID) {
 	h.after(3000, func() {
-		h.m.ProbeEnded(h.now, choice.Outcome{Replica: to, Status: choice.Served, Elapsed: 3000, Report: h.report()})
+		h.m.HealthCheckEnded(h.now, choice.Outcome{Replica: to, Status: choice.Served, Elapsed: 3000, Report: h.report()})
 		h.told()
 	})
 }
 
-func (h *host) TellPeers([]byte) {}
-func (h *host) WatchRegistry()   {}
+func (h *host) Gossip([]byte)   {}
+func (h *host) WatchDiscovery() {}
 
 func limits(dir string) capture.Limits {
 	return capture.Limits{Directory: dir, Gateway: "g1", Build: "test", Queue: 4, Wait: true, KeepSize: 1 << 40, KeepAge: 1000 * time.Hour,
--- a/internal/replay/explain.go
+++ b/internal/replay/explain.go
@@ -12,9 +12,9 @@
 	pb "archknot/internal/capture/capturepb"
 )
 
-func sortedTerms(t []choice.Terms) []choice.Terms {
+func sortedTerms(t []choice.ScoreBreakdown) []choice.ScoreBreakdown {
 	out := slices.Clone(t)
-	slices.SortStableFunc(out, func(a, b choice.Terms) int { return cmp.Compare(a.Score, b.Score) })
+	slices.SortStableFunc(out, func(a, b choice.ScoreBreakdown) int { return cmp.Compare(a.Score, b.Score) })
 	return out
 }
 
@@ -41,14 +41,14 @@
 			return
 		}
 		found = true
-		f := s.Module.Figures()
+		f := s.Module.Stats()
 		fmt.Fprintf(out, "%s %s event %d: %s\n", Clock(run, s.At), run.Wall(s.At).Format("15:04:05.000000"), s.Number, s.Names.Event(s.Record))
 		if s.Record.Kind == pb.Kind_KIND_ARRIVED {
 			limit := "none"
-			if f.OpenLimit > 0 {
-				limit = fmt.Sprintf("%.0f", f.OpenLimit)
+			if f.TokenLimit > 0 {
+				limit = fmt.Sprintf("%.0f", f.TokenLimit)
 			}
-			fmt.Fprintf(out, "  in hand: %d requests, %.0f tokens open, limit %s, late share %.3f\n", f.Requests, f.OpenTokens, limit, f.Late)
+			fmt.Fprintf(out, "  in hand: %d requests, %.0f tokens open, limit %s, late share %.3f\n", f.Requests, f.InFlightTokens, limit, f.LateShare)
 		}
 		for _, k := range s.Picks {
 			explainPick(s.Names, &k, out)
@@ -73,27 +73,27 @@
 		fmt.Fprintf(out, "  chose %s: the only one that may take it\n", n.Worker(uint32(k.Own)))
 	case len(terms) > 1:
 		a, b := terms[0], terms[1]
-		fmt.Fprintf(out, "  chose %s, predicted %.1f; next is %s with %.1f (%.1f%% more): %s\n", n.Worker(uint32(a.Worker)), a.Score,
-			n.Worker(uint32(b.Worker)), b.Score, 100*(b.Score/a.Score-1), why(a, b))
+		fmt.Fprintf(out, "  chose %s, predicted %.1f; next is %s with %.1f (%.1f%% more): %s\n", n.Worker(uint32(a.Replica)), a.Score,
+			n.Worker(uint32(b.Replica)), b.Score, 100*(b.Score/a.Score-1), why(a, b))
 	}
 	io.WriteString(out, k.Table(n))
 }
 
 // why names the term that sets the chosen worker apart from the next most.
-func why(a, b choice.Terms) string {
-	held := func(t choice.Terms) float64 {
-		return (1-t.Fresh)*(t.Peers+t.Charge) + t.Fresh*(t.Reported+t.Unseen) + t.Noise
+func why(a, b choice.ScoreBreakdown) string {
+	held := func(t choice.ScoreBreakdown) float64 {
+		return (1-t.ReportWeight)*(t.PeerLoad+t.LedgerLoad) + t.ReportWeight*(t.Reported+t.Unreported) + t.Noise
 	}
-	read := func(t choice.Terms) float64 { return t.Read * (t.Prompt - t.Kept) }
+	read := func(t choice.ScoreBreakdown) float64 { return t.PrefillCost * (t.PromptTokens - t.CachedTokens) }
 	best, gain := "", 0.0
 	for _, c := range []struct {
 		what string
 		gain float64
 	}{
-		{fmt.Sprintf("it has %.0f prompt tokens less to read", (read(b)-read(a))/a.Read), (read(b) - read(a)) * b.Guard},
-		{fmt.Sprintf("it holds %.0f tokens less", held(b)-held(a)), b.Slow * (held(b) - held(a)) * b.Guard},
-		{fmt.Sprintf("it is faster (%.2f against %.2f)", a.Slow, b.Slow), (b.Slow - a.Slow) * (held(a) + a.Hold) * b.Guard},
-		{fmt.Sprintf("less stands against it (guard %.3f against %.3f)", a.Guard, b.Guard), (b.Guard - a.Guard) * (a.Slow*(held(a)+a.Hold) + read(a))},
+		{fmt.Sprintf("it has %.0f prompt tokens less to read", (read(b)-read(a))/a.PrefillCost), (read(b) - read(a)) * b.Penalty},
+		{fmt.Sprintf("it holds %.0f tokens less", held(b)-held(a)), b.Slowness * (held(b) - held(a)) * b.Penalty},
+		{fmt.Sprintf("it is faster (%.2f against %.2f)", a.Slowness, b.Slowness), (b.Slowness - a.Slowness) * (held(a) + a.RequestTokens) * b.Penalty},
+		{fmt.Sprintf("less stands against it (guard %.3f against %.3f)", a.Penalty, b.Penalty), (b.Penalty - a.Penalty) * (a.Slowness*(held(a)+a.RequestTokens) + read(a))},
 	} {
 		if c.gain > gain {
 			best, gain = c.what, c.gain
--- a/internal/replay/names.go
+++ b/internal/replay/names.go
@@ -84,7 +84,7 @@
 
 var statusWords = [...]string{choice.Served: "served", choice.Errored: "error", choice.Shed: "declined", choice.TimedOut: "timeout",
 	choice.ConnectFailed: "connect_failed", choice.ConnBroken: "reset", choice.Cancelled: "cancelled", choice.NotSent: "not_sent",
-	choice.Spoilt: "spoilt", choice.Rejected: "rejected"}
+	choice.Malformed: "spoilt", choice.Rejected: "rejected"}
 
 func statusWord(s uint32) string {
 	if int(s) < len(statusWords) {
@@ -181,8 +181,8 @@
 		bit  uint8
 		name string
 		v    float64
-	}{{choice.HasMemory, "memory", r.MemoryShare}, {choice.HasUnread, "unread_k", r.UnreadK}, {choice.HasInFlight, "in_flight", r.InFlight},
-		{choice.HasQueued, "queued", r.Queued}, {choice.HasService, "service_ms", r.ServiceMs}, {choice.HasUtil, "util", r.Util}} {
+	}{{choice.HasMemory, "memory", r.MemoryShare}, {choice.HasPrefillBacklog, "unread_k", r.UnreadK}, {choice.HasInFlight, "in_flight", r.InFlight},
+		{choice.HasQueued, "queued", r.Queued}, {choice.HasService, "service_ms", r.ServiceMs}, {choice.HasUtilization, "util", r.Util}} {
 		if uint8(r.Has)&f.bit != 0 {
 			fmt.Fprintf(&b, "%s%s=%.4g", sep, f.name, f.v)
 			sep = ","
--- a/internal/replay/perturb.go
+++ b/internal/replay/perturb.go
@@ -77,7 +77,7 @@
 	todo schedule
 	seq  uint64
 
-	workers  map[choice.ReplicaID]choice.MemberState
+	workers  map[choice.ReplicaID]choice.EndpointState
 	open     map[choice.RequestID]*play
 	outcomes map[uint32][]*pb.Outcome // recorded ends, by the recorded request
 	firsts   map[uint32][]*pb.Outcome
@@ -139,7 +139,7 @@
 // module remembers stays bounded. Equal seeds harm alike.
 func Perturb(run *capture.Run, kinds map[Perturbation]bool, seed uint64) (res *PerturbResult, err error) {
 	w := &world{res: &PerturbResult{Faults: []string{}}, kind: kinds, rng: rand.New(rand.NewPCG(seed, 1)), most: run.Settings.MaxAttempts,
-		workers: map[choice.ReplicaID]choice.MemberState{}, open: map[choice.RequestID]*play{}, outcomes: map[uint32][]*pb.Outcome{},
+		workers: map[choice.ReplicaID]choice.EndpointState{}, open: map[choice.RequestID]*play{}, outcomes: map[uint32][]*pb.Outcome{},
 		firsts: map[uint32][]*pb.Outcome{}, late: map[uint32][]*pb.Report{}, mid: run.Begin() + (run.End()-run.Begin())/2}
 	entries, err := w.read(run)
 	if err != nil {
@@ -161,8 +161,8 @@
 	// on its way.
 	w.quiet = true
 	w.until(w.now + 120_000_000)
-	if f := w.b.Figures(); f.Requests > 0 || f.Open > 0 {
-		w.fault("%d requests and %d attempts remembered after all has ended", f.Requests, f.Open)
+	if f := w.b.Stats(); f.Requests > 0 || f.LedgerEntries > 0 {
+		w.fault("%d requests and %d attempts remembered after all has ended", f.Requests, f.LedgerEntries)
 	}
 	for id, p := range w.open {
 		if !p.answered {
@@ -229,14 +229,14 @@
 			return err
 		}
 		w.b, w.most = b, max(w.most, settings.MaxAttempts)
-		for _, m := range b.Workers() {
+		for _, m := range b.Endpoints() {
 			w.workers[m.Replica] = m.State
 		}
 		for _, t := range rec.Checkpoint.Timers {
 			w.after(t.AtUs-w.now, func() { w.b.TimerFired(w.now, t.Token) })
 		}
 		// What is in hand at the beginning is over: its workers say nothing more.
-		for _, id := range b.InHand() {
+		for _, id := range b.InFlightRequests() {
 			w.open[id] = &play{recorded: uint32(id), bound: -1, answered: true}
 			b.ClientGone(w.now, id)
 		}
@@ -244,13 +244,13 @@
 		return nil
 	case pb.Kind_KIND_LIST:
 		l := rec.List
-		if choice.ListKind(l.Kind).Whole() {
+		if choice.ListKind(l.Kind).Complete() {
 			for id := range w.workers {
-				w.workers[id] = choice.MemberGone
+				w.workers[id] = choice.EndpointGone
 			}
 		}
 		for _, m := range l.Members {
-			w.workers[choice.ReplicaID(m.Worker)] = choice.MemberState(m.State)
+			w.workers[choice.ReplicaID(m.Worker)] = choice.EndpointState(m.State)
 		}
 	case pb.Kind_KIND_ARRIVED:
 		id := choice.RequestID(rec.Request)
@@ -280,7 +280,7 @@
 
 // endOld ends the attempts that were out at the beginning.
 func (w *world) endOld(b *choice.Balancer) {
-	for _, id := range b.InHand() {
+	for _, id := range b.InFlightRequests() {
 		for n := range w.most {
 			b.AttemptEnded(w.now, choice.Outcome{ID: id, Attempt: n, Status: choice.Cancelled, Final: true})
 		}
@@ -313,13 +313,13 @@
 
 // bounds checks what the module remembers.
 func (w *world) bounds() {
-	f := w.b.Figures()
+	f := w.b.Stats()
 	w.res.MostHeld = max(w.res.MostHeld, f.Requests)
 	if f.Sessions > 4096 || f.Prefixes > 1024+1 {
 		w.fault("%d sessions and %d prefixes remembered", f.Sessions, f.Prefixes)
 	}
-	if f.Open > f.Requests*w.most {
-		w.fault("%d attempts open for %d requests", f.Open, f.Requests)
+	if f.LedgerEntries > f.Requests*w.most {
+		w.fault("%d attempts open for %d requests", f.LedgerEntries, f.Requests)
 	}
 }
 
@@ -340,7 +340,7 @@
 		w.fault("an attempt for request %d, which has its answer", id)
 	case len(p.attempts) > w.most:
 		w.fault("attempt %d for request %d: %d are allowed", n, id, w.most)
-	case w.workers[to] != choice.MemberReady:
+	case w.workers[to] != choice.EndpointReady:
 		w.fault("an attempt to worker %d, told as draining or gone", to)
 	}
 	w.answerLater(id, p, n, a, cutAt)
@@ -358,7 +358,7 @@
 	out := choice.Outcome{ID: id, Attempt: n, Replica: a.worker}
 	if o != nil {
 		status, elapsed = choice.Status(o.Status), o.ElapsedUs
-		out.Kept, out.Tokens = int(o.Kept), int(o.Tokens)
+		out.CachedTokens, out.OutputTokens = int(o.Kept), int(o.Tokens)
 		out.Report = w.report(o)
 	}
 	first = elapsed / 4
@@ -369,11 +369,11 @@
 		status = choice.Served
 	}
 	if w.kind[VoidPrompts] && w.now >= w.mid {
-		out.Kept = 0
+		out.CachedTokens = 0
 		first += first / 2
 	}
 	if w.kind[Lost] && w.rng.Float64() < 0.1 {
-		status = [...]choice.Status{choice.ConnBroken, choice.Errored, choice.ConnectFailed, choice.Shed, choice.Spoilt}[w.rng.IntN(5)]
+		status = [...]choice.Status{choice.ConnBroken, choice.Errored, choice.ConnectFailed, choice.Shed, choice.Malformed}[w.rng.IntN(5)]
 		first = elapsed + 1
 	}
 	if w.kind[LateEnds] && w.rng.Float64() < 0.3 {
@@ -389,7 +389,7 @@
 		w.after(cutAt-w.now, func() {
 			if !a.begun {
 				o := out
-				o.Status, o.Kept, o.Tokens, o.Report = choice.TimedOut, 0, 0, choice.Report{}
+				o.Status, o.CachedTokens, o.OutputTokens, o.Report = choice.TimedOut, 0, 0, choice.LoadReport{}
 				w.end(p, n, a, o)
 			}
 		})
@@ -398,7 +398,7 @@
 
 // report is that of a recorded outcome, or with LateReports an earlier one of the
 // same worker, in no order.
-func (w *world) report(o *pb.Outcome) choice.Report {
+func (w *world) report(o *pb.Outcome) choice.LoadReport {
 	r := o.Report
 	if w.kind[LateReports] && r != nil {
 		kept := append(w.late[o.Worker], r)
@@ -460,8 +460,8 @@
 	*count++
 }
 
-func (w *world) Refuse(id choice.RequestID, _ choice.Micros) { w.answer(id, &w.res.Refused) }
-func (w *world) Fail(id choice.RequestID)                    { w.answer(id, &w.res.Failed) }
+func (w *world) Shed(id choice.RequestID, _ choice.Micros) { w.answer(id, &w.res.Refused) }
+func (w *world) Fail(id choice.RequestID)                  { w.answer(id, &w.res.Failed) }
 
 func (w *world) Cancel(id choice.RequestID, n int) {
 	p := w.open[id]
@@ -480,12 +480,12 @@
 	w.after(delay, func() { w.b.TimerFired(w.now, token) })
 }
 
-func (w *world) Probe(to choice.ReplicaID) {
+func (w *world) HealthCheck(to choice.ReplicaID) {
 	w.after(2000, func() {
-		w.b.ProbeEnded(w.now, choice.Outcome{Replica: to, Status: choice.Served, Elapsed: 2000})
+		w.b.HealthCheckEnded(w.now, choice.Outcome{Replica: to, Status: choice.Served, Elapsed: 2000})
 	})
 }
 
-func (w *world) TellPeers([]byte) {}
+func (w *world) Gossip([]byte) {}
 
-func (w *world) WatchRegistry() {}
+func (w *world) WatchDiscovery() {}
--- a/internal/replay/replay.go
+++ b/internal/replay/replay.go
@@ -49,7 +49,7 @@
 	Request  choice.RequestID
 	Own      choice.ReplicaID
 	Any      bool
-	Terms    []choice.Terms
+	Terms    []choice.ScoreBreakdown
 	Excluded []Excluded
 }
 
@@ -232,7 +232,7 @@
 	if p.ledger, err = capture.RestoreLedger(c); err != nil {
 		return err
 	}
-	b.SetJudge(p)
+	b.SetInterceptor(p)
 	p.b, p.adrift = b, false
 	return nil
 }
@@ -357,7 +357,7 @@
 	return own // turned away in the record: the pick finds no dispatch
 }
 
-func (p *player) Again(id choice.RequestID, own bool) bool {
+func (p *player) Retry(id choice.RequestID, own bool) bool {
 	p.res.Decisions++
 	if !own && p.recorded(id) >= 0 {
 		p.differ(KindAgain, uint32(id), 0, "no further attempt", "a further attempt", nil)
@@ -366,7 +366,7 @@
 	return own
 }
 
-func (p *player) Pick(id choice.RequestID, own choice.ReplicaID, any bool, weighed []choice.Terms) (choice.ReplicaID, bool) {
+func (p *player) Pick(id choice.RequestID, own choice.ReplicaID, any bool, weighed []choice.ScoreBreakdown) (choice.ReplicaID, bool) {
 	p.res.Decisions++
 	explain := p.o.Explain != nil && p.o.Explain(p.names, p.rec)
 	var kept *Pick
@@ -410,15 +410,15 @@
 	return keep()
 }
 
-func (p *player) pick(id choice.RequestID, own choice.ReplicaID, any bool, weighed []choice.Terms) *Pick {
-	k := &Pick{Request: id, Own: own, Any: any, Terms: append([]choice.Terms(nil), weighed...)}
+func (p *player) pick(id choice.RequestID, own choice.ReplicaID, any bool, weighed []choice.ScoreBreakdown) *Pick {
+	k := &Pick{Request: id, Own: own, Any: any, Terms: append([]choice.ScoreBreakdown(nil), weighed...)}
 	in := map[choice.ReplicaID]bool{}
 	for _, t := range weighed {
-		in[t.Worker] = true
+		in[t.Replica] = true
 	}
-	for _, m := range p.b.Workers() {
+	for _, m := range p.b.Endpoints() {
 		if !in[m.Replica] {
-			k.Excluded = append(k.Excluded, Excluded{m.Replica, p.b.WhyNot(p.now, id, m.Replica)})
+			k.Excluded = append(k.Excluded, Excluded{m.Replica, p.b.ExclusionReason(p.now, id, m.Replica)})
 		}
 	}
 	return k
@@ -503,7 +503,7 @@
 func (p *player) Dispatch(id choice.RequestID, to choice.ReplicaID, cutAt choice.Micros) {
 	p.order(pb.Action_DISPATCH, id, to, cutAt)
 }
-func (p *player) Refuse(id choice.RequestID, after choice.Micros) {
+func (p *player) Shed(id choice.RequestID, after choice.Micros) {
 	p.order(pb.Action_REFUSE, id, 0, after)
 }
 func (p *player) Fail(id choice.RequestID) { p.order(pb.Action_FAIL, id, 0, 0) }
@@ -513,9 +513,9 @@
 func (p *player) SetTimer(delay choice.Micros, token uint64) {
 	p.order(pb.Action_SET_TIMER, 0, 0, delay).Token = token
 }
-func (p *player) Probe(to choice.ReplicaID) { p.order(pb.Action_PROBE, 0, to, 0) }
-func (p *player) TellPeers(body []byte)     { p.order(pb.Action_TELL_PEERS, 0, 0, 0).Body = body }
-func (p *player) WatchRegistry()            { p.order(pb.Action_WATCH_REGISTRY, 0, 0, 0) }
+func (p *player) HealthCheck(to choice.ReplicaID) { p.order(pb.Action_PROBE, 0, to, 0) }
+func (p *player) Gossip(body []byte)              { p.order(pb.Action_TELL_PEERS, 0, 0, 0).Body = body }
+func (p *player) WatchDiscovery()                 { p.order(pb.Action_WATCH_REGISTRY, 0, 0, 0) }
 
 // unlike names the first field in which two states differ.
 func unlike(own, recorded []byte) string {
@@ -583,17 +583,17 @@
 		"own", "noise", "fresh", "slow", "hold", "prompt", "kept", "guard")
 	for _, t := range sortedTerms(k.Terms) {
 		mark := ""
-		if k.Any && t.Worker == k.Own {
+		if k.Any && t.Replica == k.Own {
 			mark = " <- chosen"
 		}
-		if t.Holder {
+		if t.ServedSession {
 			mark += " (had the session)"
 		}
-		if t.Home {
+		if t.HomeReplica {
 			mark += " (home)"
 		}
-		fmt.Fprintf(&b, "  %-16s %12.1f %9.1f %9.1f %9.1f %9.1f %9.1f %9.4f %6.2f %8.1f %8.0f %8.1f %6.3f%s\n", n.Worker(uint32(t.Worker)), t.Score,
-			t.Reported, t.Unseen, t.Peers, t.Charge, t.Noise, t.Fresh, t.Slow, t.Hold, t.Prompt, t.Kept, t.Guard, mark)
+		fmt.Fprintf(&b, "  %-16s %12.1f %9.1f %9.1f %9.1f %9.1f %9.1f %9.4f %6.2f %8.1f %8.0f %8.1f %6.3f%s\n", n.Worker(uint32(t.Replica)), t.Score,
+			t.Reported, t.Unreported, t.PeerLoad, t.LedgerLoad, t.Noise, t.ReportWeight, t.Slowness, t.RequestTokens, t.PromptTokens, t.CachedTokens, t.Penalty, mark)
 	}
 	for _, e := range k.Excluded {
 		fmt.Fprintf(&b, "  %-16s not weighed: %s\n", n.Worker(uint32(e.Worker)), e.Why)
--- a/internal/replay/replay_test.go
+++ b/internal/replay/replay_test.go
@@ -65,14 +65,14 @@
 func TestChangedModuleIsFlagged(t *testing.T) {
 	run, _, _ := recorded(t, 8, 0, 20)
 	changed := map[string]func(*choice.Settings){
-		"price":    func(s *choice.Settings) { s.PriceCrossZone = 0.5 },
+		"price":    func(s *choice.Settings) { s.CrossZoneCost = 0.5 },
 		"attempts": func(s *choice.Settings) { s.MaxAttempts = 1 },
-		"copies":   func(s *choice.Settings) { s.SecondCopies = false },
-		"worth":    func(s *choice.Settings) { s.OverShareWorth = 1 },
+		"copies":   func(s *choice.Settings) { s.MayHedge = false },
+		"worth":    func(s *choice.Settings) { s.OverQuotaWeight = 1 },
 		"advice":   func(s *choice.Settings) { s.MaxRetryAfter = 1000 },
 		"aim": func(s *choice.Settings) {
 			s.Classes = append([]choice.Class(nil), s.Classes...)
-			s.Classes[0].Aim = sec / 4
+			s.Classes[0].LatencyObjective = sec / 4
 		},
 	}
 	want := map[string]string{"price": KindPick, "attempts": KindPick, "copies": KindPick, "advice": KindAdvice, "aim": KindTimer}
@@ -109,7 +109,7 @@
 	}
 	// Only what the filter lets through counts.
 	other := *run
-	other.Settings.PriceCrossZone = 0.5
+	other.Settings.CrossZoneCost = 0.5
 	f, err := ParseFilter("class == agent")
 	if err != nil {
 		t.Fatal(err)
@@ -322,7 +322,7 @@
 	h := newHost(t, 13, 1000)
 	h.begin(10)
 	h.run(5, 80)
-	if h.b.Figures().Open < 5 {
+	if h.b.Stats().LedgerEntries < 5 {
 		t.Fatal("nothing is open")
 	}
 	w, err := capture.NewWriter(limits(dir))
--- a/internal/revision/bench_test.go
+++ b/internal/revision/bench_test.go
@@ -11,7 +11,7 @@
 func BenchmarkCheck(b *testing.B) {
 	for _, tenants := range []int{10, 100, 1000} {
 		b.Run(fmt.Sprint(tenants), func(b *testing.B) {
-			c := &Config{Number: 1, HasClasses: true, HasTenants: true, Classes: []choice.Class{{Name: "chat", Aim: 1e6, Deadline: 4e6, Worth: 1, Stream: true}}}
+			c := &Config{Number: 1, HasClasses: true, HasTenants: true, Classes: []choice.Class{{Name: "chat", LatencyObjective: 1e6, Deadline: 4e6, PriorityWeight: 1, Streaming: true}}}
 			for i := range tenants {
 				c.Tenants = append(c.Tenants, Tenant{Name: fmt.Sprintf("tenant-%04d", i)})
 			}
--- a/internal/revision/config.go
+++ b/internal/revision/config.go
@@ -272,20 +272,20 @@
 		}
 		seen[k.Name] = true
 		span(TypeClass, k.Name, "deadline_us", k.Deadline, 1000)
-		span(TypeClass, k.Name, "aim_us", k.Aim, 0)
-		span(TypeClass, k.Name, "aim_per_1000_us", k.AimPer1000, 0)
-		span(TypeClass, k.Name, "token_aim_us", k.TokenAim, 0)
-		span(TypeClass, k.Name, "repeats_kept_us", k.RepeatsKept, 0)
-		if k.Aim > k.Deadline {
+		span(TypeClass, k.Name, "aim_us", k.LatencyObjective, 0)
+		span(TypeClass, k.Name, "aim_per_1000_us", k.ObjectivePer1000Tokens, 0)
+		span(TypeClass, k.Name, "token_aim_us", k.TokenObjective, 0)
+		span(TypeClass, k.Name, "repeats_kept_us", k.DedupWindow, 0)
+		if k.LatencyObjective > k.Deadline {
 			r.add(TypeClass, k.Name, "aim_us", "longer than the deadline, %d us", k.Deadline)
 		}
-		if !(k.Worth >= 0 && k.Worth <= 1e6) {
-			r.add(TypeClass, k.Name, "worth", "expected 0 to 1000000, got %v", k.Worth)
+		if !(k.PriorityWeight >= 0 && k.PriorityWeight <= 1e6) {
+			r.add(TypeClass, k.Name, "worth", "expected 0 to 1000000, got %v", k.PriorityWeight)
 		}
-		if !(k.LateWorth >= 0 && k.LateWorth <= 1) {
-			r.add(TypeClass, k.Name, "late_worth", "expected 0 to 1, got %v", k.LateWorth)
+		if !(k.LateWeightShare >= 0 && k.LateWeightShare <= 1) {
+			r.add(TypeClass, k.Name, "late_worth", "expected 0 to 1, got %v", k.LateWeightShare)
 		}
-		if k.Effect > choice.Unsafe || k.Scope > choice.ScopeCell {
+		if k.Idempotency > choice.NonIdempotent || k.DedupScope > choice.DedupCell {
 			r.add(TypeClass, k.Name, "effect, scope", "not known")
 		}
 	}
@@ -350,7 +350,7 @@
 
 // WorkerState is a worker as the registry and earlier marks have it.
 type WorkerState struct {
-	Registry choice.MemberState
+	Registry choice.EndpointState
 	Marked   bool // drained by a mark
 	// Emptying is how many own attempts are still out on a worker that drains.
 	Emptying int
@@ -413,7 +413,7 @@
 			case w.Mark != MarkServe:
 			case !known:
 				r.add(TypeWorker, w.Name, "mark", "brought back, but the registry's list does not have it")
-			case s.Registry != choice.MemberReady:
+			case s.Registry != choice.EndpointReady:
 				r.add(TypeWorker, w.Name, "mark", "brought back, but the registry says that it drains or is gone")
 			case s.Marked && s.Emptying > 0:
 				r.add(TypeWorker, w.Name, "mark", "brought back while it empties: %d attempts are out on it", s.Emptying)
@@ -471,7 +471,7 @@
 		drained[w.Name] = w.Mark == MarkDrain
 	}
 	for name, s := range p.Workers {
-		if s.Registry == choice.MemberReady && !drained[name] {
+		if s.Registry == choice.EndpointReady && !drained[name] {
 			n++
 		}
 	}
@@ -493,15 +493,15 @@
 		slices.SortFunc(s.Tenants, func(a, b choice.Tenant) int { return cmp.Compare(a.Name, b.Name) })
 	}
 	if a := c.Attempts; a != nil {
-		s.MaxAttempts, s.SecondCopies = a.Most, a.SecondCopies && base.SecondCopies
-		s.HedgeShare, s.RetryShare = a.HedgeShare, a.RetryShare
+		s.MaxAttempts, s.MayHedge = a.Most, a.SecondCopies && base.MayHedge
+		s.HedgeRatio, s.RetryRatio = a.HedgeShare, a.RetryShare
 	}
 	if a := c.Admission; a != nil {
-		s.OverShareWorth, s.MaxRetryAfter = a.OverShareWorth, a.MaxRetryAfter
+		s.OverQuotaWeight, s.MaxRetryAfter = a.OverShareWorth, a.MaxRetryAfter
 		s.RetryAfter = s.MaxRetryAfter > 0
 	}
 	if n := c.Connections; n != nil {
-		s.ConnIdle = n.Idle
+		s.ConnIdleTimeout = n.Idle
 	}
 	return s
 }
--- a/internal/revision/model_test.go
+++ b/internal/revision/model_test.go
@@ -63,7 +63,7 @@
 		if !s.whole[n] || n%4 == 0 || s.never[n] {
 			s.t.Fatalf("version %d ordered: whole=%t never=%t", n, s.whole[n], s.never[n])
 		}
-		if !c.HasClasses || c.Classes[0].Worth != float64(n) || c.Attempts == nil {
+		if !c.HasClasses || c.Classes[0].PriorityWeight != float64(n) || c.Attempts == nil {
 			s.t.Fatalf("version %d ordered in part: %+v", n, c)
 		}
 	}
@@ -146,7 +146,7 @@
 		}
 		class := func(n Number) {
 			s.receive(Response{Type: TypeClass, Version: fmt.Sprint(TypeClass, n), Part: &Part{Fill: func(c *Config) {
-				c.HasClasses, c.Classes = true, []choice.Class{{Name: "chat", Deadline: sec, Worth: float64(n)}}
+				c.HasClasses, c.Classes = true, []choice.Class{{Name: "chat", Deadline: sec, PriorityWeight: float64(n)}}
 			}}})
 		}
 		attempts := func(n Number) {
@@ -251,7 +251,7 @@
 // What is wrong is told by resource, field and reason, all of it at once.
 func TestCheckTellsAll(t *testing.T) {
 	c := &Config{Number: 3, Stage: Stage{FirstPercent: 101, Hold: -1, WorseBy: 2}, HasClasses: true, HasTenants: true, HasWorkers: true,
-		Classes: []choice.Class{{Name: "chat", Aim: 5 * sec, Deadline: 3 * sec, Worth: -1, LateWorth: 2}, {Name: "chat", Deadline: 0}, {Effect: 9, Deadline: sec}},
+		Classes: []choice.Class{{Name: "chat", LatencyObjective: 5 * sec, Deadline: 3 * sec, PriorityWeight: -1, LateWeightShare: 2}, {Name: "chat", Deadline: 0}, {Idempotency: 9, Deadline: sec}},
 		Tenants: []Tenant{{Name: "a", Share: 0.6}, {Name: "b", Share: 0.5, QuotaPerS: -1}, {Name: "b"}}, Workers: []Mark{{Name: ""}, {Name: "w", Mark: 7}},
 		Attempts: &Attempts{Most: 4, HedgeShare: 2}, Admission: &Admission{MostHeld: 0, OverShareWorth: 2, MaxRetryAfter: -1},
 		Connections: &Connections{Clients: 800, Workers: 800, Idle: 0, ConnectTimeout: 0}, Watch: &Watch{Wait: 0, CallTimeout: 1 << 60},
@@ -276,10 +276,10 @@
 func TestSteps(t *testing.T) {
 	present := func() *Present {
 		return &Present{Settings: choice.Settings{Classes: []choice.Class{{Name: "chat", Deadline: 3 * sec}, {Name: "docs", Deadline: 3 * sec}}}, Held: 5, Clients: 7, InHand: map[string]InHand{"chat": {3, 3 * sec}, "docs": {0, 0}}, Tenants: map[string]int{"a": 2},
-			Workers: map[string]WorkerState{"s-1": {Registry: choice.MemberReady}, "s-2": {Registry: choice.MemberDraining}, "s-3": {Registry: choice.MemberReady, Marked: true, Emptying: 2},
-				"s-4": {Registry: choice.MemberReady, Marked: true}}}
+			Workers: map[string]WorkerState{"s-1": {Registry: choice.EndpointReady}, "s-2": {Registry: choice.EndpointDraining}, "s-3": {Registry: choice.EndpointReady, Marked: true, Emptying: 2},
+				"s-4": {Registry: choice.EndpointReady, Marked: true}}}
 	}
-	chat := choice.Class{Name: "chat", Aim: sec, Deadline: 3 * sec}
+	chat := choice.Class{Name: "chat", LatencyObjective: sec, Deadline: 3 * sec}
 	short := chat
 	short.Deadline = 2 * sec
 	for name, c := range map[string]struct {
--- a/internal/revision/sim_test.go
+++ b/internal/revision/sim_test.go
@@ -252,7 +252,7 @@
 func version(n Number) *published {
 	return &published{number: n, types: map[Type]string{TypeClass: fmt.Sprint("c", n), TypeAttempts: fmt.Sprint("a", n)}, fill: func(c *Config) {
 		c.HasClasses = true
-		c.Classes = []choice.Class{{Name: "chat", Aim: sec, Deadline: 3 * sec, Worth: float64(n)}}
+		c.Classes = []choice.Class{{Name: "chat", LatencyObjective: sec, Deadline: 3 * sec, PriorityWeight: float64(n)}}
 		c.Attempts = &Attempts{Most: 1 + int(n%3), SecondCopies: true}
 	}}
 }
@@ -354,7 +354,7 @@
 		for _, g := range f.gates {
 			connected = connected && len(g.history) > 0
 			// Whole: what is applied is what the version says.
-			if g.force.Classes[0].Worth != float64(last.number) || g.force.Attempts.Most != 1+int(last.number%3) {
+			if g.force.Classes[0].PriorityWeight != float64(last.number) || g.force.Attempts.Most != 1+int(last.number%3) {
 				t.Errorf("seed %d: %s has version %d in part: %+v", seed, g.name, g.force.Number, g.force)
 			}
 			for _, n := range g.applied {
--- a/internal/site/forecast/forecast.go
+++ b/internal/site/forecast/forecast.go
@@ -193,7 +193,7 @@
 		if len(refused) == 0 {
 			continue
 		}
-		f.Order = append(f.Order, Class{Name: c.Name, PerS: per, Work: 1000 * work / per, PerWork: c.Worth / (work / per), Calm: ranged(shares(calm, c.Name)).Mean,
+		f.Order = append(f.Order, Class{Name: c.Name, PerS: per, Work: 1000 * work / per, PerWork: c.PriorityWeight / (work / per), Calm: ranged(shares(calm, c.Name)).Mean,
 			Served: ranged(shares(lost, c.Name)), Refused: ranged(refused), Late: ranged(late).Mean})
 	}
 	slices.SortFunc(f.Order, func(a, b Class) int { return cmp.Compare(a.PerWork, b.PerWork) })
@@ -288,7 +288,7 @@
 	var parts []part
 	worth := map[string]float64{}
 	for _, c := range s.Settings.Classes {
-		worth[c.Name] = c.Worth
+		worth[c.Name] = c.PriorityWeight
 	}
 	asked, served := 0.0, 0.0
 	for i := range s.Streams {
--- a/internal/subset/bench_test.go
+++ b/internal/subset/bench_test.go
@@ -17,9 +17,9 @@
 			for i := range b.N {
 				m := members[i/2%len(members)]
 				if i%2 == 0 {
-					m.State = choice.MemberDraining
+					m.State = choice.EndpointDraining
 				}
-				v.Apply(2*second, choice.ServerList{Kind: choice.ListDelta, Members: []choice.Member{m}})
+				v.Apply(2*second, choice.EndpointList{Kind: choice.ListDelta, Endpoints: []choice.Endpoint{m}})
 			}
 		})
 	}
--- a/internal/subset/cold_test.go
+++ b/internal/subset/cold_test.go
@@ -23,15 +23,15 @@
 	}{{60, 240, 80, 1, 40, 400}, {60, 240, 80, 3, 40, 400}, {30, 90, 1, 3, 20, 900}, {12, 400, 390, 2, 50, 1200}} {
 		t.Run(fmt.Sprintf("%+v", c), func(t *testing.T) {
 			t.Parallel()
-			s := choice.Settings{Gateways: c.gateways, Kinds: []string{"k"}, MaxAttempts: 2, MayCancel: true, ReportVia: choice.ReportInline,
-				Classes: []choice.Class{{Name: "chat", Aim: second, Deadline: 10 * second, Worth: 1, Stream: true}}, ConnStreams: 1, ConnIdle: 45 * second,
-				StartCapacity: 0.3, FallMultiple: 3, ColdFor: 9 * second, FallSpan: 3 * second / 2, Tick: 2000}
+			s := choice.Settings{Gateways: c.gateways, Kinds: []string{"k"}, MaxAttempts: 2, MayCancel: true, ReportSource: choice.ReportInline,
+				Classes: []choice.Class{{Name: "chat", LatencyObjective: second, Deadline: 10 * second, PriorityWeight: 1, Streaming: true}}, StreamsPerConn: 1, ConnIdleTimeout: 45 * second,
+				InitialCapacity: 0.3, OverloadMultiple: 3, SlowStartFor: 9 * second, OverloadWindow: 3 * second / 2, Tick: 2000}
 			start := 100 * second
-			var list []choice.Member
+			var list []choice.Endpoint
 			for i := range c.replicas {
-				m := choice.Member{Replica: choice.ReplicaID(i + 1), State: choice.MemberReady, Weight: 1, Kind: "k", Zone: fmt.Sprint("z", i%c.zones), Since: 1}
+				m := choice.Endpoint{Replica: choice.ReplicaID(i + 1), State: choice.EndpointReady, Weight: 1, Kind: "k", Zone: fmt.Sprint("z", i%c.zones), StartedAt: 1}
 				if i < c.cold {
-					m.Since = start
+					m.StartedAt = start
 				}
 				list = append(list, m)
 			}
@@ -43,15 +43,15 @@
 				if err != nil {
 					t.Fatal(err)
 				}
-				v := subset.NewView(subset.Settings{Most: c.most, Index: self, Gateways: c.gateways, Zone: s.Zone, Remote: subset.DefaultRemote, ColdFor: s.ColdFor}, m)
+				v := subset.NewView(subset.Settings{Most: c.most, Index: self, Gateways: c.gateways, Zone: s.Zone, Remote: subset.DefaultRemote, ColdFor: s.SlowStartFor}, m)
 				m.Start(start)
-				m.ListChanged(start, v.Apply(start, choice.ServerList{Kind: choice.ListSaved, Members: list}))
+				m.ListChanged(start, v.Apply(start, choice.EndpointList{Kind: choice.ListCached, Endpoints: list}))
 				rng := rand.New(rand.NewPCG(uint64(self), 5))
 				now, id := float64(start), choice.RequestID(0)
 				for tick := start; ; {
 					now += rng.ExpFloat64() * 1e6 * float64(c.gateways) / c.rate
 					at := choice.Micros(now)
-					if at >= start+s.ColdFor {
+					if at >= start+s.SlowStartFor {
 						break
 					}
 					for ; tick < at; tick += second / 4 {
@@ -68,7 +68,7 @@
 					if sink.to == 0 {
 						continue
 					}
-					report := choice.Report{Has: choice.HasInFlight, InFlight: 40}
+					report := choice.LoadReport{Has: choice.HasInFlight, InFlight: 40}
 					if int(sink.to) <= c.cold {
 						sent[sink.to] = append(sent[sink.to], now/1e6)
 						report.InFlight = 0
@@ -81,8 +81,8 @@
 				slices.Sort(times)
 				total += len(times)
 				for i, first := range times {
-					warm := s.StartCapacity + (1-s.StartCapacity)*(first-100)/9
-					n := s.FallMultiple * warm * c.rate / float64(c.replicas) * 1.5
+					warm := s.InitialCapacity + (1-s.InitialCapacity)*(first-100)/9
+					n := s.OverloadMultiple * warm * c.rate / float64(c.replicas) * 1.5
 					got := 0.0
 					for _, next := range times[i:] {
 						if next < first+1.5 {
--- a/internal/subset/homes.go
+++ b/internal/subset/homes.go
@@ -85,7 +85,7 @@
 	var nearest *replica // where none keeps the prefix
 	least, near := math.Inf(1), math.Inf(1)
 	for _, r := range part {
-		if now < r.Since+v.s.ColdFor {
+		if now < r.StartedAt+v.s.ColdFor {
 			continue
 		}
 		distance := unit(hash(prefix ^ r.hash))
--- a/internal/subset/pick_bench_test.go
+++ b/internal/subset/pick_bench_test.go
@@ -12,13 +12,13 @@
 type nowhere struct{ to choice.ReplicaID }
 
 func (n *nowhere) Dispatch(_ choice.RequestID, to choice.ReplicaID, _ choice.Micros) { n.to = to }
-func (*nowhere) Refuse(choice.RequestID, choice.Micros)                              {}
+func (*nowhere) Shed(choice.RequestID, choice.Micros)                                {}
 func (*nowhere) Fail(choice.RequestID)                                               {}
 func (*nowhere) Cancel(choice.RequestID, int)                                        {}
 func (*nowhere) SetTimer(choice.Micros, uint64)                                      {}
-func (*nowhere) Probe(choice.ReplicaID)                                              {}
-func (*nowhere) TellPeers([]byte)                                                    {}
-func (*nowhere) WatchRegistry()                                                      {}
+func (*nowhere) HealthCheck(choice.ReplicaID)                                        {}
+func (*nowhere) Gossip([]byte)                                                       {}
+func (*nowhere) WatchDiscovery()                                                     {}
 
 // BenchmarkRequest is all that is decided for a request, from its arrival to its end: the home, the
 // list that tells it, the pick and what its end teaches. The fleet is in one zone or in eighteen.
@@ -28,17 +28,17 @@
 	} {
 		b.Run(fmt.Sprintf("replicas=%d/zones=%d/most=%d", c.replicas, c.zones, c.most), func(b *testing.B) {
 			sink := &nowhere{}
-			s := choice.Settings{Self: 3, Gateways: 1800, Zone: "z3", Kinds: []string{"k"}, MaxAttempts: 3, MayCancel: true, ReportVia: choice.ReportInline,
-				Classes: []choice.Class{{Name: "chat", Aim: 1e6, Deadline: 10e6, Worth: 1, Stream: true}}, ConnStreams: 1, ConnIdle: 45e6}
+			s := choice.Settings{Self: 3, Gateways: 1800, Zone: "z3", Kinds: []string{"k"}, MaxAttempts: 3, MayCancel: true, ReportSource: choice.ReportInline,
+				Classes: []choice.Class{{Name: "chat", LatencyObjective: 1e6, Deadline: 10e6, PriorityWeight: 1, Streaming: true}}, StreamsPerConn: 1, ConnIdleTimeout: 45e6}
 			m, err := choice.New(s, 7, sink)
 			if err != nil {
 				b.Fatal(err)
 			}
 			v := subset.NewView(subset.Settings{Most: c.most, Index: 3, Gateways: 1800, Zone: "z3", Remote: subset.DefaultRemote, ColdFor: 9e6}, m)
-			list := choice.ServerList{Kind: choice.ListFull}
+			list := choice.EndpointList{Kind: choice.ListFull}
 			for i := range c.replicas {
-				list.Members = append(list.Members, choice.Member{Replica: choice.ReplicaID(uint32(i+1) * 2654435761), State: choice.MemberReady,
-					Weight: 1, Kind: "k", Zone: fmt.Sprint("z", i%c.zones), Since: 1})
+				list.Endpoints = append(list.Endpoints, choice.Endpoint{Replica: choice.ReplicaID(uint32(i+1) * 2654435761), State: choice.EndpointReady,
+					Weight: 1, Kind: "k", Zone: fmt.Sprint("z", i%c.zones), StartedAt: 1})
 			}
 			now := choice.Micros(100e6)
 			m.Start(now)
@@ -54,8 +54,8 @@
 				m.RequestArrived(now, in)
 				o := choice.Outcome{ID: in.ID, Replica: sink.to, Elapsed: 400_000}
 				m.FirstToken(now+400_000, o)
-				o.Elapsed, o.Status, o.Final, o.Tokens = 3_000_000, choice.Served, true, 90
-				o.Report = choice.Report{Has: choice.HasInFlight, InFlight: float64(n % 9)}
+				o.Elapsed, o.Status, o.Final, o.OutputTokens = 3_000_000, choice.Served, true, 90
+				o.Report = choice.LoadReport{Has: choice.HasInFlight, InFlight: float64(n % 9)}
 				m.AttemptEnded(now+3_000_000, o)
 			}
 		})
--- a/internal/subset/subset.go
+++ b/internal/subset/subset.go
@@ -56,7 +56,7 @@
 
 // replica is one of the list as the view holds it.
 type replica struct {
-	choice.Member
+	choice.Endpoint
 	hash     uint64
 	position float64 // on its ring, from 0 to 1
 	ring     int
@@ -66,8 +66,8 @@
 	in       bool    // it is in the subset
 }
 
-func newReplica(m choice.Member) *replica {
-	r := &replica{Member: m, hash: hash(uint64(m.Replica))}
+func newReplica(m choice.Endpoint) *replica {
+	r := &replica{Endpoint: m, hash: hash(uint64(m.Replica))}
 	r.position = unit(r.hash)
 	r.ring = int(hash(r.hash) % rings)
 	return r
@@ -123,7 +123,7 @@
 func mark(fleet []*replica, scale float64) (ready int) {
 	for _, r := range fleet {
 		r.in = r.offset < scale*r.width
-		if r.in && r.State == choice.MemberReady {
+		if r.in && r.State == choice.EndpointReady {
 			ready++
 		}
 	}
@@ -135,7 +135,7 @@
 func scaleTo(fleet []*replica, want float64) float64 {
 	expected := func(scale float64) (sum float64) {
 		for _, r := range fleet {
-			if r.State == choice.MemberReady {
+			if r.State == choice.EndpointReady {
 				sum += min(1, scale*r.width)
 			}
 		}
@@ -166,7 +166,7 @@
 func trim(fleet []*replica, most int) (ready int) {
 	var in []*replica
 	for _, r := range fleet {
-		if r.in && r.State == choice.MemberReady {
+		if r.in && r.State == choice.EndpointReady {
 			in = append(in, r)
 		}
 	}
--- a/internal/subset/subset_test.go
+++ b/internal/subset/subset_test.go
@@ -19,11 +19,11 @@
 const second choice.Micros = 1_000_000
 
 // zoned is a list of replicas dealt to zones, so many in each, with ids from first on.
-func zoned(first int, counts ...int) (out []choice.Member) {
+func zoned(first int, counts ...int) (out []choice.Endpoint) {
 	for zone, n := range counts {
 		for range n {
-			out = append(out, choice.Member{Replica: choice.ReplicaID(hash(uint64(first))), State: choice.MemberReady, Weight: 1,
-				Zone: fmt.Sprint("z", zone), Kind: "k", Since: 5})
+			out = append(out, choice.Endpoint{Replica: choice.ReplicaID(hash(uint64(first))), State: choice.EndpointReady, Weight: 1,
+				Zone: fmt.Sprint("z", zone), Kind: "k", StartedAt: 5})
 			first++
 		}
 	}
@@ -34,8 +34,8 @@
 	return slices.Repeat([]int{each}, zones)
 }
 
-func full(members []choice.Member) choice.ServerList {
-	return choice.ServerList{Kind: choice.ListFull, Members: members}
+func full(members []choice.Endpoint) choice.EndpointList {
+	return choice.EndpointList{Kind: choice.ListFull, Endpoints: members}
 }
 
 // bound is the settings of the tests: those of a gateway in the zone that its index stands for.
@@ -44,10 +44,10 @@
 }
 
 // ids are the replicas of a list that take work.
-func ids(list choice.ServerList) map[choice.ReplicaID]bool {
+func ids(list choice.EndpointList) map[choice.ReplicaID]bool {
 	out := map[choice.ReplicaID]bool{}
-	for _, m := range list.Members {
-		if m.State == choice.MemberReady {
+	for _, m := range list.Endpoints {
+		if m.State == choice.EndpointReady {
 			out[m.Replica] = true
 		}
 	}
@@ -55,12 +55,12 @@
 }
 
 // follow applies what a view tells to what was told before, as the module does.
-func follow(held map[choice.ReplicaID]choice.Member, list choice.ServerList) {
-	if list.Kind.Whole() {
+func follow(held map[choice.ReplicaID]choice.Endpoint, list choice.EndpointList) {
+	if list.Kind.Complete() {
 		clear(held)
 	}
-	for _, m := range list.Members {
-		if m.State == choice.MemberGone {
+	for _, m := range list.Endpoints {
+		if m.State == choice.EndpointGone {
 			delete(held, m.Replica)
 		} else {
 			held[m.Replica] = m
@@ -74,16 +74,16 @@
 		list := full(zoned(0, n))
 		v := NewView(bound(128, 3, "z0"), noFigures{})
 		got := v.Apply(second, list)
-		if len(got.Members) != n || got.Fleet != 0 || n > 0 && &got.Members[0] != &list.Members[0] {
-			t.Errorf("%d replicas: %d told, fleet %d", n, len(got.Members), got.Fleet)
+		if len(got.Endpoints) != n || got.FleetSize != 0 || n > 0 && &got.Endpoints[0] != &list.Endpoints[0] {
+			t.Errorf("%d replicas: %d told, fleet %d", n, len(got.Endpoints), got.FleetSize)
 		}
 		in := choice.Request{Session: 7, Prefix: 8}
-		if _, tell := v.Home(second, &in); tell || in.Home != 0 {
+		if _, tell := v.Home(second, &in); tell || in.HomeReplica != 0 {
 			t.Errorf("%d replicas: a home of its own", n)
 		}
 	}
 	list := full(zoned(0, 5000))
-	if got := NewView(bound(0, 3, "z0"), noFigures{}).Apply(second, list); len(got.Members) != 5000 {
+	if got := NewView(bound(0, 3, "z0"), noFigures{}).Apply(second, list); len(got.Endpoints) != 5000 {
 		t.Error("no bound, and not the whole list")
 	}
 }
@@ -177,20 +177,20 @@
 // Whatever becomes of a gateway's own replicas, others are told with the same list.
 func TestOthersInTheirPlace(t *testing.T) {
 	members := zoned(0, even(3, 500)...)
-	for _, state := range []choice.MemberState{choice.MemberDraining, choice.MemberGone} {
+	for _, state := range []choice.EndpointState{choice.EndpointDraining, choice.EndpointGone} {
 		v := NewView(bound(128, 11, "z1"), noFigures{})
 		first := v.Apply(second, full(members))
-		held := map[choice.ReplicaID]choice.Member{}
+		held := map[choice.ReplicaID]choice.Endpoint{}
 		follow(held, first)
-		change := choice.ServerList{Kind: choice.ListDelta}
-		for _, m := range first.Members {
+		change := choice.EndpointList{Kind: choice.ListDelta}
+		for _, m := range first.Endpoints {
 			m.State = state
-			change.Members = append(change.Members, m)
+			change.Endpoints = append(change.Endpoints, m)
 		}
 		follow(held, v.Apply(2*second, change))
 		ready := 0
 		for _, m := range held {
-			if m.State == choice.MemberReady {
+			if m.State == choice.EndpointReady {
 				ready++
 			}
 		}
@@ -202,24 +202,24 @@
 	for index := range 30 {
 		v := NewView(bound(128, index, "z1"), noFigures{})
 		before := ids(v.Apply(second, full(members)))
-		lost := slices.DeleteFunc(slices.Clone(members), func(m choice.Member) bool { return m.Zone == "z1" })
+		lost := slices.DeleteFunc(slices.Clone(members), func(m choice.Endpoint) bool { return m.Zone == "z1" })
 		if got := ids(v.Apply(2*second, full(lost))); len(got) < 51 {
 			t.Errorf("gateway %d: %d left without its zone", index, len(got))
 		}
 		back := slices.Clone(members)
 		for i := range back {
 			if back[i].Zone == "z1" {
-				back[i].Since = 8 * second
+				back[i].StartedAt = 8 * second
 			}
 		}
 		got := v.Apply(9*second, full(back))
-		for _, m := range got.Members {
-			if m.Zone == "z1" && m.Since != 8*second || !before[m.Replica] {
+		for _, m := range got.Endpoints {
+			if m.Zone == "z1" && m.StartedAt != 8*second || !before[m.Replica] {
 				t.Fatalf("gateway %d: after the return %+v", index, m)
 			}
 		}
 		in := choice.Request{Session: uint64(index) + 1}
-		if v.Home(9*second, &in); in.Home != 0 && slices.ContainsFunc(back, func(m choice.Member) bool { return m.Replica == in.Home && m.Zone == "z1" }) {
+		if v.Home(9*second, &in); in.HomeReplica != 0 && slices.ContainsFunc(back, func(m choice.Endpoint) bool { return m.Replica == in.HomeReplica && m.Zone == "z1" }) {
 			t.Errorf("gateway %d: at home at a replica in slow start", index)
 		}
 	}
@@ -230,15 +230,15 @@
 func TestListsShrinkAndGrow(t *testing.T) {
 	members := zoned(0, 400)
 	v := NewView(bound(128, 5, "z0"), noFigures{})
-	held := map[choice.ReplicaID]choice.Member{}
+	held := map[choice.ReplicaID]choice.Endpoint{}
 	follow(held, v.Apply(second, full(members[:100])))
 	for step, n := range []int{400, 129, 128, 1, 0, 300, 128, 129} {
-		change := choice.ServerList{Kind: choice.ListDelta}
+		change := choice.EndpointList{Kind: choice.ListDelta}
 		for i, m := range members {
 			if i >= n {
-				m.State = choice.MemberGone
+				m.State = choice.EndpointGone
 			}
-			change.Members = append(change.Members, m)
+			change.Endpoints = append(change.Endpoints, m)
 		}
 		list := change
 		if step%2 == 0 {
@@ -246,7 +246,7 @@
 		}
 		follow(held, v.Apply(choice.Micros(step+2)*second, list))
 		for id := range held {
-			if !slices.ContainsFunc(members[:n], func(m choice.Member) bool { return m.Replica == id }) {
+			if !slices.ContainsFunc(members[:n], func(m choice.Endpoint) bool { return m.Replica == id }) {
 				t.Fatalf("step %d: holds one that has gone", step)
 			}
 		}
@@ -300,7 +300,7 @@
 	ofPrefix := map[uint64]map[choice.ReplicaID]bool{}
 	for _, index := range []int{1, 5, 9, 413} {
 		v := NewView(bound(128, index, "z1"), noFigures{})
-		held := map[choice.ReplicaID]choice.Member{}
+		held := map[choice.ReplicaID]choice.Endpoint{}
 		follow(held, v.Apply(20*second, full(members)))
 		for session := range uint64(600) {
 			in := choice.Request{Session: session + 1, Prefix: session%40 + 1}
@@ -308,20 +308,20 @@
 			if tell {
 				follow(held, list)
 			}
-			if in.Home == 0 {
+			if in.HomeReplica == 0 {
 				t.Fatalf("gateway %d, session %d: no home", index, session)
 			}
-			if _, told := held[in.Home]; !told || len(held) > 128+64 {
+			if _, told := held[in.HomeReplica]; !told || len(held) > 128+64 {
 				t.Fatalf("gateway %d, session %d: home told %t; %d held", index, session, told, len(held))
 			}
-			if home, ok := homes[session]; ok && home != in.Home {
+			if home, ok := homes[session]; ok && home != in.HomeReplica {
 				t.Fatalf("gateway %d, session %d: another home", index, session)
 			}
-			homes[session] = in.Home
+			homes[session] = in.HomeReplica
 			if ofPrefix[in.Prefix] == nil {
 				ofPrefix[in.Prefix] = map[choice.ReplicaID]bool{}
 			}
-			ofPrefix[in.Prefix][in.Home] = true
+			ofPrefix[in.Prefix][in.HomeReplica] = true
 		}
 	}
 	for prefix, at := range ofPrefix {
@@ -340,13 +340,13 @@
 			Zone: rapid.SampledFrom([]string{"z0", "z1", "z9", ""}).Draw(t, "zone"), Weighted: rapid.Bool().Draw(t, "weighted"), ColdFor: 9 * second}
 		counts := rapid.SliceOfN(rapid.IntRange(0, 200), 1, 5).Draw(t, "zones")
 		all := zoned(0, counts...)
-		truth := map[choice.ReplicaID]choice.Member{}
+		truth := map[choice.ReplicaID]choice.Endpoint{}
 		v := NewView(s, noFigures{})
-		held := map[choice.ReplicaID]choice.Member{}
+		held := map[choice.ReplicaID]choice.Endpoint{}
 		for step := range rapid.IntRange(1, 6).Draw(t, "lists") {
 			now := choice.Micros(step+1) * second
-			list := choice.ServerList{Kind: rapid.SampledFrom([]choice.ListKind{choice.ListFull, choice.ListDelta, choice.ListOwn, choice.ListSaved}).Draw(t, "kind")}
-			if list.Kind.Whole() {
+			list := choice.EndpointList{Kind: rapid.SampledFrom([]choice.ListKind{choice.ListFull, choice.ListDelta, choice.ListOverride, choice.ListCached}).Draw(t, "kind")}
+			if list.Kind.Complete() {
 				clear(truth)
 			}
 			seed := rapid.Uint64().Draw(t, "states")
@@ -355,20 +355,20 @@
 				case 0:
 					continue // not on this list
 				case 1:
-					m.State = choice.MemberGone
+					m.State = choice.EndpointGone
 				case 2:
-					m.State = choice.MemberDraining
+					m.State = choice.EndpointDraining
 				}
 				m.Weight = float64(hash(seed^uint64(i)) % 4)
-				list.Members = append(list.Members, m)
-				if delete(truth, m.Replica); m.State != choice.MemberGone {
+				list.Endpoints = append(list.Endpoints, m)
+				if delete(truth, m.Replica); m.State != choice.EndpointGone {
 					truth[m.Replica] = m
 				}
 			}
 			follow(held, v.Apply(now, list))
 			ready, inUse := 0, 0
 			for _, m := range truth {
-				if m.State == choice.MemberReady {
+				if m.State == choice.EndpointReady {
 					ready++
 				}
 			}
@@ -381,7 +381,7 @@
 					guests++
 					continue
 				}
-				if m.State == choice.MemberReady {
+				if m.State == choice.EndpointReady {
 					inUse++
 				}
 			}
@@ -392,11 +392,11 @@
 				t.Fatalf("step %d: %d in use of %d, bound %d", step, inUse, ready, most)
 			}
 			anew := NewView(s, noFigures{})
-			var members []choice.Member
+			var members []choice.Endpoint
 			for _, m := range truth {
 				members = append(members, m)
 			}
-			other := map[choice.ReplicaID]choice.Member{}
+			other := map[choice.ReplicaID]choice.Endpoint{}
 			follow(other, anew.Apply(now, full(members)))
 			if len(other) != len(held)-guests {
 				t.Fatalf("step %d: %d by these lists and %d guests, %d by one", step, len(held), guests, len(other))
@@ -410,7 +410,7 @@
 			if list, tell := v.Home(now+20*second, &in); tell {
 				follow(held, list)
 			}
-			if in.Home != 0 && held[in.Home].State != choice.MemberReady {
+			if in.HomeReplica != 0 && held[in.HomeReplica].State != choice.EndpointReady {
 				t.Fatalf("step %d: at home where nothing is taken", step)
 			}
 		}
@@ -471,9 +471,9 @@
 	}
 	v := NewView(bound(128, 5, "z1"), noFigures{})
 	first := ids(v.Apply(second, full(members)))
-	held := map[choice.ReplicaID]choice.Member{}
-	for _, list := range []choice.ServerList{full(members[:300]), full(members), full(members[200:]), full(members)} {
-		list.Version = int64(len(list.Members)) // out of order
+	held := map[choice.ReplicaID]choice.Endpoint{}
+	for _, list := range []choice.EndpointList{full(members[:300]), full(members), full(members[200:]), full(members)} {
+		list.Version = int64(len(list.Endpoints)) // out of order
 		follow(held, v.Apply(2*second, list))
 	}
 	for id := range held {
@@ -491,23 +491,23 @@
 func TestStartsThatAreNotTold(t *testing.T) {
 	members := zoned(0, 400)
 	for i := range members {
-		members[i].Since = 0
+		members[i].StartedAt = 0
 	}
 	v := NewView(bound(128, 5, "z0"), noFigures{})
-	v.Apply(second, choice.ServerList{Kind: choice.ListSaved})
-	for _, m := range v.Apply(2*second, full(members)).Members {
-		if m.Since != longAgo {
-			t.Fatalf("first list: started at %d", m.Since)
+	v.Apply(second, choice.EndpointList{Kind: choice.ListCached})
+	for _, m := range v.Apply(2*second, full(members)).Endpoints {
+		if m.StartedAt != longAgo {
+			t.Fatalf("first list: started at %d", m.StartedAt)
 		}
 	}
 	late := zoned(1000, 300)
 	for i := range late {
-		late[i].Since = 0
+		late[i].StartedAt = 0
 	}
-	news := v.Apply(3*second, choice.ServerList{Kind: choice.ListDelta, Members: late})
+	news := v.Apply(3*second, choice.EndpointList{Kind: choice.ListDelta, Endpoints: late})
 	came := 0
-	for _, m := range news.Members {
-		if m.Replica != 0 && v.fleet[m.Replica].Since == 3*second {
+	for _, m := range news.Endpoints {
+		if m.Replica != 0 && v.fleet[m.Replica].StartedAt == 3*second {
 			came++
 		}
 	}
--- a/internal/subset/view.go
+++ b/internal/subset/view.go
@@ -27,7 +27,7 @@
 	regroup bool             // replicas have come or gone since sorted was made
 	active  bool             // the module is told a part
 	heard   bool             // discovery itself has told a list
-	told    map[choice.ReplicaID]choice.Member
+	told    map[choice.ReplicaID]choice.Endpoint
 	guests  map[choice.ReplicaID]uint64 // homes outside of the subset, by when they were last wanted
 	clock   uint64
 	stats   Stats
@@ -45,7 +45,7 @@
 
 // NewView returns a view that has heard of no list.
 func NewView(s Settings, figures Figures) *View {
-	return &View{s: s, figures: figures, fleet: map[choice.ReplicaID]*replica{}, told: map[choice.ReplicaID]choice.Member{},
+	return &View{s: s, figures: figures, fleet: map[choice.ReplicaID]*replica{}, told: map[choice.ReplicaID]choice.Endpoint{},
 		pools: map[string]*pool{}, guests: map[choice.ReplicaID]uint64{}}
 }
 
@@ -54,7 +54,7 @@
 
 // Apply takes discovery's news and returns what the module is told of it. Lists of no more replicas
 // than the bound are returned as they are.
-func (v *View) Apply(now choice.Micros, list choice.ServerList) choice.ServerList {
+func (v *View) Apply(now choice.Micros, list choice.EndpointList) choice.EndpointList {
 	if v.s.Most <= 0 || list.Kind.Failed() {
 		return list
 	}
@@ -62,7 +62,7 @@
 	if !was { // all that was listed so far
 		clear(v.told)
 		for id, r := range v.fleet {
-			v.told[id] = r.Member
+			v.told[id] = r.Endpoint
 		}
 	}
 	v.enter(now, &list)
@@ -79,38 +79,38 @@
 }
 
 // enter takes the list over.
-func (v *View) enter(now choice.Micros, list *choice.ServerList) {
+func (v *View) enter(now choice.Micros, list *choice.EndpointList) {
 	listed := map[choice.ReplicaID]bool{}
-	for _, m := range list.Members {
-		if list.Kind.Whole() {
+	for _, m := range list.Endpoints {
+		if list.Kind.Complete() {
 			listed[m.Replica] = true
 		}
-		if m.State == choice.MemberGone {
+		if m.State == choice.EndpointGone {
 			v.remove(m.Replica)
 			continue
 		}
 		v.put(now, m)
 	}
-	if list.Kind.Whole() {
+	if list.Kind.Complete() {
 		for id := range v.fleet {
 			if !listed[id] {
 				v.remove(id)
 			}
 		}
 	}
-	v.heard = v.heard || list.Kind.Heard()
+	v.heard = v.heard || list.Kind.FromDiscovery()
 }
 
-func (v *View) put(now choice.Micros, m choice.Member) {
+func (v *View) put(now choice.Micros, m choice.Endpoint) {
 	was := v.fleet[m.Replica]
-	if m.Since == 0 { // not told: long ago, unless it has come since discovery's first list
+	if m.StartedAt == 0 { // not told: long ago, unless it has come since discovery's first list
 		switch {
 		case was != nil:
-			m.Since = was.Since
+			m.StartedAt = was.StartedAt
 		case v.heard:
-			m.Since = now
+			m.StartedAt = now
 		default:
-			m.Since = longAgo
+			m.StartedAt = longAgo
 		}
 	}
 	if was == nil {
@@ -122,7 +122,7 @@
 		v.stale(was.Zone)
 		v.stale(m.Zone)
 	}
-	was.Member = m
+	was.Endpoint = m
 }
 
 func (v *View) remove(id choice.ReplicaID) {
@@ -150,7 +150,7 @@
 	}
 	v.stats.Listed, v.stats.Ready = len(v.sorted), 0
 	for _, r := range v.sorted {
-		if r.State == choice.MemberReady {
+		if r.State == choice.EndpointReady {
 			v.stats.Ready++
 		}
 	}
@@ -163,7 +163,7 @@
 	}
 	var ready []*replica
 	for _, r := range v.sorted {
-		if r.Zone == zone && r.State == choice.MemberReady {
+		if r.Zone == zone && r.State == choice.EndpointReady {
 			ready = append(ready, r)
 		}
 	}
@@ -176,26 +176,26 @@
 }
 
 // part makes the module's list of one that is longer than the bound.
-func (v *View) part(list choice.ServerList) choice.ServerList {
+func (v *View) part(list choice.EndpointList) choice.EndpointList {
 	v.zones, v.stats.Subset = v.s.choose(v.sorted)
-	next := make(map[choice.ReplicaID]choice.Member, v.s.Most)
+	next := make(map[choice.ReplicaID]choice.Endpoint, v.s.Most)
 	for _, r := range v.sorted {
 		if _, guest := v.guests[r.Replica]; guest && r.in {
 			delete(v.guests, r.Replica)
 		} else if !r.in && !guest {
 			continue
 		}
-		next[r.Replica] = r.Member
+		next[r.Replica] = r.Endpoint
 	}
 	maps.DeleteFunc(v.guests, func(id choice.ReplicaID, _ uint64) bool { return v.fleet[id] == nil })
-	out := choice.ServerList{Kind: list.Kind, Version: list.Version, Fleet: v.stats.Ready}
+	out := choice.EndpointList{Kind: list.Kind, Version: list.Version, FleetSize: v.stats.Ready}
 	for id, m := range next {
 		was, told := v.told[id]
 		if !told {
 			v.stats.Joined++
 		}
-		if list.Kind.Whole() || !told || was != m {
-			out.Members = append(out.Members, m)
+		if list.Kind.Complete() || !told || was != m {
+			out.Endpoints = append(out.Endpoints, m)
 		}
 	}
 	for id, was := range v.told {
@@ -203,42 +203,42 @@
 			continue
 		}
 		v.stats.Left++
-		if !list.Kind.Whole() {
-			was.State = choice.MemberGone
-			out.Members = append(out.Members, was)
+		if !list.Kind.Complete() {
+			was.State = choice.EndpointGone
+			out.Endpoints = append(out.Endpoints, was)
 		}
 	}
 	v.told, v.stats.Guests = next, len(v.guests)
-	sortMembers(out.Members)
+	sortMembers(out.Endpoints)
 	return out
 }
 
 // whole tells everything, after the list has shrunk to the bound.
-func (v *View) whole(list choice.ServerList) choice.ServerList {
+func (v *View) whole(list choice.EndpointList) choice.EndpointList {
 	clear(v.guests)
 	clear(v.told)
-	out := choice.ServerList{Kind: list.Kind, Version: list.Version}
+	out := choice.EndpointList{Kind: list.Kind, Version: list.Version}
 	for _, r := range v.sorted {
-		out.Members = append(out.Members, r.Member)
+		out.Endpoints = append(out.Endpoints, r.Endpoint)
 	}
-	if !list.Kind.Whole() { // what has gone by this list
-		for _, m := range list.Members {
-			if m.State == choice.MemberGone {
-				out.Members = append(out.Members, m)
+	if !list.Kind.Complete() { // what has gone by this list
+		for _, m := range list.Endpoints {
+			if m.State == choice.EndpointGone {
+				out.Endpoints = append(out.Endpoints, m)
 			}
 		}
 	}
-	sortMembers(out.Members)
+	sortMembers(out.Endpoints)
 	return out
 }
 
-func sortMembers(list []choice.Member) {
-	slices.SortFunc(list, func(a, b choice.Member) int { return cmp.Compare(a.Replica, b.Replica) })
+func sortMembers(list []choice.Endpoint) {
+	slices.SortFunc(list, func(a, b choice.Endpoint) int { return cmp.Compare(a.Replica, b.Replica) })
 }
 
 // Home sets the home of a request that has come. Where the module has not been told of that replica
 // yet, the list that tells it is returned.
-func (v *View) Home(now choice.Micros, in *choice.Request) (list choice.ServerList, tell bool) {
+func (v *View) Home(now choice.Micros, in *choice.Request) (list choice.EndpointList, tell bool) {
 	if !v.active {
 		return list, false
 	}
@@ -248,15 +248,15 @@
 	}
 	v.clock++
 	v.invite(home, &list)
-	in.Home = home.Replica
-	list.Kind, list.Fleet = choice.ListOwn, v.stats.Ready
-	sortMembers(list.Members)
-	return list, len(list.Members) > 0
+	in.HomeReplica = home.Replica
+	list.Kind, list.FleetSize = choice.ListOverride, v.stats.Ready
+	sortMembers(list.Endpoints)
+	return list, len(list.Endpoints) > 0
 }
 
 // invite makes sure that the module is told of a replica, and enters what has to be told for it in
 // the list.
-func (v *View) invite(r *replica, list *choice.ServerList) {
+func (v *View) invite(r *replica, list *choice.EndpointList) {
 	_, told := v.told[r.Replica]
 	_, guest := v.guests[r.Replica]
 	if told && !guest {
@@ -266,8 +266,8 @@
 		if len(v.guests) >= v.guestsMost() {
 			v.dismiss(list)
 		}
-		list.Members = append(list.Members, r.Member)
-		v.told[r.Replica] = r.Member
+		list.Endpoints = append(list.Endpoints, r.Endpoint)
+		v.told[r.Replica] = r.Endpoint
 	}
 	v.guests[r.Replica] = v.clock
 	v.stats.Guests = len(v.guests)
@@ -277,7 +277,7 @@
 func (v *View) guestsMost() int { return max(1, v.s.Most/2) }
 
 // dismiss takes the guest that was not wanted for longest back. What is out there goes on.
-func (v *View) dismiss(list *choice.ServerList) {
+func (v *View) dismiss(list *choice.EndpointList) {
 	var oldest choice.ReplicaID
 	least := uint64(math.MaxUint64)
 	for id, at := range v.guests {
@@ -286,8 +286,8 @@
 		}
 	}
 	member := v.told[oldest]
-	member.State = choice.MemberGone
-	list.Members = append(list.Members, member)
+	member.State = choice.EndpointGone
+	list.Endpoints = append(list.Endpoints, member)
 	delete(v.guests, oldest)
 	delete(v.told, oldest)
 }
--- a/internal/subset/zones.go
+++ b/internal/subset/zones.go
@@ -32,7 +32,7 @@
 	t := &zoneTable{byName: map[string]*zone{}}
 	var last *zone // zones often come in runs
 	for _, r := range fleet {
-		if r.State != choice.MemberReady {
+		if r.State != choice.EndpointReady {
 			continue
 		}
 		if last == nil || last.name != r.Zone {
@@ -49,7 +49,7 @@
 		return 1
 	})
 	for _, r := range fleet { // what drains stays where it was, if its zone is there
-		if r.State != choice.MemberReady {
+		if r.State != choice.EndpointReady {
 			r.zone = t.byName[r.Zone]
 		}
 	}
--- a/internal/wire/settings.go
+++ b/internal/wire/settings.go
@@ -82,14 +82,14 @@
 }
 
 var (
-	effectWords = map[string]choice.Effect{
-		"repeatable": choice.Safe, "by_key": choice.Keyed, "once": choice.Unsafe}
-	scopeWords = map[string]choice.Scope{
-		"": choice.ScopeAll, "all": choice.ScopeAll, "zone": choice.ScopeZone, "cell": choice.ScopeCell}
-	viaWords = map[string]choice.ReportVia{
+	effectWords = map[string]choice.Idempotency{
+		"repeatable": choice.Idempotent, "by_key": choice.IdempotentWithKey, "once": choice.NonIdempotent}
+	scopeWords = map[string]choice.DedupScope{
+		"": choice.DedupAll, "all": choice.DedupAll, "zone": choice.DedupZone, "cell": choice.DedupCell}
+	viaWords = map[string]choice.ReportSource{
 		"": choice.ReportNone, "off": choice.ReportNone,
-		"inline": choice.ReportInline, "on_probe": choice.ReportOnProbe}
-	weightWords = map[string]choice.WeightMeaning{
+		"inline": choice.ReportInline, "on_probe": choice.ReportOnHealthCheck}
+	weightWords = map[string]choice.WeightKind{
 		"": choice.WeightNone, "off": choice.WeightNone, "nominal": choice.WeightNominal,
 		"rough": choice.WeightNominal, "live": choice.WeightLive}
 	discoveryWords = map[string]bool{"": false, "pushed": false, "on_request": true}
@@ -107,41 +107,41 @@
 	}
 	s = choice.Settings{
 		Self: in.SelfIndex, Gateways: in.NInstances, Zone: in.Zone, Zones: in.Zones, Kinds: in.Kinds,
-		OverShareWorth: in.OverShareWorth, Tick: in.TickUs,
-		MayProbe: in.Limits.MayProbe, MayTellPeers: in.Limits.Peers, MayCancel: in.Limits.Cancelling,
-		SecondCopies: in.Limits.SecondCopies, RetryAfter: in.Limits.RetryAfter,
+		OverQuotaWeight: in.OverShareWorth, Tick: in.TickUs,
+		MayHealthCheck: in.Limits.MayProbe, MayGossip: in.Limits.Peers, MayCancel: in.Limits.Cancelling,
+		MayHedge: in.Limits.SecondCopies, RetryAfter: in.Limits.RetryAfter,
 		MaxAttempts: in.Limits.MaxAttempts, MaxRetryAfter: in.Limits.MaxRetryAfterUs,
-		StartCapacity: in.Rules.StartCapacity, FallMultiple: in.Rules.FallMultiple,
-		ColdFor: in.Rules.ColdUs, FallSpan: in.Rules.TipAfterUs,
-		PriceCrossZone: in.Penalties.CrossZone, PriceProbe: in.Penalties.Probe,
-		PriceHandshake: in.Penalties.Handshake,
-		ConnStreams:    in.Limits.Multiplex, ConnIdle: in.Limits.ConnIdleUs,
+		InitialCapacity: in.Rules.StartCapacity, OverloadMultiple: in.Rules.FallMultiple,
+		SlowStartFor: in.Rules.ColdUs, OverloadWindow: in.Rules.TipAfterUs,
+		CrossZoneCost: in.Penalties.CrossZone, HealthCheckCost: in.Penalties.Probe,
+		HandshakeCost:  in.Penalties.Handshake,
+		StreamsPerConn: in.Limits.Multiplex, ConnIdleTimeout: in.Limits.ConnIdleUs,
 	}
 	var err error
-	if s.ReportVia, err = oneOf("feedback.via", in.Feedback.Via, viaWords); err != nil {
+	if s.ReportSource, err = oneOf("feedback.via", in.Feedback.Via, viaWords); err != nil {
 		return s, err
 	}
-	if s.Weights, err = oneOf("weights", in.Weights, weightWords); err != nil {
+	if s.WeightKind, err = oneOf("weights", in.Weights, weightWords); err != nil {
 		return s, err
 	}
-	if s.AskRegistry, err = oneOf("discovery", in.Discovery, discoveryWords); err != nil {
+	if s.PollDiscovery, err = oneOf("discovery", in.Discovery, discoveryWords); err != nil {
 		return s, err
 	}
-	s.ListsPushed = in.Discovery == "pushed"
+	s.LocalDiscovery = in.Discovery == "pushed"
 	for i, c := range in.RequestClasses {
-		out := choice.Class{Name: c.Name, Aim: c.TargetUs, Deadline: c.DeadlineUs, Worth: c.Points,
-			LateWorth: c.LateShare, RepeatsKept: c.MemorySpanUs, Stream: c.Streamed}
-		if out.Effect, err = oneOf("requestClasses.effect", c.Effect, effectWords); err != nil {
+		out := choice.Class{Name: c.Name, LatencyObjective: c.TargetUs, Deadline: c.DeadlineUs, PriorityWeight: c.Points,
+			LateWeightShare: c.LateShare, DedupWindow: c.MemorySpanUs, Streaming: c.Streamed}
+		if out.Idempotency, err = oneOf("requestClasses.effect", c.Effect, effectWords); err != nil {
 			return s, err
 		}
-		if out.Scope, err = oneOf("requestClasses.group", c.Group, scopeWords); err != nil {
+		if out.DedupScope, err = oneOf("requestClasses.group", c.Group, scopeWords); err != nil {
 			return s, err
 		}
 		if i < len(in.Extra.AimUsPer1000) {
-			out.AimPer1000 = int64(in.Extra.AimUsPer1000[i])
+			out.ObjectivePer1000Tokens = int64(in.Extra.AimUsPer1000[i])
 		}
 		if i < len(in.Extra.TokenAimUs) {
-			out.TokenAim = int64(in.Extra.TokenAimUs[i])
+			out.TokenObjective = int64(in.Extra.TokenAimUs[i])
 		}
 		s.Classes = append(s.Classes, out)
 	}
@@ -156,19 +156,19 @@
 func WriteSettings(s choice.Settings) ([]byte, error) {
 	var out setup
 	out.SelfIndex, out.NInstances, out.Zone, out.Zones, out.Kinds = s.Self, s.Gateways, s.Zone, s.Zones, s.Kinds
-	out.OverShareWorth, out.TickUs = s.OverShareWorth, s.Tick
+	out.OverShareWorth, out.TickUs = s.OverQuotaWeight, s.Tick
 	l := &out.Limits
-	l.MayProbe, l.Peers, l.Cancelling, l.SecondCopies, l.RetryAfter = s.MayProbe, s.MayTellPeers, s.MayCancel, s.SecondCopies, s.RetryAfter
-	l.MaxAttempts, l.MaxRetryAfterUs, l.Multiplex, l.ConnIdleUs = s.MaxAttempts, s.MaxRetryAfter, s.ConnStreams, s.ConnIdle
+	l.MayProbe, l.Peers, l.Cancelling, l.SecondCopies, l.RetryAfter = s.MayHealthCheck, s.MayGossip, s.MayCancel, s.MayHedge, s.RetryAfter
+	l.MaxAttempts, l.MaxRetryAfterUs, l.Multiplex, l.ConnIdleUs = s.MaxAttempts, s.MaxRetryAfter, s.StreamsPerConn, s.ConnIdleTimeout
 	r := &out.Rules
-	r.StartCapacity, r.ColdUs, r.FallMultiple, r.TipAfterUs = s.StartCapacity, s.ColdFor, s.FallMultiple, s.FallSpan
-	out.Penalties.CrossZone, out.Penalties.Probe, out.Penalties.Handshake = s.PriceCrossZone, s.PriceProbe, s.PriceHandshake
-	out.Feedback.Via, out.Weights, out.Discovery = wordOf(viaWords, s.ReportVia), wordOf(weightWords, s.Weights), wordOf(discoveryWords, s.AskRegistry)
+	r.StartCapacity, r.ColdUs, r.FallMultiple, r.TipAfterUs = s.InitialCapacity, s.SlowStartFor, s.OverloadMultiple, s.OverloadWindow
+	out.Penalties.CrossZone, out.Penalties.Probe, out.Penalties.Handshake = s.CrossZoneCost, s.HealthCheckCost, s.HandshakeCost
+	out.Feedback.Via, out.Weights, out.Discovery = wordOf(viaWords, s.ReportSource), wordOf(weightWords, s.WeightKind), wordOf(discoveryWords, s.PollDiscovery)
 	for _, c := range s.Classes {
-		out.Extra.AimUsPer1000 = append(out.Extra.AimUsPer1000, float64(c.AimPer1000))
-		out.Extra.TokenAimUs = append(out.Extra.TokenAimUs, float64(c.TokenAim))
-		out.RequestClasses = append(out.RequestClasses, requestClass{c.Name, c.Aim, c.Deadline, c.Worth, c.LateWorth, wordOf(effectWords, c.Effect),
-			wordOf(scopeWords, c.Scope), c.RepeatsKept, c.Stream})
+		out.Extra.AimUsPer1000 = append(out.Extra.AimUsPer1000, float64(c.ObjectivePer1000Tokens))
+		out.Extra.TokenAimUs = append(out.Extra.TokenAimUs, float64(c.TokenObjective))
+		out.RequestClasses = append(out.RequestClasses, requestClass{c.Name, c.LatencyObjective, c.Deadline, c.PriorityWeight, c.LateWeightShare, wordOf(effectWords, c.Idempotency),
+			wordOf(scopeWords, c.DedupScope), c.DedupWindow, c.Streaming})
 	}
 	for _, t := range s.Tenants {
 		out.Tenants = append(out.Tenants, tenant{t.Name, t.QuotaPerS})
--- a/internal/wire/socket/answer.go
+++ b/internal/wire/socket/answer.go
@@ -30,8 +30,8 @@
 // Load reads a load report: name=value pairs, of which unknown ones are skipped.
 // One that cannot be read, or has a figure that no worker can have, counts for
 // nothing at all: what else it says is as doubtful.
-func Load(text string) choice.Report {
-	var r choice.Report
+func Load(text string) choice.LoadReport {
+	var r choice.LoadReport
 	if len(text) > maxLoad {
 		return r
 	}
@@ -39,12 +39,12 @@
 		name, value, _ := strings.Cut(strings.TrimSpace(pair), "=")
 		v, err := strconv.ParseFloat(value, 64)
 		if err != nil || !(v >= 0 && v <= maxFigure) {
-			return choice.Report{}
+			return choice.LoadReport{}
 		}
 		wire.SetLoad(&r, name, v)
 	}
-	if r.MemoryShare > maxShare || r.Util > maxShare {
-		return choice.Report{}
+	if r.MemoryShare > maxShare || r.Utilization > maxShare {
+		return choice.LoadReport{}
 	}
 	return r
 }
@@ -58,7 +58,7 @@
 )
 
 // HeaderLoad is the load report of an answer's head.
-func HeaderLoad(h http.Header) choice.Report { return Load(h.Get(loadHeader)) }
+func HeaderLoad(h http.Header) choice.LoadReport { return Load(h.Get(loadHeader)) }
 
 // maxLine bounds the line that Notes keeps: the two it looks for are short.
 const maxLine = 4096
@@ -68,7 +68,7 @@
 type Notes struct {
 	Kept   int
 	Tokens int // of the answer
-	Report choice.Report
+	Report choice.LoadReport
 	line   []byte
 	skip   bool // the line is too long to be one of ours
 }
--- a/internal/wire/socket/registry.go
+++ b/internal/wire/socket/registry.go
@@ -39,14 +39,14 @@
 
 // State is the worker's state. A word that is not known gets nothing new, as
 // one that drains: sending would be the graver mistake.
-func (i Instance) State() choice.MemberState {
+func (i Instance) State() choice.EndpointState {
 	switch i.Lifecycle {
 	case ready:
-		return choice.MemberReady
+		return choice.EndpointReady
 	case gone:
-		return choice.MemberGone
+		return choice.EndpointGone
 	}
-	return choice.MemberDraining
+	return choice.EndpointDraining
 }
 
 // NoVersion stands for having no list yet. A version of 0 is a list: taken for
--- a/internal/wire/wire.go
+++ b/internal/wire/wire.go
@@ -40,7 +40,7 @@
 
 	Seed     uint64
 	Settings choice.Settings
-	List     choice.ServerList
+	List     choice.EndpointList
 	Request  choice.Request
 	Token    uint64
 	Outcome  choice.Outcome // also Probed, Lapsed and Opened
@@ -61,7 +61,7 @@
 	line    int
 	fields  [][]byte
 	words   map[string]string
-	tables  [maxTables][]choice.Member
+	tables  [maxTables][]choice.Endpoint
 	defined [maxTables]bool
 	inBatch bool
 	named   bool // an ON line of this batch has named the instance
@@ -236,8 +236,8 @@
 	return choice.Errored
 }
 
-func (p *parser) report(i int) choice.Report {
-	var r choice.Report
+func (p *parser) report(i int) choice.LoadReport {
+	var r choice.LoadReport
 	b := p.f[i]
 	if absent(b) || len(b) == 0 {
 		return r
@@ -262,12 +262,12 @@
 
 // SetLoad enters one value of a load report under its name on the wire; names
 // that are not known are skipped.
-func SetLoad(r *choice.Report, name string, v float64) {
+func SetLoad(r *choice.LoadReport, name string, v float64) {
 	switch name {
 	case "x0":
 		r.MemoryShare, r.Has = v, r.Has|choice.HasMemory
 	case "x1":
-		r.UnreadK, r.Has = v, r.Has|choice.HasUnread
+		r.PrefillBacklogK, r.Has = v, r.Has|choice.HasPrefillBacklog
 	case "busy_reqs":
 		r.InFlight, r.Has = v, r.Has|choice.HasInFlight
 	case "pending":
@@ -275,7 +275,7 @@
 	case "svc_ms":
 		r.ServiceMs, r.Has = v, r.Has|choice.HasService
 	case "cpu_share":
-		r.Util, r.Has = v, r.Has|choice.HasUtil
+		r.Utilization, r.Has = v, r.Has|choice.HasUtilization
 	}
 }
 
@@ -389,7 +389,7 @@
 		ev.Outcome = choice.Outcome{
 			ID: choice.RequestID(p.uint(1, "call", most32)), Attempt: int(p.uint(2, "n", most32)),
 			Replica: choice.ReplicaID(p.uint(3, "engine", most32)), Status: p.status(4),
-			Elapsed: p.orZero(5, "rttUs"), Final: p.bool(6, "doneFlag"), Kept: int(p.number(7, "remark")),
+			Elapsed: p.orZero(5, "rttUs"), Final: p.bool(6, "doneFlag"), CachedTokens: int(p.number(7, "remark")),
 			Report: p.report(8)}
 	case "LAPSED":
 		ev.Kind, ev.Outcome = Lapsed, choice.Outcome{ID: choice.RequestID(p.uint(1, "call", most32))}
@@ -414,14 +414,14 @@
 func (d *Decoder) members(p *parser) error {
 	ev := &d.ev
 	ev.Kind = List
-	ev.List = choice.ServerList{Version: p.orZero(2, "generation")}
+	ev.List = choice.EndpointList{Version: p.orZero(2, "generation")}
 	switch string(p.f[1]) {
 	case "INCREMENTAL":
 		ev.List.Kind = choice.ListDelta
 	case "FULL":
 		ev.List.Kind = choice.ListFull
 	case "SAVED":
-		ev.List.Kind = choice.ListSaved
+		ev.List.Kind = choice.ListCached
 	case "FAILED":
 		ev.List.Kind = choice.ListFailed
 		return nil
@@ -433,7 +433,7 @@
 	if p.err == nil && !d.defined[n] {
 		return fmt.Errorf("field 3 (table): no INVENTORY has number %d", n)
 	}
-	ev.List.Members = d.tables[n]
+	ev.List.Endpoints = d.tables[n]
 	return nil
 }
 
@@ -443,7 +443,7 @@
 	if p.err != nil {
 		return nil
 	}
-	var list []choice.Member // a new one each time: a Balancer may hold the old
+	var list []choice.Endpoint // a new one each time: a Balancer may hold the old
 	for range count {
 		line, err := d.readLine()
 		if err == io.EOF {
@@ -456,16 +456,16 @@
 		if len(q.f) != 8 || string(q.f[0]) != "ROW" {
 			return fmt.Errorf("expected ROW with 7 fields, got %q", clip(line))
 		}
-		m := choice.Member{Replica: choice.ReplicaID(q.uint(2, "engine", most32)),
+		m := choice.Endpoint{Replica: choice.ReplicaID(q.uint(2, "engine", most32)),
 			Weight: q.number(3, "nominal"), Cell: q.orZero(4, "stripe"), Kind: d.word(q.f[5]),
-			Since: q.orZero(6, "sinceUs"), Zone: d.word(q.f[7])}
+			StartedAt: q.orZero(6, "sinceUs"), Zone: d.word(q.f[7])}
 		switch string(q.f[1]) {
 		case "active":
-			m.State = choice.MemberReady
+			m.State = choice.EndpointReady
 		case "leaving":
-			m.State = choice.MemberDraining
+			m.State = choice.EndpointDraining
 		case "left":
-			m.State = choice.MemberGone
+			m.State = choice.EndpointGone
 		default:
 			q.bad(1, "state", "active, leaving or left")
 		}
@@ -524,19 +524,19 @@
 func (s *sink) Dispatch(id choice.RequestID, to choice.ReplicaID, cutAt choice.Micros) {
 	s.line("SUBMIT_TO", int64(id), int64(to), cutAt)
 }
-func (s *sink) Refuse(id choice.RequestID, retryAfter choice.Micros) {
+func (s *sink) Shed(id choice.RequestID, retryAfter choice.Micros) {
 	s.line("BUSY", int64(id), retryAfter)
 }
 func (s *sink) Fail(id choice.RequestID) { s.line("FAIL", int64(id)) }
 func (s *sink) Cancel(id choice.RequestID, attempt int) {
 	s.line("DROP_ATTEMPT", int64(id), int64(attempt))
 }
-func (s *sink) Probe(to choice.ReplicaID) { s.line("HEALTH_CHECK", int64(to)) }
-func (s *sink) WatchRegistry()            { s.line("TRACK", 1) }
+func (s *sink) HealthCheck(to choice.ReplicaID) { s.line("HEALTH_CHECK", int64(to)) }
+func (s *sink) WatchDiscovery()                 { s.line("TRACK", 1) }
 func (s *sink) SetTimer(delay choice.Micros, token uint64) {
 	s.line("SET_ALARM", delay, int64(token))
 }
-func (s *sink) TellPeers(body []byte) {
+func (s *sink) Gossip(body []byte) {
 	s.line("POST", -1)
 	s.e.buf = append(s.e.buf[:len(s.e.buf)-1], '\t')
 	s.e.buf = base64.StdEncoding.AppendEncode(s.e.buf, body)
--- a/internal/wire/wire_test.go
+++ b/internal/wire/wire_test.go
@@ -61,16 +61,16 @@
 	}
 	s := got[1].Settings
 	c := s.Classes[0]
-	if got[1].Seed != 1<<64-1 || s.Gateways != 2 || s.Self != 1 || s.Weights != choice.WeightLive || c.Effect != choice.Keyed ||
-		c.Scope != choice.ScopeZone || c.Worth != 1.5 || c.TokenAim != 100000 || s.PriceHandshake != 0.12 ||
-		s.FallSpan != 1500000 || s.Tenants[0].QuotaPerS != 13 || s.ReportVia != choice.ReportInline {
+	if got[1].Seed != 1<<64-1 || s.Gateways != 2 || s.Self != 1 || s.WeightKind != choice.WeightLive || c.Idempotency != choice.IdempotentWithKey ||
+		c.DedupScope != choice.DedupZone || c.PriorityWeight != 1.5 || c.TokenObjective != 100000 || s.HandshakeCost != 0.12 ||
+		s.OverloadWindow != 1500000 || s.Tenants[0].QuotaPerS != 13 || s.ReportSource != choice.ReportInline {
 		t.Errorf("settings %+v", s)
 	}
-	if m := got[2].List.Members; len(m) != 2 || m[1].Weight != 1.5 || m[1].State != choice.MemberDraining ||
-		m[1].Since != 6100000 || m[0].Since != 0 || m[1].Zone != "b" {
+	if m := got[2].List.Endpoints; len(m) != 2 || m[1].Weight != 1.5 || m[1].State != choice.EndpointDraining ||
+		m[1].StartedAt != 6100000 || m[0].StartedAt != 0 || m[1].Zone != "b" {
 		t.Errorf("list %+v (a reused number must not change the list before it)", m)
 	}
-	if m := got[3].List.Members; len(m) != 1 || m[0].State != choice.MemberGone {
+	if m := got[3].List.Endpoints; len(m) != 1 || m[0].State != choice.EndpointGone {
 		t.Errorf("reused list %+v", m)
 	}
 	if r := got[5].Request; r.ID != 1564119492 || r.PrefixTokens != 1200 || r.PromptTokens != 1800 || r.TimeLeft != 240000 ||
@@ -93,7 +93,7 @@
 		"shed": choice.Shed, "expired": choice.TimedOut, "dial_failed": choice.ConnectFailed, "dropped": choice.ConnBroken,
 		"revoked": choice.Cancelled, "unused": choice.NotSent} {
 		got := events(t, lines("TURN\t1", "ON\t0", "RETURNED\t1\t0\t2\t"+word+"\t1\t1\t12\tx0:0.5", "OVER_TO_YOU"))
-		if got[0].Outcome.Status != want || got[0].Outcome.Kept != 12 {
+		if got[0].Outcome.Status != want || got[0].Outcome.CachedTokens != 12 {
 			t.Errorf("%s: %+v", word, got[0].Outcome)
 		}
 	}
@@ -139,11 +139,11 @@
 	a.Dispatch(1564119492, 51530247, 8492250)
 	a.SetTimer(500000, 77)
 	a.Cancel(1, 2)
-	b.Refuse(1, 250000)
+	b.Shed(1, 250000)
 	b.Fail(2)
-	b.Probe(7)
-	a.TellPeers([]byte("hi 7"))
-	a.WatchRegistry()
+	b.HealthCheck(7)
+	a.Gossip([]byte("hi 7"))
+	a.WatchDiscovery()
 	if err := e.Flush(); err != nil {
 		t.Fatal(err)
 	}
@@ -176,10 +176,10 @@
 
 // What is written is read as it was.
 func TestSettingsRoundTrip(t *testing.T) {
-	in := choice.Settings{Self: 2, Gateways: 5, Zone: "a", Zones: []string{"a", "b"}, Kinds: []string{"k"}, OverShareWorth: 0.05, Tick: 2000, ReportVia: choice.ReportInline,
-		Weights: choice.WeightNominal, AskRegistry: true, MayProbe: true, MayCancel: true, SecondCopies: true, RetryAfter: true, MaxAttempts: 3, MaxRetryAfter: 2_000_000,
-		StartCapacity: 0.3, FallMultiple: 3, ColdFor: 8_000_000, FallSpan: 1_500_000, ConnStreams: 1, ConnIdle: 60_000_000, PriceCrossZone: 0.02, PriceHandshake: 0.02, PriceProbe: 0.002,
-		Classes: []choice.Class{{Name: "once", Aim: 1, AimPer1000: 2, TokenAim: 3, Deadline: 4, Worth: 5, LateWorth: 0.5, Effect: choice.Unsafe, Stream: true}},
+	in := choice.Settings{Self: 2, Gateways: 5, Zone: "a", Zones: []string{"a", "b"}, Kinds: []string{"k"}, OverQuotaWeight: 0.05, Tick: 2000, ReportSource: choice.ReportInline,
+		WeightKind: choice.WeightNominal, PollDiscovery: true, MayHealthCheck: true, MayCancel: true, MayHedge: true, RetryAfter: true, MaxAttempts: 3, MaxRetryAfter: 2_000_000,
+		InitialCapacity: 0.3, OverloadMultiple: 3, SlowStartFor: 8_000_000, OverloadWindow: 1_500_000, StreamsPerConn: 1, ConnIdleTimeout: 60_000_000, CrossZoneCost: 0.02, HandshakeCost: 0.02, HealthCheckCost: 0.002,
+		Classes: []choice.Class{{Name: "once", LatencyObjective: 1, ObjectivePer1000Tokens: 2, TokenObjective: 3, Deadline: 4, PriorityWeight: 5, LateWeightShare: 0.5, Idempotency: choice.NonIdempotent, Streaming: true}},
 		Tenants: []choice.Tenant{{Name: "t", QuotaPerS: 7}}}
 	text, err := WriteSettings(in)
 	if err != nil {
