--- a/internal/lifecycle/config_test.go
+++ b/internal/lifecycle/config_test.go
@@ -223,8 +223,8 @@
 		t.Fatal(err)
 	}
 	step("move", "msg=reload_failed", syscall.SIGHUP)
-	step("moved", "msg=registry_moved from=127.0.0.1:8500 to="+l.Addr().String(), syscall.SIGHUP)
-	step("end", "msg=registry_moved", syscall.SIGTERM)
+	step("moved", "msg=discovery_moved from=127.0.0.1:8500 to="+l.Addr().String(), syscall.SIGHUP)
+	step("end", "msg=discovery_moved", syscall.SIGTERM)
 	if err := <-ended; err != nil {
 		t.Error(err)
 	}
