--- a/internal/asynclog/asynclog.go
+++ b/internal/asynclog/asynclog.go
@@ -9,20 +9,20 @@
 	"time"
 )
 
-// mostQueued bounds the text that waits to be written.
-const mostQueued = 256 << 10
+// maxQueuedBytes bounds the text that waits to be written.
+const maxQueuedBytes = 256 << 10
 
 // Writer hands lines to a task that writes them. Lines past the bound are dropped, and counted.
 type Writer struct {
 	out  io.Writer
 	wake chan struct{}
 
-	mu      sync.Mutex
-	queued  []byte
-	spare   []byte // the buffer that was written last
-	writing bool
-	dropped int64 // since the last line that was written
-	all     int64
+	mu                sync.Mutex
+	queued            []byte
+	recycled          []byte // the buffer that was written last
+	writing           bool
+	droppedSinceWrite int64 // since the last line that was written
+	droppedTotal      int64
 }
 
 // New returns a writer before another one.
@@ -35,9 +35,9 @@
 // Write takes a line, or drops it. It never fails and never waits for the log's reader.
 func (w *Writer) Write(line []byte) (int, error) {
 	w.mu.Lock()
-	if len(w.queued)+len(line) > mostQueued {
-		w.dropped++
-		w.all++
+	if len(w.queued)+len(line) > maxQueuedBytes {
+		w.droppedSinceWrite++
+		w.droppedTotal++
 	} else {
 		w.queued = append(w.queued, line...)
 	}
@@ -53,7 +53,7 @@
 func (w *Writer) Dropped() int64 {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	return w.all
+	return w.droppedTotal
 }
 
 // Flush waits until all is written, for so long at most.
@@ -73,9 +73,9 @@
 		text := w.take()
 		_, err := w.out.Write(text)
 		w.mu.Lock()
-		w.writing, w.spare = false, text[:0]
+		w.writing, w.recycled = false, text[:0]
 		if err != nil && len(text) > 0 {
-			w.all++ // at least: how much of it was written is not known
+			w.droppedTotal++ // at least: how much of it was written is not known
 		}
 		w.mu.Unlock()
 	}
@@ -87,10 +87,10 @@
 	defer w.mu.Unlock()
 	w.writing = true
 	text := w.queued
-	w.queued = w.spare[:0]
-	if w.dropped > 0 {
-		text = fmt.Appendf(text, "level=WARN msg=log_dropped lines=%d all=%d\n", w.dropped, w.all)
-		w.dropped = 0
+	w.queued = w.recycled[:0]
+	if w.droppedSinceWrite > 0 {
+		text = fmt.Appendf(text, "level=WARN msg=log_dropped lines=%d all=%d\n", w.droppedSinceWrite, w.droppedTotal)
+		w.droppedSinceWrite = 0
 	}
 	return text
 }
--- a/internal/asynclog/asynclog_test.go
+++ b/internal/asynclog/asynclog_test.go
@@ -10,28 +10,28 @@
 	"time"
 )
 
-// gate is a log's reader that stands still until it is opened.
-type gate struct {
-	open chan struct{}
-	mu   sync.Mutex
-	got  bytes.Buffer
-	err  error
+// blockingWriter is a log's reader that stands still until it is opened.
+type blockingWriter struct {
+	unblocked chan struct{}
+	mu        sync.Mutex
+	written   bytes.Buffer
+	err       error
 }
 
-func (g *gate) Write(p []byte) (int, error) {
-	<-g.open
+func (g *blockingWriter) Write(p []byte) (int, error) {
+	<-g.unblocked
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	if g.err != nil {
 		return 0, g.err
 	}
-	return g.got.Write(p)
+	return g.written.Write(p)
 }
 
 // However long the reader stands still, nobody waits for it; what was kept comes in order, and the
 // number of lines that were dropped is told.
-func TestAReaderThatStandsStill(t *testing.T) {
-	g := &gate{open: make(chan struct{})}
+func TestBlockedReaderNeverBlocksWriters(t *testing.T) {
+	g := &blockingWriter{unblocked: make(chan struct{})}
 	w := New(g)
 	const lines = 20_000
 	begun := time.Now()
@@ -45,16 +45,16 @@
 		t.Error("nothing was dropped: the bound does not hold")
 	}
 	w.Flush(10 * time.Millisecond) // ends though nothing is written
-	close(g.open)
+	close(g.unblocked)
 	w.Flush(5 * time.Second)
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	if g.got.Len() > 2*mostQueued+100 {
-		t.Errorf("%d bytes were kept", g.got.Len())
+	if g.written.Len() > 2*maxQueuedBytes+100 {
+		t.Errorf("%d bytes were kept", g.written.Len())
 	}
 	last := -1
 	kept := 0
-	for line := range strings.Lines(g.got.String()) {
+	for line := range strings.Lines(g.written.String()) {
 		var n int
 		if _, err := fmt.Sscanf(line, "line %d", &n); err == nil {
 			if n <= last {
@@ -64,15 +64,15 @@
 			kept++
 		}
 	}
-	if int64(kept)+w.Dropped() != lines || !strings.Contains(g.got.String(), "msg=log_dropped lines=") {
+	if int64(kept)+w.Dropped() != lines || !strings.Contains(g.written.String(), "msg=log_dropped lines=") {
 		t.Errorf("%d lines kept, %d dropped of %d", kept, w.Dropped(), lines)
 	}
 }
 
 // A log that cannot be written costs its lines.
-func TestALogThatFails(t *testing.T) {
-	g := &gate{open: make(chan struct{}), err: errors.New("no space left on device")}
-	close(g.open)
+func TestFailedWriteIsCounted(t *testing.T) {
+	g := &blockingWriter{unblocked: make(chan struct{}), err: errors.New("no space left on device")}
+	close(g.unblocked)
 	w := New(g)
 	for range 10 {
 		if n, err := w.Write([]byte("x\n")); n != 2 || err != nil {
--- a/internal/conf/schema.go
+++ b/internal/conf/schema.go
@@ -181,7 +181,7 @@
 			count("records-each", &c.Peers.Each, "1024", 16, 100_000, "and for one gateway"),
 		}},
 		{"subset", "The part of a large fleet that this gateway works with: docs/operate/subsets.md.", []key{
-			count("most", &c.Subset.Most, strconv.Itoa(subset.DefaultMost), 0, 100_000, "replicas it works with, 16 or more; lists up to so many pass whole; 0: all do"),
+			count("most", &c.Subset.Most, strconv.Itoa(subset.DefaultMaxReplicas), 0, 100_000, "replicas it works with, 16 or more; lists up to so many pass whole; 0: all do"),
 			share("remote", &c.Subset.Remote, "25%", "the part that is drawn from all zones alike: what it goes on with if its own is lost"),
 			count("index", &c.Subset.Index, "-1", -1, 10_000_000, "its number among the gateways, or among those of its zone; -1: the platform's"),
 		}},
--- a/internal/drill/drill.go
+++ b/internal/drill/drill.go
@@ -396,7 +396,7 @@
 	for i, n := range c.nodes {
 		n.mu.Lock()
 		if n.life != nil {
-			out[i] = use{n.life.cmd.Process.Pid, procstat.ProcessorTime(n.life.cmd.Process.Pid)}
+			out[i] = use{n.life.cmd.Process.Pid, procstat.CPUTime(n.life.cmd.Process.Pid)}
 		}
 		n.mu.Unlock()
 	}
--- a/internal/drill/scale/processes.go
+++ b/internal/drill/scale/processes.go
@@ -100,12 +100,12 @@
 }
 
 // look asks a process for its figures.
-func (p *process) look(ctx context.Context) (c figures.Control, u Usage, err error) {
+func (p *process) look(ctx context.Context) (c figures.Stats, u Usage, err error) {
 	if err := control.Call(ctx, p.control, "figures", struct{}{}, &c); err != nil {
 		return c, u, err
 	}
 	pid := p.cmd.Process.Pid
-	return c, Usage{CPU: procstat.ProcessorTime(pid), ResidentMB: procstat.ResidentMB(pid)}, nil
+	return c, Usage{CPU: procstat.CPUTime(pid), ResidentMB: procstat.ResidentMB(pid)}, nil
 }
 
 func (all *processes) close() {
--- a/internal/drill/scale/report.go
+++ b/internal/drill/scale/report.go
@@ -51,7 +51,7 @@
 	replicas   []Answer
 	discovery  Answer
 	hollow     Answer // of all processes together
-	real       []figures.Control
+	real       []figures.Stats
 	realUsage  []Usage
 	realServed [2]int64
 	oldest     int64     // the oldest version of the list that a gateway has
@@ -88,9 +88,9 @@
 	v.realServed = [2]int64{f.client.served.Load(), f.client.unserved.Load()}
 	v.oldest = math.MaxInt64
 	for _, c := range slices.Concat(v.hollow.Gateways, v.real) {
-		v.oldest = min(v.oldest, c.Version)
-		if c.InForce.After(v.inForce) {
-			v.inForce = c.InForce
+		v.oldest = min(v.oldest, c.ListVersion)
+		if c.ListSince.After(v.inForce) {
+			v.inForce = c.ListSince
 		}
 	}
 	return v, nil
@@ -141,31 +141,31 @@
 }
 
 // gatewayFigures are the means over gateways.
-func gatewayFigures(out map[string]float64, prefix string, a, b []figures.Control, seconds float64) {
+func gatewayFigures(out map[string]float64, prefix string, a, b []figures.Stats, seconds float64) {
 	n := float64(len(b))
 	add := func(name string, v float64) { out[prefix+name] += v / n }
 	var known, unknown int64
 	var age time.Duration
 	for i := range b {
 		was, is := a[i], b[i]
-		add(GatewayBusy, (is.Busy-was.Busy).Seconds()/seconds)
+		add(GatewayBusy, (is.LoopBusy-was.LoopBusy).Seconds()/seconds)
 		add(GatewayConns, float64(is.Connections))
 		add(GatewaySubset, float64(is.Subset))
 		traffic := func(p figures.Purpose) (calls, opened, bytes float64) {
 			t, s := is.Traffic[p], was.Traffic[p]
-			return float64(t.Calls-s.Calls) / seconds, float64(t.Opened-s.Opened) / seconds,
+			return float64(t.Calls-s.Calls) / seconds, float64(t.ConnectionsOpened-s.ConnectionsOpened) / seconds,
 				float64(t.BytesIn+t.BytesOut-s.BytesIn-s.BytesOut) / seconds
 		}
-		calls, opened, _ := traffic(figures.Attempt)
+		calls, opened, _ := traffic(figures.PurposeAttempt)
 		add(GatewayAttempts, calls)
 		add(GatewayOpened, opened)
-		calls, _, bytes := traffic(figures.Probe)
+		calls, _, bytes := traffic(figures.PurposeHealthCheck)
 		add(GatewayProbes, calls)
 		add(GatewayProbe, bytes)
-		calls, _, bytes = traffic(figures.Discovery)
+		calls, _, bytes = traffic(figures.PurposeDiscovery)
 		add(GatewayLists, calls)
 		add(GatewayDiscovery, bytes)
-		known, unknown = known+is.Reports.Known-was.Reports.Known, unknown+is.Reports.Unknown-was.Reports.Unknown
+		known, unknown = known+is.Reports.WithReport-was.Reports.WithReport, unknown+is.Reports.WithoutReport-was.Reports.WithoutReport
 		age += is.Reports.Sum - was.Reports.Sum
 	}
 	if known > 0 {
--- a/internal/drill/scale/role.go
+++ b/internal/drill/scale/role.go
@@ -52,11 +52,11 @@
 	Usage   Usage     `json:"usage"`
 	Calls   Calls     `json:"calls"`
 	// Conns are the connections open at each hollow replica.
-	Conns    []int             `json:"conns,omitempty"`
-	Gateways []figures.Control `json:"gateways,omitempty"`
-	Served   int64             `json:"served,omitempty"`
-	Unserved int64             `json:"unserved,omitempty"`
-	Error    string            `json:"error,omitempty"`
+	Conns    []int           `json:"conns,omitempty"`
+	Gateways []figures.Stats `json:"gateways,omitempty"`
+	Served   int64           `json:"served,omitempty"`
+	Unserved int64           `json:"unserved,omitempty"`
+	Error    string          `json:"error,omitempty"`
 }
 
 // Calls is what a role was asked, by kind, and the bytes of its connections.
--- a/internal/drill/soakclient.go
+++ b/internal/drill/soakclient.go
@@ -288,7 +288,7 @@
 	defer s.mu.Unlock()
 	for c := range s.idle[gateway] {
 		delete(s.idle[gateway], c)
-		if !memory.Gone(c.Conn) {
+		if !memory.PeerClosed(c.Conn) {
 			return c
 		}
 		c.Close()
@@ -303,7 +303,7 @@
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	for c := range s.idle[gateway] {
-		if !memory.Gone(c.Conn) {
+		if !memory.PeerClosed(c.Conn) {
 			out = append(out, "a connection at rest from "+c.LocalAddr().String())
 		}
 	}
--- a/internal/fleet/model/gateway.go
+++ b/internal/fleet/model/gateway.go
@@ -21,7 +21,7 @@
 	zone     string
 	b        *choice.Balancer
 	m        capture.Module
-	view     *subset.View
+	view     *subset.Selector
 	book     *contract.Book
 	books    capture.Books
 	rec      *capture.Recorder
@@ -104,8 +104,8 @@
 		return nil, err
 	}
 	g.m = g.b
-	g.view = subset.NewView(subset.Settings{Most: x.s.Subset, Index: i, Gateways: x.s.Gateways, Zone: s.Zone, Remote: subset.DefaultRemote,
-		Weighted: s.WeightKind == choice.WeightNominal, ColdFor: s.SlowStartFor}, g.b)
+	g.view = subset.NewSelector(subset.Settings{MaxReplicas: x.s.Subset, GatewayIndex: i, GatewayCount: x.s.Gateways, Zone: s.Zone, RemoteFraction: subset.DefaultRemoteFraction,
+		WeightIsSize: s.WeightKind == choice.WeightNominal, SlowStart: s.SlowStartFor}, g.b)
 	if len(x.s.Contracts) > 0 {
 		if g.book, err = contract.New(x.s.Book, x.s.Contracts, start, start); err != nil {
 			return nil, err
@@ -283,7 +283,7 @@
 		r.in.PriorityFactor, r.over, r.thought = max(1e-6, v.Worth), v.Over, r.charge.Thought
 	}
 	g.x.e.At(r.deadline, func(now choice.Micros) { g.leave(now, r) })
-	if home, tell := g.view.Home(now, &r.in); tell {
+	if home, tell := g.view.AssignAffinityTarget(now, &r.in); tell {
 		g.m.ListChanged(now, home)
 	}
 	g.m.RequestArrived(now, r.in)
--- a/internal/gateway/admit_test.go
+++ b/internal/gateway/admit_test.go
@@ -28,13 +28,13 @@
 			l.now = g.clock.now()
 			entry := socket.Instance{ID: "s-1", Addr: w.addr, Zone: "a", Kind: "k", Lifecycle: "ready"}
 			l.list(socket.List{Reset: true, Instances: []socket.Instance{entry}}, choice.ListFull)
-			ordered := l.registry.Named("s-1")
+			ordered := l.registry.ByName("s-1")
 			change(&entry)
 			l.list(socket.List{Reset: kind == choice.ListFull, Instances: []socket.Instance{entry}}, kind)
-			store := memory.NewRequests()
+			store := memory.NewTable()
 			r := memory.NewRequest(context.Background(), "a1", choice.Request{}, 0, 3)
 			store.Add(r)
-			d := store.Attempt(r, ordered, l.now, l.now+5_000_000)
+			d := store.StartAttempt(r, ordered, l.now, l.now+5_000_000)
 			go func() {
 				for range d.Events {
 				}
--- a/internal/gateway/attempt.go
+++ b/internal/gateway/attempt.go
@@ -25,10 +25,10 @@
 	switch {
 	case !hand.may(d):
 		e.status = choice.NotSent
-	case d.Worker.Addr != "":
+	case d.Replica.Addr != "":
 		e.status = g.exchange(r, body, d, &e, hand)
 	}
-	d.Whole = e.status == choice.Served
+	d.Complete = e.status == choice.Served
 	close(d.Events)
 	g.loop.events <- e
 }
@@ -47,21 +47,21 @@
 const silence = time.Second
 
 func (g *Gateway) exchange(r *http.Request, body []byte, d *memory.Attempt, e *ended, hand *hand) choice.Status {
-	cutAt := g.clock.at(d.CutAt)
+	cutAt := g.clock.at(d.TimeoutAt)
 	ctx, stop := context.WithDeadline(d.Ctx, cutAt)
 	defer stop()
-	c, err := g.pool.Get(ctx, d.Worker.Key(), d.Worker.Addr)
+	c, err := g.pool.Get(ctx, d.Replica.ConnKey(), d.Replica.Addr)
 	if err != nil {
 		switch {
 		case d.Ctx.Err() != nil:
 			return choice.Cancelled
-		case errors.Is(err, memory.ErrShortage):
+		case errors.Is(err, memory.ErrLocalShortage):
 			return choice.NotSent // no replica is at fault
 		}
 		return choice.ConnectFailed
 	}
 	e.reused = c.Reused
-	c.Carry(&g.meters[figures.Attempt])
+	c.StartCall(&g.meters[figures.PurposeAttempt])
 	keep := false
 	// A cancelled attempt frees its connection at once, whatever waits on it.
 	unhook := context.AfterFunc(d.Ctx, func() { c.Close() })
@@ -74,16 +74,16 @@
 	}()
 	// Called off while it connected, or its client gone while it waited for the core: here, and
 	// nowhere else, an attempt begins, and nothing may go out any more.
-	if !hand.mine() || d.Request.Gone() || d.Ctx.Err() != nil {
+	if !hand.mine() || d.Request.ClientGone() || d.Ctx.Err() != nil {
 		return choice.Cancelled
 	}
-	if !g.admits(d.Worker) { // taken out since it was ordered, while the connection came up
+	if !g.admits(d.Replica) { // taken out since it was ordered, while the connection came up
 		keep = true
 		return choice.NotSent
 	}
 	hand.sends()
 	c.SetDeadline(cutAt)
-	if err := c.WriteParts(net.Buffers{socket.JobHead(r, len(body), d.CutAt-g.clock.now()), body}); err != nil {
+	if err := c.WriteBuffers(net.Buffers{socket.JobHead(r, len(body), d.TimeoutAt-g.clock.now()), body}); err != nil {
 		// The last byte was never written, so the worker did not start.
 		return broken(d, err, choice.ConnectFailed)
 	}
@@ -91,13 +91,13 @@
 	resp, err := readHead(c, cutAt)
 	if err != nil {
 		if time.Since(sent) >= silence {
-			g.pool.Doubt(d.Worker.Key(), sent)
+			g.pool.CloseUnusedSince(d.Replica.ConnKey(), sent)
 		}
 		return broken(d, err, choice.ConnBroken)
 	}
-	in := socket.NewBody(c.R, resp)
+	in := socket.NewBody(c.Reader, resp)
 	// Bytes behind an answer would be taken for the next one's.
-	whole := func() bool { return in.Ends() && !resp.Close && c.R.Buffered() == 0 }
+	whole := func() bool { return in.Ends() && !resp.Close && c.Reader.Buffered() == 0 }
 	if resp.StatusCode != http.StatusOK {
 		e.report, e.code = socket.HeaderLoad(resp.Header), resp.StatusCode
 		c.SetDeadline(time.Now().Add(time.Second))
@@ -154,13 +154,13 @@
 // readHead waits for an answer and reads its head.
 func readHead(c *memory.Conn, cutAt time.Time) (*http.Response, error) {
 	for infos := 0; ; infos++ {
-		if _, err := c.R.Peek(1); err != nil {
+		if _, err := c.Reader.Peek(1); err != nil {
 			return nil, err
 		}
 		if by := time.Now().Add(headTime); by.Before(cutAt) {
 			c.SetDeadline(by)
 		}
-		resp, err := socket.ReadHead(c.R)
+		resp, err := socket.ReadHead(c.Reader)
 		if errors.Is(err, os.ErrDeadlineExceeded) && time.Now().Before(cutAt) {
 			err = socket.ErrSpoilt
 		}
--- a/internal/gateway/call.go
+++ b/internal/gateway/call.go
@@ -36,7 +36,7 @@
 	if err != nil {
 		return fmt.Errorf("%w: %w", errConnect, err)
 	}
-	conn.Carry(c.meter)
+	conn.StartCall(c.meter)
 	keep := false
 	unhook := context.AfterFunc(ctx, func() { conn.Close() })
 	defer func() {
@@ -55,11 +55,11 @@
 	if err != nil {
 		return fmt.Errorf("no answer: %w", err)
 	}
-	in := socket.NewBody(conn.R, resp)
+	in := socket.NewBody(conn.Reader, resp)
 	body := in.Reader()
 	failed := read(resp, body)
 	whole := readsOut(body)
-	keep = whole && in.Ends() && !resp.Close && conn.R.Buffered() == 0
+	keep = whole && in.Ends() && !resp.Close && conn.Reader.Buffered() == 0
 	if failed == nil && !whole {
 		failed = errors.New("answer cut off or too long")
 	}
--- a/internal/gateway/clientconn.go
+++ b/internal/gateway/clientconn.go
@@ -197,7 +197,7 @@
 	if c.ended {
 		return true
 	}
-	if memory.Waiting(c.Conn) {
+	if memory.HasUnreadData(c.Conn) {
 		return false
 	}
 	c.endFor(why)
@@ -281,7 +281,7 @@
 	}
 	ended := false
 	err := c.raw.Read(func(fd uintptr) bool {
-		n, err := memory.Peek(int(fd))
+		n, err := memory.PeekDescriptor(int(fd))
 		ended = err != syscall.EAGAIN && (err != nil || n == 0)
 		return ended || n > 0
 	})
@@ -299,7 +299,7 @@
 }
 
 // gone asks the system whether the client has closed the connection.
-func (c *clientConn) gone() bool { return memory.Gone(c.Conn) }
+func (c *clientConn) gone() bool { return memory.PeerClosed(c.Conn) }
 
 // hiding tells whether the framing has a doubt: nothing more is taken from the connection.
 func (c *clientConn) hiding() bool {
--- a/internal/gateway/clients_test.go
+++ b/internal/gateway/clients_test.go
@@ -47,7 +47,7 @@
 	}
 	waiting := func(t *testing.T, c *clientConn) {
 		t.Helper()
-		until(t, "bytes that wait", func() bool { return memory.Waiting(c.Conn) })
+		until(t, "bytes that wait", func() bool { return memory.HasUnreadData(c.Conn) })
 	}
 	for name, play := range map[string]func(t *testing.T, conn *clientConn, c *client){
 		"bytes unread, then the end": func(t *testing.T, conn *clientConn, c *client) {
@@ -398,7 +398,7 @@
 	if _, err := io.ReadFull(conn, make([]byte, len(half+rest))); err != nil {
 		t.Fatal(err)
 	}
-	until(t, "a byte", func() bool { return memory.Waiting(conn.Conn) })
+	until(t, "a byte", func() bool { return memory.HasUnreadData(conn.Conn) })
 	conn.Write([]byte("answer"))
 	go conn.Close()
 	until(t, "the close", func() bool { return cs.lingering.Load() == 1 })
--- a/internal/gateway/contracts.go
+++ b/internal/gateway/contracts.go
@@ -75,7 +75,7 @@
 			l.record.r.Renew(l.now, nil, 0, nil)
 		}
 		// What is open is no book's any more: a later one must not settle it.
-		l.requests.Charges(func(_ choice.RequestID, _ int, c *contract.Charge) { *c = contract.Charge{} })
+		l.requests.EachOpenCharge(func(_ choice.RequestID, _ int, c *contract.Charge) { *c = contract.Charge{} })
 		l.book, l.books, l.shares = nil, nil, shares{}
 		return nil
 	}
@@ -251,7 +251,7 @@
 const shareEvery choice.Micros = 1_000_000
 
 // reported notes what a worker says that it has in hand, beside what was sent there.
-func (l *loop) reported(w *memory.Worker, r *choice.LoadReport) {
+func (l *loop) reported(w *memory.Replica, r *choice.LoadReport) {
 	if l.shares.way == nil || r.Has&choice.HasInFlight == 0 {
 		return
 	}
@@ -260,8 +260,8 @@
 		all += r.Queued
 	}
 	// The report may be from before the last of this gateway's requests came.
-	l.shares.own += float64(w.Out())
-	l.shares.all += max(all, float64(w.Out()))
+	l.shares.own += float64(w.InFlight())
+	l.shares.all += max(all, float64(w.InFlight()))
 }
 
 // share tells the book the gateway's parts of the contracts.
@@ -289,7 +289,7 @@
 
 // chargeFor charges a request, or a copy of it, what it is thought to use.
 func (l *loop) chargeFor(r *memory.Request, copy int, c *contract.Charge) contract.Verdict {
-	return l.books.Charge(l.now, &r.In, copy, c)
+	return l.books.Charge(l.now, &r.BalancerRequest, copy, c)
 }
 
 // admitted has the team's contract judge a request before the module does. One
@@ -300,17 +300,17 @@
 	}
 	v := l.chargeFor(r, 0, &r.Charge)
 	l.notices()
-	if v.Refuse && r.In.PriorAttempts > 0 { // admitted once, where it was lost: it goes on, for the least worth
-		r.In.PriorityFactor = leastFactor
+	if v.Refuse && r.BalancerRequest.PriorAttempts > 0 { // admitted once, where it was lost: it goes on, for the least worth
+		r.BalancerRequest.PriorityFactor = leastFactor
 		return true
 	}
 	if v.Refuse {
-		r.Done = true
-		r.Actions <- memory.Action{Kind: memory.Contract, Reason: v.Reason, RetryAfter: v.RetryAfter}
-		l.requests.Forget(r)
+		r.Finished = true
+		r.Actions <- memory.Action{Kind: memory.ActionDeny, Reason: v.Reason, RetryAfter: v.RetryAfter}
+		l.requests.RemoveIfFinished(r)
 		return false
 	}
-	r.In.PriorityFactor, r.Over, r.Thought = max(leastFactor, v.Worth), v.Over, r.Charge.Thought
+	r.BalancerRequest.PriorityFactor, r.OverRate, r.EstimatedUse = max(leastFactor, v.Worth), v.Over, r.Charge.Thought
 	return true
 }
 
@@ -321,11 +321,11 @@
 		return true
 	}
 	r := d.Request
-	if d.N == 0 {
+	if d.Index == 0 {
 		d.Charge, r.Charge = r.Charge, contract.Charge{}
 		return true
 	}
-	if v := l.chargeFor(r, d.N, &d.Charge); v.Refuse {
+	if v := l.chargeFor(r, d.Index, &d.Charge); v.Refuse {
 		d.Cancel()
 		l.later = append(l.later, ended{d: d, status: choice.NotSent})
 		return false
@@ -338,15 +338,15 @@
 	if l.book == nil {
 		return
 	}
-	used := e.d.Charge.Used(e.status, e.d.Request.In.PromptTokens, e.kept, e.tokens)
-	l.books.Settle(l.now, e.d.Request.ID, e.d.N, &e.d.Charge, used, e.status == choice.Served)
+	used := e.d.Charge.Used(e.status, e.d.Request.BalancerRequest.PromptTokens, e.kept, e.tokens)
+	l.books.Settle(l.now, e.d.Request.ID, e.d.Index, &e.d.Charge, used, e.status == choice.Served)
 	l.notices()
 }
 
 // turnedAway tells the book that the module, or the workers, had no room for a
 // request. What ran and failed is no such thing.
 func (l *loop) turnedAway(r *memory.Request) {
-	if l.book == nil || r.In.PriorityFactor == 0 {
+	if l.book == nil || r.BalancerRequest.PriorityFactor == 0 {
 		return
 	}
 	for _, d := range r.Attempts {
@@ -354,7 +354,7 @@
 			return
 		}
 	}
-	l.books.TurnedAway(l.now, &r.In, r.Thought, r.Over)
+	l.books.TurnedAway(l.now, &r.BalancerRequest, r.EstimatedUse, r.OverRate)
 }
 
 // release settles a charge that no attempt had.
--- a/internal/gateway/figures.go
+++ b/internal/gateway/figures.go
@@ -12,41 +12,41 @@
 func (l *loop) noteReport(to choice.ReplicaID) {
 	age, known := l.b.ReportAge(l.now, to)
 	if !known {
-		l.reports.Unknown++
+		l.reports.WithoutReport++
 		return
 	}
-	l.reports.Known++
+	l.reports.WithReport++
 	l.reports.Sum += time.Duration(age) * time.Microsecond
 }
 
 // account asks the loop for its figures.
-type account struct{ out chan figures.Control }
+type account struct{ out chan figures.Stats }
 
 func (e account) apply(l *loop) {
 	of := l.view.Stats()
-	if l.g.o.Subset.Most <= 0 { // there is no bound
-		of.Subset = l.registry.Ready()
+	if l.g.o.Subset.MaxReplicas <= 0 { // there is no bound
+		of.Subset = l.registry.ReadyCount()
 	}
-	c := figures.Control{Listed: l.registry.Len(), Ready: l.registry.Ready(), Subset: of.Subset, Guests: of.Guests, Joined: of.Joined, Left: of.Left,
-		Version: l.registry.Version(), InForce: l.inForce, Busy: l.busy, Reports: l.reports}
+	c := figures.Stats{Listed: l.registry.Len(), Ready: l.registry.ReadyCount(), Subset: of.Subset, OutsideTargets: of.OutsideTargets, Joined: of.Joined, Left: of.Left,
+		ListVersion: l.registry.Version(), ListSince: l.inForce, LoopBusy: l.busy, Reports: l.reports}
 	e.out <- c // it has room
 }
 
 // Control tells the gateway's account of its control work.
-func (g *Gateway) Control(ctx context.Context) (figures.Control, error) {
-	ask := account{make(chan figures.Control, 1)}
+func (g *Gateway) Control(ctx context.Context) (figures.Stats, error) {
+	ask := account{make(chan figures.Stats, 1)}
 	g.loop.post(ctx, ask)
 	select {
 	case c := <-ask.out:
-		c.RefusedLists, c.OddEntries, c.Connections = g.refusedLists.Load(), g.oddEntries.Load(), g.pool.Open()
+		c.RejectedLists, c.MalformedEntries, c.Connections = g.refusedLists.Load(), g.oddEntries.Load(), g.pool.OpenCount()
 		g.accountOrders(&c)
-		c.UnknownKeys, c.Closed = g.unknownKeys.Load(), g.clients.closedBy()
+		c.UnknownKeys, c.ClosedConnections = g.unknownKeys.Load(), g.clients.closedBy()
 		for i := range g.meters {
-			c.Traffic[i] = g.meters[i].Read()
+			c.Traffic[i] = g.meters[i].Snapshot()
 		}
 		return c, nil
 	case <-ctx.Done():
-		return figures.Control{}, ctx.Err()
+		return figures.Stats{}, ctx.Err()
 	}
 }
 
--- a/internal/gateway/gateway.go
+++ b/internal/gateway/gateway.go
@@ -62,7 +62,7 @@
 
 // Gateway serves clients by the decisions of one choice.Balancer.
 type Gateway struct {
-	meters       [figures.Purposes]figures.Meter
+	meters       [figures.PurposeCount]figures.Meter
 	o            Options
 	clock        clock
 	pool         *memory.Pool
@@ -95,8 +95,8 @@
 func New(o Options) (*Gateway, error) {
 	g := &Gateway{o: o, clock: newClock(), moves: make(chan string, 1), serving: make(chan struct{}), stopped: make(chan struct{}), ordersNews: make(chan struct{}, 1),
 		pool: memory.NewPool(o.WorkerConns, o.ConnIdle, o.ConnectTimeout)}
-	g.pool.Rest(o.ConnRest)
-	g.registry = caller{memory.NewPool(2, o.ConnIdle, o.CallTimeout), &g.meters[figures.Discovery]}
+	g.pool.SetReuseDelay(o.ConnRest)
+	g.registry = caller{memory.NewPool(2, o.ConnIdle, o.CallTimeout), &g.meters[figures.PurposeDiscovery]}
 	g.live.Store(&live{classes: o.Settings.Classes, mostHeld: o.MostHeld, maxRetryAfter: o.Settings.MaxRetryAfter,
 		watchWait: o.WatchWait, callTimeout: o.CallTimeout})
 	g.clients = newClients(o.ClientConns, o.SpareConns, g.clock)
@@ -137,7 +137,7 @@
 	if g.o.Handed {
 		g.awaitReady(ctx)
 	}
-	err := g.server.Serve(g.clients.listen(sockets.Persistent(l)))
+	err := g.server.Serve(g.clients.listen(sockets.NewRetryListener(l)))
 	close(g.stopped)
 	if g.clients.stoppingAt.Load() > 0 && errors.Is(err, net.ErrClosed) {
 		return nil
@@ -188,7 +188,7 @@
 		select {
 		case <-t.C:
 			g.clock.wall.look(g.clock.now())
-			g.pool.Sweep()
+			g.pool.CloseExpired()
 		case <-ctx.Done():
 			return
 		}
--- a/internal/gateway/gateway_test.go
+++ b/internal/gateway/gateway_test.go
@@ -96,7 +96,7 @@
 		case <-time.After(2 * time.Second):
 			t.Errorf("%s: the worker's connection stayed", name)
 		}
-		until(t, name+": nothing in hand", func() bool { return g.clients.held() == 0 && g.pool.Open() == 0 })
+		until(t, name+": nothing in hand", func() bool { return g.clients.held() == 0 && g.pool.OpenCount() == 0 })
 	}
 }
 
@@ -152,7 +152,7 @@
 	if took := time.Since(begin); resp.StatusCode != 503 || took > 2*time.Second {
 		t.Errorf("status %d after %v", resp.StatusCode, took)
 	}
-	until(t, "nothing out", func() bool { return g.pool.Open() == 0 })
+	until(t, "nothing out", func() bool { return g.pool.OpenCount() == 0 })
 }
 
 // Whatever the first worker does, the client gets the other one's answer, and
@@ -230,11 +230,11 @@
 			if addr == "" {
 				addr = newWorker(t, "w", c.script).addr
 			}
-			store := memory.NewRequests()
+			store := memory.NewTable()
 			r := memory.NewRequest(context.Background(), "o1", choice.Request{}, 0, 3)
 			store.Add(r)
 			now := g.clock.now()
-			d := store.Attempt(r, &memory.Worker{Instance: socket.Instance{Addr: addr}}, now, now+c.wait.Microseconds())
+			d := store.StartAttempt(r, &memory.Replica{Instance: socket.Instance{Addr: addr}}, now, now+c.wait.Microseconds())
 			if c.leave {
 				time.AfterFunc(50*time.Millisecond, d.Cancel)
 			}
@@ -379,7 +379,7 @@
 		}
 	}
 	// The connection that has unasked bytes is of no use, rested or not.
-	g.pool.Rest(0)
+	g.pool.SetReuseDelay(0)
 	c.ask("y3", "4000m")
 	if _, body := c.answer(); !strings.Contains(body, "[DONE]") || strings.Contains(body, wrong) {
 		t.Errorf("y3: %q", body)
--- a/internal/gateway/gone_test.go
+++ b/internal/gateway/gone_test.go
@@ -45,8 +45,8 @@
 		}
 		c.end(there.(*net.TCPConn))
 		if c.gone {
-			until(t, name+": seen to be gone", func() bool { return memory.Gone(here) })
-		} else if time.Sleep(20 * time.Millisecond); memory.Gone(here) {
+			until(t, name+": seen to be gone", func() bool { return memory.PeerClosed(here) })
+		} else if time.Sleep(20 * time.Millisecond); memory.PeerClosed(here) {
 			t.Errorf("%s: taken for gone", name)
 		}
 		here.Close()
@@ -110,14 +110,14 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	store := memory.NewRequests()
+	store := memory.NewTable()
 	ctx, end := context.WithCancel(t.Context())
 	r := memory.NewRequest(ctx, "late", choice.Request{}, 0, 3)
-	r.Left, r.End = func() bool { return true }, end // the system knows, the server does not
+	r.ClientClosed, r.Cancel = func() bool { return true }, end // the system knows, the server does not
 	store.Add(r)
 	now := g.clock.now()
-	d := store.Attempt(r, &memory.Worker{}, now, now+1e6)
-	d.Worker.Addr = l.Addr().String()
+	d := store.StartAttempt(r, &memory.Replica{}, now, now+1e6)
+	d.Replica.Addr = l.Addr().String()
 	in, _ := http.NewRequest("POST", "/v1/chat/completions", nil)
 	go g.attempt(in, []byte("{}"), d, nil)
 	if e := (<-g.loop.events).(ended); e.status != choice.Cancelled {
--- a/internal/gateway/loop.go
+++ b/internal/gateway/loop.go
@@ -33,10 +33,10 @@
 	lost      []string      // sites, as last told
 	sitesAt   choice.Micros // when they are looked at next
 	timers    timers
-	requests  *memory.Requests
+	requests  *memory.Table
 	registry  *memory.Registry
-	view      *subset.View // what of the registry's list the module is told
-	inForce   time.Time    // when the list came that is held
+	view      *subset.Selector // what of the registry's list the module is told
+	inForce   time.Time        // when the list came that is held
 	busy      time.Duration
 	reports   figures.ReportAge
 	told      bool                       // the registry itself has answered
@@ -54,7 +54,7 @@
 
 func newLoop(g *Gateway) (*loop, error) {
 	l := &loop{g: g, events: make(chan event, 1024), watches: make(chan struct{}, 1),
-		requests: memory.NewRequests(), registry: memory.NewRegistry(), truth: map[string]socket.Instance{}, outStart: map[string]int64{}}
+		requests: memory.NewTable(), registry: memory.NewRegistry(), truth: map[string]socket.Instance{}, outStart: map[string]int64{}}
 	if g.o.Orders != nil {
 		l.out = g.o.Orders.AllOut()
 	}
@@ -63,7 +63,7 @@
 		return nil, err
 	}
 	l.m = l.b
-	l.view = subset.NewView(g.o.Subset, l.b)
+	l.view = subset.NewSelector(g.o.Subset, l.b)
 	return l, nil
 }
 
@@ -150,44 +150,44 @@
 	// A version that came in force behind its head has it whole or not at all: under the one its class
 	// was known, and the other would have served it as of no class, or by two classes' times.
 	if now := l.g.live.Load(); now != e.live {
-		was, _ := e.live.class(e.r.In.Class)
-		is, err := now.class(e.r.In.Class)
+		was, _ := e.live.class(e.r.BalancerRequest.Class)
+		is, err := now.class(e.r.BalancerRequest.Class)
 		if err != nil {
-			l.answer(e.r.ID, memory.Action{Kind: memory.TurnAway, Reason: err.Error()})
+			l.answer(e.r.ID, memory.Action{Kind: memory.ActionReject, Reason: err.Error()})
 			return
 		}
 		if !e.told {
 			e.r.Deadline += is.Deadline - was.Deadline
 		}
 	}
-	e.r.In.TimeLeft = max(0, e.r.Deadline-l.now)
+	e.r.BalancerRequest.TimeLeft = max(0, e.r.Deadline-l.now)
 	if !l.admitted(e.r) {
 		return
 	}
-	if home, tell := l.view.Home(l.now, &e.r.In); tell {
+	if home, tell := l.view.AssignAffinityTarget(l.now, &e.r.BalancerRequest); tell {
 		l.m.ListChanged(l.now, home)
 	}
-	l.m.RequestArrived(l.now, e.r.In)
+	l.m.RequestArrived(l.now, e.r.BalancerRequest)
 }
 
 // left says that a client has gone.
 type left struct{ r *memory.Request }
 
 func (e left) apply(l *loop) {
-	if !e.r.Done {
-		e.r.Done = true
+	if !e.r.Finished {
+		e.r.Finished = true
 		l.m.ClientGone(l.now, e.r.ID)
 	}
 	// Its task has ended: orders that it did not take up have no other end, and
 	// the module would count them as out for ever.
 	for len(e.r.Actions) > 0 {
-		if a := <-e.r.Actions; a.Kind == memory.Begin {
+		if a := <-e.r.Actions; a.Kind == memory.ActionForward {
 			a.Attempt.Cancel()
 			ended{d: a.Attempt, status: choice.NotSent}.apply(l)
 		}
 	}
 	l.release(e.r)
-	l.requests.Forget(e.r)
+	l.requests.RemoveIfFinished(e.r)
 }
 
 // opened says that an attempt's stream has begun. The first one is the
@@ -196,14 +196,14 @@
 
 func (e opened) apply(l *loop) {
 	r := e.d.Request
-	if r.Done || r.Bound != nil {
+	if r.Finished || r.Winner != nil {
 		e.d.Cancel()
 		return
 	}
-	r.Bound = e.d
+	r.Winner = e.d
 	// The others are called off before the client gets anything: nothing is sent for it from then on.
-	l.m.FirstToken(l.now, choice.Outcome{ID: r.ID, Attempt: e.d.N, Replica: e.d.Worker.ID, Elapsed: l.now - e.d.SentAt})
-	r.Actions <- memory.Action{Kind: memory.PassOn, Attempt: e.d}
+	l.m.FirstToken(l.now, choice.Outcome{ID: r.ID, Attempt: e.d.Index, Replica: e.d.Replica.ID, Elapsed: l.now - e.d.SentAt})
+	r.Actions <- memory.Action{Kind: memory.ActionStream, Attempt: e.d}
 }
 
 // ended is an attempt's one outcome.
@@ -222,29 +222,29 @@
 	choice.Cancelled: "cancelled", choice.NotSent: "not_sent", choice.Malformed: "malformed", choice.Rejected: "rejected"}
 
 func (e ended) apply(l *loop) {
-	if !l.requests.Ended(e.d) {
+	if !l.requests.FinishAttempt(e.d) {
 		return
 	}
 	r := e.d.Request
-	if r.Bound == e.d {
-		r.Done = true
+	if r.Winner == e.d {
+		r.Finished = true
 	}
 	e.d.NeverRan = e.status.NeverRan()
 	l.settle(&e)
-	l.reported(e.d.Worker, &e.report)
+	l.reported(e.d.Replica, &e.report)
 	if e.status != choice.Served {
-		slog.LogAttrs(context.Background(), slog.LevelInfo, "attempt", slog.String("id", r.Name), slog.Int("attempt", e.d.N),
-			slog.String("kind", e.d.Why), slog.String("replica", e.d.Worker.Instance.ID), slog.String("status", statusWords[e.status]),
-			slog.Int64("elapsed_ms", (l.now-e.d.SentAt)/1000), slog.Bool("streamed", r.Bound == e.d), slog.Bool("reused", e.reused),
+		slog.LogAttrs(context.Background(), slog.LevelInfo, "attempt", slog.String("id", r.ClientRequestID), slog.Int("attempt", e.d.Index),
+			slog.String("kind", e.d.Cause), slog.String("replica", e.d.Replica.Instance.ID), slog.String("status", statusWords[e.status]),
+			slog.Int64("elapsed_ms", (l.now-e.d.SentAt)/1000), slog.Bool("streamed", r.Winner == e.d), slog.Bool("reused", e.reused),
 			slog.Int("http_status", e.code))
 	}
-	l.m.AttemptEnded(l.now, choice.Outcome{ID: r.ID, Attempt: e.d.N, Replica: e.d.Worker.ID, Status: e.status,
-		Elapsed: l.now - e.d.SentAt, Final: r.Done, CachedTokens: e.kept, OutputTokens: e.tokens, Report: e.report})
-	l.requests.Forget(r)
+	l.m.AttemptEnded(l.now, choice.Outcome{ID: r.ID, Attempt: e.d.Index, Replica: e.d.Replica.ID, Status: e.status,
+		Elapsed: l.now - e.d.SentAt, Final: r.Finished, CachedTokens: e.kept, OutputTokens: e.tokens, Report: e.report})
+	l.requests.RemoveIfFinished(r)
 }
 
 type probed struct {
-	w       *memory.Worker
+	w       *memory.Replica
 	status  choice.Status
 	elapsed choice.Micros
 	report  choice.LoadReport
@@ -314,7 +314,7 @@
 	l.inForce = l.g.clock.at(l.now)
 	if len(in.Instances) > 0 {
 		of := l.view.Stats()
-		slog.Info("endpoint_list", "kind", kindWords[kind], "version", in.Generation, "entries", len(in.Instances), "ready", l.registry.Ready(),
+		slog.Info("endpoint_list", "kind", kindWords[kind], "version", in.Generation, "entries", len(in.Instances), "ready", l.registry.ReadyCount(),
 			"subset", of.Subset, "joined", of.Joined, "left", of.Left)
 	}
 }
@@ -346,35 +346,35 @@
 // as last held will do: where all gateways come back at once, the registry has no
 // turn for some of them for seconds.
 func (l *loop) setReady() {
-	if (l.registry.Ready() > 0 || l.onlyOut()) && !l.g.ready.Swap(true) {
-		slog.Info("ready", "replicas", l.registry.Ready(), "from_discovery", l.told)
+	if (l.registry.ReadyCount() > 0 || l.onlyOut()) && !l.g.ready.Swap(true) {
+		slog.Info("ready", "replicas", l.registry.ReadyCount(), "from_discovery", l.told)
 	}
 }
 
 // The actions: choice.Sink.
 
 func (l *loop) Dispatch(id choice.RequestID, to choice.ReplicaID, cutAt choice.Micros) {
-	r, w := l.requests.Get(id), l.registry.Worker(to)
-	if r == nil || r.Done || r.Bound != nil {
+	r, w := l.requests.Get(id), l.registry.ByID(to)
+	if r == nil || r.Finished || r.Winner != nil {
 		return
 	}
 	if cutAt <= 0 || cutAt > r.Deadline {
 		cutAt = r.Deadline
 	}
 	if w == nil { // the list has changed under the decision: it never ran
-		w = &memory.Worker{ID: to}
+		w = &memory.Replica{ID: to}
 	}
 	l.noteReport(to)
-	d := l.requests.Attempt(r, w, l.now, cutAt)
-	d.Why = whyAttempted(r)
+	d := l.requests.StartAttempt(r, w, l.now, cutAt)
+	d.Cause = whyAttempted(r)
 	if !l.charged(d) {
 		return
 	}
-	r.Actions <- memory.Action{Kind: memory.Begin, Attempt: d}
+	r.Actions <- memory.Action{Kind: memory.ActionForward, Attempt: d}
 }
 
 func (l *loop) Shed(id choice.RequestID, retryAfter choice.Micros) {
-	l.answer(id, memory.Action{Kind: memory.Overload, RetryAfter: retryAfter, Reason: l.whyRefused(id)})
+	l.answer(id, memory.Action{Kind: memory.ActionShed, RetryAfter: retryAfter, Reason: l.whyRefused(id)})
 }
 
 // whyRefused tells, for the log, what a refusal of the module's comes from.
@@ -385,7 +385,7 @@
 		return ""
 	case l.now >= r.Deadline-nearDeadline:
 		return "deadline"
-	case l.registry.Ready() == 0:
+	case l.registry.ReadyCount() == 0:
 		return "no_replica"
 	case len(r.Attempts) > 0:
 		return "attempts_failed"
@@ -401,24 +401,24 @@
 	switch {
 	case len(r.Attempts) == 1:
 		return "first"
-	case r.Out() > 1:
+	case r.AttemptsInFlight() > 1:
 		return "hedge"
 	}
 	return "retry"
 }
 
-func (l *loop) Fail(id choice.RequestID) { l.answer(id, memory.Action{Kind: memory.Fail}) }
+func (l *loop) Fail(id choice.RequestID) { l.answer(id, memory.Action{Kind: memory.ActionFail}) }
 
 func (l *loop) answer(id choice.RequestID, a memory.Action) {
 	r := l.requests.Get(id)
-	if r == nil || r.Done || r.Bound != nil {
+	if r == nil || r.Finished || r.Winner != nil {
 		return
 	}
-	r.Done = true
+	r.Finished = true
 	r.Actions <- a
 	l.release(r)
 	l.turnedAway(r)
-	l.requests.Forget(r)
+	l.requests.RemoveIfFinished(r)
 }
 
 func (l *loop) Cancel(id choice.RequestID, attempt int) {
@@ -426,7 +426,7 @@
 	if r == nil || attempt < 0 || attempt >= len(r.Attempts) {
 		return
 	}
-	if d := r.Attempts[attempt]; d != r.Bound { // a begun stream is the client's
+	if d := r.Attempts[attempt]; d != r.Winner { // a begun stream is the client's
 		d.Cancel()
 	}
 }
@@ -436,7 +436,7 @@
 }
 
 func (l *loop) HealthCheck(to choice.ReplicaID) {
-	if w := l.registry.Worker(to); w != nil {
+	if w := l.registry.ByID(to); w != nil {
 		go l.g.probe(w)
 	}
 }
--- a/internal/gateway/orders.go
+++ b/internal/gateway/orders.go
@@ -185,9 +185,9 @@
 }
 
 // admits tells whether a replica may get new work as of now, for an attempt that is about to be written.
-func (g *Gateway) admits(w *memory.Worker) bool {
+func (g *Gateway) admits(w *memory.Replica) bool {
 	id := w.Instance.ID
-	return w.Admits() && (g.o.Orders == nil || !g.o.Orders.Out(id) && !g.unproven.has(id))
+	return w.Accepting() && (g.o.Orders == nil || !g.o.Orders.Out(id) && !g.unproven.has(id))
 }
 
 // outChanged says which replicas operators have out.
@@ -201,7 +201,7 @@
 		// Who was taken out was restarted, as a rule. Where the list has not told of a start, it may be
 		// late, and a cold replica falls under what a warm one bears.
 		if at, seen := l.outStart[id]; seen && l.truth[id].StartedAtMs == at {
-			l.registry.AssumeStart(id, l.now)
+			l.registry.AssumeStarted(id, l.now)
 		}
 		delete(l.outStart, id)
 	}
@@ -308,12 +308,12 @@
 func (g *Gateway) OperatorCalls() *operator.Counts { return &g.calls }
 
 // accountOrders enters what operators ordered, and how often they called.
-func (g *Gateway) accountOrders(c *figures.Control) {
+func (g *Gateway) accountOrders(c *figures.Stats) {
 	if g.o.Orders == nil {
 		return
 	}
-	c.ReplicasOut, c.Drained, c.OrdersLost = len(g.o.Orders.AllOut()), g.o.Orders.Drained(), g.o.Orders.Failed() != nil
+	c.EjectedReplicas, c.Drained, c.OrdersNotSaved = len(g.o.Orders.AllOut()), g.o.Orders.Drained(), g.o.Orders.Failed() != nil
 	g.calls.Each(func(call string, yes bool, n int64) {
-		c.Calls = append(c.Calls, figures.OperatorCalls{Call: call, Yes: yes, N: n})
+		c.OperatorCalls = append(c.OperatorCalls, figures.OperatorCallCount{Call: call, Accepted: yes, Count: n})
 	})
 }
--- a/internal/gateway/probe.go
+++ b/internal/gateway/probe.go
@@ -17,14 +17,14 @@
 // Probes of replicas.
 
 // probe asks a worker for its state, and for its load where there are reports.
-func (g *Gateway) probe(w *memory.Worker) {
+func (g *Gateway) probe(w *memory.Replica) {
 	path := socket.LivePath
 	if g.o.Settings.ReportSource != choice.ReportNone {
 		path = socket.StatsPath
 	}
 	start, begin := g.clock.now(), time.Now()
 	e := probed{w: w, status: choice.Served}
-	err := caller{g.pool, &g.meters[figures.Probe]}.get(context.Background(), w.Key(), w.Addr, path, g.o.ProbeTimeout, func(resp *http.Response, body io.Reader) error {
+	err := caller{g.pool, &g.meters[figures.PurposeHealthCheck]}.get(context.Background(), w.ConnKey(), w.Addr, path, g.o.ProbeTimeout, func(resp *http.Response, body io.Reader) error {
 		text, err := io.ReadAll(io.LimitReader(body, maxProbe))
 		if err != nil {
 			return err
@@ -39,13 +39,13 @@
 		return nil
 	})
 	switch {
-	case errors.Is(err, memory.ErrShortage):
+	case errors.Is(err, memory.ErrLocalShortage):
 		e.status = choice.NotSent // it was not asked
 	case errors.Is(err, errConnect):
 		e.status = choice.ConnectFailed
 	case err != nil:
 		e.status, e.report = choice.TimedOut, choice.LoadReport{}
-		g.pool.Doubt(w.Key(), begin)
+		g.pool.CloseUnusedSince(w.ConnKey(), begin)
 	}
 	e.elapsed = g.clock.now() - start
 	g.loop.events <- e
--- a/internal/gateway/record.go
+++ b/internal/gateway/record.go
@@ -75,14 +75,14 @@
 }
 
 func (l *loop) charges() (out []contract.Open) {
-	l.requests.Charges(func(id choice.RequestID, copy int, c *contract.Charge) {
+	l.requests.EachOpenCharge(func(id choice.RequestID, copy int, c *contract.Charge) {
 		out = append(out, contract.Open{Key: capture.ChargeKey(id, copy), Charge: c})
 	})
 	return out
 }
 
 func (l *loop) workerName(id choice.ReplicaID) string {
-	if w := l.registry.Worker(id); w != nil {
+	if w := l.registry.ByID(id); w != nil {
 		return w.Instance.ID
 	}
 	return ""
@@ -90,7 +90,7 @@
 
 func (l *loop) requestName(id choice.RequestID) string {
 	if r := l.requests.Get(id); r != nil {
-		return r.Name
+		return r.ClientRequestID
 	}
 	return ""
 }
--- a/internal/gateway/server.go
+++ b/internal/gateway/server.go
@@ -170,7 +170,7 @@
 	ctx, end := context.WithCancel(hand.context(r))
 	defer end()
 	req := memory.NewRequest(ctx, job.ID, job.Request, sentAt+job.Wait, max(mostAttempts, g.o.Settings.MaxAttempts))
-	req.Left, req.End = conn.gone, end
+	req.ClientClosed, req.Cancel = conn.gone, end
 	answer, reason, replica, attempts, first, retryAfter := "client_gone", "", "", 0, choice.Micros(0), choice.Micros(0)
 	defer func() {
 		if g.o.Ended != nil {
@@ -195,11 +195,11 @@
 			return
 		}
 		switch a.Kind {
-		case memory.Begin:
+		case memory.ActionForward:
 			attempts++
 			g.send(r, body, a.Attempt, hand)
-		case memory.PassOn:
-			replica, first = a.Attempt.Worker.Instance.ID, g.clock.now()-sentAt
+		case memory.ActionStream:
+			replica, first = a.Attempt.Replica.Instance.ID, g.clock.now()-sentAt
 			whole := passOn(w, a.Attempt, hand)
 			if ctx.Err() != nil || hand.lost() {
 				g.loop.events <- left{req}
@@ -214,19 +214,19 @@
 				panic(http.ErrAbortHandler)
 			}
 			return
-		case memory.Overload:
+		case memory.ActionShed:
 			answer, reason, retryAfter = "shed", a.Reason, a.RetryAfter
 			overload(w, a.RetryAfter)
 			return
-		case memory.Contract:
+		case memory.ActionDeny:
 			answer, reason, retryAfter = "contract_rejected", a.Reason, a.RetryAfter
 			notAgreed(w, a.Reason, a.RetryAfter)
 			return
-		case memory.TurnAway:
+		case memory.ActionReject:
 			answer, reason = "rejected", a.Reason
 			g.turnAway(w, badRequest(a.Reason))
 			return
-		case memory.Fail:
+		case memory.ActionFail:
 			answer = "failed"
 			http.Error(w, "the request failed", http.StatusBadGateway)
 			return
@@ -274,7 +274,7 @@
 		part = part[:0]
 	}
 	_ = out.SetWriteDeadline(time.Now().Add(clientStall))
-	return d.Whole && hand.whole()
+	return d.Complete && hand.whole()
 }
 
 // partFor and mostPart are how long the part of an event waits for the rest, and how much of it.
--- a/internal/gateway/subset_test.go
+++ b/internal/gateway/subset_test.go
@@ -18,14 +18,14 @@
 		workers = append(workers, newWorker(t, fmt.Sprint("s-", i), whole))
 	}
 	g := start(t, func(o *Options) {
-		o.Subset = subset.Settings{Most: most, Index: 3, Zone: "a", Remote: subset.DefaultRemote}
+		o.Subset = subset.Settings{MaxReplicas: most, GatewayIndex: 3, Zone: "a", RemoteFraction: subset.DefaultRemoteFraction}
 	}, workers...)
 	control := func() (ready, inSubset int, version int64) {
 		c, err := g.Control(t.Context())
 		if err != nil {
 			t.Fatal(err)
 		}
-		return c.Ready, c.Subset, c.Version
+		return c.Ready, c.Subset, c.ListVersion
 	}
 	if ready, n, _ := control(); ready != replicas || n < 6 || n > most {
 		t.Fatalf("%d of %d in the subset", n, ready)
@@ -34,7 +34,7 @@
 	looked := make(chan struct{})
 	g.loop.post(t.Context(), lookOrder{func(l *loop) {
 		for _, m := range l.b.Endpoints() {
-			part[l.registry.Worker(m.Replica).Instance.ID] = true
+			part[l.registry.ByID(m.Replica).Instance.ID] = true
 		}
 		close(looked)
 	}})
--- a/internal/gateway/takeover.go
+++ b/internal/gateway/takeover.go
@@ -114,7 +114,7 @@
 	if h == nil {
 		return true
 	}
-	if d.N == 0 {
+	if d.Index == 0 {
 		return h.held.Mine(d.Ctx)
 	}
 	return h.held.Permit(d.Ctx)
--- a/internal/gateway/version.go
+++ b/internal/gateway/version.go
@@ -157,7 +157,7 @@
 	}
 	for name, i := range l.truth {
 		s := revision.WorkerState{Registry: i.State(), Marked: l.marks[name]}
-		if w := l.registry.Named(name); w != nil {
+		if w := l.registry.ByName(name); w != nil {
 			s.Emptying = emptying[w.ID]
 		}
 		p.Workers[name] = s
--- a/internal/gateway/wallclock_test.go
+++ b/internal/gateway/wallclock_test.go
@@ -81,10 +81,10 @@
 		StartedAtMs: (g.clock.now() - secondUs) / 1000}}}
 	l.now = g.clock.now()
 	l.list(list, choice.ListFull)
-	was := *l.registry.Named("s-1")
+	was := *l.registry.ByName("s-1")
 	offset = -hourUs
 	l.list(list, choice.ListFull)
-	if now := l.registry.Named("s-1"); now.Since != was.Since {
-		t.Errorf("its start moved by %d ms", (now.Since-was.Since)/1000)
+	if now := l.registry.ByName("s-1"); now.StartedAt != was.StartedAt {
+		t.Errorf("its start moved by %d ms", (now.StartedAt-was.StartedAt)/1000)
 	}
 }
--- a/internal/gateway/watch_test.go
+++ b/internal/gateway/watch_test.go
@@ -84,7 +84,7 @@
 	r := memory.NewRequest(ctx, "w1", choice.Request{Class: "chat"}, l.now+4e6, 3)
 	arrived{r, l.g.live.Load(), true}.apply(l)
 	first := (<-r.Actions).Attempt
-	second := l.requests.Attempt(r, l.registry.Named("s-2"), l.now, l.now+4e6)
+	second := l.requests.StartAttempt(r, l.registry.ByName("s-2"), l.now, l.now+4e6)
 	l.m = callsOff{l.m, func() {
 		if len(r.Actions) != 0 {
 			t.Error("the stream is passed on before the others are called off")
@@ -92,11 +92,11 @@
 		second.Cancel()
 	}}
 	opened{first}.apply(l)
-	if a := <-r.Actions; a.Kind != memory.PassOn || second.Ctx.Err() == nil {
+	if a := <-r.Actions; a.Kind != memory.ActionStream || second.Ctx.Err() == nil {
 		t.Errorf("action %v, the twin's end %v", a.Kind, second.Ctx.Err())
 	}
 	// The other order: what begins to answer once another's stream is the client's ends at once.
-	third := l.requests.Attempt(r, l.registry.Named("s-2"), l.now, l.now+4e6)
+	third := l.requests.StartAttempt(r, l.registry.ByName("s-2"), l.now, l.now+4e6)
 	opened{third}.apply(l)
 	if third.Ctx.Err() == nil || len(r.Actions) != 0 {
 		t.Error("a second stream goes on")
@@ -173,7 +173,7 @@
 			if d := time.Since(begun); d > 2*time.Second {
 				t.Errorf("after %v", d)
 			}
-			if n := g.registry.pool.Open(); n != c.kept {
+			if n := g.registry.pool.OpenCount(); n != c.kept {
 				t.Errorf("%d connections kept, want %d", n, c.kept)
 			}
 		})
@@ -230,14 +230,14 @@
 				t.Fatal(err)
 			}
 			listed{got}.apply(g.loop)
-			if !g.ready.Load() || g.loop.registry.Ready() != 6000 {
-				t.Errorf("ready %t with %d", g.ready.Load(), g.loop.registry.Ready())
+			if !g.ready.Load() || g.loop.registry.ReadyCount() != 6000 {
+				t.Errorf("ready %t with %d", g.ready.Load(), g.loop.registry.ReadyCount())
 			}
 			if _, err := g.callRegistry(t.Context(), l.Addr().String(), socket.ListPath, 5*time.Second); err == nil || g.refusedLists.Load() != 1 {
 				t.Errorf("%v, %d lists refused", err, g.refusedLists.Load())
 			}
-			if g.registry.pool.Open() != 1 {
-				t.Errorf("%d connections kept, want the one on which both came", g.registry.pool.Open())
+			if g.registry.pool.OpenCount() != 1 {
+				t.Errorf("%d connections kept, want the one on which both came", g.registry.pool.OpenCount())
 			}
 		})
 	}
--- a/internal/hold/hold.go
+++ b/internal/hold/hold.go
@@ -133,6 +133,6 @@
 
 // some tells whether bytes have come that were not read.
 func some(fd uintptr) bool {
-	n, err := memory.Peek(int(fd))
+	n, err := memory.PeekDescriptor(int(fd))
 	return err == nil && n > 0
 }
--- a/internal/lifecycle/patience.go
+++ b/internal/lifecycle/patience.go
@@ -15,7 +15,7 @@
 	told := false
 	for end := time.Now().Add(patience); ; time.Sleep(patientEach) {
 		err := try()
-		if err == nil || !sockets.Passing(err) || time.Now().After(end) {
+		if err == nil || !sockets.IsTransient(err) || time.Now().After(end) {
 			return err
 		}
 		if !told {
--- a/internal/lifecycle/run.go
+++ b/internal/lifecycle/run.go
@@ -104,8 +104,8 @@
 	if index < 0 {
 		index = s.Self
 	}
-	return subset.Settings{Most: c.Most, Index: index, Gateways: s.Gateways, Zone: s.Zone, Remote: c.Remote,
-		Weighted: s.WeightKind == choice.WeightNominal, ColdFor: s.SlowStartFor}
+	return subset.Settings{MaxReplicas: c.Most, GatewayIndex: index, GatewayCount: s.Gateways, Zone: s.Zone, RemoteFraction: c.Remote,
+		WeightIsSize: s.WeightKind == choice.WeightNominal, SlowStart: s.SlowStartFor}
 }
 
 // link opens the way to the other gateways, if there is one; nil: there is none.
--- a/internal/memory/memory_test.go
+++ b/internal/memory/memory_test.go
@@ -13,13 +13,13 @@
 	"github.com/google/go-cmp/cmp"
 )
 
-func entry(id, lifecycle string, started int64) socket.Instance {
+func listEntry(id, lifecycle string, started int64) socket.Instance {
 	return socket.Instance{ID: id, Addr: "127.0.0.1:" + id, Lifecycle: lifecycle, StartedAtMs: started}
 }
 
-func numbers(r *Registry) map[string]choice.ReplicaID {
+func replicaIDs(r *Registry) map[string]choice.ReplicaID {
 	out := map[string]choice.ReplicaID{}
-	for name, w := range r.workers {
+	for name, w := range r.byName {
 		out[name] = w.ID
 	}
 	return out
@@ -27,9 +27,9 @@
 
 // Gateways that heard of the same workers in another order agree on their
 // numbers, also where names collide.
-func TestNumbersDoNotDependOnOrder(t *testing.T) {
-	real := replicaID
-	defer func() { replicaID = real }()
+func TestReplicaIDsDoNotDependOnOrder(t *testing.T) {
+	real := hashReplicaID
+	defer func() { hashReplicaID = real }()
 	for name, hash := range map[string]func(string, byte) choice.ReplicaID{
 		"real": real,
 		"all collide": func(name string, salt byte) choice.ReplicaID {
@@ -39,16 +39,16 @@
 			return real(name, salt)
 		},
 	} {
-		replicaID = hash
+		hashReplicaID = hash
 		names := []string{"s-b", "s-a", "s-d", "s-c"}
 		var want map[string]choice.ReplicaID
 		for range names {
 			names = append(names[1:], names[0])
 			r := NewRegistry()
 			for _, n := range names {
-				r.Apply(socket.List{Instances: []socket.Instance{entry(n, "ready", 0)}}, choice.ListDelta, nil)
+				r.Apply(socket.List{Instances: []socket.Instance{listEntry(n, "ready", 0)}}, choice.ListDelta, nil)
 			}
-			got := numbers(r)
+			got := replicaIDs(r)
 			if want == nil {
 				want = got
 			}
@@ -56,7 +56,7 @@
 				t.Errorf("%s, order %v: %s", name, names, diff)
 			}
 			for _, id := range got {
-				if r.Worker(id) == nil {
+				if r.ByID(id) == nil {
 					t.Errorf("%s: no worker %d", name, id)
 				}
 			}
@@ -64,7 +64,7 @@
 	}
 }
 
-func TestListsAndChanges(t *testing.T) {
+func TestApplyListsAndDeltas(t *testing.T) {
 	conversions := int64(0)
 	since := func(ms int64) choice.Micros { conversions++; return ms*1000 + conversions }
 	r := NewRegistry()
@@ -77,7 +77,7 @@
 		slices.Sort(left)
 		return states, left
 	}
-	a, b := replicaID("a", 0), replicaID("b", 0)
+	a, b := hashReplicaID("a", 0), hashReplicaID("b", 0)
 	for i, step := range []struct {
 		kind  choice.ListKind
 		in    []socket.Instance
@@ -85,25 +85,25 @@
 		left  []string
 		ready int
 	}{
-		{choice.ListCached, []socket.Instance{entry("a", "ready", 0), entry("b", "ready", 50)},
+		{choice.ListCached, []socket.Instance{listEntry("a", "ready", 0), listEntry("b", "ready", 50)},
 			map[choice.ReplicaID]choice.EndpointState{a: choice.EndpointReady, b: choice.EndpointReady}, nil, 2},
-		{choice.ListDelta, []socket.Instance{entry("a", "draining", 0)},
+		{choice.ListDelta, []socket.Instance{listEntry("a", "draining", 0)},
 			map[choice.ReplicaID]choice.EndpointState{a: choice.EndpointDraining}, nil, 1},
-		{choice.ListDelta, []socket.Instance{entry("a", "gone", 0), entry("never", "gone", 0)},
+		{choice.ListDelta, []socket.Instance{listEntry("a", "gone", 0), listEntry("never", "gone", 0)},
 			map[choice.ReplicaID]choice.EndpointState{a: choice.EndpointGone}, []string{"a@127.0.0.1:a/0"}, 1},
-		{choice.ListDelta, []socket.Instance{entry("b", "ready", 50)},
+		{choice.ListDelta, []socket.Instance{listEntry("b", "ready", 50)},
 			map[choice.ReplicaID]choice.EndpointState{b: choice.EndpointReady}, nil, 1},
-		{choice.ListDelta, []socket.Instance{entry("b", "ready", 60)}, // it restarted: its connections are dead
+		{choice.ListDelta, []socket.Instance{listEntry("b", "ready", 60)}, // it restarted: its connections are dead
 			map[choice.ReplicaID]choice.EndpointState{b: choice.EndpointReady}, []string{"b@127.0.0.1:b/50"}, 1},
-		{choice.ListFull, []socket.Instance{entry("a", "odd word", 0)},
+		{choice.ListFull, []socket.Instance{listEntry("a", "odd word", 0)},
 			map[choice.ReplicaID]choice.EndpointState{a: choice.EndpointDraining}, []string{"b@127.0.0.1:b/60"}, 0},
 	} {
 		got, left := apply(step.kind, step.in...)
 		if diff := cmp.Diff(step.want, got); diff != "" {
 			t.Errorf("step %d: %s", i, diff)
 		}
-		if !slices.Equal(left, step.left) || r.Ready() != step.ready {
-			t.Errorf("step %d: left %v, ready %d", i, left, r.Ready())
+		if !slices.Equal(left, step.left) || r.ReadyCount() != step.ready {
+			t.Errorf("step %d: left %v, ready %d", i, left, r.ReadyCount())
 		}
 	}
 	// A start is converted once: one that moved with the clock's drift would
@@ -115,7 +115,7 @@
 
 // The pool reuses the connection used last, gives up what is idle for room,
 // and opens no more than it may.
-func TestPoolIsBounded(t *testing.T) {
+func TestPoolLimitsOpenConnections(t *testing.T) {
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
@@ -131,7 +131,7 @@
 		return c
 	}
 	a, b := get(), get()
-	if _, err := p.Get(context.Background(), "k", l.Addr().String()); err != ErrFull {
+	if _, err := p.Get(context.Background(), "k", l.Addr().String()); err != ErrExhausted {
 		t.Errorf("a third connection: %v", err)
 	}
 	p.Put(a)
@@ -146,8 +146,8 @@
 	}
 	defer other.Close()
 	c, err := p.Get(context.Background(), "other", other.Addr().String())
-	if err != nil || p.Open() != 2 {
-		t.Errorf("with two idle: %v, %d open", err, p.Open())
+	if err != nil || p.OpenCount() != 2 {
+		t.Errorf("with two idle: %v, %d open", err, p.OpenCount())
 	}
 	// Another process at an address gets no connection of the one before.
 	if p.Put(c); c.Reused {
@@ -162,13 +162,13 @@
 	p.Drop(c)
 	p.CloseIdle("k")
 	p.CloseIdle("other")
-	if p.Open() != 0 {
-		t.Errorf("%d open at the end", p.Open())
+	if p.OpenCount() != 0 {
+		t.Errorf("%d open at the end", p.OpenCount())
 	}
 }
 
 // A silent machine's kept connections go, unless one was in use since.
-func TestDoubt(t *testing.T) {
+func TestCloseUnusedSince(t *testing.T) {
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
@@ -185,16 +185,16 @@
 			t.Fatal(err)
 		}
 		p.Put(conn)
-		p.Doubt("k", c.since)
-		if p.Open() != c.open {
-			t.Errorf("%s: %d open, want %d", name, p.Open(), c.open)
+		p.CloseUnusedSince("k", c.since)
+		if p.OpenCount() != c.open {
+			t.Errorf("%s: %d open, want %d", name, p.OpenCount(), c.open)
 		}
 		p.CloseIdle("k")
 	}
 }
 
 // What is idle for too long or closed by the other side holds no socket.
-func TestSweep(t *testing.T) {
+func TestCloseExpired(t *testing.T) {
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
@@ -216,19 +216,19 @@
 		}
 		if c.close {
 			far.Close()
-			conn.R.Peek(1) // its end has arrived
+			conn.Reader.Peek(1) // its end has arrived
 		}
 		p.Put(conn)
-		p.Sweep()
-		if p.Open() != c.open {
-			t.Errorf("%s: %d open, want %d", name, p.Open(), c.open)
+		p.CloseExpired()
+		if p.OpenCount() != c.open {
+			t.Errorf("%s: %d open, want %d", name, p.OpenCount(), c.open)
 		}
 		far.Close()
 	}
 }
 
 // Bytes that came unasked on a kept connection would be taken for the next answer.
-func TestUnaskedBytes(t *testing.T) {
+func TestUnsolicitedBytesPreventReuse(t *testing.T) {
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
@@ -246,10 +246,10 @@
 	defer far.Close()
 	p.Put(first)
 	far.Write([]byte("x"))
-	for end := time.Now().Add(5 * time.Second); !Waiting(first.Conn) && time.Now().Before(end); {
+	for end := time.Now().Add(5 * time.Second); !HasUnreadData(first.Conn) && time.Now().Before(end); {
 		time.Sleep(time.Millisecond)
 	}
-	if c, err := p.Get(context.Background(), "k", l.Addr().String()); err != nil || c == first || p.Open() != 1 {
-		t.Errorf("%v, the same %t, %d open", err, c == first, p.Open())
+	if c, err := p.Get(context.Background(), "k", l.Addr().String()); err != nil || c == first || p.OpenCount() != 1 {
+		t.Errorf("%v, the same %t, %d open", err, c == first, p.OpenCount())
 	}
 }
--- a/internal/memory/registry_bench_test.go
+++ b/internal/memory/registry_bench_test.go
@@ -8,8 +8,8 @@
 	"archknot/internal/wire/socket"
 )
 
-// BenchmarkChange is the cost of one worker's change of state, over the size of the list.
-func BenchmarkChange(b *testing.B) {
+// BenchmarkApplyDelta is the cost of one worker's change of state, over the size of the list.
+func BenchmarkApplyDelta(b *testing.B) {
 	for _, n := range []int{1000, 6000, 12000} {
 		b.Run(fmt.Sprint(n), func(b *testing.B) {
 			list := socket.List{Reset: true}
--- a/internal/memory/shortage_test.go
+++ b/internal/memory/shortage_test.go
@@ -12,7 +12,7 @@
 
 // A connect that this machine fails for want of something is tried again for a moment, and told from
 // one that the other side, or the network, fails.
-func TestShortages(t *testing.T) {
+func TestLocalShortageIsRetried(t *testing.T) {
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
@@ -21,7 +21,7 @@
 	for _, errno := range []syscall.Errno{syscall.EMFILE, syscall.ENFILE, syscall.ENOBUFS, syscall.ENOMEM, syscall.EADDRNOTAVAIL, syscall.EINTR} {
 		var fails atomic.Int32
 		p := NewPool(4, time.Second, time.Second)
-		p.dial.Control = func(string, string, syscall.RawConn) error {
+		p.dialer.Control = func(string, string, syscall.RawConn) error {
 			if fails.Add(-1) >= 0 {
 				return errno
 			}
@@ -35,16 +35,16 @@
 		}
 		p.Drop(c)
 		fails.Store(1000)
-		if _, err := p.Get(context.Background(), "k", l.Addr().String()); !errors.Is(err, ErrShortage) || !errors.Is(err, errno) {
+		if _, err := p.Get(context.Background(), "k", l.Addr().String()); !errors.Is(err, ErrLocalShortage) || !errors.Is(err, errno) {
 			t.Errorf("%v for long: %v", errno, err)
 		}
-		if p.Open() != 0 {
-			t.Errorf("%v: %d connections are counted", errno, p.Open())
+		if p.OpenCount() != 0 {
+			t.Errorf("%v: %d connections are counted", errno, p.OpenCount())
 		}
 	}
 	p := NewPool(4, time.Second, time.Second)
-	p.dial.Control = func(string, string, syscall.RawConn) error { return syscall.ENETUNREACH }
-	if _, err := p.Get(context.Background(), "k", l.Addr().String()); err == nil || errors.Is(err, ErrShortage) {
+	p.dialer.Control = func(string, string, syscall.RawConn) error { return syscall.ENETUNREACH }
+	if _, err := p.Get(context.Background(), "k", l.Addr().String()); err == nil || errors.Is(err, ErrLocalShortage) {
 		t.Errorf("a network that is unreachable: %v", err)
 	}
 }
--- a/internal/metrics/control.go
+++ b/internal/metrics/control.go
@@ -60,35 +60,35 @@
 	gauge(replicasDesc, float64(of.Listed), "listed")
 	gauge(replicasDesc, float64(of.Ready), "ready")
 	gauge(replicasDesc, float64(of.Subset), "subset")
-	gauge(replicasDesc, float64(of.Guests), "home")
+	gauge(replicasDesc, float64(of.OutsideTargets), "home")
 	count(movedDesc, float64(of.Joined), "in")
 	count(movedDesc, float64(of.Left), "out")
-	count(refusedDesc, float64(of.RefusedLists))
-	count(oddEntriesDesc, float64(of.OddEntries))
+	count(refusedDesc, float64(of.RejectedLists))
+	count(oddEntriesDesc, float64(of.MalformedEntries))
 	gauge(unknownKeysDesc, float64(of.UnknownKeys))
-	for reason, n := range of.Closed {
+	for reason, n := range of.ClosedConnections {
 		count(closedDesc, float64(n), reason)
 	}
-	gauge(outDesc, float64(of.ReplicasOut))
+	gauge(outDesc, float64(of.EjectedReplicas))
 	gauge(drainedDesc, flag(of.Drained))
-	gauge(unsavedDesc, flag(of.OrdersLost))
-	for _, c := range of.Calls {
+	gauge(unsavedDesc, flag(of.OrdersNotSaved))
+	for _, c := range of.OperatorCalls {
 		word := "no"
-		if c.Yes {
+		if c.Accepted {
 			word = "yes"
 		}
-		count(operatorDesc, float64(c.N), c.Call, word)
+		count(operatorDesc, float64(c.Count), c.Call, word)
 	}
-	gauge(versionDesc, float64(of.Version))
+	gauge(versionDesc, float64(of.ListVersion))
 	gauge(connectionsDesc, float64(of.Connections))
-	count(busyDesc, of.Busy.Seconds())
-	count(attemptsDesc, float64(of.Reports.Known), "known")
-	count(attemptsDesc, float64(of.Reports.Unknown), "none")
+	count(busyDesc, of.LoopBusy.Seconds())
+	count(attemptsDesc, float64(of.Reports.WithReport), "known")
+	count(attemptsDesc, float64(of.Reports.WithoutReport), "none")
 	count(reportAgeDesc, of.Reports.Sum.Seconds())
-	for p := range figures.Purposes {
+	for p := range figures.PurposeCount {
 		t, word := of.Traffic[p], figures.Purpose(p).String()
 		count(callsDesc, float64(t.Calls), word)
-		count(openedDesc, float64(t.Opened), word)
+		count(openedDesc, float64(t.ConnectionsOpened), word)
 		count(bytesDesc, float64(t.BytesIn), word, "in")
 		count(bytesDesc, float64(t.BytesOut), word, "out")
 	}
--- a/internal/metrics/metrics.go
+++ b/internal/metrics/metrics.go
@@ -20,7 +20,7 @@
 // Source tells the figures.
 type Source interface {
 	Accounts(ctx context.Context) ([]contract.Account, error)
-	Control(ctx context.Context) (figures.Control, error)
+	Control(ctx context.Context) (figures.Stats, error)
 }
 
 // scrapeWithin bounds the time that figures may take.
--- a/internal/metrics/metrics_test.go
+++ b/internal/metrics/metrics_test.go
@@ -19,13 +19,13 @@
 
 type source struct {
 	list    []contract.Account
-	control figures.Control
+	control figures.Stats
 	err     error
 }
 
 func (s *source) Accounts(context.Context) ([]contract.Account, error) { return s.list, s.err }
 
-func (s *source) Control(context.Context) (figures.Control, error) { return s.control, s.err }
+func (s *source) Control(context.Context) (figures.Stats, error) { return s.control, s.err }
 
 func account(i int) contract.Account {
 	a := contract.Account{Team: fmt.Sprint("team", i), Level: 5 * contract.Token, Open: 2, Part: 0.25, Valid: true}
@@ -105,9 +105,9 @@
 
 // What a gateway tells of its control work is there by name, purpose and way.
 func TestControlWork(t *testing.T) {
-	s := &source{control: figures.Control{Listed: 6000, Ready: 5990, Subset: 102, Guests: 64, Joined: 110, Left: 8, RefusedLists: 3, Version: 41,
-		Connections: 120, Busy: 2500 * time.Millisecond, Reports: figures.ReportAge{Known: 40, Unknown: 2, Sum: 12 * time.Second}}}
-	s.control.Traffic[figures.Probe] = figures.Traffic{Calls: 70, Opened: 9, BytesIn: 10_000, BytesOut: 4000}
+	s := &source{control: figures.Stats{Listed: 6000, Ready: 5990, Subset: 102, OutsideTargets: 64, Joined: 110, Left: 8, RejectedLists: 3, ListVersion: 41,
+		Connections: 120, LoopBusy: 2500 * time.Millisecond, Reports: figures.ReportAge{WithReport: 40, WithoutReport: 2, Sum: 12 * time.Second}}}
+	s.control.Traffic[figures.PurposeHealthCheck] = figures.Traffic{Calls: 70, ConnectionsOpened: 9, BytesIn: 10_000, BytesOut: 4000}
 	got := map[string]float64{}
 	r := prometheus.NewRegistry()
 	r.MustRegister(&controlWork{s})
--- a/internal/operator/server.go
+++ b/internal/operator/server.go
@@ -128,7 +128,7 @@
 }
 
 func (s *Server) run(l net.Listener) {
-	if err := s.http.Serve(s.slots.listen(sockets.Persistent(l))); !errors.Is(err, http.ErrServerClosed) {
+	if err := s.http.Serve(s.slots.listen(sockets.NewRetryListener(l))); !errors.Is(err, http.ErrServerClosed) {
 		slog.Error("admin_listener", "err", err)
 	}
 }
--- a/internal/procstat/procstat.go
+++ b/internal/procstat/procstat.go
@@ -9,11 +9,11 @@
 	"time"
 )
 
-// tick is the unit of processor times.
-const tick = 10 * time.Millisecond
+// clockTick is the unit of processor times.
+const clockTick = 10 * time.Millisecond
 
-// ProcessorTime is what a process has used of the processors; 0 if there is none.
-func ProcessorTime(pid int) time.Duration {
+// CPUTime is what a process has used of the processors; 0 if there is none.
+func CPUTime(pid int) time.Duration {
 	text, err := os.ReadFile(fmt.Sprintf("/proc/%d/stat", pid))
 	if err != nil {
 		return 0
@@ -26,7 +26,7 @@
 	}
 	u, _ := strconv.ParseInt(fields[user], 10, 64)
 	s, _ := strconv.ParseInt(fields[system], 10, 64)
-	return time.Duration(u+s) * tick
+	return time.Duration(u+s) * clockTick
 }
 
 // ResidentMB is a process's resident memory in megabytes; 0 if there is none.
--- a/internal/publicnames/publicnames_test.go
+++ b/internal/publicnames/publicnames_test.go
@@ -48,8 +48,8 @@
 	return []contract.Account{account}, nil
 }
 
-func (figuresSource) Control(context.Context) (figures.Control, error) {
-	return figures.Control{Closed: map[string]int64{"idle": 1}, Calls: []figures.OperatorCalls{{Call: "ready", Yes: true}, {Call: "ready"}}}, nil
+func (figuresSource) Control(context.Context) (figures.Stats, error) {
+	return figures.Stats{ClosedConnections: map[string]int64{"idle": 1}, OperatorCalls: []figures.OperatorCallCount{{Call: "ready", Accepted: true}, {Call: "ready"}}}, nil
 }
 
 // Metrics keep their names, labels and the labels' values.
@@ -157,7 +157,7 @@
 		"capture missing":     reflect.TypeFor[capture.Missing](),
 		"config history":      reflect.TypeFor[confstream.Line](),
 		"control accounts":    reflect.TypeFor[contract.Account](),
-		"control figures":     reflect.TypeFor[figures.Control](),
+		"control figures":     reflect.TypeFor[figures.Stats](),
 		"control rollback":    reflect.TypeFor[lifecycle.RollbackOrder](),
 		"control save":        reflect.TypeFor[lifecycle.SaveOrder](),
 		"control save answer": reflect.TypeFor[lifecycle.SaveAnswer](),
--- a/internal/sockets/errors.go
+++ b/internal/sockets/errors.go
@@ -6,19 +6,19 @@
 	"syscall"
 )
 
-// shortages are what system calls fail with where this machine lacks something: a descriptor, memory, a
+// shortageErrnos are what system calls fail with where this machine lacks something: a descriptor, memory, a
 // port, an entry of a table. They tell nothing of the other side, and pass.
-var shortages = []syscall.Errno{syscall.EMFILE, syscall.ENFILE, syscall.ENOBUFS, syscall.ENOMEM, syscall.EADDRNOTAVAIL, syscall.EAGAIN,
+var shortageErrnos = []syscall.Errno{syscall.EMFILE, syscall.ENFILE, syscall.ENOBUFS, syscall.ENOMEM, syscall.EADDRNOTAVAIL, syscall.EAGAIN,
 	syscall.EINTR, syscall.ENOSPC, syscall.EPERM, syscall.EACCES}
 
-// Shortage tells whether an error is the fault of this machine, and not of the other side.
-func Shortage(err error) bool {
+// IsLocalShortage tells whether an error is the fault of this machine, and not of the other side.
+func IsLocalShortage(err error) bool {
 	var errno syscall.Errno
-	return errors.As(err, &errno) && slices.Contains(shortages, errno)
+	return errors.As(err, &errno) && slices.Contains(shortageErrnos, errno)
 }
 
-// Passing tells whether it may go well to bind an address, or to read a file, a moment later.
-func Passing(err error) bool {
+// IsTransient tells whether it may go well to bind an address, or to read a file, a moment later.
+func IsTransient(err error) bool {
 	var errno syscall.Errno
 	if !errors.As(err, &errno) {
 		return false
@@ -29,5 +29,5 @@
 	case syscall.EPERM, syscall.EACCES, syscall.EADDRNOTAVAIL:
 		return false
 	}
-	return slices.Contains(shortages, errno)
+	return slices.Contains(shortageErrnos, errno)
 }
--- a/internal/sockets/sockets_test.go
+++ b/internal/sockets/listener_test.go
@@ -8,34 +8,34 @@
 	"testing"
 )
 
-// failing is a listener whose accepts fail in turn as the system's may, before each connection.
-type failing struct {
+// failingListener is a listener whose accepts fail in turn as the system's may, before each connection.
+type failingListener struct {
 	net.Listener
-	errs []error
-	next int
+	acceptErrs []error
+	next       int
 }
 
-func (f *failing) Accept() (net.Conn, error) {
-	if f.next < len(f.errs) {
+func (f *failingListener) Accept() (net.Conn, error) {
+	if f.next < len(f.acceptErrs) {
 		f.next++
-		return nil, &net.OpError{Op: "accept", Net: "tcp", Err: os.NewSyscallError("accept4", f.errs[f.next-1])}
+		return nil, &net.OpError{Op: "accept", Net: "tcp", Err: os.NewSyscallError("accept4", f.acceptErrs[f.next-1])}
 	}
 	return f.Listener.Accept()
 }
 
-// acceptErrors are those that accept(2) documents for a connection, a protocol or a shortage.
-var acceptErrors = []error{syscall.ECONNABORTED, syscall.EINTR, syscall.EMFILE, syscall.ENFILE, syscall.ENOBUFS, syscall.ENOMEM, syscall.EPROTO,
+// documentedAcceptErrors are those that accept(2) documents for a connection, a protocol or a shortage.
+var documentedAcceptErrors = []error{syscall.ECONNABORTED, syscall.EINTR, syscall.EMFILE, syscall.ENFILE, syscall.ENOBUFS, syscall.ENOMEM, syscall.EPROTO,
 	syscall.EPERM, syscall.ENETDOWN, syscall.ENOPROTOOPT, syscall.EHOSTDOWN, syscall.ENONET, syscall.EHOSTUNREACH, syscall.EOPNOTSUPP,
 	syscall.ENETUNREACH, syscall.ETIMEDOUT, syscall.ENOSR, syscall.ENOSPC}
 
 // A listener outlasts all that an accept fails with, but for its own end.
-func TestAcceptFails(t *testing.T) {
+func TestAcceptRetriesOnError(t *testing.T) {
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
 	before := AcceptFailures()
-	p := Persistent(&failing{Listener: l, errs: acceptErrors})
+	p := NewRetryListener(&failingListener{Listener: l, acceptErrs: documentedAcceptErrors})
 	dialled, err := net.Dial("tcp", l.Addr().String())
 	if err != nil {
 		t.Fatal(err)
@@ -46,8 +46,8 @@
 		t.Fatal(err)
 	}
 	c.Close()
-	if n := AcceptFailures() - before; n != int64(len(acceptErrors)) {
-		t.Errorf("%d failures counted of %d", n, len(acceptErrors))
+	if n := AcceptFailures() - before; n != int64(len(documentedAcceptErrors)) {
+		t.Errorf("%d failures counted of %d", n, len(documentedAcceptErrors))
 	}
 	l.Close()
 	if _, err := p.Accept(); !errors.Is(err, net.ErrClosed) {
@@ -56,18 +56,18 @@
 }
 
 // What this machine lacks is told from what the other side or the network does.
-func TestKindsOfErrors(t *testing.T) {
+func TestErrorClassification(t *testing.T) {
 	for errno, want := range map[syscall.Errno][2]bool{ // a shortage; passing where an address is bound or a file read
 		syscall.EMFILE: {true, true}, syscall.ENOBUFS: {true, true}, syscall.EADDRNOTAVAIL: {true, false}, syscall.EACCES: {true, false},
 		syscall.ECONNREFUSED: {false, false}, syscall.ETIMEDOUT: {false, false}, syscall.ENETUNREACH: {false, false}, syscall.EHOSTUNREACH: {false, false},
 		syscall.EADDRINUSE: {false, true}, syscall.EIO: {false, true}, syscall.ENOENT: {false, false},
 	} {
 		err := &net.OpError{Op: "dial", Err: os.NewSyscallError("connect", errno)}
-		if got := [2]bool{Shortage(err), Passing(err)}; got != want {
+		if got := [2]bool{IsLocalShortage(err), IsTransient(err)}; got != want {
 			t.Errorf("%v: %v, want %v", errno, got, want)
 		}
 	}
-	if Shortage(errors.New("x")) || Passing(nil) {
+	if IsLocalShortage(errors.New("x")) || IsTransient(nil) {
 		t.Error("no error of the system's is one")
 	}
 }
--- a/internal/subset/bench_test.go
+++ b/internal/subset/bench_test.go
@@ -11,9 +11,9 @@
 func BenchmarkChange(b *testing.B) {
 	for _, n := range []int{1000, 3000, 6000, 12000} {
 		b.Run(fmt.Sprint(n), func(b *testing.B) {
-			members := zoned(0, even(18, n/18)...)
-			v := NewView(bound(128, 7, "z7"), noFigures{})
-			v.Apply(second, full(members))
+			members := zonedMembers(0, evenCounts(18, n/18)...)
+			v := NewSelector(testSettings(128, 7, "z7"), noPrefixStats{})
+			v.Apply(second, fullListOf(members))
 			for i := range b.N {
 				m := members[i/2%len(members)]
 				if i%2 == 0 {
@@ -25,15 +25,15 @@
 	}
 }
 
-// BenchmarkHome is the cost of finding a request's home, over the size of the fleet.
-func BenchmarkHome(b *testing.B) {
+// BenchmarkAssignAffinityTarget is the cost of finding a request's home, over the size of the fleet.
+func BenchmarkAssignAffinityTarget(b *testing.B) {
 	for _, n := range []int{1000, 6000, 12000} {
 		b.Run(fmt.Sprint(n), func(b *testing.B) {
-			v := NewView(bound(128, 7, "z0"), noFigures{})
-			v.Apply(second, full(zoned(0, n)))
+			v := NewSelector(testSettings(128, 7, "z0"), noPrefixStats{})
+			v.Apply(second, fullListOf(zonedMembers(0, n)))
 			for i := range b.N {
 				in := choice.Request{Session: uint64(i) + 1, Prefix: uint64(i%5000) + 1}
-				v.Home(20*second, &in)
+				v.AssignAffinityTarget(20*second, &in)
 			}
 		})
 	}
--- a/internal/subset/hash.go
+++ b/internal/subset/hash.go
@@ -1,21 +1,21 @@
 package subset
 
-// hash is the finalizer of splitmix64.
-func hash(x uint64) uint64 {
+// mix64 is the finalizer of splitmix64.
+func mix64(x uint64) uint64 {
 	x += 0x9e3779b97f4a7c15
 	x = (x ^ x>>30) * 0xbf58476d1ce4e5b9
 	x = (x ^ x>>27) * 0x94d049bb133111eb
 	return x ^ x>>31
 }
 
-// hashText is FNV-1a, finished.
-func hashText(text string) uint64 {
+// hashString is FNV-1a, finished.
+func hashString(text string) uint64 {
 	h := uint64(14695981039346656037)
 	for i := range len(text) {
 		h = (h ^ uint64(text[i])) * 1099511628211
 	}
-	return hash(h)
+	return mix64(h)
 }
 
-// unit maps a hash to 0 up to 1.
-func unit(h uint64) float64 { return float64(h>>11) / (1 << 53) }
+// unitInterval maps a hash to 0 up to 1.
+func unitInterval(h uint64) float64 { return float64(h>>11) / (1 << 53) }
--- a/internal/subset/pick_bench_test.go
+++ b/internal/subset/request_bench_test.go
@@ -8,17 +8,19 @@
 	"archknot/internal/subset"
 )
 
-// nowhere takes a module's orders.
-type nowhere struct{ to choice.ReplicaID }
+// lastDispatchSink takes a module's orders.
+type lastDispatchSink struct{ lastDispatched choice.ReplicaID }
 
-func (n *nowhere) Dispatch(_ choice.RequestID, to choice.ReplicaID, _ choice.Micros) { n.to = to }
-func (*nowhere) Shed(choice.RequestID, choice.Micros)                                {}
-func (*nowhere) Fail(choice.RequestID)                                               {}
-func (*nowhere) Cancel(choice.RequestID, int)                                        {}
-func (*nowhere) SetTimer(choice.Micros, uint64)                                      {}
-func (*nowhere) HealthCheck(choice.ReplicaID)                                        {}
-func (*nowhere) Gossip([]byte)                                                       {}
-func (*nowhere) WatchDiscovery()                                                     {}
+func (n *lastDispatchSink) Dispatch(_ choice.RequestID, to choice.ReplicaID, _ choice.Micros) {
+	n.lastDispatched = to
+}
+func (*lastDispatchSink) Shed(choice.RequestID, choice.Micros) {}
+func (*lastDispatchSink) Fail(choice.RequestID)                {}
+func (*lastDispatchSink) Cancel(choice.RequestID, int)         {}
+func (*lastDispatchSink) SetTimer(choice.Micros, uint64)       {}
+func (*lastDispatchSink) HealthCheck(choice.ReplicaID)         {}
+func (*lastDispatchSink) Gossip([]byte)                        {}
+func (*lastDispatchSink) WatchDiscovery()                      {}
 
 // BenchmarkRequest is all that is decided for a request, from its arrival to its end: the home, the
 // list that tells it, the pick and what its end teaches. The fleet is in one zone or in eighteen.
@@ -27,14 +29,14 @@
 		{100, 1, 128}, {100, 1, 0}, {1000, 1, 0}, {6000, 1, 0}, {1000, 1, 128}, {6000, 1, 128}, {6000, 18, 128},
 	} {
 		b.Run(fmt.Sprintf("replicas=%d/zones=%d/most=%d", c.replicas, c.zones, c.most), func(b *testing.B) {
-			sink := &nowhere{}
+			sink := &lastDispatchSink{}
 			s := choice.Settings{Self: 3, Gateways: 1800, Zone: "z3", Kinds: []string{"k"}, MaxAttempts: 3, MayCancel: true, ReportSource: choice.ReportInline,
 				Classes: []choice.Class{{Name: "chat", LatencyObjective: 1e6, Deadline: 10e6, PriorityWeight: 1, Streaming: true}}, StreamsPerConn: 1, ConnIdleTimeout: 45e6}
 			m, err := choice.New(s, 7, sink)
 			if err != nil {
 				b.Fatal(err)
 			}
-			v := subset.NewView(subset.Settings{Most: c.most, Index: 3, Gateways: 1800, Zone: "z3", Remote: subset.DefaultRemote, ColdFor: 9e6}, m)
+			v := subset.NewSelector(subset.Settings{MaxReplicas: c.most, GatewayIndex: 3, GatewayCount: 1800, Zone: "z3", RemoteFraction: subset.DefaultRemoteFraction, SlowStart: 9e6}, m)
 			list := choice.EndpointList{Kind: choice.ListFull}
 			for i := range c.replicas {
 				list.Endpoints = append(list.Endpoints, choice.Endpoint{Replica: choice.ReplicaID(uint32(i+1) * 2654435761), State: choice.EndpointReady,
@@ -48,11 +50,11 @@
 				now += 27_000
 				in := choice.Request{ID: choice.RequestID(n + 1), Class: "chat", TimeLeft: 10e6, PromptTokens: 800, MaxTokens: 300,
 					Session: uint64(n%20_000) + 1, Prefix: uint64(n%4_000) + 1, PrefixTokens: 400}
-				if home, tell := v.Home(now, &in); tell {
+				if home, tell := v.AssignAffinityTarget(now, &in); tell {
 					m.ListChanged(now, home)
 				}
 				m.RequestArrived(now, in)
-				o := choice.Outcome{ID: in.ID, Replica: sink.to, Elapsed: 400_000}
+				o := choice.Outcome{ID: in.ID, Replica: sink.lastDispatched, Elapsed: 400_000}
 				m.FirstToken(now+400_000, o)
 				o.Elapsed, o.Status, o.Final, o.OutputTokens = 3_000_000, choice.Served, true, 90
 				o.Report = choice.LoadReport{Has: choice.HasInFlight, InFlight: float64(n % 9)}
--- a/internal/subset/cold_test.go
+++ b/internal/subset/slowstart_test.go
@@ -15,7 +15,7 @@
 // is told homes beside it: what a replica in slow start is sent in any span stays within N + 3 roots of
 // N + 3 (under 30; else 2 roots and 2), N being what it can do then. Replicas in slow start look empty
 // and all others full; sessions and prefixes are shared by all gateways.
-func TestSumAtColdReplicasWithSubsets(t *testing.T) {
+func TestSlowStartAcrossGatewaysWithSubsets(t *testing.T) {
 	const second choice.Micros = 1_000_000
 	for _, c := range []struct {
 		gateways, replicas, cold, zones, most int
@@ -38,12 +38,12 @@
 			sent := map[choice.ReplicaID][]float64{}
 			for self := range c.gateways {
 				s.Self, s.Zone = self, fmt.Sprint("z", self%c.zones)
-				sink := &nowhere{}
+				sink := &lastDispatchSink{}
 				m, err := choice.New(s, 1, sink) // the same seed at each
 				if err != nil {
 					t.Fatal(err)
 				}
-				v := subset.NewView(subset.Settings{Most: c.most, Index: self, Gateways: c.gateways, Zone: s.Zone, Remote: subset.DefaultRemote, ColdFor: s.SlowStartFor}, m)
+				v := subset.NewSelector(subset.Settings{MaxReplicas: c.most, GatewayIndex: self, GatewayCount: c.gateways, Zone: s.Zone, RemoteFraction: subset.DefaultRemoteFraction, SlowStart: s.SlowStartFor}, m)
 				m.Start(start)
 				m.ListChanged(start, v.Apply(start, choice.EndpointList{Kind: choice.ListCached, Endpoints: list}))
 				rng := rand.New(rand.NewPCG(uint64(self), 5))
@@ -60,20 +60,20 @@
 					id++
 					in := choice.Request{ID: id, Class: "chat", TimeLeft: 10 * second, PromptTokens: 500, MaxTokens: 100,
 						Session: rng.Uint64N(3000) + 1, Prefix: rng.Uint64N(50) + 1, PrefixTokens: 200}
-					if home, tell := v.Home(at, &in); tell {
+					if home, tell := v.AssignAffinityTarget(at, &in); tell {
 						m.ListChanged(at, home)
 					}
-					sink.to = 0
+					sink.lastDispatched = 0
 					m.RequestArrived(at, in)
-					if sink.to == 0 {
+					if sink.lastDispatched == 0 {
 						continue
 					}
 					report := choice.LoadReport{Has: choice.HasInFlight, InFlight: 40}
-					if int(sink.to) <= c.cold {
-						sent[sink.to] = append(sent[sink.to], now/1e6)
+					if int(sink.lastDispatched) <= c.cold {
+						sent[sink.lastDispatched] = append(sent[sink.lastDispatched], now/1e6)
 						report.InFlight = 0
 					}
-					m.AttemptEnded(at+1, choice.Outcome{ID: id, Replica: sink.to, Status: choice.Served, Elapsed: second / 2, Final: true, Report: report})
+					m.AttemptEnded(at+1, choice.Outcome{ID: id, Replica: sink.lastDispatched, Status: choice.Served, Elapsed: second / 2, Final: true, Report: report})
 				}
 			}
 			most, total, over := 0.0, 0, 0
--- a/internal/subset/subset.go
+++ b/internal/subset/subset.go
@@ -21,55 +21,55 @@
 
 // Defaults of the settings.
 const (
-	DefaultMost   = 128
-	DefaultRemote = 0.25
+	DefaultMaxReplicas    = 128
+	DefaultRemoteFraction = 0.25
 )
 
 // Settings are what a gateway's subset is worked out from, beside the list.
 type Settings struct {
-	Most     int           // replicas a gateway works with; lists up to it pass whole; 0: all pass whole
-	Index    int           // this gateway's number
-	Gateways int           // how many there are; 0: not told
-	Zone     string        // its zone; "": none
-	Remote   float64       // part of the subset that is taken from all zones alike
-	Weighted bool          // weights in the list are sizes: twice the weight is in twice as many subsets
-	ColdFor  choice.Micros // how long a replica is in slow start
+	MaxReplicas    int           // replicas a gateway works with; lists up to it pass whole; 0: all pass whole
+	GatewayIndex   int           // this gateway's number
+	GatewayCount   int           // how many there are; 0: not told
+	Zone           string        // its zone; "": none
+	RemoteFraction float64       // part of the subset that is taken from all zones alike
+	WeightIsSize   bool          // weights in the list are sizes: twice the weight is in twice as many subsets
+	SlowStart      choice.Micros // how long a replica is in slow start
 }
 
-// leastSharers is how many gateways have a replica in their subsets in the mean, at least. With fewer
+// minGatewaysPerReplica is how many gateways have a replica in their subsets in the mean, at least. With fewer
 // some replicas are in no subset and others in twice as many as the mean.
-const leastSharers = 16
+const minGatewaysPerReplica = 16
 
-// bound is how many replicas of so many a subset has at most: more than Most where there are few
+// sizeLimit is how many replicas of so many a subset has at most: more than Most where there are few
 // gateways for them.
-func (s *Settings) bound(listed int) int {
-	if s.Gateways <= 0 {
-		return s.Most
+func (s *Settings) sizeLimit(listed int) int {
+	if s.GatewayCount <= 0 {
+		return s.MaxReplicas
 	}
-	needed := float64(leastSharers) * float64(listed) / float64(s.Gateways)
-	return max(s.Most, int(math.Ceil(needed/usualPart)))
+	needed := float64(minGatewaysPerReplica) * float64(listed) / float64(s.GatewayCount)
+	return max(s.MaxReplicas, int(math.Ceil(needed/meanFill)))
 }
 
-// usualPart is the part of the bound that a subset has in the mean, a margin, for the number in a window
-// scatters; and leastPart the part that takes work at least, where there are so many.
-const usualPart, leastPart = 0.8, 0.4
+// meanFill is the part of the bound that a subset has in the mean, a margin, for the number in a window
+// scatters; and minReadyFraction the part that takes work at least, where there are so many.
+const meanFill, minReadyFraction = 0.8, 0.4
 
 // replica is one of the list as the view holds it.
 type replica struct {
 	choice.Endpoint
-	hash     uint64
-	position float64 // on its ring, from 0 to 1
-	ring     int
-	zone     *zone   // nil: one of which nothing takes work
-	width    float64 // of this gateway's window for it, at a scale of 1
-	offset   float64 // how far behind the window's beginning it lies
-	in       bool    // it is in the subset
+	hash         uint64
+	ringPosition float64 // on its ring, from 0 to 1
+	ring         int
+	zone         *zone   // nil: one of which nothing takes work
+	windowWidth  float64 // of this gateway's window for it, at a scale of 1
+	windowOffset float64 // how far behind the window's beginning it lies
+	selected     bool    // it is in the subset
 }
 
 func newReplica(m choice.Endpoint) *replica {
-	r := &replica{Endpoint: m, hash: hash(uint64(m.Replica))}
-	r.position = unit(r.hash)
-	r.ring = int(hash(r.hash) % rings)
+	r := &replica{Endpoint: m, hash: mix64(uint64(m.Replica))}
+	r.ringPosition = unitInterval(r.hash)
+	r.ring = int(mix64(r.hash) % ringsPerZone)
 	return r
 }
 
@@ -81,62 +81,62 @@
 	return r.Weight
 }
 
-// choose marks the replicas that are in the subset. It returns the list by zones, and how many of the
+// selectSubset marks the replicas that are in the subset. It returns the list by zones, and how many of the
 // subset take work.
-func (s *Settings) choose(fleet []*replica) (zones *zoneTable, ready int) {
-	zones = s.zones(fleet)
-	most := s.bound(len(fleet))
-	usual := usualPart * float64(most)
-	s.place(fleet, usual)
-	scale := scaleTo(fleet, min(usual, float64(zones.ready)))
-	for range widenMost {
-		ready = mark(fleet, scale)
-		if want := min(max(1, int(leastPart*float64(most))), zones.ready); ready >= want {
+func (s *Settings) selectSubset(fleet []*replica) (zones *zoneTable, ready int) {
+	zones = s.groupByZone(fleet)
+	most := s.sizeLimit(len(fleet))
+	usual := meanFill * float64(most)
+	s.placeInWindows(fleet, usual)
+	scale := windowScale(fleet, min(usual, float64(zones.readyCount)))
+	for range maxWindowGrowths {
+		ready = markInWindow(fleet, scale)
+		if want := min(max(1, int(minReadyFraction*float64(most))), zones.readyCount); ready >= want {
 			break
 		}
-		scale *= widen // few that take work are in reach: another part of the fleet has to do
+		scale *= windowGrowth // few that take work are in reach: another part of the fleet has to do
 	}
 	if ready > most {
-		ready = trim(fleet, most)
+		ready = trimToLimit(fleet, most)
 	}
 	return zones, ready
 }
 
-// widen is the factor by which windows grow while too few replicas in them take work, and widenMost
+// windowGrowth is the factor by which windows grow while too few replicas in them take work, and maxWindowGrowths
 // how often: by then a window of any share has the whole ring.
-const widen, widenMost = 1.5, 64
+const windowGrowth, maxWindowGrowths = 1.5, 64
 
-// place sets where each replica lies by this gateway's windows.
-func (s *Settings) place(fleet []*replica, usual float64) {
+// placeInWindows sets where each replica lies by this gateway's windows.
+func (s *Settings) placeInWindows(fleet []*replica, usual float64) {
 	for _, r := range fleet {
 		if r.zone == nil {
-			r.width, r.offset = 0, 0
+			r.windowWidth, r.windowOffset = 0, 0
 			continue
 		}
-		r.width = usual * r.zone.share * r.size(s.Weighted) / r.zone.weight
-		offset := r.position - r.zone.starts[r.ring]
-		r.offset = offset - math.Floor(offset)
+		r.windowWidth = usual * r.zone.subsetShare * r.size(s.WeightIsSize) / r.zone.readyWeight
+		offset := r.ringPosition - r.zone.windowStarts[r.ring]
+		r.windowOffset = offset - math.Floor(offset)
 	}
 }
 
-// mark sets which replicas lie in their windows and counts those of them that take work.
-func mark(fleet []*replica, scale float64) (ready int) {
+// markInWindow sets which replicas lie in their windows and counts those of them that take work.
+func markInWindow(fleet []*replica, scale float64) (ready int) {
 	for _, r := range fleet {
-		r.in = r.offset < scale*r.width
-		if r.in && r.State == choice.EndpointReady {
+		r.selected = r.windowOffset < scale*r.windowWidth
+		if r.selected && r.State == choice.EndpointReady {
 			ready++
 		}
 	}
 	return ready
 }
 
-// scaleTo is the factor on all windows by which the subset has a size in the mean. It is 1 unless a
+// windowScale is the factor on all windows by which the subset has a size in the mean. It is 1 unless a
 // zone is too small for its part.
-func scaleTo(fleet []*replica, want float64) float64 {
+func windowScale(fleet []*replica, want float64) float64 {
 	expected := func(scale float64) (sum float64) {
 		for _, r := range fleet {
 			if r.State == choice.EndpointReady {
-				sum += min(1, scale*r.width)
+				sum += min(1, scale*r.windowWidth)
 			}
 		}
 		return sum
@@ -162,31 +162,31 @@
 	return high
 }
 
-// trim takes those that lie last in their windows out of the subset, down to the bound.
-func trim(fleet []*replica, most int) (ready int) {
+// trimToLimit takes those that lie last in their windows out of the subset, down to the bound.
+func trimToLimit(fleet []*replica, most int) (ready int) {
 	var in []*replica
 	for _, r := range fleet {
-		if r.in && r.State == choice.EndpointReady {
+		if r.selected && r.State == choice.EndpointReady {
 			in = append(in, r)
 		}
 	}
-	place := func(r *replica) float64 { return r.offset / r.width }
+	place := func(r *replica) float64 { return r.windowOffset / r.windowWidth }
 	slices.SortFunc(in, func(a, b *replica) int {
 		return cmp.Or(cmp.Compare(place(a), place(b)), cmp.Compare(a.Replica, b.Replica))
 	})
 	for _, r := range in[most:] {
-		r.in = false
+		r.selected = false
 	}
 	return most
 }
 
-// rings is how many rings a zone has. On one ring the same gateways would be neighbours everywhere,
+// ringsPerZone is how many rings a zone has. On one ring the same gateways would be neighbours everywhere,
 // and a crowded place would have the same subsets in all of their windows.
-const rings = 8
+const ringsPerZone = 8
 
-// steps are the distances between the windows of successive indexes on each ring: irrational numbers,
+// ringSteps are the distances between the windows of successive indexes on each ring: irrational numbers,
 // whose multiples spread evenly over the ring. These were searched for among the square roots up to
 // that of 4,000: theirs do so also where only every n-th index is taken, for n up to 24, as when
 // gateways are dealt to zones in turn.
-var steps = [rings]float64{math.Sqrt(1845), math.Sqrt(3427), math.Sqrt(463), math.Sqrt(3340), math.Sqrt(1178), math.Sqrt(1737),
+var ringSteps = [ringsPerZone]float64{math.Sqrt(1845), math.Sqrt(3427), math.Sqrt(463), math.Sqrt(3340), math.Sqrt(1178), math.Sqrt(1737),
 	math.Sqrt(347), math.Sqrt(2514)}
--- a/internal/subset/subset_test.go
+++ b/internal/subset/subset_test.go
@@ -11,18 +11,18 @@
 	"archknot/choice"
 )
 
-// noFigures is a module that has seen no prefix.
-type noFigures struct{}
+// noPrefixStats is a module that has seen no prefix.
+type noPrefixStats struct{}
 
-func (noFigures) PrefixShare(uint64) float64 { return 0 }
+func (noPrefixStats) PrefixShare(uint64) float64 { return 0 }
 
 const second choice.Micros = 1_000_000
 
-// zoned is a list of replicas dealt to zones, so many in each, with ids from first on.
-func zoned(first int, counts ...int) (out []choice.Endpoint) {
+// zonedMembers is a list of replicas dealt to zones, so many in each, with ids from first on.
+func zonedMembers(first int, counts ...int) (out []choice.Endpoint) {
 	for zone, n := range counts {
 		for range n {
-			out = append(out, choice.Endpoint{Replica: choice.ReplicaID(hash(uint64(first))), State: choice.EndpointReady, Weight: 1,
+			out = append(out, choice.Endpoint{Replica: choice.ReplicaID(mix64(uint64(first))), State: choice.EndpointReady, Weight: 1,
 				Zone: fmt.Sprint("z", zone), Kind: "k", StartedAt: 5})
 			first++
 		}
@@ -30,21 +30,21 @@
 	return out
 }
 
-func even(zones, each int) []int {
+func evenCounts(zones, each int) []int {
 	return slices.Repeat([]int{each}, zones)
 }
 
-func full(members []choice.Endpoint) choice.EndpointList {
+func fullListOf(members []choice.Endpoint) choice.EndpointList {
 	return choice.EndpointList{Kind: choice.ListFull, Endpoints: members}
 }
 
-// bound is the settings of the tests: those of a gateway in the zone that its index stands for.
-func bound(most, index int, zone string) Settings {
-	return Settings{Most: most, Index: index, Zone: zone, Remote: DefaultRemote, ColdFor: 9 * second}
+// testSettings is the settings of the tests: those of a gateway in the zone that its index stands for.
+func testSettings(most, index int, zone string) Settings {
+	return Settings{MaxReplicas: most, GatewayIndex: index, Zone: zone, RemoteFraction: DefaultRemoteFraction, SlowStart: 9 * second}
 }
 
-// ids are the replicas of a list that take work.
-func ids(list choice.EndpointList) map[choice.ReplicaID]bool {
+// readyIDs are the replicas of a list that take work.
+func readyIDs(list choice.EndpointList) map[choice.ReplicaID]bool {
 	out := map[choice.ReplicaID]bool{}
 	for _, m := range list.Endpoints {
 		if m.State == choice.EndpointReady {
@@ -54,8 +54,8 @@
 	return out
 }
 
-// follow applies what a view tells to what was told before, as the module does.
-func follow(held map[choice.ReplicaID]choice.Endpoint, list choice.EndpointList) {
+// applyAnnounced applies what a view tells to what was told before, as the module does.
+func applyAnnounced(held map[choice.ReplicaID]choice.Endpoint, list choice.EndpointList) {
 	if list.Kind.Complete() {
 		clear(held)
 	}
@@ -69,28 +69,28 @@
 }
 
 // A list of up to the bound passes as it is.
-func TestListsUpToTheBoundPassWhole(t *testing.T) {
+func TestListsUpToTheLimitPassComplete(t *testing.T) {
 	for _, n := range []int{0, 1, 99, 128} {
-		list := full(zoned(0, n))
-		v := NewView(bound(128, 3, "z0"), noFigures{})
+		list := fullListOf(zonedMembers(0, n))
+		v := NewSelector(testSettings(128, 3, "z0"), noPrefixStats{})
 		got := v.Apply(second, list)
 		if len(got.Endpoints) != n || got.FleetSize != 0 || n > 0 && &got.Endpoints[0] != &list.Endpoints[0] {
 			t.Errorf("%d replicas: %d told, fleet %d", n, len(got.Endpoints), got.FleetSize)
 		}
 		in := choice.Request{Session: 7, Prefix: 8}
-		if _, tell := v.Home(second, &in); tell || in.HomeReplica != 0 {
+		if _, tell := v.AssignAffinityTarget(second, &in); tell || in.HomeReplica != 0 {
 			t.Errorf("%d replicas: a home of its own", n)
 		}
 	}
-	list := full(zoned(0, 5000))
-	if got := NewView(bound(0, 3, "z0"), noFigures{}).Apply(second, list); len(got.Endpoints) != 5000 {
+	list := fullListOf(zonedMembers(0, 5000))
+	if got := NewSelector(testSettings(0, 3, "z0"), noPrefixStats{}).Apply(second, list); len(got.Endpoints) != 5000 {
 		t.Error("no bound, and not the whole list")
 	}
 }
 
 // Every replica is in about as many subsets as any other, whatever zone a gateway's index stands for;
 // the number of gateways is told to nobody.
-func TestSpreadIsEven(t *testing.T) {
+func TestReplicasAreInEquallyManySubsets(t *testing.T) {
 	for _, c := range []struct {
 		name     string
 		gateways int
@@ -100,12 +100,12 @@
 		{"one zone", 1800, []int{6000}, func(i, _ int) int { return 0 }},
 		{"one zone, 1200", 360, []int{1200}, func(i, _ int) int { return 0 }},
 		{"one zone, 600", 180, []int{600}, func(i, _ int) int { return 0 }},
-		{"three zones in turn", 1800, even(3, 2000), func(i, z int) int { return i % z }},
-		{"eighteen zones in turn", 1800, even(18, 333), func(i, z int) int { return i % z }},
-		{"eighteen zones in runs", 1800, even(18, 333), func(i, z int) int { return i / 100 }},
+		{"three zones in turn", 1800, evenCounts(3, 2000), func(i, z int) int { return i % z }},
+		{"eighteen zones in turn", 1800, evenCounts(18, 333), func(i, z int) int { return i % z }},
+		{"eighteen zones in runs", 1800, evenCounts(18, 333), func(i, z int) int { return i / 100 }},
 		{"uneven zones", 1800, []int{600, 300, 900, 1200, 450, 150, 700, 800, 900}, func(i, z int) int { return i % z }},
 	} {
-		members := zoned(0, c.counts...)
+		members := zonedMembers(0, c.counts...)
 		subsets := map[choice.ReplicaID]int{}
 		sizes, least, most := 0, math.MaxInt, 0
 		var fleet []*replica
@@ -113,11 +113,11 @@
 			fleet = append(fleet, newReplica(m))
 		}
 		for i := range c.gateways {
-			s := bound(128, i, fmt.Sprint("z", c.zoneOf(i, len(c.counts))))
-			s.Gateways = c.gateways
-			_, n := s.choose(fleet)
+			s := testSettings(128, i, fmt.Sprint("z", c.zoneOf(i, len(c.counts))))
+			s.GatewayCount = c.gateways
+			_, n := s.selectSubset(fleet)
 			for _, r := range fleet {
-				if r.in {
+				if r.selected {
 					subsets[r.Replica]++
 				}
 			}
@@ -137,14 +137,14 @@
 // One replica in another's place moves nothing else; a third replaced at once moves these alone, up
 // to the few by which a window's edge moves.
 func TestReplacedReplicasMoveNothingElse(t *testing.T) {
-	members := zoned(0, even(6, 1000)...)
+	members := zonedMembers(0, evenCounts(6, 1000)...)
 	for index := range 60 {
-		v := NewView(bound(128, index, fmt.Sprint("z", index%6)), noFigures{})
-		before := ids(v.Apply(second, full(members)))
+		v := NewSelector(testSettings(128, index, fmt.Sprint("z", index%6)), noPrefixStats{})
+		before := readyIDs(v.Apply(second, fullListOf(members)))
 		next := slices.Clone(members)
-		next[index*7] = zoned(90_000+index, 1)[0]
+		next[index*7] = zonedMembers(90_000+index, 1)[0]
 		next[index*7].Zone = members[index*7].Zone
-		after := ids(v.Apply(2*second, full(next)))
+		after := readyIDs(v.Apply(2*second, fullListOf(next)))
 		for id := range before {
 			if !after[id] && id != members[index*7].Replica {
 				t.Fatalf("gateway %d: another replica has left the subset", index)
@@ -157,10 +157,10 @@
 		}
 		third := slices.Clone(members)
 		for i := 0; i < len(third); i += 3 {
-			third[i] = zoned(100_000+i, 1)[0]
+			third[i] = zonedMembers(100_000+i, 1)[0]
 			third[i].Zone = members[i].Zone
 		}
-		after, stayed := ids(v.Apply(3*second, full(third))), 0
+		after, stayed := readyIDs(v.Apply(3*second, fullListOf(third))), 0
 		for i, m := range members {
 			if i%3 != 0 && before[m.Replica] {
 				if stayed++; !after[m.Replica] {
@@ -175,19 +175,19 @@
 }
 
 // Whatever becomes of a gateway's own replicas, others are told with the same list.
-func TestOthersInTheirPlace(t *testing.T) {
-	members := zoned(0, even(3, 500)...)
+func TestUnavailableReplicasAreReplaced(t *testing.T) {
+	members := zonedMembers(0, evenCounts(3, 500)...)
 	for _, state := range []choice.EndpointState{choice.EndpointDraining, choice.EndpointGone} {
-		v := NewView(bound(128, 11, "z1"), noFigures{})
-		first := v.Apply(second, full(members))
+		v := NewSelector(testSettings(128, 11, "z1"), noPrefixStats{})
+		first := v.Apply(second, fullListOf(members))
 		held := map[choice.ReplicaID]choice.Endpoint{}
-		follow(held, first)
+		applyAnnounced(held, first)
 		change := choice.EndpointList{Kind: choice.ListDelta}
 		for _, m := range first.Endpoints {
 			m.State = state
 			change.Endpoints = append(change.Endpoints, m)
 		}
-		follow(held, v.Apply(2*second, change))
+		applyAnnounced(held, v.Apply(2*second, change))
 		ready := 0
 		for _, m := range held {
 			if m.State == choice.EndpointReady {
@@ -200,10 +200,10 @@
 	}
 	// A zone that is lost and comes back cold: the gateways go on with others, and then as before.
 	for index := range 30 {
-		v := NewView(bound(128, index, "z1"), noFigures{})
-		before := ids(v.Apply(second, full(members)))
+		v := NewSelector(testSettings(128, index, "z1"), noPrefixStats{})
+		before := readyIDs(v.Apply(second, fullListOf(members)))
 		lost := slices.DeleteFunc(slices.Clone(members), func(m choice.Endpoint) bool { return m.Zone == "z1" })
-		if got := ids(v.Apply(2*second, full(lost))); len(got) < 51 {
+		if got := readyIDs(v.Apply(2*second, fullListOf(lost))); len(got) < 51 {
 			t.Errorf("gateway %d: %d left without its zone", index, len(got))
 		}
 		back := slices.Clone(members)
@@ -212,14 +212,14 @@
 				back[i].StartedAt = 8 * second
 			}
 		}
-		got := v.Apply(9*second, full(back))
+		got := v.Apply(9*second, fullListOf(back))
 		for _, m := range got.Endpoints {
 			if m.Zone == "z1" && m.StartedAt != 8*second || !before[m.Replica] {
 				t.Fatalf("gateway %d: after the return %+v", index, m)
 			}
 		}
 		in := choice.Request{Session: uint64(index) + 1}
-		if v.Home(9*second, &in); in.HomeReplica != 0 && slices.ContainsFunc(back, func(m choice.Endpoint) bool { return m.Replica == in.HomeReplica && m.Zone == "z1" }) {
+		if v.AssignAffinityTarget(9*second, &in); in.HomeReplica != 0 && slices.ContainsFunc(back, func(m choice.Endpoint) bool { return m.Replica == in.HomeReplica && m.Zone == "z1" }) {
 			t.Errorf("gateway %d: at home at a replica in slow start", index)
 		}
 	}
@@ -228,10 +228,10 @@
 // A list that shrinks below the bound and grows over it again: the module holds what is in use, and
 // never a replica that has gone.
 func TestListsShrinkAndGrow(t *testing.T) {
-	members := zoned(0, 400)
-	v := NewView(bound(128, 5, "z0"), noFigures{})
+	members := zonedMembers(0, 400)
+	v := NewSelector(testSettings(128, 5, "z0"), noPrefixStats{})
 	held := map[choice.ReplicaID]choice.Endpoint{}
-	follow(held, v.Apply(second, full(members[:100])))
+	applyAnnounced(held, v.Apply(second, fullListOf(members[:100])))
 	for step, n := range []int{400, 129, 128, 1, 0, 300, 128, 129} {
 		change := choice.EndpointList{Kind: choice.ListDelta}
 		for i, m := range members {
@@ -242,9 +242,9 @@
 		}
 		list := change
 		if step%2 == 0 {
-			list = full(members[:n])
+			list = fullListOf(members[:n])
 		}
-		follow(held, v.Apply(choice.Micros(step+2)*second, list))
+		applyAnnounced(held, v.Apply(choice.Micros(step+2)*second, list))
 		for id := range held {
 			if !slices.ContainsFunc(members[:n], func(m choice.Endpoint) bool { return m.Replica == id }) {
 				t.Fatalf("step %d: holds one that has gone", step)
@@ -259,15 +259,15 @@
 // Twice the weight is in twice as many subsets; a weight of 0 is not told and counts as 1; and
 // weights that are load, not size, move nothing.
 func TestWeights(t *testing.T) {
-	members := zoned(0, 3000)
+	members := zonedMembers(0, 3000)
 	for i := range members {
 		members[i].Weight = []float64{0, 1, 2}[i%3]
 	}
 	counts := [3]int{}
 	for index := range 200 {
-		s := bound(128, index, "z0")
-		s.Weighted = true
-		got := ids(NewView(s, noFigures{}).Apply(second, full(members)))
+		s := testSettings(128, index, "z0")
+		s.WeightIsSize = true
+		got := readyIDs(NewSelector(s, noPrefixStats{}).Apply(second, fullListOf(members)))
 		for i, m := range members {
 			if got[m.Replica] {
 				counts[i%3]++
@@ -279,13 +279,13 @@
 			t.Errorf("weight %d: in %.2f times as many subsets, want %v", i, got, want)
 		}
 	}
-	v := NewView(bound(128, 1, "z0"), noFigures{})
-	before := ids(v.Apply(second, full(members)))
+	v := NewSelector(testSettings(128, 1, "z0"), noPrefixStats{})
+	before := readyIDs(v.Apply(second, fullListOf(members)))
 	for i := range members {
 		members[i].Weight = float64(i % 7)
 	}
-	after := v.Apply(2*second, full(members))
-	for id := range ids(after) {
+	after := v.Apply(2*second, fullListOf(members))
+	for id := range readyIDs(after) {
 		if !before[id] {
 			t.Fatal("a change of load has moved the subset")
 		}
@@ -294,19 +294,19 @@
 
 // All gateways of a zone send a session to the same homes, whatever their subsets, and its prefix
 // stays at a few replicas. A guest is told before it is used; there are no more than the bound allows.
-func TestHomesAreAgreedOn(t *testing.T) {
-	members := zoned(0, even(4, 400)...)
+func TestGatewaysAgreeOnAffinityTargets(t *testing.T) {
+	members := zonedMembers(0, evenCounts(4, 400)...)
 	homes := map[uint64]choice.ReplicaID{}
 	ofPrefix := map[uint64]map[choice.ReplicaID]bool{}
 	for _, index := range []int{1, 5, 9, 413} {
-		v := NewView(bound(128, index, "z1"), noFigures{})
+		v := NewSelector(testSettings(128, index, "z1"), noPrefixStats{})
 		held := map[choice.ReplicaID]choice.Endpoint{}
-		follow(held, v.Apply(20*second, full(members)))
+		applyAnnounced(held, v.Apply(20*second, fullListOf(members)))
 		for session := range uint64(600) {
 			in := choice.Request{Session: session + 1, Prefix: session%40 + 1}
-			list, tell := v.Home(20*second, &in)
+			list, tell := v.AssignAffinityTarget(20*second, &in)
 			if tell {
-				follow(held, list)
+				applyAnnounced(held, list)
 			}
 			if in.HomeReplica == 0 {
 				t.Fatalf("gateway %d, session %d: no home", index, session)
@@ -325,7 +325,7 @@
 		}
 	}
 	for prefix, at := range ofPrefix {
-		if len(at) > 3*homesLeast {
+		if len(at) > 3*minPrefixTargets {
 			t.Errorf("prefix %d is kept at %d replicas", prefix, len(at))
 		}
 	}
@@ -333,15 +333,15 @@
 
 // Over drawn fleets and histories: the subset is within its bounds, holds what the list says and
 // nothing else, is the same by whatever lists it came about, and has enough that takes work.
-func TestSubsetsOfDrawnFleets(t *testing.T) {
+func TestSubsetsOfRandomFleets(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		most := rapid.IntRange(1, 150).Draw(t, "most")
-		s := Settings{Most: most, Index: rapid.IntRange(0, 5000).Draw(t, "index"), Remote: rapid.Float64Range(0, 1).Draw(t, "remote"),
-			Zone: rapid.SampledFrom([]string{"z0", "z1", "z9", ""}).Draw(t, "zone"), Weighted: rapid.Bool().Draw(t, "weighted"), ColdFor: 9 * second}
+		s := Settings{MaxReplicas: most, GatewayIndex: rapid.IntRange(0, 5000).Draw(t, "index"), RemoteFraction: rapid.Float64Range(0, 1).Draw(t, "remote"),
+			Zone: rapid.SampledFrom([]string{"z0", "z1", "z9", ""}).Draw(t, "zone"), WeightIsSize: rapid.Bool().Draw(t, "weighted"), SlowStart: 9 * second}
 		counts := rapid.SliceOfN(rapid.IntRange(0, 200), 1, 5).Draw(t, "zones")
-		all := zoned(0, counts...)
+		all := zonedMembers(0, counts...)
 		truth := map[choice.ReplicaID]choice.Endpoint{}
-		v := NewView(s, noFigures{})
+		v := NewSelector(s, noPrefixStats{})
 		held := map[choice.ReplicaID]choice.Endpoint{}
 		for step := range rapid.IntRange(1, 6).Draw(t, "lists") {
 			now := choice.Micros(step+1) * second
@@ -351,7 +351,7 @@
 			}
 			seed := rapid.Uint64().Draw(t, "states")
 			for i, m := range all {
-				switch hash(seed+uint64(i)) % 6 {
+				switch mix64(seed+uint64(i)) % 6 {
 				case 0:
 					continue // not on this list
 				case 1:
@@ -359,13 +359,13 @@
 				case 2:
 					m.State = choice.EndpointDraining
 				}
-				m.Weight = float64(hash(seed^uint64(i)) % 4)
+				m.Weight = float64(mix64(seed^uint64(i)) % 4)
 				list.Endpoints = append(list.Endpoints, m)
 				if delete(truth, m.Replica); m.State != choice.EndpointGone {
 					truth[m.Replica] = m
 				}
 			}
-			follow(held, v.Apply(now, list))
+			applyAnnounced(held, v.Apply(now, list))
 			ready, inUse := 0, 0
 			for _, m := range truth {
 				if m.State == choice.EndpointReady {
@@ -377,7 +377,7 @@
 				if is, ok := truth[id]; !ok || is != m {
 					t.Fatalf("step %d: holds %+v, the list has %+v", step, m, is)
 				}
-				if _, guest := v.guests[id]; guest {
+				if _, guest := v.outsideTargets[id]; guest {
 					guests++
 					continue
 				}
@@ -391,13 +391,13 @@
 			if len(truth) > most && (inUse > most || inUse < min(max(1, most*2/5), ready)) {
 				t.Fatalf("step %d: %d in use of %d, bound %d", step, inUse, ready, most)
 			}
-			anew := NewView(s, noFigures{})
+			anew := NewSelector(s, noPrefixStats{})
 			var members []choice.Endpoint
 			for _, m := range truth {
 				members = append(members, m)
 			}
 			other := map[choice.ReplicaID]choice.Endpoint{}
-			follow(other, anew.Apply(now, full(members)))
+			applyAnnounced(other, anew.Apply(now, fullListOf(members)))
 			if len(other) != len(held)-guests {
 				t.Fatalf("step %d: %d by these lists and %d guests, %d by one", step, len(held), guests, len(other))
 			}
@@ -407,8 +407,8 @@
 				}
 			}
 			in := choice.Request{Session: 3, Prefix: 4}
-			if list, tell := v.Home(now+20*second, &in); tell {
-				follow(held, list)
+			if list, tell := v.AssignAffinityTarget(now+20*second, &in); tell {
+				applyAnnounced(held, list)
 			}
 			if in.HomeReplica != 0 && held[in.HomeReplica].State != choice.EndpointReady {
 				t.Fatalf("step %d: at home where nothing is taken", step)
@@ -420,13 +420,13 @@
 // Where there are few gateways for a fleet, subsets are larger than the bound, up to the whole list:
 // every replica is in some. A count of gateways that is old changes sizes and nothing else.
 func TestFewGateways(t *testing.T) {
-	members := zoned(0, even(3, 400)...)
+	members := zonedMembers(0, evenCounts(3, 400)...)
 	for _, c := range []struct{ gateways, told int }{{12, 12}, {40, 40}, {200, 200}, {200, 100}, {200, 400}, {100, 1800}} {
 		subsets, sizes := map[choice.ReplicaID]int{}, 0
 		for i := range c.gateways {
-			s := bound(64, i, fmt.Sprint("z", i%3))
-			s.Gateways = c.told
-			got := ids(NewView(s, noFigures{}).Apply(second, full(members)))
+			s := testSettings(64, i, fmt.Sprint("z", i%3))
+			s.GatewayCount = c.told
+			got := readyIDs(NewSelector(s, noPrefixStats{}).Apply(second, fullListOf(members)))
 			for id := range got {
 				subsets[id]++
 			}
@@ -438,7 +438,7 @@
 		}
 		mean := float64(sizes) / float64(len(members))
 		t.Logf("%d gateways, told %d: %.1f a replica, largest over mean %.2f", c.gateways, c.told, mean, float64(largest)/mean)
-		if c.told <= c.gateways && (len(subsets) != len(members) || float64(largest)/mean > 1.5 || mean < 0.9*min(leastSharers, float64(c.gateways))) {
+		if c.told <= c.gateways && (len(subsets) != len(members) || float64(largest)/mean > 1.5 || mean < 0.9*min(minGatewaysPerReplica, float64(c.gateways))) {
 			t.Errorf("%d gateways, told %d: %d of %d replicas in use, %.1f a replica, largest %d", c.gateways, c.told, len(subsets), len(members), mean, largest)
 		}
 	}
@@ -446,16 +446,16 @@
 
 // A gateway with another's index works with the other's part, and nothing else is different: one in
 // ten with an old index leaves the spread nearly as it was. The last list counts, whatever its version.
-func TestOldIndexesAndLists(t *testing.T) {
-	members := zoned(0, even(3, 400)...)
+func TestStaleIndexesAndLists(t *testing.T) {
+	members := zonedMembers(0, evenCounts(3, 400)...)
 	subsets, sizes := map[choice.ReplicaID]int{}, 0
 	for i := range 300 {
 		index := i
 		if i%10 == 9 {
 			index = 300 + i/2 // as it was before the gateways were numbered anew
 		}
-		s := bound(128, index, fmt.Sprint("z", i%3))
-		got := ids(NewView(s, noFigures{}).Apply(second, full(members)))
+		s := testSettings(128, index, fmt.Sprint("z", i%3))
+		got := readyIDs(NewSelector(s, noPrefixStats{}).Apply(second, fullListOf(members)))
 		for id := range got {
 			subsets[id]++
 		}
@@ -469,12 +469,12 @@
 	if len(subsets) != len(members) || float64(largest)/mean > 1.6 {
 		t.Errorf("%d replicas in use, %.1f gateways each, %d at most", len(subsets), mean, largest)
 	}
-	v := NewView(bound(128, 5, "z1"), noFigures{})
-	first := ids(v.Apply(second, full(members)))
+	v := NewSelector(testSettings(128, 5, "z1"), noPrefixStats{})
+	first := readyIDs(v.Apply(second, fullListOf(members)))
 	held := map[choice.ReplicaID]choice.Endpoint{}
-	for _, list := range []choice.EndpointList{full(members[:300]), full(members), full(members[200:]), full(members)} {
+	for _, list := range []choice.EndpointList{fullListOf(members[:300]), fullListOf(members), fullListOf(members[200:]), fullListOf(members)} {
 		list.Version = int64(len(list.Endpoints)) // out of order
-		follow(held, v.Apply(2*second, list))
+		applyAnnounced(held, v.Apply(2*second, list))
 	}
 	for id := range held {
 		if !first[id] {
@@ -488,19 +488,19 @@
 
 // Replicas of which no start is told were up before discovery's first list, also where an empty saved
 // list came before it; one that comes later has started just now.
-func TestStartsThatAreNotTold(t *testing.T) {
-	members := zoned(0, 400)
+func TestUnknownStartTimes(t *testing.T) {
+	members := zonedMembers(0, 400)
 	for i := range members {
 		members[i].StartedAt = 0
 	}
-	v := NewView(bound(128, 5, "z0"), noFigures{})
+	v := NewSelector(testSettings(128, 5, "z0"), noPrefixStats{})
 	v.Apply(second, choice.EndpointList{Kind: choice.ListCached})
-	for _, m := range v.Apply(2*second, full(members)).Endpoints {
-		if m.StartedAt != longAgo {
+	for _, m := range v.Apply(2*second, fullListOf(members)).Endpoints {
+		if m.StartedAt != startedLongAgo {
 			t.Fatalf("first list: started at %d", m.StartedAt)
 		}
 	}
-	late := zoned(1000, 300)
+	late := zonedMembers(1000, 300)
 	for i := range late {
 		late[i].StartedAt = 0
 	}
