--- a/example/teams/main.go
+++ b/example/teams/main.go
@@ -140,10 +140,10 @@
 	classes := []choice.Class{
 		{Name: "agent", LatencyObjective: 1_000_000, TokenObjective: 300_000, Deadline: args.Deadline.Microseconds(), PriorityWeight: 2, LateWeightShare: 0.3, Streaming: true},
 		{Name: "bulk", LatencyObjective: 1_000_000, TokenObjective: 300_000, Deadline: args.Deadline.Microseconds(), PriorityWeight: 2, LateWeightShare: 0.3, Streaming: true}}
-	o := gateway.Options{Name: "teams", Discovery: f.registry(), Seed: args.Seed, Known: socket.List{Generation: socket.NoVersion}, MostHeld: 4000, ClientConns: 4000, SpareConns: 16, WorkerConns: 2000,
-		BodyBytes: 1 << 20, ConnectTimeout: time.Second, ConnIdle: 30 * time.Second, ClientIdle: 30 * time.Second, Stall: 5 * time.Second,
-		ProbeTimeout: time.Second, AskWithin: 10 * time.Second, WatchWait: 2 * time.Second, CallTimeout: time.Second,
-		DrainAccept: 100 * time.Millisecond,
+	o := gateway.Options{Name: "teams", Discovery: f.registry(), Seed: args.Seed, CachedList: socket.List{Generation: socket.NoVersion}, MaxInFlight: 4000, MaxClientConns: 4000, OverflowConns: 16, MaxReplicaConns: 2000,
+		MaxBodyBytes: 1 << 20, ConnectTimeout: time.Second, ReplicaConnIdle: 30 * time.Second, ClientConnIdle: 30 * time.Second, StreamIdleTimeout: 5 * time.Second,
+		HealthCheckTimeout: time.Second, PollWithin: 10 * time.Second, WatchWait: 2 * time.Second, DiscoveryTimeout: time.Second,
+		DrainAcceptPeriod: 100 * time.Millisecond,
 		Settings: choice.Settings{Gateways: 1, Zone: "here", Zones: []string{"here"}, Kinds: []string{"toy"}, Classes: classes, MaxAttempts: 3,
 			OverQuotaWeight: 0.05, MayHealthCheck: true}}
 	o.Settings.Tick, o.Settings.PollDiscovery, o.Settings.ReportSource, o.Settings.MayCancel = 2000, true, choice.ReportInline, true
--- a/internal/drill/soak_test.go
+++ b/internal/drill/soak_test.go
@@ -74,12 +74,12 @@
 
 var mutants = []mutant{
 	{"bans are forgotten", "drain", 2, []change{
-		{"internal/gateway/version.go", "return out || l.marks[id]", "_ = out; return l.marks[id]"},
-		{"internal/gateway/orders.go", "return w.Admits() && (g.o.Orders == nil || !g.o.Orders.Out(id) && !g.unproven.has(id))", "_ = id; return w.Admits()"}}},
+		{"internal/gateway/version.go", "return out || l.drainMarks[id]", "_ = out; return l.drainMarks[id]"},
+		{"internal/gateway/orders.go", "return w.Accepting() && (g.options.Orders == nil || !g.options.Orders.Out(id) && !g.pendingEjections.has(id))", "_ = id; return w.Accepting()"}}},
 	{"a drained gateway keeps its clients", "drained", 2, []change{
-		{"internal/gateway/service.go", "return c.drainedAt.Load() > 0 || c.stoppingAt.Load() > 0", "return c.stoppingAt.Load() > 0"}}},
+		{"internal/gateway/service.go", "return c.drainedAt.Load() > 0 || c.shutdownAt.Load() > 0", "return c.shutdownAt.Load() > 0"}}},
 	{"SIGTERM drops what is in hand", "lost", 7, []change{
-		{"internal/gateway/gateway.go", "return g.clients.none(ctx)", "return nil"}}},
+		{"internal/gateway/gateway.go", "return g.clients.waitUntilEmpty(ctx)", "return nil"}}},
 	{"time in the system's queue does not count", "deadline", 15, []change{
 		{"internal/gateway/clientconn.go", "return max(earliest, now-choice.Micros(info.Last_data_recv)*1000)", "_, _ = earliest, info; return now"}}},
 }
--- a/internal/gateway/attempt.go
+++ b/internal/gateway/attempt.go
@@ -17,13 +17,13 @@
 	"archknot/internal/wire/socket"
 )
 
-// attempt carries out one attempt from its send to its end and reports its
+// runAttempt carries out one attempt from its send to its end and reports its
 // one outcome. The stream goes to d.Events as it comes.
-func (g *Gateway) attempt(r *http.Request, body []byte, d *memory.Attempt, hand *hand) {
+func (g *Gateway) runAttempt(r *http.Request, body []byte, d *memory.Attempt, hand *requestLease) {
 	defer d.Cancel()
-	e := ended{d: d, status: choice.ConnectFailed}
+	e := attemptEnded{attempt: d, status: choice.ConnectFailed}
 	switch {
-	case !hand.may(d):
+	case !hand.mayDispatch(d):
 		e.status = choice.NotSent
 	case d.Replica.Addr != "":
 		e.status = g.exchange(r, body, d, &e, hand)
@@ -33,21 +33,21 @@
 	g.loop.events <- e
 }
 
-// send starts an attempt's task.
-func (g *Gateway) send(r *http.Request, body []byte, d *memory.Attempt, hand *hand) {
+// startAttempt starts an attempt's task.
+func (g *Gateway) startAttempt(r *http.Request, body []byte, d *memory.Attempt, hand *requestLease) {
 	if hand != nil {
-		hand.running.Go(func() { g.attempt(r, body, d, hand) })
+		hand.attempts.Go(func() { g.runAttempt(r, body, d, hand) })
 		return
 	}
-	go g.attempt(r, body, d, nil)
+	go g.runAttempt(r, body, d, nil)
 }
 
-// silence is how long a worker may say nothing before its kept connections
+// silentReplicaAfter is how long a worker may say nothing before its kept connections
 // are no longer trusted.
-const silence = time.Second
+const silentReplicaAfter = time.Second
 
-func (g *Gateway) exchange(r *http.Request, body []byte, d *memory.Attempt, e *ended, hand *hand) choice.Status {
-	cutAt := g.clock.at(d.TimeoutAt)
+func (g *Gateway) exchange(r *http.Request, body []byte, d *memory.Attempt, e *attemptEnded, hand *requestLease) choice.Status {
+	cutAt := g.clock.timeAt(d.TimeoutAt)
 	ctx, stop := context.WithDeadline(d.Ctx, cutAt)
 	defer stop()
 	c, err := g.pool.Get(ctx, d.Replica.ConnKey(), d.Replica.Addr)
@@ -74,32 +74,32 @@
 	}()
 	// Called off while it connected, or its client gone while it waited for the core: here, and
 	// nowhere else, an attempt begins, and nothing may go out any more.
-	if !hand.mine() || d.Request.ClientGone() || d.Ctx.Err() != nil {
+	if !hand.isHolder() || d.Request.ClientGone() || d.Ctx.Err() != nil {
 		return choice.Cancelled
 	}
-	if !g.admits(d.Replica) { // taken out since it was ordered, while the connection came up
+	if !g.acceptsWork(d.Replica) { // taken out since it was ordered, while the connection came up
 		keep = true
 		return choice.NotSent
 	}
-	hand.sends()
+	hand.markDispatched()
 	c.SetDeadline(cutAt)
 	if err := c.WriteBuffers(net.Buffers{socket.JobHead(r, len(body), d.TimeoutAt-g.clock.now()), body}); err != nil {
 		// The last byte was never written, so the worker did not start.
-		return broken(d, err, choice.ConnectFailed)
+		return failureStatus(d, err, choice.ConnectFailed)
 	}
 	sent := time.Now()
 	resp, err := readHead(c, cutAt)
 	if err != nil {
-		if time.Since(sent) >= silence {
+		if time.Since(sent) >= silentReplicaAfter {
 			g.pool.CloseUnusedSince(d.Replica.ConnKey(), sent)
 		}
-		return broken(d, err, choice.ConnBroken)
+		return failureStatus(d, err, choice.ConnBroken)
 	}
 	in := socket.NewBody(c.Reader, resp)
 	// Bytes behind an answer would be taken for the next one's.
 	whole := func() bool { return in.Ends() && !resp.Close && c.Reader.Buffered() == 0 }
 	if resp.StatusCode != http.StatusOK {
-		e.report, e.code = socket.HeaderLoad(resp.Header), resp.StatusCode
+		e.report, e.httpStatus = socket.HeaderLoad(resp.Header), resp.StatusCode
 		c.SetDeadline(time.Now().Add(time.Second))
 		_, err := in.ReadAll(socket.MaxBody)
 		status := socket.Refusal(resp)
@@ -115,9 +115,9 @@
 		if !begun {
 			first = append(first, events...)
 			events = nil
-			if begun = socket.EndsEvent(first) || len(first) >= mostPart || err == io.EOF; begun {
+			if begun = socket.EndsEvent(first) || len(first) >= maxPartialEvent || err == io.EOF; begun {
 				events = first
-				g.loop.events <- opened{d}
+				g.loop.events <- streamOpened{d}
 			}
 		}
 		if len(events) > 0 {
@@ -128,10 +128,10 @@
 			}
 			// From the first event on no deadline runs, but a silent machine
 			// leaves its connection open: only the clock tells.
-			c.SetDeadline(time.Now().Add(g.o.Stall))
+			c.SetDeadline(time.Now().Add(g.options.StreamIdleTimeout))
 		}
 		if err == io.EOF {
-			e.kept, e.tokens, e.report = notes.Kept, notes.Tokens, notes.Report
+			e.cachedTokens, e.outputTokens, e.report = notes.Kept, notes.Tokens, notes.Report
 			if e.report.Has == 0 {
 				e.report = socket.HeaderLoad(resp.Header)
 			}
@@ -142,14 +142,14 @@
 			return choice.Served
 		}
 		if err != nil {
-			return broken(d, err, choice.ConnBroken)
+			return failureStatus(d, err, choice.ConnBroken)
 		}
 	}
 }
 
-// headTime is how long a head may take from its first byte: it comes in one
+// responseHeadTimeout is how long a head may take from its first byte: it comes in one
 // piece, and one that does not end would use up the request's time.
-const headTime = 500 * time.Millisecond
+const responseHeadTimeout = 500 * time.Millisecond
 
 // readHead waits for an answer and reads its head.
 func readHead(c *memory.Conn, cutAt time.Time) (*http.Response, error) {
@@ -157,7 +157,7 @@
 		if _, err := c.Reader.Peek(1); err != nil {
 			return nil, err
 		}
-		if by := time.Now().Add(headTime); by.Before(cutAt) {
+		if by := time.Now().Add(responseHeadTimeout); by.Before(cutAt) {
 			c.SetDeadline(by)
 		}
 		resp, err := socket.ReadHead(c.Reader)
@@ -168,17 +168,17 @@
 		if err != nil || resp.StatusCode >= 200 {
 			return resp, err
 		}
-		if infos >= maxInfos {
-			return nil, fmt.Errorf("%w: over %d answers before the answer", socket.ErrSpoilt, maxInfos)
+		if infos >= maxInformational {
+			return nil, fmt.Errorf("%w: over %d answers before the answer", socket.ErrSpoilt, maxInformational)
 		}
 	}
 }
 
-// maxInfos bounds the 1xx answers before the answer.
-const maxInfos = 8
+// maxInformational bounds the 1xx answers before the answer.
+const maxInformational = 8
 
-// broken tells what the end of a connection means for an attempt.
-func broken(d *memory.Attempt, err error, otherwise choice.Status) choice.Status {
+// failureStatus tells what the end of a connection means for an attempt.
+func failureStatus(d *memory.Attempt, err error, otherwise choice.Status) choice.Status {
 	switch {
 	case d.Ctx.Err() != nil:
 		return choice.Cancelled
--- a/internal/gateway/record_test.go
+++ b/internal/gateway/capture_test.go
@@ -43,9 +43,9 @@
 // worker that drains, a client that leaves, and a registry that moves.
 func TestGatewayRecords(t *testing.T) {
 	dir := t.TempDir()
-	good := newWorker(t, "s-1", whole)
-	bad := newWorker(t, "s-2", says(declined, true))
-	g := start(t, func(o *Options) { o.Capture = captureTo(dir) }, good, bad)
+	good := newFakeReplica(t, "s-1", answerCompletely)
+	bad := newFakeReplica(t, "s-2", replyWith(shedReply, true))
+	g := startGateway(t, func(o *Options) { o.Capture = captureTo(dir) }, good, bad)
 	for i := range 30 {
 		c := dial(t, g.addr)
 		c.ask(strings.Repeat("x", i+1), "4000m")
@@ -53,10 +53,10 @@
 			t.Fatal(resp.Status)
 		}
 	}
-	g.reg.change(instance(bad, "draining"))
-	next := newRegistry(t, g.reg.list)
-	g.MoveRegistry(next.addr)
-	until(t, "the move", func() bool { return next.seen() > 0 })
+	g.discoveryServer.change(instance(bad, "draining"))
+	next := newFakeDiscovery(t, g.discoveryServer.list)
+	g.MoveDiscovery(next.addr)
+	waitUntil(t, "the move", func() bool { return next.callCount() > 0 })
 	s, err := g.SaveIncident(t.Context(), "a test")
 	if err != nil || s.Segments == 0 {
 		t.Fatalf("%+v %v", s, err)
@@ -67,7 +67,7 @@
 	// Off and on again while it serves; a request is open meanwhile.
 	ctx, stop := context.WithTimeout(t.Context(), 5*time.Second)
 	defer stop()
-	if err := g.Record(ctx, nil); err != nil {
+	if err := g.SetCapture(ctx, nil); err != nil {
 		t.Fatal(err)
 	}
 	if _, err := g.SaveIncident(ctx, "x"); err != ErrNotRecording {
@@ -76,13 +76,13 @@
 	c := dial(t, g.addr)
 	c.ask("unrecorded", "4000m")
 	c.answer()
-	if err := g.Record(ctx, captureTo(dir)); err != nil {
+	if err := g.SetCapture(ctx, captureTo(dir)); err != nil {
 		t.Fatal(err)
 	}
 	c.ask("again", "4000m")
 	c.answer()
-	until(t, "its end", func() bool { return g.clients.held() == 0 })
-	if err := g.Record(ctx, nil); err != nil {
+	waitUntil(t, "its end", func() bool { return g.clients.inFlightCount() == 0 })
+	if err := g.SetCapture(ctx, nil); err != nil {
 		t.Fatal(err)
 	}
 	n, runs := replayDir(t, dir)
--- a/internal/gateway/gone_test.go
+++ b/internal/gateway/clientgone_test.go
@@ -18,7 +18,7 @@
 // A client that has closed its connection, wholly or its own half, or has reset it, is gone:
 // no attempt begins from then on, also where the server has not noticed. The system is asked
 // at the one place where an attempt is written.
-func TestGoneIsAskedOfTheSystem(t *testing.T) {
+func TestClientGoneByKernelState(t *testing.T) {
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
@@ -45,7 +45,7 @@
 		}
 		c.end(there.(*net.TCPConn))
 		if c.gone {
-			until(t, name+": seen to be gone", func() bool { return memory.PeerClosed(here) })
+			waitUntil(t, name+": seen to be gone", func() bool { return memory.PeerClosed(here) })
 		} else if time.Sleep(20 * time.Millisecond); memory.PeerClosed(here) {
 			t.Errorf("%s: taken for gone", name)
 		}
@@ -57,30 +57,30 @@
 // A client leaves at each point at which its request waits, alone or with all others at once,
 // also behind bytes that it sent past its request, which keep the server from hearing of it. No
 // attempt begins from 0.1 s after that on.
-func TestNothingBeginsForTheGone(t *testing.T) {
+func TestNoAttemptStartsForGoneClient(t *testing.T) {
 	for name, more := range map[string]string{"plain": "", "more behind": "GET /health/ready HTTP/1.1\r\n"} {
 		t.Run(name, func(t *testing.T) {
 			var begun, late atomic.Int32
 			var goneAt atomic.Int64
 			hold := make(chan struct{})
-			w := newWorker(t, "s-1", func(c net.Conn, r *http.Request) bool {
+			w := newFakeReplica(t, "s-1", func(c net.Conn, r *http.Request) bool {
 				if at := goneAt.Load(); at > 0 && time.Now().UnixNano() > at+int64(100*time.Millisecond) {
 					late.Add(1)
 				}
 				begun.Add(1)
 				<-hold // the first attempt: declined after its client has gone, which asks for another
-				io.WriteString(c, declined)
+				io.WriteString(c, shedReply)
 				return true
 			})
-			other := newWorker(t, "s-2", w.script)
-			g := start(t, nil, w, other)
-			var all []*client
+			other := newFakeReplica(t, "s-2", w.script)
+			g := startGateway(t, nil, w, other)
+			var all []*testClient
 			for i := range 20 {
 				c := dial(t, g.addr)
 				c.ask("gone"+name[:1]+string(rune('a'+i)), "4000m")
 				all = append(all, c)
 			}
-			until(t, "attempts", func() bool { return begun.Load() == 20 })
+			waitUntil(t, "attempts", func() bool { return begun.Load() == 20 })
 			for _, c := range all {
 				if more != "" {
 					c.raw(more)
@@ -90,7 +90,7 @@
 			goneAt.Store(time.Now().UnixNano())
 			time.Sleep(150 * time.Millisecond) // the clock of the rule: what begins now is late
 			close(hold)
-			until(t, "nothing in hand", func() bool { return g.clients.held() == 0 && len(g.loop.events) == 0 || late.Load() > 0 })
+			waitUntil(t, "nothing in hand", func() bool { return g.clients.inFlightCount() == 0 && len(g.loop.events) == 0 || late.Load() > 0 })
 			if n := late.Load(); n > 0 {
 				t.Errorf("%d attempts begun for clients that had gone", n)
 			}
@@ -100,7 +100,7 @@
 
 // The same for a client that goes while its attempt waits for a connection that comes up late:
 // nothing is written to it.
-func TestNothingIsWrittenAfterALateConnect(t *testing.T) {
+func TestNothingIsWrittenAfterLateConnect(t *testing.T) {
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
@@ -119,8 +119,8 @@
 	d := store.StartAttempt(r, &memory.Replica{}, now, now+1e6)
 	d.Replica.Addr = l.Addr().String()
 	in, _ := http.NewRequest("POST", "/v1/chat/completions", nil)
-	go g.attempt(in, []byte("{}"), d, nil)
-	if e := (<-g.loop.events).(ended); e.status != choice.Cancelled {
+	go g.runAttempt(in, []byte("{}"), d, nil)
+	if e := (<-g.loop.events).(attemptEnded); e.status != choice.Cancelled {
 		t.Errorf("status %v", e.status)
 	}
 	c, err := l.Accept()
--- a/internal/gateway/clients_test.go
+++ b/internal/gateway/clients_test.go
@@ -16,8 +16,8 @@
 	"archknot/internal/memory"
 )
 
-// accept is one accepted connection before any server reads it, with its client.
-func accept(t *testing.T) (*clientConn, *client) {
+// acceptedConn is one accepted connection before any server reads it, with its client.
+func acceptedConn(t *testing.T) (*clientConn, *testClient) {
 	t.Helper()
 	l := hold.NewListener(t)
 	defer l.Close()
@@ -26,7 +26,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	conn, err := newClientConn(nc, newClients(8, 1, newClock()))
+	conn, err := newClientConn(nc, newClientTracker(8, 1, newMonotonicClock()))
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -35,11 +35,11 @@
 	return conn, c
 }
 
-const half, rest = "POST /v1/chat/completions HTTP/1.1\r\nHost: a\r\nReq-Id: x\r\n", "Req-Kind: chat\r\nContent-Length: 0\r\n\r\n"
+const requestFirstHalf, requestSecondHalf = "POST /v1/chat/completions HTTP/1.1\r\nHost: a\r\nReq-Id: x\r\n", "Req-Kind: chat\r\nContent-Length: 0\r\n\r\n"
 
 // A connection's end and the bytes of a request: one of them wins, in either order, and on one that
 // has ended no byte is read.
-func TestAConnectionEndsOrARequestBegins(t *testing.T) {
+func TestConnectionCloseVersusRequestStart(t *testing.T) {
 	read := func(c *clientConn) (string, error) {
 		b := make([]byte, 512)
 		n, err := c.Read(b)
@@ -47,134 +47,134 @@
 	}
 	waiting := func(t *testing.T, c *clientConn) {
 		t.Helper()
-		until(t, "bytes that wait", func() bool { return memory.HasUnreadData(c.Conn) })
+		waitUntil(t, "bytes that wait", func() bool { return memory.HasUnreadData(c.Conn) })
 	}
-	for name, play := range map[string]func(t *testing.T, conn *clientConn, c *client){
-		"bytes unread, then the end": func(t *testing.T, conn *clientConn, c *client) {
-			c.raw(half)
+	for name, play := range map[string]func(t *testing.T, conn *clientConn, c *testClient){
+		"bytes unread, then the end": func(t *testing.T, conn *clientConn, c *testClient) {
+			c.raw(requestFirstHalf)
 			waiting(t, conn)
-			if conn.end(true) || conn.giveWay() {
+			if conn.closeIfIdle(true) || conn.evict() {
 				t.Error("ended over bytes that had come")
 			}
-			if got, err := read(conn); got != half || err != nil {
+			if got, err := read(conn); got != requestFirstHalf || err != nil {
 				t.Errorf("read %q, %v", got, err)
 			}
 		},
-		"bytes read, then the end": func(t *testing.T, conn *clientConn, c *client) {
-			c.raw(half)
-			if got, err := read(conn); got != half || err != nil {
+		"bytes read, then the end": func(t *testing.T, conn *clientConn, c *testClient) {
+			c.raw(requestFirstHalf)
+			if got, err := read(conn); got != requestFirstHalf || err != nil {
 				t.Errorf("read %q, %v", got, err)
 			}
-			if conn.end(true) {
+			if conn.closeIfIdle(true) {
 				t.Error("ended under a request that had begun")
 			}
 		},
-		"the end, then bytes": func(t *testing.T, conn *clientConn, c *client) {
-			if !conn.end(true) {
+		"the end, then bytes": func(t *testing.T, conn *clientConn, c *testClient) {
+			if !conn.closeIfIdle(true) {
 				t.Error("a resting connection does not end")
 			}
-			c.raw(half + rest)
+			c.raw(requestFirstHalf + requestSecondHalf)
 			waiting(t, conn)
 			if got, err := read(conn); got != "" || err != io.EOF {
 				t.Errorf("read %q, %v", got, err)
 			}
 			waiting(t, conn) // still: nobody has read them
 		},
-		"half a request, no longer waited for": func(t *testing.T, conn *clientConn, c *client) {
-			c.raw(half)
+		"half a request, no longer waited for": func(t *testing.T, conn *clientConn, c *testClient) {
+			c.raw(requestFirstHalf)
 			read(conn)
-			if !conn.giveWay() {
+			if !conn.evict() {
 				t.Error("half a request keeps its place")
 			}
 			if got, err := read(conn); got != "" || err == nil {
 				t.Errorf("read %q, %v", got, err)
 			}
 		},
-		"a whole request that is not served yet": func(t *testing.T, conn *clientConn, c *client) {
-			c.raw(half + rest)
+		"a whole request that is not served yet": func(t *testing.T, conn *clientConn, c *testClient) {
+			c.raw(requestFirstHalf + requestSecondHalf)
 			read(conn)
-			if rank, _ := conn.rank(conn.clients.clock.now() + 10*slow); rank != 0 || conn.giveWay() {
+			if rank, _ := conn.evictionRank(conn.tracker.clock.now() + 10*slowRequestAfter); rank != 0 || conn.evict() {
 				t.Errorf("rank %d, or ended", rank)
 			}
 		},
-		"its idle time ends over bytes that have come": func(t *testing.T, conn *clientConn, c *client) {
-			c.raw(half)
+		"its idle time ends over bytes that have come": func(t *testing.T, conn *clientConn, c *testClient) {
+			c.raw(requestFirstHalf)
 			waiting(t, conn)
 			conn.SetReadDeadline(time.Unix(1, 0))
-			if got, err := read(conn); got != half || err != nil {
+			if got, err := read(conn); got != requestFirstHalf || err != nil {
 				t.Errorf("read %q, %v", got, err)
 			}
 			// A request that has begun has a time of its own.
-			c.raw(rest)
-			if got, err := read(conn); got != rest || err != nil {
+			c.raw(requestSecondHalf)
+			if got, err := read(conn); got != requestSecondHalf || err != nil {
 				t.Errorf("read %q, %v", got, err)
 			}
 		},
-		"its idle time ends, then bytes": func(t *testing.T, conn *clientConn, c *client) {
+		"its idle time ends, then bytes": func(t *testing.T, conn *clientConn, c *testClient) {
 			conn.SetReadDeadline(time.Unix(1, 0))
 			if got, err := read(conn); got != "" || err == nil {
 				t.Errorf("read %q, %v", got, err)
 			}
-			c.raw(half)
+			c.raw(requestFirstHalf)
 			waiting(t, conn)
 			conn.SetReadDeadline(time.Time{})
 			if got, err := read(conn); got != "" || err != io.EOF {
 				t.Errorf("read %q, %v", got, err)
 			}
 		},
-		"answered with some of the next request read, in a drain": func(t *testing.T, conn *clientConn, c *client) {
-			c.raw(half + rest + "P")
+		"answered with some of the next request read, in a drain": func(t *testing.T, conn *clientConn, c *testClient) {
+			c.raw(requestFirstHalf + requestSecondHalf + "P")
 			read(conn)
-			conn.clients.stop()
-			conn.rested(conn.clients.clock.now())
-			if conn.ended || conn.first == 0 {
+			conn.tracker.beginShutdown()
+			conn.requestAnswered(conn.tracker.clock.now())
+			if conn.readClosed || conn.requestStart == 0 {
 				t.Error("ended under a request that had begun")
 			}
 		},
-		"an empty line behind a request, in pieces": func(t *testing.T, conn *clientConn, c *client) {
-			c.raw(half + rest + "\r")
+		"an empty line behind a request, in pieces": func(t *testing.T, conn *clientConn, c *testClient) {
+			c.raw(requestFirstHalf + requestSecondHalf + "\r")
 			read(conn)
-			conn.rested(conn.clients.clock.now())
+			conn.requestAnswered(conn.tracker.clock.now())
 			c.raw("\n")
 			read(conn)
-			if conn.first != 0 || !conn.end(true) {
+			if conn.requestStart != 0 || !conn.closeIfIdle(true) {
 				t.Error("an empty line is taken for a request")
 			}
 		},
-		"answered while a drain begins": func(t *testing.T, conn *clientConn, c *client) {
+		"answered while a drain begins": func(t *testing.T, conn *clientConn, c *testClient) {
 			conn.used = false
-			c.raw(half + rest)
+			c.raw(requestFirstHalf + requestSecondHalf)
 			read(conn)
-			conn.clients.stop() // has asked this one already
-			conn.rested(conn.clients.clock.now())
-			if !conn.ended {
+			conn.tracker.beginShutdown() // has asked this one already
+			conn.requestAnswered(conn.tracker.clock.now())
+			if !conn.readClosed {
 				t.Error("rests on in the drain")
 			}
 		},
 	} {
 		t.Run(name, func(t *testing.T) {
-			conn, c := accept(t)
+			conn, c := acceptedConn(t)
 			play(t, conn, c)
 		})
 	}
 }
 
-// startOn is start on a listener whose connections can be held.
-func startOn(t *testing.T, tweak func(*Options), workers ...*worker) (*running, *hold.Listener) {
+// startGatewayHeld is start on a listener whose connections can be held.
+func startGatewayHeld(t *testing.T, tweak func(*Options), workers ...*fakeReplica) (*testGateway, *hold.Listener) {
 	t.Helper()
 	l := hold.NewListener(t)
-	return startAt(t, l, tweak, workers...), l
+	return startGatewayOn(t, l, tweak, workers...), l
 }
 
 // A drain begins at each point of a request's coming: what has come, read or not, is answered on its
 // connection, which ends then; what comes later is not read, and nothing of it reaches a replica.
-func TestDrainMeetsARequest(t *testing.T) {
+func TestDrainWhileRequestArrives(t *testing.T) {
 	ask := func(id string) string {
-		return strings.Replace(half, "Req-Id: x", "Req-Id: "+id, 1) + rest
+		return strings.Replace(requestFirstHalf, "Req-Id: x", "Req-Id: "+id, 1) + requestSecondHalf
 	}
-	type meeting func(t *testing.T, c *client, conn *hold.Conn, drain func()) (sends int)
+	type meeting func(t *testing.T, c *testClient, conn *hold.Conn, drain func()) (sends int)
 	read := func(n int) meeting { // so many bytes of it were, and nothing done with them yet
-		return func(t *testing.T, c *client, conn *hold.Conn, drain func()) int {
+		return func(t *testing.T, c *testClient, conn *hold.Conn, drain func()) int {
 			behind := hold.NewPoint(t)
 			conn.Behind(behind)
 			c.raw(ask("b")[:n])
@@ -188,7 +188,7 @@
 	for name, play := range map[string]meeting{
 		"its first bytes were read": read(7),
 		"all of it was read":        read(len(ask("b"))),
-		"all of it has come and none was read": func(t *testing.T, c *client, conn *hold.Conn, drain func()) int {
+		"all of it has come and none was read": func(t *testing.T, c *testClient, conn *hold.Conn, drain func()) int {
 			before := hold.NewPoint(t)
 			conn.Before(before)
 			c.raw(ask("b"))
@@ -197,7 +197,7 @@
 			before.Release()
 			return 2
 		},
-		"it comes behind the end": func(t *testing.T, c *client, conn *hold.Conn, drain func()) int {
+		"it comes behind the end": func(t *testing.T, c *testClient, conn *hold.Conn, drain func()) int {
 			drain()
 			if _, err := c.in.ReadByte(); err != io.EOF {
 				t.Errorf("the resting connection: %v, want a clean end", err)
@@ -207,8 +207,8 @@
 		},
 	} {
 		t.Run(name, func(t *testing.T) {
-			w := newWorker(t, "s-1", whole)
-			g, l := startOn(t, func(o *Options) { o.DrainAccept = 100 * time.Millisecond }, w)
+			w := newFakeReplica(t, "s-1", answerCompletely)
+			g, l := startGatewayHeld(t, func(o *Options) { o.DrainAcceptPeriod = 100 * time.Millisecond }, w)
 			c := dial(t, g.addr)
 			c.raw(ask("a"))
 			if resp, _ := c.answer(); resp.StatusCode != 200 || resp.Close {
@@ -222,7 +222,7 @@
 			if first.RemoteAddr().String() != c.LocalAddr().String() {
 				first, second = second, first
 			}
-			until(t, "rest", func() bool { return g.resting() == 2 })
+			waitUntil(t, "rest", func() bool { return g.idleConnCount() == 2 })
 			sends := play(t, c, first, func() {
 				go func() { drained <- g.Drain(context.Background()) }()
 				if _, err := other.in.ReadByte(); err != io.EOF {
@@ -247,11 +247,11 @@
 	}
 }
 
-// resting counts the connections on which a request was answered and none has come since.
-func (r *running) resting() (n int) {
-	for _, conn := range r.clients.all() {
+// idleConnCount counts the connections on which a request was answered and none has come since.
+func (r *testGateway) idleConnCount() (n int) {
+	for _, conn := range r.clients.connections() {
 		conn.mu.Lock()
-		if conn.used && conn.first == 0 {
+		if conn.used && conn.requestStart == 0 {
 			n++
 		}
 		conn.mu.Unlock()
@@ -261,29 +261,29 @@
 
 // Requests sent ahead of their answers are answered in a drain too, each by its own settings, and only
 // the last answer ends the connection; so is one whose connection came as the listener closed.
-func TestDrainAnswersWhatWasSentAhead(t *testing.T) {
+func TestDrainAnswersPipelinedRequests(t *testing.T) {
 	more := make(chan struct{})
-	w := newWorker(t, "s-1", func(c net.Conn, r *http.Request) bool {
+	w := newFakeReplica(t, "s-1", func(c net.Conn, r *http.Request) bool {
 		if r.Header.Get("Req-Id") == "first" {
 			<-more
 		}
-		return whole(c, r)
+		return answerCompletely(c, r)
 	})
-	g := start(t, func(o *Options) { o.DrainAccept = 50 * time.Millisecond }, w)
+	g := startGateway(t, func(o *Options) { o.DrainAcceptPeriod = 50 * time.Millisecond }, w)
 	c, late, unused := dial(t, g.addr), dial(t, g.addr), dial(t, g.addr)
 	for i, id := range []string{"first", "second", "third"} {
 		c.raw(fmt.Sprintf("POST /v1/chat/completions HTTP/1.1\r\nHost: a\r\nReq-Id: %s\r\nReq-Kind: chat\r\nReq-Owner: t%d\r\nContent-Length: 0\r\n\r\n", id, i))
 	}
-	late.raw(half[:9])
-	until(t, "the first send", func() bool { _, n := w.seen(); return n == 1 })
-	until(t, "half a request", func() bool { return g.begun() == 2 })
+	late.raw(requestFirstHalf[:9])
+	waitUntil(t, "the first send", func() bool { _, n := w.seen(); return n == 1 })
+	waitUntil(t, "half a request", func() bool { return g.begunRequestCount() == 2 })
 	drained := make(chan error, 1)
 	go func() { drained <- g.Drain(context.Background()) }()
 	if _, err := unused.in.ReadByte(); err != io.EOF { // the last step of the drain but for waiting
 		t.Errorf("the unused connection: %v", err)
 	}
 	close(more)
-	late.raw(half[9:] + rest)
+	late.raw(requestFirstHalf[9:] + requestSecondHalf)
 	for i, last := range []bool{false, false, true} {
 		if resp, body := c.answer(); resp.StatusCode != 200 || !strings.Contains(body, "[DONE]") || resp.Close != last {
 			t.Errorf("answer %d: status %d, close %t", i, resp.StatusCode, resp.Close)
@@ -298,18 +298,18 @@
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	owners := map[string]string{}
-	for _, r := range w.got {
+	for _, r := range w.requests {
 		owners[r.Header.Get("Req-Id")] = r.Header.Get("Req-Owner")
 	}
-	if len(w.got) != 4 || owners["first"] != "t0" || owners["second"] != "t1" || owners["third"] != "t2" {
-		t.Errorf("%d sends: %v", len(w.got), owners)
+	if len(w.requests) != 4 || owners["first"] != "t0" || owners["second"] != "t1" || owners["third"] != "t2" {
+		t.Errorf("%d sends: %v", len(w.requests), owners)
 	}
 }
 
-func (r *running) begun() (n int) {
-	for _, conn := range r.clients.all() {
+func (r *testGateway) begunRequestCount() (n int) {
+	for _, conn := range r.clients.connections() {
 		conn.mu.Lock()
-		if conn.first > 0 {
+		if conn.requestStart > 0 {
 			n++
 		}
 		conn.mu.Unlock()
@@ -319,20 +319,20 @@
 
 // A stream whose head went out before the drain did not tell its client of the end. A request that
 // has come by the stream's end is answered; one that comes later is not read.
-func TestDrainBehindAStream(t *testing.T) {
+func TestDrainAfterStream(t *testing.T) {
 	for name, comes := range map[string]bool{"a request has come": true, "none has": false} {
 		t.Run(name, func(t *testing.T) {
 			more := make(chan struct{})
-			w := newWorker(t, "s-1", func(c net.Conn, r *http.Request) bool {
+			w := newFakeReplica(t, "s-1", func(c net.Conn, r *http.Request) bool {
 				if r.Header.Get("Req-Id") != "stream" {
-					return whole(c, r)
+					return answerCompletely(c, r)
 				}
 				io.WriteString(c, streamHead+chunk(event1))
 				<-more
 				io.WriteString(c, lastChunk)
 				return true
 			})
-			g := start(t, func(o *Options) { o.DrainAccept = 20 * time.Millisecond }, w)
+			g := startGateway(t, func(o *Options) { o.DrainAcceptPeriod = 20 * time.Millisecond }, w)
 			c := dial(t, g.addr)
 			c.ask("stream", "4000m")
 			resp := c.head()
@@ -341,7 +341,7 @@
 			}
 			drained := make(chan error, 1)
 			go func() { drained <- g.Drain(context.Background()) }()
-			<-g.stopped
+			<-g.acceptDone
 			if comes {
 				c.ask("next", "4000m")
 			}
@@ -366,68 +366,68 @@
 
 // A connection that is closed over bytes that its client had sent leaves the client all that was
 // written before: a reset would take it along. Who does not read is not waited for.
-func TestACloseLeavesTheAnswer(t *testing.T) {
+func TestCloseDeliversTheAnswer(t *testing.T) {
 	events := strings.Repeat(event1, 2000)
-	w := newWorker(t, "s-1", func(c net.Conn, r *http.Request) bool {
+	w := newFakeReplica(t, "s-1", func(c net.Conn, r *http.Request) bool {
 		io.WriteString(c, streamHead)
 		for left := events; left != ""; left = left[len(event1):] {
 			io.WriteString(c, chunk(left[:len(event1)]))
 		}
 		return false // breaks
 	})
-	g := start(t, nil, w)
+	g := startGateway(t, nil, w)
 	c := dial(t, g.addr)
 	c.Conn.(*net.TCPConn).SetReadBuffer(32 << 10)
 	c.ask("l1", "4000m")
-	until(t, "the send", func() bool { _, n := w.seen(); return n == 1 })
+	waitUntil(t, "the send", func() bool { _, n := w.seen(); return n == 1 })
 	c.raw("POST /v1/chat/completions HTTP/1.1\r\nHost: a\r\n") // ahead, and left unread
-	until(t, "the close", func() bool { return g.clients.lingering.Load() == 1 })
+	waitUntil(t, "the close", func() bool { return g.clients.lingering.Load() == 1 })
 	got, err := io.ReadAll(c.head().Body)
 	if err != io.ErrUnexpectedEOF || string(got) != events {
 		t.Errorf("%d of %d bytes, %v", len(got), len(events), err)
 	}
-	until(t, "the connection's end", func() bool { return g.clients.count() == 0 && g.clients.lingering.Load() == 0 })
+	waitUntil(t, "the connection's end", func() bool { return g.clients.connCount() == 0 && g.clients.lingering.Load() == 0 })
 }
 
 // Connections that are being closed hold no place that another wants.
-func TestLingeringGivesWay(t *testing.T) {
-	conn, c := accept(t)
-	cs := conn.clients
+func TestLingeringConnectionIsEvicted(t *testing.T) {
+	conn, c := acceptedConn(t)
+	cs := conn.tracker
 	cs.conns[conn] = struct{}{}
-	c.raw(half + rest + "x") // the last one is left unread: its close waits for its time
-	if _, err := io.ReadFull(conn, make([]byte, len(half+rest))); err != nil {
+	c.raw(requestFirstHalf + requestSecondHalf + "x") // the last one is left unread: its close waits for its time
+	if _, err := io.ReadFull(conn, make([]byte, len(requestFirstHalf+requestSecondHalf))); err != nil {
 		t.Fatal(err)
 	}
-	until(t, "a byte", func() bool { return memory.HasUnreadData(conn.Conn) })
+	waitUntil(t, "a byte", func() bool { return memory.HasUnreadData(conn.Conn) })
 	conn.Write([]byte("answer"))
 	go conn.Close()
-	until(t, "the close", func() bool { return cs.lingering.Load() == 1 })
-	if !cs.closeOne() || cs.count() != 0 {
+	waitUntil(t, "the close", func() bool { return cs.lingering.Load() == 1 })
+	if !cs.evictOne() || cs.connCount() != 0 {
 		t.Error("a lingering connection keeps its place")
 	}
 }
 
 // Odd clients, all at once: each is answered or cut off, others notice nothing, no replica is held to
 // blame, and connections, bodies and tasks are back to where they were.
-func TestOddClientsLeaveNothing(t *testing.T) {
-	w := newWorker(t, "s-1", whole)
-	g := start(t, nil, w)
+func TestMisbehavingClientsLeakNothing(t *testing.T) {
+	w := newFakeReplica(t, "s-1", answerCompletely)
+	g := startGateway(t, nil, w)
 	c := dial(t, g.addr)
 	c.ask("before", "4000m")
 	c.answer()
-	until(t, "rest", func() bool { return g.resting() == 1 })
+	waitUntil(t, "rest", func() bool { return g.idleConnCount() == 1 })
 	tasks := runtime.NumGoroutine()
 	var group sync.WaitGroup
 	for name, text := range map[string]string{
-		"half a head":        half,
-		"half a body":        half + "Req-Kind: chat\r\nContent-Length: 9\r\n\r\nab",
-		"an endless head":    half + "X: " + strings.Repeat("x", 1<<20),
-		"an endless body":    half + "Req-Kind: chat\r\nTransfer-Encoding: chunked\r\n\r\n" + strings.Repeat(chunk(strings.Repeat("y", 1000)), 1000),
-		"two lengths":        half + "Req-Kind: chat\r\nContent-Length: 2\r\nContent-Length: 3\r\n\r\nabc",
-		"a spoilt chunk":     half + "Req-Kind: chat\r\nTransfer-Encoding: chunked\r\n\r\nzz\r\nabc",
+		"half a head":        requestFirstHalf,
+		"half a body":        requestFirstHalf + "Req-Kind: chat\r\nContent-Length: 9\r\n\r\nab",
+		"an endless head":    requestFirstHalf + "X: " + strings.Repeat("x", 1<<20),
+		"an endless body":    requestFirstHalf + "Req-Kind: chat\r\nTransfer-Encoding: chunked\r\n\r\n" + strings.Repeat(chunk(strings.Repeat("y", 1000)), 1000),
+		"two lengths":        requestFirstHalf + "Req-Kind: chat\r\nContent-Length: 2\r\nContent-Length: 3\r\n\r\nabc",
+		"a spoilt chunk":     requestFirstHalf + "Req-Kind: chat\r\nTransfer-Encoding: chunked\r\n\r\nzz\r\nabc",
 		"noise":              "\x00\x01\x02\xff\n\n\n\n",
-		"two at once, gone":  strings.Repeat(half+"Req-Kind: none\r\nContent-Length: 0\r\n\r\n", 2),
-		"whole, in 1 byte's": half + rest,
+		"two at once, gone":  strings.Repeat(requestFirstHalf+"Req-Kind: none\r\nContent-Length: 0\r\n\r\n", 2),
+		"whole, in 1 byte's": requestFirstHalf + requestSecondHalf,
 	} {
 		odd := dial(t, g.addr)
 		group.Go(func() {
@@ -451,8 +451,8 @@
 		}
 	}
 	group.Wait()
-	until(t, "all back", func() bool {
-		return g.clients.count() == 1 && g.clients.bytes.Load() == 0 && g.clients.held() == 0 && runtime.NumGoroutine() <= tasks+2
+	waitUntil(t, "all back", func() bool {
+		return g.clients.connCount() == 1 && g.clients.bodyBytes.Load() == 0 && g.clients.inFlightCount() == 0 && runtime.NumGoroutine() <= tasks+2
 	})
 	if _, n := w.seen(); n != 22 {
 		t.Errorf("%d requests reached the replica, want the 22 good ones", n)
--- a/internal/gateway/contracts_test.go
+++ b/internal/gateway/contracts_test.go
@@ -12,19 +12,19 @@
 	"archknot/internal/contract"
 )
 
-func (c *client) askAs(id, tenant string) {
+func (c *testClient) askAs(id, tenant string) {
 	c.t.Helper()
 	const body = `{"model":"chat","stream":true}`
 	c.raw(fmt.Sprintf("POST /v1/chat/completions HTTP/1.1\r\nHost: app.svc\r\nReq-Id: %s\r\nReq-Kind: chat\r\nReq-Owner: %s\r\nReq-Deadline: 4000m\r\n"+
 		"Req-Extra: prompt_len=5120,max_out=400\r\nContent-Length: %d\r\n\r\n%s", id, tenant, len(body), body))
 }
 
-func (r *running) accounts(t *testing.T) map[string]contract.Account {
+func (r *testGateway) accounts(t *testing.T) map[string]contract.Account {
 	t.Helper()
 	got := make(chan map[string]contract.Account, 1)
-	r.loop.post(t.Context(), lookOrder{func(l *loop) {
+	r.loop.post(t.Context(), inspectLoop{func(l *eventLoop) {
 		out := map[string]contract.Account{}
-		for _, a := range l.book.Accounts() {
+		for _, a := range l.ledger.Accounts() {
 			out[a.Team] = a
 		}
 		got <- out
@@ -32,7 +32,7 @@
 	return <-got
 }
 
-func agreed(budget int64) *Contracts {
+func testContracts(budget int64) *Contracts {
 	return &Contracts{Settings: contract.Settings{Zone: time.UTC, Pool: 1, Unknown: 0.05}, Teams: []contract.Terms{
 		{Team: "a", Tenants: []string{"a"}, Rate: 1e9, Burst: 1e9, Budgets: []contract.Budget{{Period: contract.Quarter, Hard: budget * contract.Token}}},
 		{Team: "b", Tenants: []string{"b"}, Rate: 1e9, Burst: 1e9}}}
@@ -41,9 +41,9 @@
 // A budget that is spent is refused at once: 429, when to come back, and a reason
 // for machines; no worker hears of it, and other teams are served. What was used
 // is what the worker told, not what was estimated.
-func TestBudgetIsHeld(t *testing.T) {
-	w := newWorker(t, "s-1", whole) // tells 200 tokens made, 4096 of the prompt kept
-	g := start(t, func(o *Options) { o.Contracts = agreed(10_000) }, w)
+func TestBudgetIsEnforced(t *testing.T) {
+	w := newFakeReplica(t, "s-1", answerCompletely) // tells 200 tokens made, 4096 of the prompt kept
+	g := startGateway(t, func(o *Options) { o.Contracts = testContracts(10_000) }, w)
 	c := dial(t, g.addr)
 	served := 0
 	var last *http.Response
@@ -54,7 +54,7 @@
 			break
 		}
 		served++
-		until(t, "settled", func() bool { return g.accounts(t)["a"].Open == 0 })
+		waitUntil(t, "settled", func() bool { return g.accounts(t)["a"].Open == 0 })
 	}
 	// Each takes 5120-4096 and 200; the next is estimated at 5120 and 200.
 	if served != 4 || last.StatusCode != http.StatusTooManyRequests || !strings.Contains(text, `"code":"budget_spent"`) || last.Header.Get("Retry-After") == "" {
@@ -71,29 +71,29 @@
 		t.Error(resp.Status)
 	}
 	// The contract changes: the next is served, what was used goes on.
-	if err := g.Agree(t.Context(), agreed(100_000)); err != nil {
+	if err := g.SetContracts(t.Context(), testContracts(100_000)); err != nil {
 		t.Fatal(err)
 	}
 	c.askAs("more", "a")
 	if resp, _ := c.answer(); resp.StatusCode != http.StatusOK {
 		t.Error(resp.Status)
 	}
-	until(t, "settled", func() bool { return g.accounts(t)["a"].Used[contract.Quarter] == 5*1224*contract.Token })
+	waitUntil(t, "settled", func() bool { return g.accounts(t)["a"].Used[contract.Quarter] == 5*1224*contract.Token })
 }
 
 // Each copy is charged to whom it is sent for: one that never ran costs nothing,
 // one that may have run its estimate; one that the budget does not allow is not sent.
-func TestCopiesAreCharged(t *testing.T) {
+func TestAttemptsAreCharged(t *testing.T) {
 	bad := func(c net.Conn, r *http.Request) bool {
 		io.WriteString(c, "HTTP/1.1 500 Internal Server Error\r\nContent-Length: 0\r\n\r\n")
 		return true
 	}
-	w1, w2 := newWorker(t, "s-1", bad), newWorker(t, "s-2", bad)
+	w1, w2 := newFakeReplica(t, "s-1", bad), newFakeReplica(t, "s-2", bad)
 	for _, c := range []struct {
 		budget   int64
 		attempts int
 	}{{100_000, 3}, {9_000, 1}} {
-		g := start(t, func(o *Options) { o.Contracts = agreed(c.budget) }, w1, w2)
+		g := startGateway(t, func(o *Options) { o.Contracts = testContracts(c.budget) }, w1, w2)
 		_, before1 := w1.seen()
 		_, before2 := w2.seen()
 		cl := dial(t, g.addr)
@@ -101,7 +101,7 @@
 		if resp, _ := cl.answer(); resp.StatusCode != http.StatusServiceUnavailable {
 			t.Error(resp.Status)
 		}
-		until(t, "settled", func() bool { return g.accounts(t)["a"].Open == 0 })
+		waitUntil(t, "settled", func() bool { return g.accounts(t)["a"].Open == 0 })
 		_, n1 := w1.seen()
 		_, n2 := w2.seen()
 		if got := n1 + n2 - before1 - before2; got != c.attempts {
@@ -112,12 +112,12 @@
 			t.Errorf("budget %d: used %d", c.budget, a.Used[contract.Quarter]/contract.Token)
 		}
 	}
-	declines := newWorker(t, "s-3", says(declined, true))
-	g := start(t, func(o *Options) { o.Contracts = agreed(100_000) }, declines)
+	declines := newFakeReplica(t, "s-3", replyWith(shedReply, true))
+	g := startGateway(t, func(o *Options) { o.Contracts = testContracts(100_000) }, declines)
 	cl := dial(t, g.addr)
 	cl.askAs("y", "a")
 	cl.answer()
-	until(t, "settled", func() bool { return g.accounts(t)["a"].Open == 0 })
+	waitUntil(t, "settled", func() bool { return g.accounts(t)["a"].Open == 0 })
 	if a := g.accounts(t)["a"]; a.Used[contract.Quarter] != 0 {
 		t.Errorf("what never ran cost %d", a.Used[contract.Quarter])
 	}
--- a/internal/gateway/terms_test.go
+++ b/internal/gateway/deadline_test.go
@@ -16,7 +16,7 @@
 // The time that each attempt tells its replica is what the client has left when it is written, first
 // attempt or further one, and no more than 0.15 s above it. The first replica holds the request for a
 // while and turns it away; told the whole time again, the next one would work past the client's end.
-func TestFurtherAttemptsAreToldWhatIsLeft(t *testing.T) {
+func TestRetriesCarryRemainingDeadline(t *testing.T) {
 	const (
 		wait  = 2 * time.Second
 		holds = 400 * time.Millisecond
@@ -36,13 +36,13 @@
 		first := len(attempts) == 1
 		mu.Unlock()
 		if !first {
-			return whole(c, r)
+			return answerCompletely(c, r)
 		}
 		<-time.After(holds) // what a slow refusal takes
-		io.WriteString(c, declined)
+		io.WriteString(c, shedReply)
 		return true
 	}
-	g := start(t, nil, newWorker(t, "s-1", script), newWorker(t, "s-2", script))
+	g := startGateway(t, nil, newFakeReplica(t, "s-1", script), newFakeReplica(t, "s-2", script))
 	c := dial(t, g.addr)
 	sent := time.Now()
 	c.ask("d1", "2000m")
@@ -63,23 +63,23 @@
 
 // Whatever replicas do, and whatever other clients do meanwhile, each request that was read gets one
 // final answer by its time: the term's half second past it is not needed.
-func TestTroubleFreesNoRequest(t *testing.T) {
+func TestFaultsLeaveNoRequestUnanswered(t *testing.T) {
 	const (
 		requests = 40
 		wait     = time.Second
 		late     = 500 * time.Millisecond
 	)
 	var turn atomic.Int64
-	troubles := []func(net.Conn, *http.Request) bool{says("", false), silent, says("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\nzz\r\n", true),
-		says("HTTP/1.1 500 Oops\r\nContent-Length: 0\r\n\r\n", true), says(declined, true), says("HTTP/1.1 200 OK\r\nConte", false)}
+	troubles := []func(net.Conn, *http.Request) bool{replyWith("", false), neverAnswer, replyWith("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\nzz\r\n", true),
+		replyWith("HTTP/1.1 500 Oops\r\nContent-Length: 0\r\n\r\n", true), replyWith(shedReply, true), replyWith("HTTP/1.1 200 OK\r\nConte", false)}
 	trouble := func(c net.Conn, r *http.Request) bool {
 		return troubles[int(turn.Add(1))%len(troubles)](c, r)
 	}
-	var workers []*worker
+	var workers []*fakeReplica
 	for i := range 6 {
-		workers = append(workers, newWorker(t, fmt.Sprint("s-", i), trouble))
+		workers = append(workers, newFakeReplica(t, fmt.Sprint("s-", i), trouble))
 	}
-	g := start(t, func(o *Options) { o.ClientConns = 400 }, workers...) // the limit of connections is another test's
+	g := startGateway(t, func(o *Options) { o.MaxClientConns = 400 }, workers...) // the limit of connections is another test's
 	stop := make(chan struct{})
 	var others sync.WaitGroup
 	for i := range 4 { // other clients: half requests, noise, sent and gone
@@ -94,7 +94,7 @@
 				if err != nil {
 					return
 				}
-				io.WriteString(c, []string{"POST /v1/chat", "\x00\x01\r\n\r\n", half, half + rest}[(i+n)%4])
+				io.WriteString(c, []string{"POST /v1/chat", "\x00\x01\r\n\r\n", requestFirstHalf, requestFirstHalf + requestSecondHalf}[(i+n)%4])
 				c.Close()
 			}
 		})
@@ -119,5 +119,5 @@
 	all.Wait()
 	close(stop)
 	others.Wait()
-	until(t, "nothing is in hand", func() bool { return g.clients.held() == 0 })
+	waitUntil(t, "nothing is in hand", func() bool { return g.clients.inFlightCount() == 0 })
 }
--- a/internal/gateway/watch_test.go
+++ b/internal/gateway/discovery_test.go
@@ -16,14 +16,14 @@
 	"archknot/internal/wire/socket"
 )
 
-// orders is a module that orders a watch in the very moment in which it hears of a failed call.
-type orders struct {
+// pollingModule is a module that orders a watch in the very moment in which it hears of a failed call.
+type pollingModule struct {
 	capture.Module
-	l   *loop
+	l   *eventLoop
 	off bool
 }
 
-func (o *orders) ListChanged(_ choice.Micros, l choice.EndpointList) {
+func (o *pollingModule) ListChanged(_ choice.Micros, l choice.EndpointList) {
 	if l.Kind.Failed() && !o.off {
 		o.l.WatchDiscovery()
 	}
@@ -31,7 +31,7 @@
 
 // An order to ask discovery that was given while a call ran is answered by the call's failure; one
 // given from the failure on counts, however soon: swallowed, discovery was not asked for 5 s.
-func TestOrderMeetsFailedCall(t *testing.T) {
+func TestPollRequestDuringFailedPoll(t *testing.T) {
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
@@ -43,10 +43,10 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	m := &orders{Module: g.loop.m, l: g.loop}
-	g.loop.m = m
+	m := &pollingModule{Module: g.loop.module, l: g.loop}
+	g.loop.module = m
 	l.(*net.TCPListener).SetDeadline(time.Now().Add(5 * time.Second))
-	go g.watch(t.Context()) // the test stands for the loop
+	go g.watchDiscovery(t.Context()) // the test stands for the loop
 	g.loop.WatchDiscovery()
 	for i := range 3 { // no more calls than were ordered, nor fewer
 		c, err := l.Accept()
@@ -55,60 +55,60 @@
 		}
 		g.loop.WatchDiscovery() // while the call runs: void
 		c.Close()
-		e := (<-g.loop.events).(listFailed)
+		e := (<-g.loop.events).(listPollFailed)
 		if i == 2 {
-			m.off, e.heard = true, make(chan struct{}) // nobody goes on behind it
+			m.off, e.handled = true, make(chan struct{}) // nobody goes on behind it
 		}
-		if len(g.loop.watches) != 1 || len(g.loop.events) != 0 {
+		if len(g.loop.pollRequests) != 1 || len(g.loop.events) != 0 {
 			t.Errorf("call %d: the failure's order was taken up before it was heard", i)
 		}
 		e.apply(g.loop)
 	}
-	if len(g.loop.watches) != 0 {
+	if len(g.loop.pollRequests) != 0 {
 		t.Error("an order from before the failure stands")
 	}
 }
 
 // The first event that a client gets is behind the end of all other attempts of its request: when
 // the order to pass the stream on stands, the others are called off.
-func TestTwinBeginsToAnswer(t *testing.T) {
+func TestHedgedAttemptStreamsFirst(t *testing.T) {
 	g, err := New(options())
 	if err != nil {
 		t.Fatal(err)
 	}
 	l := g.loop
 	l.now = g.clock.now()
-	l.list(socket.List{Instances: []socket.Instance{{ID: "s-1", Addr: "127.0.0.1:1", Zone: "a", Kind: "k", Lifecycle: "ready"},
+	l.receiveList(socket.List{Instances: []socket.Instance{{ID: "s-1", Addr: "127.0.0.1:1", Zone: "a", Kind: "k", Lifecycle: "ready"},
 		{ID: "s-2", Addr: "127.0.0.1:2", Zone: "a", Kind: "k", Lifecycle: "ready"}}}, choice.ListCached)
 	ctx := t.Context()
 	r := memory.NewRequest(ctx, "w1", choice.Request{Class: "chat"}, l.now+4e6, 3)
-	arrived{r, l.g.live.Load(), true}.apply(l)
+	requestArrived{r, l.gateway.config.Load(), true}.apply(l)
 	first := (<-r.Actions).Attempt
-	second := l.requests.StartAttempt(r, l.registry.ByName("s-2"), l.now, l.now+4e6)
-	l.m = callsOff{l.m, func() {
+	second := l.requests.StartAttempt(r, l.endpoints.ByName("s-2"), l.now, l.now+4e6)
+	l.module = cancelObserver{l.module, func() {
 		if len(r.Actions) != 0 {
 			t.Error("the stream is passed on before the others are called off")
 		}
 		second.Cancel()
 	}}
-	opened{first}.apply(l)
+	streamOpened{first}.apply(l)
 	if a := <-r.Actions; a.Kind != memory.ActionStream || second.Ctx.Err() == nil {
 		t.Errorf("action %v, the twin's end %v", a.Kind, second.Ctx.Err())
 	}
 	// The other order: what begins to answer once another's stream is the client's ends at once.
-	third := l.requests.StartAttempt(r, l.registry.ByName("s-2"), l.now, l.now+4e6)
-	opened{third}.apply(l)
+	third := l.requests.StartAttempt(r, l.endpoints.ByName("s-2"), l.now, l.now+4e6)
+	streamOpened{third}.apply(l)
 	if third.Ctx.Err() == nil || len(r.Actions) != 0 {
 		t.Error("a second stream goes on")
 	}
 }
 
-type callsOff struct {
+type cancelObserver struct {
 	capture.Module
 	off func()
 }
 
-func (c callsOff) FirstToken(now choice.Micros, o choice.Outcome) {
+func (c cancelObserver) FirstToken(now choice.Micros, o choice.Outcome) {
 	c.off()
 	c.Module.FirstToken(now, o)
 }
@@ -116,7 +116,7 @@
 // What discovery answers oddly is a failed call: no list, no connection kept, and no longer than the
 // call's time, however it trickles. A good list comes whole, also indented; a second one behind it
 // is nobody's.
-func TestOddLists(t *testing.T) {
+func TestMalformedLists(t *testing.T) {
 	const list = "{\n \"generation\": 7,\n \"reset\": true,\n \"instances\": [\n  {\"instanceId\": \"s-1\", \"hostPort\": \"127.0.0.1:1\", \"lifecycle\": \"ready\"}]}"
 	whole := fmt.Sprintf("HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n%s", len(list), list)
 	for name, c := range map[string]struct {
@@ -166,14 +166,14 @@
 				t.Fatal(err)
 			}
 			begun := time.Now()
-			got, err := g.callRegistry(t.Context(), l.Addr().String(), socket.ListPath, 300*time.Millisecond)
+			got, err := g.requestList(t.Context(), l.Addr().String(), socket.ListPath, 300*time.Millisecond)
 			if c.good != (err == nil) || c.good && (got.Generation != 7 || len(got.Instances) != 1) {
 				t.Errorf("%+v, %v", got, err)
 			}
 			if d := time.Since(begun); d > 2*time.Second {
 				t.Errorf("after %v", d)
 			}
-			if n := g.registry.pool.OpenCount(); n != c.kept {
+			if n := g.discovery.pool.OpenCount(); n != c.kept {
 				t.Errorf("%d connections kept, want %d", n, c.kept)
 			}
 		})
@@ -210,7 +210,7 @@
 			if err != nil {
 				t.Fatal(err)
 			}
-			g.o.MostInstances = 6000
+			g.options.MaxListEntries = 6000
 			go func() {
 				conn, err := l.Accept()
 				if err != nil {
@@ -225,19 +225,19 @@
 					io.WriteString(conn, text)
 				}
 			}()
-			got, err := g.callRegistry(t.Context(), l.Addr().String(), socket.ListPath, 5*time.Second)
+			got, err := g.requestList(t.Context(), l.Addr().String(), socket.ListPath, 5*time.Second)
 			if err != nil {
 				t.Fatal(err)
 			}
-			listed{got}.apply(g.loop)
-			if !g.ready.Load() || g.loop.registry.ReadyCount() != 6000 {
-				t.Errorf("ready %t with %d", g.ready.Load(), g.loop.registry.ReadyCount())
+			listReceived{got}.apply(g.loop)
+			if !g.ready.Load() || g.loop.endpoints.ReadyCount() != 6000 {
+				t.Errorf("ready %t with %d", g.ready.Load(), g.loop.endpoints.ReadyCount())
 			}
-			if _, err := g.callRegistry(t.Context(), l.Addr().String(), socket.ListPath, 5*time.Second); err == nil || g.refusedLists.Load() != 1 {
-				t.Errorf("%v, %d lists refused", err, g.refusedLists.Load())
+			if _, err := g.requestList(t.Context(), l.Addr().String(), socket.ListPath, 5*time.Second); err == nil || g.rejectedLists.Load() != 1 {
+				t.Errorf("%v, %d lists refused", err, g.rejectedLists.Load())
 			}
-			if g.registry.pool.OpenCount() != 1 {
-				t.Errorf("%d connections kept, want the one on which both came", g.registry.pool.OpenCount())
+			if g.discovery.pool.OpenCount() != 1 {
+				t.Errorf("%d connections kept, want the one on which both came", g.discovery.pool.OpenCount())
 			}
 		})
 	}
--- a/internal/gateway/events_test.go
+++ b/internal/gateway/events_test.go
@@ -11,7 +11,7 @@
 )
 
 // nextChunk reads one chunk as the gateway wrote it.
-func (c *client) nextChunk() string {
+func (c *testClient) nextChunk() string {
 	c.t.Helper()
 	line, err := c.in.ReadString('\n')
 	n, bad := strconv.ParseUint(strings.TrimSpace(line), 16, 31)
@@ -28,10 +28,10 @@
 // An event that its replica sends in several chunks goes on in one write: on a slow way each write
 // has its price, and the parts pile up behind each other. A tiny event does not wait for the next
 // one, and a part whose rest does not come goes on alone.
-func TestAnEventGoesOnWhole(t *testing.T) {
+func TestEventIsRelayedComplete(t *testing.T) {
 	const tiny, odd = "data: x\n\n", "data: y\r\n\r\n"
 	got := make(chan struct{})
-	w := newWorker(t, "s-1", func(c net.Conn, _ *http.Request) bool {
+	w := newFakeReplica(t, "s-1", func(c net.Conn, _ *http.Request) bool {
 		io.WriteString(c, streamHead)
 		for _, part := range []string{event1[:3], event1[3:40], event1[40:41], event1[41:]} {
 			io.WriteString(c, chunk(part))
@@ -48,7 +48,7 @@
 		io.WriteString(c, chunk(event2[9:])+lastChunk)
 		return true
 	})
-	g := start(t, nil, w)
+	g := startGateway(t, nil, w)
 	c := dial(t, g.addr)
 	c.ask("e1", "4000m")
 	c.head()
@@ -68,19 +68,19 @@
 
 // A stream that breaks within its first event has given the client nothing, also where some of it had
 // come: the request goes to another replica, and the client gets that one's answer alone.
-func TestAStreamBreaksWithinItsFirstEvent(t *testing.T) {
+func TestStreamBreaksWithinFirstEvent(t *testing.T) {
 	var sends atomic.Int32
 	script := func(c net.Conn, r *http.Request) bool {
 		if sends.Add(1) == 1 {
 			io.WriteString(c, streamHead+chunk(event1[:9])+chunk(event1[9:20]))
 			return false
 		}
-		return whole(c, r)
+		return answerCompletely(c, r)
 	}
-	g := start(t, nil, newWorker(t, "s-1", script), newWorker(t, "s-2", script))
+	g := startGateway(t, nil, newFakeReplica(t, "s-1", script), newFakeReplica(t, "s-2", script))
 	c := dial(t, g.addr)
 	c.ask("e3", "4000m")
-	if resp, body := c.answer(); resp.StatusCode != 200 || body != strings.TrimSpace(event1+event2+loadLine) {
+	if resp, body := c.answer(); resp.StatusCode != 200 || body != strings.TrimSpace(event1+event2+loadReportLine) {
 		t.Errorf("status %d, %q", resp.StatusCode, body)
 	}
 	if n := sends.Load(); n != 2 {
@@ -89,9 +89,9 @@
 }
 
 // A stream that breaks within an event has its bytes passed on and no last chunk.
-func TestAStreamBreaksWithinAnEvent(t *testing.T) {
-	w := newWorker(t, "s-1", says(streamHead+chunk(event1)+chunk(event2[:9]), false))
-	g := start(t, nil, w)
+func TestStreamBreaksWithinEvent(t *testing.T) {
+	w := newFakeReplica(t, "s-1", replyWith(streamHead+chunk(event1)+chunk(event2[:9]), false))
+	g := startGateway(t, nil, w)
 	c := dial(t, g.addr)
 	c.ask("e2", "4000m")
 	got, err := io.ReadAll(c.head().Body)
--- a/internal/gateway/gateway_test.go
+++ b/internal/gateway/gateway_test.go
@@ -21,15 +21,15 @@
 
 // An event reaches the client before the next one exists; the whole stream
 // comes unchanged, and the next request goes over the same connections.
-func TestEventsPassAsTheyCome(t *testing.T) {
+func TestEventsAreRelayedImmediately(t *testing.T) {
 	more := make(chan struct{})
-	w := newWorker(t, "s-1", func(c net.Conn, _ *http.Request) bool {
+	w := newFakeReplica(t, "s-1", func(c net.Conn, _ *http.Request) bool {
 		io.WriteString(c, streamHead+chunk(event1))
 		<-more
-		io.WriteString(c, chunk(event2)+chunk(loadLine)+lastChunk)
+		io.WriteString(c, chunk(event2)+chunk(loadReportLine)+lastChunk)
 		return true
 	})
-	g := start(t, nil, w)
+	g := startGateway(t, nil, w)
 	c := dial(t, g.addr)
 	for _, id := range []string{"a1", "a2"} {
 		c.ask(id, "4000m")
@@ -40,12 +40,12 @@
 		}
 		more <- struct{}{}
 		rest, err := io.ReadAll(resp.Body)
-		if diff := cmp.Diff(event2+loadLine, string(rest)); err != nil || diff != "" {
+		if diff := cmp.Diff(event2+loadReportLine, string(rest)); err != nil || diff != "" {
 			t.Fatal(err, diff)
 		}
-		until(t, "the attempt's end", func() bool { return g.clients.held() == 0 && len(g.loop.events) == 0 })
+		waitUntil(t, "the attempt's end", func() bool { return g.clients.inFlightCount() == 0 && len(g.loop.events) == 0 })
 	}
-	r := w.got[1]
+	r := w.requests[1]
 	if r.Method != "POST" || r.RequestURI != "/v1/chat/completions?x=1" || r.Header.Get("Req-Id") != "a2" ||
 		!strings.HasSuffix(r.Header.Get("Req-Deadline"), "u") {
 		t.Errorf("the worker got %s %s %v", r.Method, r.RequestURI, r.Header)
@@ -59,11 +59,11 @@
 // chunk, and nothing more is sent for the request.
 func TestBrokenStreamIsCutOff(t *testing.T) {
 	for name, script := range map[string]func(net.Conn, *http.Request) bool{
-		"breaks": says(streamHead+chunk(event1), false),
-		"stalls": says(streamHead+chunk(event1), true),
+		"breaks": replyWith(streamHead+chunk(event1), false),
+		"stalls": replyWith(streamHead+chunk(event1), true),
 	} {
-		w, other := newWorker(t, "s-1", script), newWorker(t, "s-2", script)
-		g := start(t, func(o *Options) { o.Stall = 100 * time.Millisecond }, w, other)
+		w, other := newFakeReplica(t, "s-1", script), newFakeReplica(t, "s-2", script)
+		g := startGateway(t, func(o *Options) { o.StreamIdleTimeout = 100 * time.Millisecond }, w, other)
 		c := dial(t, g.addr)
 		c.ask("b1", "4000m")
 		got, err := io.ReadAll(c.head().Body)
@@ -80,51 +80,51 @@
 
 // A client that leaves frees the worker's connection at once, before and
 // during the stream.
-func TestLeavingFreesTheWorker(t *testing.T) {
+func TestClientDisconnectFreesReplica(t *testing.T) {
 	for name, text := range map[string]string{"before": "", "during": streamHead + chunk(event1)} {
-		w := newWorker(t, "s-1", says(text, true))
-		g := start(t, nil, w)
+		w := newFakeReplica(t, "s-1", replyWith(text, true))
+		g := startGateway(t, nil, w)
 		c := dial(t, g.addr)
 		c.ask("c1", "4000m")
-		until(t, "the send", func() bool { _, n := w.seen(); return n == 1 })
+		waitUntil(t, "the send", func() bool { _, n := w.seen(); return n == 1 })
 		if text != "" {
 			c.head()
 		}
 		c.Close()
 		select {
-		case <-w.closed:
+		case <-w.closedByPeer:
 		case <-time.After(2 * time.Second):
 			t.Errorf("%s: the worker's connection stayed", name)
 		}
-		until(t, name+": nothing in hand", func() bool { return g.clients.held() == 0 && g.pool.OpenCount() == 0 })
+		waitUntil(t, name+": nothing in hand", func() bool { return g.clients.inFlightCount() == 0 && g.pool.OpenCount() == 0 })
 	}
 }
 
 // An order that the task of a leaving client never took up ends all the same:
 // else the module would count it as out for ever.
-func TestOrdersOfALeaverEnd(t *testing.T) {
+func TestPendingAttemptOfGoneClientEnds(t *testing.T) {
 	g, err := New(options())
 	if err != nil {
 		t.Fatal(err)
 	}
 	l := g.loop
 	l.now = g.clock.now()
-	l.list(socket.List{Instances: []socket.Instance{{ID: "s-1", Addr: "127.0.0.1:1", Zone: "a", Kind: "k", Lifecycle: "ready"}}}, choice.ListCached)
+	l.receiveList(socket.List{Instances: []socket.Instance{{ID: "s-1", Addr: "127.0.0.1:1", Zone: "a", Kind: "k", Lifecycle: "ready"}}}, choice.ListCached)
 	r := memory.NewRequest(context.Background(), "l1", choice.Request{Class: "chat"}, l.now+1e6, 3)
-	arrived{r, l.g.live.Load(), true}.apply(l)
+	requestArrived{r, l.gateway.config.Load(), true}.apply(l)
 	if len(r.Actions) != 1 {
 		t.Fatalf("%d orders", len(r.Actions))
 	}
-	left{r}.apply(l)
+	clientGone{r}.apply(l)
 	if l.requests.Len() != 0 {
 		t.Error("the request is still in hand")
 	}
 }
 
 // What the module has given up on is answered at once, with the time to come back.
-func TestOverloadReplyComesAtOnce(t *testing.T) {
-	a, b := newWorker(t, "s-1", says(declined, true)), newWorker(t, "s-2", says(declined, true))
-	g := start(t, nil, a, b)
+func TestOverloadReplyIsImmediate(t *testing.T) {
+	a, b := newFakeReplica(t, "s-1", replyWith(shedReply, true)), newFakeReplica(t, "s-2", replyWith(shedReply, true))
+	g := startGateway(t, nil, a, b)
 	c := dial(t, g.addr)
 	begin := time.Now()
 	c.ask("d1", "4000m")
@@ -144,7 +144,7 @@
 
 // Silent machines hang nothing: the answer comes before the client gives up.
 func TestSilenceIsAnsweredInTime(t *testing.T) {
-	g := start(t, nil, newWorker(t, "s-1", silent), newWorker(t, "s-2", silent))
+	g := startGateway(t, nil, newFakeReplica(t, "s-1", neverAnswer), newFakeReplica(t, "s-2", neverAnswer))
 	c := dial(t, g.addr)
 	begin := time.Now() // the bound leaves a busy machine room
 	c.ask("e1", "300m")
@@ -152,15 +152,15 @@
 	if took := time.Since(begin); resp.StatusCode != 503 || took > 2*time.Second {
 		t.Errorf("status %d after %v", resp.StatusCode, took)
 	}
-	until(t, "nothing out", func() bool { return g.pool.OpenCount() == 0 })
+	waitUntil(t, "nothing out", func() bool { return g.pool.OpenCount() == 0 })
 }
 
 // Whatever the first worker does, the client gets the other one's answer, and
 // the first one's connection is freed when a second copy has won.
-func TestTheOtherWorkerAnswers(t *testing.T) {
+func TestOtherReplicaAnswers(t *testing.T) {
 	for name, bad := range map[string]func(net.Conn, *http.Request) bool{
-		"declined": says(declined, true), "error": says("HTTP/1.1 500 Oops\r\nContent-Length: 0\r\n\r\n", true),
-		"reset": says("", false), "silent": silent,
+		"declined": replyWith(shedReply, true), "error": replyWith("HTTP/1.1 500 Oops\r\nContent-Length: 0\r\n\r\n", true),
+		"reset": replyWith("", false), "silent": neverAnswer,
 	} {
 		t.Run(name, func(t *testing.T) {
 			var sends atomic.Int32
@@ -169,54 +169,54 @@
 					defer func() { sends.Add(10) }()
 					return bad(c, r)
 				}
-				return whole(c, r)
+				return answerCompletely(c, r)
 			}
-			g := start(t, nil, newWorker(t, "s-1", firstIsBad), newWorker(t, "s-2", firstIsBad))
+			g := startGateway(t, nil, newFakeReplica(t, "s-1", firstIsBad), newFakeReplica(t, "s-2", firstIsBad))
 			c := dial(t, g.addr)
 			c.ask("m1", "4000m")
 			if resp, body := c.answer(); resp.StatusCode != 200 || !strings.Contains(body, "[DONE]") {
 				t.Errorf("status %d, %q", resp.StatusCode, body)
 			}
-			until(t, "the first worker's end", func() bool { return sends.Load() == 12 })
+			waitUntil(t, "the first worker's end", func() bool { return sends.Load() == 12 })
 		})
 	}
 }
 
 // One outcome for each way an attempt can go, by the protocol's table.
-func TestOutcomes(t *testing.T) {
-	dead := newWorker(t, "dead", silent)
-	dead.l.Close()
+func TestAttemptOutcomes(t *testing.T) {
+	dead := newFakeReplica(t, "dead", neverAnswer)
+	dead.listener.Close()
 	for name, c := range map[string]struct {
 		script func(net.Conn, *http.Request) bool
 		addr   string
 		leave  bool
 		wait   time.Duration
-		want   ended
+		want   attemptEnded
 	}{
-		"whole":           {script: whole, want: ended{status: choice.Served, kept: 4096, tokens: 200, report: choice.LoadReport{Has: choice.HasService | choice.HasInFlight | choice.HasMemory, ServiceMs: 12.5, InFlight: 7, MemoryShare: 0.4}}},
-		"500":             {script: says("HTTP/1.1 500 Oops\r\nSrv-Load: x0=0.5\r\nContent-Length: 2\r\n\r\nno", true), want: ended{status: choice.Errored, code: 500, report: choice.LoadReport{Has: choice.HasMemory, MemoryShare: 0.5}}},
-		"503 declined":    {script: says(declined, true), want: ended{status: choice.Shed, code: 503}},
-		"504 declined":    {script: says("HTTP/1.1 504 Over\r\nSrv-Declined: 1\r\nContent-Length: 0\r\n\r\n", true), want: ended{status: choice.Shed, code: 504}},
-		"bare 503":        {script: says("HTTP/1.1 503 Busy\r\nContent-Length: 0\r\n\r\n", true), want: ended{status: choice.Errored, code: 503}},
-		"400":             {script: says("HTTP/1.1 400 No\r\nContent-Length: 0\r\n\r\n", true), want: ended{status: choice.Rejected, code: 400}},
-		"1xx before":      {script: says(info+info+streamHead+chunk(event1)+lastChunk, true), want: ended{status: choice.Served}},
-		"1xx for ever":    {script: says(strings.Repeat(info, 100), true), want: ended{status: choice.Malformed}},
-		"noise":           {script: says("\x00\x01\x02\x03", true), want: ended{status: choice.Malformed}},
-		"odd head":        {script: says("HTTP/1.1 two hundred\r\n\r\n", true), want: ended{status: choice.Malformed}},
-		"long head":       {script: says("HTTP/1.1 200 OK\r\nX: "+strings.Repeat("x", 20<<10), true), want: ended{status: choice.Malformed}},
-		"endless head":    {script: says("HTTP/1.1 200 OK\r\n", true), want: ended{status: choice.Malformed}},
-		"odd chunk":       {script: says(streamHead+"five\r\n", true), want: ended{status: choice.Malformed}},
-		"huge chunk":      {script: says(streamHead+"c0000000\r\n"+event1, true), want: ended{status: choice.Malformed}},
-		"chunk too short": {script: says(streamHead+"5\r\n"+event1, true), want: ended{status: choice.Malformed}},
-		"odd report":      {script: says(streamHead+chunk(event1)+chunk(": Srv-Load: x0=0.5,svc_ms=-1\n\n")+lastChunk, true), want: ended{status: choice.Served}},
-		"not HTTP":        {script: says("hello\r\n\r\n", false), want: ended{status: choice.Malformed}},
-		"ends unanswered": {script: says("", false), want: ended{status: choice.ConnBroken}},
-		"breaks in head":  {script: says("HTTP/1.1 200 OK\r\nConte", false), want: ended{status: choice.ConnBroken}},
-		"breaks in chunk": {script: says(streamHead+"50\r\ndata", false), want: ended{status: choice.ConnBroken}},
-		"no last chunk":   {script: says("HTTP/1.1 200 OK\r\n\r\n"+event1, false), want: ended{status: choice.ConnBroken}},
-		"nothing":         {script: silent, wait: 100 * time.Millisecond, want: ended{status: choice.TimedOut}},
-		"refused":         {addr: dead.addr, want: ended{status: choice.ConnectFailed}},
-		"called off":      {script: silent, leave: true, want: ended{status: choice.Cancelled}},
+		"whole":           {script: answerCompletely, want: attemptEnded{status: choice.Served, cachedTokens: 4096, outputTokens: 200, report: choice.LoadReport{Has: choice.HasService | choice.HasInFlight | choice.HasMemory, ServiceMs: 12.5, InFlight: 7, MemoryShare: 0.4}}},
+		"500":             {script: replyWith("HTTP/1.1 500 Oops\r\nSrv-Load: x0=0.5\r\nContent-Length: 2\r\n\r\nno", true), want: attemptEnded{status: choice.Errored, httpStatus: 500, report: choice.LoadReport{Has: choice.HasMemory, MemoryShare: 0.5}}},
+		"503 declined":    {script: replyWith(shedReply, true), want: attemptEnded{status: choice.Shed, httpStatus: 503}},
+		"504 declined":    {script: replyWith("HTTP/1.1 504 Over\r\nSrv-Declined: 1\r\nContent-Length: 0\r\n\r\n", true), want: attemptEnded{status: choice.Shed, httpStatus: 504}},
+		"bare 503":        {script: replyWith("HTTP/1.1 503 Busy\r\nContent-Length: 0\r\n\r\n", true), want: attemptEnded{status: choice.Errored, httpStatus: 503}},
+		"400":             {script: replyWith("HTTP/1.1 400 No\r\nContent-Length: 0\r\n\r\n", true), want: attemptEnded{status: choice.Rejected, httpStatus: 400}},
+		"1xx before":      {script: replyWith(informational+informational+streamHead+chunk(event1)+lastChunk, true), want: attemptEnded{status: choice.Served}},
+		"1xx for ever":    {script: replyWith(strings.Repeat(informational, 100), true), want: attemptEnded{status: choice.Malformed}},
+		"noise":           {script: replyWith("\x00\x01\x02\x03", true), want: attemptEnded{status: choice.Malformed}},
+		"odd head":        {script: replyWith("HTTP/1.1 two hundred\r\n\r\n", true), want: attemptEnded{status: choice.Malformed}},
+		"long head":       {script: replyWith("HTTP/1.1 200 OK\r\nX: "+strings.Repeat("x", 20<<10), true), want: attemptEnded{status: choice.Malformed}},
+		"endless head":    {script: replyWith("HTTP/1.1 200 OK\r\n", true), want: attemptEnded{status: choice.Malformed}},
+		"odd chunk":       {script: replyWith(streamHead+"five\r\n", true), want: attemptEnded{status: choice.Malformed}},
+		"huge chunk":      {script: replyWith(streamHead+"c0000000\r\n"+event1, true), want: attemptEnded{status: choice.Malformed}},
+		"chunk too short": {script: replyWith(streamHead+"5\r\n"+event1, true), want: attemptEnded{status: choice.Malformed}},
+		"odd report":      {script: replyWith(streamHead+chunk(event1)+chunk(": Srv-Load: x0=0.5,svc_ms=-1\n\n")+lastChunk, true), want: attemptEnded{status: choice.Served}},
+		"not HTTP":        {script: replyWith("hello\r\n\r\n", false), want: attemptEnded{status: choice.Malformed}},
+		"ends unanswered": {script: replyWith("", false), want: attemptEnded{status: choice.ConnBroken}},
+		"breaks in head":  {script: replyWith("HTTP/1.1 200 OK\r\nConte", false), want: attemptEnded{status: choice.ConnBroken}},
+		"breaks in chunk": {script: replyWith(streamHead+"50\r\ndata", false), want: attemptEnded{status: choice.ConnBroken}},
+		"no last chunk":   {script: replyWith("HTTP/1.1 200 OK\r\n\r\n"+event1, false), want: attemptEnded{status: choice.ConnBroken}},
+		"nothing":         {script: neverAnswer, wait: 100 * time.Millisecond, want: attemptEnded{status: choice.TimedOut}},
+		"refused":         {addr: dead.addr, want: attemptEnded{status: choice.ConnectFailed}},
+		"called off":      {script: neverAnswer, leave: true, want: attemptEnded{status: choice.Cancelled}},
 	} {
 		t.Run(name, func(t *testing.T) {
 			if c.wait == 0 {
@@ -228,7 +228,7 @@
 			}
 			addr := c.addr
 			if addr == "" {
-				addr = newWorker(t, "w", c.script).addr
+				addr = newFakeReplica(t, "w", c.script).addr
 			}
 			store := memory.NewTable()
 			r := memory.NewRequest(context.Background(), "o1", choice.Request{}, 0, 3)
@@ -244,14 +244,14 @@
 			}()
 			in, _ := http.NewRequest("POST", "/v1/chat/completions", nil)
 			in.RequestURI = "/v1/chat/completions"
-			go g.attempt(in, []byte("{}"), d, nil)
+			go g.runAttempt(in, []byte("{}"), d, nil)
 			for {
-				e, ok := (<-g.loop.events).(ended)
+				e, ok := (<-g.loop.events).(attemptEnded)
 				if !ok {
 					continue // opened
 				}
-				e.d = nil
-				if diff := cmp.Diff(c.want, e, cmp.AllowUnexported(ended{})); diff != "" {
+				e.attempt = nil
+				if diff := cmp.Diff(c.want, e, cmp.AllowUnexported(attemptEnded{})); diff != "" {
 					t.Error(diff)
 				}
 				return
@@ -263,7 +263,7 @@
 // A stream that is spoilt before its first event was passed on is tried at the
 // other worker; one that is spoilt later ends the client's connection, with
 // nothing of what cannot be read passed on.
-func TestSpoiltStreams(t *testing.T) {
+func TestMalformedStreams(t *testing.T) {
 	for name, c := range map[string]struct {
 		text string
 		late bool
@@ -275,32 +275,32 @@
 		var sends atomic.Int32
 		firstIsBad := func(conn net.Conn, r *http.Request) bool {
 			if sends.Add(1) == 1 {
-				return says(c.text, true)(conn, r)
+				return replyWith(c.text, true)(conn, r)
 			}
-			return whole(conn, r)
+			return answerCompletely(conn, r)
 		}
 		// A head that does not end is given up after half a second: no second copy by then.
-		g := start(t, func(o *Options) { o.Settings.Classes[0].LatencyObjective = 3_000_000 }, newWorker(t, "s-1", firstIsBad), newWorker(t, "s-2", firstIsBad))
+		g := startGateway(t, func(o *Options) { o.Settings.Classes[0].LatencyObjective = 3_000_000 }, newFakeReplica(t, "s-1", firstIsBad), newFakeReplica(t, "s-2", firstIsBad))
 		client := dial(t, g.addr)
 		client.ask("s1", "4000m")
 		body, err := io.ReadAll(client.head().Body)
 		if c.late && (err != io.ErrUnexpectedEOF || string(body) != event1 || sends.Load() != 1) {
 			t.Errorf("%s: %q, %v, %d sends", name, body, err, sends.Load())
 		}
-		if !c.late && (err != nil || string(body) != event1+event2+loadLine || sends.Load() != 2) {
+		if !c.late && (err != nil || string(body) != event1+event2+loadReportLine || sends.Load() != 2) {
 			t.Errorf("%s: %q, %v, %d sends", name, body, err, sends.Load())
 		}
 	}
 }
 
 // Bytes behind an answer are not the next request's answer.
-func TestSecondAnswerIsNobodys(t *testing.T) {
-	w := newWorker(t, "s-1", func(c net.Conn, r *http.Request) bool {
+func TestSurplusAnswerIsDiscarded(t *testing.T) {
+	w := newFakeReplica(t, "s-1", func(c net.Conn, r *http.Request) bool {
 		id := "data: " + r.Header.Get("Req-Id") + "\n\n"
 		io.WriteString(c, streamHead+chunk(id)+lastChunk+streamHead+chunk("data: more\n\n")+lastChunk)
 		return true
 	})
-	g := start(t, nil, w)
+	g := startGateway(t, nil, w)
 	c := dial(t, g.addr)
 	for _, id := range []string{"t1", "t2", "t3"} {
 		c.ask(id, "4000m")
@@ -313,13 +313,13 @@
 // A request that no worker can use is answered at once and tried nowhere else,
 // and the worker that said so goes on being used.
 func TestRejectedRequestIsNotRetried(t *testing.T) {
-	w := newWorker(t, "s-1", func(c net.Conn, r *http.Request) bool {
+	w := newFakeReplica(t, "s-1", func(c net.Conn, r *http.Request) bool {
 		if r.Header.Get("Req-Id") == "bad" {
-			return says("HTTP/1.1 400 No\r\nContent-Length: 0\r\n\r\n", true)(c, r)
+			return replyWith("HTTP/1.1 400 No\r\nContent-Length: 0\r\n\r\n", true)(c, r)
 		}
-		return whole(c, r)
+		return answerCompletely(c, r)
 	})
-	g := start(t, nil, w)
+	g := startGateway(t, nil, w)
 	c := dial(t, g.addr)
 	for i, id := range []string{"bad", "good", "bad", "good"} {
 		c.ask(id, "4000m")
@@ -336,15 +336,15 @@
 // A connection that its worker has closed while it was kept carries nothing:
 // a request written to it would be lost with it.
 func TestStaleConnectionIsNotUsed(t *testing.T) {
-	w := newWorker(t, "s-1", func(c net.Conn, r *http.Request) bool { whole(c, r); return false })
-	g := start(t, func(o *Options) { o.Settings.MaxAttempts = 1 }, w)
+	w := newFakeReplica(t, "s-1", func(c net.Conn, r *http.Request) bool { answerCompletely(c, r); return false })
+	g := startGateway(t, func(o *Options) { o.Settings.MaxAttempts = 1 }, w)
 	c := dial(t, g.addr)
 	for _, id := range []string{"f1", "f2", "f3"} {
 		c.ask(id, "4000m")
 		if resp, _ := c.answer(); resp.StatusCode != 200 {
 			t.Fatalf("%s: status %d", id, resp.StatusCode)
 		}
-		<-w.ended
+		<-w.connEnded
 	}
 	if conns, n := w.seen(); conns != 3 || n != 3 {
 		t.Errorf("%d connections, %d requests", conns, n)
@@ -353,10 +353,10 @@
 
 // A second answer to a request, which comes when the next request has been sent, is not taken for
 // that one's: a connection that has just been used carries nothing for a while.
-func TestSecondAnswerMeetsTheNextRequest(t *testing.T) {
+func TestSurplusAnswerDuringNextRequest(t *testing.T) {
 	const wrong = "data: another's\n\n"
 	second, wrote := make(chan struct{}), make(chan struct{})
-	w := newWorker(t, "s-1", func(c net.Conn, r *http.Request) bool {
+	w := newFakeReplica(t, "s-1", func(c net.Conn, r *http.Request) bool {
 		switch r.Header.Get("Req-Id") {
 		case "y1":
 			go func() {
@@ -368,9 +368,9 @@
 			close(second)
 			<-wrote
 		}
-		return whole(c, r)
+		return answerCompletely(c, r)
 	})
-	g := start(t, func(o *Options) { o.ConnRest = time.Minute }, w)
+	g := startGateway(t, func(o *Options) { o.ReplicaConnReuseDelay = time.Minute }, w)
 	c := dial(t, g.addr)
 	for _, id := range []string{"y1", "y2"} {
 		c.ask(id, "4000m")
@@ -388,12 +388,12 @@
 
 // The watch goes on, a draining worker gets nothing more, and a failed call is
 // followed by another. Version 0 made the watch spin once.
-func TestRegistryIsFollowed(t *testing.T) {
-	a, b := newWorker(t, "s-1", whole), newWorker(t, "s-2", whole)
-	g := start(t, nil, a, b)
-	until(t, "the watch", func() bool { return g.reg.seen() >= 2 })
-	g.reg.change(instance(a, "draining"))
-	until(t, "the watch after a change", func() bool { return g.reg.seen() >= 3 })
+func TestDiscoveryIsFollowed(t *testing.T) {
+	a, b := newFakeReplica(t, "s-1", answerCompletely), newFakeReplica(t, "s-2", answerCompletely)
+	g := startGateway(t, nil, a, b)
+	waitUntil(t, "the watch", func() bool { return g.discoveryServer.callCount() >= 2 })
+	g.discoveryServer.change(instance(a, "draining"))
+	waitUntil(t, "the watch after a change", func() bool { return g.discoveryServer.callCount() >= 3 })
 	c := dial(t, g.addr)
 	for range 5 {
 		c.ask("g", "4000m")
@@ -402,27 +402,31 @@
 	if _, n := a.seen(); n != 0 {
 		t.Errorf("%d sends to a draining worker", n)
 	}
-	g.reg.mu.Lock()
-	g.reg.fail = 1
-	g.reg.mu.Unlock()
-	g.reg.change() // answered, then the next call fails
-	until(t, "a call after the failed one", func() bool { return g.reg.seen() >= 5 })
-	if n := g.reg.seen(); n > 10 {
+	g.discoveryServer.mu.Lock()
+	g.discoveryServer.fail = 1
+	g.discoveryServer.mu.Unlock()
+	g.discoveryServer.change() // answered, then the next call fails
+	waitUntil(t, "a call after the failed one", func() bool { return g.discoveryServer.callCount() >= 5 })
+	if n := g.discoveryServer.callCount(); n > 10 {
 		t.Errorf("%d calls", n)
 	}
 }
 
 // A registry that falls silent is asked again, and what it tells then counts.
-func TestSilentRegistryIsAskedAgain(t *testing.T) {
-	a, b := newWorker(t, "s-1", whole), newWorker(t, "s-2", whole)
-	g := start(t, func(o *Options) { o.WatchWait, o.CallTimeout = 20*time.Millisecond, 100*time.Millisecond }, a, b)
-	g.reg.mu.Lock()
-	g.reg.mute = 1
-	g.reg.mu.Unlock()
-	until(t, "a call that is not answered", func() bool { g.reg.mu.Lock(); defer g.reg.mu.Unlock(); return g.reg.mute == 0 })
-	calls := g.reg.seen()
-	g.reg.change(instance(a, "draining"))
-	until(t, "calls after the silence", func() bool { return g.reg.seen() >= calls+2 })
+func TestSilentDiscoveryIsPolledAgain(t *testing.T) {
+	a, b := newFakeReplica(t, "s-1", answerCompletely), newFakeReplica(t, "s-2", answerCompletely)
+	g := startGateway(t, func(o *Options) { o.WatchWait, o.DiscoveryTimeout = 20*time.Millisecond, 100*time.Millisecond }, a, b)
+	g.discoveryServer.mu.Lock()
+	g.discoveryServer.mute = 1
+	g.discoveryServer.mu.Unlock()
+	waitUntil(t, "a call that is not answered", func() bool {
+		g.discoveryServer.mu.Lock()
+		defer g.discoveryServer.mu.Unlock()
+		return g.discoveryServer.mute == 0
+	})
+	calls := g.discoveryServer.callCount()
+	g.discoveryServer.change(instance(a, "draining"))
+	waitUntil(t, "calls after the silence", func() bool { return g.discoveryServer.callCount() >= calls+2 })
 	c := dial(t, g.addr)
 	for range 5 {
 		c.ask("n", "4000m")
@@ -435,18 +439,22 @@
 
 // A watch that fell silent is begun anew at once, also where there are so many gateways
 // that failed calls wait for seconds: what it missed counts as told by then.
-func TestSilentWatchIsBegunAnewAtOnce(t *testing.T) {
-	a, b := newWorker(t, "s-1", whole), newWorker(t, "s-2", whole)
-	g := start(t, func(o *Options) {
-		o.WatchWait, o.CallTimeout = 20*time.Millisecond, 100*time.Millisecond
+func TestSilentWatchRestartsImmediately(t *testing.T) {
+	a, b := newFakeReplica(t, "s-1", answerCompletely), newFakeReplica(t, "s-2", answerCompletely)
+	g := startGateway(t, func(o *Options) {
+		o.WatchWait, o.DiscoveryTimeout = 20*time.Millisecond, 100*time.Millisecond
 		o.Settings.Gateways = 100 // a failed call's successor waits for 4 s or more
 	}, a, b)
-	g.reg.mu.Lock()
-	g.reg.mute = 1
-	g.reg.mu.Unlock()
-	until(t, "a call that is not answered", func() bool { g.reg.mu.Lock(); defer g.reg.mu.Unlock(); return g.reg.mute == 0 })
-	calls, begun := g.reg.seen(), time.Now()
-	until(t, "the watch begun anew", func() bool { return g.reg.seen() > calls })
+	g.discoveryServer.mu.Lock()
+	g.discoveryServer.mute = 1
+	g.discoveryServer.mu.Unlock()
+	waitUntil(t, "a call that is not answered", func() bool {
+		g.discoveryServer.mu.Lock()
+		defer g.discoveryServer.mu.Unlock()
+		return g.discoveryServer.mute == 0
+	})
+	calls, begun := g.discoveryServer.callCount(), time.Now()
+	waitUntil(t, "the watch begun anew", func() bool { return g.discoveryServer.callCount() > calls })
 	if d := time.Since(begun); d > 2*time.Second {
 		t.Errorf("begun anew %v after the silent call", d)
 	}
@@ -456,16 +464,16 @@
 // finished, and then the gateway ends.
 func TestDrain(t *testing.T) {
 	more := make(chan struct{})
-	w := newWorker(t, "s-1", func(c net.Conn, r *http.Request) bool {
+	w := newFakeReplica(t, "s-1", func(c net.Conn, r *http.Request) bool {
 		if r.Header.Get("Req-Id") == "slow" {
 			io.WriteString(c, streamHead+chunk(event1))
 			<-more
 			io.WriteString(c, lastChunk)
 			return true
 		}
-		return whole(c, r)
+		return answerCompletely(c, r)
 	})
-	g := start(t, nil, w)
+	g := startGateway(t, nil, w)
 	idle, slow, unused := dial(t, g.addr), dial(t, g.addr), dial(t, g.addr)
 	idle.ask("h1", "4000m")
 	idle.answer()
@@ -498,8 +506,8 @@
 
 // What is not taken on gets a plain answer.
 func TestMalformedRequests(t *testing.T) {
-	w := newWorker(t, "s-1", whole)
-	g := start(t, nil, w)
+	w := newFakeReplica(t, "s-1", answerCompletely)
+	g := startGateway(t, nil, w)
 	big := strings.Repeat("x", socket.MaxBody+1)
 	for name, c := range map[string]struct {
 		text   string
@@ -531,17 +539,17 @@
 	if _, n := w.seen(); n != 1 {
 		t.Errorf("%d requests sent on, want the one without a deadline of its own", n)
 	}
-	if g.clients.bytes.Load() != 0 {
-		t.Errorf("%d bytes of bodies still counted", g.clients.bytes.Load())
+	if g.clients.bodyBytes.Load() != 0 {
+		t.Errorf("%d bytes of bodies still counted", g.clients.bodyBytes.Load())
 	}
 }
 
 // A request with two lengths may hide another in its body: neither is sent on.
 // The server itself tells nothing of the length that it drops.
-func TestHiddenRequestIsNotSentOn(t *testing.T) {
+func TestSmuggledRequestIsNotForwarded(t *testing.T) {
 	const head = "POST /v1/chat/completions HTTP/1.1\r\nHost: a\r\nReq-Kind: chat\r\nReq-Deadline: 4000m\r\nReq-Id: "
-	w := newWorker(t, "s-1", whole)
-	g := start(t, nil, w)
+	w := newFakeReplica(t, "s-1", answerCompletely)
+	g := startGateway(t, nil, w)
 	hidden := head + "hidden\r\nContent-Length: 0\r\n\r\n"
 	for _, text := range []string{
 		head + "1\r\nContent-Length: 3\r\nTransfer-Encoding: chunked\r\n\r\n0\r\n\r\n" + hidden,
@@ -565,24 +573,24 @@
 // A moved registry is followed at its new address at once, although the call
 // at the old one still waits; the whole list is asked for, and what is in hand
 // goes on.
-func TestRegistryMoves(t *testing.T) {
+func TestDiscoveryMoves(t *testing.T) {
 	more := make(chan struct{})
-	a := newWorker(t, "s-1", func(c net.Conn, _ *http.Request) bool {
+	a := newFakeReplica(t, "s-1", func(c net.Conn, _ *http.Request) bool {
 		io.WriteString(c, streamHead+chunk(event1))
 		<-more
 		io.WriteString(c, lastChunk)
 		return true
 	})
-	b := newWorker(t, "s-2", whole)
-	g := start(t, nil, a)
-	until(t, "the watch", func() bool { return g.reg.seen() >= 2 })
+	b := newFakeReplica(t, "s-2", answerCompletely)
+	g := startGateway(t, nil, a)
+	waitUntil(t, "the watch", func() bool { return g.discoveryServer.callCount() >= 2 })
 	c := dial(t, g.addr)
 	c.ask("r1", "4000m")
 	resp := c.head()
-	next := newRegistry(t, socket.List{Generation: 3, Instances: []socket.Instance{instance(b, "ready")}})
-	g.MoveRegistry("127.0.0.1:1") // left again before it was taken up, or refused
-	g.MoveRegistry(next.addr)
-	until(t, "the watch at the new address", func() bool { return next.seen() >= 2 })
+	next := newFakeDiscovery(t, socket.List{Generation: 3, Instances: []socket.Instance{instance(b, "ready")}})
+	g.MoveDiscovery("127.0.0.1:1") // left again before it was taken up, or refused
+	g.MoveDiscovery(next.addr)
+	waitUntil(t, "the watch at the new address", func() bool { return next.callCount() >= 2 })
 	if path := next.calls[0]; path != socket.ListPath {
 		t.Errorf("the first call there: %s", path)
 	}
@@ -601,19 +609,19 @@
 func (c *clientConn) rests() bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	return c.used && c.first == 0
+	return c.used && c.requestStart == 0
 }
 
 // At the limit of connections the idlest makes room; where all are busy, the
 // new one is told so.
 func TestConnectionsAreBounded(t *testing.T) {
-	w := newWorker(t, "s-1", says(streamHead+chunk(event1), true))
-	g := start(t, func(o *Options) { o.ClientConns = 2 }, w)
+	w := newFakeReplica(t, "s-1", replyWith(streamHead+chunk(event1), true))
+	g := startGateway(t, func(o *Options) { o.MaxClientConns = 2 }, w)
 	idle := dial(t, g.addr)
 	idle.raw("GET /health/ready HTTP/1.1\r\nHost: a\r\n\r\n")
 	idle.answer()
-	until(t, "the idle connection rests", func() bool { // its answer comes before the server's word that it does
-		all := g.clients.all()
+	waitUntil(t, "the idle connection rests", func() bool { // its answer comes before the server's word that it does
+		all := g.clients.connections()
 		return len(all) == 1 && all[0].rests()
 	})
 	for _, id := range []string{"i1", "i2"} {
@@ -637,19 +645,19 @@
 // to discovery and attempts have descriptors of their own, a new client is served in the place
 // of an idle one, and once discovery is back its changes are told.
 func TestIdleClientsWhileDiscoveryIsDown(t *testing.T) {
-	a, b := newWorker(t, "s-1", whole), newWorker(t, "s-2", whole)
-	g := start(t, func(o *Options) {
-		o.ClientConns, o.SpareConns, o.WorkerConns = 6, 1, 4
-		o.WatchWait, o.CallTimeout = 200*time.Millisecond, 300*time.Millisecond
+	a, b := newFakeReplica(t, "s-1", answerCompletely), newFakeReplica(t, "s-2", answerCompletely)
+	g := startGateway(t, func(o *Options) {
+		o.MaxClientConns, o.OverflowConns, o.MaxReplicaConns = 6, 1, 4
+		o.WatchWait, o.DiscoveryTimeout = 200*time.Millisecond, 300*time.Millisecond
 	}, a, b)
-	until(t, "the watch", func() bool { return g.reg.seen() >= 2 })
-	g.reg.server.Close()
+	waitUntil(t, "the watch", func() bool { return g.discoveryServer.callCount() >= 2 })
+	g.discoveryServer.server.Close()
 	for range 40 { // each has been served once, and stays
 		idle := dial(t, g.addr)
 		idle.raw("GET /health/ready HTTP/1.1\r\nHost: a\r\n\r\n")
 		idle.answer()
 	}
-	if n := g.clients.count(); n > 7 {
+	if n := g.clients.connCount(); n > 7 {
 		t.Errorf("%d connections of clients", n)
 	}
 	for _, id := range []string{"q1", "q2", "q3"} {
@@ -659,12 +667,12 @@
 			t.Errorf("status %d while discovery is down", resp.StatusCode)
 		}
 	}
-	g.reg.change(instance(a, "draining"))
-	<-g.reg.news // nobody waits for it
-	calls := g.reg.seen()
-	g.reg.back(t)
+	g.discoveryServer.change(instance(a, "draining"))
+	<-g.discoveryServer.changed // nobody waits for it
+	calls := g.discoveryServer.callCount()
+	g.discoveryServer.restart(t)
 	back := time.Now()
-	until(t, "two calls since discovery is back", func() bool { return g.reg.seen() >= calls+2 })
+	waitUntil(t, "two calls since discovery is back", func() bool { return g.discoveryServer.callCount() >= calls+2 })
 	if d := time.Since(back); d > 4*time.Second {
 		t.Errorf("told %v after discovery could be reached", d)
 	}
@@ -681,9 +689,9 @@
 
 // Those who connect and say nothing, or never say all, take no place from the
 // others, and lose their connection in time.
-func TestRudeClientsHoldNoPlace(t *testing.T) {
-	g := start(t, func(o *Options) { o.ClientConns = 4 }, newWorker(t, "s-1", whole))
-	var rude []*client
+func TestStalledClientsAreEvicted(t *testing.T) {
+	g := startGateway(t, func(o *Options) { o.MaxClientConns = 4 }, newFakeReplica(t, "s-1", answerCompletely))
+	var rude []*testClient
 	for range 12 {
 		rude = append(rude, dial(t, g.addr))
 	}
@@ -703,16 +711,16 @@
 			t.Errorf("connection %d: %v after %v", i, err, time.Since(begin))
 		}
 	}
-	if n := g.clients.bytes.Load(); n != 0 {
+	if n := g.clients.bodyBytes.Load(); n != 0 {
 		t.Errorf("%d bytes of bodies still counted", n)
 	}
 }
 
 // The id of a request in hand is not taken a second time: the worker would run
 // that request twice. Afterwards it is free again.
-func TestIDInHandIsNotTakenTwice(t *testing.T) {
-	w := newWorker(t, "s-1", says(streamHead+chunk(event1), true))
-	g := start(t, nil, w)
+func TestDuplicateInFlightIDIsRejected(t *testing.T) {
+	w := newFakeReplica(t, "s-1", replyWith(streamHead+chunk(event1), true))
+	g := startGateway(t, nil, w)
 	first, second := dial(t, g.addr), dial(t, g.addr)
 	first.ask("same", "4000m")
 	first.head()
@@ -724,7 +732,7 @@
 		t.Errorf("%d sends", n)
 	}
 	first.Close()
-	until(t, "nothing in hand", func() bool { return g.clients.held() == 0 })
+	waitUntil(t, "nothing in hand", func() bool { return g.clients.inFlightCount() == 0 })
 	third := dial(t, g.addr)
 	third.ask("same", "4000m")
 	if resp := third.head(); resp.StatusCode != 200 {
@@ -733,38 +741,38 @@
 }
 
 // Before a worker can be sent to, the front is told to wait.
-func TestReadyOnlyWithAWorker(t *testing.T) {
-	g := start(t, nil)
-	until(t, "the registry's answer", func() bool { return g.reg.seen() >= 2 })
+func TestReadyOnlyWithAReplica(t *testing.T) {
+	g := startGateway(t, nil)
+	waitUntil(t, "the registry's answer", func() bool { return g.discoveryServer.callCount() >= 2 })
 	c := dial(t, g.addr)
 	c.raw("GET /health/ready HTTP/1.1\r\nHost: a\r\n\r\n")
 	if resp, _ := c.answer(); resp.StatusCode != 503 {
 		t.Errorf("status %d without workers", resp.StatusCode)
 	}
-	g.reg.change(instance(newWorker(t, "s-1", whole), "ready"))
-	until(t, "ready", func() bool { return g.ready.Load() })
+	g.discoveryServer.change(instance(newFakeReplica(t, "s-1", answerCompletely), "ready"))
+	waitUntil(t, "ready", func() bool { return g.ready.Load() })
 }
 
 // With the list as last held a gateway serves at once: where all come back together,
 // the registry has no turn for some of them for seconds.
-func TestReadyOnTheSavedList(t *testing.T) {
-	w := newWorker(t, "s-1", whole)
-	g := start(t, func(o *Options) {
-		o.Known = socket.List{Instances: []socket.Instance{instance(w, "ready")}}
+func TestReadyOnCachedList(t *testing.T) {
+	w := newFakeReplica(t, "s-1", answerCompletely)
+	g := startGateway(t, func(o *Options) {
+		o.CachedList = socket.List{Instances: []socket.Instance{instance(w, "ready")}}
 		o.Settings.Gateways, o.Settings.Self = 80, 79 // whose turn at the registry comes last
 	}, w)
 	c := dial(t, g.addr)
 	c.ask("saved", "4000m")
-	if resp, _ := c.answer(); resp.StatusCode != 200 || g.reg.seen() != 0 {
-		t.Errorf("status %d after %d calls of the registry", resp.StatusCode, g.reg.seen())
+	if resp, _ := c.answer(); resp.StatusCode != 200 || g.discoveryServer.callCount() != 0 {
+		t.Errorf("status %d after %d calls of the registry", resp.StatusCode, g.discoveryServer.callCount())
 	}
 }
 
 // A worker that started shortly before the gateway is still cold: on a clock
 // that began with the gateway its start fell below 0, which means long ago.
-func TestStartsBeforeTheGatewayCount(t *testing.T) {
-	c := newClock()
-	at := c.since(time.Now().Add(-3 * time.Second).UnixMilli())
+func TestReplicaStartsBeforeGateway(t *testing.T) {
+	c := newMonotonicClock()
+	at := c.fromUnixMillis(time.Now().Add(-3 * time.Second).UnixMilli())
 	if age := c.now() - at; at <= 0 || age < 2_900_000 || age > 3_500_000 {
 		t.Errorf("started at %d, %d us ago", at, age)
 	}
--- a/internal/gateway/probe.go
+++ b/internal/gateway/healthcheck.go
@@ -16,16 +16,16 @@
 
 // Probes of replicas.
 
-// probe asks a worker for its state, and for its load where there are reports.
-func (g *Gateway) probe(w *memory.Replica) {
+// runHealthCheck asks a worker for its state, and for its load where there are reports.
+func (g *Gateway) runHealthCheck(w *memory.Replica) {
 	path := socket.LivePath
-	if g.o.Settings.ReportSource != choice.ReportNone {
+	if g.options.Settings.ReportSource != choice.ReportNone {
 		path = socket.StatsPath
 	}
 	start, begin := g.clock.now(), time.Now()
-	e := probed{w: w, status: choice.Served}
-	err := caller{g.pool, &g.meters[figures.PurposeHealthCheck]}.get(context.Background(), w.ConnKey(), w.Addr, path, g.o.ProbeTimeout, func(resp *http.Response, body io.Reader) error {
-		text, err := io.ReadAll(io.LimitReader(body, maxProbe))
+	e := healthCheckEnded{replica: w, status: choice.Served}
+	err := pooledClient{g.pool, &g.meters[figures.PurposeHealthCheck]}.get(context.Background(), w.ConnKey(), w.Addr, path, g.options.HealthCheckTimeout, func(resp *http.Response, body io.Reader) error {
+		text, err := io.ReadAll(io.LimitReader(body, maxShortBody))
 		if err != nil {
 			return err
 		}
@@ -41,7 +41,7 @@
 	switch {
 	case errors.Is(err, memory.ErrLocalShortage):
 		e.status = choice.NotSent // it was not asked
-	case errors.Is(err, errConnect):
+	case errors.Is(err, errNotConnected):
 		e.status = choice.ConnectFailed
 	case err != nil:
 		e.status, e.report = choice.TimedOut, choice.LoadReport{}
--- a/internal/gateway/books_test.go
+++ b/internal/gateway/ledger_test.go
@@ -28,13 +28,13 @@
 // What the books were told stands in captures: verdicts, copies, settlements,
 // contracts that change in flight, parts and checkpoints replay alike, from the
 // beginning and from each checkpoint; a verdict that was another is found.
-func TestBooksAreRecorded(t *testing.T) {
+func TestLedgerIsRecorded(t *testing.T) {
 	dir := t.TempDir()
 	var flaky atomic.Int64
-	w1 := newWorker(t, "s-1", whole)
-	w2 := newWorker(t, "s-2", func(c net.Conn, r *http.Request) bool {
+	w1 := newFakeReplica(t, "s-1", answerCompletely)
+	w2 := newFakeReplica(t, "s-2", func(c net.Conn, r *http.Request) bool {
 		if flaky.Add(1)%2 == 0 {
-			return whole(c, r)
+			return answerCompletely(c, r)
 		}
 		_, err := io.WriteString(c, "HTTP/1.1 500 Internal Server Error\r\nContent-Length: 0\r\n\r\n")
 		return err == nil
@@ -44,10 +44,10 @@
 		t.Fatal(err)
 	}
 	defer store.Close()
-	c := agreed(15_000)
+	c := testContracts(15_000)
 	c.Settings.Reserve = 0.05
 	c.Split = func() split.Way { return split.Equal{Gateways: 1} }
-	g := start(t, func(o *Options) {
+	g := startGateway(t, func(o *Options) {
 		o.Capture, o.Contracts, o.Ledger = captureTo(dir), c, store
 		o.Capture.Recorder.Checkpoint = 3 * time.Millisecond
 		o.Capture.Writer.Wait = true // a busy machine loses nothing of it
@@ -61,17 +61,17 @@
 		}
 		switch i {
 		case 60:
-			next := agreed(60_000)
+			next := testContracts(60_000)
 			next.Settings.Reserve = 0.05
-			if err := g.Agree(t.Context(), next); err != nil {
+			if err := g.SetContracts(t.Context(), next); err != nil {
 				t.Fatal(err)
 			}
 		case 80: // none at all, with what is in hand, and anew
-			if err := g.Agree(t.Context(), nil); err != nil {
+			if err := g.SetContracts(t.Context(), nil); err != nil {
 				t.Fatal(err)
 			}
 		case 90:
-			if err := g.Agree(t.Context(), agreed(100_000)); err != nil {
+			if err := g.SetContracts(t.Context(), testContracts(100_000)); err != nil {
 				t.Fatal(err)
 			}
 		}
@@ -79,10 +79,10 @@
 	if refused == 0 {
 		t.Error("nothing was refused")
 	}
-	until(t, "settled", func() bool { return g.accounts(t)["a"].Open == 0 })
+	waitUntil(t, "settled", func() bool { return g.accounts(t)["a"].Open == 0 })
 	ctx, stop := context.WithTimeout(t.Context(), 5*time.Second)
 	defer stop()
-	if err := g.Record(ctx, nil); err != nil {
+	if err := g.SetCapture(ctx, nil); err != nil {
 		t.Fatal(err)
 	}
 	found, err := capture.Find(dir)
@@ -127,9 +127,9 @@
 
 // A gateway that is killed counts afterwards at least what was used; one that ends
 // in order, exactly that.
-func TestBalancesAreKept(t *testing.T) {
+func TestBalancesSurviveRestart(t *testing.T) {
 	path := filepath.Join(t.TempDir(), "b.db")
-	w := newWorker(t, "s-1", whole)
+	w := newFakeReplica(t, "s-1", answerCompletely)
 	for _, clean := range []bool{true, false} {
 		var used, before contract.Units
 		for life := range 2 {
@@ -137,9 +137,9 @@
 			if err != nil {
 				t.Fatal(err)
 			}
-			c := agreed(1_000_000)
+			c := testContracts(1_000_000)
 			c.Settings.Reserve, c.Settings.Strict = 0.01, true
-			g := start(t, func(o *Options) { o.Contracts, o.Ledger = c, store }, w)
+			g := startGateway(t, func(o *Options) { o.Contracts, o.Ledger = c, store }, w)
 			if before = g.accounts(t)["a"].Used[contract.Quarter]; life == 1 {
 				switch {
 				case clean && before != used, before < used, before > used+10_000*contract.Token+5320*contract.Token:
@@ -152,11 +152,11 @@
 				if resp, text := cl.answer(); resp.StatusCode == http.StatusTooManyRequests && !strings.Contains(text, "balance_not_kept") {
 					t.Error(text)
 				}
-				until(t, "settled", func() bool { return g.accounts(t)["a"].Open == 0 })
+				waitUntil(t, "settled", func() bool { return g.accounts(t)["a"].Open == 0 })
 			}
 			used = g.accounts(t)["a"].Used[contract.Quarter]
 			if clean {
-				if err := g.CloseBooks(t.Context()); err != nil {
+				if err := g.CloseLedger(t.Context()); err != nil {
 					t.Error(err)
 				}
 			}
@@ -165,8 +165,8 @@
 	}
 }
 
-// told tells whether the service was told of a refusal in such words.
-func told(s *controlservice.Service, words string) bool {
+// refusalReported tells whether the service was told of a refusal in such words.
+func refusalReported(s *controlservice.Service, words string) bool {
 	for _, a := range s.Answers() {
 		if strings.Contains(a.Err, words) {
 			return true
@@ -178,13 +178,13 @@
 // A version of the streamed configuration brings contracts, in the place of the
 // files'; one that would refuse all that a team sends is turned down.
 func TestContractsAreStreamed(t *testing.T) {
-	w := newWorker(t, "s-1", whole)
+	w := newFakeReplica(t, "s-1", answerCompletely)
 	s, err := controlservice.Start("127.0.0.1:0", nil)
 	if err != nil {
 		t.Fatal(err)
 	}
 	t.Cleanup(s.Vanish)
-	g := start(t, func(o *Options) { o.Contracts = agreed(1_000_000) }, w)
+	g := startGateway(t, func(o *Options) { o.Contracts = testContracts(1_000_000) }, w)
 	v := follow(t, "n0", s.Addr(), g)
 	cl := dial(t, g.addr)
 	send := func(n uint64, teams ...contract.Terms) {
@@ -201,26 +201,26 @@
 		if resp, text := cl.answer(); resp.StatusCode != want {
 			t.Errorf("%s: %s %s", id, resp.Status, text)
 		}
-		until(t, "settled", func() bool { return g.accounts(t)["a"].Open == 0 })
+		waitUntil(t, "settled", func() bool { return g.accounts(t)["a"].Open == 0 })
 	}
 	ask("files", http.StatusOK)
-	tight := agreed(7_000).Teams
+	tight := testContracts(7_000).Teams
 	send(1, tight...)
-	until(t, "version 1", func() bool { return v.on() == 1 })
+	waitUntil(t, "version 1", func() bool { return v.versionInForce() == 1 })
 	ask("streamed", http.StatusOK) // 1224 used, 1224 more
 	ask("spent", http.StatusTooManyRequests)
 	// Valid alone, but not as a step: below what is used.
-	send(2, agreed(500).Teams...)
-	until(t, "version 2 turned down", func() bool { return v.on() == 1 && told(s, "below the") })
-	bad := agreed(7_000).Teams
+	send(2, testContracts(500).Teams...)
+	waitUntil(t, "version 2 turned down", func() bool { return v.versionInForce() == 1 && refusalReported(s, "below the") })
+	bad := testContracts(7_000).Teams
 	bad[0].Rate = -1
 	send(3, bad...)
-	until(t, "version 3 turned down", func() bool { return v.on() == 1 && told(s, "rate") })
-	send(4, agreed(9_000).Teams...)
-	until(t, "version 4", func() bool { return v.on() == 4 })
+	waitUntil(t, "version 3 turned down", func() bool { return v.versionInForce() == 1 && refusalReported(s, "rate") })
+	send(4, testContracts(9_000).Teams...)
+	waitUntil(t, "version 4", func() bool { return v.versionInForce() == 4 })
 	ask("more", http.StatusOK)
 	s.Publish(chatVersion(5)) // without contracts: the files' again, and what was used goes on
-	until(t, "version 5", func() bool { return v.on() == 5 })
+	waitUntil(t, "version 5", func() bool { return v.versionInForce() == 5 })
 	ask("files-again", http.StatusOK)
 	if used := g.accounts(t)["a"].Used[contract.Quarter]; used != 4*1224*contract.Token {
 		t.Errorf("used %d", used/contract.Token)
@@ -228,25 +228,25 @@
 }
 
 // What was in hand when the contracts went is not settled on the books of later ones.
-func TestBooksAnewWithRequestsInHand(t *testing.T) {
+func TestLedgerRenewedWithRequestsInFlight(t *testing.T) {
 	dir, release := t.TempDir(), make(chan struct{})
-	w := newWorker(t, "s-1", func(c net.Conn, r *http.Request) bool {
+	w := newFakeReplica(t, "s-1", func(c net.Conn, r *http.Request) bool {
 		<-release
-		return whole(c, r)
+		return answerCompletely(c, r)
 	})
-	g := start(t, func(o *Options) { o.Capture, o.Contracts = captureTo(dir), agreed(100_000) }, w)
+	g := startGateway(t, func(o *Options) { o.Capture, o.Contracts = captureTo(dir), testContracts(100_000) }, w)
 	cl := dial(t, g.addr)
 	cl.askAs("held", "a")
-	until(t, "it is charged", func() bool { return g.accounts(t)["a"].Open == 1 })
-	for _, c := range []*Contracts{nil, agreed(100_000)} {
-		if err := g.Agree(t.Context(), c); err != nil {
+	waitUntil(t, "it is charged", func() bool { return g.accounts(t)["a"].Open == 1 })
+	for _, c := range []*Contracts{nil, testContracts(100_000)} {
+		if err := g.SetContracts(t.Context(), c); err != nil {
 			t.Fatal(err)
 		}
 	}
 	close(release)
 	cl.answer()
-	until(t, "its end", func() bool { return g.clients.held() == 0 })
-	if err := g.Record(t.Context(), nil); err != nil {
+	waitUntil(t, "its end", func() bool { return g.clients.inFlightCount() == 0 })
+	if err := g.SetCapture(t.Context(), nil); err != nil {
 		t.Fatal(err)
 	}
 	replayDir(t, dir)
--- a/internal/gateway/loop.go
+++ b/internal/gateway/loop.go
@@ -17,68 +17,68 @@
 )
 
 // event is something that happened, to be told to the module by the loop.
-type event interface{ apply(l *loop) }
+type event interface{ apply(l *eventLoop) }
 
-// loop owns the module and all that is kept beside it. Other tasks hand it
+// eventLoop owns the module and all that is kept beside it. Other tasks hand it
 // events; its actions reach them by channels that have room, so that no socket
 // ever holds it up.
-type loop struct {
-	g         *Gateway
-	b         *choice.Balancer
-	m         capture.Module // b, or the recorder before it
-	record    *recording     // nil: off
-	events    chan event
-	watches   chan struct{} // orders to the watch task
-	now       choice.Micros // read once a turn
-	lost      []string      // sites, as last told
-	sitesAt   choice.Micros // when they are looked at next
-	timers    timers
-	requests  *memory.Table
-	registry  *memory.Registry
-	view      *subset.Selector // what of the registry's list the module is told
-	inForce   time.Time        // when the list came that is held
-	busy      time.Duration
-	reports   figures.ReportAge
-	told      bool                       // the registry itself has answered
-	book      *contract.Book             // nil: no contracts
-	books     capture.Books              // the book, or the recorder before it
-	files     *Contracts                 // that the settings name; nil: none
-	versioned []contract.Terms           // a version's, in the place of theirs; nil: it has none
-	shares    shares                     // what this gateway's parts of contracts are told from
-	later     []event                    // that an order brought about; applied at the end of the turn
-	truth     map[string]socket.Instance // the list as the registry has it, without marks
-	marks     map[string]bool            // workers that a version drains
-	out       map[string]struct{}        // replicas that operators have out
-	outStart  map[string]int64           // when these had started, as listed when they were first seen out
-}
-
-func newLoop(g *Gateway) (*loop, error) {
-	l := &loop{g: g, events: make(chan event, 1024), watches: make(chan struct{}, 1),
-		requests: memory.NewTable(), registry: memory.NewRegistry(), truth: map[string]socket.Instance{}, outStart: map[string]int64{}}
-	if g.o.Orders != nil {
-		l.out = g.o.Orders.AllOut()
+type eventLoop struct {
+	gateway           *Gateway
+	balancer          *choice.Balancer
+	module            capture.Module    // b, or the recorder before it
+	recording         *captureRecording // nil: off
+	events            chan event
+	pollRequests      chan struct{} // orders to the watch task
+	now               choice.Micros // read once a turn
+	lostZones         []string      // sites, as last told
+	nextZoneCheck     choice.Micros // when they are looked at next
+	timers            timerQueue
+	requests          *memory.Table
+	endpoints         *memory.Registry
+	view              *subset.Selector // what of the registry's list the module is told
+	listReceivedAt    time.Time        // when the list came that is held
+	busy              time.Duration
+	reports           figures.ReportAge
+	discoveryAnswered bool                       // the registry itself has answered
+	ledger            *contract.Book             // nil: no contracts
+	recordedLedger    capture.Books              // the book, or the recorder before it
+	fileContracts     *Contracts                 // that the settings name; nil: none
+	versionContracts  []contract.Terms           // a version's, in the place of theirs; nil: it has none
+	quotaShares       quotaShares                // what this gateway's parts of contracts are told from
+	deferred          []event                    // that an order brought about; applied at the end of the turn
+	listed            map[string]socket.Instance // the list as the registry has it, without marks
+	drainMarks        map[string]bool            // workers that a version drains
+	ejected           map[string]struct{}        // replicas that operators have out
+	ejectedStart      map[string]int64           // when these had started, as listed when they were first seen out
+}
+
+func newEventLoop(g *Gateway) (*eventLoop, error) {
+	l := &eventLoop{gateway: g, events: make(chan event, 1024), pollRequests: make(chan struct{}, 1),
+		requests: memory.NewTable(), endpoints: memory.NewRegistry(), listed: map[string]socket.Instance{}, ejectedStart: map[string]int64{}}
+	if g.options.Orders != nil {
+		l.ejected = g.options.Orders.AllOut()
 	}
 	var err error
-	if l.b, err = choice.New(g.o.Settings, g.o.Seed, l); err != nil {
+	if l.balancer, err = choice.New(g.options.Settings, g.options.Seed, l); err != nil {
 		return nil, err
 	}
-	l.m = l.b
-	l.view = subset.NewSelector(g.o.Subset, l.b)
+	l.module = l.balancer
+	l.view = subset.NewSelector(g.options.Subset, l.balancer)
 	return l, nil
 }
 
 // post hands the loop an event.
-func (l *loop) post(ctx context.Context, e event) {
+func (l *eventLoop) post(ctx context.Context, e event) {
 	select {
 	case l.events <- e:
 	case <-ctx.Done():
 	}
 }
 
-func (l *loop) run(ctx context.Context) {
-	l.now = l.g.clock.now()
-	l.m.Start(l.now)
-	l.list(l.g.o.Known, choice.ListCached)
+func (l *eventLoop) run(ctx context.Context) {
+	l.now = l.gateway.clock.now()
+	l.module.Start(l.now)
+	l.receiveList(l.gateway.options.CachedList, choice.ListCached)
 	wake := time.NewTimer(0)
 	defer wake.Stop()
 	for {
@@ -89,7 +89,7 @@
 		case <-ctx.Done():
 			return
 		}
-		l.now = l.g.clock.now()
+		l.now = l.gateway.clock.now()
 		begun := time.Now()
 		if first != nil {
 			first.apply(l)
@@ -99,229 +99,229 @@
 		}
 		for len(l.timers) > 0 && l.timers[0].at <= l.now {
 			t := heap.Pop(&l.timers).(timer)
-			l.m.TimerFired(l.now, t.token)
+			l.module.TimerFired(l.now, t.token)
 		}
-		for len(l.later) > 0 {
-			e := l.later[0]
-			l.later = l.later[1:]
+		for len(l.deferred) > 0 {
+			e := l.deferred[0]
+			l.deferred = l.deferred[1:]
 			e.apply(l)
 		}
-		l.sites()
+		l.logZoneChanges()
 		l.busy += time.Since(begun)
 		if len(l.timers) > 0 {
-			wake.Reset(time.Until(l.g.clock.at(l.timers[0].at)))
+			wake.Reset(time.Until(l.gateway.clock.timeAt(l.timers[0].at)))
 		}
 	}
 }
 
-// sitesEvery is how often what is lost is looked at, to tell of it.
-const sitesEvery choice.Micros = 250_000
+// zoneCheckInterval is how often what is lost is looked at, to tell of it.
+const zoneCheckInterval choice.Micros = 250_000
 
-// sites logs that a site was lost or is back.
-func (l *loop) sites() {
-	if l.now < l.sitesAt {
+// logZoneChanges logs that a site was lost or is back.
+func (l *eventLoop) logZoneChanges() {
+	if l.now < l.nextZoneCheck {
 		return
 	}
-	l.sitesAt = l.now + sitesEvery
-	lost, alone := l.b.UnavailableZones()
+	l.nextZoneCheck = l.now + zoneCheckInterval
+	lost, alone := l.balancer.UnavailableZones()
 	for _, name := range lost {
-		if !slices.Contains(l.lost, name) {
+		if !slices.Contains(l.lostZones, name) {
 			slog.Warn("zone_lost", "zone", name, "isolated", alone)
 		}
 	}
-	for _, name := range l.lost {
+	for _, name := range l.lostZones {
 		if !slices.Contains(lost, name) {
 			slog.Info("zone_recovered", "zone", name)
 		}
 	}
-	l.lost = lost
+	l.lostZones = lost
 }
 
 // The events.
 
-type arrived struct {
-	r    *memory.Request
-	live *live // the version by which its head was read
-	told bool  // its client has told its deadline
+type requestArrived struct {
+	request     *memory.Request
+	config      *liveConfig // the version by which its head was read
+	hasDeadline bool        // its client has told its deadline
 }
 
-func (e arrived) apply(l *loop) {
-	l.requests.Add(e.r)
+func (e requestArrived) apply(l *eventLoop) {
+	l.requests.Add(e.request)
 	// A version that came in force behind its head has it whole or not at all: under the one its class
 	// was known, and the other would have served it as of no class, or by two classes' times.
-	if now := l.g.live.Load(); now != e.live {
-		was, _ := e.live.class(e.r.BalancerRequest.Class)
-		is, err := now.class(e.r.BalancerRequest.Class)
+	if now := l.gateway.config.Load(); now != e.config {
+		was, _ := e.config.class(e.request.BalancerRequest.Class)
+		is, err := now.class(e.request.BalancerRequest.Class)
 		if err != nil {
-			l.answer(e.r.ID, memory.Action{Kind: memory.ActionReject, Reason: err.Error()})
+			l.sendFinalAnswer(e.request.ID, memory.Action{Kind: memory.ActionReject, Reason: err.Error()})
 			return
 		}
-		if !e.told {
-			e.r.Deadline += is.Deadline - was.Deadline
+		if !e.hasDeadline {
+			e.request.Deadline += is.Deadline - was.Deadline
 		}
 	}
-	e.r.BalancerRequest.TimeLeft = max(0, e.r.Deadline-l.now)
-	if !l.admitted(e.r) {
+	e.request.BalancerRequest.TimeLeft = max(0, e.request.Deadline-l.now)
+	if !l.admitByContract(e.request) {
 		return
 	}
-	if home, tell := l.view.AssignAffinityTarget(l.now, &e.r.BalancerRequest); tell {
-		l.m.ListChanged(l.now, home)
+	if home, tell := l.view.AssignAffinityTarget(l.now, &e.request.BalancerRequest); tell {
+		l.module.ListChanged(l.now, home)
 	}
-	l.m.RequestArrived(l.now, e.r.BalancerRequest)
+	l.module.RequestArrived(l.now, e.request.BalancerRequest)
 }
 
-// left says that a client has gone.
-type left struct{ r *memory.Request }
+// clientGone says that a client has gone.
+type clientGone struct{ request *memory.Request }
 
-func (e left) apply(l *loop) {
-	if !e.r.Finished {
-		e.r.Finished = true
-		l.m.ClientGone(l.now, e.r.ID)
+func (e clientGone) apply(l *eventLoop) {
+	if !e.request.Finished {
+		e.request.Finished = true
+		l.module.ClientGone(l.now, e.request.ID)
 	}
 	// Its task has ended: orders that it did not take up have no other end, and
 	// the module would count them as out for ever.
-	for len(e.r.Actions) > 0 {
-		if a := <-e.r.Actions; a.Kind == memory.ActionForward {
+	for len(e.request.Actions) > 0 {
+		if a := <-e.request.Actions; a.Kind == memory.ActionForward {
 			a.Attempt.Cancel()
-			ended{d: a.Attempt, status: choice.NotSent}.apply(l)
+			attemptEnded{attempt: a.Attempt, status: choice.NotSent}.apply(l)
 		}
 	}
-	l.release(e.r)
-	l.requests.RemoveIfFinished(e.r)
+	l.releaseCharge(e.request)
+	l.requests.RemoveIfFinished(e.request)
 }
 
-// opened says that an attempt's stream has begun. The first one is the
+// streamOpened says that an attempt's stream has begun. The first one is the
 // client's; any other is of no more use.
-type opened struct{ d *memory.Attempt }
+type streamOpened struct{ attempt *memory.Attempt }
 
-func (e opened) apply(l *loop) {
-	r := e.d.Request
+func (e streamOpened) apply(l *eventLoop) {
+	r := e.attempt.Request
 	if r.Finished || r.Winner != nil {
-		e.d.Cancel()
+		e.attempt.Cancel()
 		return
 	}
-	r.Winner = e.d
+	r.Winner = e.attempt
 	// The others are called off before the client gets anything: nothing is sent for it from then on.
-	l.m.FirstToken(l.now, choice.Outcome{ID: r.ID, Attempt: e.d.Index, Replica: e.d.Replica.ID, Elapsed: l.now - e.d.SentAt})
-	r.Actions <- memory.Action{Kind: memory.ActionStream, Attempt: e.d}
+	l.module.FirstToken(l.now, choice.Outcome{ID: r.ID, Attempt: e.attempt.Index, Replica: e.attempt.Replica.ID, Elapsed: l.now - e.attempt.SentAt})
+	r.Actions <- memory.Action{Kind: memory.ActionStream, Attempt: e.attempt}
 }
 
-// ended is an attempt's one outcome.
-type ended struct {
-	d      *memory.Attempt
-	status choice.Status
-	kept   int
-	tokens int
-	report choice.LoadReport
-	reused bool // over a kept connection
-	code   int  // the answer's status, where it was not 200
+// attemptEnded is an attempt's one outcome.
+type attemptEnded struct {
+	attempt      *memory.Attempt
+	status       choice.Status
+	cachedTokens int
+	outputTokens int
+	report       choice.LoadReport
+	reused       bool // over a kept connection
+	httpStatus   int  // the answer's status, where it was not 200
 }
 
-var statusWords = map[choice.Status]string{choice.Served: "served", choice.Errored: "error", choice.Shed: "shed",
+var attemptStatusNames = map[choice.Status]string{choice.Served: "served", choice.Errored: "error", choice.Shed: "shed",
 	choice.TimedOut: "timeout", choice.ConnectFailed: "connect_failed", choice.ConnBroken: "reset",
 	choice.Cancelled: "cancelled", choice.NotSent: "not_sent", choice.Malformed: "malformed", choice.Rejected: "rejected"}
 
-func (e ended) apply(l *loop) {
-	if !l.requests.FinishAttempt(e.d) {
+func (e attemptEnded) apply(l *eventLoop) {
+	if !l.requests.FinishAttempt(e.attempt) {
 		return
 	}
-	r := e.d.Request
-	if r.Winner == e.d {
+	r := e.attempt.Request
+	if r.Winner == e.attempt {
 		r.Finished = true
 	}
-	e.d.NeverRan = e.status.NeverRan()
-	l.settle(&e)
-	l.reported(e.d.Replica, &e.report)
+	e.attempt.NeverRan = e.status.NeverRan()
+	l.settleAttempt(&e)
+	l.recordReplicaLoad(e.attempt.Replica, &e.report)
 	if e.status != choice.Served {
-		slog.LogAttrs(context.Background(), slog.LevelInfo, "attempt", slog.String("id", r.ClientRequestID), slog.Int("attempt", e.d.Index),
-			slog.String("kind", e.d.Cause), slog.String("replica", e.d.Replica.Instance.ID), slog.String("status", statusWords[e.status]),
-			slog.Int64("elapsed_ms", (l.now-e.d.SentAt)/1000), slog.Bool("streamed", r.Winner == e.d), slog.Bool("reused", e.reused),
-			slog.Int("http_status", e.code))
+		slog.LogAttrs(context.Background(), slog.LevelInfo, "attempt", slog.String("id", r.ClientRequestID), slog.Int("attempt", e.attempt.Index),
+			slog.String("kind", e.attempt.Cause), slog.String("replica", e.attempt.Replica.Instance.ID), slog.String("status", attemptStatusNames[e.status]),
+			slog.Int64("elapsed_ms", (l.now-e.attempt.SentAt)/1000), slog.Bool("streamed", r.Winner == e.attempt), slog.Bool("reused", e.reused),
+			slog.Int("http_status", e.httpStatus))
 	}
-	l.m.AttemptEnded(l.now, choice.Outcome{ID: r.ID, Attempt: e.d.Index, Replica: e.d.Replica.ID, Status: e.status,
-		Elapsed: l.now - e.d.SentAt, Final: r.Finished, CachedTokens: e.kept, OutputTokens: e.tokens, Report: e.report})
+	l.module.AttemptEnded(l.now, choice.Outcome{ID: r.ID, Attempt: e.attempt.Index, Replica: e.attempt.Replica.ID, Status: e.status,
+		Elapsed: l.now - e.attempt.SentAt, Final: r.Finished, CachedTokens: e.cachedTokens, OutputTokens: e.outputTokens, Report: e.report})
 	l.requests.RemoveIfFinished(r)
 }
 
-type probed struct {
-	w       *memory.Replica
+type healthCheckEnded struct {
+	replica *memory.Replica
 	status  choice.Status
 	elapsed choice.Micros
 	report  choice.LoadReport
 }
 
-func (e probed) apply(l *loop) {
-	l.reported(e.w, &e.report)
-	l.m.HealthCheckEnded(l.now, choice.Outcome{Replica: e.w.ID, Status: e.status, Elapsed: e.elapsed, Report: e.report})
+func (e healthCheckEnded) apply(l *eventLoop) {
+	l.recordReplicaLoad(e.replica, &e.report)
+	l.module.HealthCheckEnded(l.now, choice.Outcome{Replica: e.replica.ID, Status: e.status, Elapsed: e.elapsed, Report: e.report})
 }
 
-// listed is an answer of the registry; failed, the lack of one.
-type listed struct{ list socket.List }
+// listReceived is an answer of the registry; failed, the lack of one.
+type listReceived struct{ list socket.List }
 
-func (e listed) apply(l *loop) {
+func (e listReceived) apply(l *eventLoop) {
 	kind := choice.ListDelta
 	if e.list.Reset {
 		kind = choice.ListFull
 	}
-	l.list(e.list, kind)
+	l.receiveList(e.list, kind)
 }
 
-type listFailed struct {
-	err       error
-	unreached bool // discovery was not there at all
-	heard     chan struct{}
+type listPollFailed struct {
+	err         error
+	unreachable bool // discovery was not there at all
+	handled     chan struct{}
 }
 
-func (e listFailed) apply(l *loop) {
+func (e listPollFailed) apply(l *eventLoop) {
 	slog.Info("discovery_failed", "err", e.err)
 	kind := choice.ListFailed
-	if e.unreached {
+	if e.unreachable {
 		kind = choice.ListUnreachable
 	}
 	select { // ordered while the call ran: answered by its failure
-	case <-l.watches:
+	case <-l.pollRequests:
 	default:
 	}
-	l.m.ListChanged(l.now, choice.EndpointList{Kind: kind})
-	close(e.heard)
+	l.module.ListChanged(l.now, choice.EndpointList{Kind: kind})
+	close(e.handled)
 }
 
-func (l *loop) list(in socket.List, kind choice.ListKind) {
-	l.take(in, kind, false)
-	if kind != choice.ListCached && !l.told {
-		l.told = true
-		l.g.heard.Store(true)
-		if l.g.o.Orders != nil {
-			go l.g.prove()
+func (l *eventLoop) receiveList(in socket.List, kind choice.ListKind) {
+	l.applyList(in, kind, false)
+	if kind != choice.ListCached && !l.discoveryAnswered {
+		l.discoveryAnswered = true
+		l.gateway.discoveryAnswered.Store(true)
+		if l.gateway.options.Orders != nil {
+			go l.gateway.confirmEjections()
 		}
 	}
-	l.setReady()
+	l.updateReady()
 }
 
-// take enters a list, or what this gateway's own marks change about it.
-func (l *loop) take(in socket.List, kind choice.ListKind, own bool) {
-	in = l.completed(in)
-	l.noteListed(in)
-	in = l.marked(in, kind)
-	out, left := l.registry.Apply(in, kind, l.g.clock.since)
+// applyList enters a list, or what this gateway's own marks change about it.
+func (l *eventLoop) applyList(in socket.List, kind choice.ListKind, own bool) {
+	in = l.fillPartialEntries(in)
+	l.recordListed(in)
+	in = l.overlayWithheld(in, kind)
+	out, left := l.endpoints.Apply(in, kind, l.gateway.clock.fromUnixMillis)
 	if own {
 		out.Kind = choice.ListOverride
 	}
 	for _, key := range left {
-		l.g.pool.CloseIdle(key)
+		l.gateway.pool.CloseIdle(key)
 	}
-	l.m.ListChanged(l.now, l.view.Apply(l.now, out))
-	l.inForce = l.g.clock.at(l.now)
+	l.module.ListChanged(l.now, l.view.Apply(l.now, out))
+	l.listReceivedAt = l.gateway.clock.timeAt(l.now)
 	if len(in.Instances) > 0 {
 		of := l.view.Stats()
-		slog.Info("endpoint_list", "kind", kindWords[kind], "version", in.Generation, "entries", len(in.Instances), "ready", l.registry.ReadyCount(),
+		slog.Info("endpoint_list", "kind", listKindNames[kind], "version", in.Generation, "entries", len(in.Instances), "ready", l.endpoints.ReadyCount(),
 			"subset", of.Subset, "joined", of.Joined, "left", of.Left)
 	}
 }
 
-// completed has odd entries of a list complete by what was known of their replicas; those of replicas
+// fillPartialEntries has odd entries of a list complete by what was known of their replicas; those of replicas
 // that were not known are left out.
-func (l *loop) completed(in socket.List) socket.List {
+func (l *eventLoop) fillPartialEntries(in socket.List) socket.List {
 	if in.OddEntries == 0 {
 		return in
 	}
@@ -329,7 +329,7 @@
 	out.Instances = nil
 	for _, i := range in.Instances {
 		if i.Partial {
-			known, ok := l.truth[i.ID]
+			known, ok := l.listed[i.ID]
 			if !ok {
 				continue
 			}
@@ -340,21 +340,21 @@
 	return out
 }
 
-var kindWords = map[choice.ListKind]string{choice.ListDelta: "delta", choice.ListFull: "full", choice.ListCached: "saved"}
+var listKindNames = map[choice.ListKind]string{choice.ListDelta: "delta", choice.ListFull: "full", choice.ListCached: "saved"}
 
-// setReady opens the gateway to the front once a worker can be sent to. The list
+// updateReady opens the gateway to the front once a worker can be sent to. The list
 // as last held will do: where all gateways come back at once, the registry has no
 // turn for some of them for seconds.
-func (l *loop) setReady() {
-	if (l.registry.ReadyCount() > 0 || l.onlyOut()) && !l.g.ready.Swap(true) {
-		slog.Info("ready", "replicas", l.registry.ReadyCount(), "from_discovery", l.told)
+func (l *eventLoop) updateReady() {
+	if (l.endpoints.ReadyCount() > 0 || l.allEjected()) && !l.gateway.ready.Swap(true) {
+		slog.Info("ready", "replicas", l.endpoints.ReadyCount(), "from_discovery", l.discoveryAnswered)
 	}
 }
 
 // The actions: choice.Sink.
 
-func (l *loop) Dispatch(id choice.RequestID, to choice.ReplicaID, cutAt choice.Micros) {
-	r, w := l.requests.Get(id), l.registry.ByID(to)
+func (l *eventLoop) Dispatch(id choice.RequestID, to choice.ReplicaID, cutAt choice.Micros) {
+	r, w := l.requests.Get(id), l.endpoints.ByID(to)
 	if r == nil || r.Finished || r.Winner != nil {
 		return
 	}
@@ -364,28 +364,28 @@
 	if w == nil { // the list has changed under the decision: it never ran
 		w = &memory.Replica{ID: to}
 	}
-	l.noteReport(to)
+	l.recordReportAge(to)
 	d := l.requests.StartAttempt(r, w, l.now, cutAt)
-	d.Cause = whyAttempted(r)
-	if !l.charged(d) {
+	d.Cause = attemptReason(r)
+	if !l.chargeAttempt(d) {
 		return
 	}
 	r.Actions <- memory.Action{Kind: memory.ActionForward, Attempt: d}
 }
 
-func (l *loop) Shed(id choice.RequestID, retryAfter choice.Micros) {
-	l.answer(id, memory.Action{Kind: memory.ActionShed, RetryAfter: retryAfter, Reason: l.whyRefused(id)})
+func (l *eventLoop) Shed(id choice.RequestID, retryAfter choice.Micros) {
+	l.sendFinalAnswer(id, memory.Action{Kind: memory.ActionShed, RetryAfter: retryAfter, Reason: l.shedReason(id)})
 }
 
-// whyRefused tells, for the log, what a refusal of the module's comes from.
-func (l *loop) whyRefused(id choice.RequestID) string {
+// shedReason tells, for the log, what a refusal of the module's comes from.
+func (l *eventLoop) shedReason(id choice.RequestID) string {
 	r := l.requests.Get(id)
 	switch {
 	case r == nil:
 		return ""
 	case l.now >= r.Deadline-nearDeadline:
 		return "deadline"
-	case l.registry.ReadyCount() == 0:
+	case l.endpoints.ReadyCount() == 0:
 		return "no_replica"
 	case len(r.Attempts) > 0:
 		return "attempts_failed"
@@ -396,8 +396,8 @@
 // nearDeadline is how long before a client's time is over a refusal is put down to it.
 const nearDeadline choice.Micros = 20_000
 
-// whyAttempted tells, for the log, what the newest attempt of a request is.
-func whyAttempted(r *memory.Request) string {
+// attemptReason tells, for the log, what the newest attempt of a request is.
+func attemptReason(r *memory.Request) string {
 	switch {
 	case len(r.Attempts) == 1:
 		return "first"
@@ -407,21 +407,23 @@
 	return "retry"
 }
 
-func (l *loop) Fail(id choice.RequestID) { l.answer(id, memory.Action{Kind: memory.ActionFail}) }
+func (l *eventLoop) Fail(id choice.RequestID) {
+	l.sendFinalAnswer(id, memory.Action{Kind: memory.ActionFail})
+}
 
-func (l *loop) answer(id choice.RequestID, a memory.Action) {
+func (l *eventLoop) sendFinalAnswer(id choice.RequestID, a memory.Action) {
 	r := l.requests.Get(id)
 	if r == nil || r.Finished || r.Winner != nil {
 		return
 	}
 	r.Finished = true
 	r.Actions <- a
-	l.release(r)
-	l.turnedAway(r)
+	l.releaseCharge(r)
+	l.recordShed(r)
 	l.requests.RemoveIfFinished(r)
 }
 
-func (l *loop) Cancel(id choice.RequestID, attempt int) {
+func (l *eventLoop) Cancel(id choice.RequestID, attempt int) {
 	r := l.requests.Get(id)
 	if r == nil || attempt < 0 || attempt >= len(r.Attempts) {
 		return
@@ -431,39 +433,39 @@
 	}
 }
 
-func (l *loop) SetTimer(delay choice.Micros, token uint64) {
+func (l *eventLoop) SetTimer(delay choice.Micros, token uint64) {
 	heap.Push(&l.timers, timer{at: l.now + delay, token: token})
 }
 
-func (l *loop) HealthCheck(to choice.ReplicaID) {
-	if w := l.registry.ByID(to); w != nil {
-		go l.g.probe(w)
+func (l *eventLoop) HealthCheck(to choice.ReplicaID) {
+	if w := l.endpoints.ByID(to); w != nil {
+		go l.gateway.runHealthCheck(w)
 	}
 }
 
-func (l *loop) WatchDiscovery() {
+func (l *eventLoop) WatchDiscovery() {
 	select {
-	case l.watches <- struct{}{}:
+	case l.pollRequests <- struct{}{}:
 	default: // one is ordered already
 	}
 }
 
 // Gossip is never asked for: lifecycle tells the module that gateways here
 // have no way to each other.
-func (l *loop) Gossip([]byte) {}
+func (l *eventLoop) Gossip([]byte) {}
 
 type timer struct {
 	at    choice.Micros
 	token uint64
 }
 
-type timers []timer
+type timerQueue []timer
 
-func (t timers) Len() int           { return len(t) }
-func (t timers) Less(i, j int) bool { return t[i].at < t[j].at }
-func (t timers) Swap(i, j int)      { t[i], t[j] = t[j], t[i] }
-func (t *timers) Push(x any)        { *t = append(*t, x.(timer)) }
-func (t *timers) Pop() any {
+func (t timerQueue) Len() int           { return len(t) }
+func (t timerQueue) Less(i, j int) bool { return t[i].at < t[j].at }
+func (t timerQueue) Swap(i, j int)      { t[i], t[j] = t[j], t[i] }
+func (t *timerQueue) Push(x any)        { *t = append(*t, x.(timer)) }
+func (t *timerQueue) Pop() any {
 	old := *t
 	x := old[len(old)-1]
 	*t = old[:len(old)-1]
--- a/internal/gateway/orders.go
+++ b/internal/gateway/orders.go
@@ -21,8 +21,8 @@
 // CanServe tells whether this process can serve clients.
 func (g *Gateway) CanServe() bool {
 	select {
-	case <-g.serving:
-		return g.ready.Load() && g.clients.stoppingAt.Load() == 0
+	case <-g.listening:
+		return g.ready.Load() && g.clients.shutdownAt.Load() == 0
 	default:
 		return false
 	}
@@ -30,36 +30,36 @@
 
 // TakeOut has a replica get nothing new from now on, whatever the list says of it, until PutBack.
 func (g *Gateway) TakeOut(ctx context.Context, id string) error {
-	if g.wasListed(ctx, id) {
-		return g.o.Orders.SetOut(ctx, id, true)
+	if g.isKnownReplica(ctx, id) {
+		return g.options.Orders.SetOut(ctx, id, true)
 	}
-	if g.heard.Load() || !g.unproven.add(id) {
+	if g.discoveryAnswered.Load() || !g.pendingEjections.add(id) {
 		return operator.ErrUnknownReplica
 	}
-	g.ordersChanged()
-	if g.heard.Load() { // discovery has answered just now, and may have passed it by
-		g.prove()
+	g.onOrdersChanged()
+	if g.discoveryAnswered.Load() { // discovery has answered just now, and may have passed it by
+		g.confirmEjections()
 	}
 	return operator.ErrNotHeard
 }
 
-// prove has the orders that came before discovery had answered in force for good, or forgets them where
+// confirmEjections has the orders that came before discovery had answered in force for good, or forgets them where
 // no such replica is listed.
-func (g *Gateway) prove() {
-	for _, id := range g.unproven.all() {
-		if g.listed.has(id) {
+func (g *Gateway) confirmEjections() {
+	for _, id := range g.pendingEjections.all() {
+		if g.recentReplicas.has(id) {
 			ctx, stop := context.WithTimeout(context.Background(), time.Second)
-			_ = g.o.Orders.SetOut(ctx, id, true) // a failure to save is told where it is noted
+			_ = g.options.Orders.SetOut(ctx, id, true) // a failure to save is told where it is noted
 			stop()
 		}
-		g.unproven.remove(id)
+		g.pendingEjections.remove(id)
 	}
-	g.ordersChanged()
+	g.onOrdersChanged()
 }
 
-// allOut are the replicas that are to get nothing by operators' orders.
-func (g *Gateway) allOut() map[string]struct{} {
-	ordered, unproven := g.o.Orders.AllOut(), g.unproven.all()
+// ejectedReplicas are the replicas that are to get nothing by operators' orders.
+func (g *Gateway) ejectedReplicas() map[string]struct{} {
+	ordered, unproven := g.options.Orders.AllOut(), g.pendingEjections.all()
 	if len(unproven) == 0 {
 		return ordered
 	}
@@ -70,44 +70,44 @@
 	return out
 }
 
-// mostUnproven bounds the orders that wait for discovery's first answer.
-const mostUnproven = 64
+// maxPendingEjections bounds the orders that wait for discovery's first answer.
+const maxPendingEjections = 64
 
-// unproven are replicas that operators took out before discovery had answered: whether there are such
+// pendingEjections are replicas that operators took out before discovery had answered: whether there are such
 // replicas is not known yet.
-type unproven struct {
+type pendingEjections struct {
 	mu  sync.Mutex
 	ids map[string]struct{}
 }
 
 // add tells whether there was room for it.
-func (u *unproven) add(id string) bool {
+func (u *pendingEjections) add(id string) bool {
 	u.mu.Lock()
 	defer u.mu.Unlock()
 	if u.ids == nil {
 		u.ids = map[string]struct{}{}
 	}
-	if len(u.ids) >= mostUnproven {
+	if len(u.ids) >= maxPendingEjections {
 		return false
 	}
 	u.ids[id] = struct{}{}
 	return true
 }
 
-func (u *unproven) remove(id string) {
+func (u *pendingEjections) remove(id string) {
 	u.mu.Lock()
 	defer u.mu.Unlock()
 	delete(u.ids, id)
 }
 
-func (u *unproven) has(id string) bool {
+func (u *pendingEjections) has(id string) bool {
 	u.mu.Lock()
 	defer u.mu.Unlock()
 	_, ok := u.ids[id]
 	return ok
 }
 
-func (u *unproven) all() []string {
+func (u *pendingEjections) all() []string {
 	u.mu.Lock()
 	defer u.mu.Unlock()
 	return slices.Collect(maps.Keys(u.ids))
@@ -115,46 +115,46 @@
 
 // PutBack ends that. It holds in this process in any case: one call is enough.
 func (g *Gateway) PutBack(ctx context.Context, id string) error {
-	g.unproven.remove(id)
-	if !g.wasListed(ctx, id) {
+	g.pendingEjections.remove(id)
+	if !g.isKnownReplica(ctx, id) {
 		return operator.ErrUnknownReplica
 	}
-	return inForce(g.o.Orders.SetOut(ctx, id, false))
+	return ignoreNotSaved(g.options.Orders.SetOut(ctx, id, false))
 }
 
 // DrainClients sends clients away, and runs on.
 func (g *Gateway) DrainClients(ctx context.Context) error {
-	if g.clients.stoppingAt.Load() > 0 {
+	if g.clients.shutdownAt.Load() > 0 {
 		return operator.ErrStopping
 	}
-	return inForce(g.o.Orders.SetDrained(ctx, true))
+	return ignoreNotSaved(g.options.Orders.SetDrained(ctx, true))
 }
 
 // Resume takes clients again.
 func (g *Gateway) Resume(ctx context.Context) error {
-	if g.clients.stoppingAt.Load() > 0 {
+	if g.clients.shutdownAt.Load() > 0 {
 		return operator.ErrStopping
 	}
-	return inForce(g.o.Orders.SetDrained(ctx, false))
+	return ignoreNotSaved(g.options.Orders.SetDrained(ctx, false))
 }
 
-// inForce passes over that an order could not be saved, where nothing worse comes of it than that the
+// ignoreNotSaved passes over that an order could not be saved, where nothing worse comes of it than that the
 // next life of the process errs on the careful side.
-func inForce(err error) error {
+func ignoreNotSaved(err error) error {
 	if errors.Is(err, maintenance.ErrNotSaved) {
 		return nil
 	}
 	return err
 }
 
-// ordersChanged puts what operators ordered in force. Any task may call it.
-func (g *Gateway) ordersChanged() {
-	drained := g.o.Orders.Drained()
+// onOrdersChanged puts what operators ordered in force. Any task may call it.
+func (g *Gateway) onOrdersChanged() {
+	drained := g.options.Orders.Drained()
 	if g.clients.setDrained(drained) {
-		slog.Info("client_drain", "drained", drained, "client_conns", g.clients.count(), "requests", g.clients.held())
+		slog.Info("client_drain", "drained", drained, "client_conns", g.clients.connCount(), "requests", g.clients.inFlightCount())
 	}
 	select {
-	case g.ordersNews <- struct{}{}:
+	case g.orderUpdates <- struct{}{}:
 	default: // the news that waits will do
 	}
 }
@@ -162,21 +162,21 @@
 // followOrders has the decision module hear of the replicas that are out, and sends clients away
 // while the gateway is drained.
 func (g *Gateway) followOrders(ctx context.Context) {
-	if g.o.Orders == nil {
+	if g.options.Orders == nil {
 		return
 	}
-	away := time.NewTicker(awayEach)
+	away := time.NewTicker(drainCheckInterval)
 	defer away.Stop()
 	for {
 		select {
-		case <-g.ordersNews:
-			g.loop.post(ctx, outChanged{g.allOut()})
+		case <-g.orderUpdates:
+			g.loop.post(ctx, ejectionsChanged{g.ejectedReplicas()})
 			if away.Stop(); g.clients.drainedAt.Load() > 0 {
-				away.Reset(awayEach)
+				away.Reset(drainCheckInterval)
 			}
 		case <-away.C:
 			if g.clients.drainedAt.Load() > 0 {
-				g.clients.sendAway()
+				g.clients.closeForDrain()
 			}
 		case <-ctx.Done():
 			return
@@ -184,80 +184,80 @@
 	}
 }
 
-// admits tells whether a replica may get new work as of now, for an attempt that is about to be written.
-func (g *Gateway) admits(w *memory.Replica) bool {
+// acceptsWork tells whether a replica may get new work as of now, for an attempt that is about to be written.
+func (g *Gateway) acceptsWork(w *memory.Replica) bool {
 	id := w.Instance.ID
-	return w.Accepting() && (g.o.Orders == nil || !g.o.Orders.Out(id) && !g.unproven.has(id))
+	return w.Accepting() && (g.options.Orders == nil || !g.options.Orders.Out(id) && !g.pendingEjections.has(id))
 }
 
-// outChanged says which replicas operators have out.
-type outChanged struct{ out map[string]struct{} }
+// ejectionsChanged says which replicas operators have out.
+type ejectionsChanged struct{ ejected map[string]struct{} }
 
-func (e outChanged) apply(l *loop) {
-	for id := range l.out {
-		if _, still := e.out[id]; still {
+func (e ejectionsChanged) apply(l *eventLoop) {
+	for id := range l.ejected {
+		if _, still := e.ejected[id]; still {
 			continue
 		}
 		// Who was taken out was restarted, as a rule. Where the list has not told of a start, it may be
 		// late, and a cold replica falls under what a warm one bears.
-		if at, seen := l.outStart[id]; seen && l.truth[id].StartedAtMs == at {
-			l.registry.AssumeStarted(id, l.now)
+		if at, seen := l.ejectedStart[id]; seen && l.listed[id].StartedAtMs == at {
+			l.endpoints.AssumeStarted(id, l.now)
 		}
-		delete(l.outStart, id)
+		delete(l.ejectedStart, id)
 	}
-	l.withhold(l.marks, e.out)
-	l.noteStarts()
-	l.setReady()
+	l.setWithheld(l.drainMarks, e.ejected)
+	l.recordEjectedStarts()
+	l.updateReady()
 }
 
-// noteStarts remembers when replicas that are out had started.
-func (l *loop) noteStarts() {
-	for id := range l.out {
-		if _, seen := l.outStart[id]; seen {
+// recordEjectedStarts remembers when replicas that are out had started.
+func (l *eventLoop) recordEjectedStarts() {
+	for id := range l.ejected {
+		if _, seen := l.ejectedStart[id]; seen {
 			continue
 		}
-		if i, listed := l.truth[id]; listed {
-			l.outStart[id] = i.StartedAtMs
+		if i, listed := l.listed[id]; listed {
+			l.ejectedStart[id] = i.StartedAtMs
 		}
 	}
 }
 
-// onlyOut tells whether there are replicas that take work, and operators have all of them out: the
+// allEjected tells whether there are replicas that take work, and operators have all of them out: the
 // process can serve all the same.
-func (l *loop) onlyOut() bool {
-	for id := range l.out {
-		if i, listed := l.truth[id]; listed && i.Lifecycle == "ready" {
+func (l *eventLoop) allEjected() bool {
+	for id := range l.ejected {
+		if i, listed := l.listed[id]; listed && i.Lifecycle == "ready" {
 			return true
 		}
 	}
 	return false
 }
 
-// noteListed remembers the ids of a list, for operators.
-func (l *loop) noteListed(in socket.List) {
-	if l.g.o.Orders == nil {
+// recordListed remembers the ids of a list, for operators.
+func (l *eventLoop) recordListed(in socket.List) {
+	if l.gateway.options.Orders == nil {
 		return
 	}
 	for i := range in.Instances {
-		l.g.listed.add(in.Instances[i].ID)
+		l.gateway.recentReplicas.add(in.Instances[i].ID)
 	}
-	if len(l.outStart) < len(l.out) {
-		l.noteStarts()
+	if len(l.ejectedStart) < len(l.ejected) {
+		l.recordEjectedStarts()
 	}
 }
 
-// mostListed bounds the ids that are remembered of lists: those noted first are forgotten.
-const mostListed = 16384
+// maxReplicaIDHistory bounds the ids that are remembered of lists: those noted first are forgotten.
+const maxReplicaIDHistory = 16384
 
-// listedIDs are the replicas that were ever listed to this process.
-type listedIDs struct {
+// replicaIDHistory are the replicas that were ever listed to this process.
+type replicaIDHistory struct {
 	mu    sync.Mutex
 	known map[string]struct{}
 	order []string // a ring, once it is full
 	next  int
 }
 
-func (l *listedIDs) add(id string) {
+func (l *replicaIDHistory) add(id string) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	if _, known := l.known[id]; known {
@@ -267,53 +267,53 @@
 		l.known = map[string]struct{}{}
 	}
 	l.known[id] = struct{}{}
-	if len(l.order) < mostListed {
+	if len(l.order) < maxReplicaIDHistory {
 		l.order = append(l.order, id)
 		return
 	}
 	delete(l.known, l.order[l.next])
 	l.order[l.next] = id
-	l.next = (l.next + 1) % mostListed
+	l.next = (l.next + 1) % maxReplicaIDHistory
 }
 
-func (l *listedIDs) has(id string) bool {
+func (l *replicaIDHistory) has(id string) bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	_, known := l.known[id]
 	return known
 }
 
-// heardEach is how often it is looked whether discovery has answered, for a call that needs it.
-const heardEach = 20 * time.Millisecond
+// discoveryCheckInterval is how often it is looked whether discovery has answered, for a call that needs it.
+const discoveryCheckInterval = 20 * time.Millisecond
 
-// wasListed tells whether a replica was ever listed, or ordered about. Before discovery has answered it
+// isKnownReplica tells whether a replica was ever listed, or ordered about. Before discovery has answered it
 // waits for that as long as the call may take.
-func (g *Gateway) wasListed(ctx context.Context, id string) bool {
+func (g *Gateway) isKnownReplica(ctx context.Context, id string) bool {
 	for {
-		if g.listed.has(id) || g.o.Orders.Known(id) {
+		if g.recentReplicas.has(id) || g.options.Orders.Known(id) {
 			return true
 		}
-		if g.heard.Load() {
-			return g.listed.has(id) // its list may have come in between
+		if g.discoveryAnswered.Load() {
+			return g.recentReplicas.has(id) // its list may have come in between
 		}
 		select {
-		case <-time.After(heardEach):
+		case <-time.After(discoveryCheckInterval):
 		case <-ctx.Done():
 			return false
 		}
 	}
 }
 
-// OperatorCalls are the counts of the operators' calls.
-func (g *Gateway) OperatorCalls() *operator.Counts { return &g.calls }
+// AdminCalls are the counts of the operators' calls.
+func (g *Gateway) AdminCalls() *operator.Counts { return &g.adminCalls }
 
-// accountOrders enters what operators ordered, and how often they called.
-func (g *Gateway) accountOrders(c *figures.Stats) {
-	if g.o.Orders == nil {
+// addOrderStats enters what operators ordered, and how often they called.
+func (g *Gateway) addOrderStats(c *figures.Stats) {
+	if g.options.Orders == nil {
 		return
 	}
-	c.EjectedReplicas, c.Drained, c.OrdersNotSaved = len(g.o.Orders.AllOut()), g.o.Orders.Drained(), g.o.Orders.Failed() != nil
-	g.calls.Each(func(call string, yes bool, n int64) {
+	c.EjectedReplicas, c.Drained, c.OrdersNotSaved = len(g.options.Orders.AllOut()), g.options.Orders.Drained(), g.options.Orders.Failed() != nil
+	g.adminCalls.Each(func(call string, yes bool, n int64) {
 		c.OperatorCalls = append(c.OperatorCalls, figures.OperatorCallCount{Call: call, Accepted: yes, Count: n})
 	})
 }
--- a/internal/gateway/call.go
+++ b/internal/gateway/pooledclient.go
@@ -15,26 +15,26 @@
 
 // Short calls without a body: to discovery, and probes.
 
-// errConnect marks a call that never reached the other side.
-var errConnect = errors.New("connect")
+// errNotConnected marks a call that never reached the other side.
+var errNotConnected = errors.New("connect")
 
-// caller makes short calls without a body over kept connections.
-type caller struct {
+// pooledClient makes short calls without a body over kept connections.
+type pooledClient struct {
 	pool  *memory.Pool
 	meter *figures.Meter
 }
 
-// maxProbe bounds the answer to a probe, and what is read of one that is of no use so that its
+// maxShortBody bounds the answer to a probe, and what is read of one that is of no use so that its
 // connection can serve again.
-const maxProbe = 64 << 10
+const maxShortBody = 64 << 10
 
 // get fetches a path and has the answer's body read; the whole call takes no longer than the limit.
-func (c caller) get(ctx context.Context, key, addr, path string, limit time.Duration, read func(*http.Response, io.Reader) error) error {
+func (c pooledClient) get(ctx context.Context, key, addr, path string, limit time.Duration, read func(*http.Response, io.Reader) error) error {
 	ctx, stop := context.WithTimeout(ctx, limit)
 	defer stop()
 	conn, err := c.pool.Get(ctx, key, addr)
 	if err != nil {
-		return fmt.Errorf("%w: %w", errConnect, err)
+		return fmt.Errorf("%w: %w", errNotConnected, err)
 	}
 	conn.StartCall(c.meter)
 	keep := false
@@ -58,7 +58,7 @@
 	in := socket.NewBody(conn.Reader, resp)
 	body := in.Reader()
 	failed := read(resp, body)
-	whole := readsOut(body)
+	whole := drainBody(body)
 	keep = whole && in.Ends() && !resp.Close && conn.Reader.Buffered() == 0
 	if failed == nil && !whole {
 		failed = errors.New("answer cut off or too long")
@@ -66,9 +66,9 @@
 	return failed
 }
 
-// readsOut reads the rest of a body, and tells whether it met its end.
-func readsOut(body io.Reader) bool {
-	rest := io.LimitedReader{R: body, N: maxProbe}
+// drainBody reads the rest of a body, and tells whether it met its end.
+func drainBody(body io.Reader) bool {
+	rest := io.LimitedReader{R: body, N: maxShortBody}
 	_, err := io.Copy(io.Discard, &rest)
 	return err == nil && rest.N > 0
 }
--- a/internal/gateway/subset_test.go
+++ b/internal/gateway/subset_test.go
@@ -11,13 +11,13 @@
 // A gateway works with a part of its replicas, and hears at once that all of that part drain: others
 // are in use with the same list, no request is lost, and none goes to a replica that drains. Then
 // the list shrinks to one replica, which gets all.
-func TestItsWholePartDrains(t *testing.T) {
+func TestWholeSubsetDrains(t *testing.T) {
 	const replicas, most = 40, 16
-	var workers []*worker
+	var workers []*fakeReplica
 	for i := range replicas {
-		workers = append(workers, newWorker(t, fmt.Sprint("s-", i), whole))
+		workers = append(workers, newFakeReplica(t, fmt.Sprint("s-", i), answerCompletely))
 	}
-	g := start(t, func(o *Options) {
+	g := startGateway(t, func(o *Options) {
 		o.Subset = subset.Settings{MaxReplicas: most, GatewayIndex: 3, Zone: "a", RemoteFraction: subset.DefaultRemoteFraction}
 	}, workers...)
 	control := func() (ready, inSubset int, version int64) {
@@ -32,9 +32,9 @@
 	}
 	part := map[string]bool{} // by name
 	looked := make(chan struct{})
-	g.loop.post(t.Context(), lookOrder{func(l *loop) {
-		for _, m := range l.b.Endpoints() {
-			part[l.registry.ByID(m.Replica).Instance.ID] = true
+	g.loop.post(t.Context(), inspectLoop{func(l *eventLoop) {
+		for _, m := range l.balancer.Endpoints() {
+			part[l.endpoints.ByID(m.Replica).Instance.ID] = true
 		}
 		close(looked)
 	}})
@@ -69,8 +69,8 @@
 		}
 	}
 	before := requests(true)
-	g.reg.change(drain...)
-	until(t, "the change is in force", func() bool { _, _, v := control(); return v == 1 })
+	g.discoveryServer.change(drain...)
+	waitUntil(t, "the change is in force", func() bool { _, _, v := control(); return v == 1 })
 	if ready, n, _ := control(); ready != replicas-len(drain) || n < 6 || n > most {
 		t.Errorf("after the drain %d of %d in the subset", n, ready)
 	}
@@ -82,8 +82,8 @@
 	for _, w := range workers[1:] {
 		gone = append(gone, instance(w, "gone"))
 	}
-	g.reg.change(append(gone, instance(workers[0], "ready"))...)
-	until(t, "one is left", func() bool { ready, _, _ := control(); return ready == 1 })
+	g.discoveryServer.change(append(gone, instance(workers[0], "ready"))...)
+	waitUntil(t, "one is left", func() bool { ready, _, _ := control(); return ready == 1 })
 	_, had := workers[0].seen()
 	askAll("one", 5)
 	if _, got := workers[0].seen(); got != had+5 {
--- a/internal/gateway/takeover_test.go
+++ b/internal/gateway/takeover_test.go
@@ -9,30 +9,30 @@
 
 // What the client has is passed over, however the events are cut up, and an answer that
 // begins otherwise is not joined to it.
-func TestRestIsJoinedByteForByte(t *testing.T) {
+func TestResumedStreamIsJoinedByteForByte(t *testing.T) {
 	answer := event1 + event2
 	for had := range len(answer) + 1 {
 		for _, size := range []int{1, 7, len(answer)} {
-			h := &hand{rest: socket.Rest{Bytes: int64(had), Sum: crc32.ChecksumIEEE([]byte(answer[:had]))}, sum: crc32.NewIEEE()}
+			h := &requestLease{resume: socket.Rest{Bytes: int64(had), Sum: crc32.ChecksumIEEE([]byte(answer[:had]))}, checksum: crc32.NewIEEE()}
 			joined := answer[:had]
 			for i := 0; i < len(answer); i += size {
-				fresh, ok := h.fresh([]byte(answer[i:min(i+size, len(answer))]))
+				fresh, ok := h.skipDelivered([]byte(answer[i:min(i+size, len(answer))]))
 				if !ok {
 					t.Fatalf("had %d: not its answer", had)
 				}
 				joined += string(fresh)
 			}
-			if joined != answer || !h.whole() {
+			if joined != answer || !h.prefixDelivered() {
 				t.Fatalf("had %d in pieces of %d: %q", had, size, joined)
 			}
 		}
 	}
-	h := &hand{rest: socket.Rest{Bytes: 5, Sum: crc32.ChecksumIEEE([]byte("other"))}, sum: crc32.NewIEEE()}
-	if _, ok := h.fresh([]byte(answer)); ok {
+	h := &requestLease{resume: socket.Rest{Bytes: 5, Sum: crc32.ChecksumIEEE([]byte("other"))}, checksum: crc32.NewIEEE()}
+	if _, ok := h.skipDelivered([]byte(answer)); ok {
 		t.Error("another answer was joined")
 	}
-	h = &hand{rest: socket.Rest{Bytes: int64(len(answer) + 1)}, sum: crc32.NewIEEE()}
-	if h.fresh([]byte(answer)); h.whole() {
+	h = &requestLease{resume: socket.Rest{Bytes: int64(len(answer) + 1)}, checksum: crc32.NewIEEE()}
+	if h.skipDelivered([]byte(answer)); h.prefixDelivered() {
 		t.Error("a shorter answer counts as whole")
 	}
 }
--- a/internal/gateway/version.go
+++ b/internal/gateway/version.go
@@ -12,20 +12,20 @@
 	"archknot/internal/wire/socket"
 )
 
-// mostAttempts is the protocol's bound, whatever a version says.
-const mostAttempts = 3
+// protocolMaxAttempts is the protocol's bound, whatever a version says.
+const protocolMaxAttempts = 3
 
-// live is what versions may change and tasks other than the loop need. It is
+// liveConfig is what versions may change and tasks other than the loop need. It is
 // replaced whole.
-type live struct {
-	classes                []choice.Class
-	mostHeld               int
-	maxRetryAfter          choice.Micros
-	watchWait, callTimeout time.Duration
+type liveConfig struct {
+	classes                     []choice.Class
+	maxInFlight                 int
+	maxRetryAfter               choice.Micros
+	watchWait, discoveryTimeout time.Duration
 }
 
 // class is the class of a name.
-func (v *live) class(name string) (choice.Class, error) {
+func (v *liveConfig) class(name string) (choice.Class, error) {
 	for _, c := range v.classes {
 		if c.Name == name {
 			return c, nil
@@ -34,8 +34,8 @@
 	return choice.Class{}, fmt.Errorf("Req-Kind: no class %.40q", name)
 }
 
-// bad tells whether a request came late or was not served.
-func (v *live) bad(job *socket.Job, answer string, first choice.Micros) bool {
+// missedObjective tells whether a request came late or was not served.
+func (v *liveConfig) missedObjective(job *socket.Job, answer string, first choice.Micros) bool {
 	if answer != "served" && answer != "stream_broken" {
 		return true
 	}
@@ -45,22 +45,22 @@
 
 // Files are what holds where a version says nothing: the platform's
 // configuration.
-func (g *Gateway) files() *revision.Config {
-	o := &g.o
+func (g *Gateway) baseConfig() *revision.Config {
+	o := &g.options
 	c := &revision.Config{HasClasses: true, HasTenants: true, HasWorkers: true, Classes: o.Settings.Classes,
 		Attempts:    &revision.Attempts{Most: o.Settings.MaxAttempts, SecondCopies: o.Settings.MayHedge},
-		Admission:   &revision.Admission{MostHeld: o.MostHeld, OverShareWorth: o.Settings.OverQuotaWeight, MaxRetryAfter: o.Settings.MaxRetryAfter},
-		Connections: &revision.Connections{Clients: o.ClientConns, Workers: o.WorkerConns, Idle: o.Settings.ConnIdleTimeout, ConnectTimeout: o.ConnectTimeout.Microseconds()},
-		Watch:       &revision.Watch{Wait: o.WatchWait.Microseconds(), CallTimeout: o.CallTimeout.Microseconds()}}
+		Admission:   &revision.Admission{MostHeld: o.MaxInFlight, OverShareWorth: o.Settings.OverQuotaWeight, MaxRetryAfter: o.Settings.MaxRetryAfter},
+		Connections: &revision.Connections{Clients: o.MaxClientConns, Workers: o.MaxReplicaConns, Idle: o.Settings.ConnIdleTimeout, ConnectTimeout: o.ConnectTimeout.Microseconds()},
+		Watch:       &revision.Watch{Wait: o.WatchWait.Microseconds(), CallTimeout: o.DiscoveryTimeout.Microseconds()}}
 	for _, t := range o.Settings.Tenants {
 		c.Tenants = append(c.Tenants, revision.Tenant{Name: t.Name, QuotaPerS: t.QuotaPerS})
 	}
 	return c
 }
 
-// whole is a version with the files' parts where it has none of its own.
-func (g *Gateway) whole(c *revision.Config) *revision.Config {
-	f := g.files()
+// completeVersion is a version with the files' parts where it has none of its own.
+func (g *Gateway) completeVersion(c *revision.Config) *revision.Config {
+	f := g.baseConfig()
 	if c == nil {
 		return f
 	}
@@ -90,61 +90,61 @@
 // ApplyVersion takes a version, or with nil goes back to the files. It is taken
 // whole, between two events of the loop, or not at all: the refusals say why.
 func (g *Gateway) ApplyVersion(ctx context.Context, c *revision.Config, limits revision.Limits) revision.Refusals {
-	stored, err := g.stored()
+	stored, err := g.storedBalances()
 	if err != nil {
 		return revision.Refusals{{Type: revision.TypeContract, Reason: err.Error()}}
 	}
-	e := versionOrder{g.whole(c), stored, limits, make(chan revision.Refusals, 1)}
+	e := versionChange{g.completeVersion(c), stored, limits, make(chan revision.Refusals, 1)}
 	g.loop.post(ctx, e)
 	select {
-	case r := <-e.done:
+	case r := <-e.result:
 		return r
 	case <-ctx.Done():
 		return revision.Refusals{{Type: revision.TypeVersion, Reason: "the gateway ends"}}
 	}
 }
 
-type versionOrder struct {
-	c      *revision.Config
-	stored []contract.Balance
-	limits revision.Limits
-	done   chan revision.Refusals
+type versionChange struct {
+	config   *revision.Config
+	balances []contract.Balance
+	limits   revision.Limits
+	result   chan revision.Refusals
 }
 
-func (e versionOrder) apply(l *loop) {
-	if r := revision.CheckStep(e.c, e.limits, l.present()); len(r) > 0 {
-		e.done <- r
+func (e versionChange) apply(l *eventLoop) {
+	if r := revision.CheckStep(e.config, e.limits, l.currentState()); len(r) > 0 {
+		e.result <- r
 		return
 	}
-	g := l.g
-	s := e.c.Overlay(g.o.Settings)
-	if err := l.m.Reconfigure(l.now, s); err != nil {
-		e.done <- revision.Refusals{{Type: revision.TypeVersion, Reason: err.Error()}}
+	g := l.gateway
+	s := e.config.Overlay(g.options.Settings)
+	if err := l.module.Reconfigure(l.now, s); err != nil {
+		e.result <- revision.Refusals{{Type: revision.TypeVersion, Reason: err.Error()}}
 		return
 	}
 	// From here on nothing can fail.
 	us := func(v choice.Micros) time.Duration { return time.Duration(v) * time.Microsecond }
-	g.live.Store(&live{classes: s.Classes, mostHeld: min(e.c.Admission.MostHeld, e.c.Connections.Clients), maxRetryAfter: s.MaxRetryAfter,
-		watchWait: us(e.c.Watch.Wait), callTimeout: us(e.c.Watch.CallTimeout)})
-	g.clients.most.Store(int64(e.c.Connections.Clients))
+	g.config.Store(&liveConfig{classes: s.Classes, maxInFlight: min(e.config.Admission.MostHeld, e.config.Connections.Clients), maxRetryAfter: s.MaxRetryAfter,
+		watchWait: us(e.config.Watch.Wait), discoveryTimeout: us(e.config.Watch.CallTimeout)})
+	g.clients.maxConns.Store(int64(e.config.Connections.Clients))
 	// Well below the workers' own limit, as for the files' figure.
-	g.pool.SetLimits(e.c.Connections.Workers, us(s.ConnIdleTimeout)*3/4, us(e.c.Connections.ConnectTimeout))
-	l.withhold(e.c.Drained(), l.out)
-	if had := l.versioned != nil; had || e.c.HasContracts {
-		if l.versioned = nil; e.c.HasContracts {
-			l.versioned = append([]contract.Terms{}, e.c.Contracts...)
+	g.pool.SetLimits(e.config.Connections.Workers, us(s.ConnIdleTimeout)*3/4, us(e.config.Connections.ConnectTimeout))
+	l.setWithheld(e.config.Drained(), l.ejected)
+	if had := l.versionContracts != nil; had || e.config.HasContracts {
+		if l.versionContracts = nil; e.config.HasContracts {
+			l.versionContracts = append([]contract.Terms{}, e.config.Contracts...)
 		}
-		if err := l.agree(e.stored); err != nil {
+		if err := l.applyContracts(e.balances); err != nil {
 			slog.Error("contracts_failed", "err", err) // they were checked: not to be seen
 		}
 	}
-	e.done <- nil
+	e.result <- nil
 }
 
-// present is the gateway as a step must fit it.
-func (l *loop) present() *revision.Present {
-	classes, tenants, emptying := l.b.InFlight()
-	p := &revision.Present{Settings: l.b.Settings(), Clients: l.g.clients.count(), Held: l.g.clients.held(),
+// currentState is the gateway as a step must fit it.
+func (l *eventLoop) currentState() *revision.Present {
+	classes, tenants, emptying := l.balancer.InFlight()
+	p := &revision.Present{Settings: l.balancer.Settings(), Clients: l.gateway.clients.connCount(), Held: l.gateway.clients.inFlightCount(),
 		InHand: map[string]revision.InHand{}, Tenants: map[string]int{}, Workers: map[string]revision.WorkerState{}}
 	for name, in := range classes {
 		p.InHand[name] = revision.InHand{Requests: in.Requests, Longest: in.LongestTimeout}
@@ -152,12 +152,12 @@
 	for name, in := range tenants {
 		p.Tenants[name] = in.Requests
 	}
-	if l.book != nil {
-		p.Accounts = l.book.Accounts()
+	if l.ledger != nil {
+		p.Accounts = l.ledger.Accounts()
 	}
-	for name, i := range l.truth {
-		s := revision.WorkerState{Registry: i.State(), Marked: l.marks[name]}
-		if w := l.registry.ByName(name); w != nil {
+	for name, i := range l.listed {
+		s := revision.WorkerState{Registry: i.State(), Marked: l.drainMarks[name]}
+		if w := l.endpoints.ByName(name); w != nil {
 			s.Emptying = emptying[w.ID]
 		}
 		p.Workers[name] = s
@@ -165,21 +165,21 @@
 	return p
 }
 
-// marked puts the marks of the version in force on a list, and remembers what the
+// overlayWithheld puts the marks of the version in force on a list, and remembers what the
 // registry itself said.
-func (l *loop) marked(in socket.List, kind choice.ListKind) socket.List {
+func (l *eventLoop) overlayWithheld(in socket.List, kind choice.ListKind) socket.List {
 	if kind != choice.ListDelta {
-		clear(l.truth)
+		clear(l.listed)
 	}
 	out := in
 	out.Instances = make([]socket.Instance, len(in.Instances))
 	for i, w := range in.Instances {
 		if w.State() == choice.EndpointGone {
-			delete(l.truth, w.ID)
+			delete(l.listed, w.ID)
 		} else {
-			l.truth[w.ID] = w
+			l.listed[w.ID] = w
 		}
-		if l.withheld(w.ID) && w.State() == choice.EndpointReady {
+		if l.isWithheld(w.ID) && w.State() == choice.EndpointReady {
 			w.Lifecycle = "draining"
 		}
 		out.Instances[i] = w
@@ -187,28 +187,28 @@
 	return out
 }
 
-// withheld tells whether a replica is to get nothing new whatever the list says, by the version in
+// isWithheld tells whether a replica is to get nothing new whatever the list says, by the version in
 // force or by operators.
-func (l *loop) withheld(id string) bool {
-	_, out := l.out[id]
-	return out || l.marks[id]
+func (l *eventLoop) isWithheld(id string) bool {
+	_, out := l.ejected[id]
+	return out || l.drainMarks[id]
 }
 
-// withhold puts other marks and orders in force. The workers that they change are told to the
+// setWithheld puts other marks and orders in force. The workers that they change are told to the
 // module as the registry would: what drains gets nothing new from this moment on.
-func (l *loop) withhold(marks map[string]bool, out map[string]struct{}) {
+func (l *eventLoop) setWithheld(marks map[string]bool, out map[string]struct{}) {
 	was := map[string]bool{}
-	for name := range l.truth {
-		was[name] = l.withheld(name)
+	for name := range l.listed {
+		was[name] = l.isWithheld(name)
 	}
-	l.marks, l.out = marks, out
-	change := socket.List{Generation: l.registry.Version()}
-	for name, i := range l.truth {
-		if was[name] != l.withheld(name) {
+	l.drainMarks, l.ejected = marks, out
+	change := socket.List{Generation: l.endpoints.Version()}
+	for name, i := range l.listed {
+		if was[name] != l.isWithheld(name) {
 			change.Instances = append(change.Instances, i)
 		}
 	}
 	if len(change.Instances) > 0 {
-		l.take(change, choice.ListDelta, true)
+		l.applyList(change, choice.ListDelta, true)
 	}
 }
--- a/internal/gateway/version_test.go
+++ b/internal/gateway/version_test.go
@@ -23,27 +23,27 @@
 	"archknot/internal/wire/socket"
 )
 
-// versioned is a gateway that follows a control service.
-type versioned struct {
-	*running
+// streamedGateway is a gateway that follows a control service.
+type streamedGateway struct {
+	*testGateway
 	c *confstream.Client
 }
 
-func (v *versioned) Apply(ctx context.Context, c *revision.Config) revision.Refusals {
+func (v *streamedGateway) Apply(ctx context.Context, c *revision.Config) revision.Refusals {
 	l := revision.DefaultLimits
 	return v.ApplyVersion(ctx, c, l)
 }
 
-func (v *versioned) on() uint64 {
+func (v *streamedGateway) versionInForce() uint64 {
 	if c := v.c.InForce(); c != nil {
 		return uint64(c.Number)
 	}
 	return 0
 }
 
-func follow(t *testing.T, name, addr string, g *running) *versioned {
+func follow(t *testing.T, name, addr string, g *testGateway) *streamedGateway {
 	t.Helper()
-	v := &versioned{running: g}
+	v := &streamedGateway{testGateway: g}
 	o := confstream.Options{Address: addr, Machine: revision.DefaultOptions(name, 1)}
 	o.Machine.BackoffFirst, o.Machine.BackoffMost, o.Machine.Between = 20_000, 200_000, 20_000
 	o.Log = func(msg string, args ...any) { t.Log(append([]any{name, msg}, args...)...) }
@@ -78,7 +78,7 @@
 			<-release
 		}
 		time.Sleep(3 * time.Millisecond)
-		_, err := io.WriteString(c, streamHead+chunk(event1)+chunk(event2)+chunk(loadLine)+lastChunk)
+		_, err := io.WriteString(c, streamHead+chunk(event1)+chunk(event2)+chunk(loadReportLine)+lastChunk)
 		return err == nil
 	}
 	s, err := controlservice.Start("127.0.0.1:0", nil)
@@ -86,19 +86,19 @@
 		t.Fatal(err)
 	}
 	t.Cleanup(s.Vanish)
-	w1, w2, w3 := newWorker(t, "s-1", answer), newWorker(t, "s-2", answer), newWorker(t, "s-3", answer)
-	var all []*versioned
+	w1, w2, w3 := newFakeReplica(t, "s-1", answer), newFakeReplica(t, "s-2", answer), newFakeReplica(t, "s-3", answer)
+	var all []*streamedGateway
 	var dirs []string
 	for i := range 3 {
 		dir := t.TempDir()
 		dirs = append(dirs, dir)
-		g := start(t, func(o *Options) { o.Capture = captureTo(dir) }, w1, w2, w3)
+		g := startGateway(t, func(o *Options) { o.Capture = captureTo(dir) }, w1, w2, w3)
 		all = append(all, follow(t, fmt.Sprint("n", i), s.Addr(), g))
 	}
 	on := func(n uint64) func() bool {
 		return func() bool {
 			for _, g := range all {
-				if g.on() != n {
+				if g.versionInForce() != n {
 					return false
 				}
 			}
@@ -128,7 +128,7 @@
 					}
 					body, err := io.ReadAll(resp.Body)
 					resp.Body.Close()
-					if err != nil || resp.StatusCode != http.StatusOK || !strings.HasSuffix(string(body), loadLine) {
+					if err != nil || resp.StatusCode != http.StatusOK || !strings.HasSuffix(string(body), loadReportLine) {
 						wrong.Add(1)
 						continue
 					}
@@ -137,7 +137,7 @@
 			}()
 		}
 	}
-	until(t, "load", func() bool { return served.Load() > 50 })
+	waitUntil(t, "load", func() bool { return served.Load() > 50 })
 	// One that waits for its first token all the while, at each gateway.
 	for i, g := range all {
 		c := dial(t, g.addr)
@@ -151,11 +151,11 @@
 			}
 		}()
 	}
-	until(t, "the held ones", func() bool {
+	waitUntil(t, "the held ones", func() bool {
 		held := map[string]bool{}
-		for _, w := range []*worker{w1, w2, w3} {
+		for _, w := range []*fakeReplica{w1, w2, w3} {
 			w.mu.Lock()
-			for _, r := range w.got {
+			for _, r := range w.requests {
 				if id := r.Header.Get("Req-Id"); strings.HasPrefix(id, "hold") {
 					held[id] = true
 				}
@@ -165,7 +165,7 @@
 		return len(held) == 3
 	})
 	s.Publish(chatVersion(1))
-	until(t, "version 1", on(1))
+	waitUntil(t, "version 1", on(1))
 	refused := func(want string) {
 		t.Helper()
 		ctx, stop := context.WithTimeout(t.Context(), 5*time.Second)
@@ -199,21 +199,21 @@
 	drain := chatVersion(4)
 	drain.Resources[revision.TypeWorker] = []proto.Message{&pb.Worker{Name: "s-2", Mark: pb.Worker_DRAIN}}
 	s.Publish(drain)
-	until(t, "version 4", on(4))
+	waitUntil(t, "version 4", on(4))
 	_, before := w2.seen()
 	had := served.Load()
-	until(t, "more load", func() bool { return served.Load() > had+100 })
+	waitUntil(t, "more load", func() bool { return served.Load() > had+100 })
 	if _, after := w2.seen(); after > before+9 { // what was on its way when it came into force
 		t.Errorf("%d requests went to the drained worker", after-before)
 	}
 	// The drain rule: a draining worker is not brought back against the registry.
 	for _, g := range all {
-		g.reg.change(instance(w3, "draining"))
+		g.discoveryServer.change(instance(w3, "draining"))
 	}
-	until(t, "the registry's word", func() bool {
+	waitUntil(t, "the registry's word", func() bool {
 		for _, g := range all {
 			found := make(chan bool, 1)
-			g.loop.post(ctx, lookOrder{func(l *loop) { found <- l.truth["s-3"].Lifecycle == "draining" }})
+			g.loop.post(ctx, inspectLoop{func(l *eventLoop) { found <- l.listed["s-3"].Lifecycle == "draining" }})
 			if !<-found {
 				return false
 			}
@@ -234,7 +234,7 @@
 	}
 	for n := uint64(7); n < 13; n++ {
 		s.Publish(chatVersion(n))
-		until(t, fmt.Sprint("version ", n), on(n))
+		waitUntil(t, fmt.Sprint("version ", n), on(n))
 	}
 	// The rest of what a service can do wrong, in the same load.
 	bad := chatVersion(13)
@@ -253,7 +253,7 @@
 	slow := chatVersion(15)
 	slow.Slow, slow.WrongNonce = 20*time.Millisecond, true
 	s.Publish(slow)
-	until(t, "version 15, slow and with one nonce", on(15))
+	waitUntil(t, "version 15, slow and with one nonce", on(15))
 	for n := uint64(20); n < 70; n++ {
 		s.Publish(chatVersion(n))
 	}
@@ -261,7 +261,7 @@
 		t.Errorf("the flood's last took %v", took)
 	}
 	_, before = w2.seen()
-	until(t, "the drained worker back in use", func() bool { _, n := w2.seen(); return n > before })
+	waitUntil(t, "the drained worker back in use", func() bool { _, n := w2.seen(); return n > before })
 	close(release)
 	stop()
 	clients.Wait()
@@ -269,9 +269,9 @@
 		t.Errorf("%d served, %d not", served.Load(), wrong.Load())
 	}
 	for i, g := range all {
-		until(t, "nothing in hand", func() bool { return g.clients.held() == 0 })
+		waitUntil(t, "nothing in hand", func() bool { return g.clients.inFlightCount() == 0 })
 		ctx, stop := context.WithTimeout(t.Context(), 5*time.Second)
-		if err := g.Record(ctx, nil); err != nil {
+		if err := g.SetCapture(ctx, nil); err != nil {
 			t.Fatal(err)
 		}
 		stop()
@@ -284,7 +284,7 @@
 func sinceUntil(t *testing.T, what string, done func() bool) time.Duration {
 	t.Helper()
 	begin := time.Now()
-	until(t, what, done)
+	waitUntil(t, what, done)
 	return time.Since(begin)
 }
 
@@ -301,12 +301,12 @@
 	for i := range 1000 {
 		list.Instances = append(list.Instances, socket.Instance{ID: fmt.Sprint("s-", i), Addr: "127.0.0.1:1", Zone: "a", Kind: "k", Lifecycle: "ready"})
 	}
-	l.list(list, choice.ListCached)
+	l.receiveList(list, choice.ListCached)
 	for i := range 10_000 {
 		r := memory.NewRequest(context.Background(), fmt.Sprint(i), choice.Request{Class: "chat", PromptTokens: 10}, l.now+60e6, 3)
-		arrived{r, l.g.live.Load(), true}.apply(l)
+		requestArrived{r, l.gateway.config.Load(), true}.apply(l)
 	}
-	if n := l.b.Stats().Requests; n < 9_000 {
+	if n := l.balancer.Stats().Requests; n < 9_000 {
 		b.Fatal(n)
 	}
 	limits := revision.DefaultLimits
@@ -315,21 +315,21 @@
 	for b.Loop() {
 		c.Number++
 		c.Classes[0].PriorityWeight++
-		versionOrder{g.whole(c), nil, limits, done}.apply(l)
+		versionChange{g.completeVersion(c), nil, limits, done}.apply(l)
 		if r := <-done; len(r) > 0 {
 			b.Fatal(r)
 		}
 	}
 }
 
-// lookOrder lets a test look into the loop.
-type lookOrder struct{ f func(*loop) }
+// inspectLoop lets a test look into the loop.
+type inspectLoop struct{ f func(*eventLoop) }
 
-func (e lookOrder) apply(l *loop) { e.f(l) }
+func (e inspectLoop) apply(l *eventLoop) { e.f(l) }
 
 // A version comes in force between the head of a request and its last byte: the request is taken by it
 // whole, or turned away where its class is gone. Nothing of two versions meets in one request.
-func TestVersionMeetsARequest(t *testing.T) {
+func TestVersionDuringRequest(t *testing.T) {
 	version := func(name string, deadline uint64) *revision.Config {
 		c := choice.Class{Name: name, LatencyObjective: 1_000_000, Deadline: choice.Micros(deadline), PriorityWeight: 1, Streaming: true}
 		return &revision.Config{HasClasses: true, Classes: []choice.Class{c}}
@@ -344,11 +344,11 @@
 		"its class has a shorter one": {version("chat", 2_000_000), 200, 2_000_000},
 	} {
 		t.Run(name, func(t *testing.T) {
-			w := newWorker(t, "s-1", whole)
-			g := start(t, nil, w)
+			w := newFakeReplica(t, "s-1", answerCompletely)
+			g := startGateway(t, nil, w)
 			cl := dial(t, g.addr)
 			cl.raw("POST /v1/chat/completions HTTP/1.1\r\nHost: a\r\nReq-Id: v\r\nReq-Kind: chat\r\nContent-Length: 5\r\n\r\nab")
-			until(t, "its head was read", func() bool { return g.clients.bytes.Load() > 0 })
+			waitUntil(t, "its head was read", func() bool { return g.clients.bodyBytes.Load() > 0 })
 			if r := g.ApplyVersion(t.Context(), c.next, revision.DefaultLimits); len(r) > 0 {
 				t.Fatal(r)
 			}
@@ -362,7 +362,7 @@
 			}
 			if c.told > 0 {
 				var us choice.Micros
-				fmt.Sscanf(w.got[0].Header.Get("Req-Deadline"), "%du", &us)
+				fmt.Sscanf(w.requests[0].Header.Get("Req-Deadline"), "%du", &us)
 				if us > c.told || us < c.told/10 {
 					t.Errorf("the replica was told %d us", us)
 				}
--- a/internal/gateway/wallclock.go
+++ b/internal/gateway/wallclock.go
@@ -20,21 +20,21 @@
 }
 
 const (
-	// stepFrom is the change of the offset that counts as a step: below it a clock is slewed, or this task
+	// minClockStep is the change of the offset that counts as a step: below it a clock is slewed, or this task
 	// was held up between its looks at the two clocks.
-	stepFrom choice.Micros = 100_000
-	// mostOffsets bounds the offsets that are remembered.
-	mostOffsets = 8
-	// startSlack is how far in the future a start may lie by clocks that are not set alike.
-	startSlack choice.Micros = 100_000
+	minClockStep choice.Micros = 100_000
+	// maxClockOffsets bounds the offsets that are remembered.
+	maxClockOffsets = 8
+	// maxClockSkew is how far in the future a start may lie by clocks that are not set alike.
+	maxClockSkew choice.Micros = 100_000
 )
 
-// look notes the offset as of now. It is called each second, so that no step is missed.
-func (w *wallClock) look(now choice.Micros) {
+// observe notes the offset as of now. It is called each second, so that no step is missed.
+func (w *wallClock) observe(now choice.Micros) {
 	offset := w.read() - now
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	near := func(known choice.Micros) bool { return -stepFrom < offset-known && offset-known < stepFrom }
+	near := func(known choice.Micros) bool { return -minClockStep < offset-known && offset-known < minClockStep }
 	n := len(w.offsets)
 	if n > 0 && near(w.offsets[n-1]) {
 		return
@@ -47,19 +47,19 @@
 		w.offsets = slices.Delete(w.offsets, i, i+1)
 	}
 	w.offsets = append(w.offsets, offset)
-	if len(w.offsets) > mostOffsets {
+	if len(w.offsets) > maxClockOffsets {
 		w.offsets = slices.Delete(w.offsets, 0, 1)
 	}
 }
 
-// since is a time of the wall clock on the gateway's own, from 1 up to now.
-func (w *wallClock) since(now, wall choice.Micros) choice.Micros {
-	w.look(now)
+// toMonotonic is a time of the wall clock on the gateway's own, from 1 up to now.
+func (w *wallClock) toMonotonic(now, wall choice.Micros) choice.Micros {
+	w.observe(now)
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	latest, found := choice.Micros(0), false
 	for _, offset := range w.offsets {
-		if at := wall - offset; at <= now+startSlack && (!found || at > latest) {
+		if at := wall - offset; at <= now+maxClockSkew && (!found || at > latest) {
 			latest, found = at, true
 		}
 	}
--- a/internal/gateway/wallclock_test.go
+++ b/internal/gateway/wallclock_test.go
@@ -17,32 +17,32 @@
 // A replica's start comes out right over steps of the wall clock, forth and back, by seconds or an
 // hour, whether it was taken down before the step or after it: a cold replica never seems old, nor an
 // old one to come.
-func TestStartsOverStepsOfTheClock(t *testing.T) {
+func TestReplicaStartsAcrossClockSteps(t *testing.T) {
 	const began = 1_700_000_000 * secondUs
 	for _, step := range []choice.Micros{hourUs, -hourUs, 5 * secondUs, -5 * secondUs, 400_000, -400_000} {
 		own, stepped := began, choice.Micros(0)
 		w := &wallClock{read: func() choice.Micros { return own + stepped }}
-		w.look(own)
+		w.observe(own)
 		own += 60 * secondUs
 		before := own - 3*secondUs // started 3 s before the step, and dated then
 		dated := before
 		stepped = step
 		own += 2 * secondUs
 		younger := choice.Micros(0) // a step by less than the replica's age leaves in doubt which side of it the start was
-		if -step > 0 && -step <= own-before+startSlack {
+		if -step > 0 && -step <= own-before+maxClockSkew {
 			younger = -step
 		}
-		if got := w.since(own, dated); got < before || got > before+younger {
+		if got := w.toMonotonic(own, dated); got < before || got > before+younger {
 			t.Errorf("step %d ms: a start before it comes out %d ms off", step/1000, (got-before)/1000)
 		}
 		after := own - secondUs // started behind the step, and dated by the new time
-		if younger = 0; step > 0 && step <= own-after+startSlack {
+		if younger = 0; step > 0 && step <= own-after+maxClockSkew {
 			younger = step
 		}
-		if got := w.since(own, after+stepped); got < after || got > after+younger {
+		if got := w.toMonotonic(own, after+stepped); got < after || got > after+younger {
 			t.Errorf("step %d ms: a start behind it comes out %d ms off", step/1000, (got-after)/1000)
 		}
-		if got := w.since(own, own+stepped+10*hourUs); got != own {
+		if got := w.toMonotonic(own, own+stepped+10*hourUs); got != own {
 			t.Errorf("a start that is to come: %d ms off", (got-own)/1000)
 		}
 	}
@@ -54,14 +54,14 @@
 	rapid.Check(t, func(t *rapid.T) {
 		own, stepped := 1_700_000_000*secondUs, choice.Micros(0)
 		w := &wallClock{read: func() choice.Micros { return own + stepped }}
-		w.look(own)
-		for range rapid.IntRange(1, mostOffsets-1).Draw(t, "steps") {
+		w.observe(own)
+		for range rapid.IntRange(1, maxClockOffsets-1).Draw(t, "steps") {
 			started, dated := own, own+stepped
 			own += rapid.Int64Range(0, 20).Draw(t, "wait") * secondUs
 			stepped += rapid.Int64Range(-hourUs, hourUs).Draw(t, "step")
-			w.look(own)
+			w.observe(own)
 			own += rapid.Int64Range(0, 5).Draw(t, "told after") * secondUs
-			if got := w.since(own, dated); got < started-stepFrom || got > own {
+			if got := w.toMonotonic(own, dated); got < started-minClockStep || got > own {
 				t.Fatalf("started %d ms ago, taken for %d", (own-started)/1000, (own-got)/1000)
 			}
 		}
@@ -69,7 +69,7 @@
 }
 
 // A step changes nothing about replicas that are known: each start is converted once.
-func TestAKnownStartStays(t *testing.T) {
+func TestKnownReplicaStartIsStable(t *testing.T) {
 	g, err := New(options())
 	if err != nil {
 		t.Fatal(err)
@@ -80,11 +80,11 @@
 	list := socket.List{Reset: true, Instances: []socket.Instance{{ID: "s-1", Addr: "127.0.0.1:1", Zone: "a", Kind: "k", Lifecycle: "ready",
 		StartedAtMs: (g.clock.now() - secondUs) / 1000}}}
 	l.now = g.clock.now()
-	l.list(list, choice.ListFull)
-	was := *l.registry.ByName("s-1")
+	l.receiveList(list, choice.ListFull)
+	was := *l.endpoints.ByName("s-1")
 	offset = -hourUs
-	l.list(list, choice.ListFull)
-	if now := l.registry.ByName("s-1"); now.StartedAt != was.StartedAt {
+	l.receiveList(list, choice.ListFull)
+	if now := l.endpoints.ByName("s-1"); now.StartedAt != was.StartedAt {
 		t.Errorf("its start moved by %d ms", (now.StartedAt-was.StartedAt)/1000)
 	}
 }
--- a/internal/gateway/admit_test.go
+++ b/internal/gateway/withdrawn_test.go
@@ -12,14 +12,14 @@
 
 // An attempt that was ordered before its replica was drained, restarted, moved or lost, and comes to be
 // written after that, as where its connection comes up late, is not written: it never ran.
-func TestWithdrawnBeforeTheWrite(t *testing.T) {
+func TestWithdrawnAttemptIsNotWritten(t *testing.T) {
 	for name, change := range map[string]func(*socket.Instance){
 		"drained": func(i *socket.Instance) { i.Lifecycle = "draining" }, "gone": func(i *socket.Instance) { i.Lifecycle = "gone" },
 		"started anew": func(i *socket.Instance) { i.StartedAtMs = 5 }, "moved": func(i *socket.Instance) { i.Addr = "127.0.0.1:1" },
 		"still there": func(i *socket.Instance) { i.Weight = 2 },
 	} {
 		for _, kind := range []choice.ListKind{choice.ListDelta, choice.ListFull} {
-			w := newWorker(t, "s-1", whole)
+			w := newFakeReplica(t, "s-1", answerCompletely)
 			g, err := New(options())
 			if err != nil {
 				t.Fatal(err)
@@ -27,10 +27,10 @@
 			l := g.loop
 			l.now = g.clock.now()
 			entry := socket.Instance{ID: "s-1", Addr: w.addr, Zone: "a", Kind: "k", Lifecycle: "ready"}
-			l.list(socket.List{Reset: true, Instances: []socket.Instance{entry}}, choice.ListFull)
-			ordered := l.registry.ByName("s-1")
+			l.receiveList(socket.List{Reset: true, Instances: []socket.Instance{entry}}, choice.ListFull)
+			ordered := l.endpoints.ByName("s-1")
 			change(&entry)
-			l.list(socket.List{Reset: kind == choice.ListFull, Instances: []socket.Instance{entry}}, kind)
+			l.receiveList(socket.List{Reset: kind == choice.ListFull, Instances: []socket.Instance{entry}}, kind)
 			store := memory.NewTable()
 			r := memory.NewRequest(context.Background(), "a1", choice.Request{}, 0, 3)
 			store.Add(r)
@@ -41,10 +41,10 @@
 			}()
 			in, _ := http.NewRequest("POST", socket.JobPath, nil)
 			in.RequestURI = socket.JobPath
-			go g.attempt(in, nil, d, nil)
-			got := ended{}
+			go g.runAttempt(in, nil, d, nil)
+			got := attemptEnded{}
 			for ok := false; !ok; {
-				got, ok = (<-g.loop.events).(ended)
+				got, ok = (<-g.loop.events).(attemptEnded)
 			}
 			_, sends := w.seen()
 			if name == "still there" && (got.status != choice.Served || sends != 1) || name != "still there" && (got.status != choice.NotSent || sends != 0) {
--- a/internal/lifecycle/config.go
+++ b/internal/lifecycle/config.go
@@ -185,8 +185,8 @@
 		{"name", c.Gateway.Name == next.Gateway.Name},
 		{"listen", c.Listen == next.Listen},
 		{"admin", c.Admin == next.Admin},
-		{"limits", c.Cores == next.Cores && c.MemoryMB == next.MemoryMB && c.Gateway.ClientConns == next.Gateway.ClientConns},
-		{"settings", reflect.DeepEqual(c.Gateway.Settings, next.Gateway.Settings) && c.Gateway.MostHeld == next.Gateway.MostHeld &&
+		{"limits", c.Cores == next.Cores && c.MemoryMB == next.MemoryMB && c.Gateway.MaxClientConns == next.Gateway.MaxClientConns},
+		{"settings", reflect.DeepEqual(c.Gateway.Settings, next.Gateway.Settings) && c.Gateway.MaxInFlight == next.Gateway.MaxInFlight &&
 			c.Gateway.ConnectTimeout == next.Gateway.ConnectTimeout && c.Gateway.WatchWait == next.Gateway.WatchWait},
 	} {
 		if !k.same {
@@ -241,9 +241,9 @@
 	if err := settings(&o.Settings); err != nil {
 		return c, err
 	}
-	o.Known.Generation = socket.NoVersion
+	o.CachedList.Generation = socket.NoVersion
 	if len(f.Known) > 0 && string(f.Known) != "null" {
-		if o.Known, err = socket.ParseList(f.Known); err != nil {
+		if o.CachedList, err = socket.ParseList(f.Known); err != nil {
 			return c, fmt.Errorf("known: %w", err)
 		}
 	}
@@ -256,22 +256,22 @@
 	if f.Admin != "" {
 		usable -= operatorSockets
 	}
-	o.ClientConns, o.SpareConns, o.WorkerConns = int(usable*clientShare), int(usable*spareShare), int(usable*workerShare)
-	o.MostHeld = min(extra.Limits.MostHeld, o.ClientConns)
-	o.BodyBytes = int64(memory * bodyShare * (1 << 20))
-	o.MostInstances = int(memory * listShare * (1 << 20) / instanceBytes)
+	o.MaxClientConns, o.OverflowConns, o.MaxReplicaConns = int(usable*clientShare), int(usable*spareShare), int(usable*workerShare)
+	o.MaxInFlight = min(extra.Limits.MostHeld, o.MaxClientConns)
+	o.MaxBodyBytes = int64(memory * bodyShare * (1 << 20))
+	o.MaxListEntries = int(memory * listShare * (1 << 20) / instanceBytes)
 	o.ConnectTimeout = time.Duration(extra.Limits.ConnectTimeoutUs) * time.Microsecond
 	// Well below the workers' own limit: what is written to a connection that
 	// they have closed is lost with it.
-	o.ConnIdle = time.Duration(o.Settings.ConnIdleTimeout) * time.Microsecond * 3 / 4
-	o.ConnRest = connRest
-	o.ClientIdle = 15 * time.Second
-	o.Stall = 4 * time.Second
-	o.ProbeTimeout = 250 * time.Millisecond
-	o.AskWithin = time.Duration(extra.Rules.AskWithinUs) * time.Microsecond
-	o.WatchWait, o.CallTimeout = waits(&o.Settings, o.AskWithin)
+	o.ReplicaConnIdle = time.Duration(o.Settings.ConnIdleTimeout) * time.Microsecond * 3 / 4
+	o.ReplicaConnReuseDelay = connRest
+	o.ClientConnIdle = 15 * time.Second
+	o.StreamIdleTimeout = 4 * time.Second
+	o.HealthCheckTimeout = 250 * time.Millisecond
+	o.PollWithin = time.Duration(extra.Rules.AskWithinUs) * time.Microsecond
+	o.WatchWait, o.DiscoveryTimeout = waits(&o.Settings, o.PollWithin)
 	o.Settings.WatchInterval = o.WatchWait.Microseconds()
-	o.DrainAccept = drainAccept
+	o.DrainAcceptPeriod = drainAccept
 	return c, nil
 }
 
--- a/internal/lifecycle/config_test.go
+++ b/internal/lifecycle/config_test.go
@@ -51,21 +51,21 @@
 	if c.Listen != "127.0.0.2:8081" || o.Name != "n4" || o.Seed != 0x8c1f30d27a5be964 || c.Cores != 1 {
 		t.Errorf("%+v", c)
 	}
-	if o.MostHeld > o.ClientConns {
-		t.Errorf("%d requests over %d connections", o.MostHeld, o.ClientConns)
+	if o.MaxInFlight > o.MaxClientConns {
+		t.Errorf("%d requests over %d connections", o.MaxInFlight, o.MaxClientConns)
 	}
-	if o.ConnRest < 10*time.Millisecond || o.ConnRest > 100*time.Millisecond { // second answers come some milliseconds late
-		t.Errorf("connections rest for %v", o.ConnRest)
+	if o.ReplicaConnReuseDelay < 10*time.Millisecond || o.ReplicaConnReuseDelay > 100*time.Millisecond { // second answers come some milliseconds late
+		t.Errorf("connections rest for %v", o.ReplicaConnReuseDelay)
 	}
-	if o.ConnIdle >= 60*time.Second || o.ConnectTimeout != 50*time.Millisecond || o.WatchWait > 10*time.Second {
-		t.Errorf("idle %v, connect %v, watch %v", o.ConnIdle, o.ConnectTimeout, o.WatchWait)
+	if o.ReplicaConnIdle >= 60*time.Second || o.ConnectTimeout != 50*time.Millisecond || o.WatchWait > 10*time.Second {
+		t.Errorf("idle %v, connect %v, watch %v", o.ReplicaConnIdle, o.ConnectTimeout, o.WatchWait)
 	}
 	// The registry has calls wait for two seconds; who leaves sooner has no answer,
 	// and who asks for longer than the rules let it be silent counts as told.
-	if o.CallTimeout <= 2*time.Second || o.WatchWait+o.CallTimeout > o.AskWithin {
-		t.Errorf("calls end after %v, watches after %v, asked within %v", o.CallTimeout, o.WatchWait, o.AskWithin)
+	if o.DiscoveryTimeout <= 2*time.Second || o.WatchWait+o.DiscoveryTimeout > o.PollWithin {
+		t.Errorf("calls end after %v, watches after %v, asked within %v", o.DiscoveryTimeout, o.WatchWait, o.PollWithin)
 	}
-	if !o.Settings.RetryAfter || !o.Settings.PollDiscovery || o.Settings.MayGossip || len(o.Known.Instances) != 1 || o.Known.Generation != 0 {
+	if !o.Settings.RetryAfter || !o.Settings.PollDiscovery || o.Settings.MayGossip || len(o.CachedList.Instances) != 1 || o.CachedList.Generation != 0 {
 		t.Errorf("%+v", o)
 	}
 	want := choice.Class{Name: "chat", LatencyObjective: 1e6, Deadline: 3e6, Streaming: true}
@@ -83,8 +83,8 @@
 			t.Fatal(err)
 		}
 		o := c.Gateway
-		if sum := o.ClientConns + o.SpareConns + o.WorkerConns; sum > most-16 || o.SpareConns < 1 || o.WorkerConns < o.ClientConns {
-			t.Errorf("of %d: clients %d, spare %d, workers %d", most, o.ClientConns, o.SpareConns, o.WorkerConns)
+		if sum := o.MaxClientConns + o.OverflowConns + o.MaxReplicaConns; sum > most-16 || o.OverflowConns < 1 || o.MaxReplicaConns < o.MaxClientConns {
+			t.Errorf("of %d: clients %d, spare %d, workers %d", most, o.MaxClientConns, o.OverflowConns, o.MaxReplicaConns)
 		}
 	}
 }
@@ -127,7 +127,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	known := c.Gateway.Known
+	known := c.Gateway.CachedList
 	if len(known.Instances) != 2 || known.OddEntries != 2 || !known.Instances[0].Partial || known.Instances[1].ID != "s-1" {
 		t.Errorf("%+v", known)
 	}
@@ -144,8 +144,8 @@
 		t.Error(c.Admin, err)
 	}
 	without, err := load(t, good, nil)
-	if err != nil || without.Admin != "" || with.Gateway.ClientConns+with.Gateway.WorkerConns > without.Gateway.ClientConns+without.Gateway.WorkerConns-operatorSockets/2 {
-		t.Errorf("connections with %d and %d, without %d and %d", with.Gateway.ClientConns, with.Gateway.WorkerConns, without.Gateway.ClientConns, without.Gateway.WorkerConns)
+	if err != nil || without.Admin != "" || with.Gateway.MaxClientConns+with.Gateway.MaxReplicaConns > without.Gateway.MaxClientConns+without.Gateway.MaxReplicaConns-operatorSockets/2 {
+		t.Errorf("connections with %d and %d, without %d and %d", with.Gateway.MaxClientConns, with.Gateway.MaxReplicaConns, without.Gateway.MaxClientConns, without.Gateway.MaxReplicaConns)
 	}
 }
 
--- a/internal/lifecycle/run.go
+++ b/internal/lifecycle/run.go
@@ -181,7 +181,7 @@
 		return BadConfig{err}
 	}
 	defer closeLedger()
-	s.c.Gateway.Handed = s.c.Handed > 0
+	s.c.Gateway.SharedListener = s.c.Handed > 0
 	s.c.Gateway.Contracts = contracts(s.conf)
 	s.c.Gateway.Capture = recording(s.c.Gateway.Name, s.conf)
 	s.c.Gateway.Subset = part(s.conf.Subset, &s.c.Gateway.Settings)
@@ -209,13 +209,13 @@
 	ctx, stop := context.WithCancel(context.Background())
 	defer stop()
 	slog.Info("start", "name", s.c.Gateway.Name, "listen", s.c.Listen, "discovery", s.c.Gateway.Discovery, "cores", s.c.Cores,
-		"heap_mb", s.c.MemoryMB, "client_conns", s.c.Gateway.ClientConns, "replica_conns", s.c.Gateway.WorkerConns,
+		"heap_mb", s.c.MemoryMB, "client_conns", s.c.Gateway.MaxClientConns, "replica_conns", s.c.Gateway.MaxReplicaConns,
 		"conf", s.file, "capture", s.conf.Capture.Record, "build", build.Version())
 	if s.c.Admin != "" {
 		following, stopFollowing := context.WithCancel(context.Background())
 		defer stopFollowing()
 		go s.c.Gateway.Orders.Run(following)
-		defer operator.Listen(s.c.Admin, s.g, s.g.OperatorCalls()).Close()
+		defer operator.Listen(s.c.Admin, s.g, s.g.AdminCalls()).Close()
 	}
 	s.c.tellUnknown()
 	s.g.SetUnknownKeys(s.c.UnknownKeys)
@@ -259,10 +259,10 @@
 			if s.c.Gateway.Orders != nil {
 				_ = atTheEnd(s.c.Gateway.Orders.Close) // what cannot be saved was told
 			}
-			if err := atTheEnd(s.g.CloseBooks); err != nil {
+			if err := atTheEnd(s.g.CloseLedger); err != nil {
 				slog.Error("contract_ledger_write_failed", "err", err)
 			}
-			_ = atTheEnd(func(ctx context.Context) error { return s.g.Record(ctx, nil) }) // what is not whole is told by the capture itself
+			_ = atTheEnd(func(ctx context.Context) error { return s.g.SetCapture(ctx, nil) }) // what is not whole is told by the capture itself
 			if err != nil {
 				return fmt.Errorf("drain: %w", err)
 			}
@@ -292,7 +292,7 @@
 	for {
 		select {
 		case c := <-s.records:
-			if err := s.g.Record(ctx, recording(s.c.Gateway.Name, c)); err != nil {
+			if err := s.g.SetCapture(ctx, recording(s.c.Gateway.Name, c)); err != nil {
 				slog.Error("capture_failed", "err", err)
 			}
 		case <-ctx.Done():
@@ -319,7 +319,7 @@
 	s.g.SetUnknownKeys(next.UnknownKeys)
 	if next.Gateway.Discovery != s.registry {
 		s.registry = next.Gateway.Discovery
-		s.g.MoveRegistry(s.registry)
+		s.g.MoveDiscovery(s.registry)
 	}
 	was := s.conf
 	s.mu.Lock()
@@ -329,7 +329,7 @@
 	s.mu.Unlock()
 	if !reflect.DeepEqual(was.Contracts, settings.Contracts) {
 		ctx, stop := context.WithTimeout(context.Background(), time.Second)
-		if err := s.g.Agree(ctx, contracts(settings)); err != nil {
+		if err := s.g.SetContracts(ctx, contracts(settings)); err != nil {
 			slog.Error("contracts_failed", "err", err)
 		}
 		stop()
--- a/internal/lifecycle/stream.go
+++ b/internal/lifecycle/stream.go
@@ -55,7 +55,7 @@
 		closeAll()
 		return nil, fmt.Errorf("control-service: %w", err)
 	}
-	g.Ended = s.stream.Ended
+	g.RequestEnded = s.stream.Ended
 	return closeAll, nil
 }
 
@@ -69,8 +69,8 @@
 // limits are what versions must keep within, by the platform's configuration.
 func (s *server) limits() revision.Limits {
 	l, g := revision.DefaultLimits, &s.c.Gateway
-	l.Sockets, l.AskWithin = g.ClientConns+g.WorkerConns, g.AskWithin.Microseconds()
-	l.MostHeldOver = g.ClientConns
+	l.Sockets, l.AskWithin = g.MaxClientConns+g.MaxReplicaConns, g.PollWithin.Microseconds()
+	l.MostHeldOver = g.MaxClientConns
 	l.MayRecord = s.settings().Capture.Directory != ""
 	return l
 }
--- a/internal/lifecycle/unknown.go
+++ b/internal/lifecycle/unknown.go
@@ -176,8 +176,8 @@
 	for _, u := range c.Unknown {
 		slog.Warn("config_unknown_key", "key", u.Key, "file", c.path, "line", u.Line, "column", u.Column)
 	}
-	for _, odd := range c.Gateway.Known.Odd {
-		slog.Warn("endpoint_list_invalid_entry", "list", "known", "index", odd.Index, "replica", odd.ID, "reason", odd.Reason, "invalid_entries", c.Gateway.Known.OddEntries)
+	for _, odd := range c.Gateway.CachedList.Odd {
+		slog.Warn("endpoint_list_invalid_entry", "list", "known", "index", odd.Index, "replica", odd.ID, "reason", odd.Reason, "invalid_entries", c.Gateway.CachedList.OddEntries)
 	}
 	if c.UnknownKeys > len(c.Unknown) {
 		slog.Warn("config_unknown_keys", "total", c.UnknownKeys, "reported", len(c.Unknown))
