--- a/internal/gateway/takeover.go
+++ b/internal/gateway/takeover.go
@@ -20,7 +20,7 @@
 // requestLease is a request that this gateway holds where gateways go on with each other's work;
 // nil: they do not, and everything about it is allowed.
 type requestLease struct {
-	lease      *peers.Held
+	lease      *peers.Lease
 	ctx        context.Context
 	cancel     context.CancelFunc
 	hasPermit  bool // the first attempt here has its permit
@@ -33,10 +33,10 @@
 }
 
 // takeoverTerms tells what a class allows a second run.
-func (g *Gateway) takeoverTerms(class string, v *liveConfig) takeover.Terms {
+func (g *Gateway) takeoverTerms(class string, v *liveConfig) takeover.RetryPolicy {
 	c, err := v.class(class)
 	safe := err == nil && c.Idempotency == choice.Idempotent
-	return takeover.Terms{Repeat: safe, Beside: safe && g.options.Settings.MayHedge}
+	return takeover.RetryPolicy{Idempotent: safe, Hedgeable: safe && g.options.Settings.MayHedge}
 }
 
 // acquireLease holds a request, or goes on with one that another gateway had. requestSentAt is the
@@ -53,7 +53,7 @@
 	h.ctx, h.cancel = context.WithCancel(r.Context())
 	if !asked {
 		left := time.Duration(sentAt+job.Wait-g.clock.now()) * time.Microsecond
-		if h.lease = g.options.Peers.Hold(job.ID, g.takeoverTerms(job.Request.Class, v), max(0, left), h.cancel); h.lease == nil {
+		if h.lease = g.options.Peers.Acquire(job.ID, g.takeoverTerms(job.Request.Class, v), max(0, left), h.cancel); h.lease == nil {
 			h.cancel()
 			return nil, rejectDuplicateID
 		}
@@ -62,22 +62,22 @@
 	ctx, stop := context.WithDeadline(h.ctx, g.clock.timeAt(sentAt+job.Wait))
 	defer stop()
 	held, grant, err := g.options.Peers.Claim(ctx, rest.ID, rest.Ask, h.cancel)
-	slog.Info("takeover", "id", job.ID, "of", rest.ID, "claim", rest.Ask, "received_bytes", rest.Bytes, "attempts", grant.Made, "remaining_ms", grant.Left.Milliseconds(), "err", err)
+	slog.Info("takeover", "id", job.ID, "of", rest.ID, "claim", rest.Ask, "received_bytes", rest.Bytes, "attempts", grant.AttemptsMade, "remaining_ms", grant.TimeLeft.Milliseconds(), "err", err)
 	if err != nil {
 		h.cancel()
-		var no peers.Refusal
+		var no peers.RefusalError
 		switch errors.As(err, &no); no.Reason {
-		case takeover.Taken:
+		case takeover.ReasonAlreadyClaimed:
 			return nil, &rejection{http.StatusConflict, "Req-Rest: asked for elsewhere"}
-		case takeover.Unknown: // the client may send it as a new request
+		case takeover.ReasonUnknown: // the client may send it as a new request
 			return nil, &rejection{http.StatusNotFound, "Req-Rest: not known"}
 		}
 		return nil, &rejection{http.StatusBadGateway, "Req-Rest: " + err.Error()}
 	}
 	h.lease, h.hasPermit, h.resume, h.checksum = held, true, rest, crc32.NewIEEE()
-	job.Request.PriorAttempts = grant.Made
+	job.Request.PriorAttempts = grant.AttemptsMade
 	if rest.Bytes == 0 { // no first token yet: the first try's wait goes on
-		job.Wait = min(job.Wait, g.clock.now()-sentAt+grant.Left.Microseconds())
+		job.Wait = min(job.Wait, g.clock.now()-sentAt+grant.TimeLeft.Microseconds())
 	}
 	return h, nil
 }
@@ -104,7 +104,7 @@
 		h.mu.Lock()
 		ran := h.dispatched
 		h.mu.Unlock()
-		h.lease.Done(ran)
+		h.lease.Release(ran)
 	}()
 }
 
@@ -115,13 +115,13 @@
 		return true
 	}
 	if d.Index == 0 {
-		return h.lease.Mine(d.Ctx)
+		return h.lease.Valid(d.Ctx)
 	}
-	return h.lease.Permit(d.Ctx)
+	return h.lease.AcquirePermit(d.Ctx)
 }
 
 // isHolder tells whether the request is still this gateway's.
-func (h *requestLease) isHolder() bool { return h == nil || h.lease.Mine(h.ctx) }
+func (h *requestLease) isHolder() bool { return h == nil || h.lease.Valid(h.ctx) }
 
 // markDispatched notes that an attempt goes out now.
 func (h *requestLease) markDispatched() {
@@ -156,7 +156,7 @@
 	}
 	g.options.Peers.Leave()
 	select {
-	case <-time.After(g.options.Peers.HandOverAfter()):
+	case <-time.After(g.options.Peers.HandOverDelay()):
 		if n := g.options.Peers.HandOver(); n > 0 {
 			slog.Info("requests_handed_over", "requests", n)
 		}
--- a/internal/lifecycle/run.go
+++ b/internal/lifecycle/run.go
@@ -113,9 +113,9 @@
 	if p.Listen == "" {
 		return nil, nil
 	}
-	return peers.Start(peers.Options{Name: g.Name, Listen: p.Listen, Advertise: p.Advertise, Site: p.Site, Join: strings.FieldsFunc(p.Join, func(r rune) bool { return r == ',' }),
-		Copies: p.Copies, Permits: max(0, g.Settings.MaxAttempts-1), Silence: p.Silence, Remember: p.Remember, Frozen: p.Frozen, HandOver: p.HandOver,
-		Records: p.Records, Each: p.Each, Seed: g.Seed})
+	return peers.Start(peers.Options{Name: g.Name, ListenAddr: p.Listen, AdvertiseAddr: p.Advertise, Zone: p.Site, Seeds: strings.FieldsFunc(p.Join, func(r rune) bool { return r == ',' }),
+		Backups: p.Copies, Permits: max(0, g.Settings.MaxAttempts-1), ReplyTimeout: p.Silence, RecordTTL: p.Remember, FreezeThreshold: p.Frozen, HandOverDelay: p.HandOver,
+		MaxRecords: p.Records, MaxRecordsPerHolder: p.Each, RandomSeed: g.Seed})
 }
 
 // openLedger opens the store of balances, if there is one.
--- a/internal/membership/bench_test.go
+++ b/internal/membership/bench_test.go
@@ -13,13 +13,13 @@
 	for _, n := range []int{100, 500, 1000, 2000} {
 		b.Run(fmt.Sprint(n), func(b *testing.B) {
 			s := DefaultSettings()
-			s.Most = 4096
-			t := New(Info{Member: takeover.Member{Name: "self", Life: 1}, Addr: "self"}, nil, s, 7)
-			var list []Info
+			s.MaxMembers = 4096
+			t := New(MemberInfo{Member: takeover.Member{Name: "self", Incarnation: 1}, Addr: "self"}, nil, s, 7)
+			var list []MemberInfo
 			for i := range n {
-				list = append(list, Info{Member: takeover.Member{Name: fmt.Sprintf("g%04d", i), Life: 1}, Addr: fmt.Sprint(i), Site: fmt.Sprint(i % 18)})
+				list = append(list, MemberInfo{Member: takeover.Member{Name: fmt.Sprintf("g%04d", i), Incarnation: 1}, Addr: fmt.Sprint(i), Zone: fmt.Sprint(i % 18)})
 			}
-			t.News(0, list)
+			t.Merge(0, list)
 			now, packets := Micros(0), 0
 			b.ReportAllocs()
 			for i := 0; b.Loop(); i++ {
@@ -29,14 +29,14 @@
 					for _, o := range t.Outputs() { // each answers
 						packets++
 						if m, ok := t.Member(nameAt(list, o.To)); ok {
-							t.Recv(now, m.Member, Message{Kind: Ack, Seq: o.Msg.Seq})
+							t.Receive(now, m.Member, Message{Kind: MsgAck, Seq: o.Message.Seq})
 						}
 					}
 				}
 				for k := range n / 100 {
 					in := list[(i*7+k*100)%n]
-					in.Round, in.State = uint32(i+1), Alive
-					t.News(now, []Info{in})
+					in.Refutations, in.State = uint32(i+1), Alive
+					t.Merge(now, []MemberInfo{in})
 				}
 			}
 			b.ReportMetric(float64(packets)/float64(b.N), "packets/op")
@@ -44,7 +44,7 @@
 	}
 }
 
-func nameAt(list []Info, addr string) string {
+func nameAt(list []MemberInfo, addr string) string {
 	var i int
 	if _, err := fmt.Sscan(addr, &i); err != nil {
 		return ""
--- a/internal/membership/membership_test.go
+++ b/internal/membership/membership_test.go
@@ -9,48 +9,48 @@
 	"archknot/internal/takeover"
 )
 
-// net is members that talk with a delay of a millisecond, in virtual time.
-type net struct {
-	t       *testing.T
-	tables  map[string]*Table // by address
-	frozen  map[string]bool
-	down    map[string]bool
-	cut     func(a, b string) bool
-	now     Micros
-	queue   []sent
-	packets int
+// testNetwork is members that talk with a delay of a millisecond, in virtual time.
+type testNetwork struct {
+	t           *testing.T
+	tables      map[string]*Table // by address
+	frozen      map[string]bool
+	down        map[string]bool
+	partitioned func(a, b string) bool
+	now         Micros
+	queue       []queuedMessage
+	packets     int
 }
 
-type sent struct {
+type queuedMessage struct {
 	from, to string
-	msg      Message
+	message  Message
 }
 
-func newNet(t *testing.T, n int) *net {
-	w := &net{t: t, tables: map[string]*Table{}, frozen: map[string]bool{}, down: map[string]bool{}, cut: func(a, b string) bool { return false }}
+func newTestNetwork(t *testing.T, n int) *testNetwork {
+	w := &testNetwork{t: t, tables: map[string]*Table{}, frozen: map[string]bool{}, down: map[string]bool{}, partitioned: func(a, b string) bool { return false }}
 	for i := range n {
 		w.start(i, 1)
 	}
 	return w
 }
 
-func addr(i int) string { return fmt.Sprintf("a%03d", i) }
+func testAddr(i int) string { return fmt.Sprintf("a%03d", i) }
 
-func (w *net) start(i int, life uint64) {
-	me := Info{Member: takeover.Member{Name: fmt.Sprintf("g%03d", i), Life: life}, Addr: addr(i), Site: fmt.Sprint(i % 3)}
-	w.tables[addr(i)] = New(me, []string{addr(0), addr(1)}, DefaultSettings(), uint64(i+1)*7919)
-	delete(w.down, addr(i))
+func (w *testNetwork) start(i int, life uint64) {
+	me := MemberInfo{Member: takeover.Member{Name: fmt.Sprintf("g%03d", i), Incarnation: life}, Addr: testAddr(i), Zone: fmt.Sprint(i % 3)}
+	w.tables[testAddr(i)] = New(me, []string{testAddr(0), testAddr(1)}, DefaultSettings(), uint64(i+1)*7919)
+	delete(w.down, testAddr(i))
 }
 
 // run lets time pass in steps of a millisecond.
-func (w *net) run(d Micros) {
+func (w *testNetwork) run(d Micros) {
 	for end := w.now + d; w.now < end; {
 		w.now += 1000
 		queue := w.queue
 		w.queue = nil
 		for _, s := range queue {
 			t := w.tables[s.to]
-			if t == nil || w.down[s.to] || w.cut(s.from, s.to) {
+			if t == nil || w.down[s.to] || w.partitioned(s.from, s.to) {
 				continue
 			}
 			if w.frozen[s.to] {
@@ -58,22 +58,22 @@
 				continue
 			}
 			w.packets++
-			t.Recv(w.now, w.tables[s.from].self.Member, s.msg)
+			t.Receive(w.now, w.tables[s.from].self.Member, s.message)
 		}
 		for i := range len(w.tables) {
-			if a := addr(i); w.now/1000%20 != int64(i%20) && len(w.tables[a].out) == 0 {
+			if a := testAddr(i); w.now/1000%20 != int64(i%20) && len(w.tables[a].outputs) == 0 {
 				continue // it looks at its clock every 20 ms, at its mail at once
 			}
-			a := addr(i)
+			a := testAddr(i)
 			if t := w.tables[a]; !w.down[a] && !w.frozen[a] {
 				t.Tick(w.now)
 				for _, o := range t.Outputs() {
 					if p := o.Probe; p == nil {
-						w.queue = append(w.queue, sent{a, o.To, o.Msg})
-					} else if other := w.tables[p.Addr]; w.down[p.Addr] || other.self.Life != p.Life {
-						t.Proof(w.now, p.Member)
-					} else if !w.frozen[p.Addr] && !w.cut(a, p.Addr) {
-						t.Answers(w.now, p.Member)
+						w.queue = append(w.queue, queuedMessage{a, o.To, o.Message})
+					} else if other := w.tables[p.Addr]; w.down[p.Addr] || other.self.Incarnation != p.Incarnation {
+						t.ConfirmDead(w.now, p.Member)
+					} else if !w.frozen[p.Addr] && !w.partitioned(a, p.Addr) {
+						t.ConfirmAlive(w.now, p.Member)
 					}
 				}
 			}
@@ -81,8 +81,8 @@
 	}
 }
 
-// count is how many of those that run believe so of a member.
-func (w *net) count(name string, s State) (n int) {
+// countState is how many of those that run believe so of a member.
+func (w *testNetwork) countState(name string, s State) (n int) {
 	for a, t := range w.tables {
 		if m, ok := t.Member(name); ok && !w.down[a] && m.State == s {
 			n++
@@ -99,15 +99,15 @@
 		n = v
 	}
 	few := n * 3 / 10
-	w := newNet(t, n)
+	w := newTestNetwork(t, n)
 	w.run(12_000_000)
 	for i := range n {
-		if got := len(w.tables[addr(i)].Members()); got != n-1 {
-			t.Fatalf("%s knows %d", addr(i), got)
+		if got := len(w.tables[testAddr(i)].Members()); got != n-1 {
+			t.Fatalf("%s knows %d", testAddr(i), got)
 		}
 	}
 	for i := 10; i < 10+few; i++ {
-		w.down[addr(i)] = true
+		w.down[testAddr(i)] = true
 	}
 	before := w.packets
 	known := -1
@@ -115,7 +115,7 @@
 		w.run(500_000)
 		all := true
 		for i := 10; i < 10+few; i++ {
-			all = all && w.count(fmt.Sprintf("g%03d", i), Dead) == n-few
+			all = all && w.countState(fmt.Sprintf("g%03d", i), Dead) == n-few
 		}
 		if all {
 			known = s * 500
@@ -130,58 +130,58 @@
 	}
 	w.run(12_000_000)
 	for i := 10; i < 10+few; i++ {
-		if got := w.count(fmt.Sprintf("g%03d", i), Alive); got != n {
+		if got := w.countState(fmt.Sprintf("g%03d", i), Alive); got != n {
 			t.Fatalf("g%03d is alive to %d of %d", i, got, n)
 		}
 	}
 }
 
 // A frozen member is never dead: doubted, away, and back with its first answer.
-func TestFrozenIsNotDead(t *testing.T) {
-	w := newNet(t, 30)
+func TestFrozenMemberIsNotDead(t *testing.T) {
+	w := newTestNetwork(t, 30)
 	w.run(5_000_000)
-	w.frozen[addr(7)] = true
+	w.frozen[testAddr(7)] = true
 	w.run(10_000_000)
-	if n := w.count("g007", Dead); n > 0 {
+	if n := w.countState("g007", Dead); n > 0 {
 		t.Errorf("dead to %d", n)
 	}
-	if n := w.count("g007", Away); n < 25 {
+	if n := w.countState("g007", Unreachable); n < 25 {
 		t.Errorf("away to %d only", n)
 	}
-	delete(w.frozen, addr(7))
+	delete(w.frozen, testAddr(7))
 	w.run(5_000_000)
-	if n := w.count("g007", Alive); n != 30 {
+	if n := w.countState("g007", Alive); n != 30 {
 		t.Errorf("alive to %d of 30", n)
 	}
 }
 
 // Two halves that were cut off from each other find together again.
-func TestHealedHalves(t *testing.T) {
-	w := newNet(t, 20)
+func TestPartitionHeals(t *testing.T) {
+	w := newTestNetwork(t, 20)
 	w.run(5_000_000)
-	w.cut = func(a, b string) bool { return (a < addr(10)) != (b < addr(10)) }
+	w.partitioned = func(a, b string) bool { return (a < testAddr(10)) != (b < testAddr(10)) }
 	w.run(15_000_000)
-	if n := w.count("g015", Dead); n > 0 {
+	if n := w.countState("g015", Dead); n > 0 {
 		t.Errorf("dead to %d", n)
 	}
-	w.cut = func(a, b string) bool { return false }
+	w.partitioned = func(a, b string) bool { return false }
 	w.run(15_000_000)
 	for i := range 20 {
-		if n := w.count(fmt.Sprintf("g%03d", i), Alive); n != 20 {
+		if n := w.countState(fmt.Sprintf("g%03d", i), Alive); n != 20 {
 			t.Errorf("g%03d is alive to %d of 20", i, n)
 		}
 	}
 }
 
 // What is known stays within its bound.
-func TestMostMembers(t *testing.T) {
+func TestMemberLimit(t *testing.T) {
 	s := DefaultSettings()
-	s.Most = 10
-	v := New(Info{Member: takeover.Member{Name: "me"}}, nil, s, 1)
+	s.MaxMembers = 10
+	v := New(MemberInfo{Member: takeover.Member{Name: "me"}}, nil, s, 1)
 	for i := range 100 {
-		v.News(0, []Info{{Member: takeover.Member{Name: fmt.Sprint(i)}}})
+		v.Merge(0, []MemberInfo{{Member: takeover.Member{Name: fmt.Sprint(i)}}})
 	}
-	if len(v.Members()) != 10 || v.Refused() != 90 {
-		t.Errorf("%d known, %d refused", len(v.Members()), v.Refused())
+	if len(v.Members()) != 10 || v.Rejected() != 90 {
+		t.Errorf("%d known, %d refused", len(v.Members()), v.Rejected())
 	}
 }
--- a/internal/peers/stored_test.go
+++ b/internal/peers/stored_test.go
@@ -17,55 +17,55 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	got, err := decode(text)
+	got, err := decodeDatagram(text)
 	if err != nil {
 		t.Fatal(err)
 	}
 	member := func(name string, incarnation uint64) takeover.Member {
-		return takeover.Member{Name: name, Life: incarnation}
+		return takeover.Member{Name: name, Incarnation: incarnation}
 	}
 	const id = "9b1f03aa5c7e2d41"
 	holder := member("g1", 2)
 	want := datagram{
 		from: member("g0", 0x1122334455667788),
-		gossip: membership.Message{Kind: 1, Seq: 77, News: []membership.Info{
-			{Member: member("g1", 2), Addr: "127.0.0.1:7001", Site: "south", State: 0, Round: 3},
-			{Member: member("g2", 4), Addr: "127.0.0.1:7002", Site: "north", State: 1, Round: 5},
-			{Member: member("g3", 6), State: 2, Round: 7},
+		gossip: membership.Message{Kind: 1, Seq: 77, Updates: []membership.MemberInfo{
+			{Member: member("g1", 2), Addr: "127.0.0.1:7001", Zone: "south", State: 0, Refutations: 3},
+			{Member: member("g2", 4), Addr: "127.0.0.1:7002", Zone: "north", State: 1, Refutations: 5},
+			{Member: member("g3", 6), State: 2, Refutations: 7},
 		}},
-		words: []takeover.Message{
-			{Kind: 1, To: 101, ID: id, Op: 201, Holder: holder, Epoch: 301, Ask: 11, Next: 12, Terms: takeover.Terms{Repeat: true}, Left: 2500000,
-				Keepers: []takeover.Member{member("g2", 4), member("g3", 6)}, Fresh: true},
-			{Kind: 2, To: 102, ID: id, Op: 202, Holder: holder, Epoch: 302},
-			{Kind: 3, To: 103, ID: id, Op: 203, Holder: holder, Epoch: 303},
-			{Kind: 4, To: 104, ID: id, Op: 204, Holder: holder, Epoch: 304, Ask: 13, Next: 14, Terms: takeover.Terms{Beside: true}, Chain: 1,
-				Dead: []takeover.Member{member("g4", 8), member("g5", 9)}},
-			{Kind: 5, To: 105, ID: id, Op: 205, Holder: holder, Epoch: 305, OK: true, Reason: 0},
-			{Kind: 6, To: 106, ID: id, Op: 206, Holder: holder, Epoch: 306, Reason: 1},
-			{Kind: 7, To: 107, ID: id, Op: 207, Holder: holder, Epoch: 307, Reason: 2},
-			{Kind: 8, To: 108, ID: id, Op: 208, Holder: holder, Epoch: 308, Reason: 3},
-			{Kind: 9, To: 109, ID: id, Op: 209, Holder: holder, Epoch: 309, Ran: true, Reason: 4},
-			{Kind: 10, To: 110, ID: id, Op: 210, Holder: holder, Epoch: 310, Given: true, Chain: 2, Reason: 5},
-			{Kind: 11, To: 111, ID: id, Op: 211, Holder: holder, Epoch: 311, Reason: 6},
-			{Kind: 12, To: 112, ID: id, Op: 212, Holder: holder, Epoch: 312},
-			{Kind: 13, To: 113, ID: id, Op: 213, Holder: holder, Epoch: 313},
-			{Kind: 14, To: 114, ID: id, Op: 214, Holder: holder, Epoch: 314},
+		messages: []takeover.Message{
+			{Kind: 1, ToIncarnation: 101, RequestID: id, QueryID: 201, Holder: holder, Epoch: 301, ResumeSeq: 11, NextResumeSeq: 12, Policy: takeover.RetryPolicy{Idempotent: true}, TimeLeft: 2500000,
+				Backups: []takeover.Member{member("g2", 4), member("g3", 6)}, Initial: true},
+			{Kind: 2, ToIncarnation: 102, RequestID: id, QueryID: 202, Holder: holder, Epoch: 302},
+			{Kind: 3, ToIncarnation: 103, RequestID: id, QueryID: 203, Holder: holder, Epoch: 303},
+			{Kind: 4, ToIncarnation: 104, RequestID: id, QueryID: 204, Holder: holder, Epoch: 304, ResumeSeq: 13, NextResumeSeq: 14, Policy: takeover.RetryPolicy{Hedgeable: true}, Chain: 1,
+				ProvenDead: []takeover.Member{member("g4", 8), member("g5", 9)}},
+			{Kind: 5, ToIncarnation: 105, RequestID: id, QueryID: 205, Holder: holder, Epoch: 305, OK: true, Reason: 0},
+			{Kind: 6, ToIncarnation: 106, RequestID: id, QueryID: 206, Holder: holder, Epoch: 306, Reason: 1},
+			{Kind: 7, ToIncarnation: 107, RequestID: id, QueryID: 207, Holder: holder, Epoch: 307, Reason: 2},
+			{Kind: 8, ToIncarnation: 108, RequestID: id, QueryID: 208, Holder: holder, Epoch: 308, Reason: 3},
+			{Kind: 9, ToIncarnation: 109, RequestID: id, QueryID: 209, Holder: holder, Epoch: 309, MayHaveRun: true, Reason: 4},
+			{Kind: 10, ToIncarnation: 110, RequestID: id, QueryID: 210, Holder: holder, Epoch: 310, PermitGranted: true, Chain: 2, Reason: 5},
+			{Kind: 11, ToIncarnation: 111, RequestID: id, QueryID: 211, Holder: holder, Epoch: 311, Reason: 6},
+			{Kind: 12, ToIncarnation: 112, RequestID: id, QueryID: 212, Holder: holder, Epoch: 312},
+			{Kind: 13, ToIncarnation: 113, RequestID: id, QueryID: 213, Holder: holder, Epoch: 313},
+			{Kind: 14, ToIncarnation: 114, RequestID: id, QueryID: 214, Holder: holder, Epoch: 314},
 		},
 	}
 	if diff := cmp.Diff(want, got, cmp.AllowUnexported(datagram{})); diff != "" {
 		t.Error(diff)
 	}
-	kinds := map[takeover.Kind]uint8{takeover.Keep: 1, takeover.Find: 2, takeover.Found: 3, takeover.Claim: 4, takeover.Granted: 5, takeover.Want: 6, takeover.Given: 7,
-		takeover.Release: 8, takeover.Released: 9, takeover.Mark: 10, takeover.Marked: 11, takeover.Check: 12, takeover.Still: 13, takeover.Return: 14}
+	kinds := map[takeover.MessageKind]uint8{takeover.MsgReplicate: 1, takeover.MsgLookup: 2, takeover.MsgLookupReply: 3, takeover.MsgClaim: 4, takeover.MsgClaimReply: 5, takeover.MsgPermit: 6, takeover.MsgPermitReply: 7,
+		takeover.MsgRelease: 8, takeover.MsgReleaseReply: 9, takeover.MsgUpdate: 10, takeover.MsgUpdateReply: 11, takeover.MsgLeaseCheck: 12, takeover.MsgLeaseCheckReply: 13, takeover.MsgPermitReturn: 14}
 	for kind, number := range kinds {
 		if uint8(kind) != number {
 			t.Errorf("kind %d, expected %d", kind, number)
 		}
 	}
-	if membership.Ping != 1 || membership.Ack != 2 || membership.Join != 3 || membership.Tell != 4 {
+	if membership.MsgPing != 1 || membership.MsgAck != 2 || membership.MsgJoin != 3 || membership.MsgGossip != 4 {
 		t.Error("the kinds of gossip have other numbers")
 	}
-	if membership.Alive != 0 || membership.Doubted != 1 || membership.Away != 2 || membership.Left != 3 || membership.Dead != 4 {
+	if membership.Alive != 0 || membership.Suspect != 1 || membership.Unreachable != 2 || membership.Left != 3 || membership.Dead != 4 {
 		t.Error("the states of a member have other numbers")
 	}
 	for number, word := range []string{"none", "unknown", "taken", "spent", "no_proof", "may_have_run", "superseded"} {
--- a/internal/takeover/node.go
+++ b/internal/takeover/node.go
@@ -8,125 +8,125 @@
 
 // Settings of a gateway's part.
 type Settings struct {
-	Permits  int    // further attempts after the first: the most attempts less one
-	Silence  Micros // how long an answer is waited for before it counts as not coming
-	Remember Micros // how long a record outlasts its holder's last word
-	Most     int    // records kept in all
-	MostEach int    // records kept for one holder
+	Permits             int    // further attempts after the first: the most attempts less one
+	ReplyTimeout        Micros // how long an answer is waited for before it counts as not coming
+	RecordTTL           Micros // how long a record outlasts its holder's last word
+	MaxRecords          int    // records kept in all
+	MaxRecordsPerHolder int    // records kept for one holder
 }
 
 // Node is one gateway's part: holder of its own requests, keeper of others', and
 // claimant where clients ask it for the rest.
 type Node struct {
-	self    Member
-	s       Settings
-	records map[string]*record
-	each    map[string]int  // records by holder
-	open    map[string]bool // records with a decision under way
-	swept   Micros          // when records were last looked through
-	holds   map[string]*hold
-	claims  map[string]*claim
-	asking  []string          // scratch
-	dead    map[string]uint64 // the newest life proven dead, by name
-	op      uint32
-	out     []Output
-	refused uint64 // records turned away for want of room
+	self            Member
+	settings        Settings
+	records         map[string]*requestRecord
+	recordsByHolder map[string]int  // records by holder
+	undecided       map[string]bool // records with a decision under way
+	lastSweep       Micros          // when records were last looked through
+	leases          map[string]*leaseState
+	claims          map[string]*claimState
+	scratchIDs      []string          // scratch
+	tombstones      map[string]uint64 // the newest life proven dead, by name
+	lastQueryID     uint32
+	outputs         []Output
+	rejectedRecords uint64 // records turned away for want of room
 
 	// For tests of the tests: a broken node must be found.
-	skipFence, skipProof bool
+	disableFencing, disableDeathProof bool
 }
 
-// record is what a keeper has of a request.
-type record struct {
-	holder     Member
-	epoch, ask uint32
-	terms      Terms
-	deadline   Micros // of the client's first wait
-	keepers    []Member
-	given      bool // this chain's permit
-	until      Micros
-	op         *decision // under way
-	answer     Message   // the last decision's, and to whom
-	asker      Member
+// requestRecord is what a keeper has of a request.
+type requestRecord struct {
+	holder           Member
+	epoch, resumeSeq uint32
+	policy           RetryPolicy
+	deadline         Micros // of the client's first wait
+	backups          []Member
+	permitGranted    bool // this chain's permit
+	expiresAt        Micros
+	decision         *pendingDecision // under way
+	lastReply        Message          // the last decision's, and to whom
+	lastRequester    Member
 }
 
-// decision is a keeper's on a claim or a wish; it takes steps.
-type decision struct {
-	m       Message // that asked
-	from    Member
-	since   Micros
-	marking []Member // whose note is awaited
-	said    Message  // to them, or to the holder
-	again   Micros
+// pendingDecision is a keeper's on a claim or a wish; it takes steps.
+type pendingDecision struct {
+	request      Message // that asked
+	requester    Member
+	startedAt    Micros
+	awaitingAcks []Member // whose note is awaited
+	retransmit   Message  // to them, or to the holder
+	lastSentAt   Micros
 }
 
-// hold is a request that this gateway holds.
-type hold struct {
-	epoch    uint32
-	ask      uint32
-	terms    Terms
-	deadline Micros
-	keepers  []Member
-	told     Micros
-	spent    []bool // chains that have nothing to give any more
-	giver    Member // of the first permit of a hold that was taken over
-	chain    int    // the giver's
-	want     *question
-	check    *question
-	release  []question // who waits for it to stop
-	stopped  bool
+// leaseState is a request that this gateway holds.
+type leaseState struct {
+	epoch            uint32
+	resumeSeq        uint32
+	policy           RetryPolicy
+	deadline         Micros
+	backups          []Member
+	lastReplicatedAt Micros
+	exhausted        []bool // chains that have nothing to give any more
+	grantor          Member // of the first permit of a hold that was taken over
+	grantorChain     int    // the giver's
+	permitQuery      *pendingQuery
+	leaseCheck       *pendingQuery
+	releaseQueries   []pendingQuery // who waits for it to stop
+	stopped          bool
 }
 
-// question is one put to others.
-type question struct {
-	op      uint32
-	said    Message // for those that do not answer: it may have been lost
-	again   Micros  // when it was last said
-	chain   int
-	to      Member
-	since   Micros
-	waiting []Member
+// pendingQuery is one put to others.
+type pendingQuery struct {
+	id         uint32
+	retransmit Message // for those that do not answer: it may have been lost
+	lastSentAt Micros  // when it was last said
+	chain      int
+	to         Member
+	startedAt  Micros
+	unanswered []Member
 }
 
-// claim is a request that this gateway was asked for.
-type claim struct {
-	question
-	ask      uint32
-	phase    phase
-	found    bool
-	rec      Message // the newest that was told of it
-	giver    Member
-	deadline Micros
+// claimState is a request that this gateway was asked for.
+type claimState struct {
+	pendingQuery
+	resumeSeq uint32
+	phase     claimPhase
+	found     bool
+	latest    Message // the newest that was told of it
+	grantor   Member
+	deadline  Micros
 }
 
-type phase uint8
+type claimPhase uint8
 
 const (
-	finding phase = iota
-	claiming
-	marking
+	phaseLookup claimPhase = iota
+	phaseClaim
+	phaseReplicate
 )
 
 // New returns a gateway's part.
 func New(self Member, s Settings) *Node {
-	return &Node{self: self, s: s, records: map[string]*record{}, each: map[string]int{}, open: map[string]bool{}, holds: map[string]*hold{},
-		claims: map[string]*claim{}, dead: map[string]uint64{}}
+	return &Node{self: self, settings: s, records: map[string]*requestRecord{}, recordsByHolder: map[string]int{}, undecided: map[string]bool{}, leases: map[string]*leaseState{},
+		claims: map[string]*claimState{}, tombstones: map[string]uint64{}}
 }
 
 // Outputs returns what is to be done since the last call.
 func (n *Node) Outputs() []Output {
-	out := n.out
-	n.out = nil
+	out := n.outputs
+	n.outputs = nil
 	return out
 }
 
-// Kept is how many records of others' requests there are, and how many were turned
+// RecordCounts is how many records of others' requests there are, and how many were turned
 // away for want of room.
-func (n *Node) Kept() (records int, refused uint64) { return len(n.records), n.refused }
+func (n *Node) RecordCounts() (records int, refused uint64) { return len(n.records), n.rejectedRecords }
 
-// Keepers chooses among members who keeps a request: by rendezvous, those of other
+// SelectBackups chooses among members who keeps a request: by rendezvous, those of other
 // sites than the holder's first. Without the holder itself.
-func Keepers(id string, holder Member, site func(Member) string, members []Member, most int) []Member {
+func SelectBackups(id string, holder Member, site func(Member) string, members []Member, most int) []Member {
 	type place struct {
 		m     Member
 		far   bool
@@ -136,7 +136,7 @@
 	own := site(holder)
 	for _, m := range members {
 		if m.Name != holder.Name {
-			list = append(list, place{m, site(m) != own, score(id, m.Name)})
+			list = append(list, place{m, site(m) != own, rendezvousScore(id, m.Name)})
 		}
 	}
 	// The best of any site, then half of the places to other sites: a site that is
@@ -155,11 +155,11 @@
 			out = append(out, p.m)
 		}
 	}
-	slices.SortFunc(out, func(a, b Member) int { return cmp.Compare(score(id, b.Name), score(id, a.Name)) })
+	slices.SortFunc(out, func(a, b Member) int { return cmp.Compare(rendezvousScore(id, b.Name), rendezvousScore(id, a.Name)) })
 	return out
 }
 
-func score(id, name string) uint64 {
+func rendezvousScore(id, name string) uint64 {
 	h := fnv.New64a()
 	h.Write([]byte(name))
 	h.Write([]byte{0})
@@ -172,67 +172,67 @@
 }
 
 func (n *Node) send(to Member, m Message) {
-	m.To = to.Life
-	n.out = append(n.out, Output{Do: Send, To: to, Msg: m, ID: m.ID})
+	m.ToIncarnation = to.Incarnation
+	n.outputs = append(n.outputs, Output{Action: ActionSend, To: to, Message: m, RequestID: m.RequestID})
 }
 
 func (n *Node) isDead(m Member) bool {
-	life, ok := n.dead[m.Name]
-	return ok && life >= m.Life
+	life, ok := n.tombstones[m.Name]
+	return ok && life >= m.Incarnation
 }
 
-// ask puts a question to some; repeat says it again to those that have not answered.
-func (n *Node) ask(now Micros, q *question, to []Member, m Message) {
-	q.since, q.again, q.waiting = now, now, nil
+// startQuery puts a question to some; repeat says it again to those that have not answered.
+func (n *Node) startQuery(now Micros, q *pendingQuery, to []Member, m Message) {
+	q.startedAt, q.lastSentAt, q.unanswered = now, now, nil
 	for _, k := range to {
 		if !n.isDead(k) {
-			q.waiting = append(q.waiting, k)
+			q.unanswered = append(q.unanswered, k)
 		}
 	}
-	n.op++
-	q.op, m.Op = n.op, n.op
-	q.said = m
-	for _, k := range q.waiting {
+	n.lastQueryID++
+	q.id, m.QueryID = n.lastQueryID, n.lastQueryID
+	q.retransmit = m
+	for _, k := range q.unanswered {
 		n.send(k, m)
 	}
 }
 
-// wait drops those from a question that are dead, and says it again to the others after a
+// refreshQuery drops those from a question that are dead, and says it again to the others after a
 // part of the time that it has.
-func (n *Node) wait(now Micros, q *question) (late Micros) {
-	q.waiting = slices.DeleteFunc(q.waiting, n.isDead)
-	if n.again(now, &q.again) {
-		for _, k := range q.waiting {
-			n.send(k, q.said)
+func (n *Node) refreshQuery(now Micros, q *pendingQuery) (late Micros) {
+	q.unanswered = slices.DeleteFunc(q.unanswered, n.isDead)
+	if n.retransmitDue(now, &q.lastSentAt) {
+		for _, k := range q.unanswered {
+			n.send(k, q.retransmit)
 			n.probe(k)
 		}
 	}
-	return now - q.since
+	return now - q.startedAt
 }
 
-// again tells whether something is to be said once more.
-func (n *Node) again(now Micros, last *Micros) bool {
-	if now-*last < n.s.Silence/4 {
+// retransmitDue tells whether something is to be said once more.
+func (n *Node) retransmitDue(now Micros, last *Micros) bool {
+	if now-*last < n.settings.ReplyTimeout/4 {
 		return false
 	}
 	*last = now
 	return true
 }
 
-func (n *Node) probe(m Member) { n.out = append(n.out, Output{Do: Probe, To: m}) }
+func (n *Node) probe(m Member) { n.outputs = append(n.outputs, Output{Action: ActionProbe, To: m}) }
 
-// chain is the keepers that a permit belongs to, in order.
-func (n *Node) chain(keepers []Member, c int) (out []Member) {
-	for i := c; i < len(keepers); i += max(1, n.s.Permits) {
+// chainMembers is the keepers that a permit belongs to, in order.
+func (n *Node) chainMembers(keepers []Member, c int) (out []Member) {
+	for i := c; i < len(keepers); i += max(1, n.settings.Permits) {
 		out = append(out, keepers[i])
 	}
 	return out
 }
 
-func (n *Node) chains(keepers []Member) int { return min(n.s.Permits, len(keepers)) }
+func (n *Node) chainCount(keepers []Member) int { return min(n.settings.Permits, len(keepers)) }
 
-// first is the first of a chain that is not proven dead.
-func (n *Node) first(chain []Member) (Member, bool) {
+// chainHead is the first of a chain that is not proven dead.
+func (n *Node) chainHead(chain []Member) (Member, bool) {
 	for _, m := range chain {
 		if !n.isDead(m) {
 			return m, true
@@ -241,8 +241,8 @@
 	return Member{}, false
 }
 
-// proofs lists whom of a list this gateway has proof to be dead.
-func (n *Node) proofs(list []Member) (out []Member) {
+// provenDead lists whom of a list this gateway has proof to be dead.
+func (n *Node) provenDead(list []Member) (out []Member) {
 	for _, m := range list {
 		if n.isDead(m) {
 			out = append(out, m)
@@ -251,83 +251,83 @@
 	return out
 }
 
-func (n *Node) believe(dead []Member) {
+func (n *Node) addTombstones(dead []Member) {
 	for _, m := range dead {
-		n.dead[m.Name] = max(n.dead[m.Name], m.Life)
+		n.tombstones[m.Name] = max(n.tombstones[m.Name], m.Incarnation)
 	}
 }
 
-// Dead tells that a process is proven to have ended.
-func (n *Node) Dead(now Micros, m Member) {
+// ConfirmDead tells that a process is proven to have ended.
+func (n *Node) ConfirmDead(now Micros, m Member) {
 	if n.isDead(m) {
 		return
 	}
-	n.believe([]Member{m})
-	n.decisions(now)
-	n.advance(now)
+	n.addTombstones([]Member{m})
+	n.advanceDecisions(now)
+	n.advanceQueries(now)
 }
 
-// decisions takes those that are under way a step on.
-func (n *Node) decisions(now Micros) {
-	for _, id := range sorted(n.open) {
-		if r := n.records[id]; r != nil && r.op != nil {
-			n.decide(now, id, r)
+// advanceDecisions takes those that are under way a step on.
+func (n *Node) advanceDecisions(now Micros) {
+	for _, id := range sortedKeys(n.undecided) {
+		if r := n.records[id]; r != nil && r.decision != nil {
+			n.advanceDecision(now, id, r)
 		} else {
-			delete(n.open, id)
+			delete(n.undecided, id)
 		}
 	}
 }
 
-// sweepEvery is how often records are looked through for those that have had their time.
-const sweepEvery = 1_000_000
+// sweepInterval is how often records are looked through for those that have had their time.
+const sweepInterval = 1_000_000
 
 // Tick lets time pass: what has waited for too long goes on without.
 func (n *Node) Tick(now Micros) {
-	n.decisions(now)
-	n.advance(now)
-	if now-n.swept < sweepEvery {
+	n.advanceDecisions(now)
+	n.advanceQueries(now)
+	if now-n.lastSweep < sweepInterval {
 		return
 	}
-	n.swept = now
+	n.lastSweep = now
 	for id, r := range n.records {
-		if r.op == nil && now >= r.until {
-			n.forget(id)
+		if r.decision == nil && now >= r.expiresAt {
+			n.removeRecord(id)
 		}
 	}
-	for _, id := range sorted(n.holds) {
-		if h := n.holds[id]; !h.stopped && now-h.told >= n.s.Remember/2 {
-			n.tell(now, id, h, false)
+	for _, id := range sortedKeys(n.leases) {
+		if h := n.leases[id]; !h.stopped && now-h.lastReplicatedAt >= n.settings.RecordTTL/2 {
+			n.replicate(now, id, h, false)
 		}
 	}
 }
 
-// advance takes the questions of this gateway's own a step on.
-func (n *Node) advance(now Micros) {
-	for id, h := range n.holds {
-		if h.want == nil && h.check == nil {
+// advanceQueries takes the questions of this gateway's own a step on.
+func (n *Node) advanceQueries(now Micros) {
+	for id, h := range n.leases {
+		if h.permitQuery == nil && h.leaseCheck == nil {
 			continue
 		}
-		n.asking = append(n.asking, id)
+		n.scratchIDs = append(n.scratchIDs, id)
 	}
-	slices.Sort(n.asking) // all runs go one way
-	for _, id := range n.asking {
-		h := n.holds[id]
-		if h != nil && h.want != nil {
-			n.wanting(now, id, h)
+	slices.Sort(n.scratchIDs) // all runs go one way
+	for _, id := range n.scratchIDs {
+		h := n.leases[id]
+		if h != nil && h.permitQuery != nil {
+			n.advancePermitQuery(now, id, h)
 		}
-		if h != nil && h.check != nil {
-			n.checking(now, id, h)
+		if h != nil && h.leaseCheck != nil {
+			n.advanceLeaseCheck(now, id, h)
 		}
 	}
-	n.asking = n.asking[:0]
-	for _, id := range sorted(n.claims) {
+	n.scratchIDs = n.scratchIDs[:0]
+	for _, id := range sortedKeys(n.claims) {
 		if c := n.claims[id]; c != nil {
-			n.claiming(now, id, c)
+			n.advanceClaim(now, id, c)
 		}
 	}
 }
 
-func sorted[T any](m map[string]T) []string {
+func sortedKeys[T any](m map[string]T) []string {
 	if len(m) == 0 {
 		return nil
 	}
@@ -339,36 +339,36 @@
 	return keys
 }
 
-func drop(list []Member, m Member) []Member {
+func without(list []Member, m Member) []Member {
 	return slices.DeleteFunc(slices.Clone(list), func(o Member) bool { return o == m })
 }
 
-// Recv takes a message from a process.
-func (n *Node) Recv(now Micros, from Member, m Message) {
-	if m.To != n.self.Life || n.isDead(from) {
+// Receive takes a message from a process.
+func (n *Node) Receive(now Micros, from Member, m Message) {
+	if m.ToIncarnation != n.self.Incarnation || n.isDead(from) {
 		return // meant for a life that is over, or come late from one
 	}
-	n.believe(m.Dead)
+	n.addTombstones(m.ProvenDead)
 	switch m.Kind {
-	case Keep:
-		n.keep(now, from, m)
-	case Find:
-		n.find(now, from, m)
-	case Claim, Want:
-		n.asked(now, from, m)
-	case Released:
-		n.released(now, from, m)
-	case Mark:
-		n.mark(now, from, m)
-	case Return:
-		n.returned(now, from, m)
-	case Check:
-		n.checked(now, from, m)
-	case Release:
-		n.releaseAsked(now, from, m)
-	case Marked:
-		n.marked(now, from, m)
-	case Given, Still, Found, Granted:
-		n.answered(now, from, m)
+	case MsgReplicate:
+		n.handleReplicate(now, from, m)
+	case MsgLookup:
+		n.handleLookup(now, from, m)
+	case MsgClaim, MsgPermit:
+		n.handleGrantRequest(now, from, m)
+	case MsgReleaseReply:
+		n.handleReleaseReply(now, from, m)
+	case MsgUpdate:
+		n.handleUpdate(now, from, m)
+	case MsgPermitReturn:
+		n.handlePermitReturn(now, from, m)
+	case MsgLeaseCheck:
+		n.handleLeaseCheck(now, from, m)
+	case MsgRelease:
+		n.handleRelease(now, from, m)
+	case MsgUpdateReply:
+		n.handleUpdateReply(now, from, m)
+	case MsgPermitReply, MsgLeaseCheckReply, MsgLookupReply, MsgClaimReply:
+		n.handleReply(now, from, m)
 	}
 }
