--- a/internal/cli/capture.go
+++ b/internal/cli/capture.go
@@ -377,8 +377,8 @@
 }
 
 func (c *saveCmd) Run(s *streams) error {
-	var a lifecycle.SaveAnswer
-	if err := c.call(s, "capture/save", lifecycle.SaveOrder{Reason: c.Reason}, &a); err != nil {
+	var a lifecycle.SaveResponse
+	if err := c.call(s, "capture/save", lifecycle.SaveRequest{Reason: c.Reason}, &a); err != nil {
 		return err
 	}
 	if c.JSON {
--- a/internal/cli/cli.go
+++ b/internal/cli/cli.go
@@ -73,7 +73,7 @@
 
 // exit tells the exit code of a command that ended with an error, and says why.
 func (s *streams) exit(err error) int {
-	var bad lifecycle.BadConfig
+	var bad lifecycle.ConfigError
 	var failed serveFailed
 	switch {
 	case err == nil:
@@ -140,9 +140,9 @@
 
 func (c *serveCmd) Run(s *streams) error {
 	lifecycle.StartLog()
-	defer lifecycle.EndLog()
+	defer lifecycle.FlushLog()
 	err := lifecycle.Run(s.getenv, c.Config)
-	var bad lifecycle.BadConfig
+	var bad lifecycle.ConfigError
 	if err != nil && !errors.As(err, &bad) {
 		return serveFailed{err}
 	}
--- a/internal/cli/version.go
+++ b/internal/cli/version.go
@@ -31,7 +31,7 @@
 		}
 	}
 	err := control.Call(context.Background(), path, name, order, answer)
-	var refused control.Refused
+	var refused control.CommandError
 	if errors.As(err, &refused) {
 		fmt.Fprintf(s.err, "archknot: the gateway cannot: %v\n", refused)
 		return errNo
@@ -52,14 +52,14 @@
 }
 
 func (c *statusCmd) Run(s *streams) error {
-	var a lifecycle.Status
+	var a lifecycle.ConfigStatus
 	if err := c.call(s, "config/status", struct{}{}, &a); err != nil {
 		return err
 	}
 	return s.status(a, c.JSON)
 }
 
-func (s *streams) status(a lifecycle.Status, json bool) error {
+func (s *streams) status(a lifecycle.ConfigStatus, json bool) error {
 	if json {
 		return s.print(a)
 	}
@@ -109,8 +109,8 @@
 }
 
 func (c *rollbackCmd) Run(s *streams) error {
-	var a lifecycle.Status
-	if err := c.call(s, "config/rollback", lifecycle.RollbackOrder{Reason: c.Reason}, &a); err != nil {
+	var a lifecycle.ConfigStatus
+	if err := c.call(s, "config/rollback", lifecycle.RollbackRequest{Reason: c.Reason}, &a); err != nil {
 		return err
 	}
 	return s.status(a, c.JSON)
--- a/internal/control/control.go
+++ b/internal/control/control.go
@@ -19,10 +19,10 @@
 )
 
 const (
-	maxBody     = 64 << 10
-	maxAnswer   = 16 << 20
-	maxConns    = 8
-	orderWithin = 30 * time.Second
+	maxRequestBytes  = 64 << 10
+	maxResponseBytes = 16 << 20
+	maxConcurrent    = 8
+	commandTimeout   = 30 * time.Second
 )
 
 // Handler carries out one kind of order. The answer is put into JSON.
@@ -30,9 +30,9 @@
 
 // Server listens for orders until Close.
 type Server struct {
-	http *http.Server
-	l    net.Listener
-	slot chan struct{}
+	http     *http.Server
+	listener net.Listener
+	slots    chan struct{}
 }
 
 // Listen opens the socket with mode 0600 and serves orders by name. A socket
@@ -52,12 +52,12 @@
 	if err != nil {
 		return nil, fmt.Errorf("control.socket: %w", err)
 	}
-	s := &Server{l: l, slot: make(chan struct{}, maxConns)}
+	s := &Server{listener: l, slots: make(chan struct{}, maxConcurrent)}
 	mux := http.NewServeMux()
 	for name, h := range orders {
 		mux.HandleFunc("POST /"+name, func(w http.ResponseWriter, r *http.Request) { s.serve(w, r, h) })
 	}
-	s.http = &http.Server{Handler: mux, ReadTimeout: 5 * time.Second, WriteTimeout: orderWithin + 5*time.Second, MaxHeaderBytes: 8 << 10}
+	s.http = &http.Server{Handler: mux, ReadTimeout: 5 * time.Second, WriteTimeout: commandTimeout + 5*time.Second, MaxHeaderBytes: 8 << 10}
 	s.http.SetKeepAlivesEnabled(false)
 	go s.http.Serve(l)
 	return s, nil
@@ -65,18 +65,18 @@
 
 func (s *Server) serve(w http.ResponseWriter, r *http.Request, h Handler) {
 	select {
-	case s.slot <- struct{}{}:
-		defer func() { <-s.slot }()
+	case s.slots <- struct{}{}:
+		defer func() { <-s.slots }()
 	default:
 		http.Error(w, "too many orders at once", http.StatusServiceUnavailable)
 		return
 	}
-	body, err := io.ReadAll(http.MaxBytesReader(w, r.Body, maxBody))
+	body, err := io.ReadAll(http.MaxBytesReader(w, r.Body, maxRequestBytes))
 	if err != nil {
 		http.Error(w, err.Error(), http.StatusBadRequest)
 		return
 	}
-	ctx, stop := context.WithTimeout(r.Context(), orderWithin)
+	ctx, stop := context.WithTimeout(r.Context(), commandTimeout)
 	defer stop()
 	answer, err := h(ctx, body)
 	if err != nil {
@@ -90,7 +90,7 @@
 // Close ends the server and takes the socket away.
 func (s *Server) Close() error {
 	err := s.http.Close()
-	s.l.Close() // also where it has not begun to serve
+	s.listener.Close() // also where it has not begun to serve
 	return err
 }
 
@@ -101,7 +101,7 @@
 	if err != nil {
 		return err
 	}
-	client := http.Client{Timeout: orderWithin + 5*time.Second, Transport: &http.Transport{DisableKeepAlives: true,
+	client := http.Client{Timeout: commandTimeout + 5*time.Second, Transport: &http.Transport{DisableKeepAlives: true,
 		DialContext: func(ctx context.Context, _, _ string) (net.Conn, error) {
 			return (&net.Dialer{}).DialContext(ctx, "unix", socket)
 		}}}
@@ -114,17 +114,17 @@
 		return err
 	}
 	defer resp.Body.Close()
-	text, err := io.ReadAll(io.LimitReader(resp.Body, maxAnswer))
+	text, err := io.ReadAll(io.LimitReader(resp.Body, maxResponseBytes))
 	if err != nil {
 		return err
 	}
 	if resp.StatusCode != http.StatusOK {
-		return Refused(bytes.TrimSpace(text))
+		return CommandError(bytes.TrimSpace(text))
 	}
 	return json.Unmarshal(text, answer)
 }
 
-// Refused is a gateway's reason for not carrying out an order.
-type Refused string
+// CommandError is a gateway's reason for not carrying out an order.
+type CommandError string
 
-func (r Refused) Error() string { return string(r) }
+func (r CommandError) Error() string { return string(r) }
--- a/internal/control/control_test.go
+++ b/internal/control/control_test.go
@@ -11,7 +11,7 @@
 	"testing"
 )
 
-func TestOrders(t *testing.T) {
+func TestCommands(t *testing.T) {
 	path := filepath.Join(t.TempDir(), "c.sock")
 	s, err := Listen(path, map[string]Handler{
 		"echo": func(_ context.Context, order json.RawMessage) (any, error) {
@@ -32,14 +32,14 @@
 	if err := Call(t.Context(), path, "echo", map[string]string{"a": "b"}, &got); err != nil || got["a"] != "b" {
 		t.Errorf("%v %v", got, err)
 	}
-	var refused Refused
+	var refused CommandError
 	if err := Call(t.Context(), path, "refuse", 1, &got); !errors.As(err, &refused) || refused != "not now" {
 		t.Errorf("%v", err)
 	}
 	if err := Call(t.Context(), path, "nothing", 1, &got); !errors.As(err, &refused) {
 		t.Errorf("%v", err)
 	}
-	if err := Call(t.Context(), path, "echo", strings.Repeat("x", maxBody), &got); !errors.As(err, &refused) || !strings.Contains(err.Error(), "too large") {
+	if err := Call(t.Context(), path, "echo", strings.Repeat("x", maxRequestBytes), &got); !errors.As(err, &refused) || !strings.Contains(err.Error(), "too large") {
 		t.Errorf("a large order: %v", err)
 	}
 	if _, err := Listen(path, nil); err == nil || !strings.Contains(err.Error(), "another gateway") {
@@ -53,7 +53,7 @@
 
 // A gateway that was killed leaves its socket behind; the next one replaces it,
 // but no file of another kind.
-func TestSocketLeftBehind(t *testing.T) {
+func TestStaleSocketIsReplaced(t *testing.T) {
 	path := filepath.Join(t.TempDir(), "c.sock")
 	l, err := net.Listen("unix", path)
 	if err != nil {
--- a/internal/gateway/gateway.go
+++ b/internal/gateway/gateway.go
@@ -88,7 +88,7 @@
 	recentReplicas    replicaIDHistory
 	pendingEjections  pendingEjections
 	orderUpdates      chan struct{}
-	adminCalls        operator.Counts
+	adminCalls        operator.CallCounts
 }
 
 // New returns a gateway, or tells why the module does not take its settings.
@@ -117,7 +117,7 @@
 	}
 	g.server = g.newServer()
 	if o.Orders != nil {
-		o.Orders.Follow(g.onOrdersChanged)
+		o.Orders.OnChange(g.onOrdersChanged)
 	}
 	return g, nil
 }
--- a/internal/gateway/loop.go
+++ b/internal/gateway/loop.go
@@ -56,7 +56,7 @@
 	l := &eventLoop{gateway: g, events: make(chan event, 1024), pollRequests: make(chan struct{}, 1),
 		requests: memory.NewTable(), endpoints: memory.NewRegistry(), listed: map[string]socket.Instance{}, ejectedStart: map[string]int64{}}
 	if g.options.Orders != nil {
-		l.ejected = g.options.Orders.AllOut()
+		l.ejected = g.options.Orders.AllEjected()
 	}
 	var err error
 	if l.balancer, err = choice.New(g.options.Settings, g.options.Seed, l); err != nil {
--- a/internal/gateway/orders.go
+++ b/internal/gateway/orders.go
@@ -28,10 +28,10 @@
 	}
 }
 
-// TakeOut has a replica get nothing new from now on, whatever the list says of it, until PutBack.
-func (g *Gateway) TakeOut(ctx context.Context, id string) error {
+// Eject has a replica get nothing new from now on, whatever the list says of it, until Reinstate.
+func (g *Gateway) Eject(ctx context.Context, id string) error {
 	if g.isKnownReplica(ctx, id) {
-		return g.options.Orders.SetOut(ctx, id, true)
+		return g.options.Orders.SetEjected(ctx, id, true)
 	}
 	if g.discoveryAnswered.Load() || !g.pendingEjections.add(id) {
 		return operator.ErrUnknownReplica
@@ -40,7 +40,7 @@
 	if g.discoveryAnswered.Load() { // discovery has answered just now, and may have passed it by
 		g.confirmEjections()
 	}
-	return operator.ErrNotHeard
+	return operator.ErrDiscoveryPending
 }
 
 // confirmEjections has the orders that came before discovery had answered in force for good, or forgets them where
@@ -49,7 +49,7 @@
 	for _, id := range g.pendingEjections.all() {
 		if g.recentReplicas.has(id) {
 			ctx, stop := context.WithTimeout(context.Background(), time.Second)
-			_ = g.options.Orders.SetOut(ctx, id, true) // a failure to save is told where it is noted
+			_ = g.options.Orders.SetEjected(ctx, id, true) // a failure to save is told where it is noted
 			stop()
 		}
 		g.pendingEjections.remove(id)
@@ -59,7 +59,7 @@
 
 // ejectedReplicas are the replicas that are to get nothing by operators' orders.
 func (g *Gateway) ejectedReplicas() map[string]struct{} {
-	ordered, unproven := g.options.Orders.AllOut(), g.pendingEjections.all()
+	ordered, unproven := g.options.Orders.AllEjected(), g.pendingEjections.all()
 	if len(unproven) == 0 {
 		return ordered
 	}
@@ -113,19 +113,19 @@
 	return slices.Collect(maps.Keys(u.ids))
 }
 
-// PutBack ends that. It holds in this process in any case: one call is enough.
-func (g *Gateway) PutBack(ctx context.Context, id string) error {
+// Reinstate ends that. It holds in this process in any case: one call is enough.
+func (g *Gateway) Reinstate(ctx context.Context, id string) error {
 	g.pendingEjections.remove(id)
 	if !g.isKnownReplica(ctx, id) {
 		return operator.ErrUnknownReplica
 	}
-	return ignoreNotSaved(g.options.Orders.SetOut(ctx, id, false))
+	return ignoreNotSaved(g.options.Orders.SetEjected(ctx, id, false))
 }
 
 // DrainClients sends clients away, and runs on.
 func (g *Gateway) DrainClients(ctx context.Context) error {
 	if g.clients.shutdownAt.Load() > 0 {
-		return operator.ErrStopping
+		return operator.ErrShuttingDown
 	}
 	return ignoreNotSaved(g.options.Orders.SetDrained(ctx, true))
 }
@@ -133,7 +133,7 @@
 // Resume takes clients again.
 func (g *Gateway) Resume(ctx context.Context) error {
 	if g.clients.shutdownAt.Load() > 0 {
-		return operator.ErrStopping
+		return operator.ErrShuttingDown
 	}
 	return ignoreNotSaved(g.options.Orders.SetDrained(ctx, false))
 }
@@ -187,7 +187,7 @@
 // acceptsWork tells whether a replica may get new work as of now, for an attempt that is about to be written.
 func (g *Gateway) acceptsWork(w *memory.Replica) bool {
 	id := w.Instance.ID
-	return w.Accepting() && (g.options.Orders == nil || !g.options.Orders.Out(id) && !g.pendingEjections.has(id))
+	return w.Accepting() && (g.options.Orders == nil || !g.options.Orders.Ejected(id) && !g.pendingEjections.has(id))
 }
 
 // ejectionsChanged says which replicas operators have out.
@@ -290,7 +290,7 @@
 // waits for that as long as the call may take.
 func (g *Gateway) isKnownReplica(ctx context.Context, id string) bool {
 	for {
-		if g.recentReplicas.has(id) || g.options.Orders.Known(id) {
+		if g.recentReplicas.has(id) || g.options.Orders.HasOrder(id) {
 			return true
 		}
 		if g.discoveryAnswered.Load() {
@@ -305,14 +305,14 @@
 }
 
 // AdminCalls are the counts of the operators' calls.
-func (g *Gateway) AdminCalls() *operator.Counts { return &g.adminCalls }
+func (g *Gateway) AdminCalls() *operator.CallCounts { return &g.adminCalls }
 
 // addOrderStats enters what operators ordered, and how often they called.
 func (g *Gateway) addOrderStats(c *figures.Stats) {
 	if g.options.Orders == nil {
 		return
 	}
-	c.EjectedReplicas, c.Drained, c.OrdersNotSaved = len(g.options.Orders.AllOut()), g.options.Orders.Drained(), g.options.Orders.Failed() != nil
+	c.EjectedReplicas, c.Drained, c.OrdersNotSaved = len(g.options.Orders.AllEjected()), g.options.Orders.Drained(), g.options.Orders.LastError() != nil
 	g.adminCalls.Each(func(call string, yes bool, n int64) {
 		c.OperatorCalls = append(c.OperatorCalls, figures.OperatorCallCount{Call: call, Accepted: yes, Count: n})
 	})
--- a/internal/gateway/service.go
+++ b/internal/gateway/service.go
@@ -120,7 +120,7 @@
 	begun := time.Now()
 	for look := begun; !g.CanServe() && g.clients.shutdownAt.Load() == 0; {
 		if now := time.Now(); now.Sub(begun) >= readyWaitAlone && now.Sub(look) >= time.Second {
-			if look = now; now.Sub(begun) >= readyWaitWithPredecessor || g.options.Orders == nil || !g.options.Orders.Beside() {
+			if look = now; now.Sub(begun) >= readyWaitWithPredecessor || g.options.Orders == nil || !g.options.Orders.HasPredecessor() {
 				break
 			}
 		}
--- a/internal/lifecycle/config.go
+++ b/internal/lifecycle/config.go
@@ -25,21 +25,21 @@
 // Config is what a gateway is told, checked and complete.
 type Config struct {
 	Listen string
-	// Handed is the descriptor of the clients' listening socket where the platform
+	// ListenFD is the descriptor of the clients' listening socket where the platform
 	// holds it and hands it on (NODE_SOCKET_FD); 0: the gateway listens itself.
-	Handed   int
+	ListenFD int
 	Admin    string // where operators call; "": nowhere
 	Cores    int
 	MemoryMB int64
 	Gateway  gateway.Options
 
-	Unknown     []UnknownKey // the first of the keys that the program does not serve
-	UnknownKeys int          // and how many there are
-	path        string       // of NODE_CONFIG
+	ReportedUnknownKeys []UnknownKey // the first of the keys that the program does not serve
+	UnknownKeyCount     int          // and how many there are
+	path                string       // of NODE_CONFIG
 }
 
-// file is the form of NODE_CONFIG. Keys that it does not name are skipped, and told: see unknownKeys.
-type file struct {
+// nodeConfig is the form of NODE_CONFIG. Keys that it does not name are skipped, and told: see findUnknownKeys.
+type nodeConfig struct {
 	Name      string `json:"name"`
 	Listen    string `json:"listen"`
 	Discovery string `json:"discovery"`
@@ -62,54 +62,54 @@
 	defaultCores    = 1
 	defaultMemoryMB = 192
 	defaultSockets  = 1024
-	leastMemoryMB   = 16
-	leastSockets    = 64
+	minMemoryMB     = 16
+	minSockets      = 64
 
 	// Of the sockets, some are for the listener, the registry, the log and the
 	// runtime; a part is for connections that are only told that the gateway is
 	// full. Of the rest a client's request takes one, and its attempts one
 	// each, mostly one in all.
-	ownSockets = 16
+	reservedSockets = 16
 	// Operators' calls need theirs, with a listener, the saved orders and a successor's look at them.
-	operatorSockets                      = operator.Connections + 4
-	clientShare, spareShare, workerShare = 0.44, 0.03, 0.5
+	adminSockets                                      = operator.MaxConnections + 4
+	clientConnShare, spareConnShare, replicaConnShare = 0.44, 0.03, 0.5
 	// Of the memory, what request bodies may take up at once, and where the
 	// garbage collector begins to work harder.
-	bodyShare, heapShare = 0.2, 0.7
+	bodyMemoryShare, heapMemoryShare = 0.2, 0.7
 	// What discovery's list may take up of the memory, and what an entry of it does: its strings,
 	// its places in maps, the decision module's row.
-	listShare, instanceBytes = 0.2, 1024
+	endpointListMemoryShare, endpointBytes = 0.2, 1024
 	// What the operators' front and the protocol allow at a planned restart:
 	// connections come for up to 0.4 s, and nothing may arrive after 0.7 s.
-	drainAccept = 550 * time.Millisecond
+	drainAcceptPeriod = 550 * time.Millisecond
 	// A worker's second answer to a request may come some milliseconds behind the first.
-	connRest = 20 * time.Millisecond
+	connReuseDelay = 20 * time.Millisecond
 )
 
 // Load reads the configuration: the file that NODE_CONFIG names, and the other
 // variables, which go before it. An error names the key at fault.
 func Load(getenv func(string) string) (Config, error) {
-	f, err := read(getenv)
+	f, err := readNodeConfig(getenv)
 	if err != nil {
 		return Config{}, err
 	}
 	f.Discovery = cmp.Or(getenv("NODE_DISCOVERY"), f.Discovery)
-	c, err := f.whole()
+	c, err := f.load()
 	if err != nil {
 		return c, err
 	}
-	c.Handed, err = handed(getenv("NODE_SOCKET_FD"))
+	c.ListenFD, err = parseSocketFD(getenv("NODE_SOCKET_FD"))
 	return c, err
 }
 
-// whole checks the file, and finds what of it is not known.
-func (f *file) whole() (Config, error) {
-	c, err := f.check()
+// load checks the file, and finds what of it is not known.
+func (f *nodeConfig) load() (Config, error) {
+	c, err := f.buildConfig()
 	if err != nil {
-		return c, placed(f.path, f.text, err)
+		return c, withPosition(f.path, f.text, err)
 	}
 	c.path = f.path
-	c.Unknown, c.UnknownKeys = unknownKeys(f.text)
+	c.ReportedUnknownKeys, c.UnknownKeyCount = findUnknownKeys(f.text)
 	return c, nil
 }
 
@@ -117,33 +117,33 @@
 // NODE_DISCOVERY: the file is what was replaced, the variable is as old as the
 // process and names the registry that was left.
 func Reload(getenv func(string) string) (Config, error) {
-	f, err := read(getenv)
+	f, err := readNodeConfig(getenv)
 	if err != nil {
 		return Config{}, err
 	}
 	f.Discovery = cmp.Or(f.Discovery, getenv("NODE_DISCOVERY"))
-	return f.whole()
+	return f.load()
 }
 
 // GatewayOptions are what a gateway is built with by a platform's configuration and our own settings,
 // for one that runs beside others in a process.
 func GatewayOptions(platform []byte, own *conf.Config) (gateway.Options, error) {
-	var f file
+	var f nodeConfig
 	if err := json.Unmarshal(platform, &f); err != nil {
-		return gateway.Options{}, jsonError(err)
+		return gateway.Options{}, describeJSONError(err)
 	}
-	c, err := f.check()
+	c, err := f.buildConfig()
 	if err != nil {
 		return gateway.Options{}, err
 	}
-	c.Gateway.Contracts = contracts(own)
-	c.Gateway.Subset = part(own.Subset, &c.Gateway.Settings)
+	c.Gateway.Contracts = contractOptions(own)
+	c.Gateway.Subset = subsetSettings(own.Subset, &c.Gateway.Settings)
 	return c.Gateway, nil
 }
 
-// handed reads NODE_SOCKET_FD: the number of a descriptor above those of the
+// parseSocketFD reads NODE_SOCKET_FD: the number of a descriptor above those of the
 // standard streams, or nothing.
-func handed(value string) (int, error) {
+func parseSocketFD(value string) (int, error) {
 	if value == "" {
 		return 0, nil
 	}
@@ -154,18 +154,18 @@
 	return fd, nil
 }
 
-func read(getenv func(string) string) (file, error) {
-	var f file
+func readNodeConfig(getenv func(string) string) (nodeConfig, error) {
+	var f nodeConfig
 	path := getenv("NODE_CONFIG")
 	if path == "" {
 		return f, errors.New("NODE_CONFIG: not set; expected the path of the configuration")
 	}
 	var text []byte
-	if err := patiently(func() (err error) { text, err = os.ReadFile(path); return err }); err != nil {
+	if err := retryTransient(func() (err error) { text, err = os.ReadFile(path); return err }); err != nil {
 		return f, fmt.Errorf("NODE_CONFIG: %v", err)
 	}
 	if err := json.Unmarshal(text, &f); err != nil {
-		return f, fmt.Errorf("NODE_CONFIG: %s: %w", path, jsonError(err))
+		return f, fmt.Errorf("NODE_CONFIG: %s: %w", path, describeJSONError(err))
 	}
 	f.path, f.text = path, text
 	f.Name = cmp.Or(getenv("NODE_NAME"), f.Name, "gateway")
@@ -174,9 +174,9 @@
 	return f, nil
 }
 
-// differs names the keys whose new values wait for a restart: a reload moves
+// restartKeys names the keys whose new values wait for a restart: a reload moves
 // the registry and nothing else.
-func (c Config) differs(next Config) []string {
+func (c Config) restartKeys(next Config) []string {
 	var keys []string
 	for _, k := range []struct {
 		key  string
@@ -196,7 +196,7 @@
 	return keys
 }
 
-func jsonError(err error) error {
+func describeJSONError(err error) error {
 	var wrong *json.UnmarshalTypeError
 	if errors.As(err, &wrong) {
 		return fmt.Errorf("%s: expected a value of type %s, got a %s", wrong.Field, wrong.Type, wrong.Value)
@@ -204,7 +204,7 @@
 	return err
 }
 
-func (f *file) check() (Config, error) {
+func (f *nodeConfig) buildConfig() (Config, error) {
 	var c Config
 	for _, a := range []struct{ key, value string }{{"listen", f.Listen}, {"discovery", f.Discovery}} {
 		if _, port, err := net.SplitHostPort(a.value); err != nil || port == "" {
@@ -212,25 +212,25 @@
 		}
 	}
 	if _, port, err := net.SplitHostPort(f.Admin); f.Admin != "" && (err != nil || port == "") {
-		return c, wrong("admin", "expected host:port, got %q", f.Admin)
+		return c, newKeyError("admin", "expected host:port, got %q", f.Admin)
 	}
 	seed, err := strconv.ParseUint(cmp.Or(f.Seed, "1"), 16, 64)
 	if err != nil {
 		return c, fmt.Errorf("seed: expected up to 16 hex digits, got %q", f.Seed)
 	}
-	cores, err := limit("limits.cores", f.Limits.Cores, defaultCores, 0.01)
+	cores, err := parseLimit("limits.cores", f.Limits.Cores, defaultCores, 0.01)
 	if err != nil {
 		return c, err
 	}
-	memory, err := limit("limits.memory_mb", f.Limits.MemoryMB, defaultMemoryMB, leastMemoryMB)
+	memory, err := parseLimit("limits.memory_mb", f.Limits.MemoryMB, defaultMemoryMB, minMemoryMB)
 	if err != nil {
 		return c, err
 	}
-	sockets, err := limit("limits.sockets", f.Limits.Sockets, defaultSockets, leastSockets)
+	sockets, err := parseLimit("limits.sockets", f.Limits.Sockets, defaultSockets, minSockets)
 	if err != nil {
 		return c, err
 	}
-	c = Config{Listen: f.Listen, Admin: f.Admin, Cores: max(1, int(cores)), MemoryMB: int64(memory * heapShare)}
+	c = Config{Listen: f.Listen, Admin: f.Admin, Cores: max(1, int(cores)), MemoryMB: int64(memory * heapMemoryShare)}
 	o := &c.Gateway
 	if len(f.Settings) == 0 {
 		return c, errors.New("settings: missing")
@@ -238,7 +238,7 @@
 	if o.Settings, err = wire.ParseSettings(f.Settings); err != nil {
 		return c, err
 	}
-	if err := settings(&o.Settings); err != nil {
+	if err := adaptSettings(&o.Settings); err != nil {
 		return c, err
 	}
 	o.CachedList.Generation = socket.NoVersion
@@ -247,37 +247,37 @@
 			return c, fmt.Errorf("known: %w", err)
 		}
 	}
-	extra, err := readExtra(f.Settings)
+	extra, err := parseTransportSettings(f.Settings)
 	if err != nil {
 		return c, err
 	}
 	o.Name, o.Discovery, o.Seed = f.Name, f.Discovery, seed
-	usable := sockets - ownSockets
+	usable := sockets - reservedSockets
 	if f.Admin != "" {
-		usable -= operatorSockets
+		usable -= adminSockets
 	}
-	o.MaxClientConns, o.OverflowConns, o.MaxReplicaConns = int(usable*clientShare), int(usable*spareShare), int(usable*workerShare)
+	o.MaxClientConns, o.OverflowConns, o.MaxReplicaConns = int(usable*clientConnShare), int(usable*spareConnShare), int(usable*replicaConnShare)
 	o.MaxInFlight = min(extra.Limits.MostHeld, o.MaxClientConns)
-	o.MaxBodyBytes = int64(memory * bodyShare * (1 << 20))
-	o.MaxListEntries = int(memory * listShare * (1 << 20) / instanceBytes)
+	o.MaxBodyBytes = int64(memory * bodyMemoryShare * (1 << 20))
+	o.MaxListEntries = int(memory * endpointListMemoryShare * (1 << 20) / endpointBytes)
 	o.ConnectTimeout = time.Duration(extra.Limits.ConnectTimeoutUs) * time.Microsecond
 	// Well below the workers' own limit: what is written to a connection that
 	// they have closed is lost with it.
 	o.ReplicaConnIdle = time.Duration(o.Settings.ConnIdleTimeout) * time.Microsecond * 3 / 4
-	o.ReplicaConnReuseDelay = connRest
+	o.ReplicaConnReuseDelay = connReuseDelay
 	o.ClientConnIdle = 15 * time.Second
 	o.StreamIdleTimeout = 4 * time.Second
 	o.HealthCheckTimeout = 250 * time.Millisecond
 	o.PollWithin = time.Duration(extra.Rules.AskWithinUs) * time.Microsecond
-	o.WatchWait, o.DiscoveryTimeout = waits(&o.Settings, o.PollWithin)
+	o.WatchWait, o.DiscoveryTimeout = watchTimeouts(&o.Settings, o.PollWithin)
 	o.Settings.WatchInterval = o.WatchWait.Microseconds()
-	o.DrainAcceptPeriod = drainAccept
+	o.DrainAcceptPeriod = drainAcceptPeriod
 	return c, nil
 }
 
-// waits is how long discovery may hold a call for news, and how much longer its answer may
+// watchTimeouts is how long discovery may hold a call for news, and how much longer its answer may
 // take. A watch that has fallen silent is noticed after both together.
-func waits(s *choice.Settings, askWithin time.Duration) (wait, answer time.Duration) {
+func watchTimeouts(s *choice.Settings, askWithin time.Duration) (wait, answer time.Duration) {
 	if s.LocalDiscovery { // the agent is on this machine and its answers cost nothing
 		return time.Second, 500 * time.Millisecond
 	}
@@ -286,14 +286,14 @@
 	answer = min(2500*time.Millisecond, askWithin/2)
 	// Few gateways ask often, so that whatever becomes of one call the next is answered within
 	// the protocol's 6 s; of many, the calls would be too many.
-	wait = time.Duration(s.Gateways) * eachWatch
-	return min(max(leastWatch, wait), askWithin-answer, 8*time.Second), answer
+	wait = time.Duration(s.Gateways) * watchIntervalPerGateway
+	return min(max(minWatchWait, wait), askWithin-answer, 8*time.Second), answer
 }
 
-// eachWatch keeps the calls of all gateways' watches to four a second, where the bounds allow.
-const eachWatch, leastWatch = 250 * time.Millisecond, time.Second
+// watchIntervalPerGateway keeps the calls of all gateways' watches to four a second, where the bounds allow.
+const watchIntervalPerGateway, minWatchWait = 250 * time.Millisecond, time.Second
 
-func limit(key string, given *float64, otherwise, least float64) (float64, error) {
+func parseLimit(key string, given *float64, otherwise, least float64) (float64, error) {
 	if given == nil {
 		return otherwise, nil
 	}
@@ -303,50 +303,50 @@
 	return *given, nil
 }
 
-// settings fits the module's settings to sockets. What would change decisions
+// adaptSettings fits the module's settings to sockets. What would change decisions
 // unseen if it were taken as it is, is an error.
-func settings(s *choice.Settings) error {
+func adaptSettings(s *choice.Settings) error {
 	switch {
 	case s.Gateways < 1:
-		return wrong("settings.nInstances", "expected 1 or more, got %d", s.Gateways)
+		return newKeyError("settings.nInstances", "expected 1 or more, got %d", s.Gateways)
 	case s.Self < 0 || s.Self >= s.Gateways:
-		return wrong("settings.selfIndex", "expected 0 to %d, got %d", s.Gateways-1, s.Self)
+		return newKeyError("settings.selfIndex", "expected 0 to %d, got %d", s.Gateways-1, s.Self)
 	case s.MaxAttempts < 1 || s.MaxAttempts > 100:
-		return wrong("settings.limits.maxAttempts", "expected 1 to 100, got %d", s.MaxAttempts)
+		return newKeyError("settings.limits.maxAttempts", "expected 1 to 100, got %d", s.MaxAttempts)
 	case s.Tick < 0:
-		return wrong("settings.tickUs", "expected 0 or more, got %d", s.Tick)
+		return newKeyError("settings.tickUs", "expected 0 or more, got %d", s.Tick)
 	case s.ConnIdleTimeout <= 0:
-		return wrong("settings.limits.connIdleUs", "expected above 0, got %d", s.ConnIdleTimeout)
+		return newKeyError("settings.limits.connIdleUs", "expected above 0, got %d", s.ConnIdleTimeout)
 	case s.SlowStartFor > 0 && !(s.InitialCapacity > 0 && s.InitialCapacity <= 1):
-		return wrong("settings.rules.startCapacity", "expected above 0 and at most 1, got %v", s.InitialCapacity)
+		return newKeyError("settings.rules.startCapacity", "expected above 0 and at most 1, got %v", s.InitialCapacity)
 	case s.Zone != "" && len(s.Zones) > 0 && !slices.Contains(s.Zones, s.Zone):
-		return wrong("settings.zone", "expected one of the zones %q, got %q", s.Zones, s.Zone)
+		return newKeyError("settings.zone", "expected one of the zones %q, got %q", s.Zones, s.Zone)
 	case len(s.Classes) == 0:
-		return wrong("settings.requestClasses", "missing")
+		return newKeyError("settings.requestClasses", "missing")
 	}
 	for _, p := range []struct {
 		key   string
 		price float64
 	}{{"crossZone", s.CrossZoneCost}, {"handshake", s.HandshakeCost}, {"probe", s.HealthCheckCost}} {
 		if !(p.price >= 0 && p.price <= 1) {
-			return wrong("settings.penalties."+p.key, "expected a share of a request's worth from 0 to 1, got %v", p.price)
+			return newKeyError("settings.penalties."+p.key, "expected a share of a request's worth from 0 to 1, got %v", p.price)
 		}
 	}
 	for i, c := range s.Classes {
 		key := fmt.Sprintf("settings.requestClasses[%d]", i)
 		switch {
 		case c.Name == "":
-			return wrong(key+".name", "missing")
+			return newKeyError(key+".name", "missing")
 		case slices.ContainsFunc(s.Classes[:i], func(o choice.Class) bool { return o.Name == c.Name }):
-			return wrong(key+".name", "%q is named twice", c.Name)
+			return newKeyError(key+".name", "%q is named twice", c.Name)
 		case c.Deadline <= 0:
-			return wrong(key+".deadlineUs", "expected above 0, got %d", c.Deadline)
+			return newKeyError(key+".deadlineUs", "expected above 0, got %d", c.Deadline)
 		case c.LatencyObjective < 0 || c.LatencyObjective > c.Deadline:
-			return wrong(key+".targetUs", "expected 0 to the deadline %d, got %d", c.Deadline, c.LatencyObjective)
+			return newKeyError(key+".targetUs", "expected 0 to the deadline %d, got %d", c.Deadline, c.LatencyObjective)
 		case !(c.PriorityWeight >= 0):
-			return wrong(key+".points", "expected 0 or more, got %v", c.PriorityWeight)
+			return newKeyError(key+".points", "expected 0 or more, got %v", c.PriorityWeight)
 		case !(c.LateWeightShare >= 0 && c.LateWeightShare <= 1):
-			return wrong(key+".lateShare", "expected 0 to 1, got %v", c.LateWeightShare)
+			return newKeyError(key+".lateShare", "expected 0 to 1, got %v", c.LateWeightShare)
 		}
 	}
 	// limits.retryAfter binds the simulator's wire; on sockets the protocol
@@ -359,8 +359,8 @@
 	return nil
 }
 
-// extraSettings are those that the sockets need and the module does not.
-type extraSettings struct {
+// transportSettings are those that the sockets need and the module does not.
+type transportSettings struct {
 	Limits struct {
 		ConnectTimeoutUs int64 `json:"connectTimeoutUs"`
 		MostHeld         int   `json:"mostHeld"`
@@ -370,10 +370,10 @@
 	} `json:"rules"`
 }
 
-func readExtra(text []byte) (extraSettings, error) {
-	var s extraSettings
+func parseTransportSettings(text []byte) (transportSettings, error) {
+	var s transportSettings
 	if err := json.Unmarshal(text, &s); err != nil {
-		return s, fmt.Errorf("settings: %w", jsonError(err))
+		return s, fmt.Errorf("settings: %w", describeJSONError(err))
 	}
 	if s.Limits.ConnectTimeoutUs < 0 || s.Limits.MostHeld < 0 || s.Rules.AskWithinUs < 0 {
 		return s, errors.New("settings.limits.connectTimeoutUs, limits.mostHeld, rules.askWithinUs: expected 0 or more")
--- a/internal/lifecycle/config_test.go
+++ b/internal/lifecycle/config_test.go
@@ -20,7 +20,7 @@
 	"github.com/google/go-cmp/cmp"
 )
 
-const good = `{"name":"n3","listen":"127.0.0.1:0","discovery":"127.0.0.1:8500","seed":"8c1f30d27a5be964",
+const validConfig = `{"name":"n3","listen":"127.0.0.1:0","discovery":"127.0.0.1:8500","seed":"8c1f30d27a5be964",
  "limits":{"cores":1.0,"memory_mb":192,"sockets":1024},
  "known":{"generation":0,"reset":true,"instances":[
   {"instanceId":"s-1","hostPort":"127.0.0.1:9001","zone":"a","machineType":"m2","lifecycle":"ready","weight":1}]},
@@ -28,7 +28,7 @@
    "mostHeld":20000,"maxRetryAfterUs":2000000,"retryAfter":false,"peers":true},"rules":{"askWithinUs":10000000},
   "requestClasses":[{"name":"chat","targetUs":1000000,"deadlineUs":3000000,"effect":"repeatable","streamed":true}]}}`
 
-func load(t *testing.T, text string, env map[string]string) (Config, error) {
+func loadText(t *testing.T, text string, env map[string]string) (Config, error) {
 	t.Helper()
 	path := filepath.Join(t.TempDir(), "config.json")
 	if err := os.WriteFile(path, []byte(text), 0o600); err != nil {
@@ -43,7 +43,7 @@
 }
 
 func TestLoad(t *testing.T) {
-	c, err := load(t, good, map[string]string{"NODE_LISTEN": "127.0.0.2:8081", "NODE_NAME": "n4"})
+	c, err := loadText(t, validConfig, map[string]string{"NODE_LISTEN": "127.0.0.2:8081", "NODE_NAME": "n4"})
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -78,7 +78,7 @@
 // number of spare ones once made 156 of 128.
 func TestSocketsAddUp(t *testing.T) {
 	for _, most := range []int{64, 128, 1024} {
-		c, err := load(t, strings.Replace(good, `"sockets":1024`, fmt.Sprintf(`"sockets":%d`, most), 1), nil)
+		c, err := loadText(t, strings.Replace(validConfig, `"sockets":1024`, fmt.Sprintf(`"sockets":%d`, most), 1), nil)
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -90,7 +90,7 @@
 }
 
 // Each message names the key at fault.
-func TestBadKeysAreNamed(t *testing.T) {
+func TestInvalidKeysAreNamed(t *testing.T) {
 	for _, c := range []struct{ from, to, want string }{
 		{`127.0.0.1:0`, `here`, "listen"},
 		{`127.0.0.1:8500`, ``, "discovery"},
@@ -110,8 +110,8 @@
 		{`"settings"`, `"setings"`, "settings: missing"},
 		{`{"name":"n3"`, `{"name":"n3`, "NODE_CONFIG"},
 	} {
-		text := strings.Replace(good, c.from, c.to, 1)
-		if _, err := load(t, text, nil); err == nil || !strings.Contains(err.Error(), c.want) {
+		text := strings.Replace(validConfig, c.from, c.to, 1)
+		if _, err := loadText(t, text, nil); err == nil || !strings.Contains(err.Error(), c.want) {
 			t.Errorf("%s -> %s: %v, want %s", c.from, c.to, err, c.want)
 		}
 	}
@@ -121,9 +121,9 @@
 }
 
 // An odd entry of the list as last held keeps no gateway from starting: it is told, and the others serve.
-func TestOddKnownEntries(t *testing.T) {
-	text := strings.Replace(good, `"instances":[`, `"instances":[{"instanceId":"s-0","zone":"a","lifecycle":"ready"},7,`, 1)
-	c, err := load(t, text, nil)
+func TestInvalidKnownEntries(t *testing.T) {
+	text := strings.Replace(validConfig, `"instances":[`, `"instances":[{"instanceId":"s-0","zone":"a","lifecycle":"ready"},7,`, 1)
+	c, err := loadText(t, text, nil)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -135,16 +135,16 @@
 
 // Operators' address is the environment's before the file's, and takes descriptors of its own.
 func TestAdmin(t *testing.T) {
-	text := strings.Replace(good, `"name"`, `"admin":"127.0.0.1:15000","name"`, 1)
-	with, err := load(t, text, nil)
+	text := strings.Replace(validConfig, `"name"`, `"admin":"127.0.0.1:15000","name"`, 1)
+	with, err := loadText(t, text, nil)
 	if err != nil || with.Admin != "127.0.0.1:15000" {
 		t.Fatal(with.Admin, err)
 	}
-	if c, err := load(t, text, map[string]string{"NODE_ADMIN": "127.0.0.2:15001"}); err != nil || c.Admin != "127.0.0.2:15001" {
+	if c, err := loadText(t, text, map[string]string{"NODE_ADMIN": "127.0.0.2:15001"}); err != nil || c.Admin != "127.0.0.2:15001" {
 		t.Error(c.Admin, err)
 	}
-	without, err := load(t, good, nil)
-	if err != nil || without.Admin != "" || with.Gateway.MaxClientConns+with.Gateway.MaxReplicaConns > without.Gateway.MaxClientConns+without.Gateway.MaxReplicaConns-operatorSockets/2 {
+	without, err := loadText(t, validConfig, nil)
+	if err != nil || without.Admin != "" || with.Gateway.MaxClientConns+with.Gateway.MaxReplicaConns > without.Gateway.MaxClientConns+without.Gateway.MaxReplicaConns-adminSockets/2 {
 		t.Errorf("connections with %d and %d, without %d and %d", with.Gateway.MaxClientConns, with.Gateway.MaxReplicaConns, without.Gateway.MaxClientConns, without.Gateway.MaxReplicaConns)
 	}
 }
@@ -157,7 +157,7 @@
 		return map[string]string{"NODE_CONFIG": path, "NODE_DISCOVERY": "127.0.0.1:8500"}[key]
 	}
 	write := func(old, new string) {
-		if err := os.WriteFile(path, []byte(strings.Replace(good, old, new, 1)), 0o600); err != nil {
+		if err := os.WriteFile(path, []byte(strings.Replace(validConfig, old, new, 1)), 0o600); err != nil {
 			t.Fatal(err)
 		}
 	}
@@ -168,12 +168,12 @@
 	}
 	write("127.0.0.1:8500", "127.0.0.1:8600")
 	next, err := Reload(env)
-	if err != nil || next.Gateway.Discovery != "127.0.0.1:8600" || len(c.differs(next)) != 0 {
-		t.Errorf("%q %v %v", next.Gateway.Discovery, c.differs(next), err)
+	if err != nil || next.Gateway.Discovery != "127.0.0.1:8600" || len(c.restartKeys(next)) != 0 {
+		t.Errorf("%q %v %v", next.Gateway.Discovery, c.restartKeys(next), err)
 	}
 	write(`"maxAttempts":3`, `"maxAttempts":2`)
-	if next, err = Reload(env); err != nil || strings.Join(c.differs(next), ",") != "settings" {
-		t.Errorf("%v %v", c.differs(next), err)
+	if next, err = Reload(env); err != nil || strings.Join(c.restartKeys(next), ",") != "settings" {
+		t.Errorf("%v %v", c.restartKeys(next), err)
 	}
 	write(`"127.0.0.1:8500"`, `"nowhere"`)
 	if _, err = Reload(env); err == nil || !strings.Contains(err.Error(), "discovery") {
@@ -185,7 +185,7 @@
 // it still ends the gateway in order.
 func TestHangup(t *testing.T) {
 	path := filepath.Join(t.TempDir(), "config.json")
-	if err := os.WriteFile(path, []byte(good), 0o600); err != nil {
+	if err := os.WriteFile(path, []byte(validConfig), 0o600); err != nil {
 		t.Fatal(err)
 	}
 	l, err := net.Listen("tcp", "127.0.0.1:0")
@@ -219,7 +219,7 @@
 	}
 	step("bad file", "msg=reload", syscall.SIGHUP)
 	step("bad file", "msg=reload_failed", syscall.SIGHUP)
-	if err := os.WriteFile(path, []byte(strings.Replace(good, "127.0.0.1:8500", l.Addr().String(), 1)), 0o600); err != nil {
+	if err := os.WriteFile(path, []byte(strings.Replace(validConfig, "127.0.0.1:8500", l.Addr().String(), 1)), 0o600); err != nil {
 		t.Fatal(err)
 	}
 	step("move", "msg=reload_failed", syscall.SIGHUP)
@@ -232,7 +232,7 @@
 
 // Recording is switched on, and off, by SIGHUP; a bad file of settings changes
 // nothing; SIGTERM leaves the capture whole.
-func TestRecordingOnSIGHUP(t *testing.T) {
+func TestCaptureOnSIGHUP(t *testing.T) {
 	dir := t.TempDir()
 	path, file := filepath.Join(dir, "config.json"), filepath.Join(dir, "archknot.conf")
 	put := func(path, text string) {
@@ -241,7 +241,7 @@
 			t.Fatal(err)
 		}
 	}
-	put(path, good)
+	put(path, validConfig)
 	put(file, "[log]\nlevel info\n")
 	var text syncBuffer
 	was := slog.Default()
@@ -283,8 +283,8 @@
 		}
 		return err == nil
 	})
-	var a SaveAnswer
-	if err := control.Call(t.Context(), socket, "capture/save", SaveOrder{Reason: "a test"}, &a); err != nil || a.Segments != 1 {
+	var a SaveResponse
+	if err := control.Call(t.Context(), socket, "capture/save", SaveRequest{Reason: "a test"}, &a); err != nil || a.Segments != 1 {
 		t.Errorf("saved %+v, %v", a, err)
 	}
 	put(file, "[capture]\nrecrod off\n")
@@ -331,9 +331,9 @@
 
 // A setting that would change decisions unseen stops the start, and the error
 // tells the file, the line and the column of its value, and the key.
-func TestWrongSettingsAreTold(t *testing.T) {
-	two := strings.Replace(good, `"zone":"a","limits"`, `"zone":"a","zones":["a","b"],"limits"`, 1)
-	if _, err := load(t, two, nil); err != nil {
+func TestInvalidSettingsReportPosition(t *testing.T) {
+	two := strings.Replace(validConfig, `"zone":"a","limits"`, `"zone":"a","zones":["a","b"],"limits"`, 1)
+	if _, err := loadText(t, two, nil); err != nil {
 		t.Fatalf("two zones: %v", err)
 	}
 	pretty := strings.ReplaceAll(two, `"requestClasses":[`, "\n  \"requestClasses\":[\n   ")
@@ -348,7 +348,7 @@
 		if text == pretty {
 			t.Fatalf("%s: nothing replaced", c.key)
 		}
-		_, err := load(t, text, nil)
+		_, err := loadText(t, text, nil)
 		if err == nil {
 			t.Errorf("%s: no error", c.key)
 			continue
@@ -387,7 +387,7 @@
 
 // Where the platform holds the clients' socket and hands it on as a descriptor, the
 // gateway accepts on it: binding the address itself fails, for it is in use.
-func TestHandedListener(t *testing.T) {
+func TestInheritedListener(t *testing.T) {
 	held, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
@@ -398,12 +398,12 @@
 		t.Fatal(err)
 	}
 	defer f.Close()
-	c, err := load(t, strings.Replace(good, `"listen":"127.0.0.1:0"`, `"listen":"`+held.Addr().String()+`"`, 1),
+	c, err := loadText(t, strings.Replace(validConfig, `"listen":"127.0.0.1:0"`, `"listen":"`+held.Addr().String()+`"`, 1),
 		map[string]string{"NODE_SOCKET_FD": fmt.Sprint(f.Fd())})
 	if err != nil {
 		t.Fatal(err)
 	}
-	l, err := listen(c)
+	l, err := openListener(c)
 	if err != nil {
 		t.Fatalf("the handed socket was not taken: %v", err)
 	}
@@ -419,7 +419,7 @@
 	}
 	conn.Close()
 	for _, bad := range []string{"x", "2", "-1"} {
-		if _, err := load(t, good, map[string]string{"NODE_SOCKET_FD": bad}); err == nil || !strings.Contains(err.Error(), "NODE_SOCKET_FD") {
+		if _, err := loadText(t, validConfig, map[string]string{"NODE_SOCKET_FD": bad}); err == nil || !strings.Contains(err.Error(), "NODE_SOCKET_FD") {
 			t.Errorf("%q: got %v", bad, err)
 		}
 	}
--- a/internal/lifecycle/stream.go
+++ b/internal/lifecycle/configstream.go
@@ -14,10 +14,10 @@
 	"archknot/internal/revision"
 )
 
-// openStream readies the client of the control service, if the settings name one.
+// openConfigStream readies the client of the control service, if the settings name one.
 // It connects to nothing yet.
-func (s *server) openStream() (closeAll func(), err error) {
-	v := s.conf.Service
+func (s *server) openConfigStream() (closeAll func(), err error) {
+	v := s.fileSettings.Service
 	if v.Address == "" {
 		return func() {}, nil
 	}
@@ -27,10 +27,10 @@
 			c()
 		}
 	}
-	g := &s.c.Gateway
+	g := &s.config.Gateway
 	o := confstream.Options{Address: v.Address, Delta: v.Form == "delta", Machine: revision.DefaultOptions(g.Name, g.Seed),
 		Log: func(msg string, args ...any) { slog.Info(msg, args...) }}
-	o.Machine.Between, o.Machine.Stall, o.Machine.Limits = v.Between.Microseconds(), v.Stall.Microseconds(), s.limits()
+	o.Machine.Between, o.Machine.Stall, o.Machine.Limits = v.Between.Microseconds(), v.Stall.Microseconds(), s.versionLimits()
 	if v.Cert != "" {
 		creds, closeFiles, err := confstream.ClientTLS(confstream.Files{Cert: v.Cert, Key: v.Key, CA: v.CA, Name: v.Name})
 		if err != nil {
@@ -48,58 +48,58 @@
 		if aside != "" {
 			slog.Error("config_store_corrupted", "path", v.Store, "set_aside", aside)
 		}
-		s.store, o.Store = store, store
+		s.versionStore, o.Store = store, store
 		closers = append(closers, func() { store.Close() })
 	}
-	if s.stream, err = confstream.New(o, s); err != nil {
+	if s.configStream, err = confstream.New(o, s); err != nil {
 		closeAll()
 		return nil, fmt.Errorf("control-service: %w", err)
 	}
-	g.RequestEnded = s.stream.Ended
+	g.RequestEnded = s.configStream.Ended
 	return closeAll, nil
 }
 
-// settings are our own settings in force, for tasks other than that of signals. They are replaced whole.
-func (s *server) settings() *conf.Config {
+// currentSettings are our own settings in force, for tasks other than that of signals. They are replaced whole.
+func (s *server) currentSettings() *conf.Config {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return s.conf
+	return s.fileSettings
 }
 
-// limits are what versions must keep within, by the platform's configuration.
-func (s *server) limits() revision.Limits {
-	l, g := revision.DefaultLimits, &s.c.Gateway
+// versionLimits are what versions must keep within, by the platform's configuration.
+func (s *server) versionLimits() revision.Limits {
+	l, g := revision.DefaultLimits, &s.config.Gateway
 	l.Sockets, l.AskWithin = g.MaxClientConns+g.MaxReplicaConns, g.PollWithin.Microseconds()
 	l.MostHeldOver = g.MaxClientConns
-	l.MayRecord = s.settings().Capture.Directory != ""
+	l.MayRecord = s.currentSettings().Capture.Directory != ""
 	return l
 }
 
 // Apply takes a version: confstream.Target. The gateway's own part is the only
 // one that can be refused, and goes first.
 func (s *server) Apply(ctx context.Context, c *revision.Config) revision.Refusals {
-	if r := s.g.ApplyVersion(ctx, c, s.limits()); len(r) > 0 {
+	if r := s.gateway.ApplyVersion(ctx, c, s.versionLimits()); len(r) > 0 {
 		return r
 	}
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	before := s.effective()
-	s.version = c
-	s.follow(before)
+	before := s.effectiveSettings()
+	s.activeVersion = c
+	s.applySettings(before)
 	return nil
 }
 
-// effective is the settings with the parts of the version in force before the
+// effectiveSettings is the settings with the parts of the version in force before the
 // file's: a version goes before the files, whichever came last.
-func (s *server) effective() conf.Config {
-	c := *s.conf
-	if s.version == nil {
+func (s *server) effectiveSettings() conf.Config {
+	c := *s.fileSettings
+	if s.activeVersion == nil {
 		return c
 	}
-	if l := s.version.Log; l != nil {
+	if l := s.activeVersion.Log; l != nil {
 		c.Log.Level = l.Level
 	}
-	if p := s.version.Capture; p != nil {
+	if p := s.activeVersion.Capture; p != nil {
 		c.Capture.Record, c.Capture.Checkpoint = p.Record && c.Capture.Directory != "", time.Duration(p.Checkpoint)*time.Microsecond
 		c.Capture.KeepSize = p.KeepBytes
 		if p.KeepAge > 0 {
@@ -109,22 +109,22 @@
 	return c
 }
 
-// follow has log and recording follow what is in force now.
-func (s *server) follow(before conf.Config) {
-	now := s.effective()
-	setLevel(now.Log.Level)
+// applySettings has log and recording follow what is in force now.
+func (s *server) applySettings(before conf.Config) {
+	now := s.effectiveSettings()
+	setLogLevel(now.Log.Level)
 	if reflect.DeepEqual(before.Capture, now.Capture) && reflect.DeepEqual(before.Incident, now.Incident) {
 		return
 	}
 	select {
-	case <-s.records: // not yet taken up, and now out of date
+	case <-s.captureChanges: // not yet taken up, and now out of date
 	default:
 	}
-	s.records <- &now
+	s.captureChanges <- &now
 }
 
-// Status is what `archknot config status` shows.
-type Status struct {
+// ConfigStatus is what `archknot config status` shows.
+type ConfigStatus struct {
 	Service   string `json:"service"`
 	Connected bool   `json:"connected"`
 	Version   uint64 `json:"version"` // 0: the files
@@ -133,46 +133,46 @@
 	Marks     int    `json:"marks"`
 }
 
-var errNoService = errors.New("no control service is set (control-service.address)")
+var errNoControlService = errors.New("no control service is set (control-service.address)")
 
-func (s *server) status(context.Context, json.RawMessage) (any, error) {
-	if s.stream == nil {
-		return nil, errNoService
+func (s *server) configStatus(context.Context, json.RawMessage) (any, error) {
+	if s.configStream == nil {
+		return nil, errNoControlService
 	}
-	st := Status{Service: s.settings().Service.Address, Connected: s.stream.Connected()}
-	if c := s.stream.InForce(); c != nil {
+	st := ConfigStatus{Service: s.currentSettings().Service.Address, Connected: s.configStream.Connected()}
+	if c := s.configStream.InForce(); c != nil {
 		st.Version, st.Classes, st.Tenants, st.Marks = uint64(c.Number), len(c.Classes), len(c.Tenants), len(c.Workers)
 	}
 	return st, nil
 }
 
-func (s *server) history(context.Context, json.RawMessage) (any, error) {
-	if s.store == nil {
+func (s *server) configHistory(context.Context, json.RawMessage) (any, error) {
+	if s.versionStore == nil {
 		return nil, errors.New("no history is kept (control-service.store)")
 	}
-	return s.store.History()
+	return s.versionStore.History()
 }
 
-// RollbackOrder is what `archknot config rollback` sends.
-type RollbackOrder struct {
+// RollbackRequest is what `archknot config rollback` sends.
+type RollbackRequest struct {
 	Reason string `json:"reason"`
 }
 
-func (s *server) rollback(ctx context.Context, text json.RawMessage) (any, error) {
-	if s.stream == nil {
-		return nil, errNoService
+func (s *server) configRollback(ctx context.Context, text json.RawMessage) (any, error) {
+	if s.configStream == nil {
+		return nil, errNoControlService
 	}
-	var o RollbackOrder
+	var o RollbackRequest
 	if err := json.Unmarshal(text, &o); err != nil {
 		return nil, err
 	}
-	was := s.stream.InForce()
-	if err := s.stream.Rollback(ctx, "ordered: "+o.Reason); err != nil {
+	was := s.configStream.InForce()
+	if err := s.configStream.Rollback(ctx, "ordered: "+o.Reason); err != nil {
 		return nil, err
 	}
 	for { // until the gateway has gone back
-		if s.stream.InForce() != was {
-			return s.status(ctx, nil)
+		if s.configStream.InForce() != was {
+			return s.configStatus(ctx, nil)
 		}
 		select {
 		case <-time.After(5 * time.Millisecond):
--- a/internal/lifecycle/stream_test.go
+++ b/internal/lifecycle/configstream_test.go
@@ -19,7 +19,7 @@
 	"archknot/internal/standin/controlservice"
 )
 
-func chat(n uint64, more map[revision.Type][]proto.Message) *controlservice.Version {
+func chatVersion(n uint64, more map[revision.Type][]proto.Message) *controlservice.Version {
 	v := &controlservice.Version{Number: n, Resources: map[revision.Type][]proto.Message{
 		revision.TypeClass: {&pb.Class{Name: "chat", AimUs: 1_000_000, DeadlineUs: 3_000_000, Worth: float64(n), Stream: true}}}}
 	for t, m := range more {
@@ -50,11 +50,11 @@
 		return fmt.Sprintf("[log]\nlevel %s\n[control]\nsocket %s\n[capture]\ndirectory %s\n[control-service]\naddress %s\nstore %s\nbetween 10ms\n",
 			level, socket, filepath.Join(dir, "cap"), s.Addr(), filepath.Join(dir, "versions"))
 	}
-	put(path, good)
+	put(path, validConfig)
 	put(file, settings("info"))
 	was := slog.Default()
 	defer slog.SetDefault(was)
-	defer setLevel("info")
+	defer setLogLevel("info")
 	var text *syncBuffer
 	ended := make(chan error, 1)
 	run := func() {
@@ -72,7 +72,7 @@
 			}
 		}
 	}
-	status := func() (st Status) {
+	status := func() (st ConfigStatus) {
 		_ = control.Call(t.Context(), socket, "config/status", struct{}{}, &st)
 		return st
 	}
@@ -88,27 +88,27 @@
 	}
 	run()
 	wait("the stream", func() bool { return status().Connected })
-	s.Publish(chat(1, map[revision.Type][]proto.Message{revision.TypeLog: {&pb.Log{Level: "warn"}},
+	s.Publish(chatVersion(1, map[revision.Type][]proto.Message{revision.TypeLog: {&pb.Log{Level: "warn"}},
 		revision.TypeCapture: {&pb.Capture{Record: true, CheckpointUs: 2_000_000, KeepBytes: 1 << 20}}}))
 	wait("version 1", on(1))
 	wait("the version records", func() bool { return segments() == 1 })
-	if level.Level() != slog.LevelWarn {
-		t.Errorf("level %v", level.Level())
+	if logLevel.Level() != slog.LevelWarn {
+		t.Errorf("level %v", logLevel.Level())
 	}
 	// The file says otherwise, in the same moment as the next version.
 	put(file, settings("error"))
 	signal(syscall.SIGHUP)
-	s.Publish(chat(2, map[revision.Type][]proto.Message{revision.TypeLog: {&pb.Log{Level: "debug"}}}))
+	s.Publish(chatVersion(2, map[revision.Type][]proto.Message{revision.TypeLog: {&pb.Log{Level: "debug"}}}))
 	wait("version 2", on(2))
 	wait("reload", func() bool { return strings.Contains(text.String(), "msg=reload ") })
-	if level.Level() != slog.LevelDebug {
-		t.Errorf("level %v after both", level.Level())
+	if logLevel.Level() != slog.LevelDebug {
+		t.Errorf("level %v after both", logLevel.Level())
 	}
 	// Where the version says nothing any more, the file of now does.
-	s.Publish(chat(3, nil))
+	s.Publish(chatVersion(3, nil))
 	wait("version 3", on(3))
-	if level.Level() != slog.LevelError {
-		t.Errorf("level %v, the file says error", level.Level())
+	if logLevel.Level() != slog.LevelError {
+		t.Errorf("level %v, the file says error", logLevel.Level())
 	}
 	signal(syscall.SIGTERM)
 	if err := <-ended; err != nil {
@@ -120,8 +120,8 @@
 	if st := status(); st.Connected || st.Classes != 1 {
 		t.Errorf("%+v", st)
 	}
-	var st Status
-	if err := control.Call(t.Context(), socket, "config/rollback", RollbackOrder{Reason: "a test"}, &st); err != nil || st.Version != 0 {
+	var st ConfigStatus
+	if err := control.Call(t.Context(), socket, "config/rollback", RollbackRequest{Reason: "a test"}, &st); err != nil || st.Version != 0 {
 		t.Errorf("rollback: %+v %v", st, err)
 	}
 	// The version is given back before the line about it is kept.
--- a/internal/lifecycle/where.go
+++ b/internal/lifecycle/keyposition.go
@@ -11,17 +11,17 @@
 
 // keyError is a setting that is wrong, named by its path in NODE_CONFIG, such as
 // settings.requestClasses[1].targetUs.
-type keyError struct{ key, what string }
+type keyError struct{ key, reason string }
 
-func (e *keyError) Error() string { return e.key + ": " + e.what }
+func (e *keyError) Error() string { return e.key + ": " + e.reason }
 
-func wrong(key, format string, args ...any) error {
-	return &keyError{key: key, what: fmt.Sprintf(format, args...)}
+func newKeyError(key, format string, args ...any) error {
+	return &keyError{key: key, reason: fmt.Sprintf(format, args...)}
 }
 
-// placed puts the file and the line and column of the key's value before an
+// withPosition puts the file and the line and column of the key's value before an
 // error that names a key, where the file holds that key; other errors pass.
-func placed(path string, text []byte, err error) error {
+func withPosition(path string, text []byte, err error) error {
 	var k *keyError
 	if !errors.As(err, &k) {
 		return err
@@ -37,11 +37,11 @@
 // text: line and column from 1, the column in bytes.
 func locate(text []byte, key string) (line, col int, ok bool) {
 	dec := json.NewDecoder(bytes.NewReader(text))
-	path := steps(key)
+	path := parseKeyPath(key)
 	if path == nil {
 		return 0, 0, false
 	}
-	at, ok := find(dec, text, path)
+	at, ok := findValue(dec, text, path)
 	if !ok {
 		return 0, 0, false
 	}
@@ -51,33 +51,33 @@
 	return line, col, true
 }
 
-// step is one part of a key: a member's name, or an index where name is empty.
-type step struct {
+// pathStep is one part of a key: a member's name, or an index where name is empty.
+type pathStep struct {
 	name  string
 	index int
 }
 
-func steps(key string) []step {
-	var out []step
+func parseKeyPath(key string) []pathStep {
+	var out []pathStep
 	for _, part := range strings.Split(key, ".") {
 		name, rest, _ := strings.Cut(part, "[")
-		out = append(out, step{name: name, index: -1})
+		out = append(out, pathStep{name: name, index: -1})
 		for rest != "" {
 			n, after, _ := strings.Cut(rest, "]")
 			i, err := strconv.Atoi(n)
 			if err != nil {
 				return nil
 			}
-			out = append(out, step{index: i})
+			out = append(out, pathStep{index: i})
 			rest = strings.TrimPrefix(after, "[")
 		}
 	}
 	return out
 }
 
-// find reads the value that comes next and returns the offset where the value at
+// findValue reads the value that comes next and returns the offset where the value at
 // the steps begins.
-func find(dec *json.Decoder, text []byte, path []step) (int, bool) {
+func findValue(dec *json.Decoder, text []byte, path []pathStep) (int, bool) {
 	if len(path) == 0 {
 		at := int(dec.InputOffset())
 		for at < len(text) && strings.IndexByte(" \t\r\n:,", text[at]) >= 0 {
@@ -97,18 +97,18 @@
 				return 0, false
 			}
 			if name == path[0].name {
-				return find(dec, text, path[1:])
+				return findValue(dec, text, path[1:])
 			}
-			if skip(dec) != nil {
+			if skipValue(dec) != nil {
 				return 0, false
 			}
 		}
 	case tok == json.Delim('[') && path[0].name == "":
 		for i := 0; dec.More(); i++ {
 			if i == path[0].index {
-				return find(dec, text, path[1:])
+				return findValue(dec, text, path[1:])
 			}
-			if skip(dec) != nil {
+			if skipValue(dec) != nil {
 				return 0, false
 			}
 		}
@@ -116,8 +116,8 @@
 	return 0, false
 }
 
-// skip reads one whole value.
-func skip(dec *json.Decoder) error {
+// skipValue reads one whole value.
+func skipValue(dec *json.Decoder) error {
 	depth := 0
 	for {
 		tok, err := dec.Token()
--- a/internal/lifecycle/run.go
+++ b/internal/lifecycle/run.go
@@ -36,39 +36,39 @@
 	"archknot/internal/subset"
 )
 
-// BadConfig says that the gateway was not started because of what it was told.
-type BadConfig struct{ Err error }
+// ConfigError says that the gateway was not started because of what it was told.
+type ConfigError struct{ Err error }
 
-func (b BadConfig) Error() string { return b.Err.Error() }
-func (b BadConfig) Unwrap() error { return b.Err }
+func (b ConfigError) Error() string { return b.Err.Error() }
+func (b ConfigError) Unwrap() error { return b.Err }
 
-// dropAfter is when starting up is over.
-const dropAfter = 1500 * time.Millisecond
+// startupPagesDelay is when starting up is over.
+const startupPagesDelay = 1500 * time.Millisecond
 
 var (
-	level slog.LevelVar
-	lines *asynclog.Writer
+	logLevel  slog.LevelVar
+	logWriter *asynclog.Writer
 )
 
-// flushWithin bounds how long the end waits for the log's reader.
-const flushWithin = 500 * time.Millisecond
+// logFlushTimeout bounds how long the end waits for the log's reader.
+const logFlushTimeout = 500 * time.Millisecond
 
 // StartLog has what is logged go to standard error as key=value text. Whatever becomes of its reader,
 // the gateway goes on: a pipe that nobody reads holds nobody up, and one that was closed, or a file
 // that may not grow, ends no process.
 func StartLog() {
 	signal.Ignore(syscall.SIGPIPE, syscall.SIGXFSZ)
-	lines = asynclog.New(os.Stderr)
-	slog.SetDefault(slog.New(slog.NewTextHandler(lines, &slog.HandlerOptions{Level: &level})))
+	logWriter = asynclog.New(os.Stderr)
+	slog.SetDefault(slog.New(slog.NewTextHandler(logWriter, &slog.HandlerOptions{Level: &logLevel})))
 }
 
-// EndLog waits for what was logged to be written.
-func EndLog() { lines.Flush(flushWithin) }
+// FlushLog waits for what was logged to be written.
+func FlushLog() { logWriter.Flush(logFlushTimeout) }
 
-func setLevel(word string) { _ = level.UnmarshalText([]byte(word)) } // conf lets in no other words
+func setLogLevel(word string) { _ = logLevel.UnmarshalText([]byte(word)) } // conf lets in no other words
 
-// recording makes the gateway's part of the settings; nil: nothing is recorded.
-func recording(name string, c *conf.Config) *gateway.Capture {
+// captureOptions makes the gateway's part of the settings; nil: nothing is recorded.
+func captureOptions(name string, c *conf.Config) *gateway.Capture {
 	p, in := c.Capture, c.Incident
 	if !p.Record {
 		return nil
@@ -83,9 +83,9 @@
 	}
 }
 
-// contracts makes the gateway's part of the settings. Without teams there are none
+// contractOptions makes the gateway's part of the settings. Without teams there are none
 // in force, but for those that a version of the configuration brings.
-func contracts(c *conf.Config) *gateway.Contracts {
+func contractOptions(c *conf.Config) *gateway.Contracts {
 	out := &gateway.Contracts{Teams: c.Contracts.Teams, Settings: c.Contracts.Settings()}
 	switch c.Contracts.Split {
 	case "equal":
@@ -98,8 +98,8 @@
 	return out
 }
 
-// part is what the gateway's part of the fleet is worked out from.
-func part(c conf.Subset, s *choice.Settings) subset.Settings {
+// subsetSettings is what the gateway's part of the fleet is worked out from.
+func subsetSettings(c conf.Subset, s *choice.Settings) subset.Settings {
 	index := c.Index
 	if index < 0 {
 		index = s.Self
@@ -108,8 +108,8 @@
 		WeightIsSize: s.WeightKind == choice.WeightNominal, SlowStart: s.SlowStartFor}
 }
 
-// link opens the way to the other gateways, if there is one; nil: there is none.
-func link(p conf.Peers, g gateway.Options) (*peers.Service, error) {
+// startPeers opens the way to the other gateways, if there is one; nil: there is none.
+func startPeers(p conf.Peers, g gateway.Options) (*peers.Service, error) {
 	if p.Listen == "" {
 		return nil, nil
 	}
@@ -120,7 +120,7 @@
 
 // openLedger opens the store of balances, if there is one.
 func (s *server) openLedger() (closeIt func(), err error) {
-	path := s.conf.Contracts.Store
+	path := s.fileSettings.Contracts.Store
 	if path == "" {
 		return func() {}, nil
 	}
@@ -131,25 +131,25 @@
 	if aside != "" {
 		slog.Error("contract_ledger_corrupted", "set_aside", aside)
 	}
-	s.c.Gateway.Ledger = store
+	s.config.Gateway.Ledger = store
 	return func() { store.Close() }, nil
 }
 
 // server is a running gateway with what SIGHUP may change about it.
 type server struct {
-	getenv   func(string) string
-	file     string // of our own settings; "" if there is none
-	c        Config
-	conf     *conf.Config
-	g        *gateway.Gateway
-	control  *control.Server
-	metrics  *metrics.Server    // nil: none
-	stream   *confstream.Client // nil: no control service
-	store    *confstream.Store
-	version  *revision.Config // in force
-	mu       sync.Mutex       // over conf: a version's parts go before it
-	registry string
-	records  chan *conf.Config // the newest settings of the recording
+	getenv         func(string) string
+	settingsFile   string // of our own settings; "" if there is none
+	config         Config
+	fileSettings   *conf.Config
+	gateway        *gateway.Gateway
+	controlSocket  *control.Server
+	metricsServer  *metrics.Server    // nil: none
+	configStream   *confstream.Client // nil: no control service
+	versionStore   *confstream.Store
+	activeVersion  *revision.Config // in force
+	mu             sync.Mutex       // over conf: a version's parts go before it
+	discovery      string
+	captureChanges chan *conf.Config // the newest settings of the recording
 }
 
 // Run serves until SIGTERM or SIGINT has ended it in order. SIGHUP has it read
@@ -161,39 +161,39 @@
 	// Caught from the first moment: SIGHUP's default is to end the program.
 	signal.Notify(hangups, syscall.SIGHUP)
 	defer signal.Stop(hangups)
-	s := &server{getenv: getenv, file: file, records: make(chan *conf.Config, 1)}
+	s := &server{getenv: getenv, settingsFile: file, captureChanges: make(chan *conf.Config, 1)}
 	var err error
-	if s.conf, err = conf.Load(file); err != nil {
-		return BadConfig{err}
+	if s.fileSettings, err = conf.Load(file); err != nil {
+		return ConfigError{err}
 	}
-	setLevel(s.conf.Log.Level)
-	if s.c, err = Load(getenv); err != nil {
-		return BadConfig{err}
+	setLogLevel(s.fileSettings.Log.Level)
+	if s.config, err = Load(getenv); err != nil {
+		return ConfigError{err}
 	}
-	s.registry = s.c.Gateway.Discovery
-	closeStream, err := s.openStream()
+	s.discovery = s.config.Gateway.Discovery
+	closeStream, err := s.openConfigStream()
 	if err != nil {
-		return BadConfig{err}
+		return ConfigError{err}
 	}
 	defer closeStream()
 	closeLedger, err := s.openLedger()
 	if err != nil {
-		return BadConfig{err}
+		return ConfigError{err}
 	}
 	defer closeLedger()
-	s.c.Gateway.SharedListener = s.c.Handed > 0
-	s.c.Gateway.Contracts = contracts(s.conf)
-	s.c.Gateway.Capture = recording(s.c.Gateway.Name, s.conf)
-	s.c.Gateway.Subset = part(s.conf.Subset, &s.c.Gateway.Settings)
-	runtime.GOMAXPROCS(s.c.Cores)
-	debug.SetMemoryLimit(s.c.MemoryMB << 20)
-	if s.c.Gateway.Peers, err = link(s.conf.Peers, s.c.Gateway); err != nil {
+	s.config.Gateway.SharedListener = s.config.ListenFD > 0
+	s.config.Gateway.Contracts = contractOptions(s.fileSettings)
+	s.config.Gateway.Capture = captureOptions(s.config.Gateway.Name, s.fileSettings)
+	s.config.Gateway.Subset = subsetSettings(s.fileSettings.Subset, &s.config.Gateway.Settings)
+	runtime.GOMAXPROCS(s.config.Cores)
+	debug.SetMemoryLimit(s.config.MemoryMB << 20)
+	if s.config.Gateway.Peers, err = startPeers(s.fileSettings.Peers, s.config.Gateway); err != nil {
 		return err
 	}
-	if s.c.Admin != "" {
-		s.c.Gateway.Orders = maintenance.Open(maintenance.Options{Folder: cmp.Or(getenv("TMPDIR"), os.TempDir()), Name: s.c.Gateway.Name, Listen: s.c.Listen})
+	if s.config.Admin != "" {
+		s.config.Gateway.Orders = maintenance.Open(maintenance.Options{Directory: cmp.Or(getenv("TMPDIR"), os.TempDir()), Name: s.config.Gateway.Name, Listen: s.config.Listen})
 	}
-	if s.g, err = gateway.New(s.c.Gateway); err != nil {
+	if s.gateway, err = gateway.New(s.config.Gateway); err != nil {
 		return fmt.Errorf("settings: %w", err)
 	}
 	if err := s.listenControl(); err != nil {
@@ -203,35 +203,35 @@
 		return err
 	}
 	var l net.Listener
-	if err := patiently(func() (err error) { l, err = listen(s.c); return err }); err != nil {
+	if err := retryTransient(func() (err error) { l, err = openListener(s.config); return err }); err != nil {
 		return fmt.Errorf("listen: %w", err)
 	}
 	ctx, stop := context.WithCancel(context.Background())
 	defer stop()
-	slog.Info("start", "name", s.c.Gateway.Name, "listen", s.c.Listen, "discovery", s.c.Gateway.Discovery, "cores", s.c.Cores,
-		"heap_mb", s.c.MemoryMB, "client_conns", s.c.Gateway.MaxClientConns, "replica_conns", s.c.Gateway.MaxReplicaConns,
-		"conf", s.file, "capture", s.conf.Capture.Record, "build", build.Version())
-	if s.c.Admin != "" {
+	slog.Info("start", "name", s.config.Gateway.Name, "listen", s.config.Listen, "discovery", s.config.Gateway.Discovery, "cores", s.config.Cores,
+		"heap_mb", s.config.MemoryMB, "client_conns", s.config.Gateway.MaxClientConns, "replica_conns", s.config.Gateway.MaxReplicaConns,
+		"conf", s.settingsFile, "capture", s.fileSettings.Capture.Record, "build", build.Version())
+	if s.config.Admin != "" {
 		following, stopFollowing := context.WithCancel(context.Background())
 		defer stopFollowing()
-		go s.c.Gateway.Orders.Run(following)
-		defer operator.Listen(s.c.Admin, s.g, s.g.AdminCalls()).Close()
+		go s.config.Gateway.Orders.Run(following)
+		defer operator.Listen(s.config.Admin, s.gateway, s.gateway.AdminCalls()).Close()
 	}
-	s.c.tellUnknown()
-	s.g.SetUnknownKeys(s.c.UnknownKeys)
+	s.config.logUnknownKeys()
+	s.gateway.SetUnknownKeys(s.config.UnknownKeyCount)
 	served := make(chan error, 1)
-	go func() { served <- s.g.Serve(ctx, l) }()
+	go func() { served <- s.gateway.Serve(ctx, l) }()
 	streamed := make(chan struct{})
 	go func() { // the gateway serves meanwhile: its start never waits for the service
 		defer close(streamed)
-		if s.stream != nil {
-			s.stream.Run(ctx)
+		if s.configStream != nil {
+			s.configStream.Run(ctx)
 		}
 	}()
 	defer func() { stop(); <-streamed }()
-	go s.rerecord(ctx)
-	time.AfterFunc(dropAfter, func() {
-		if _, err := dropStartup(); err != nil {
+	go s.restartCaptures(ctx)
+	time.AfterFunc(startupPagesDelay, func() {
+		if _, err := releaseStartupPages(); err != nil {
 			slog.Debug("startup_pages_release_failed", "err", err)
 		}
 	})
@@ -251,18 +251,18 @@
 			}
 			draining = true
 			slog.Info("drain", "signal", sig.String())
-			go func() { drained <- s.g.Drain(ctx) }()
+			go func() { drained <- s.gateway.Drain(ctx) }()
 		case err := <-drained:
-			if s.control != nil {
-				s.control.Close()
+			if s.controlSocket != nil {
+				s.controlSocket.Close()
 			}
-			if s.c.Gateway.Orders != nil {
-				_ = atTheEnd(s.c.Gateway.Orders.Close) // what cannot be saved was told
+			if s.config.Gateway.Orders != nil {
+				_ = withShutdownTimeout(s.config.Gateway.Orders.Close) // what cannot be saved was told
 			}
-			if err := atTheEnd(s.g.CloseLedger); err != nil {
+			if err := withShutdownTimeout(s.gateway.CloseLedger); err != nil {
 				slog.Error("contract_ledger_write_failed", "err", err)
 			}
-			_ = atTheEnd(func(ctx context.Context) error { return s.g.SetCapture(ctx, nil) }) // what is not whole is told by the capture itself
+			_ = withShutdownTimeout(func(ctx context.Context) error { return s.gateway.SetCapture(ctx, nil) }) // what is not whole is told by the capture itself
 			if err != nil {
 				return fmt.Errorf("drain: %w", err)
 			}
@@ -272,8 +272,8 @@
 	}
 }
 
-// atTheEnd leaves something whole on disk, if the disk is quick enough.
-func atTheEnd(do func(context.Context) error) error {
+// withShutdownTimeout leaves something whole on disk, if the disk is quick enough.
+func withShutdownTimeout(do func(context.Context) error) error {
 	ctx, stop := context.WithTimeout(context.Background(), 2*time.Second)
 	defer stop()
 	done := make(chan error, 1)
@@ -286,13 +286,13 @@
 	}
 }
 
-// rerecord begins recordings anew by changed settings, in a task of its own: a
+// restartCaptures begins recordings anew by changed settings, in a task of its own: a
 // slow disk must not keep signals waiting.
-func (s *server) rerecord(ctx context.Context) {
+func (s *server) restartCaptures(ctx context.Context) {
 	for {
 		select {
-		case c := <-s.records:
-			if err := s.g.SetCapture(ctx, recording(s.c.Gateway.Name, c)); err != nil {
+		case c := <-s.captureChanges:
+			if err := s.gateway.SetCapture(ctx, captureOptions(s.config.Gateway.Name, c)); err != nil {
 				slog.Error("capture_failed", "err", err)
 			}
 		case <-ctx.Done():
@@ -309,27 +309,27 @@
 		slog.Error("reload_failed", "err", err)
 		return
 	}
-	settings, err := conf.Load(s.file)
+	settings, err := conf.Load(s.settingsFile)
 	if err != nil {
 		slog.Error("reload_failed", "err", err)
 		return
 	}
-	slog.Info("reload", "discovery", next.Gateway.Discovery, "needs_restart", strings.Join(s.c.differs(next), ","))
-	next.tellUnknown()
-	s.g.SetUnknownKeys(next.UnknownKeys)
-	if next.Gateway.Discovery != s.registry {
-		s.registry = next.Gateway.Discovery
-		s.g.MoveDiscovery(s.registry)
+	slog.Info("reload", "discovery", next.Gateway.Discovery, "needs_restart", strings.Join(s.config.restartKeys(next), ","))
+	next.logUnknownKeys()
+	s.gateway.SetUnknownKeys(next.UnknownKeyCount)
+	if next.Gateway.Discovery != s.discovery {
+		s.discovery = next.Gateway.Discovery
+		s.gateway.MoveDiscovery(s.discovery)
 	}
-	was := s.conf
+	was := s.fileSettings
 	s.mu.Lock()
-	before := s.effective()
-	s.conf = settings
-	s.follow(before)
+	before := s.effectiveSettings()
+	s.fileSettings = settings
+	s.applySettings(before)
 	s.mu.Unlock()
 	if !reflect.DeepEqual(was.Contracts, settings.Contracts) {
 		ctx, stop := context.WithTimeout(context.Background(), time.Second)
-		if err := s.g.SetContracts(ctx, contracts(settings)); err != nil {
+		if err := s.gateway.SetContracts(ctx, contractOptions(settings)); err != nil {
 			slog.Error("contracts_failed", "err", err)
 		}
 		stop()
@@ -347,15 +347,15 @@
 		slog.Warn("reload", "needs_restart", "peers")
 	}
 	if was.Metrics != settings.Metrics {
-		s.metrics.Close()
+		s.metricsServer.Close()
 		if err := s.listenMetrics(); err != nil {
 			slog.Error("metrics_failed", "err", err)
 		}
 	}
 	if was.Control != settings.Control {
-		if s.control != nil {
-			s.control.Close()
-			s.control = nil
+		if s.controlSocket != nil {
+			s.controlSocket.Close()
+			s.controlSocket = nil
 		}
 		if err := s.listenControl(); err != nil {
 			slog.Error("control_failed", "err", err)
@@ -363,63 +363,63 @@
 	}
 }
 
-// listen opens the clients' listener, or takes the one that the platform hands on:
+// openListener opens the clients' listener, or takes the one that the platform hands on:
 // it holds the address, and every process of the gateway accepts on that socket.
-func listen(c Config) (net.Listener, error) {
-	if c.Handed == 0 {
+func openListener(c Config) (net.Listener, error) {
+	if c.ListenFD == 0 {
 		return net.Listen("tcp", c.Listen)
 	}
-	f := os.NewFile(uintptr(c.Handed), "NODE_SOCKET_FD")
+	f := os.NewFile(uintptr(c.ListenFD), "NODE_SOCKET_FD")
 	if f == nil {
-		return nil, fmt.Errorf("NODE_SOCKET_FD: descriptor %d is not open", c.Handed)
+		return nil, fmt.Errorf("NODE_SOCKET_FD: descriptor %d is not open", c.ListenFD)
 	}
 	defer f.Close() // the listener holds a copy
 	l, err := net.FileListener(f)
 	if err != nil {
-		return nil, fmt.Errorf("NODE_SOCKET_FD: descriptor %d: %w", c.Handed, err)
+		return nil, fmt.Errorf("NODE_SOCKET_FD: descriptor %d: %w", c.ListenFD, err)
 	}
 	return l, nil
 }
 
 // listenMetrics serves the figures, if that is wanted.
 func (s *server) listenMetrics() (err error) {
-	s.metrics = nil
-	if m := s.conf.Metrics; m.Listen != "" {
-		s.metrics, err = metrics.Listen(m.Listen, m.Teams, s.g)
+	s.metricsServer = nil
+	if m := s.fileSettings.Metrics; m.Listen != "" {
+		s.metricsServer, err = metrics.Listen(m.Listen, m.Teams, s.gateway)
 	}
 	return err
 }
 
 func (s *server) listenControl() (err error) {
-	if s.conf.Control.Socket == "" {
+	if s.fileSettings.Control.Socket == "" {
 		return nil
 	}
-	s.control, err = control.Listen(s.conf.Control.Socket, map[string]control.Handler{"capture/save": s.save,
-		"config/status": s.status, "config/history": s.history, "config/rollback": s.rollback,
-		"figures":            func(ctx context.Context, _ json.RawMessage) (any, error) { return s.g.Control(ctx) },
-		"contracts/accounts": func(ctx context.Context, _ json.RawMessage) (any, error) { return s.g.Accounts(ctx) }})
+	s.controlSocket, err = control.Listen(s.fileSettings.Control.Socket, map[string]control.Handler{"capture/save": s.saveCapture,
+		"config/status": s.configStatus, "config/history": s.configHistory, "config/rollback": s.configRollback,
+		"figures":            func(ctx context.Context, _ json.RawMessage) (any, error) { return s.gateway.Control(ctx) },
+		"contracts/accounts": func(ctx context.Context, _ json.RawMessage) (any, error) { return s.gateway.Accounts(ctx) }})
 	return err
 }
 
-// SaveOrder and SaveAnswer are what `archknot capture save` sends and gets.
-type SaveOrder struct {
+// SaveRequest and SaveResponse are what `archknot capture save` sends and gets.
+type SaveRequest struct {
 	Reason string `json:"reason"`
 }
 
-type SaveAnswer struct {
+type SaveResponse struct {
 	Path     string `json:"path"`
 	Segments int    `json:"segments"`
 	Bytes    int64  `json:"bytes"`
 }
 
-func (s *server) save(ctx context.Context, text json.RawMessage) (any, error) {
-	var o SaveOrder
+func (s *server) saveCapture(ctx context.Context, text json.RawMessage) (any, error) {
+	var o SaveRequest
 	if err := json.Unmarshal(text, &o); err != nil {
 		return nil, err
 	}
 	if o.Reason == "" {
 		o.Reason = "ordered"
 	}
-	saved, err := s.g.SaveIncident(ctx, o.Reason)
-	return SaveAnswer{saved.Path, saved.Segments, saved.Bytes}, err
+	saved, err := s.gateway.SaveIncident(ctx, o.Reason)
+	return SaveResponse{saved.Path, saved.Segments, saved.Bytes}, err
 }
--- a/internal/lifecycle/resident.go
+++ b/internal/lifecycle/startuppages.go
@@ -10,11 +10,11 @@
 	"golang.org/x/sys/unix"
 )
 
-// dropStartup lets go of the pages of the program's own file that only starting
+// releaseStartupPages lets go of the pages of the program's own file that only starting
 // up has touched: the libraries' registrations of messages and types, which no
 // request needs. They are read-only and clean, so whatever is needed again is
 // mapped again from the file. It returns how many bytes of mappings it let go.
-func dropStartup() (total uintptr, err error) {
+func releaseStartupPages() (total uintptr, err error) {
 	self, err := os.Readlink("/proc/self/exe")
 	if err != nil {
 		return 0, err
@@ -24,32 +24,32 @@
 		return 0, err
 	}
 	defer maps.Close()
-	for _, s := range cleanSpans(maps, self) {
-		if _, _, e := unix.Syscall(unix.SYS_MADVISE, s.from, s.to-s.from, unix.MADV_DONTNEED); e != 0 {
+	for _, s := range cleanMappings(maps, self) {
+		if _, _, e := unix.Syscall(unix.SYS_MADVISE, s.start, s.end-s.start, unix.MADV_DONTNEED); e != 0 {
 			return total, e
 		}
-		total += s.to - s.from
+		total += s.end - s.start
 	}
 	return total, nil
 }
 
-type span struct{ from, to uintptr }
+type mapping struct{ start, end uintptr }
 
-// cleanSpans are the mappings of a file that hold nothing but what is in it: those
+// cleanMappings are the mappings of a file that hold nothing but what is in it: those
 // that cannot be written and have no page of their own. The dynamic linker writes
 // addresses to one that is read-only afterwards, and the file does not have those.
-func cleanSpans(smaps io.Reader, file string) (clean []span) {
-	var at *span
+func cleanMappings(smaps io.Reader, file string) (clean []mapping) {
+	var at *mapping
 	for in := bufio.NewScanner(smaps); in.Scan(); {
 		f := strings.Fields(in.Text())
 		if len(f) == 3 && f[0] == "Anonymous:" && at != nil && f[1] == "0" {
 			clean = append(clean, *at)
 		}
-		var s span
+		var s mapping
 		if len(f) < 5 || len(f[1]) != 4 {
 			continue
 		}
-		if n, _ := fmt.Sscanf(f[0], "%x-%x", &s.from, &s.to); n != 2 {
+		if n, _ := fmt.Sscanf(f[0], "%x-%x", &s.start, &s.end); n != 2 {
 			continue
 		}
 		at = nil
--- a/internal/lifecycle/resident_test.go
+++ b/internal/lifecycle/startuppages_test.go
@@ -9,7 +9,7 @@
 
 // What the dynamic linker has written to a read-only mapping is not in the file:
 // let go, the addresses of the C library would be gone.
-func TestOnlyCleanMappingsAreLetGo(t *testing.T) {
+func TestCleanMappings(t *testing.T) {
 	const smaps = `00400000-00402000 r--p 00000000 fe:00 17 /bin/archknot
 Size:                  8 kB
 Anonymous:             0 kB
@@ -25,8 +25,8 @@
 7f0000000000-7f0000100000 r-xp 00000000 fe:00 18 /lib/libc.so.6
 Anonymous:             0 kB
 `
-	want := []span{{0x400000, 0x402000}, {0x402000, 0xe9f000}}
-	if diff := cmp.Diff(want, cleanSpans(strings.NewReader(smaps), "/bin/archknot"), cmp.AllowUnexported(span{})); diff != "" {
+	want := []mapping{{0x400000, 0x402000}, {0x402000, 0xe9f000}}
+	if diff := cmp.Diff(want, cleanMappings(strings.NewReader(smaps), "/bin/archknot"), cmp.AllowUnexported(mapping{})); diff != "" {
 		t.Error(diff)
 	}
 }
--- a/internal/lifecycle/unknown.go
+++ b/internal/lifecycle/unknownkeys.go
@@ -16,12 +16,12 @@
 	Line, Column int
 }
 
-// mostUnknownKeys bounds the keys that are told one by one.
-const mostUnknownKeys = 16
+// maxReportedUnknownKeys bounds the keys that are told one by one.
+const maxReportedUnknownKeys = 16
 
-// unusedKeys are keys that the platform's pages define and the gateway has no use for, each with why.
+// ignoredKeys are keys that the platform's pages define and the gateway has no use for, each with why.
 // A key that is neither here nor in the types that are read is told at start.
-var unusedKeys = []struct{ key, why string }{
+var ignoredKeys = []struct{ key, why string }{
 	{"settings.callers", "whether clients mark retries: the header tells it"},
 	{"settings.countedBy", "how the bench weighs requests"},
 	{"settings.scoreParts", "how the bench weighs a day"},
@@ -52,18 +52,18 @@
 
 // knownKeys is what the program reads of NODE_CONFIG, or leaves unread on purpose.
 func knownKeys() keyTree {
-	root := treeOf(reflect.TypeFor[file]())
-	settings := treeOf(wire.SettingsType())
-	settings.merge(treeOf(reflect.TypeFor[extraSettings]()))
+	root := keyTreeOf(reflect.TypeFor[nodeConfig]())
+	settings := keyTreeOf(wire.SettingsType())
+	settings.merge(keyTreeOf(reflect.TypeFor[transportSettings]()))
 	root["settings"] = settings
-	for _, u := range unusedKeys {
+	for _, u := range ignoredKeys {
 		root.add(strings.Split(strings.ToLower(u.key), "."))
 	}
 	return root
 }
 
-// treeOf is the tree of a type's JSON keys; nil for one that is no structure.
-func treeOf(t reflect.Type) keyTree {
+// keyTreeOf is the tree of a type's JSON keys; nil for one that is no structure.
+func keyTreeOf(t reflect.Type) keyTree {
 	for t.Kind() == reflect.Pointer || t.Kind() == reflect.Slice && t.Elem().Kind() == reflect.Struct {
 		t = t.Elem()
 	}
@@ -73,7 +73,7 @@
 	tree := keyTree{}
 	for field := range t.Fields() {
 		if name, _, _ := strings.Cut(field.Tag.Get("json"), ","); name != "" {
-			tree[strings.ToLower(name)] = treeOf(field.Type)
+			tree[strings.ToLower(name)] = keyTreeOf(field.Type)
 		}
 	}
 	return tree
@@ -97,24 +97,24 @@
 	}
 }
 
-// unknownKeys lists the keys of a configuration that are not known, the first of them, and counts
+// findUnknownKeys lists the keys of a configuration that are not known, the first of them, and counts
 // them all. The text is known to be an object.
-func unknownKeys(text []byte) (first []UnknownKey, all int) {
+func findUnknownKeys(text []byte) (first []UnknownKey, all int) {
 	w := keyWalker{text: text, dec: json.NewDecoder(bytes.NewReader(text))}
-	_ = w.value(knownKeys(), "") // the text was read before
-	return w.first, w.all
+	_ = w.walkValue(knownKeys(), "") // the text was read before
+	return w.reported, w.count
 }
 
 // keyWalker goes through a JSON text and compares its keys with the known ones.
 type keyWalker struct {
-	text  []byte
-	dec   *json.Decoder
-	first []UnknownKey
-	all   int
+	text     []byte
+	dec      *json.Decoder
+	reported []UnknownKey
+	count    int
 }
 
-// value reads the value that comes next, an object of known keys or an array of such.
-func (w *keyWalker) value(known keyTree, path string) error {
+// walkValue reads the value that comes next, an object of known keys or an array of such.
+func (w *keyWalker) walkValue(known keyTree, path string) error {
 	token, err := w.dec.Token()
 	if err != nil {
 		return err
@@ -122,13 +122,13 @@
 	switch token {
 	case json.Delim('['):
 		for w.dec.More() {
-			if err := w.value(known, path); err != nil {
+			if err := w.walkValue(known, path); err != nil {
 				return err
 			}
 		}
 	case json.Delim('{'):
 		for w.dec.More() {
-			if err := w.member(known, path); err != nil {
+			if err := w.walkMember(known, path); err != nil {
 				return err
 			}
 		}
@@ -139,8 +139,8 @@
 	return err
 }
 
-// member reads a key and its value.
-func (w *keyWalker) member(known keyTree, path string) error {
+// walkMember reads a key and its value.
+func (w *keyWalker) walkMember(known keyTree, path string) error {
 	token, err := w.dec.Token()
 	if err != nil {
 		return err
@@ -149,37 +149,37 @@
 	key := strings.TrimPrefix(path+"."+name, ".")
 	below, ok := known[strings.ToLower(name)]
 	if !ok {
-		w.unknown(key)
+		w.report(key)
 	}
 	if below == nil {
-		return skip(w.dec)
+		return skipValue(w.dec)
 	}
-	return w.value(below, key)
+	return w.walkValue(below, key)
 }
 
-// unknown notes a key that has just been read.
-func (w *keyWalker) unknown(key string) {
-	w.all++
-	if len(w.first) >= mostUnknownKeys {
+// report notes a key that has just been read.
+func (w *keyWalker) report(key string) {
+	w.count++
+	if len(w.reported) >= maxReportedUnknownKeys {
 		return
 	}
 	end := int(w.dec.InputOffset())
 	begin := bytes.LastIndexByte(w.text[:end-1], '"')
 	before := w.text[:max(begin, 0)]
-	w.first = append(w.first, UnknownKey{Key: key, Line: bytes.Count(before, []byte{'\n'}) + 1,
+	w.reported = append(w.reported, UnknownKey{Key: key, Line: bytes.Count(before, []byte{'\n'}) + 1,
 		Column: len(before) - (bytes.LastIndexByte(before, '\n') + 1) + 1})
 }
 
-// tellUnknown logs the keys that the program does not serve: a term that nothing carries must not
+// logUnknownKeys logs the keys that the program does not serve: a term that nothing carries must not
 // be passed over in silence.
-func (c *Config) tellUnknown() {
-	for _, u := range c.Unknown {
+func (c *Config) logUnknownKeys() {
+	for _, u := range c.ReportedUnknownKeys {
 		slog.Warn("config_unknown_key", "key", u.Key, "file", c.path, "line", u.Line, "column", u.Column)
 	}
 	for _, odd := range c.Gateway.CachedList.Odd {
 		slog.Warn("endpoint_list_invalid_entry", "list", "known", "index", odd.Index, "replica", odd.ID, "reason", odd.Reason, "invalid_entries", c.Gateway.CachedList.OddEntries)
 	}
-	if c.UnknownKeys > len(c.Unknown) {
-		slog.Warn("config_unknown_keys", "total", c.UnknownKeys, "reported", len(c.Unknown))
+	if c.UnknownKeyCount > len(c.ReportedUnknownKeys) {
+		slog.Warn("config_unknown_keys", "total", c.UnknownKeyCount, "reported", len(c.ReportedUnknownKeys))
 	}
 }
--- a/internal/lifecycle/unknown_test.go
+++ b/internal/lifecycle/unknownkeys_test.go
@@ -10,38 +10,38 @@
 
 // Keys that nothing serves are told with their place, at each level; those of the pages that the
 // gateway has no use for are not, nor what stands below the list as last held.
-func TestUnknownKeysAreTold(t *testing.T) {
-	text := strings.Replace(good, `"name":"n3",`, `"name":"n3","Administrator":"x",
+func TestUnknownKeysAreReported(t *testing.T) {
+	text := strings.Replace(validConfig, `"name":"n3",`, `"name":"n3","Administrator":"x",
  "odd":{"a":1},`, 1)
 	text = strings.Replace(text, `"peers":true}`, `"peers":true,"cpuUsPerS":1,"burst":{"x":[1]}}`, 1)
 	text = strings.Replace(text, `"streamed":true`, `"streamed":true,"colour":"red"`, 1)
 	text = strings.Replace(text, `"weight":1}`, `"weight":1,"unknown":2}`, 1)
-	c, err := load(t, text, nil)
+	c, err := loadText(t, text, nil)
 	if err != nil {
 		t.Fatal(err)
 	}
 	var got []string
-	for _, u := range c.Unknown {
+	for _, u := range c.ReportedUnknownKeys {
 		got = append(got, fmt.Sprintf("%d:%d: %s", u.Line, u.Column, u.Key))
 	}
 	want := []string{"1:14: Administrator", "2:2: odd", "7:93: settings.limits.burst", "8:114: settings.requestClasses.colour"}
-	if diff := cmp.Diff(want, got); diff != "" || c.UnknownKeys != len(want) {
-		t.Errorf("%d keys\n%s", c.UnknownKeys, diff)
+	if diff := cmp.Diff(want, got); diff != "" || c.UnknownKeyCount != len(want) {
+		t.Errorf("%d keys\n%s", c.UnknownKeyCount, diff)
 	}
-	if c, err = load(t, good, nil); err != nil || c.UnknownKeys != 0 {
-		t.Errorf("of a known configuration: %v, %v", c.Unknown, err)
+	if c, err = loadText(t, validConfig, nil); err != nil || c.UnknownKeyCount != 0 {
+		t.Errorf("of a known configuration: %v, %v", c.ReportedUnknownKeys, err)
 	}
 	// However many there are, so many lines at most.
-	many := strings.Replace(good, `"name"`, strings.Repeat(`"x":1,`, 100)+`"name"`, 1)
-	if c, err = load(t, many, nil); err != nil || len(c.Unknown) != mostUnknownKeys || c.UnknownKeys != 100 {
-		t.Errorf("%d of %d keys are told, %v", len(c.Unknown), c.UnknownKeys, err)
+	many := strings.Replace(validConfig, `"name"`, strings.Repeat(`"x":1,`, 100)+`"name"`, 1)
+	if c, err = loadText(t, many, nil); err != nil || len(c.ReportedUnknownKeys) != maxReportedUnknownKeys || c.UnknownKeyCount != 100 {
+		t.Errorf("%d of %d keys are told, %v", len(c.ReportedUnknownKeys), c.UnknownKeyCount, err)
 	}
 }
 
 // Each key that is left unread on purpose stands in an object that the program knows, and says why.
-func TestUnusedKeysHaveAPlace(t *testing.T) {
+func TestIgnoredKeysAreKnown(t *testing.T) {
 	known := knownKeys()
-	for _, u := range unusedKeys {
+	for _, u := range ignoredKeys {
 		at, path := known, strings.Split(strings.ToLower(u.key), ".")
 		for _, name := range path[:len(path)-1] {
 			at = at[name]
--- a/internal/maintenance/files.go
+++ b/internal/maintenance/files.go
@@ -10,26 +10,26 @@
 	"syscall"
 )
 
-// Files is the file system as the store uses it, so that tests can have it fail.
-type Files interface {
-	// Read returns a file's text; an error of fs.ErrNotExist says that there is none.
-	Read(path string) ([]byte, error)
-	// Replace gives a file a new text, all of it, on disk, or none of it. It returns the stamp of the
+// FileSystem is the file system as the store uses it, so that tests can have it fail.
+type FileSystem interface {
+	// ReadFile returns a file's text; an error of fs.ErrNotExist says that there is none.
+	ReadFile(path string) ([]byte, error)
+	// WriteFileAtomic gives a file a new text, all of it, on disk, or none of it. It returns the stamp of the
 	// file that it wrote, also if somebody has changed that file since.
-	Replace(path string, text []byte) (stamp string, err error)
-	// Stamp changes whenever a file does; "" where there is none.
-	Stamp(path string) (string, error)
-	// Aside renames a file.
-	Aside(path, to string) error
+	WriteFileAtomic(path string, text []byte) (stamp string, err error)
+	// Fingerprint changes whenever a file does; "" where there is none.
+	Fingerprint(path string) (string, error)
+	// Rename renames a file.
+	Rename(path, to string) error
 }
 
-// errForeign says that a file is not this user's own regular file, and not to be believed.
-var errForeign = errors.New("not a regular file of this user's")
+// errNotOwnedFile says that a file is not this user's own regular file, and not to be believed.
+var errNotOwnedFile = errors.New("not a regular file of this user's")
 
-// disk is the real file system.
-type disk struct{}
+// osFileSystem is the real file system.
+type osFileSystem struct{}
 
-func (disk) Read(path string) ([]byte, error) {
+func (osFileSystem) ReadFile(path string) ([]byte, error) {
 	f, err := os.OpenFile(path, os.O_RDONLY|syscall.O_NOFOLLOW|syscall.O_NONBLOCK, 0)
 	if err != nil {
 		return nil, err
@@ -40,16 +40,16 @@
 		return nil, err
 	}
 	if owner, ok := info.Sys().(*syscall.Stat_t); !info.Mode().IsRegular() || !ok || owner.Uid != uint32(os.Geteuid()) {
-		return nil, fmt.Errorf("%s: %w", path, errForeign)
+		return nil, fmt.Errorf("%s: %w", path, errNotOwnedFile)
 	}
-	text, err := io.ReadAll(io.LimitReader(f, mostText+1))
-	if err == nil && len(text) > mostText {
-		err = fmt.Errorf("%s: over %d bytes", path, mostText)
+	text, err := io.ReadAll(io.LimitReader(f, maxStateBytes+1))
+	if err == nil && len(text) > maxStateBytes {
+		err = fmt.Errorf("%s: over %d bytes", path, maxStateBytes)
 	}
 	return text, err
 }
 
-func (disk) Replace(path string, text []byte) (stamp string, err error) {
+func (osFileSystem) WriteFileAtomic(path string, text []byte) (stamp string, err error) {
 	f, err := os.CreateTemp(filepath.Dir(path), filepath.Base(path)+".new-*")
 	if err != nil {
 		return "", err
@@ -62,7 +62,7 @@
 		// Taken here, for a file that is damaged right after the rename must not pass for this one.
 		var info fs.FileInfo
 		if info, err = f.Stat(); err == nil {
-			stamp = stampOf(info)
+			stamp = fingerprintOf(info)
 		}
 	}
 	if cerr := f.Close(); err == nil {
@@ -75,11 +75,11 @@
 		os.Remove(f.Name())
 		return "", err
 	}
-	return stamp, syncFolder(filepath.Dir(path))
+	return stamp, syncDirectory(filepath.Dir(path))
 }
 
-// syncFolder has the folder's entries on disk.
-func syncFolder(path string) error {
+// syncDirectory has the folder's entries on disk.
+func syncDirectory(path string) error {
 	d, err := os.Open(path)
 	if err != nil {
 		return err
@@ -91,7 +91,7 @@
 	return nil
 }
 
-func (disk) Stamp(path string) (string, error) {
+func (osFileSystem) Fingerprint(path string) (string, error) {
 	info, err := os.Lstat(path)
 	if errors.Is(err, fs.ErrNotExist) {
 		return "", nil
@@ -99,10 +99,10 @@
 	if err != nil {
 		return "", err
 	}
-	return stampOf(info), nil
+	return fingerprintOf(info), nil
 }
 
-func stampOf(info fs.FileInfo) string {
+func fingerprintOf(info fs.FileInfo) string {
 	inode := uint64(0)
 	if s, ok := info.Sys().(*syscall.Stat_t); ok {
 		inode = s.Ino
@@ -110,4 +110,4 @@
 	return fmt.Sprint(inode, info.Size(), info.ModTime().UnixNano())
 }
 
-func (disk) Aside(path, to string) error { return os.Rename(path, to) }
+func (osFileSystem) Rename(path, to string) error { return os.Rename(path, to) }
--- a/internal/maintenance/handoff.go
+++ b/internal/maintenance/handoff.go
@@ -18,94 +18,94 @@
 // folder cannot be written. It is a socket in the system's abstract names: no file stands for it, and
 // it ends with its process.
 type handoff struct {
-	name  string
-	mu    sync.Mutex
-	l     net.Listener // nil: a predecessor has the name, or there are no such sockets
-	holds atomic.Bool  // l is set
-	lacks bool         // that there are none was told
+	address       string
+	mu            sync.Mutex
+	listener      net.Listener // nil: a predecessor has the name, or there are no such sockets
+	listening     atomic.Bool  // l is set
+	failureLogged bool         // that there are none was told
 }
 
-// handoffWithin bounds a look at the predecessor.
-const handoffWithin = 100 * time.Millisecond
+// handoffTimeout bounds a look at the predecessor.
+const handoffTimeout = 100 * time.Millisecond
 
-// offer begins to tell, once the name is free.
-func (h *handoff) offer(s *Store) {
+// listen begins to tell, once the name is free.
+func (h *handoff) listen(s *Store) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	if h.l != nil {
+	if h.listener != nil {
 		return
 	}
-	l, err := net.Listen("unix", h.name)
+	l, err := net.Listen("unix", h.address)
 	if err != nil {
-		if !errors.Is(err, syscall.EADDRINUSE) && !h.lacks {
-			h.lacks = true
+		if !errors.Is(err, syscall.EADDRINUSE) && !h.failureLogged {
+			h.failureLogged = true
 			slog.Warn("maintenance_orders_handoff_failed", "err", err)
 		}
 		return
 	}
-	h.l = l
-	h.holds.Store(true)
+	h.listener = l
+	h.listening.Store(true)
 	go func() {
 		for {
 			c, err := l.Accept()
 			if err != nil {
 				return
 			}
-			if sameUser(c) {
-				_ = c.SetDeadline(time.Now().Add(handoffWithin))
-				_, _ = c.Write(s.current())
+			if isSameUser(c) {
+				_ = c.SetDeadline(time.Now().Add(handoffTimeout))
+				_, _ = c.Write(s.snapshot())
 			}
 			c.Close()
 		}
 	}()
 }
 
-// answer is what became of a look at the predecessor.
-type answer uint8
+// queryOutcome is what became of a look at the predecessor.
+type queryOutcome uint8
 
 const (
-	nobody answer = iota // there is none
-	silent               // there is one, which does not tell
-	told
+	noPredecessor     queryOutcome = iota // there is none
+	predecessorSilent                     // there is one, which does not tell
+	predecessorAnswered
 )
 
-// fetch asks the predecessor.
-func (h *handoff) fetch() (before state, a answer) {
-	if h.holds.Load() { // whoever has the name has no predecessor
-		return before, nobody
+// queryPredecessor asks the predecessor.
+func (h *handoff) queryPredecessor() (before state, a queryOutcome) {
+	if h.listening.Load() { // whoever has the name has no predecessor
+		return before, noPredecessor
 	}
-	c, err := net.DialTimeout("unix", h.name, handoffWithin)
+	c, err := net.DialTimeout("unix", h.address, handoffTimeout)
 	if err != nil {
 		if errors.Is(err, syscall.ECONNREFUSED) {
-			return before, nobody
+			return before, noPredecessor
 		}
-		return before, silent
+		return before, predecessorSilent
 	}
 	defer c.Close()
-	if !sameUser(c) {
-		return before, nobody
+	if !isSameUser(c) {
+		return before, noPredecessor
 	}
-	_ = c.SetDeadline(time.Now().Add(handoffWithin))
-	text, err := io.ReadAll(io.LimitReader(c, mostText))
+	_ = c.SetDeadline(time.Now().Add(handoffTimeout))
+	text, err := io.ReadAll(io.LimitReader(c, maxStateBytes))
 	if err != nil {
-		return before, silent
+		return before, predecessorSilent
 	}
-	if before, err = parse(text); err != nil {
-		return before, silent
+	if before, err = parseState(text); err != nil {
+		return before, predecessorSilent
 	}
-	return before, told
+	return before, predecessorAnswered
 }
 
 func (h *handoff) close() {
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	if h.l != nil {
-		h.l.Close()
+	if h.listener != nil {
+		h.listener.Close()
 	}
 }
 
-// credentials are those of the process at the other end.
-func credentials(c net.Conn) *unix.Ucred {
+// peerCredentials are those of the process at the other end.
+func peerCredentials(c net.Conn) *unix.Ucred {
 	u, ok := c.(*net.UnixConn)
 	if !ok {
 		return nil
@@ -119,7 +119,7 @@
 	return cred
 }
 
-func sameUser(c net.Conn) bool {
-	cred := credentials(c)
+func isSameUser(c net.Conn) bool {
+	cred := peerCredentials(c)
 	return cred != nil && cred.Uid == uint32(os.Geteuid())
 }
--- a/internal/maintenance/state.go
+++ b/internal/maintenance/state.go
@@ -13,25 +13,25 @@
 )
 
 const (
-	// format is the version of the saved form. A later one may add fields, which are skipped.
-	format = 1
-	// mostOrders bounds the orders that are remembered, and maxID a replica's name.
-	mostOrders = 4096
-	maxID      = 256
-	// mostText bounds the saved form.
-	mostText = 4 << 20
+	// formatVersion is the version of the saved form. A later one may add fields, which are skipped.
+	formatVersion = 1
+	// maxOrders bounds the orders that are remembered, and maxReplicaIDLength a replica's name.
+	maxOrders          = 4096
+	maxReplicaIDLength = 256
+	// maxStateBytes bounds the saved form.
+	maxStateBytes = 4 << 20
 )
 
 // order is the last word on one subject. Orders are numbered, not dated: the clock may be stepped.
 type order struct {
 	Number uint64 `json:"number"`
-	On     bool   `json:"on"` // the replica is out, or the gateway drained
+	Active bool   `json:"on"` // the replica is out, or the gateway drained
 }
 
-// after tells whether o counts and not p. Of two with the same number, given to two processes at
+// supersedes tells whether o counts and not p. Of two with the same number, given to two processes at
 // once, the one that takes out counts.
-func (o order) after(p order) bool {
-	return o.Number > p.Number || o.Number == p.Number && o.On && !p.On
+func (o order) supersedes(p order) bool {
+	return o.Number > p.Number || o.Number == p.Number && o.Active && !p.Active
 }
 
 // state is all that was ordered. Merging two states gives the same whatever their order.
@@ -41,28 +41,28 @@
 	Replicas map[string]order `json:"replicas"` // by id; those put back stand there too, to outlast older orders
 }
 
-func newState() state { return state{Format: format, Replicas: map[string]order{}} }
+func newState() state { return state{Format: formatVersion, Replicas: map[string]order{}} }
 
-// parse reads a saved state.
-func parse(text []byte) (state, error) {
+// parseState reads a saved state.
+func parseState(text []byte) (state, error) {
 	s := state{}
 	if err := json.Unmarshal(text, &s); err != nil {
 		return newState(), err
 	}
-	if s.Format < format {
-		return newState(), fmt.Errorf("format %d, expected %d or later", s.Format, format)
+	if s.Format < formatVersion {
+		return newState(), fmt.Errorf("format %d, expected %d or later", s.Format, formatVersion)
 	}
 	if s.Replicas == nil {
 		s.Replicas = map[string]order{}
 	}
-	if len(s.Replicas) > mostOrders {
-		return newState(), fmt.Errorf("%d orders, expected %d at most", len(s.Replicas), mostOrders)
+	if len(s.Replicas) > maxOrders {
+		return newState(), fmt.Errorf("%d orders, expected %d at most", len(s.Replicas), maxOrders)
 	}
-	s.Format = format
+	s.Format = formatVersion
 	return s, nil
 }
 
-func (s state) text() []byte {
+func (s state) marshal() []byte {
 	text, err := json.Marshal(s)
 	if err != nil {
 		panic(err) // numbers and words
@@ -79,20 +79,20 @@
 
 // merge takes over what counts of another state, and tells whether anything did.
 func (s *state) merge(o state) (changed bool) {
-	if o.Drain.after(s.Drain) {
+	if o.Drain.supersedes(s.Drain) {
 		s.Drain, changed = o.Drain, true
 	}
 	for id, theirs := range o.Replicas {
-		if ours, ok := s.Replicas[id]; !ok || theirs.after(ours) {
+		if ours, ok := s.Replicas[id]; !ok || theirs.supersedes(ours) {
 			s.Replicas[id], changed = theirs, true
 		}
 	}
-	s.trim()
+	s.trimReinstated()
 	return changed
 }
 
-// next is the number of a new order.
-func (s *state) next() uint64 {
+// nextNumber is the number of a new order.
+func (s *state) nextNumber() uint64 {
 	highest := s.Drain.Number
 	for _, o := range s.Replicas {
 		highest = max(highest, o.Number)
@@ -100,38 +100,38 @@
 	return highest + 1
 }
 
-// ErrTooMany says that no further replica can be taken out.
-var ErrTooMany = errors.New("too many replicas are out")
+// ErrTooManyEjected says that no further replica can be taken out.
+var ErrTooManyEjected = errors.New("too many replicas are out")
 
-// set enters a new order for a replica.
-func (s *state) set(id string, out bool) error {
-	if _, known := s.Replicas[id]; !known && out && s.out() >= mostOrders {
-		return ErrTooMany
+// setEjected enters a new order for a replica.
+func (s *state) setEjected(id string, out bool) error {
+	if _, known := s.Replicas[id]; !known && out && s.ejectedCount() >= maxOrders {
+		return ErrTooManyEjected
 	}
-	s.Replicas[id] = order{Number: s.next(), On: out}
-	s.trim()
+	s.Replicas[id] = order{Number: s.nextNumber(), Active: out}
+	s.trimReinstated()
 	return nil
 }
 
-// out counts the replicas that are out.
-func (s *state) out() (n int) {
+// ejectedCount counts the replicas that are out.
+func (s *state) ejectedCount() (n int) {
 	for _, o := range s.Replicas {
-		if o.On {
+		if o.Active {
 			n++
 		}
 	}
 	return n
 }
 
-// trim forgets the oldest orders that put replicas back, past the bound.
-func (s *state) trim() {
-	over := len(s.Replicas) - mostOrders
+// trimReinstated forgets the oldest orders that put replicas back, past the bound.
+func (s *state) trimReinstated() {
+	over := len(s.Replicas) - maxOrders
 	if over <= 0 {
 		return
 	}
 	var back []string
 	for id, o := range s.Replicas {
-		if !o.On {
+		if !o.Active {
 			back = append(back, id)
 		}
 	}
--- a/internal/maintenance/stored_test.go
+++ b/internal/maintenance/stored_test.go
@@ -24,7 +24,7 @@
 
 type order struct {
 	Number uint64 `json:"number"`
-	On     bool   `json:"on"`
+	Active bool   `json:"on"`
 }
 
 // baseName is how the file and the hand-off socket of a gateway are named.
@@ -35,7 +35,7 @@
 }
 
 func openStored(folder string) *maintenance.Store {
-	return maintenance.Open(maintenance.Options{Folder: folder, Name: "n0", Listen: "127.0.0.1:1"})
+	return maintenance.Open(maintenance.Options{Directory: folder, Name: "n0", Listen: "127.0.0.1:1"})
 }
 
 // folderWith returns a folder that has a stored file as a gateway's orders.
@@ -57,10 +57,10 @@
 func TestStoredOrders(t *testing.T) {
 	dir := folderWith(t, "orders.json")
 	s := openStored(dir)
-	if diff := cmp.Diff(map[string]struct{}{"s-1": {}, "s-3": {}}, s.AllOut()); diff != "" || s.Drained() || !s.Known("s-2") || s.Known("s-4") {
-		t.Errorf("drained %v, s-2 known %v, s-4 known %v, out: %s", s.Drained(), s.Known("s-2"), s.Known("s-4"), diff)
+	if diff := cmp.Diff(map[string]struct{}{"s-1": {}, "s-3": {}}, s.AllEjected()); diff != "" || s.Drained() || !s.HasOrder("s-2") || s.HasOrder("s-4") {
+		t.Errorf("drained %v, s-2 known %v, s-4 known %v, out: %s", s.Drained(), s.HasOrder("s-2"), s.HasOrder("s-4"), diff)
 	}
-	if err := s.SetOut(context.Background(), "s-3", false); err != nil {
+	if err := s.SetEjected(context.Background(), "s-3", false); err != nil {
 		t.Fatal(err)
 	}
 	text, err := os.ReadFile(filepath.Join(dir, baseName(dir)+".orders"))
@@ -105,7 +105,7 @@
 		}
 	}()
 	s := openStored(dir)
-	if diff := cmp.Diff(map[string]struct{}{"s-1": {}, "s-3": {}, "s-4": {}}, s.AllOut()); diff != "" || !s.Drained() || !s.Known("s-2") {
-		t.Errorf("drained %v, s-2 known %v, out: %s", s.Drained(), s.Known("s-2"), diff)
+	if diff := cmp.Diff(map[string]struct{}{"s-1": {}, "s-3": {}, "s-4": {}}, s.AllEjected()); diff != "" || !s.Drained() || !s.HasOrder("s-2") {
+		t.Errorf("drained %v, s-2 known %v, out: %s", s.Drained(), s.HasOrder("s-2"), diff)
 	}
 }
--- a/internal/operator/server.go
+++ b/internal/operator/server.go
@@ -22,140 +22,140 @@
 )
 
 const (
-	// Connections bounds the connections of operators that are open at once, the listener not counted.
-	Connections = 16
-	// callWithin bounds a call from its connecting to its last byte: who sends nothing, or half a call,
+	// MaxConnections bounds the connections of operators that are open at once, the listener not counted.
+	MaxConnections = 16
+	// callTimeout bounds a call from its connecting to its last byte: who sends nothing, or half a call,
 	// holds a connection for no longer.
-	callWithin = 2 * time.Second
-	// answerWithin bounds what a call may wait for: operators are owed an answer within a second.
-	answerWithin = 750 * time.Millisecond
-	// mostBody is what of a call's body is read. It means nothing.
-	mostBody = 16 << 10
-	mostHead = 8 << 10
-	// bindEach is the pause before an address that is in use is tried again.
-	bindEach = 200 * time.Millisecond
+	callTimeout = 2 * time.Second
+	// answerTimeout bounds what a call may wait for: operators are owed an answer within a second.
+	answerTimeout = 750 * time.Millisecond
+	// maxBodyBytes is what of a call's body is read. It means nothing.
+	maxBodyBytes   = 16 << 10
+	maxHeaderBytes = 8 << 10
+	// bindRetryInterval is the pause before an address that is in use is tried again.
+	bindRetryInterval = 200 * time.Millisecond
 )
 
 // Errors of a Gateway that have answers of their own.
 var (
 	ErrUnknownReplica = errors.New("this replica was never listed")
-	ErrStopping       = errors.New("this process ends")
-	// ErrNotHeard says that discovery has not answered this process yet, so that nobody can tell whether
+	ErrShuttingDown   = errors.New("this process ends")
+	// ErrDiscoveryPending says that discovery has not answered this process yet, so that nobody can tell whether
 	// there is such a replica. It gets nothing in case it is listed.
-	ErrNotHeard = errors.New("held out, but discovery has not answered yet")
+	ErrDiscoveryPending = errors.New("held out, but discovery has not answered yet")
 )
 
 // Gateway is what the calls are about.
 type Gateway interface {
 	// CanServe tells whether this process can serve.
 	CanServe() bool
-	// TakeOut takes a replica out, PutBack puts it back.
-	TakeOut(ctx context.Context, replica string) error
-	PutBack(ctx context.Context, replica string) error
+	// Eject takes a replica out, Reinstate puts it back.
+	Eject(ctx context.Context, replica string) error
+	Reinstate(ctx context.Context, replica string) error
 	// DrainClients sends clients away, Resume takes them again.
 	DrainClients(ctx context.Context) error
 	Resume(ctx context.Context) error
 }
 
-// Counts are the calls answered, by call and whether the answer was yes.
-type Counts struct{ yes, no [calls]atomic.Int64 }
+// CallCounts are the calls answered, by call and whether the answer was yes.
+type CallCounts struct{ succeeded, failed [callKindCount]atomic.Int64 }
 
-// call is one of the calls.
-type call uint8
+// callKind is one of the calls.
+type callKind uint8
 
 const (
-	callReady call = iota
+	callReady callKind = iota
 	callDisable
 	callEnable
 	callDrain
 	callResume
-	callOther     // none of these
-	calls     int = iota
+	callOther         // none of these
+	callKindCount int = iota
 )
 
-func (c call) String() string {
+func (c callKind) String() string {
 	return [...]string{"ready", "disable", "enable", "drain", "resume", "other"}[c]
 }
 
 // Each tells the counts.
-func (c *Counts) Each(tell func(call string, yes bool, n int64)) {
-	for i := range calls {
-		tell(call(i).String(), true, c.yes[i].Load())
-		tell(call(i).String(), false, c.no[i].Load())
+func (c *CallCounts) Each(tell func(call string, yes bool, n int64)) {
+	for i := range callKindCount {
+		tell(callKind(i).String(), true, c.succeeded[i].Load())
+		tell(callKind(i).String(), false, c.failed[i].Load())
 	}
 }
 
 // Server answers operators until Close.
 type Server struct {
-	gateway Gateway
-	counts  *Counts
-	http    *http.Server
-	slots   *slots
-	ended   chan struct{}
-	once    sync.Once
+	gateway   Gateway
+	counts    *CallCounts
+	http      *http.Server
+	limiter   *connLimiter
+	closed    chan struct{}
+	closeOnce sync.Once
 }
 
 // Listen begins to serve an address. Where that cannot be bound just now, it is tried on until it can:
 // the gateway serves its clients meanwhile.
-func Listen(addr string, g Gateway, counts *Counts) *Server {
-	s := &Server{gateway: g, counts: counts, ended: make(chan struct{}), slots: &slots{open: map[net.Conn]time.Time{}}}
-	s.http = &http.Server{Handler: http.HandlerFunc(s.serve), ReadTimeout: callWithin, WriteTimeout: callWithin + answerWithin, MaxHeaderBytes: mostHead,
-		ConnState: s.slots.follow, ConnContext: withConnection, ErrorLog: log.New(io.Discard, "", 0)}
+func Listen(addr string, g Gateway, counts *CallCounts) *Server {
+	s := &Server{gateway: g, counts: counts, closed: make(chan struct{}), limiter: &connLimiter{pending: map[net.Conn]time.Time{}}}
+	s.http = &http.Server{Handler: http.HandlerFunc(s.handle), ReadTimeout: callTimeout, WriteTimeout: callTimeout + answerTimeout, MaxHeaderBytes: maxHeaderBytes,
+		ConnState: s.limiter.trackState, ConnContext: withConnection, ErrorLog: log.New(io.Discard, "", 0)}
 	s.http.SetKeepAlivesEnabled(false)
 	if l, err := net.Listen("tcp", addr); err == nil {
-		go s.run(l)
+		go s.serveListener(l)
 	} else {
 		slog.Error("admin_listener", "listen", addr, "err", err)
-		go s.bind(addr)
+		go s.retryListen(addr)
 	}
 	return s
 }
 
-// bind tries for the address until it has it.
-func (s *Server) bind(addr string) {
+// retryListen tries for the address until it has it.
+func (s *Server) retryListen(addr string) {
 	for {
 		select {
-		case <-s.ended:
+		case <-s.closed:
 			return
-		case <-time.After(bindEach):
+		case <-time.After(bindRetryInterval):
 		}
 		if l, err := net.Listen("tcp", addr); err == nil {
 			slog.Info("admin_listener", "listen", addr)
-			s.run(l)
+			s.serveListener(l)
 			return
 		}
 	}
 }
 
-func (s *Server) run(l net.Listener) {
-	if err := s.http.Serve(s.slots.listen(sockets.NewRetryListener(l))); !errors.Is(err, http.ErrServerClosed) {
+func (s *Server) serveListener(l net.Listener) {
+	if err := s.http.Serve(s.limiter.wrap(sockets.NewRetryListener(l))); !errors.Is(err, http.ErrServerClosed) {
 		slog.Error("admin_listener", "err", err)
 	}
 }
 
 // Close ends the server.
 func (s *Server) Close() {
-	s.once.Do(func() { close(s.ended) })
+	s.closeOnce.Do(func() { close(s.closed) })
 	s.http.Close()
 }
 
-// serve answers one call. A call with a body that does not come whole has no effect.
-func (s *Server) serve(w http.ResponseWriter, r *http.Request) {
+// handle answers one call. A call with a body that does not come whole has no effect.
+func (s *Server) handle(w http.ResponseWriter, r *http.Request) {
 	begun := time.Now()
 	w.Header().Set("Connection", "close")
-	c, replica, status := parse(r)
+	c, replica, status := parseCall(r)
 	if status == 0 {
-		if _, err := io.Copy(io.Discard, http.MaxBytesReader(w, r.Body, mostBody)); err != nil {
+		if _, err := io.Copy(io.Discard, http.MaxBytesReader(w, r.Body, maxBodyBytes)); err != nil {
 			status = http.StatusBadRequest
 		}
 	}
-	defer s.slots.answer(connectionOf(r.Context()))()
+	defer s.limiter.startAnswer(connectionOf(r.Context()))()
 	var err error
 	if status == 0 {
-		ctx, stop := context.WithTimeout(r.Context(), answerWithin)
-		err = s.do(ctx, c, replica)
+		ctx, stop := context.WithTimeout(r.Context(), answerTimeout)
+		err = s.execute(ctx, c, replica)
 		stop()
-		status = statusOf(err)
+		status = statusCode(err)
 	}
 	text := "ok"
 	if err != nil {
@@ -164,7 +164,7 @@
 		text = http.StatusText(status)
 	}
 	http.Error(w, text, status)
-	s.tell(r, c, replica, status, text, time.Since(begun))
+	s.record(r, c, replica, status, text, time.Since(begun))
 }
 
 type connectionKey struct{}
@@ -178,8 +178,8 @@
 	return c
 }
 
-// parse tells which call a request is; a status above 0 says that it is none.
-func parse(r *http.Request) (c call, replica string, status int) {
+// parseCall tells which call a request is; a status above 0 says that it is none.
+func parseCall(r *http.Request) (c callKind, replica string, status int) {
 	rest, ok := strings.CutPrefix(r.URL.EscapedPath(), "/-/")
 	if !ok {
 		return callOther, "", http.StatusNotFound
@@ -213,12 +213,12 @@
 // errNotReady is the no to a question for readiness.
 var errNotReady = errors.New("not ready")
 
-func (s *Server) do(ctx context.Context, c call, replica string) error {
+func (s *Server) execute(ctx context.Context, c callKind, replica string) error {
 	switch c {
 	case callDisable:
-		return s.gateway.TakeOut(ctx, replica)
+		return s.gateway.Eject(ctx, replica)
 	case callEnable:
-		return s.gateway.PutBack(ctx, replica)
+		return s.gateway.Reinstate(ctx, replica)
 	case callDrain:
 		return s.gateway.DrainClients(ctx)
 	case callResume:
@@ -230,26 +230,26 @@
 	return nil
 }
 
-func statusOf(err error) int {
+func statusCode(err error) int {
 	switch {
 	case err == nil:
 		return http.StatusOK
 	case errors.Is(err, ErrUnknownReplica):
 		return http.StatusNotFound
-	case errors.Is(err, ErrStopping):
+	case errors.Is(err, ErrShuttingDown):
 		return http.StatusConflict
-	case errors.Is(err, maintenance.ErrTooMany):
+	case errors.Is(err, maintenance.ErrTooManyEjected):
 		return http.StatusInsufficientStorage
 	}
 	return http.StatusServiceUnavailable
 }
 
-// tell counts a call and logs it. Questions for readiness come many times a second, and change nothing.
-func (s *Server) tell(r *http.Request, c call, replica string, status int, text string, took time.Duration) {
+// record counts a call and logs it. Questions for readiness come many times a second, and change nothing.
+func (s *Server) record(r *http.Request, c callKind, replica string, status int, text string, took time.Duration) {
 	if status == http.StatusOK {
-		s.counts.yes[c].Add(1)
+		s.counts.succeeded[c].Add(1)
 	} else {
-		s.counts.no[c].Add(1)
+		s.counts.failed[c].Add(1)
 	}
 	level := slog.LevelInfo
 	if c == callReady {
--- a/internal/operator/server_test.go
+++ b/internal/operator/server_test.go
@@ -15,21 +15,21 @@
 	"archknot/internal/maintenance"
 )
 
-// gateway is one that remembers what it was told.
-type gateway struct {
-	mu     sync.Mutex
-	orders []string
-	errs   map[string]error // by replica
-	ready  bool
-	wait   chan struct{} // closed: orders are carried out
+// fakeGateway is one that remembers what it was told.
+type fakeGateway struct {
+	mu      sync.Mutex
+	orders  []string
+	errs    map[string]error // by replica
+	ready   bool
+	release chan struct{} // closed: orders are carried out
 }
 
-func (g *gateway) CanServe() bool { return g.ready }
+func (g *fakeGateway) CanServe() bool { return g.ready }
 
-func (g *gateway) order(ctx context.Context, text, replica string) error {
-	if g.wait != nil {
+func (g *fakeGateway) carryOut(ctx context.Context, text, replica string) error {
+	if g.release != nil {
 		select {
-		case <-g.wait:
+		case <-g.release:
 		case <-ctx.Done():
 			return ctx.Err()
 		}
@@ -40,18 +40,22 @@
 	return g.errs[replica]
 }
 
-func (g *gateway) TakeOut(ctx context.Context, id string) error { return g.order(ctx, "out "+id, id) }
-func (g *gateway) PutBack(ctx context.Context, id string) error { return g.order(ctx, "back "+id, id) }
-func (g *gateway) DrainClients(ctx context.Context) error       { return g.order(ctx, "drain", "") }
-func (g *gateway) Resume(ctx context.Context) error             { return g.order(ctx, "resume", "") }
+func (g *fakeGateway) Eject(ctx context.Context, id string) error {
+	return g.carryOut(ctx, "out "+id, id)
+}
+func (g *fakeGateway) Reinstate(ctx context.Context, id string) error {
+	return g.carryOut(ctx, "back "+id, id)
+}
+func (g *fakeGateway) DrainClients(ctx context.Context) error { return g.carryOut(ctx, "drain", "") }
+func (g *fakeGateway) Resume(ctx context.Context) error       { return g.carryOut(ctx, "resume", "") }
 
-func (g *gateway) told() string {
+func (g *fakeGateway) recorded() string {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	return strings.Join(g.orders, ", ")
 }
 
-func serve(t *testing.T, g *gateway) (addr string, counts *Counts) {
+func startServer(t *testing.T, g *fakeGateway) (addr string, counts *CallCounts) {
 	t.Helper()
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -59,7 +63,7 @@
 	}
 	addr = l.Addr().String()
 	l.Close()
-	counts = &Counts{}
+	counts = &CallCounts{}
 	s := Listen(addr, g, counts)
 	t.Cleanup(s.Close)
 	return addr, counts
@@ -89,43 +93,43 @@
 	return resp.StatusCode, time.Since(begun)
 }
 
-func line(method, path string) string {
+func requestText(method, path string) string {
 	return method + " " + path + " HTTP/1.1\r\nHost: a\r\n\r\n"
 }
 
 // Each call has its answer and its effect; what is no call has none.
 func TestCalls(t *testing.T) {
-	g := &gateway{errs: map[string]error{"unknown": ErrUnknownReplica, "full": maintenance.ErrTooMany, "disk": maintenance.ErrNotSaved, "end": ErrStopping}}
-	addr, counts := serve(t, g)
+	g := &fakeGateway{errs: map[string]error{"unknown": ErrUnknownReplica, "full": maintenance.ErrTooManyEjected, "disk": maintenance.ErrNotSaved, "end": ErrShuttingDown}}
+	addr, counts := startServer(t, g)
 	for _, c := range []struct {
 		text   string
 		status int
 		effect string
 	}{
-		{line("GET", "/-/ready"), 503, ""},
-		{line("PUT", "/-/replicas/s-1/disable"), 200, "out s-1"},
-		{line("PUT", "/-/replicas/s-1/enable"), 200, "back s-1"},
-		{line("PUT", "/-/replicas/a%2Fb%20c/disable"), 200, "out a/b c"},
-		{line("PUT", "/-/drain"), 200, "drain"}, {line("PUT", "/-/resume"), 200, "resume"},
+		{requestText("GET", "/-/ready"), 503, ""},
+		{requestText("PUT", "/-/replicas/s-1/disable"), 200, "out s-1"},
+		{requestText("PUT", "/-/replicas/s-1/enable"), 200, "back s-1"},
+		{requestText("PUT", "/-/replicas/a%2Fb%20c/disable"), 200, "out a/b c"},
+		{requestText("PUT", "/-/drain"), 200, "drain"}, {requestText("PUT", "/-/resume"), 200, "resume"},
 		{"PUT /-/drain HTTP/1.1\r\nHost: a\r\nContent-Length: 2\r\n\r\n{}", 200, "drain"},
 		{"PUT /-/drain HTTP/1.1\r\nHost: a\r\nTransfer-Encoding: chunked\r\n\r\n2\r\n{}\r\n0\r\n\r\n", 200, "drain"},
 		{"PUT /-/drain HTTP/1.0\r\n\r\n", 200, "drain"},
-		{line("PUT", "/-/replicas/unknown/disable"), 404, "out unknown"}, {line("PUT", "/-/replicas/full/disable"), 507, "out full"},
-		{line("PUT", "/-/replicas/disk/disable"), 503, "out disk"}, {line("PUT", "/-/replicas/end/enable"), 409, "back end"},
-		{line("GET", "/-/drain"), 405, ""}, {line("POST", "/-/replicas/s-1/disable"), 405, ""}, {line("PUT", "/-/ready"), 405, ""},
-		{line("PUT", "/-/replicas//disable"), 400, ""}, {line("PUT", "/-/replicas/s-1"), 404, ""}, {line("PUT", "/-/replicas/s-1/x"), 404, ""},
-		{line("PUT", "/-//drain"), 404, ""}, {line("GET", "/"), 404, ""}, {line("GET", "/health/ready"), 404, ""}, {line("PUT", "/-/replicas/%zz/disable"), 400, ""},
+		{requestText("PUT", "/-/replicas/unknown/disable"), 404, "out unknown"}, {requestText("PUT", "/-/replicas/full/disable"), 507, "out full"},
+		{requestText("PUT", "/-/replicas/disk/disable"), 503, "out disk"}, {requestText("PUT", "/-/replicas/end/enable"), 409, "back end"},
+		{requestText("GET", "/-/drain"), 405, ""}, {requestText("POST", "/-/replicas/s-1/disable"), 405, ""}, {requestText("PUT", "/-/ready"), 405, ""},
+		{requestText("PUT", "/-/replicas//disable"), 400, ""}, {requestText("PUT", "/-/replicas/s-1"), 404, ""}, {requestText("PUT", "/-/replicas/s-1/x"), 404, ""},
+		{requestText("PUT", "/-//drain"), 404, ""}, {requestText("GET", "/"), 404, ""}, {requestText("GET", "/health/ready"), 404, ""}, {requestText("PUT", "/-/replicas/%zz/disable"), 400, ""},
 		{"hello\r\n\r\n", 400, ""}, {"PUT /-/drain HTTP/1.1\r\nHost: a\r\nContent-Length: 99999\r\n\r\n" + strings.Repeat("x", 99999), 400, ""},
 	} {
 		g.mu.Lock()
 		g.orders = nil
 		g.mu.Unlock()
-		if status, _ := exchange(t, addr, c.text); status != c.status || g.told() != c.effect {
-			t.Errorf("%.60q: status %d, want %d; effect %q, want %q", c.text, status, c.status, g.told(), c.effect)
+		if status, _ := exchange(t, addr, c.text); status != c.status || g.recorded() != c.effect {
+			t.Errorf("%.60q: status %d, want %d; effect %q, want %q", c.text, status, c.status, g.recorded(), c.effect)
 		}
 	}
 	g.ready = true
-	if status, _ := exchange(t, addr, line("GET", "/-/ready")); status != 200 {
+	if status, _ := exchange(t, addr, requestText("GET", "/-/ready")); status != 200 {
 		t.Errorf("ready: status %d", status)
 	}
 	sum := map[bool]int64{}
@@ -136,9 +140,9 @@
 }
 
 // Half a call has no effect, whatever half.
-func TestHalfACall(t *testing.T) {
-	g := &gateway{}
-	addr, _ := serve(t, g)
+func TestPartialCall(t *testing.T) {
+	g := &fakeGateway{}
+	addr, _ := startServer(t, g)
 	text := "PUT /-/drain HTTP/1.1\r\nHost: a\r\nContent-Length: 10\r\n\r\n12345"
 	var all sync.WaitGroup
 	for n := range len(text) {
@@ -152,18 +156,18 @@
 		})
 	}
 	all.Wait()
-	if g.told() != "" {
-		t.Errorf("half a call did %q", g.told())
+	if g.recorded() != "" {
+		t.Errorf("half a call did %q", g.recorded())
 	}
 }
 
 // Callers that send nothing or half a call, and stay, keep nobody out: each whole call is answered within
 // a second, and they are closed in time.
-func TestSilentCallers(t *testing.T) {
-	g := &gateway{ready: true}
-	addr, _ := serve(t, g)
+func TestIdleCallers(t *testing.T) {
+	g := &fakeGateway{ready: true}
+	addr, _ := startServer(t, g)
 	var silent []net.Conn
-	for i := range 10 * Connections {
+	for i := range 10 * MaxConnections {
 		c, err := net.Dial("tcp", addr)
 		if err != nil {
 			t.Fatal(err)
@@ -174,7 +178,7 @@
 		}
 		silent = append(silent, c)
 		if i%8 == 0 {
-			if status, took := exchange(t, addr, line("PUT", fmt.Sprintf("/-/replicas/s-%d/disable", i))); status != 200 || took > time.Second {
+			if status, took := exchange(t, addr, requestText("PUT", fmt.Sprintf("/-/replicas/s-%d/disable", i))); status != 200 || took > time.Second {
 				t.Errorf("among %d silent callers: status %d after %v", i, status, took)
 			}
 		}
@@ -189,31 +193,31 @@
 }
 
 // An order that hangs is answered with no within a second, and the others are answered meanwhile.
-func TestAnOrderThatHangs(t *testing.T) {
-	g := &gateway{ready: true, wait: make(chan struct{})}
-	defer close(g.wait)
-	addr, _ := serve(t, g)
+func TestHangingCall(t *testing.T) {
+	g := &fakeGateway{ready: true, release: make(chan struct{})}
+	defer close(g.release)
+	addr, _ := startServer(t, g)
 	var all sync.WaitGroup
-	for range Connections / 2 {
+	for range MaxConnections / 2 {
 		all.Go(func() {
-			if status, took := exchange(t, addr, line("PUT", "/-/drain")); status != 503 || took > time.Second {
+			if status, took := exchange(t, addr, requestText("PUT", "/-/drain")); status != 503 || took > time.Second {
 				t.Errorf("status %d after %v", status, took)
 			}
 		})
 	}
-	if status, took := exchange(t, addr, line("GET", "/-/ready")); status != 200 || took > 500*time.Millisecond {
+	if status, took := exchange(t, addr, requestText("GET", "/-/ready")); status != 200 || took > 500*time.Millisecond {
 		t.Errorf("beside: status %d after %v", status, took)
 	}
 	all.Wait()
 }
 
 // An address that another process still has is taken once it is free.
-func TestAnAddressInUse(t *testing.T) {
+func TestAddressInUseIsRetried(t *testing.T) {
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
-	s := Listen(l.Addr().String(), &gateway{ready: true}, &Counts{})
+	s := Listen(l.Addr().String(), &fakeGateway{ready: true}, &CallCounts{})
 	defer s.Close()
 	addr := l.Addr().String()
 	l.Close()
@@ -226,7 +230,7 @@
 			t.Fatal("the address is never served")
 		}
 	}
-	if status, _ := exchange(t, addr, line("GET", "/-/ready")); status != 200 {
+	if status, _ := exchange(t, addr, requestText("GET", "/-/ready")); status != 200 {
 		t.Errorf("status %d", status)
 	}
 }
