--- a/cmd/adapter/main.go
+++ b/cmd/adapter/main.go
@@ -44,7 +44,7 @@
 	recorder *capture.Recorder
 	writer   *capture.Writer
 	timers   *timers
-	book     *contract.Book // nil: the module's own quotas
+	book     *contract.Ledger // nil: the module's own quotas
 }
 
 // run serves batches until the input ends. An error names the line.
@@ -146,7 +146,7 @@
 		}
 		n.TimerFired(ev.Now, ev.Token)
 		if n.book != nil && ev.Token == 0 { // the module's tick, at which it averages too
-			n.book.Step(ev.Now)
+			n.book.UpdateDemand(ev.Now)
 		}
 	case wire.Probed:
 		n.HealthCheckEnded(ev.Now, ev.Outcome)
@@ -165,7 +165,7 @@
 // shares are the deployment's quotas as contracts: a request counts as one. As the
 // module's own rule has it, a tenant that lately asked for a quarter more than its
 // quota is beyond it with all it sends. Each instance holds an equal part.
-func shares(ev *wire.Event) (*contract.Book, error) {
+func shares(ev *wire.Event) (*contract.Ledger, error) {
 	s := &ev.Settings
 	var terms []contract.Terms
 	var parts []float64
@@ -174,13 +174,13 @@
 			rate := 1.25 * t.QuotaPerS * float64(contract.Token)
 			// Only what it asks for lately counts: the burst is never used up.
 			terms = append(terms, contract.Terms{Team: t.Name, Tenants: []string{t.Name}, Rate: rate, Burst: contract.Units(max(1, 1e5*rate)),
-				Over: s.OverQuotaWeight, Surge: 1})
+				OverQuotaWeight: s.OverQuotaWeight, Surge: 1})
 			parts = append(parts, 1/float64(max(1, s.Gateways)))
 		}
 	}
-	b, err := contract.New(contract.Settings{Unknown: 1}, terms, ev.Now, 0)
+	b, err := contract.NewLedger(contract.Settings{UnknownTenantWeight: 1}, terms, ev.Now, 0)
 	if err == nil {
-		b.SetParts(ev.Now, parts)
+		b.SetQuotaShares(ev.Now, parts)
 	}
 	return b, err
 }
@@ -191,9 +191,9 @@
 		return
 	}
 	var c contract.Charge
-	v := n.book.Take(ev.Now, ev.Request.Tenant, ev.Request.Class, contract.Use{Made: 1}, &c)
-	n.book.Settle(ev.Now, &c, contract.Use{Made: 1}, false)
-	ev.Request.PriorityFactor = max(1e-6, v.Worth)
+	v := n.book.Charge(ev.Now, ev.Request.Tenant, ev.Request.Class, contract.Usage{OutputTokens: 1}, &c)
+	n.book.Settle(ev.Now, &c, contract.Usage{OutputTokens: 1}, false)
+	ev.Request.PriorityFactor = max(1e-6, v.PriorityWeight)
 }
 
 func (n *node) now(now choice.Micros) {
--- a/example/teams/main.go
+++ b/example/teams/main.go
@@ -150,11 +150,11 @@
 	o.Settings.InitialCapacity, o.Settings.OverloadMultiple, o.Settings.SlowStartFor, o.Settings.OverloadWindow = 0.3, 3, 8e6, 1.5e6
 	o.Settings.StreamsPerConn, o.Settings.ConnIdleTimeout = 1, 60e6
 	if !args.Off {
-		c := &gateway.Contracts{Settings: contract.Settings{Zone: time.UTC, Pool: 1, Unknown: 0.05}}
+		c := &gateway.Contracts{Settings: contract.Settings{Location: time.UTC, BorrowPoolSeconds: 1, UnknownTenantWeight: 0.05}}
 		for i, name := range names {
 			rate := parts[i] * args.Rate * made * float64(contract.Token)
-			c.Teams = append(c.Teams, contract.Terms{Team: name, Tenants: []string{name}, Rate: rate, Burst: contract.Units(rate), Over: 0.001,
-				Prices: map[string]contract.Price{"agent": {Made: 1}, "bulk": {Made: 1}}})
+			c.Teams = append(c.Teams, contract.Terms{Team: name, Tenants: []string{name}, Rate: rate, Burst: contract.Units(rate), OverQuotaWeight: 0.001,
+				Prices: map[string]contract.Price{"agent": {OutputToken: 1}, "bulk": {OutputToken: 1}}})
 		}
 		o.Contracts = c
 	}
@@ -341,6 +341,6 @@
 	w.Flush()
 	accounts, _ := g.Accounts(context.Background())
 	for _, a := range accounts {
-		fmt.Printf("%s: taken %d, over %d, refused %d\n", a.Team, a.Count.Taken, a.Count.Over, a.Count.Refused)
+		fmt.Printf("%s: taken %d, over %d, refused %d\n", a.Team, a.Counters.Admitted, a.Counters.OverQuota, a.Counters.Rejected)
 	}
 }
--- a/internal/capture/book.go
+++ b/internal/capture/book.go
@@ -13,8 +13,8 @@
 // Requests are known by the module's number of them, copies by the attempt's.
 type Books interface {
 	Charge(now choice.Micros, in *choice.Request, copy int, c *contract.Charge) contract.Verdict
-	Settle(now choice.Micros, id choice.RequestID, copy int, c *contract.Charge, used contract.Use, served bool) bool
-	TurnedAway(now choice.Micros, in *choice.Request, u contract.Use, over bool)
+	Settle(now choice.Micros, id choice.RequestID, copy int, c *contract.Charge, used contract.Usage, served bool) bool
+	TurnedAway(now choice.Micros, in *choice.Request, u contract.Usage, over bool)
 	Agree(now choice.Micros, s contract.Settings, terms []contract.Terms) error
 	SetParts(now choice.Micros, parts []float64)
 	Checkpoint(now choice.Micros) (uint64, []contract.Balance)
@@ -22,49 +22,49 @@
 }
 
 // Plain is a book that nothing records.
-type Plain struct{ Book *contract.Book }
+type Plain struct{ Book *contract.Ledger }
 
 // Charge has the book judge a request, or a further copy of it.
 func (p Plain) Charge(now choice.Micros, in *choice.Request, copy int, c *contract.Charge) contract.Verdict {
 	u := p.Book.Estimate(in.Class, in.PromptTokens, in.MaxTokens)
-	return p.Book.Take(now, in.Tenant, in.Class, u, c)
+	return p.Book.Charge(now, in.Tenant, in.Class, u, c)
 }
 
 // Settle tells what it used.
-func (p Plain) Settle(now choice.Micros, _ choice.RequestID, _ int, c *contract.Charge, used contract.Use, served bool) bool {
+func (p Plain) Settle(now choice.Micros, _ choice.RequestID, _ int, c *contract.Charge, used contract.Usage, served bool) bool {
 	return p.Book.Settle(now, c, used, served)
 }
 
 // TurnedAway tells that the fleet turned it away.
-func (p Plain) TurnedAway(now choice.Micros, in *choice.Request, u contract.Use, over bool) {
-	p.Book.TurnedAway(now, in.Tenant, in.Class, u, over)
+func (p Plain) TurnedAway(now choice.Micros, in *choice.Request, u contract.Usage, over bool) {
+	p.Book.RecordShed(now, in.Tenant, in.Class, u, over)
 }
 
 // Agree puts contracts and settings in force, or neither.
 func (p Plain) Agree(now choice.Micros, s contract.Settings, terms []contract.Terms) error {
-	if err := contract.Check(terms); err != nil {
+	if err := contract.ValidateTerms(terms); err != nil {
 		return err
 	}
-	p.Book.Adopt(s)
-	return p.Book.Agree(now, terms)
+	p.Book.ApplySettings(s)
+	return p.Book.ApplyTerms(now, terms)
 }
 
 // SetParts changes the gateway's parts of them.
-func (p Plain) SetParts(now choice.Micros, parts []float64) { p.Book.SetParts(now, parts) }
+func (p Plain) SetParts(now choice.Micros, parts []float64) { p.Book.SetQuotaShares(now, parts) }
 
 // Checkpoint is the balances that the store must have.
 func (p Plain) Checkpoint(choice.Micros) (uint64, []contract.Balance) { return p.Book.Checkpoint() }
 
 // Kept says how a checkpoint went.
-func (p Plain) Kept(_ choice.Micros, number uint64, well bool) { p.Book.Kept(number, well) }
+func (p Plain) Kept(_ choice.Micros, number uint64, well bool) { p.Book.CheckpointDone(number, well) }
 
 // ChargeKey is how a snapshot knows a charge.
 func ChargeKey(id choice.RequestID, copy int) uint64 { return uint64(id)<<8 | uint64(copy)&0xff }
 
-func (r *Recorder) setBook(b *contract.Book) {
+func (r *Recorder) setBook(b *contract.Ledger) {
 	r.book, r.agreed = b, nil
 	if b != nil {
-		r.agreed = contract.PutAgreed(b.Settings(), b.Terms(), 0, false, nil)
+		r.agreed = contract.MarshalAgreement(b.Settings(), b.Terms(), 0, false, nil)
 	}
 }
 
@@ -73,12 +73,12 @@
 	if r.book == nil {
 		return
 	}
-	var open []contract.Open
+	var open []contract.OpenCharge
 	if r.host.Charges != nil {
 		open = r.host.Charges()
 	}
 	// The host may have let go already of the one that is being settled.
-	if r.settling.Charge != nil && !slices.ContainsFunc(open, func(o contract.Open) bool { return o.Key == r.settling.Key }) {
+	if r.settling.Charge != nil && !slices.ContainsFunc(open, func(o contract.OpenCharge) bool { return o.Key == r.settling.Key }) {
 		open = append(open, r.settling)
 	}
 	c.Agreed, c.Book = r.agreed, r.book.Snapshot(open)
@@ -115,10 +115,10 @@
 // Renew records that another book, made at a moment of Unix time with stored
 // balances, takes the place of the one before; nil: there are no contracts from
 // here on.
-func (r *Recorder) Renew(now choice.Micros, b *contract.Book, unix choice.Micros, resumed []contract.Balance) {
+func (r *Recorder) Renew(now choice.Micros, b *contract.Ledger, unix choice.Micros, resumed []contract.Balance) {
 	rec, nested := r.beginBook(now, pb.Kind_KIND_AGREED)
 	if r.setBook(b); rec != nil && b != nil {
-		rec.Agreed = contract.PutAgreed(b.Settings(), b.Terms(), unix, true, resumed)
+		rec.Agreed = contract.MarshalAgreement(b.Settings(), b.Terms(), unix, true, resumed)
 	}
 	r.endBook(rec, nested)
 }
@@ -130,42 +130,42 @@
 	if rec != nil {
 		rec.Request = uint32(in.ID)
 		rec.Charged = &pb.Charged{Copy: uint32(copy), Tenant: []byte(in.Tenant), Class: []byte(in.Class), PromptTokens: int64(in.PromptTokens),
-			MaxTokens: int64(in.MaxTokens), Made: int64(c.Thought.Made), Refuse: v.Refuse, Reason: v.Reason, RetryAfterUs: v.RetryAfter, Worth: v.Worth}
+			MaxTokens: int64(in.MaxTokens), Made: int64(c.Estimate.OutputTokens), Refuse: v.Rejected, Reason: v.Reason, RetryAfterUs: v.RetryAfter, Worth: v.PriorityWeight}
 	}
 	r.endBook(rec, nested)
 	return v
 }
 
 // Settle tells what it used.
-func (r *Recorder) Settle(now choice.Micros, id choice.RequestID, copy int, c *contract.Charge, used contract.Use, served bool) bool {
+func (r *Recorder) Settle(now choice.Micros, id choice.RequestID, copy int, c *contract.Charge, used contract.Usage, served bool) bool {
 	if !c.Open() {
 		return false
 	}
-	r.settling = contract.Open{Key: ChargeKey(id, copy), Charge: c}
+	r.settling = contract.OpenCharge{Key: ChargeKey(id, copy), Charge: c}
 	rec, nested := r.beginBook(now, pb.Kind_KIND_SETTLED)
-	r.settling = contract.Open{}
+	r.settling = contract.OpenCharge{}
 	news := r.book.Settle(now, c, used, served)
 	if rec != nil {
 		rec.Request = uint32(id)
-		rec.Settled = &pb.Settled{Copy: uint32(copy), Read: int64(used.Read), Made: int64(used.Made), Served: served, News: news}
+		rec.Settled = &pb.Settled{Copy: uint32(copy), Read: int64(used.PromptTokens), Made: int64(used.OutputTokens), Served: served, News: news}
 	}
 	r.endBook(rec, nested)
 	return news
 }
 
 // TurnedAway tells that the fleet turned it away.
-func (r *Recorder) TurnedAway(now choice.Micros, in *choice.Request, u contract.Use, over bool) {
+func (r *Recorder) TurnedAway(now choice.Micros, in *choice.Request, u contract.Usage, over bool) {
 	rec, nested := r.beginBook(now, pb.Kind_KIND_TURNED)
-	if r.book.TurnedAway(now, in.Tenant, in.Class, u, over); rec != nil {
+	if r.book.RecordShed(now, in.Tenant, in.Class, u, over); rec != nil {
 		rec.Request = uint32(in.ID)
-		rec.Turned = &pb.Turned{Tenant: []byte(in.Tenant), Class: []byte(in.Class), Read: int64(u.Read), Made: int64(u.Made), Over: over}
+		rec.Turned = &pb.Turned{Tenant: []byte(in.Tenant), Class: []byte(in.Class), Read: int64(u.PromptTokens), Made: int64(u.OutputTokens), Over: over}
 	}
 	r.endBook(rec, nested)
 }
 
 // Agree puts contracts and settings in force, or neither.
 func (r *Recorder) Agree(now choice.Micros, s contract.Settings, terms []contract.Terms) error {
-	if err := contract.Check(terms); err != nil {
+	if err := contract.ValidateTerms(terms); err != nil {
 		return err
 	}
 	rec, nested := r.beginBook(now, pb.Kind_KIND_AGREED)
@@ -180,7 +180,7 @@
 // SetParts changes the gateway's parts of the contracts.
 func (r *Recorder) SetParts(now choice.Micros, parts []float64) {
 	rec, nested := r.beginBook(now, pb.Kind_KIND_PARTS)
-	if r.book.SetParts(now, parts); rec != nil {
+	if r.book.SetQuotaShares(now, parts); rec != nil {
 		rec.Parts = parts
 	}
 	r.endBook(rec, nested)
@@ -200,7 +200,7 @@
 // Kept says how a checkpoint went.
 func (r *Recorder) Kept(now choice.Micros, number uint64, well bool) {
 	rec, nested := r.beginBook(now, pb.Kind_KIND_KEPT)
-	if r.book.Kept(number, well); rec != nil {
+	if r.book.CheckpointDone(number, well); rec != nil {
 		rec.Kept = &pb.Kept{Number: number, Stage: 2}
 		if well {
 			rec.Kept.Stage = 1
@@ -211,7 +211,7 @@
 
 // Ledger is a book with its open charges, as a replay has them.
 type Ledger struct {
-	Book    *contract.Book // nil: no contracts
+	Book    *contract.Ledger // nil: no contracts
 	Charges map[uint64]*contract.Charge
 }
 
@@ -220,7 +220,7 @@
 	if len(c.Agreed) == 0 {
 		return &Ledger{}, nil
 	}
-	a, err := contract.GetAgreed(c.Agreed)
+	a, err := contract.UnmarshalAgreement(c.Agreed)
 	if err != nil {
 		return nil, err
 	}
@@ -234,9 +234,9 @@
 	if l.Book == nil {
 		return nil
 	}
-	open := make([]contract.Open, 0, len(l.Charges))
+	open := make([]contract.OpenCharge, 0, len(l.Charges))
 	for key, c := range l.Charges {
-		open = append(open, contract.Open{Key: key, Charge: c})
+		open = append(open, contract.OpenCharge{Key: key, Charge: c})
 	}
 	return l.Book.Snapshot(open)
 }
@@ -254,7 +254,7 @@
 	case pb.Kind_KIND_CHARGED:
 		q := r.Charged
 		in := choice.Request{ID: id, Tenant: string(q.GetTenant()), Class: string(q.GetClass()), PromptTokens: int(q.GetPromptTokens()), MaxTokens: int(q.GetMaxTokens())}
-		want := contract.Verdict{Refuse: q.GetRefuse(), Reason: q.GetReason(), RetryAfter: q.GetRetryAfterUs(), Worth: q.GetWorth()}
+		want := contract.Verdict{Rejected: q.GetRefuse(), Reason: q.GetReason(), RetryAfter: q.GetRetryAfterUs(), PriorityWeight: q.GetWorth()}
 		if l.Book == nil {
 			return "no contracts", verdictText(want, q.GetMade()), nil
 		}
@@ -263,22 +263,22 @@
 		if c.Open() {
 			l.Charges[ChargeKey(id, int(q.GetCopy()))] = c
 		}
-		l.Book.Notices()
-		return verdictText(v, int64(c.Thought.Made)), verdictText(want, q.GetMade()), nil
+		l.Book.TakeNotices()
+		return verdictText(v, int64(c.Estimate.OutputTokens)), verdictText(want, q.GetMade()), nil
 	case pb.Kind_KIND_SETTLED:
 		e := r.Settled
 		key := ChargeKey(id, int(e.GetCopy()))
 		c := l.Charges[key]
-		news := l.Book != nil && c != nil && l.Book.Settle(now, c, contract.Use{Read: int(e.GetRead()), Made: int(e.GetMade())}, e.GetServed())
+		news := l.Book != nil && c != nil && l.Book.Settle(now, c, contract.Usage{PromptTokens: int(e.GetRead()), OutputTokens: int(e.GetMade())}, e.GetServed())
 		delete(l.Charges, key)
 		return fmt.Sprintf("settled=%v", news), fmt.Sprintf("settled=%v", e.GetNews()), nil
 	case pb.Kind_KIND_TURNED:
 		if t := r.Turned; l.Book != nil {
-			l.Book.TurnedAway(now, string(t.GetTenant()), string(t.GetClass()), contract.Use{Read: int(t.GetRead()), Made: int(t.GetMade())}, t.GetOver())
+			l.Book.RecordShed(now, string(t.GetTenant()), string(t.GetClass()), contract.Usage{PromptTokens: int(t.GetRead()), OutputTokens: int(t.GetMade())}, t.GetOver())
 		}
 	case pb.Kind_KIND_PARTS:
 		if l.Book != nil {
-			l.Book.SetParts(now, r.Parts)
+			l.Book.SetQuotaShares(now, r.Parts)
 		}
 	case pb.Kind_KIND_KEPT:
 		if l.Book == nil {
@@ -288,7 +288,7 @@
 			number, _ := l.Book.Checkpoint()
 			return fmt.Sprint("checkpoint ", number), fmt.Sprint("checkpoint ", r.Kept.GetNumber()), nil
 		}
-		l.Book.Kept(r.Kept.GetNumber(), r.Kept.GetStage() == 1)
+		l.Book.CheckpointDone(r.Kept.GetNumber(), r.Kept.GetStage() == 1)
 	}
 	return "", "", nil
 }
@@ -298,26 +298,26 @@
 		*l = Ledger{}
 		return nil
 	}
-	a, err := contract.GetAgreed(text)
+	a, err := contract.UnmarshalAgreement(text)
 	if err != nil {
 		return err
 	}
 	if l.Charges == nil {
 		l.Charges = map[uint64]*contract.Charge{}
 	}
-	if !a.Fresh && l.Book != nil {
+	if !a.NewLedger && l.Book != nil {
 		return Plain{l.Book}.Agree(now, a.Settings, a.Terms)
 	}
-	if l.Book, err = contract.New(a.Settings, a.Terms, now, a.Unix); err != nil {
+	if l.Book, err = contract.NewLedger(a.Settings, a.Terms, now, a.Unix); err != nil {
 		return err
 	}
-	l.Book.Resume(a.Resumed)
+	l.Book.RestoreBalances(a.Balances)
 	return nil
 }
 
 func verdictText(v contract.Verdict, made int64) string {
-	if v.Refuse {
+	if v.Rejected {
 		return fmt.Sprintf("refuse reason=%s retry_after_us=%d", v.Reason, v.RetryAfter)
 	}
-	return fmt.Sprintf("take worth=%v made=%d", v.Worth, made)
+	return fmt.Sprintf("take worth=%v made=%d", v.PriorityWeight, made)
 }
--- a/internal/capture/recorder.go
+++ b/internal/capture/recorder.go
@@ -71,7 +71,7 @@
 	Timers      func() []Timer
 	WorkerName  func(choice.ReplicaID) string // "" if it has none
 	RequestName func(choice.RequestID) string
-	Charges     func() []contract.Open // that are not settled
+	Charges     func() []contract.OpenCharge // that are not settled
 }
 
 // Options of a recording.
@@ -119,9 +119,9 @@
 	within    bool         // a call is going on, recorded or not
 	nested    []*pb.Record // of the book, within the module's call
 
-	book     *contract.Book // nil: no contracts
-	agreed   []byte         // the contracts in force, for checkpoints
-	settling contract.Open  // the charge that is being settled
+	book     *contract.Ledger    // nil: no contracts
+	agreed   []byte              // the contracts in force, for checkpoints
+	settling contract.OpenCharge // the charge that is being settled
 	marshal  proto.MarshalOptions
 }
 
@@ -139,7 +139,7 @@
 // Record puts a recorder before a module whose orders go to a sink; the owner
 // calls the recorder from here on in place of the module. The first thing in the
 // capture is a checkpoint.
-func Record(now choice.Micros, b *choice.Balancer, book *contract.Book, out choice.Sink, to *Writer, host Host, o Options) *Recorder {
+func Record(now choice.Micros, b *choice.Balancer, book *contract.Ledger, out choice.Sink, to *Writer, host Host, o Options) *Recorder {
 	r := &Recorder{b: b, out: out, to: to, host: host, o: o, now: now, segmentAt: now}
 	r.setBook(book)
 	if host.WorkerName == nil {
--- a/internal/cli/config.go
+++ b/internal/cli/config.go
@@ -35,7 +35,7 @@
 	if c.JSON {
 		list := []map[string]any{}
 		for _, p := range problems {
-			list = append(list, map[string]any{"file": p.File, "line": p.Line, "column": p.Column, "key": p.Key, "what": p.What})
+			list = append(list, map[string]any{"file": p.File, "line": p.Line, "column": p.Column, "key": p.Key, "what": p.Message})
 		}
 		if err := s.print(map[string]any{"good": err == nil, "problems": list}); err != nil {
 			return err
--- a/internal/cli/contracts.go
+++ b/internal/cli/contracts.go
@@ -28,7 +28,7 @@
 }
 
 // accounts are the books of a running gateway.
-func (f *socketFlags) accounts(s *streams) (list []contract.Account, err error) {
+func (f *socketFlags) accounts(s *streams) (list []contract.AccountStatus, err error) {
 	err = f.call(s, "contracts/accounts", struct{}{}, &list)
 	return list, err
 }
@@ -70,11 +70,11 @@
 		for _, g := range t.Budgets {
 			budgets = append(budgets, fmt.Sprintf("%s %s/%s", g.Period, tokens(g.Soft), tokens(g.Hard)))
 		}
-		worth := t.Worth
+		worth := t.PriorityWeight
 		if worth == 0 {
 			worth = 1
 		}
-		fmt.Fprintf(w, "%s\t%s\t%s\t%g\t%g\t%v\t%d\t%s\t%s\t%s\t\n", t.Team, tokens(contract.Units(t.Rate)), tokens(t.Burst), worth, t.Over, t.Hard,
+		fmt.Fprintf(w, "%s\t%s\t%s\t%g\t%g\t%v\t%d\t%s\t%s\t%s\t\n", t.Team, tokens(contract.Units(t.Rate)), tokens(t.Burst), worth, t.OverQuotaWeight, t.Hard,
 			len(t.Tenants), strings.Join(budgets, ", "), day(t.From), day(t.Until))
 	}
 	return w.Flush()
@@ -87,7 +87,7 @@
 	return time.UnixMicro(unix).UTC().Format(time.DateOnly)
 }
 
-func (s *streams) accounts(list []contract.Account) error {
+func (s *streams) accounts(list []contract.AccountStatus) error {
 	w := tabwriter.NewWriter(s.out, 0, 4, 2, ' ', tabwriter.AlignRight)
 	fmt.Fprintln(w, "team\tvalid\tpart\tlevel\topen\ttaken\tover\trefused\tused\tborrowed\tbudgets\t")
 	for _, a := range list {
@@ -97,8 +97,8 @@
 				budgets = append(budgets, fmt.Sprintf("%s %.1f%%", contract.Period(p), 100*float64(a.Used[p])/float64(limit)))
 			}
 		}
-		fmt.Fprintf(w, "%s\t%v\t%.3f\t%s\t%d\t%d\t%d\t%d\t%s\t%s\t%s\t\n", a.Team, a.Valid, a.Part, tokens(a.Level), a.Open, a.Count.Taken, a.Count.Over,
-			a.Count.Refused, tokens(a.Count.Used), tokens(a.Count.Borrowed), strings.Join(budgets, ", "))
+		fmt.Fprintf(w, "%s\t%v\t%.3f\t%s\t%d\t%d\t%d\t%d\t%s\t%s\t%s\t\n", a.Team, a.InForce, a.QuotaShare, tokens(a.Level), a.Open, a.Counters.Admitted, a.Counters.OverQuota,
+			a.Counters.Rejected, tokens(a.Counters.Used), tokens(a.Counters.Borrowed), strings.Join(budgets, ", "))
 	}
 	return w.Flush()
 }
@@ -125,7 +125,7 @@
 		if err != nil {
 			return err
 		}
-		i := slices.IndexFunc(list, func(a contract.Account) bool { return a.Team == c.Team })
+		i := slices.IndexFunc(list, func(a contract.AccountStatus) bool { return a.Team == c.Team })
 		switch {
 		case i < 0:
 			return none()
@@ -145,7 +145,7 @@
 	case c.JSON:
 		return s.print(got.Contracts.Teams[i])
 	}
-	fmt.Fprint(s.out, strings.TrimPrefix(conf.ContractText(&got.Contracts.Teams[i]), "\n"))
+	fmt.Fprint(s.out, strings.TrimPrefix(conf.FormatContract(&got.Contracts.Teams[i]), "\n"))
 	return nil
 }
 
@@ -174,8 +174,8 @@
 		if err != nil {
 			return nil, err
 		}
-		o := trial.Options{Settings: got.Contracts.Settings(), Terms: got.Contracts.Teams, From: from, To: to, Points: points, Progress: progress(s, r)}
-		o.Settings.Reserve, o.Settings.Strict = 0, false // there is no store
+		o := trial.Options{Settings: got.Contracts.LedgerSettings(), Terms: got.Contracts.Teams, From: from, To: to, SeriesPoints: points, Progress: progress(s, r)}
+		o.Settings.ReserveFraction, o.Settings.Strict = 0, false // there is no store
 		res, err := trial.Run(r, o)
 		if err != nil {
 			return nil, fmt.Errorf("%s: %w", r.Name, err)
@@ -223,8 +223,8 @@
 			if name == "" {
 				name = "(no contract)"
 			}
-			fmt.Fprintf(w, "%s\t%d\t%d\t%d\t%s\t%d\t%s\t%s\t%.1f%%\t%s\t%d\t%d\t\n", name, t.Requests, t.Taken, t.Over, reasons(t.Refused), t.Missed,
-				humanize.Comma(int64(t.Asked)), humanize.Comma(int64(t.Used)), 100*t.RateShare, humanize.Comma(int64(t.Borrowed)), t.Copies, t.NotSent)
+			fmt.Fprintf(w, "%s\t%d\t%d\t%d\t%s\t%d\t%s\t%s\t%.1f%%\t%s\t%d\t%d\t\n", name, t.Requests, t.Admitted, t.OverQuota, reasons(t.Rejected), t.ServedThoughRejected,
+				humanize.Comma(int64(t.Requested)), humanize.Comma(int64(t.Used)), 100*t.RateShare, humanize.Comma(int64(t.Borrowed)), t.ExtraAttempts, t.ExtraAttemptsRejected)
 		}
 		w.Flush()
 		for _, n := range r.Notices {
--- a/internal/cli/drill.go
+++ b/internal/cli/drill.go
@@ -105,7 +105,7 @@
 		if err != nil {
 			return err
 		}
-		o.Program = cmp.Or(c.Program, v.Build)
+		o.Program = cmp.Or(c.Program, v.Program)
 		r, err := drill.Run(ctx, spec, o)
 		if err != nil {
 			return err
--- a/internal/conf/conf_test.go
+++ b/internal/conf/config_test.go
@@ -12,7 +12,7 @@
 	"archknot/internal/contract"
 )
 
-func write(t *testing.T, dir, name, text string) string {
+func writeFile(t *testing.T, dir, name, text string) string {
 	t.Helper()
 	p := filepath.Join(dir, name)
 	if err := os.WriteFile(p, []byte(text), 0o600); err != nil {
@@ -23,8 +23,8 @@
 
 func TestLoad(t *testing.T) {
 	dir := t.TempDir()
-	write(t, dir, "more.conf", "[incident]\nunserved 25% # a share\nover 20s\n")
-	p := write(t, dir, "a.conf", `
+	writeFile(t, dir, "more.conf", "[incident]\nunserved 25% # a share\nover 20s\n")
+	p := writeFile(t, dir, "a.conf", `
 # a comment
 [capture]   # and one here
 record on
@@ -62,20 +62,20 @@
 	}
 	want := Default()
 	want.File = p
-	want.Capture.Record, want.Capture.Directory, want.Capture.Checkpoint, want.Capture.SegmentSize = true, "/var/a b/#1", 30*time.Second, 2<<20
+	want.Capture.Record, want.Capture.Directory, want.Capture.CheckpointInterval, want.Capture.SegmentSize = true, "/var/a b/#1", 30*time.Second, 2<<20
 	want.Control.Socket = "/run/x.sock"
-	want.Incident.Unserved, want.Incident.Over, want.Incident.Directory = 0.25, 20*time.Second, "/var/a b/#1/incidents"
-	want.Contracts.Zone = "Australia/Hobart"
-	want.Contracts.Teams = []contract.Terms{{Team: "island-tax", Tenants: []string{"island-tax", "old name"}, Rate: 4e6, Burst: 8e6, Over: 0.05,
-		Prices: map[string]contract.Price{"agent": {Read: 1, Made: 2.5}, "chat": {Read: 1, Made: 1}}, Floors: map[string]float64{"agent": 3e5},
+	want.Incident.UnservedShare, want.Incident.EvaluationWindow, want.Incident.Directory = 0.25, 20*time.Second, "/var/a b/#1/incidents"
+	want.Contracts.TimeZone = "Australia/Hobart"
+	want.Contracts.Teams = []contract.Terms{{Team: "island-tax", Tenants: []string{"island-tax", "old name"}, Rate: 4e6, Burst: 8e6, OverQuotaWeight: 0.05,
+		Prices: map[string]contract.Price{"agent": {PromptToken: 1, OutputToken: 2.5}, "chat": {PromptToken: 1, OutputToken: 1}}, Floors: map[string]float64{"agent": 3e5},
 		Budgets: []contract.Budget{{Period: contract.Hour, Hard: 1e9}, {Period: contract.Quarter, Soft: 5e6, Hard: 9e6}},
 		Until:   time.Date(2027, 6, 30, 14, 0, 0, 0, time.UTC).UnixMicro(), Borrow: 5e4, Successor: "next"},
-		{Team: "next", Tenants: []string{"next"}, Rate: 1e3, Over: 0.05, NoBorrow: true, Surge: 1.25, From: time.Date(2027, 6, 30, 14, 0, 0, 0, time.UTC).UnixMicro()}}
+		{Team: "next", Tenants: []string{"next"}, Rate: 1e3, OverQuotaWeight: 0.05, NoBorrow: true, Surge: 1.25, From: time.Date(2027, 6, 30, 14, 0, 0, 0, time.UTC).UnixMicro()}}
 	if diff := cmp.Diff(want, c); diff != "" {
 		t.Error(diff)
 	}
 	// What is shown reads back as the same.
-	shown := write(t, dir, "shown.conf", c.Text(true))
+	shown := writeFile(t, dir, "shown.conf", c.Text(true))
 	again, err := Load(shown)
 	if err != nil {
 		t.Fatal(err)
@@ -91,8 +91,8 @@
 // All that is wrong is told at once, each by its place.
 func TestProblems(t *testing.T) {
 	dir := t.TempDir()
-	write(t, dir, "loop.conf", "include a.conf\n")
-	p := write(t, dir, "a.conf", `stray 1
+	writeFile(t, dir, "loop.conf", "include a.conf\n")
+	p := writeFile(t, dir, "a.conf", `stray 1
 [captur]
 x 1
 [capture]
@@ -160,7 +160,7 @@
 	}
 }
 
-func TestTogether(t *testing.T) {
+func TestValidate(t *testing.T) {
 	dir := t.TempDir()
 	for text, want := range map[string]string{
 		"[capture]\nrecord on\n":                         "capture.directory: missing",
@@ -173,7 +173,7 @@
 		"[subset]\nindex -2\n":                           "subset.index: expected -1 to",
 		"[subset]\nleast 2\n":                            "subset.least: unknown key",
 	} {
-		if _, err := Load(write(t, dir, "a.conf", text)); err == nil || !strings.Contains(err.Error(), want) {
+		if _, err := Load(writeFile(t, dir, "a.conf", text)); err == nil || !strings.Contains(err.Error(), want) {
 			t.Errorf("%q: %v", text, err)
 		}
 	}
@@ -183,7 +183,7 @@
 	f.Add("[capture]\nrecord on # x\n")
 	f.Add("include \"*\"\n[a \"b\"]\nk v\n")
 	f.Fuzz(func(t *testing.T, text string) {
-		p := write(t, t.TempDir(), "f.conf", strings.ReplaceAll(text, "include", "exclude"))
+		p := writeFile(t, t.TempDir(), "f.conf", strings.ReplaceAll(text, "include", "exclude"))
 		c, err := Load(p)
 		if (c == nil) == (err == nil) {
 			t.Fatal(c, err)
--- a/internal/conf/contract.go
+++ b/internal/conf/contract.go
@@ -13,30 +13,30 @@
 
 // Contracts are the teams' agreements: [contract TEAM] sections.
 type Contracts struct {
-	Zone  string // of days and quarters
-	Pool  time.Duration
-	Other float64 // the worth of tenants without one; below 0 they are refused
-	Teams []contract.Terms
+	TimeZone            string // of days and quarters
+	BorrowPool          time.Duration
+	UnknownTenantWeight float64 // the worth of tenants without one; below 0 they are refused
+	Teams               []contract.Terms
 
-	Store    string // "": balances are not kept
-	Reserve  float64
-	Strict   bool
-	Split    string
-	Gateways int
+	StorePath       string // "": balances are not kept
+	ReserveFraction float64
+	Strict          bool
+	Split           string
+	Gateways        int
 }
 
-// Settings are the book's.
-func (c *Contracts) Settings() contract.Settings {
-	s := contract.Settings{Zone: c.Location(), Pool: c.Pool.Seconds(), Unknown: c.Other}
-	if c.Store != "" {
-		s.Reserve, s.Strict = c.Reserve, c.Strict
+// LedgerSettings are the book's.
+func (c *Contracts) LedgerSettings() contract.Settings {
+	s := contract.Settings{Location: c.Location(), BorrowPoolSeconds: c.BorrowPool.Seconds(), UnknownTenantWeight: c.UnknownTenantWeight}
+	if c.StorePath != "" {
+		s.ReserveFraction, s.Strict = c.ReserveFraction, c.Strict
 	}
 	return s
 }
 
 // Location is the zone's.
 func (c *Contracts) Location() *time.Location {
-	l, err := time.LoadLocation(c.Zone)
+	l, err := time.LoadLocation(c.TimeZone)
 	if err != nil {
 		return time.UTC // the zone was checked when it was read
 	}
@@ -46,13 +46,13 @@
 // contractKeys are what may stand in a [contract TEAM] section. Those in repeats
 // may stand more than once.
 var (
-	contractKeys    = []string{"tenants", "classes", "rate", "burst", "worth", "over", "hard", "price", "floor", "budget", "from", "until", "successor", "borrow", "surge"}
-	contractRepeats = []string{"price", "floor", "budget"}
+	contractKeys           = []string{"tenants", "classes", "rate", "burst", "worth", "over", "hard", "price", "floor", "budget", "from", "until", "successor", "borrow", "surge"}
+	repeatableContractKeys = []string{"price", "floor", "budget"}
 )
 
-// setContract enters one key of a team's contract. Rates, bursts and budgets are
+// setContractKey enters one key of a team's contract. Rates, bursts and budgets are
 // in tokens at price 1.
-func setContract(t *contract.Terms, key string, words []string) error {
+func setContractKey(t *contract.Terms, key string, words []string) error {
 	need := func(n int, form string) error {
 		if len(words) != n {
 			return fmt.Errorf("expected %s, got %d words", form, len(words))
@@ -100,9 +100,9 @@
 		}
 		return err
 	case "worth":
-		return number(&t.Worth)
+		return number(&t.PriorityWeight)
 	case "over":
-		return number(&t.Over)
+		return number(&t.OverQuotaWeight)
 	case "surge":
 		return number(&t.Surge)
 	case "hard":
@@ -147,7 +147,7 @@
 		if t.Prices == nil {
 			t.Prices = map[string]contract.Price{}
 		}
-		t.Prices[words[0]] = contract.Price{Read: read, Made: made}
+		t.Prices[words[0]] = contract.Price{PromptToken: read, OutputToken: made}
 		return err
 	case "floor":
 		if err := need(2, "a class and tokens a second"); err != nil {
@@ -191,34 +191,34 @@
 	}
 }
 
-// entry enters one line of a [contract TEAM] section.
-func (c *Contracts) entry(r *reader, e entry, seen map[string]entry) {
+// applyEntry enters one line of a [contract TEAM] section.
+func (c *Contracts) applyEntry(r *reader, e entry, seen map[string]entry) {
 	if e.label == "" {
-		r.problem(e.file, e.sectionPos, "contract", "expected [contract TEAM]")
+		r.addProblem(e.file, e.sectionPos, "contract", "expected [contract TEAM]")
 		return
 	}
-	full := "contract " + e.label + "." + e.set.Key
-	if !slices.Contains(contractKeys, e.set.Key) {
-		r.problem(e.file, e.set.Pos, full, "unknown key%s", nearest(e.set.Key, contractKeys))
+	full := "contract " + e.label + "." + e.setting.Key
+	if !slices.Contains(contractKeys, e.setting.Key) {
+		r.addProblem(e.file, e.setting.Pos, full, "unknown key%s", suggestWord(e.setting.Key, contractKeys))
 		return
 	}
-	if was, twice := seen[full]; twice && !slices.Contains(contractRepeats, e.set.Key) {
-		r.problem(e.file, e.set.Pos, full, "given already at %s:%d", was.file, was.set.Pos.Line)
+	if was, twice := seen[full]; twice && !slices.Contains(repeatableContractKeys, e.setting.Key) {
+		r.addProblem(e.file, e.setting.Pos, full, "given already at %s:%d", was.file, was.setting.Pos.Line)
 		return
 	}
 	seen[full] = e
 	i := slices.IndexFunc(c.Teams, func(t contract.Terms) bool { return t.Team == e.label })
 	if i < 0 {
 		i = len(c.Teams)
-		c.Teams = append(c.Teams, contract.Terms{Team: e.label, Over: 0.05})
+		c.Teams = append(c.Teams, contract.Terms{Team: e.label, OverQuotaWeight: 0.05})
 	}
-	if err := setContract(&c.Teams[i], e.set.Key, e.set.words()); err != nil {
-		r.problem(e.file, e.set.valuePos(), full, "%v", err)
+	if err := setContractKey(&c.Teams[i], e.setting.Key, e.setting.words()); err != nil {
+		r.addProblem(e.file, e.setting.valuePos(), full, "%v", err)
 	}
 }
 
-// ContractText is a contract in the form of a file.
-func ContractText(t *contract.Terms) string {
+// FormatContract is a contract in the form of a file.
+func FormatContract(t *contract.Terms) string {
 	var b strings.Builder
 	quote := func(words []string) string {
 		out := make([]string, len(words))
@@ -234,15 +234,15 @@
 	if len(t.Classes) > 0 {
 		fmt.Fprintf(&b, "classes %s\n", quote(t.Classes))
 	}
-	fmt.Fprintf(&b, "rate %s\nburst %d\nworth %s\nover %s\n", number(t.Rate/token), t.Burst/contract.Token, number(t.Worth), number(t.Over))
+	fmt.Fprintf(&b, "rate %s\nburst %d\nworth %s\nover %s\n", formatFloat(t.Rate/token), t.Burst/contract.Token, formatFloat(t.PriorityWeight), formatFloat(t.OverQuotaWeight))
 	if t.Hard {
 		b.WriteString("hard on\n")
 	}
 	for _, class := range slices.Sorted(maps.Keys(t.Prices)) {
-		fmt.Fprintf(&b, "price %s %s %s\n", quote([]string{class}), number(t.Prices[class].Read), number(t.Prices[class].Made))
+		fmt.Fprintf(&b, "price %s %s %s\n", quote([]string{class}), formatFloat(t.Prices[class].PromptToken), formatFloat(t.Prices[class].OutputToken))
 	}
 	for _, class := range slices.Sorted(maps.Keys(t.Floors)) {
-		fmt.Fprintf(&b, "floor %s %s\n", quote([]string{class}), number(t.Floors[class]/token))
+		fmt.Fprintf(&b, "floor %s %s\n", quote([]string{class}), formatFloat(t.Floors[class]/token))
 	}
 	for _, g := range t.Budgets {
 		fmt.Fprintf(&b, "budget %s %d %d\n", g.Period, g.Soft/contract.Token, g.Hard/contract.Token)
@@ -251,10 +251,10 @@
 	case t.NoBorrow:
 		b.WriteString("borrow none\n")
 	case t.Borrow > 0:
-		fmt.Fprintf(&b, "borrow %s\n", number(t.Borrow/token))
+		fmt.Fprintf(&b, "borrow %s\n", formatFloat(t.Borrow/token))
 	}
 	if t.Surge > 0 {
-		fmt.Fprintf(&b, "surge %s\n", number(t.Surge))
+		fmt.Fprintf(&b, "surge %s\n", formatFloat(t.Surge))
 	}
 	if t.Successor != "" {
 		fmt.Fprintf(&b, "successor %s\n", quote([]string{t.Successor}))
--- a/internal/conf/grammar.go
+++ b/internal/conf/grammar.go
@@ -77,7 +77,7 @@
 	File         string
 	Line, Column int
 	Key          string // "" where the fault is no key's
-	What         string
+	Message      string
 }
 
 func (p *Problem) Error() string {
@@ -88,7 +88,7 @@
 	if p.Key != "" {
 		at += p.Key + ": "
 	}
-	return at + p.What
+	return at + p.Message
 }
 
 // Problems are all faults found, in the order of the files' lines.
@@ -104,39 +104,39 @@
 
 // Bounds on what is read.
 const (
-	maxFile  = 1 << 20
-	maxFiles = 64
+	maxFileBytes = 1 << 20
+	maxFileCount = 64
 )
 
 // entry is one setting with the section that it stands in.
 type entry struct {
 	section, label string
 	sectionPos     lexer.Position
-	set            *setting
+	setting        *setting
 	file           string
 }
 
 // reader collects the settings of a file and of those it includes.
 type reader struct {
-	entries  []entry
-	problems Problems
-	open     []string // the files being read, outermost first
-	files    int
+	entries      []entry
+	problems     Problems
+	includeStack []string // the files being read, outermost first
+	fileCount    int
 }
 
-func (r *reader) problem(file string, pos lexer.Position, key, format string, args ...any) {
-	r.problems = append(r.problems, &Problem{File: file, Line: pos.Line, Column: pos.Column, Key: key, What: fmt.Sprintf(format, args...)})
+func (r *reader) addProblem(file string, pos lexer.Position, key, format string, args ...any) {
+	r.problems = append(r.problems, &Problem{File: file, Line: pos.Line, Column: pos.Column, Key: key, Message: fmt.Sprintf(format, args...)})
 }
 
-// file reads one file. Sections do not reach across files: an included file
+// readFile reads one file. Sections do not reach across files: an included file
 // begins outside all sections, and the including one goes on in its own.
-func (r *reader) file(path string, from string, at lexer.Position) {
+func (r *reader) readFile(path string, from string, at lexer.Position) {
 	fail := func(format string, args ...any) {
 		if from == "" {
-			r.problem(path, lexer.Position{}, "", format, args...)
+			r.addProblem(path, lexer.Position{}, "", format, args...)
 			return
 		}
-		r.problem(from, at, "include", "%s: "+format, append([]any{path}, args...)...)
+		r.addProblem(from, at, "include", "%s: "+format, append([]any{path}, args...)...)
 	}
 	clean, err := filepath.Abs(path)
 	if err != nil {
@@ -146,23 +146,23 @@
 	if resolved, err := filepath.EvalSymlinks(clean); err == nil {
 		clean = resolved
 	}
-	for _, open := range r.open {
+	for _, open := range r.includeStack {
 		if open == clean {
-			fail("includes itself, by way of %s", strings.Join(r.open, ", "))
+			fail("includes itself, by way of %s", strings.Join(r.includeStack, ", "))
 			return
 		}
 	}
-	if r.files++; r.files > maxFiles {
-		fail("more than %d files", maxFiles)
+	if r.fileCount++; r.fileCount > maxFileCount {
+		fail("more than %d files", maxFileCount)
 		return
 	}
-	text, err := readAll(clean)
+	text, err := readLimited(clean)
 	if err != nil {
 		fail("%v", err)
 		return
 	}
-	r.open = append(r.open, clean)
-	defer func() { r.open = r.open[:len(r.open)-1] }()
+	r.includeStack = append(r.includeStack, clean)
+	defer func() { r.includeStack = r.includeStack[:len(r.includeStack)-1] }()
 	var in section
 	for n, text := range strings.Split(text, "\n") {
 		got, err := parser().ParseString(path, text)
@@ -171,9 +171,9 @@
 			what := err.Error()
 			var perr participle.Error
 			if errors.As(err, &perr) {
-				pos.Column, what = max(1, perr.Position().Column), plain(perr.Message())
+				pos.Column, what = max(1, perr.Position().Column), plainMessage(perr.Message())
 			}
-			r.problem(path, pos, "", "%s", what)
+			r.addProblem(path, pos, "", "%s", what)
 			continue
 		}
 		switch {
@@ -187,10 +187,10 @@
 				w.Pos.Line = n + 1
 			}
 			if s.Key == "include" {
-				r.include(path, s)
+				r.readIncluded(path, s)
 				continue
 			}
-			e := entry{section: in.Name, sectionPos: in.Pos, set: s, file: path}
+			e := entry{section: in.Name, sectionPos: in.Pos, setting: s, file: path}
 			if in.Label != nil {
 				e.label = in.Label.Text
 			}
@@ -199,10 +199,10 @@
 	}
 }
 
-// include takes in the files that a pattern names, in the order of their names.
-func (r *reader) include(from string, s *setting) {
+// readIncluded takes in the files that a pattern names, in the order of their names.
+func (r *reader) readIncluded(from string, s *setting) {
 	if len(s.Values) != 1 {
-		r.problem(from, s.Pos, s.Key, "expected one path, got %d", len(s.Values))
+		r.addProblem(from, s.Pos, s.Key, "expected one path, got %d", len(s.Values))
 		return
 	}
 	path := s.Values[0].Text
@@ -210,20 +210,20 @@
 		path = filepath.Join(filepath.Dir(from), path)
 	}
 	if !strings.ContainsAny(path, "*?[") {
-		r.file(path, from, s.Pos)
+		r.readFile(path, from, s.Pos)
 		return
 	}
 	found, err := filepath.Glob(path)
 	if err != nil {
-		r.problem(from, s.Values[0].Pos, s.Key, "%s: %v", path, err)
+		r.addProblem(from, s.Values[0].Pos, s.Key, "%s: %v", path, err)
 		return
 	}
 	for _, f := range found {
-		r.file(f, from, s.Pos)
+		r.readFile(f, from, s.Pos)
 	}
 }
 
-func readAll(path string) (string, error) {
+func readLimited(path string) (string, error) {
 	f, err := os.Open(path)
 	if err != nil {
 		var perr *os.PathError
@@ -233,15 +233,15 @@
 		return "", err
 	}
 	defer f.Close()
-	text, err := io.ReadAll(io.LimitReader(f, maxFile+1))
-	if err == nil && len(text) > maxFile {
-		err = fmt.Errorf("over %d bytes", maxFile)
+	text, err := io.ReadAll(io.LimitReader(f, maxFileBytes+1))
+	if err == nil && len(text) > maxFileBytes {
+		err = fmt.Errorf("over %d bytes", maxFileBytes)
 	}
 	return string(text), err
 }
 
-// plain puts the parser's words into the operators'.
-func plain(what string) string {
+// plainMessage puts the parser's words into the operators'.
+func plainMessage(what string) string {
 	switch {
 	case strings.HasPrefix(what, "invalid input text"), strings.Contains(what, "lexer:"):
 		return "a quote that does not end, or a character that cannot stand here"
--- a/internal/conf/scale.go
+++ b/internal/conf/scale.go
@@ -9,8 +9,8 @@
 	"strings"
 )
 
-// scaled are the keys that grow with a fleet, by section.
-var scaled = map[string]struct {
+// scaledKeys are the keys that grow with a fleet, by section.
+var scaledKeys = map[string]struct {
 	key   string
 	whole bool
 }{"traffic": {"rate", false}, "workers": {"count", true}, "run": {"gateways", true}}
@@ -18,12 +18,12 @@
 // planDefault is what a plan has where it does not say.
 func planDefault(section, name string) string {
 	label := "any"
-	if slices.Contains(unlabelled, section) {
+	if slices.Contains(unlabelledSections, section) {
 		label = ""
 	}
-	b := binder{s: defaultSpec()}
-	keys := b.section(section, label)
-	return keys[slices.IndexFunc(keys, func(k key) bool { return k.name == name })].otherwise
+	b := specBuilder{spec: defaultSpec()}
+	keys := b.sectionKeys(section, label)
+	return keys[slices.IndexFunc(keys, func(k keySpec) bool { return k.name == name })].defaultText
 }
 
 // ScalePlan is a plan's text for a fleet so many times as large: more requests a
@@ -40,9 +40,9 @@
 		}
 		v, err := strconv.ParseFloat(value, 64)
 		if err != nil {
-			return "", fmt.Errorf("%s.%s: expected a number, got %q", section, scaled[section].key, value)
+			return "", fmt.Errorf("%s.%s: expected a number, got %q", section, scaledKeys[section].key, value)
 		}
-		if v *= times; scaled[section].whole {
+		if v *= times; scaledKeys[section].whole {
 			v = math.Max(1, math.Round(v))
 		}
 		return strconv.FormatFloat(v, 'f', -1, 64), nil
@@ -51,7 +51,7 @@
 	section, seen, sawRun := "", true, false
 	var failed error
 	end := func() { // what a section leaves to its default grows all the same
-		if k, ok := scaled[section]; ok && !seen {
+		if k, ok := scaledKeys[section]; ok && !seen {
 			v, err := grow(section, planDefault(section, k.key))
 			failed = errors.Join(failed, err)
 			fmt.Fprintf(&out, "%s %s\n", k.key, v)
@@ -72,14 +72,14 @@
 			out.WriteString(line + "\n")
 		case len(f) >= 1 && f[0] == "include":
 			return "", fmt.Errorf("line %d: include: write the plan into one file first", n+1)
-		case len(f) == 2 && scaled[section].key == f[0]:
+		case len(f) == 2 && scaledKeys[section].key == f[0]:
 			v, err := grow(section, f[1])
 			failed = errors.Join(failed, err)
 			seen = true
 			put(f[0], v)
 		case len(f) == 3 && f[0] == "set":
 			parts := strings.Split(f[1], ".")
-			if k, ok := scaled[parts[0]]; ok && parts[len(parts)-1] == k.key {
+			if k, ok := scaledKeys[parts[0]]; ok && parts[len(parts)-1] == k.key {
 				v, err := grow(parts[0], f[2])
 				failed = errors.Join(failed, err)
 				put(f[0], f[1], v)
--- a/internal/conf/scale_test.go
+++ b/internal/conf/scale_test.go
@@ -7,7 +7,7 @@
 	"testing"
 )
 
-const small = `# a fleet
+const smallPlan = `# a fleet
 [run]
 for 30s
 [class c]
@@ -43,13 +43,13 @@
 		keep     bool
 		gateways int
 	}{{false, 30}, {true, 3}} {
-		text, err := ScalePlan(small, 10, c.keep)
+		text, err := ScalePlan(smallPlan, 10, c.keep)
 		if err != nil {
 			t.Fatal(err)
 		}
 		p := load(text)
 		base := Variant{Name: "base"}
-		was, err := load(small).Spec(base, base, 1)
+		was, err := load(smallPlan).Spec(base, base, 1)
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -73,7 +73,7 @@
 			t.Errorf("%q was scaled", bad)
 		}
 	}
-	if _, err := ScalePlan(small, 0, false); err == nil {
+	if _, err := ScalePlan(smallPlan, 0, false); err == nil {
 		t.Error("scaled by nothing")
 	}
 }
--- a/internal/confstream/decode.go
+++ b/internal/confstream/decode.go
@@ -177,7 +177,7 @@
 		if err := read(&m); err != nil {
 			return nil, err
 		}
-		t := contract.GetTerms(m.Terms)
+		t := contract.TermsFromProto(m.Terms)
 		t.Team = m.Name
 		return func(c *revision.Config) { c.Contracts = append(c.Contracts, t) }, nil
 	case revision.TypeLog:
--- a/internal/confstream/stored_test.go
+++ b/internal/confstream/stored_test.go
@@ -52,8 +52,8 @@
 		Watch:       &revision.Watch{Wait: 5000000, CallTimeout: 1500000},
 		Capture:     &revision.Capture{Record: true, Checkpoint: 30000000, KeepBytes: 1048576, KeepAge: 3600000000},
 		Log:         &revision.Log{Level: "warn"},
-		Contracts: []contract.Terms{{Team: "quay", Tenants: []string{"a", "b"}, Classes: []string{"chat"}, Rate: 1500.5, Burst: 90000, Worth: 1.5, Over: 0.05, Hard: true,
-			Prices: map[string]contract.Price{"chat": {Read: 0.5, Made: 2}}, Floors: map[string]float64{"chat": 100},
+		Contracts: []contract.Terms{{Team: "quay", Tenants: []string{"a", "b"}, Classes: []string{"chat"}, Rate: 1500.5, Burst: 90000, PriorityWeight: 1.5, OverQuotaWeight: 0.05, Hard: true,
+			Prices: map[string]contract.Price{"chat": {PromptToken: 0.5, OutputToken: 2}}, Floors: map[string]float64{"chat": 100},
 			Budgets: []contract.Budget{{Period: 1, Soft: 800000, Hard: 1000000}}, From: 1796083200000000, Until: 1796169600000000, Successor: "reef",
 			NoBorrow: true, Borrow: 250, Surge: 4}},
 	}
--- a/internal/contract/accrual.go
+++ b/internal/contract/accrual.go
@@ -8,78 +8,78 @@
 
 // What accounts earn as time goes by, and the pool of idle shares.
 
-// sweepEvery is how often what idle accounts cannot hold goes to the pool. An
+// accrueAllInterval is how often what idle accounts cannot hold goes to the pool. An
 // account that is used earns at once.
-const sweepEvery choice.Micros = 100_000
+const accrueAllInterval choice.Micros = 100_000
 
-// refill moves the clock on. One that stood still, or was set back, moves nothing:
+// advance moves the clock on. One that stood still, or was set back, moves nothing:
 // nothing is earned twice.
-func (b *Book) refill(now choice.Micros) {
-	if now <= b.at {
+func (b *Ledger) advance(now choice.Micros) {
+	if now <= b.now {
 		return
 	}
-	b.unix += now - b.at
-	b.at = now
-	b.latest = max(b.latest, b.unix)
-	b.gate.earn(now, b.rates)
-	if now-b.swept >= sweepEvery {
-		b.sweep()
+	b.unixNow += now - b.now
+	b.now = now
+	b.latestUnix = max(b.latestUnix, b.unixNow)
+	b.excess.refill(now, b.totalRate)
+	if now-b.lastAccrueAll >= accrueAllInterval {
+		b.accrueAll()
 	}
 }
 
-func (b *Book) sweep() {
-	b.swept = b.at
+func (b *Ledger) accrueAll() {
+	b.lastAccrueAll = b.now
 	for _, a := range b.accounts {
-		b.earn(a)
+		b.accrue(a)
 	}
 }
 
-// earn gives an account what its rate earned since, floors first; what it cannot
+// accrue gives an account what its rate earned since, floors first; what it cannot
 // hold goes to the pool that others may borrow from.
-func (b *Book) earn(a *account) {
-	if b.at <= a.at {
+func (b *Ledger) accrue(a *account) {
+	if b.now <= a.accruedAt {
 		return
 	}
-	dt := float64(b.at-a.at) / 1e6
-	a.at = b.at
-	rest := a.t.Rate * a.part * dt
-	for _, class := range a.floorsOf {
-		f := a.t.Floors[class] * a.part
-		got := math.Max(0, math.Min(f*dt, f-a.floors[class])) // a floor saves up one second
-		a.floors[class] += got
+	dt := float64(b.now-a.accruedAt) / 1e6
+	a.accruedAt = b.now
+	rest := a.terms.Rate * a.quotaShare * dt
+	for _, class := range a.floorClasses {
+		f := a.terms.Floors[class] * a.quotaShare
+		got := math.Max(0, math.Min(f*dt, f-a.floorLevels[class])) // a floor saves up one second
+		a.floorLevels[class] += got
 		rest -= got
 	}
-	if a.t.Borrow > 0 {
-		most := a.t.Borrow * a.part
-		a.mayBorrow = math.Min(most, a.mayBorrow+most*dt)
+	if a.terms.Borrow > 0 {
+		most := a.terms.Borrow * a.quotaShare
+		a.borrowAllowance = math.Min(most, a.borrowAllowance+most*dt)
 	}
-	if !a.valid(b.latest) { // it earns nothing for others either
+	if !a.inForce(b.latestUnix) { // it earns nothing for others either
 		return
 	}
 	room := a.burst() - a.level
 	a.level += math.Min(rest, room)
-	if rest > room && b.at >= a.wants {
-		b.pool = math.Min(b.poolMost, b.pool+rest-room)
+	if rest > room && b.now >= a.noLendingUntil {
+		b.borrowPool = math.Min(b.borrowPoolMax, b.borrowPool+rest-room)
 	}
 }
 
-func (a *account) valid(unix choice.Micros) bool {
-	return a.t.From <= unix && (a.t.Until == 0 || a.t.Until > unix)
+func (a *account) inForce(unix choice.Micros) bool {
+	return a.terms.From <= unix && (a.terms.Until == 0 || a.terms.Until > unix)
 }
 
-// renew has a successor go on where the one before it ended.
-func (b *Book) renew(a *account) {
-	p := a.before
-	if a.renewed || p == nil || p.valid(b.latest) {
+// inheritUsage has a successor go on where the one before it ended.
+func (b *Ledger) inheritUsage(a *account) {
+	p := a.predecessor
+	if a.inherited || p == nil || p.inForce(b.latestUnix) {
 		return
 	}
-	a.renewed = true
-	b.earn(p)
-	p.turn(b.latest, b.s.Zone)
+	a.inherited = true
+	b.accrue(p)
+	p.rollPeriods(b.latestUnix, b.settings.Location)
 	a.level = math.Min(a.burst(), p.level)
-	for i := range a.spans {
-		a.spans[i].used += p.spans[i].used
-		a.spans[i].noticed = p.spans[i].noticed
+	for i := range a.periods {
+		a.periods[i].used += p.periods[i].used
+		a.periods[i].noticesSent = p.periods[i].noticesSent
 	}
-	b.mind(a)
+	b.queueCheckpoint(a)
 }
--- a/internal/contract/ledger/ledger.go
+++ b/internal/contract/ledger/ledger.go
@@ -14,7 +14,7 @@
 	pb "archknot/internal/contract/contractpb"
 )
 
-var bucket = []byte("balances")
+var balancesBucket = []byte("balances")
 
 // maxTeams bounds the teams that a store keeps: those of contracts long gone are
 // dropped past it, the one not written for longest first.
@@ -27,7 +27,7 @@
 // Open opens the store at a path, mode 0600. One that is damaged is set aside, and
 // aside is its new name: a new one takes its place.
 func Open(path string) (s *Store, aside string, err error) {
-	db, aside, err := boltfile.Open(path, [][]byte{bucket}, func(db *bbolt.DB) error {
+	db, aside, err := boltfile.Open(path, [][]byte{balancesBucket}, func(db *bbolt.DB) error {
 		_, err := (&Store{db}).Load()
 		return err
 	})
@@ -43,12 +43,12 @@
 // Load is all balances, by team.
 func (s *Store) Load() (out []contract.Balance, err error) {
 	err = s.db.View(func(tx *bbolt.Tx) error {
-		return tx.Bucket(bucket).ForEach(func(team, text []byte) error {
+		return tx.Bucket(balancesBucket).ForEach(func(team, text []byte) error {
 			var m pb.Balance
 			if err := proto.Unmarshal(text, &m); err != nil {
 				return fmt.Errorf("balance of %q: %w", team, err)
 			}
-			out = append(out, contract.GetBalance(&m))
+			out = append(out, contract.BalanceFromProto(&m))
 			return nil
 		})
 	})
@@ -58,9 +58,9 @@
 // Write puts balances in the place of the teams' earlier ones.
 func (s *Store) Write(list []contract.Balance) error {
 	return s.db.Update(func(tx *bbolt.Tx) error {
-		b := tx.Bucket(bucket)
+		b := tx.Bucket(balancesBucket)
 		for i := range list {
-			text, err := proto.Marshal(list[i].Put())
+			text, err := proto.Marshal(list[i].ToProto())
 			if err != nil {
 				return err
 			}
@@ -100,25 +100,25 @@
 // Writer writes checkpoints one after another in a task of its own, so that a slow
 // disk holds nobody up. One at a time is on its way.
 type Writer struct {
-	store *Store
-	work  chan job
-	done  sync.WaitGroup
-	told  func(number uint64, err error)
+	store     *Store
+	jobs      chan writeJob
+	stopped   sync.WaitGroup
+	onWritten func(number uint64, err error)
 }
 
-type job struct {
-	number uint64
-	list   []contract.Balance
+type writeJob struct {
+	number   uint64
+	balances []contract.Balance
 }
 
 // NewWriter starts the task. It tells of each checkpoint how it went.
 func NewWriter(s *Store, told func(number uint64, err error)) *Writer {
-	w := &Writer{store: s, work: make(chan job, 1), told: told}
-	w.done.Add(1)
+	w := &Writer{store: s, jobs: make(chan writeJob, 1), onWritten: told}
+	w.stopped.Add(1)
 	go func() {
-		defer w.done.Done()
-		for j := range w.work {
-			w.told(j.number, s.Write(j.list))
+		defer w.stopped.Done()
+		for j := range w.jobs {
+			w.onWritten(j.number, s.Write(j.balances))
 		}
 	}()
 	return w
@@ -127,7 +127,7 @@
 // Write hands a checkpoint over; false says that one waits already.
 func (w *Writer) Write(number uint64, list []contract.Balance) bool {
 	select {
-	case w.work <- job{number, list}:
+	case w.jobs <- writeJob{number, list}:
 		return true
 	default:
 		return false
@@ -136,6 +136,6 @@
 
 // Close ends the task after what was handed over; the store stays open.
 func (w *Writer) Close() {
-	close(w.work)
-	w.done.Wait()
+	close(w.jobs)
+	w.stopped.Wait()
 }
--- a/internal/contract/ledger/ledger_test.go
+++ b/internal/contract/ledger/ledger_test.go
@@ -15,16 +15,16 @@
 	"archknot/internal/contract"
 )
 
-const limit = 10_000_000 // tokens a day
+const dailyLimit = 10_000_000 // tokens a day
 
-func terms() []contract.Terms {
-	return []contract.Terms{{Team: "a", Tenants: []string{"a"}, Rate: 1e12, Burst: 1e12, Over: 0.05,
-		Budgets: []contract.Budget{{Period: contract.Day, Hard: limit * contract.Token}}}}
+func testTerms() []contract.Terms {
+	return []contract.Terms{{Team: "a", Tenants: []string{"a"}, Rate: 1e12, Burst: 1e12, OverQuotaWeight: 0.05,
+		Budgets: []contract.Budget{{Period: contract.Day, Hard: dailyLimit * contract.Token}}}}
 }
 
-// serveTeam charges without end, tells each charge once it is made, and keeps the
+// chargeUntilKilled charges without end, tells each charge once it is made, and keeps the
 // balances as a gateway does. It is killed.
-func serveTeam(path string) error {
+func chargeUntilKilled(path string) error {
 	s, _, err := Open(path)
 	if err != nil {
 		return err
@@ -33,11 +33,11 @@
 	if err != nil {
 		return err
 	}
-	b, err := contract.New(contract.Settings{Pool: 1, Reserve: 0.001, Strict: true}, terms(), 0, time.Now().UnixMicro())
+	b, err := contract.NewLedger(contract.Settings{BorrowPoolSeconds: 1, ReserveFraction: 0.001, Strict: true}, testTerms(), 0, time.Now().UnixMicro())
 	if err != nil {
 		return err
 	}
-	b.Resume(stored)
+	b.RestoreBalances(stored)
 	fmt.Printf("began %d\n", b.Accounts()[0].Used[contract.Day]/contract.Token)
 	type result struct {
 		number uint64
@@ -48,17 +48,17 @@
 	out, busy := bufio.NewWriter(os.Stdout), false
 	for i := 0; ; i++ {
 		var c contract.Charge
-		if v := b.Take(choice.Micros(i), "a", "", contract.Use{Made: 10}, &c); !v.Refuse {
+		if v := b.Charge(choice.Micros(i), "a", "", contract.Usage{OutputTokens: 10}, &c); !v.Rejected {
 			fmt.Fprintln(out, "charged 10")
 		}
 		out.Flush()
 		select {
 		case r := <-results:
-			b.Kept(r.number, r.err == nil)
+			b.CheckpointDone(r.number, r.err == nil)
 			busy = false
 		default:
 		}
-		if b.Due() && !busy {
+		if b.CheckpointDue() && !busy {
 			busy = w.Write(b.Checkpoint())
 		}
 	}
@@ -66,7 +66,7 @@
 
 func TestMain(m *testing.M) {
 	if path := os.Getenv("ARCHKNOT_TEST_LEDGER"); path != "" {
-		fmt.Fprintln(os.Stderr, serveTeam(path))
+		fmt.Fprintln(os.Stderr, chargeUntilKilled(path))
 		os.Exit(1)
 	}
 	os.Exit(m.Run())
@@ -74,7 +74,7 @@
 
 // A process that charges is killed at random points, again and again: no charge
 // that was told is ever missing, and each kill costs a reserve at most.
-func TestKilled(t *testing.T) {
+func TestKilledProcessLosesNoCharge(t *testing.T) {
 	self, err := os.Executable()
 	if err != nil {
 		t.Fatal(err)
@@ -82,7 +82,7 @@
 	path := filepath.Join(t.TempDir(), "balances.db")
 	rng := rand.New(rand.NewPCG(3, 3))
 	charged, began := 0, 0
-	const reserve = limit / 1000
+	const reserve = dailyLimit / 1000
 	for round := range 40 {
 		cmd := exec.Command(self)
 		cmd.Env = append(os.Environ(), "ARCHKNOT_TEST_LEDGER="+path)
@@ -118,13 +118,13 @@
 }
 
 // A damaged store is set aside, and a new one serves; a failing disk is told.
-func TestDamage(t *testing.T) {
+func TestDamagedStore(t *testing.T) {
 	path := filepath.Join(t.TempDir(), "balances.db")
 	s, _, err := Open(path)
 	if err != nil {
 		t.Fatal(err)
 	}
-	b := []contract.Balance{{Team: "a", Used: [3]contract.Units{1, 2, 3}, Clean: true, Level: -4.5, Latest: 7}}
+	b := []contract.Balance{{Team: "a", Used: [3]contract.Units{1, 2, 3}, Clean: true, Level: -4.5, LatestUnix: 7}}
 	if err := s.Write(b); err != nil {
 		t.Fatal(err)
 	}
--- a/internal/contract/ledger/stored_test.go
+++ b/internal/contract/ledger/stored_test.go
@@ -28,10 +28,10 @@
 	defer s.Close()
 	got, err := s.Load()
 	want := []contract.Balance{
-		{Team: "quay", Begun: [3]int64{1796130000000000, 1796083200000000, 1790812800000000}, Used: [3]contract.Units{1200, 34000, 560000},
-			Latest: 1796131234567890},
-		{Team: "reef", Begun: [3]int64{1796130000000001, 1796083200000002, 1790812800000003}, Used: [3]contract.Units{7, 8, 9}, Level: -2.25, Clean: true,
-			Latest: 1796131234567891},
+		{Team: "quay", PeriodStarts: [3]int64{1796130000000000, 1796083200000000, 1790812800000000}, Used: [3]contract.Units{1200, 34000, 560000},
+			LatestUnix: 1796131234567890},
+		{Team: "reef", PeriodStarts: [3]int64{1796130000000001, 1796083200000002, 1790812800000003}, Used: [3]contract.Units{7, 8, 9}, Level: -2.25, Clean: true,
+			LatestUnix: 1796131234567891},
 	}
 	if diff := cmp.Diff(want, got); err != nil || diff != "" {
 		t.Error(err, diff)
--- a/internal/contract/contract_test.go
+++ b/internal/contract/ledger_test.go
@@ -12,46 +12,46 @@
 	"archknot/choice"
 )
 
-const sec choice.Micros = 1_000_000
+const second choice.Micros = 1_000_000
 
 var start = time.Date(2026, 12, 1, 12, 0, 0, 0, time.UTC).UnixMicro()
 
-func book(t testing.TB, terms ...Terms) *Book {
+func newTestLedger(t testing.TB, terms ...Terms) *Ledger {
 	t.Helper()
-	b, err := New(Settings{Pool: 1, Unknown: 0.05}, terms, 0, start)
+	b, err := NewLedger(Settings{BorrowPoolSeconds: 1, UnknownTenantWeight: 0.05}, terms, 0, start)
 	if err != nil {
 		t.Fatal(err)
 	}
 	return b
 }
 
-func team(name string, rate float64) Terms {
-	return Terms{Team: name, Tenants: []string{name}, Rate: rate * float64(Token), Burst: Units(rate) * Token, Over: 0.05}
+func testTerms(name string, rate float64) Terms {
+	return Terms{Team: name, Tenants: []string{name}, Rate: rate * float64(Token), Burst: Units(rate) * Token, OverQuotaWeight: 0.05}
 }
 
-// load sends one team's requests at a rate for a while and tells how many tokens
+// trafficLoad sends one team's requests at a rate for a while and tells how many tokens
 // were taken at full worth.
-type load struct {
-	tenant, class string
-	perS          float64 // tokens a second
-	each          int     // tokens a request
-	full, over    int
-	next          float64
+type trafficLoad struct {
+	tenant, class         string
+	tokensPerSecond       float64 // tokens a second
+	tokensPerRequest      int     // tokens a request
+	fullWeight, overQuota int
+	next                  float64
 }
 
-func play(b *Book, from choice.Micros, seconds float64, loads ...*load) {
+func playLoads(b *Ledger, from choice.Micros, seconds float64, loads ...*trafficLoad) {
 	for us := from; us < from+choice.Micros(seconds*1e6); us += 1000 {
 		for _, l := range loads {
-			for l.next += l.perS / 1000; l.next >= float64(l.each); l.next -= float64(l.each) {
+			for l.next += l.tokensPerSecond / 1000; l.next >= float64(l.tokensPerRequest); l.next -= float64(l.tokensPerRequest) {
 				var c Charge
-				v := b.Take(us, l.tenant, l.class, Use{Made: l.each}, &c)
+				v := b.Charge(us, l.tenant, l.class, Usage{OutputTokens: l.tokensPerRequest}, &c)
 				switch {
-				case v.Refuse || v.Worth < 1:
-					l.over += l.each
+				case v.Rejected || v.PriorityWeight < 1:
+					l.overQuota += l.tokensPerRequest
 				default:
-					l.full += l.each
+					l.fullWeight += l.tokensPerRequest
 				}
-				b.Settle(us, &c, Use{Made: l.each}, true)
+				b.Settle(us, &c, Usage{OutputTokens: l.tokensPerRequest}, true)
 			}
 		}
 	}
@@ -60,14 +60,14 @@
 // A surge of ten times the rate takes its own share at full worth and no more,
 // and leaves the others theirs.
 func TestSurgeKeepsToItsShare(t *testing.T) {
-	b := book(t, team("a", 4000), team("b", 3000), team("c", 3000))
-	surge, one, two := &load{tenant: "a", perS: 40_000, each: 100}, &load{tenant: "b", perS: 3000, each: 100}, &load{tenant: "c", perS: 3000, each: 100}
-	play(b, sec, 5, surge, one, two) // the bursts go
+	b := newTestLedger(t, testTerms("a", 4000), testTerms("b", 3000), testTerms("c", 3000))
+	surge, one, two := &trafficLoad{tenant: "a", tokensPerSecond: 40_000, tokensPerRequest: 100}, &trafficLoad{tenant: "b", tokensPerSecond: 3000, tokensPerRequest: 100}, &trafficLoad{tenant: "c", tokensPerSecond: 3000, tokensPerRequest: 100}
+	playLoads(b, second, 5, surge, one, two) // the bursts go
 	for w := range 3 {
-		surge.full, one.full, two.full, one.over = 0, 0, 0, 0
-		play(b, sec+choice.Micros(5+10*w)*sec, 10, surge, one, two)
-		for l, want := range map[*load]float64{surge: 40_000, one: 30_000, two: 30_000} {
-			if got := float64(l.full); got < 0.97*want || got > 1.03*want {
+		surge.fullWeight, one.fullWeight, two.fullWeight, one.overQuota = 0, 0, 0, 0
+		playLoads(b, second+choice.Micros(5+10*w)*second, 10, surge, one, two)
+		for l, want := range map[*trafficLoad]float64{surge: 40_000, one: 30_000, two: 30_000} {
+			if got := float64(l.fullWeight); got < 0.97*want || got > 1.03*want {
 				t.Errorf("window %d: %s had %.0f tokens at full worth, its share is %.0f", w, l.tenant, got, want)
 			}
 		}
@@ -76,68 +76,68 @@
 
 // What others leave idle is not wasted: one team alone may use all rates together.
 func TestIdleSharesAreLent(t *testing.T) {
-	b := book(t, team("a", 1000), team("b", 5000), team("c", 4000))
-	alone := &load{tenant: "a", perS: 20_000, each: 50}
-	play(b, sec, 5, alone)
-	alone.full = 0
-	play(b, 6*sec, 10, alone)
-	if got := float64(alone.full); got < 98_000 || got > 102_000 {
+	b := newTestLedger(t, testTerms("a", 1000), testTerms("b", 5000), testTerms("c", 4000))
+	alone := &trafficLoad{tenant: "a", tokensPerSecond: 20_000, tokensPerRequest: 50}
+	playLoads(b, second, 5, alone)
+	alone.fullWeight = 0
+	playLoads(b, 6*second, 10, alone)
+	if got := float64(alone.fullWeight); got < 98_000 || got > 102_000 {
 		t.Errorf("%.0f tokens of 100000", got)
 	}
 	// Given back at once: the moment b comes, it has its own.
-	back := &load{tenant: "b", perS: 5000, each: 50}
-	play(b, 16*sec, 5, alone, back)
-	if back.over > 0 {
-		t.Errorf("b had %d tokens beyond its rate", back.over)
+	back := &trafficLoad{tenant: "b", tokensPerSecond: 5000, tokensPerRequest: 50}
+	playLoads(b, 16*second, 5, alone, back)
+	if back.overQuota > 0 {
+		t.Errorf("b had %d tokens beyond its rate", back.overQuota)
 	}
 }
 
 // A floor is the class's own, whatever the team's other classes do.
 func TestFloors(t *testing.T) {
-	a := team("a", 1000)
+	a := testTerms("a", 1000)
 	a.Floors = map[string]float64{"agent": 300 * float64(Token)}
-	b := book(t, a)
-	bulk, agent := &load{tenant: "a", class: "bulk", perS: 9000, each: 30}, &load{tenant: "a", class: "agent", perS: 290, each: 29}
-	play(b, sec, 5, bulk, agent)
-	bulk.full, agent.full, agent.over = 0, 0, 0
-	play(b, 6*sec, 10, bulk, agent)
-	if agent.over > 0 || bulk.full > 7200 || bulk.full < 6800 {
-		t.Errorf("agent %d and %d beyond, bulk %d", agent.full, agent.over, bulk.full)
+	b := newTestLedger(t, a)
+	bulk, agent := &trafficLoad{tenant: "a", class: "bulk", tokensPerSecond: 9000, tokensPerRequest: 30}, &trafficLoad{tenant: "a", class: "agent", tokensPerSecond: 290, tokensPerRequest: 29}
+	playLoads(b, second, 5, bulk, agent)
+	bulk.fullWeight, agent.fullWeight, agent.overQuota = 0, 0, 0
+	playLoads(b, 6*second, 10, bulk, agent)
+	if agent.overQuota > 0 || bulk.fullWeight > 7200 || bulk.fullWeight < 6800 {
+		t.Errorf("agent %d and %d beyond, bulk %d", agent.fullWeight, agent.overQuota, bulk.fullWeight)
 	}
 }
 
 // A budget is overrun by one request at most, also where estimates are wrong by
 // five times, and refused with the time until the period's end.
-func TestBudgetInARush(t *testing.T) {
+func TestBudgetUnderBurst(t *testing.T) {
 	for _, wrong := range []float64{0.2, 1, 5} {
-		a := team("a", 100_000)
+		a := testTerms("a", 100_000)
 		a.Budgets = []Budget{{Hour, 800_000 * Token, 1_000_000 * Token}}
-		b := book(t, a)
+		b := newTestLedger(t, a)
 		rng := rand.New(rand.NewPCG(1, 1))
 		var open []Charge
 		real, soft, refused, most := Units(0), 0, 0, 0
 		for i := range 30_000 {
-			now := sec + choice.Micros(i)*1000
-			u := Use{Made: 50 + rng.IntN(100)}
+			now := second + choice.Micros(i)*1000
+			u := Usage{OutputTokens: 50 + rng.IntN(100)}
 			var c Charge
-			v := b.Take(now, "a", "", Use{Made: int(float64(u.Made) * wrong)}, &c)
-			if v.Refuse {
+			v := b.Charge(now, "a", "", Usage{OutputTokens: int(float64(u.OutputTokens) * wrong)}, &c)
+			if v.Rejected {
 				refused++
-				if v.Reason != OverBudget || v.RetryAfter != 3600*sec-now {
+				if v.Reason != ReasonBudgetSpent || v.RetryAfter != 3600*second-now {
 					t.Fatalf("%+v at %d", v, now)
 				}
 				continue
 			}
-			if v.Worth < 1 {
+			if v.PriorityWeight < 1 {
 				soft++
 			}
-			most = max(most, u.Made)
+			most = max(most, u.OutputTokens)
 			// Ten are in hand at once; the one taken first ends first.
 			if open = append(open, c); len(open) > 10 {
 				b.Settle(now, &open[0], u, true)
 				open = open[1:]
 			}
-			real += Units(u.Made) * Token
+			real += Units(u.OutputTokens) * Token
 		}
 		got := b.Accounts()[0].Used[Hour]
 		// Settled wrong by five times, ten requests in hand may be over.
@@ -148,7 +148,7 @@
 	}
 }
 
-func TestCheck(t *testing.T) {
+func TestValidateTerms(t *testing.T) {
 	for want, change := range map[string]func(*Terms){
 		"no tenants": func(a *Terms) { a.Tenants = nil }, "rate": func(a *Terms) { a.Rate = 0 }, "no name": func(a *Terms) { a.Team = "" },
 		"floors sum":     func(a *Terms) { a.Floors = map[string]float64{"x": a.Rate * 2} },
@@ -158,9 +158,9 @@
 		"price of":       func(a *Terms) { a.Prices = map[string]Price{"x": {-1, 0}} },
 		"that it covers": func(a *Terms) { a.Classes, a.Floors = []string{"y"}, map[string]float64{"x": 1} },
 	} {
-		a := team("a", 10)
+		a := testTerms("a", 10)
 		change(&a)
-		if err := Check([]Terms{a}); err == nil || !strings.Contains(err.Error(), want) {
+		if err := ValidateTerms([]Terms{a}); err == nil || !strings.Contains(err.Error(), want) {
 			t.Errorf("%s: %v", want, err)
 		}
 	}
@@ -191,19 +191,19 @@
 			t.Errorf("%v of %s has %v hours", c.p, c.at, got)
 		}
 	}
-	a := team("a", 10)
+	a := testTerms("a", 10)
 	a.Budgets = []Budget{{Hour, 0, 100 * Token}}
-	b := book(t, a)
+	b := newTestLedger(t, a)
 	var c, d Charge
-	b.Take(sec, "a", "", Use{Made: 90}, &c)
-	if v := b.Take(-3600*sec, "a", "", Use{Made: 20}, &d); !v.Refuse {
+	b.Charge(second, "a", "", Usage{OutputTokens: 90}, &c)
+	if v := b.Charge(-3600*second, "a", "", Usage{OutputTokens: 20}, &d); !v.Rejected {
 		t.Error("a clock set back gave the budget anew")
 	}
 	// Settled after the period's end: the old period's, not the new one's.
-	if v := b.Take(3601*sec, "a", "", Use{Made: 20}, &d); v.Refuse {
+	if v := b.Charge(3601*second, "a", "", Usage{OutputTokens: 20}, &d); v.Rejected {
 		t.Error("the new period is refused")
 	}
-	b.Settle(3602*sec, &c, Use{Made: 500}, true)
+	b.Settle(3602*second, &c, Usage{OutputTokens: 500}, true)
 	if got := b.Accounts()[0].Used[Hour]; got != 20*Token {
 		t.Errorf("the new period has %d units", got)
 	}
@@ -211,33 +211,33 @@
 
 // Contracts change with requests in hand: what was taken is settled at its own
 // price, once; nothing is lost or doubled.
-func TestAgreeInFlight(t *testing.T) {
-	a := team("a", 1000)
+func TestApplyTermsInFlight(t *testing.T) {
+	a := testTerms("a", 1000)
 	a.Prices = map[string]Price{"agent": {1, 2}}
 	a.Budgets = []Budget{{Day, 0, 1_000_000 * Token}}
-	b := book(t, a, team("gone", 10))
+	b := newTestLedger(t, a, testTerms("gone", 10))
 	var c, g Charge
-	b.Take(sec, "a", "agent", Use{Read: 100, Made: 50}, &c)
-	b.Take(sec, "gone", "", Use{Made: 5}, &g)
+	b.Charge(second, "a", "agent", Usage{PromptTokens: 100, OutputTokens: 50}, &c)
+	b.Charge(second, "gone", "", Usage{OutputTokens: 5}, &g)
 	next := a
 	next.Prices = map[string]Price{"agent": {10, 10}}
 	next.Budgets = []Budget{{Hour, 0, 500_000 * Token}, {Day, 0, 2_000_000 * Token}}
-	if err := b.Agree(2*sec, []Terms{next}); err != nil {
+	if err := b.ApplyTerms(2*second, []Terms{next}); err != nil {
 		t.Fatal(err)
 	}
 	if used := b.Accounts()[0].Used[Day]; used != 200*Token {
 		t.Errorf("used %d", used)
 	}
-	if !b.Settle(3*sec, &c, Use{Read: 100, Made: 80}, true) || b.Settle(3*sec, &c, Use{Read: 100, Made: 80}, true) {
+	if !b.Settle(3*second, &c, Usage{PromptTokens: 100, OutputTokens: 80}, true) || b.Settle(3*second, &c, Usage{PromptTokens: 100, OutputTokens: 80}, true) {
 		t.Error("settled other than once")
 	}
 	if used := b.Accounts()[0].Used[Day]; used != 260*Token {
 		t.Errorf("used %d", used)
 	}
-	if !b.Settle(3*sec, &g, Use{Made: 9}, true) {
+	if !b.Settle(3*second, &g, Usage{OutputTokens: 9}, true) {
 		t.Error("a charge of a contract that has gone was not settled")
 	}
-	if v := b.Take(4*sec, "gone", "", Use{Made: 5}, &g); v.Refuse || v.Worth != 0.05 {
+	if v := b.Charge(4*second, "gone", "", Usage{OutputTokens: 5}, &g); v.Rejected || v.PriorityWeight != 0.05 {
 		t.Errorf("a tenant without a contract: %+v", v)
 	}
 	if n := b.Accounts()[0].Open; n != 0 {
@@ -247,10 +247,10 @@
 
 // Whatever the order: what is used is the sum of what was settled and of the
 // estimates still open, and no charge counts twice.
-func TestBooksBalance(t *testing.T) {
+func TestLedgerBalances(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		a := team("a", 1000)
-		b, err := New(Settings{Pool: 1}, []Terms{a}, 0, start)
+		a := testTerms("a", 1000)
+		b, err := NewLedger(Settings{BorrowPoolSeconds: 1}, []Terms{a}, 0, start)
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -259,14 +259,14 @@
 			cost Units
 		}
 		var open []held
-		sum, now := Units(0), sec
+		sum, now := Units(0), second
 		t.Repeat(map[string]func(*rapid.T){
 			"take": func(t *rapid.T) {
-				u := Use{rapid.IntRange(0, 500).Draw(t, "read"), rapid.IntRange(0, 500).Draw(t, "made")}
+				u := Usage{rapid.IntRange(0, 500).Draw(t, "read"), rapid.IntRange(0, 500).Draw(t, "made")}
 				c := &Charge{}
-				if v := b.Take(now, "a", "x", u, c); !v.Refuse {
-					open = append(open, held{c, Units(u.Read+u.Made) * Token})
-					sum += Units(u.Read+u.Made) * Token
+				if v := b.Charge(now, "a", "x", u, c); !v.Rejected {
+					open = append(open, held{c, Units(u.PromptTokens+u.OutputTokens) * Token})
+					sum += Units(u.PromptTokens+u.OutputTokens) * Token
 				}
 			},
 			"settle": func(t *rapid.T) {
@@ -276,20 +276,20 @@
 				i := rapid.IntRange(0, len(open)-1).Draw(t, "which")
 				made := rapid.IntRange(0, 900).Draw(t, "made")
 				for range rapid.IntRange(1, 3).Draw(t, "times") {
-					b.Settle(now, open[i].c, Use{Made: made}, true)
+					b.Settle(now, open[i].c, Usage{OutputTokens: made}, true)
 				}
 				sum += Units(made)*Token - open[i].cost
 				open = append(open[:i], open[i+1:]...)
 			},
 			"agree": func(t *rapid.T) {
-				if err := b.Agree(now, []Terms{a}); err != nil {
+				if err := b.ApplyTerms(now, []Terms{a}); err != nil {
 					t.Fatal(err)
 				}
 			},
 			"time": func(t *rapid.T) { now += choice.Micros(rapid.IntRange(-100_000, 300_000).Draw(t, "us")) },
 			"": func(t *rapid.T) {
 				got := b.Accounts()[0]
-				if now-sec < 3500*sec && (got.Used[Hour] != sum || got.Open != len(open)) {
+				if now-second < 3500*second && (got.Used[Hour] != sum || got.Open != len(open)) {
 					t.Fatalf("used %d, settled and open make %d; %d open, %d are", got.Used[Hour], sum, got.Open, len(open))
 				}
 			},
@@ -297,24 +297,24 @@
 	})
 }
 
-func BenchmarkTakeAndSettle(b *testing.B) {
+func BenchmarkChargeAndSettle(b *testing.B) {
 	var terms []Terms
 	names := make([]string, 10_000)
 	for i := range names {
 		names[i] = fmt.Sprint("team", i)
-		a := team(names[i], 1000)
+		a := testTerms(names[i], 1000)
 		a.Budgets = []Budget{{Hour, 0, 1 << 60}, {Quarter, 0, 1 << 60}}
 		a.Floors = map[string]float64{"agent": 100}
 		terms = append(terms, a)
 	}
-	bk := book(b, terms...)
-	now, i := sec, 0
+	bk := newTestLedger(b, terms...)
+	now, i := second, 0
 	var c Charge
 	b.ReportAllocs()
 	for b.Loop() {
 		now += 10
 		i++
-		bk.Take(now, names[i%len(names)], "agent", Use{100, 50}, &c)
-		bk.Settle(now, &c, Use{100, 60}, true)
+		bk.Charge(now, names[i%len(names)], "agent", Usage{100, 50}, &c)
+		bk.Settle(now, &c, Usage{100, 60}, true)
 	}
 }
--- a/internal/contract/ways_test.go
+++ b/internal/contract/mechanisms_test.go
@@ -12,18 +12,18 @@
 // The mechanisms that were weighed, each in the form that a gateway without a
 // queue could use: a request is let in at full worth at once, or it is not.
 
-// mechanism shares so many units a second among teams.
-type mechanism interface {
-	full(now choice.Micros, team int, cost float64) bool
+// admissionMechanism shares so many units a second among teams.
+type admissionMechanism interface {
+	admitFullWeight(now choice.Micros, team int, cost float64) bool
 }
 
-// buckets are token buckets that lend nothing.
-type buckets struct {
+// tokenBuckets are token buckets that lend nothing.
+type tokenBuckets struct {
 	rate, level []float64
 	at          choice.Micros
 }
 
-func (m *buckets) full(now choice.Micros, team int, cost float64) bool {
+func (m *tokenBuckets) admitFullWeight(now choice.Micros, team int, cost float64) bool {
 	dt := float64(now-m.at) / 1e6
 	m.at = now
 	for i := range m.level {
@@ -36,16 +36,16 @@
 	return true
 }
 
-// fairTime is start-time fair queuing as admission: a request is let in while its
+// startTimeFairQueue is start-time fair queuing as admission: a request is let in while its
 // team's start tag is less than a second ahead of the virtual time, which runs the
 // faster the fewer teams have tags ahead of it.
-type fairTime struct {
+type startTimeFairQueue struct {
 	rate, tag []float64
 	v         float64
 	at        choice.Micros
 }
 
-func (m *fairTime) full(now choice.Micros, team int, cost float64) bool {
+func (m *startTimeFairQueue) admitFullWeight(now choice.Micros, team int, cost float64) bool {
 	left, all := float64(now-m.at)/1e6, 0.0
 	m.at = now
 	for _, r := range m.rate {
@@ -75,16 +75,16 @@
 	return true
 }
 
-// deficit is deficit round robin as admission: every tenth of a second each team
+// deficitRoundRobin is deficit round robin as admission: every tenth of a second each team
 // gets its quantum, and what teams that asked for less left of theirs goes to those
 // that were refused, by their weights. A deficit is bounded to a second.
-type deficit struct {
+type deficitRoundRobin struct {
 	rate, level []float64
 	wanted      []bool
 	round       choice.Micros
 }
 
-func (m *deficit) full(now choice.Micros, team int, cost float64) bool {
+func (m *deficitRoundRobin) admitFullWeight(now choice.Micros, team int, cost float64) bool {
 	const every = 100_000
 	for now-m.round >= every {
 		m.round += every
@@ -114,46 +114,46 @@
 	return true
 }
 
-// pooled is what was taken: Book.
-type pooled struct{ b *Book }
+// pooledBuckets is what was taken: Book.
+type pooledBuckets struct{ ledger *Ledger }
 
-func (m pooled) full(now choice.Micros, team int, cost float64) bool {
+func (m pooledBuckets) admitFullWeight(now choice.Micros, team int, cost float64) bool {
 	var c Charge
-	v := m.b.Take(now, names[team], "", Use{Made: int(cost)}, &c)
-	m.b.Settle(now, &c, Use{Made: int(cost)}, true)
-	return v.Worth == 1
+	v := m.ledger.Charge(now, teamNames[team], "", Usage{OutputTokens: int(cost)}, &c)
+	m.ledger.Settle(now, &c, Usage{OutputTokens: int(cost)}, true)
+	return v.PriorityWeight == 1
 }
 
-var names = []string{"a", "b", "c"}
+var teamNames = []string{"a", "b", "c"}
 
-func mechanisms(t testing.TB, rate []float64) map[string]mechanism {
+func mechanisms(t testing.TB, rate []float64) map[string]admissionMechanism {
 	var terms []Terms
 	level := make([]float64, len(rate))
 	for i, r := range rate {
-		terms = append(terms, team(names[i], r))
+		terms = append(terms, testTerms(teamNames[i], r))
 		level[i] = r
 	}
 	again := func() []float64 { return append([]float64(nil), level...) }
-	return map[string]mechanism{"1 buckets": &buckets{rate: rate, level: again()}, "2 fair time": &fairTime{rate: rate, tag: make([]float64, len(rate))},
-		"3 deficit": &deficit{rate: rate, level: again(), wanted: make([]bool, len(rate))}, "4 buckets with a pool": pooled{book(t, terms...)}}
+	return map[string]admissionMechanism{"1 buckets": &tokenBuckets{rate: rate, level: again()}, "2 fair time": &startTimeFairQueue{rate: rate, tag: make([]float64, len(rate))},
+		"3 deficit": &deficitRoundRobin{rate: rate, level: again(), wanted: make([]bool, len(rate))}, "4 buckets with a pool": pooledBuckets{newTestLedger(t, terms...)}}
 }
 
-// sends is one team's traffic: tokens a second by time, and tokens a request.
-type sends struct {
-	perS func(s float64) float64
-	each float64
+// teamTraffic is one team's traffic: tokens a second by time, and tokens a request.
+type teamTraffic struct {
+	tokensPerSecond  func(s float64) float64
+	tokensPerRequest float64
 }
 
-func steady(v float64) func(float64) float64 { return func(float64) float64 { return v } }
+func constantRate(v float64) func(float64) float64 { return func(float64) float64 { return v } }
 
-// try plays Poisson traffic and gives what was let in at full worth, and asked for,
+// playTraffic plays Poisson traffic and gives what was let in at full worth, and asked for,
 // by team and second.
-func try(m mechanism, seed uint64, seconds int, traffic [3]sends) (full, asked [3][]float64) {
+func playTraffic(m admissionMechanism, seed uint64, seconds int, traffic [3]teamTraffic) (full, asked [3][]float64) {
 	rng := rand.New(rand.NewPCG(seed, 9))
 	var next [3]float64
 	for i := range full {
 		full[i], asked[i] = make([]float64, seconds), make([]float64, seconds)
-		next[i] = rng.ExpFloat64() * traffic[i].each / math.Max(1, traffic[i].perS(0))
+		next[i] = rng.ExpFloat64() * traffic[i].tokensPerRequest / math.Max(1, traffic[i].tokensPerSecond(0))
 	}
 	for {
 		i := 0
@@ -166,12 +166,12 @@
 		if at >= float64(seconds) {
 			return full, asked
 		}
-		if rate := traffic[i].perS(at); rate > 0 {
-			asked[i][int(at)] += traffic[i].each
-			if m.full(sec+choice.Micros(at*1e6), i, traffic[i].each) {
-				full[i][int(at)] += traffic[i].each
+		if rate := traffic[i].tokensPerSecond(at); rate > 0 {
+			asked[i][int(at)] += traffic[i].tokensPerRequest
+			if m.admitFullWeight(second+choice.Micros(at*1e6), i, traffic[i].tokensPerRequest) {
+				full[i][int(at)] += traffic[i].tokensPerRequest
 			}
-			next[i] = at + rng.ExpFloat64()*traffic[i].each/rate
+			next[i] = at + rng.ExpFloat64()*traffic[i].tokensPerRequest/rate
 		} else {
 			next[i] = at + 0.01
 		}
@@ -195,27 +195,27 @@
 	rows := map[string]figures{}
 	for name := range mechanisms(t, rate) {
 		var f figures
-		m := func() mechanism { return mechanisms(t, rate)[name] }
-		full, _ := try(m(), 1, 65, [3]sends{{steady(40_000), 50}, {steady(3000), 50}, {steady(3000), 50}})
+		m := func() admissionMechanism { return mechanisms(t, rate)[name] }
+		full, _ := playTraffic(m(), 1, 65, [3]teamTraffic{{constantRate(40_000), 50}, {constantRate(3000), 50}, {constantRate(3000), 50}})
 		for w := 5; w < 55; w += 10 {
 			f.surge = math.Max(f.surge, math.Abs(total(full[0][w:w+10])/40_000-1))
 		}
-		full, _ = try(m(), 2, 30, [3]sends{{steady(30_000), 50}, {steady(0), 50}, {steady(0), 50}})
+		full, _ = playTraffic(m(), 2, 30, [3]teamTraffic{{constantRate(30_000), 50}, {constantRate(0), 50}, {constantRate(0), 50}})
 		f.alone = total(full[0][5:]) / 250_000
-		full, asked := try(m(), 3, 30, [3]sends{{steady(40_000), 50}, {func(s float64) float64 {
+		full, asked := playTraffic(m(), 3, 30, [3]teamTraffic{{constantRate(40_000), 50}, {func(s float64) float64 {
 			if s < 20 {
 				return 0
 			}
 			return 3000
-		}, 50}, {steady(3000), 50}})
+		}, 50}, {constantRate(3000), 50}})
 		f.back = 1 - total(full[1][20:22])/math.Min(6000, total(asked[1][20:22]))
-		full, asked = try(m(), 4, 60, [3]sends{{steady(3600), 50}, {steady(2700), 50}, {steady(2700), 50}})
+		full, asked = playTraffic(m(), 4, 60, [3]teamTraffic{{constantRate(3600), 50}, {constantRate(2700), 50}, {constantRate(2700), 50}})
 		f.chance = 1 - (total(full[0])+total(full[1])+total(full[2]))/(total(asked[0])+total(asked[1])+total(asked[2]))
-		full, _ = try(m(), 5, 65, [3]sends{{steady(40_000), 1300}, {steady(3000), 50}, {steady(3000), 50}})
+		full, _ = playTraffic(m(), 5, 65, [3]teamTraffic{{constantRate(40_000), 1300}, {constantRate(3000), 50}, {constantRate(3000), 50}})
 		f.dear = math.Abs(total(full[0][5:])/240_000 - 1)
 		busy, begin, n := m(), time.Now(), 0
 		for ; n < 200_000; n++ {
-			busy.full(sec+choice.Micros(n*100), n%3, 50)
+			busy.admitFullWeight(second+choice.Micros(n*100), n%3, 50)
 		}
 		f.cost = float64(time.Since(begin).Nanoseconds()) / float64(n)
 		rows[name] = f
--- a/internal/contract/report/report.go
+++ b/internal/contract/report/report.go
@@ -20,25 +20,25 @@
 )
 
 //go:embed page.html
-var page string
+var pageTemplate string
 
 // maxCharts bounds the teams that are drawn, those that asked for the most first;
 // the table has all.
 const maxCharts = 24
 
-type drawn struct {
+type runView struct {
 	*trial.Result
-	Charts  []chartOf
+	Charts  []teamChart
 	Left    int // teams that are not drawn
 	Seconds float64
 }
 
-type chartOf struct {
+type teamChart struct {
 	Team string
 	SVG  template.HTML
 }
 
-var funcs = template.FuncMap{
+var templateFuncs = template.FuncMap{
 	"tokens":  func(v float64) string { return humanize.Comma(int64(v)) },
 	"count":   humanize.Comma,
 	"percent": func(v float64) string { return fmt.Sprintf("%.1f%%", 100*v) },
@@ -60,15 +60,15 @@
 
 // Write writes the page of some trials.
 func Write(w io.Writer, results []*trial.Result) error {
-	t, err := template.New("page").Funcs(funcs).Parse(page)
+	t, err := template.New("page").Funcs(templateFuncs).Parse(pageTemplate)
 	if err != nil {
 		return err
 	}
-	var list []drawn
+	var list []runView
 	for _, r := range results {
-		d := drawn{Result: r, Seconds: r.To.Sub(r.From).Seconds()}
+		d := runView{Result: r, Seconds: r.To.Sub(r.From).Seconds()}
 		teams := slices.Clone(r.Teams)
-		slices.SortStableFunc(teams, func(a, b trial.Team) int { return int(b.Requests - a.Requests) })
+		slices.SortStableFunc(teams, func(a, b trial.TeamResult) int { return int(b.Requests - a.Requests) })
 		for i := range teams {
 			if teams[i].Requests == 0 {
 				continue
@@ -77,21 +77,21 @@
 				d.Left++
 				continue
 			}
-			svg, err := draw(&teams[i])
+			svg, err := renderChart(&teams[i])
 			if err != nil {
 				return fmt.Errorf("chart of %q: %w", teams[i].Team, err)
 			}
-			d.Charts = append(d.Charts, chartOf{teams[i].Team, svg})
+			d.Charts = append(d.Charts, teamChart{teams[i].Team, svg})
 		}
 		list = append(list, d)
 	}
 	return t.Execute(w, list)
 }
 
-// draw is a team's traffic over the period: at full worth, and on top of it beyond
+// renderChart is a team's traffic over the period: at full worth, and on top of it beyond
 // the rate, and what was refused.
-func draw(t *trial.Team) (template.HTML, error) {
-	series := func(name, color string, of func(*trial.Point) float64) chart.TimeSeries {
+func renderChart(t *trial.TeamResult) (template.HTML, error) {
+	series := func(name, color string, of func(*trial.SeriesPoint) float64) chart.TimeSeries {
 		s := chart.TimeSeries{Name: name, Style: chart.Style{StrokeColor: chart.ColorBlack.WithAlpha(0), StrokeWidth: 1}}
 		c := chart.GetDefaultColor(0)
 		switch color {
@@ -110,16 +110,16 @@
 	most := 1.0
 	for i := range t.Series {
 		p := &t.Series[i]
-		most = max(most, p.Full+p.Over+p.Out)
+		most = max(most, p.FullWeight+p.OverQuota+p.Rejected)
 	}
 	g := chart.Chart{Width: 760, Height: 240, Background: chart.Style{Padding: chart.Box{Top: 30, Left: 10, Right: 10, Bottom: 10}},
 		XAxis: chart.XAxis{ValueFormatter: chart.TimeValueFormatterWithFormat("15:04:05")},
 		YAxis: chart.YAxis{Name: "tokens/s", Range: &chart.ContinuousRange{Min: 0, Max: most * 1.05}},
 		// The highest first: each lower one is drawn over it.
 		Series: []chart.Series{
-			series("refused", "refused", func(p *trial.Point) float64 { return p.Full + p.Over + p.Out }),
-			series("beyond the rate", "over", func(p *trial.Point) float64 { return p.Full + p.Over }),
-			series("at full worth", "full", func(p *trial.Point) float64 { return p.Full }),
+			series("refused", "refused", func(p *trial.SeriesPoint) float64 { return p.FullWeight + p.OverQuota + p.Rejected }),
+			series("beyond the rate", "over", func(p *trial.SeriesPoint) float64 { return p.FullWeight + p.OverQuota }),
+			series("at full worth", "full", func(p *trial.SeriesPoint) float64 { return p.FullWeight }),
 		}}
 	g.Elements = []chart.Renderable{chart.LegendThin(&g)}
 	var b bytes.Buffer
--- a/internal/contract/terms.go
+++ b/internal/contract/terms.go
@@ -18,25 +18,25 @@
 // Price is what a token of a class costs, read from the prompt or made for the
 // answer.
 type Price struct {
-	Read float64 `json:"Read"`
-	Made float64 `json:"Made"`
+	PromptToken float64 `json:"Read"`
+	OutputToken float64 `json:"Made"`
 }
 
 // Terms are one contract.
 type Terms struct {
-	Team    string             `json:"Team"`
-	Tenants []string           `json:"Tenants"` // that it covers
-	Classes []string           `json:"Classes"` // that it covers; none: all
-	Rate    float64            `json:"Rate"`    // units a second
-	Burst   Units              `json:"Burst"`   // that may be saved up
-	Worth   float64            `json:"Worth"`   // a factor on the class's worth; 0: 1
-	Over    float64            `json:"Over"`    // the factor beyond the rate
-	Hard    bool               `json:"Hard"`    // beyond the rate nothing is taken at all
-	Prices  map[string]Price   `json:"Prices"`
-	Floors  map[string]float64 `json:"Floors"` // units a second by class, that no other class of the team can take
-	Budgets []Budget           `json:"Budgets"`
-	From    choice.Micros      `json:"From"`  // Unix time from which it holds; 0: always has
-	Until   choice.Micros      `json:"Until"` // and until; 0: for good
+	Team            string             `json:"Team"`
+	Tenants         []string           `json:"Tenants"` // that it covers
+	Classes         []string           `json:"Classes"` // that it covers; none: all
+	Rate            float64            `json:"Rate"`    // units a second
+	Burst           Units              `json:"Burst"`   // that may be saved up
+	PriorityWeight  float64            `json:"Worth"`   // a factor on the class's worth; 0: 1
+	OverQuotaWeight float64            `json:"Over"`    // the factor beyond the rate
+	Hard            bool               `json:"Hard"`    // beyond the rate nothing is taken at all
+	Prices          map[string]Price   `json:"Prices"`
+	Floors          map[string]float64 `json:"Floors"` // units a second by class, that no other class of the team can take
+	Budgets         []Budget           `json:"Budgets"`
+	From            choice.Micros      `json:"From"`  // Unix time from which it holds; 0: always has
+	Until           choice.Micros      `json:"Until"` // and until; 0: for good
 	// Successor is the contract that takes this one's place at Until: it goes on
 	// with the level, and with what was used in the periods at hand.
 	Successor string `json:"Successor"`
@@ -63,7 +63,7 @@
 	Day
 	Quarter // of the Australian business activity statement: July, October, January, April
 
-	periods = 3
+	periodCount = 3
 )
 
 // Bounds gives the period that a moment lies in, in a zone. Days and quarters are
@@ -73,7 +73,7 @@
 	var a, b time.Time
 	switch p {
 	case Hour: // of the time that passes: an hour that the clock has twice is two
-		from = unix - mod(unix, time.Hour.Microseconds())
+		from = unix - floorMod(unix, time.Hour.Microseconds())
 		return from, from + time.Hour.Microseconds()
 	case Day:
 		a = time.Date(t.Year(), t.Month(), t.Day(), 0, 0, 0, 0, zone)
@@ -86,12 +86,12 @@
 	return a.UnixMicro(), b.UnixMicro()
 }
 
-func mod(a, b int64) int64 { return ((a % b) + b) % b }
+func floorMod(a, b int64) int64 { return ((a % b) + b) % b }
 
 func (p Period) String() string { return [...]string{"hour", "day", "quarter"}[min(p, 2)] }
 
-// Check tells what is wrong with contracts.
-func Check(terms []Terms) error {
+// ValidateTerms tells what is wrong with contracts.
+func ValidateTerms(terms []Terms) error {
 	teams := map[string]bool{}
 	for _, t := range terms {
 		bad := func(format string, args ...any) error {
@@ -104,15 +104,15 @@
 			return bad("no tenants")
 		case !(t.Rate > 0 && t.Rate < 1e15):
 			return bad("rate: expected above 0")
-		case t.Burst < 0 || t.Worth < 0 || t.Over < 0:
+		case t.Burst < 0 || t.PriorityWeight < 0 || t.OverQuotaWeight < 0:
 			return bad("burst, worth, over: expected 0 or more")
 		case t.Until != 0 && t.Until <= t.From:
 			return bad("it ends before it begins")
 		}
 		teams[t.Team] = true
 		for _, word := range append(append([]string{t.Team, t.Successor}, t.Tenants...), t.Classes...) {
-			if !utf8.ValidString(word) || len(word) > maxName {
-				return bad("name %q: expected UTF-8, at most %d bytes", word, maxName)
+			if !utf8.ValidString(word) || len(word) > maxNameBytes {
+				return bad("name %q: expected UTF-8, at most %d bytes", word, maxNameBytes)
 			}
 		}
 		if !(t.Surge >= 0) {
@@ -132,13 +132,13 @@
 			return bad("the floors sum to %g, over the rate %g", floors, t.Rate)
 		}
 		for class, p := range t.Prices {
-			if !(p.Read >= 0 && p.Made >= 0) {
+			if !(p.PromptToken >= 0 && p.OutputToken >= 0) {
 				return bad("price of %q: expected 0 or more", class)
 			}
 		}
-		var seen [periods]bool
+		var seen [periodCount]bool
 		for _, g := range t.Budgets {
-			if g.Period < periods && seen[g.Period] {
+			if g.Period < periodCount && seen[g.Period] {
 				return bad("two budgets by %s", g.Period)
 			}
 			seen[min(g.Period, Quarter)] = true
@@ -147,14 +147,14 @@
 			}
 		}
 	}
-	return checkSuccessors(terms)
+	return validateSuccessors(terms)
 }
 
-// maxName bounds names of teams, tenants and classes, in bytes.
-const maxName = 256
+// maxNameBytes bounds names of teams, tenants and classes, in bytes.
+const maxNameBytes = 256
 
-// checkSuccessors tells what is wrong with how contracts follow each other.
-func checkSuccessors(terms []Terms) error {
+// validateSuccessors tells what is wrong with how contracts follow each other.
+func validateSuccessors(terms []Terms) error {
 	byTeam, heirs := map[string]*Terms{}, map[string]string{}
 	for i := range terms {
 		byTeam[terms[i].Team] = &terms[i]
@@ -182,13 +182,13 @@
 	return nil
 }
 
-func (t *Terms) price(class string) Price {
+func (t *Terms) priceOf(class string) Price {
 	if p, ok := t.Prices[class]; ok {
 		return p
 	}
 	return Price{1, 1}
 }
 
-func (p Price) of(u Use) Units {
-	return Units(math.Round(float64(Token) * (p.Read*float64(u.Read) + p.Made*float64(u.Made))))
+func (p Price) cost(u Usage) Units {
+	return Units(math.Round(float64(Token) * (p.PromptToken*float64(u.PromptTokens) + p.OutputToken*float64(u.OutputTokens))))
 }
--- a/internal/contract/trial/trial_test.go
+++ b/internal/contract/trial/simulate_test.go
@@ -12,21 +12,21 @@
 	"archknot/internal/contract/trial"
 )
 
-// nowhere takes the module's orders.
-type nowhere struct{ choice.Sink }
+// discardSink takes the module's orders.
+type discardSink struct{ choice.Sink }
 
-func (nowhere) Dispatch(choice.RequestID, choice.ReplicaID, choice.Micros) {}
-func (nowhere) Shed(choice.RequestID, choice.Micros)                       {}
-func (nowhere) Fail(choice.RequestID)                                      {}
-func (nowhere) Cancel(choice.RequestID, int)                               {}
-func (nowhere) SetTimer(choice.Micros, uint64)                             {}
-func (nowhere) HealthCheck(choice.ReplicaID)                               {}
-func (nowhere) Gossip([]byte)                                              {}
-func (nowhere) WatchDiscovery()                                            {}
+func (discardSink) Dispatch(choice.RequestID, choice.ReplicaID, choice.Micros) {}
+func (discardSink) Shed(choice.RequestID, choice.Micros)                       {}
+func (discardSink) Fail(choice.RequestID)                                      {}
+func (discardSink) Cancel(choice.RequestID, int)                               {}
+func (discardSink) SetTimer(choice.Micros, uint64)                             {}
+func (discardSink) HealthCheck(choice.ReplicaID)                               {}
+func (discardSink) Gossip([]byte)                                              {}
+func (discardSink) WatchDiscovery()                                            {}
 
-// recording is ten seconds in which a sends 20 requests a second and b 5, each of
+// recordCapture is ten seconds in which a sends 20 requests a second and b 5, each of
 // 100 tokens read and 50 made; each fourth of a's is declined at first and sent again.
-func recording(t *testing.T) *capture.Run {
+func recordCapture(t *testing.T) *capture.Run {
 	t.Helper()
 	dir := t.TempDir()
 	w, err := capture.NewWriter(capture.Limits{Directory: dir, Gateway: "g", Queue: 8, Wait: true, KeepSize: 1 << 30, KeepAge: time.Hour})
@@ -34,11 +34,11 @@
 		t.Fatal(err)
 	}
 	b, err := choice.New(choice.Settings{Gateways: 1, Zone: "z", Zones: []string{"z"}, Kinds: []string{"k"}, MaxAttempts: 3, Tick: 2000,
-		Classes: []choice.Class{{Name: "chat", LatencyObjective: 1e6, TokenObjective: 50_000, Deadline: 4e6, PriorityWeight: 1, Streaming: true}}}, 1, nowhere{})
+		Classes: []choice.Class{{Name: "chat", LatencyObjective: 1e6, TokenObjective: 50_000, Deadline: 4e6, PriorityWeight: 1, Streaming: true}}}, 1, discardSink{})
 	if err != nil {
 		t.Fatal(err)
 	}
-	r := capture.Record(1000, b, nil, nowhere{}, w, capture.Host{}, capture.Options{Checkpoint: time.Minute, Block: 4 << 10, Flush: time.Second,
+	r := capture.Record(1000, b, nil, discardSink{}, w, capture.Host{}, capture.Options{Checkpoint: time.Minute, Block: 4 << 10, Flush: time.Second,
 		SegmentSize: 1 << 20, SegmentAge: time.Hour})
 	r.Start(1000)
 	r.ListChanged(1000, choice.EndpointList{Kind: choice.ListFull, Version: 1, Endpoints: []choice.Endpoint{{Replica: 1, Zone: "z", Kind: "k", Weight: 1}, {Replica: 2, Zone: "z", Kind: "k", Weight: 1}}})
@@ -67,16 +67,16 @@
 	return runs[0]
 }
 
-func terms(name string, rate float64) contract.Terms {
-	return contract.Terms{Team: name, Tenants: []string{name}, Rate: rate * float64(contract.Token), Burst: contract.Units(rate) * contract.Token, Over: 0.05}
+func testTerms(name string, rate float64) contract.Terms {
+	return contract.Terms{Team: name, Tenants: []string{name}, Rate: rate * float64(contract.Token), Burst: contract.Units(rate) * contract.Token, OverQuotaWeight: 0.05}
 }
 
-func TestTrial(t *testing.T) {
-	run := recording(t)
-	a, idle := terms("a", 1500), terms("idle", 10)
+func TestSimulate(t *testing.T) {
+	run := recordCapture(t)
+	a, idle := testTerms("a", 1500), testTerms("idle", 10)
 	a.Budgets = []contract.Budget{{Period: contract.Hour, Hard: 24_000 * contract.Token}}
 	a.NoBorrow = true
-	res, err := trial.Run(run, trial.Options{Settings: contract.Settings{Pool: 1, Unknown: 0.5}, Terms: []contract.Terms{a, idle}})
+	res, err := trial.Run(run, trial.Options{Settings: contract.Settings{BorrowPoolSeconds: 1, UnknownTenantWeight: 0.5}, Terms: []contract.Terms{a, idle}})
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -86,29 +86,29 @@
 	got, none := res.Teams[0], res.Teams[2]
 	// 200 requests of 150 tokens: 1,500 a second is half of what it sends. The
 	// budget has room for about 160 of them.
-	if got.Requests != 200 || got.Taken < 85 || got.Taken > 120 || got.Refused["budget_spent"] < 30 || got.Refused["budget_spent"] > 45 ||
-		got.Missed != got.Refused["budget_spent"] || got.Served != 200 || got.Over+got.Taken+got.Refused["budget_spent"] != 200 {
+	if got.Requests != 200 || got.Admitted < 85 || got.Admitted > 120 || got.Rejected["budget_spent"] < 30 || got.Rejected["budget_spent"] > 45 ||
+		got.ServedThoughRejected != got.Rejected["budget_spent"] || got.Served != 200 || got.OverQuota+got.Admitted+got.Rejected["budget_spent"] != 200 {
 		got.Series = nil
 		t.Errorf("%+v", got)
 	}
-	if none.Requests != 50 || none.Over != 50 || none.Served != 50 {
+	if none.Requests != 50 || none.OverQuota != 50 || none.Served != 50 {
 		t.Errorf("%+v", none)
 	}
-	if got.Used > 24_000 || got.Used < 22_000 || got.Copies == 0 {
-		t.Errorf("used %v, copies %d", got.Used, got.Copies)
+	if got.Used > 24_000 || got.Used < 22_000 || got.ExtraAttempts == 0 {
+		t.Errorf("used %v, copies %d", got.Used, got.ExtraAttempts)
 	}
 	if n := len(res.Notices); n != 3 || res.Notices[2].Percent != 100 {
 		t.Errorf("%+v", res.Notices)
 	}
 	sum := 0.0
 	for _, p := range got.Series {
-		sum += (p.Full + p.Over + p.Out) * res.To.Sub(res.From).Seconds() / float64(len(got.Series))
+		sum += (p.FullWeight + p.OverQuota + p.Rejected) * res.To.Sub(res.From).Seconds() / float64(len(got.Series))
 	}
 	if sum < 25_000 || sum > 30_500 {
 		t.Errorf("the series sums to %v tokens", sum)
 	}
 	// Cut to a part.
-	part, err := trial.Run(run, trial.Options{Settings: contract.Settings{Pool: 1}, Terms: []contract.Terms{a}, From: run.Begin() + 5_000_000})
+	part, err := trial.Run(run, trial.Options{Settings: contract.Settings{BorrowPoolSeconds: 1}, Terms: []contract.Terms{a}, From: run.Begin() + 5_000_000})
 	if err != nil || part.Teams[0].Requests < 95 || part.Teams[0].Requests > 105 {
 		t.Errorf("%v %+v", err, part)
 	}
--- a/internal/drill/scale/gateways.go
+++ b/internal/drill/scale/gateways.go
@@ -83,7 +83,7 @@
 	ctx, stop := context.WithCancel(ctx)
 	p := &gateways{client: newDriver(spec.Rate, spec.Seed), stop: stop}
 	own := conf.Default()
-	own.Subset.Most = spec.Subset
+	own.Subset.MaxReplicas = spec.Subset
 	for i := range spec.Count {
 		text, err := spec.config(spec.First+i, "127.0.0.1:1")
 		if err != nil {
--- a/internal/drill/scale/report.go
+++ b/internal/drill/scale/report.go
@@ -332,7 +332,7 @@
 
 // Table writes the result as Markdown: what was measured, the slopes, and hollow beside real.
 func (r *Result) Table(w io.Writer) {
-	fmt.Fprintf(w, "Build %s, seed %d, %d runs of each size, %s measured of each.\n\n", r.Build, r.Plan.Seed, r.Plan.Repeat, r.Plan.For)
+	fmt.Fprintf(w, "Build %s, seed %d, %d runs of each size, %s measured of each.\n\n", r.Build, r.Plan.Seed, r.Plan.Repeat, r.Plan.Duration)
 	fmt.Fprint(w, "| figure | varied | at 0 | slope | 95% of the slope | a line fits |\n| --- | --- | --- | --- | --- | --- |\n")
 	for _, s := range r.Slopes {
 		fits := "yes"
--- a/internal/drill/scale/scale.go
+++ b/internal/drill/scale/scale.go
@@ -89,7 +89,7 @@
 
 // measure plays one size from the first process's start to the last one's end.
 func measure(ctx context.Context, p *conf.ScaleRun, program string, point *Point, seed uint64) error {
-	limit := p.Settle + p.For + 3*time.Minute
+	limit := p.SettleTime + p.Duration + 3*time.Minute
 	ctx, stop := context.WithTimeout(ctx, limit)
 	defer stop()
 	dir, err := os.MkdirTemp("", "archknot-scale-")
@@ -102,7 +102,7 @@
 	if err := f.start(ctx); err != nil {
 		return err
 	}
-	if err := f.wait(ctx, p.Settle); err != nil {
+	if err := f.wait(ctx, p.SettleTime); err != nil {
 		return err
 	}
 	before, err := f.look(ctx)
@@ -150,7 +150,7 @@
 func (f *fleet) start(ctx context.Context) error {
 	for first := 0; first < f.size.Replicas; first += perProcess {
 		spec := ReplicasSpec{First: first, Count: min(perProcess, f.size.Replicas-first), Zones: f.plan.Zones, Seed: f.rng.Uint64(),
-			FirstEvent: f.plan.First, Events: f.plan.Events, Gap: f.plan.Gap}
+			FirstEvent: f.plan.FirstEventDelay, Events: f.plan.Events, Gap: f.plan.EventGap}
 		r, err := startRole(ctx, f.program, RoleReplicas, spec)
 		if err != nil {
 			return err
@@ -162,7 +162,7 @@
 	if f.discovery, err = startRole(ctx, f.program, RoleDiscovery, DiscoverySpec{Instances: f.instances, Framing: f.plan.Framing}); err != nil {
 		return err
 	}
-	gateways := GatewaysSpec{First: f.size.Gateways, Of: max(f.plan.Of, f.size.Gateways+f.plan.Processes), Discovery: f.discovery.hello.Address, Zones: f.plan.Zones,
+	gateways := GatewaysSpec{First: f.size.Gateways, Of: max(f.plan.FleetGateways, f.size.Gateways+f.plan.Processes), Discovery: f.discovery.hello.Address, Zones: f.plan.Zones,
 		Subset: f.plan.Subset, Probe: f.plan.Probe, Rate: f.plan.Rate, Seed: f.rng.Uint64()}
 	if f.real, err = startProcesses(f.program, f.dir, gateways, f.plan.Processes); err != nil {
 		return err
@@ -234,8 +234,8 @@
 
 // run lets the measured time pass, with changes of the list.
 func (f *fleet) run(ctx context.Context) error {
-	for end := time.Now().Add(f.plan.For); ; {
-		if err := f.wait(ctx, min(f.plan.Changes, time.Until(end))); err != nil {
+	for end := time.Now().Add(f.plan.Duration); ; {
+		if err := f.wait(ctx, min(f.plan.ChangeInterval, time.Until(end))); err != nil {
 			return err
 		}
 		if !time.Now().Before(end) {
--- a/internal/experiment/run.go
+++ b/internal/experiment/run.go
@@ -193,18 +193,18 @@
 
 // one runs one variant, here or by another build's program.
 func one(ctx context.Context, p *conf.Plan, v, w conf.Variant, seed uint64) (*model.Result, error) {
-	if v.Build == "" {
+	if v.Program == "" {
 		spec, err := p.Spec(v, w, seed)
 		if err != nil {
 			return nil, err
 		}
 		return model.Run(spec)
 	}
-	cmd := exec.CommandContext(ctx, v.Build, "experiment", "one", p.File, "--variant", v.Name, "--workload", w.Name, "--seed", strconv.FormatUint(seed, 10))
+	cmd := exec.CommandContext(ctx, v.Program, "experiment", "one", p.File, "--variant", v.Name, "--workload", w.Name, "--seed", strconv.FormatUint(seed, 10))
 	cmd.Stderr = os.Stderr
 	out, err := cmd.Output()
 	if err != nil {
-		return nil, fmt.Errorf("%s: %w", v.Build, err)
+		return nil, fmt.Errorf("%s: %w", v.Program, err)
 	}
 	res := &model.Result{}
 	return res, json.Unmarshal(out, res)
--- a/internal/fleet/model/gateway.go
+++ b/internal/fleet/model/gateway.go
@@ -22,7 +22,7 @@
 	b        *choice.Balancer
 	m        capture.Module
 	view     *subset.Selector
-	book     *contract.Book
+	book     *contract.Ledger
 	books    capture.Books
 	rec      *capture.Recorder
 	writer   *capture.Writer
@@ -55,7 +55,7 @@
 	firstAt  choice.Micros
 	charge   contract.Charge
 	charges  map[int]*contract.Charge
-	thought  contract.Use
+	thought  contract.Usage
 	over     bool
 	counted  bool
 	wasted   int // attempts that may have run and served nobody
@@ -107,14 +107,14 @@
 	g.view = subset.NewSelector(subset.Settings{MaxReplicas: x.s.Subset, GatewayIndex: i, GatewayCount: x.s.Gateways, Zone: s.Zone, RemoteFraction: subset.DefaultRemoteFraction,
 		WeightIsSize: s.WeightKind == choice.WeightNominal, SlowStart: s.SlowStartFor}, g.b)
 	if len(x.s.Contracts) > 0 {
-		if g.book, err = contract.New(x.s.Book, x.s.Contracts, start, start); err != nil {
+		if g.book, err = contract.NewLedger(x.s.Book, x.s.Contracts, start, start); err != nil {
 			return nil, err
 		}
 		parts := make([]float64, len(x.s.Contracts))
 		for i := range parts {
 			parts[i] = 1 / float64(x.s.Gateways)
 		}
-		g.book.SetParts(start, parts)
+		g.book.SetQuotaShares(start, parts)
 		g.books = capture.Plain{Book: g.book}
 	}
 	if x.s.Capture != "" {
@@ -231,14 +231,14 @@
 	})
 }
 
-func (g *gateway) open() (out []contract.Open) {
+func (g *gateway) open() (out []contract.OpenCharge) {
 	for id, r := range g.requests {
 		if r.charge.Open() {
-			out = append(out, contract.Open{Key: capture.ChargeKey(id, 0), Charge: &r.charge})
+			out = append(out, contract.OpenCharge{Key: capture.ChargeKey(id, 0), Charge: &r.charge})
 		}
 		for n, c := range r.charges {
 			if c.Open() {
-				out = append(out, contract.Open{Key: capture.ChargeKey(id, n), Charge: c})
+				out = append(out, contract.OpenCharge{Key: capture.ChargeKey(id, n), Charge: c})
 			}
 		}
 	}
@@ -273,14 +273,14 @@
 	g.requests[r.in.ID] = r
 	if g.books != nil {
 		v := g.books.Charge(now, &r.in, 0, &r.charge)
-		g.book.Notices()
-		if v.Refuse {
+		g.book.TakeNotices()
+		if v.Rejected {
 			r.done = true
 			g.x.ends(now, r, "contract", v.RetryAfter)
 			g.forget(r)
 			return
 		}
-		r.in.PriorityFactor, r.over, r.thought = max(1e-6, v.Worth), v.Over, r.charge.Thought
+		r.in.PriorityFactor, r.over, r.thought = max(1e-6, v.PriorityWeight), v.OverQuota, r.charge.Estimate
 	}
 	g.x.e.At(r.deadline, func(now choice.Micros) { g.leave(now, r) })
 	if home, tell := g.view.AssignAffinityTarget(now, &r.in); tell {
@@ -317,7 +317,7 @@
 		}
 	}
 	if g.books != nil {
-		g.books.Settle(g.x.e.Now(), r.in.ID, 0, &r.charge, contract.Use{}, false)
+		g.books.Settle(g.x.e.Now(), r.in.ID, 0, &r.charge, contract.Usage{}, false)
 	}
 	delete(g.requests, r.in.ID)
 }
@@ -336,7 +336,7 @@
 		c := &contract.Charge{}
 		if a.n == 0 {
 			*c, r.charge = r.charge, contract.Charge{}
-		} else if v := g.books.Charge(now, &r.in, a.n, c); v.Refuse {
+		} else if v := g.books.Charge(now, &r.in, a.n, c); v.Rejected {
 			g.x.e.After(0, func(now choice.Micros) { g.ended(now, a, choice.NotSent, choice.LoadReport{}) })
 			return
 		}
@@ -401,9 +401,9 @@
 func (g *gateway) outcome(now choice.Micros, a *attempt, status choice.Status, rep choice.LoadReport) {
 	r := a.r
 	if c := r.charges[a.n]; c != nil {
-		used := c.Used(status, r.in.PromptTokens, a.kept, a.made)
+		used := c.ActualUsage(status, r.in.PromptTokens, a.kept, a.made)
 		g.books.Settle(now, r.in.ID, a.n, c, used, status == choice.Served)
-		g.book.Notices()
+		g.book.TakeNotices()
 	}
 	if !status.NeverRan() && status != choice.Served {
 		r.wasted++
@@ -428,7 +428,7 @@
 	}
 	r.done = true
 	if g.books != nil {
-		g.books.Settle(now, id, 0, &r.charge, contract.Use{}, false)
+		g.books.Settle(now, id, 0, &r.charge, contract.Usage{}, false)
 		g.books.TurnedAway(now, &r.in, r.thought, r.over)
 	}
 	g.x.ends(now, r, how, after)
--- a/internal/fleet/model/model_test.go
+++ b/internal/fleet/model/model_test.go
@@ -160,8 +160,8 @@
 func TestConservation(t *testing.T) {
 	s := spec()
 	s.Faults = troubles
-	s.Contracts = []contract.Terms{{Team: "t", Tenants: []string{"t"}, Rate: 12_000_000, Burst: 20_000_000, Over: 0.1}}
-	s.Book = contract.Settings{Pool: 1, Unknown: 1}
+	s.Contracts = []contract.Terms{{Team: "t", Tenants: []string{"t"}, Rate: 12_000_000, Burst: 20_000_000, OverQuotaWeight: 0.1}}
+	s.Book = contract.Settings{BorrowPoolSeconds: 1, UnknownTenantWeight: 1}
 	r := play(t, s)
 	var classes, tenants, windows, ends int64
 	for _, c := range r.Classes {
@@ -188,8 +188,8 @@
 func TestRunsAreCaptures(t *testing.T) {
 	s := spec()
 	s.For, s.Faults = 15_000_000, troubles[:3]
-	s.Contracts = []contract.Terms{{Team: "t", Tenants: []string{"t"}, Rate: 3_000_000, Burst: 3_000_000, Over: 0.1}}
-	s.Book = contract.Settings{Pool: 1, Unknown: 1}
+	s.Contracts = []contract.Terms{{Team: "t", Tenants: []string{"t"}, Rate: 3_000_000, Burst: 3_000_000, OverQuotaWeight: 0.1}}
+	s.Book = contract.Settings{BorrowPoolSeconds: 1, UnknownTenantWeight: 1}
 	s.Capture = t.TempDir()
 	play(t, s)
 	runs, err := capture.Find(s.Capture+"/gateway0", s.Capture+"/gateway1", s.Capture+"/gateway2")
--- a/internal/gateway/capture.go
+++ b/internal/gateway/capture.go
@@ -74,9 +74,9 @@
 	}
 }
 
-func (l *eventLoop) openCharges() (out []contract.Open) {
+func (l *eventLoop) openCharges() (out []contract.OpenCharge) {
 	l.requests.EachOpenCharge(func(id choice.RequestID, copy int, c *contract.Charge) {
-		out = append(out, contract.Open{Key: capture.ChargeKey(id, copy), Charge: c})
+		out = append(out, contract.OpenCharge{Key: capture.ChargeKey(id, copy), Charge: c})
 	})
 	return out
 }
--- a/internal/gateway/contracts.go
+++ b/internal/gateway/contracts.go
@@ -22,7 +22,7 @@
 	Teams    []contract.Terms
 	// Split makes the way in which this gateway tells its parts of them; nil: it is
 	// the only one.
-	Split func() split.Way
+	Split func() split.Strategy
 }
 
 // openLedger puts the first contracts in force, where the kept balances end.
@@ -87,11 +87,11 @@
 		return l.recordedLedger.Agree(l.now, c.Settings, c.Teams)
 	}
 	unix := time.Now().UnixMicro()
-	book, err := contract.New(c.Settings, c.Teams, l.now, unix)
+	book, err := contract.NewLedger(c.Settings, c.Teams, l.now, unix)
 	if err != nil {
 		return err
 	}
-	if n := book.Resume(stored); n > 0 {
+	if n := book.RestoreBalances(stored); n > 0 {
 		slog.Info("contract_ledger_resumed", "resumed", n)
 	}
 	if l.ledger = book; l.recording != nil {
@@ -165,7 +165,7 @@
 	if l.ledger == nil {
 		return
 	}
-	if l.gateway.ledgerWriter != nil && l.ledger.Due() && !l.quotaShares.checkpointing {
+	if l.gateway.ledgerWriter != nil && l.ledger.CheckpointDue() && !l.quotaShares.checkpointing {
 		number, list := l.recordedLedger.Checkpoint(l.now)
 		if l.quotaShares.checkpointing = l.gateway.ledgerWriter.Write(number, list); !l.quotaShares.checkpointing {
 			l.recordedLedger.Kept(l.now, number, false)
@@ -194,7 +194,7 @@
 	l.recordedLedger.Kept(l.now, e.checkpoint, e.err == nil)
 	if e.err != nil && l.now-l.quotaShares.errorLoggedAt >= ledgerErrorInterval {
 		l.quotaShares.errorLoggedAt = l.now
-		slog.Error("contract_ledger_write_failed", "err", e.err, "unsaved_tokens", l.ledger.Exposed()/contract.Token)
+		slog.Error("contract_ledger_write_failed", "err", e.err, "unsaved_tokens", l.ledger.UnstoredUsage()/contract.Token)
 	}
 }
 
@@ -210,7 +210,7 @@
 		if l.ledger == nil {
 			return nil
 		}
-		return l.ledger.Final()
+		return l.ledger.FinalBalances()
 	})
 	if err != nil {
 		return err
@@ -222,8 +222,8 @@
 }
 
 // Accounts are the teams' books as they stand; none without contracts.
-func (g *Gateway) Accounts(ctx context.Context) ([]contract.Account, error) {
-	list, err := queryLoop(ctx, g.loop, func(l *eventLoop) []contract.Account {
+func (g *Gateway) Accounts(ctx context.Context) ([]contract.AccountStatus, error) {
+	list, err := queryLoop(ctx, g.loop, func(l *eventLoop) []contract.AccountStatus {
 		if l.ledger == nil {
 			return nil
 		}
@@ -238,10 +238,10 @@
 // quotaShares is what the gateway sees of the work in hand at the workers, of which it
 // tells its own parts of the contracts, and what else is kept beside the book.
 type quotaShares struct {
-	splitter   split.Way // nil: it is the only gateway
-	own, all   float64   // sums over the workers' reports since the last look
+	splitter   split.Strategy // nil: it is the only gateway
+	own, all   float64        // sums over the workers' reports since the last look
 	updatedAt  choice.Micros
-	lastCounts []contract.Count
+	lastCounts []contract.Counters
 
 	checkpointing bool          // a checkpoint of balances is on its way to the disk
 	errorLoggedAt choice.Micros // when it was last said that it failed
@@ -271,17 +271,17 @@
 		return
 	}
 	accounts := l.ledger.Accounts()
-	seen := split.Seen{Span: l.now - s.updatedAt, Own: s.own, All: s.all}
+	seen := split.Observation{Interval: l.now - s.updatedAt, OwnInFlight: s.own, FleetInFlight: s.all}
 	if len(s.lastCounts) != len(accounts) || s.updatedAt == 0 {
-		s.lastCounts, seen.Span = make([]contract.Count, len(accounts)), 0
+		s.lastCounts, seen.Interval = make([]contract.Counters, len(accounts)), 0
 	}
 	for i, t := range l.ledger.Terms() {
-		c, was := &accounts[i].Count, &s.lastCounts[i]
-		seen.Teams = append(seen.Teams, split.Team{Rate: t.Rate, Asked: float64(c.Asked() - was.Asked()), Used: float64(c.Used - was.Used)})
+		c, was := &accounts[i].Counters, &s.lastCounts[i]
+		seen.Teams = append(seen.Teams, split.TeamUsage{Rate: t.Rate, Requested: float64(c.RequestedUnits() - was.RequestedUnits()), Used: float64(c.Used - was.Used)})
 		*was = *c
 	}
 	s.updatedAt, s.own, s.all = l.now, 0, 0
-	l.recordedLedger.SetParts(l.now, s.splitter.Parts(seen))
+	l.recordedLedger.SetParts(l.now, s.splitter.Shares(seen))
 }
 
 // minPriorityWeight stands for a worth of nothing, for 0 says that there is no contract.
@@ -300,17 +300,17 @@
 	}
 	v := l.charge(r, 0, &r.Charge)
 	l.logBudgetNotices()
-	if v.Refuse && r.BalancerRequest.PriorAttempts > 0 { // admitted once, where it was lost: it goes on, for the least worth
+	if v.Rejected && r.BalancerRequest.PriorAttempts > 0 { // admitted once, where it was lost: it goes on, for the least worth
 		r.BalancerRequest.PriorityFactor = minPriorityWeight
 		return true
 	}
-	if v.Refuse {
+	if v.Rejected {
 		r.Finished = true
 		r.Actions <- memory.Action{Kind: memory.ActionDeny, Reason: v.Reason, RetryAfter: v.RetryAfter}
 		l.requests.RemoveIfFinished(r)
 		return false
 	}
-	r.BalancerRequest.PriorityFactor, r.OverRate, r.EstimatedUse = max(minPriorityWeight, v.Worth), v.Over, r.Charge.Thought
+	r.BalancerRequest.PriorityFactor, r.OverRate, r.EstimatedUse = max(minPriorityWeight, v.PriorityWeight), v.OverQuota, r.Charge.Estimate
 	return true
 }
 
@@ -325,7 +325,7 @@
 		d.Charge, r.Charge = r.Charge, contract.Charge{}
 		return true
 	}
-	if v := l.charge(r, d.Index, &d.Charge); v.Refuse {
+	if v := l.charge(r, d.Index, &d.Charge); v.Rejected {
 		d.Cancel()
 		l.deferred = append(l.deferred, attemptEnded{attempt: d, status: choice.NotSent})
 		return false
@@ -338,7 +338,7 @@
 	if l.ledger == nil {
 		return
 	}
-	used := e.attempt.Charge.Used(e.status, e.attempt.Request.BalancerRequest.PromptTokens, e.cachedTokens, e.outputTokens)
+	used := e.attempt.Charge.ActualUsage(e.status, e.attempt.Request.BalancerRequest.PromptTokens, e.cachedTokens, e.outputTokens)
 	l.recordedLedger.Settle(l.now, e.attempt.Request.ID, e.attempt.Index, &e.attempt.Charge, used, e.status == choice.Served)
 	l.logBudgetNotices()
 }
@@ -360,13 +360,13 @@
 // releaseCharge settles a charge that no attempt had.
 func (l *eventLoop) releaseCharge(r *memory.Request) {
 	if l.ledger != nil {
-		l.recordedLedger.Settle(l.now, r.ID, 0, &r.Charge, contract.Use{}, false)
+		l.recordedLedger.Settle(l.now, r.ID, 0, &r.Charge, contract.Usage{}, false)
 	}
 }
 
 // logBudgetNotices logs budgets that have come to half, four fifths and all.
 func (l *eventLoop) logBudgetNotices() {
-	for _, n := range l.ledger.Notices() {
+	for _, n := range l.ledger.TakeNotices() {
 		slog.Info("contract_budget", "team", n.Team, "period", n.Period.String(), "percent", n.Percent, "used", n.Used/contract.Token,
 			"limit", n.Limit/contract.Token)
 	}
--- a/internal/gateway/contracts_test.go
+++ b/internal/gateway/contracts_test.go
@@ -19,11 +19,11 @@
 		"Req-Extra: prompt_len=5120,max_out=400\r\nContent-Length: %d\r\n\r\n%s", id, tenant, len(body), body))
 }
 
-func (r *testGateway) accounts(t *testing.T) map[string]contract.Account {
+func (r *testGateway) accounts(t *testing.T) map[string]contract.AccountStatus {
 	t.Helper()
-	got := make(chan map[string]contract.Account, 1)
+	got := make(chan map[string]contract.AccountStatus, 1)
 	r.loop.post(t.Context(), inspectLoop{func(l *eventLoop) {
-		out := map[string]contract.Account{}
+		out := map[string]contract.AccountStatus{}
 		for _, a := range l.ledger.Accounts() {
 			out[a.Team] = a
 		}
@@ -33,7 +33,7 @@
 }
 
 func testContracts(budget int64) *Contracts {
-	return &Contracts{Settings: contract.Settings{Zone: time.UTC, Pool: 1, Unknown: 0.05}, Teams: []contract.Terms{
+	return &Contracts{Settings: contract.Settings{Location: time.UTC, BorrowPoolSeconds: 1, UnknownTenantWeight: 0.05}, Teams: []contract.Terms{
 		{Team: "a", Tenants: []string{"a"}, Rate: 1e9, Burst: 1e9, Budgets: []contract.Budget{{Period: contract.Quarter, Hard: budget * contract.Token}}},
 		{Team: "b", Tenants: []string{"b"}, Rate: 1e9, Burst: 1e9}}}
 }
--- a/internal/gateway/ledger_test.go
+++ b/internal/gateway/ledger_test.go
@@ -45,8 +45,8 @@
 	}
 	defer store.Close()
 	c := testContracts(15_000)
-	c.Settings.Reserve = 0.05
-	c.Split = func() split.Way { return split.Equal{Gateways: 1} }
+	c.Settings.ReserveFraction = 0.05
+	c.Split = func() split.Strategy { return split.Equal{Gateways: 1} }
 	g := startGateway(t, func(o *Options) {
 		o.Capture, o.Contracts, o.Ledger = captureTo(dir), c, store
 		o.Capture.Recorder.Checkpoint = 3 * time.Millisecond
@@ -62,7 +62,7 @@
 		switch i {
 		case 60:
 			next := testContracts(60_000)
-			next.Settings.Reserve = 0.05
+			next.Settings.ReserveFraction = 0.05
 			if err := g.SetContracts(t.Context(), next); err != nil {
 				t.Fatal(err)
 			}
@@ -138,7 +138,7 @@
 				t.Fatal(err)
 			}
 			c := testContracts(1_000_000)
-			c.Settings.Reserve, c.Settings.Strict = 0.01, true
+			c.Settings.ReserveFraction, c.Settings.Strict = 0.01, true
 			g := startGateway(t, func(o *Options) { o.Contracts, o.Ledger = c, store }, w)
 			if before = g.accounts(t)["a"].Used[contract.Quarter]; life == 1 {
 				switch {
@@ -191,7 +191,7 @@
 		version := chatVersion(n)
 		version.Resources[revision.TypeContract] = []proto.Message{}
 		for i := range teams {
-			version.Resources[revision.TypeContract] = append(version.Resources[revision.TypeContract], &configpb.Contract{Name: teams[i].Team, Terms: teams[i].Put()})
+			version.Resources[revision.TypeContract] = append(version.Resources[revision.TypeContract], &configpb.Contract{Name: teams[i].Team, Terms: teams[i].ToProto()})
 		}
 		s.Publish(version)
 	}
--- a/internal/gateway/loop.go
+++ b/internal/gateway/loop.go
@@ -40,7 +40,7 @@
 	busy              time.Duration
 	reports           figures.ReportAge
 	discoveryAnswered bool                       // the registry itself has answered
-	ledger            *contract.Book             // nil: no contracts
+	ledger            *contract.Ledger           // nil: no contracts
 	recordedLedger    capture.Books              // the book, or the recorder before it
 	fileContracts     *Contracts                 // that the settings name; nil: none
 	versionContracts  []contract.Terms           // a version's, in the place of theirs; nil: it has none
--- a/internal/lifecycle/configstream.go
+++ b/internal/lifecycle/configstream.go
@@ -17,7 +17,7 @@
 // openConfigStream readies the client of the control service, if the settings name one.
 // It connects to nothing yet.
 func (s *server) openConfigStream() (closeAll func(), err error) {
-	v := s.fileSettings.Service
+	v := s.fileSettings.ControlService
 	if v.Address == "" {
 		return func() {}, nil
 	}
@@ -28,25 +28,25 @@
 		}
 	}
 	g := &s.config.Gateway
-	o := confstream.Options{Address: v.Address, Delta: v.Form == "delta", Machine: revision.DefaultOptions(g.Name, g.Seed),
+	o := confstream.Options{Address: v.Address, Delta: v.Protocol == "delta", Machine: revision.DefaultOptions(g.Name, g.Seed),
 		Log: func(msg string, args ...any) { slog.Info(msg, args...) }}
-	o.Machine.Between, o.Machine.Stall, o.Machine.Limits = v.Between.Microseconds(), v.Stall.Microseconds(), s.versionLimits()
+	o.Machine.Between, o.Machine.Stall, o.Machine.Limits = v.MinInterval.Microseconds(), v.StallTimeout.Microseconds(), s.versionLimits()
 	if v.Cert != "" {
-		creds, closeFiles, err := confstream.ClientTLS(confstream.Files{Cert: v.Cert, Key: v.Key, CA: v.CA, Name: v.Name})
+		creds, closeFiles, err := confstream.ClientTLS(confstream.Files{Cert: v.Cert, Key: v.Key, CA: v.CA, Name: v.ServerName})
 		if err != nil {
 			return nil, fmt.Errorf("control-service.cert: %w", err)
 		}
 		o.TLS = creds
 		closers = append(closers, closeFiles)
 	}
-	if v.Store != "" {
-		store, aside, err := confstream.OpenStore(v.Store)
+	if v.StorePath != "" {
+		store, aside, err := confstream.OpenStore(v.StorePath)
 		if err != nil {
 			closeAll()
 			return nil, fmt.Errorf("control-service.store: %w", err)
 		}
 		if aside != "" {
-			slog.Error("config_store_corrupted", "path", v.Store, "set_aside", aside)
+			slog.Error("config_store_corrupted", "path", v.StorePath, "set_aside", aside)
 		}
 		s.versionStore, o.Store = store, store
 		closers = append(closers, func() { store.Close() })
@@ -100,7 +100,7 @@
 		c.Log.Level = l.Level
 	}
 	if p := s.activeVersion.Capture; p != nil {
-		c.Capture.Record, c.Capture.Checkpoint = p.Record && c.Capture.Directory != "", time.Duration(p.Checkpoint)*time.Microsecond
+		c.Capture.Record, c.Capture.CheckpointInterval = p.Record && c.Capture.Directory != "", time.Duration(p.Checkpoint)*time.Microsecond
 		c.Capture.KeepSize = p.KeepBytes
 		if p.KeepAge > 0 {
 			c.Capture.KeepAge = time.Duration(p.KeepAge) * time.Microsecond
@@ -139,7 +139,7 @@
 	if s.configStream == nil {
 		return nil, errNoControlService
 	}
-	st := ConfigStatus{Service: s.currentSettings().Service.Address, Connected: s.configStream.Connected()}
+	st := ConfigStatus{Service: s.currentSettings().ControlService.Address, Connected: s.configStream.Connected()}
 	if c := s.configStream.InForce(); c != nil {
 		st.Version, st.Classes, st.Tenants, st.Marks = uint64(c.Number), len(c.Classes), len(c.Tenants), len(c.Workers)
 	}
--- a/internal/lifecycle/run.go
+++ b/internal/lifecycle/run.go
@@ -74,37 +74,37 @@
 		return nil
 	}
 	return &gateway.Capture{
-		Writer: capture.Limits{Directory: p.Directory, Gateway: name, Build: build.Version(), Queue: p.Queue, KeepSize: p.KeepSize,
-			KeepAge: p.KeepAge, Incidents: in.Directory, KeepIncidents: in.Keep, Window: in.Window, Pause: in.Pause,
+		Writer: capture.Limits{Directory: p.Directory, Gateway: name, Build: build.Version(), Queue: p.QueueBlocks, KeepSize: p.KeepSize,
+			KeepAge: p.KeepAge, Incidents: in.Directory, KeepIncidents: in.MaxIncidents, Window: in.Window, Pause: in.MinInterval,
 			Log: func(msg string, args ...any) { slog.Info(msg, args...) }},
-		Recorder: capture.Options{Checkpoint: p.Checkpoint, Block: int(p.Block), Flush: p.Flush, SegmentSize: p.SegmentSize,
-			SegmentAge: p.SegmentAge, Pause: in.Pause, Incident: incident.Settings{Over: in.Over.Microseconds(), Least: in.Least, Unserved: in.Unserved,
-				SlowFactor: in.SlowFactor, SlowWorkers: in.SlowWorkers, NearDeadline: in.NearDeadline.Microseconds()}},
+		Recorder: capture.Options{Checkpoint: p.CheckpointInterval, Block: int(p.BlockSize), Flush: p.FlushInterval, SegmentSize: p.SegmentSize,
+			SegmentAge: p.SegmentAge, Pause: in.MinInterval, Incident: incident.Settings{Over: in.EvaluationWindow.Microseconds(), Least: in.MinRequests, Unserved: in.UnservedShare,
+				SlowFactor: in.SlowFactor, SlowWorkers: in.SlowReplicas, NearDeadline: in.NearDeadline.Microseconds()}},
 	}
 }
 
 // contractOptions makes the gateway's part of the settings. Without teams there are none
 // in force, but for those that a version of the configuration brings.
 func contractOptions(c *conf.Config) *gateway.Contracts {
-	out := &gateway.Contracts{Teams: c.Contracts.Teams, Settings: c.Contracts.Settings()}
+	out := &gateway.Contracts{Teams: c.Contracts.Teams, Settings: c.Contracts.LedgerSettings()}
 	switch c.Contracts.Split {
 	case "equal":
-		out.Split = func() split.Way { return split.Equal{Gateways: c.Contracts.Gateways} }
+		out.Split = func() split.Strategy { return split.Equal{Gateways: c.Contracts.Gateways} }
 	case "front":
-		out.Split = func() split.Way { return &split.Front{} }
+		out.Split = func() split.Strategy { return &split.Proportional{} }
 	case "alone":
-		out.Split = func() split.Way { return &split.Alone{} }
+		out.Split = func() split.Strategy { return &split.LocalEstimate{} }
 	}
 	return out
 }
 
 // subsetSettings is what the gateway's part of the fleet is worked out from.
 func subsetSettings(c conf.Subset, s *choice.Settings) subset.Settings {
-	index := c.Index
+	index := c.GatewayIndex
 	if index < 0 {
 		index = s.Self
 	}
-	return subset.Settings{MaxReplicas: c.Most, GatewayIndex: index, GatewayCount: s.Gateways, Zone: s.Zone, RemoteFraction: c.Remote,
+	return subset.Settings{MaxReplicas: c.MaxReplicas, GatewayIndex: index, GatewayCount: s.Gateways, Zone: s.Zone, RemoteFraction: c.RemoteShare,
 		WeightIsSize: s.WeightKind == choice.WeightNominal, SlowStart: s.SlowStartFor}
 }
 
@@ -113,14 +113,14 @@
 	if p.Listen == "" {
 		return nil, nil
 	}
-	return peers.Start(peers.Options{Name: g.Name, ListenAddr: p.Listen, AdvertiseAddr: p.Advertise, Zone: p.Site, Seeds: strings.FieldsFunc(p.Join, func(r rune) bool { return r == ',' }),
-		Backups: p.Copies, Permits: max(0, g.Settings.MaxAttempts-1), ReplyTimeout: p.Silence, RecordTTL: p.Remember, FreezeThreshold: p.Frozen, HandOverDelay: p.HandOver,
-		MaxRecords: p.Records, MaxRecordsPerHolder: p.Each, RandomSeed: g.Seed})
+	return peers.Start(peers.Options{Name: g.Name, ListenAddr: p.Listen, AdvertiseAddr: p.Advertise, Zone: p.Zone, Seeds: strings.FieldsFunc(p.Join, func(r rune) bool { return r == ',' }),
+		Backups: p.Keepers, Permits: max(0, g.Settings.MaxAttempts-1), ReplyTimeout: p.ReplyTimeout, RecordTTL: p.RecordTTL, FreezeThreshold: p.FreezeThreshold, HandOverDelay: p.HandOverDelay,
+		MaxRecords: p.MaxRecords, MaxRecordsPerHolder: p.MaxRecordsPerGateway, RandomSeed: g.Seed})
 }
 
 // openLedger opens the store of balances, if there is one.
 func (s *server) openLedger() (closeIt func(), err error) {
-	path := s.fileSettings.Contracts.Store
+	path := s.fileSettings.Contracts.StorePath
 	if path == "" {
 		return func() {}, nil
 	}
@@ -334,10 +334,10 @@
 		}
 		stop()
 	}
-	if was.Service != settings.Service {
+	if was.ControlService != settings.ControlService {
 		slog.Warn("reload", "needs_restart", "control-service")
 	}
-	if was.Contracts.Store != settings.Contracts.Store {
+	if was.Contracts.StorePath != settings.Contracts.StorePath {
 		slog.Warn("reload", "needs_restart", "contracts.store")
 	}
 	if was.Subset != settings.Subset {
@@ -385,7 +385,7 @@
 func (s *server) listenMetrics() (err error) {
 	s.metricsServer = nil
 	if m := s.fileSettings.Metrics; m.Listen != "" {
-		s.metricsServer, err = metrics.Listen(m.Listen, m.Teams, s.gateway)
+		s.metricsServer, err = metrics.Listen(m.Listen, m.MaxTeams, s.gateway)
 	}
 	return err
 }
--- a/internal/lifecycle/stored_test.go
+++ b/internal/lifecycle/stored_test.go
@@ -76,9 +76,9 @@
 			ClosedConnections: map[string]int64{"idle": 10}, EjectedReplicas: 11, Drained: true, OrdersNotSaved: true, OperatorCalls: []figures.OperatorCallCount{{Call: "drain", Accepted: true, Count: 12}}, ListVersion: 13,
 			ListSince: time.Date(2026, 12, 2, 9, 32, 0, 0, time.UTC), Connections: 14, LoopBusy: 15, Reports: figures.ReportAge{WithReport: 16, WithoutReport: 17, Sum: 18},
 			Traffic: [3]figures.Traffic{{Calls: 19, ConnectionsOpened: 20, BytesIn: 21, BytesOut: 22}, {Calls: 23, ConnectionsOpened: 24, BytesIn: 25, BytesOut: 26}, {Calls: 27, ConnectionsOpened: 28, BytesIn: 29, BytesOut: 30}}}},
-		{"contracts/accounts", struct{}{}, &[]contract.Account{}, &[]contract.Account{{Team: "quay", Level: 1, Open: 2, Used: [3]contract.Units{3, 4, 5}, Ends: [3]int64{6, 7, 8},
-			Limit: [3]contract.Units{9, 10, 11}, Part: 0.5, Valid: true,
-			Count: contract.Count{Taken: 12, Over: 13, Refused: 14, TakenUnits: 15, OverUnits: 16, RefusedUnits: 17, Borrowed: 18, Used: 19}}}},
+		{"contracts/accounts", struct{}{}, &[]contract.AccountStatus{}, &[]contract.AccountStatus{{Team: "quay", Level: 1, Open: 2, Used: [3]contract.Units{3, 4, 5}, Ends: [3]int64{6, 7, 8},
+			Limit: [3]contract.Units{9, 10, 11}, QuotaShare: 0.5, InForce: true,
+			Counters: contract.Counters{Admitted: 12, OverQuota: 13, Rejected: 14, AdmittedUnits: 15, OverQuotaUnits: 16, RejectedUnits: 17, Borrowed: 18, Used: 19}}}},
 	} {
 		if err := control.Call(t.Context(), socket, c.name, c.order, c.read); err != nil {
 			t.Errorf("%s: %v", c.name, err)
--- a/internal/memory/requests.go
+++ b/internal/memory/requests.go
@@ -44,7 +44,7 @@
 	Finished         bool            // finally answered, or the client has left
 	attemptsInFlight int             // attempts that have not ended
 	Charge           contract.Charge // until its first attempt has it
-	EstimatedUse     contract.Use    // what it was charged for
+	EstimatedUse     contract.Usage  // what it was charged for
 	OverRate         bool            // it competes beyond its team's rate
 }
 
--- a/internal/metrics/metrics.go
+++ b/internal/metrics/metrics.go
@@ -19,7 +19,7 @@
 
 // Source tells the figures.
 type Source interface {
-	Accounts(ctx context.Context) ([]contract.Account, error)
+	Accounts(ctx context.Context) ([]contract.AccountStatus, error)
 	Control(ctx context.Context) (figures.Stats, error)
 }
 
@@ -97,7 +97,7 @@
 	}
 	ch <- prometheus.MustNewConstMetric(teamsDesc, prometheus.GaugeValue, float64(len(list)))
 	token := float64(contract.Token)
-	var rest contract.Account
+	var rest contract.AccountStatus
 	rest.Team = Others
 	for i := range list {
 		if len(list) > a.most && i >= a.most-1 {
@@ -111,28 +111,28 @@
 	}
 }
 
-func sum(to, a *contract.Account) {
-	c, o := &to.Count, &a.Count
-	c.Taken, c.Over, c.Refused = c.Taken+o.Taken, c.Over+o.Over, c.Refused+o.Refused
-	c.TakenUnits, c.OverUnits, c.RefusedUnits = c.TakenUnits+o.TakenUnits, c.OverUnits+o.OverUnits, c.RefusedUnits+o.RefusedUnits
+func sum(to, a *contract.AccountStatus) {
+	c, o := &to.Counters, &a.Counters
+	c.Admitted, c.OverQuota, c.Rejected = c.Admitted+o.Admitted, c.OverQuota+o.OverQuota, c.Rejected+o.Rejected
+	c.AdmittedUnits, c.OverQuotaUnits, c.RejectedUnits = c.AdmittedUnits+o.AdmittedUnits, c.OverQuotaUnits+o.OverQuotaUnits, c.RejectedUnits+o.RejectedUnits
 	c.Borrowed, c.Used = c.Borrowed+o.Borrowed, c.Used+o.Used
 	to.Level, to.Open = to.Level+a.Level, to.Open+a.Open
 }
 
 // put tells one team's figures; alone says that it is one team, with budgets.
-func put(ch chan<- prometheus.Metric, a *contract.Account, token float64, alone bool) {
+func put(ch chan<- prometheus.Metric, a *contract.AccountStatus, token float64, alone bool) {
 	count := func(d *prometheus.Desc, v float64, labels ...string) {
 		ch <- prometheus.MustNewConstMetric(d, prometheus.CounterValue, v, append([]string{a.Team}, labels...)...)
 	}
 	gauge := func(d *prometheus.Desc, v float64, labels ...string) {
 		ch <- prometheus.MustNewConstMetric(d, prometheus.GaugeValue, v, append([]string{a.Team}, labels...)...)
 	}
-	c := &a.Count
+	c := &a.Counters
 	for _, v := range []struct {
 		word  string
 		n     int64
 		units contract.Units
-	}{{"taken", c.Taken, c.TakenUnits}, {"over", c.Over, c.OverUnits}, {"refused", c.Refused, c.RefusedUnits}} {
+	}{{"taken", c.Admitted, c.AdmittedUnits}, {"over", c.OverQuota, c.OverQuotaUnits}, {"refused", c.Rejected, c.RejectedUnits}} {
 		count(requestsDesc, float64(v.n), v.word)
 		count(askedDesc, float64(v.units)/token, v.word)
 	}
@@ -143,7 +143,7 @@
 	if !alone {
 		return
 	}
-	gauge(partDesc, a.Part)
+	gauge(partDesc, a.QuotaShare)
 	for p := range a.Limit {
 		if a.Limit[p] > 0 {
 			word := contract.Period(p).String()
--- a/internal/metrics/metrics_test.go
+++ b/internal/metrics/metrics_test.go
@@ -18,19 +18,19 @@
 )
 
 type source struct {
-	list    []contract.Account
+	list    []contract.AccountStatus
 	control figures.Stats
 	err     error
 }
 
-func (s *source) Accounts(context.Context) ([]contract.Account, error) { return s.list, s.err }
+func (s *source) Accounts(context.Context) ([]contract.AccountStatus, error) { return s.list, s.err }
 
 func (s *source) Control(context.Context) (figures.Stats, error) { return s.control, s.err }
 
-func account(i int) contract.Account {
-	a := contract.Account{Team: fmt.Sprint("team", i), Level: 5 * contract.Token, Open: 2, Part: 0.25, Valid: true}
+func account(i int) contract.AccountStatus {
+	a := contract.AccountStatus{Team: fmt.Sprint("team", i), Level: 5 * contract.Token, Open: 2, QuotaShare: 0.25, InForce: true}
 	a.Used[contract.Hour], a.Limit[contract.Hour] = 30*contract.Token, 100*contract.Token
-	a.Count = contract.Count{Taken: 10, Over: 3, Refused: 1, TakenUnits: 100 * contract.Token, Used: 90 * contract.Token}
+	a.Counters = contract.Counters{Admitted: 10, OverQuota: 3, Rejected: 1, AdmittedUnits: 100 * contract.Token, Used: 90 * contract.Token}
 	return a
 }
 
@@ -66,7 +66,7 @@
 }
 
 func TestFigures(t *testing.T) {
-	s := &source{list: []contract.Account{account(1)}}
+	s := &source{list: []contract.AccountStatus{account(1)}}
 	want := `
 # HELP archknot_contract_budget_used_tokens What was used in the period at hand.
 # TYPE archknot_contract_budget_used_tokens gauge
--- a/internal/publicnames/publicnames_test.go
+++ b/internal/publicnames/publicnames_test.go
@@ -40,12 +40,12 @@
 // figuresSource has one figure of each kind.
 type figuresSource struct{}
 
-func (figuresSource) Accounts(context.Context) ([]contract.Account, error) {
-	account := contract.Account{Team: "team"}
+func (figuresSource) Accounts(context.Context) ([]contract.AccountStatus, error) {
+	account := contract.AccountStatus{Team: "team"}
 	for i := range account.Limit {
 		account.Limit[i] = 1
 	}
-	return []contract.Account{account}, nil
+	return []contract.AccountStatus{account}, nil
 }
 
 func (figuresSource) Control(context.Context) (figures.Stats, error) {
@@ -117,7 +117,7 @@
 		names[i] = "[" + section + "]"
 	}
 	for _, s := range conf.Default().Settings() {
-		names = append(names, s.Section+"."+s.Key+" = "+s.Otherwise+" ("+s.Form+")")
+		names = append(names, s.Section+"."+s.Key+" = "+s.Default+" ("+s.Type+")")
 	}
 	for _, key := range knownKeys(t, loadSettings, "[contract x]\n"+noSuchKey+" 1\n") {
 		names = append(names, "contract."+key)
@@ -156,7 +156,7 @@
 		"capture manifest":    reflect.TypeFor[capture.Manifest](),
 		"capture missing":     reflect.TypeFor[capture.Missing](),
 		"config history":      reflect.TypeFor[confstream.Line](),
-		"control accounts":    reflect.TypeFor[contract.Account](),
+		"control accounts":    reflect.TypeFor[contract.AccountStatus](),
 		"control figures":     reflect.TypeFor[figures.Stats](),
 		"control rollback":    reflect.TypeFor[lifecycle.RollbackRequest](),
 		"control save":        reflect.TypeFor[lifecycle.SaveRequest](),
--- a/internal/replay/names.go
+++ b/internal/replay/names.go
@@ -140,8 +140,8 @@
 			put("classes=%d tenants=%d attempts=%d", len(s.Classes), len(s.Tenants), s.MaxAttempts)
 		}
 	case pb.Kind_KIND_AGREED:
-		if a, err := contract.GetAgreed(r.Agreed); err == nil && len(r.Agreed) > 0 {
-			put("contracts=%d fresh=%t", len(a.Terms), a.Fresh)
+		if a, err := contract.UnmarshalAgreement(r.Agreed); err == nil && len(r.Agreed) > 0 {
+			put("contracts=%d fresh=%t", len(a.Terms), a.NewLedger)
 		} else {
 			put("contracts=0")
 		}
--- a/internal/revision/config.go
+++ b/internal/revision/config.go
@@ -213,7 +213,7 @@
 		if len(c.Contracts) > l.MostContracts {
 			r.add(TypeContract, "", "", "expected at most %d, got %d", l.MostContracts, len(c.Contracts))
 		}
-		if err := contract.Check(c.Contracts); err != nil {
+		if err := contract.ValidateTerms(c.Contracts); err != nil {
 			r.add(TypeContract, "", "", "%v", err)
 		}
 	}
@@ -342,10 +342,10 @@
 	Watch    Watch           // in force
 	Clients  int             // client connections open
 	Workers  map[string]WorkerState
-	InHand   map[string]InHand  // by class
-	Held     int                // requests in hand
-	Tenants  map[string]int     // requests in hand by tenant
-	Accounts []contract.Account // the books of the contracts in force
+	InHand   map[string]InHand        // by class
+	Held     int                      // requests in hand
+	Tenants  map[string]int           // requests in hand by tenant
+	Accounts []contract.AccountStatus // the books of the contracts in force
 }
 
 // WorkerState is a worker as the registry and earlier marks have it.
@@ -444,7 +444,7 @@
 // has used already: all of its next requests would be refused from that moment on.
 // A team that is to be refused has its contract end.
 func checkBudgets(c *Config, p *Present, r *Refusals) {
-	by := map[string]*contract.Account{}
+	by := map[string]*contract.AccountStatus{}
 	for i := range p.Accounts {
 		by[p.Accounts[i].Team] = &p.Accounts[i]
 	}
