--- a/example/control/main.go
+++ b/example/control/main.go
@@ -60,13 +60,13 @@
 // tell prints what gateways answer.
 func tell(s *controlservice.Service) {
 	for n := 0; ; time.Sleep(50 * time.Millisecond) {
-		all := s.Answers()
+		all := s.Acks()
 		for ; n < len(all); n++ {
 			a := all[n]
-			if a.Err == "" {
+			if a.Error == "" {
 				fmt.Printf("%s acknowledges %s %s\n", a.Gateway, a.Type, a.Version)
 			} else {
-				fmt.Printf("%s refuses %s: %s\n", a.Gateway, a.Type, a.Err)
+				fmt.Printf("%s refuses %s: %s\n", a.Gateway, a.Type, a.Error)
 			}
 		}
 		n = min(n, len(all))
@@ -74,7 +74,7 @@
 }
 
 func version(n uint64, class string) *controlservice.Version {
-	return &controlservice.Version{Number: n, Resources: map[revision.Type][]proto.Message{
+	return &controlservice.Version{Number: n, Resources: map[revision.ResourceType][]proto.Message{
 		revision.TypeClass:    {&pb.Class{Name: class, AimUs: 1_000_000, TokenAimUs: 300_000, DeadlineUs: 3_000_000, Worth: 2, LateWorth: 0.3, Stream: true}},
 		revision.TypeAttempts: {&pb.Attempts{Most: 3, SecondCopies: true}},
 	}}
@@ -108,11 +108,11 @@
 	case "step":
 		v = version(n, "other")
 	case "vanish":
-		v.VanishAfter = 1
+		v.CloseAfter = 1
 	case "slow":
-		v.Slow = 500 * time.Millisecond
+		v.Delay = 500 * time.Millisecond
 	case "nonce":
-		v.WrongNonce = true
+		v.RepeatNonce = true
 	case "flood":
 		count, err := third()
 		if err != nil || count < 1 || count > 10_000 {
@@ -127,16 +127,16 @@
 		if err != nil || percent < 0 || percent > 100 {
 			return fmt.Errorf("expected 0 to 100 percent")
 		}
-		v.FirstPercent, v.Hold, v.WorseBy = uint32(percent), 10*time.Second, 0.1
+		v.FirstPercent, v.Hold, v.MaxRegression = uint32(percent), 10*time.Second, 0.1
 	case "drain":
 		if len(f) < 3 {
 			return fmt.Errorf("expected a worker's name")
 		}
-		v.Resources[revision.TypeWorker] = []proto.Message{&pb.Worker{Name: f[2], Mark: pb.Worker_DRAIN}}
+		v.Resources[revision.TypeReplica] = []proto.Message{&pb.Worker{Name: f[2], Mark: pb.Worker_DRAIN}}
 	case "down":
-		s.Vanish()
+		s.Stop()
 		time.Sleep(time.Duration(n) * time.Second)
-		return s.Return()
+		return s.Restart()
 	case "wait":
 		time.Sleep(time.Duration(n) * time.Second)
 		return nil
--- a/internal/boltfile/boltfile.go
+++ b/internal/boltfile/boltfile.go
@@ -23,7 +23,7 @@
 	if err := os.MkdirAll(filepath.Dir(path), 0o700); err != nil {
 		return nil, "", err
 	}
-	db, err = open(path, buckets, read)
+	db, err = openChecked(path, buckets, read)
 	if err == nil || errors.Is(err, bolterrors.ErrTimeout) {
 		return db, "", err
 	}
@@ -35,12 +35,12 @@
 	if rerr := os.Rename(path, aside); rerr != nil {
 		return nil, "", errors.Join(err, rerr)
 	}
-	db, err = open(path, buckets, read)
+	db, err = openChecked(path, buckets, read)
 	return db, aside, err
 }
 
-func open(path string, buckets [][]byte, read func(*bbolt.DB) error) (db *bbolt.DB, err error) {
-	if err := whole(path); err != nil {
+func openChecked(path string, buckets [][]byte, read func(*bbolt.DB) error) (db *bbolt.DB, err error) {
+	if err := checkComplete(path); err != nil {
 		return nil, err
 	}
 	// Pages that point nowhere make the library panic, and beyond the file's end
@@ -80,17 +80,17 @@
 // The head of a store, as the library lays it out: two pages of which the one with
 // the higher transaction counts, each with a header of 16 bytes before it.
 const (
-	metaMagic    = 0xED0CDAED
-	headerSize   = 16
-	pageSizeAt   = headerSize + 8
-	highestAt    = headerSize + 40
-	metaSize     = headerSize + 64
-	mostPageSize = 64 << 10
+	metaMagic       = 0xED0CDAED
+	headerSize      = 16
+	pageSizeOffset  = headerSize + 8
+	pageCountOffset = headerSize + 40
+	metaSize        = headerSize + 64
+	maxPageSize     = 64 << 10
 )
 
-// whole tells why a file is shorter than its head says: the library would map it
+// checkComplete tells why a file is shorter than its head says: the library would map it
 // whole and fault at what is missing.
-func whole(path string) error {
+func checkComplete(path string) error {
 	f, err := os.Open(path)
 	if errors.Is(err, os.ErrNotExist) {
 		return nil
@@ -110,13 +110,13 @@
 	if _, err := f.ReadAt(head[:], 0); err != nil && err != io.EOF {
 		return err
 	}
-	size := int64(binary.LittleEndian.Uint32(head[pageSizeAt:]))
-	if binary.LittleEndian.Uint32(head[headerSize:]) != metaMagic || size < 512 || size > mostPageSize {
+	size := int64(binary.LittleEndian.Uint32(head[pageSizeOffset:]))
+	if binary.LittleEndian.Uint32(head[headerSize:]) != metaMagic || size < 512 || size > maxPageSize {
 		return nil // the other head may do, or the library tells
 	}
-	highest := binary.LittleEndian.Uint64(head[highestAt:])
+	highest := binary.LittleEndian.Uint64(head[pageCountOffset:])
 	if _, err := f.ReadAt(head[:], size); err == nil && binary.LittleEndian.Uint32(head[headerSize:]) == metaMagic {
-		highest = max(highest, binary.LittleEndian.Uint64(head[highestAt:]))
+		highest = max(highest, binary.LittleEndian.Uint64(head[pageCountOffset:]))
 	}
 	if highest > 1<<40 || info.Size() < int64(highest)*size {
 		return fmt.Errorf("damaged: %d bytes, its head tells of %d pages of %d", info.Size(), highest, size)
--- a/internal/capture/recorder.go
+++ b/internal/capture/recorder.go
@@ -104,7 +104,7 @@
 	marked    choice.Micros // when the last checkpoint was made
 	segmentAt choice.Micros
 	gap       *gap // records are being lost
-	watch     *incident.Watch
+	watch     *incident.Detector
 	saveAfter string        // an incident to keep once the call is recorded
 	changed   bool          // the settings in force are not those that the run began with
 	savedAt   choice.Micros // when that was last ordered by itself
@@ -148,7 +148,7 @@
 	if host.RequestName == nil {
 		r.host.RequestName = func(choice.RequestID) string { return "" }
 	}
-	if o.Incident.On() {
+	if o.Incident.Enabled() {
 		r.watch = incident.New(o.Incident, b.Settings())
 	}
 	b.SetSink(r)
@@ -404,7 +404,7 @@
 		r.rec.List = putList(&l, r.host.WorkerName)
 	}
 	if r.watch != nil {
-		r.watch.Listed(now, l)
+		r.watch.ListChanged(now, l)
 	}
 	r.b.ListChanged(now, l)
 	r.end(rec)
@@ -417,7 +417,7 @@
 		r.rec.Arrival = putArrival(&r.arrival, &in, r.host.RequestName(in.ID))
 	}
 	if r.watch != nil {
-		r.watch.Arrived(now, in)
+		r.watch.RequestArrived(now, in)
 	}
 	r.b.RequestArrived(now, in)
 	r.end(rec)
@@ -429,7 +429,7 @@
 		r.rec.Request, r.rec.Outcome = uint32(o.ID), putOutcome(&r.outcome, &r.report, &o)
 	}
 	if r.watch != nil {
-		r.note(r.watch.First(now, o))
+		r.note(r.watch.FirstToken(now, o))
 	}
 	r.b.FirstToken(now, o)
 	r.end(rec)
@@ -441,7 +441,7 @@
 		r.rec.Request, r.rec.Outcome = uint32(o.ID), putOutcome(&r.outcome, &r.report, &o)
 	}
 	if r.watch != nil {
-		r.note(r.watch.Ended(now, o))
+		r.note(r.watch.AttemptEnded(now, o))
 	}
 	r.b.AttemptEnded(now, o)
 	r.end(rec)
@@ -453,7 +453,7 @@
 		r.rec.Request = uint32(id)
 	}
 	if r.watch != nil {
-		r.note(r.watch.Left(now, id))
+		r.note(r.watch.ClientGone(now, id))
 	}
 	r.b.ClientGone(now, id)
 	r.end(rec)
@@ -545,7 +545,7 @@
 		a.Request, a.AtUs = uint32(id), retryAfter
 	}
 	if r.watch != nil {
-		r.note(r.watch.Answered(r.now, id))
+		r.note(r.watch.RequestFailed(r.now, id))
 	}
 	r.out.Shed(id, retryAfter)
 }
@@ -555,7 +555,7 @@
 		a.Request = uint32(id)
 	}
 	if r.watch != nil {
-		r.note(r.watch.Answered(r.now, id))
+		r.note(r.watch.RequestFailed(r.now, id))
 	}
 	r.out.Fail(id)
 }
--- a/internal/capture/recorder_test.go
+++ b/internal/capture/recorder_test.go
@@ -69,7 +69,7 @@
 	m := module(b)
 	r := Record(1000, m, nil, &nowhere{}, w, Host{RequestName: func(choice.RequestID) string { return "9b1f03aa5c7e2d41" }},
 		Options{Checkpoint: 24 * time.Hour, Block: 32 << 10, Flush: 24 * time.Hour, SegmentSize: 8 << 20, SegmentAge: 24 * time.Hour,
-			Incident: incident.Settings{Over: 10e6, Least: 50, Unserved: 0.4, SlowFactor: 2, SlowWorkers: 0.8, NearDeadline: 500}})
+			Incident: incident.Settings{Window: 10e6, MinRequests: 50, UnservedShare: 0.4, SlowFactor: 2, SlowReplicaShare: 0.8, DeadlineMargin: 500}})
 	i := 0
 	for b.Loop() {
 		i++
--- a/internal/cli/version.go
+++ b/internal/cli/version.go
@@ -82,7 +82,7 @@
 }
 
 func (c *historyCmd) Run(s *streams) error {
-	var list []confstream.Line
+	var list []confstream.HistoryEntry
 	if err := c.call(s, "config/history", struct{}{}, &list); err != nil {
 		return err
 	}
@@ -91,7 +91,7 @@
 	}
 	w := tabwriter.NewWriter(s.out, 0, 0, 2, ' ', 0)
 	for _, l := range list {
-		fmt.Fprintf(w, "%s\t%d\t%s\t%s\n", l.At.Format("2006-01-02T15:04:05.000Z"), l.Version, l.What, l.Reason)
+		fmt.Fprintf(w, "%s\t%d\t%s\t%s\n", l.At.Format("2006-01-02T15:04:05.000Z"), l.Version, l.Event, l.Reason)
 	}
 	return w.Flush()
 }
--- a/internal/confstream/client.go
+++ b/internal/confstream/client.go
@@ -28,7 +28,7 @@
 	// Apply takes a whole version, or goes back to one; nil is the files. It
 	// returns why not, with nothing changed, or nothing. It may wait for the
 	// module's owner, not for sockets.
-	Apply(ctx context.Context, c *revision.Config) revision.Refusals
+	Apply(ctx context.Context, c *revision.Config) revision.Rejections
 }
 
 // Options of a Client.
@@ -43,34 +43,34 @@
 
 // Bounds on the stream.
 const (
-	maxMessage  = 2 << 20
-	maxSends    = 64
-	maxResource = 10_100
-	dialWithin  = 10 * time.Second
+	maxMessageSize = 2 << 20
+	sendQueueSize  = 64
+	maxResources   = 10_100
+	dialTimeout    = 10 * time.Second
 )
 
 // Client follows a control service. One task owns the machine; the stream's own
 // tasks hand it what comes.
 type Client struct {
-	o      Options
-	target Target
-	m      *revision.Machine
-	inputs chan func(now choice.Micros)
-	start  time.Time
-	stream *stream // the one at hand; nil: none
-	serial int
-	ctx    context.Context
-
-	good, bad atomic.Int64 // requests that ended and are not told yet
-	force     atomic.Pointer[revision.Config]
-	up        atomic.Bool
+	options     Options
+	target      Target
+	machine     *revision.Machine
+	events      chan func(now choice.Micros)
+	startedAt   time.Time
+	stream      *stream // the one at hand; nil: none
+	streamCount int
+	ctx         context.Context
+
+	goodRequests, badRequests atomic.Int64 // requests that ended and are not told yet
+	inForce                   atomic.Pointer[revision.Config]
+	connected                 atomic.Bool
 }
 
 // stream is one attempt to follow the service.
 type stream struct {
-	serial int
-	stop   context.CancelFunc
-	sends  chan any // requests of the form at hand
+	serial   int
+	cancel   context.CancelFunc
+	requests chan any // requests of the form at hand
 }
 
 // New returns a client that begins from what the store has. What is in the store
@@ -79,7 +79,7 @@
 	if o.Log == nil {
 		o.Log = func(string, ...any) {}
 	}
-	c := &Client{o: o, target: target, inputs: make(chan func(choice.Micros), 256), start: time.Now()}
+	c := &Client{options: o, target: target, events: make(chan func(choice.Micros), 256), startedAt: time.Now()}
 	var force *revision.Config
 	var never []revision.Number
 	if o.Store != nil {
@@ -88,32 +88,32 @@
 			return nil, err
 		}
 	}
-	c.force.Store(force)
-	c.m = revision.New(o.Machine, c, force, never)
+	c.inForce.Store(force)
+	c.machine = revision.New(o.Machine, c, force, never)
 	return c, nil
 }
 
-func (c *Client) now() choice.Micros { return 1 + time.Since(c.start).Microseconds() }
+func (c *Client) now() choice.Micros { return 1 + time.Since(c.startedAt).Microseconds() }
 
 // InForce is the version in force; nil: the files.
-func (c *Client) InForce() *revision.Config { return c.force.Load() }
+func (c *Client) InForce() *revision.Config { return c.inForce.Load() }
 
 // Connected tells whether the stream stands.
-func (c *Client) Connected() bool { return c.up.Load() }
+func (c *Client) Connected() bool { return c.connected.Load() }
 
-// Ended counts a request that ended: late or not served, or well. It never waits.
-func (c *Client) Ended(bad bool) {
+// RequestEnded counts a request that ended: late or not served, or well. It never waits.
+func (c *Client) RequestEnded(bad bool) {
 	if bad {
-		c.bad.Add(1)
+		c.badRequests.Add(1)
 	} else {
-		c.good.Add(1)
+		c.goodRequests.Add(1)
 	}
 }
 
 // Rollback goes back to the version before.
 func (c *Client) Rollback(ctx context.Context, why string) error {
 	done := make(chan bool, 1)
-	if !c.post(ctx, func(now choice.Micros) { done <- c.m.Rollback(now, why) }) {
+	if !c.post(ctx, func(now choice.Micros) { done <- c.machine.Rollback(now, why) }) {
 		return ctx.Err()
 	}
 	select {
@@ -129,7 +129,7 @@
 
 func (c *Client) post(ctx context.Context, f func(choice.Micros)) bool {
 	select {
-	case c.inputs <- f:
+	case c.events <- f:
 		return true
 	case <-ctx.Done():
 		return false
@@ -140,47 +140,47 @@
 // The gateway's start does not wait for it.
 func (c *Client) Run(ctx context.Context) {
 	c.ctx = ctx
-	if force := c.force.Load(); force != nil {
+	if force := c.inForce.Load(); force != nil {
 		// As it was before the restart: nothing is in hand yet that it could harm,
 		// but what the files say may have changed since.
-		refused := revision.Check(force, c.o.Machine.Limits)
+		refused := revision.Validate(force, c.options.Machine.Limits)
 		if len(refused) == 0 {
 			refused = c.target.Apply(ctx, force)
 		}
 		if len(refused) > 0 {
-			c.o.Log("config_kept_refused", "version", uint64(force.Number), "reason", refused.Error())
-			_, never, _ := c.o.Store.Load()
-			c.force.Store(nil)
-			c.m = revision.New(c.o.Machine, c, nil, never)
+			c.options.Log("config_kept_refused", "version", uint64(force.Number), "reason", refused.Error())
+			_, never, _ := c.options.Store.Load()
+			c.inForce.Store(nil)
+			c.machine = revision.New(c.options.Machine, c, nil, never)
 		} else {
-			c.o.Log("config_kept", "version", uint64(force.Number))
+			c.options.Log("config_kept", "version", uint64(force.Number))
 		}
 	}
-	c.m.Start(c.now())
+	c.machine.Start(c.now())
 	tick := time.NewTicker(100 * time.Millisecond)
 	defer tick.Stop()
 	wake := time.NewTimer(time.Hour)
 	defer wake.Stop()
 	for {
 		select {
-		case f := <-c.inputs:
+		case f := <-c.events:
 			f(c.now())
 		case <-tick.C:
-			for range c.good.Swap(0) {
-				c.m.Ended(false)
+			for range c.goodRequests.Swap(0) {
+				c.machine.RequestEnded(false)
 			}
-			for range c.bad.Swap(0) {
-				c.m.Ended(true)
+			for range c.badRequests.Swap(0) {
+				c.machine.RequestEnded(true)
 			}
 		case <-wake.C:
-			c.m.Tick(c.now())
+			c.machine.Tick(c.now())
 		case <-ctx.Done():
 			if c.stream != nil {
-				c.stream.stop()
+				c.stream.cancel()
 			}
 			return
 		}
-		if at := c.m.Next(); at > 0 {
+		if at := c.machine.NextTick(); at > 0 {
 			wake.Reset(time.Duration(max(0, at-c.now())) * time.Microsecond)
 		}
 	}
@@ -189,9 +189,9 @@
 // The machine's orders: revision.Host.
 
 func (c *Client) Connect(after choice.Micros) {
-	c.serial++
+	c.streamCount++
 	ctx, stop := context.WithCancel(c.ctx)
-	s := &stream{serial: c.serial, stop: stop, sends: make(chan any, maxSends)}
+	s := &stream{serial: c.streamCount, cancel: stop, requests: make(chan any, sendQueueSize)}
 	c.stream = s
 	go func() {
 		defer stop()
@@ -204,15 +204,15 @@
 		c.post(c.ctx, func(now choice.Micros) {
 			if c.stream == s {
 				c.stream = nil
-				c.up.Store(false)
-				c.m.Closed(now, plain(err))
+				c.connected.Store(false)
+				c.machine.Closed(now, closeReason(err))
 			}
 		})
 	}()
 }
 
-// plain tells in words why a stream ended.
-func plain(err error) string {
+// closeReason tells in words why a stream ended.
+func closeReason(err error) string {
 	if err == nil || errors.Is(err, io.EOF) {
 		return "the service ended the stream"
 	}
@@ -221,13 +221,13 @@
 
 func (c *Client) Close(reason string) {
 	if c.stream != nil {
-		c.stream.stop()
+		c.stream.cancel()
 		c.stream = nil
 	}
-	c.up.Store(false)
+	c.connected.Store(false)
 }
 
-func (c *Client) Send(t revision.Type, version, nonce, why string) {
+func (c *Client) SendRequest(t revision.ResourceType, version, nonce, why string) {
 	if c.stream == nil {
 		return
 	}
@@ -235,21 +235,21 @@
 	if why != "" {
 		detail = &status.Status{Code: int32(codes.InvalidArgument), Message: why}
 	}
-	node := &corev3.Node{Id: c.o.Machine.Gateway, UserAgentName: "archknot"}
+	node := &corev3.Node{Id: c.options.Machine.Gateway, UserAgentName: "archknot"}
 	var m any
-	if c.o.Delta {
-		r := &discovery.DeltaDiscoveryRequest{Node: node, TypeUrl: URL(t), ResponseNonce: nonce, ErrorDetail: detail}
+	if c.options.Delta {
+		r := &discovery.DeltaDiscoveryRequest{Node: node, TypeUrl: TypeURL(t), ResponseNonce: nonce, ErrorDetail: detail}
 		if nonce == "" {
 			r.ResourceNamesSubscribe = []string{"*"}
 		}
 		m = r
 	} else {
-		m = &discovery.DiscoveryRequest{Node: node, TypeUrl: URL(t), VersionInfo: version, ResponseNonce: nonce, ErrorDetail: detail}
+		m = &discovery.DiscoveryRequest{Node: node, TypeUrl: TypeURL(t), VersionInfo: version, ResponseNonce: nonce, ErrorDetail: detail}
 	}
 	select {
-	case c.stream.sends <- m:
+	case c.stream.requests <- m:
 	default: // a service that reads nothing: the stream is of no use
-		c.stream.stop()
+		c.stream.cancel()
 	}
 }
 
@@ -259,40 +259,40 @@
 		refused := c.target.Apply(s, next)
 		c.post(s, func(now choice.Micros) {
 			if len(refused) == 0 {
-				c.force.Store(next)
+				c.inForce.Store(next)
 			}
-			c.m.Applied(now, refused)
+			c.machine.Applied(now, refused)
 		})
 	}()
 }
 
-func (c *Client) Keep(v *revision.Config, never []revision.Number) {
-	if c.o.Store == nil {
+func (c *Client) Persist(v *revision.Config, never []revision.Number) {
+	if c.options.Store == nil {
 		return
 	}
-	if err := c.o.Store.Keep(v, never); err != nil {
-		c.o.Log("config_store_failed", "err", err.Error())
+	if err := c.options.Store.SaveVersion(v, never); err != nil {
+		c.options.Log("config_store_failed", "err", err.Error())
 	}
 }
 
-func (c *Client) Tell(e revision.Entry) {
-	c.o.Log("config_"+e.What, "version", uint64(e.Number), "reason", e.Reason)
-	if c.o.Store == nil || e.What == revision.Lost {
+func (c *Client) RecordEvent(e revision.Event) {
+	c.options.Log("config_"+e.Kind, "version", uint64(e.Number), "reason", e.Reason)
+	if c.options.Store == nil || e.Kind == revision.EventStreamLost {
 		return
 	}
-	if err := c.o.Store.Note(Line{time.Now().UTC(), e.Number, e.What, e.Reason}); err != nil {
-		c.o.Log("config_store_failed", "err", err.Error())
+	if err := c.options.Store.AppendHistory(HistoryEntry{time.Now().UTC(), e.Number, e.Kind, e.Reason}); err != nil {
+		c.options.Log("config_store_failed", "err", err.Error())
 	}
 }
 
 // follow opens the stream and passes on what comes, until it ends.
 func (c *Client) follow(ctx context.Context, s *stream) error {
-	creds := c.o.TLS
+	creds := c.options.TLS
 	if creds == nil {
 		creds = insecure.NewCredentials()
 	}
-	conn, err := grpc.NewClient("passthrough:///"+c.o.Address, grpc.WithTransportCredentials(creds),
-		grpc.WithDefaultCallOptions(grpc.MaxCallRecvMsgSize(maxMessage)), grpc.WithDisableServiceConfig(),
+	conn, err := grpc.NewClient("passthrough:///"+c.options.Address, grpc.WithTransportCredentials(creds),
+		grpc.WithDefaultCallOptions(grpc.MaxCallRecvMsgSize(maxMessageSize)), grpc.WithDisableServiceConfig(),
 		grpc.WithReadBufferSize(8<<10), grpc.WithWriteBufferSize(8<<10),
 		// A machine that vanished leaves its connection open and silent.
 		grpc.WithKeepaliveParams(keepalive.ClientParameters{Time: 10 * time.Second, Timeout: 5 * time.Second, PermitWithoutStream: true}))
@@ -303,38 +303,38 @@
 	client := discovery.NewAggregatedDiscoveryServiceClient(conn)
 	opening, opened := context.WithCancel(ctx)
 	defer opened()
-	late := time.AfterFunc(dialWithin, opened)
+	late := time.AfterFunc(dialTimeout, opened)
 	defer late.Stop()
-	if c.o.Delta {
+	if c.options.Delta {
 		st, err := client.DeltaAggregatedResources(opening, grpc.WaitForReady(false))
 		if err != nil {
 			return err
 		}
 		late.Stop()
-		return c.delta(ctx, s, st)
+		return c.receiveDelta(ctx, s, st)
 	}
 	st, err := client.StreamAggregatedResources(opening, grpc.WaitForReady(false))
 	if err != nil {
 		return err
 	}
 	late.Stop()
-	return c.world(ctx, s, st)
+	return c.receiveStateOfTheWorld(ctx, s, st)
 }
 
-// opened tells the machine that the stream stands, and sends what it orders.
-func opened[R any](ctx context.Context, c *Client, s *stream, send func(R) error) {
+// startSending tells the machine that the stream stands, and sends what it orders.
+func startSending[R any](ctx context.Context, c *Client, s *stream, send func(R) error) {
 	c.post(ctx, func(now choice.Micros) {
 		if c.stream == s {
-			c.up.Store(true)
-			c.m.Connected(now)
+			c.connected.Store(true)
+			c.machine.Connected(now)
 		}
 	})
 	go func() {
 		for {
 			select {
-			case m := <-s.sends:
+			case m := <-s.requests:
 				if send(m.(R)) != nil {
-					s.stop()
+					s.cancel()
 					return
 				}
 			case <-ctx.Done():
@@ -344,68 +344,68 @@
 	}()
 }
 
-func (c *Client) receive(ctx context.Context, s *stream, r revision.Response) {
+func (c *Client) deliver(ctx context.Context, s *stream, r revision.Response) {
 	c.post(ctx, func(now choice.Micros) {
 		if c.stream == s {
-			c.m.Received(now, r)
+			c.machine.Received(now, r)
 		}
 	})
 }
 
-// world is the state-of-the-world form: each response has all of a type.
-func (c *Client) world(ctx context.Context, s *stream, st discovery.AggregatedDiscoveryService_StreamAggregatedResourcesClient) error {
-	opened(ctx, c, s, st.Send)
+// receiveStateOfTheWorld is the state-of-the-world form: each response has all of a type.
+func (c *Client) receiveStateOfTheWorld(ctx context.Context, s *stream, st discovery.AggregatedDiscoveryService_StreamAggregatedResourcesClient) error {
+	startSending(ctx, c, s, st.Send)
 	for {
 		m, err := st.Recv()
 		if err != nil {
 			return err
 		}
-		t, ok := TypeOf(m.TypeUrl)
+		t, ok := ResourceTypeOf(m.TypeUrl)
 		if !ok {
-			return fmt.Errorf("a response of type %q, which was not asked for", clip(m.TypeUrl))
+			return fmt.Errorf("a response of type %q, which was not asked for", truncate(m.TypeUrl))
 		}
 		r := revision.Response{Type: t, Version: m.VersionInfo, Nonce: m.Nonce}
 		raw := make([][]byte, 0, len(m.Resources))
 		for i, a := range m.Resources {
 			if a.GetTypeUrl() != m.TypeUrl {
-				r.Err = fmt.Sprintf("resource %d: of type %q", i, clip(a.GetTypeUrl()))
+				r.DecodeError = fmt.Sprintf("resource %d: of type %q", i, truncate(a.GetTypeUrl()))
 			}
 			raw = append(raw, a.GetValue())
 		}
-		c.receive(ctx, s, decoded(r, t, raw))
+		c.deliver(ctx, s, withFragment(r, t, raw))
 	}
 }
 
-func decoded(r revision.Response, t revision.Type, raw [][]byte) revision.Response {
-	if r.Err == "" && len(raw) > maxResource {
-		r.Err = fmt.Sprintf("%d resources, %d are the most", len(raw), maxResource)
+func withFragment(r revision.Response, t revision.ResourceType, raw [][]byte) revision.Response {
+	if r.DecodeError == "" && len(raw) > maxResources {
+		r.DecodeError = fmt.Sprintf("%d resources, %d are the most", len(raw), maxResources)
 	}
-	if r.Err == "" {
+	if r.DecodeError == "" {
 		part, err := Decode(t, raw)
 		if err != nil {
-			r.Err = err.Error()
+			r.DecodeError = err.Error()
 		}
-		r.Part = part
+		r.Fragment = part
 	}
-	if r.Err != "" {
-		r.Part = nil
+	if r.DecodeError != "" {
+		r.Fragment = nil
 	}
 	return r
 }
 
-// delta is the incremental form: responses change what is held of a type. The
+// receiveDelta is the incremental form: responses change what is held of a type. The
 // machine gets all of it each time.
-func (c *Client) delta(ctx context.Context, s *stream, st discovery.AggregatedDiscoveryService_DeltaAggregatedResourcesClient) error {
-	opened(ctx, c, s, st.Send)
-	held := map[revision.Type]map[string][]byte{}
+func (c *Client) receiveDelta(ctx context.Context, s *stream, st discovery.AggregatedDiscoveryService_DeltaAggregatedResourcesClient) error {
+	startSending(ctx, c, s, st.Send)
+	held := map[revision.ResourceType]map[string][]byte{}
 	for {
 		m, err := st.Recv()
 		if err != nil {
 			return err
 		}
-		t, ok := TypeOf(m.TypeUrl)
+		t, ok := ResourceTypeOf(m.TypeUrl)
 		if !ok {
-			return fmt.Errorf("a response of type %q, which was not asked for", clip(m.TypeUrl))
+			return fmt.Errorf("a response of type %q, which was not asked for", truncate(m.TypeUrl))
 		}
 		r := revision.Response{Type: t, Version: m.SystemVersionInfo, Nonce: m.Nonce}
 		next := maps.Clone(held[t])
@@ -417,7 +417,7 @@
 		}
 		for _, res := range m.Resources {
 			if res.GetResource().GetTypeUrl() != m.TypeUrl {
-				r.Err = fmt.Sprintf("resource %q: of type %q", clip(res.GetName()), clip(res.GetResource().GetTypeUrl()))
+				r.DecodeError = fmt.Sprintf("resource %q: of type %q", truncate(res.GetName()), truncate(res.GetResource().GetTypeUrl()))
 			}
 			next[res.GetName()] = res.GetResource().GetValue()
 		}
@@ -425,12 +425,12 @@
 		for _, name := range slices.Sorted(maps.Keys(next)) {
 			raw = append(raw, next[name])
 		}
-		r = decoded(r, t, raw)
-		if r.Err == "" { // what cannot be read changes nothing
+		r = withFragment(r, t, raw)
+		if r.DecodeError == "" { // what cannot be read changes nothing
 			held[t] = next
 		}
-		c.receive(ctx, s, r)
+		c.deliver(ctx, s, r)
 	}
 }
 
-func clip(s string) string { return s[:min(len(s), 80)] }
+func truncate(s string) string { return s[:min(len(s), 80)] }
--- a/internal/confstream/stream_test.go
+++ b/internal/confstream/client_test.go
@@ -29,35 +29,35 @@
 // target remembers what was applied, and refuses some versions as steps.
 type target struct {
 	mu      sync.Mutex
-	force   *revision.Config
+	inForce *revision.Config
 	applied []revision.Number
-	bad     map[revision.Number]bool
+	rejects map[revision.Number]bool
 }
 
-func (t *target) Apply(_ context.Context, c *revision.Config) revision.Refusals {
+func (t *target) Apply(_ context.Context, c *revision.Config) revision.Rejections {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	if c != nil && t.bad[c.Number] {
-		return revision.Refusals{{Type: revision.TypeClass, Resource: "chat", Reason: "taken out with 3 requests in hand"}}
+	if c != nil && t.rejects[c.Number] {
+		return revision.Rejections{{Type: revision.TypeClass, Resource: "chat", Reason: "taken out with 3 requests in hand"}}
 	}
-	t.force = c
+	t.inForce = c
 	if c != nil {
 		t.applied = append(t.applied, c.Number)
 	}
 	return nil
 }
 
-func (t *target) on() revision.Number {
+func (t *target) version() revision.Number {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	if t.force == nil {
+	if t.inForce == nil {
 		return 0
 	}
-	return t.force.Number
+	return t.inForce.Number
 }
 
 func version(n uint64) *controlservice.Version {
-	return &controlservice.Version{Number: n, Resources: map[revision.Type][]proto.Message{
+	return &controlservice.Version{Number: n, Resources: map[revision.ResourceType][]proto.Message{
 		revision.TypeClass: {&pb.Class{Name: "chat", AimUs: 1_000_000, DeadlineUs: 3_000_000, Worth: float64(n)},
 			&pb.Class{Name: fmt.Sprint("extra", n%2), AimUs: 1_000_000, DeadlineUs: 4_000_000, Worth: 1}},
 		revision.TypeAttempts: {&pb.Attempts{Most: uint32(1 + n%3)}},
@@ -67,16 +67,16 @@
 
 type gateway struct {
 	*target
-	c    *Client
-	stop func()
-	done chan struct{}
+	client *Client
+	stop   func()
+	done   chan struct{}
 }
 
-func begin(t *testing.T, name, addr, store string, change func(*Options)) *gateway {
+func startClient(t *testing.T, name, addr, store string, change func(*Options)) *gateway {
 	t.Helper()
-	g := &gateway{target: &target{bad: map[revision.Number]bool{}}, done: make(chan struct{})}
+	g := &gateway{target: &target{rejects: map[revision.Number]bool{}}, done: make(chan struct{})}
 	o := Options{Address: addr, Machine: revision.DefaultOptions(name, uint64(len(name))), Log: func(msg string, args ...any) {}}
-	o.Machine.BackoffFirst, o.Machine.BackoffMost, o.Machine.Between = 20_000, 300_000, 50_000
+	o.Machine.InitialBackoff, o.Machine.MaxBackoff, o.Machine.MinInterval = 20_000, 300_000, 50_000
 	if store != "" {
 		s, _, err := OpenStore(store)
 		if err != nil {
@@ -88,12 +88,12 @@
 		change(&o)
 	}
 	var err error
-	if g.c, err = New(o, g.target); err != nil {
+	if g.client, err = New(o, g.target); err != nil {
 		t.Fatal(err)
 	}
 	ctx, stop := context.WithCancel(context.Background())
 	go func() {
-		g.c.Run(ctx)
+		g.client.Run(ctx)
 		close(g.done)
 	}()
 	g.stop = sync.OnceFunc(func() {
@@ -107,7 +107,7 @@
 	return g
 }
 
-func until(t *testing.T, what string, done func() bool) time.Duration {
+func waitFor(t *testing.T, what string, done func() bool) time.Duration {
 	t.Helper()
 	begin := time.Now()
 	for end := begin.Add(10 * time.Second); !done(); time.Sleep(time.Millisecond) {
@@ -124,24 +124,24 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	t.Cleanup(s.Vanish)
+	t.Cleanup(s.Stop)
 	return s
 }
 
 // Three gateways, in both forms of the stream: good, bad, truncated and step-bad
 // versions, a service that vanishes in mid-update, floods, an old one again.
-func TestScripts(t *testing.T) {
+func TestVersionScripts(t *testing.T) {
 	for name, delta := range map[string]bool{"world": false, "delta": true} {
 		t.Run(name, func(t *testing.T) {
 			s := service(t)
 			var all []*gateway
 			for i := range 3 {
-				all = append(all, begin(t, fmt.Sprint("n", i), s.Addr(), filepath.Join(t.TempDir(), "store"), func(o *Options) { o.Delta = delta }))
+				all = append(all, startClient(t, fmt.Sprint("n", i), s.Addr(), filepath.Join(t.TempDir(), "store"), func(o *Options) { o.Delta = delta }))
 			}
 			on := func(n uint64) func() bool {
 				return func() bool {
 					for _, g := range all {
-						if g.on() != revision.Number(n) {
+						if g.version() != revision.Number(n) {
 							return false
 						}
 					}
@@ -149,62 +149,62 @@
 				}
 			}
 			s.Publish(version(1))
-			until(t, "version 1", on(1))
+			waitFor(t, "version 1", on(1))
 			bad := version(2)
 			bad.Resources[revision.TypeAttempts] = []proto.Message{&pb.Attempts{Most: 9}}
 			s.Publish(bad)
 			ctx, stop := context.WithTimeout(t.Context(), 10*time.Second)
 			defer stop()
-			refused := func(want string) func([]controlservice.Answer) bool {
-				return func(list []controlservice.Answer) bool {
+			refused := func(want string) func([]controlservice.Ack) bool {
+				return func(list []controlservice.Ack) bool {
 					who := map[string]bool{}
 					for _, a := range list {
-						if strings.Contains(a.Err, want) {
+						if strings.Contains(a.Error, want) {
 							who[a.Gateway] = true
 						}
 					}
 					return len(who) == 3
 				}
 			}
-			if err := s.Await(ctx, refused("version 2: Attempts: most: expected 1 to 3, got 9")); err != nil {
-				t.Fatal(err, s.Answers())
+			if err := s.AwaitAcks(ctx, refused("version 2: Attempts: most: expected 1 to 3, got 9")); err != nil {
+				t.Fatal(err, s.Acks())
 			}
 			cut := version(3)
 			cut.Truncate = revision.TypeClass
 			s.Publish(cut)
-			if err := s.Await(ctx, refused("resource 0: proto:")); err != nil {
-				t.Fatal(err, s.Answers())
+			if err := s.AwaitAcks(ctx, refused("resource 0: proto:")); err != nil {
+				t.Fatal(err, s.Acks())
 			}
 			for _, g := range all {
 				g.mu.Lock()
-				g.bad[4] = true
+				g.rejects[4] = true
 				g.mu.Unlock()
 			}
 			s.Publish(version(4))
-			if err := s.Await(ctx, refused("version 4: Class chat: taken out with 3 requests in hand")); err != nil {
-				t.Fatal(err, s.Answers())
+			if err := s.AwaitAcks(ctx, refused("version 4: Class chat: taken out with 3 requests in hand")); err != nil {
+				t.Fatal(err, s.Acks())
 			}
 			if !on(1)() {
 				t.Fatal("not on version 1 any more")
 			}
 			half := version(5)
-			half.VanishAfter = 2
+			half.CloseAfter = 2
 			before := s.Streams()
 			s.Publish(half)
-			until(t, "new streams", func() bool { return s.Streams() >= before+6 })
+			waitFor(t, "new streams", func() bool { return s.Streams() >= before+6 })
 			if !on(1)() {
 				t.Fatal("a version was applied in part")
 			}
 			s.Publish(version(6))
-			until(t, "version 6", on(6))
+			waitFor(t, "version 6", on(6))
 			s.Publish(version(1))
-			if err := s.Await(ctx, refused("version 1 is older than 6")); err != nil {
+			if err := s.AwaitAcks(ctx, refused("version 1 is older than 6")); err != nil {
 				t.Fatal(err)
 			}
 			for n := range uint64(50) {
 				s.Publish(version(10 + n))
 			}
-			took := until(t, "the flood's last", on(59))
+			took := waitFor(t, "the flood's last", on(59))
 			if took > 2*time.Second {
 				t.Errorf("the flood's last took %v", took)
 			}
@@ -213,34 +213,34 @@
 				if n := len(g.applied); n > 40 {
 					t.Errorf("%d versions were applied", n)
 				}
-				if w := g.force.Classes[0].PriorityWeight; w != 59 && g.force.Classes[1].PriorityWeight != 59 {
-					t.Errorf("in part: %+v", g.force)
+				if w := g.inForce.Classes[0].PriorityWeight; w != 59 && g.inForce.Classes[1].PriorityWeight != 59 {
+					t.Errorf("in part: %+v", g.inForce)
 				}
 				g.mu.Unlock()
 			}
 			// The service vanishes and comes back with the next version.
-			s.Vanish()
+			s.Stop()
 			odd := version(60)
-			odd.WrongNonce = true
+			odd.RepeatNonce = true
 			s.Publish(odd)
-			if err := s.Return(); err != nil {
+			if err := s.Restart(); err != nil {
 				t.Fatal(err)
 			}
-			until(t, "version 60", on(60))
-			acked := func(list []controlservice.Answer) bool {
+			waitFor(t, "version 60", on(60))
+			acked := func(list []controlservice.Ack) bool {
 				n := 0
 				for _, a := range list {
-					if a.Err == "" && (a.Version == "v60" || delta) && a.Type == revision.TypeVersion {
+					if a.Error == "" && (a.Version == "v60" || delta) && a.Type == revision.TypeVersion {
 						n++
 					}
 				}
 				return n >= 3
 			}
-			if err := s.Await(ctx, acked); err != nil {
+			if err := s.AwaitAcks(ctx, acked); err != nil {
 				t.Error("not acknowledged")
 			}
 			for _, g := range all {
-				h, err := g.c.o.Store.History()
+				h, err := g.client.options.Store.History()
 				if err != nil || len(h) < 5 {
 					t.Errorf("history: %v %v", h, err)
 				}
@@ -251,34 +251,34 @@
 
 // A restart begins with the last good version, without the service; and does not
 // wait for it.
-func TestRestartWithoutTheService(t *testing.T) {
+func TestRestartWithoutControlService(t *testing.T) {
 	s := service(t)
 	store := filepath.Join(t.TempDir(), "store")
-	g := begin(t, "n0", s.Addr(), store, nil)
+	g := startClient(t, "n0", s.Addr(), store, nil)
 	s.Publish(version(7))
-	until(t, "version 7", func() bool { return g.on() == 7 })
-	until(t, "kept", func() bool { c, _, _ := g.c.o.Store.Load(); return c != nil && c.Number == 7 })
+	waitFor(t, "version 7", func() bool { return g.version() == 7 })
+	waitFor(t, "kept", func() bool { c, _, _ := g.client.options.Store.Load(); return c != nil && c.Number == 7 })
 	g.stop()
-	s.Vanish()
-	g = begin(t, "n0", s.Addr(), store, nil)
-	until(t, "version 7 again", func() bool { return g.on() == 7 })
-	if len(g.force.Classes) != 2 || g.force.Attempts.Most != 2 || g.force.Watch.Wait != 5_000_000 {
-		t.Errorf("%+v", g.force)
+	s.Stop()
+	g = startClient(t, "n0", s.Addr(), store, nil)
+	waitFor(t, "version 7 again", func() bool { return g.version() == 7 })
+	if len(g.inForce.Classes) != 2 || g.inForce.Attempts.Max != 2 || g.inForce.Watch.Wait != 5_000_000 {
+		t.Errorf("%+v", g.inForce)
 	}
-	if err := g.c.Rollback(t.Context(), "ordered"); err != nil {
+	if err := g.client.Rollback(t.Context(), "ordered"); err != nil {
 		t.Fatal(err)
 	}
-	until(t, "the files", func() bool { return g.on() == 0 })
+	waitFor(t, "the files", func() bool { return g.version() == 0 })
 	g.stop()
-	if err := s.Return(); err != nil {
+	if err := s.Restart(); err != nil {
 		t.Fatal(err)
 	}
-	g = begin(t, "n0", s.Addr(), store, nil)
+	g = startClient(t, "n0", s.Addr(), store, nil)
 	ctx, stop := context.WithTimeout(t.Context(), 10*time.Second)
 	defer stop()
-	if err := s.Await(ctx, func(l []controlservice.Answer) bool {
-		return len(l) > 0 && strings.Contains(l[len(l)-1].Err, "given back or refused before")
-	}); err != nil || g.on() != 0 {
+	if err := s.AwaitAcks(ctx, func(l []controlservice.Ack) bool {
+		return len(l) > 0 && strings.Contains(l[len(l)-1].Error, "given back or refused before")
+	}); err != nil || g.version() != 0 {
 		t.Error("a version that was given back was taken again", err)
 	}
 }
@@ -296,7 +296,7 @@
 			t.Fatal(err)
 		}
 		c.Number = part.Manifest.Number
-		part.Fill(c)
+		part.MergeInto(c)
 		return c
 	}
 	last := revision.Number(0)
@@ -311,7 +311,7 @@
 		}
 		before, _ := os.ReadFile(path)
 		n := uint64(round + 1)
-		if err := s.Keep(config(n), []revision.Number{3}); err != nil {
+		if err := s.SaveVersion(config(n), []revision.Number{3}); err != nil {
 			t.Fatal(err)
 		}
 		s.Close()
@@ -347,7 +347,7 @@
 }
 
 // A damaged store is set aside and told, and the files serve.
-func TestDamagedStore(t *testing.T) {
+func TestDamagedStoreIsSetAside(t *testing.T) {
 	path := filepath.Join(t.TempDir(), "store")
 	for _, text := range []string{"not a store", strings.Repeat("\xff", 64<<10)} {
 		if err := os.WriteFile(path, []byte(text), 0o600); err != nil {
@@ -377,13 +377,13 @@
 	}
 	defer s.Close()
 	s.db.NoSync = true
-	for i := range maxHistory + 50 {
-		if err := s.Note(Line{Version: revision.Number(i)}); err != nil {
+	for i := range maxHistoryEntries + 50 {
+		if err := s.AppendHistory(HistoryEntry{Version: revision.Number(i)}); err != nil {
 			t.Fatal(err)
 		}
 	}
 	h, err := s.History()
-	if err != nil || len(h) != maxHistory || h[len(h)-1].Version != maxHistory+49 {
+	if err != nil || len(h) != maxHistoryEntries || h[len(h)-1].Version != maxHistoryEntries+49 {
 		t.Errorf("%d lines, %v", len(h), err)
 	}
 }
@@ -411,7 +411,7 @@
 }
 
 // issue writes a certificate, its key and the authority's into a folder.
-func (a *authority) issue(dir string, notAfter time.Time) Files {
+func (a *authority) issue(dir string, notAfter time.Time) TLSFiles {
 	a.t.Helper()
 	key, err := ecdsa.GenerateKey(elliptic.P256(), rand.Reader)
 	if err != nil {
@@ -427,7 +427,7 @@
 	if err != nil {
 		a.t.Fatal(err)
 	}
-	f := Files{Cert: filepath.Join(dir, "cert.pem"), Key: filepath.Join(dir, "key.pem"), CA: filepath.Join(dir, "ca.pem"), Refresh: 20 * time.Millisecond}
+	f := TLSFiles{Cert: filepath.Join(dir, "cert.pem"), Key: filepath.Join(dir, "key.pem"), CA: filepath.Join(dir, "ca.pem"), RefreshInterval: 20 * time.Millisecond}
 	for path, b := range map[string]*pem.Block{f.Cert: {Type: "CERTIFICATE", Bytes: raw}, f.Key: {Type: "PRIVATE KEY", Bytes: pkcs8}, f.CA: {Type: "CERTIFICATE", Bytes: a.cert.Raw}} {
 		if err := os.WriteFile(path, pem.EncodeToMemory(b), 0o600); err != nil {
 			a.t.Fatal(err)
@@ -438,7 +438,7 @@
 
 // Both sides show certificates; wrong and expired ones are refused in words, and
 // files that are replaced are read again.
-func TestTLS(t *testing.T) {
+func TestMutualTLS(t *testing.T) {
 	a, other := newAuthority(t), newAuthority(t)
 	hour := time.Now().Add(time.Hour)
 	creds, closeFiles, err := ServerTLS(a.issue(t.TempDir(), hour))
@@ -450,11 +450,11 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	defer s.Vanish()
+	defer s.Stop()
 	s.Publish(version(1))
 	var mu sync.Mutex
 	said := ""
-	connect := func(f Files) *gateway {
+	connect := func(f TLSFiles) *gateway {
 		creds, closeFiles, err := ClientTLS(f)
 		if err != nil {
 			t.Fatal(err)
@@ -463,7 +463,7 @@
 		mu.Lock()
 		said = ""
 		mu.Unlock()
-		return begin(t, "n0", s.Addr(), "", func(o *Options) {
+		return startClient(t, "n0", s.Addr(), "", func(o *Options) {
 			o.TLS = creds
 			o.Log = func(msg string, args ...any) {
 				mu.Lock()
@@ -480,7 +480,7 @@
 		}
 	}
 	g := connect(a.issue(t.TempDir(), hour))
-	until(t, "version 1", func() bool { return g.on() == 1 })
+	waitFor(t, "version 1", func() bool { return g.version() == 1 })
 	g.stop()
 	// The gateway's is of another authority: the service refuses it.
 	dir := t.TempDir()
@@ -489,17 +489,17 @@
 		t.Fatal(err)
 	}
 	g = connect(foreign)
-	until(t, "a refusal", heard("config_lost"))
-	if g.on() != 0 {
+	waitFor(t, "a refusal", heard("config_lost"))
+	if g.version() != 0 {
 		t.Error("a foreign gateway was served")
 	}
 	// Its files are replaced: it is let in, with no restart.
 	a.issue(dir, hour)
-	until(t, "version 1", func() bool { return g.on() == 1 })
+	waitFor(t, "version 1", func() bool { return g.version() == 1 })
 	g.stop()
 	// The service's is of an authority that the gateway does not know.
 	g = connect(other.issue(t.TempDir(), hour))
-	until(t, "the reason", heard("the other side's certificate is not accepted"))
+	waitFor(t, "the reason", heard("the other side's certificate is not accepted"))
 	g.stop()
 	// The service's has expired.
 	expired, closeExpired, err := ServerTLS(a.issue(t.TempDir(), time.Now().Add(-time.Hour)))
@@ -511,11 +511,11 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	defer old.Vanish()
+	defer old.Stop()
 	s = old
 	g = connect(a.issue(t.TempDir(), hour))
-	until(t, "the reason", heard("is of another time: valid from"))
-	if g.on() != 0 {
+	waitFor(t, "the reason", heard("is of another time: valid from"))
+	if g.version() != 0 {
 		t.Error("an expired service was followed")
 	}
 }
--- a/internal/confstream/decode.go
+++ b/internal/confstream/decode.go
@@ -17,19 +17,19 @@
 	pb "archknot/internal/revision/configpb"
 )
 
-// URLPrefix begins the type URLs of our resources.
-const URLPrefix = "type.googleapis.com/archknot.config.v1."
+// TypeURLPrefix begins the type URLs of our resources.
+const TypeURLPrefix = "type.googleapis.com/archknot.config.v1."
 
-// URL is the type URL of a type.
-func URL(t revision.Type) string { return URLPrefix + string(t) }
+// TypeURL is the type URL of a type.
+func TypeURL(t revision.ResourceType) string { return TypeURLPrefix + string(t) }
 
-// TypeOf is the type of a URL, if it is one of ours.
-func TypeOf(url string) (revision.Type, bool) {
-	name, ok := strings.CutPrefix(url, URLPrefix)
+// ResourceTypeOf is the type of a URL, if it is one of ours.
+func ResourceTypeOf(url string) (revision.ResourceType, bool) {
+	name, ok := strings.CutPrefix(url, TypeURLPrefix)
 	if !ok {
 		return "", false
 	}
-	for _, t := range revision.Types {
+	for _, t := range revision.ResourceTypes {
 		if string(t) == name {
 			return t, true
 		}
@@ -37,37 +37,37 @@
 	return "", false
 }
 
-// whole reads a number that must fit an int.
-func whole(v uint32) int { return int(min(v, math.MaxInt32)) }
+// clampInt reads a number that must fit an int.
+func clampInt(v uint32) int { return int(min(v, math.MaxInt32)) }
 
 // Decode reads the resources of one type.
-func Decode(t revision.Type, resources [][]byte) (*revision.Part, error) {
+func Decode(t revision.ResourceType, resources [][]byte) (*revision.Fragment, error) {
 	if t == revision.TypeVersion {
-		return decodeVersion(resources)
+		return decodeManifest(resources)
 	}
 	fills := make([]func(*revision.Config), 0, len(resources))
 	for i, raw := range resources {
-		fill, err := decodeOne(t, raw)
+		fill, err := decodeResource(t, raw)
 		if err != nil {
 			return nil, fmt.Errorf("resource %d: %w", i, err)
 		}
 		fills = append(fills, fill)
 	}
 	switch t {
-	case revision.TypeClass, revision.TypeTenant, revision.TypeWorker, revision.TypeContract:
+	case revision.TypeClass, revision.TypeTenant, revision.TypeReplica, revision.TypeContract:
 	default:
 		if len(resources) != 1 {
 			return nil, fmt.Errorf("expected one resource, got %d", len(resources))
 		}
 	}
-	return &revision.Part{Fill: func(c *revision.Config) {
+	return &revision.Fragment{MergeInto: func(c *revision.Config) {
 		switch t { // also where the list is empty
 		case revision.TypeClass:
 			c.HasClasses = true
 		case revision.TypeTenant:
 			c.HasTenants = true
-		case revision.TypeWorker:
-			c.HasWorkers = true
+		case revision.TypeReplica:
+			c.HasReplicaMarks = true
 		case revision.TypeContract:
 			c.HasContracts = true
 		}
@@ -75,13 +75,13 @@
 			fill(c)
 		}
 		if c.Resources == nil {
-			c.Resources = map[revision.Type][][]byte{}
+			c.Resources = map[revision.ResourceType][][]byte{}
 		}
 		c.Resources[t] = resources
 	}}, nil
 }
 
-func decodeVersion(resources [][]byte) (*revision.Part, error) {
+func decodeManifest(resources [][]byte) (*revision.Fragment, error) {
 	if len(resources) != 1 {
 		return nil, fmt.Errorf("expected one resource, got %d", len(resources))
 	}
@@ -89,25 +89,25 @@
 	if err := proto.Unmarshal(resources[0], &v); err != nil {
 		return nil, err
 	}
-	m := &revision.Manifest{Number: revision.Number(v.Number), Types: map[revision.Type]string{},
-		Stage: revision.Stage{FirstPercent: whole(v.FirstPercent), Hold: v.HoldUs, WorseBy: v.WorseBy}}
+	m := &revision.Manifest{Number: revision.Number(v.Number), Types: map[revision.ResourceType]string{},
+		Rollout: revision.Rollout{FirstPercent: clampInt(v.FirstPercent), Hold: v.HoldUs, MaxRegression: v.WorseBy}}
 	for name, version := range v.Types {
-		t, ok := TypeOf(URLPrefix + name)
+		t, ok := ResourceTypeOf(TypeURLPrefix + name)
 		if !ok || t == revision.TypeVersion {
 			return nil, fmt.Errorf("types: %q is no type of resources", name)
 		}
 		m.Types[t] = version
 	}
-	return &revision.Part{Manifest: m, Fill: func(c *revision.Config) {
+	return &revision.Fragment{Manifest: m, MergeInto: func(c *revision.Config) {
 		if c.Resources == nil {
-			c.Resources = map[revision.Type][][]byte{}
+			c.Resources = map[revision.ResourceType][][]byte{}
 		}
 		c.Resources[revision.TypeVersion] = resources
 	}}, nil
 }
 
-// decodeOne reads one resource of a type other than Version.
-func decodeOne(t revision.Type, raw []byte) (func(*revision.Config), error) {
+// decodeResource reads one resource of a type other than Version.
+func decodeResource(t revision.ResourceType, raw []byte) (func(*revision.Config), error) {
 	read := func(m proto.Message) error { return proto.Unmarshal(raw, m) }
 	switch t {
 	case revision.TypeClass:
@@ -126,13 +126,13 @@
 		return func(c *revision.Config) {
 			c.Tenants = append(c.Tenants, revision.Tenant{Name: m.Name, QuotaPerS: m.QuotaPerS, Share: m.Share})
 		}, nil
-	case revision.TypeWorker:
+	case revision.TypeReplica:
 		var m pb.Worker
 		if err := read(&m); err != nil {
 			return nil, err
 		}
 		return func(c *revision.Config) {
-			c.Workers = append(c.Workers, revision.Mark{Name: m.Name, Mark: revision.MarkKind(min(uint32(m.Mark), 255))})
+			c.ReplicaMarks = append(c.ReplicaMarks, revision.ReplicaMark{Name: m.Name, Kind: revision.MarkKind(min(uint32(m.Mark), 255))})
 		}, nil
 	case revision.TypeAttempts:
 		var m pb.Attempts
@@ -140,7 +140,7 @@
 			return nil, err
 		}
 		return func(c *revision.Config) {
-			c.Attempts = &revision.Attempts{Most: whole(m.Most), SecondCopies: m.SecondCopies, HedgeShare: m.HedgeShare, RetryShare: m.RetryShare}
+			c.Attempts = &revision.Attempts{Max: clampInt(m.Most), MayHedge: m.SecondCopies, HedgeRatio: m.HedgeShare, RetryRatio: m.RetryShare}
 		}, nil
 	case revision.TypeAdmission:
 		var m pb.Admission
@@ -148,7 +148,7 @@
 			return nil, err
 		}
 		return func(c *revision.Config) {
-			c.Admission = &revision.Admission{MostHeld: whole(m.MostHeld), OverShareWorth: m.OverShareWorth, MaxRetryAfter: m.MaxRetryAfterUs}
+			c.Admission = &revision.Admission{MaxInFlight: clampInt(m.MostHeld), OverQuotaWeight: m.OverShareWorth, MaxRetryAfter: m.MaxRetryAfterUs}
 		}, nil
 	case revision.TypeConnections:
 		var m pb.Connections
@@ -156,7 +156,7 @@
 			return nil, err
 		}
 		return func(c *revision.Config) {
-			c.Connections = &revision.Connections{Clients: whole(m.Clients), Workers: whole(m.Workers), Idle: m.IdleUs, ConnectTimeout: m.ConnectTimeoutUs}
+			c.Connections = &revision.Connections{Clients: clampInt(m.Clients), Replicas: clampInt(m.Workers), IdleTimeout: m.IdleUs, ConnectTimeout: m.ConnectTimeoutUs}
 		}, nil
 	case revision.TypeWatch:
 		var m pb.Watch
@@ -170,7 +170,7 @@
 			return nil, err
 		}
 		return func(c *revision.Config) {
-			c.Capture = &revision.Capture{Record: m.Record, Checkpoint: m.CheckpointUs, KeepBytes: m.KeepBytes, KeepAge: m.KeepAgeUs}
+			c.Capture = &revision.Capture{Record: m.Record, CheckpointInterval: m.CheckpointUs, MaxBytes: m.KeepBytes, MaxAge: m.KeepAgeUs}
 		}, nil
 	case revision.TypeContract:
 		var m pb.Contract
@@ -190,10 +190,10 @@
 	return nil, fmt.Errorf("no type %q", t)
 }
 
-// Pack is a version in the store's form.
-func Pack(c *revision.Config) ([]byte, error) {
+// MarshalConfig is a version in the store's form.
+func MarshalConfig(c *revision.Config) ([]byte, error) {
 	var s pb.Stored
-	for _, t := range revision.Types {
+	for _, t := range revision.ResourceTypes {
 		if raw, ok := c.Resources[t]; ok {
 			s.Parts = append(s.Parts, &pb.Stored_Part{Type: string(t), Resources: raw})
 		}
@@ -201,15 +201,15 @@
 	return proto.Marshal(&s)
 }
 
-// Unpack reads a version as Pack wrote it.
-func Unpack(text []byte) (*revision.Config, error) {
+// UnmarshalConfig reads a version as Pack wrote it.
+func UnmarshalConfig(text []byte) (*revision.Config, error) {
 	var s pb.Stored
 	if err := proto.Unmarshal(text, &s); err != nil {
 		return nil, err
 	}
 	c := &revision.Config{}
 	for _, p := range s.Parts {
-		t, ok := TypeOf(URLPrefix + p.Type)
+		t, ok := ResourceTypeOf(TypeURLPrefix + p.Type)
 		if !ok {
 			return nil, fmt.Errorf("no type %q", p.Type)
 		}
@@ -218,9 +218,9 @@
 			return nil, fmt.Errorf("%s: %w", t, err)
 		}
 		if m := part.Manifest; m != nil {
-			c.Number, c.Stage = m.Number, m.Stage
+			c.Number, c.Rollout = m.Number, m.Rollout
 		}
-		part.Fill(c)
+		part.MergeInto(c)
 	}
 	if c.Number == 0 {
 		return nil, fmt.Errorf("it has no number")
--- a/internal/confstream/store.go
+++ b/internal/confstream/store.go
@@ -19,18 +19,18 @@
 var (
 	stateBucket   = []byte("state")
 	historyBucket = []byte("history")
-	forceKey      = []byte("force")
-	neverKey      = []byte("never")
+	inForceKey    = []byte("force")
+	rejectedKey   = []byte("never")
 )
 
-// maxHistory bounds the lines of the history.
-const maxHistory = 1000
+// maxHistoryEntries bounds the lines of the history.
+const maxHistoryEntries = 1000
 
-// Line is one line of the history.
-type Line struct {
+// HistoryEntry is one line of the history.
+type HistoryEntry struct {
 	At      time.Time       `json:"at"`
 	Version revision.Number `json:"version"`
-	What    string          `json:"what"`
+	Event   string          `json:"what"`
 	Reason  string          `json:"reason,omitempty"`
 }
 
@@ -55,48 +55,48 @@
 func (s *Store) Load() (c *revision.Config, never []revision.Number, err error) {
 	err = s.db.View(func(tx *bbolt.Tx) error {
 		b := tx.Bucket(stateBucket)
-		if text := b.Get(neverKey); text != nil {
+		if text := b.Get(rejectedKey); text != nil {
 			if err := json.Unmarshal(text, &never); err != nil {
 				return err
 			}
 		}
-		text := b.Get(forceKey)
+		text := b.Get(inForceKey)
 		if text == nil {
 			return nil
 		}
 		var err error
-		c, err = Unpack(append([]byte(nil), text...))
+		c, err = UnmarshalConfig(append([]byte(nil), text...))
 		return err
 	})
 	return c, never, err
 }
 
-// Keep puts a version in the place of the last good one; nil is the files.
-func (s *Store) Keep(c *revision.Config, never []revision.Number) error {
+// SaveVersion puts a version in the place of the last good one; nil is the files.
+func (s *Store) SaveVersion(c *revision.Config, never []revision.Number) error {
 	list, err := json.Marshal(never)
 	if err != nil {
 		return err
 	}
 	var text []byte
 	if c != nil {
-		if text, err = Pack(c); err != nil {
+		if text, err = MarshalConfig(c); err != nil {
 			return err
 		}
 	}
 	return s.db.Update(func(tx *bbolt.Tx) error {
 		b := tx.Bucket(stateBucket)
-		if err := b.Put(neverKey, list); err != nil {
+		if err := b.Put(rejectedKey, list); err != nil {
 			return err
 		}
 		if text == nil {
-			return b.Delete(forceKey)
+			return b.Delete(inForceKey)
 		}
-		return b.Put(forceKey, text)
+		return b.Put(inForceKey, text)
 	})
 }
 
-// Note adds a line to the history and drops the oldest past the bound.
-func (s *Store) Note(l Line) error {
+// AppendHistory adds a line to the history and drops the oldest past the bound.
+func (s *Store) AppendHistory(l HistoryEntry) error {
 	text, err := json.Marshal(l)
 	if err != nil {
 		return err
@@ -111,7 +111,7 @@
 			return err
 		}
 		c := b.Cursor()
-		for k, _ := c.First(); k != nil && binary.BigEndian.Uint64(k)+maxHistory <= n; k, _ = c.First() {
+		for k, _ := c.First(); k != nil && binary.BigEndian.Uint64(k)+maxHistoryEntries <= n; k, _ = c.First() {
 			if err := b.Delete(k); err != nil {
 				return err
 			}
@@ -121,10 +121,10 @@
 }
 
 // History lists the lines, the oldest first.
-func (s *Store) History() (out []Line, err error) {
+func (s *Store) History() (out []HistoryEntry, err error) {
 	err = s.db.View(func(tx *bbolt.Tx) error {
 		return tx.Bucket(historyBucket).ForEach(func(_, text []byte) error {
-			var l Line
+			var l HistoryEntry
 			if err := json.Unmarshal(text, &l); err != nil {
 				return err
 			}
--- a/internal/confstream/kill_test.go
+++ b/internal/confstream/store_kill_test.go
@@ -17,18 +17,18 @@
 	pb "archknot/internal/revision/configpb"
 )
 
-// keeper is the environment variable that makes the test's program one that keeps
+// storeWriterEnv is the environment variable that makes the test's program one that keeps
 // versions in a store until it is killed.
-const keeper = "ARCHKNOT_TEST_KEEPER"
+const storeWriterEnv = "ARCHKNOT_TEST_KEEPER"
 
 func TestMain(m *testing.M) {
-	if path := os.Getenv(keeper); path != "" {
-		keepForEver(path)
+	if path := os.Getenv(storeWriterEnv); path != "" {
+		writeVersionsUntilKilled(path)
 	}
 	os.Exit(m.Run())
 }
 
-func keepForEver(path string) {
+func writeVersionsUntilKilled(path string) {
 	s, _, err := OpenStore(path)
 	if err != nil {
 		fmt.Println("error", err)
@@ -49,9 +49,9 @@
 		part, err := Decode(revision.TypeVersion, [][]byte{raw})
 		if err == nil {
 			next := &revision.Config{Number: revision.Number(n)}
-			part.Fill(next)
-			if err = s.Keep(next, []revision.Number{1}); err == nil {
-				err = s.Note(Line{Version: next.Number, What: revision.Taken})
+			part.MergeInto(next)
+			if err = s.SaveVersion(next, []revision.Number{1}); err == nil {
+				err = s.AppendHistory(HistoryEntry{Version: next.Number, Event: revision.EventApplied})
 			}
 		}
 		if err != nil {
@@ -70,7 +70,7 @@
 	last := uint64(0)
 	for round := range 200 {
 		cmd := exec.Command(os.Args[0])
-		cmd.Env = append(os.Environ(), keeper+"="+path)
+		cmd.Env = append(os.Environ(), storeWriterEnv+"="+path)
 		out, err := cmd.StdoutPipe()
 		if err != nil {
 			t.Fatal(err)
--- a/internal/confstream/stored_test.go
+++ b/internal/confstream/stored_test.go
@@ -37,21 +37,21 @@
 		t.Fatal(err)
 	}
 	want := &revision.Config{
-		Number: 42, Stage: revision.Stage{FirstPercent: 25, Hold: 60000000, WorseBy: 0.125},
-		HasClasses: true, HasTenants: true, HasWorkers: true, HasContracts: true,
+		Number: 42, Rollout: revision.Rollout{FirstPercent: 25, Hold: 60000000, MaxRegression: 0.125},
+		HasClasses: true, HasTenants: true, HasReplicaMarks: true, HasContracts: true,
 		Classes: []choice.Class{
 			{Name: "chat", LatencyObjective: 800000, ObjectivePer1000Tokens: 90000, TokenObjective: 50000, Deadline: 4000000, PriorityWeight: 2.5, LateWeightShare: 0.25, Streaming: true},
 			{Name: "order", LatencyObjective: 1000000, Deadline: 6000000, PriorityWeight: 3, LateWeightShare: 0.5, Idempotency: 1, DedupScope: 2, DedupWindow: 30000000},
 			{Name: "mail", LatencyObjective: 1000001, Deadline: 6000001, PriorityWeight: 1, Idempotency: 2, DedupScope: 1},
 		},
-		Tenants:     []revision.Tenant{{Name: "quay", QuotaPerS: 12.5, Share: 0.25}, {Name: "reef", QuotaPerS: 20, Share: 0.5}},
-		Workers:     []revision.Mark{{Name: "s-1", Mark: 0}, {Name: "s-2", Mark: 1}},
-		Attempts:    &revision.Attempts{Most: 3, SecondCopies: true, HedgeShare: 0.0625, RetryShare: 0.125},
-		Admission:   &revision.Admission{MostHeld: 500, OverShareWorth: 0.75, MaxRetryAfter: 2000000},
-		Connections: &revision.Connections{Clients: 300, Workers: 400, Idle: 15000000, ConnectTimeout: 250000},
-		Watch:       &revision.Watch{Wait: 5000000, CallTimeout: 1500000},
-		Capture:     &revision.Capture{Record: true, Checkpoint: 30000000, KeepBytes: 1048576, KeepAge: 3600000000},
-		Log:         &revision.Log{Level: "warn"},
+		Tenants:      []revision.Tenant{{Name: "quay", QuotaPerS: 12.5, Share: 0.25}, {Name: "reef", QuotaPerS: 20, Share: 0.5}},
+		ReplicaMarks: []revision.ReplicaMark{{Name: "s-1", Kind: 0}, {Name: "s-2", Kind: 1}},
+		Attempts:     &revision.Attempts{Max: 3, MayHedge: true, HedgeRatio: 0.0625, RetryRatio: 0.125},
+		Admission:    &revision.Admission{MaxInFlight: 500, OverQuotaWeight: 0.75, MaxRetryAfter: 2000000},
+		Connections:  &revision.Connections{Clients: 300, Replicas: 400, IdleTimeout: 15000000, ConnectTimeout: 250000},
+		Watch:        &revision.Watch{Wait: 5000000, CallTimeout: 1500000},
+		Capture:      &revision.Capture{Record: true, CheckpointInterval: 30000000, MaxBytes: 1048576, MaxAge: 3600000000},
+		Log:          &revision.Log{Level: "warn"},
 		Contracts: []contract.Terms{{Team: "quay", Tenants: []string{"a", "b"}, Classes: []string{"chat"}, Rate: 1500.5, Burst: 90000, PriorityWeight: 1.5, OverQuotaWeight: 0.05, Hard: true,
 			Prices: map[string]contract.Price{"chat": {PromptToken: 0.5, OutputToken: 2}}, Floors: map[string]float64{"chat": 100},
 			Budgets: []contract.Budget{{Period: 1, Soft: 800000, Hard: 1000000}}, From: 1796083200000000, Until: 1796169600000000, Successor: "reef",
@@ -72,9 +72,9 @@
 		t.Error(diff)
 	}
 	lines, err := s.History()
-	wantLines := []confstream.Line{
-		{At: time.Date(2026, 12, 2, 9, 30, 0, 123000000, time.UTC), Version: 41, What: "refused", Reason: "Class chat: aim_us: longer than the deadline"},
-		{At: time.Date(2026, 12, 2, 9, 31, 0, 0, time.UTC), Version: 42, What: "taken"},
+	wantLines := []confstream.HistoryEntry{
+		{At: time.Date(2026, 12, 2, 9, 30, 0, 123000000, time.UTC), Version: 41, Event: "refused", Reason: "Class chat: aim_us: longer than the deadline"},
+		{At: time.Date(2026, 12, 2, 9, 31, 0, 0, time.UTC), Version: 42, Event: "taken"},
 	}
 	if diff := cmp.Diff(wantLines, lines); err != nil || diff != "" {
 		t.Error(err, diff)
--- a/internal/confstream/tls.go
+++ b/internal/confstream/tls.go
@@ -13,20 +13,20 @@
 	"google.golang.org/grpc/credentials/tls/certprovider/pemfile"
 )
 
-// Files are the PEM files of one side. They are read again when they are
+// TLSFiles are the PEM files of one side. They are read again when they are
 // replaced; what stands goes on with what it had.
-type Files struct {
-	Cert, Key string
-	CA        string // who may be on the other side
-	Name      string // that the service's certificate must be for; "": the address's
-	Refresh   time.Duration
+type TLSFiles struct {
+	Cert, Key       string
+	CA              string // who may be on the other side
+	ServerName      string // that the service's certificate must be for; "": the address's
+	RefreshInterval time.Duration
 }
 
-func (f Files) provider() (certprovider.Provider, error) {
-	if f.Refresh == 0 {
-		f.Refresh = 5 * time.Second
+func (f TLSFiles) newProvider() (certprovider.Provider, error) {
+	if f.RefreshInterval == 0 {
+		f.RefreshInterval = 5 * time.Second
 	}
-	p, err := pemfile.NewProvider(pemfile.Options{CertFile: f.Cert, KeyFile: f.Key, RootFile: f.CA, RefreshDuration: f.Refresh})
+	p, err := pemfile.NewProvider(pemfile.Options{CertFile: f.Cert, KeyFile: f.Key, RootFile: f.CA, RefreshDuration: f.RefreshInterval})
 	if err != nil {
 		return nil, err
 	}
@@ -40,49 +40,49 @@
 }
 
 // ClientTLS are the gateway's credentials. Close ends the reading of the files.
-func ClientTLS(f Files) (creds credentials.TransportCredentials, closeFiles func(), err error) {
-	p, err := f.provider()
+func ClientTLS(f TLSFiles) (creds credentials.TransportCredentials, closeFiles func(), err error) {
+	p, err := f.newProvider()
 	if err != nil {
 		return nil, nil, err
 	}
-	cfg := &tls.Config{MinVersion: tls.VersionTLS12, ServerName: f.Name,
+	cfg := &tls.Config{MinVersion: tls.VersionTLS12, ServerName: f.ServerName,
 		// The roots may be replaced, so each handshake is checked against those of now.
 		InsecureSkipVerify: true,
 		GetClientCertificate: func(*tls.CertificateRequestInfo) (*tls.Certificate, error) {
-			k, err := material(p)
+			k, err := keyMaterial(p)
 			if err != nil {
 				return nil, err
 			}
 			return &k.Certs[0], nil
 		},
 		VerifyConnection: func(s tls.ConnectionState) error {
-			return verify(p, s.PeerCertificates, s.ServerName, x509.ExtKeyUsageServerAuth)
+			return verifyPeer(p, s.PeerCertificates, s.ServerName, x509.ExtKeyUsageServerAuth)
 		}}
 	return credentials.NewTLS(cfg), p.Close, nil
 }
 
 // ServerTLS are a service's credentials, for stand-ins: it asks for a certificate
 // of the gateway.
-func ServerTLS(f Files) (creds credentials.TransportCredentials, closeFiles func(), err error) {
-	p, err := f.provider()
+func ServerTLS(f TLSFiles) (creds credentials.TransportCredentials, closeFiles func(), err error) {
+	p, err := f.newProvider()
 	if err != nil {
 		return nil, nil, err
 	}
 	cfg := &tls.Config{MinVersion: tls.VersionTLS12, ClientAuth: tls.RequireAnyClientCert,
 		GetCertificate: func(*tls.ClientHelloInfo) (*tls.Certificate, error) {
-			k, err := material(p)
+			k, err := keyMaterial(p)
 			if err != nil {
 				return nil, err
 			}
 			return &k.Certs[0], nil
 		},
 		VerifyConnection: func(s tls.ConnectionState) error {
-			return verify(p, s.PeerCertificates, "", x509.ExtKeyUsageClientAuth)
+			return verifyPeer(p, s.PeerCertificates, "", x509.ExtKeyUsageClientAuth)
 		}}
 	return credentials.NewTLS(cfg), p.Close, nil
 }
 
-func material(p certprovider.Provider) (*certprovider.KeyMaterial, error) {
+func keyMaterial(p certprovider.Provider) (*certprovider.KeyMaterial, error) {
 	ctx, stop := context.WithTimeout(context.Background(), time.Second)
 	defer stop()
 	k, err := p.KeyMaterial(ctx)
@@ -92,11 +92,11 @@
 	return k, err
 }
 
-func verify(p certprovider.Provider, chain []*x509.Certificate, name string, use x509.ExtKeyUsage) error {
+func verifyPeer(p certprovider.Provider, chain []*x509.Certificate, name string, use x509.ExtKeyUsage) error {
 	if len(chain) == 0 {
 		return errors.New("the other side has no certificate")
 	}
-	k, err := material(p)
+	k, err := keyMaterial(p)
 	if err != nil {
 		return err
 	}
--- a/internal/gateway/ledger_test.go
+++ b/internal/gateway/ledger_test.go
@@ -167,8 +167,8 @@
 
 // refusalReported tells whether the service was told of a refusal in such words.
 func refusalReported(s *controlservice.Service, words string) bool {
-	for _, a := range s.Answers() {
-		if strings.Contains(a.Err, words) {
+	for _, a := range s.Acks() {
+		if strings.Contains(a.Error, words) {
 			return true
 		}
 	}
@@ -183,7 +183,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	t.Cleanup(s.Vanish)
+	t.Cleanup(s.Stop)
 	g := startGateway(t, func(o *Options) { o.Contracts = testContracts(1_000_000) }, w)
 	v := follow(t, "n0", s.Addr(), g)
 	cl := dial(t, g.addr)
--- a/internal/gateway/version.go
+++ b/internal/gateway/version.go
@@ -47,10 +47,10 @@
 // configuration.
 func (g *Gateway) baseConfig() *revision.Config {
 	o := &g.options
-	c := &revision.Config{HasClasses: true, HasTenants: true, HasWorkers: true, Classes: o.Settings.Classes,
-		Attempts:    &revision.Attempts{Most: o.Settings.MaxAttempts, SecondCopies: o.Settings.MayHedge},
-		Admission:   &revision.Admission{MostHeld: o.MaxInFlight, OverShareWorth: o.Settings.OverQuotaWeight, MaxRetryAfter: o.Settings.MaxRetryAfter},
-		Connections: &revision.Connections{Clients: o.MaxClientConns, Workers: o.MaxReplicaConns, Idle: o.Settings.ConnIdleTimeout, ConnectTimeout: o.ConnectTimeout.Microseconds()},
+	c := &revision.Config{HasClasses: true, HasTenants: true, HasReplicaMarks: true, Classes: o.Settings.Classes,
+		Attempts:    &revision.Attempts{Max: o.Settings.MaxAttempts, MayHedge: o.Settings.MayHedge},
+		Admission:   &revision.Admission{MaxInFlight: o.MaxInFlight, OverQuotaWeight: o.Settings.OverQuotaWeight, MaxRetryAfter: o.Settings.MaxRetryAfter},
+		Connections: &revision.Connections{Clients: o.MaxClientConns, Replicas: o.MaxReplicaConns, IdleTimeout: o.Settings.ConnIdleTimeout, ConnectTimeout: o.ConnectTimeout.Microseconds()},
 		Watch:       &revision.Watch{Wait: o.WatchWait.Microseconds(), CallTimeout: o.DiscoveryTimeout.Microseconds()}}
 	for _, t := range o.Settings.Tenants {
 		c.Tenants = append(c.Tenants, revision.Tenant{Name: t.Name, QuotaPerS: t.QuotaPerS})
@@ -71,7 +71,7 @@
 	if !w.HasTenants {
 		w.HasTenants, w.Tenants = true, f.Tenants
 	}
-	w.HasWorkers = true // none of its own: no marks
+	w.HasReplicaMarks = true // none of its own: no marks
 	if w.Attempts == nil {
 		w.Attempts = f.Attempts
 	}
@@ -89,18 +89,18 @@
 
 // ApplyVersion takes a version, or with nil goes back to the files. It is taken
 // whole, between two events of the loop, or not at all: the refusals say why.
-func (g *Gateway) ApplyVersion(ctx context.Context, c *revision.Config, limits revision.Limits) revision.Refusals {
+func (g *Gateway) ApplyVersion(ctx context.Context, c *revision.Config, limits revision.Limits) revision.Rejections {
 	stored, err := g.storedBalances()
 	if err != nil {
-		return revision.Refusals{{Type: revision.TypeContract, Reason: err.Error()}}
+		return revision.Rejections{{Type: revision.TypeContract, Reason: err.Error()}}
 	}
-	e := versionChange{g.completeVersion(c), stored, limits, make(chan revision.Refusals, 1)}
+	e := versionChange{g.completeVersion(c), stored, limits, make(chan revision.Rejections, 1)}
 	g.loop.post(ctx, e)
 	select {
 	case r := <-e.result:
 		return r
 	case <-ctx.Done():
-		return revision.Refusals{{Type: revision.TypeVersion, Reason: "the gateway ends"}}
+		return revision.Rejections{{Type: revision.TypeVersion, Reason: "the gateway ends"}}
 	}
 }
 
@@ -108,28 +108,28 @@
 	config   *revision.Config
 	balances []contract.Balance
 	limits   revision.Limits
-	result   chan revision.Refusals
+	result   chan revision.Rejections
 }
 
 func (e versionChange) apply(l *eventLoop) {
-	if r := revision.CheckStep(e.config, e.limits, l.currentState()); len(r) > 0 {
+	if r := revision.ValidateTransition(e.config, e.limits, l.currentState()); len(r) > 0 {
 		e.result <- r
 		return
 	}
 	g := l.gateway
 	s := e.config.Overlay(g.options.Settings)
 	if err := l.module.Reconfigure(l.now, s); err != nil {
-		e.result <- revision.Refusals{{Type: revision.TypeVersion, Reason: err.Error()}}
+		e.result <- revision.Rejections{{Type: revision.TypeVersion, Reason: err.Error()}}
 		return
 	}
 	// From here on nothing can fail.
 	us := func(v choice.Micros) time.Duration { return time.Duration(v) * time.Microsecond }
-	g.config.Store(&liveConfig{classes: s.Classes, maxInFlight: min(e.config.Admission.MostHeld, e.config.Connections.Clients), maxRetryAfter: s.MaxRetryAfter,
+	g.config.Store(&liveConfig{classes: s.Classes, maxInFlight: min(e.config.Admission.MaxInFlight, e.config.Connections.Clients), maxRetryAfter: s.MaxRetryAfter,
 		watchWait: us(e.config.Watch.Wait), discoveryTimeout: us(e.config.Watch.CallTimeout)})
 	g.clients.maxConns.Store(int64(e.config.Connections.Clients))
 	// Well below the workers' own limit, as for the files' figure.
-	g.pool.SetLimits(e.config.Connections.Workers, us(s.ConnIdleTimeout)*3/4, us(e.config.Connections.ConnectTimeout))
-	l.setWithheld(e.config.Drained(), l.ejected)
+	g.pool.SetLimits(e.config.Connections.Replicas, us(s.ConnIdleTimeout)*3/4, us(e.config.Connections.ConnectTimeout))
+	l.setWithheld(e.config.DrainedReplicas(), l.ejected)
 	if had := l.versionContracts != nil; had || e.config.HasContracts {
 		if l.versionContracts = nil; e.config.HasContracts {
 			l.versionContracts = append([]contract.Terms{}, e.config.Contracts...)
@@ -142,25 +142,25 @@
 }
 
 // currentState is the gateway as a step must fit it.
-func (l *eventLoop) currentState() *revision.Present {
+func (l *eventLoop) currentState() *revision.GatewayState {
 	classes, tenants, emptying := l.balancer.InFlight()
-	p := &revision.Present{Settings: l.balancer.Settings(), Clients: l.gateway.clients.connCount(), Held: l.gateway.clients.inFlightCount(),
-		InHand: map[string]revision.InHand{}, Tenants: map[string]int{}, Workers: map[string]revision.WorkerState{}}
+	p := &revision.GatewayState{Settings: l.balancer.Settings(), Clients: l.gateway.clients.connCount(), InFlight: l.gateway.clients.inFlightCount(),
+		InFlightByClass: map[string]revision.InFlight{}, InFlightByTenant: map[string]int{}, Replicas: map[string]revision.ReplicaState{}}
 	for name, in := range classes {
-		p.InHand[name] = revision.InHand{Requests: in.Requests, Longest: in.LongestTimeout}
+		p.InFlightByClass[name] = revision.InFlight{Requests: in.Requests, LongestDeadline: in.LongestTimeout}
 	}
 	for name, in := range tenants {
-		p.Tenants[name] = in.Requests
+		p.InFlightByTenant[name] = in.Requests
 	}
 	if l.ledger != nil {
 		p.Accounts = l.ledger.Accounts()
 	}
 	for name, i := range l.listed {
-		s := revision.WorkerState{Registry: i.State(), Marked: l.drainMarks[name]}
+		s := revision.ReplicaState{Discovered: i.State(), Marked: l.drainMarks[name]}
 		if w := l.endpoints.ByName(name); w != nil {
-			s.Emptying = emptying[w.ID]
+			s.AttemptsInFlight = emptying[w.ID]
 		}
-		p.Workers[name] = s
+		p.Replicas[name] = s
 	}
 	return p
 }
--- a/internal/gateway/version_test.go
+++ b/internal/gateway/version_test.go
@@ -29,7 +29,7 @@
 	c *confstream.Client
 }
 
-func (v *streamedGateway) Apply(ctx context.Context, c *revision.Config) revision.Refusals {
+func (v *streamedGateway) Apply(ctx context.Context, c *revision.Config) revision.Rejections {
 	l := revision.DefaultLimits
 	return v.ApplyVersion(ctx, c, l)
 }
@@ -45,7 +45,7 @@
 	t.Helper()
 	v := &streamedGateway{testGateway: g}
 	o := confstream.Options{Address: addr, Machine: revision.DefaultOptions(name, 1)}
-	o.Machine.BackoffFirst, o.Machine.BackoffMost, o.Machine.Between = 20_000, 200_000, 20_000
+	o.Machine.InitialBackoff, o.Machine.MaxBackoff, o.Machine.MinInterval = 20_000, 200_000, 20_000
 	o.Log = func(msg string, args ...any) { t.Log(append([]any{name, msg}, args...)...) }
 	var err error
 	if v.c, err = confstream.New(o, v); err != nil {
@@ -62,7 +62,7 @@
 }
 
 func chatVersion(n uint64) *controlservice.Version {
-	return &controlservice.Version{Number: n, Resources: map[revision.Type][]proto.Message{
+	return &controlservice.Version{Number: n, Resources: map[revision.ResourceType][]proto.Message{
 		revision.TypeClass:    {&pb.Class{Name: "chat", AimUs: 1_000_000, TokenAimUs: 50_000, DeadlineUs: 4_000_000, Worth: float64(n), Stream: true}},
 		revision.TypeAttempts: {&pb.Attempts{Most: uint32(1 + n%3), SecondCopies: true}},
 	}}
@@ -85,7 +85,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	t.Cleanup(s.Vanish)
+	t.Cleanup(s.Stop)
 	w1, w2, w3 := newFakeReplica(t, "s-1", answer), newFakeReplica(t, "s-2", answer), newFakeReplica(t, "s-3", answer)
 	var all []*streamedGateway
 	var dirs []string
@@ -170,10 +170,10 @@
 		t.Helper()
 		ctx, stop := context.WithTimeout(t.Context(), 5*time.Second)
 		defer stop()
-		err := s.Await(ctx, func(list []controlservice.Answer) bool {
+		err := s.AwaitAcks(ctx, func(list []controlservice.Ack) bool {
 			who := map[string]bool{}
 			for _, a := range list {
-				if strings.Contains(a.Err, want) {
+				if strings.Contains(a.Error, want) {
 					who[a.Gateway] = true
 				}
 			}
@@ -197,7 +197,7 @@
 	}
 	// A version drains a worker: nothing new goes there once it is in force.
 	drain := chatVersion(4)
-	drain.Resources[revision.TypeWorker] = []proto.Message{&pb.Worker{Name: "s-2", Mark: pb.Worker_DRAIN}}
+	drain.Resources[revision.TypeReplica] = []proto.Message{&pb.Worker{Name: "s-2", Mark: pb.Worker_DRAIN}}
 	s.Publish(drain)
 	waitUntil(t, "version 4", on(4))
 	_, before := w2.seen()
@@ -221,15 +221,15 @@
 		return true
 	})
 	back := chatVersion(5)
-	back.Resources[revision.TypeWorker] = []proto.Message{&pb.Worker{Name: "s-3", Mark: pb.Worker_SERVE}}
+	back.Resources[revision.TypeReplica] = []proto.Message{&pb.Worker{Name: "s-3", Mark: pb.Worker_SERVE}}
 	s.Publish(back)
 	refused("version 5: Worker s-3: mark: brought back, but the registry says that it drains")
 	// Whole again, by way of a service that vanishes.
 	half := chatVersion(6)
-	half.VanishAfter = 1
+	half.CloseAfter = 1
 	s.Publish(half)
-	s.Vanish()
-	if err := s.Return(); err != nil {
+	s.Stop()
+	if err := s.Restart(); err != nil {
 		t.Fatal(err)
 	}
 	for n := uint64(7); n < 13; n++ {
@@ -251,7 +251,7 @@
 		t.Fatal("not on version 12")
 	}
 	slow := chatVersion(15)
-	slow.Slow, slow.WrongNonce = 20*time.Millisecond, true
+	slow.Delay, slow.RepeatNonce = 20*time.Millisecond, true
 	s.Publish(slow)
 	waitUntil(t, "version 15, slow and with one nonce", on(15))
 	for n := uint64(20); n < 70; n++ {
@@ -311,7 +311,7 @@
 	}
 	limits := revision.DefaultLimits
 	c := &revision.Config{Number: 1, HasClasses: true, Classes: []choice.Class{{Name: "chat", LatencyObjective: 1e6, Deadline: 4e6, PriorityWeight: 1, Streaming: true}}}
-	done := make(chan revision.Refusals, 1)
+	done := make(chan revision.Rejections, 1)
 	for b.Loop() {
 		c.Number++
 		c.Classes[0].PriorityWeight++
--- a/internal/lifecycle/configstream.go
+++ b/internal/lifecycle/configstream.go
@@ -30,9 +30,9 @@
 	g := &s.config.Gateway
 	o := confstream.Options{Address: v.Address, Delta: v.Protocol == "delta", Machine: revision.DefaultOptions(g.Name, g.Seed),
 		Log: func(msg string, args ...any) { slog.Info(msg, args...) }}
-	o.Machine.Between, o.Machine.Stall, o.Machine.Limits = v.MinInterval.Microseconds(), v.StallTimeout.Microseconds(), s.versionLimits()
+	o.Machine.MinInterval, o.Machine.StallTimeout, o.Machine.Limits = v.MinInterval.Microseconds(), v.StallTimeout.Microseconds(), s.versionLimits()
 	if v.Cert != "" {
-		creds, closeFiles, err := confstream.ClientTLS(confstream.Files{Cert: v.Cert, Key: v.Key, CA: v.CA, Name: v.ServerName})
+		creds, closeFiles, err := confstream.ClientTLS(confstream.TLSFiles{Cert: v.Cert, Key: v.Key, CA: v.CA, ServerName: v.ServerName})
 		if err != nil {
 			return nil, fmt.Errorf("control-service.cert: %w", err)
 		}
@@ -55,7 +55,7 @@
 		closeAll()
 		return nil, fmt.Errorf("control-service: %w", err)
 	}
-	g.RequestEnded = s.configStream.Ended
+	g.RequestEnded = s.configStream.RequestEnded
 	return closeAll, nil
 }
 
@@ -69,15 +69,15 @@
 // versionLimits are what versions must keep within, by the platform's configuration.
 func (s *server) versionLimits() revision.Limits {
 	l, g := revision.DefaultLimits, &s.config.Gateway
-	l.Sockets, l.AskWithin = g.MaxClientConns+g.MaxReplicaConns, g.PollWithin.Microseconds()
-	l.MostHeldOver = g.MaxClientConns
-	l.MayRecord = s.currentSettings().Capture.Directory != ""
+	l.Sockets, l.MaxPollInterval = g.MaxClientConns+g.MaxReplicaConns, g.PollWithin.Microseconds()
+	l.MaxInFlight = g.MaxClientConns
+	l.MayCapture = s.currentSettings().Capture.Directory != ""
 	return l
 }
 
 // Apply takes a version: confstream.Target. The gateway's own part is the only
 // one that can be refused, and goes first.
-func (s *server) Apply(ctx context.Context, c *revision.Config) revision.Refusals {
+func (s *server) Apply(ctx context.Context, c *revision.Config) revision.Rejections {
 	if r := s.gateway.ApplyVersion(ctx, c, s.versionLimits()); len(r) > 0 {
 		return r
 	}
@@ -100,10 +100,10 @@
 		c.Log.Level = l.Level
 	}
 	if p := s.activeVersion.Capture; p != nil {
-		c.Capture.Record, c.Capture.CheckpointInterval = p.Record && c.Capture.Directory != "", time.Duration(p.Checkpoint)*time.Microsecond
-		c.Capture.KeepSize = p.KeepBytes
-		if p.KeepAge > 0 {
-			c.Capture.KeepAge = time.Duration(p.KeepAge) * time.Microsecond
+		c.Capture.Record, c.Capture.CheckpointInterval = p.Record && c.Capture.Directory != "", time.Duration(p.CheckpointInterval)*time.Microsecond
+		c.Capture.KeepSize = p.MaxBytes
+		if p.MaxAge > 0 {
+			c.Capture.KeepAge = time.Duration(p.MaxAge) * time.Microsecond
 		}
 	}
 	return c
@@ -141,7 +141,7 @@
 	}
 	st := ConfigStatus{Service: s.currentSettings().ControlService.Address, Connected: s.configStream.Connected()}
 	if c := s.configStream.InForce(); c != nil {
-		st.Version, st.Classes, st.Tenants, st.Marks = uint64(c.Number), len(c.Classes), len(c.Tenants), len(c.Workers)
+		st.Version, st.Classes, st.Tenants, st.Marks = uint64(c.Number), len(c.Classes), len(c.Tenants), len(c.ReplicaMarks)
 	}
 	return st, nil
 }
--- a/internal/lifecycle/configstream_test.go
+++ b/internal/lifecycle/configstream_test.go
@@ -19,8 +19,8 @@
 	"archknot/internal/standin/controlservice"
 )
 
-func chatVersion(n uint64, more map[revision.Type][]proto.Message) *controlservice.Version {
-	v := &controlservice.Version{Number: n, Resources: map[revision.Type][]proto.Message{
+func chatVersion(n uint64, more map[revision.ResourceType][]proto.Message) *controlservice.Version {
+	v := &controlservice.Version{Number: n, Resources: map[revision.ResourceType][]proto.Message{
 		revision.TypeClass: {&pb.Class{Name: "chat", AimUs: 1_000_000, DeadlineUs: 3_000_000, Worth: float64(n), Stream: true}}}}
 	for t, m := range more {
 		v.Resources[t] = m
@@ -38,7 +38,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	t.Cleanup(s.Vanish)
+	t.Cleanup(s.Stop)
 	socket := filepath.Join(dir, "c.sock")
 	put := func(path, text string) {
 		t.Helper()
@@ -88,7 +88,7 @@
 	}
 	run()
 	wait("the stream", func() bool { return status().Connected })
-	s.Publish(chatVersion(1, map[revision.Type][]proto.Message{revision.TypeLog: {&pb.Log{Level: "warn"}},
+	s.Publish(chatVersion(1, map[revision.ResourceType][]proto.Message{revision.TypeLog: {&pb.Log{Level: "warn"}},
 		revision.TypeCapture: {&pb.Capture{Record: true, CheckpointUs: 2_000_000, KeepBytes: 1 << 20}}}))
 	wait("version 1", on(1))
 	wait("the version records", func() bool { return segments() == 1 })
@@ -98,7 +98,7 @@
 	// The file says otherwise, in the same moment as the next version.
 	put(file, settings("error"))
 	signal(syscall.SIGHUP)
-	s.Publish(chatVersion(2, map[revision.Type][]proto.Message{revision.TypeLog: {&pb.Log{Level: "debug"}}}))
+	s.Publish(chatVersion(2, map[revision.ResourceType][]proto.Message{revision.TypeLog: {&pb.Log{Level: "debug"}}}))
 	wait("version 2", on(2))
 	wait("reload", func() bool { return strings.Contains(text.String(), "msg=reload ") })
 	if logLevel.Level() != slog.LevelDebug {
@@ -114,7 +114,7 @@
 	if err := <-ended; err != nil {
 		t.Fatal(err)
 	}
-	s.Vanish()
+	s.Stop()
 	run()
 	wait("version 3 after a restart", on(3))
 	if st := status(); st.Connected || st.Classes != 1 {
@@ -126,13 +126,13 @@
 	}
 	// The version is given back before the line about it is kept.
 	wait("the history of it all", func() bool {
-		var lines []confstream.Line
+		var lines []confstream.HistoryEntry
 		if err := control.Call(t.Context(), socket, "config/history", struct{}{}, &lines); err != nil {
 			t.Fatal(err)
 		}
 		var what []string
 		for _, l := range lines {
-			what = append(what, fmt.Sprint(l.Version, l.What))
+			what = append(what, fmt.Sprint(l.Version, l.Event))
 		}
 		return strings.Join(what, " ") == "1taken 2taken 3taken 3givenback"
 	})
--- a/internal/lifecycle/run.go
+++ b/internal/lifecycle/run.go
@@ -78,8 +78,8 @@
 			KeepAge: p.KeepAge, Incidents: in.Directory, KeepIncidents: in.MaxIncidents, Window: in.Window, Pause: in.MinInterval,
 			Log: func(msg string, args ...any) { slog.Info(msg, args...) }},
 		Recorder: capture.Options{Checkpoint: p.CheckpointInterval, Block: int(p.BlockSize), Flush: p.FlushInterval, SegmentSize: p.SegmentSize,
-			SegmentAge: p.SegmentAge, Pause: in.MinInterval, Incident: incident.Settings{Over: in.EvaluationWindow.Microseconds(), Least: in.MinRequests, Unserved: in.UnservedShare,
-				SlowFactor: in.SlowFactor, SlowWorkers: in.SlowReplicas, NearDeadline: in.NearDeadline.Microseconds()}},
+			SegmentAge: p.SegmentAge, Pause: in.MinInterval, Incident: incident.Settings{Window: in.EvaluationWindow.Microseconds(), MinRequests: in.MinRequests, UnservedShare: in.UnservedShare,
+				SlowFactor: in.SlowFactor, SlowReplicaShare: in.SlowReplicas, DeadlineMargin: in.NearDeadline.Microseconds()}},
 	}
 }
 
--- a/internal/lifecycle/stored_test.go
+++ b/internal/lifecycle/stored_test.go
@@ -69,8 +69,8 @@
 	}{
 		{"capture/save", lifecycle.SaveRequest{Reason: "chat is late"}, &lifecycle.SaveResponse{}, &lifecycle.SaveResponse{Path: "captures/incidents/1", Segments: 3, Bytes: 4096}},
 		{"config/status", struct{}{}, &lifecycle.ConfigStatus{}, &lifecycle.ConfigStatus{Service: "127.0.0.1:18000", Connected: true, Version: 42, Classes: 3, Tenants: 2, Marks: 1}},
-		{"config/history", struct{}{}, &[]confstream.Line{}, &[]confstream.Line{{At: at, Version: 41, What: "refused", Reason: "no"},
-			{At: time.Date(2026, 12, 2, 9, 31, 0, 0, time.UTC), Version: 42, What: "taken"}}},
+		{"config/history", struct{}{}, &[]confstream.HistoryEntry{}, &[]confstream.HistoryEntry{{At: at, Version: 41, Event: "refused", Reason: "no"},
+			{At: time.Date(2026, 12, 2, 9, 31, 0, 0, time.UTC), Version: 42, Event: "taken"}}},
 		{"config/rollback", lifecycle.RollbackRequest{Reason: "ordered"}, &lifecycle.ConfigStatus{}, &lifecycle.ConfigStatus{Service: "127.0.0.1:18000"}},
 		{"figures", struct{}{}, &figures.Stats{}, &figures.Stats{Listed: 1, Ready: 2, Subset: 3, OutsideTargets: 4, Joined: 5, Left: 6, RejectedLists: 7, MalformedEntries: 8, UnknownKeys: 9,
 			ClosedConnections: map[string]int64{"idle": 10}, EjectedReplicas: 11, Drained: true, OrdersNotSaved: true, OperatorCalls: []figures.OperatorCallCount{{Call: "drain", Accepted: true, Count: 12}}, ListVersion: 13,
--- a/internal/metrics/control.go
+++ b/internal/metrics/control.go
@@ -8,45 +8,45 @@
 	"archknot/internal/figures"
 )
 
-// controlWork collects a gateway's account of its control work.
-type controlWork struct{ from Source }
+// controlCollector collects a gateway's account of its control work.
+type controlCollector struct{ source Source }
 
 func controlDesc(name, help string, labels ...string) *prometheus.Desc {
 	return prometheus.NewDesc("archknot_control_"+name, help, labels, nil)
 }
 
 var (
-	replicasDesc    = controlDesc("replicas", "Replicas: listed by discovery, ready, in the gateway's subset, and homes of requests beside it.", "set")
-	movedDesc       = controlDesc("subset_moved_total", "Replicas that have come into the gateway's subset, and out of it.", "way")
-	refusedDesc     = controlDesc("refused_lists_total", "Lists of discovery's that were not taken.")
-	oddEntriesDesc  = controlDesc("odd_entries_total", "Entries of discovery's lists that could not be taken as they stood.")
-	unknownKeysDesc = controlDesc("config_unknown_keys", "Keys of the platform's configuration in force that the program does not serve.")
-	closedDesc      = controlDesc("client_closed_total", "Clients' connections that were closed, by reason.", "reason")
-	outDesc         = controlDesc("replicas_out", "Replicas that operators have taken out.")
-	drainedDesc     = controlDesc("drained", "1 while operators have the gateway drained.")
-	unsavedDesc     = controlDesc("orders_not_saved", "1 while what operators ordered cannot be read or saved.")
-	operatorDesc    = controlDesc("operator_calls_total", "Operators' calls, by call and answer.", "call", "answer")
-	versionDesc     = controlDesc("list_version", "The version of the list in force.")
-	connectionsDesc = controlDesc("connections", "Connections to replicas that are open.")
-	busyDesc        = controlDesc("decide_seconds_total", "Time that the task that decides was busy.")
-	attemptsDesc    = controlDesc("attempts_total", "Attempts, by whether there was a report of the replica's load.", "report")
-	reportAgeDesc   = controlDesc("report_age_seconds_total", "Ages of the reports that attempts went by, summed up.")
-	callsDesc       = controlDesc("calls_total", "Calls over connections, by purpose.", "purpose")
-	openedDesc      = controlDesc("opened_total", "Connections that were opened, by purpose.", "purpose")
-	bytesDesc       = controlDesc("bytes_total", "Bytes over connections, by purpose and way.", "purpose", "way")
+	replicasDesc      = controlDesc("replicas", "Replicas: listed by discovery, ready, in the gateway's subset, and homes of requests beside it.", "set")
+	subsetChangesDesc = controlDesc("subset_moved_total", "Replicas that have come into the gateway's subset, and out of it.", "way")
+	rejectedListsDesc = controlDesc("refused_lists_total", "Lists of discovery's that were not taken.")
+	oddEntriesDesc    = controlDesc("odd_entries_total", "Entries of discovery's lists that could not be taken as they stood.")
+	unknownKeysDesc   = controlDesc("config_unknown_keys", "Keys of the platform's configuration in force that the program does not serve.")
+	closedDesc        = controlDesc("client_closed_total", "Clients' connections that were closed, by reason.", "reason")
+	ejectedDesc       = controlDesc("replicas_out", "Replicas that operators have taken out.")
+	drainedDesc       = controlDesc("drained", "1 while operators have the gateway drained.")
+	unsavedOrdersDesc = controlDesc("orders_not_saved", "1 while what operators ordered cannot be read or saved.")
+	operatorDesc      = controlDesc("operator_calls_total", "Operators' calls, by call and answer.", "call", "answer")
+	versionDesc       = controlDesc("list_version", "The version of the list in force.")
+	connectionsDesc   = controlDesc("connections", "Connections to replicas that are open.")
+	busyDesc          = controlDesc("decide_seconds_total", "Time that the task that decides was busy.")
+	attemptsDesc      = controlDesc("attempts_total", "Attempts, by whether there was a report of the replica's load.", "report")
+	reportAgeDesc     = controlDesc("report_age_seconds_total", "Ages of the reports that attempts went by, summed up.")
+	callsDesc         = controlDesc("calls_total", "Calls over connections, by purpose.", "purpose")
+	openedDesc        = controlDesc("opened_total", "Connections that were opened, by purpose.", "purpose")
+	bytesDesc         = controlDesc("bytes_total", "Bytes over connections, by purpose and way.", "purpose", "way")
 )
 
-func (c *controlWork) Describe(ch chan<- *prometheus.Desc) {
-	for _, d := range []*prometheus.Desc{replicasDesc, movedDesc, refusedDesc, oddEntriesDesc, unknownKeysDesc, closedDesc, outDesc, drainedDesc, unsavedDesc, operatorDesc, versionDesc, connectionsDesc, busyDesc, attemptsDesc,
+func (c *controlCollector) Describe(ch chan<- *prometheus.Desc) {
+	for _, d := range []*prometheus.Desc{replicasDesc, subsetChangesDesc, rejectedListsDesc, oddEntriesDesc, unknownKeysDesc, closedDesc, ejectedDesc, drainedDesc, unsavedOrdersDesc, operatorDesc, versionDesc, connectionsDesc, busyDesc, attemptsDesc,
 		reportAgeDesc, callsDesc, openedDesc, bytesDesc} {
 		ch <- d
 	}
 }
 
-func (c *controlWork) Collect(ch chan<- prometheus.Metric) {
-	ctx, stop := context.WithTimeout(context.Background(), scrapeWithin)
+func (c *controlCollector) Collect(ch chan<- prometheus.Metric) {
+	ctx, stop := context.WithTimeout(context.Background(), scrapeTimeout)
 	defer stop()
-	of, err := c.from.Control(ctx)
+	of, err := c.source.Control(ctx)
 	if err != nil {
 		ch <- prometheus.NewInvalidMetric(replicasDesc, err)
 		return
@@ -61,17 +61,17 @@
 	gauge(replicasDesc, float64(of.Ready), "ready")
 	gauge(replicasDesc, float64(of.Subset), "subset")
 	gauge(replicasDesc, float64(of.OutsideTargets), "home")
-	count(movedDesc, float64(of.Joined), "in")
-	count(movedDesc, float64(of.Left), "out")
-	count(refusedDesc, float64(of.RejectedLists))
+	count(subsetChangesDesc, float64(of.Joined), "in")
+	count(subsetChangesDesc, float64(of.Left), "out")
+	count(rejectedListsDesc, float64(of.RejectedLists))
 	count(oddEntriesDesc, float64(of.MalformedEntries))
 	gauge(unknownKeysDesc, float64(of.UnknownKeys))
 	for reason, n := range of.ClosedConnections {
 		count(closedDesc, float64(n), reason)
 	}
-	gauge(outDesc, float64(of.EjectedReplicas))
-	gauge(drainedDesc, flag(of.Drained))
-	gauge(unsavedDesc, flag(of.OrdersNotSaved))
+	gauge(ejectedDesc, float64(of.EjectedReplicas))
+	gauge(drainedDesc, boolValue(of.Drained))
+	gauge(unsavedOrdersDesc, boolValue(of.OrdersNotSaved))
 	for _, c := range of.OperatorCalls {
 		word := "no"
 		if c.Accepted {
@@ -94,7 +94,7 @@
 	}
 }
 
-func flag(on bool) float64 {
+func boolValue(on bool) float64 {
 	if on {
 		return 1
 	}
--- a/internal/metrics/metrics.go
+++ b/internal/metrics/metrics.go
@@ -23,8 +23,8 @@
 	Control(ctx context.Context) (figures.Stats, error)
 }
 
-// scrapeWithin bounds the time that figures may take.
-const scrapeWithin = 2 * time.Second
+// scrapeTimeout bounds the time that figures may take.
+const scrapeTimeout = 2 * time.Second
 
 // Server serves /metrics until Close.
 type Server struct{ http *http.Server }
@@ -52,66 +52,66 @@
 // Handler serves the figures.
 func Handler(teams int, from Source) http.Handler {
 	r := prometheus.NewRegistry()
-	r.MustRegister(collectors.NewGoCollector(), &accounts{teams, from}, &controlWork{from})
-	return promhttp.HandlerFor(r, promhttp.HandlerOpts{MaxRequestsInFlight: 4, Timeout: scrapeWithin * 2})
+	r.MustRegister(collectors.NewGoCollector(), &contractCollector{teams, from}, &controlCollector{from})
+	return promhttp.HandlerFor(r, promhttp.HandlerOpts{MaxRequestsInFlight: 4, Timeout: scrapeTimeout * 2})
 }
 
-// Others is the label of the teams past the bound, summed up.
-const Others = "_others"
+// OtherTeams is the label of the teams past the bound, summed up.
+const OtherTeams = "_others"
 
-type accounts struct {
-	most int
-	from Source
+type contractCollector struct {
+	maxTeams int
+	source   Source
 }
 
-func desc(name, help string, labels ...string) *prometheus.Desc {
+func contractDesc(name, help string, labels ...string) *prometheus.Desc {
 	return prometheus.NewDesc("archknot_contract_"+name, help, append([]string{"team"}, labels...), nil)
 }
 
 var (
-	requestsDesc = desc("requests_total", "Requests and further copies of them that the contract judged.", "verdict")
-	askedDesc    = desc("asked_tokens_total", "What they were thought to take, in tokens at price 1.", "verdict")
-	usedDesc     = desc("used_tokens_total", "What was used, as settled, in tokens at price 1.")
-	borrowedDesc = desc("borrowed_tokens_total", "What was taken of other teams' idle shares, in tokens at price 1.")
-	levelDesc    = desc("level_tokens", "What the team has saved up of its rate; below 0 it owes.")
-	openDesc     = desc("open_charges", "Charges that are not settled yet.")
-	partDesc     = desc("part", "Which part of the contract this gateway holds.")
-	budgetDesc   = desc("budget_used_tokens", "What was used in the period at hand.", "period")
-	limitDesc    = desc("budget_limit_tokens", "What may be used in the period at hand.", "period")
-	teamsDesc    = prometheus.NewDesc("archknot_contracts", "Contracts in force.", nil, nil)
+	requestsDesc    = contractDesc("requests_total", "Requests and further copies of them that the contract judged.", "verdict")
+	askedDesc       = contractDesc("asked_tokens_total", "What they were thought to take, in tokens at price 1.", "verdict")
+	usedDesc        = contractDesc("used_tokens_total", "What was used, as settled, in tokens at price 1.")
+	borrowedDesc    = contractDesc("borrowed_tokens_total", "What was taken of other teams' idle shares, in tokens at price 1.")
+	levelDesc       = contractDesc("level_tokens", "What the team has saved up of its rate; below 0 it owes.")
+	openChargesDesc = contractDesc("open_charges", "Charges that are not settled yet.")
+	shareDesc       = contractDesc("part", "Which part of the contract this gateway holds.")
+	budgetUsedDesc  = contractDesc("budget_used_tokens", "What was used in the period at hand.", "period")
+	budgetLimitDesc = contractDesc("budget_limit_tokens", "What may be used in the period at hand.", "period")
+	contractsDesc   = prometheus.NewDesc("archknot_contracts", "Contracts in force.", nil, nil)
 )
 
-func (a *accounts) Describe(ch chan<- *prometheus.Desc) {
-	for _, d := range []*prometheus.Desc{requestsDesc, askedDesc, usedDesc, borrowedDesc, levelDesc, openDesc, partDesc, budgetDesc, limitDesc, teamsDesc} {
+func (a *contractCollector) Describe(ch chan<- *prometheus.Desc) {
+	for _, d := range []*prometheus.Desc{requestsDesc, askedDesc, usedDesc, borrowedDesc, levelDesc, openChargesDesc, shareDesc, budgetUsedDesc, budgetLimitDesc, contractsDesc} {
 		ch <- d
 	}
 }
 
-func (a *accounts) Collect(ch chan<- prometheus.Metric) {
-	ctx, stop := context.WithTimeout(context.Background(), scrapeWithin)
+func (a *contractCollector) Collect(ch chan<- prometheus.Metric) {
+	ctx, stop := context.WithTimeout(context.Background(), scrapeTimeout)
 	defer stop()
-	list, err := a.from.Accounts(ctx)
+	list, err := a.source.Accounts(ctx)
 	if err != nil {
-		ch <- prometheus.NewInvalidMetric(teamsDesc, err)
+		ch <- prometheus.NewInvalidMetric(contractsDesc, err)
 		return
 	}
-	ch <- prometheus.MustNewConstMetric(teamsDesc, prometheus.GaugeValue, float64(len(list)))
+	ch <- prometheus.MustNewConstMetric(contractsDesc, prometheus.GaugeValue, float64(len(list)))
 	token := float64(contract.Token)
 	var rest contract.AccountStatus
-	rest.Team = Others
+	rest.Team = OtherTeams
 	for i := range list {
-		if len(list) > a.most && i >= a.most-1 {
-			sum(&rest, &list[i])
+		if len(list) > a.maxTeams && i >= a.maxTeams-1 {
+			addAccount(&rest, &list[i])
 			continue
 		}
-		put(ch, &list[i], token, true)
+		emitTeam(ch, &list[i], token, true)
 	}
-	if len(list) > a.most {
-		put(ch, &rest, token, false)
+	if len(list) > a.maxTeams {
+		emitTeam(ch, &rest, token, false)
 	}
 }
 
-func sum(to, a *contract.AccountStatus) {
+func addAccount(to, a *contract.AccountStatus) {
 	c, o := &to.Counters, &a.Counters
 	c.Admitted, c.OverQuota, c.Rejected = c.Admitted+o.Admitted, c.OverQuota+o.OverQuota, c.Rejected+o.Rejected
 	c.AdmittedUnits, c.OverQuotaUnits, c.RejectedUnits = c.AdmittedUnits+o.AdmittedUnits, c.OverQuotaUnits+o.OverQuotaUnits, c.RejectedUnits+o.RejectedUnits
@@ -119,8 +119,8 @@
 	to.Level, to.Open = to.Level+a.Level, to.Open+a.Open
 }
 
-// put tells one team's figures; alone says that it is one team, with budgets.
-func put(ch chan<- prometheus.Metric, a *contract.AccountStatus, token float64, alone bool) {
+// emitTeam tells one team's figures; alone says that it is one team, with budgets.
+func emitTeam(ch chan<- prometheus.Metric, a *contract.AccountStatus, token float64, alone bool) {
 	count := func(d *prometheus.Desc, v float64, labels ...string) {
 		ch <- prometheus.MustNewConstMetric(d, prometheus.CounterValue, v, append([]string{a.Team}, labels...)...)
 	}
@@ -139,16 +139,16 @@
 	count(usedDesc, float64(c.Used)/token)
 	count(borrowedDesc, float64(c.Borrowed)/token)
 	gauge(levelDesc, float64(a.Level)/token)
-	gauge(openDesc, float64(a.Open))
+	gauge(openChargesDesc, float64(a.Open))
 	if !alone {
 		return
 	}
-	gauge(partDesc, a.QuotaShare)
+	gauge(shareDesc, a.QuotaShare)
 	for p := range a.Limit {
 		if a.Limit[p] > 0 {
 			word := contract.Period(p).String()
-			gauge(budgetDesc, float64(a.Used[p])/token, word)
-			gauge(limitDesc, float64(a.Limit[p])/token, word)
+			gauge(budgetUsedDesc, float64(a.Used[p])/token, word)
+			gauge(budgetLimitDesc, float64(a.Limit[p])/token, word)
 		}
 	}
 }
--- a/internal/metrics/metrics_test.go
+++ b/internal/metrics/metrics_test.go
@@ -17,15 +17,17 @@
 	"archknot/internal/figures"
 )
 
-type source struct {
-	list    []contract.AccountStatus
-	control figures.Stats
-	err     error
+type fakeSource struct {
+	accounts []contract.AccountStatus
+	control  figures.Stats
+	err      error
 }
 
-func (s *source) Accounts(context.Context) ([]contract.AccountStatus, error) { return s.list, s.err }
+func (s *fakeSource) Accounts(context.Context) ([]contract.AccountStatus, error) {
+	return s.accounts, s.err
+}
 
-func (s *source) Control(context.Context) (figures.Stats, error) { return s.control, s.err }
+func (s *fakeSource) Control(context.Context) (figures.Stats, error) { return s.control, s.err }
 
 func account(i int) contract.AccountStatus {
 	a := contract.AccountStatus{Team: fmt.Sprint("team", i), Level: 5 * contract.Token, Open: 2, QuotaShare: 0.25, InForce: true}
@@ -36,13 +38,13 @@
 
 // However many teams there are, those with figures of their own are bounded, and
 // the sums are of all.
-func TestTeamsAreBounded(t *testing.T) {
-	s := &source{}
+func TestTeamLabelsAreBounded(t *testing.T) {
+	s := &fakeSource{}
 	for i := range 10_000 {
-		s.list = append(s.list, account(i))
+		s.accounts = append(s.accounts, account(i))
 	}
 	r := prometheus.NewRegistry()
-	r.MustRegister(&accounts{50, s})
+	r.MustRegister(&contractCollector{50, s})
 	families, err := r.Gather()
 	if err != nil {
 		t.Fatal(err)
@@ -60,13 +62,13 @@
 			}
 		}
 	}
-	if len(teams) != 50 || !teams[Others] || taken != 100_000 {
+	if len(teams) != 50 || !teams[OtherTeams] || taken != 100_000 {
 		t.Errorf("%d teams, %v taken", len(teams), taken)
 	}
 }
 
-func TestFigures(t *testing.T) {
-	s := &source{list: []contract.AccountStatus{account(1)}}
+func TestContractMetrics(t *testing.T) {
+	s := &fakeSource{accounts: []contract.AccountStatus{account(1)}}
 	want := `
 # HELP archknot_contract_budget_used_tokens What was used in the period at hand.
 # TYPE archknot_contract_budget_used_tokens gauge
@@ -75,10 +77,10 @@
 # TYPE archknot_contract_used_tokens_total counter
 archknot_contract_used_tokens_total{team="team1"} 90
 `
-	if err := testutil.CollectAndCompare(&accounts{50, s}, strings.NewReader(want), "archknot_contract_budget_used_tokens", "archknot_contract_used_tokens_total"); err != nil {
+	if err := testutil.CollectAndCompare(&contractCollector{50, s}, strings.NewReader(want), "archknot_contract_budget_used_tokens", "archknot_contract_used_tokens_total"); err != nil {
 		t.Error(err)
 	}
-	if problems, err := testutil.CollectAndLint(&accounts{50, s}); err != nil || len(problems) > 0 {
+	if problems, err := testutil.CollectAndLint(&contractCollector{50, s}); err != nil || len(problems) > 0 {
 		t.Error(problems, err)
 	}
 	// A gateway that does not answer is an error and no figures of nothing.
@@ -91,12 +93,12 @@
 }
 
 func TestListen(t *testing.T) {
-	s, err := Listen("127.0.0.1:0", 5, &source{})
+	s, err := Listen("127.0.0.1:0", 5, &fakeSource{})
 	if err != nil {
 		t.Fatal(err)
 	}
 	s.Close()
-	if _, err := Listen("127.0.0.1:notaport", 5, &source{}); err == nil || !strings.Contains(err.Error(), "metrics.listen") {
+	if _, err := Listen("127.0.0.1:notaport", 5, &fakeSource{}); err == nil || !strings.Contains(err.Error(), "metrics.listen") {
 		t.Error(err)
 	}
 	var none *Server
@@ -104,13 +106,13 @@
 }
 
 // What a gateway tells of its control work is there by name, purpose and way.
-func TestControlWork(t *testing.T) {
-	s := &source{control: figures.Stats{Listed: 6000, Ready: 5990, Subset: 102, OutsideTargets: 64, Joined: 110, Left: 8, RejectedLists: 3, ListVersion: 41,
+func TestControlMetrics(t *testing.T) {
+	s := &fakeSource{control: figures.Stats{Listed: 6000, Ready: 5990, Subset: 102, OutsideTargets: 64, Joined: 110, Left: 8, RejectedLists: 3, ListVersion: 41,
 		Connections: 120, LoopBusy: 2500 * time.Millisecond, Reports: figures.ReportAge{WithReport: 40, WithoutReport: 2, Sum: 12 * time.Second}}}
 	s.control.Traffic[figures.PurposeHealthCheck] = figures.Traffic{Calls: 70, ConnectionsOpened: 9, BytesIn: 10_000, BytesOut: 4000}
 	got := map[string]float64{}
 	r := prometheus.NewRegistry()
-	r.MustRegister(&controlWork{s})
+	r.MustRegister(&controlCollector{s})
 	families, err := r.Gather()
 	if err != nil {
 		t.Fatal(err)
--- a/internal/publicnames/publicnames_test.go
+++ b/internal/publicnames/publicnames_test.go
@@ -155,7 +155,7 @@
 		"capture settings":    reflect.TypeFor[choice.Settings](),
 		"capture manifest":    reflect.TypeFor[capture.Manifest](),
 		"capture missing":     reflect.TypeFor[capture.Missing](),
-		"config history":      reflect.TypeFor[confstream.Line](),
+		"config history":      reflect.TypeFor[confstream.HistoryEntry](),
 		"control accounts":    reflect.TypeFor[contract.AccountStatus](),
 		"control figures":     reflect.TypeFor[figures.Stats](),
 		"control rollback":    reflect.TypeFor[lifecycle.RollbackRequest](),
@@ -185,7 +185,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	if err := configurations.Keep(&revision.Config{}, []revision.Number{1}); err != nil {
+	if err := configurations.SaveVersion(&revision.Config{}, []revision.Number{1}); err != nil {
 		t.Fatal(err)
 	}
 	balances, _, err := ledger.Open(filepath.Join(dir, "balances"))
--- a/internal/revision/bench_test.go
+++ b/internal/revision/bench_test.go
@@ -7,8 +7,8 @@
 	"archknot/choice"
 )
 
-// BenchmarkCheck is the check of one version over the number of tenants: a version has all of them.
-func BenchmarkCheck(b *testing.B) {
+// BenchmarkValidate is the check of one version over the number of tenants: a version has all of them.
+func BenchmarkValidate(b *testing.B) {
 	for _, tenants := range []int{10, 100, 1000} {
 		b.Run(fmt.Sprint(tenants), func(b *testing.B) {
 			c := &Config{Number: 1, HasClasses: true, HasTenants: true, Classes: []choice.Class{{Name: "chat", LatencyObjective: 1e6, Deadline: 4e6, PriorityWeight: 1, Streaming: true}}}
@@ -17,7 +17,7 @@
 			}
 			b.ReportAllocs()
 			for b.Loop() {
-				if r := Check(c, DefaultLimits); len(r) > 0 {
+				if r := Validate(c, DefaultLimits); len(r) > 0 {
 					b.Fatal(r)
 				}
 			}
--- a/internal/standin/controlservice/service.go
+++ b/internal/standin/controlservice/service.go
@@ -24,28 +24,28 @@
 	pb "archknot/internal/revision/configpb"
 )
 
-const urlPrefix = "type.googleapis.com/archknot.config.v1."
+const typeURLPrefix = "type.googleapis.com/archknot.config.v1."
 
 // Version is one version as the service sends it.
 type Version struct {
-	Number       uint64
-	FirstPercent uint32
-	Hold         time.Duration
-	WorseBy      float64
-	Resources    map[revision.Type][]proto.Message
-	Truncate     revision.Type // this type's resources come cut off
-	VanishAfter  int           // so many messages; 0: not at all
-	Slow         time.Duration // between two messages
-	WrongNonce   bool          // all messages have one and the same nonce
+	Number        uint64
+	FirstPercent  uint32
+	Hold          time.Duration
+	MaxRegression float64
+	Resources     map[revision.ResourceType][]proto.Message
+	Truncate      revision.ResourceType // this type's resources come cut off
+	CloseAfter    int                   // so many messages; 0: not at all
+	Delay         time.Duration         // between two messages
+	RepeatNonce   bool                  // all messages have one and the same nonce
 }
 
-// Answer is what a gateway said of one response.
-type Answer struct {
+// Ack is what a gateway said of one response.
+type Ack struct {
 	Gateway string
-	Type    revision.Type
+	Type    revision.ResourceType
 	Version string // accepted so far
 	Nonce   string
-	Err     string // "" : acknowledged
+	Error   string // "" : acknowledged
 }
 
 // Service is the stand-in.
@@ -58,23 +58,23 @@
 	server  *grpc.Server
 	current *Version
 	changed chan struct{} // closed at the next change
-	answers []Answer
-	news    chan struct{} // closed at the next answer
+	acks    []Ack
+	acked   chan struct{} // closed at the next answer
 	streams int
 	nonce   int
 }
 
 // Start listens on a loopback address; port 0 finds a free one.
 func Start(addr string, tls credentials.TransportCredentials) (*Service, error) {
-	s := &Service{addr: addr, tls: tls, changed: make(chan struct{}), news: make(chan struct{})}
-	return s, s.Return()
+	s := &Service{addr: addr, tls: tls, changed: make(chan struct{}), acked: make(chan struct{})}
+	return s, s.Restart()
 }
 
 // Addr is where it listens.
 func (s *Service) Addr() string { return s.addr }
 
-// Return begins to serve, at the same address as before.
-func (s *Service) Return() error {
+// Restart begins to serve, at the same address as before.
+func (s *Service) Restart() error {
 	host, _, err := net.SplitHostPort(s.addr)
 	if ip := net.ParseIP(host); err != nil || ip == nil || !ip.IsLoopback() {
 		return fmt.Errorf("%s: not a loopback address", s.addr)
@@ -103,8 +103,8 @@
 	return nil
 }
 
-// Vanish ends all streams and the listener.
-func (s *Service) Vanish() {
+// Stop ends all streams and the listener.
+func (s *Service) Stop() {
 	s.mu.Lock()
 	g := s.server
 	s.server = nil
@@ -130,18 +130,18 @@
 	return s.streams
 }
 
-// Answers are those so far.
-func (s *Service) Answers() []Answer {
+// Acks are those so far.
+func (s *Service) Acks() []Ack {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return slices.Clone(s.answers)
+	return slices.Clone(s.acks)
 }
 
-// Await waits until the answers satisfy a condition.
-func (s *Service) Await(ctx context.Context, done func([]Answer) bool) error {
+// AwaitAcks waits until the answers satisfy a condition.
+func (s *Service) AwaitAcks(ctx context.Context, done func([]Ack) bool) error {
 	for {
 		s.mu.Lock()
-		all, news := slices.Clone(s.answers), s.news
+		all, news := slices.Clone(s.acks), s.acked
 		s.mu.Unlock()
 		if done(all) {
 			return nil
@@ -154,22 +154,22 @@
 	}
 }
 
-func (s *Service) answered(node *corev3.Node, url, version, nonce string, detail *status.Status) {
+func (s *Service) recordAck(node *corev3.Node, url, version, nonce string, detail *status.Status) {
 	if nonce == "" {
 		return
 	}
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	a := Answer{Gateway: node.GetId(), Type: revision.Type(url[min(len(urlPrefix), len(url)):]), Version: version, Nonce: nonce, Err: detail.GetMessage()}
-	if s.answers = append(s.answers, a); len(s.answers) > 100_000 {
-		s.answers = s.answers[50_000:]
+	a := Ack{Gateway: node.GetId(), Type: revision.ResourceType(url[min(len(typeURLPrefix), len(url)):]), Version: version, Nonce: nonce, Error: detail.GetMessage()}
+	if s.acks = append(s.acks, a); len(s.acks) > 100_000 {
+		s.acks = s.acks[50_000:]
 	}
-	close(s.news)
-	s.news = make(chan struct{})
+	close(s.acked)
+	s.acked = make(chan struct{})
 }
 
-func (s *Service) next(m message) string {
-	if m.same {
+func (s *Service) nextNonce(m message) string {
+	if m.repeatNonce {
 		return "always"
 	}
 	s.mu.Lock()
@@ -178,28 +178,28 @@
 	return fmt.Sprint("n", s.nonce)
 }
 
-var errVanished = errors.New("the service vanishes")
+var errStreamClosed = errors.New("the service vanishes")
 
 // message is what one type of a version says.
 type message struct {
-	t    revision.Type
-	name string
-	raw  []*anypb.Any
-	same bool // its nonce is that of others
+	resourceType revision.ResourceType
+	version      string
+	resources    []*anypb.Any
+	repeatNonce  bool // its nonce is that of others
 }
 
-// messages are those of a version, in the order of the types: the manifest comes
+// encode are those of a version, in the order of the types: the manifest comes
 // first for even numbers and last for odd ones.
-func (v *Version) messages() ([]message, error) {
-	manifest := &pb.Version{Number: v.Number, Types: map[string]string{}, FirstPercent: v.FirstPercent, HoldUs: v.Hold.Microseconds(), WorseBy: v.WorseBy}
+func (v *Version) encode() ([]message, error) {
+	manifest := &pb.Version{Number: v.Number, Types: map[string]string{}, FirstPercent: v.FirstPercent, HoldUs: v.Hold.Microseconds(), WorseBy: v.MaxRegression}
 	var out []message
-	for _, t := range revision.Types {
+	for _, t := range revision.ResourceTypes {
 		list, ok := v.Resources[t]
 		if !ok {
 			continue
 		}
-		m := message{t: t, name: fmt.Sprintf("%s-%d", t, v.Number)}
-		manifest.Types[string(t)] = m.name
+		m := message{resourceType: t, version: fmt.Sprintf("%s-%d", t, v.Number)}
+		manifest.Types[string(t)] = m.version
 		for _, r := range list {
 			a, err := anypb.New(r)
 			if err != nil {
@@ -208,16 +208,16 @@
 			if t == v.Truncate {
 				a.Value = append(a.Value[:len(a.Value)/2], 0xff)
 			}
-			m.raw = append(m.raw, a)
+			m.resources = append(m.resources, a)
 		}
-		m.same = v.WrongNonce
+		m.repeatNonce = v.RepeatNonce
 		out = append(out, m)
 	}
 	a, err := anypb.New(manifest)
 	if err != nil {
 		return nil, err
 	}
-	m := message{t: revision.TypeVersion, name: fmt.Sprint("v", v.Number), raw: []*anypb.Any{a}, same: v.WrongNonce}
+	m := message{resourceType: revision.TypeVersion, version: fmt.Sprint("v", v.Number), resources: []*anypb.Any{a}, repeatNonce: v.RepeatNonce}
 	if v.Number%2 == 0 {
 		return append([]message{m}, out...), nil
 	}
@@ -234,20 +234,20 @@
 		v, changed := s.current, s.changed
 		s.mu.Unlock()
 		if v != nil {
-			list, err := v.messages()
+			list, err := v.encode()
 			if err != nil {
 				return err
 			}
 			for i, m := range list {
-				if v.VanishAfter > 0 && i >= v.VanishAfter {
-					return errVanished
+				if v.CloseAfter > 0 && i >= v.CloseAfter {
+					return errStreamClosed
 				}
 				if err := send(m); err != nil {
 					return err
 				}
-				if v.Slow > 0 {
+				if v.Delay > 0 {
 					select {
-					case <-time.After(v.Slow):
+					case <-time.After(v.Delay):
 					case <-ctx.Done():
 						return ctx.Err()
 					}
@@ -273,11 +273,11 @@
 			if err != nil {
 				return
 			}
-			s.answered(m.Node, m.TypeUrl, m.VersionInfo, m.ResponseNonce, m.ErrorDetail)
+			s.recordAck(m.Node, m.TypeUrl, m.VersionInfo, m.ResponseNonce, m.ErrorDetail)
 		}
 	}()
 	return s.serve(ctx, func(m message) error {
-		return st.Send(&discovery.DiscoveryResponse{TypeUrl: urlPrefix + string(m.t), VersionInfo: m.name, Nonce: s.next(m), Resources: m.raw})
+		return st.Send(&discovery.DiscoveryResponse{TypeUrl: typeURLPrefix + string(m.resourceType), VersionInfo: m.version, Nonce: s.nextNonce(m), Resources: m.resources})
 	})
 }
 
@@ -293,33 +293,33 @@
 			if err != nil {
 				return
 			}
-			s.answered(m.Node, m.TypeUrl, "", m.ResponseNonce, m.ErrorDetail)
+			s.recordAck(m.Node, m.TypeUrl, "", m.ResponseNonce, m.ErrorDetail)
 		}
 	}()
-	sent := map[revision.Type]map[string]string{}
+	sent := map[revision.ResourceType]map[string]string{}
 	return s.serve(ctx, func(m message) error {
-		r := &discovery.DeltaDiscoveryResponse{TypeUrl: urlPrefix + string(m.t), SystemVersionInfo: m.name, Nonce: s.next(m)}
+		r := &discovery.DeltaDiscoveryResponse{TypeUrl: typeURLPrefix + string(m.resourceType), SystemVersionInfo: m.version, Nonce: s.nextNonce(m)}
 		now := map[string]string{}
-		for i, a := range m.raw {
-			name := resourceName(m.t, i, a)
+		for i, a := range m.resources {
+			name := resourceName(m.resourceType, i, a)
 			now[name] = string(a.Value)
-			if old, ok := sent[m.t][name]; !ok || old != now[name] {
-				r.Resources = append(r.Resources, &discovery.Resource{Name: name, Version: m.name, Resource: a})
+			if old, ok := sent[m.resourceType][name]; !ok || old != now[name] {
+				r.Resources = append(r.Resources, &discovery.Resource{Name: name, Version: m.version, Resource: a})
 			}
 		}
-		for name := range sent[m.t] {
+		for name := range sent[m.resourceType] {
 			if _, ok := now[name]; !ok {
 				r.RemovedResources = append(r.RemovedResources, name)
 			}
 		}
 		slices.Sort(r.RemovedResources)
-		sent[m.t] = now
+		sent[m.resourceType] = now
 		return st.Send(r)
 	})
 }
 
 // resourceName is that of a named resource, or of the only one of its type.
-func resourceName(t revision.Type, i int, a *anypb.Any) string {
+func resourceName(t revision.ResourceType, i int, a *anypb.Any) string {
 	m, err := a.UnmarshalNew()
 	if err == nil {
 		if named, ok := m.(interface{ GetName() string }); ok {
