--- a/cmd/adapter/main.go
+++ b/cmd/adapter/main.go
@@ -72,7 +72,7 @@
 
 // bear makes a new instance.
 func (h *host) bear(ev *wire.Event) (*node, error) {
-	sink := h.enc.Sink(ev.Instance)
+	sink := h.enc.Sink(ev.Gateway)
 	n := &node{}
 	if h.capture != "" {
 		n.timers = &timers{Sink: sink, set: capture.Timers{}}
@@ -92,14 +92,14 @@
 		return n, nil
 	}
 	h.born++
-	name := fmt.Sprintf("instance%d_%d", ev.Instance, h.born)
-	n.writer, err = capture.NewWriter(capture.Limits{Directory: filepath.Join(h.capture, name), Gateway: name, Build: build.Version(),
-		Seed: ev.Seed, Queue: 8, Wait: true, KeepSize: math.MaxInt64, KeepAge: math.MaxInt64})
+	name := fmt.Sprintf("instance%d_%d", ev.Gateway, h.born)
+	n.writer, err = capture.NewWriter(capture.WriterOptions{Directory: filepath.Join(h.capture, name), Gateway: name, Build: build.Version(),
+		Seed: ev.Seed, QueueLength: 8, BlockWhenFull: true, MaxBytes: math.MaxInt64, MaxAge: math.MaxInt64})
 	if err != nil {
 		return nil, err
 	}
-	n.recorder = capture.Record(ev.Now, b, nil, sink, n.writer, capture.Host{Timers: n.timers.set.Pending},
-		capture.Options{Checkpoint: 5 * time.Second, Block: 64 << 10, Flush: time.Minute, SegmentSize: 64 << 20, SegmentAge: time.Hour})
+	n.recorder = capture.NewRecorder(ev.Now, b, nil, sink, n.writer, capture.Host{Timers: n.timers.set.Pending},
+		capture.Options{CheckpointInterval: 5 * time.Second, BlockSize: 64 << 10, FlushInterval: time.Minute, SegmentSize: 64 << 20, SegmentAge: time.Hour})
 	n.Module = n.recorder
 	return n, nil
 }
@@ -116,48 +116,48 @@
 	switch ev.Kind {
 	case wire.BatchEnd:
 		return h.enc.Flush()
-	case wire.Born:
+	case wire.InstanceStarted:
 		n, err := h.bear(ev)
 		if err != nil {
 			return fmt.Errorf("BORN: %w", err)
 		}
-		h.nodes[ev.Instance] = n
+		h.nodes[ev.Gateway] = n
 		n.now(ev.Now)
 		n.Start(ev.Now)
 		return nil
 	}
-	n := h.nodes[ev.Instance]
+	n := h.nodes[ev.Gateway]
 	if n == nil {
-		return fmt.Errorf("instance %d was never born or is dead", ev.Instance)
+		return fmt.Errorf("instance %d was never born or is dead", ev.Gateway)
 	}
 	n.now(ev.Now)
 	switch ev.Kind {
-	case wire.Killed:
+	case wire.InstanceKilled:
 		n.close()
-		delete(h.nodes, ev.Instance)
-	case wire.List:
-		n.ListChanged(ev.Now, ev.List)
-	case wire.Arrived:
+		delete(h.nodes, ev.Gateway)
+	case wire.EndpointList:
+		n.ListChanged(ev.Now, ev.Endpoints)
+	case wire.RequestArrived:
 		n.agreed(ev)
 		n.RequestArrived(ev.Now, ev.Request)
-	case wire.Timer:
+	case wire.TimerFired:
 		if n.timers != nil {
-			n.timers.set.Fired(ev.Token)
+			n.timers.set.Remove(ev.Token)
 		}
 		n.TimerFired(ev.Now, ev.Token)
 		if n.book != nil && ev.Token == 0 { // the module's tick, at which it averages too
 			n.book.UpdateDemand(ev.Now)
 		}
-	case wire.Probed:
+	case wire.HealthCheckEnded:
 		n.HealthCheckEnded(ev.Now, ev.Outcome)
-	case wire.Returned:
+	case wire.AttemptEnded:
 		n.AttemptEnded(ev.Now, ev.Outcome)
-	case wire.Lapsed:
+	case wire.ClientGone:
 		n.ClientGone(ev.Now, ev.Outcome.ID)
-	case wire.Opened:
+	case wire.FirstToken:
 		n.FirstToken(ev.Now, ev.Outcome)
-	case wire.Message:
-		n.PeerMessage(ev.Now, ev.From, ev.Body)
+	case wire.PeerMessage:
+		n.PeerMessage(ev.Now, ev.Peer, ev.Body)
 	}
 	return nil
 }
@@ -211,6 +211,6 @@
 }
 
 func (t *timers) SetTimer(delay choice.Micros, token uint64) {
-	t.set.Set(t.now+delay, token)
+	t.set.Add(t.now+delay, token)
 	t.Sink.SetTimer(delay, token)
 }
--- a/cmd/adapter/main_test.go
+++ b/cmd/adapter/main_test.go
@@ -133,13 +133,13 @@
 		t.Error("recording changes the replies")
 	}
 	folders, _ := filepath.Glob(filepath.Join(dir, "*"))
-	runs, err := capture.Find(folders...)
+	runs, err := capture.FindRuns(folders...)
 	if err != nil {
 		t.Fatal(err)
 	}
 	for _, r := range runs {
 		res, err := replay.Replay(r, replay.Options{})
-		if err != nil || res.Differ != 0 || res.Gaps != 0 || res.Events == 0 {
+		if err != nil || res.Differing != 0 || res.Gaps != 0 || res.Events == 0 {
 			t.Errorf("%v %v", res, err)
 		}
 	}
--- a/example/teams/main.go
+++ b/example/teams/main.go
@@ -55,7 +55,7 @@
 
 // fleet is a registry and workers with so many places each, at loopback addresses.
 type fleet struct {
-	list  socket.List
+	list  socket.EndpointList
 	slots int64
 }
 
@@ -70,7 +70,7 @@
 
 func (f *fleet) worker(name string) {
 	l, addr := listen()
-	f.list.Instances = append(f.list.Instances, socket.Instance{ID: name, Addr: addr, Zone: "here", Kind: "toy", Lifecycle: "ready", Weight: 1})
+	f.list.Endpoints = append(f.list.Endpoints, socket.Endpoint{ID: name, Addr: addr, Zone: "here", Kind: "toy", Lifecycle: "ready", Weight: 1})
 	var in atomic.Int64
 	places := make(chan struct{}, f.slots)
 	go http.Serve(l, http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
@@ -83,7 +83,7 @@
 		case socket.StatsPath:
 			fmt.Fprint(w, load())
 			return
-		case socket.JobPath:
+		case socket.CompletionsPath:
 		default:
 			http.NotFound(w, r)
 			return
@@ -124,7 +124,7 @@
 			case <-time.After(time.Duration(wait) * time.Millisecond):
 			case <-r.Context().Done():
 			}
-			out.Reset, out.Instances = false, nil
+			out.Reset, out.Endpoints = false, nil
 		}
 		json.NewEncoder(w).Encode(out)
 	}))
@@ -140,7 +140,7 @@
 	classes := []choice.Class{
 		{Name: "agent", LatencyObjective: 1_000_000, TokenObjective: 300_000, Deadline: args.Deadline.Microseconds(), PriorityWeight: 2, LateWeightShare: 0.3, Streaming: true},
 		{Name: "bulk", LatencyObjective: 1_000_000, TokenObjective: 300_000, Deadline: args.Deadline.Microseconds(), PriorityWeight: 2, LateWeightShare: 0.3, Streaming: true}}
-	o := gateway.Options{Name: "teams", Discovery: f.registry(), Seed: args.Seed, CachedList: socket.List{Generation: socket.NoVersion}, MaxInFlight: 4000, MaxClientConns: 4000, OverflowConns: 16, MaxReplicaConns: 2000,
+	o := gateway.Options{Name: "teams", Discovery: f.registry(), Seed: args.Seed, CachedList: socket.EndpointList{Generation: socket.NoGeneration}, MaxInFlight: 4000, MaxClientConns: 4000, OverflowConns: 16, MaxReplicaConns: 2000,
 		MaxBodyBytes: 1 << 20, ConnectTimeout: time.Second, ReplicaConnIdle: 30 * time.Second, ClientConnIdle: 30 * time.Second, StreamIdleTimeout: 5 * time.Second,
 		HealthCheckTimeout: time.Second, PollWithin: 10 * time.Second, WatchWait: 2 * time.Second, DiscoveryTimeout: time.Second,
 		DrainAcceptPeriod: 100 * time.Millisecond,
--- a/example/toy/main.go
+++ b/example/toy/main.go
@@ -38,7 +38,7 @@
 	for i := range *workers {
 		addr := fmt.Sprintf("127.0.0.1:%d", 9001+i)
 		name := fmt.Sprintf("toy-%d", i+1)
-		reg.list.Instances = append(reg.list.Instances, socket.Instance{ID: name, Addr: addr, Zone: "here", Kind: "toy",
+		reg.list.Endpoints = append(reg.list.Endpoints, socket.Endpoint{ID: name, Addr: addr, Zone: "here", Kind: "toy",
 			Lifecycle: "ready", Weight: 1})
 		go serve(addr, &worker{name: name})
 	}
@@ -66,7 +66,7 @@
 	case r.URL.Path == socket.StatsPath:
 		fmt.Fprint(out, load)
 		return
-	case r.URL.Path != socket.JobPath || r.Header.Get("Req-Id") == "":
+	case r.URL.Path != socket.CompletionsPath || r.Header.Get("Req-Id") == "":
 		http.NotFound(out, r)
 		return
 	}
@@ -103,7 +103,7 @@
 // registry tells the list, and waits for changes where it is asked to.
 type registry struct {
 	mu   sync.Mutex
-	list socket.List
+	list socket.EndpointList
 	news chan struct{} // closed at the next change
 }
 
@@ -126,9 +126,9 @@
 	}
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	out := socket.List{Generation: g.list.Generation, Reset: true, Instances: g.list.Instances}
+	out := socket.EndpointList{Generation: g.list.Generation, Reset: true, Endpoints: g.list.Endpoints}
 	if err == nil && since == out.Generation {
-		out.Reset, out.Instances = false, nil
+		out.Reset, out.Endpoints = false, nil
 	}
 	json.NewEncoder(w).Encode(out)
 }
@@ -144,7 +144,7 @@
 			continue
 		}
 		g.mu.Lock()
-		first := &g.list.Instances[0]
+		first := &g.list.Endpoints[0]
 		if first.Lifecycle == "ready" {
 			first.Lifecycle = "draining"
 		} else {
--- a/internal/capture/convert.go
+++ b/internal/capture/convert.go
@@ -12,7 +12,7 @@
 
 // The module's words in the capture's form, and back.
 
-func putReport(to *pb.Report, r *choice.LoadReport) *pb.Report {
+func reportToProto(to *pb.Report, r *choice.LoadReport) *pb.Report {
 	if r.Has == 0 {
 		return nil
 	}
@@ -21,8 +21,8 @@
 	return to
 }
 
-// GetReport is the module's form of a report; nil is none.
-func GetReport(r *pb.Report) choice.LoadReport {
+// ReportFromProto is the module's form of a report; nil is none.
+func ReportFromProto(r *pb.Report) choice.LoadReport {
 	if r == nil {
 		return choice.LoadReport{}
 	}
@@ -30,42 +30,42 @@
 		Queued: r.Queued, ServiceMs: r.ServiceMs, Utilization: r.Util}
 }
 
-func putOutcome(to *pb.Outcome, report *pb.Report, o *choice.Outcome) *pb.Outcome {
+func outcomeToProto(to *pb.Outcome, report *pb.Report, o *choice.Outcome) *pb.Outcome {
 	to.Attempt, to.Worker, to.Status, to.ElapsedUs = int64(o.Attempt), uint32(o.Replica), uint32(o.Status), o.Elapsed
-	to.Final, to.Kept, to.Tokens, to.Report = o.Final, int64(o.CachedTokens), int64(o.OutputTokens), putReport(report, &o.Report)
+	to.Final, to.Kept, to.Tokens, to.Report = o.Final, int64(o.CachedTokens), int64(o.OutputTokens), reportToProto(report, &o.Report)
 	return to
 }
 
-func getOutcome(id choice.RequestID, o *pb.Outcome) choice.Outcome {
+func outcomeFromProto(id choice.RequestID, o *pb.Outcome) choice.Outcome {
 	return choice.Outcome{ID: id, Attempt: int(o.GetAttempt()), Replica: choice.ReplicaID(o.GetWorker()),
 		Status: choice.Status(o.GetStatus()), Elapsed: o.GetElapsedUs(), Final: o.GetFinal(), CachedTokens: int(o.GetKept()),
-		OutputTokens: int(o.GetTokens()), Report: GetReport(o.GetReport())}
+		OutputTokens: int(o.GetTokens()), Report: ReportFromProto(o.GetReport())}
 }
 
-func putArrival(to *pb.Arrival, in *choice.Request, name string) *pb.Arrival {
-	to.Class, to.Tenant, to.TimeLeftUs, to.Name = append(to.Class[:0], in.Class...), append(to.Tenant[:0], in.Tenant...), in.TimeLeft, text(name)
+func arrivalToProto(to *pb.Arrival, in *choice.Request, name string) *pb.Arrival {
+	to.Class, to.Tenant, to.TimeLeftUs, to.Name = append(to.Class[:0], in.Class...), append(to.Tenant[:0], in.Tenant...), in.TimeLeft, sanitizeName(name)
 	to.PromptTokens, to.PrefixTokens, to.MaxTokens = int64(in.PromptTokens), int64(in.PrefixTokens), int64(in.MaxTokens)
 	to.Session, to.Prefix, to.Factor, to.Spent = in.Session, in.Prefix, in.PriorityFactor, int64(in.PriorAttempts)
 	to.Home = uint32(in.HomeReplica)
 	return to
 }
 
-func getArrival(id choice.RequestID, a *pb.Arrival) choice.Request {
+func arrivalFromProto(id choice.RequestID, a *pb.Arrival) choice.Request {
 	return choice.Request{ID: id, Class: string(a.GetClass()), Tenant: string(a.GetTenant()), TimeLeft: a.GetTimeLeftUs(),
 		PromptTokens: int(a.GetPromptTokens()), PrefixTokens: int(a.GetPrefixTokens()), MaxTokens: int(a.GetMaxTokens()),
 		Session: a.GetSession(), Prefix: a.GetPrefix(), PriorityFactor: a.GetFactor(), PriorAttempts: int(a.GetSpent()), HomeReplica: choice.ReplicaID(a.GetHome())}
 }
 
-func putList(l *choice.EndpointList, name func(choice.ReplicaID) string) *pb.List {
+func endpointListToProto(l *choice.EndpointList, name func(choice.ReplicaID) string) *pb.List {
 	out := &pb.List{Kind: uint32(l.Kind), Version: l.Version, Fleet: int64(l.FleetSize), Members: make([]*pb.Member, len(l.Endpoints))}
 	for i, m := range l.Endpoints {
 		out.Members[i] = &pb.Member{Worker: uint32(m.Replica), State: uint32(m.State), Weight: m.Weight, Cell: m.Cell,
-			Kind: []byte(m.Kind), Zone: []byte(m.Zone), SinceUs: m.StartedAt, Name: text(name(m.Replica))}
+			Kind: []byte(m.Kind), Zone: []byte(m.Zone), SinceUs: m.StartedAt, Name: sanitizeName(name(m.Replica))}
 	}
 	return out
 }
 
-func getList(l *pb.List) choice.EndpointList {
+func endpointListFromProto(l *pb.List) choice.EndpointList {
 	out := choice.EndpointList{Kind: choice.ListKind(l.GetKind()), Version: l.GetVersion(), FleetSize: int(l.GetFleet())}
 	for _, m := range l.GetMembers() {
 		out.Endpoints = append(out.Endpoints, choice.Endpoint{Replica: choice.ReplicaID(m.Worker), State: choice.EndpointState(m.State),
@@ -74,16 +74,16 @@
 	return out
 }
 
-// text makes a peer's name fit for a capture, where strings are UTF-8 and names
+// sanitizeName makes a peer's name fit for a capture, where strings are UTF-8 and names
 // bounded. It is for people to read; what the module decides by is kept as it came.
-func text(s string) string {
-	if len(s) > maxText {
-		s = s[:maxText]
+func sanitizeName(s string) string {
+	if len(s) > maxNameBytes {
+		s = s[:maxNameBytes]
 	}
 	return strings.ToValidUTF8(s, "\ufffd")
 }
 
-const maxText = 256
+const maxNameBytes = 256
 
 // Apply tells the module what a record says; a checkpoint, a gap
 // and what is the contracts' book's tell nothing.
@@ -93,23 +93,23 @@
 	case pb.Kind_KIND_START:
 		m.Start(now)
 	case pb.Kind_KIND_LIST:
-		m.ListChanged(now, getList(r.List))
+		m.ListChanged(now, endpointListFromProto(r.List))
 	case pb.Kind_KIND_ARRIVED:
-		m.RequestArrived(now, getArrival(id, r.Arrival))
+		m.RequestArrived(now, arrivalFromProto(id, r.Arrival))
 	case pb.Kind_KIND_FIRST:
-		m.FirstToken(now, getOutcome(id, r.Outcome))
+		m.FirstToken(now, outcomeFromProto(id, r.Outcome))
 	case pb.Kind_KIND_ENDED:
-		m.AttemptEnded(now, getOutcome(id, r.Outcome))
+		m.AttemptEnded(now, outcomeFromProto(id, r.Outcome))
 	case pb.Kind_KIND_LEFT:
 		m.ClientGone(now, id)
 	case pb.Kind_KIND_TIMER:
 		m.TimerFired(now, r.Token)
 	case pb.Kind_KIND_PROBED:
-		m.HealthCheckEnded(now, getOutcome(id, r.Outcome))
+		m.HealthCheckEnded(now, outcomeFromProto(id, r.Outcome))
 	case pb.Kind_KIND_MESSAGE:
 		m.PeerMessage(now, int(r.Peer), r.Body)
 	case pb.Kind_KIND_RECONFIGURE:
-		s, err := GetSettings(r.Settings)
+		s, err := UnmarshalSettings(r.Settings)
 		if err != nil {
 			return err
 		}
@@ -123,9 +123,9 @@
 	return nil
 }
 
-// putSettings writes the module's settings as JSON under the names of its
+// marshalSettings writes the module's settings as JSON under the names of its
 // fields: complete by construction.
-func putSettings(s *choice.Settings) []byte {
+func marshalSettings(s *choice.Settings) []byte {
 	text, err := json.Marshal(s)
 	if err != nil {
 		panic(err) // plain data: it cannot fail but for a NaN, which no check lets in
@@ -133,8 +133,8 @@
 	return text
 }
 
-// GetSettings reads settings as a capture has them.
-func GetSettings(text []byte) (choice.Settings, error) {
+// UnmarshalSettings reads settings as a capture has them.
+func UnmarshalSettings(text []byte) (choice.Settings, error) {
 	var s choice.Settings
 	d := json.NewDecoder(bytes.NewReader(text))
 	d.DisallowUnknownFields() // a setting that is not understood would decide otherwise
--- a/internal/capture/reader.go
+++ b/internal/capture/reader.go
@@ -32,7 +32,7 @@
 // Block is where a block stands.
 type Block struct {
 	Offset     int64
-	First      uint64 // number of its first event
+	FirstEvent uint64 // number of its first event
 	At         choice.Micros
 	Checkpoint bool
 	Records    uint32
@@ -40,11 +40,11 @@
 
 // Missing is a part of a capture that cannot be read or was never recorded.
 type Missing struct {
-	Path   string `json:"path"`
-	Offset int64  `json:"offset"`
-	Events uint64 `json:"events"`          // how many events it held; 0: not known
-	First  uint64 `json:"first,omitempty"` // the number of the first of them, where it is known
-	What   string `json:"what"`
+	Path       string `json:"path"`
+	Offset     int64  `json:"offset"`
+	Events     uint64 `json:"events"`          // how many events it held; 0: not known
+	FirstEvent uint64 `json:"first,omitempty"` // the number of the first of them, where it is known
+	Reason     string `json:"what"`
 }
 
 // Run is one recording: its segments in order.
@@ -53,7 +53,7 @@
 	Seed                 uint64
 	Settings             choice.Settings
 	Segments             []*Segment
-	Damaged              []Missing // segments whose header cannot be read
+	Unreadable           []Missing // segments whose header cannot be read
 }
 
 // Begin and End are the times of the first block and the last, on the module's
@@ -70,14 +70,14 @@
 	return end
 }
 
-// Wall is the time of day of a moment on the module's clock.
-func (r *Run) Wall(at choice.Micros) time.Time {
+// WallTime is the time of day of a moment on the module's clock.
+func (r *Run) WallTime(at choice.Micros) time.Time {
 	h := r.Segments[0].Header
 	return time.UnixMicro(h.WallUs + at - h.ClockUs).UTC()
 }
 
-// ErrVersion says that a capture is of a format that this build does not read.
-var ErrVersion = errors.New("format not known to this build")
+// ErrUnsupportedVersion says that a capture is of a format that this build does not read.
+var ErrUnsupportedVersion = errors.New("format not known to this build")
 
 // OpenSegment reads a segment's header and where its blocks are.
 func OpenSegment(path string) (*Segment, error) {
@@ -91,14 +91,14 @@
 		return nil, err
 	}
 	s := &Segment{Path: path, Size: info.Size()}
-	if err := s.open(f); err != nil {
+	if err := s.load(f); err != nil {
 		return nil, fmt.Errorf("%s: %w", path, err)
 	}
 	return s, nil
 }
 
-func (s *Segment) open(r io.ReaderAt) error {
-	head, err := readHead(r, 0)
+func (s *Segment) load(r io.ReaderAt) error {
+	head, err := readBlockHead(r, 0)
 	if err != nil || head.kind != blockHeader {
 		return errors.New("not a capture, or its header is damaged")
 	}
@@ -110,28 +110,28 @@
 		return fmt.Errorf("its header cannot be read: %w", err)
 	}
 	if s.Header.Major != FormatMajor {
-		return fmt.Errorf("%w: it is of version %d.%d, written by %q; this build reads version %d", ErrVersion,
+		return fmt.Errorf("%w: it is of version %d.%d, written by %q; this build reads version %d", ErrUnsupportedVersion,
 			s.Header.Major, s.Header.Minor, s.Header.Build, FormatMajor)
 	}
 	if s.readIndex(r) {
 		s.Closed = true
 		return nil
 	}
-	s.scan(r, headSize+int64(head.stored))
+	s.scanBlocks(r, blockHeadSize+int64(head.storedLength))
 	return nil
 }
 
 // readIndex takes the blocks' places from the index, if the segment has a whole
 // one.
 func (s *Segment) readIndex(r io.ReaderAt) bool {
-	if s.Size < headSize+trailSize {
+	if s.Size < blockHeadSize+trailerSize {
 		return false
 	}
-	at, ok := trailer(r, s.Size-trailSize)
-	if !ok || at < headSize || at > s.Size-trailSize-headSize {
+	at, ok := readTrailer(r, s.Size-trailerSize)
+	if !ok || at < blockHeadSize || at > s.Size-trailerSize-blockHeadSize {
 		return false
 	}
-	head, err := readHead(r, at)
+	head, err := readBlockHead(r, at)
 	if err != nil || head.kind != blockIndex || readPayload(r, at, &head) != nil {
 		return false
 	}
@@ -148,39 +148,39 @@
 	return true
 }
 
-// scan finds the blocks one after another, and says what lies between.
-func (s *Segment) scan(r io.ReaderAt, at int64) {
+// scanBlocks finds the blocks one after another, and says what lies between.
+func (s *Segment) scanBlocks(r io.ReaderAt, at int64) {
 	for at < s.Size {
-		head, err := readHead(r, at)
-		if err == nil && at+headSize+int64(head.stored) > s.Size {
-			s.Missing = append(s.Missing, Missing{Path: s.Path, Offset: at, Events: uint64(head.records), First: head.first, What: "the file ends within a block"})
+		head, err := readBlockHead(r, at)
+		if err == nil && at+blockHeadSize+int64(head.storedLength) > s.Size {
+			s.Missing = append(s.Missing, Missing{Path: s.Path, Offset: at, Events: uint64(head.recordCount), FirstEvent: head.firstRecord, Reason: "the file ends within a block"})
 			return
 		}
 		if err == nil {
 			if head.kind == blockRecords {
-				s.Blocks = append(s.Blocks, Block{at, head.first, head.at, head.checkpoint(), head.records})
+				s.Blocks = append(s.Blocks, Block{at, head.firstRecord, head.at, head.startsWithCheckpoint(), head.recordCount})
 			}
-			at += headSize + int64(head.stored)
+			at += blockHeadSize + int64(head.storedLength)
 			continue
 		}
-		if s.Size-at == trailSize {
-			if _, ok := trailer(r, at); ok {
+		if s.Size-at == trailerSize {
+			if _, ok := readTrailer(r, at); ok {
 				return // the trailer of an index that cannot be read
 			}
 		}
-		next, err := findHead(r, at+1)
+		next, err := findBlockHead(r, at+1)
 		if err != nil {
-			s.Missing = append(s.Missing, Missing{Path: s.Path, Offset: at, What: fmt.Sprintf("the last %d bytes are no whole block", s.Size-at)})
+			s.Missing = append(s.Missing, Missing{Path: s.Path, Offset: at, Reason: fmt.Sprintf("the last %d bytes are no whole block", s.Size-at)})
 			return
 		}
-		s.Missing = append(s.Missing, Missing{Path: s.Path, Offset: at, What: fmt.Sprintf("%d bytes are no block", next-at)})
+		s.Missing = append(s.Missing, Missing{Path: s.Path, Offset: at, Reason: fmt.Sprintf("%d bytes are no block", next-at)})
 		at = next
 	}
 }
 
-// Find opens the captures that the paths name: segments, and folders of them.
+// FindRuns opens the captures that the paths name: segments, and folders of them.
 // Those of one recording make a run, in order.
-func Find(paths ...string) ([]*Run, error) {
+func FindRuns(paths ...string) ([]*Run, error) {
 	var files []string
 	for _, p := range paths {
 		info, err := os.Stat(p)
@@ -191,7 +191,7 @@
 			files = append(files, p)
 			continue
 		}
-		found, err := filepath.Glob(filepath.Join(escape(p), "*"+Suffix))
+		found, err := filepath.Glob(filepath.Join(escapeGlob(p), "*"+Suffix))
 		if err != nil {
 			return nil, err
 		}
@@ -206,17 +206,17 @@
 	for _, f := range files {
 		s, err := OpenSegment(f)
 		if err != nil {
-			if errors.Is(err, ErrVersion) || len(files) == 1 {
+			if errors.Is(err, ErrUnsupportedVersion) || len(files) == 1 {
 				return nil, err
 			}
 			// Of a full disk, or a crash just as it began: the others stand.
-			damaged = append(damaged, Missing{Path: f, What: err.Error()})
+			damaged = append(damaged, Missing{Path: f, Reason: err.Error()})
 			continue
 		}
 		key := s.Header.Gateway + "\x00" + s.Header.Run
 		run := runs[key]
 		if run == nil {
-			settings, err := GetSettings(s.Header.Settings)
+			settings, err := UnmarshalSettings(s.Header.Settings)
 			if err != nil {
 				return nil, fmt.Errorf("%s: %w", f, err)
 			}
@@ -227,13 +227,13 @@
 		run.Segments = append(run.Segments, s)
 	}
 	if len(out) == 0 {
-		return nil, errors.New(damaged[0].What)
+		return nil, errors.New(damaged[0].Reason)
 	}
 	for _, m := range damaged {
 		i := max(0, slices.IndexFunc(out, func(r *Run) bool {
 			return strings.HasPrefix(filepath.Base(m.Path), r.Gateway+"-"+r.Name+"-")
 		}))
-		out[i].Damaged = append(out[i].Damaged, m)
+		out[i].Unreadable = append(out[i].Unreadable, m)
 	}
 	for _, r := range out {
 		slices.SortFunc(r.Segments, func(a, b *Segment) int { return cmp.Compare(a.Header.Segment, b.Header.Segment) })
@@ -245,8 +245,8 @@
 	return out, nil
 }
 
-// escape keeps a folder's name from being read as a pattern.
-func escape(p string) string {
+// escapeGlob keeps a folder's name from being read as a pattern.
+func escapeGlob(p string) string {
 	return strings.NewReplacer(`\`, `\\`, "*", `\*`, "?", `\?`, "[", `\[`).Replace(p)
 }
 
@@ -262,33 +262,33 @@
 // Reader reads a run's records in order. It steps over what is damaged, and
 // says so.
 type Reader struct {
-	run     *Run
-	seg     int
-	blk     int
-	file    *os.File
-	told    int // of the segment's Missing
-	dec     *zstd.Decoder
-	raw     []byte // of the block at hand, what is left of it
-	at      choice.Micros
-	number  uint64
-	next    uint64 // number of the event that should come next; 0: not known
-	left    uint32 // events left in the block at hand
-	pending *Entry
-	damaged int // of the run's Damaged, told
+	run                *Run
+	segmentPos         int
+	blockPos           int
+	file               *os.File
+	missingReported    int // of the segment's Missing
+	decoder            *zstd.Decoder
+	unread             []byte // of the block at hand, what is left of it
+	at                 choice.Micros
+	number             uint64
+	expected           uint64 // number of the event that should come next; 0: not known
+	eventsLeft         uint32 // events left in the block at hand
+	pending            *Entry
+	unreadableReported int // of the run's Damaged, told
 }
 
 // NewReader begins at the last checkpoint that is not after a time, or at the
 // first one.
 func NewReader(run *Run, from choice.Micros) (*Reader, error) {
-	dec, err := zstd.NewReader(nil, zstd.WithDecoderConcurrency(1), zstd.WithDecoderMaxMemory(maxRaw))
+	dec, err := zstd.NewReader(nil, zstd.WithDecoderConcurrency(1), zstd.WithDecoderMaxMemory(maxBlockBytes))
 	if err != nil {
 		return nil, err
 	}
-	r := &Reader{run: run, dec: dec}
+	r := &Reader{run: run, decoder: dec}
 	for i, s := range run.Segments {
 		for j, b := range s.Blocks {
 			if b.Checkpoint && b.At <= from {
-				r.seg, r.blk = i, j
+				r.segmentPos, r.blockPos = i, j
 			}
 		}
 	}
@@ -297,7 +297,7 @@
 
 // Close ends the reader.
 func (r *Reader) Close() {
-	r.dec.Close()
+	r.decoder.Close()
 	if r.file != nil {
 		r.file.Close()
 	}
@@ -311,67 +311,67 @@
 			r.pending = nil
 			return *e, nil
 		}
-		if r.damaged < len(r.run.Damaged) {
-			r.missing(r.run.Damaged[r.damaged])
-			r.damaged++
+		if r.unreadableReported < len(r.run.Unreadable) {
+			r.reportMissing(r.run.Unreadable[r.unreadableReported])
+			r.unreadableReported++
 			continue
 		}
-		if len(r.raw) > 0 {
-			return r.record()
+		if len(r.unread) > 0 {
+			return r.nextRecord()
 		}
-		if err := r.block(); err != nil {
+		if err := r.nextBlock(); err != nil {
 			return Entry{}, err
 		}
 	}
 }
 
-func (r *Reader) missing(m Missing) {
-	r.pending = &Entry{Number: r.next, At: r.at, Missing: &m}
-	if m.Events > 0 && m.First == r.next { // told now: not once more as a jump of the numbers
-		r.next += m.Events
+func (r *Reader) reportMissing(m Missing) {
+	r.pending = &Entry{Number: r.expected, At: r.at, Missing: &m}
+	if m.Events > 0 && m.FirstEvent == r.expected { // told now: not once more as a jump of the numbers
+		r.expected += m.Events
 	}
 }
 
-// record cuts the next record off the block at hand.
-func (r *Reader) record() (Entry, error) {
-	s := r.run.Segments[r.seg]
-	text, rest, err := nextRecord(r.raw)
+// nextRecord cuts the next record off the block at hand.
+func (r *Reader) nextRecord() (Entry, error) {
+	s := r.run.Segments[r.segmentPos]
+	text, rest, err := nextRecord(r.unread)
 	rec := &pb.Record{}
 	if err == nil {
 		err = proto.Unmarshal(text, rec)
 	}
 	if err != nil {
-		r.raw = nil
-		return Entry{Number: r.number, At: r.at, Missing: &Missing{Path: s.Path, Offset: s.Blocks[r.blk-1].Offset, Events: uint64(r.left), First: r.number, What: err.Error()}}, nil
+		r.unread = nil
+		return Entry{Number: r.number, At: r.at, Missing: &Missing{Path: s.Path, Offset: s.Blocks[r.blockPos-1].Offset, Events: uint64(r.eventsLeft), FirstEvent: r.number, Reason: err.Error()}}, nil
 	}
-	r.raw = rest
+	r.unread = rest
 	r.at += rec.AfterUs
 	e := Entry{Number: r.number, At: r.at, Record: rec}
 	if rec.Kind != pb.Kind_KIND_CHECKPOINT && rec.Kind != pb.Kind_KIND_GAP {
 		r.number++
-		r.next = r.number
-		r.left--
+		r.expected = r.number
+		r.eventsLeft--
 	}
 	return e, nil
 }
 
-// block goes on to the next block.
-func (r *Reader) block() error {
-	if r.seg >= len(r.run.Segments) {
+// nextBlock goes on to the next block.
+func (r *Reader) nextBlock() error {
+	if r.segmentPos >= len(r.run.Segments) {
 		return io.EOF
 	}
-	s := r.run.Segments[r.seg]
-	if r.told < len(s.Missing) && (r.blk >= len(s.Blocks) || s.Missing[r.told].Offset < s.Blocks[r.blk].Offset) {
-		r.missing(s.Missing[r.told])
-		r.told++
+	s := r.run.Segments[r.segmentPos]
+	if r.missingReported < len(s.Missing) && (r.blockPos >= len(s.Blocks) || s.Missing[r.missingReported].Offset < s.Blocks[r.blockPos].Offset) {
+		r.reportMissing(s.Missing[r.missingReported])
+		r.missingReported++
 		return nil
 	}
-	if r.blk >= len(s.Blocks) {
+	if r.blockPos >= len(s.Blocks) {
 		if r.file != nil {
 			r.file.Close()
 			r.file = nil
 		}
-		r.seg, r.blk, r.told = r.seg+1, 0, 0
+		r.segmentPos, r.blockPos, r.missingReported = r.segmentPos+1, 0, 0
 		return nil
 	}
 	if r.file == nil {
@@ -381,29 +381,29 @@
 		}
 		r.file = f
 	}
-	b := s.Blocks[r.blk]
-	r.blk++
-	head, err := readHead(r.file, b.Offset)
+	b := s.Blocks[r.blockPos]
+	r.blockPos++
+	head, err := readBlockHead(r.file, b.Offset)
 	if err == nil {
 		err = readPayload(r.file, b.Offset, &head)
 	}
 	if err == nil && head.flags&flagZstd != 0 {
-		head.payload, err = r.dec.DecodeAll(head.payload, make([]byte, 0, head.raw))
+		head.payload, err = r.decoder.DecodeAll(head.payload, make([]byte, 0, head.rawLength))
 	}
 	if err != nil {
-		r.missing(Missing{Path: s.Path, Offset: b.Offset, Events: uint64(b.Records), First: b.First, What: "a block cannot be read: " + err.Error()})
+		r.reportMissing(Missing{Path: s.Path, Offset: b.Offset, Events: uint64(b.Records), FirstEvent: b.FirstEvent, Reason: "a block cannot be read: " + err.Error()})
 		return nil
 	}
-	r.raw, r.at, r.number, r.left = head.payload, head.at, head.first, head.records
-	if r.next > 0 && head.records > 0 && head.first > r.next {
-		r.missing(Missing{Path: s.Path, Offset: b.Offset, Events: head.first - r.next, First: r.next, What: "events were not recorded before this"})
+	r.unread, r.at, r.number, r.eventsLeft = head.payload, head.at, head.firstRecord, head.recordCount
+	if r.expected > 0 && head.recordCount > 0 && head.firstRecord > r.expected {
+		r.reportMissing(Missing{Path: s.Path, Offset: b.Offset, Events: head.firstRecord - r.expected, FirstEvent: r.expected, Reason: "events were not recorded before this"})
 	}
 	return nil
 }
 
-// Copy writes what lies within a span of time into a new segment: whole blocks,
+// CopySpan writes what lies within a span of time into a new segment: whole blocks,
 // from the last checkpoint before it on. It returns the number of events.
-func Copy(run *Run, from, to choice.Micros, path string) (events uint64, err error) {
+func CopySpan(run *Run, from, to choice.Micros, path string) (events uint64, err error) {
 	r, err := NewReader(run, from)
 	if err != nil {
 		return 0, err
@@ -421,10 +421,10 @@
 			os.Remove(path)
 		}
 	}()
-	start := run.Segments[r.seg].Header
+	start := run.Segments[r.segmentPos].Header
 	header := proto.Clone(start).(*pb.Header)
 	header.Segment = 1
-	header.Run += fmt.Sprintf("-cut%d", run.Segments[r.seg].Blocks[r.blk].First) // not to be taken for the run's own
+	header.Run += fmt.Sprintf("-cut%d", run.Segments[r.segmentPos].Blocks[r.blockPos].FirstEvent) // not to be taken for the run's own
 	var index pb.Index
 	var offset int64
 	put := func(b block) error {
@@ -433,32 +433,32 @@
 		offset += int64(len(text))
 		return err
 	}
-	b, err := plainBlock(blockHeader, header.ClockUs, header)
+	b, err := messageBlock(blockHeader, header.ClockUs, header)
 	if err == nil {
 		err = put(b)
 	}
 	if err != nil {
 		return 0, err
 	}
-	for ; r.seg < len(run.Segments); r.seg, r.blk = r.seg+1, 0 {
-		s := run.Segments[r.seg]
+	for ; r.segmentPos < len(run.Segments); r.segmentPos, r.blockPos = r.segmentPos+1, 0 {
+		s := run.Segments[r.segmentPos]
 		f, err := os.Open(s.Path)
 		if err != nil {
 			return 0, err
 		}
 		defer f.Close()
-		for _, b := range s.Blocks[r.blk:] {
+		for _, b := range s.Blocks[r.blockPos:] {
 			if b.At > to {
 				continue
 			}
-			head, err := readHead(f, b.Offset)
+			head, err := readBlockHead(f, b.Offset)
 			if err == nil {
 				err = readPayload(f, b.Offset, &head)
 			}
 			if err != nil {
 				return 0, fmt.Errorf("%s: the block at %d: %w", s.Path, b.Offset, err)
 			}
-			index.Blocks = append(index.Blocks, &pb.Index_Block{Offset: uint64(offset), First: b.First, AtUs: b.At,
+			index.Blocks = append(index.Blocks, &pb.Index_Block{Offset: uint64(offset), First: b.FirstEvent, AtUs: b.At,
 				Checkpoint: b.Checkpoint, Records: b.Records})
 			index.LastUs = b.At
 			events += uint64(b.Records)
@@ -469,23 +469,23 @@
 	}
 	index.Records = events
 	at := offset
-	if b, err = plainBlock(blockIndex, index.LastUs, &index); err == nil {
+	if b, err = messageBlock(blockIndex, index.LastUs, &index); err == nil {
 		err = put(b)
 	}
 	if err != nil {
 		return 0, err
 	}
-	_, err = out.Write(appendTrail(nil, at))
+	_, err = out.Write(appendTrailer(nil, at))
 	return events, err
 }
 
-// Restore makes the module as a checkpoint of the run has it, under the settings
+// RestoreBalancer makes the module as a checkpoint of the run has it, under the settings
 // that were in force then, which it returns.
-func (r *Run) Restore(c *pb.Checkpoint, out choice.Sink) (*choice.Balancer, choice.Settings, error) {
+func (r *Run) RestoreBalancer(c *pb.Checkpoint, out choice.Sink) (*choice.Balancer, choice.Settings, error) {
 	s := r.Settings
 	if c.Settings != nil {
 		var err error
-		if s, err = GetSettings(c.Settings); err != nil {
+		if s, err = UnmarshalSettings(c.Settings); err != nil {
 			return nil, s, err
 		}
 	}
@@ -501,15 +501,15 @@
 	return n
 }
 
-// Rehead writes a segment anew with its header changed: for captures that are
+// RewriteHeader writes a segment anew with its header changed: for captures that are
 // given another name, and for tests of other versions.
-func Rehead(path, out string, change func(*pb.Header)) error {
+func RewriteHeader(path, out string, change func(*pb.Header)) error {
 	text, err := os.ReadFile(path)
 	if err != nil {
 		return err
 	}
 	r := bytes.NewReader(text)
-	head, err := readHead(r, 0)
+	head, err := readBlockHead(r, 0)
 	if err == nil {
 		err = readPayload(r, 0, &head)
 	}
@@ -520,28 +520,28 @@
 	if err != nil {
 		return fmt.Errorf("%s: %w", path, err)
 	}
-	rest := text[headSize+len(head.payload):]
+	rest := text[blockHeadSize+len(head.payload):]
 	change(&h)
-	if head, err = plainBlock(blockHeader, head.at, &h); err != nil {
+	if head, err = messageBlock(blockHeader, head.at, &h); err != nil {
 		return err
 	}
 	// Without the index, whose offsets no longer hold: the reader finds the
 	// blocks by themselves.
-	if at := bytes.LastIndex(rest, []byte(marker)); at >= 0 && bytes.HasSuffix(rest, []byte(endMarker)) {
+	if at := bytes.LastIndex(rest, []byte(blockMarker)); at >= 0 && bytes.HasSuffix(rest, []byte(indexMarker)) {
 		rest = rest[:at]
 	}
 	return os.WriteFile(out, append(head.appendTo(nil), rest...), 0o600)
 }
 
-// WithSettings is a change of a header's settings: what a module with other
+// ChangeSettings is a change of a header's settings: what a module with other
 // constants would be.
-func WithSettings(change func(*choice.Settings)) func(*pb.Header) {
+func ChangeSettings(change func(*choice.Settings)) func(*pb.Header) {
 	return func(h *pb.Header) {
-		s, err := GetSettings(h.Settings)
+		s, err := UnmarshalSettings(h.Settings)
 		if err != nil {
 			panic(err) // it was opened with them
 		}
 		change(&s)
-		h.Settings = putSettings(&s)
+		h.Settings = marshalSettings(&s)
 	}
 }
--- a/internal/capture/recorder.go
+++ b/internal/capture/recorder.go
@@ -43,11 +43,11 @@
 // by token, in the order they were set.
 type Timers map[uint64][]choice.Micros
 
-// Set enters one.
-func (t Timers) Set(at choice.Micros, token uint64) { t[token] = append(t[token], at) }
+// Add enters one.
+func (t Timers) Add(at choice.Micros, token uint64) { t[token] = append(t[token], at) }
 
-// Fired takes out the one of a token that was set first.
-func (t Timers) Fired(token uint64) {
+// Remove takes out the one of a token that was set first.
+func (t Timers) Remove(token uint64) {
 	if list := t[token]; len(list) > 1 {
 		t[token] = list[1:]
 	} else {
@@ -69,90 +69,90 @@
 // the calls of the owner.
 type Host struct {
 	Timers      func() []Timer
-	WorkerName  func(choice.ReplicaID) string // "" if it has none
+	ReplicaName func(choice.ReplicaID) string // "" if it has none
 	RequestName func(choice.RequestID) string
-	Charges     func() []contract.OpenCharge // that are not settled
+	OpenCharges func() []contract.OpenCharge // that are not settled
 }
 
 // Options of a recording.
 type Options struct {
-	Checkpoint  time.Duration
-	Block       int
-	Flush       time.Duration
-	SegmentSize int64
-	SegmentAge  time.Duration
-	Incident    incident.Settings
-	Pause       time.Duration // least time between two incidents that the recorder orders
+	CheckpointInterval time.Duration
+	BlockSize          int
+	FlushInterval      time.Duration
+	SegmentSize        int64
+	SegmentAge         time.Duration
+	Incident           incident.Settings
+	IncidentInterval   time.Duration // least time between two incidents that the recorder orders
 }
 
 // Recorder records one module. It belongs to the module's owner.
 type Recorder struct {
-	b    *choice.Balancer
-	out  choice.Sink // where the module's orders go
-	to   *Writer
-	host Host
-	o    Options
-
-	now       choice.Micros
-	seq       uint64 // number of the last event
-	buf       []byte // the block being filled
-	first     uint64 // number of its first event
-	events    uint32
-	startedAt choice.Micros // when the block was begun
-	lastAt    choice.Micros
-	flags     uint8
-	marked    choice.Micros // when the last checkpoint was made
-	segmentAt choice.Micros
-	gap       *gap // records are being lost
-	watch     *incident.Detector
-	saveAfter string        // an incident to keep once the call is recorded
-	changed   bool          // the settings in force are not those that the run began with
-	savedAt   choice.Micros // when that was last ordered by itself
-	firing    *Timer        // the one that is about to be told: it is not pending with the host any more
-
-	rec       pb.Record
-	arrival   pb.Arrival
-	outcome   pb.Outcome
-	report    pb.Report
-	actions   []*pb.Action // those of rec are the first of these
-	recording bool         // a call is being recorded
-	within    bool         // a call is going on, recorded or not
-	nested    []*pb.Record // of the book, within the module's call
-
-	book     *contract.Ledger    // nil: no contracts
-	agreed   []byte              // the contracts in force, for checkpoints
-	settling contract.OpenCharge // the charge that is being settled
-	marshal  proto.MarshalOptions
+	balancer *choice.Balancer
+	sink     choice.Sink // where the module's orders go
+	writer   *Writer
+	host     Host
+	options  Options
+
+	now              choice.Micros
+	lastEvent        uint64 // number of the last event
+	blockBuffer      []byte // the block being filled
+	blockFirstEvent  uint64 // number of its first event
+	blockEvents      uint32
+	blockStartedAt   choice.Micros // when the block was begun
+	lastRecordAt     choice.Micros
+	blockFlags       uint8
+	checkpointedAt   choice.Micros // when the last checkpoint was made
+	segmentStartedAt choice.Micros
+	gap              *gap // records are being lost
+	incidentWatch    *incident.Detector
+	pendingIncident  string        // an incident to keep once the call is recorded
+	settingsChanged  bool          // the settings in force are not those that the run began with
+	incidentSavedAt  choice.Micros // when that was last ordered by itself
+	firingTimer      *Timer        // the one that is about to be told: it is not pending with the host any more
+
+	current       pb.Record
+	arrival       pb.Arrival
+	outcome       pb.Outcome
+	report        pb.Report
+	actions       []*pb.Action // those of rec are the first of these
+	recording     bool         // a call is being recorded
+	inCall        bool         // a call is going on, recorded or not
+	nestedRecords []*pb.Record // of the book, within the module's call
+
+	ledger         *contract.Ledger    // nil: no contracts
+	agreement      []byte              // the contracts in force, for checkpoints
+	settlingCharge contract.OpenCharge // the charge that is being settled
+	marshalOptions proto.MarshalOptions
 }
 
 type gap struct {
-	reason  string
-	from    choice.Micros
-	retryAt choice.Micros
-	events  uint64
-	actions uint64
+	reason    string
+	startedAt choice.Micros
+	retryAt   choice.Micros
+	events    uint64
+	actions   uint64
 }
 
-// retryEvery is how long a recorder waits before it tries a failed disk again.
-const retryEvery choice.Micros = 1_000_000
+// diskRetryInterval is how long a recorder waits before it tries a failed disk again.
+const diskRetryInterval choice.Micros = 1_000_000
 
-// Record puts a recorder before a module whose orders go to a sink; the owner
+// NewRecorder puts a recorder before a module whose orders go to a sink; the owner
 // calls the recorder from here on in place of the module. The first thing in the
 // capture is a checkpoint.
-func Record(now choice.Micros, b *choice.Balancer, book *contract.Ledger, out choice.Sink, to *Writer, host Host, o Options) *Recorder {
-	r := &Recorder{b: b, out: out, to: to, host: host, o: o, now: now, segmentAt: now}
-	r.setBook(book)
-	if host.WorkerName == nil {
-		r.host.WorkerName = func(choice.ReplicaID) string { return "" }
+func NewRecorder(now choice.Micros, b *choice.Balancer, book *contract.Ledger, out choice.Sink, to *Writer, host Host, o Options) *Recorder {
+	r := &Recorder{balancer: b, sink: out, writer: to, host: host, options: o, now: now, segmentStartedAt: now}
+	r.setLedger(book)
+	if host.ReplicaName == nil {
+		r.host.ReplicaName = func(choice.ReplicaID) string { return "" }
 	}
 	if host.RequestName == nil {
 		r.host.RequestName = func(choice.RequestID) string { return "" }
 	}
 	if o.Incident.Enabled() {
-		r.watch = incident.New(o.Incident, b.Settings())
+		r.incidentWatch = incident.New(o.Incident, b.Settings())
 	}
 	b.SetSink(r)
-	r.checkpoint(true, nil)
+	r.writeCheckpoint(true, nil)
 	return r
 }
 
@@ -160,65 +160,65 @@
 // be closed after it.
 func (r *Recorder) Close() {
 	r.flush()
-	r.b.SetSink(r.out)
+	r.balancer.SetSink(r.sink)
 }
 
-// Save orders that the last minutes be kept as an incident. The writer answers
+// SaveIncident orders that the last minutes be kept as an incident. The writer answers
 // on done, which must have room.
-func (r *Recorder) Save(now choice.Micros, reason string, done chan<- Saved) {
+func (r *Recorder) SaveIncident(now choice.Micros, reason string, done chan<- SavedIncident) {
 	r.now = max(r.now, now)
 	// A new segment, so that the old one is whole and closed.
 	if r.flush(); r.gap == nil {
-		r.checkpoint(true, nil)
+		r.writeCheckpoint(true, nil)
 	}
-	if !r.to.order(order{save: reason, done: done}) && done != nil {
-		done <- Saved{Err: errQueueFull}
+	if !r.writer.enqueue(writerTask{incidentReason: reason, done: done}) && done != nil {
+		done <- SavedIncident{Err: errQueueFull}
 	}
 }
 
-// begin readies the record of one call and tells whether it is recorded.
-func (r *Recorder) begin(now choice.Micros, kind pb.Kind) bool {
+// beginRecord readies the record of one call and tells whether it is recorded.
+func (r *Recorder) beginRecord(now choice.Micros, kind pb.Kind) bool {
 	r.now = now
-	r.seq++
-	r.within = true
-	if why := r.to.broken(); why != "" && r.gap == nil {
-		r.lose(why)
+	r.lastEvent++
+	r.inCall = true
+	if why := r.writer.failureReason(); why != "" && r.gap == nil {
+		r.startGap(why)
 	}
-	if r.gap != nil && !r.resume() {
+	if r.gap != nil && !r.tryEndGap() {
 		r.gap.events++
 		return false
 	}
 	micros := func(d time.Duration) choice.Micros { return d.Microseconds() }
 	switch {
-	case now-r.segmentAt >= micros(r.o.SegmentAge) || r.to.segmentSize() >= r.o.SegmentSize:
-		r.checkpoint(true, nil)
-	case now-r.marked >= micros(r.o.Checkpoint):
-		r.checkpoint(false, nil)
-	case len(r.buf) > 0 && now-r.startedAt >= micros(r.o.Flush):
+	case now-r.segmentStartedAt >= micros(r.options.SegmentAge) || r.writer.segmentSize() >= r.options.SegmentSize:
+		r.writeCheckpoint(true, nil)
+	case now-r.checkpointedAt >= micros(r.options.CheckpointInterval):
+		r.writeCheckpoint(false, nil)
+	case len(r.blockBuffer) > 0 && now-r.blockStartedAt >= micros(r.options.FlushInterval):
 		r.flush()
 	}
 	if r.gap != nil {
 		r.gap.events++
 		return false
 	}
-	r.fresh(kind)
+	r.resetRecord(kind)
 	r.recording = true
 	return true
 }
 
-// fresh empties the record, which is used again and again, for another of a kind.
-func (r *Recorder) fresh(kind pb.Kind) {
-	r.rec.Kind = kind
-	r.rec.Request, r.rec.Token, r.rec.Peer = 0, 0, 0
-	r.rec.Arrival, r.rec.Outcome, r.rec.List, r.rec.Body, r.rec.Settings = nil, nil, nil, nil, nil
-	r.rec.Checkpoint, r.rec.Gap = nil, nil
-	r.rec.Agreed, r.rec.Charged, r.rec.Settled, r.rec.Parts, r.rec.Kept, r.rec.Turned = nil, nil, nil, nil, nil, nil
-	r.rec.Actions = r.actions[:0]
+// resetRecord empties the record, which is used again and again, for another of a kind.
+func (r *Recorder) resetRecord(kind pb.Kind) {
+	r.current.Kind = kind
+	r.current.Request, r.current.Token, r.current.Peer = 0, 0, 0
+	r.current.Arrival, r.current.Outcome, r.current.List, r.current.Body, r.current.Settings = nil, nil, nil, nil, nil
+	r.current.Checkpoint, r.current.Gap = nil, nil
+	r.current.Agreed, r.current.Charged, r.current.Settled, r.current.Parts, r.current.Kept, r.current.Turned = nil, nil, nil, nil, nil, nil
+	r.current.Actions = r.actions[:0]
 }
 
-// end puts the record of a call into the block, if it is recorded.
-func (r *Recorder) end(rec bool) {
-	if r.within = false; rec {
+// endRecord puts the record of a call into the block, if it is recorded.
+func (r *Recorder) endRecord(rec bool) {
+	if r.inCall = false; rec {
 		r.commit()
 	}
 }
@@ -227,370 +227,370 @@
 // call after it.
 func (r *Recorder) commit() {
 	r.recording = false
-	r.put(&r.rec)
-	for i, n := range r.nested {
-		r.seq++
+	r.addRecord(&r.current)
+	for i, n := range r.nestedRecords {
+		r.lastEvent++
 		if r.gap != nil {
 			r.gap.events++
 		} else {
-			r.put(n)
+			r.addRecord(n)
 		}
-		r.nested[i] = nil
+		r.nestedRecords[i] = nil
 	}
-	if r.nested = r.nested[:0]; r.gap != nil {
+	if r.nestedRecords = r.nestedRecords[:0]; r.gap != nil {
 		return
 	}
-	if len(r.rec.Actions) > maxKeptActions {
+	if len(r.current.Actions) > maxReusedActions {
 		r.actions = nil
 	}
-	if r.saveAfter != "" {
-		reason := r.saveAfter
-		r.saveAfter = ""
+	if r.pendingIncident != "" {
+		reason := r.pendingIncident
+		r.pendingIncident = ""
 		// Each begins a new segment: not more often than they are kept.
-		if r.savedAt == 0 || r.now-r.savedAt >= r.o.Pause.Microseconds() {
-			r.savedAt = r.now
-			r.Save(r.now, reason, nil)
+		if r.incidentSavedAt == 0 || r.now-r.incidentSavedAt >= r.options.IncidentInterval.Microseconds() {
+			r.incidentSavedAt = r.now
+			r.SaveIncident(r.now, reason, nil)
 		}
 	}
 }
 
-// maxKeptActions is how many actions of one call are kept for reuse.
-const maxKeptActions = 4096
+// maxReusedActions is how many actions of one call are kept for reuse.
+const maxReusedActions = 4096
 
-// put adds one record to the block and hands a full one over.
-func (r *Recorder) put(rec *pb.Record) {
-	if r.append(rec); r.gap != nil {
+// addRecord adds one record to the block and hands a full one over.
+func (r *Recorder) addRecord(rec *pb.Record) {
+	if r.encodeRecord(rec); r.gap != nil {
 		return
 	}
-	if r.events == 0 {
-		r.first = r.seq
+	if r.blockEvents == 0 {
+		r.blockFirstEvent = r.lastEvent
 	}
-	if r.events++; len(r.buf) >= r.o.Block {
+	if r.blockEvents++; len(r.blockBuffer) >= r.options.BlockSize {
 		r.flush()
 	}
 }
 
-func (r *Recorder) append(rec *pb.Record) {
-	if len(r.buf) == 0 {
-		if r.buf == nil {
-			r.buf = r.to.buffer(r.o.Block)
+func (r *Recorder) encodeRecord(rec *pb.Record) {
+	if len(r.blockBuffer) == 0 {
+		if r.blockBuffer == nil {
+			r.blockBuffer = r.writer.takeBuffer(r.options.BlockSize)
 		}
-		r.startedAt, r.lastAt = r.now, r.now
+		r.blockStartedAt, r.lastRecordAt = r.now, r.now
 	}
-	rec.AfterUs = r.now - r.lastAt
-	r.lastAt = r.now
-	at := len(r.buf)
-	r.buf = append(r.buf, 0, 0, 0, 0)
+	rec.AfterUs = r.now - r.lastRecordAt
+	r.lastRecordAt = r.now
+	at := len(r.blockBuffer)
+	r.blockBuffer = append(r.blockBuffer, 0, 0, 0, 0)
 	var err error
-	if r.buf, err = r.marshal.MarshalAppend(r.buf, rec); err != nil {
-		r.buf = r.buf[:at]
-		r.lose("a record cannot be put into form: " + err.Error())
+	if r.blockBuffer, err = r.marshalOptions.MarshalAppend(r.blockBuffer, rec); err != nil {
+		r.blockBuffer = r.blockBuffer[:at]
+		r.startGap("a record cannot be put into form: " + err.Error())
 		return
 	}
-	binary.LittleEndian.PutUint32(r.buf[at:], uint32(len(r.buf)-at-4))
+	binary.LittleEndian.PutUint32(r.blockBuffer[at:], uint32(len(r.blockBuffer)-at-4))
 }
 
 // flush hands the block over.
 func (r *Recorder) flush() {
-	if len(r.buf) == 0 {
+	if len(r.blockBuffer) == 0 {
 		return
 	}
-	b := block{kind: blockRecords, flags: r.flags, records: r.events, raw: uint32(len(r.buf)), first: r.first, at: r.startedAt, payload: r.buf}
-	lost := r.events
-	r.buf, r.events, r.flags = nil, 0, 0
-	if !r.to.order(order{block: b}) && r.gap == nil {
-		r.lose("the queue to the disk is full")
+	b := block{kind: blockRecords, flags: r.blockFlags, recordCount: r.blockEvents, rawLength: uint32(len(r.blockBuffer)), firstRecord: r.blockFirstEvent, at: r.blockStartedAt, payload: r.blockBuffer}
+	lost := r.blockEvents
+	r.blockBuffer, r.blockEvents, r.blockFlags = nil, 0, 0
+	if !r.writer.enqueue(writerTask{block: b}) && r.gap == nil {
+		r.startGap("the queue to the disk is full")
 		r.gap.events += uint64(lost)
 	}
 }
 
-// lose begins a gap: what is in the block goes with it, for a replay could not
+// startGap begins a gap: what is in the block goes with it, for a replay could not
 // reach it.
-func (r *Recorder) lose(reason string) {
-	r.gap = &gap{reason: reason, from: r.now, retryAt: r.now + retryEvery, events: uint64(r.events)}
-	if r.buf != nil {
-		r.to.giveBack(r.buf)
+func (r *Recorder) startGap(reason string) {
+	r.gap = &gap{reason: reason, startedAt: r.now, retryAt: r.now + diskRetryInterval, events: uint64(r.blockEvents)}
+	if r.blockBuffer != nil {
+		r.writer.returnBuffer(r.blockBuffer)
 	}
-	r.buf, r.events, r.flags = nil, 0, 0
-	r.to.noteGap(reason)
+	r.blockBuffer, r.blockEvents, r.blockFlags = nil, 0, 0
+	r.writer.logGap(reason)
 }
 
-// resume tries to end a gap, at most once in a while.
-func (r *Recorder) resume() bool {
-	if r.now < r.gap.retryAt || !r.to.room() {
+// tryEndGap tries to end a gap, at most once in a while.
+func (r *Recorder) tryEndGap() bool {
+	if r.now < r.gap.retryAt || !r.writer.hasRoom() {
 		return false
 	}
 	g := r.gap
 	r.gap = nil
-	r.to.mend()
-	if r.checkpoint(true, g); r.gap != nil { // no better: the same gap goes on
+	r.writer.clearFailure()
+	if r.writeCheckpoint(true, g); r.gap != nil { // no better: the same gap goes on
 		g.retryAt = r.gap.retryAt
 		r.gap = g
 		return false
 	}
-	r.to.mended(g.events)
+	r.writer.logResumed(g.events)
 	return true
 }
 
-// checkpoint puts the module's whole state into a block of its own beginning, in
+// writeCheckpoint puts the module's whole state into a block of its own beginning, in
 // a new segment or the one at hand; before it, if there was one, word of a gap.
-func (r *Recorder) checkpoint(newSegment bool, after *gap) {
+func (r *Recorder) writeCheckpoint(newSegment bool, after *gap) {
 	r.flush()
 	if r.gap != nil {
 		return
 	}
 	if newSegment {
-		if !r.to.order(order{header: r.header()}) {
-			r.lose("the queue to the disk is full")
+		if !r.writer.enqueue(writerTask{header: r.newHeader()}) {
+			r.startGap("the queue to the disk is full")
 			return
 		}
-		r.segmentAt = r.now
+		r.segmentStartedAt = r.now
 	}
-	r.flags = flagCheckpoint
-	r.first = r.seq
+	r.blockFlags = flagCheckpoint
+	r.blockFirstEvent = r.lastEvent
 	if after != nil {
-		r.fresh(pb.Kind_KIND_GAP)
-		r.rec.Gap = &pb.Gap{Events: after.events, Actions: after.actions, FromUs: after.from, Reason: after.reason}
-		r.append(&r.rec)
+		r.resetRecord(pb.Kind_KIND_GAP)
+		r.current.Gap = &pb.Gap{Events: after.events, Actions: after.actions, FromUs: after.startedAt, Reason: after.reason}
+		r.encodeRecord(&r.current)
 	}
-	c := &pb.Checkpoint{State: r.b.Snapshot()}
-	if r.changed {
-		s := r.b.Settings()
-		c.Settings = putSettings(&s)
+	c := &pb.Checkpoint{State: r.balancer.Snapshot()}
+	if r.settingsChanged {
+		s := r.balancer.Settings()
+		c.Settings = marshalSettings(&s)
 	}
 	if r.host.Timers != nil {
 		for _, t := range r.host.Timers() {
 			c.Timers = append(c.Timers, &pb.Timer{AtUs: t.At, Token: t.Token})
 		}
 	}
-	if t := r.firing; t != nil {
+	if t := r.firingTimer; t != nil {
 		c.Timers = append(c.Timers, &pb.Timer{AtUs: t.At, Token: t.Token})
 	}
-	for _, w := range r.b.Endpoints() {
-		if name := text(r.host.WorkerName(w.Replica)); name != "" {
+	for _, w := range r.balancer.Endpoints() {
+		if name := sanitizeName(r.host.ReplicaName(w.Replica)); name != "" {
 			c.Workers = append(c.Workers, &pb.Name{Id: uint32(w.Replica), Name: name})
 		}
 	}
-	for _, id := range r.b.InFlightRequests() {
-		if name := text(r.host.RequestName(id)); name != "" {
+	for _, id := range r.balancer.InFlightRequests() {
+		if name := sanitizeName(r.host.RequestName(id)); name != "" {
 			c.Requests = append(c.Requests, &pb.Name{Id: uint32(id), Name: name})
 		}
 	}
-	r.putBook(c)
-	r.fresh(pb.Kind_KIND_CHECKPOINT)
-	r.rec.Checkpoint = c
-	r.append(&r.rec)
-	r.rec.Checkpoint = nil // its state need not be held till the next record
-	r.marked = r.now
+	r.addLedgerState(c)
+	r.resetRecord(pb.Kind_KIND_CHECKPOINT)
+	r.current.Checkpoint = c
+	r.encodeRecord(&r.current)
+	r.current.Checkpoint = nil // its state need not be held till the next record
+	r.checkpointedAt = r.now
 	// Handed over with the records that follow it, or by itself.
 }
 
-func (r *Recorder) header() *pb.Header {
-	s := r.b.Settings()
-	return &pb.Header{Major: FormatMajor, Minor: FormatMinor, Settings: putSettings(&s), ClockUs: r.now, WallUs: time.Now().UnixMicro()}
+func (r *Recorder) newHeader() *pb.Header {
+	s := r.balancer.Settings()
+	return &pb.Header{Major: FormatMajor, Minor: FormatMinor, Settings: marshalSettings(&s), ClockUs: r.now, WallUs: time.Now().UnixMicro()}
 }
 
 // The calls.
 
 func (r *Recorder) Start(now choice.Micros) {
-	rec := r.begin(now, pb.Kind_KIND_START)
-	r.b.Start(now)
-	r.end(rec)
+	rec := r.beginRecord(now, pb.Kind_KIND_START)
+	r.balancer.Start(now)
+	r.endRecord(rec)
 }
 
 func (r *Recorder) ListChanged(now choice.Micros, l choice.EndpointList) {
-	rec := r.begin(now, pb.Kind_KIND_LIST)
+	rec := r.beginRecord(now, pb.Kind_KIND_LIST)
 	if rec {
-		r.rec.List = putList(&l, r.host.WorkerName)
+		r.current.List = endpointListToProto(&l, r.host.ReplicaName)
 	}
-	if r.watch != nil {
-		r.watch.ListChanged(now, l)
+	if r.incidentWatch != nil {
+		r.incidentWatch.ListChanged(now, l)
 	}
-	r.b.ListChanged(now, l)
-	r.end(rec)
+	r.balancer.ListChanged(now, l)
+	r.endRecord(rec)
 }
 
 func (r *Recorder) RequestArrived(now choice.Micros, in choice.Request) {
-	rec := r.begin(now, pb.Kind_KIND_ARRIVED)
+	rec := r.beginRecord(now, pb.Kind_KIND_ARRIVED)
 	if rec {
-		r.rec.Request = uint32(in.ID)
-		r.rec.Arrival = putArrival(&r.arrival, &in, r.host.RequestName(in.ID))
+		r.current.Request = uint32(in.ID)
+		r.current.Arrival = arrivalToProto(&r.arrival, &in, r.host.RequestName(in.ID))
 	}
-	if r.watch != nil {
-		r.watch.RequestArrived(now, in)
+	if r.incidentWatch != nil {
+		r.incidentWatch.RequestArrived(now, in)
 	}
-	r.b.RequestArrived(now, in)
-	r.end(rec)
+	r.balancer.RequestArrived(now, in)
+	r.endRecord(rec)
 }
 
 func (r *Recorder) FirstToken(now choice.Micros, o choice.Outcome) {
-	rec := r.begin(now, pb.Kind_KIND_FIRST)
+	rec := r.beginRecord(now, pb.Kind_KIND_FIRST)
 	if rec {
-		r.rec.Request, r.rec.Outcome = uint32(o.ID), putOutcome(&r.outcome, &r.report, &o)
+		r.current.Request, r.current.Outcome = uint32(o.ID), outcomeToProto(&r.outcome, &r.report, &o)
 	}
-	if r.watch != nil {
-		r.note(r.watch.FirstToken(now, o))
+	if r.incidentWatch != nil {
+		r.noteIncident(r.incidentWatch.FirstToken(now, o))
 	}
-	r.b.FirstToken(now, o)
-	r.end(rec)
+	r.balancer.FirstToken(now, o)
+	r.endRecord(rec)
 }
 
 func (r *Recorder) AttemptEnded(now choice.Micros, o choice.Outcome) {
-	rec := r.begin(now, pb.Kind_KIND_ENDED)
+	rec := r.beginRecord(now, pb.Kind_KIND_ENDED)
 	if rec {
-		r.rec.Request, r.rec.Outcome = uint32(o.ID), putOutcome(&r.outcome, &r.report, &o)
+		r.current.Request, r.current.Outcome = uint32(o.ID), outcomeToProto(&r.outcome, &r.report, &o)
 	}
-	if r.watch != nil {
-		r.note(r.watch.AttemptEnded(now, o))
+	if r.incidentWatch != nil {
+		r.noteIncident(r.incidentWatch.AttemptEnded(now, o))
 	}
-	r.b.AttemptEnded(now, o)
-	r.end(rec)
+	r.balancer.AttemptEnded(now, o)
+	r.endRecord(rec)
 }
 
 func (r *Recorder) ClientGone(now choice.Micros, id choice.RequestID) {
-	rec := r.begin(now, pb.Kind_KIND_LEFT)
+	rec := r.beginRecord(now, pb.Kind_KIND_LEFT)
 	if rec {
-		r.rec.Request = uint32(id)
+		r.current.Request = uint32(id)
 	}
-	if r.watch != nil {
-		r.note(r.watch.ClientGone(now, id))
+	if r.incidentWatch != nil {
+		r.noteIncident(r.incidentWatch.ClientGone(now, id))
 	}
-	r.b.ClientGone(now, id)
-	r.end(rec)
+	r.balancer.ClientGone(now, id)
+	r.endRecord(rec)
 }
 
 func (r *Recorder) TimerFired(now choice.Micros, token uint64) {
-	r.firing = &Timer{now, token}
-	rec := r.begin(now, pb.Kind_KIND_TIMER)
-	r.firing = nil
+	r.firingTimer = &Timer{now, token}
+	rec := r.beginRecord(now, pb.Kind_KIND_TIMER)
+	r.firingTimer = nil
 	if rec {
-		r.rec.Token = token
+		r.current.Token = token
 	}
-	r.b.TimerFired(now, token)
-	r.end(rec)
+	r.balancer.TimerFired(now, token)
+	r.endRecord(rec)
 }
 
 func (r *Recorder) HealthCheckEnded(now choice.Micros, o choice.Outcome) {
-	rec := r.begin(now, pb.Kind_KIND_PROBED)
+	rec := r.beginRecord(now, pb.Kind_KIND_PROBED)
 	if rec {
-		r.rec.Outcome = putOutcome(&r.outcome, &r.report, &o)
+		r.current.Outcome = outcomeToProto(&r.outcome, &r.report, &o)
 	}
-	r.b.HealthCheckEnded(now, o)
-	r.end(rec)
+	r.balancer.HealthCheckEnded(now, o)
+	r.endRecord(rec)
 }
 
 func (r *Recorder) PeerMessage(now choice.Micros, from int, body []byte) {
-	rec := r.begin(now, pb.Kind_KIND_MESSAGE)
+	rec := r.beginRecord(now, pb.Kind_KIND_MESSAGE)
 	if rec {
-		r.rec.Peer, r.rec.Body = uint32(from), body
+		r.current.Peer, r.current.Body = uint32(from), body
 	}
-	r.b.PeerMessage(now, from, body)
-	r.end(rec)
+	r.balancer.PeerMessage(now, from, body)
+	r.endRecord(rec)
 }
 
 func (r *Recorder) Reconfigure(now choice.Micros, s choice.Settings) error {
-	rec := r.begin(now, pb.Kind_KIND_RECONFIGURE)
+	rec := r.beginRecord(now, pb.Kind_KIND_RECONFIGURE)
 	if rec {
-		r.rec.Settings = putSettings(&s)
+		r.current.Settings = marshalSettings(&s)
 	}
-	err := r.b.Reconfigure(now, s)
+	err := r.balancer.Reconfigure(now, s)
 	if err == nil {
-		r.changed = true
-		if r.watch != nil {
-			r.watch.Reconfigured(s)
+		r.settingsChanged = true
+		if r.incidentWatch != nil {
+			r.incidentWatch.Reconfigured(s)
 		}
 	}
-	r.end(rec)
+	r.endRecord(rec)
 	return err
 }
 
-// note keeps the reason of an incident until the call is recorded whole.
-func (r *Recorder) note(reason string) {
-	if reason != "" && r.saveAfter == "" && r.gap == nil {
-		r.saveAfter = reason
+// noteIncident keeps the reason of an incident until the call is recorded whole.
+func (r *Recorder) noteIncident(reason string) {
+	if reason != "" && r.pendingIncident == "" && r.gap == nil {
+		r.pendingIncident = reason
 	}
 }
 
 // The orders: choice.Sink.
 
-func (r *Recorder) order(kind pb.Action_Kind) *pb.Action {
+func (r *Recorder) addAction(kind pb.Action_Kind) *pb.Action {
 	if !r.recording {
 		if r.gap != nil {
 			r.gap.actions++
 		}
 		return nil
 	}
-	n := len(r.rec.Actions)
+	n := len(r.current.Actions)
 	if n == len(r.actions) {
 		r.actions = append(r.actions, &pb.Action{})
 	}
 	a := r.actions[n]
-	r.rec.Actions = r.actions[:n+1]
+	r.current.Actions = r.actions[:n+1]
 	a.Kind, a.Request, a.Worker, a.AtUs, a.Attempt, a.Token, a.Body = kind, 0, 0, 0, 0, 0, nil
 	return a
 }
 
 func (r *Recorder) Dispatch(id choice.RequestID, to choice.ReplicaID, cutAt choice.Micros) {
-	if a := r.order(pb.Action_DISPATCH); a != nil {
+	if a := r.addAction(pb.Action_DISPATCH); a != nil {
 		a.Request, a.Worker, a.AtUs = uint32(id), uint32(to), cutAt
 	}
-	if r.watch != nil {
-		r.note(r.watch.Dispatched(r.now, id, to))
+	if r.incidentWatch != nil {
+		r.noteIncident(r.incidentWatch.Dispatched(r.now, id, to))
 	}
-	r.out.Dispatch(id, to, cutAt)
+	r.sink.Dispatch(id, to, cutAt)
 }
 
 func (r *Recorder) Shed(id choice.RequestID, retryAfter choice.Micros) {
-	if a := r.order(pb.Action_REFUSE); a != nil {
+	if a := r.addAction(pb.Action_REFUSE); a != nil {
 		a.Request, a.AtUs = uint32(id), retryAfter
 	}
-	if r.watch != nil {
-		r.note(r.watch.RequestFailed(r.now, id))
+	if r.incidentWatch != nil {
+		r.noteIncident(r.incidentWatch.RequestFailed(r.now, id))
 	}
-	r.out.Shed(id, retryAfter)
+	r.sink.Shed(id, retryAfter)
 }
 
 func (r *Recorder) Fail(id choice.RequestID) {
-	if a := r.order(pb.Action_FAIL); a != nil {
+	if a := r.addAction(pb.Action_FAIL); a != nil {
 		a.Request = uint32(id)
 	}
-	if r.watch != nil {
-		r.note(r.watch.RequestFailed(r.now, id))
+	if r.incidentWatch != nil {
+		r.noteIncident(r.incidentWatch.RequestFailed(r.now, id))
 	}
-	r.out.Fail(id)
+	r.sink.Fail(id)
 }
 
 func (r *Recorder) Cancel(id choice.RequestID, attempt int) {
-	if a := r.order(pb.Action_CANCEL); a != nil {
+	if a := r.addAction(pb.Action_CANCEL); a != nil {
 		a.Request, a.Attempt = uint32(id), uint32(attempt)
 	}
-	r.out.Cancel(id, attempt)
+	r.sink.Cancel(id, attempt)
 }
 
 func (r *Recorder) SetTimer(delay choice.Micros, token uint64) {
-	if a := r.order(pb.Action_SET_TIMER); a != nil {
+	if a := r.addAction(pb.Action_SET_TIMER); a != nil {
 		a.AtUs, a.Token = delay, token
 	}
-	r.out.SetTimer(delay, token)
+	r.sink.SetTimer(delay, token)
 }
 
 func (r *Recorder) HealthCheck(to choice.ReplicaID) {
-	if a := r.order(pb.Action_PROBE); a != nil {
+	if a := r.addAction(pb.Action_PROBE); a != nil {
 		a.Worker = uint32(to)
 	}
-	r.out.HealthCheck(to)
+	r.sink.HealthCheck(to)
 }
 
 func (r *Recorder) Gossip(body []byte) {
-	if a := r.order(pb.Action_TELL_PEERS); a != nil {
+	if a := r.addAction(pb.Action_TELL_PEERS); a != nil {
 		a.Body = body
 	}
-	r.out.Gossip(body)
+	r.sink.Gossip(body)
 }
 
 func (r *Recorder) WatchDiscovery() {
-	r.order(pb.Action_WATCH_REGISTRY)
-	r.out.WatchDiscovery()
+	r.addAction(pb.Action_WATCH_REGISTRY)
+	r.sink.WatchDiscovery()
 }
 
 // Stats of a recording, for the log and for tests.
--- a/internal/capture/recorder_test.go
+++ b/internal/capture/recorder_test.go
@@ -8,21 +8,21 @@
 	"archknot/internal/incident"
 )
 
-type nowhere struct{ timers int }
+type discardSink struct{ timers int }
 
-func (n *nowhere) Dispatch(choice.RequestID, choice.ReplicaID, choice.Micros) {}
-func (n *nowhere) Shed(choice.RequestID, choice.Micros)                       {}
-func (n *nowhere) Fail(choice.RequestID)                                      {}
-func (n *nowhere) Cancel(choice.RequestID, int)                               {}
-func (n *nowhere) SetTimer(choice.Micros, uint64)                             { n.timers++ }
-func (n *nowhere) HealthCheck(choice.ReplicaID)                               {}
-func (n *nowhere) Gossip([]byte)                                              {}
-func (n *nowhere) WatchDiscovery()                                            {}
+func (n *discardSink) Dispatch(choice.RequestID, choice.ReplicaID, choice.Micros) {}
+func (n *discardSink) Shed(choice.RequestID, choice.Micros)                       {}
+func (n *discardSink) Fail(choice.RequestID)                                      {}
+func (n *discardSink) Cancel(choice.RequestID, int)                               {}
+func (n *discardSink) SetTimer(choice.Micros, uint64)                             { n.timers++ }
+func (n *discardSink) HealthCheck(choice.ReplicaID)                               {}
+func (n *discardSink) Gossip([]byte)                                              {}
+func (n *discardSink) WatchDiscovery()                                            {}
 
-func module(tb testing.TB) *choice.Balancer {
+func newTestBalancer(tb testing.TB) *choice.Balancer {
 	b, err := choice.New(choice.Settings{Gateways: 3, Zone: "a", MaxAttempts: 3, Tick: 2000, MayCancel: true, MayHedge: true,
 		ReportSource: choice.ReportInline, StreamsPerConn: 1, ConnIdleTimeout: 60e6,
-		Classes: []choice.Class{{Name: "chat", LatencyObjective: 1e6, TokenObjective: 50_000, Deadline: 4e6, PriorityWeight: 1, Streaming: true}}}, 3, &nowhere{})
+		Classes: []choice.Class{{Name: "chat", LatencyObjective: 1e6, TokenObjective: 50_000, Deadline: 4e6, PriorityWeight: 1, Streaming: true}}}, 3, &discardSink{})
 	if err != nil {
 		tb.Fatal(err)
 	}
@@ -35,9 +35,9 @@
 	return b
 }
 
-// life tells a module one request's four events: arrival, first token, end, and
+// driveRequest tells a module one request's four events: arrival, first token, end, and
 // a timer that comes too late to matter.
-func life(m Module, i int, now choice.Micros) {
+func driveRequest(m Module, i int, now choice.Micros) {
 	id := choice.RequestID(i)
 	m.RequestArrived(now, choice.Request{ID: id, Class: "chat", Tenant: "island-tax", TimeLeft: 4e6, PromptTokens: 900 + i%300, MaxTokens: 200,
 		Session: uint64(i%700) + 1, Prefix: uint64(i%12) + 1})
@@ -52,28 +52,28 @@
 // BenchmarkModule and BenchmarkRecorded tell what recording adds to an event, on
 // the loop's side: the difference, by four events each.
 func BenchmarkModule(b *testing.B) {
-	m := module(b)
+	m := newTestBalancer(b)
 	i := 0
 	for b.Loop() {
 		i++
-		life(m, i, choice.Micros(i)*1_000_000)
+		driveRequest(m, i, choice.Micros(i)*1_000_000)
 	}
 	b.ReportMetric(float64(b.Elapsed().Nanoseconds())/float64(b.N)/4, "ns/event")
 }
 
 func BenchmarkRecorded(b *testing.B) {
-	w, err := NewWriter(Limits{Directory: b.TempDir(), Gateway: "g", Wait: true, Queue: 8, KeepSize: 32 << 20, KeepAge: time.Hour})
+	w, err := NewWriter(WriterOptions{Directory: b.TempDir(), Gateway: "g", BlockWhenFull: true, QueueLength: 8, MaxBytes: 32 << 20, MaxAge: time.Hour})
 	if err != nil {
 		b.Fatal(err)
 	}
-	m := module(b)
-	r := Record(1000, m, nil, &nowhere{}, w, Host{RequestName: func(choice.RequestID) string { return "9b1f03aa5c7e2d41" }},
-		Options{Checkpoint: 24 * time.Hour, Block: 32 << 10, Flush: 24 * time.Hour, SegmentSize: 8 << 20, SegmentAge: 24 * time.Hour,
+	m := newTestBalancer(b)
+	r := NewRecorder(1000, m, nil, &discardSink{}, w, Host{RequestName: func(choice.RequestID) string { return "9b1f03aa5c7e2d41" }},
+		Options{CheckpointInterval: 24 * time.Hour, BlockSize: 32 << 10, FlushInterval: 24 * time.Hour, SegmentSize: 8 << 20, SegmentAge: 24 * time.Hour,
 			Incident: incident.Settings{Window: 10e6, MinRequests: 50, UnservedShare: 0.4, SlowFactor: 2, SlowReplicaShare: 0.8, DeadlineMargin: 500}})
 	i := 0
 	for b.Loop() {
 		i++
-		life(r, i, choice.Micros(i)*1_000_000)
+		driveRequest(r, i, choice.Micros(i)*1_000_000)
 	}
 	b.ReportMetric(float64(b.Elapsed().Nanoseconds())/float64(b.N)/4, "ns/event")
 	r.Close()
--- a/internal/capture/stored_test.go
+++ b/internal/capture/stored_test.go
@@ -52,7 +52,7 @@
 
 func storedRun(t *testing.T) *capture.Run {
 	t.Helper()
-	runs, err := capture.Find("testdata/stored")
+	runs, err := capture.FindRuns("testdata/stored")
 	if err != nil || len(runs) != 1 {
 		t.Fatal(len(runs), err)
 	}
@@ -82,8 +82,8 @@
 // and its index.
 func TestStoredCaptureHeader(t *testing.T) {
 	run := storedRun(t)
-	if run.Gateway != "g" || run.Name != storedRunName || run.Build != "b3142ba" || run.Seed != 3 || len(run.Segments) != 1 || len(run.Damaged) != 0 {
-		t.Errorf("run %q of %q by %q, seed %d, %d segments, damaged %v", run.Name, run.Gateway, run.Build, run.Seed, len(run.Segments), run.Damaged)
+	if run.Gateway != "g" || run.Name != storedRunName || run.Build != "b3142ba" || run.Seed != 3 || len(run.Segments) != 1 || len(run.Unreadable) != 0 {
+		t.Errorf("run %q of %q by %q, seed %d, %d segments, damaged %v", run.Name, run.Gateway, run.Build, run.Seed, len(run.Segments), run.Unreadable)
 	}
 	if diff := cmp.Diff(storedSettings(), run.Settings); diff != "" {
 		t.Error(diff)
@@ -95,16 +95,16 @@
 		t.Errorf("header %v, expected %v", s.Header, header)
 	}
 	rewritten := proto.Clone(s.Header).(*pb.Header)
-	capture.WithSettings(func(*choice.Settings) {})(rewritten)
+	capture.ChangeSettings(func(*choice.Settings) {})(rewritten)
 	if string(rewritten.Settings) != storedSettingsJSON {
 		t.Errorf("the settings would be written as %s", rewritten.Settings)
 	}
-	blocks := []capture.Block{{Offset: 1064, First: 1, At: 1000, Checkpoint: true, Records: 20}, {Offset: storedSecondBlock, First: 21, At: 12000000, Checkpoint: true, Records: 1}}
+	blocks := []capture.Block{{Offset: 1064, FirstEvent: 1, At: 1000, Checkpoint: true, Records: 20}, {Offset: storedSecondBlock, FirstEvent: 21, At: 12000000, Checkpoint: true, Records: 1}}
 	if diff := cmp.Diff(blocks, s.Blocks); diff != "" || !s.Closed || s.Size != storedSize || len(s.Missing) != 0 {
 		t.Errorf("closed %v, %d bytes, missing %v, blocks: %s", s.Closed, s.Size, s.Missing, diff)
 	}
-	if run.Begin() != 1000 || run.End() != 12000000 || !run.Wall(1001000).Equal(time.UnixMicro(storedWallUs+1000000)) {
-		t.Errorf("from %d to %d, at 1001000 it was %v", run.Begin(), run.End(), run.Wall(1001000))
+	if run.Begin() != 1000 || run.End() != 12000000 || !run.WallTime(1001000).Equal(time.UnixMicro(storedWallUs+1000000)) {
+		t.Errorf("from %d to %d, at 1001000 it was %v", run.Begin(), run.End(), run.WallTime(1001000))
 	}
 }
 
@@ -277,7 +277,7 @@
 		if c == nil {
 			continue
 		}
-		b, settings, err := run.Restore(c, discard{})
+		b, settings, err := run.RestoreBalancer(c, discard{})
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -295,7 +295,7 @@
 			t.Errorf("checkpoint %d: requests %v, %d replicas", checkpoints, got, len(b.Endpoints()))
 		}
 		checkAgreed(c.Agreed)
-		l, err := capture.RestoreLedger(c)
+		l, err := capture.RestoreReplayLedger(c)
 		if err != nil {
 			t.Fatal(err)
 		}
--- a/internal/capture/writer.go
+++ b/internal/capture/writer.go
@@ -19,26 +19,26 @@
 	pb "archknot/internal/capture/capturepb"
 )
 
-// Limits bound what a writer keeps on disk.
-type Limits struct {
-	Directory string
-	Gateway   string // begins the segments' names
-	Build     string
-	Seed      uint64
-	Queue     int  // blocks that may wait
-	Wait      bool // for hosts that may be held up: nothing is lost to a full queue
-	KeepSize  int64
-	KeepAge   time.Duration
-
-	Incidents     string // directory of incidents
-	KeepIncidents int
-	Window        time.Duration // how much of the capture an incident keeps
-	Pause         time.Duration // least time between two that the recorder orders
+// WriterOptions bound what a writer keeps on disk.
+type WriterOptions struct {
+	Directory     string
+	Gateway       string // begins the segments' names
+	Build         string
+	Seed          uint64
+	QueueLength   int  // blocks that may wait
+	BlockWhenFull bool // for hosts that may be held up: nothing is lost to a full queue
+	MaxBytes      int64
+	MaxAge        time.Duration
+
+	IncidentDirectory string // directory of incidents
+	MaxIncidents      int
+	IncidentWindow    time.Duration // how much of the capture an incident keeps
+	IncidentInterval  time.Duration // least time between two that the recorder orders
 
 	// Log is told what operators should know: a gap, an incident, a failure.
 	Log func(msg string, args ...any)
-	// Create makes a segment's file; os.OpenFile if nil. Tests put a full disk here.
-	Create func(path string) (File, error)
+	// CreateFile makes a segment's file; os.OpenFile if nil. Tests put a full disk here.
+	CreateFile func(path string) (File, error)
 }
 
 // File is what a segment is written to.
@@ -49,39 +49,39 @@
 
 // Writer puts blocks into segments, in a task of its own.
 type Writer struct {
-	l     Limits
-	run   string
-	queue chan order
-	spare chan []byte
-	done  chan struct{}
-	fault atomic.Pointer[string] // why nothing can be written now
-	size  atomic.Int64           // of the segment at hand
-	Stats Stats
+	options     WriterOptions
+	runName     string
+	queue       chan writerTask
+	freeBuffers chan []byte
+	done        chan struct{}
+	failure     atomic.Pointer[string] // why nothing can be written now
+	currentSize atomic.Int64           // of the segment at hand
+	Stats       Stats
 
 	// The task's own.
-	enc     *zstd.Encoder
-	out     []byte
-	file    File
-	path    string
-	offset  int64
-	index   pb.Index
-	number  uint64
-	skip    bool // blocks before the next segment are of no use
-	autoAt  time.Time
-	records uint64
+	encoder               *zstd.Encoder
+	encoded               []byte
+	file                  File
+	path                  string
+	offset                int64
+	index                 pb.Index
+	segmentNumber         uint64
+	skipBlocks            bool // blocks before the next segment are of no use
+	lastAutomaticIncident time.Time
+	segmentRecords        uint64
 }
 
-// order is what the recorder hands over: a block, the header of a new segment,
+// writerTask is what the recorder hands over: a block, the header of a new segment,
 // or an incident to keep.
-type order struct {
-	block  block
-	header *pb.Header
-	save   string
-	done   chan<- Saved
+type writerTask struct {
+	block          block
+	header         *pb.Header
+	incidentReason string
+	done           chan<- SavedIncident
 }
 
-// Saved is what became of an incident.
-type Saved struct {
+// SavedIncident is what became of an incident.
+type SavedIncident struct {
 	Path     string
 	Segments int
 	Bytes    int64
@@ -91,18 +91,18 @@
 var errQueueFull = errors.New("the queue to the disk is full")
 
 // NewWriter makes the directory and starts the task.
-func NewWriter(l Limits) (*Writer, error) {
-	l.Queue = max(2, l.Queue)
+func NewWriter(l WriterOptions) (*Writer, error) {
+	l.QueueLength = max(2, l.QueueLength)
 	if l.Log == nil {
 		l.Log = func(string, ...any) {}
 	}
-	if l.Create == nil {
-		l.Create = func(path string) (File, error) {
+	if l.CreateFile == nil {
+		l.CreateFile = func(path string) (File, error) {
 			return os.OpenFile(path, os.O_WRONLY|os.O_CREATE|os.O_EXCL, 0o600)
 		}
 	}
-	if l.KeepIncidents > 0 && l.Incidents == "" {
-		l.Incidents = filepath.Join(l.Directory, "incidents")
+	if l.MaxIncidents > 0 && l.IncidentDirectory == "" {
+		l.IncidentDirectory = filepath.Join(l.Directory, "incidents")
 	}
 	if err := os.MkdirAll(l.Directory, 0o700); err != nil {
 		return nil, fmt.Errorf("capture.directory: %w", err)
@@ -118,9 +118,9 @@
 	if err != nil {
 		return nil, err
 	}
-	w := &Writer{l: l, run: fmt.Sprintf("%s-%d", time.Now().UTC().Format("20060102T150405.000Z"), os.Getpid()), enc: enc, skip: true,
-		queue: make(chan order, l.Queue), spare: make(chan []byte, l.Queue+2), done: make(chan struct{})}
-	go w.task()
+	w := &Writer{options: l, runName: fmt.Sprintf("%s-%d", time.Now().UTC().Format("20060102T150405.000Z"), os.Getpid()), encoder: enc, skipBlocks: true,
+		queue: make(chan writerTask, l.QueueLength), freeBuffers: make(chan []byte, l.QueueLength+2), done: make(chan struct{})}
+	go w.loop()
 	return w, nil
 }
 
@@ -132,8 +132,8 @@
 
 // The recorder's side.
 
-func (w *Writer) order(o order) bool {
-	if w.l.Wait {
+func (w *Writer) enqueue(o writerTask) bool {
+	if w.options.BlockWhenFull {
 		w.queue <- o
 		return true
 	}
@@ -145,180 +145,180 @@
 	}
 }
 
-// room tells whether enough of the queue is free to end a gap.
-func (w *Writer) room() bool { return len(w.queue) <= cap(w.queue)/2 }
+// hasRoom tells whether enough of the queue is free to end a gap.
+func (w *Writer) hasRoom() bool { return len(w.queue) <= cap(w.queue)/2 }
 
-func (w *Writer) broken() string {
-	if why := w.fault.Load(); why != nil {
+func (w *Writer) failureReason() string {
+	if why := w.failure.Load(); why != nil {
 		return *why
 	}
 	return ""
 }
 
-// mend lets the task try the disk again.
-func (w *Writer) mend()              { w.fault.Store(nil) }
-func (w *Writer) segmentSize() int64 { return w.size.Load() }
+// clearFailure lets the task try the disk again.
+func (w *Writer) clearFailure()      { w.failure.Store(nil) }
+func (w *Writer) segmentSize() int64 { return w.currentSize.Load() }
 
-func (w *Writer) buffer(n int) []byte {
+func (w *Writer) takeBuffer(n int) []byte {
 	select {
-	case b := <-w.spare:
+	case b := <-w.freeBuffers:
 		return b[:0]
 	default:
 		return make([]byte, 0, n+n/4)
 	}
 }
 
-func (w *Writer) giveBack(b []byte) {
-	if cap(b) > maxSpare {
+func (w *Writer) returnBuffer(b []byte) {
+	if cap(b) > maxReusedBuffer {
 		return // a checkpoint's: not kept
 	}
 	select {
-	case w.spare <- b:
+	case w.freeBuffers <- b:
 	default:
 	}
 }
 
-const maxSpare = 256 << 10
+const maxReusedBuffer = 256 << 10
 
-func (w *Writer) noteGap(reason string) {
+func (w *Writer) logGap(reason string) {
 	w.Stats.Gaps.Add(1)
-	w.l.Log("capture_gap", "reason", reason)
+	w.options.Log("capture_gap", "reason", reason)
 }
 
-func (w *Writer) mended(lost uint64) {
+func (w *Writer) logResumed(lost uint64) {
 	w.Stats.Lost.Add(int64(lost))
-	w.l.Log("capture_resumed", "lost", lost)
+	w.options.Log("capture_resumed", "lost", lost)
 }
 
 // The task.
 
-func (w *Writer) task() {
+func (w *Writer) loop() {
 	defer close(w.done)
 	for o := range w.queue {
 		switch {
 		case o.header != nil:
-			w.begin(o.header)
-		case o.save != "":
-			s := w.save(o.save, o.done != nil)
+			w.openSegment(o.header)
+		case o.incidentReason != "":
+			s := w.saveIncident(o.incidentReason, o.done != nil)
 			if o.done != nil {
 				o.done <- s
 			}
 		default:
-			w.write(o.block)
-			w.giveBack(o.block.payload)
+			w.writeRecords(o.block)
+			w.returnBuffer(o.block.payload)
 		}
 	}
-	w.end()
-	w.enc.Close()
+	w.closeSegment()
+	w.encoder.Close()
 }
 
-// fail gives the segment up; the recorder sees it at its next call, and what
+// failSegment gives the segment up; the recorder sees it at its next call, and what
 // waits in the queue until then is of no use.
-func (w *Writer) fail(err error) {
+func (w *Writer) failSegment(err error) {
 	why := err.Error()
-	w.l.Log("capture_failed", "err", why, "path", w.path)
+	w.options.Log("capture_failed", "err", why, "path", w.path)
 	if w.file != nil {
 		w.file.Close()
 		w.file = nil
 	}
-	w.skip = true
-	w.fault.Store(&why)
+	w.skipBlocks = true
+	w.failure.Store(&why)
 }
 
-func (w *Writer) begin(h *pb.Header) {
-	w.end()
-	w.number++
-	h.Build, h.Gateway, h.Run, h.Segment, h.Seed = w.l.Build, w.l.Gateway, w.run, w.number, w.l.Seed
-	w.path = filepath.Join(w.l.Directory, fmt.Sprintf("%s-%s-%06d%s", w.l.Gateway, w.run, w.number, Suffix))
-	w.retain()
-	file, err := w.l.Create(w.path)
+func (w *Writer) openSegment(h *pb.Header) {
+	w.closeSegment()
+	w.segmentNumber++
+	h.Build, h.Gateway, h.Run, h.Segment, h.Seed = w.options.Build, w.options.Gateway, w.runName, w.segmentNumber, w.options.Seed
+	w.path = filepath.Join(w.options.Directory, fmt.Sprintf("%s-%s-%06d%s", w.options.Gateway, w.runName, w.segmentNumber, Suffix))
+	w.deleteOldSegments()
+	file, err := w.options.CreateFile(w.path)
 	if err != nil {
-		w.fail(err)
+		w.failSegment(err)
 		return
 	}
-	w.file, w.offset, w.records, w.skip = file, 0, 0, false
+	w.file, w.offset, w.segmentRecords, w.skipBlocks = file, 0, 0, false
 	w.index.Reset()
-	b, err := plainBlock(blockHeader, h.ClockUs, h)
+	b, err := messageBlock(blockHeader, h.ClockUs, h)
 	if err != nil {
-		w.fail(err)
+		w.failSegment(err)
 		return
 	}
-	w.put(b)
+	w.writeBlock(b)
 	w.Stats.Segments.Add(1)
 }
 
-// put writes one block and tells whether that went well.
-func (w *Writer) put(b block) bool {
-	w.out = b.appendTo(w.out[:0])
-	if _, err := w.file.Write(w.out); err != nil {
-		w.fail(err)
+// writeBlock writes one block and tells whether that went well.
+func (w *Writer) writeBlock(b block) bool {
+	w.encoded = b.appendTo(w.encoded[:0])
+	if _, err := w.file.Write(w.encoded); err != nil {
+		w.failSegment(err)
 		return false
 	}
-	w.offset += int64(len(w.out))
-	w.size.Store(w.offset)
-	w.Stats.Bytes.Add(int64(len(w.out)))
-	if cap(w.out) > maxSpare {
-		w.out = nil
+	w.offset += int64(len(w.encoded))
+	w.currentSize.Store(w.offset)
+	w.Stats.Bytes.Add(int64(len(w.encoded)))
+	if cap(w.encoded) > maxReusedBuffer {
+		w.encoded = nil
 	}
 	return true
 }
 
-func (w *Writer) write(b block) {
-	if w.skip || w.file == nil {
-		w.Stats.Lost.Add(int64(b.records))
+func (w *Writer) writeRecords(b block) {
+	if w.skipBlocks || w.file == nil {
+		w.Stats.Lost.Add(int64(b.recordCount))
 		return
 	}
 	at := w.offset
 	raw := b.payload
-	b.payload = w.enc.EncodeAll(raw, nil)
+	b.payload = w.encoder.EncodeAll(raw, nil)
 	b.flags |= flagZstd
-	if !w.put(b) {
-		w.Stats.Lost.Add(int64(b.records))
+	if !w.writeBlock(b) {
+		w.Stats.Lost.Add(int64(b.recordCount))
 		return
 	}
 	w.Stats.Blocks.Add(1)
-	w.Stats.Records.Add(int64(b.records))
-	w.index.Blocks = append(w.index.Blocks, &pb.Index_Block{Offset: uint64(at), First: b.first, AtUs: b.at,
-		Checkpoint: b.checkpoint(), Records: b.records})
-	w.records += uint64(b.records)
+	w.Stats.Records.Add(int64(b.recordCount))
+	w.index.Blocks = append(w.index.Blocks, &pb.Index_Block{Offset: uint64(at), First: b.firstRecord, AtUs: b.at,
+		Checkpoint: b.startsWithCheckpoint(), Records: b.recordCount})
+	w.segmentRecords += uint64(b.recordCount)
 	w.index.LastUs = b.at
 }
 
-// end closes the segment at hand, with its index.
-func (w *Writer) end() {
+// closeSegment closes the segment at hand, with its index.
+func (w *Writer) closeSegment() {
 	if w.file == nil {
 		return
 	}
 	at := w.offset
-	w.index.Records = w.records
-	b, err := plainBlock(blockIndex, w.index.LastUs, &w.index)
+	w.index.Records = w.segmentRecords
+	b, err := messageBlock(blockIndex, w.index.LastUs, &w.index)
 	if err != nil {
-		w.fail(err)
+		w.failSegment(err)
 		return
 	}
-	if !w.put(b) {
+	if !w.writeBlock(b) {
 		return
 	}
-	trail := appendTrail(nil, at)
+	trail := appendTrailer(nil, at)
 	if _, err := w.file.Write(trail); err != nil {
-		w.fail(err)
+		w.failSegment(err)
 		return
 	}
 	err = w.file.Close()
 	w.file = nil
-	if w.size.Store(0); err != nil {
-		w.fail(err)
+	if w.currentSize.Store(0); err != nil {
+		w.failSegment(err)
 	}
 }
 
 type segmentFile struct {
-	path string
-	size int64
-	at   time.Time
+	path       string
+	size       int64
+	modifiedAt time.Time
 }
 
-// segments lists the gateway's own in a directory, the oldest first.
-func segments(dir, gateway string) []segmentFile {
+// listSegments lists the gateway's own in a directory, the oldest first.
+func listSegments(dir, gateway string) []segmentFile {
 	entries, err := os.ReadDir(dir)
 	if err != nil {
 		return nil
@@ -336,19 +336,19 @@
 	return out
 }
 
-// retain drops the oldest segments past the bounds, with room for one more.
-func (w *Writer) retain() {
-	all := segments(w.l.Directory, w.l.Gateway)
+// deleteOldSegments drops the oldest segments past the bounds, with room for one more.
+func (w *Writer) deleteOldSegments() {
+	all := listSegments(w.options.Directory, w.options.Gateway)
 	var total int64
 	for _, s := range all {
 		total += s.size
 	}
 	for _, s := range all {
-		if total <= w.l.KeepSize && time.Since(s.at) <= w.l.KeepAge {
+		if total <= w.options.MaxBytes && time.Since(s.modifiedAt) <= w.options.MaxAge {
 			break
 		}
 		if err := os.Remove(s.path); err != nil && !errors.Is(err, fs.ErrNotExist) {
-			w.l.Log("capture_failed", "err", err.Error(), "path", s.path)
+			w.options.Log("capture_failed", "err", err.Error(), "path", s.path)
 			return
 		}
 		total -= s.size
@@ -367,41 +367,41 @@
 	Bytes    int64     `json:"bytes"`
 }
 
-// save links the closed segments of the window into a directory of their own.
-func (w *Writer) save(reason string, ordered bool) Saved {
-	if w.l.KeepIncidents <= 0 {
-		return Saved{Err: errors.New("no incidents are kept here")}
+// saveIncident links the closed segments of the window into a directory of their own.
+func (w *Writer) saveIncident(reason string, ordered bool) SavedIncident {
+	if w.options.MaxIncidents <= 0 {
+		return SavedIncident{Err: errors.New("no incidents are kept here")}
 	}
 	now := time.Now()
-	if !ordered && now.Sub(w.autoAt) < w.l.Pause {
-		return Saved{Err: errors.New("too soon after the last")}
+	if !ordered && now.Sub(w.lastAutomaticIncident) < w.options.IncidentInterval {
+		return SavedIncident{Err: errors.New("too soon after the last")}
 	}
 	if !ordered {
-		w.autoAt = now
+		w.lastAutomaticIncident = now
 	}
-	s, err := w.keep(reason, ordered, now)
+	s, err := w.linkSegments(reason, ordered, now)
 	if err != nil {
-		w.l.Log("incident_failed", "err", err.Error(), "reason", reason)
-		return Saved{Err: err}
+		w.options.Log("incident_failed", "err", err.Error(), "reason", reason)
+		return SavedIncident{Err: err}
 	}
-	w.l.Log("incident", "reason", reason, "ordered", ordered, "path", s.Path, "segments", s.Segments, "bytes", s.Bytes)
+	w.options.Log("incident", "reason", reason, "ordered", ordered, "path", s.Path, "segments", s.Segments, "bytes", s.Bytes)
 	return s
 }
 
-func (w *Writer) keep(reason string, ordered bool, now time.Time) (Saved, error) {
-	if err := os.MkdirAll(w.l.Incidents, 0o700); err != nil {
-		return Saved{}, err
+func (w *Writer) linkSegments(reason string, ordered bool, now time.Time) (SavedIncident, error) {
+	if err := os.MkdirAll(w.options.IncidentDirectory, 0o700); err != nil {
+		return SavedIncident{}, err
 	}
-	if err := w.dropIncidents(); err != nil {
-		return Saved{}, err
+	if err := w.deleteOldIncidents(); err != nil {
+		return SavedIncident{}, err
 	}
-	dir := filepath.Join(w.l.Incidents, w.l.Gateway+"-"+now.UTC().Format("20060102T150405.000Z"))
+	dir := filepath.Join(w.options.IncidentDirectory, w.options.Gateway+"-"+now.UTC().Format("20060102T150405.000Z"))
 	if err := os.Mkdir(dir, 0o700); err != nil {
-		return Saved{}, err
+		return SavedIncident{}, err
 	}
-	m := Manifest{Reason: reason, Gateway: w.l.Gateway, Build: w.l.Build, At: now.UTC(), Ordered: ordered}
-	for _, s := range segments(w.l.Directory, w.l.Gateway) {
-		if now.Sub(s.at) > w.l.Window || s.path == w.path && w.file != nil {
+	m := Manifest{Reason: reason, Gateway: w.options.Gateway, Build: w.options.Build, At: now.UTC(), Ordered: ordered}
+	for _, s := range listSegments(w.options.Directory, w.options.Gateway) {
+		if now.Sub(s.modifiedAt) > w.options.IncidentWindow || s.path == w.path && w.file != nil {
 			continue
 		}
 		name := filepath.Base(s.path)
@@ -413,7 +413,7 @@
 				err = os.WriteFile(filepath.Join(dir, name), text, 0o600)
 			}
 			if err != nil {
-				return Saved{}, err
+				return SavedIncident{}, err
 			}
 		}
 		m.Segments = append(m.Segments, name)
@@ -423,26 +423,26 @@
 	if err == nil {
 		err = renameio.WriteFile(filepath.Join(dir, ManifestName), append(text, '\n'), 0o600)
 	}
-	return Saved{Path: dir, Segments: len(m.Segments), Bytes: m.Bytes}, err
+	return SavedIncident{Path: dir, Segments: len(m.Segments), Bytes: m.Bytes}, err
 }
 
 // ManifestName is the file in an incident's directory that tells of it.
 const ManifestName = "incident.json"
 
-// dropIncidents makes room for one more.
-func (w *Writer) dropIncidents() error {
-	entries, err := os.ReadDir(w.l.Incidents)
+// deleteOldIncidents makes room for one more.
+func (w *Writer) deleteOldIncidents() error {
+	entries, err := os.ReadDir(w.options.IncidentDirectory)
 	if err != nil {
 		return err
 	}
 	var own []string
 	for _, e := range entries {
-		if e.IsDir() && strings.HasPrefix(e.Name(), w.l.Gateway+"-") {
-			own = append(own, filepath.Join(w.l.Incidents, e.Name()))
+		if e.IsDir() && strings.HasPrefix(e.Name(), w.options.Gateway+"-") {
+			own = append(own, filepath.Join(w.options.IncidentDirectory, e.Name()))
 		}
 	}
 	slices.Sort(own)
-	for len(own) >= w.l.KeepIncidents {
+	for len(own) >= w.options.MaxIncidents {
 		if err := os.RemoveAll(own[0]); err != nil {
 			return err
 		}
@@ -451,5 +451,5 @@
 	return nil
 }
 
-// Waiting is the number of blocks and orders that wait for the disk.
-func (w *Writer) Waiting() int { return len(w.queue) }
+// QueuedTasks is the number of blocks and orders that wait for the disk.
+func (w *Writer) QueuedTasks() int { return len(w.queue) }
--- a/internal/cli/capture.go
+++ b/internal/cli/capture.go
@@ -62,7 +62,7 @@
 	if err != nil {
 		return 0, fmt.Errorf("%q: expected +30s, -30s or a time such as 2026-12-01T10:00:00Z", text)
 	}
-	return run.Begin() + t.Sub(run.Wall(run.Begin())).Microseconds(), nil
+	return run.Begin() + t.Sub(run.WallTime(run.Begin())).Microseconds(), nil
 }
 
 type infoCmd struct {
@@ -87,13 +87,13 @@
 }
 
 func (c *infoCmd) Run(s *streams) error {
-	runs, err := capture.Find(c.Paths...)
+	runs, err := capture.FindRuns(c.Paths...)
 	if err != nil {
 		return err
 	}
 	var list []runInfo
 	for _, r := range runs {
-		i := runInfo{Gateway: r.Gateway, Run: r.Name, Build: r.Build, Begin: r.Wall(r.Begin()), Seconds: float64(r.End()-r.Begin()) / 1e6,
+		i := runInfo{Gateway: r.Gateway, Run: r.Name, Build: r.Build, Begin: r.WallTime(r.Begin()), Seconds: float64(r.End()-r.Begin()) / 1e6,
 			Segments: len(r.Segments), Bytes: r.Bytes()}
 		for _, seg := range r.Segments {
 			if seg.Closed {
@@ -136,7 +136,7 @@
 }
 
 func (c *verifyCmd) Run(s *streams) error {
-	runs, err := capture.Find(c.Paths...)
+	runs, err := capture.FindRuns(c.Paths...)
 	if err != nil {
 		return err
 	}
@@ -151,10 +151,10 @@
 				out.Missing = append(out.Missing, *e.Missing)
 			case e.Record.Kind == pb.Kind_KIND_GAP:
 				if n := len(out.Missing); n > 0 && out.Missing[n-1].Events > 0 { // the jump of the numbers has told it
-					out.Missing[n-1].What = "not recorded: " + e.Record.Gap.Reason
+					out.Missing[n-1].Reason = "not recorded: " + e.Record.Gap.Reason
 					break
 				}
-				out.Missing = append(out.Missing, capture.Missing{Path: run.Segments[0].Path, Events: e.Record.Gap.Events, What: "not recorded: " + e.Record.Gap.Reason})
+				out.Missing = append(out.Missing, capture.Missing{Path: run.Segments[0].Path, Events: e.Record.Gap.Events, Reason: "not recorded: " + e.Record.Gap.Reason})
 			case e.Record.Kind != pb.Kind_KIND_CHECKPOINT:
 				out.Events++
 			}
@@ -170,7 +170,7 @@
 		}
 	} else {
 		for _, m := range out.Missing {
-			fmt.Fprintf(s.out, "%s: at byte %d: %s (events: %d)\n", m.Path, m.Offset, m.What, m.Events)
+			fmt.Fprintf(s.out, "%s: at byte %d: %s (events: %d)\n", m.Path, m.Offset, m.Reason, m.Events)
 		}
 		fmt.Fprintf(s.out, "events=%d missing=%d\n", out.Events, len(out.Missing))
 	}
@@ -218,7 +218,7 @@
 }
 
 func (c *dumpCmd) Run(s *streams) error {
-	runs, err := capture.Find(c.Paths...)
+	runs, err := capture.FindRuns(c.Paths...)
 	if err != nil {
 		return err
 	}
@@ -234,18 +234,18 @@
 			return err
 		}
 		if !c.JSON {
-			fmt.Fprintf(w, "# %s run %s from %s\n", run.Gateway, run.Name, run.Wall(run.Begin()).Format(time.RFC3339Nano))
+			fmt.Fprintf(w, "# %s run %s from %s\n", run.Gateway, run.Name, run.WallTime(run.Begin()).Format(time.RFC3339Nano))
 		}
 		err = each(run, c.span, func(e capture.Entry) error {
 			if e.Missing != nil {
 				if c.JSON {
-					fmt.Fprintf(w, "{\"missing\":%q,\"events\":%d}\n", e.Missing.What, e.Missing.Events)
+					fmt.Fprintf(w, "{\"missing\":%q,\"events\":%d}\n", e.Missing.Reason, e.Missing.Events)
 				} else {
-					fmt.Fprintf(w, "# missing: %s (events: %d)\n", e.Missing.What, e.Missing.Events)
+					fmt.Fprintf(w, "# missing: %s (events: %d)\n", e.Missing.Reason, e.Missing.Events)
 				}
 				return nil
 			}
-			names.Note(e.Record)
+			names.Learn(e.Record)
 			if c.Exact && e.At < from || !filter.Match(names, e.Record, e.At-run.Begin()) {
 				return nil
 			}
@@ -254,9 +254,9 @@
 			}
 			orders := make([]string, len(e.Record.Actions))
 			for i, a := range e.Record.Actions {
-				orders[i] = names.Order(a)
+				orders[i] = names.DescribeAction(a)
 			}
-			fmt.Fprintf(w, "%s #%d %s", replay.Clock(run, e.At), e.Number, names.Event(e.Record))
+			fmt.Fprintf(w, "%s #%d %s", replay.FormatOffset(run, e.At), e.Number, names.DescribeEvent(e.Record))
 			if len(orders) > 0 {
 				fmt.Fprintf(w, " -> %s", strings.Join(orders, "; "))
 			}
@@ -308,7 +308,7 @@
 }
 
 func (c *cutCmd) Run(s *streams) error {
-	runs, err := capture.Find(c.Path)
+	runs, err := capture.FindRuns(c.Path)
 	if err != nil {
 		return err
 	}
@@ -322,7 +322,7 @@
 	if to == 0 {
 		to = runs[0].End()
 	}
-	events, err := capture.Copy(runs[0], from, to, c.Out)
+	events, err := capture.CopySpan(runs[0], from, to, c.Out)
 	if err != nil {
 		return err
 	}
@@ -347,7 +347,7 @@
 }
 
 func (c *explainCmd) Run(s *streams) error {
-	runs, err := capture.Find(c.Paths...)
+	runs, err := capture.FindRuns(c.Paths...)
 	if err != nil {
 		return err
 	}
--- a/internal/cli/cli_test.go
+++ b/internal/cli/cli_test.go
@@ -40,12 +40,12 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	w, err := capture.NewWriter(capture.Limits{Directory: dir, Gateway: "g", Wait: true, KeepSize: 1 << 30, KeepAge: time.Hour})
+	w, err := capture.NewWriter(capture.WriterOptions{Directory: dir, Gateway: "g", BlockWhenFull: true, MaxBytes: 1 << 30, MaxAge: time.Hour})
 	if err != nil {
 		t.Fatal(err)
 	}
-	r := capture.Record(1000, b, nil, nowhere{}, w, capture.Host{RequestName: func(id choice.RequestID) string { return "req" + string(rune('a'+id%26)) }},
-		capture.Options{Checkpoint: 10 * time.Second, Block: 4096, Flush: time.Second, SegmentSize: 1 << 20, SegmentAge: time.Hour})
+	r := capture.NewRecorder(1000, b, nil, nowhere{}, w, capture.Host{RequestName: func(id choice.RequestID) string { return "req" + string(rune('a'+id%26)) }},
+		capture.Options{CheckpointInterval: 10 * time.Second, BlockSize: 4096, FlushInterval: time.Second, SegmentSize: 1 << 20, SegmentAge: time.Hour})
 	r.Start(1000)
 	r.ListChanged(1000, choice.EndpointList{Kind: choice.ListFull, Endpoints: []choice.Endpoint{{Replica: 1, Zone: "a"}, {Replica: 2, Zone: "a"}}})
 	for i := range choice.RequestID(100) {
@@ -169,7 +169,7 @@
 	dir := small(t)
 	files, _ := filepath.Glob(filepath.Join(dir, "*.akcap"))
 	changed := filepath.Join(t.TempDir(), "changed.akcap")
-	if err := capture.Rehead(files[0], changed, capture.WithSettings(func(s *choice.Settings) { s.Tick = 3000 })); err != nil {
+	if err := capture.RewriteHeader(files[0], changed, capture.ChangeSettings(func(s *choice.Settings) { s.Tick = 3000 })); err != nil {
 		t.Fatal(err)
 	}
 	if code, out, _ := run("replay", changed); code != No || !strings.Contains(out, "kind timer: 100") {
@@ -187,7 +187,7 @@
 	if err != nil || json.Unmarshal(text, &a) != nil || a["differ"] != 100.0 {
 		t.Fatalf("%s %v", text, err)
 	}
-	if err := capture.Rehead(files[0], changed, capture.WithSettings(func(s *choice.Settings) { s.Tick = 4000 })); err != nil {
+	if err := capture.RewriteHeader(files[0], changed, capture.ChangeSettings(func(s *choice.Settings) { s.Tick = 4000 })); err != nil {
 		t.Fatal(err)
 	}
 	if code, out, _ := run("replay", changed); code != No || !strings.Contains(out, "not as accepted") {
--- a/internal/cli/contracts.go
+++ b/internal/cli/contracts.go
@@ -164,7 +164,7 @@
 	if len(got.Contracts.Teams) == 0 {
 		return nil, fmt.Errorf("%s: no contracts in it", f.Config)
 	}
-	runs, err := capture.Find(f.Paths...)
+	runs, err := capture.FindRuns(f.Paths...)
 	if err != nil {
 		return nil, err
 	}
--- a/internal/cli/fleet.go
+++ b/internal/cli/fleet.go
@@ -98,7 +98,7 @@
 }
 
 func (c *fitCmd) Run(s *streams) error {
-	runs, err := capture.Find(c.Paths...)
+	runs, err := capture.FindRuns(c.Paths...)
 	if err != nil {
 		return err
 	}
--- a/internal/cli/replay.go
+++ b/internal/cli/replay.go
@@ -61,7 +61,7 @@
 	if c.Step != "" {
 		return (&explainCmd{ID: c.Step, Paths: c.Paths}).Run(s)
 	}
-	runs, err := capture.Find(c.Paths...)
+	runs, err := capture.FindRuns(c.Paths...)
 	if err != nil {
 		return err
 	}
@@ -75,7 +75,7 @@
 	bad := false
 	var results []*replay.Result
 	for _, run := range runs {
-		o := replay.Options{Restart: c.Restart, Where: filter}
+		o := replay.Options{RestartAtCheckpoints: c.Restart, Where: filter}
 		if o.From, o.To, err = c.of(run); err != nil {
 			return err
 		}
@@ -84,7 +84,7 @@
 			if err != nil {
 				return err
 			}
-			bad = bad || res.Differ > 0
+			bad = bad || res.Differing > 0
 			continue
 		}
 		res, ok, err := c.one(s, run, o)
@@ -127,7 +127,7 @@
 func (c *replayCmd) one(s *streams, run *capture.Run, o replay.Options) (*replay.Result, bool, error) {
 	shown := 0
 	var first []*replay.Difference
-	o.OnDiffer = func(d *replay.Difference) {
+	o.OnDifference = func(d *replay.Difference) {
 		if len(first) < 20 {
 			first = append(first, d)
 		}
@@ -141,16 +141,16 @@
 	if err != nil {
 		return nil, false, err
 	}
-	ok := res.Differ == 0
+	ok := res.Differing == 0
 	note := ""
 	path := acceptedPath(run)
 	if c.Accept {
-		if res.Differ == 0 {
+		if res.Differing == 0 {
 			if err := os.Remove(path); err != nil && !errors.Is(err, fs.ErrNotExist) {
 				return nil, false, err
 			}
 		} else {
-			text, err := json.MarshalIndent(accepted{build.Version(), res.Differ, res.Differences, res.ByKind, first}, "", "  ")
+			text, err := json.MarshalIndent(accepted{build.Version(), res.Differing, res.Differences, res.ByKind, first}, "", "  ")
 			if err == nil {
 				err = renameio.WriteFile(path, append(text, '\n'), 0o644)
 			}
@@ -177,9 +177,9 @@
 		if shown++; shown > c.Show || ok {
 			break
 		}
-		fmt.Fprintf(s.out, "%s event %d: %s\n  %s: this build: %s; recorded: %s\n", replay.Clock(run, d.At), d.Number, d.Event, d.Kind, d.Own, d.Recorded)
+		fmt.Fprintf(s.out, "%s event %d: %s\n  %s: this build: %s; recorded: %s\n", replay.FormatOffset(run, d.At), d.Number, d.Event, d.Kind, d.Own, d.Recorded)
 		if d.Pick != nil {
-			fmt.Fprint(s.out, d.Pick.Table(names))
+			fmt.Fprint(s.out, d.Pick.FormatTable(names))
 		}
 	}
 	sums := func(what string, m map[string]uint64) {
@@ -190,7 +190,7 @@
 	if !ok {
 		sums("kind", res.ByKind)
 		sums("class", res.ByClass)
-		sums("worker", res.ByWorker)
+		sums("worker", res.ByReplica)
 	}
 	if res.Missing > 0 || res.Skipped > 0 {
 		fmt.Fprintf(s.out, "  events that the capture lost: %d; events that no checkpoint leads to: %d\n", res.Missing, res.Skipped)
@@ -224,7 +224,7 @@
 	if c.Restart {
 		args = append(args, "--restart")
 	}
-	res, err := replay.Against(context.Background(), self, c.Against, args, s.err)
+	res, err := replay.CompareBuilds(context.Background(), self, c.Against, args, s.err)
 	if err != nil {
 		return err
 	}
@@ -234,7 +234,7 @@
 		}
 	} else {
 		if d := res.First; d != nil {
-			fmt.Fprintf(s.out, "event %s at %s us: %s\n  this build: %s\n  other:      %s\n", d.Event, d.At, d.Told, d.One, d.Other)
+			fmt.Fprintf(s.out, "event %s at %s us: %s\n  this build: %s\n  other:      %s\n", d.Event, d.At, d.Input, d.One, d.Other)
 		}
 		for _, k := range slices.Sorted(maps.Keys(res.ByEvent)) {
 			fmt.Fprintf(s.out, "  event %s: %d\n", k, res.ByEvent[k])
@@ -244,7 +244,7 @@
 		}
 		fmt.Fprintln(s.out, res.Line())
 	}
-	if res.Differ > 0 {
+	if res.Differing > 0 {
 		return errNo
 	}
 	return nil
@@ -263,9 +263,9 @@
 			return err
 		}
 		all = append(all, res)
-		bad = bad || len(res.Faults) > 0
+		bad = bad || len(res.Violations) > 0
 		if !c.JSON {
-			for _, f := range res.Faults {
+			for _, f := range res.Violations {
 				fmt.Fprintf(s.out, "fault: %s\n", f)
 			}
 			fmt.Fprintln(s.out, res.Line())
--- a/internal/contract/trial/simulate.go
+++ b/internal/contract/trial/simulate.go
@@ -84,12 +84,12 @@
 		return nil, err
 	}
 	defer r.Close()
-	book, err := contract.NewLedger(o.Settings, o.Terms, from, run.Wall(from).UnixMicro())
+	book, err := contract.NewLedger(o.Settings, o.Terms, from, run.WallTime(from).UnixMicro())
 	if err != nil {
 		return nil, err
 	}
 	p := &simulation{run: run, ledger: book, from: from, to: to, seriesPoints: cmp.Or(o.SeriesPoints, 120), output: &Result{Gateway: run.Gateway,
-		From: run.Wall(from), To: run.Wall(to)}, teams: map[string]*TeamResult{}, openRequests: map[uint32]*openRequest{}}
+		From: run.WallTime(from), To: run.WallTime(to)}, teams: map[string]*TeamResult{}, openRequests: map[uint32]*openRequest{}}
 	for _, t := range o.Terms {
 		p.team(t.Team)
 	}
@@ -162,7 +162,7 @@
 		t = &TeamResult{Team: name, Rejected: map[string]int64{}, Series: make([]SeriesPoint, p.seriesPoints)}
 		span := float64(p.to-p.from) / float64(p.seriesPoints)
 		for i := range t.Series {
-			t.Series[i].At = p.run.Wall(p.from + choice.Micros(span*float64(i)))
+			t.Series[i].At = p.run.WallTime(p.from + choice.Micros(span*float64(i)))
 		}
 		p.teams[name] = t
 		p.order = append(p.order, t)
@@ -209,7 +209,7 @@
 		}
 	}
 	for _, n := range p.ledger.TakeNotices() {
-		p.output.Notices = append(p.output.Notices, Notice{p.run.Wall(at), n.Team, n.Period.String(), n.Percent})
+		p.output.Notices = append(p.output.Notices, Notice{p.run.WallTime(at), n.Team, n.Period.String(), n.Percent})
 	}
 }
 
--- a/internal/contract/trial/simulate_test.go
+++ b/internal/contract/trial/simulate_test.go
@@ -29,7 +29,7 @@
 func recordCapture(t *testing.T) *capture.Run {
 	t.Helper()
 	dir := t.TempDir()
-	w, err := capture.NewWriter(capture.Limits{Directory: dir, Gateway: "g", Queue: 8, Wait: true, KeepSize: 1 << 30, KeepAge: time.Hour})
+	w, err := capture.NewWriter(capture.WriterOptions{Directory: dir, Gateway: "g", QueueLength: 8, BlockWhenFull: true, MaxBytes: 1 << 30, MaxAge: time.Hour})
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -38,7 +38,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	r := capture.Record(1000, b, nil, discardSink{}, w, capture.Host{}, capture.Options{Checkpoint: time.Minute, Block: 4 << 10, Flush: time.Second,
+	r := capture.NewRecorder(1000, b, nil, discardSink{}, w, capture.Host{}, capture.Options{CheckpointInterval: time.Minute, BlockSize: 4 << 10, FlushInterval: time.Second,
 		SegmentSize: 1 << 20, SegmentAge: time.Hour})
 	r.Start(1000)
 	r.ListChanged(1000, choice.EndpointList{Kind: choice.ListFull, Version: 1, Endpoints: []choice.Endpoint{{Replica: 1, Zone: "z", Kind: "k", Weight: 1}, {Replica: 2, Zone: "z", Kind: "k", Weight: 1}}})
@@ -60,7 +60,7 @@
 	}
 	r.Close()
 	w.Close()
-	runs, err := capture.Find(dir)
+	runs, err := capture.FindRuns(dir)
 	if err != nil || len(runs) != 1 {
 		t.Fatal(runs, err)
 	}
--- a/internal/drill/cluster.go
+++ b/internal/drill/cluster.go
@@ -147,7 +147,7 @@
 		zones[g.Zone], kinds[g.Name] = true, true
 	}
 	s.Zone = s.Zones[n.site%len(s.Zones)]
-	settings, err := wire.WriteSettings(s)
+	settings, err := wire.MarshalSettings(s)
 	if err != nil {
 		return err
 	}
--- a/internal/drill/scale/discovery.go
+++ b/internal/drill/scale/discovery.go
@@ -19,7 +19,7 @@
 
 // DiscoverySpec is what the stand-in for discovery starts with.
 type DiscoverySpec struct {
-	Instances []socket.Instance `json:"instances"`
+	Instances []socket.Endpoint `json:"instances"`
 	Framing   string            `json:"framing"`
 }
 
@@ -33,7 +33,7 @@
 
 	mu        sync.Mutex
 	version   int64
-	instances []socket.Instance
+	instances []socket.Endpoint
 	changed   []int64       // the version of each instance's last change
 	news      chan struct{} // closed at the next change
 }
@@ -57,7 +57,7 @@
 	d.lists.Add(1)
 	since, err := strconv.ParseInt(r.FormValue("since"), 10, 64)
 	if err != nil {
-		since = socket.NoVersion
+		since = socket.NoGeneration
 	}
 	wait, _ := strconv.Atoi(r.FormValue("timeout_ms"))
 	if !d.waitForNews(r.Context(), since, time.Duration(min(wait, 60_000))*time.Millisecond) {
@@ -86,13 +86,13 @@
 }
 
 // listSince is the whole list, or what has changed since a version.
-func (d *discovery) listSince(since int64) socket.List {
+func (d *discovery) listSince(since int64) socket.EndpointList {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	list := socket.List{Generation: d.version, Reset: since < 0 || since > d.version}
+	list := socket.EndpointList{Generation: d.version, Reset: since < 0 || since > d.version}
 	for i, instance := range d.instances {
 		if list.Reset || d.changed[i] > since {
-			list.Instances = append(list.Instances, instance)
+			list.Endpoints = append(list.Endpoints, instance)
 		}
 	}
 	return list
@@ -102,9 +102,9 @@
 const chunkSize = 4096
 
 // write writes a list in the framing that was asked for.
-func (d *discovery) write(w http.ResponseWriter, list socket.List) {
-	if list.Instances == nil {
-		list.Instances = []socket.Instance{}
+func (d *discovery) write(w http.ResponseWriter, list socket.EndpointList) {
+	if list.Endpoints == nil {
+		list.Endpoints = []socket.Endpoint{}
 	}
 	text, err := json.Marshal(list)
 	if d.framing == conf.FramingIndented {
--- a/internal/drill/scale/gateways.go
+++ b/internal/drill/scale/gateways.go
@@ -48,7 +48,7 @@
 	for i := range s.Zones {
 		settings.Zones = append(settings.Zones, zoneName(i))
 	}
-	text, err := wire.WriteSettings(settings)
+	text, err := wire.MarshalSettings(settings)
 	if err != nil {
 		return nil, err
 	}
--- a/internal/drill/scale/replicas.go
+++ b/internal/drill/scale/replicas.go
@@ -67,7 +67,7 @@
 		p.order = append(p.order, state)
 		go p.server.Serve(countedListener{l, &p.meter})
 		up := time.Duration(float64(time.Hour) * (1 + 99*rng.Float64()))
-		hello.Instances = append(hello.Instances, socket.Instance{ID: fmt.Sprintf("replica-%05d", n), Addr: addr, Zone: zoneName(n % spec.Zones),
+		hello.Instances = append(hello.Instances, socket.Endpoint{ID: fmt.Sprintf("replica-%05d", n), Addr: addr, Zone: zoneName(n % spec.Zones),
 			Kind: fmt.Sprintf("kind-%d", n%2), Lifecycle: "ready", Weight: 1, StartedAtMs: time.Now().Add(-up).UnixMilli()})
 	}
 	return p, hello, nil
@@ -94,7 +94,7 @@
 		io.WriteString(w, state.load())
 	case socket.LivePath:
 		p.calls[1].Add(1)
-	case socket.JobPath:
+	case socket.CompletionsPath:
 		p.calls[0].Add(1)
 		p.attempt(w, r, state)
 	default:
@@ -113,7 +113,7 @@
 func (p *replicas) attempt(w http.ResponseWriter, r *http.Request, state *replicaState) {
 	state.running.Add(1)
 	defer state.running.Add(-1)
-	if _, err := io.Copy(io.Discard, http.MaxBytesReader(w, r.Body, socket.MaxBody)); err != nil {
+	if _, err := io.Copy(io.Discard, http.MaxBytesReader(w, r.Body, socket.MaxBodyBytes)); err != nil {
 		return
 	}
 	const spread = 0.5
--- a/internal/drill/scale/role.go
+++ b/internal/drill/scale/role.go
@@ -41,7 +41,7 @@
 // Hello is a role's first line: it is ready.
 type Hello struct {
 	Address   string            `json:"address,omitempty"`
-	Instances []socket.Instance `json:"instances,omitempty"`
+	Instances []socket.Endpoint `json:"instances,omitempty"`
 	Error     string            `json:"error,omitempty"`
 }
 
--- a/internal/drill/scale/scale.go
+++ b/internal/drill/scale/scale.go
@@ -136,7 +136,7 @@
 	discovery *role
 	hollow    []*role
 	real      *processes
-	instances []socket.Instance
+	instances []socket.Endpoint
 	client    *driver // of the real gateways
 }
 
--- a/internal/drill/soakclient.go
+++ b/internal/drill/soakclient.go
@@ -180,7 +180,7 @@
 func (s *soakClients) text(rng *rand.Rand, t *soakTry, stream *model.Stream, class *choice.Class) string {
 	const body = `{"model":"chat","stream":true}`
 	return fmt.Sprintf("POST %s HTTP/1.1\r\nHost: app.svc\r\nReq-Id: %s\r\nReq-Kind: %s\r\nReq-Owner: %s\r\nReq-Key: %016x\r\nReq-Deadline: %dm\r\n"+
-		"Req-Extra: prompt_len=%d,max_out=%d\r\nX-Emulate-Out: %d\r\nContent-Length: %d\r\n\r\n%s", socket.JobPath, t.id, class.Name, stream.Tenant, rng.Uint64(),
+		"Req-Extra: prompt_len=%d,max_out=%d\r\nX-Emulate-Out: %d\r\nContent-Length: %d\r\n\r\n%s", socket.CompletionsPath, t.id, class.Name, stream.Tenant, rng.Uint64(),
 		t.wait.Milliseconds(), int(stream.Prompt), stream.MaxOut, max(1, int(stream.Answer)), len(body), body)
 }
 
--- a/internal/fleet/emulate/emulate.go
+++ b/internal/fleet/emulate/emulate.go
@@ -86,7 +86,7 @@
 				return nil, err
 			}
 			f.Workers = append(f.Workers, w)
-			f.registry.list.Instances = append(f.registry.list.Instances, w.instance("ready", 0))
+			f.registry.list.Endpoints = append(f.registry.list.Endpoints, w.instance("ready", 0))
 		}
 	}
 	l, err := loopback(registryAddr)
@@ -123,8 +123,8 @@
 	}
 }
 
-func (w *Worker) instance(state string, startedMs int64) socket.Instance {
-	return socket.Instance{ID: w.Name, Addr: w.Addr, Zone: w.group.Zone, Kind: w.group.Name, Lifecycle: state, Weight: w.group.Weight, StartedAtMs: startedMs}
+func (w *Worker) instance(state string, startedMs int64) socket.Endpoint {
+	return socket.Endpoint{ID: w.Name, Addr: w.Addr, Zone: w.group.Zone, Kind: w.group.Name, Lifecycle: state, Weight: w.group.Weight, StartedAtMs: startedMs}
 }
 
 // start brings the worker up, at its address of before if it had one.
@@ -212,11 +212,11 @@
 	load := w.load()
 	w.mu.Unlock()
 	if silent {
-		if r.URL.Path == socket.JobPath && w.fleet.Worked != nil {
+		if r.URL.Path == socket.CompletionsPath && w.fleet.Worked != nil {
 			id := r.Header.Get("Req-Id")
 			met := Attempt{ID: id, Root: rootOf(r.Header, id), Worker: w.Name, From: time.Now(), Declined: true}
 			defer func() { met.To = time.Now(); w.fleet.Worked(met) }()
-			_, _ = io.Copy(io.Discard, http.MaxBytesReader(out, r.Body, socket.MaxBody)) // then an end of the connection is noticed
+			_, _ = io.Copy(io.Discard, http.MaxBytesReader(out, r.Body, socket.MaxBodyBytes)) // then an end of the connection is noticed
 		}
 		select { // half-open: it takes all and says nothing
 		case <-r.Context().Done():
@@ -228,7 +228,7 @@
 	case socket.LivePath:
 	case socket.StatsPath:
 		io.WriteString(out, load)
-	case socket.JobPath:
+	case socket.CompletionsPath:
 		w.serveJob(out, r)
 	default:
 		http.NotFound(out, r)
@@ -237,31 +237,31 @@
 
 // rootOf is the id of a request's first try: its own, unless it asks for another's rest.
 func rootOf(h http.Header, id string) string {
-	if rest, asked, err := socket.ReadRest(h); asked && err == nil {
+	if rest, asked, err := socket.ParseResume(h); asked && err == nil {
 		return rest.ID
 	}
 	return id
 }
 
 func (w *Worker) serveJob(out http.ResponseWriter, r *http.Request) {
-	body, err := io.ReadAll(http.MaxBytesReader(out, r.Body, socket.MaxBody))
+	body, err := io.ReadAll(http.MaxBytesReader(out, r.Body, socket.MaxBodyBytes))
 	if err != nil {
 		http.Error(out, err.Error(), http.StatusBadRequest)
 		return
 	}
-	in, err := socket.ReadJob(r.Header)
+	in, err := socket.ParseRequest(r.Header)
 	if err != nil {
 		http.Error(out, err.Error(), http.StatusBadRequest)
 		return
 	}
-	in.BodyLen(len(body))
+	in.EstimatePrompt(len(body))
 	q := &in.Request
 	// What it will make is the client's own secret, told beside the request.
 	made, err := strconv.Atoi(r.Header.Get("X-Emulate-Out"))
 	if err != nil || made < 1 || made > 1<<20 {
 		made = max(1, q.MaxTokens/4)
 	}
-	met := Attempt{ID: in.ID, Root: rootOf(r.Header, in.ID), Worker: w.Name, Class: q.Class, From: time.Now(), Until: time.Now().Add(time.Duration(in.Wait) * time.Microsecond)}
+	met := Attempt{ID: in.ID, Root: rootOf(r.Header, in.ID), Worker: w.Name, Class: q.Class, From: time.Now(), Until: time.Now().Add(time.Duration(in.Timeout) * time.Microsecond)}
 	defer func() {
 		if met.To = time.Now(); w.fleet.Worked != nil {
 			w.fleet.Worked(met)
@@ -363,7 +363,7 @@
 // registry tells the list, and waits for changes where it is asked to.
 type registry struct {
 	mu     sync.Mutex
-	list   socket.List
+	list   socket.EndpointList
 	news   chan struct{} // closed at the next change
 	deaf   bool
 	server *http.Server
@@ -395,9 +395,9 @@
 		}
 	}
 	g.mu.Lock()
-	out := socket.List{Generation: g.list.Generation, Reset: true, Instances: g.list.Instances}
+	out := socket.EndpointList{Generation: g.list.Generation, Reset: true, Endpoints: g.list.Endpoints}
 	if err == nil && since == out.Generation {
-		out.Reset, out.Instances = false, nil
+		out.Reset, out.Endpoints = false, nil
 	}
 	var b bytes.Buffer
 	json.NewEncoder(&b).Encode(out)
@@ -405,11 +405,11 @@
 	w.Write(b.Bytes())
 }
 
-func (g *registry) change(do func(*socket.List)) {
+func (g *registry) change(do func(*socket.EndpointList)) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	list := g.list
-	list.Instances = append([]socket.Instance(nil), list.Instances...)
+	list.Endpoints = append([]socket.Endpoint(nil), list.Endpoints...)
 	do(&list)
 	list.Generation++
 	g.list = list
@@ -446,7 +446,7 @@
 			if on {
 				state = "draining"
 			}
-			f.registry.change(func(l *socket.List) { l.Instances[i].Lifecycle = state })
+			f.registry.change(func(l *socket.EndpointList) { l.Endpoints[i].Lifecycle = state })
 			continue
 		}
 		w.mu.Lock()
@@ -487,7 +487,7 @@
 		still := w.silent
 		w.mu.Unlock()
 		if still {
-			f.registry.change(func(l *socket.List) { l.Instances[w.place].Lifecycle = "gone" })
+			f.registry.change(func(l *socket.EndpointList) { l.Endpoints[w.place].Lifecycle = "gone" })
 		}
 	})
 }
@@ -502,7 +502,7 @@
 			gone := w.w == nil
 			w.mu.Unlock()
 			if gone {
-				f.registry.change(func(l *socket.List) { l.Instances[i].Lifecycle = "gone" })
+				f.registry.change(func(l *socket.EndpointList) { l.Endpoints[i].Lifecycle = "gone" })
 			}
 		})
 		return
@@ -512,6 +512,6 @@
 	}
 	began := time.Now().UnixMilli()
 	time.AfterFunc(time.Duration(w.group.Params.Start)*time.Microsecond, func() {
-		f.registry.change(func(l *socket.List) { l.Instances[i] = w.instance("ready", began) })
+		f.registry.change(func(l *socket.EndpointList) { l.Endpoints[i] = w.instance("ready", began) })
 	})
 }
--- a/internal/fleet/emulate/emulate_test.go
+++ b/internal/fleet/emulate/emulate_test.go
@@ -31,7 +31,7 @@
 	t.Helper()
 	set := s.Settings
 	set.Gateways, set.Zone, set.Zones, set.Kinds = 1, "a", []string{"a"}, []string{"k"}
-	g, err := gateway.New(gateway.Options{Name: "e", Discovery: registry, Seed: 1, CachedList: socket.List{Generation: socket.NoVersion}, Settings: set,
+	g, err := gateway.New(gateway.Options{Name: "e", Discovery: registry, Seed: 1, CachedList: socket.EndpointList{Generation: socket.NoGeneration}, Settings: set,
 		MaxInFlight: 500, MaxClientConns: 500, OverflowConns: 8, MaxReplicaConns: 500, MaxBodyBytes: 1 << 20, ConnectTimeout: time.Second, ReplicaConnIdle: 10 * time.Second,
 		ClientConnIdle: 10 * time.Second, StreamIdleTimeout: 4 * time.Second, HealthCheckTimeout: time.Second, PollWithin: 10 * time.Second, WatchWait: time.Second,
 		DiscoveryTimeout: time.Second, DrainAcceptPeriod: 50 * time.Millisecond})
--- a/internal/fleet/emulate/tries.go
+++ b/internal/fleet/emulate/tries.go
@@ -212,7 +212,7 @@
 			}
 			t.Gateway = p.gateways[rng.IntN(len(p.gateways))]
 		}
-		req, err := http.NewRequestWithContext(ctx, http.MethodPost, "http://"+t.Gateway+socket.JobPath, strings.NewReader(body))
+		req, err := http.NewRequestWithContext(ctx, http.MethodPost, "http://"+t.Gateway+socket.CompletionsPath, strings.NewReader(body))
 		if err != nil {
 			return nil, err
 		}
@@ -233,7 +233,7 @@
 		h.Set("X-Emulate-Out", strconv.Itoa(t.Out))
 		if t.Ask > 0 {
 			h.Set("Req-Retry", "again")
-			h.Set(socket.RestHeader, fmt.Sprintf("id=%s,ask=%d,bytes=%d,sum=%08x", t.Root, t.Ask, len(have), crc32.ChecksumIEEE(have)))
+			h.Set(socket.ResumeHeader, fmt.Sprintf("id=%s,ask=%d,bytes=%d,sum=%08x", t.Root, t.Ask, len(have), crc32.ChecksumIEEE(have)))
 		}
 		p.watch.State(t, "sent")
 		resp, err := p.client.Do(req)
--- a/internal/fleet/fit/fit_test.go
+++ b/internal/fleet/fit/fit_test.go
@@ -28,7 +28,7 @@
 	if _, err := model.Run(s); err != nil {
 		t.Fatal(err)
 	}
-	runs, err := capture.Find(s.Capture+"/gateway0", s.Capture+"/gateway1", s.Capture+"/gateway2")
+	runs, err := capture.FindRuns(s.Capture+"/gateway0", s.Capture+"/gateway1", s.Capture+"/gateway2")
 	if err != nil || len(runs) != 3 {
 		t.Fatal(len(runs), err)
 	}
--- a/internal/fleet/fit/read.go
+++ b/internal/fleet/fit/read.go
@@ -25,7 +25,7 @@
 	}
 	out := &Recorded{}
 	for i, run := range runs {
-		from := run.Wall(run.Begin()).UnixMicro()
+		from := run.WallTime(run.Begin()).UnixMicro()
 		to, err := out.read(run)
 		if err != nil {
 			return nil, fmt.Errorf("%s: %w", run.Gateway, err)
@@ -68,7 +68,7 @@
 			clear(open)
 			continue
 		}
-		at := run.Wall(e.At).UnixMicro()
+		at := run.WallTime(e.At).UnixMicro()
 		last = max(last, at)
 		switch rec := e.Record; rec.Kind {
 		case pb.Kind_KIND_ARRIVED:
--- a/internal/fleet/model/gateway.go
+++ b/internal/fleet/model/gateway.go
@@ -23,7 +23,7 @@
 	m        capture.Module
 	view     *subset.Selector
 	book     *contract.Ledger
-	books    capture.Books
+	books    capture.ContractLedger
 	rec      *capture.Recorder
 	writer   *capture.Writer
 	requests map[choice.RequestID]*request
@@ -115,16 +115,16 @@
 			parts[i] = 1 / float64(x.s.Gateways)
 		}
 		g.book.SetQuotaShares(start, parts)
-		g.books = capture.Plain{Book: g.book}
+		g.books = capture.UnrecordedLedger{Ledger: g.book}
 	}
 	if x.s.Capture != "" {
 		name := fmt.Sprintf("gateway%d", i)
-		if g.writer, err = capture.NewWriter(capture.Limits{Directory: filepath.Join(x.s.Capture, name), Gateway: name, Build: "model", Seed: seed, Queue: 8,
-			Wait: true, KeepSize: math.MaxInt64, KeepAge: math.MaxInt64}); err != nil {
+		if g.writer, err = capture.NewWriter(capture.WriterOptions{Directory: filepath.Join(x.s.Capture, name), Gateway: name, Build: "model", Seed: seed, QueueLength: 8,
+			BlockWhenFull: true, MaxBytes: math.MaxInt64, MaxAge: math.MaxInt64}); err != nil {
 			return nil, err
 		}
-		g.rec = capture.Record(start, g.b, g.book, g, g.writer, capture.Host{Timers: g.timers.Pending, Charges: g.open},
-			capture.Options{Checkpoint: 15 * time.Second, Block: 64 << 10, Flush: time.Minute, SegmentSize: 64 << 20, SegmentAge: time.Hour})
+		g.rec = capture.NewRecorder(start, g.b, g.book, g, g.writer, capture.Host{Timers: g.timers.Pending, OpenCharges: g.open},
+			capture.Options{CheckpointInterval: 15 * time.Second, BlockSize: 64 << 10, FlushInterval: time.Minute, SegmentSize: 64 << 20, SegmentAge: time.Hour})
 		g.m = g.rec
 		if g.book != nil {
 			g.books = g.rec
@@ -248,12 +248,12 @@
 // SetTimer: choice.Sink.
 func (g *gateway) SetTimer(delay choice.Micros, token uint64) {
 	at := g.x.e.Now() + delay
-	g.timers.Set(at, token)
+	g.timers.Add(at, token)
 	g.x.e.At(at, func(now choice.Micros) {
 		if g.dead {
 			return
 		}
-		g.timers.Fired(token)
+		g.timers.Remove(token)
 		g.m.TimerFired(now, token)
 	})
 }
@@ -429,7 +429,7 @@
 	r.done = true
 	if g.books != nil {
 		g.books.Settle(now, id, 0, &r.charge, contract.Usage{}, false)
-		g.books.TurnedAway(now, &r.in, r.thought, r.over)
+		g.books.RecordShed(now, &r.in, r.thought, r.over)
 	}
 	g.x.ends(now, r, how, after)
 	g.x.e.After(0, func(choice.Micros) { g.forget(r) })
--- a/internal/fleet/model/model_test.go
+++ b/internal/fleet/model/model_test.go
@@ -192,13 +192,13 @@
 	s.Book = contract.Settings{BorrowPoolSeconds: 1, UnknownTenantWeight: 1}
 	s.Capture = t.TempDir()
 	play(t, s)
-	runs, err := capture.Find(s.Capture+"/gateway0", s.Capture+"/gateway1", s.Capture+"/gateway2")
+	runs, err := capture.FindRuns(s.Capture+"/gateway0", s.Capture+"/gateway1", s.Capture+"/gateway2")
 	if err != nil || len(runs) != 3 {
 		t.Fatal(runs, err)
 	}
 	for _, run := range runs {
-		res, err := replay.Replay(run, replay.Options{OnDiffer: func(d *replay.Difference) { t.Logf("%+v", *d) }})
-		if err != nil || res.Differ != 0 || res.Events < 300 || res.Verdicts < 50 {
+		res, err := replay.Replay(run, replay.Options{OnDifference: func(d *replay.Difference) { t.Logf("%+v", *d) }})
+		if err != nil || res.Differing != 0 || res.Events < 300 || res.Verdicts < 50 {
 			t.Errorf("%v %s verdicts=%d", err, res.Line(), res.Verdicts)
 		}
 	}
--- a/internal/gateway/attempt.go
+++ b/internal/gateway/attempt.go
@@ -83,7 +83,7 @@
 	}
 	hand.markDispatched()
 	c.SetDeadline(cutAt)
-	if err := c.WriteBuffers(net.Buffers{socket.JobHead(r, len(body), d.TimeoutAt-g.clock.now()), body}); err != nil {
+	if err := c.WriteBuffers(net.Buffers{socket.ForwardedHead(r, len(body), d.TimeoutAt-g.clock.now()), body}); err != nil {
 		// The last byte was never written, so the worker did not start.
 		return failureStatus(d, err, choice.ConnectFailed)
 	}
@@ -97,17 +97,17 @@
 	}
 	in := socket.NewBody(c.Reader, resp)
 	// Bytes behind an answer would be taken for the next one's.
-	whole := func() bool { return in.Ends() && !resp.Close && c.Reader.Buffered() == 0 }
+	whole := func() bool { return in.Delimited() && !resp.Close && c.Reader.Buffered() == 0 }
 	if resp.StatusCode != http.StatusOK {
-		e.report, e.httpStatus = socket.HeaderLoad(resp.Header), resp.StatusCode
+		e.report, e.httpStatus = socket.LoadReportOf(resp.Header), resp.StatusCode
 		c.SetDeadline(time.Now().Add(time.Second))
-		_, err := in.ReadAll(socket.MaxBody)
-		status := socket.Refusal(resp)
+		_, err := in.ReadAll(socket.MaxBodyBytes)
+		status := socket.StatusOf(resp)
 		// A worker that cannot use a request may close on what follows it.
 		keep = err == nil && whole() && status != choice.Rejected
 		return status
 	}
-	var notes socket.Notes
+	var notes socket.StreamObserver
 	var first []byte // of the first event: what breaks off before it is whole has given the client nothing
 	for begun := false; ; {
 		events, err := in.Next()
@@ -131,11 +131,11 @@
 			c.SetDeadline(time.Now().Add(g.options.StreamIdleTimeout))
 		}
 		if err == io.EOF {
-			e.cachedTokens, e.outputTokens, e.report = notes.Kept, notes.Tokens, notes.Report
+			e.cachedTokens, e.outputTokens, e.report = notes.CachedTokens, notes.OutputTokens, notes.Report
 			if e.report.Has == 0 {
-				e.report = socket.HeaderLoad(resp.Header)
+				e.report = socket.LoadReportOf(resp.Header)
 			}
-			if !in.Ends() {
+			if !in.Delimited() {
 				return choice.ConnBroken
 			}
 			keep = whole()
@@ -162,14 +162,14 @@
 		}
 		resp, err := socket.ReadHead(c.Reader)
 		if errors.Is(err, os.ErrDeadlineExceeded) && time.Now().Before(cutAt) {
-			err = socket.ErrSpoilt
+			err = socket.ErrMalformed
 		}
 		c.SetDeadline(cutAt)
 		if err != nil || resp.StatusCode >= 200 {
 			return resp, err
 		}
 		if infos >= maxInformational {
-			return nil, fmt.Errorf("%w: over %d answers before the answer", socket.ErrSpoilt, maxInformational)
+			return nil, fmt.Errorf("%w: over %d answers before the answer", socket.ErrMalformed, maxInformational)
 		}
 	}
 }
@@ -182,7 +182,7 @@
 	switch {
 	case d.Ctx.Err() != nil:
 		return choice.Cancelled
-	case errors.Is(err, socket.ErrSpoilt):
+	case errors.Is(err, socket.ErrMalformed):
 		return choice.Malformed
 	case errors.Is(err, os.ErrDeadlineExceeded):
 		return choice.TimedOut
--- a/internal/gateway/capture.go
+++ b/internal/gateway/capture.go
@@ -11,7 +11,7 @@
 
 // Capture says how the gateway records what its module is told and orders.
 type Capture struct {
-	Writer   capture.Limits
+	Writer   capture.WriterOptions
 	Recorder capture.Options
 }
 
@@ -44,8 +44,8 @@
 	l.recording, l.module = e.next, l.balancer
 	l.routeLedger()
 	if n := e.next; n != nil {
-		n.recorder = capture.Record(l.now, l.balancer, l.ledger, l, n.writer, capture.Host{Timers: l.pendingTimers, WorkerName: l.replicaName, RequestName: l.requestName,
-			Charges: l.openCharges}, n.options)
+		n.recorder = capture.NewRecorder(l.now, l.balancer, l.ledger, l, n.writer, capture.Host{Timers: l.pendingTimers, ReplicaName: l.replicaName, RequestName: l.requestName,
+			OpenCharges: l.openCharges}, n.options)
 		l.module = n.recorder
 		l.routeLedger()
 	}
@@ -70,7 +70,7 @@
 	case l.recording != nil && l.recording.recorder != nil:
 		l.recordedLedger = l.recording.recorder
 	default:
-		l.recordedLedger = capture.Plain{Book: l.ledger}
+		l.recordedLedger = capture.UnrecordedLedger{Ledger: l.ledger}
 	}
 }
 
@@ -83,7 +83,7 @@
 
 func (l *eventLoop) replicaName(id choice.ReplicaID) string {
 	if w := l.endpoints.ByID(id); w != nil {
-		return w.Instance.ID
+		return w.Endpoint.ID
 	}
 	return ""
 }
@@ -98,7 +98,7 @@
 // incidentRequest keeps the last minutes of the recording as an incident.
 type incidentRequest struct {
 	reason string
-	done   chan capture.Saved
+	done   chan capture.SavedIncident
 }
 
 // ErrNotRecording says that there is no capture to keep.
@@ -106,10 +106,10 @@
 
 func (e incidentRequest) apply(l *eventLoop) {
 	if l.recording == nil {
-		e.done <- capture.Saved{Err: ErrNotRecording}
+		e.done <- capture.SavedIncident{Err: ErrNotRecording}
 		return
 	}
-	l.recording.recorder.Save(l.now, e.reason, e.done)
+	l.recording.recorder.SaveIncident(l.now, e.reason, e.done)
 }
 
 // SetCapture begins a recording, in place of one that runs; nil ends it. It returns
@@ -137,13 +137,13 @@
 }
 
 // SaveIncident keeps the last minutes of the capture and tells where.
-func (g *Gateway) SaveIncident(ctx context.Context, reason string) (capture.Saved, error) {
-	e := incidentRequest{reason, make(chan capture.Saved, 1)}
+func (g *Gateway) SaveIncident(ctx context.Context, reason string) (capture.SavedIncident, error) {
+	e := incidentRequest{reason, make(chan capture.SavedIncident, 1)}
 	g.loop.post(ctx, e)
 	select {
 	case s := <-e.done:
 		return s, s.Err
 	case <-ctx.Done():
-		return capture.Saved{}, ctx.Err()
+		return capture.SavedIncident{}, ctx.Err()
 	}
 }
--- a/internal/gateway/capture_test.go
+++ b/internal/gateway/capture_test.go
@@ -14,15 +14,15 @@
 
 func captureTo(dir string) *Capture {
 	return &Capture{
-		Writer: capture.Limits{Directory: dir, Gateway: "t", Build: "test", Queue: 8, KeepSize: 64 << 20, KeepAge: time.Hour,
-			KeepIncidents: 2, Window: time.Hour, Pause: time.Hour},
-		Recorder: capture.Options{Checkpoint: 50 * time.Millisecond, Block: 4 << 10, Flush: 10 * time.Millisecond, SegmentSize: 1 << 20, SegmentAge: time.Minute},
+		Writer: capture.WriterOptions{Directory: dir, Gateway: "t", Build: "test", QueueLength: 8, MaxBytes: 64 << 20, MaxAge: time.Hour,
+			MaxIncidents: 2, IncidentWindow: time.Hour, IncidentInterval: time.Hour},
+		Recorder: capture.Options{CheckpointInterval: 50 * time.Millisecond, BlockSize: 4 << 10, FlushInterval: 10 * time.Millisecond, SegmentSize: 1 << 20, SegmentAge: time.Minute},
 	}
 }
 
 func replayDir(t *testing.T, dir string) (events uint64, runs int) {
 	t.Helper()
-	found, err := capture.Find(dir)
+	found, err := capture.FindRuns(dir)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -31,7 +31,7 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		if res.Differ != 0 || res.Gaps != 0 || res.Skipped != 0 {
+		if res.Differing != 0 || res.Gaps != 0 || res.Skipped != 0 {
 			t.Errorf("%s %v", res.Line(), res.ByKind)
 		}
 		events += res.Events
@@ -89,7 +89,7 @@
 	if runs != 2 || n < 70 {
 		t.Errorf("%d events in %d runs", n, runs)
 	}
-	found, err := capture.Find(dir)
+	found, err := capture.FindRuns(dir)
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/internal/gateway/clientconn.go
+++ b/internal/gateway/clientconn.go
@@ -31,15 +31,15 @@
 	closeOnce   sync.Once
 
 	mu           sync.Mutex
-	readClosed   bool           // no further byte is read
-	peerClosed   bool           // the client's end has been read
-	lingering    bool           // it is being closed, and its client may still read
-	used         bool           // a request has been answered on it
-	requestStart choice.Micros  // when a request's first byte was read: the server's handler starts later; 0: none is coming
-	idleSince    choice.Micros  // since when none has been, or was before first
-	answered     int            // requests answered
-	framing      socket.Framing // of all that was read
-	reason       closeReason    // what ended it first
+	readClosed   bool                  // no further byte is read
+	peerClosed   bool                  // the client's end has been read
+	lingering    bool                  // it is being closed, and its client may still read
+	used         bool                  // a request has been answered on it
+	requestStart choice.Micros         // when a request's first byte was read: the server's handler starts later; 0: none is coming
+	idleSince    choice.Micros         // since when none has been, or was before first
+	answered     int                   // requests answered
+	framing      socket.RequestFraming // of all that was read
+	reason       closeReason           // what ended it first
 }
 
 // closeReason is why a client's connection ended.
@@ -133,7 +133,7 @@
 	// word: which of the two counts is in doubt, and with it where the next
 	// request begins. Only here are both seen, and before the server sees them.
 	c.framing.Write(p[:n])
-	if c.requestStart == 0 && (c.framing.Doubt != "" || c.framing.Begun(c.answered)) { // an empty line behind a request begins none
+	if c.requestStart == 0 && (c.framing.Ambiguity != "" || c.framing.RequestStarted(c.answered)) { // an empty line behind a request begins none
 		c.requestStart = c.arrivalTime(fd, c.tracker.clock.now())
 		if c.used { // the time it may rest is no limit for a request that has begun
 			_ = c.Conn.SetReadDeadline(time.Now().Add(requestHeadTimeout))
@@ -209,7 +209,7 @@
 // begun and does not go on. One that has come whole is never ended.
 func (c *clientConn) evict() bool {
 	c.mu.Lock()
-	won := c.lingering || c.framing.Ends <= c.answered && c.stopUnlessPending(closedForCapacity)
+	won := c.lingering || c.framing.CompleteRequests <= c.answered && c.stopUnlessPending(closedForCapacity)
 	c.mu.Unlock()
 	if won {
 		c.tracker.remove(c)
@@ -225,7 +225,7 @@
 	c.used, c.idleSince = true, now
 	c.answered++
 	// Some of the next request may have been read with the one before.
-	if c.requestStart = 0; c.framing.Begun(c.answered) {
+	if c.requestStart = 0; c.framing.RequestStarted(c.answered) {
 		c.requestStart = now
 	} else if c.tracker.draining() { // read under mu: drain asks each connection behind it
 		c.stopUnlessPending(closedForDrain)
@@ -305,14 +305,14 @@
 func (c *clientConn) framingInDoubt() bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	return c.framing.Doubt != ""
+	return c.framing.Ambiguity != ""
 }
 
 // hasPipelined tells whether something of a further request has been read, which is owed an answer too.
 func (c *clientConn) hasPipelined() bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	return c.framing.Begun(c.answered + 1)
+	return c.framing.RequestStarted(c.answered + 1)
 }
 
 func (c *clientConn) requestSentAt() choice.Micros {
@@ -344,7 +344,7 @@
 	switch {
 	case c.lingering:
 		return 1, quiet
-	case c.framing.Ends > c.answered: // a request has come whole
+	case c.framing.CompleteRequests > c.answered: // a request has come whole
 		return 0, 0
 	case c.requestStart > 0 && now-c.requestStart > slowRequestAfter:
 		return 4, now - c.requestStart
--- a/internal/gateway/clients_test.go
+++ b/internal/gateway/clients_test.go
@@ -176,9 +176,9 @@
 	read := func(n int) meeting { // so many bytes of it were, and nothing done with them yet
 		return func(t *testing.T, c *testClient, conn *hold.Conn, drain func()) int {
 			behind := hold.NewPoint(t)
-			conn.Behind(behind)
+			conn.StopAfterRead(behind)
 			c.raw(ask("b")[:n])
-			behind.Await(t)
+			behind.WaitReached(t)
 			drain()
 			behind.Release()
 			c.raw(ask("b")[n:])
@@ -190,9 +190,9 @@
 		"all of it was read":        read(len(ask("b"))),
 		"all of it has come and none was read": func(t *testing.T, c *testClient, conn *hold.Conn, drain func()) int {
 			before := hold.NewPoint(t)
-			conn.Before(before)
+			conn.StopBeforeRead(before)
 			c.raw(ask("b"))
-			before.Await(t)
+			before.WaitReached(t)
 			drain()
 			before.Release()
 			return 2
@@ -218,7 +218,7 @@
 			other := dial(t, g.addr) // a sign that the drain has asked all
 			other.raw(ask("other"))
 			other.answer()
-			first, second := l.Next(t), l.Next(t)
+			first, second := l.NextConn(t), l.NextConn(t)
 			if first.RemoteAddr().String() != c.LocalAddr().String() {
 				first, second = second, first
 			}
--- a/internal/gateway/contracts.go
+++ b/internal/gateway/contracts.go
@@ -48,7 +48,7 @@
 	if err := g.options.Ledger.Write(list); err != nil {
 		return err
 	}
-	g.loop.recordedLedger.Kept(now, number, true)
+	g.loop.recordedLedger.CheckpointDone(now, number, true)
 	return nil
 }
 
@@ -72,7 +72,7 @@
 	}
 	if len(c.Teams) == 0 {
 		if l.ledger != nil && l.recording != nil {
-			l.recording.recorder.Renew(l.now, nil, 0, nil)
+			l.recording.recorder.ReplaceLedger(l.now, nil, 0, nil)
 		}
 		// What is open is no book's any more: a later one must not settle it.
 		l.requests.EachOpenCharge(func(_ choice.RequestID, _ int, c *contract.Charge) { *c = contract.Charge{} })
@@ -84,7 +84,7 @@
 	}
 	l.quotaShares.updatedAt, l.quotaShares.own, l.quotaShares.all = 0, 0, 0
 	if l.ledger != nil {
-		return l.recordedLedger.Agree(l.now, c.Settings, c.Teams)
+		return l.recordedLedger.ApplyTerms(l.now, c.Settings, c.Teams)
 	}
 	unix := time.Now().UnixMicro()
 	book, err := contract.NewLedger(c.Settings, c.Teams, l.now, unix)
@@ -95,7 +95,7 @@
 		slog.Info("contract_ledger_resumed", "resumed", n)
 	}
 	if l.ledger = book; l.recording != nil {
-		l.recording.recorder.Renew(l.now, book, unix, stored)
+		l.recording.recorder.ReplaceLedger(l.now, book, unix, stored)
 	}
 	l.routeLedger()
 	return nil
@@ -168,7 +168,7 @@
 	if l.gateway.ledgerWriter != nil && l.ledger.CheckpointDue() && !l.quotaShares.checkpointing {
 		number, list := l.recordedLedger.Checkpoint(l.now)
 		if l.quotaShares.checkpointing = l.gateway.ledgerWriter.Write(number, list); !l.quotaShares.checkpointing {
-			l.recordedLedger.Kept(l.now, number, false)
+			l.recordedLedger.CheckpointDone(l.now, number, false)
 		}
 	}
 	l.updateQuotaParts()
@@ -191,7 +191,7 @@
 	if l.ledger == nil {
 		return
 	}
-	l.recordedLedger.Kept(l.now, e.checkpoint, e.err == nil)
+	l.recordedLedger.CheckpointDone(l.now, e.checkpoint, e.err == nil)
 	if e.err != nil && l.now-l.quotaShares.errorLoggedAt >= ledgerErrorInterval {
 		l.quotaShares.errorLoggedAt = l.now
 		slog.Error("contract_ledger_write_failed", "err", e.err, "unsaved_tokens", l.ledger.UnstoredUsage()/contract.Token)
@@ -281,7 +281,7 @@
 		*was = *c
 	}
 	s.updatedAt, s.own, s.all = l.now, 0, 0
-	l.recordedLedger.SetParts(l.now, s.splitter.Shares(seen))
+	l.recordedLedger.SetQuotaShares(l.now, s.splitter.Shares(seen))
 }
 
 // minPriorityWeight stands for a worth of nothing, for 0 says that there is no contract.
@@ -354,7 +354,7 @@
 			return
 		}
 	}
-	l.recordedLedger.TurnedAway(l.now, &r.BalancerRequest, r.EstimatedUse, r.OverRate)
+	l.recordedLedger.RecordShed(l.now, &r.BalancerRequest, r.EstimatedUse, r.OverRate)
 }
 
 // releaseCharge settles a charge that no attempt had.
@@ -375,7 +375,7 @@
 // writeContractRejection answers a request that its team's contract refuses.
 func writeContractRejection(w http.ResponseWriter, reason string, retryAfter choice.Micros) {
 	if retryAfter > 0 {
-		w.Header().Set("Retry-After", socket.RetryAfter(retryAfter))
+		w.Header().Set("Retry-After", socket.FormatRetryAfter(retryAfter))
 	}
 	w.Header().Set("Content-Type", "application/json")
 	w.WriteHeader(http.StatusTooManyRequests)
--- a/internal/gateway/discovery_test.go
+++ b/internal/gateway/discovery_test.go
@@ -78,7 +78,7 @@
 	}
 	l := g.loop
 	l.now = g.clock.now()
-	l.receiveList(socket.List{Instances: []socket.Instance{{ID: "s-1", Addr: "127.0.0.1:1", Zone: "a", Kind: "k", Lifecycle: "ready"},
+	l.receiveList(socket.EndpointList{Endpoints: []socket.Endpoint{{ID: "s-1", Addr: "127.0.0.1:1", Zone: "a", Kind: "k", Lifecycle: "ready"},
 		{ID: "s-2", Addr: "127.0.0.1:2", Zone: "a", Kind: "k", Lifecycle: "ready"}}}, choice.ListCached)
 	ctx := t.Context()
 	r := memory.NewRequest(ctx, "w1", choice.Request{Class: "chat"}, l.now+4e6, 3)
@@ -167,7 +167,7 @@
 			}
 			begun := time.Now()
 			got, err := g.requestList(t.Context(), l.Addr().String(), socket.ListPath, 300*time.Millisecond)
-			if c.good != (err == nil) || c.good && (got.Generation != 7 || len(got.Instances) != 1) {
+			if c.good != (err == nil) || c.good && (got.Generation != 7 || len(got.Endpoints) != 1) {
 				t.Errorf("%+v, %v", got, err)
 			}
 			if d := time.Since(begun); d > 2*time.Second {
--- a/internal/gateway/fakes_test.go
+++ b/internal/gateway/fakes_test.go
@@ -122,15 +122,15 @@
 	listener net.Listener
 	server   *http.Server
 	mu       sync.Mutex
-	list     socket.List
-	delta    []socket.Instance
+	list     socket.EndpointList
+	delta    []socket.Endpoint
 	changed  chan struct{}
 	calls    []string
 	fail     int // so many calls fail
 	mute     int // so many calls are never answered
 }
 
-func newFakeDiscovery(t *testing.T, list socket.List) *fakeDiscovery {
+func newFakeDiscovery(t *testing.T, list socket.EndpointList) *fakeDiscovery {
 	t.Helper()
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -190,17 +190,17 @@
 	}
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	out := socket.List{Generation: g.list.Generation, Reset: true, Instances: g.list.Instances}
+	out := socket.EndpointList{Generation: g.list.Generation, Reset: true, Endpoints: g.list.Endpoints}
 	if since >= 0 {
-		out.Reset, out.Instances = false, nil
+		out.Reset, out.Endpoints = false, nil
 		if since < g.list.Generation {
-			out.Instances = g.delta
+			out.Endpoints = g.delta
 		}
 	}
 	json.NewEncoder(w).Encode(out)
 }
 
-func (g *fakeDiscovery) change(i ...socket.Instance) {
+func (g *fakeDiscovery) change(i ...socket.Endpoint) {
 	g.mu.Lock()
 	g.list.Generation++
 	g.delta = i
@@ -214,12 +214,12 @@
 	return len(g.calls)
 }
 
-func instance(w *fakeReplica, lifecycle string) socket.Instance {
-	return socket.Instance{ID: w.id, Addr: w.addr, Zone: "a", Kind: "k", Lifecycle: lifecycle, Weight: 1}
+func instance(w *fakeReplica, lifecycle string) socket.Endpoint {
+	return socket.Endpoint{ID: w.id, Addr: w.addr, Zone: "a", Kind: "k", Lifecycle: lifecycle, Weight: 1}
 }
 
 func options() Options {
-	return Options{Name: "t", Seed: 7, CachedList: socket.List{Generation: socket.NoVersion},
+	return Options{Name: "t", Seed: 7, CachedList: socket.EndpointList{Generation: socket.NoGeneration},
 		Settings: choice.Settings{Gateways: 1, Zone: "a", Zones: []string{"a"}, Kinds: []string{"k"},
 			Classes: []choice.Class{{Name: "chat", LatencyObjective: 1e6, TokenObjective: 50_000, Deadline: 4e6, PriorityWeight: 1, Streaming: true}},
 			Tick:    2000, PollDiscovery: true, ReportSource: choice.ReportInline, MayCancel: true, MayHedge: true, RetryAfter: true, MaxAttempts: 3,
@@ -254,9 +254,9 @@
 	if tweak != nil {
 		tweak(&o)
 	}
-	list := socket.List{Generation: 0}
+	list := socket.EndpointList{Generation: 0}
 	for _, w := range workers {
-		list.Instances = append(list.Instances, instance(w, "ready"))
+		list.Endpoints = append(list.Endpoints, instance(w, "ready"))
 	}
 	reg := newFakeDiscovery(t, list)
 	o.Discovery = reg.addr
--- a/internal/gateway/gateway.go
+++ b/internal/gateway/gateway.go
@@ -30,7 +30,7 @@
 	Discovery  string // address of the registry
 	Seed       uint64
 	Settings   choice.Settings
-	CachedList socket.List // the list as last held, maybe old
+	CachedList socket.EndpointList // the list as last held, maybe old
 
 	MaxInFlight           int // requests in hand at once
 	MaxClientConns        int // client connections at once
--- a/internal/gateway/gateway_test.go
+++ b/internal/gateway/gateway_test.go
@@ -109,7 +109,7 @@
 	}
 	l := g.loop
 	l.now = g.clock.now()
-	l.receiveList(socket.List{Instances: []socket.Instance{{ID: "s-1", Addr: "127.0.0.1:1", Zone: "a", Kind: "k", Lifecycle: "ready"}}}, choice.ListCached)
+	l.receiveList(socket.EndpointList{Endpoints: []socket.Endpoint{{ID: "s-1", Addr: "127.0.0.1:1", Zone: "a", Kind: "k", Lifecycle: "ready"}}}, choice.ListCached)
 	r := memory.NewRequest(context.Background(), "l1", choice.Request{Class: "chat"}, l.now+1e6, 3)
 	requestArrived{r, l.gateway.config.Load(), true}.apply(l)
 	if len(r.Actions) != 1 {
@@ -234,7 +234,7 @@
 			r := memory.NewRequest(context.Background(), "o1", choice.Request{}, 0, 3)
 			store.Add(r)
 			now := g.clock.now()
-			d := store.StartAttempt(r, &memory.Replica{Instance: socket.Instance{Addr: addr}}, now, now+c.wait.Microseconds())
+			d := store.StartAttempt(r, &memory.Replica{Endpoint: socket.Endpoint{Addr: addr}}, now, now+c.wait.Microseconds())
 			if c.leave {
 				time.AfterFunc(50*time.Millisecond, d.Cancel)
 			}
@@ -508,7 +508,7 @@
 func TestMalformedRequests(t *testing.T) {
 	w := newFakeReplica(t, "s-1", answerCompletely)
 	g := startGateway(t, nil, w)
-	big := strings.Repeat("x", socket.MaxBody+1)
+	big := strings.Repeat("x", socket.MaxBodyBytes+1)
 	for name, c := range map[string]struct {
 		text   string
 		status int
@@ -587,7 +587,7 @@
 	c := dial(t, g.addr)
 	c.ask("r1", "4000m")
 	resp := c.head()
-	next := newFakeDiscovery(t, socket.List{Generation: 3, Instances: []socket.Instance{instance(b, "ready")}})
+	next := newFakeDiscovery(t, socket.EndpointList{Generation: 3, Endpoints: []socket.Endpoint{instance(b, "ready")}})
 	g.MoveDiscovery("127.0.0.1:1") // left again before it was taken up, or refused
 	g.MoveDiscovery(next.addr)
 	waitUntil(t, "the watch at the new address", func() bool { return next.callCount() >= 2 })
@@ -758,7 +758,7 @@
 func TestReadyOnCachedList(t *testing.T) {
 	w := newFakeReplica(t, "s-1", answerCompletely)
 	g := startGateway(t, func(o *Options) {
-		o.CachedList = socket.List{Instances: []socket.Instance{instance(w, "ready")}}
+		o.CachedList = socket.EndpointList{Endpoints: []socket.Endpoint{instance(w, "ready")}}
 		o.Settings.Gateways, o.Settings.Self = 80, 79 // whose turn at the registry comes last
 	}, w)
 	c := dial(t, g.addr)
--- a/internal/gateway/healthcheck.go
+++ b/internal/gateway/healthcheck.go
@@ -33,8 +33,8 @@
 			e.status = choice.Errored
 			return nil
 		}
-		if e.report = socket.HeaderLoad(resp.Header); e.report.Has == 0 {
-			e.report = socket.Load(strings.TrimSpace(string(text)))
+		if e.report = socket.LoadReportOf(resp.Header); e.report.Has == 0 {
+			e.report = socket.ParseLoadReport(strings.TrimSpace(string(text)))
 		}
 		return nil
 	})
--- a/internal/gateway/ledger_test.go
+++ b/internal/gateway/ledger_test.go
@@ -49,8 +49,8 @@
 	c.Split = func() split.Strategy { return split.Equal{Gateways: 1} }
 	g := startGateway(t, func(o *Options) {
 		o.Capture, o.Contracts, o.Ledger = captureTo(dir), c, store
-		o.Capture.Recorder.Checkpoint = 3 * time.Millisecond
-		o.Capture.Writer.Wait = true // a busy machine loses nothing of it
+		o.Capture.Recorder.CheckpointInterval = 3 * time.Millisecond
+		o.Capture.Writer.BlockWhenFull = true // a busy machine loses nothing of it
 	}, w1, w2)
 	refused := 0
 	for i := range 120 {
@@ -85,16 +85,16 @@
 	if err := g.SetCapture(ctx, nil); err != nil {
 		t.Fatal(err)
 	}
-	found, err := capture.Find(dir)
+	found, err := capture.FindRuns(dir)
 	if err != nil {
 		t.Fatal(err)
 	}
 	for _, restart := range []bool{false, true} {
-		res, err := replay.Replay(found[0], replay.Options{Restart: restart, OnDiffer: func(d *replay.Difference) { t.Logf("%+v", *d) }})
+		res, err := replay.Replay(found[0], replay.Options{RestartAtCheckpoints: restart, OnDifference: func(d *replay.Difference) { t.Logf("%+v", *d) }})
 		if err != nil {
 			t.Fatal(err)
 		}
-		if res.Differ != 0 || res.Gaps != 0 || res.Skipped != 0 || res.Verdicts < 100 || res.Checkpoints < 3 {
+		if res.Differing != 0 || res.Gaps != 0 || res.Skipped != 0 || res.Verdicts < 100 || res.Checkpoints < 3 {
 			t.Errorf("restart %v: %s verdicts=%d checkpoints=%d %v", restart, res.Line(), res.Verdicts, res.Checkpoints, res.ByKind)
 		}
 	}
@@ -104,14 +104,14 @@
 		t.Fatal(err)
 	}
 	defer r.Close()
-	var l *capture.Ledger
+	var l *capture.ReplayLedger
 	for {
 		e, err := r.Next()
 		if err != nil {
 			t.Fatal(err)
 		}
 		if e.Record.Kind == pb.Kind_KIND_CHECKPOINT && l == nil {
-			if l, err = capture.RestoreLedger(e.Record.Checkpoint); err != nil {
+			if l, err = capture.RestoreReplayLedger(e.Record.Checkpoint); err != nil {
 				t.Fatal(err)
 			}
 		}
--- a/internal/gateway/loop.go
+++ b/internal/gateway/loop.go
@@ -41,12 +41,12 @@
 	reports           figures.ReportAge
 	discoveryAnswered bool                       // the registry itself has answered
 	ledger            *contract.Ledger           // nil: no contracts
-	recordedLedger    capture.Books              // the book, or the recorder before it
+	recordedLedger    capture.ContractLedger     // the book, or the recorder before it
 	fileContracts     *Contracts                 // that the settings name; nil: none
 	versionContracts  []contract.Terms           // a version's, in the place of theirs; nil: it has none
 	quotaShares       quotaShares                // what this gateway's parts of contracts are told from
 	deferred          []event                    // that an order brought about; applied at the end of the turn
-	listed            map[string]socket.Instance // the list as the registry has it, without marks
+	listed            map[string]socket.Endpoint // the list as the registry has it, without marks
 	drainMarks        map[string]bool            // workers that a version drains
 	ejected           map[string]struct{}        // replicas that operators have out
 	ejectedStart      map[string]int64           // when these had started, as listed when they were first seen out
@@ -54,7 +54,7 @@
 
 func newEventLoop(g *Gateway) (*eventLoop, error) {
 	l := &eventLoop{gateway: g, events: make(chan event, 1024), pollRequests: make(chan struct{}, 1),
-		requests: memory.NewTable(), endpoints: memory.NewRegistry(), listed: map[string]socket.Instance{}, ejectedStart: map[string]int64{}}
+		requests: memory.NewTable(), endpoints: memory.NewRegistry(), listed: map[string]socket.Endpoint{}, ejectedStart: map[string]int64{}}
 	if g.options.Orders != nil {
 		l.ejected = g.options.Orders.AllEjected()
 	}
@@ -234,7 +234,7 @@
 	l.recordReplicaLoad(e.attempt.Replica, &e.report)
 	if e.status != choice.Served {
 		slog.LogAttrs(context.Background(), slog.LevelInfo, "attempt", slog.String("id", r.ClientRequestID), slog.Int("attempt", e.attempt.Index),
-			slog.String("kind", e.attempt.Cause), slog.String("replica", e.attempt.Replica.Instance.ID), slog.String("status", attemptStatusNames[e.status]),
+			slog.String("kind", e.attempt.Cause), slog.String("replica", e.attempt.Replica.Endpoint.ID), slog.String("status", attemptStatusNames[e.status]),
 			slog.Int64("elapsed_ms", (l.now-e.attempt.SentAt)/1000), slog.Bool("streamed", r.Winner == e.attempt), slog.Bool("reused", e.reused),
 			slog.Int("http_status", e.httpStatus))
 	}
@@ -256,7 +256,7 @@
 }
 
 // listReceived is an answer of the registry; failed, the lack of one.
-type listReceived struct{ list socket.List }
+type listReceived struct{ list socket.EndpointList }
 
 func (e listReceived) apply(l *eventLoop) {
 	kind := choice.ListDelta
@@ -286,7 +286,7 @@
 	close(e.handled)
 }
 
-func (l *eventLoop) receiveList(in socket.List, kind choice.ListKind) {
+func (l *eventLoop) receiveList(in socket.EndpointList, kind choice.ListKind) {
 	l.applyList(in, kind, false)
 	if kind != choice.ListCached && !l.discoveryAnswered {
 		l.discoveryAnswered = true
@@ -299,7 +299,7 @@
 }
 
 // applyList enters a list, or what this gateway's own marks change about it.
-func (l *eventLoop) applyList(in socket.List, kind choice.ListKind, own bool) {
+func (l *eventLoop) applyList(in socket.EndpointList, kind choice.ListKind, own bool) {
 	in = l.fillPartialEntries(in)
 	l.recordListed(in)
 	in = l.overlayWithheld(in, kind)
@@ -312,30 +312,30 @@
 	}
 	l.module.ListChanged(l.now, l.view.Apply(l.now, out))
 	l.listReceivedAt = l.gateway.clock.timeAt(l.now)
-	if len(in.Instances) > 0 {
+	if len(in.Endpoints) > 0 {
 		of := l.view.Stats()
-		slog.Info("endpoint_list", "kind", listKindNames[kind], "version", in.Generation, "entries", len(in.Instances), "ready", l.endpoints.ReadyCount(),
+		slog.Info("endpoint_list", "kind", listKindNames[kind], "version", in.Generation, "entries", len(in.Endpoints), "ready", l.endpoints.ReadyCount(),
 			"subset", of.Subset, "joined", of.Joined, "left", of.Left)
 	}
 }
 
 // fillPartialEntries has odd entries of a list complete by what was known of their replicas; those of replicas
 // that were not known are left out.
-func (l *eventLoop) fillPartialEntries(in socket.List) socket.List {
-	if in.OddEntries == 0 {
+func (l *eventLoop) fillPartialEntries(in socket.EndpointList) socket.EndpointList {
+	if in.InvalidEntryCount == 0 {
 		return in
 	}
 	out := in
-	out.Instances = nil
-	for _, i := range in.Instances {
+	out.Endpoints = nil
+	for _, i := range in.Endpoints {
 		if i.Partial {
 			known, ok := l.listed[i.ID]
 			if !ok {
 				continue
 			}
-			i = i.Over(known)
+			i = i.ApplyStateTo(known)
 		}
-		out.Instances = append(out.Instances, i)
+		out.Endpoints = append(out.Endpoints, i)
 	}
 	return out
 }
--- a/internal/gateway/orders.go
+++ b/internal/gateway/orders.go
@@ -186,7 +186,7 @@
 
 // acceptsWork tells whether a replica may get new work as of now, for an attempt that is about to be written.
 func (g *Gateway) acceptsWork(w *memory.Replica) bool {
-	id := w.Instance.ID
+	id := w.Endpoint.ID
 	return w.Accepting() && (g.options.Orders == nil || !g.options.Orders.Ejected(id) && !g.pendingEjections.has(id))
 }
 
@@ -234,12 +234,12 @@
 }
 
 // recordListed remembers the ids of a list, for operators.
-func (l *eventLoop) recordListed(in socket.List) {
+func (l *eventLoop) recordListed(in socket.EndpointList) {
 	if l.gateway.options.Orders == nil {
 		return
 	}
-	for i := range in.Instances {
-		l.gateway.recentReplicas.add(in.Instances[i].ID)
+	for i := range in.Endpoints {
+		l.gateway.recentReplicas.add(in.Endpoints[i].ID)
 	}
 	if len(l.ejectedStart) < len(l.ejected) {
 		l.recordEjectedStarts()
--- a/internal/gateway/pooledclient.go
+++ b/internal/gateway/pooledclient.go
@@ -59,7 +59,7 @@
 	body := in.Reader()
 	failed := read(resp, body)
 	whole := drainBody(body)
-	keep = whole && in.Ends() && !resp.Close && conn.Reader.Buffered() == 0
+	keep = whole && in.Delimited() && !resp.Close && conn.Reader.Buffered() == 0
 	if failed == nil && !whole {
 		failed = errors.New("answer cut off or too long")
 	}
--- a/internal/gateway/server.go
+++ b/internal/gateway/server.go
@@ -36,11 +36,11 @@
 		switch post := r.Method == http.MethodPost; {
 		case conn.framingInDoubt():
 			g.reject(w, rejectAmbiguousFraming)
-		case r.URL.Path == socket.JobPath && post:
+		case r.URL.Path == socket.CompletionsPath && post:
 			g.serve(w, r)
 		case r.URL.Path == socket.ReadyPath && !post:
 			g.serveReady(w, r)
-		case r.URL.Path == socket.JobPath || r.URL.Path == socket.ReadyPath:
+		case r.URL.Path == socket.CompletionsPath || r.URL.Path == socket.ReadyPath:
 			g.reject(w, &rejection{http.StatusMethodNotAllowed, "method: not that one"})
 		default: // a ServeMux would answer some of these with a redirect
 			g.reject(w, &rejection{http.StatusNotFound, "path: unknown"})
@@ -120,8 +120,8 @@
 	// All that the head tells is checked first: what cannot be served takes up
 	// neither memory nor a worker. A worker turns such a request away as an
 	// error, and errors count against it.
-	job, err := socket.ReadJob(r.Header)
-	told := job.Wait > 0
+	job, err := socket.ParseRequest(r.Header)
+	told := job.Timeout > 0
 	if err == nil {
 		err = live.checkClass(&job)
 	}
@@ -144,7 +144,7 @@
 		g.reject(w, rejectAmbiguousFraming)
 		return
 	}
-	job.BodyLen(len(body))
+	job.EstimatePrompt(len(body))
 	if g.clients.shedsNewRequests() {
 		g.shedDraining(w, &job, live)
 		return
@@ -169,7 +169,7 @@
 	defer hand.release()
 	ctx, end := context.WithCancel(hand.context(r))
 	defer end()
-	req := memory.NewRequest(ctx, job.ID, job.Request, sentAt+job.Wait, max(protocolMaxAttempts, g.options.Settings.MaxAttempts))
+	req := memory.NewRequest(ctx, job.ID, job.Request, sentAt+job.Timeout, max(protocolMaxAttempts, g.options.Settings.MaxAttempts))
 	req.ClientClosed, req.Cancel = conn.peerGone, end
 	answer, reason, replica, attempts, first, retryAfter := "client_gone", "", "", 0, choice.Micros(0), choice.Micros(0)
 	defer func() {
@@ -178,7 +178,7 @@
 		}
 		slog.LogAttrs(context.Background(), slog.LevelInfo, "request", slog.String("id", job.ID), slog.String("class", job.Request.Class),
 			slog.String("session", fmt.Sprintf("%016x", job.Request.Session)), slog.String("outcome", answer), slog.String("reason", reason),
-			slog.Int("attempts", attempts), slog.String("replica", replica), slog.Int64("timeout_ms", job.Wait/1000), slog.Int64("first_token_ms", first/1000),
+			slog.Int("attempts", attempts), slog.String("replica", replica), slog.Int64("timeout_ms", job.Timeout/1000), slog.Int64("first_token_ms", first/1000),
 			slog.Int64("total_ms", (g.clock.now()-sentAt)/1000), slog.Int64("retry_after_ms", retryAfter/1000))
 	}()
 	g.loop.events <- requestArrived{req, live, told}
@@ -199,7 +199,7 @@
 			attempts++
 			g.startAttempt(r, body, a.Attempt, hand)
 		case memory.ActionStream:
-			replica, first = a.Attempt.Replica.Instance.ID, g.clock.now()-sentAt
+			replica, first = a.Attempt.Replica.Endpoint.ID, g.clock.now()-sentAt
 			whole := relayStream(w, a.Attempt, hand)
 			if ctx.Err() != nil || hand.lost() {
 				g.loop.events <- clientGone{req}
@@ -288,16 +288,16 @@
 
 func writeOverload(w http.ResponseWriter, retryAfter choice.Micros) {
 	if retryAfter > 0 {
-		w.Header().Set("Retry-After", socket.RetryAfter(retryAfter))
+		w.Header().Set("Retry-After", socket.FormatRetryAfter(retryAfter))
 	}
 	http.Error(w, "overloaded, try again", http.StatusServiceUnavailable)
 }
 
 // checkClass turns away classes that the settings do not name, and gives the
 // class's deadline to a request that tells none.
-func (v *liveConfig) checkClass(job *socket.Job) error {
+func (v *liveConfig) checkClass(job *socket.ClientRequest) error {
 	c, err := v.class(job.Request.Class)
-	job.Wait = cmp.Or(job.Wait, c.Deadline)
+	job.Timeout = cmp.Or(job.Timeout, c.Deadline)
 	return err
 }
 
@@ -321,7 +321,7 @@
 	// rejectAmbiguousFraming says that a request's length is in doubt.
 	rejectAmbiguousFraming = &rejection{http.StatusBadRequest, "Content-Length, Transfer-Encoding: one of them, once"}
 	rejectDuplicateID      = &rejection{http.StatusConflict, "Req-Id: that of a request in hand"}
-	rejectBodyTooLarge     = &rejection{http.StatusRequestEntityTooLarge, fmt.Sprintf("body: over %d bytes", socket.MaxBody)}
+	rejectBodyTooLarge     = &rejection{http.StatusRequestEntityTooLarge, fmt.Sprintf("body: over %d bytes", socket.MaxBodyBytes)}
 	// bodyMemoryExhausted says that the memory set aside for bodies is taken.
 	bodyMemoryExhausted = &rejection{http.StatusServiceUnavailable, "full"}
 )
@@ -337,10 +337,10 @@
 // readBody reads a request's body, within the protocol's size and the memory set
 // aside for bodies. What it returns must be given back by clients.releaseBytes.
 func (g *Gateway) readBody(w http.ResponseWriter, r *http.Request) ([]byte, *rejection) {
-	if r.ContentLength > socket.MaxBody {
+	if r.ContentLength > socket.MaxBodyBytes {
 		return nil, rejectBodyTooLarge
 	}
-	body, problem := g.clients.readBody(http.MaxBytesReader(w, r.Body, socket.MaxBody), r.ContentLength, g.options.MaxBodyBytes)
+	body, problem := g.clients.readBody(http.MaxBytesReader(w, r.Body, socket.MaxBodyBytes), r.ContentLength, g.options.MaxBodyBytes)
 	if problem != nil {
 		g.clients.releaseBytes(int64(cap(body)))
 		return nil, problem
--- a/internal/gateway/service.go
+++ b/internal/gateway/service.go
@@ -93,7 +93,7 @@
 // expirePartialRequest has the server take half a request for one that does not come.
 func (c *clientConn) expirePartialRequest() {
 	c.mu.Lock()
-	half := c.requestStart > 0 && c.framing.Ends <= c.answered
+	half := c.requestStart > 0 && c.framing.CompleteRequests <= c.answered
 	c.mu.Unlock()
 	if half {
 		_ = c.Conn.SetReadDeadline(time.Now())
@@ -101,7 +101,7 @@
 }
 
 // shedDraining answers a request that has come whole too late in a drain to be taken.
-func (g *Gateway) shedDraining(w http.ResponseWriter, job *socket.Job, v *liveConfig) {
+func (g *Gateway) shedDraining(w http.ResponseWriter, job *socket.ClientRequest, v *liveConfig) {
 	writeAtCapacity(w, v)
 	slog.Info("request", "id", job.ID, "class", job.Request.Class, "outcome", "shed", "reason", "draining", "attempts", 0)
 }
--- a/internal/gateway/subset_test.go
+++ b/internal/gateway/subset_test.go
@@ -34,7 +34,7 @@
 	looked := make(chan struct{})
 	g.loop.post(t.Context(), inspectLoop{func(l *eventLoop) {
 		for _, m := range l.balancer.Endpoints() {
-			part[l.endpoints.ByID(m.Replica).Instance.ID] = true
+			part[l.endpoints.ByID(m.Replica).Endpoint.ID] = true
 		}
 		close(looked)
 	}})
@@ -62,7 +62,7 @@
 	if requests(false) > 0 {
 		t.Errorf("%d requests without a home went outside of the part", requests(false))
 	}
-	var drain []socket.Instance
+	var drain []socket.Endpoint
 	for _, w := range workers {
 		if part[w.id] {
 			drain = append(drain, instance(w, "draining"))
@@ -78,7 +78,7 @@
 	if got := requests(true); got != before {
 		t.Errorf("%d requests to replicas that drain", got-before)
 	}
-	var gone []socket.Instance
+	var gone []socket.Endpoint
 	for _, w := range workers[1:] {
 		gone = append(gone, instance(w, "gone"))
 	}
--- a/internal/gateway/takeover.go
+++ b/internal/gateway/takeover.go
@@ -24,7 +24,7 @@
 	ctx        context.Context
 	cancel     context.CancelFunc
 	hasPermit  bool // the first attempt here has its permit
-	resume     socket.Rest
+	resume     socket.ResumeRequest
 	offset     int64 // of the answer, in bytes, with what the client had
 	checksum   hash.Hash32
 	attempts   sync.WaitGroup // attempts
@@ -41,28 +41,28 @@
 
 // acquireLease holds a request, or goes on with one that another gateway had. requestSentAt is the
 // client's sending. A problem is the answer to a request that cannot be gone on with.
-func (g *Gateway) acquireLease(r *http.Request, job *socket.Job, sentAt choice.Micros, v *liveConfig) (*requestLease, *rejection) {
+func (g *Gateway) acquireLease(r *http.Request, job *socket.ClientRequest, sentAt choice.Micros, v *liveConfig) (*requestLease, *rejection) {
 	if g.options.Peers == nil {
 		return nil, nil
 	}
-	rest, asked, err := socket.ReadRest(r.Header)
+	rest, asked, err := socket.ParseResume(r.Header)
 	if err != nil {
 		return nil, &rejection{http.StatusBadRequest, err.Error()}
 	}
 	h := &requestLease{}
 	h.ctx, h.cancel = context.WithCancel(r.Context())
 	if !asked {
-		left := time.Duration(sentAt+job.Wait-g.clock.now()) * time.Microsecond
+		left := time.Duration(sentAt+job.Timeout-g.clock.now()) * time.Microsecond
 		if h.lease = g.options.Peers.Acquire(job.ID, g.takeoverTerms(job.Request.Class, v), max(0, left), h.cancel); h.lease == nil {
 			h.cancel()
 			return nil, rejectDuplicateID
 		}
 		return h, nil
 	}
-	ctx, stop := context.WithDeadline(h.ctx, g.clock.timeAt(sentAt+job.Wait))
+	ctx, stop := context.WithDeadline(h.ctx, g.clock.timeAt(sentAt+job.Timeout))
 	defer stop()
-	held, grant, err := g.options.Peers.Claim(ctx, rest.ID, rest.Ask, h.cancel)
-	slog.Info("takeover", "id", job.ID, "of", rest.ID, "claim", rest.Ask, "received_bytes", rest.Bytes, "attempts", grant.AttemptsMade, "remaining_ms", grant.TimeLeft.Milliseconds(), "err", err)
+	held, grant, err := g.options.Peers.Claim(ctx, rest.ID, rest.Sequence, h.cancel)
+	slog.Info("takeover", "id", job.ID, "of", rest.ID, "claim", rest.Sequence, "received_bytes", rest.ReceivedBytes, "attempts", grant.AttemptsMade, "remaining_ms", grant.TimeLeft.Milliseconds(), "err", err)
 	if err != nil {
 		h.cancel()
 		var no peers.RefusalError
@@ -76,8 +76,8 @@
 	}
 	h.lease, h.hasPermit, h.resume, h.checksum = held, true, rest, crc32.NewIEEE()
 	job.Request.PriorAttempts = grant.AttemptsMade
-	if rest.Bytes == 0 { // no first token yet: the first try's wait goes on
-		job.Wait = min(job.Wait, g.clock.now()-sentAt+grant.TimeLeft.Microseconds())
+	if rest.ReceivedBytes == 0 { // no first token yet: the first try's wait goes on
+		job.Timeout = min(job.Timeout, g.clock.now()-sentAt+grant.TimeLeft.Microseconds())
 	}
 	return h, nil
 }
@@ -135,19 +135,19 @@
 // skipDelivered is what of an answer's next events the client does not have. It tells whether
 // what the client has is how this answer begins.
 func (h *requestLease) skipDelivered(events []byte) ([]byte, bool) {
-	if h == nil || h.offset >= h.resume.Bytes {
+	if h == nil || h.offset >= h.resume.ReceivedBytes {
 		return events, true
 	}
-	n := min(int64(len(events)), h.resume.Bytes-h.offset)
+	n := min(int64(len(events)), h.resume.ReceivedBytes-h.offset)
 	h.checksum.Write(events[:n])
-	if h.offset += n; h.offset == h.resume.Bytes && h.checksum.Sum32() != h.resume.Sum {
+	if h.offset += n; h.offset == h.resume.ReceivedBytes && h.checksum.Sum32() != h.resume.Checksum {
 		return nil, false
 	}
 	return events[n:], true
 }
 
 // prefixDelivered tells whether all that the client had has come again.
-func (h *requestLease) prefixDelivered() bool { return h == nil || h.offset >= h.resume.Bytes }
+func (h *requestLease) prefixDelivered() bool { return h == nil || h.offset >= h.resume.ReceivedBytes }
 
 // handOverRequests gives what still is in hand some time after SIGTERM to other gateways.
 func (g *Gateway) handOverRequests(ctx context.Context) {
--- a/internal/gateway/version.go
+++ b/internal/gateway/version.go
@@ -35,7 +35,7 @@
 }
 
 // missedObjective tells whether a request came late or was not served.
-func (v *liveConfig) missedObjective(job *socket.Job, answer string, first choice.Micros) bool {
+func (v *liveConfig) missedObjective(job *socket.ClientRequest, answer string, first choice.Micros) bool {
 	if answer != "served" && answer != "stream_broken" {
 		return true
 	}
@@ -167,13 +167,13 @@
 
 // overlayWithheld puts the marks of the version in force on a list, and remembers what the
 // registry itself said.
-func (l *eventLoop) overlayWithheld(in socket.List, kind choice.ListKind) socket.List {
+func (l *eventLoop) overlayWithheld(in socket.EndpointList, kind choice.ListKind) socket.EndpointList {
 	if kind != choice.ListDelta {
 		clear(l.listed)
 	}
 	out := in
-	out.Instances = make([]socket.Instance, len(in.Instances))
-	for i, w := range in.Instances {
+	out.Endpoints = make([]socket.Endpoint, len(in.Endpoints))
+	for i, w := range in.Endpoints {
 		if w.State() == choice.EndpointGone {
 			delete(l.listed, w.ID)
 		} else {
@@ -182,7 +182,7 @@
 		if l.isWithheld(w.ID) && w.State() == choice.EndpointReady {
 			w.Lifecycle = "draining"
 		}
-		out.Instances[i] = w
+		out.Endpoints[i] = w
 	}
 	return out
 }
@@ -202,13 +202,13 @@
 		was[name] = l.isWithheld(name)
 	}
 	l.drainMarks, l.ejected = marks, out
-	change := socket.List{Generation: l.endpoints.Version()}
+	change := socket.EndpointList{Generation: l.endpoints.Version()}
 	for name, i := range l.listed {
 		if was[name] != l.isWithheld(name) {
-			change.Instances = append(change.Instances, i)
+			change.Endpoints = append(change.Endpoints, i)
 		}
 	}
-	if len(change.Instances) > 0 {
+	if len(change.Endpoints) > 0 {
 		l.applyList(change, choice.ListDelta, true)
 	}
 }
--- a/internal/gateway/version_test.go
+++ b/internal/gateway/version_test.go
@@ -297,9 +297,9 @@
 	}
 	l := g.loop
 	l.now = g.clock.now()
-	list := socket.List{Generation: 1}
+	list := socket.EndpointList{Generation: 1}
 	for i := range 1000 {
-		list.Instances = append(list.Instances, socket.Instance{ID: fmt.Sprint("s-", i), Addr: "127.0.0.1:1", Zone: "a", Kind: "k", Lifecycle: "ready"})
+		list.Endpoints = append(list.Endpoints, socket.Endpoint{ID: fmt.Sprint("s-", i), Addr: "127.0.0.1:1", Zone: "a", Kind: "k", Lifecycle: "ready"})
 	}
 	l.receiveList(list, choice.ListCached)
 	for i := range 10_000 {
--- a/internal/gateway/wallclock_test.go
+++ b/internal/gateway/wallclock_test.go
@@ -77,7 +77,7 @@
 	offset := choice.Micros(0)
 	g.clock.wall.read = func() choice.Micros { return g.clock.now() + offset }
 	l := g.loop
-	list := socket.List{Reset: true, Instances: []socket.Instance{{ID: "s-1", Addr: "127.0.0.1:1", Zone: "a", Kind: "k", Lifecycle: "ready",
+	list := socket.EndpointList{Reset: true, Endpoints: []socket.Endpoint{{ID: "s-1", Addr: "127.0.0.1:1", Zone: "a", Kind: "k", Lifecycle: "ready",
 		StartedAtMs: (g.clock.now() - secondUs) / 1000}}}
 	l.now = g.clock.now()
 	l.receiveList(list, choice.ListFull)
--- a/internal/gateway/withdrawn_test.go
+++ b/internal/gateway/withdrawn_test.go
@@ -13,10 +13,10 @@
 // An attempt that was ordered before its replica was drained, restarted, moved or lost, and comes to be
 // written after that, as where its connection comes up late, is not written: it never ran.
 func TestWithdrawnAttemptIsNotWritten(t *testing.T) {
-	for name, change := range map[string]func(*socket.Instance){
-		"drained": func(i *socket.Instance) { i.Lifecycle = "draining" }, "gone": func(i *socket.Instance) { i.Lifecycle = "gone" },
-		"started anew": func(i *socket.Instance) { i.StartedAtMs = 5 }, "moved": func(i *socket.Instance) { i.Addr = "127.0.0.1:1" },
-		"still there": func(i *socket.Instance) { i.Weight = 2 },
+	for name, change := range map[string]func(*socket.Endpoint){
+		"drained": func(i *socket.Endpoint) { i.Lifecycle = "draining" }, "gone": func(i *socket.Endpoint) { i.Lifecycle = "gone" },
+		"started anew": func(i *socket.Endpoint) { i.StartedAtMs = 5 }, "moved": func(i *socket.Endpoint) { i.Addr = "127.0.0.1:1" },
+		"still there": func(i *socket.Endpoint) { i.Weight = 2 },
 	} {
 		for _, kind := range []choice.ListKind{choice.ListDelta, choice.ListFull} {
 			w := newFakeReplica(t, "s-1", answerCompletely)
@@ -26,11 +26,11 @@
 			}
 			l := g.loop
 			l.now = g.clock.now()
-			entry := socket.Instance{ID: "s-1", Addr: w.addr, Zone: "a", Kind: "k", Lifecycle: "ready"}
-			l.receiveList(socket.List{Reset: true, Instances: []socket.Instance{entry}}, choice.ListFull)
+			entry := socket.Endpoint{ID: "s-1", Addr: w.addr, Zone: "a", Kind: "k", Lifecycle: "ready"}
+			l.receiveList(socket.EndpointList{Reset: true, Endpoints: []socket.Endpoint{entry}}, choice.ListFull)
 			ordered := l.endpoints.ByName("s-1")
 			change(&entry)
-			l.receiveList(socket.List{Reset: kind == choice.ListFull, Instances: []socket.Instance{entry}}, kind)
+			l.receiveList(socket.EndpointList{Reset: kind == choice.ListFull, Endpoints: []socket.Endpoint{entry}}, kind)
 			store := memory.NewTable()
 			r := memory.NewRequest(context.Background(), "a1", choice.Request{}, 0, 3)
 			store.Add(r)
@@ -39,8 +39,8 @@
 				for range d.Events {
 				}
 			}()
-			in, _ := http.NewRequest("POST", socket.JobPath, nil)
-			in.RequestURI = socket.JobPath
+			in, _ := http.NewRequest("POST", socket.CompletionsPath, nil)
+			in.RequestURI = socket.CompletionsPath
 			go g.runAttempt(in, nil, d, nil)
 			got := attemptEnded{}
 			for ok := false; !ok; {
--- a/internal/hold/hold.go
+++ b/internal/hold/syncpoint.go
@@ -14,43 +14,43 @@
 	"archknot/internal/memory"
 )
 
-// most bounds each wait of a test.
-const most = 5 * time.Second
+// maxWait bounds each wait of a test.
+const maxWait = 5 * time.Second
 
 // Point stops the first who comes to it.
 type Point struct {
-	once          sync.Once
-	reached, open chan struct{}
-	release       sync.Once
+	stopOnce          sync.Once
+	reached, released chan struct{}
+	releaseOnce       sync.Once
 }
 
 // NewPoint returns a point that lets go at the end of the test at the latest.
 func NewPoint(t *testing.T) *Point {
-	p := &Point{reached: make(chan struct{}), open: make(chan struct{})}
+	p := &Point{reached: make(chan struct{}), released: make(chan struct{})}
 	t.Cleanup(p.Release)
 	return p
 }
 
 // Stop is called by who is to stop; only the first one does.
 func (p *Point) Stop() {
-	p.once.Do(func() {
+	p.stopOnce.Do(func() {
 		close(p.reached)
-		<-p.open
+		<-p.released
 	})
 }
 
-// Await waits until somebody stands there.
-func (p *Point) Await(t *testing.T) {
+// WaitReached waits until somebody stands there.
+func (p *Point) WaitReached(t *testing.T) {
 	t.Helper()
 	select {
 	case <-p.reached:
-	case <-time.After(most):
+	case <-time.After(maxWait):
 		t.Fatal("nobody came to the point")
 	}
 }
 
 // Release lets it go on.
-func (p *Point) Release() { p.release.Do(func() { close(p.open) }) }
+func (p *Point) Release() { p.releaseOnce.Do(func() { close(p.released) }) }
 
 // Listener wraps what it accepts.
 type Listener struct {
@@ -78,13 +78,13 @@
 	return c, nil
 }
 
-// Next is the connection accepted next.
-func (l *Listener) Next(t *testing.T) *Conn {
+// NextConn is the connection accepted next.
+func (l *Listener) NextConn(t *testing.T) *Conn {
 	t.Helper()
 	select {
 	case c := <-l.accepted:
 		return c
-	case <-time.After(most):
+	case <-time.After(maxWait):
 		t.Fatal("nothing was accepted")
 		return nil
 	}
@@ -94,14 +94,14 @@
 // read or behind that.
 type Conn struct {
 	*net.TCPConn
-	before, behind atomic.Pointer[Point]
+	beforeRead, afterRead atomic.Pointer[Point]
 }
 
-// Before has the reader stop when bytes have come, with them unread.
-func (c *Conn) Before(p *Point) { c.before.Store(p) }
+// StopBeforeRead has the reader stop when bytes have come, with them unread.
+func (c *Conn) StopBeforeRead(p *Point) { c.beforeRead.Store(p) }
 
-// Behind has the reader stop when it has read bytes, before it does anything with them.
-func (c *Conn) Behind(p *Point) { c.behind.Store(p) }
+// StopAfterRead has the reader stop when it has read bytes, before it does anything with them.
+func (c *Conn) StopAfterRead(p *Point) { c.afterRead.Store(p) }
 
 // SyscallConn is how the program's connections are read.
 func (c *Conn) SyscallConn() (syscall.RawConn, error) {
@@ -117,22 +117,22 @@
 func (r *rawConn) Read(f func(uintptr) bool) error {
 	behind := false
 	err := r.RawConn.Read(func(fd uintptr) bool {
-		if p := r.conn.before.Load(); p != nil && some(fd) {
+		if p := r.conn.beforeRead.Load(); p != nil && hasUnreadBytes(fd) {
 			p.Stop()
 		}
-		come := some(fd)
+		come := hasUnreadBytes(fd)
 		done := f(fd)
 		behind = done && come
 		return done
 	})
-	if p := r.conn.behind.Load(); p != nil && behind {
+	if p := r.conn.afterRead.Load(); p != nil && behind {
 		p.Stop()
 	}
 	return err
 }
 
-// some tells whether bytes have come that were not read.
-func some(fd uintptr) bool {
+// hasUnreadBytes tells whether bytes have come that were not read.
+func hasUnreadBytes(fd uintptr) bool {
 	n, err := memory.PeekDescriptor(int(fd))
 	return err == nil && n > 0
 }
--- a/internal/lifecycle/config.go
+++ b/internal/lifecycle/config.go
@@ -241,7 +241,7 @@
 	if err := adaptSettings(&o.Settings); err != nil {
 		return c, err
 	}
-	o.CachedList.Generation = socket.NoVersion
+	o.CachedList.Generation = socket.NoGeneration
 	if len(f.Known) > 0 && string(f.Known) != "null" {
 		if o.CachedList, err = socket.ParseList(f.Known); err != nil {
 			return c, fmt.Errorf("known: %w", err)
--- a/internal/lifecycle/config_test.go
+++ b/internal/lifecycle/config_test.go
@@ -65,7 +65,7 @@
 	if o.DiscoveryTimeout <= 2*time.Second || o.WatchWait+o.DiscoveryTimeout > o.PollWithin {
 		t.Errorf("calls end after %v, watches after %v, asked within %v", o.DiscoveryTimeout, o.WatchWait, o.PollWithin)
 	}
-	if !o.Settings.RetryAfter || !o.Settings.PollDiscovery || o.Settings.MayGossip || len(o.CachedList.Instances) != 1 || o.CachedList.Generation != 0 {
+	if !o.Settings.RetryAfter || !o.Settings.PollDiscovery || o.Settings.MayGossip || len(o.CachedList.Endpoints) != 1 || o.CachedList.Generation != 0 {
 		t.Errorf("%+v", o)
 	}
 	want := choice.Class{Name: "chat", LatencyObjective: 1e6, Deadline: 3e6, Streaming: true}
@@ -128,7 +128,7 @@
 		t.Fatal(err)
 	}
 	known := c.Gateway.CachedList
-	if len(known.Instances) != 2 || known.OddEntries != 2 || !known.Instances[0].Partial || known.Instances[1].ID != "s-1" {
+	if len(known.Endpoints) != 2 || known.InvalidEntryCount != 2 || !known.Endpoints[0].Partial || known.Endpoints[1].ID != "s-1" {
 		t.Errorf("%+v", known)
 	}
 }
@@ -299,13 +299,13 @@
 	if err := <-ended; err != nil {
 		t.Error(err)
 	}
-	runs, err := capture.Find(filepath.Join(dir, "cap"))
+	runs, err := capture.FindRuns(filepath.Join(dir, "cap"))
 	if err != nil || len(runs) != 2 {
 		t.Fatal(len(runs), err)
 	}
 	for _, r := range runs {
 		res, err := replay.Replay(r, replay.Options{})
-		if err != nil || res.Differ != 0 || res.Gaps != 0 || res.Checkpoints == 0 || !r.Segments[len(r.Segments)-1].Closed {
+		if err != nil || res.Differing != 0 || res.Gaps != 0 || res.Checkpoints == 0 || !r.Segments[len(r.Segments)-1].Closed {
 			t.Errorf("%+v %v", res, err)
 		}
 	}
--- a/internal/lifecycle/run.go
+++ b/internal/lifecycle/run.go
@@ -74,11 +74,11 @@
 		return nil
 	}
 	return &gateway.Capture{
-		Writer: capture.Limits{Directory: p.Directory, Gateway: name, Build: build.Version(), Queue: p.QueueBlocks, KeepSize: p.KeepSize,
-			KeepAge: p.KeepAge, Incidents: in.Directory, KeepIncidents: in.MaxIncidents, Window: in.Window, Pause: in.MinInterval,
+		Writer: capture.WriterOptions{Directory: p.Directory, Gateway: name, Build: build.Version(), QueueLength: p.QueueBlocks, MaxBytes: p.KeepSize,
+			MaxAge: p.KeepAge, IncidentDirectory: in.Directory, MaxIncidents: in.MaxIncidents, IncidentWindow: in.Window, IncidentInterval: in.MinInterval,
 			Log: func(msg string, args ...any) { slog.Info(msg, args...) }},
-		Recorder: capture.Options{Checkpoint: p.CheckpointInterval, Block: int(p.BlockSize), Flush: p.FlushInterval, SegmentSize: p.SegmentSize,
-			SegmentAge: p.SegmentAge, Pause: in.MinInterval, Incident: incident.Settings{Window: in.EvaluationWindow.Microseconds(), MinRequests: in.MinRequests, UnservedShare: in.UnservedShare,
+		Recorder: capture.Options{CheckpointInterval: p.CheckpointInterval, BlockSize: int(p.BlockSize), FlushInterval: p.FlushInterval, SegmentSize: p.SegmentSize,
+			SegmentAge: p.SegmentAge, IncidentInterval: in.MinInterval, Incident: incident.Settings{Window: in.EvaluationWindow.Microseconds(), MinRequests: in.MinRequests, UnservedShare: in.UnservedShare,
 				SlowFactor: in.SlowFactor, SlowReplicaShare: in.SlowReplicas, DeadlineMargin: in.NearDeadline.Microseconds()}},
 	}
 }
--- a/internal/lifecycle/unknownkeys.go
+++ b/internal/lifecycle/unknownkeys.go
@@ -176,8 +176,8 @@
 	for _, u := range c.ReportedUnknownKeys {
 		slog.Warn("config_unknown_key", "key", u.Key, "file", c.path, "line", u.Line, "column", u.Column)
 	}
-	for _, odd := range c.Gateway.CachedList.Odd {
-		slog.Warn("endpoint_list_invalid_entry", "list", "known", "index", odd.Index, "replica", odd.ID, "reason", odd.Reason, "invalid_entries", c.Gateway.CachedList.OddEntries)
+	for _, odd := range c.Gateway.CachedList.InvalidEntries {
+		slog.Warn("endpoint_list_invalid_entry", "list", "known", "index", odd.Index, "replica", odd.ID, "reason", odd.Reason, "invalid_entries", c.Gateway.CachedList.InvalidEntryCount)
 	}
 	if c.UnknownKeyCount > len(c.ReportedUnknownKeys) {
 		slog.Warn("config_unknown_keys", "total", c.UnknownKeyCount, "reported", len(c.ReportedUnknownKeys))
--- a/internal/memory/memory_test.go
+++ b/internal/memory/memory_test.go
@@ -13,8 +13,8 @@
 	"github.com/google/go-cmp/cmp"
 )
 
-func listEntry(id, lifecycle string, started int64) socket.Instance {
-	return socket.Instance{ID: id, Addr: "127.0.0.1:" + id, Lifecycle: lifecycle, StartedAtMs: started}
+func listEntry(id, lifecycle string, started int64) socket.Endpoint {
+	return socket.Endpoint{ID: id, Addr: "127.0.0.1:" + id, Lifecycle: lifecycle, StartedAtMs: started}
 }
 
 func replicaIDs(r *Registry) map[string]choice.ReplicaID {
@@ -46,7 +46,7 @@
 			names = append(names[1:], names[0])
 			r := NewRegistry()
 			for _, n := range names {
-				r.Apply(socket.List{Instances: []socket.Instance{listEntry(n, "ready", 0)}}, choice.ListDelta, nil)
+				r.Apply(socket.EndpointList{Endpoints: []socket.Endpoint{listEntry(n, "ready", 0)}}, choice.ListDelta, nil)
 			}
 			got := replicaIDs(r)
 			if want == nil {
@@ -68,8 +68,8 @@
 	conversions := int64(0)
 	since := func(ms int64) choice.Micros { conversions++; return ms*1000 + conversions }
 	r := NewRegistry()
-	apply := func(kind choice.ListKind, in ...socket.Instance) (map[choice.ReplicaID]choice.EndpointState, []string) {
-		out, left := r.Apply(socket.List{Instances: in}, kind, since)
+	apply := func(kind choice.ListKind, in ...socket.Endpoint) (map[choice.ReplicaID]choice.EndpointState, []string) {
+		out, left := r.Apply(socket.EndpointList{Endpoints: in}, kind, since)
 		states := map[choice.ReplicaID]choice.EndpointState{}
 		for _, m := range out.Endpoints {
 			states[m.Replica] = m.State
@@ -80,22 +80,22 @@
 	a, b := hashReplicaID("a", 0), hashReplicaID("b", 0)
 	for i, step := range []struct {
 		kind  choice.ListKind
-		in    []socket.Instance
+		in    []socket.Endpoint
 		want  map[choice.ReplicaID]choice.EndpointState
 		left  []string
 		ready int
 	}{
-		{choice.ListCached, []socket.Instance{listEntry("a", "ready", 0), listEntry("b", "ready", 50)},
+		{choice.ListCached, []socket.Endpoint{listEntry("a", "ready", 0), listEntry("b", "ready", 50)},
 			map[choice.ReplicaID]choice.EndpointState{a: choice.EndpointReady, b: choice.EndpointReady}, nil, 2},
-		{choice.ListDelta, []socket.Instance{listEntry("a", "draining", 0)},
+		{choice.ListDelta, []socket.Endpoint{listEntry("a", "draining", 0)},
 			map[choice.ReplicaID]choice.EndpointState{a: choice.EndpointDraining}, nil, 1},
-		{choice.ListDelta, []socket.Instance{listEntry("a", "gone", 0), listEntry("never", "gone", 0)},
+		{choice.ListDelta, []socket.Endpoint{listEntry("a", "gone", 0), listEntry("never", "gone", 0)},
 			map[choice.ReplicaID]choice.EndpointState{a: choice.EndpointGone}, []string{"a@127.0.0.1:a/0"}, 1},
-		{choice.ListDelta, []socket.Instance{listEntry("b", "ready", 50)},
+		{choice.ListDelta, []socket.Endpoint{listEntry("b", "ready", 50)},
 			map[choice.ReplicaID]choice.EndpointState{b: choice.EndpointReady}, nil, 1},
-		{choice.ListDelta, []socket.Instance{listEntry("b", "ready", 60)}, // it restarted: its connections are dead
+		{choice.ListDelta, []socket.Endpoint{listEntry("b", "ready", 60)}, // it restarted: its connections are dead
 			map[choice.ReplicaID]choice.EndpointState{b: choice.EndpointReady}, []string{"b@127.0.0.1:b/50"}, 1},
-		{choice.ListFull, []socket.Instance{listEntry("a", "odd word", 0)},
+		{choice.ListFull, []socket.Endpoint{listEntry("a", "odd word", 0)},
 			map[choice.ReplicaID]choice.EndpointState{a: choice.EndpointDraining}, []string{"b@127.0.0.1:b/60"}, 0},
 	} {
 		got, left := apply(step.kind, step.in...)
--- a/internal/memory/registry.go
+++ b/internal/memory/registry.go
@@ -14,7 +14,7 @@
 
 // Replica is one replica as the registry names it.
 type Replica struct {
-	socket.Instance
+	socket.Endpoint
 	ID        choice.ReplicaID
 	StartedAt choice.Micros // its last start on the gateway's clock; 0: long ago
 	inFlight  *int          // own attempts that are out on it; kept while the list changes
@@ -35,7 +35,7 @@
 // ConnKey stands for this very process at its address: connections kept under it
 // are never used for another that comes there later.
 func (w *Replica) ConnKey() string {
-	return fmt.Sprintf("%s@%s/%d", w.Instance.ID, w.Addr, w.StartedAtMs)
+	return fmt.Sprintf("%s@%s/%d", w.Endpoint.ID, w.Addr, w.StartedAtMs)
 }
 
 // InFlight is how many attempts are out on it. The loop counts them.
@@ -85,7 +85,7 @@
 // workers have left behind, by their end or a restart. sinceOf converts a
 // start in Unix milliseconds; it is asked once for each start, because a worker
 // whose start seems to move by a few microseconds would seem to start anew.
-func (r *Registry) Apply(l socket.List, kind choice.ListKind, sinceOf func(int64) choice.Micros) (choice.EndpointList, []string) {
+func (r *Registry) Apply(l socket.EndpointList, kind choice.ListKind, sinceOf func(int64) choice.Micros) (choice.EndpointList, []string) {
 	out := choice.EndpointList{Kind: kind, Version: l.Generation}
 	r.version = l.Generation
 	if kind == choice.ListDelta && r.canApplyInPlace(l) {
@@ -99,7 +99,7 @@
 		}
 	}
 	changed, left := map[string]*Replica{}, []string{}
-	for _, in := range l.Instances {
+	for _, in := range l.Endpoints {
 		w := newReplica(in, old[in.ID], sinceOf)
 		changed[in.ID] = w
 		if w.State() == choice.EndpointGone {
@@ -133,8 +133,8 @@
 }
 
 // newReplica is a worker as a list names it, with what is known of it from before.
-func newReplica(in socket.Instance, was *Replica, sinceOf func(int64) choice.Micros) *Replica {
-	w := &Replica{Instance: in}
+func newReplica(in socket.Endpoint, was *Replica, sinceOf func(int64) choice.Micros) *Replica {
+	w := &Replica{Endpoint: in}
 	switch {
 	case was != nil && was.StartedAtMs == in.StartedAtMs:
 		w.StartedAt, w.inFlight = was.StartedAt, was.inFlight
@@ -170,14 +170,14 @@
 }
 
 // canApplyInPlace tells whether changes can be entered one by one: no two names share a number, before or after.
-func (r *Registry) canApplyInPlace(l socket.List) bool {
+func (r *Registry) canApplyInPlace(l socket.EndpointList) bool {
 	if r.rehashed > 0 {
 		return false
 	}
-	names := make(map[choice.ReplicaID]string, len(l.Instances))
-	for _, in := range l.Instances {
+	names := make(map[choice.ReplicaID]string, len(l.Endpoints))
+	for _, in := range l.Endpoints {
 		id := hashReplicaID(in.ID, 0)
-		if w := r.byID[id]; w != nil && w.Instance.ID != in.ID {
+		if w := r.byID[id]; w != nil && w.Endpoint.ID != in.ID {
 			return false
 		}
 		if name, ok := names[id]; ok && name != in.ID {
@@ -189,10 +189,10 @@
 }
 
 // applyInPlace enters changes one by one: what it takes follows the changes and not the list.
-func (r *Registry) applyInPlace(l socket.List, out choice.EndpointList, sinceOf func(int64) choice.Micros) (choice.EndpointList, []string) {
+func (r *Registry) applyInPlace(l socket.EndpointList, out choice.EndpointList, sinceOf func(int64) choice.Micros) (choice.EndpointList, []string) {
 	before := map[string]*Replica{} // as they were, of those that change
 	after := map[string]*Replica{}
-	for _, in := range l.Instances {
+	for _, in := range l.Endpoints {
 		was := r.byName[in.ID]
 		if _, seen := before[in.ID]; !seen {
 			before[in.ID] = was
@@ -223,14 +223,14 @@
 		r.readyCount--
 	}
 	if w.State() == choice.EndpointGone {
-		delete(r.byName, w.Instance.ID)
+		delete(r.byName, w.Endpoint.ID)
 		delete(r.byID, w.ID)
 		return
 	}
 	if w.State() == choice.EndpointReady {
 		r.readyCount++
 	}
-	r.byName[w.Instance.ID] = w
+	r.byName[w.Endpoint.ID] = w
 	r.byID[w.ID] = w
 }
 
--- a/internal/memory/registry_bench_test.go
+++ b/internal/memory/registry_bench_test.go
@@ -12,19 +12,19 @@
 func BenchmarkApplyDelta(b *testing.B) {
 	for _, n := range []int{1000, 6000, 12000} {
 		b.Run(fmt.Sprint(n), func(b *testing.B) {
-			list := socket.List{Reset: true}
+			list := socket.EndpointList{Reset: true}
 			for i := range n {
-				list.Instances = append(list.Instances, socket.Instance{ID: fmt.Sprint("replica-", i), Addr: "127.0.0.1:1", Lifecycle: "ready"})
+				list.Endpoints = append(list.Endpoints, socket.Endpoint{ID: fmt.Sprint("replica-", i), Addr: "127.0.0.1:1", Lifecycle: "ready"})
 			}
 			since := func(int64) choice.Micros { return 1 }
 			r := NewRegistry()
 			r.Apply(list, choice.ListFull, since)
 			for i := range b.N {
-				w := list.Instances[i/2%n]
+				w := list.Endpoints[i/2%n]
 				if i%2 == 0 {
 					w.Lifecycle = "draining"
 				}
-				r.Apply(socket.List{Instances: []socket.Instance{w}}, choice.ListDelta, since)
+				r.Apply(socket.EndpointList{Endpoints: []socket.Endpoint{w}}, choice.ListDelta, since)
 			}
 		})
 	}
--- a/internal/publicnames/publicnames_test.go
+++ b/internal/publicnames/publicnames_test.go
@@ -168,7 +168,7 @@
 		"settings shown":      reflect.TypeFor[conf.Setting](),
 		"simulator settings":  wire.SettingsType(),
 		"contracts simulated": reflect.TypeFor[trial.Result](),
-		"replay builds":       reflect.TypeFor[replay.AgainstResult](),
+		"replay builds":       reflect.TypeFor[replay.BuildComparison](),
 		"replay difference":   reflect.TypeFor[replay.Difference](),
 		"replay perturbed":    reflect.TypeFor[replay.PerturbResult](),
 		"replay result":       reflect.TypeFor[replay.Result](),
--- a/internal/replay/against.go
+++ b/internal/replay/compare.go
@@ -20,18 +20,18 @@
 	var failed error
 	o.OnStep = func(s *Step) {
 		class := ""
-		if id := (&subject{n: s.Names, r: s.Record}).request(); s.Names.requests[id] != nil {
+		if id := (&filterSubject{names: s.Names, record: s.Record}).request(); s.Names.requests[id] != nil {
 			class = s.Names.Class(id)
 		}
-		fmt.Fprintf(w, "%d\t%d\t%s\t%s\t", s.Number, s.At-run.Begin(), class, clean(s.Names.Event(s.Record)))
-		for i, a := range s.Own {
+		fmt.Fprintf(w, "%d\t%d\t%s\t%s\t", s.Number, s.At-run.Begin(), class, stripSeparators(s.Names.DescribeEvent(s.Record)))
+		for i, a := range s.Actions {
 			if i > 0 {
 				w.WriteString("; ")
 			}
-			w.WriteString(clean(s.Names.Order(a)))
+			w.WriteString(stripSeparators(s.Names.DescribeAction(a)))
 		}
-		for _, d := range s.Differs {
-			fmt.Fprintf(w, "; by itself (%s): %s", d.Kind, clean(d.Own))
+		for _, d := range s.Differences {
+			fmt.Fprintf(w, "; by itself (%s): %s", d.Kind, stripSeparators(d.Own))
 		}
 		if err := w.WriteByte('\n'); err != nil && failed == nil {
 			failed = err
@@ -44,7 +44,7 @@
 	return res, err
 }
 
-func clean(s string) string {
+func stripSeparators(s string) string {
 	return strings.Map(func(c rune) rune {
 		if c == '\t' || c == '\n' {
 			return ' '
@@ -53,30 +53,32 @@
 	}, s)
 }
 
-// AgainstResult compares two builds on one capture.
-type AgainstResult struct {
-	Events  uint64            `json:"events"`
-	Differ  uint64            `json:"differ"`
-	ByClass map[string]uint64 `json:"by_class,omitempty"`
-	ByEvent map[string]uint64 `json:"by_event,omitempty"`
-	First   *AgainstDiffer    `json:"first,omitempty"`
+// BuildComparison compares two builds on one capture.
+type BuildComparison struct {
+	Events    uint64            `json:"events"`
+	Differing uint64            `json:"differ"`
+	ByClass   map[string]uint64 `json:"by_class,omitempty"`
+	ByEvent   map[string]uint64 `json:"by_event,omitempty"`
+	First     *BuildDifference  `json:"first,omitempty"`
 }
 
-// AgainstDiffer is one event at which two builds decide otherwise.
-type AgainstDiffer struct {
+// BuildDifference is one event at which two builds decide otherwise.
+type BuildDifference struct {
 	Event string `json:"event"`
 	At    string `json:"at"`
-	Told  string `json:"told"`
+	Input string `json:"told"`
 	One   string `json:"one"`
 	Other string `json:"other"`
 }
 
 // Line sums it up.
-func (r *AgainstResult) Line() string { return fmt.Sprintf("events=%d differ=%d", r.Events, r.Differ) }
+func (r *BuildComparison) Line() string {
+	return fmt.Sprintf("events=%d differ=%d", r.Events, r.Differing)
+}
 
-// Against runs two programs' `replay --emit` on the same arguments at once, each
+// CompareBuilds runs two programs' `replay --emit` on the same arguments at once, each
 // in a process of its own, and compares what they decide.
-func Against(ctx context.Context, one, other string, args []string, errOut io.Writer) (*AgainstResult, error) {
+func CompareBuilds(ctx context.Context, one, other string, args []string, errOut io.Writer) (*BuildComparison, error) {
 	ctx, stop := context.WithCancel(ctx)
 	defer stop()
 	type child struct {
@@ -105,7 +107,7 @@
 	if err != nil {
 		return nil, err
 	}
-	r := &AgainstResult{ByClass: map[string]uint64{}, ByEvent: map[string]uint64{}}
+	r := &BuildComparison{ByClass: map[string]uint64{}, ByEvent: map[string]uint64{}}
 	for {
 		more, moreOther := a.in.Scan(), b.in.Scan()
 		if !more && !moreOther {
@@ -119,14 +121,14 @@
 		if r.Events++; x[4] == y[4] {
 			continue
 		}
-		r.Differ++
+		r.Differing++
 		if x[2] != "" {
 			r.ByClass[x[2]]++
 		}
 		told, _, _ := strings.Cut(x[3], " ")
 		r.ByEvent[told]++
 		if r.First == nil {
-			r.First = &AgainstDiffer{x[0], x[1], x[3], x[4], y[4]}
+			r.First = &BuildDifference{x[0], x[1], x[3], x[4], y[4]}
 		}
 	}
 	// Exit code 1 says that a build differs from the record: that is no fault here.
--- a/internal/replay/explain.go
+++ b/internal/replay/explain.go
@@ -12,7 +12,7 @@
 	pb "archknot/internal/capture/capturepb"
 )
 
-func sortedTerms(t []choice.ScoreBreakdown) []choice.ScoreBreakdown {
+func sortedByScore(t []choice.ScoreBreakdown) []choice.ScoreBreakdown {
 	out := slices.Clone(t)
 	slices.SortStableFunc(out, func(a, b choice.ScoreBreakdown) int { return cmp.Compare(a.Score, b.Score) })
 	return out
@@ -29,7 +29,7 @@
 		return a != nil && a.Name == request || isNumber && id == uint32(number) && (a == nil || a.Name == "")
 	}
 	about := func(n *Names, r *pb.Record) bool {
-		s := subject{n: n, r: r}
+		s := filterSubject{names: n, record: r}
 		return meant(n, s.request())
 	}
 	_, err = Replay(run, Options{Explain: about, OnStep: func(s *Step) {
@@ -41,8 +41,8 @@
 			return
 		}
 		found = true
-		f := s.Module.Stats()
-		fmt.Fprintf(out, "%s %s event %d: %s\n", Clock(run, s.At), run.Wall(s.At).Format("15:04:05.000000"), s.Number, s.Names.Event(s.Record))
+		f := s.Balancer.Stats()
+		fmt.Fprintf(out, "%s %s event %d: %s\n", FormatOffset(run, s.At), run.WallTime(s.At).Format("15:04:05.000000"), s.Number, s.Names.DescribeEvent(s.Record))
 		if s.Record.Kind == pb.Kind_KIND_ARRIVED {
 			limit := "none"
 			if f.TokenLimit > 0 {
@@ -51,36 +51,36 @@
 			fmt.Fprintf(out, "  in hand: %d requests, %.0f tokens open, limit %s, late share %.3f\n", f.Requests, f.InFlightTokens, limit, f.LateShare)
 		}
 		for _, k := range s.Picks {
-			explainPick(s.Names, &k, out)
+			writePick(s.Names, &k, out)
 		}
 		for _, a := range s.Record.Actions {
-			fmt.Fprintf(out, "  ordered: %s\n", s.Names.Order(a))
+			fmt.Fprintf(out, "  ordered: %s\n", s.Names.DescribeAction(a))
 		}
-		for _, d := range s.Differs {
+		for _, d := range s.Differences {
 			fmt.Fprintf(out, "  this build differs (%s): %s, recorded %s\n", d.Kind, d.Own, d.Recorded)
 		}
 	}})
 	return found, err
 }
 
-// explainPick tells a choice, its runner-up, and every term.
-func explainPick(n *Names, k *Pick, out io.Writer) {
-	terms := sortedTerms(k.Terms)
+// writePick tells a choice, its runner-up, and every term.
+func writePick(n *Names, k *Pick, out io.Writer) {
+	terms := sortedByScore(k.Scores)
 	switch {
-	case !k.Any && len(terms) == 0:
+	case !k.Found && len(terms) == 0:
 		fmt.Fprintf(out, "  no worker may take it\n")
 	case len(terms) == 1:
-		fmt.Fprintf(out, "  chose %s: the only one that may take it\n", n.Worker(uint32(k.Own)))
+		fmt.Fprintf(out, "  chose %s: the only one that may take it\n", n.Replica(uint32(k.Chosen)))
 	case len(terms) > 1:
 		a, b := terms[0], terms[1]
-		fmt.Fprintf(out, "  chose %s, predicted %.1f; next is %s with %.1f (%.1f%% more): %s\n", n.Worker(uint32(a.Replica)), a.Score,
-			n.Worker(uint32(b.Replica)), b.Score, 100*(b.Score/a.Score-1), why(a, b))
+		fmt.Fprintf(out, "  chose %s, predicted %.1f; next is %s with %.1f (%.1f%% more): %s\n", n.Replica(uint32(a.Replica)), a.Score,
+			n.Replica(uint32(b.Replica)), b.Score, 100*(b.Score/a.Score-1), mainReason(a, b))
 	}
-	io.WriteString(out, k.Table(n))
+	io.WriteString(out, k.FormatTable(n))
 }
 
-// why names the term that sets the chosen worker apart from the next most.
-func why(a, b choice.ScoreBreakdown) string {
+// mainReason names the term that sets the chosen worker apart from the next most.
+func mainReason(a, b choice.ScoreBreakdown) string {
 	held := func(t choice.ScoreBreakdown) float64 {
 		return (1-t.ReportWeight)*(t.PeerLoad+t.LedgerLoad) + t.ReportWeight*(t.Reported+t.Unreported) + t.Noise
 	}
