--- a/internal/replay/filter.go
+++ b/internal/replay/filter.go
@@ -22,7 +22,7 @@
 // Fields are those of FilterFields. A field that an event has several of (the
 // workers of its orders) matches if one of them does; one that it lacks never
 // matches. Times are durations, or plain numbers of microseconds.
-type Filter struct{ match func(*subject) bool }
+type Filter struct{ match func(*filterSubject) bool }
 
 type filterOr struct {
 	Left *filterAnd   `parser:"@@"`
@@ -68,11 +68,11 @@
 		})), participle.Unquote("String"), participle.Elide("space"))
 })
 
-// subject is an event under test.
-type subject struct {
-	n  *Names
-	r  *pb.Record
-	at choice.Micros // since the run began
+// filterSubject is an event under test.
+type filterSubject struct {
+	names  *Names
+	record *pb.Record
+	at     choice.Micros // since the run began
 }
 
 type fieldType uint8
@@ -84,119 +84,119 @@
 	boolField
 )
 
-type field struct {
-	name string
-	typ  fieldType
-	doc  string
-	text func(*subject) []string
-	num  func(*subject) (float64, bool)
+type filterField struct {
+	name   string
+	kind   fieldType
+	doc    string
+	text   func(*filterSubject) []string
+	number func(*filterSubject) (float64, bool)
 }
 
-func outcomeNum(f func(*pb.Outcome) float64) func(*subject) (float64, bool) {
-	return func(s *subject) (float64, bool) { return f(s.r.Outcome), s.r.Outcome != nil }
+func outcomeNumber(f func(*pb.Outcome) float64) func(*filterSubject) (float64, bool) {
+	return func(s *filterSubject) (float64, bool) { return f(s.record.Outcome), s.record.Outcome != nil }
 }
 
-func arrivalNum(f func(*pb.Arrival) float64) func(*subject) (float64, bool) {
-	return func(s *subject) (float64, bool) {
+func arrivalNumber(f func(*pb.Arrival) float64) func(*filterSubject) (float64, bool) {
+	return func(s *filterSubject) (float64, bool) {
 		a := s.arrival()
 		return f(a), a != nil
 	}
 }
 
 // arrival is that of the event's request, where the capture told it.
-func (s *subject) arrival() *pb.Arrival {
-	if s.r.Kind == pb.Kind_KIND_TIMER {
-		if _, id := choice.TimerPurpose(s.r.Token); id != 0 {
-			return s.n.requests[uint32(id)]
+func (s *filterSubject) arrival() *pb.Arrival {
+	if s.record.Kind == pb.Kind_KIND_TIMER {
+		if _, id := choice.TimerPurpose(s.record.Token); id != 0 {
+			return s.names.requests[uint32(id)]
 		}
 		return nil
 	}
-	return s.n.requests[s.request()]
+	return s.names.requests[s.request()]
 }
 
-func (s *subject) request() uint32 {
-	switch s.r.Kind {
+func (s *filterSubject) request() uint32 {
+	switch s.record.Kind {
 	case pb.Kind_KIND_ARRIVED, pb.Kind_KIND_FIRST, pb.Kind_KIND_ENDED, pb.Kind_KIND_LEFT, pb.Kind_KIND_CHARGED, pb.Kind_KIND_SETTLED, pb.Kind_KIND_TURNED:
-		return s.r.Request
+		return s.record.Request
 	case pb.Kind_KIND_TIMER:
-		_, id := choice.TimerPurpose(s.r.Token)
+		_, id := choice.TimerPurpose(s.record.Token)
 		return uint32(id)
 	}
 	return 1<<32 - 1
 }
 
-func (s *subject) workers() (out []string) {
-	if s.r.Outcome != nil {
-		out = append(out, s.n.Worker(s.r.Outcome.Worker))
+func (s *filterSubject) replicas() (out []string) {
+	if s.record.Outcome != nil {
+		out = append(out, s.names.Replica(s.record.Outcome.Worker))
 	}
-	for _, m := range s.r.List.GetMembers() {
-		out = append(out, s.n.Worker(m.Worker))
+	for _, m := range s.record.List.GetMembers() {
+		out = append(out, s.names.Replica(m.Worker))
 	}
-	for _, a := range s.r.Actions {
+	for _, a := range s.record.Actions {
 		if a.Kind == pb.Action_DISPATCH || a.Kind == pb.Action_PROBE {
-			out = append(out, s.n.Worker(a.Worker))
+			out = append(out, s.names.Replica(a.Worker))
 		}
 	}
 	return out
 }
 
-func one(s string) []string {
+func oneOrNone(s string) []string {
 	if s == "" {
 		return nil
 	}
 	return []string{s}
 }
 
-var filterFields = []field{
-	{name: "kind", doc: "what was told: start, list, arrived, first, ended, left, timer, probed, message", text: func(s *subject) []string { return one(kindWord(s.r.Kind)) }},
-	{name: "order", doc: "what was ordered: dispatch, refuse, fail, cancel, set_timer, probe, tell_peers, watch_registry", text: func(s *subject) (out []string) {
-		for _, a := range s.r.Actions {
-			out = append(out, orderWord(a.Kind))
+var filterFields = []filterField{
+	{name: "kind", doc: "what was told: start, list, arrived, first, ended, left, timer, probed, message", text: func(s *filterSubject) []string { return oneOrNone(eventKindName(s.record.Kind)) }},
+	{name: "order", doc: "what was ordered: dispatch, refuse, fail, cancel, set_timer, probe, tell_peers, watch_registry", text: func(s *filterSubject) (out []string) {
+		for _, a := range s.record.Actions {
+			out = append(out, actionKindName(a.Kind))
 		}
 		return out
 	}},
-	{name: "request", doc: "the client's id of the request", text: func(s *subject) []string {
+	{name: "request", doc: "the client's id of the request", text: func(s *filterSubject) []string {
 		if a := s.arrival(); a != nil {
-			return one(s.n.Request(s.request()))
+			return oneOrNone(s.names.Request(s.request()))
 		}
 		return nil
 	}},
-	{name: "class", doc: "of the request", text: func(s *subject) []string { return one(string(s.arrival().GetClass())) }},
-	{name: "tenant", doc: "of the request", text: func(s *subject) []string { return one(string(s.arrival().GetTenant())) }},
-	{name: "session", doc: "of the request, 16 hex digits", text: func(s *subject) []string {
+	{name: "class", doc: "of the request", text: func(s *filterSubject) []string { return oneOrNone(string(s.arrival().GetClass())) }},
+	{name: "tenant", doc: "of the request", text: func(s *filterSubject) []string { return oneOrNone(string(s.arrival().GetTenant())) }},
+	{name: "session", doc: "of the request, 16 hex digits", text: func(s *filterSubject) []string {
 		if a := s.arrival(); a != nil {
-			return one(fmt.Sprintf("%016x", a.Session))
+			return oneOrNone(fmt.Sprintf("%016x", a.Session))
 		}
 		return nil
 	}},
-	{name: "worker", doc: "any that the event or its orders name", text: (*subject).workers},
-	{name: "status", doc: "of an attempt or a probe", text: func(s *subject) []string {
-		if s.r.Outcome == nil || s.r.Kind == pb.Kind_KIND_FIRST {
+	{name: "worker", doc: "any that the event or its orders name", text: (*filterSubject).replicas},
+	{name: "status", doc: "of an attempt or a probe", text: func(s *filterSubject) []string {
+		if s.record.Outcome == nil || s.record.Kind == pb.Kind_KIND_FIRST {
 			return nil
 		}
-		return one(statusWord(s.r.Outcome.Status))
+		return oneOrNone(statusName(s.record.Outcome.Status))
 	}},
-	{name: "timer", doc: "tick, deadline, hedge, aim", text: func(s *subject) []string {
-		if s.r.Kind != pb.Kind_KIND_TIMER {
+	{name: "timer", doc: "tick, deadline, hedge, aim", text: func(s *filterSubject) []string {
+		if s.record.Kind != pb.Kind_KIND_TIMER {
 			return nil
 		}
-		purpose, _ := choice.TimerPurpose(s.r.Token)
-		return one(purpose)
+		purpose, _ := choice.TimerPurpose(s.record.Token)
+		return oneOrNone(purpose)
 	}},
-	{name: "attempt", typ: numberField, doc: "its number, from 0", num: outcomeNum(func(o *pb.Outcome) float64 { return float64(o.GetAttempt()) })},
-	{name: "elapsed", typ: timeField, doc: "of an attempt or a probe", num: outcomeNum(func(o *pb.Outcome) float64 { return float64(o.GetElapsedUs()) })},
-	{name: "kept", typ: numberField, doc: "prompt tokens found kept", num: outcomeNum(func(o *pb.Outcome) float64 { return float64(o.GetKept()) })},
-	{name: "tokens", typ: numberField, doc: "of the answer", num: outcomeNum(func(o *pb.Outcome) float64 { return float64(o.GetTokens()) })},
-	{name: "final", typ: boolField, doc: "the request has ended with it", num: outcomeNum(func(o *pb.Outcome) float64 {
+	{name: "attempt", kind: numberField, doc: "its number, from 0", number: outcomeNumber(func(o *pb.Outcome) float64 { return float64(o.GetAttempt()) })},
+	{name: "elapsed", kind: timeField, doc: "of an attempt or a probe", number: outcomeNumber(func(o *pb.Outcome) float64 { return float64(o.GetElapsedUs()) })},
+	{name: "kept", kind: numberField, doc: "prompt tokens found kept", number: outcomeNumber(func(o *pb.Outcome) float64 { return float64(o.GetKept()) })},
+	{name: "tokens", kind: numberField, doc: "of the answer", number: outcomeNumber(func(o *pb.Outcome) float64 { return float64(o.GetTokens()) })},
+	{name: "final", kind: boolField, doc: "the request has ended with it", number: outcomeNumber(func(o *pb.Outcome) float64 {
 		if o.GetFinal() {
 			return 1
 		}
 		return 0
 	})},
-	{name: "prompt", typ: numberField, doc: "tokens of the prompt", num: arrivalNum(func(a *pb.Arrival) float64 { return float64(a.GetPromptTokens()) })},
-	{name: "wait", typ: timeField, doc: "how long the client waits", num: arrivalNum(func(a *pb.Arrival) float64 { return float64(a.GetTimeLeftUs()) })},
-	{name: "orders", typ: numberField, doc: "how many there are", num: func(s *subject) (float64, bool) { return float64(len(s.r.Actions)), true }},
-	{name: "at", typ: timeField, doc: "since the run began", num: func(s *subject) (float64, bool) { return float64(s.at), true }},
+	{name: "prompt", kind: numberField, doc: "tokens of the prompt", number: arrivalNumber(func(a *pb.Arrival) float64 { return float64(a.GetPromptTokens()) })},
+	{name: "wait", kind: timeField, doc: "how long the client waits", number: arrivalNumber(func(a *pb.Arrival) float64 { return float64(a.GetTimeLeftUs()) })},
+	{name: "orders", kind: numberField, doc: "how many there are", number: func(s *filterSubject) (float64, bool) { return float64(len(s.record.Actions)), true }},
+	{name: "at", kind: timeField, doc: "since the run began", number: func(s *filterSubject) (float64, bool) { return float64(s.at), true }},
 }
 
 // FilterFields tells the fields that a filter may name, a line each.
@@ -223,10 +223,10 @@
 
 // Match tells whether an event is meant; at is the time since the run began.
 func (f *Filter) Match(n *Names, r *pb.Record, at choice.Micros) bool {
-	return f == nil || f.match(&subject{n, r, at})
+	return f == nil || f.match(&filterSubject{n, r, at})
 }
 
-type matcher = func(*subject) bool
+type matcher = func(*filterSubject) bool
 
 func (e *filterOr) compile() (matcher, error) {
 	m, err := e.Left.compile()
@@ -237,7 +237,7 @@
 		left := m
 		var right matcher
 		if right, err = next.compile(); err == nil {
-			m = func(s *subject) bool { return left(s) || right(s) }
+			m = func(s *filterSubject) bool { return left(s) || right(s) }
 		}
 	}
 	return m, err
@@ -252,7 +252,7 @@
 		left := m
 		var right matcher
 		if right, err = next.compile(); err == nil {
-			m = func(s *subject) bool { return left(s) && right(s) }
+			m = func(s *filterSubject) bool { return left(s) && right(s) }
 		}
 	}
 	return m, err
@@ -268,7 +268,7 @@
 		return m, err
 	}
 	sub := m
-	return func(s *subject) bool { return !sub(s) }, nil
+	return func(s *filterSubject) bool { return !sub(s) }, nil
 }
 
 func (e *filterTest) compile() (matcher, error) {
@@ -276,7 +276,7 @@
 		if f.name != e.Field {
 			continue
 		}
-		if f.typ == textField {
+		if f.kind == textField {
 			return e.text(f)
 		}
 		return e.number(f)
@@ -284,9 +284,9 @@
 	return nil, fmt.Errorf("%d: no field %q; fields are\n%s", e.Pos.Column, e.Field, strings.TrimRight(FilterFields(), "\n"))
 }
 
-func (e *filterTest) text(f field) (matcher, error) {
+func (e *filterTest) text(f filterField) (matcher, error) {
 	if e.Op == "" {
-		return func(s *subject) bool { return len(f.text(s)) > 0 }, nil
+		return func(s *filterSubject) bool { return len(f.text(s)) > 0 }, nil
 	}
 	if e.Value.Text == nil && e.Value.Num == nil {
 		return nil, fmt.Errorf("%d: %s is compared with text", e.Value.Pos.Column, f.name)
@@ -298,7 +298,7 @@
 		want = *e.Value.Num
 	}
 	any := func(test func(string) bool) matcher {
-		return func(s *subject) bool {
+		return func(s *filterSubject) bool {
 			for _, v := range f.text(s) {
 				if test(v) {
 					return true
@@ -312,7 +312,7 @@
 		return any(func(v string) bool { return v == want }), nil
 	case "!=":
 		equal := any(func(v string) bool { return v == want })
-		return func(s *subject) bool { return len(f.text(s)) > 0 && !equal(s) }, nil
+		return func(s *filterSubject) bool { return len(f.text(s)) > 0 && !equal(s) }, nil
 	case "=~":
 		re, err := regexp.Compile(want)
 		if err != nil {
@@ -323,33 +323,33 @@
 	return nil, fmt.Errorf("%d: %s is text: it may be compared by ==, != and =~", e.Pos.Column, f.name)
 }
 
-func (e *filterTest) number(f field) (matcher, error) {
+func (e *filterTest) number(f filterField) (matcher, error) {
 	if e.Op == "" {
-		return func(s *subject) bool {
-			v, ok := f.num(s)
-			return ok && (f.typ != boolField || v != 0)
+		return func(s *filterSubject) bool {
+			v, ok := f.number(s)
+			return ok && (f.kind != boolField || v != 0)
 		}, nil
 	}
 	var want float64
 	v := e.Value
 	switch {
-	case v.Time != nil && f.typ == timeField:
+	case v.Time != nil && f.kind == timeField:
 		d, err := time.ParseDuration(*v.Time)
 		if err != nil {
 			return nil, fmt.Errorf("%d: %w", v.Pos.Column, err)
 		}
 		want = float64(d.Microseconds())
-	case v.Num != nil && f.typ != boolField:
+	case v.Num != nil && f.kind != boolField:
 		var err error
 		if want, err = strconv.ParseFloat(*v.Num, 64); err != nil {
 			return nil, fmt.Errorf("%d: %w", v.Pos.Column, err)
 		}
-	case f.typ == boolField && v.Text != nil && (*v.Text == "true" || *v.Text == "false"):
+	case f.kind == boolField && v.Text != nil && (*v.Text == "true" || *v.Text == "false"):
 		if *v.Text == "true" {
 			want = 1
 		}
 	default:
-		kind := [...]string{numberField: "a number", timeField: "a time such as 2s or 150ms", boolField: "true or false"}[f.typ]
+		kind := [...]string{numberField: "a number", timeField: "a time such as 2s or 150ms", boolField: "true or false"}[f.kind]
 		return nil, fmt.Errorf("%d: %s is compared with %s", v.Pos.Column, f.name, kind)
 	}
 	test, ok := map[string]func(a, b float64) bool{
@@ -359,8 +359,8 @@
 	if !ok {
 		return nil, fmt.Errorf("%d: %s is no text: =~ cannot be used", e.Pos.Column, f.name)
 	}
-	return func(s *subject) bool {
-		v, ok := f.num(s)
+	return func(s *filterSubject) bool {
+		v, ok := f.number(s)
 		return ok && test(v, want)
 	}, nil
 }
--- a/internal/replay/names.go
+++ b/internal/replay/names.go
@@ -13,10 +13,10 @@
 
 // Names remembers who workers and requests are, as a capture tells it.
 type Names struct {
-	workers  map[uint32]string
-	requests map[uint32]*pb.Arrival
-	ring     []uint32 // the requests in the order of their arrival
-	next     int
+	replicas    map[uint32]string
+	requests    map[uint32]*pb.Arrival
+	arrivalRing []uint32 // the requests in the order of their arrival
+	ringNext    int
 }
 
 // maxNames bounds the requests remembered; the module's own bound is lower.
@@ -24,48 +24,48 @@
 
 // NewNames returns names that know nobody yet.
 func NewNames() *Names {
-	return &Names{workers: map[uint32]string{}, requests: map[uint32]*pb.Arrival{}}
+	return &Names{replicas: map[uint32]string{}, requests: map[uint32]*pb.Arrival{}}
 }
 
-// Note takes what a record tells.
-func (n *Names) Note(r *pb.Record) {
+// Learn takes what a record tells.
+func (n *Names) Learn(r *pb.Record) {
 	switch r.Kind {
 	case pb.Kind_KIND_LIST:
 		for _, m := range r.List.GetMembers() {
 			if m.Name != "" {
-				n.workers[m.Worker] = m.Name
+				n.replicas[m.Worker] = m.Name
 			}
 		}
 	case pb.Kind_KIND_ARRIVED:
-		n.arrived(r.Request, r.Arrival)
+		n.addRequest(r.Request, r.Arrival)
 	case pb.Kind_KIND_CHECKPOINT:
 		for _, w := range r.Checkpoint.GetWorkers() {
-			n.workers[w.Id] = w.Name
+			n.replicas[w.Id] = w.Name
 		}
 		for _, q := range r.Checkpoint.GetRequests() {
 			if n.requests[q.Id] == nil {
-				n.arrived(q.Id, &pb.Arrival{Name: q.Name})
+				n.addRequest(q.Id, &pb.Arrival{Name: q.Name})
 			}
 		}
 	}
 }
 
-func (n *Names) arrived(id uint32, a *pb.Arrival) {
-	if len(n.ring) < maxNames {
-		n.ring = append(n.ring, id)
+func (n *Names) addRequest(id uint32, a *pb.Arrival) {
+	if len(n.arrivalRing) < maxNames {
+		n.arrivalRing = append(n.arrivalRing, id)
 	} else {
-		if old := n.ring[n.next]; old != id {
+		if old := n.arrivalRing[n.ringNext]; old != id {
 			delete(n.requests, old)
 		}
-		n.ring[n.next] = id
-		n.next = (n.next + 1) % maxNames
+		n.arrivalRing[n.ringNext] = id
+		n.ringNext = (n.ringNext + 1) % maxNames
 	}
 	n.requests[id] = a
 }
 
-// Worker is the registry's name of a worker, or its number.
-func (n *Names) Worker(id uint32) string {
-	if name := n.workers[id]; name != "" {
+// Replica is the registry's name of a worker, or its number.
+func (n *Names) Replica(id uint32) string {
+	if name := n.replicas[id]; name != "" {
 		return name
 	}
 	return fmt.Sprint("w", id)
@@ -82,61 +82,61 @@
 // Class is that of a request, "" if it is not known.
 func (n *Names) Class(id uint32) string { return string(n.requests[id].GetClass()) }
 
-var statusWords = [...]string{choice.Served: "served", choice.Errored: "error", choice.Shed: "declined", choice.TimedOut: "timeout",
+var statusNames = [...]string{choice.Served: "served", choice.Errored: "error", choice.Shed: "declined", choice.TimedOut: "timeout",
 	choice.ConnectFailed: "connect_failed", choice.ConnBroken: "reset", choice.Cancelled: "cancelled", choice.NotSent: "not_sent",
 	choice.Malformed: "spoilt", choice.Rejected: "rejected"}
 
-func statusWord(s uint32) string {
-	if int(s) < len(statusWords) {
-		return statusWords[s]
+func statusName(s uint32) string {
+	if int(s) < len(statusNames) {
+		return statusNames[s]
 	}
 	return fmt.Sprint("status", s)
 }
 
-func kindWord(k pb.Kind) string { return strings.ToLower(strings.TrimPrefix(k.String(), "KIND_")) }
+func eventKindName(k pb.Kind) string { return strings.ToLower(strings.TrimPrefix(k.String(), "KIND_")) }
 
-func orderWord(k pb.Action_Kind) string { return strings.ToLower(k.String()) }
+func actionKindName(k pb.Action_Kind) string { return strings.ToLower(k.String()) }
 
-func micros(us int64) time.Duration { return time.Duration(us) * time.Microsecond }
+func toDuration(us int64) time.Duration { return time.Duration(us) * time.Microsecond }
 
-// Event tells a record in one line.
-func (n *Names) Event(r *pb.Record) string {
+// DescribeEvent tells a record in one line.
+func (n *Names) DescribeEvent(r *pb.Record) string {
 	var b strings.Builder
-	b.WriteString(kindWord(r.Kind))
+	b.WriteString(eventKindName(r.Kind))
 	put := func(format string, args ...any) { fmt.Fprintf(&b, " "+format, args...) }
 	switch r.Kind {
 	case pb.Kind_KIND_ARRIVED:
 		a := r.Arrival
 		put("request=%s class=%s tenant=%s wait=%v prompt=%d prefix=%d max=%d session=%016x", n.Request(r.Request), a.GetClass(),
-			a.GetTenant(), micros(a.GetTimeLeftUs()), a.GetPromptTokens(), a.GetPrefixTokens(), a.GetMaxTokens(), a.GetSession())
+			a.GetTenant(), toDuration(a.GetTimeLeftUs()), a.GetPromptTokens(), a.GetPrefixTokens(), a.GetMaxTokens(), a.GetSession())
 	case pb.Kind_KIND_FIRST, pb.Kind_KIND_ENDED:
 		o := r.Outcome
-		put("request=%s attempt=%d worker=%s elapsed=%v", n.Request(r.Request), o.GetAttempt(), n.Worker(o.GetWorker()), micros(o.GetElapsedUs()))
+		put("request=%s attempt=%d worker=%s elapsed=%v", n.Request(r.Request), o.GetAttempt(), n.Replica(o.GetWorker()), toDuration(o.GetElapsedUs()))
 		if r.Kind == pb.Kind_KIND_ENDED {
-			put("status=%s final=%t kept=%d tokens=%d", statusWord(o.GetStatus()), o.GetFinal(), o.GetKept(), o.GetTokens())
+			put("status=%s final=%t kept=%d tokens=%d", statusName(o.GetStatus()), o.GetFinal(), o.GetKept(), o.GetTokens())
 		}
-		b.WriteString(report(o.GetReport()))
+		b.WriteString(describeReport(o.GetReport()))
 	case pb.Kind_KIND_PROBED:
 		o := r.Outcome
-		put("worker=%s status=%s elapsed=%v", n.Worker(o.GetWorker()), statusWord(o.GetStatus()), micros(o.GetElapsedUs()))
-		b.WriteString(report(o.GetReport()))
+		put("worker=%s status=%s elapsed=%v", n.Replica(o.GetWorker()), statusName(o.GetStatus()), toDuration(o.GetElapsedUs()))
+		b.WriteString(describeReport(o.GetReport()))
 	case pb.Kind_KIND_LEFT:
 		put("request=%s", n.Request(r.Request))
 	case pb.Kind_KIND_TIMER:
-		put("%s", n.timer(r.Token))
+		put("%s", n.describeTimer(r.Token))
 	case pb.Kind_KIND_LIST:
-		put("kind=%s version=%d entries=%d", listWord(r.List.GetKind()), r.List.GetVersion(), len(r.List.GetMembers()))
+		put("kind=%s version=%d entries=%d", listKindName(r.List.GetKind()), r.List.GetVersion(), len(r.List.GetMembers()))
 		for i, m := range r.List.GetMembers() {
 			if i == 8 {
 				put("...")
 				break
 			}
-			put("%s=%s", n.Worker(m.Worker), stateWord(m.State))
+			put("%s=%s", n.Replica(m.Worker), endpointStateName(m.State))
 		}
 	case pb.Kind_KIND_MESSAGE:
 		put("peer=%d bytes=%d", r.Peer, len(r.Body))
 	case pb.Kind_KIND_RECONFIGURE:
-		if s, err := capture.GetSettings(r.Settings); err == nil {
+		if s, err := capture.UnmarshalSettings(r.Settings); err == nil {
 			put("classes=%d tenants=%d attempts=%d", len(s.Classes), len(s.Tenants), s.MaxAttempts)
 		}
 	case pb.Kind_KIND_AGREED:
@@ -149,7 +149,7 @@
 		c := r.Charged
 		put("request=%s copy=%d tenant=%s class=%s prompt=%d made=%d", n.Request(r.Request), c.GetCopy(), c.GetTenant(), c.GetClass(), c.GetPromptTokens(), c.GetMade())
 		if c.GetRefuse() {
-			put("refuse=%s retry_after=%v", c.GetReason(), micros(c.GetRetryAfterUs()))
+			put("refuse=%s retry_after=%v", c.GetReason(), toDuration(c.GetRetryAfterUs()))
 		} else {
 			put("worth=%v", c.GetWorth())
 		}
@@ -170,7 +170,7 @@
 	return b.String()
 }
 
-func report(r *pb.Report) string {
+func describeReport(r *pb.Report) string {
 	if r == nil {
 		return ""
 	}
@@ -191,16 +191,16 @@
 	return b.String()
 }
 
-func listWord(k uint32) string {
+func listKindName(k uint32) string {
 	return [...]string{"delta", "full", "saved", "failed", "unknown"}[min(k, 4)]
 }
 
-func stateWord(s uint32) string {
+func endpointStateName(s uint32) string {
 	return [...]string{"ready", "draining", "gone", "unknown"}[min(s, 3)]
 }
 
-// timer names the purpose of a timer's token, as choice sets them.
-func (n *Names) timer(token uint64) string {
+// describeTimer names the purpose of a timer's token, as choice sets them.
+func (n *Names) describeTimer(token uint64) string {
 	purpose, id := choice.TimerPurpose(token)
 	if purpose == "tick" {
 		return "tick"
@@ -208,21 +208,21 @@
 	return fmt.Sprintf("%s request=%s", purpose, n.Request(uint32(id)))
 }
 
-// Order tells an action in one line.
-func (n *Names) Order(a *pb.Action) string {
+// DescribeAction tells an action in one line.
+func (n *Names) DescribeAction(a *pb.Action) string {
 	switch a.Kind {
 	case pb.Action_DISPATCH:
-		return fmt.Sprintf("dispatch %s to %s", n.Request(a.Request), n.Worker(a.Worker))
+		return fmt.Sprintf("dispatch %s to %s", n.Request(a.Request), n.Replica(a.Worker))
 	case pb.Action_REFUSE:
-		return fmt.Sprintf("refuse %s, come back in %v", n.Request(a.Request), micros(a.AtUs))
+		return fmt.Sprintf("refuse %s, come back in %v", n.Request(a.Request), toDuration(a.AtUs))
 	case pb.Action_FAIL:
 		return "fail " + n.Request(a.Request)
 	case pb.Action_CANCEL:
 		return fmt.Sprintf("cancel %s attempt %d", n.Request(a.Request), a.Attempt)
 	case pb.Action_SET_TIMER:
-		return fmt.Sprintf("timer %s in %v", n.timer(a.Token), micros(a.AtUs))
+		return fmt.Sprintf("timer %s in %v", n.describeTimer(a.Token), toDuration(a.AtUs))
 	case pb.Action_PROBE:
-		return "probe " + n.Worker(a.Worker)
+		return "probe " + n.Replica(a.Worker)
 	case pb.Action_TELL_PEERS:
 		return fmt.Sprintf("tell peers %d bytes", len(a.Body))
 	case pb.Action_WATCH_REGISTRY:
@@ -231,7 +231,7 @@
 	return "unknown order"
 }
 
-// Clock says a moment as the time since the run began.
-func Clock(run *capture.Run, at choice.Micros) string {
+// FormatOffset says a moment as the time since the run began.
+func FormatOffset(run *capture.Run, at choice.Micros) string {
 	return fmt.Sprintf("%+.6fs", float64(at-run.Begin())/1e6)
 }
--- a/internal/replay/replay.go
+++ b/internal/replay/replay.go
@@ -23,40 +23,40 @@
 
 // Options of a replay.
 type Options struct {
-	From, To choice.Micros // on the module's clock; To 0: to the end
-	Restart  bool          // begin anew at each checkpoint, from its state
-	Where    *Filter       // only differences at events that match count
-	Explain  func(*Names, *pb.Record) bool
-	OnStep   func(*Step) // after each event
-	OnDiffer func(*Difference)
-	Progress func(at choice.Micros)
+	From, To             choice.Micros // on the module's clock; To 0: to the end
+	RestartAtCheckpoints bool          // begin anew at each checkpoint, from its state
+	Where                *Filter       // only differences at events that match count
+	Explain              func(*Names, *pb.Record) bool
+	OnStep               func(*Step) // after each event
+	OnDifference         func(*Difference)
+	Progress             func(at choice.Micros)
 }
 
 // Step is one event, replayed.
 type Step struct {
-	Number  uint64
-	At      choice.Micros
-	Record  *pb.Record
-	Own     []*pb.Action // what this build ordered, in step with the record; good until the next event
-	Differs []*Difference
-	Picks   []Pick // where Explain asked for them
-	Names   *Names
-	Module  *choice.Balancer
+	Number      uint64
+	At          choice.Micros
+	Record      *pb.Record
+	Actions     []*pb.Action // what this build ordered, in step with the record; good until the next event
+	Differences []*Difference
+	Picks       []Pick // where Explain asked for them
+	Names       *Names
+	Balancer    *choice.Balancer
 }
 
 // Pick is one choice of a worker.
 type Pick struct {
 	Request  choice.RequestID
-	Own      choice.ReplicaID
-	Any      bool
-	Terms    []choice.ScoreBreakdown
+	Chosen   choice.ReplicaID
+	Found    bool
+	Scores   []choice.ScoreBreakdown
 	Excluded []Excluded
 }
 
 // Excluded is a worker that was not weighed, and why.
 type Excluded struct {
-	Worker choice.ReplicaID
-	Why    string
+	Replica choice.ReplicaID
+	Reason  string
 }
 
 // Difference is one decision that this build makes otherwise.
@@ -66,7 +66,7 @@
 	Kind     string        `json:"kind"` // of the decision: one of Kinds
 	Request  string        `json:"request,omitempty"`
 	Class    string        `json:"class,omitempty"`
-	Worker   string        `json:"worker,omitempty"` // that the record names
+	Replica  string        `json:"worker,omitempty"` // that the record names
 	Event    string        `json:"told"`
 	Own      string        `json:"own"`
 	Recorded string        `json:"recorded"`
@@ -75,18 +75,18 @@
 
 // Kinds of differences.
 const (
-	KindAdmit    = "admit"    // let in or turned away
-	KindAgain    = "again"    // a further attempt
-	KindPick     = "pick"     // which worker, or none
-	KindAnswer   = "answer"   // refused or failed, or not at all
-	KindAdvice   = "advice"   // when to come back
-	KindTimer    = "timer"    // a timer
-	KindCancel   = "cancel"   // calling off an attempt
-	KindProbe    = "probe"    // probes
-	KindCut      = "cut"      // when an attempt is cut off
-	KindRegistry = "registry" // asking the registry, telling peers
-	KindContract = "contract" // what a contract allows a request, or its copy
-	KindState    = "state"    // the state at a checkpoint, where no decision differed
+	KindAdmit       = "admit"    // let in or turned away
+	KindRetry       = "again"    // a further attempt
+	KindPick        = "pick"     // which worker, or none
+	KindAnswer      = "answer"   // refused or failed, or not at all
+	KindRetryAfter  = "advice"   // when to come back
+	KindTimer       = "timer"    // a timer
+	KindCancel      = "cancel"   // calling off an attempt
+	KindHealthCheck = "probe"    // probes
+	KindCutoff      = "cut"      // when an attempt is cut off
+	KindDiscovery   = "registry" // asking the registry, telling peers
+	KindContract    = "contract" // what a contract allows a request, or its copy
+	KindState       = "state"    // the state at a checkpoint, where no decision differed
 )
 
 // Result sums a replay up.
@@ -94,14 +94,14 @@
 	Events      uint64            `json:"events"`
 	Actions     uint64            `json:"actions"`
 	Digest      string            `json:"digest"`
-	Differ      uint64            `json:"differ"`
+	Differing   uint64            `json:"differ"`
 	Gaps        uint64            `json:"gaps"`
 	Missing     uint64            `json:"missing"` // events that the capture lost
 	Skipped     uint64            `json:"skipped"` // events that no checkpoint leads to
 	Checkpoints uint64            `json:"checkpoints"`
 	ByKind      map[string]uint64 `json:"by_kind,omitempty"`
 	ByClass     map[string]uint64 `json:"by_class,omitempty"`
-	ByWorker    map[string]uint64 `json:"by_worker,omitempty"`
+	ByReplica   map[string]uint64 `json:"by_worker,omitempty"`
 	Verdicts    uint64            `json:"verdicts"`              // of contracts, compared
 	Decisions   uint64            `json:"decisions"`             // picks, admissions and further attempts compared
 	Differences string            `json:"differences,omitempty"` // digest of all of them; "" if there are none
@@ -109,38 +109,38 @@
 
 // Line is the last line of a replay.
 func (r *Result) Line() string {
-	return fmt.Sprintf("events=%d actions=%d digest=%s differ=%d gaps=%d", r.Events, r.Actions, r.Digest, r.Differ, r.Gaps)
+	return fmt.Sprintf("events=%d actions=%d digest=%s differ=%d gaps=%d", r.Events, r.Actions, r.Digest, r.Differing, r.Gaps)
 }
 
 // player replays one run.
 type player struct {
-	run    *capture.Run
-	o      *Options
-	res    *Result
-	names  *Names
-	sum    *xxhash.Digest
-	b      *choice.Balancer // nil: waiting for a checkpoint
-	ledger *capture.Ledger  // the contracts' book beside it
-
-	now     choice.Micros
-	number  uint64
-	rec     *pb.Record
-	taken   []bool // recorded orders that a decision has used up
-	own     []*pb.Action
-	n       int
-	differs []*Difference
-	picks   []Pick
-	buf     []byte
-	diffSum *xxhash.Digest
-	adrift  bool // decisions differed since the last checkpoint
-	shown   bool // a pick that differed has been kept with its terms
+	run        *capture.Run
+	options    *Options
+	result     *Result
+	names      *Names
+	digestHash *xxhash.Digest
+	balancer   *choice.Balancer      // nil: waiting for a checkpoint
+	ledger     *capture.ReplayLedger // the contracts' book beside it
+
+	now            choice.Micros
+	number         uint64
+	record         *pb.Record
+	usedActions    []bool // recorded orders that a decision has used up
+	ownActions     []*pb.Action
+	ownCount       int
+	differences    []*Difference
+	picks          []Pick
+	buf            []byte
+	differenceHash *xxhash.Digest
+	diverged       bool // decisions differed since the last checkpoint
+	pickKept       bool // a pick that differed has been kept with its terms
 }
 
 // Replay replays a run. The error says that the run cannot be read; differences
 // and gaps are in the result.
 func Replay(run *capture.Run, o Options) (*Result, error) {
-	p := &player{run: run, o: &o, names: NewNames(), sum: xxhash.New(), diffSum: xxhash.New(),
-		res: &Result{ByKind: map[string]uint64{}, ByClass: map[string]uint64{}, ByWorker: map[string]uint64{}}}
+	p := &player{run: run, options: &o, names: NewNames(), digestHash: xxhash.New(), differenceHash: xxhash.New(),
+		result: &Result{ByKind: map[string]uint64{}, ByClass: map[string]uint64{}, ByReplica: map[string]uint64{}}}
 	from := o.From
 	if from == 0 {
 		from = math.MinInt64
@@ -161,153 +161,153 @@
 		if o.To != 0 && e.At > o.To {
 			break
 		}
-		if err := p.entry(e); err != nil {
+		if err := p.playEntry(e); err != nil {
 			return nil, fmt.Errorf("event %d: %w", e.Number, err)
 		}
 	}
-	if p.res.Differ > 0 {
-		p.res.Differences = fmt.Sprintf("%016x", p.diffSum.Sum64())
+	if p.result.Differing > 0 {
+		p.result.Differences = fmt.Sprintf("%016x", p.differenceHash.Sum64())
 	}
-	p.res.Digest = fmt.Sprintf("%016x", p.sum.Sum64())
-	return p.res, nil
+	p.result.Digest = fmt.Sprintf("%016x", p.digestHash.Sum64())
+	return p.result, nil
 }
 
-func (p *player) entry(e capture.Entry) error {
+func (p *player) playEntry(e capture.Entry) error {
 	if e.Missing != nil {
-		p.res.Gaps++
-		p.res.Missing += e.Missing.Events
-		p.b = nil // what it was told after that is not known
+		p.result.Gaps++
+		p.result.Missing += e.Missing.Events
+		p.balancer = nil // what it was told after that is not known
 		return nil
 	}
-	p.now, p.number, p.rec = e.At, e.Number, e.Record
-	p.names.Note(e.Record)
+	p.now, p.number, p.record = e.At, e.Number, e.Record
+	p.names.Learn(e.Record)
 	switch e.Record.Kind {
 	case pb.Kind_KIND_CHECKPOINT:
-		return p.checkpoint(e.Record.Checkpoint)
+		return p.compareCheckpoint(e.Record.Checkpoint)
 	case pb.Kind_KIND_GAP:
-		if p.b != nil { // else the jump of the numbers has told it already
-			p.res.Gaps++
-			p.res.Missing += e.Record.Gap.GetEvents()
+		if p.balancer != nil { // else the jump of the numbers has told it already
+			p.result.Gaps++
+			p.result.Missing += e.Record.Gap.GetEvents()
 		}
-		p.b = nil
+		p.balancer = nil
 		return nil
 	}
-	if p.b == nil {
-		p.res.Skipped++
+	if p.balancer == nil {
+		p.result.Skipped++
 		return nil
 	}
-	if capture.OfBook(e.Record.Kind) {
-		return p.bookEvent()
+	if capture.IsLedgerRecord(e.Record.Kind) {
+		return p.playLedgerEvent()
 	}
-	return p.event()
+	return p.playEvent()
 }
 
-// checkpoint compares the module's state with the recorded one, and takes the
+// compareCheckpoint compares the module's state with the recorded one, and takes the
 // recorded one over where they have come apart.
-func (p *player) checkpoint(c *pb.Checkpoint) error {
-	p.res.Checkpoints++
-	if p.o.Progress != nil {
-		p.o.Progress(p.now)
+func (p *player) compareCheckpoint(c *pb.Checkpoint) error {
+	p.result.Checkpoints++
+	if p.options.Progress != nil {
+		p.options.Progress(p.now)
 	}
-	if p.b != nil {
-		own := p.b.Snapshot()
+	if p.balancer != nil {
+		own := p.balancer.Snapshot()
 		same, sameBook := bytes.Equal(own, c.State), bytes.Equal(p.ledger.Snapshot(), c.Book)
-		if same && sameBook && !p.o.Restart {
-			p.adrift = false
+		if same && sameBook && !p.options.RestartAtCheckpoints {
+			p.diverged = false
 			return nil
 		}
-		if !p.adrift && !same {
-			p.differ(KindState, 0, 0, unlike(own, c.State), "", nil)
-			p.settle(nil, false)
+		if !p.diverged && !same {
+			p.addDifference(KindState, 0, 0, describeStateDifference(own, c.State), "", nil)
+			p.finishEvent(nil, false)
 		}
-		if !p.adrift && !sameBook {
-			p.differ(KindContract, 0, 0, unlikeBook(p.ledger.Snapshot(), c.Book), "", nil)
-			p.settle(nil, false)
+		if !p.diverged && !sameBook {
+			p.addDifference(KindContract, 0, 0, describeLedgerDifference(p.ledger.Snapshot(), c.Book), "", nil)
+			p.finishEvent(nil, false)
 		}
 	}
-	b, _, err := p.run.Restore(c, p)
+	b, _, err := p.run.RestoreBalancer(c, p)
 	if err != nil {
 		return err
 	}
-	if p.ledger, err = capture.RestoreLedger(c); err != nil {
+	if p.ledger, err = capture.RestoreReplayLedger(c); err != nil {
 		return err
 	}
 	b.SetInterceptor(p)
-	p.b, p.adrift = b, false
+	p.balancer, p.diverged = b, false
 	return nil
 }
 
-// bookEvent has the book of contracts do an event again and compares its verdict.
-func (p *player) bookEvent() error {
-	own, recorded, err := p.ledger.Apply(p.now, p.rec)
+// playLedgerEvent has the book of contracts do an event again and compares its verdict.
+func (p *player) playLedgerEvent() error {
+	own, recorded, err := p.ledger.Apply(p.now, p.record)
 	if err != nil {
 		return err
 	}
 	if own != recorded {
-		p.differ(KindContract, p.rec.Request, 0, own, recorded, nil)
+		p.addDifference(KindContract, p.record.Request, 0, own, recorded, nil)
 	}
-	if p.rec.Kind == pb.Kind_KIND_CHARGED {
-		p.res.Verdicts++
+	if p.record.Kind == pb.Kind_KIND_CHARGED {
+		p.result.Verdicts++
 	}
-	p.res.Events++
-	p.digest(nil)
+	p.result.Events++
+	p.addToDigest(nil)
 	p.buf = append(p.buf[:0], own...)
-	p.sum.Write(p.buf)
-	p.settle(nil, true)
+	p.digestHash.Write(p.buf)
+	p.finishEvent(nil, true)
 	return nil
 }
 
-// event tells the module one event and compares what it orders.
-func (p *player) event() error {
-	rec := p.rec
-	p.n = 0
-	p.taken = append(p.taken[:0], make([]bool, len(rec.Actions))...)
-	if err := capture.Apply(p.b, p.now, rec); err != nil {
+// playEvent tells the module one event and compares what it orders.
+func (p *player) playEvent() error {
+	rec := p.record
+	p.ownCount = 0
+	p.usedActions = append(p.usedActions[:0], make([]bool, len(rec.Actions))...)
+	if err := capture.Apply(p.balancer, p.now, rec); err != nil {
 		return err
 	}
-	own := p.own[:p.n]
-	p.compare(own, rec.Actions)
-	p.res.Events++
-	p.res.Actions += uint64(len(own))
-	p.digest(own)
-	p.settle(own, true)
+	own := p.ownActions[:p.ownCount]
+	p.compareActions(own, rec.Actions)
+	p.result.Events++
+	p.result.Actions += uint64(len(own))
+	p.addToDigest(own)
+	p.finishEvent(own, true)
 	return nil
 }
 
-// settle counts the differences of one event and hands it on.
-func (p *player) settle(own []*pb.Action, event bool) {
-	counted := p.differs
+// finishEvent counts the differences of one event and hands it on.
+func (p *player) finishEvent(own []*pb.Action, event bool) {
+	counted := p.differences
 	if len(counted) > 0 {
-		p.adrift = true
-		if f := p.o.Where; f != nil && !f.Match(p.names, p.rec, p.now-p.run.Begin()) {
+		p.diverged = true
+		if f := p.options.Where; f != nil && !f.Match(p.names, p.record, p.now-p.run.Begin()) {
 			counted = nil
 		}
 	}
 	for _, d := range counted {
-		p.res.Differ++
-		p.res.ByKind[d.Kind]++
-		fmt.Fprintf(p.diffSum, "%d %s %s %s\n", d.Number, d.Kind, d.Own, d.Recorded)
+		p.result.Differing++
+		p.result.ByKind[d.Kind]++
+		fmt.Fprintf(p.differenceHash, "%d %s %s %s\n", d.Number, d.Kind, d.Own, d.Recorded)
 		if d.Class != "" {
-			p.res.ByClass[d.Class]++
+			p.result.ByClass[d.Class]++
 		}
-		if d.Worker != "" {
-			p.res.ByWorker[d.Worker]++
+		if d.Replica != "" {
+			p.result.ByReplica[d.Replica]++
 		}
-		if p.o.OnDiffer != nil {
-			p.o.OnDiffer(d)
+		if p.options.OnDifference != nil {
+			p.options.OnDifference(d)
 		}
 	}
-	if p.o.OnStep != nil && event {
-		p.o.OnStep(&Step{Number: p.number, At: p.now, Record: p.rec, Own: own, Differs: counted, Picks: p.picks, Names: p.names, Module: p.b})
+	if p.options.OnStep != nil && event {
+		p.options.OnStep(&Step{Number: p.number, At: p.now, Record: p.record, Actions: own, Differences: counted, Picks: p.picks, Names: p.names, Balancer: p.balancer})
 	}
-	p.differs, p.picks = nil, nil
+	p.differences, p.picks = nil, nil
 }
 
-// digest takes the event's decisions into the digest: the orders, and what the
+// addToDigest takes the event's decisions into the digest: the orders, and what the
 // module would have ordered where it was kept in step.
-func (p *player) digest(own []*pb.Action) {
+func (p *player) addToDigest(own []*pb.Action) {
 	b := binary.LittleEndian.AppendUint64(p.buf[:0], p.number)
-	b = append(b, byte(p.rec.Kind), byte(len(own)))
+	b = append(b, byte(p.record.Kind), byte(len(own)))
 	for _, a := range own {
 		b = append(b, byte(a.Kind))
 		b = binary.LittleEndian.AppendUint32(b, a.Request)
@@ -317,29 +317,29 @@
 		b = binary.LittleEndian.AppendUint64(b, a.Token)
 		b = append(b, a.Body...)
 	}
-	for _, d := range p.differs {
+	for _, d := range p.differences {
 		b = append(append(b, d.Kind...), d.Own...)
 	}
 	p.buf = b
-	p.sum.Write(b)
+	p.digestHash.Write(b)
 }
 
-func (p *player) differ(kind string, request, worker uint32, own, recorded string, pick *Pick) {
-	d := &Difference{Number: p.number, At: p.now, Kind: kind, Event: p.names.Event(p.rec), Own: own, Recorded: recorded, Pick: pick}
-	if request != 0 || kind != KindState && kind != KindProbe && kind != KindRegistry {
+func (p *player) addDifference(kind string, request, worker uint32, own, recorded string, pick *Pick) {
+	d := &Difference{Number: p.number, At: p.now, Kind: kind, Event: p.names.DescribeEvent(p.record), Own: own, Recorded: recorded, Pick: pick}
+	if request != 0 || kind != KindState && kind != KindHealthCheck && kind != KindDiscovery {
 		d.Request, d.Class = p.names.Request(request), p.names.Class(request)
 	}
 	if worker != 0 {
-		d.Worker = p.names.Worker(worker)
+		d.Replica = p.names.Replica(worker)
 	}
-	p.differs = append(p.differs, d)
+	p.differences = append(p.differences, d)
 }
 
-// recorded finds the dispatch of a request that the record has and no decision
+// recordedDispatch finds the dispatch of a request that the record has and no decision
 // of this event has used up.
-func (p *player) recorded(id choice.RequestID) int {
-	for i, a := range p.rec.Actions {
-		if a.Kind == pb.Action_DISPATCH && a.Request == uint32(id) && !p.taken[i] {
+func (p *player) recordedDispatch(id choice.RequestID) int {
+	for i, a := range p.record.Actions {
+		if a.Kind == pb.Action_DISPATCH && a.Request == uint32(id) && !p.usedActions[i] {
 			return i
 		}
 	}
@@ -349,37 +349,37 @@
 // The judge: it keeps the module in step with the record.
 
 func (p *player) Admit(id choice.RequestID, own bool) bool {
-	p.res.Decisions++
-	if !own && p.recorded(id) >= 0 {
-		p.differ(KindAdmit, uint32(id), 0, "turned away", "let in", nil)
+	p.result.Decisions++
+	if !own && p.recordedDispatch(id) >= 0 {
+		p.addDifference(KindAdmit, uint32(id), 0, "turned away", "let in", nil)
 		return true
 	}
 	return own // turned away in the record: the pick finds no dispatch
 }
 
 func (p *player) Retry(id choice.RequestID, own bool) bool {
-	p.res.Decisions++
-	if !own && p.recorded(id) >= 0 {
-		p.differ(KindAgain, uint32(id), 0, "no further attempt", "a further attempt", nil)
+	p.result.Decisions++
+	if !own && p.recordedDispatch(id) >= 0 {
+		p.addDifference(KindRetry, uint32(id), 0, "no further attempt", "a further attempt", nil)
 		return true
 	}
 	return own
 }
 
 func (p *player) Pick(id choice.RequestID, own choice.ReplicaID, any bool, weighed []choice.ScoreBreakdown) (choice.ReplicaID, bool) {
-	p.res.Decisions++
-	explain := p.o.Explain != nil && p.o.Explain(p.names, p.rec)
+	p.result.Decisions++
+	explain := p.options.Explain != nil && p.options.Explain(p.names, p.record)
 	var kept *Pick
 	keep := func() *Pick {
 		if kept == nil {
-			kept = p.pick(id, own, any, weighed)
+			kept = p.newPick(id, own, any, weighed)
 		}
 		return kept
 	}
 	if explain {
 		p.picks = append(p.picks, *keep())
 	}
-	i := p.recorded(id)
+	i := p.recordedDispatch(id)
 	if i < 0 && !any {
 		return 0, false
 	}
@@ -387,63 +387,63 @@
 		if !any {
 			return "no worker"
 		}
-		return p.names.Worker(uint32(id))
+		return p.names.Replica(uint32(id))
 	}
 	if i < 0 {
-		p.differ(KindPick, uint32(id), 0, word(own, true), word(0, false), p.first(keep))
+		p.addDifference(KindPick, uint32(id), 0, word(own, true), word(0, false), p.keepFirstPick(keep))
 		return 0, false
 	}
-	p.taken[i] = true
-	to := choice.ReplicaID(p.rec.Actions[i].Worker)
+	p.usedActions[i] = true
+	to := choice.ReplicaID(p.record.Actions[i].Worker)
 	if !any || own != to {
-		p.differ(KindPick, uint32(id), uint32(to), word(own, any), word(to, true), p.first(keep))
+		p.addDifference(KindPick, uint32(id), uint32(to), word(own, any), word(to, true), p.keepFirstPick(keep))
 	}
 	return to, true
 }
 
-// first keeps the terms of the first pick that differs, and only of that.
-func (p *player) first(keep func() *Pick) *Pick {
-	if p.shown {
+// keepFirstPick keeps the terms of the first pick that differs, and only of that.
+func (p *player) keepFirstPick(keep func() *Pick) *Pick {
+	if p.pickKept {
 		return nil
 	}
-	p.shown = true
+	p.pickKept = true
 	return keep()
 }
 
-func (p *player) pick(id choice.RequestID, own choice.ReplicaID, any bool, weighed []choice.ScoreBreakdown) *Pick {
-	k := &Pick{Request: id, Own: own, Any: any, Terms: append([]choice.ScoreBreakdown(nil), weighed...)}
+func (p *player) newPick(id choice.RequestID, own choice.ReplicaID, any bool, weighed []choice.ScoreBreakdown) *Pick {
+	k := &Pick{Request: id, Chosen: own, Found: any, Scores: append([]choice.ScoreBreakdown(nil), weighed...)}
 	in := map[choice.ReplicaID]bool{}
 	for _, t := range weighed {
 		in[t.Replica] = true
 	}
-	for _, m := range p.b.Endpoints() {
+	for _, m := range p.balancer.Endpoints() {
 		if !in[m.Replica] {
-			k.Excluded = append(k.Excluded, Excluded{m.Replica, p.b.ExclusionReason(p.now, id, m.Replica)})
+			k.Excluded = append(k.Excluded, Excluded{m.Replica, p.balancer.ExclusionReason(p.now, id, m.Replica)})
 		}
 	}
 	return k
 }
 
-// compare tells what of the orders differs once the module is in step.
-func (p *player) compare(own, want []*pb.Action) {
+// compareActions tells what of the orders differs once the module is in step.
+func (p *player) compareActions(own, want []*pb.Action) {
 	for i, j := 0, 0; i < len(own) || j < len(want); {
 		switch {
 		case i < len(own) && j < len(want) && own[i].Kind == want[j].Kind:
-			if !same(own[i], want[j]) {
-				p.unlikeOrder(own[i], want[j])
+			if !sameAction(own[i], want[j]) {
+				p.addActionDifference(own[i], want[j])
 			}
 			i, j = i+1, j+1
-		case j == len(want) || i < len(own) && has(want[j:], own[i].Kind) < 0:
-			p.unlikeOrder(own[i], nil)
+		case j == len(want) || i < len(own) && indexOfKind(want[j:], own[i].Kind) < 0:
+			p.addActionDifference(own[i], nil)
 			i++
 		default:
-			p.unlikeOrder(nil, want[j])
+			p.addActionDifference(nil, want[j])
 			j++
 		}
 	}
 }
 
-func has(list []*pb.Action, k pb.Action_Kind) int {
+func indexOfKind(list []*pb.Action, k pb.Action_Kind) int {
 	for i, a := range list {
 		if a.Kind == k {
 			return i
@@ -452,31 +452,31 @@
 	return -1
 }
 
-func same(a, b *pb.Action) bool {
+func sameAction(a, b *pb.Action) bool {
 	return a.Kind == b.Kind && a.Request == b.Request && a.Worker == b.Worker && a.AtUs == b.AtUs && a.Attempt == b.Attempt &&
 		a.Token == b.Token && bytes.Equal(a.Body, b.Body)
 }
 
-func (p *player) unlikeOrder(own, want *pb.Action) {
+func (p *player) addActionDifference(own, want *pb.Action) {
 	any, ownText, wantText := own, "nothing", "nothing"
 	if own != nil {
-		ownText = p.names.Order(own)
+		ownText = p.names.DescribeAction(own)
 	}
 	if want != nil {
-		any, wantText = want, p.names.Order(want)
+		any, wantText = want, p.names.DescribeAction(want)
 	}
 	kind := map[pb.Action_Kind]string{pb.Action_DISPATCH: KindPick, pb.Action_REFUSE: KindAnswer, pb.Action_FAIL: KindAnswer,
-		pb.Action_CANCEL: KindCancel, pb.Action_SET_TIMER: KindTimer, pb.Action_PROBE: KindProbe}[any.Kind]
+		pb.Action_CANCEL: KindCancel, pb.Action_SET_TIMER: KindTimer, pb.Action_PROBE: KindHealthCheck}[any.Kind]
 	switch {
 	case kind == "":
-		kind = KindRegistry
+		kind = KindDiscovery
 	case own != nil && want != nil && own.Request == want.Request && any.Kind == pb.Action_REFUSE:
-		kind = KindAdvice
+		kind = KindRetryAfter
 	case own != nil && want != nil && own.Worker == want.Worker && any.Kind == pb.Action_DISPATCH:
-		kind = KindCut
+		kind = KindCutoff
 	}
-	for _, d := range p.differs { // told as a decision already
-		if kind == KindPick && (d.Kind == KindPick || d.Kind == KindAdmit || d.Kind == KindAgain) {
+	for _, d := range p.differences { // told as a decision already
+		if kind == KindPick && (d.Kind == KindPick || d.Kind == KindAdmit || d.Kind == KindRetry) {
 			return
 		}
 	}
@@ -485,63 +485,63 @@
 		_, id := choice.TimerPurpose(any.Token)
 		request = uint32(id)
 	}
-	p.differ(kind, request, any.Worker, ownText, wantText, nil)
+	p.addDifference(kind, request, any.Worker, ownText, wantText, nil)
 }
 
 // The module's orders: choice.Sink.
 
-func (p *player) order(kind pb.Action_Kind, id choice.RequestID, to choice.ReplicaID, at choice.Micros) *pb.Action {
-	if p.n == len(p.own) {
-		p.own = append(p.own, &pb.Action{})
+func (p *player) addAction(kind pb.Action_Kind, id choice.RequestID, to choice.ReplicaID, at choice.Micros) *pb.Action {
+	if p.ownCount == len(p.ownActions) {
+		p.ownActions = append(p.ownActions, &pb.Action{})
 	}
-	a := p.own[p.n]
-	p.n++
+	a := p.ownActions[p.ownCount]
+	p.ownCount++
 	a.Kind, a.Request, a.Worker, a.AtUs, a.Attempt, a.Token, a.Body = kind, uint32(id), uint32(to), at, 0, 0, nil
 	return a
 }
 
 func (p *player) Dispatch(id choice.RequestID, to choice.ReplicaID, cutAt choice.Micros) {
-	p.order(pb.Action_DISPATCH, id, to, cutAt)
+	p.addAction(pb.Action_DISPATCH, id, to, cutAt)
 }
 func (p *player) Shed(id choice.RequestID, after choice.Micros) {
-	p.order(pb.Action_REFUSE, id, 0, after)
+	p.addAction(pb.Action_REFUSE, id, 0, after)
 }
-func (p *player) Fail(id choice.RequestID) { p.order(pb.Action_FAIL, id, 0, 0) }
+func (p *player) Fail(id choice.RequestID) { p.addAction(pb.Action_FAIL, id, 0, 0) }
 func (p *player) Cancel(id choice.RequestID, n int) {
-	p.order(pb.Action_CANCEL, id, 0, 0).Attempt = uint32(n)
+	p.addAction(pb.Action_CANCEL, id, 0, 0).Attempt = uint32(n)
 }
 func (p *player) SetTimer(delay choice.Micros, token uint64) {
-	p.order(pb.Action_SET_TIMER, 0, 0, delay).Token = token
+	p.addAction(pb.Action_SET_TIMER, 0, 0, delay).Token = token
 }
-func (p *player) HealthCheck(to choice.ReplicaID) { p.order(pb.Action_PROBE, 0, to, 0) }
-func (p *player) Gossip(body []byte)              { p.order(pb.Action_TELL_PEERS, 0, 0, 0).Body = body }
-func (p *player) WatchDiscovery()                 { p.order(pb.Action_WATCH_REGISTRY, 0, 0, 0) }
+func (p *player) HealthCheck(to choice.ReplicaID) { p.addAction(pb.Action_PROBE, 0, to, 0) }
+func (p *player) Gossip(body []byte)              { p.addAction(pb.Action_TELL_PEERS, 0, 0, 0).Body = body }
+func (p *player) WatchDiscovery()                 { p.addAction(pb.Action_WATCH_REGISTRY, 0, 0, 0) }
 
-// unlike names the first field in which two states differ.
-func unlike(own, recorded []byte) string {
+// describeStateDifference names the first field in which two states differ.
+func describeStateDifference(own, recorded []byte) string {
 	var a, b pb.State
 	if err := errors.Join(proto.Unmarshal(own, &a), proto.Unmarshal(recorded, &b)); err != nil {
 		return err.Error()
 	}
-	if at := firstUnlike(a.ProtoReflect(), b.ProtoReflect()); at != "" {
+	if at := firstDifference(a.ProtoReflect(), b.ProtoReflect()); at != "" {
 		return "the state differs at " + at
 	}
 	return "the states differ"
 }
 
-// unlikeBook names the first field in which the books of two checkpoints differ.
-func unlikeBook(own, recorded []byte) string {
+// describeLedgerDifference names the first field in which the books of two checkpoints differ.
+func describeLedgerDifference(own, recorded []byte) string {
 	var a, b contractpb.Book
 	if err := errors.Join(proto.Unmarshal(own, &a), proto.Unmarshal(recorded, &b)); err != nil {
 		return err.Error()
 	}
-	if at := firstUnlike(a.ProtoReflect(), b.ProtoReflect()); at != "" {
+	if at := firstDifference(a.ProtoReflect(), b.ProtoReflect()); at != "" {
 		return "the book differs at " + at
 	}
 	return "the books differ"
 }
 
-func firstUnlike(a, b protoreflect.Message) string {
+func firstDifference(a, b protoreflect.Message) string {
 	fields := a.Descriptor().Fields()
 	for i := range fields.Len() {
 		f := fields.Get(i)
@@ -561,12 +561,12 @@
 					}
 					continue
 				}
-				if at := firstUnlike(x.List().Get(j).Message(), y.List().Get(j).Message()); at != "" {
+				if at := firstDifference(x.List().Get(j).Message(), y.List().Get(j).Message()); at != "" {
 					return fmt.Sprintf("%s[%d].%s", f.Name(), j, at)
 				}
 			}
 		case f.Message() != nil:
-			if at := firstUnlike(x.Message(), y.Message()); at != "" {
+			if at := firstDifference(x.Message(), y.Message()); at != "" {
 				return string(f.Name()) + "." + at
 			}
 		default:
@@ -576,14 +576,14 @@
 	return ""
 }
 
-// Table tells how workers were weighed, the least score first.
-func (k *Pick) Table(n *Names) string {
+// FormatTable tells how workers were weighed, the least score first.
+func (k *Pick) FormatTable(n *Names) string {
 	var b strings.Builder
 	fmt.Fprintf(&b, "  %-16s %12s %9s %9s %9s %9s %9s %9s %6s %8s %8s %8s %6s\n", "worker", "score", "reported", "unseen", "peers",
 		"own", "noise", "fresh", "slow", "hold", "prompt", "kept", "guard")
-	for _, t := range sortedTerms(k.Terms) {
+	for _, t := range sortedByScore(k.Scores) {
 		mark := ""
-		if k.Any && t.Replica == k.Own {
+		if k.Found && t.Replica == k.Chosen {
 			mark = " <- chosen"
 		}
 		if t.ServedSession {
@@ -592,11 +592,11 @@
 		if t.HomeReplica {
 			mark += " (home)"
 		}
-		fmt.Fprintf(&b, "  %-16s %12.1f %9.1f %9.1f %9.1f %9.1f %9.1f %9.4f %6.2f %8.1f %8.0f %8.1f %6.3f%s\n", n.Worker(uint32(t.Replica)), t.Score,
+		fmt.Fprintf(&b, "  %-16s %12.1f %9.1f %9.1f %9.1f %9.1f %9.1f %9.4f %6.2f %8.1f %8.0f %8.1f %6.3f%s\n", n.Replica(uint32(t.Replica)), t.Score,
 			t.Reported, t.Unreported, t.PeerLoad, t.LedgerLoad, t.Noise, t.ReportWeight, t.Slowness, t.RequestTokens, t.PromptTokens, t.CachedTokens, t.Penalty, mark)
 	}
 	for _, e := range k.Excluded {
-		fmt.Fprintf(&b, "  %-16s not weighed: %s\n", n.Worker(uint32(e.Worker)), e.Why)
+		fmt.Fprintf(&b, "  %-16s not weighed: %s\n", n.Replica(uint32(e.Replica)), e.Reason)
 	}
 	return b.String()
 }
--- a/internal/replay/replay_test.go
+++ b/internal/replay/replay_test.go
@@ -21,11 +21,11 @@
 
 // A capture replayed twice gives the same decisions as were recorded, from the
 // start and from each checkpoint, whatever the clock begins at.
-func TestReplayDecidesAlike(t *testing.T) {
+func TestReplayReproducesDecisions(t *testing.T) {
 	for _, clock := range []choice.Micros{0, 1, 1_780_000_000_000_000} {
-		run, h, _ := recorded(t, uint64(clock)+3, clock, 30)
-		a, b := replayed(t, run, Options{}), replayed(t, run, Options{Restart: true})
-		if a.Differ != 0 || a.Gaps != 0 || a.Skipped != 0 || a.Digest != b.Digest || b.Differ != 0 {
+		run, h, _ := recordRun(t, uint64(clock)+3, clock, 30)
+		a, b := mustReplay(t, run, Options{}), mustReplay(t, run, Options{RestartAtCheckpoints: true})
+		if a.Differing != 0 || a.Gaps != 0 || a.Skipped != 0 || a.Digest != b.Digest || b.Differing != 0 {
 			t.Fatalf("clock %d: %s and %s, %v", clock, a.Line(), b.Line(), a.ByKind)
 		}
 		// Reconfigurations are drawn with the outcomes, about one in 3.5 s: a change of
@@ -35,9 +35,9 @@
 		}
 		// From each checkpoint on: what is left is decided as from the start.
 		var left uint64
-		for at := clock; at < run.End(); at += 3 * sec {
-			c := replayed(t, run, Options{From: max(1, at)})
-			if c.Differ != 0 || c.Gaps != 0 || left != 0 && c.Events > left {
+		for at := clock; at < run.End(); at += 3 * second {
+			c := mustReplay(t, run, Options{From: max(1, at)})
+			if c.Differing != 0 || c.Gaps != 0 || left != 0 && c.Events > left {
 				t.Fatalf("clock %d: from %d: %s", clock, at, c.Line())
 			}
 			left = c.Events
@@ -50,11 +50,11 @@
 
 // Recording changes nothing: the same host decides the same without it.
 func TestRecordingChangesNothing(t *testing.T) {
-	_, h, _ := recorded(t, 5, 77, 12)
+	_, h, _ := recordRun(t, 5, 77, 12)
 	bare := newHost(t, 5, 77)
 	bare.begin(10)
 	bare.run(12, 60)
-	if !bytes.Equal(bare.b.Snapshot(), h.b.Snapshot()) || bare.events != h.events {
+	if !bytes.Equal(bare.balancer.Snapshot(), h.balancer.Snapshot()) || bare.events != h.events {
 		t.Fatalf("the module's state is another; %d and %d events", bare.events, h.events)
 	}
 }
@@ -63,7 +63,7 @@
 // workers as it weighed them, and kept in step: requests of the record that it
 // would have sent elsewhere do not lead it astray.
 func TestChangedModuleIsFlagged(t *testing.T) {
-	run, _, _ := recorded(t, 8, 0, 20)
+	run, _, _ := recordRun(t, 8, 0, 20)
 	changed := map[string]func(*choice.Settings){
 		"price":    func(s *choice.Settings) { s.CrossZoneCost = 0.5 },
 		"attempts": func(s *choice.Settings) { s.MaxAttempts = 1 },
@@ -72,37 +72,37 @@
 		"advice":   func(s *choice.Settings) { s.MaxRetryAfter = 1000 },
 		"aim": func(s *choice.Settings) {
 			s.Classes = append([]choice.Class(nil), s.Classes...)
-			s.Classes[0].LatencyObjective = sec / 4
+			s.Classes[0].LatencyObjective = second / 4
 		},
 	}
-	want := map[string]string{"price": KindPick, "attempts": KindPick, "copies": KindPick, "advice": KindAdvice, "aim": KindTimer}
+	want := map[string]string{"price": KindPick, "attempts": KindPick, "copies": KindPick, "advice": KindRetryAfter, "aim": KindTimer}
 	for name, change := range changed {
 		other := *run
 		change(&other.Settings)
 		var first *Difference
 		var terms string
 		names := NewNames()
-		res := replayed(t, &other, Options{OnStep: func(s *Step) { names = s.Names }, OnDiffer: func(d *Difference) {
+		res := mustReplay(t, &other, Options{OnStep: func(s *Step) { names = s.Names }, OnDifference: func(d *Difference) {
 			if first == nil {
 				first = d
 			}
 			if d.Pick != nil {
-				terms = d.Pick.Table(names)
+				terms = d.Pick.FormatTable(names)
 			}
 		}})
 		if kind := want[name]; kind != "" && res.ByKind[kind] == 0 {
 			t.Errorf("%s: %v", name, res.ByKind)
 		}
-		if res.Differ > 0 && (first.Own == first.Recorded || first.Event == "") {
+		if res.Differing > 0 && (first.Own == first.Recorded || first.Event == "") {
 			t.Errorf("%s: %+v", name, first)
 		}
-		if name == "price" && (!strings.Contains(terms, "s-1017") || !strings.Contains(terms, "<- chosen") || res.ByClass["chat"] == 0 || len(res.ByWorker) < 3) {
-			t.Errorf("%s: %s\n%s\n%v", name, res.Line(), terms, res.ByWorker)
+		if name == "price" && (!strings.Contains(terms, "s-1017") || !strings.Contains(terms, "<- chosen") || res.ByClass["chat"] == 0 || len(res.ByReplica) < 3) {
+			t.Errorf("%s: %s\n%s\n%v", name, res.Line(), terms, res.ByReplica)
 		}
-		if name == "price" && res.Differ > res.Decisions/2 {
-			t.Errorf("%s: %d of %d decisions: it was not kept in step", name, res.Differ, res.Decisions)
+		if name == "price" && res.Differing > res.Decisions/2 {
+			t.Errorf("%s: %d of %d decisions: it was not kept in step", name, res.Differing, res.Decisions)
 		}
-		again := replayed(t, &other, Options{})
+		again := mustReplay(t, &other, Options{})
 		if again.Differences != res.Differences || again.Digest != res.Digest {
 			t.Errorf("%s: two replays differ", name)
 		}
@@ -114,13 +114,13 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	if res := replayed(t, &other, Options{Where: f}); res.ByClass["chat"] != 0 || res.ByClass["agent"] == 0 {
+	if res := mustReplay(t, &other, Options{Where: f}); res.ByClass["chat"] != 0 || res.ByClass["agent"] == 0 {
 		t.Errorf("filtered: %v", res.ByClass)
 	}
 }
 
 // whole is the number of events in blocks that can be read.
-func blocks(run *capture.Run) (events uint64) {
+func countEvents(run *capture.Run) (events uint64) {
 	for _, s := range run.Segments {
 		for _, b := range s.Blocks {
 			events += uint64(b.Records)
@@ -130,8 +130,8 @@
 }
 
 // A crash in the middle of a block costs that block and no more.
-func TestCutOffTail(t *testing.T) {
-	run, _, dir := recorded(t, 9, 0, 8)
+func TestTruncatedSegment(t *testing.T) {
+	run, _, dir := recordRun(t, 9, 0, 8)
 	path := run.Segments[0].Path
 	text, err := os.ReadFile(path)
 	if err != nil {
@@ -142,8 +142,8 @@
 		if err := os.WriteFile(path, text[:cut], 0o600); err != nil {
 			t.Fatal(err)
 		}
-		short := open(t, dir)
-		n := blocks(short)
+		short := openRun(t, dir)
+		n := countEvents(short)
 		var want uint64
 		for i, b := range all {
 			end := len(text)
@@ -157,11 +157,11 @@
 				want += uint64(b.Records)
 			}
 		}
-		res := replayed(t, short, Options{})
+		res := mustReplay(t, short, Options{})
 		if cut > int(all[len(all)-1].Offset)+61 {
-			want = blocks(run)
+			want = countEvents(run)
 		}
-		if n != want || res.Events != want || res.Differ != 0 {
+		if n != want || res.Events != want || res.Differing != 0 {
 			t.Errorf("cut at %d: %d of %d events can be read, replayed %s", cut, n, want, res.Line())
 		}
 		if lost := cut < int(all[len(all)-1].Offset)+100; lost && res.Gaps == 0 {
@@ -172,7 +172,7 @@
 
 // Damage in the middle costs what no later checkpoint leads to, and is told.
 func TestDamageInTheMiddle(t *testing.T) {
-	run, _, dir := recorded(t, 10, 0, 9)
+	run, _, dir := recordRun(t, 10, 0, 9)
 	s := run.Segments[0]
 	text, err := os.ReadFile(s.Path)
 	if err != nil {
@@ -188,26 +188,26 @@
 		if err := os.WriteFile(s.Path, spoil(bytes.Clone(text)), 0o600); err != nil {
 			t.Fatal(err)
 		}
-		res := replayed(t, open(t, dir), Options{})
-		if res.Differ != 0 || res.Gaps == 0 || res.Skipped == 0 || res.Events == 0 {
+		res := mustReplay(t, openRun(t, dir), Options{})
+		if res.Differing != 0 || res.Gaps == 0 || res.Skipped == 0 || res.Events == 0 {
 			t.Errorf("%s: %s skipped=%d missing=%d", name, res.Line(), res.Skipped, res.Missing)
 		}
-		if res.Events+res.Skipped+res.Missing != blocks(run) {
-			t.Errorf("%s: %d replayed, %d skipped, %d missing of %d", name, res.Events, res.Skipped, res.Missing, blocks(run))
+		if res.Events+res.Skipped+res.Missing != countEvents(run) {
+			t.Errorf("%s: %d replayed, %d skipped, %d missing of %d", name, res.Events, res.Skipped, res.Missing, countEvents(run))
 		}
 	}
 }
 
 // faultyDisk fails or waits when told to.
 type faultyDisk struct {
-	mu   sync.Mutex
-	full bool
-	hold chan struct{}
+	mu        sync.Mutex
+	full      bool
+	writeGate chan struct{}
 }
 
 type faultyFile struct {
 	*os.File
-	d *faultyDisk
+	disk *faultyDisk
 }
 
 func (d *faultyDisk) set(full bool) {
@@ -225,12 +225,12 @@
 }
 
 func (f *faultyFile) Write(p []byte) (int, error) {
-	if f.d.hold != nil {
-		<-f.d.hold
+	if f.disk.writeGate != nil {
+		<-f.disk.writeGate
 	}
-	f.d.mu.Lock()
-	full := f.d.full
-	f.d.mu.Unlock()
+	f.disk.mu.Lock()
+	full := f.disk.full
+	f.disk.mu.Unlock()
 	if full {
 		n, _ := f.File.Write(p[:len(p)/2]) // as a full disk does
 		return n, errors.New("no space left on device")
@@ -241,8 +241,8 @@
 // A full disk is a gap: recorded, counted, and ended by a checkpoint.
 func TestDiskFull(t *testing.T) {
 	dir, disk := t.TempDir(), &faultyDisk{}
-	l := limits(dir)
-	l.Create = disk.create
+	l := testWriterOptions(dir)
+	l.CreateFile = disk.create
 	var mu sync.Mutex
 	told := map[string]int{}
 	l.Log = func(msg string, _ ...any) { mu.Lock(); told[msg]++; mu.Unlock() }
@@ -251,14 +251,14 @@
 		t.Fatal(err)
 	}
 	h := newHost(t, 12, 50)
-	r := h.record(w, options())
+	r := h.record(w, testRecorderOptions())
 	h.begin(10)
 	// The host makes seconds of events in milliseconds: what it has made goes to the disk before
 	// more comes, or a busy machine's full queue would be gaps that this test is not about.
 	run := func(seconds int) {
 		for range 2 * seconds {
 			h.run(0.5, 60)
-			for end := time.Now().Add(5 * time.Second); w.Waiting() > 0 && time.Now().Before(end); time.Sleep(time.Millisecond) {
+			for end := time.Now().Add(5 * time.Second); w.QueuedTasks() > 0 && time.Now().Before(end); time.Sleep(time.Millisecond) {
 			}
 		}
 	}
@@ -269,9 +269,9 @@
 	run(6)
 	r.Close()
 	w.Close()
-	kept := open(t, dir)
-	res := replayed(t, kept, Options{})
-	if res.Differ != 0 || res.Gaps == 0 || res.Missing < 500 || res.Events < 2000 {
+	kept := openRun(t, dir)
+	res := mustReplay(t, kept, Options{})
+	if res.Differing != 0 || res.Gaps == 0 || res.Missing < 500 || res.Events < 2000 {
 		t.Errorf("%s missing=%d skipped=%d", res.Line(), res.Missing, res.Skipped)
 	}
 	if n := int(res.Events + res.Missing + res.Skipped); n < h.events || n > h.events+10 {
@@ -283,89 +283,89 @@
 }
 
 // Where the disk stands still, the host does not, and nothing grows.
-func TestOverflow(t *testing.T) {
-	dir, disk := t.TempDir(), &faultyDisk{hold: make(chan struct{})}
-	l := limits(dir)
-	l.Create, l.Wait, l.Queue = disk.create, false, 3
+func TestQueueOverflow(t *testing.T) {
+	dir, disk := t.TempDir(), &faultyDisk{writeGate: make(chan struct{})}
+	l := testWriterOptions(dir)
+	l.CreateFile, l.BlockWhenFull, l.QueueLength = disk.create, false, 3
 	w, err := capture.NewWriter(l)
 	if err != nil {
 		t.Fatal(err)
 	}
 	h := newHost(t, 12, 50)
-	o := options()
+	o := testRecorderOptions()
 	r := h.record(w, o)
 	h.begin(10)
 	h.run(10, 60)
 	if w.Stats.Gaps.Load() == 0 {
 		t.Error("no gap")
 	}
-	close(disk.hold)
+	close(disk.writeGate)
 	// The queue empties by itself; then the recording resumes.
-	for end := time.Now().Add(5 * time.Second); w.Waiting() > 0 && time.Now().Before(end); time.Sleep(time.Millisecond) {
+	for end := time.Now().Add(5 * time.Second); w.QueuedTasks() > 0 && time.Now().Before(end); time.Sleep(time.Millisecond) {
 	}
 	for range 40 { // the host may run ahead of the disk again: what counts is that it resumes
 		h.run(0.5, 60)
-		for end := time.Now().Add(time.Second); w.Waiting() > 0 && time.Now().Before(end); time.Sleep(100 * time.Microsecond) {
+		for end := time.Now().Add(time.Second); w.QueuedTasks() > 0 && time.Now().Before(end); time.Sleep(100 * time.Microsecond) {
 		}
 	}
 	r.Close()
 	w.Close()
-	res := replayed(t, open(t, dir), Options{})
-	if res.Differ != 0 || res.Gaps == 0 || res.Missing == 0 || res.Events < 2000 {
+	res := mustReplay(t, openRun(t, dir), Options{})
+	if res.Differing != 0 || res.Gaps == 0 || res.Missing == 0 || res.Events < 2000 {
 		t.Errorf("%s missing=%d", res.Line(), res.Missing)
 	}
 }
 
 // A second recording begins while requests and second copies are open.
-func TestRecordingBegunInTheMidst(t *testing.T) {
+func TestRecordingStartedMidRun(t *testing.T) {
 	dir := t.TempDir()
 	h := newHost(t, 13, 1000)
 	h.begin(10)
 	h.run(5, 80)
-	if h.b.Stats().LedgerEntries < 5 {
+	if h.balancer.Stats().LedgerEntries < 5 {
 		t.Fatal("nothing is open")
 	}
-	w, err := capture.NewWriter(limits(dir))
+	w, err := capture.NewWriter(testWriterOptions(dir))
 	if err != nil {
 		t.Fatal(err)
 	}
-	r := h.record(w, options())
+	r := h.record(w, testRecorderOptions())
 	h.run(5, 80)
 	r.Close()
 	w.Close()
-	h.m = h.b
+	h.module = h.balancer
 	h.run(1, 80) // goes on without
-	if res := replayed(t, open(t, dir), Options{}); res.Differ != 0 || res.Events < 1200 {
+	if res := mustReplay(t, openRun(t, dir), Options{}); res.Differing != 0 || res.Events < 1200 {
 		t.Error(res.Line())
 	}
 }
 
-func TestBoundsOnDisk(t *testing.T) {
+func TestDiskLimits(t *testing.T) {
 	dir := t.TempDir()
-	l := limits(dir)
-	l.KeepSize = 300 << 10
+	l := testWriterOptions(dir)
+	l.MaxBytes = 300 << 10
 	w, err := capture.NewWriter(l)
 	if err != nil {
 		t.Fatal(err)
 	}
 	h := newHost(t, 14, 0)
-	o := options()
+	o := testRecorderOptions()
 	o.SegmentSize, o.SegmentAge = 64<<10, time.Hour
 	r := h.record(w, o)
 	h.begin(10)
 	h.run(60, 100)
-	saved := make(chan capture.Saved, 8)
+	saved := make(chan capture.SavedIncident, 8)
 	for i := range 5 {
 		h.run(1, 60)
-		r.Save(h.now, fmt.Sprint("reason ", i), saved)
+		r.SaveIncident(h.now, fmt.Sprint("reason ", i), saved)
 	}
 	r.Close()
 	w.Close()
-	run := open(t, dir)
-	if n := run.Bytes(); n > l.KeepSize+200<<10 || w.Stats.Dropped.Load() == 0 {
+	run := openRun(t, dir)
+	if n := run.Bytes(); n > l.MaxBytes+200<<10 || w.Stats.Dropped.Load() == 0 {
 		t.Errorf("%d bytes kept, %d segments dropped", n, w.Stats.Dropped.Load())
 	}
-	if res := replayed(t, run, Options{}); res.Differ != 0 || res.Gaps != 0 || res.Events == 0 {
+	if res := mustReplay(t, run, Options{}); res.Differing != 0 || res.Gaps != 0 || res.Events == 0 {
 		t.Error(res.Line())
 	}
 	for range 5 {
@@ -378,7 +378,7 @@
 		t.Errorf("incidents kept: %v", kept)
 	}
 	for _, k := range kept {
-		if res := replayed(t, open(t, filepath.Dir(k)), Options{}); res.Differ != 0 || res.Events == 0 {
+		if res := mustReplay(t, openRun(t, filepath.Dir(k)), Options{}); res.Differing != 0 || res.Events == 0 {
 			t.Error(res.Line())
 		}
 		info, err := os.Stat(filepath.Join(filepath.Dir(k), "incident.json"))
@@ -393,32 +393,32 @@
 	}
 }
 
-// reheaded writes a segment anew with another header.
-func reheaded(t *testing.T, path string, change func(*pb.Header)) string {
+// withRewrittenHeader writes a segment anew with another header.
+func withRewrittenHeader(t *testing.T, path string, change func(*pb.Header)) string {
 	t.Helper()
 	out := filepath.Join(t.TempDir(), filepath.Base(path))
-	if err := capture.Rehead(path, out, change); err != nil {
+	if err := capture.RewriteHeader(path, out, change); err != nil {
 		t.Fatal(err)
 	}
 	return out
 }
 
 func TestVersions(t *testing.T) {
-	run, _, _ := recorded(t, 15, 0, 4)
+	run, _, _ := recordRun(t, 15, 0, 4)
 	path := run.Segments[0].Path
-	_, err := capture.Find(reheaded(t, path, func(h *pb.Header) { h.Major = 9 }))
-	if !errors.Is(err, capture.ErrVersion) || !strings.Contains(err.Error(), "version 9.6") {
+	_, err := capture.FindRuns(withRewrittenHeader(t, path, func(h *pb.Header) { h.Major = 9 }))
+	if !errors.Is(err, capture.ErrUnsupportedVersion) || !strings.Contains(err.Error(), "version 9.6") {
 		t.Errorf("another major version: %v", err)
 	}
 	// A later minor version: fields that this build does not know are no harm.
-	later := reheaded(t, path, func(h *pb.Header) {
+	later := withRewrittenHeader(t, path, func(h *pb.Header) {
 		h.Minor = 7
 		h.ProtoReflect().SetUnknown(protowire.AppendVarint(protowire.AppendTag(nil, 999, protowire.VarintType), 5))
 	})
-	if res := replayed(t, open(t, later), Options{}); res.Differ != 0 || res.Events == 0 {
+	if res := mustReplay(t, openRun(t, later), Options{}); res.Differing != 0 || res.Events == 0 {
 		t.Error(res.Line())
 	}
-	if _, err := capture.Find(reheaded(t, path, func(h *pb.Header) { h.Settings = []byte(`{"NoSuchSetting":1}`) })); err == nil || !strings.Contains(err.Error(), "NoSuchSetting") {
+	if _, err := capture.FindRuns(withRewrittenHeader(t, path, func(h *pb.Header) { h.Settings = []byte(`{"NoSuchSetting":1}`) })); err == nil || !strings.Contains(err.Error(), "NoSuchSetting") {
 		t.Errorf("a setting that is not known: %v", err)
 	}
 	rec := &pb.Record{Kind: 99}
@@ -428,10 +428,10 @@
 }
 
 // The state as the module writes it is the message State, no field more.
-func TestStateIsItsMessage(t *testing.T) {
-	_, h, _ := recorded(t, 16, 0, 6)
+func TestSnapshotMatchesStateMessage(t *testing.T) {
+	_, h, _ := recordRun(t, 16, 0, 6)
 	var st pb.State
-	text := h.b.Snapshot()
+	text := h.balancer.Snapshot()
 	if err := proto.Unmarshal(text, &st); err != nil {
 		t.Fatal(err)
 	}
@@ -468,32 +468,32 @@
 	}
 }
 
-func TestCutAndSeek(t *testing.T) {
-	run, _, _ := recorded(t, 17, 0, 20)
+func TestCopySpanAndSeek(t *testing.T) {
+	run, _, _ := recordRun(t, 17, 0, 20)
 	out := filepath.Join(t.TempDir(), "cut.akcap")
-	n, err := capture.Copy(run, 8*sec, 12*sec, out)
+	n, err := capture.CopySpan(run, 8*second, 12*second, out)
 	if err != nil {
 		t.Fatal(err)
 	}
-	cut := open(t, out)
-	res := replayed(t, cut, Options{})
-	if res.Differ != 0 || res.Events != n || n < 500 || res.Events > blocks(run)/2 {
+	cut := openRun(t, out)
+	res := mustReplay(t, cut, Options{})
+	if res.Differing != 0 || res.Events != n || n < 500 || res.Events > countEvents(run)/2 {
 		t.Errorf("%s of %d", res.Line(), n)
 	}
 	if !cut.Segments[0].Closed {
 		t.Error("it has no index")
 	}
-	to := replayed(t, run, Options{From: 8 * sec, To: 9 * sec})
-	if to.Differ != 0 || to.Events == 0 || to.Events > res.Events {
+	to := mustReplay(t, run, Options{From: 8 * second, To: 9 * second})
+	if to.Differing != 0 || to.Events == 0 || to.Events > res.Events {
 		t.Errorf("a span: %s", to.Line())
 	}
 }
 
 func TestExplain(t *testing.T) {
-	run, _, _ := recorded(t, 18, 0, 6)
+	run, _, _ := recordRun(t, 18, 0, 6)
 	var id string
-	replayed(t, run, Options{OnStep: func(s *Step) {
-		if id == "" && s.Record.Kind == pb.Kind_KIND_ARRIVED && s.At > 2*sec && len(s.Record.Actions) > 2 {
+	mustReplay(t, run, Options{OnStep: func(s *Step) {
+		if id == "" && s.Record.Kind == pb.Kind_KIND_ARRIVED && s.At > 2*second && len(s.Record.Actions) > 2 {
 			id = s.Names.Request(s.Record.Request)
 		}
 	}})
@@ -515,7 +515,7 @@
 // Whatever comes, late or twice or not at all: one answer each, within the
 // attempts allowed, and a state that stays bounded.
 func TestPerturb(t *testing.T) {
-	run, _, _ := recorded(t, 19, 1_780_000_000_000_000, 20)
+	run, _, _ := recordRun(t, 19, 1_780_000_000_000_000, 20)
 	for _, kinds := range []string{"late", "void", "duplicate", "delay", "lost", "all"} {
 		k, err := ParsePerturbations(kinds)
 		if err != nil {
@@ -528,10 +528,10 @@
 				t.Fatal(err)
 			}
 			lines[i] = res.Line()
-			if len(res.Faults) > 0 || res.Served < 300 || res.Requests < 1000 {
-				t.Errorf("%s: %s %v", kinds, res.Line(), res.Faults)
+			if len(res.Violations) > 0 || res.Served < 300 || res.Requests < 1000 {
+				t.Errorf("%s: %s %v", kinds, res.Line(), res.Violations)
 			}
-			if res.Served+res.Refused+res.Failed+res.Left != res.Requests {
+			if res.Served+res.Shed+res.Failed+res.Disconnected != res.Requests {
 				t.Errorf("%s: the answers do not add up: %s", kinds, res.Line())
 			}
 		}
@@ -545,14 +545,14 @@
 }
 
 func TestFilter(t *testing.T) {
-	run, _, _ := recorded(t, 20, 0, 10)
+	run, _, _ := recordRun(t, 20, 0, 10)
 	count := func(text string) (n int) {
 		t.Helper()
 		f, err := ParseFilter(text)
 		if err != nil {
 			t.Fatal(err)
 		}
-		replayed(t, run, Options{OnStep: func(s *Step) {
+		mustReplay(t, run, Options{OnStep: func(s *Step) {
 			if f.Match(s.Names, s.Record, s.At-run.Begin()) {
 				n++
 			}
@@ -590,19 +590,19 @@
 }
 
 // The kept incidents: each is a past failure, replayed from then on.
-func TestKeptIncidents(t *testing.T) {
+func TestSavedIncidents(t *testing.T) {
 	kept, err := filepath.Glob("../../testdata/incidents/*.akcap")
 	if err != nil || len(kept) == 0 {
 		t.Fatal("none are kept", err)
 	}
 	for _, path := range kept {
-		run := open(t, path)
-		res := replayed(t, run, Options{})
+		run := openRun(t, path)
+		res := mustReplay(t, run, Options{})
 		want := ""
 		if text, err := os.ReadFile(strings.TrimSuffix(path, capture.Suffix) + ".accepted"); err == nil {
 			want = string(text)
 		}
-		if res.Gaps != 0 || res.Events == 0 || res.Differ > 0 && !strings.Contains(want, res.Differences) || res.Differ == 0 && want != "" {
+		if res.Gaps != 0 || res.Events == 0 || res.Differing > 0 && !strings.Contains(want, res.Differences) || res.Differing == 0 && want != "" {
 			t.Errorf("%s: %s %v\nSee what differs: archknot replay %s; if it is meant to: archknot replay --accept", path, res.Line(), res.ByKind, path)
 		}
 	}
@@ -610,12 +610,12 @@
 
 func FuzzReader(f *testing.F) {
 	dir := f.TempDir()
-	w, err := capture.NewWriter(limits(dir))
+	w, err := capture.NewWriter(testWriterOptions(dir))
 	if err != nil {
 		f.Fatal(err)
 	}
 	h := newHost(&testing.T{}, 3, 0)
-	r := h.record(w, options())
+	r := h.record(w, testRecorderOptions())
 	h.begin(4)
 	h.run(2, 20)
 	r.Close()
@@ -632,7 +632,7 @@
 		if err := os.WriteFile(path, text, 0o600); err != nil {
 			t.Fatal(err)
 		}
-		runs, err := capture.Find(path)
+		runs, err := capture.FindRuns(path)
 		if err != nil {
 			return
 		}
@@ -648,8 +648,8 @@
 		if err != nil {
 			return
 		}
-		run, _, _ := recorded(t, seed, 0, 3)
-		if res, err := Perturb(run, k, seed); err != nil || len(res.Faults) > 0 {
+		run, _, _ := recordRun(t, seed, 0, 3)
+		if res, err := Perturb(run, k, seed); err != nil || len(res.Violations) > 0 {
 			t.Fatal(res, err)
 		}
 	})
@@ -657,24 +657,24 @@
 
 func BenchmarkReplay(b *testing.B) {
 	dir := b.TempDir()
-	w, err := capture.NewWriter(limits(dir))
+	w, err := capture.NewWriter(testWriterOptions(dir))
 	if err != nil {
 		b.Fatal(err)
 	}
 	h := newHost(&testing.T{}, 3, 0)
-	r := h.record(w, options())
+	r := h.record(w, testRecorderOptions())
 	h.begin(14)
 	h.run(60, 100)
 	r.Close()
 	w.Close()
-	runs, err := capture.Find(dir)
+	runs, err := capture.FindRuns(dir)
 	if err != nil {
 		b.Fatal(err)
 	}
 	events := uint64(0)
 	for b.Loop() {
 		res, err := Replay(runs[0], Options{})
-		if err != nil || res.Differ != 0 {
+		if err != nil || res.Differing != 0 {
 			b.Fatal(res, err)
 		}
 		events += res.Events
--- a/internal/wire/settings.go
+++ b/internal/wire/settings.go
@@ -72,8 +72,8 @@
 	AllowancePerS float64 `json:"allowancePerS"`
 }
 
-// oneOf maps a word to its value, or tells what was expected.
-func oneOf[T any](field, word string, known map[string]T) (T, error) {
+// lookUpWord maps a word to its value, or tells what was expected.
+func lookUpWord[T any](field, word string, known map[string]T) (T, error) {
 	v, ok := known[word]
 	if !ok {
 		return v, fmt.Errorf("settings: %s: unknown word %q", field, word)
@@ -82,17 +82,17 @@
 }
 
 var (
-	effectWords = map[string]choice.Idempotency{
+	idempotencyWords = map[string]choice.Idempotency{
 		"repeatable": choice.Idempotent, "by_key": choice.IdempotentWithKey, "once": choice.NonIdempotent}
-	scopeWords = map[string]choice.DedupScope{
+	dedupScopeWords = map[string]choice.DedupScope{
 		"": choice.DedupAll, "all": choice.DedupAll, "zone": choice.DedupZone, "cell": choice.DedupCell}
-	viaWords = map[string]choice.ReportSource{
+	reportSourceWords = map[string]choice.ReportSource{
 		"": choice.ReportNone, "off": choice.ReportNone,
 		"inline": choice.ReportInline, "on_probe": choice.ReportOnHealthCheck}
-	weightWords = map[string]choice.WeightKind{
+	weightKindWords = map[string]choice.WeightKind{
 		"": choice.WeightNone, "off": choice.WeightNone, "nominal": choice.WeightNominal,
 		"rough": choice.WeightNominal, "live": choice.WeightLive}
-	discoveryWords = map[string]bool{"": false, "pushed": false, "on_request": true}
+	pollDiscoveryWords = map[string]bool{"": false, "pushed": false, "on_request": true}
 )
 
 // SettingsType is the form of the settings object, for whoever checks its keys.
@@ -118,23 +118,23 @@
 		StreamsPerConn: in.Limits.Multiplex, ConnIdleTimeout: in.Limits.ConnIdleUs,
 	}
 	var err error
-	if s.ReportSource, err = oneOf("feedback.via", in.Feedback.Via, viaWords); err != nil {
+	if s.ReportSource, err = lookUpWord("feedback.via", in.Feedback.Via, reportSourceWords); err != nil {
 		return s, err
 	}
-	if s.WeightKind, err = oneOf("weights", in.Weights, weightWords); err != nil {
+	if s.WeightKind, err = lookUpWord("weights", in.Weights, weightKindWords); err != nil {
 		return s, err
 	}
-	if s.PollDiscovery, err = oneOf("discovery", in.Discovery, discoveryWords); err != nil {
+	if s.PollDiscovery, err = lookUpWord("discovery", in.Discovery, pollDiscoveryWords); err != nil {
 		return s, err
 	}
 	s.LocalDiscovery = in.Discovery == "pushed"
 	for i, c := range in.RequestClasses {
 		out := choice.Class{Name: c.Name, LatencyObjective: c.TargetUs, Deadline: c.DeadlineUs, PriorityWeight: c.Points,
 			LateWeightShare: c.LateShare, DedupWindow: c.MemorySpanUs, Streaming: c.Streamed}
-		if out.Idempotency, err = oneOf("requestClasses.effect", c.Effect, effectWords); err != nil {
+		if out.Idempotency, err = lookUpWord("requestClasses.effect", c.Effect, idempotencyWords); err != nil {
 			return s, err
 		}
-		if out.DedupScope, err = oneOf("requestClasses.group", c.Group, scopeWords); err != nil {
+		if out.DedupScope, err = lookUpWord("requestClasses.group", c.Group, dedupScopeWords); err != nil {
 			return s, err
 		}
 		if i < len(in.Extra.AimUsPer1000) {
@@ -151,9 +151,9 @@
 	return s, nil
 }
 
-// WriteSettings is the settings object that ParseSettings reads as these settings: for
+// MarshalSettings is the settings object that ParseSettings reads as these settings: for
 // those who start gateways.
-func WriteSettings(s choice.Settings) ([]byte, error) {
+func MarshalSettings(s choice.Settings) ([]byte, error) {
 	var out setup
 	out.SelfIndex, out.NInstances, out.Zone, out.Zones, out.Kinds = s.Self, s.Gateways, s.Zone, s.Zones, s.Kinds
 	out.OverShareWorth, out.TickUs = s.OverQuotaWeight, s.Tick
@@ -163,12 +163,12 @@
 	r := &out.Rules
 	r.StartCapacity, r.ColdUs, r.FallMultiple, r.TipAfterUs = s.InitialCapacity, s.SlowStartFor, s.OverloadMultiple, s.OverloadWindow
 	out.Penalties.CrossZone, out.Penalties.Probe, out.Penalties.Handshake = s.CrossZoneCost, s.HealthCheckCost, s.HandshakeCost
-	out.Feedback.Via, out.Weights, out.Discovery = wordOf(viaWords, s.ReportSource), wordOf(weightWords, s.WeightKind), wordOf(discoveryWords, s.PollDiscovery)
+	out.Feedback.Via, out.Weights, out.Discovery = wordFor(reportSourceWords, s.ReportSource), wordFor(weightKindWords, s.WeightKind), wordFor(pollDiscoveryWords, s.PollDiscovery)
 	for _, c := range s.Classes {
 		out.Extra.AimUsPer1000 = append(out.Extra.AimUsPer1000, float64(c.ObjectivePer1000Tokens))
 		out.Extra.TokenAimUs = append(out.Extra.TokenAimUs, float64(c.TokenObjective))
-		out.RequestClasses = append(out.RequestClasses, requestClass{c.Name, c.LatencyObjective, c.Deadline, c.PriorityWeight, c.LateWeightShare, wordOf(effectWords, c.Idempotency),
-			wordOf(scopeWords, c.DedupScope), c.DedupWindow, c.Streaming})
+		out.RequestClasses = append(out.RequestClasses, requestClass{c.Name, c.LatencyObjective, c.Deadline, c.PriorityWeight, c.LateWeightShare, wordFor(idempotencyWords, c.Idempotency),
+			wordFor(dedupScopeWords, c.DedupScope), c.DedupWindow, c.Streaming})
 	}
 	for _, t := range s.Tenants {
 		out.Tenants = append(out.Tenants, tenant{t.Name, t.QuotaPerS})
@@ -176,8 +176,8 @@
 	return json.Marshal(out)
 }
 
-// wordOf is the first of the words, in their order, that stands for a value.
-func wordOf[T comparable](known map[string]T, v T) string {
+// wordFor is the first of the words, in their order, that stands for a value.
+func wordFor[T comparable](known map[string]T, v T) string {
 	for _, word := range slices.Sorted(maps.Keys(known)) {
 		if known[word] == v && word != "" {
 			return word
--- a/internal/wire/socket/bodyreader.go
+++ b/internal/wire/socket/bodyreader.go
@@ -14,24 +14,24 @@
 	if b.chunked {
 		return &chunkReader{body: b}
 	}
-	return readerFunc(b.read)
+	return readerFunc(b.readPlain)
 }
 
 type readerFunc func(p []byte) (int, error)
 
 func (f readerFunc) Read(p []byte) (int, error) { return f(p) }
 
-// read fills p from a body that is not in chunks.
-func (b *Body) read(p []byte) (int, error) {
-	if b.left == 0 {
+// readPlain fills p from a body that is not in chunks.
+func (b *Body) readPlain(p []byte) (int, error) {
+	if b.remaining == 0 {
 		return 0, io.EOF
 	}
-	if b.left > 0 {
-		p = p[:min(b.left, int64(len(p)))]
+	if b.remaining > 0 {
+		p = p[:min(b.remaining, int64(len(p)))]
 	}
-	n, err := b.r.Read(p)
-	if b.left > 0 {
-		if b.left -= int64(n); err == io.EOF {
+	n, err := b.reader.Read(p)
+	if b.remaining > 0 {
+		if b.remaining -= int64(n); err == io.EOF {
 			err = io.ErrUnexpectedEOF
 		}
 	}
@@ -43,26 +43,26 @@
 
 // chunkReader reads a chunked body without regard to where its chunks end.
 type chunkReader struct {
-	body *Body
-	left uint64 // bytes of the current chunk that are still to come
-	err  error  // the end, once it has been met
+	body      *Body
+	remaining uint64 // bytes of the current chunk that are still to come
+	err       error  // the end, once it has been met
 }
 
 func (c *chunkReader) Read(p []byte) (int, error) {
 	if len(p) == 0 || c.err != nil {
 		return 0, c.err
 	}
-	if c.left == 0 {
-		if c.left, c.err = c.body.chunkSize(); c.err != nil {
+	if c.remaining == 0 {
+		if c.remaining, c.err = c.body.readChunkSize(); c.err != nil {
 			return 0, c.err
 		}
 	}
-	n, err := c.body.r.Read(p[:min(c.left, uint64(len(p)))])
-	c.left -= uint64(n)
+	n, err := c.body.reader.Read(p[:min(c.remaining, uint64(len(p)))])
+	c.remaining -= uint64(n)
 	if err != nil {
-		c.err = cut(err)
-	} else if c.left == 0 {
-		c.err = c.body.chunkEnd()
+		c.err = unexpectedEOF(err)
+	} else if c.remaining == 0 {
+		c.err = c.body.readChunkEnd()
 	}
 	if n > 0 {
 		return n, nil // an error is told by the next call
@@ -70,28 +70,28 @@
 	return 0, c.err
 }
 
-// chunkSize reads the line that begins a chunk, and behind the last chunk the trailer: then the
+// readChunkSize reads the line that begins a chunk, and behind the last chunk the trailer: then the
 // error is io.EOF.
-func (b *Body) chunkSize() (uint64, error) {
-	line, err := b.line(maxSize)
+func (b *Body) readChunkSize() (uint64, error) {
+	line, err := b.readLine(maxChunkSizeLine)
 	if err != nil {
 		return 0, err
 	}
 	text, _, _ := strings.Cut(line, ";")
 	size, err := strconv.ParseUint(strings.TrimSpace(text), 16, 32)
 	if err != nil {
-		return 0, fmt.Errorf("%w: chunk length %.20q", ErrSpoilt, line)
+		return 0, fmt.Errorf("%w: chunk length %.20q", ErrMalformed, line)
 	}
 	if size == 0 {
-		return 0, b.trailer()
+		return 0, b.readTrailer()
 	}
 	return size, nil
 }
 
-// trailer reads what follows the last chunk. The error is io.EOF where it ends in order.
-func (b *Body) trailer() error {
-	for read := 0; read <= maxTrailer; {
-		line, err := b.line(maxTrailer)
+// readTrailer reads what follows the last chunk. The error is io.EOF where it ends in order.
+func (b *Body) readTrailer() error {
+	for read := 0; read <= maxTrailerBytes; {
+		line, err := b.readLine(maxTrailerBytes)
 		if err != nil {
 			return err
 		}
@@ -100,17 +100,17 @@
 		}
 		read += len(line)
 	}
-	return fmt.Errorf("%w: trailer", ErrSpoilt)
+	return fmt.Errorf("%w: trailer", ErrMalformed)
 }
 
-// chunkEnd reads the line end behind a chunk's bytes.
-func (b *Body) chunkEnd() error {
-	line, err := b.line(maxSize)
+// readChunkEnd reads the line end behind a chunk's bytes.
+func (b *Body) readChunkEnd() error {
+	line, err := b.readLine(maxChunkSizeLine)
 	if err != nil {
 		return err
 	}
 	if line != "" {
-		return fmt.Errorf("%w: chunk does not fit its length", ErrSpoilt)
+		return fmt.Errorf("%w: chunk does not fit its length", ErrMalformed)
 	}
 	return nil
 }
--- a/internal/wire/socket/registry.go
+++ b/internal/wire/socket/endpointlist.go
@@ -6,18 +6,18 @@
 	"archknot/choice"
 )
 
-// List is the registry's answer, and the saved list of the configuration.
-type List struct {
+// EndpointList is the registry's answer, and the saved list of the configuration.
+type EndpointList struct {
 	Generation int64      `json:"generation"`
 	Reset      bool       `json:"reset"` // the whole list, not changes
-	Instances  []Instance `json:"instances"`
+	Endpoints  []Endpoint `json:"instances"`
 
-	Odd        []OddEntry `json:"-"` // the first of its odd entries
-	OddEntries int        `json:"-"` // and how many there are
+	InvalidEntries    []InvalidEntry `json:"-"` // the first of its odd entries
+	InvalidEntryCount int            `json:"-"` // and how many there are
 }
 
-// Instance is one worker as the registry names it.
-type Instance struct {
+// Endpoint is one worker as the registry names it.
+type Endpoint struct {
 	ID          string  `json:"instanceId"`
 	Addr        string  `json:"hostPort"`
 	Zone        string  `json:"zone"`
@@ -33,25 +33,25 @@
 
 // Words of an entry's state.
 const (
-	ready = "ready"
-	gone  = "gone"
+	lifecycleReady = "ready"
+	lifecycleGone  = "gone"
 )
 
 // State is the worker's state. A word that is not known gets nothing new, as
 // one that drains: sending would be the graver mistake.
-func (i Instance) State() choice.EndpointState {
+func (i Endpoint) State() choice.EndpointState {
 	switch i.Lifecycle {
-	case ready:
+	case lifecycleReady:
 		return choice.EndpointReady
-	case gone:
+	case lifecycleGone:
 		return choice.EndpointGone
 	}
 	return choice.EndpointDraining
 }
 
-// NoVersion stands for having no list yet. A version of 0 is a list: taken for
+// NoGeneration stands for having no list yet. A version of 0 is a list: taken for
 // none, each watch call was answered at once with the whole list.
-const NoVersion = -1
+const NoGeneration = -1
 
 // ListQuery asks for the whole list, or with a version for what has changed
 // since, waiting so many milliseconds for it.
@@ -62,10 +62,10 @@
 	return fmt.Sprintf("%s?since=%d&timeout_ms=%d", ListPath, since, waitMs)
 }
 
-// Over is what an odd entry makes of the one that was known before: its state holds, unless it says
+// ApplyStateTo is what an odd entry makes of the one that was known before: its state holds, unless it says
 // nothing worse of the replica than what was known.
-func (i Instance) Over(known Instance) Instance {
-	if i.Lifecycle != "" && i.Lifecycle != ready {
+func (i Endpoint) ApplyStateTo(known Endpoint) Endpoint {
+	if i.Lifecycle != "" && i.Lifecycle != lifecycleReady {
 		known.Lifecycle = i.Lifecycle
 	}
 	return known
--- a/internal/wire/socket/socket_test.go
+++ b/internal/wire/socket/httpwire_test.go
@@ -12,7 +12,7 @@
 
 func TestListQuery(t *testing.T) {
 	for since, want := range map[int64]string{
-		NoVersion: "/registry/instances",
+		NoGeneration: "/registry/instances",
 		// Version 0 is a list like any other: without 'since' the watch spun.
 		0:  "/registry/instances?since=0&timeout_ms=8000",
 		41: "/registry/instances?since=41&timeout_ms=8000",
@@ -31,18 +31,18 @@
 	return h
 }
 
-func TestReadJob(t *testing.T) {
+func TestParseRequest(t *testing.T) {
 	for name, c := range map[string]struct {
 		h    http.Header
-		want Job
+		want ClientRequest
 		err  string
 	}{
 		"whole": {h: header("Req-Id", "9b1f", "Req-Kind", "chat", "Req-Owner", "acme", "Req-Key", "7f3a9c21e0b4d655",
 			"Req-Deadline", "4800m", "Req-Extra", "prefix=5c0f6e1a2b3d4c59,prompt_len=5120,prefix_len=2048,max_out=800"),
-			want: Job{ID: "9b1f", Wait: 4_800_000, Request: choice.Request{Class: "chat", Tenant: "acme",
+			want: ClientRequest{ID: "9b1f", Timeout: 4_800_000, Request: choice.Request{Class: "chat", Tenant: "acme",
 				Session: 0x7f3a9c21e0b4d655, Prefix: 0x5c0f6e1a2b3d4c59, PromptTokens: 5120, PrefixTokens: 2048, MaxTokens: 800}}},
 		"microseconds, length from the body": {h: header("Req-Id", "1", "Req-Deadline", "250u"),
-			want: Job{ID: "1", Wait: 250, Request: choice.Request{PromptTokens: 10}}},
+			want: ClientRequest{ID: "1", Timeout: 250, Request: choice.Request{PromptTokens: 10}}},
 		"no id":        {h: header("Req-Deadline", "1m"), err: "Req-Id"},
 		"no unit":      {h: header("Req-Id", "1", "Req-Deadline", "250"), err: "Req-Deadline"},
 		"not a number": {h: header("Req-Id", "1", "Req-Deadline", "NaNm"), err: "Req-Deadline"},
@@ -54,8 +54,8 @@
 		"huge length":  {h: header("Req-Id", "1", "Req-Extra", "max_out=2000000000"), err: "Req-Extra: max_out"},
 		"bad extra":    {h: header("Req-Id", "1", "Req-Extra", "prompt_len=-4"), err: "Req-Extra: prompt_len"},
 	} {
-		got, err := ReadJob(c.h)
-		got.BodyLen(40)
+		got, err := ParseRequest(c.h)
+		got.EstimatePrompt(40)
 		if c.err != "" {
 			if err == nil || !strings.Contains(err.Error(), c.err) {
 				t.Errorf("%s: error %v, want %s", name, err, c.err)
@@ -89,13 +89,13 @@
 		head + "Transfer-Encoding: chunked\r\n\r\n" + strings.Repeat("0", 300) + "\r\n":                                    true,
 		chunked + head + "Content-Length: 3\r\n\r\nabc" + head + "Transfer-Encoding: chunked\r\nContent-Length: 1\r\n\r\n": true,
 	} {
-		var whole, bytewise Framing
+		var whole, bytewise RequestFraming
 		whole.Write([]byte(text))
 		for i := range len(text) {
 			bytewise.Write([]byte(text[i : i+1]))
 		}
-		if (whole.Doubt != "") != doubt || bytewise.Doubt != whole.Doubt {
-			t.Errorf("%q: %q, byte by byte %q, want a doubt: %t", text, whole.Doubt, bytewise.Doubt, doubt)
+		if (whole.Ambiguity != "") != doubt || bytewise.Ambiguity != whole.Ambiguity {
+			t.Errorf("%q: %q, byte by byte %q, want a doubt: %t", text, whole.Ambiguity, bytewise.Ambiguity, doubt)
 		}
 	}
 }
--- a/internal/wire/socket/list_test.go
+++ b/internal/wire/socket/listparser_test.go
@@ -14,8 +14,8 @@
 	"github.com/google/go-cmp/cmp"
 )
 
-// entries is the text of so many entries.
-func entries(n int) string {
+// entriesText is the text of so many entries.
+func entriesText(n int) string {
 	out := make([]string, n)
 	for i := range out {
 		out[i] = fmt.Sprintf(`{"instanceId":"s-%d","hostPort":"10.0.0.1:%d","zone":"a","machineType":"m","cell":0,"lifecycle":"ready","weight":1,"startedAtMs":0}`, i, 1+i%60000)
@@ -25,35 +25,35 @@
 
 // A list that is not to be used is refused with what is wrong with it, and is told from text that
 // cannot be read.
-func TestOddListsAreRefused(t *testing.T) {
-	limits := ListLimits{Instances: 3, Zones: []string{"a", "b"}}
+func TestInvalidListsAreRejected(t *testing.T) {
+	limits := ListLimits{Endpoints: 3, Zones: []string{"a", "b"}}
 	list := func(instances string) string { return `{"generation":1,"reset":true,"instances":[` + instances + `]}` }
 	entry := func(rest string) string {
 		return list(`{"instanceId":"s-1","hostPort":"h:1","lifecycle":"ready",` + rest + `}`)
 	}
 	for text, want := range map[string]string{
-		list(entries(3)):                       "",
-		list(entries(4)):                       "over 3 entries",
-		entry(`"zone":"a"`):                    "",
-		`{"generation":1,"generation":2}`:      "stands twice",
-		entry(`"zone":"a","x":` + long(70000)): "a value of over",
+		list(entriesText(3)):                         "",
+		list(entriesText(4)):                         "over 3 entries",
+		entry(`"zone":"a"`):                          "",
+		`{"generation":1,"generation":2}`:            "stands twice",
+		entry(`"zone":"a","x":` + longString(70000)): "a value of over",
 	} {
 		got, err := ReadList(strings.NewReader(text), limits)
-		var bad *BadList
+		var bad *InvalidListError
 		switch {
 		case want == "" && err != nil:
 			t.Errorf("%.80s: %v", text, err)
 		case want != "" && (!errors.As(err, &bad) || !strings.Contains(bad.Reason, want)):
-			t.Errorf("%.80s: %d entries, error %v, want %s", text, len(got.Instances), err, want)
+			t.Errorf("%.80s: %d entries, error %v, want %s", text, len(got.Endpoints), err, want)
 		}
 	}
 	// Changes may name a replica twice, and one that has gone needs no place.
 	changes := `{"generation":2,"instances":[{"instanceId":"s-1","hostPort":"h:1","lifecycle":"draining"},{"instanceId":"s-1","lifecycle":"gone","zone":"z"}]}`
-	if got, err := ReadList(strings.NewReader(changes), limits); err != nil || len(got.Instances) != 2 {
+	if got, err := ReadList(strings.NewReader(changes), limits); err != nil || len(got.Endpoints) != 2 {
 		t.Errorf("changes: %+v, %v", got, err)
 	}
 	for _, text := range []string{"", "[]", `{"generation":1`, `{"generation":1}x`, `{"generation":"1"}`, `{"instances":{}}`, `{"instances":[{"instanceId":`} {
-		var bad *BadList
+		var bad *InvalidListError
 		if _, err := ReadList(strings.NewReader(text), limits); err == nil || errors.As(err, &bad) {
 			t.Errorf("%q: %v, want an error of the text", text, err)
 		}
@@ -62,42 +62,42 @@
 
 // An odd entry costs itself alone: it is told, what of it can be used is taken, and the entries before
 // and behind it are as they stand.
-func TestOddEntries(t *testing.T) {
-	limits := ListLimits{Instances: 4, Zones: []string{"a", "b"}}
+func TestInvalidEntries(t *testing.T) {
+	limits := ListLimits{Endpoints: 4, Zones: []string{"a", "b"}}
 	before, behind := `{"instanceId":"s-a","hostPort":"h:1","zone":"a","lifecycle":"draining","weight":2}`, `{"instanceId":"s-z","hostPort":"h:2","zone":"b","lifecycle":"ready","weight":3}`
 	for odd, want := range map[string]struct {
-		entry  Instance // as it is taken; without an id: not at all
+		entry  Endpoint // as it is taken; without an id: not at all
 		reason string
 	}{
 		`7`:                      {reason: "cannot unmarshal number"},
 		`null`:                   {reason: "without instanceId"},
 		`{"hostPort":"h:3"}`:     {reason: "without instanceId"},
 		`{"instanceId":["s-1"]}`: {reason: "cannot unmarshal array"},
-		`{"instanceId":"s-1"}`:   {Instance{ID: "s-1", Partial: true}, "without hostPort"},
-		`{"instanceId":"s-1","hostPort":5,"lifecycle":"draining"}`:                           {Instance{ID: "s-1", Lifecycle: "draining", Partial: true}, "cannot unmarshal number"},
-		`{"instanceId":"s-1","hostPort":"h:3","lifecycle":{},"startedAtMs":"x"}`:             {Instance{ID: "s-1", Partial: true}, "cannot unmarshal"},
-		`{"instanceId":"s-1","hostPort":"h:3","lifecycle":"gone","startedAtMs":1e99}`:        {Instance{ID: "s-1", Lifecycle: "gone", Partial: true}, "cannot unmarshal"},
-		`{"instanceId":"s-1","hostPort":"h:3","zone":"a","lifecycle":"ready","weight":-1}`:   {Instance{ID: "s-1", Addr: "h:3", Zone: "a", Lifecycle: "ready"}, "weight -1"},
-		`{"instanceId":"s-1","hostPort":"h:3","zone":"a","lifecycle":"ready","weight":1e9}`:  {Instance{ID: "s-1", Addr: "h:3", Zone: "a", Lifecycle: "ready"}, "weight 1e+09"},
-		`{"instanceId":"s-1","hostPort":"h:3","zone":"c","lifecycle":"ready"}`:               {Instance{ID: "s-1", Addr: "h:3", Zone: "c", Lifecycle: "ready"}, `zone "c"`},
-		`{"instanceId":"s-a","hostPort":"h:9","zone":"a","lifecycle":"ready"}`:               {Instance{ID: "s-a", Addr: "h:9", Zone: "a", Lifecycle: "draining"}, "named twice"},
-		`{"instanceId":"s-1","hostPort":"h:3","zone":` + long(200) + `,"lifecycle":"ready"}`: {Instance{ID: "s-1", Addr: "h:3", Zone: strings.Repeat("x", 200), Lifecycle: "ready", Partial: true}, "zone"},
+		`{"instanceId":"s-1"}`:   {Endpoint{ID: "s-1", Partial: true}, "without hostPort"},
+		`{"instanceId":"s-1","hostPort":5,"lifecycle":"draining"}`:                                 {Endpoint{ID: "s-1", Lifecycle: "draining", Partial: true}, "cannot unmarshal number"},
+		`{"instanceId":"s-1","hostPort":"h:3","lifecycle":{},"startedAtMs":"x"}`:                   {Endpoint{ID: "s-1", Partial: true}, "cannot unmarshal"},
+		`{"instanceId":"s-1","hostPort":"h:3","lifecycle":"gone","startedAtMs":1e99}`:              {Endpoint{ID: "s-1", Lifecycle: "gone", Partial: true}, "cannot unmarshal"},
+		`{"instanceId":"s-1","hostPort":"h:3","zone":"a","lifecycle":"ready","weight":-1}`:         {Endpoint{ID: "s-1", Addr: "h:3", Zone: "a", Lifecycle: "ready"}, "weight -1"},
+		`{"instanceId":"s-1","hostPort":"h:3","zone":"a","lifecycle":"ready","weight":1e9}`:        {Endpoint{ID: "s-1", Addr: "h:3", Zone: "a", Lifecycle: "ready"}, "weight 1e+09"},
+		`{"instanceId":"s-1","hostPort":"h:3","zone":"c","lifecycle":"ready"}`:                     {Endpoint{ID: "s-1", Addr: "h:3", Zone: "c", Lifecycle: "ready"}, `zone "c"`},
+		`{"instanceId":"s-a","hostPort":"h:9","zone":"a","lifecycle":"ready"}`:                     {Endpoint{ID: "s-a", Addr: "h:9", Zone: "a", Lifecycle: "draining"}, "named twice"},
+		`{"instanceId":"s-1","hostPort":"h:3","zone":` + longString(200) + `,"lifecycle":"ready"}`: {Endpoint{ID: "s-1", Addr: "h:3", Zone: strings.Repeat("x", 200), Lifecycle: "ready", Partial: true}, "zone"},
 	} {
 		text := `{"generation":1,"reset":true,"instances":[` + before + "," + odd + "," + behind + `]}`
 		got, err := ReadList(strings.NewReader(text), limits)
-		wanted := []Instance{{ID: "s-a", Addr: "h:1", Zone: "a", Lifecycle: "draining", Weight: 2}}
+		wanted := []Endpoint{{ID: "s-a", Addr: "h:1", Zone: "a", Lifecycle: "draining", Weight: 2}}
 		if want.entry.ID == "s-a" {
 			wanted = nil
 		}
 		if want.entry.ID != "" {
 			wanted = append(wanted, want.entry)
 		}
-		wanted = append(wanted, Instance{ID: "s-z", Addr: "h:2", Zone: "b", Lifecycle: "ready", Weight: 3})
-		if diff := cmp.Diff(wanted, got.Instances); err != nil || diff != "" {
+		wanted = append(wanted, Endpoint{ID: "s-z", Addr: "h:2", Zone: "b", Lifecycle: "ready", Weight: 3})
+		if diff := cmp.Diff(wanted, got.Endpoints); err != nil || diff != "" {
 			t.Errorf("%.90s: %v\n%s", odd, err, diff)
 		}
-		if got.OddEntries != 1 || len(got.Odd) != 1 || !strings.Contains(got.Odd[0].Reason, want.reason) {
-			t.Errorf("%.90s: told %+v, want %s", odd, got.Odd, want.reason)
+		if got.InvalidEntryCount != 1 || len(got.InvalidEntries) != 1 || !strings.Contains(got.InvalidEntries[0].Reason, want.reason) {
+			t.Errorf("%.90s: told %+v, want %s", odd, got.InvalidEntries, want.reason)
 		}
 	}
 	// However many are odd, so many are told; and zones that nobody knows take up so much.
@@ -107,23 +107,23 @@
 	}
 	got, err := ReadList(strings.NewReader(`{"instances":[`+strings.Join(all, ",")+`]}`), ListLimits{Zones: []string{"a"}})
 	whole := 0
-	for _, i := range got.Instances {
+	for _, i := range got.Endpoints {
 		if !i.Partial {
 			whole++
 		}
 	}
-	if err != nil || got.OddEntries != 100 || len(got.Odd) != mostOdd || whole != mostZones {
-		t.Errorf("%v: %d odd, %d told, %d whole", err, got.OddEntries, len(got.Odd), whole)
+	if err != nil || got.InvalidEntryCount != 100 || len(got.InvalidEntries) != maxReportedEntries || whole != maxExtraZones {
+		t.Errorf("%v: %d odd, %d told, %d whole", err, got.InvalidEntryCount, len(got.InvalidEntries), whole)
 	}
 }
 
-func long(n int) string { return `"` + strings.Repeat("x", n) + `"` }
+func longString(n int) string { return `"` + strings.Repeat("x", n) + `"` }
 
 // A list is the same in any framing and indentation, whatever the size of a chunk and however it
 // comes; the reader ends where the body does.
 func TestListInEveryFraming(t *testing.T) {
 	const n = 6000
-	text := `{"generation":7,"reset":true,"instances":[` + entries(n) + `]}`
+	text := `{"generation":7,"reset":true,"instances":[` + entriesText(n) + `]}`
 	var tree any
 	if err := json.Unmarshal([]byte(text), &tree); err != nil {
 		t.Fatal(err)
@@ -154,9 +154,9 @@
 			if err != nil {
 				t.Fatal(err)
 			}
-			got, err := ReadList(NewBody(in, resp).Reader(), ListLimits{Instances: n})
-			if err != nil || got.Generation != 7 || !got.Reset || len(got.Instances) != n || got.Instances[n-1].ID != "s-5999" {
-				t.Errorf("%s: %d entries, %v", name, len(got.Instances), err)
+			got, err := ReadList(NewBody(in, resp).Reader(), ListLimits{Endpoints: n})
+			if err != nil || got.Generation != 7 || !got.Reset || len(got.Endpoints) != n || got.Endpoints[n-1].ID != "s-5999" {
+				t.Errorf("%s: %d entries, %v", name, len(got.Endpoints), err)
 			}
 			if in.Buffered() > 0 {
 				t.Errorf("%s: %d bytes are left", name, in.Buffered())
@@ -181,9 +181,9 @@
 }
 
 // What a list takes to read follows its entries, not its text: the text is never held whole.
-func TestListTextIsNotHeld(t *testing.T) {
+func TestListTextIsNotBuffered(t *testing.T) {
 	spaces := strings.Repeat(" ", 40<<10)
-	text := `{"generation":1,"reset":true,"instances":[` + strings.ReplaceAll(entries(200), "},", "}"+spaces+",") + `]}`
+	text := `{"generation":1,"reset":true,"instances":[` + strings.ReplaceAll(entriesText(200), "},", "}"+spaces+",") + `]}`
 	var before, after runtime.MemStats
 	runtime.ReadMemStats(&before)
 	if _, err := ReadList(strings.NewReader(text), ListLimits{}); err != nil {
--- a/internal/wire/socket/request.go
+++ b/internal/wire/socket/request.go
@@ -18,33 +18,33 @@
 
 // Paths and limits of the protocol.
 const (
-	JobPath   = "/v1/chat/completions"
-	ReadyPath = "/health/ready"
-	LivePath  = "/health/live"
-	StatsPath = "/stats"
-	ListPath  = "/registry/instances"
+	CompletionsPath = "/v1/chat/completions"
+	ReadyPath       = "/health/ready"
+	LivePath        = "/health/live"
+	StatsPath       = "/stats"
+	ListPath        = "/registry/instances"
 
-	MaxBody = 256 << 10
-	maxID   = 128
+	MaxBodyBytes       = 256 << 10
+	maxRequestIDLength = 128
 )
 
-// maxTokens is far above any length in tokens that a worker can hold: what a
+// maxTokenCount is far above any length in tokens that a worker can hold: what a
 // client says of itself weighs in the module's sums.
-const maxTokens = 10_000_000
+const maxTokenCount = 10_000_000
 
-// charsPerToken is the protocol's size of a token.
-const charsPerToken = 4
+// bytesPerToken is the protocol's size of a token.
+const bytesPerToken = 4
 
-// Job is a client's request as its headers tell it.
-type Job struct {
+// ClientRequest is a client's request as its headers tell it.
+type ClientRequest struct {
 	ID      string
-	Wait    choice.Micros  // until the client gives up, from its sending; 0: not told
+	Timeout choice.Micros  // until the client gives up, from its sending; 0: not told
 	Request choice.Request // all but its number and the time left
 }
 
-// ReadJob reads the headers of a client's request. An error is for the client.
-func ReadJob(h http.Header) (Job, error) {
-	var j Job
+// ParseRequest reads the headers of a client's request. An error is for the client.
+func ParseRequest(h http.Header) (ClientRequest, error) {
+	var j ClientRequest
 	for _, name := range []string{"Req-Id", "Req-Kind", "Req-Owner", "Req-Key", "Req-Deadline", "Req-Extra"} {
 		if len(h.Values(name)) > 1 {
 			return j, fmt.Errorf("%s: given more than once", name)
@@ -53,32 +53,32 @@
 	if j.ID = h.Get("Req-Id"); j.ID == "" {
 		return j, errors.New("Req-Id: missing")
 	}
-	if len(j.ID) > maxID || strings.ContainsFunc(j.ID, func(c rune) bool { return c <= ' ' || c > '~' }) {
-		return j, fmt.Errorf("Req-Id: expected up to %d visible characters", maxID)
+	if len(j.ID) > maxRequestIDLength || strings.ContainsFunc(j.ID, func(c rune) bool { return c <= ' ' || c > '~' }) {
+		return j, fmt.Errorf("Req-Id: expected up to %d visible characters", maxRequestIDLength)
 	}
 	var err error
 	if texts := h.Values("Req-Deadline"); len(texts) > 0 {
-		if j.Wait, err = parseWait(texts[0]); err != nil {
+		if j.Timeout, err = parseDeadline(texts[0]); err != nil {
 			return j, err
 		}
 	}
 	j.Request = choice.Request{Class: h.Get("Req-Kind"), Tenant: h.Get("Req-Owner"),
-		Session: key(h.Get("Req-Key")), PromptTokens: -1}
-	if err = j.readExtra(h.Get("Req-Extra")); err != nil {
+		Session: keyNumber(h.Get("Req-Key")), PromptTokens: -1}
+	if err = j.parseExtra(h.Get("Req-Extra")); err != nil {
 		return j, err
 	}
 	return j, nil
 }
 
-// BodyLen gives the prompt the body's length where the client told none.
-func (j *Job) BodyLen(n int) {
+// EstimatePrompt gives the prompt the body's length where the client told none.
+func (j *ClientRequest) EstimatePrompt(n int) {
 	if j.Request.PromptTokens < 0 {
-		j.Request.PromptTokens = n / charsPerToken
+		j.Request.PromptTokens = n / bytesPerToken
 	}
 }
 
-// parseWait reads a time with its unit: 4800m or 4800000u.
-func parseWait(text string) (choice.Micros, error) {
+// parseDeadline reads a time with its unit: 4800m or 4800000u.
+func parseDeadline(text string) (choice.Micros, error) {
 	number, unit := strings.TrimSuffix(text, "u"), choice.Micros(1)
 	if number == text {
 		number, unit = strings.TrimSuffix(text, "m"), 1000
@@ -90,8 +90,8 @@
 	return choice.Micros(n * float64(unit)), nil
 }
 
-// readExtra reads the prompt's particulars: name=value pairs, unknown ones skipped.
-func (j *Job) readExtra(text string) error {
+// parseExtra reads the prompt's particulars: name=value pairs, unknown ones skipped.
+func (j *ClientRequest) parseExtra(text string) error {
 	if text == "" {
 		return nil
 	}
@@ -103,11 +103,11 @@
 			return fmt.Errorf("Req-Extra: expected name=value pairs, got %.40q", pair)
 		}
 		if name == "prefix" {
-			r.Prefix = key(value)
+			r.Prefix = keyNumber(value)
 		} else if to := numbers[name]; to != nil {
 			n, err := strconv.ParseUint(value, 10, 31)
-			if err != nil || n > maxTokens {
-				return fmt.Errorf("Req-Extra: %s: expected a whole number up to %d, got %.40q", name, maxTokens, value)
+			if err != nil || n > maxTokenCount {
+				return fmt.Errorf("Req-Extra: %s: expected a whole number up to %d, got %.40q", name, maxTokenCount, value)
 			}
 			*to = int(n)
 		}
@@ -115,9 +115,9 @@
 	return nil
 }
 
-// key is the number of a key: its value where it is 16 hex digits, as on the
+// keyNumber is the number of a key: its value where it is 16 hex digits, as on the
 // simulator's wire, else a hash, the same at every gateway.
-func key(text string) uint64 {
+func keyNumber(text string) uint64 {
 	if text == "" || text == "-" {
 		return 0
 	}
@@ -129,29 +129,29 @@
 	return h.Sum64()
 }
 
-// notPassed are the headers that belong to the client's connection, or that
+// excludedHeaders are the headers that belong to the client's connection, or that
 // the gateway writes itself.
-var notPassed = map[string]bool{
+var excludedHeaders = map[string]bool{
 	"Connection": true, "Keep-Alive": true, "Proxy-Connection": true, "Proxy-Authorization": true, "Te": true,
 	"Trailer": true, "Transfer-Encoding": true, "Upgrade": true, "Expect": true, "Accept-Encoding": true,
 	"Content-Length": true, "Req-Deadline": true, "Host": true,
 }
 
-// JobHead is the head of the request that goes to a worker: method, path,
+// ForwardedHead is the head of the request that goes to a worker: method, path,
 // query and Req-Id unchanged, and how long the gateway will wait.
-func JobHead(r *http.Request, bodyLen int, wait choice.Micros) []byte {
+func ForwardedHead(r *http.Request, bodyLen int, wait choice.Micros) []byte {
 	var b bytes.Buffer
 	target := r.RequestURI
 	if !strings.HasPrefix(target, "/") {
 		target = r.URL.RequestURI()
 	}
 	fmt.Fprintf(&b, "%s %s HTTP/1.1\r\nHost: %s\r\n", r.Method, target, r.Host)
-	_ = r.Header.WriteSubset(&b, notPassed) // a bytes.Buffer takes all
+	_ = r.Header.WriteSubset(&b, excludedHeaders) // a bytes.Buffer takes all
 	fmt.Fprintf(&b, "Req-Deadline: %du\r\nContent-Length: %d\r\n\r\n", max(1, wait), bodyLen)
 	return b.Bytes()
 }
 
-// RetryAfter writes a time as the header's seconds, with three decimals.
-func RetryAfter(d choice.Micros) string {
+// FormatRetryAfter writes a time as the header's seconds, with three decimals.
+func FormatRetryAfter(d choice.Micros) string {
 	return strconv.FormatFloat(float64(d)/1e6, 'f', 3, 64)
 }
--- a/internal/wire/wire.go
+++ b/internal/wire/wire.go
@@ -19,33 +19,33 @@
 
 const (
 	BatchEnd Kind = iota // the reply is due
-	Born
-	Killed
-	List
-	Arrived
-	Timer
-	Probed
-	Returned
-	Lapsed
-	Opened
-	Message
+	InstanceStarted
+	InstanceKilled
+	EndpointList
+	RequestArrived
+	TimerFired
+	HealthCheckEnded
+	AttemptEnded
+	ClientGone
+	FirstToken
+	PeerMessage
 )
 
 // Event is one decoded event; the fields that its Kind needs are set. It is
 // overwritten by the next call of Decoder.Next.
 type Event struct {
-	Kind     Kind
-	Now      choice.Micros
-	Instance int
-
-	Seed     uint64
-	Settings choice.Settings
-	List     choice.EndpointList
-	Request  choice.Request
-	Token    uint64
-	Outcome  choice.Outcome // also Probed, Lapsed and Opened
-	From     int
-	Body     []byte
+	Kind    Kind
+	Now     choice.Micros
+	Gateway int
+
+	Seed      uint64
+	Settings  choice.Settings
+	Endpoints choice.EndpointList
+	Request   choice.Request
+	Token     uint64
+	Outcome   choice.Outcome // also Probed, Lapsed and Opened
+	Peer      int
+	Body      []byte
 }
 
 // maxLine bounds one line; the longest legal ones are settings objects.
@@ -56,53 +56,53 @@
 
 // Decoder reads batches.
 type Decoder struct {
-	in      *bufio.Reader
-	long    []byte
-	line    int
-	fields  [][]byte
-	words   map[string]string
-	tables  [maxTables][]choice.Endpoint
-	defined [maxTables]bool
-	inBatch bool
-	named   bool // an ON line of this batch has named the instance
-	ev      Event
+	reader       *bufio.Reader
+	longLine     []byte
+	lineNumber   int
+	fields       [][]byte
+	interned     map[string]string
+	tables       [maxTables][]choice.Endpoint
+	defined      [maxTables]bool
+	inBatch      bool
+	gatewayNamed bool // an ON line of this batch has named the instance
+	event        Event
 }
 
 // NewDecoder returns a Decoder on r.
 func NewDecoder(r io.Reader) *Decoder {
-	return &Decoder{in: bufio.NewReaderSize(r, 1<<20), words: map[string]string{}}
+	return &Decoder{reader: bufio.NewReaderSize(r, 1<<20), interned: map[string]string{}}
 }
 
 // Line is the number of the line read last.
-func (d *Decoder) Line() int { return d.line }
+func (d *Decoder) Line() int { return d.lineNumber }
 
 func (d *Decoder) readLine() ([]byte, error) {
-	line, err := d.in.ReadSlice('\n')
+	line, err := d.reader.ReadSlice('\n')
 	if err == bufio.ErrBufferFull {
-		d.long = append(d.long[:0], line...)
+		d.longLine = append(d.longLine[:0], line...)
 		for err == bufio.ErrBufferFull {
-			if len(d.long) > maxLine {
+			if len(d.longLine) > maxLine {
 				return nil, errors.New("line too long")
 			}
-			line, err = d.in.ReadSlice('\n')
-			d.long = append(d.long, line...)
+			line, err = d.reader.ReadSlice('\n')
+			d.longLine = append(d.longLine, line...)
 		}
-		line = d.long
+		line = d.longLine
 	}
 	if err == io.EOF && len(line) > 0 {
-		d.line++
+		d.lineNumber++
 		return nil, errors.New("the last line is cut off")
 	}
 	if err != nil {
 		return nil, err
 	}
-	d.line++
+	d.lineNumber++
 	line = line[:len(line)-1]
 	return line, nil
 }
 
-// split cuts a line at its tabs, into at most n parts.
-func (d *Decoder) split(line []byte, n int) [][]byte {
+// splitFields cuts a line at its tabs, into at most n parts.
+func (d *Decoder) splitFields(line []byte, n int) [][]byte {
 	d.fields = d.fields[:0]
 	for len(d.fields) < n-1 {
 		i := bytes.IndexByte(line, '\t')
@@ -116,105 +116,105 @@
 	return d.fields
 }
 
-func (d *Decoder) word(b []byte) string {
-	if w, ok := d.words[string(b)]; ok {
+func (d *Decoder) intern(b []byte) string {
+	if w, ok := d.interned[string(b)]; ok {
 		return w
 	}
 	w := string(b)
-	if len(d.words) < 1<<12 { // names come from a small set; stray ones are not kept
-		d.words[w] = w
+	if len(d.interned) < 1<<12 { // names come from a small set; stray ones are not kept
+		d.interned[w] = w
 	}
 	return w
 }
 
-// parser reads the parts of one line and keeps the first error.
-type parser struct {
-	f   [][]byte
-	err error
+// fieldParser reads the parts of one line and keeps the first error.
+type fieldParser struct {
+	fields [][]byte
+	err    error
 }
 
-func (p *parser) bad(i int, name, want string) {
+func (p *fieldParser) fail(i int, name, want string) {
 	if p.err == nil {
-		p.err = fmt.Errorf("field %d (%s): expected %s, got %q", i, name, want, clip(p.f[i]))
+		p.err = fmt.Errorf("field %d (%s): expected %s, got %q", i, name, want, truncate(p.fields[i]))
 	}
 }
 
-func clip(b []byte) []byte {
+func truncate(b []byte) []byte {
 	if len(b) > 40 {
 		return b[:40]
 	}
 	return b
 }
 
-func absent(b []byte) bool { return len(b) == 1 && b[0] == '-' }
+func isAbsent(b []byte) bool { return len(b) == 1 && b[0] == '-' }
 
-func (p *parser) uint(i int, name string, most uint64) uint64 {
-	b := p.f[i]
+func (p *fieldParser) uint(i int, name string, most uint64) uint64 {
+	b := p.fields[i]
 	if len(b) == 0 || len(b) > 20 {
-		p.bad(i, name, "a whole number")
+		p.fail(i, name, "a whole number")
 		return 0
 	}
 	var v uint64
 	for _, c := range b {
 		if c < '0' || c > '9' || v > (1<<64-1-uint64(c-'0'))/10 {
-			p.bad(i, name, "a whole number")
+			p.fail(i, name, "a whole number")
 			return 0
 		}
 		v = v*10 + uint64(c-'0')
 	}
 	if v > most {
-		p.bad(i, name, fmt.Sprintf("at most %d", most))
+		p.fail(i, name, fmt.Sprintf("at most %d", most))
 		return 0
 	}
 	return v
 }
 
 const (
-	most32 = 1<<32 - 1
-	most63 = 1<<63 - 1
+	maxUint32 = 1<<32 - 1
+	maxInt63  = 1<<63 - 1
 )
 
-// orZero reads a whole number that may be absent.
-func (p *parser) orZero(i int, name string) int64 {
-	if absent(p.f[i]) {
+// optionalInt reads a whole number that may be absent.
+func (p *fieldParser) optionalInt(i int, name string) int64 {
+	if isAbsent(p.fields[i]) {
 		return 0
 	}
-	return int64(p.uint(i, name, most63))
+	return int64(p.uint(i, name, maxInt63))
 }
 
-// number reads a size that may be absent or have decimals.
-func (p *parser) number(i int, name string) float64 {
-	if absent(p.f[i]) {
+// optionalFloat reads a size that may be absent or have decimals.
+func (p *fieldParser) optionalFloat(i int, name string) float64 {
+	if isAbsent(p.fields[i]) {
 		return 0
 	}
-	v, err := strconv.ParseFloat(string(p.f[i]), 64)
+	v, err := strconv.ParseFloat(string(p.fields[i]), 64)
 	if err != nil || !(v >= 0 && v < 1e15) {
-		p.bad(i, name, "a number of 0 or more")
+		p.fail(i, name, "a number of 0 or more")
 		return 0
 	}
 	return v
 }
 
-func (p *parser) hex(i int, name string) uint64 {
-	if absent(p.f[i]) {
+func (p *fieldParser) optionalHex(i int, name string) uint64 {
+	if isAbsent(p.fields[i]) {
 		return 0
 	}
-	v, err := strconv.ParseUint(string(p.f[i]), 16, 64)
-	if err != nil || len(p.f[i]) != 16 {
-		p.bad(i, name, "16 hex digits")
+	v, err := strconv.ParseUint(string(p.fields[i]), 16, 64)
+	if err != nil || len(p.fields[i]) != 16 {
+		p.fail(i, name, "16 hex digits")
 	}
 	return v
 }
 
-func (p *parser) bool(i int, name string) bool {
-	if len(p.f[i]) != 1 || (p.f[i][0] != '0' && p.f[i][0] != '1') {
-		p.bad(i, name, "1 or 0")
+func (p *fieldParser) flag(i int, name string) bool {
+	if len(p.fields[i]) != 1 || (p.fields[i][0] != '0' && p.fields[i][0] != '1') {
+		p.fail(i, name, "1 or 0")
 	}
-	return len(p.f[i]) == 1 && p.f[i][0] == '1'
+	return len(p.fields[i]) == 1 && p.fields[i][0] == '1'
 }
 
-func (p *parser) status(i int) choice.Status {
-	switch string(p.f[i]) {
+func (p *fieldParser) status(i int) choice.Status {
+	switch string(p.fields[i]) {
 	case "delivered":
 		return choice.Served
 	case "app_error":
@@ -232,14 +232,14 @@
 	case "unused":
 		return choice.NotSent
 	}
-	p.bad(i, "status", "a known outcome")
+	p.fail(i, "status", "a known outcome")
 	return choice.Errored
 }
 
-func (p *parser) report(i int) choice.LoadReport {
+func (p *fieldParser) loadReport(i int) choice.LoadReport {
 	var r choice.LoadReport
-	b := p.f[i]
-	if absent(b) || len(b) == 0 {
+	b := p.fields[i]
+	if isAbsent(b) || len(b) == 0 {
 		return r
 	}
 	for len(b) > 0 {
@@ -252,17 +252,17 @@
 		name, text, ok := bytes.Cut(pair, []byte{':'})
 		v, err := strconv.ParseFloat(string(text), 64)
 		if !ok || err != nil || !(v > -1e15 && v < 1e15) {
-			p.bad(i, "feedback", "name:number pairs")
+			p.fail(i, "feedback", "name:number pairs")
 			return r
 		}
-		SetLoad(&r, string(name), v)
+		SetReportField(&r, string(name), v)
 	}
 	return r
 }
 
-// SetLoad enters one value of a load report under its name on the wire; names
+// SetReportField enters one value of a load report under its name on the wire; names
 // that are not known are skipped.
-func SetLoad(r *choice.LoadReport, name string, v float64) {
+func SetReportField(r *choice.LoadReport, name string, v float64) {
 	switch name {
 	case "x0":
 		r.MemoryShare, r.Has = v, r.Has|choice.HasMemory
@@ -279,8 +279,8 @@
 	}
 }
 
-// want is the number of parts of each event line, its name included.
-var want = map[string]int{
+// fieldCounts is the number of parts of each event line, its name included.
+var fieldCounts = map[string]int{
 	"ON": 2, "BORN": 3, "INVENTORY": 3, "MEMBERS": 4, "JOB_IN": 12, "TIMER": 2, "PROBE_RESULT": 5,
 	"RETURNED": 9, "LAPSED": 2, "KILL": 1, "OPENED": 5, "MESSAGE": 3, "TURN": 2, "OVER_TO_YOU": 1,
 }
@@ -303,16 +303,16 @@
 		if i := bytes.IndexByte(line, '\t'); i >= 0 {
 			name = line[:i]
 		}
-		n, ok := want[string(name)]
+		n, ok := fieldCounts[string(name)]
 		if !ok {
-			return nil, fmt.Errorf("unknown event %q", clip(name))
+			return nil, fmt.Errorf("unknown event %q", truncate(name))
 		}
 		cut := n + 1
 		if string(name) == "BORN" { // its last field runs to the end of the line
 			cut = n
 		}
-		p := parser{f: d.split(line, cut)}
-		if len(p.f) != n {
+		p := fieldParser{fields: d.splitFields(line, cut)}
+		if len(p.fields) != n {
 			return nil, fmt.Errorf("%s: expected %d fields, got %d", name, n-1, bytes.Count(line, []byte{'\t'}))
 		}
 		event, err := d.decode(string(name), &p)
@@ -323,23 +323,23 @@
 			return nil, fmt.Errorf("%s: %w", name, err)
 		}
 		if event {
-			return &d.ev, nil
+			return &d.event, nil
 		}
 	}
 }
 
 // decode fills d.ev from one line and tells whether that makes an event.
-func (d *Decoder) decode(name string, p *parser) (bool, error) {
-	ev := &d.ev
+func (d *Decoder) decode(name string, p *fieldParser) (bool, error) {
+	ev := &d.event
 	if name == "TURN" {
 		if d.inBatch {
 			return false, errors.New("a batch is open already")
 		}
-		now := choice.Micros(p.uint(1, "clock", most63))
+		now := choice.Micros(p.uint(1, "clock", maxInt63))
 		if now < ev.Now {
 			return false, errors.New("field 1 (clock): it went back")
 		}
-		d.inBatch, d.named, ev.Now = true, false, now
+		d.inBatch, d.gatewayNamed, ev.Now = true, false, now
 		return false, nil
 	}
 	if !d.inBatch {
@@ -350,60 +350,60 @@
 		d.inBatch, ev.Kind = false, BatchEnd
 		return true, nil
 	case "ON":
-		ev.Instance, d.named = int(p.uint(1, "who", most32)), true
+		ev.Gateway, d.gatewayNamed = int(p.uint(1, "who", maxUint32)), true
 		return false, nil
 	case "INVENTORY":
-		return false, d.inventory(p)
+		return false, d.decodeTable(p)
 	}
-	if !d.named {
+	if !d.gatewayNamed {
 		return false, errors.New("no ON line before it")
 	}
 	switch name {
 	case "BORN":
-		ev.Kind, ev.Seed = Born, p.uint(1, "seed", 1<<64-1)
+		ev.Kind, ev.Seed = InstanceStarted, p.uint(1, "seed", 1<<64-1)
 		var err error
-		ev.Settings, err = ParseSettings(p.f[2])
+		ev.Settings, err = ParseSettings(p.fields[2])
 		return true, err
 	case "KILL":
-		ev.Kind = Killed
+		ev.Kind = InstanceKilled
 	case "MEMBERS":
-		return true, d.members(p)
+		return true, d.decodeEndpointList(p)
 	case "JOB_IN":
-		ev.Kind = Arrived
-		p.orZero(2, "flags")
-		p.orZero(7, "workUs")
+		ev.Kind = RequestArrived
+		p.optionalInt(2, "flags")
+		p.optionalInt(7, "workUs")
 		ev.Request = choice.Request{
-			ID: choice.RequestID(p.uint(1, "call", most32)), PrefixTokens: int(p.number(3, "prefixLen")),
-			PromptTokens: int(p.number(4, "inputLen")), TimeLeft: p.orZero(5, "graceUs"),
-			Tenant: d.word(p.f[6]), Prefix: p.hex(8, "prefixId"), MaxTokens: int(p.number(9, "nMax")),
-			Session: p.hex(10, "object"), Class: d.word(p.f[11]),
+			ID: choice.RequestID(p.uint(1, "call", maxUint32)), PrefixTokens: int(p.optionalFloat(3, "prefixLen")),
+			PromptTokens: int(p.optionalFloat(4, "inputLen")), TimeLeft: p.optionalInt(5, "graceUs"),
+			Tenant: d.intern(p.fields[6]), Prefix: p.optionalHex(8, "prefixId"), MaxTokens: int(p.optionalFloat(9, "nMax")),
+			Session: p.optionalHex(10, "object"), Class: d.intern(p.fields[11]),
 		}
 	case "TIMER":
-		ev.Kind, ev.Token = Timer, p.uint(1, "ref", 1<<63)
+		ev.Kind, ev.Token = TimerFired, p.uint(1, "ref", 1<<63)
 	case "PROBE_RESULT":
-		ev.Kind = Probed
-		ev.Outcome = choice.Outcome{Replica: choice.ReplicaID(p.uint(1, "engine", most32)),
-			Status: p.status(2), Elapsed: p.orZero(3, "rttUs"), Report: p.report(4)}
+		ev.Kind = HealthCheckEnded
+		ev.Outcome = choice.Outcome{Replica: choice.ReplicaID(p.uint(1, "engine", maxUint32)),
+			Status: p.status(2), Elapsed: p.optionalInt(3, "rttUs"), Report: p.loadReport(4)}
 	case "RETURNED":
-		ev.Kind = Returned
+		ev.Kind = AttemptEnded
 		ev.Outcome = choice.Outcome{
-			ID: choice.RequestID(p.uint(1, "call", most32)), Attempt: int(p.uint(2, "n", most32)),
-			Replica: choice.ReplicaID(p.uint(3, "engine", most32)), Status: p.status(4),
-			Elapsed: p.orZero(5, "rttUs"), Final: p.bool(6, "doneFlag"), CachedTokens: int(p.number(7, "remark")),
-			Report: p.report(8)}
+			ID: choice.RequestID(p.uint(1, "call", maxUint32)), Attempt: int(p.uint(2, "n", maxUint32)),
+			Replica: choice.ReplicaID(p.uint(3, "engine", maxUint32)), Status: p.status(4),
+			Elapsed: p.optionalInt(5, "rttUs"), Final: p.flag(6, "doneFlag"), CachedTokens: int(p.optionalFloat(7, "remark")),
+			Report: p.loadReport(8)}
 	case "LAPSED":
-		ev.Kind, ev.Outcome = Lapsed, choice.Outcome{ID: choice.RequestID(p.uint(1, "call", most32))}
+		ev.Kind, ev.Outcome = ClientGone, choice.Outcome{ID: choice.RequestID(p.uint(1, "call", maxUint32))}
 	case "OPENED":
-		ev.Kind = Opened
-		ev.Outcome = choice.Outcome{ID: choice.RequestID(p.uint(1, "call", most32)),
-			Replica: choice.ReplicaID(p.uint(2, "engine", most32)), Elapsed: p.orZero(3, "rttUs"),
-			Attempt: int(p.uint(4, "n", most32))}
+		ev.Kind = FirstToken
+		ev.Outcome = choice.Outcome{ID: choice.RequestID(p.uint(1, "call", maxUint32)),
+			Replica: choice.ReplicaID(p.uint(2, "engine", maxUint32)), Elapsed: p.optionalInt(3, "rttUs"),
+			Attempt: int(p.uint(4, "n", maxUint32))}
 	case "MESSAGE":
-		ev.Kind, ev.From, ev.Body = Message, int(p.uint(1, "from", most32)), nil
-		if len(p.f[2]) > 0 && !absent(p.f[2]) {
-			body, err := base64.StdEncoding.DecodeString(string(p.f[2]))
+		ev.Kind, ev.Peer, ev.Body = PeerMessage, int(p.uint(1, "from", maxUint32)), nil
+		if len(p.fields[2]) > 0 && !isAbsent(p.fields[2]) {
+			body, err := base64.StdEncoding.DecodeString(string(p.fields[2]))
 			if err != nil {
-				p.bad(2, "body", "base64")
+				p.fail(2, "body", "base64")
 			}
 			ev.Body = body
 		}
@@ -411,33 +411,33 @@
 	return true, nil
 }
 
-func (d *Decoder) members(p *parser) error {
-	ev := &d.ev
-	ev.Kind = List
-	ev.List = choice.EndpointList{Version: p.orZero(2, "generation")}
-	switch string(p.f[1]) {
+func (d *Decoder) decodeEndpointList(p *fieldParser) error {
+	ev := &d.event
+	ev.Kind = EndpointList
+	ev.Endpoints = choice.EndpointList{Version: p.optionalInt(2, "generation")}
+	switch string(p.fields[1]) {
 	case "INCREMENTAL":
-		ev.List.Kind = choice.ListDelta
+		ev.Endpoints.Kind = choice.ListDelta
 	case "FULL":
-		ev.List.Kind = choice.ListFull
+		ev.Endpoints.Kind = choice.ListFull
 	case "SAVED":
-		ev.List.Kind = choice.ListCached
+		ev.Endpoints.Kind = choice.ListCached
 	case "FAILED":
-		ev.List.Kind = choice.ListFailed
+		ev.Endpoints.Kind = choice.ListFailed
 		return nil
 	default:
-		p.bad(1, "mode", "INCREMENTAL, FULL, SAVED or FAILED")
+		p.fail(1, "mode", "INCREMENTAL, FULL, SAVED or FAILED")
 		return nil
 	}
 	n := p.uint(3, "table", maxTables-1)
 	if p.err == nil && !d.defined[n] {
 		return fmt.Errorf("field 3 (table): no INVENTORY has number %d", n)
 	}
-	ev.List.Endpoints = d.tables[n]
+	ev.Endpoints.Endpoints = d.tables[n]
 	return nil
 }
 
-func (d *Decoder) inventory(p *parser) error {
+func (d *Decoder) decodeTable(p *fieldParser) error {
 	table := p.uint(1, "table", maxTables-1)
 	count := p.uint(2, "items", 1<<24)
 	if p.err != nil {
@@ -452,14 +452,14 @@
 		if err != nil {
 			return err
 		}
-		q := parser{f: d.split(line, 9)}
-		if len(q.f) != 8 || string(q.f[0]) != "ROW" {
-			return fmt.Errorf("expected ROW with 7 fields, got %q", clip(line))
+		q := fieldParser{fields: d.splitFields(line, 9)}
+		if len(q.fields) != 8 || string(q.fields[0]) != "ROW" {
+			return fmt.Errorf("expected ROW with 7 fields, got %q", truncate(line))
 		}
-		m := choice.Endpoint{Replica: choice.ReplicaID(q.uint(2, "engine", most32)),
-			Weight: q.number(3, "nominal"), Cell: q.orZero(4, "stripe"), Kind: d.word(q.f[5]),
-			StartedAt: q.orZero(6, "sinceUs"), Zone: d.word(q.f[7])}
-		switch string(q.f[1]) {
+		m := choice.Endpoint{Replica: choice.ReplicaID(q.uint(2, "engine", maxUint32)),
+			Weight: q.optionalFloat(3, "nominal"), Cell: q.optionalInt(4, "stripe"), Kind: d.intern(q.fields[5]),
+			StartedAt: q.optionalInt(6, "sinceUs"), Zone: d.intern(q.fields[7])}
+		switch string(q.fields[1]) {
 		case "active":
 			m.State = choice.EndpointReady
 		case "leaving":
@@ -467,7 +467,7 @@
 		case "left":
 			m.State = choice.EndpointGone
 		default:
-			q.bad(1, "state", "active, leaving or left")
+			q.fail(1, "state", "active, leaving or left")
 		}
 		if q.err != nil {
 			return fmt.Errorf("ROW: %w", q.err)
@@ -480,10 +480,10 @@
 
 // Encoder collects the reply of a batch.
 type Encoder struct {
-	out io.Writer
-	buf []byte
-	who int
-	any bool // a FOR line stands in this reply
+	out          io.Writer
+	buf          []byte
+	gateway      int
+	gatewayNamed bool // a FOR line stands in this reply
 }
 
 // NewEncoder returns an Encoder on w.
@@ -493,24 +493,24 @@
 func (e *Encoder) Flush() error {
 	e.buf = append(e.buf, "DONE\n"...)
 	_, err := e.out.Write(e.buf)
-	e.buf, e.any = e.buf[:0], false
+	e.buf, e.gatewayNamed = e.buf[:0], false
 	return err
 }
 
 // Sink returns the sink of one instance's actions.
-func (e *Encoder) Sink(who int) choice.Sink { return &sink{e: e, who: who} }
+func (e *Encoder) Sink(who int) choice.Sink { return &sink{encoder: e, gateway: who} }
 
 type sink struct {
-	e   *Encoder
-	who int
+	encoder *Encoder
+	gateway int
 }
 
-func (s *sink) line(name string, values ...int64) {
-	e := s.e
-	if !e.any || e.who != s.who {
-		e.any, e.who = true, s.who
+func (s *sink) writeLine(name string, values ...int64) {
+	e := s.encoder
+	if !e.gatewayNamed || e.gateway != s.gateway {
+		e.gatewayNamed, e.gateway = true, s.gateway
 		e.buf = append(e.buf, "FOR\t"...)
-		e.buf = strconv.AppendInt(e.buf, int64(s.who), 10)
+		e.buf = strconv.AppendInt(e.buf, int64(s.gateway), 10)
 		e.buf = append(e.buf, '\n')
 	}
 	e.buf = append(e.buf, name...)
@@ -522,23 +522,23 @@
 }
 
 func (s *sink) Dispatch(id choice.RequestID, to choice.ReplicaID, cutAt choice.Micros) {
-	s.line("SUBMIT_TO", int64(id), int64(to), cutAt)
+	s.writeLine("SUBMIT_TO", int64(id), int64(to), cutAt)
 }
 func (s *sink) Shed(id choice.RequestID, retryAfter choice.Micros) {
-	s.line("BUSY", int64(id), retryAfter)
+	s.writeLine("BUSY", int64(id), retryAfter)
 }
-func (s *sink) Fail(id choice.RequestID) { s.line("FAIL", int64(id)) }
+func (s *sink) Fail(id choice.RequestID) { s.writeLine("FAIL", int64(id)) }
 func (s *sink) Cancel(id choice.RequestID, attempt int) {
-	s.line("DROP_ATTEMPT", int64(id), int64(attempt))
+	s.writeLine("DROP_ATTEMPT", int64(id), int64(attempt))
 }
-func (s *sink) HealthCheck(to choice.ReplicaID) { s.line("HEALTH_CHECK", int64(to)) }
-func (s *sink) WatchDiscovery()                 { s.line("TRACK", 1) }
+func (s *sink) HealthCheck(to choice.ReplicaID) { s.writeLine("HEALTH_CHECK", int64(to)) }
+func (s *sink) WatchDiscovery()                 { s.writeLine("TRACK", 1) }
 func (s *sink) SetTimer(delay choice.Micros, token uint64) {
-	s.line("SET_ALARM", delay, int64(token))
+	s.writeLine("SET_ALARM", delay, int64(token))
 }
 func (s *sink) Gossip(body []byte) {
-	s.line("POST", -1)
-	s.e.buf = append(s.e.buf[:len(s.e.buf)-1], '\t')
-	s.e.buf = base64.StdEncoding.AppendEncode(s.e.buf, body)
-	s.e.buf = append(s.e.buf, '\n')
+	s.writeLine("POST", -1)
+	s.encoder.buf = append(s.encoder.buf[:len(s.encoder.buf)-1], '\t')
+	s.encoder.buf = base64.StdEncoding.AppendEncode(s.encoder.buf, body)
+	s.encoder.buf = append(s.encoder.buf, '\n')
 }
--- a/internal/wire/wire_test.go
+++ b/internal/wire/wire_test.go
@@ -22,9 +22,9 @@
 	`"effect":"by_key","group":"zone","memorySpanUs":5000000,"streamed":true}],` +
 	`"tenants":[{"name":"t","allowancePerS":13.0,"fraction":0.5}]}`
 
-func lines(parts ...string) string { return strings.Join(parts, "\n") + "\n" }
+func joinLines(parts ...string) string { return strings.Join(parts, "\n") + "\n" }
 
-func events(t *testing.T, text string) []Event {
+func decodeAll(t *testing.T, text string) []Event {
 	t.Helper()
 	d := NewDecoder(strings.NewReader(text))
 	var out []Event
@@ -41,7 +41,7 @@
 }
 
 func TestDecodesEveryEvent(t *testing.T) {
-	got := events(t, lines("TURN\t5", "OVER_TO_YOU", "", "TURN\t10", "ON\t3", "BORN\t18446744073709551615\t"+setupText,
+	got := decodeAll(t, joinLines("TURN\t5", "OVER_TO_YOU", "", "TURN\t10", "ON\t3", "BORN\t18446744073709551615\t"+setupText,
 		"INVENTORY\t0\t2", "ROW\tactive\t51530247\t1\t0\tk\t-\ta", "ROW\tleaving\t7\t1.5\t2\tk\t6100000\tb",
 		"MEMBERS\tSAVED\t41\t0", "INVENTORY\t0\t1", "ROW\tleft\t7\t1\t2\tk\t0\tb", "MEMBERS\tINCREMENTAL\t42\t0",
 		"MEMBERS\tFAILED\t-\t-",
@@ -49,7 +49,7 @@
 		"TIMER\t77", "PROBE_RESULT\t7\tdelivered\t1400\tserved_ps:140,svc_ms:14.5,busy_reqs:7,x0:0.4,new_name:3",
 		"ON\t5", "RETURNED\t9\t1\t7\tshed\t18500\t0\t-\t-", "OPENED\t9\t7\t9250\t1", "MESSAGE\t2\taGkgNw==",
 		"LAPSED\t9", "KILL", "OVER_TO_YOU"))
-	kinds := []Kind{BatchEnd, Born, List, List, List, Arrived, Timer, Probed, Returned, Opened, Message, Lapsed, Killed,
+	kinds := []Kind{BatchEnd, InstanceStarted, EndpointList, EndpointList, EndpointList, RequestArrived, TimerFired, HealthCheckEnded, AttemptEnded, FirstToken, PeerMessage, ClientGone, InstanceKilled,
 		BatchEnd}
 	if len(got) != len(kinds) {
 		t.Fatalf("%d events, want %d", len(got), len(kinds))
@@ -66,11 +66,11 @@
 		s.OverloadWindow != 1500000 || s.Tenants[0].QuotaPerS != 13 || s.ReportSource != choice.ReportInline {
 		t.Errorf("settings %+v", s)
 	}
-	if m := got[2].List.Endpoints; len(m) != 2 || m[1].Weight != 1.5 || m[1].State != choice.EndpointDraining ||
+	if m := got[2].Endpoints.Endpoints; len(m) != 2 || m[1].Weight != 1.5 || m[1].State != choice.EndpointDraining ||
 		m[1].StartedAt != 6100000 || m[0].StartedAt != 0 || m[1].Zone != "b" {
 		t.Errorf("list %+v (a reused number must not change the list before it)", m)
 	}
-	if m := got[3].List.Endpoints; len(m) != 1 || m[0].State != choice.EndpointGone {
+	if m := got[3].Endpoints.Endpoints; len(m) != 1 || m[0].State != choice.EndpointGone {
 		t.Errorf("reused list %+v", m)
 	}
 	if r := got[5].Request; r.ID != 1564119492 || r.PrefixTokens != 1200 || r.PromptTokens != 1800 || r.TimeLeft != 240000 ||
@@ -80,7 +80,7 @@
 	if r := got[7].Outcome.Report; r.Has != choice.HasService|choice.HasInFlight|choice.HasMemory || r.MemoryShare != 0.4 {
 		t.Errorf("report %+v", r)
 	}
-	if o := got[8].Outcome; got[8].Instance != 5 || o.ID != 9 || o.Attempt != 1 || o.Status != choice.Shed || o.Final {
+	if o := got[8].Outcome; got[8].Gateway != 5 || o.ID != 9 || o.Attempt != 1 || o.Status != choice.Shed || o.Final {
 		t.Errorf("outcome %+v", o)
 	}
 	if string(got[10].Body) != "hi 7" {
@@ -88,18 +88,18 @@
 	}
 }
 
-func TestAllOutcomes(t *testing.T) {
+func TestDecodesEveryStatus(t *testing.T) {
 	for word, want := range map[string]choice.Status{"delivered": choice.Served, "app_error": choice.Errored,
 		"shed": choice.Shed, "expired": choice.TimedOut, "dial_failed": choice.ConnectFailed, "dropped": choice.ConnBroken,
 		"revoked": choice.Cancelled, "unused": choice.NotSent} {
-		got := events(t, lines("TURN\t1", "ON\t0", "RETURNED\t1\t0\t2\t"+word+"\t1\t1\t12\tx0:0.5", "OVER_TO_YOU"))
+		got := decodeAll(t, joinLines("TURN\t1", "ON\t0", "RETURNED\t1\t0\t2\t"+word+"\t1\t1\t12\tx0:0.5", "OVER_TO_YOU"))
 		if got[0].Outcome.Status != want || got[0].Outcome.CachedTokens != 12 {
 			t.Errorf("%s: %+v", word, got[0].Outcome)
 		}
 	}
 }
 
-func TestBadInputIsToldPlainly(t *testing.T) {
+func TestInvalidInputErrors(t *testing.T) {
 	for text, want := range map[string]string{
 		"HELLO\n":                                           "unknown event",
 		"TIMER\t1\n":                                        "outside a batch",
@@ -150,7 +150,7 @@
 	if err := e.Flush(); err != nil {
 		t.Fatal(err)
 	}
-	want := lines("FOR\t3", "SUBMIT_TO\t1564119492\t51530247\t8492250", "SET_ALARM\t500000\t77", "DROP_ATTEMPT\t1\t2",
+	want := joinLines("FOR\t3", "SUBMIT_TO\t1564119492\t51530247\t8492250", "SET_ALARM\t500000\t77", "DROP_ATTEMPT\t1\t2",
 		"FOR\t5", "BUSY\t1\t250000", "FAIL\t2", "HEALTH_CHECK\t7", "FOR\t3", "POST\t-1\taGkgNw==", "TRACK\t1", "DONE", "DONE")
 	if out.String() != want {
 		t.Errorf("got\n%s\nwant\n%s", out.String(), want)
@@ -158,8 +158,8 @@
 }
 
 func FuzzDecoder(f *testing.F) {
-	f.Add([]byte(lines("TURN\t1", "ON\t1", "BORN\t1\t"+setupText, "OVER_TO_YOU")))
-	f.Add([]byte(lines("TURN\t1", "INVENTORY\t0\t1", "ROW\tactive\t1\t1\t0\tk\t-\ta", "ON\t1", "MEMBERS\tFULL\t1\t0")))
+	f.Add([]byte(joinLines("TURN\t1", "ON\t1", "BORN\t1\t"+setupText, "OVER_TO_YOU")))
+	f.Add([]byte(joinLines("TURN\t1", "INVENTORY\t0\t1", "ROW\tactive\t1\t1\t0\tk\t-\ta", "ON\t1", "MEMBERS\tFULL\t1\t0")))
 	f.Add([]byte("TURN\t1\nON\t1\nRETURNED\t1\t0\t2\tshed\t1\t0\t-\tx0:1e300,x1:nan\n"))
 	f.Fuzz(func(t *testing.T, in []byte) {
 		d := NewDecoder(bytes.NewReader(in))
@@ -181,7 +181,7 @@
 		InitialCapacity: 0.3, OverloadMultiple: 3, SlowStartFor: 8_000_000, OverloadWindow: 1_500_000, StreamsPerConn: 1, ConnIdleTimeout: 60_000_000, CrossZoneCost: 0.02, HandshakeCost: 0.02, HealthCheckCost: 0.002,
 		Classes: []choice.Class{{Name: "once", LatencyObjective: 1, ObjectivePer1000Tokens: 2, TokenObjective: 3, Deadline: 4, PriorityWeight: 5, LateWeightShare: 0.5, Idempotency: choice.NonIdempotent, Streaming: true}},
 		Tenants: []choice.Tenant{{Name: "t", QuotaPerS: 7}}}
-	text, err := WriteSettings(in)
+	text, err := MarshalSettings(in)
 	if err != nil {
 		t.Fatal(err)
 	}
