--- a/cmd/archknot/fleet_test.go
+++ b/cmd/archknot/fleet_test.go
@@ -15,7 +15,7 @@
 	"testing"
 	"time"
 
-	"archknot/internal/memory"
+	"archknot/internal/connpool"
 )
 
 // replica is a stand-in that answers each request at once and remembers when it came. A request
@@ -314,7 +314,7 @@
 	n := requestNumber.Add(1)
 	text := fmt.Sprintf("POST /v1/chat/completions HTTP/1.1\r\nHost: a\r\nReq-Kind: chat\r\nReq-Id: t%d\r\nReq-Key: %016x\r\n"+
 		"Req-Extra: prompt_len=400,max_out=100\r\nContent-Length: 0\r\n\r\n", n, uint64(n)*0x9e3779b97f4a7c15)
-	if c != nil && memory.PeerClosed(c.Conn) { // closed while it rested: a client sees that before it sends
+	if c != nil && connpool.PeerClosed(c.Conn) { // closed while it rested: a client sees that before it sends
 		c.Close()
 		c = nil
 	}
--- a/internal/memory/pool.go
+++ b/internal/connpool/pool.go
@@ -1,4 +1,5 @@
-package memory
+// Package connpool keeps TCP connections to replicas and to discovery for reuse and bounds how many are open.
+package connpool
 
 import (
 	"bufio"
--- a/internal/memory/shortage_test.go
+++ b/internal/connpool/shortage_test.go
@@ -1,4 +1,4 @@
-package memory
+package connpool
 
 import (
 	"context"
--- a/internal/drill/soakclient.go
+++ b/internal/drill/soakclient.go
@@ -15,8 +15,8 @@
 	"time"
 
 	"archknot/choice"
+	"archknot/internal/connpool"
 	"archknot/internal/fleet/model"
-	"archknot/internal/memory"
 	"archknot/internal/wire/socket"
 )
 
@@ -288,7 +288,7 @@
 	defer s.mu.Unlock()
 	for c := range s.idle[gateway] {
 		delete(s.idle[gateway], c)
-		if !memory.PeerClosed(c.Conn) {
+		if !connpool.PeerClosed(c.Conn) {
 			return c
 		}
 		c.Close()
@@ -303,7 +303,7 @@
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	for c := range s.idle[gateway] {
-		if !memory.PeerClosed(c.Conn) {
+		if !connpool.PeerClosed(c.Conn) {
 			out = append(out, "a connection at rest from "+c.LocalAddr().String())
 		}
 	}
--- a/internal/memory/registry.go
+++ b/internal/endpoint/registry.go
@@ -1,6 +1,5 @@
-// Package memory holds what the gateway remembers: the workers that the
-// registry names, the connections to them, the requests and attempts out.
-package memory
+// Package endpoint holds the gateway's copy of the endpoint list that discovery sends.
+package endpoint
 
 import (
 	"fmt"
--- a/internal/memory/registry_bench_test.go
+++ b/internal/endpoint/registry_bench_test.go
@@ -1,4 +1,4 @@
-package memory
+package endpoint
 
 import (
 	"fmt"
--- a/internal/gateway/attempt.go
+++ b/internal/gateway/attempt.go
@@ -12,14 +12,15 @@
 	"time"
 
 	"archknot/choice"
+	"archknot/internal/connpool"
 	"archknot/internal/figures"
-	"archknot/internal/memory"
+	"archknot/internal/inflight"
 	"archknot/internal/wire/socket"
 )
 
 // runAttempt carries out one attempt from its send to its end and reports its
 // one outcome. The stream goes to d.Events as it comes.
-func (g *Gateway) runAttempt(r *http.Request, body []byte, d *memory.Attempt, hand *requestLease) {
+func (g *Gateway) runAttempt(r *http.Request, body []byte, d *inflight.Attempt, hand *requestLease) {
 	defer d.Cancel()
 	e := attemptEnded{attempt: d, status: choice.ConnectFailed}
 	switch {
@@ -34,7 +35,7 @@
 }
 
 // startAttempt starts an attempt's task.
-func (g *Gateway) startAttempt(r *http.Request, body []byte, d *memory.Attempt, hand *requestLease) {
+func (g *Gateway) startAttempt(r *http.Request, body []byte, d *inflight.Attempt, hand *requestLease) {
 	if hand != nil {
 		hand.attempts.Go(func() { g.runAttempt(r, body, d, hand) })
 		return
@@ -46,7 +47,7 @@
 // are no longer trusted.
 const silentReplicaAfter = time.Second
 
-func (g *Gateway) exchange(r *http.Request, body []byte, d *memory.Attempt, e *attemptEnded, hand *requestLease) choice.Status {
+func (g *Gateway) exchange(r *http.Request, body []byte, d *inflight.Attempt, e *attemptEnded, hand *requestLease) choice.Status {
 	cutAt := g.clock.timeAt(d.TimeoutAt)
 	ctx, stop := context.WithDeadline(d.Ctx, cutAt)
 	defer stop()
@@ -55,7 +56,7 @@
 		switch {
 		case d.Ctx.Err() != nil:
 			return choice.Cancelled
-		case errors.Is(err, memory.ErrLocalShortage):
+		case errors.Is(err, connpool.ErrLocalShortage):
 			return choice.NotSent // no replica is at fault
 		}
 		return choice.ConnectFailed
@@ -152,7 +153,7 @@
 const responseHeadTimeout = 500 * time.Millisecond
 
 // readHead waits for an answer and reads its head.
-func readHead(c *memory.Conn, cutAt time.Time) (*http.Response, error) {
+func readHead(c *connpool.Conn, cutAt time.Time) (*http.Response, error) {
 	for infos := 0; ; infos++ {
 		if _, err := c.Reader.Peek(1); err != nil {
 			return nil, err
@@ -178,7 +179,7 @@
 const maxInformational = 8
 
 // failureStatus tells what the end of a connection means for an attempt.
-func failureStatus(d *memory.Attempt, err error, otherwise choice.Status) choice.Status {
+func failureStatus(d *inflight.Attempt, err error, otherwise choice.Status) choice.Status {
 	switch {
 	case d.Ctx.Err() != nil:
 		return choice.Cancelled
--- a/internal/gateway/clientconn.go
+++ b/internal/gateway/clientconn.go
@@ -14,7 +14,7 @@
 	"golang.org/x/sys/unix"
 
 	"archknot/choice"
-	"archknot/internal/memory"
+	"archknot/internal/connpool"
 	"archknot/internal/wire/socket"
 )
 
@@ -197,7 +197,7 @@
 	if c.readClosed {
 		return true
 	}
-	if memory.HasUnreadData(c.Conn) {
+	if connpool.HasUnreadData(c.Conn) {
 		return false
 	}
 	c.stopReading(why)
@@ -281,7 +281,7 @@
 	}
 	ended := false
 	err := c.raw.Read(func(fd uintptr) bool {
-		n, err := memory.PeekDescriptor(int(fd))
+		n, err := connpool.PeekDescriptor(int(fd))
 		ended = err != syscall.EAGAIN && (err != nil || n == 0)
 		return ended || n > 0
 	})
@@ -299,7 +299,7 @@
 }
 
 // peerGone asks the system whether the client has closed the connection.
-func (c *clientConn) peerGone() bool { return memory.PeerClosed(c.Conn) }
+func (c *clientConn) peerGone() bool { return connpool.PeerClosed(c.Conn) }
 
 // framingInDoubt tells whether the framing has a doubt: nothing more is taken from the connection.
 func (c *clientConn) framingInDoubt() bool {
--- a/internal/gateway/clientgone_test.go
+++ b/internal/gateway/clientgone_test.go
@@ -12,7 +12,9 @@
 	"time"
 
 	"archknot/choice"
-	"archknot/internal/memory"
+	"archknot/internal/connpool"
+	"archknot/internal/endpoint"
+	"archknot/internal/inflight"
 )
 
 // A client that has closed its connection, wholly or its own half, or has reset it, is gone:
@@ -45,8 +47,8 @@
 		}
 		c.end(there.(*net.TCPConn))
 		if c.gone {
-			waitUntil(t, name+": seen to be gone", func() bool { return memory.PeerClosed(here) })
-		} else if time.Sleep(20 * time.Millisecond); memory.PeerClosed(here) {
+			waitUntil(t, name+": seen to be gone", func() bool { return connpool.PeerClosed(here) })
+		} else if time.Sleep(20 * time.Millisecond); connpool.PeerClosed(here) {
 			t.Errorf("%s: taken for gone", name)
 		}
 		here.Close()
@@ -110,13 +112,13 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	store := memory.NewTable()
+	store := inflight.NewTable()
 	ctx, end := context.WithCancel(t.Context())
-	r := memory.NewRequest(ctx, "late", choice.Request{}, 0, 3)
+	r := inflight.NewRequest(ctx, "late", choice.Request{}, 0, 3)
 	r.ClientClosed, r.Cancel = func() bool { return true }, end // the system knows, the server does not
 	store.Add(r)
 	now := g.clock.now()
-	d := store.StartAttempt(r, &memory.Replica{}, now, now+1e6)
+	d := store.StartAttempt(r, &endpoint.Replica{}, now, now+1e6)
 	d.Replica.Addr = l.Addr().String()
 	in, _ := http.NewRequest("POST", "/v1/chat/completions", nil)
 	go g.runAttempt(in, []byte("{}"), d, nil)
--- a/internal/gateway/clients_test.go
+++ b/internal/gateway/clients_test.go
@@ -12,8 +12,8 @@
 	"testing"
 	"time"
 
+	"archknot/internal/connpool"
 	"archknot/internal/hold"
-	"archknot/internal/memory"
 )
 
 // acceptedConn is one accepted connection before any server reads it, with its client.
@@ -47,7 +47,7 @@
 	}
 	waiting := func(t *testing.T, c *clientConn) {
 		t.Helper()
-		waitUntil(t, "bytes that wait", func() bool { return memory.HasUnreadData(c.Conn) })
+		waitUntil(t, "bytes that wait", func() bool { return connpool.HasUnreadData(c.Conn) })
 	}
 	for name, play := range map[string]func(t *testing.T, conn *clientConn, c *testClient){
 		"bytes unread, then the end": func(t *testing.T, conn *clientConn, c *testClient) {
@@ -398,7 +398,7 @@
 	if _, err := io.ReadFull(conn, make([]byte, len(requestFirstHalf+requestSecondHalf))); err != nil {
 		t.Fatal(err)
 	}
-	waitUntil(t, "a byte", func() bool { return memory.HasUnreadData(conn.Conn) })
+	waitUntil(t, "a byte", func() bool { return connpool.HasUnreadData(conn.Conn) })
 	conn.Write([]byte("answer"))
 	go conn.Close()
 	waitUntil(t, "the close", func() bool { return cs.lingering.Load() == 1 })
--- a/internal/gateway/contracts.go
+++ b/internal/gateway/contracts.go
@@ -12,7 +12,8 @@
 	"archknot/internal/contract"
 	"archknot/internal/contract/ledger"
 	"archknot/internal/contract/split"
-	"archknot/internal/memory"
+	"archknot/internal/endpoint"
+	"archknot/internal/inflight"
 	"archknot/internal/wire/socket"
 )
 
@@ -251,7 +252,7 @@
 const quotaShareInterval choice.Micros = 1_000_000
 
 // recordReplicaLoad notes what a worker says that it has in hand, beside what was sent there.
-func (l *eventLoop) recordReplicaLoad(w *memory.Replica, r *choice.LoadReport) {
+func (l *eventLoop) recordReplicaLoad(w *endpoint.Replica, r *choice.LoadReport) {
 	if l.quotaShares.splitter == nil || r.Has&choice.HasInFlight == 0 {
 		return
 	}
@@ -288,13 +289,13 @@
 const minPriorityWeight = 1e-6
 
 // charge charges a request, or a copy of it, what it is thought to use.
-func (l *eventLoop) charge(r *memory.Request, copy int, c *contract.Charge) contract.Verdict {
+func (l *eventLoop) charge(r *inflight.Request, copy int, c *contract.Charge) contract.Verdict {
 	return l.recordedLedger.Charge(l.now, &r.BalancerRequest, copy, c)
 }
 
 // admitByContract has the team's contract judge a request before the module does. One
 // that it refuses is answered at once, and the module never hears of it.
-func (l *eventLoop) admitByContract(r *memory.Request) bool {
+func (l *eventLoop) admitByContract(r *inflight.Request) bool {
 	if l.ledger == nil {
 		return true
 	}
@@ -306,7 +307,7 @@
 	}
 	if v.Rejected {
 		r.Finished = true
-		r.Actions <- memory.Action{Kind: memory.ActionDeny, Reason: v.Reason, RetryAfter: v.RetryAfter}
+		r.Actions <- inflight.Action{Kind: inflight.ActionDeny, Reason: v.Reason, RetryAfter: v.RetryAfter}
 		l.requests.RemoveIfFinished(r)
 		return false
 	}
@@ -316,7 +317,7 @@
 
 // chargeAttempt gives an attempt its charge: the first has the request's, a further
 // copy one of its own. What the budget does not allow is not sent: it never ran.
-func (l *eventLoop) chargeAttempt(d *memory.Attempt) bool {
+func (l *eventLoop) chargeAttempt(d *inflight.Attempt) bool {
 	if l.ledger == nil {
 		return true
 	}
@@ -345,7 +346,7 @@
 
 // recordShed tells the book that the module, or the workers, had no room for a
 // request. What ran and failed is no such thing.
-func (l *eventLoop) recordShed(r *memory.Request) {
+func (l *eventLoop) recordShed(r *inflight.Request) {
 	if l.ledger == nil || r.BalancerRequest.PriorityFactor == 0 {
 		return
 	}
@@ -358,7 +359,7 @@
 }
 
 // releaseCharge settles a charge that no attempt had.
-func (l *eventLoop) releaseCharge(r *memory.Request) {
+func (l *eventLoop) releaseCharge(r *inflight.Request) {
 	if l.ledger != nil {
 		l.recordedLedger.Settle(l.now, r.ID, 0, &r.Charge, contract.Usage{}, false)
 	}
--- a/internal/gateway/discovery_test.go
+++ b/internal/gateway/discovery_test.go
@@ -12,7 +12,7 @@
 
 	"archknot/choice"
 	"archknot/internal/capture"
-	"archknot/internal/memory"
+	"archknot/internal/inflight"
 	"archknot/internal/wire/socket"
 )
 
@@ -81,7 +81,7 @@
 	l.receiveList(socket.EndpointList{Endpoints: []socket.Endpoint{{ID: "s-1", Addr: "127.0.0.1:1", Zone: "a", Kind: "k", Lifecycle: "ready"},
 		{ID: "s-2", Addr: "127.0.0.1:2", Zone: "a", Kind: "k", Lifecycle: "ready"}}}, choice.ListCached)
 	ctx := t.Context()
-	r := memory.NewRequest(ctx, "w1", choice.Request{Class: "chat"}, l.now+4e6, 3)
+	r := inflight.NewRequest(ctx, "w1", choice.Request{Class: "chat"}, l.now+4e6, 3)
 	requestArrived{r, l.gateway.config.Load(), true}.apply(l)
 	first := (<-r.Actions).Attempt
 	second := l.requests.StartAttempt(r, l.endpoints.ByName("s-2"), l.now, l.now+4e6)
@@ -92,7 +92,7 @@
 		second.Cancel()
 	}}
 	streamOpened{first}.apply(l)
-	if a := <-r.Actions; a.Kind != memory.ActionStream || second.Ctx.Err() == nil {
+	if a := <-r.Actions; a.Kind != inflight.ActionStream || second.Ctx.Err() == nil {
 		t.Errorf("action %v, the twin's end %v", a.Kind, second.Ctx.Err())
 	}
 	// The other order: what begins to answer once another's stream is the client's ends at once.
--- a/internal/gateway/gateway.go
+++ b/internal/gateway/gateway.go
@@ -12,10 +12,10 @@
 	"time"
 
 	"archknot/choice"
+	"archknot/internal/connpool"
 	"archknot/internal/contract/ledger"
 	"archknot/internal/figures"
 	"archknot/internal/maintenance"
-	"archknot/internal/memory"
 	"archknot/internal/operator"
 	"archknot/internal/peers"
 	"archknot/internal/sockets"
@@ -65,7 +65,7 @@
 	meters            [figures.PurposeCount]figures.Meter
 	options           Options
 	clock             monotonicClock
-	pool              *memory.Pool
+	pool              *connpool.Pool
 	discovery         pooledClient // connections to the registry: apart, that workers' use leaves it one
 	discoveryMoves    chan string  // the registry's next address, of which only the last counts
 	loop              *eventLoop
@@ -94,9 +94,9 @@
 // New returns a gateway, or tells why the module does not take its settings.
 func New(o Options) (*Gateway, error) {
 	g := &Gateway{options: o, clock: newMonotonicClock(), discoveryMoves: make(chan string, 1), listening: make(chan struct{}), acceptDone: make(chan struct{}), orderUpdates: make(chan struct{}, 1),
-		pool: memory.NewPool(o.MaxReplicaConns, o.ReplicaConnIdle, o.ConnectTimeout)}
+		pool: connpool.NewPool(o.MaxReplicaConns, o.ReplicaConnIdle, o.ConnectTimeout)}
 	g.pool.SetReuseDelay(o.ReplicaConnReuseDelay)
-	g.discovery = pooledClient{memory.NewPool(2, o.ReplicaConnIdle, o.DiscoveryTimeout), &g.meters[figures.PurposeDiscovery]}
+	g.discovery = pooledClient{connpool.NewPool(2, o.ReplicaConnIdle, o.DiscoveryTimeout), &g.meters[figures.PurposeDiscovery]}
 	g.config.Store(&liveConfig{classes: o.Settings.Classes, maxInFlight: o.MaxInFlight, maxRetryAfter: o.Settings.MaxRetryAfter,
 		watchWait: o.WatchWait, discoveryTimeout: o.DiscoveryTimeout})
 	g.clients = newClientTracker(o.MaxClientConns, o.OverflowConns, g.clock)
--- a/internal/gateway/gateway_test.go
+++ b/internal/gateway/gateway_test.go
@@ -13,7 +13,8 @@
 	"time"
 
 	"archknot/choice"
-	"archknot/internal/memory"
+	"archknot/internal/endpoint"
+	"archknot/internal/inflight"
 	"archknot/internal/wire/socket"
 
 	"github.com/google/go-cmp/cmp"
@@ -110,7 +111,7 @@
 	l := g.loop
 	l.now = g.clock.now()
 	l.receiveList(socket.EndpointList{Endpoints: []socket.Endpoint{{ID: "s-1", Addr: "127.0.0.1:1", Zone: "a", Kind: "k", Lifecycle: "ready"}}}, choice.ListCached)
-	r := memory.NewRequest(context.Background(), "l1", choice.Request{Class: "chat"}, l.now+1e6, 3)
+	r := inflight.NewRequest(context.Background(), "l1", choice.Request{Class: "chat"}, l.now+1e6, 3)
 	requestArrived{r, l.gateway.config.Load(), true}.apply(l)
 	if len(r.Actions) != 1 {
 		t.Fatalf("%d orders", len(r.Actions))
@@ -230,11 +231,11 @@
 			if addr == "" {
 				addr = newFakeReplica(t, "w", c.script).addr
 			}
-			store := memory.NewTable()
-			r := memory.NewRequest(context.Background(), "o1", choice.Request{}, 0, 3)
+			store := inflight.NewTable()
+			r := inflight.NewRequest(context.Background(), "o1", choice.Request{}, 0, 3)
 			store.Add(r)
 			now := g.clock.now()
-			d := store.StartAttempt(r, &memory.Replica{Endpoint: socket.Endpoint{Addr: addr}}, now, now+c.wait.Microseconds())
+			d := store.StartAttempt(r, &endpoint.Replica{Endpoint: socket.Endpoint{Addr: addr}}, now, now+c.wait.Microseconds())
 			if c.leave {
 				time.AfterFunc(50*time.Millisecond, d.Cancel)
 			}
--- a/internal/gateway/healthcheck.go
+++ b/internal/gateway/healthcheck.go
@@ -9,15 +9,16 @@
 	"time"
 
 	"archknot/choice"
+	"archknot/internal/connpool"
+	"archknot/internal/endpoint"
 	"archknot/internal/figures"
-	"archknot/internal/memory"
 	"archknot/internal/wire/socket"
 )
 
 // Probes of replicas.
 
 // runHealthCheck asks a worker for its state, and for its load where there are reports.
-func (g *Gateway) runHealthCheck(w *memory.Replica) {
+func (g *Gateway) runHealthCheck(w *endpoint.Replica) {
 	path := socket.LivePath
 	if g.options.Settings.ReportSource != choice.ReportNone {
 		path = socket.StatsPath
@@ -39,7 +40,7 @@
 		return nil
 	})
 	switch {
-	case errors.Is(err, memory.ErrLocalShortage):
+	case errors.Is(err, connpool.ErrLocalShortage):
 		e.status = choice.NotSent // it was not asked
 	case errors.Is(err, errNotConnected):
 		e.status = choice.ConnectFailed
--- a/internal/gateway/loop.go
+++ b/internal/gateway/loop.go
@@ -10,8 +10,9 @@
 	"archknot/choice"
 	"archknot/internal/capture"
 	"archknot/internal/contract"
+	"archknot/internal/endpoint"
 	"archknot/internal/figures"
-	"archknot/internal/memory"
+	"archknot/internal/inflight"
 	"archknot/internal/subset"
 	"archknot/internal/wire/socket"
 )
@@ -33,8 +34,8 @@
 	lostZones         []string      // sites, as last told
 	nextZoneCheck     choice.Micros // when they are looked at next
 	timers            timerQueue
-	requests          *memory.Table
-	endpoints         *memory.Registry
+	requests          *inflight.Table
+	endpoints         *endpoint.Registry
 	view              *subset.Selector // what of the registry's list the module is told
 	listReceivedAt    time.Time        // when the list came that is held
 	busy              time.Duration
@@ -54,7 +55,7 @@
 
 func newEventLoop(g *Gateway) (*eventLoop, error) {
 	l := &eventLoop{gateway: g, events: make(chan event, 1024), pollRequests: make(chan struct{}, 1),
-		requests: memory.NewTable(), endpoints: memory.NewRegistry(), listed: map[string]socket.Endpoint{}, ejectedStart: map[string]int64{}}
+		requests: inflight.NewTable(), endpoints: endpoint.NewRegistry(), listed: map[string]socket.Endpoint{}, ejectedStart: map[string]int64{}}
 	if g.options.Orders != nil {
 		l.ejected = g.options.Orders.AllEjected()
 	}
@@ -140,7 +141,7 @@
 // The events.
 
 type requestArrived struct {
-	request     *memory.Request
+	request     *inflight.Request
 	config      *liveConfig // the version by which its head was read
 	hasDeadline bool        // its client has told its deadline
 }
@@ -153,7 +154,7 @@
 		was, _ := e.config.class(e.request.BalancerRequest.Class)
 		is, err := now.class(e.request.BalancerRequest.Class)
 		if err != nil {
-			l.sendFinalAnswer(e.request.ID, memory.Action{Kind: memory.ActionReject, Reason: err.Error()})
+			l.sendFinalAnswer(e.request.ID, inflight.Action{Kind: inflight.ActionReject, Reason: err.Error()})
 			return
 		}
 		if !e.hasDeadline {
@@ -171,7 +172,7 @@
 }
 
 // clientGone says that a client has gone.
-type clientGone struct{ request *memory.Request }
+type clientGone struct{ request *inflight.Request }
 
 func (e clientGone) apply(l *eventLoop) {
 	if !e.request.Finished {
@@ -181,7 +182,7 @@
 	// Its task has ended: orders that it did not take up have no other end, and
 	// the module would count them as out for ever.
 	for len(e.request.Actions) > 0 {
-		if a := <-e.request.Actions; a.Kind == memory.ActionForward {
+		if a := <-e.request.Actions; a.Kind == inflight.ActionForward {
 			a.Attempt.Cancel()
 			attemptEnded{attempt: a.Attempt, status: choice.NotSent}.apply(l)
 		}
@@ -192,7 +193,7 @@
 
 // streamOpened says that an attempt's stream has begun. The first one is the
 // client's; any other is of no more use.
-type streamOpened struct{ attempt *memory.Attempt }
+type streamOpened struct{ attempt *inflight.Attempt }
 
 func (e streamOpened) apply(l *eventLoop) {
 	r := e.attempt.Request
@@ -203,12 +204,12 @@
 	r.Winner = e.attempt
 	// The others are called off before the client gets anything: nothing is sent for it from then on.
 	l.module.FirstToken(l.now, choice.Outcome{ID: r.ID, Attempt: e.attempt.Index, Replica: e.attempt.Replica.ID, Elapsed: l.now - e.attempt.SentAt})
-	r.Actions <- memory.Action{Kind: memory.ActionStream, Attempt: e.attempt}
+	r.Actions <- inflight.Action{Kind: inflight.ActionStream, Attempt: e.attempt}
 }
 
 // attemptEnded is an attempt's one outcome.
 type attemptEnded struct {
-	attempt      *memory.Attempt
+	attempt      *inflight.Attempt
 	status       choice.Status
 	cachedTokens int
 	outputTokens int
@@ -244,7 +245,7 @@
 }
 
 type healthCheckEnded struct {
-	replica *memory.Replica
+	replica *endpoint.Replica
 	status  choice.Status
 	elapsed choice.Micros
 	report  choice.LoadReport
@@ -362,7 +363,7 @@
 		cutAt = r.Deadline
 	}
 	if w == nil { // the list has changed under the decision: it never ran
-		w = &memory.Replica{ID: to}
+		w = &endpoint.Replica{ID: to}
 	}
 	l.recordReportAge(to)
 	d := l.requests.StartAttempt(r, w, l.now, cutAt)
@@ -370,11 +371,11 @@
 	if !l.chargeAttempt(d) {
 		return
 	}
-	r.Actions <- memory.Action{Kind: memory.ActionForward, Attempt: d}
+	r.Actions <- inflight.Action{Kind: inflight.ActionForward, Attempt: d}
 }
 
 func (l *eventLoop) Shed(id choice.RequestID, retryAfter choice.Micros) {
-	l.sendFinalAnswer(id, memory.Action{Kind: memory.ActionShed, RetryAfter: retryAfter, Reason: l.shedReason(id)})
+	l.sendFinalAnswer(id, inflight.Action{Kind: inflight.ActionShed, RetryAfter: retryAfter, Reason: l.shedReason(id)})
 }
 
 // shedReason tells, for the log, what a refusal of the module's comes from.
@@ -397,7 +398,7 @@
 const nearDeadline choice.Micros = 20_000
 
 // attemptReason tells, for the log, what the newest attempt of a request is.
-func attemptReason(r *memory.Request) string {
+func attemptReason(r *inflight.Request) string {
 	switch {
 	case len(r.Attempts) == 1:
 		return "first"
@@ -408,10 +409,10 @@
 }
 
 func (l *eventLoop) Fail(id choice.RequestID) {
-	l.sendFinalAnswer(id, memory.Action{Kind: memory.ActionFail})
+	l.sendFinalAnswer(id, inflight.Action{Kind: inflight.ActionFail})
 }
 
-func (l *eventLoop) sendFinalAnswer(id choice.RequestID, a memory.Action) {
+func (l *eventLoop) sendFinalAnswer(id choice.RequestID, a inflight.Action) {
 	r := l.requests.Get(id)
 	if r == nil || r.Finished || r.Winner != nil {
 		return
--- a/internal/gateway/orders.go
+++ b/internal/gateway/orders.go
@@ -9,9 +9,9 @@
 	"sync"
 	"time"
 
+	"archknot/internal/endpoint"
 	"archknot/internal/figures"
 	"archknot/internal/maintenance"
-	"archknot/internal/memory"
 	"archknot/internal/operator"
 	"archknot/internal/wire/socket"
 )
@@ -185,7 +185,7 @@
 }
 
 // acceptsWork tells whether a replica may get new work as of now, for an attempt that is about to be written.
-func (g *Gateway) acceptsWork(w *memory.Replica) bool {
+func (g *Gateway) acceptsWork(w *endpoint.Replica) bool {
 	id := w.Endpoint.ID
 	return w.Accepting() && (g.options.Orders == nil || !g.options.Orders.Ejected(id) && !g.pendingEjections.has(id))
 }
--- a/internal/gateway/pooledclient.go
+++ b/internal/gateway/pooledclient.go
@@ -8,8 +8,8 @@
 	"net/http"
 	"time"
 
+	"archknot/internal/connpool"
 	"archknot/internal/figures"
-	"archknot/internal/memory"
 	"archknot/internal/wire/socket"
 )
 
@@ -20,7 +20,7 @@
 
 // pooledClient makes short calls without a body over kept connections.
 type pooledClient struct {
-	pool  *memory.Pool
+	pool  *connpool.Pool
 	meter *figures.Meter
 }
 
--- a/internal/gateway/server.go
+++ b/internal/gateway/server.go
@@ -14,7 +14,7 @@
 	"time"
 
 	"archknot/choice"
-	"archknot/internal/memory"
+	"archknot/internal/inflight"
 	"archknot/internal/wire/socket"
 )
 
@@ -169,7 +169,7 @@
 	defer hand.release()
 	ctx, end := context.WithCancel(hand.context(r))
 	defer end()
-	req := memory.NewRequest(ctx, job.ID, job.Request, sentAt+job.Timeout, max(protocolMaxAttempts, g.options.Settings.MaxAttempts))
+	req := inflight.NewRequest(ctx, job.ID, job.Request, sentAt+job.Timeout, max(protocolMaxAttempts, g.options.Settings.MaxAttempts))
 	req.ClientClosed, req.Cancel = conn.peerGone, end
 	answer, reason, replica, attempts, first, retryAfter := "client_gone", "", "", 0, choice.Micros(0), choice.Micros(0)
 	defer func() {
@@ -183,7 +183,7 @@
 	}()
 	g.loop.events <- requestArrived{req, live, told}
 	for {
-		var a memory.Action
+		var a inflight.Action
 		select {
 		case a = <-req.Actions:
 		case <-ctx.Done(): // its attempts end with it
@@ -195,10 +195,10 @@
 			return
 		}
 		switch a.Kind {
-		case memory.ActionForward:
+		case inflight.ActionForward:
 			attempts++
 			g.startAttempt(r, body, a.Attempt, hand)
-		case memory.ActionStream:
+		case inflight.ActionStream:
 			replica, first = a.Attempt.Replica.Endpoint.ID, g.clock.now()-sentAt
 			whole := relayStream(w, a.Attempt, hand)
 			if ctx.Err() != nil || hand.lost() {
@@ -214,19 +214,19 @@
 				panic(http.ErrAbortHandler)
 			}
 			return
-		case memory.ActionShed:
+		case inflight.ActionShed:
 			answer, reason, retryAfter = "shed", a.Reason, a.RetryAfter
 			writeOverload(w, a.RetryAfter)
 			return
-		case memory.ActionDeny:
+		case inflight.ActionDeny:
 			answer, reason, retryAfter = "contract_rejected", a.Reason, a.RetryAfter
 			writeContractRejection(w, a.Reason, a.RetryAfter)
 			return
-		case memory.ActionReject:
+		case inflight.ActionReject:
 			answer, reason = "rejected", a.Reason
 			g.reject(w, badRequest(a.Reason))
 			return
-		case memory.ActionFail:
+		case inflight.ActionFail:
 			answer = "failed"
 			http.Error(w, "the request failed", http.StatusBadGateway)
 			return
@@ -237,7 +237,7 @@
 // relayStream gives the client an attempt's events, each as it comes, and tells
 // whether the stream came whole. A worker may send one event in several chunks, which are of no
 // use to the client alone: they go on together, or as far as they have come once they take too long.
-func relayStream(w http.ResponseWriter, d *memory.Attempt, hand *requestLease) bool {
+func relayStream(w http.ResponseWriter, d *inflight.Attempt, hand *requestLease) bool {
 	defer d.Cancel()
 	out := http.NewResponseController(w)
 	w.Header().Set("Content-Type", "text/event-stream")
--- a/internal/gateway/takeover.go
+++ b/internal/gateway/takeover.go
@@ -11,7 +11,7 @@
 	"time"
 
 	"archknot/choice"
-	"archknot/internal/memory"
+	"archknot/internal/inflight"
 	"archknot/internal/peers"
 	"archknot/internal/takeover"
 	"archknot/internal/wire/socket"
@@ -110,7 +110,7 @@
 
 // mayDispatch tells whether an attempt may go out: the first of a hold is its own, any other
 // needs a permit.
-func (h *requestLease) mayDispatch(d *memory.Attempt) bool {
+func (h *requestLease) mayDispatch(d *inflight.Attempt) bool {
 	if h == nil {
 		return true
 	}
--- a/internal/gateway/version_test.go
+++ b/internal/gateway/version_test.go
@@ -16,7 +16,7 @@
 
 	"archknot/choice"
 	"archknot/internal/confstream"
-	"archknot/internal/memory"
+	"archknot/internal/inflight"
 	"archknot/internal/revision"
 	pb "archknot/internal/revision/configpb"
 	"archknot/internal/standin/controlservice"
@@ -303,7 +303,7 @@
 	}
 	l.receiveList(list, choice.ListCached)
 	for i := range 10_000 {
-		r := memory.NewRequest(context.Background(), fmt.Sprint(i), choice.Request{Class: "chat", PromptTokens: 10}, l.now+60e6, 3)
+		r := inflight.NewRequest(context.Background(), fmt.Sprint(i), choice.Request{Class: "chat", PromptTokens: 10}, l.now+60e6, 3)
 		requestArrived{r, l.gateway.config.Load(), true}.apply(l)
 	}
 	if n := l.balancer.Stats().Requests; n < 9_000 {
--- a/internal/gateway/withdrawn_test.go
+++ b/internal/gateway/withdrawn_test.go
@@ -6,7 +6,7 @@
 	"testing"
 
 	"archknot/choice"
-	"archknot/internal/memory"
+	"archknot/internal/inflight"
 	"archknot/internal/wire/socket"
 )
 
@@ -31,8 +31,8 @@
 			ordered := l.endpoints.ByName("s-1")
 			change(&entry)
 			l.receiveList(socket.EndpointList{Reset: kind == choice.ListFull, Endpoints: []socket.Endpoint{entry}}, kind)
-			store := memory.NewTable()
-			r := memory.NewRequest(context.Background(), "a1", choice.Request{}, 0, 3)
+			store := inflight.NewTable()
+			r := inflight.NewRequest(context.Background(), "a1", choice.Request{}, 0, 3)
 			store.Add(r)
 			d := store.StartAttempt(r, ordered, l.now, l.now+5_000_000)
 			go func() {
--- a/internal/hold/syncpoint.go
+++ b/internal/hold/syncpoint.go
@@ -11,7 +11,7 @@
 	"testing"
 	"time"
 
-	"archknot/internal/memory"
+	"archknot/internal/connpool"
 )
 
 // maxWait bounds each wait of a test.
@@ -133,6 +133,6 @@
 
 // hasUnreadBytes tells whether bytes have come that were not read.
 func hasUnreadBytes(fd uintptr) bool {
-	n, err := memory.PeekDescriptor(int(fd))
+	n, err := connpool.PeekDescriptor(int(fd))
 	return err == nil && n > 0
 }
--- a/internal/memory/requests.go
+++ b/internal/inflight/table.go
@@ -1,10 +1,12 @@
-package memory
+// Package inflight tracks the client requests that the gateway is serving and their attempts at replicas.
+package inflight
 
 import (
 	"context"
 
 	"archknot/choice"
 	"archknot/internal/contract"
+	"archknot/internal/endpoint"
 )
 
 // ActionKind is what the module, or the binding of a stream, asks of the task
@@ -52,7 +54,7 @@
 type Attempt struct {
 	Request   *Request
 	Index     int
-	Replica   *Replica
+	Replica   *endpoint.Replica
 	SentAt    choice.Micros
 	TimeoutAt choice.Micros
 	Ctx       context.Context
@@ -110,7 +112,7 @@
 func (s *Table) Len() int { return len(s.byID) }
 
 // StartAttempt enters a new attempt of r.
-func (s *Table) StartAttempt(r *Request, w *Replica, now, cutAt choice.Micros) *Attempt {
+func (s *Table) StartAttempt(r *Request, w *endpoint.Replica, now, cutAt choice.Micros) *Attempt {
 	d := &Attempt{Request: r, Index: len(r.Attempts), Replica: w, SentAt: now, TimeoutAt: cutAt, Events: make(chan []byte)}
 	d.Ctx, d.Cancel = context.WithCancel(r.Ctx)
 	r.Attempts = append(r.Attempts, d)
