--- a/choice/admission.go
+++ b/balancer/admission.go
@@ -1,10 +1,10 @@
-package choice
+package balancer
 
 import (
 	"cmp"
 	"math"
 
-	"archknot/internal/site"
+	"archknot/balancer/zonehealth"
 )
 
 const (
@@ -215,7 +215,7 @@
 	if b.largeFleet() {
 		many = b.gatewaysPerReplica() / largeFleetGateways
 	}
-	rests := site.Backoff{Min: backoffMin, Max: backoffMax}
+	rests := zonehealth.Backoff{Min: backoffMin, Max: backoffMax}
 	w.backoffUntil = now + rests.Delay(w.consecutiveFailures, s != Errored, many, b.random())
 }
 
--- a/choice/balancer_test.go
+++ b/balancer/balancer_test.go
@@ -1,4 +1,4 @@
-package choice
+package balancer
 
 import (
 	"fmt"
@@ -110,7 +110,7 @@
 	} {
 		s := settings()
 		spoil(&s)
-		if _, err := New(s, 1, &recorder{}); err == nil || !strings.HasPrefix(err.Error(), "choice: ") {
+		if _, err := New(s, 1, &recorder{}); err == nil || !strings.HasPrefix(err.Error(), "balancer: ") {
 			t.Errorf("%s: got error %v", name, err)
 		}
 	}
--- a/choice/bench_test.go
+++ b/balancer/bench_test.go
@@ -1,4 +1,4 @@
-package choice
+package balancer
 
 import (
 	"fmt"
--- a/choice/discovery.go
+++ b/balancer/discovery.go
@@ -1,4 +1,4 @@
-package choice
+package balancer
 
 // Following discovery: the list's news, when discovery is asked again, and for how long what
 // it told is trusted. Whom to send to stands in the table and the guard.
--- a/choice/events.go
+++ b/balancer/events.go
@@ -3,7 +3,7 @@
 // stand in choice.go (requests), table.go (rows and the pick) and guard.go
 // (health, cold starts, admission).
 
-package choice
+package balancer
 
 // Micros is a clock time or a duration in microseconds.
 type Micros = int64
--- a/choice/learning.go
+++ b/balancer/learning.go
@@ -1,4 +1,4 @@
-package choice
+package balancer
 
 // What outcomes and reports teach: means and fits. No decision stands here.
 
--- a/choice/ledger.go
+++ b/balancer/ledger.go
@@ -1,4 +1,4 @@
-package choice
+package balancer
 
 // The rows as reports and own dispatches fill them. No decision stands here.
 
--- a/choice/numeric.go
+++ b/balancer/numeric.go
@@ -1,4 +1,4 @@
-package choice
+package balancer
 
 // Numbers: hashes, the seeded random source, means and fits. No decision
 // stands here.
--- a/choice/polling.go
+++ b/balancer/polling.go
@@ -1,4 +1,4 @@
-package choice
+package balancer
 
 // Asking replicas for reports before a request is sent: where many gateways serve one fleet, each
 // hears too seldom of a replica by its own requests. See docs/design/large-fleet.md.
--- a/choice/reconfigure.go
+++ b/balancer/reconfigure.go
@@ -1,4 +1,4 @@
-package choice
+package balancer
 
 import (
 	"errors"
@@ -85,11 +85,11 @@
 func (s *Settings) checkUnchanged(next *Settings) error {
 	switch {
 	case s.Self != next.Self || s.Gateways != next.Gateways:
-		return fmt.Errorf("choice: gateway %d of %d cannot become %d of %d", s.Self, s.Gateways, next.Self, next.Gateways)
+		return fmt.Errorf("balancer: gateway %d of %d cannot become %d of %d", s.Self, s.Gateways, next.Self, next.Gateways)
 	case s.Zone != next.Zone:
-		return errors.New("choice: the zone cannot change")
+		return errors.New("balancer: the zone cannot change")
 	case s.ReportSource != next.ReportSource || s.WeightKind != next.WeightKind || s.PollDiscovery != next.PollDiscovery || s.LocalDiscovery != next.LocalDiscovery || s.Tick != next.Tick || s.MayGossip != next.MayGossip:
-		return errors.New("choice: how the module hears of the fleet cannot change")
+		return errors.New("balancer: how the module hears of the fleet cannot change")
 	}
 	return nil
 }
--- a/choice/request.go
+++ b/balancer/request.go
@@ -9,7 +9,7 @@
 // et al., "A System Architecture for Managing Mobile Streaming Media
 // Services": dated load reports, corrected by the budgets of the gateway's
 // own recent dispatches, and a full scan for the least predicted load.
-package choice
+package balancer
 
 import (
 	"errors"
@@ -56,7 +56,7 @@
 // New returns a Balancer for the settings, or tells why they cannot be served.
 func New(s Settings, seed uint64, out Sink) (*Balancer, error) {
 	if out == nil {
-		return nil, errors.New("choice: no sink")
+		return nil, errors.New("balancer: no sink")
 	}
 	if err := s.validate(); err != nil {
 		return nil, err
--- a/choice/snapshot.go
+++ b/balancer/snapshot.go
@@ -1,4 +1,4 @@
-package choice
+package balancer
 
 import (
 	"cmp"
@@ -10,7 +10,7 @@
 
 	"google.golang.org/protobuf/encoding/protowire"
 
-	"archknot/internal/site"
+	"archknot/balancer/zonehealth"
 )
 
 // Snapshot is the whole state of b in protobuf's wire form: the message State
@@ -38,7 +38,7 @@
 	b.archive(a)
 	b.rebuildHashes()
 	if a.finish(); a.err != nil {
-		return nil, fmt.Errorf("choice: snapshot: %w", a.err)
+		return nil, fmt.Errorf("balancer: snapshot: %w", a.err)
 	}
 	return b, nil
 }
@@ -358,9 +358,9 @@
 	// Builds before 1.3 knew zones by failed connects in a row; those before 1.4 counted what
 	// cold replicas were sent, and those of 1.5 what they were wanted for.
 	a.skip(7, 9, 24, 25, 29, 30)
-	sortedMap(a, 26, &g.zones.Zones, func(k *int, v **site.Zone, s *archive) {
+	sortedMap(a, 26, &g.zones.Zones, func(k *int, v **zonehealth.Zone, s *archive) {
 		if !s.saving {
-			*v = &site.Zone{}
+			*v = &zonehealth.Zone{}
 		}
 		p := *v
 		integer(s, 1, k)
--- a/choice/snapshot_test.go
+++ b/balancer/snapshot_test.go
@@ -1,4 +1,4 @@
-package choice
+package balancer
 
 import (
 	"bytes"
@@ -8,7 +8,7 @@
 	"testing"
 	"unsafe"
 
-	"archknot/internal/site"
+	"archknot/balancer/zonehealth"
 	"github.com/google/go-cmp/cmp"
 	"github.com/google/go-cmp/cmp/cmpopts"
 )
@@ -73,7 +73,7 @@
 	}
 	b.RequestArrived(now+2*second, testRequest(7))
 	b.stepFloor[1] = 7
-	b.zones.Zones[1] = &site.Zone{State: site.Unavailable, MissedReplicas: []uint64{3}, AnsweredReplicas: []uint64{4}}
+	b.zones.Zones[1] = &zonehealth.Zone{State: zonehealth.Unavailable, MissedReplicas: []uint64{3}, AnsweredReplicas: []uint64{4}}
 	b.zones.Zones[0].AnsweredReplicas = []uint64{4}
 	return b
 }
--- a/choice/state.go
+++ b/balancer/state.go
@@ -1,4 +1,4 @@
-package choice
+package balancer
 
 import (
 	"errors"
@@ -6,7 +6,7 @@
 	"maps"
 	"slices"
 
-	"archknot/internal/site"
+	"archknot/balancer/zonehealth"
 )
 
 // What a Balancer remembers. No decision stands here.
@@ -182,26 +182,26 @@
 	meanWeightPerToken       float64
 	tenantRate               []float64 // requests a second, by tenant
 	tenantArrivals           []float64
-	zones                    site.Tracker
+	zones                    zonehealth.Tracker
 }
 
 // validate tells why the settings cannot be served.
 func (s *Settings) validate() error {
 	switch {
 	case s.Gateways < 1 || s.Self < 0 || s.Self >= s.Gateways:
-		return fmt.Errorf("choice: gateway %d of %d: expected a number from 0 below the count", s.Self, s.Gateways)
+		return fmt.Errorf("balancer: gateway %d of %d: expected a number from 0 below the count", s.Self, s.Gateways)
 	case len(s.Classes) == 0:
-		return errors.New("choice: no request classes")
+		return errors.New("balancer: no request classes")
 	case s.MaxAttempts < 1:
-		return errors.New("choice: MaxAttempts must be 1 or more")
+		return errors.New("balancer: MaxAttempts must be 1 or more")
 	case s.SlowStartFor > 0 && (s.InitialCapacity <= 0 || s.InitialCapacity > 1):
-		return errors.New("choice: StartCapacity must be above 0 and at most 1")
+		return errors.New("balancer: StartCapacity must be above 0 and at most 1")
 	case s.SlowStartFor < 0 || s.OverloadWindow < 0 || s.OverloadMultiple < 0 || s.Tick < 0:
-		return errors.New("choice: negative figure in the rules")
+		return errors.New("balancer: negative figure in the rules")
 	}
 	for _, c := range s.Classes {
 		if c.Deadline <= 0 || c.LatencyObjective < 0 {
-			return fmt.Errorf("choice: class %q: deadline must be positive", c.Name)
+			return fmt.Errorf("balancer: class %q: deadline must be positive", c.Name)
 		}
 	}
 	return nil
@@ -256,7 +256,7 @@
 func (b *Balancer) initGuard() {
 	b.tenantRate = make([]float64, len(b.settings.Tenants))
 	b.tenantArrivals = make([]float64, len(b.settings.Tenants))
-	b.zones, b.stepFloor = site.New(), map[int]float64{}
+	b.zones, b.stepFloor = zonehealth.New(), map[int]float64{}
 	b.hedgeBudget, b.retryBudget = 1, budgetCap
 }
 
--- a/internal/site/backoff.go
+++ b/balancer/zonehealth/backoff.go
@@ -1,4 +1,4 @@
-package site
+package zonehealth
 
 // Backoff bound how long a worker that failed gets nothing, in microseconds.
 type Backoff struct{ Min, Max Micros }
--- a/internal/site/zonehealth.go
+++ b/balancer/zonehealth/zonehealth.go
@@ -7,7 +7,7 @@
 // workers of a fleet some part is always slow or failing, and that several of one site
 // fail at once without a word from any other has to be more likely by a loss than by
 // chance. Who doubts asks others of the site at once: an answer from any ends the doubt.
-package site
+package zonehealth
 
 import "slices"
 
--- a/internal/site/zonehealth_test.go
+++ b/balancer/zonehealth/zonehealth_test.go
@@ -1,4 +1,4 @@
-package site
+package zonehealth
 
 import (
 	"reflect"
--- a/cmd/adapter/main.go
+++ b/cmd/adapter/main.go
@@ -12,11 +12,11 @@
 	"path/filepath"
 	"time"
 
-	"archknot/choice"
-	"archknot/internal/build"
+	"archknot/balancer"
+	"archknot/internal/buildinfo"
 	"archknot/internal/capture"
 	"archknot/internal/contract"
-	"archknot/internal/wire"
+	"archknot/internal/simwire"
 )
 
 func main() {
@@ -31,7 +31,7 @@
 
 // host holds the instances of one process.
 type host struct {
-	enc     *wire.Encoder
+	enc     *simwire.Encoder
 	capture string // folder of captures; "": none
 	books   bool   // shares are kept by contracts
 	nodes   map[int]*node
@@ -49,8 +49,8 @@
 
 // run serves batches until the input ends. An error names the line.
 func run(in io.Reader, out io.Writer, dir string, books bool) (err error) {
-	dec := wire.NewDecoder(in)
-	h := &host{enc: wire.NewEncoder(out), capture: dir, books: books, nodes: map[int]*node{}}
+	dec := simwire.NewDecoder(in)
+	h := &host{enc: simwire.NewEncoder(out), capture: dir, books: books, nodes: map[int]*node{}}
 	defer func() {
 		for _, n := range h.nodes {
 			n.close()
@@ -71,14 +71,14 @@
 }
 
 // bear makes a new instance.
-func (h *host) bear(ev *wire.Event) (*node, error) {
+func (h *host) bear(ev *simwire.Event) (*node, error) {
 	sink := h.enc.Sink(ev.Gateway)
 	n := &node{}
 	if h.capture != "" {
 		n.timers = &timers{Sink: sink, set: capture.Timers{}}
 		sink = n.timers
 	}
-	b, err := choice.New(ev.Settings, ev.Seed, sink)
+	b, err := balancer.New(ev.Settings, ev.Seed, sink)
 	if err != nil {
 		return nil, err
 	}
@@ -93,7 +93,7 @@
 	}
 	h.born++
 	name := fmt.Sprintf("instance%d_%d", ev.Gateway, h.born)
-	n.writer, err = capture.NewWriter(capture.WriterOptions{Directory: filepath.Join(h.capture, name), Gateway: name, Build: build.Version(),
+	n.writer, err = capture.NewWriter(capture.WriterOptions{Directory: filepath.Join(h.capture, name), Gateway: name, Build: buildinfo.Version(),
 		Seed: ev.Seed, QueueLength: 8, BlockWhenFull: true, MaxBytes: math.MaxInt64, MaxAge: math.MaxInt64})
 	if err != nil {
 		return nil, err
@@ -112,11 +112,11 @@
 }
 
 // apply hands one event to its instance.
-func (h *host) apply(ev *wire.Event) error {
+func (h *host) apply(ev *simwire.Event) error {
 	switch ev.Kind {
-	case wire.BatchEnd:
+	case simwire.BatchEnd:
 		return h.enc.Flush()
-	case wire.InstanceStarted:
+	case simwire.InstanceStarted:
 		n, err := h.bear(ev)
 		if err != nil {
 			return fmt.Errorf("BORN: %w", err)
@@ -132,15 +132,15 @@
 	}
 	n.now(ev.Now)
 	switch ev.Kind {
-	case wire.InstanceKilled:
+	case simwire.InstanceKilled:
 		n.close()
 		delete(h.nodes, ev.Gateway)
-	case wire.EndpointList:
+	case simwire.EndpointList:
 		n.ListChanged(ev.Now, ev.Endpoints)
-	case wire.RequestArrived:
+	case simwire.RequestArrived:
 		n.agreed(ev)
 		n.RequestArrived(ev.Now, ev.Request)
-	case wire.TimerFired:
+	case simwire.TimerFired:
 		if n.timers != nil {
 			n.timers.set.Remove(ev.Token)
 		}
@@ -148,15 +148,15 @@
 		if n.book != nil && ev.Token == 0 { // the module's tick, at which it averages too
 			n.book.UpdateDemand(ev.Now)
 		}
-	case wire.HealthCheckEnded:
+	case simwire.HealthCheckEnded:
 		n.HealthCheckEnded(ev.Now, ev.Outcome)
-	case wire.AttemptEnded:
+	case simwire.AttemptEnded:
 		n.AttemptEnded(ev.Now, ev.Outcome)
-	case wire.ClientGone:
+	case simwire.ClientGone:
 		n.ClientGone(ev.Now, ev.Outcome.ID)
-	case wire.FirstToken:
+	case simwire.FirstToken:
 		n.FirstToken(ev.Now, ev.Outcome)
-	case wire.PeerMessage:
+	case simwire.PeerMessage:
 		n.PeerMessage(ev.Now, ev.Peer, ev.Body)
 	}
 	return nil
@@ -165,7 +165,7 @@
 // shares are the deployment's quotas as contracts: a request counts as one. As the
 // module's own rule has it, a tenant that lately asked for a quarter more than its
 // quota is beyond it with all it sends. Each instance holds an equal part.
-func shares(ev *wire.Event) (*contract.Ledger, error) {
+func shares(ev *simwire.Event) (*contract.Ledger, error) {
 	s := &ev.Settings
 	var terms []contract.Terms
 	var parts []float64
@@ -186,7 +186,7 @@
 }
 
 // agreed has the contract tell the worth that a request competes with.
-func (n *node) agreed(ev *wire.Event) {
+func (n *node) agreed(ev *simwire.Event) {
 	if n.book == nil {
 		return
 	}
@@ -196,7 +196,7 @@
 	ev.Request.PriorityFactor = max(1e-6, v.PriorityWeight)
 }
 
-func (n *node) now(now choice.Micros) {
+func (n *node) now(now balancer.Micros) {
 	if n.timers != nil {
 		n.timers.now = now
 	}
@@ -205,12 +205,12 @@
 // timers remembers those that are set: the simulator holds them, and a capture
 // needs them in its checkpoints.
 type timers struct {
-	choice.Sink
-	now choice.Micros
+	balancer.Sink
+	now balancer.Micros
 	set capture.Timers
 }
 
-func (t *timers) SetTimer(delay choice.Micros, token uint64) {
+func (t *timers) SetTimer(delay balancer.Micros, token uint64) {
 	t.set.Add(t.now+delay, token)
 	t.Sink.SetTimer(delay, token)
 }
--- a/cmd/adapter/main_test.go
+++ b/cmd/adapter/main_test.go
@@ -107,7 +107,7 @@
 	for in, want := range map[string]string{
 		good + "TURN\t9000\nON\t4\nTIMER\t1\n":            "instance 4 was never born",
 		good + "TURN\t9000\nON\t0\nKILL\nTIMER\t1\n":      "instance 0 was never born or is dead",
-		"TURN\t1\nON\t0\nBORN\t1\t{\"nInstances\":1}\n":   "line 3: BORN: choice: no request classes",
+		"TURN\t1\nON\t0\nBORN\t1\t{\"nInstances\":1}\n":   "line 3: BORN: balancer: no request classes",
 		"TURN\t1\nON\t0\nTIMER\tx\n":                      "line 3: TIMER: field 1 (ref)",
 		"TURN\t1\nON\t0\nBORN\t1\t{\"nInstances\":\"x\"}": "cut off",
 	} {
--- a/example/control/main.go
+++ b/example/control/main.go
@@ -13,9 +13,9 @@
 	"github.com/alecthomas/kong"
 	"google.golang.org/protobuf/proto"
 
-	"archknot/internal/revision"
-	pb "archknot/internal/revision/configpb"
-	"archknot/internal/standin/controlservice"
+	"archknot/internal/configversion"
+	pb "archknot/internal/configversion/configpb"
+	"archknot/internal/fakes/controlservice"
 )
 
 var args struct {
@@ -74,9 +74,9 @@
 }
 
 func version(n uint64, class string) *controlservice.Version {
-	return &controlservice.Version{Number: n, Resources: map[revision.ResourceType][]proto.Message{
-		revision.TypeClass:    {&pb.Class{Name: class, AimUs: 1_000_000, TokenAimUs: 300_000, DeadlineUs: 3_000_000, Worth: 2, LateWorth: 0.3, Stream: true}},
-		revision.TypeAttempts: {&pb.Attempts{Most: 3, SecondCopies: true}},
+	return &controlservice.Version{Number: n, Resources: map[configversion.ResourceType][]proto.Message{
+		configversion.TypeClass:    {&pb.Class{Name: class, AimUs: 1_000_000, TokenAimUs: 300_000, DeadlineUs: 3_000_000, Worth: 2, LateWorth: 0.3, Stream: true}},
+		configversion.TypeAttempts: {&pb.Attempts{Most: 3, SecondCopies: true}},
 	}}
 }
 
@@ -102,9 +102,9 @@
 	switch f[0] {
 	case "good":
 	case "bad":
-		v.Resources[revision.TypeAttempts] = []proto.Message{&pb.Attempts{Most: 4}}
+		v.Resources[configversion.TypeAttempts] = []proto.Message{&pb.Attempts{Most: 4}}
 	case "truncated":
-		v.Truncate = revision.TypeClass
+		v.Truncate = configversion.TypeClass
 	case "step":
 		v = version(n, "other")
 	case "vanish":
@@ -132,7 +132,7 @@
 		if len(f) < 3 {
 			return fmt.Errorf("expected a worker's name")
 		}
-		v.Resources[revision.TypeReplica] = []proto.Message{&pb.Worker{Name: f[2], Mark: pb.Worker_DRAIN}}
+		v.Resources[configversion.TypeReplica] = []proto.Message{&pb.Worker{Name: f[2], Mark: pb.Worker_DRAIN}}
 	case "down":
 		s.Stop()
 		time.Sleep(time.Duration(n) * time.Second)
--- a/example/teams/main.go
+++ b/example/teams/main.go
@@ -24,10 +24,10 @@
 
 	"github.com/alecthomas/kong"
 
-	"archknot/choice"
+	"archknot/balancer"
 	"archknot/internal/contract"
 	"archknot/internal/gateway"
-	"archknot/internal/wire/socket"
+	"archknot/internal/httpwire"
 )
 
 var args struct {
@@ -55,7 +55,7 @@
 
 // fleet is a registry and workers with so many places each, at loopback addresses.
 type fleet struct {
-	list  socket.EndpointList
+	list  httpwire.EndpointList
 	slots int64
 }
 
@@ -70,7 +70,7 @@
 
 func (f *fleet) worker(name string) {
 	l, addr := listen()
-	f.list.Endpoints = append(f.list.Endpoints, socket.Endpoint{ID: name, Addr: addr, Zone: "here", Kind: "toy", Lifecycle: "ready", Weight: 1})
+	f.list.Endpoints = append(f.list.Endpoints, httpwire.Endpoint{ID: name, Addr: addr, Zone: "here", Kind: "toy", Lifecycle: "ready", Weight: 1})
 	var in atomic.Int64
 	places := make(chan struct{}, f.slots)
 	go http.Serve(l, http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
@@ -78,12 +78,12 @@
 			return fmt.Sprintf("busy_reqs=%d,x0=%.3f", in.Load(), float64(in.Load())/float64(f.slots))
 		}
 		switch r.URL.Path {
-		case socket.LivePath:
+		case httpwire.LivePath:
 			return
-		case socket.StatsPath:
+		case httpwire.StatsPath:
 			fmt.Fprint(w, load())
 			return
-		case socket.CompletionsPath:
+		case httpwire.CompletionsPath:
 		default:
 			http.NotFound(w, r)
 			return
@@ -137,16 +137,16 @@
 	for i := range args.Workers {
 		f.worker(fmt.Sprint("w-", i+1))
 	}
-	classes := []choice.Class{
+	classes := []balancer.Class{
 		{Name: "agent", LatencyObjective: 1_000_000, TokenObjective: 300_000, Deadline: args.Deadline.Microseconds(), PriorityWeight: 2, LateWeightShare: 0.3, Streaming: true},
 		{Name: "bulk", LatencyObjective: 1_000_000, TokenObjective: 300_000, Deadline: args.Deadline.Microseconds(), PriorityWeight: 2, LateWeightShare: 0.3, Streaming: true}}
-	o := gateway.Options{Name: "teams", Discovery: f.registry(), Seed: args.Seed, CachedList: socket.EndpointList{Generation: socket.NoGeneration}, MaxInFlight: 4000, MaxClientConns: 4000, OverflowConns: 16, MaxReplicaConns: 2000,
+	o := gateway.Options{Name: "teams", Discovery: f.registry(), Seed: args.Seed, CachedList: httpwire.EndpointList{Generation: httpwire.NoGeneration}, MaxInFlight: 4000, MaxClientConns: 4000, OverflowConns: 16, MaxReplicaConns: 2000,
 		MaxBodyBytes: 1 << 20, ConnectTimeout: time.Second, ReplicaConnIdle: 30 * time.Second, ClientConnIdle: 30 * time.Second, StreamIdleTimeout: 5 * time.Second,
 		HealthCheckTimeout: time.Second, PollWithin: 10 * time.Second, WatchWait: 2 * time.Second, DiscoveryTimeout: time.Second,
 		DrainAcceptPeriod: 100 * time.Millisecond,
-		Settings: choice.Settings{Gateways: 1, Zone: "here", Zones: []string{"here"}, Kinds: []string{"toy"}, Classes: classes, MaxAttempts: 3,
+		Settings: balancer.Settings{Gateways: 1, Zone: "here", Zones: []string{"here"}, Kinds: []string{"toy"}, Classes: classes, MaxAttempts: 3,
 			OverQuotaWeight: 0.05, MayHealthCheck: true}}
-	o.Settings.Tick, o.Settings.PollDiscovery, o.Settings.ReportSource, o.Settings.MayCancel = 2000, true, choice.ReportInline, true
+	o.Settings.Tick, o.Settings.PollDiscovery, o.Settings.ReportSource, o.Settings.MayCancel = 2000, true, balancer.ReportInline, true
 	o.Settings.InitialCapacity, o.Settings.OverloadMultiple, o.Settings.SlowStartFor, o.Settings.OverloadWindow = 0.3, 3, 8e6, 1.5e6
 	o.Settings.StreamsPerConn, o.Settings.ConnIdleTimeout = 1, 60e6
 	if !args.Off {
--- a/example/toy/main.go
+++ b/example/toy/main.go
@@ -18,7 +18,7 @@
 	"sync/atomic"
 	"time"
 
-	"archknot/internal/wire/socket"
+	"archknot/internal/httpwire"
 )
 
 const registryAddr = "127.0.0.1:8500"
@@ -38,7 +38,7 @@
 	for i := range *workers {
 		addr := fmt.Sprintf("127.0.0.1:%d", 9001+i)
 		name := fmt.Sprintf("toy-%d", i+1)
-		reg.list.Endpoints = append(reg.list.Endpoints, socket.Endpoint{ID: name, Addr: addr, Zone: "here", Kind: "toy",
+		reg.list.Endpoints = append(reg.list.Endpoints, httpwire.Endpoint{ID: name, Addr: addr, Zone: "here", Kind: "toy",
 			Lifecycle: "ready", Weight: 1})
 		go serve(addr, &worker{name: name})
 	}
@@ -61,12 +61,12 @@
 func (w *worker) ServeHTTP(out http.ResponseWriter, r *http.Request) {
 	load := fmt.Sprintf("busy_reqs=%d,x0=%.2f", w.in.Load(), float64(w.in.Load())/float64(*slots))
 	switch {
-	case r.URL.Path == socket.LivePath:
+	case r.URL.Path == httpwire.LivePath:
 		return
-	case r.URL.Path == socket.StatsPath:
+	case r.URL.Path == httpwire.StatsPath:
 		fmt.Fprint(out, load)
 		return
-	case r.URL.Path != socket.CompletionsPath || r.Header.Get("Req-Id") == "":
+	case r.URL.Path != httpwire.CompletionsPath || r.Header.Get("Req-Id") == "":
 		http.NotFound(out, r)
 		return
 	}
@@ -103,12 +103,12 @@
 // registry tells the list, and waits for changes where it is asked to.
 type registry struct {
 	mu   sync.Mutex
-	list socket.EndpointList
+	list httpwire.EndpointList
 	news chan struct{} // closed at the next change
 }
 
 func (g *registry) ServeHTTP(w http.ResponseWriter, r *http.Request) {
-	if r.URL.Path != socket.ListPath {
+	if r.URL.Path != httpwire.ListPath {
 		http.NotFound(w, r)
 		return
 	}
@@ -126,7 +126,7 @@
 	}
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	out := socket.EndpointList{Generation: g.list.Generation, Reset: true, Endpoints: g.list.Endpoints}
+	out := httpwire.EndpointList{Generation: g.list.Generation, Reset: true, Endpoints: g.list.Endpoints}
 	if err == nil && since == out.Generation {
 		out.Reset, out.Endpoints = false, nil
 	}
--- a/internal/operator/server.go
+++ b/internal/adminapi/server.go
@@ -1,7 +1,7 @@
 // Package operator serves the address for operators alone: they ask whether the process can serve,
 // take replicas out and put them back, and drain the gateway and end that. One call to a connection;
 // 2xx is yes, 4xx and 5xx are no.
-package operator
+package adminapi
 
 import (
 	"context"
--- a/internal/operator/server_test.go
+++ b/internal/adminapi/server_test.go
@@ -1,4 +1,4 @@
-package operator
+package adminapi
 
 import (
 	"bufio"
--- a/internal/build/buildinfo.go
+++ b/internal/buildinfo/buildinfo.go
@@ -1,5 +1,5 @@
 // Package build tells which build of the program this is.
-package build
+package buildinfo
 
 import "runtime/debug"
 
--- a/internal/capture/convert.go
+++ b/internal/capture/convert.go
@@ -6,13 +6,13 @@
 	"fmt"
 	"strings"
 
-	"archknot/choice"
+	"archknot/balancer"
 	pb "archknot/internal/capture/capturepb"
 )
 
 // The module's words in the capture's form, and back.
 
-func reportToProto(to *pb.Report, r *choice.LoadReport) *pb.Report {
+func reportToProto(to *pb.Report, r *balancer.LoadReport) *pb.Report {
 	if r.Has == 0 {
 		return nil
 	}
@@ -22,27 +22,27 @@
 }
 
 // ReportFromProto is the module's form of a report; nil is none.
-func ReportFromProto(r *pb.Report) choice.LoadReport {
+func ReportFromProto(r *pb.Report) balancer.LoadReport {
 	if r == nil {
-		return choice.LoadReport{}
+		return balancer.LoadReport{}
 	}
-	return choice.LoadReport{Has: uint8(r.Has), MemoryShare: r.MemoryShare, PrefillBacklogK: r.UnreadK, InFlight: r.InFlight,
+	return balancer.LoadReport{Has: uint8(r.Has), MemoryShare: r.MemoryShare, PrefillBacklogK: r.UnreadK, InFlight: r.InFlight,
 		Queued: r.Queued, ServiceMs: r.ServiceMs, Utilization: r.Util}
 }
 
-func outcomeToProto(to *pb.Outcome, report *pb.Report, o *choice.Outcome) *pb.Outcome {
+func outcomeToProto(to *pb.Outcome, report *pb.Report, o *balancer.Outcome) *pb.Outcome {
 	to.Attempt, to.Worker, to.Status, to.ElapsedUs = int64(o.Attempt), uint32(o.Replica), uint32(o.Status), o.Elapsed
 	to.Final, to.Kept, to.Tokens, to.Report = o.Final, int64(o.CachedTokens), int64(o.OutputTokens), reportToProto(report, &o.Report)
 	return to
 }
 
-func outcomeFromProto(id choice.RequestID, o *pb.Outcome) choice.Outcome {
-	return choice.Outcome{ID: id, Attempt: int(o.GetAttempt()), Replica: choice.ReplicaID(o.GetWorker()),
-		Status: choice.Status(o.GetStatus()), Elapsed: o.GetElapsedUs(), Final: o.GetFinal(), CachedTokens: int(o.GetKept()),
+func outcomeFromProto(id balancer.RequestID, o *pb.Outcome) balancer.Outcome {
+	return balancer.Outcome{ID: id, Attempt: int(o.GetAttempt()), Replica: balancer.ReplicaID(o.GetWorker()),
+		Status: balancer.Status(o.GetStatus()), Elapsed: o.GetElapsedUs(), Final: o.GetFinal(), CachedTokens: int(o.GetKept()),
 		OutputTokens: int(o.GetTokens()), Report: ReportFromProto(o.GetReport())}
 }
 
-func arrivalToProto(to *pb.Arrival, in *choice.Request, name string) *pb.Arrival {
+func arrivalToProto(to *pb.Arrival, in *balancer.Request, name string) *pb.Arrival {
 	to.Class, to.Tenant, to.TimeLeftUs, to.Name = append(to.Class[:0], in.Class...), append(to.Tenant[:0], in.Tenant...), in.TimeLeft, sanitizeName(name)
 	to.PromptTokens, to.PrefixTokens, to.MaxTokens = int64(in.PromptTokens), int64(in.PrefixTokens), int64(in.MaxTokens)
 	to.Session, to.Prefix, to.Factor, to.Spent = in.Session, in.Prefix, in.PriorityFactor, int64(in.PriorAttempts)
@@ -50,13 +50,13 @@
 	return to
 }
 
-func arrivalFromProto(id choice.RequestID, a *pb.Arrival) choice.Request {
-	return choice.Request{ID: id, Class: string(a.GetClass()), Tenant: string(a.GetTenant()), TimeLeft: a.GetTimeLeftUs(),
+func arrivalFromProto(id balancer.RequestID, a *pb.Arrival) balancer.Request {
+	return balancer.Request{ID: id, Class: string(a.GetClass()), Tenant: string(a.GetTenant()), TimeLeft: a.GetTimeLeftUs(),
 		PromptTokens: int(a.GetPromptTokens()), PrefixTokens: int(a.GetPrefixTokens()), MaxTokens: int(a.GetMaxTokens()),
-		Session: a.GetSession(), Prefix: a.GetPrefix(), PriorityFactor: a.GetFactor(), PriorAttempts: int(a.GetSpent()), HomeReplica: choice.ReplicaID(a.GetHome())}
+		Session: a.GetSession(), Prefix: a.GetPrefix(), PriorityFactor: a.GetFactor(), PriorAttempts: int(a.GetSpent()), HomeReplica: balancer.ReplicaID(a.GetHome())}
 }
 
-func endpointListToProto(l *choice.EndpointList, name func(choice.ReplicaID) string) *pb.List {
+func endpointListToProto(l *balancer.EndpointList, name func(balancer.ReplicaID) string) *pb.List {
 	out := &pb.List{Kind: uint32(l.Kind), Version: l.Version, Fleet: int64(l.FleetSize), Members: make([]*pb.Member, len(l.Endpoints))}
 	for i, m := range l.Endpoints {
 		out.Members[i] = &pb.Member{Worker: uint32(m.Replica), State: uint32(m.State), Weight: m.Weight, Cell: m.Cell,
@@ -65,10 +65,10 @@
 	return out
 }
 
-func endpointListFromProto(l *pb.List) choice.EndpointList {
-	out := choice.EndpointList{Kind: choice.ListKind(l.GetKind()), Version: l.GetVersion(), FleetSize: int(l.GetFleet())}
+func endpointListFromProto(l *pb.List) balancer.EndpointList {
+	out := balancer.EndpointList{Kind: balancer.ListKind(l.GetKind()), Version: l.GetVersion(), FleetSize: int(l.GetFleet())}
 	for _, m := range l.GetMembers() {
-		out.Endpoints = append(out.Endpoints, choice.Endpoint{Replica: choice.ReplicaID(m.Worker), State: choice.EndpointState(m.State),
+		out.Endpoints = append(out.Endpoints, balancer.Endpoint{Replica: balancer.ReplicaID(m.Worker), State: balancer.EndpointState(m.State),
 			Weight: m.Weight, Cell: m.Cell, Kind: string(m.Kind), Zone: string(m.Zone), StartedAt: m.SinceUs})
 	}
 	return out
@@ -87,8 +87,8 @@
 
 // Apply tells the module what a record says; a checkpoint, a gap
 // and what is the contracts' book's tell nothing.
-func Apply(m Module, now choice.Micros, r *pb.Record) error {
-	id := choice.RequestID(r.Request)
+func Apply(m Module, now balancer.Micros, r *pb.Record) error {
+	id := balancer.RequestID(r.Request)
 	switch r.Kind {
 	case pb.Kind_KIND_START:
 		m.Start(now)
@@ -125,7 +125,7 @@
 
 // marshalSettings writes the module's settings as JSON under the names of its
 // fields: complete by construction.
-func marshalSettings(s *choice.Settings) []byte {
+func marshalSettings(s *balancer.Settings) []byte {
 	text, err := json.Marshal(s)
 	if err != nil {
 		panic(err) // plain data: it cannot fail but for a NaN, which no check lets in
@@ -134,8 +134,8 @@
 }
 
 // UnmarshalSettings reads settings as a capture has them.
-func UnmarshalSettings(text []byte) (choice.Settings, error) {
-	var s choice.Settings
+func UnmarshalSettings(text []byte) (balancer.Settings, error) {
+	var s balancer.Settings
 	d := json.NewDecoder(bytes.NewReader(text))
 	d.DisallowUnknownFields() // a setting that is not understood would decide otherwise
 	if err := d.Decode(&s); err != nil {
--- a/internal/capture/ledger.go
+++ b/internal/capture/ledger.go
@@ -4,7 +4,7 @@
 	"fmt"
 	"slices"
 
-	"archknot/choice"
+	"archknot/balancer"
 	pb "archknot/internal/capture/capturepb"
 	"archknot/internal/contract"
 )
@@ -12,36 +12,36 @@
 // ContractLedger is what the owner of a book of contracts calls: Plain, or a Recorder.
 // Requests are known by the module's number of them, copies by the attempt's.
 type ContractLedger interface {
-	Charge(now choice.Micros, in *choice.Request, copy int, c *contract.Charge) contract.Verdict
-	Settle(now choice.Micros, id choice.RequestID, copy int, c *contract.Charge, used contract.Usage, served bool) bool
-	RecordShed(now choice.Micros, in *choice.Request, u contract.Usage, over bool)
-	ApplyTerms(now choice.Micros, s contract.Settings, terms []contract.Terms) error
-	SetQuotaShares(now choice.Micros, parts []float64)
-	Checkpoint(now choice.Micros) (uint64, []contract.Balance)
-	CheckpointDone(now choice.Micros, number uint64, well bool)
+	Charge(now balancer.Micros, in *balancer.Request, copy int, c *contract.Charge) contract.Verdict
+	Settle(now balancer.Micros, id balancer.RequestID, copy int, c *contract.Charge, used contract.Usage, served bool) bool
+	RecordShed(now balancer.Micros, in *balancer.Request, u contract.Usage, over bool)
+	ApplyTerms(now balancer.Micros, s contract.Settings, terms []contract.Terms) error
+	SetQuotaShares(now balancer.Micros, parts []float64)
+	Checkpoint(now balancer.Micros) (uint64, []contract.Balance)
+	CheckpointDone(now balancer.Micros, number uint64, well bool)
 }
 
 // UnrecordedLedger is a book that nothing records.
 type UnrecordedLedger struct{ Ledger *contract.Ledger }
 
 // Charge has the book judge a request, or a further copy of it.
-func (p UnrecordedLedger) Charge(now choice.Micros, in *choice.Request, copy int, c *contract.Charge) contract.Verdict {
+func (p UnrecordedLedger) Charge(now balancer.Micros, in *balancer.Request, copy int, c *contract.Charge) contract.Verdict {
 	u := p.Ledger.Estimate(in.Class, in.PromptTokens, in.MaxTokens)
 	return p.Ledger.Charge(now, in.Tenant, in.Class, u, c)
 }
 
 // Settle tells what it used.
-func (p UnrecordedLedger) Settle(now choice.Micros, _ choice.RequestID, _ int, c *contract.Charge, used contract.Usage, served bool) bool {
+func (p UnrecordedLedger) Settle(now balancer.Micros, _ balancer.RequestID, _ int, c *contract.Charge, used contract.Usage, served bool) bool {
 	return p.Ledger.Settle(now, c, used, served)
 }
 
 // RecordShed tells that the fleet turned it away.
-func (p UnrecordedLedger) RecordShed(now choice.Micros, in *choice.Request, u contract.Usage, over bool) {
+func (p UnrecordedLedger) RecordShed(now balancer.Micros, in *balancer.Request, u contract.Usage, over bool) {
 	p.Ledger.RecordShed(now, in.Tenant, in.Class, u, over)
 }
 
 // ApplyTerms puts contracts and settings in force, or neither.
-func (p UnrecordedLedger) ApplyTerms(now choice.Micros, s contract.Settings, terms []contract.Terms) error {
+func (p UnrecordedLedger) ApplyTerms(now balancer.Micros, s contract.Settings, terms []contract.Terms) error {
 	if err := contract.ValidateTerms(terms); err != nil {
 		return err
 	}
@@ -50,22 +50,22 @@
 }
 
 // SetQuotaShares changes the gateway's parts of them.
-func (p UnrecordedLedger) SetQuotaShares(now choice.Micros, parts []float64) {
+func (p UnrecordedLedger) SetQuotaShares(now balancer.Micros, parts []float64) {
 	p.Ledger.SetQuotaShares(now, parts)
 }
 
 // Checkpoint is the balances that the store must have.
-func (p UnrecordedLedger) Checkpoint(choice.Micros) (uint64, []contract.Balance) {
+func (p UnrecordedLedger) Checkpoint(balancer.Micros) (uint64, []contract.Balance) {
 	return p.Ledger.Checkpoint()
 }
 
 // CheckpointDone says how a checkpoint went.
-func (p UnrecordedLedger) CheckpointDone(_ choice.Micros, number uint64, well bool) {
+func (p UnrecordedLedger) CheckpointDone(_ balancer.Micros, number uint64, well bool) {
 	p.Ledger.CheckpointDone(number, well)
 }
 
 // ChargeKey is how a snapshot knows a charge.
-func ChargeKey(id choice.RequestID, copy int) uint64 { return uint64(id)<<8 | uint64(copy)&0xff }
+func ChargeKey(id balancer.RequestID, copy int) uint64 { return uint64(id)<<8 | uint64(copy)&0xff }
 
 func (r *Recorder) setLedger(b *contract.Ledger) {
 	r.ledger, r.agreement = b, nil
@@ -92,7 +92,7 @@
 
 // beginLedgerRecord readies the record of a call of the book, nil if it is not recorded.
 // Within a call of the module it is kept till that is recorded.
-func (r *Recorder) beginLedgerRecord(now choice.Micros, kind pb.Kind) (rec *pb.Record, nested bool) {
+func (r *Recorder) beginLedgerRecord(now balancer.Micros, kind pb.Kind) (rec *pb.Record, nested bool) {
 	if r.inCall {
 		if r.recording {
 			return &pb.Record{Kind: kind}, true
@@ -121,7 +121,7 @@
 // ReplaceLedger records that another book, made at a moment of Unix time with stored
 // balances, takes the place of the one before; nil: there are no contracts from
 // here on.
-func (r *Recorder) ReplaceLedger(now choice.Micros, b *contract.Ledger, unix choice.Micros, resumed []contract.Balance) {
+func (r *Recorder) ReplaceLedger(now balancer.Micros, b *contract.Ledger, unix balancer.Micros, resumed []contract.Balance) {
 	rec, nested := r.beginLedgerRecord(now, pb.Kind_KIND_AGREED)
 	if r.setLedger(b); rec != nil && b != nil {
 		rec.Agreed = contract.MarshalAgreement(b.Settings(), b.Terms(), unix, true, resumed)
@@ -130,7 +130,7 @@
 }
 
 // Charge has the book judge a request, or a further copy of it.
-func (r *Recorder) Charge(now choice.Micros, in *choice.Request, copy int, c *contract.Charge) contract.Verdict {
+func (r *Recorder) Charge(now balancer.Micros, in *balancer.Request, copy int, c *contract.Charge) contract.Verdict {
 	rec, nested := r.beginLedgerRecord(now, pb.Kind_KIND_CHARGED)
 	v := UnrecordedLedger{r.ledger}.Charge(now, in, copy, c)
 	if rec != nil {
@@ -143,7 +143,7 @@
 }
 
 // Settle tells what it used.
-func (r *Recorder) Settle(now choice.Micros, id choice.RequestID, copy int, c *contract.Charge, used contract.Usage, served bool) bool {
+func (r *Recorder) Settle(now balancer.Micros, id balancer.RequestID, copy int, c *contract.Charge, used contract.Usage, served bool) bool {
 	if !c.Open() {
 		return false
 	}
@@ -160,7 +160,7 @@
 }
 
 // RecordShed tells that the fleet turned it away.
-func (r *Recorder) RecordShed(now choice.Micros, in *choice.Request, u contract.Usage, over bool) {
+func (r *Recorder) RecordShed(now balancer.Micros, in *balancer.Request, u contract.Usage, over bool) {
 	rec, nested := r.beginLedgerRecord(now, pb.Kind_KIND_TURNED)
 	if r.ledger.RecordShed(now, in.Tenant, in.Class, u, over); rec != nil {
 		rec.Request = uint32(in.ID)
@@ -170,7 +170,7 @@
 }
 
 // ApplyTerms puts contracts and settings in force, or neither.
-func (r *Recorder) ApplyTerms(now choice.Micros, s contract.Settings, terms []contract.Terms) error {
+func (r *Recorder) ApplyTerms(now balancer.Micros, s contract.Settings, terms []contract.Terms) error {
 	if err := contract.ValidateTerms(terms); err != nil {
 		return err
 	}
@@ -184,7 +184,7 @@
 }
 
 // SetQuotaShares changes the gateway's parts of the contracts.
-func (r *Recorder) SetQuotaShares(now choice.Micros, parts []float64) {
+func (r *Recorder) SetQuotaShares(now balancer.Micros, parts []float64) {
 	rec, nested := r.beginLedgerRecord(now, pb.Kind_KIND_PARTS)
 	if r.ledger.SetQuotaShares(now, parts); rec != nil {
 		rec.Parts = parts
@@ -193,7 +193,7 @@
 }
 
 // Checkpoint is the balances that the store must have.
-func (r *Recorder) Checkpoint(now choice.Micros) (uint64, []contract.Balance) {
+func (r *Recorder) Checkpoint(now balancer.Micros) (uint64, []contract.Balance) {
 	rec, nested := r.beginLedgerRecord(now, pb.Kind_KIND_KEPT)
 	number, list := r.ledger.Checkpoint()
 	if rec != nil {
@@ -204,7 +204,7 @@
 }
 
 // CheckpointDone says how a checkpoint went.
-func (r *Recorder) CheckpointDone(now choice.Micros, number uint64, well bool) {
+func (r *Recorder) CheckpointDone(now balancer.Micros, number uint64, well bool) {
 	rec, nested := r.beginLedgerRecord(now, pb.Kind_KIND_KEPT)
 	if r.ledger.CheckpointDone(number, well); rec != nil {
 		rec.Kept = &pb.Kept{Number: number, Stage: 2}
@@ -252,14 +252,14 @@
 
 // Apply has the ledger do again what a record says, and tells in words what it
 // did and what the record has; they are the same unless the build decides otherwise.
-func (l *ReplayLedger) Apply(now choice.Micros, r *pb.Record) (own, recorded string, err error) {
-	id := choice.RequestID(r.Request)
+func (l *ReplayLedger) Apply(now balancer.Micros, r *pb.Record) (own, recorded string, err error) {
+	id := balancer.RequestID(r.Request)
 	switch r.Kind {
 	case pb.Kind_KIND_AGREED:
 		return "", "", l.applyAgreement(now, r.Agreed)
 	case pb.Kind_KIND_CHARGED:
 		q := r.Charged
-		in := choice.Request{ID: id, Tenant: string(q.GetTenant()), Class: string(q.GetClass()), PromptTokens: int(q.GetPromptTokens()), MaxTokens: int(q.GetMaxTokens())}
+		in := balancer.Request{ID: id, Tenant: string(q.GetTenant()), Class: string(q.GetClass()), PromptTokens: int(q.GetPromptTokens()), MaxTokens: int(q.GetMaxTokens())}
 		want := contract.Verdict{Rejected: q.GetRefuse(), Reason: q.GetReason(), RetryAfter: q.GetRetryAfterUs(), PriorityWeight: q.GetWorth()}
 		if l.Ledger == nil {
 			return "no contracts", describeVerdict(want, q.GetMade()), nil
@@ -299,7 +299,7 @@
 	return "", "", nil
 }
 
-func (l *ReplayLedger) applyAgreement(now choice.Micros, text []byte) error {
+func (l *ReplayLedger) applyAgreement(now balancer.Micros, text []byte) error {
 	if len(text) == 0 {
 		*l = ReplayLedger{}
 		return nil
--- a/internal/capture/reader.go
+++ b/internal/capture/reader.go
@@ -15,7 +15,7 @@
 	"github.com/klauspost/compress/zstd"
 	"google.golang.org/protobuf/proto"
 
-	"archknot/choice"
+	"archknot/balancer"
 	pb "archknot/internal/capture/capturepb"
 )
 
@@ -33,7 +33,7 @@
 type Block struct {
 	Offset     int64
 	FirstEvent uint64 // number of its first event
-	At         choice.Micros
+	At         balancer.Micros
 	Checkpoint bool
 	Records    uint32
 }
@@ -51,16 +51,16 @@
 type Run struct {
 	Gateway, Name, Build string
 	Seed                 uint64
-	Settings             choice.Settings
+	Settings             balancer.Settings
 	Segments             []*Segment
 	Unreadable           []Missing // segments whose header cannot be read
 }
 
 // Begin and End are the times of the first block and the last, on the module's
 // clock.
-func (r *Run) Begin() choice.Micros { return r.Segments[0].Header.ClockUs }
+func (r *Run) Begin() balancer.Micros { return r.Segments[0].Header.ClockUs }
 
-func (r *Run) End() choice.Micros {
+func (r *Run) End() balancer.Micros {
 	end := r.Begin()
 	for _, s := range r.Segments {
 		for _, b := range s.Blocks {
@@ -71,7 +71,7 @@
 }
 
 // WallTime is the time of day of a moment on the module's clock.
-func (r *Run) WallTime(at choice.Micros) time.Time {
+func (r *Run) WallTime(at balancer.Micros) time.Time {
 	h := r.Segments[0].Header
 	return time.UnixMicro(h.WallUs + at - h.ClockUs).UTC()
 }
@@ -254,7 +254,7 @@
 // that is missing.
 type Entry struct {
 	Number  uint64 // of the event; for a checkpoint or a gap, of the next one
-	At      choice.Micros
+	At      balancer.Micros
 	Record  *pb.Record
 	Missing *Missing
 }
@@ -269,7 +269,7 @@
 	missingReported    int // of the segment's Missing
 	decoder            *zstd.Decoder
 	unread             []byte // of the block at hand, what is left of it
-	at                 choice.Micros
+	at                 balancer.Micros
 	number             uint64
 	expected           uint64 // number of the event that should come next; 0: not known
 	eventsLeft         uint32 // events left in the block at hand
@@ -279,7 +279,7 @@
 
 // NewReader begins at the last checkpoint that is not after a time, or at the
 // first one.
-func NewReader(run *Run, from choice.Micros) (*Reader, error) {
+func NewReader(run *Run, from balancer.Micros) (*Reader, error) {
 	dec, err := zstd.NewReader(nil, zstd.WithDecoderConcurrency(1), zstd.WithDecoderMaxMemory(maxBlockBytes))
 	if err != nil {
 		return nil, err
@@ -403,7 +403,7 @@
 
 // CopySpan writes what lies within a span of time into a new segment: whole blocks,
 // from the last checkpoint before it on. It returns the number of events.
-func CopySpan(run *Run, from, to choice.Micros, path string) (events uint64, err error) {
+func CopySpan(run *Run, from, to balancer.Micros, path string) (events uint64, err error) {
 	r, err := NewReader(run, from)
 	if err != nil {
 		return 0, err
@@ -481,7 +481,7 @@
 
 // RestoreBalancer makes the module as a checkpoint of the run has it, under the settings
 // that were in force then, which it returns.
-func (r *Run) RestoreBalancer(c *pb.Checkpoint, out choice.Sink) (*choice.Balancer, choice.Settings, error) {
+func (r *Run) RestoreBalancer(c *pb.Checkpoint, out balancer.Sink) (*balancer.Balancer, balancer.Settings, error) {
 	s := r.Settings
 	if c.Settings != nil {
 		var err error
@@ -489,7 +489,7 @@
 			return nil, s, err
 		}
 	}
-	b, err := choice.Restore(s, c.State, out)
+	b, err := balancer.Restore(s, c.State, out)
 	return b, s, err
 }
 
@@ -535,7 +535,7 @@
 
 // ChangeSettings is a change of a header's settings: what a module with other
 // constants would be.
-func ChangeSettings(change func(*choice.Settings)) func(*pb.Header) {
+func ChangeSettings(change func(*balancer.Settings)) func(*pb.Header) {
 	return func(h *pb.Header) {
 		s, err := UnmarshalSettings(h.Settings)
 		if err != nil {
--- a/internal/capture/recorder.go
+++ b/internal/capture/recorder.go
@@ -12,39 +12,39 @@
 
 	"google.golang.org/protobuf/proto"
 
-	"archknot/choice"
+	"archknot/balancer"
 	pb "archknot/internal/capture/capturepb"
+	"archknot/internal/capturetrigger"
 	"archknot/internal/contract"
-	"archknot/internal/incident"
 )
 
 // Module is what the owner of a decision module calls: choice.Balancer itself,
 // or a Recorder before it.
 type Module interface {
-	Start(now choice.Micros)
-	ListChanged(now choice.Micros, l choice.EndpointList)
-	RequestArrived(now choice.Micros, in choice.Request)
-	FirstToken(now choice.Micros, o choice.Outcome)
-	AttemptEnded(now choice.Micros, o choice.Outcome)
-	ClientGone(now choice.Micros, id choice.RequestID)
-	TimerFired(now choice.Micros, token uint64)
-	HealthCheckEnded(now choice.Micros, o choice.Outcome)
-	PeerMessage(now choice.Micros, from int, body []byte)
-	Reconfigure(now choice.Micros, s choice.Settings) error
+	Start(now balancer.Micros)
+	ListChanged(now balancer.Micros, l balancer.EndpointList)
+	RequestArrived(now balancer.Micros, in balancer.Request)
+	FirstToken(now balancer.Micros, o balancer.Outcome)
+	AttemptEnded(now balancer.Micros, o balancer.Outcome)
+	ClientGone(now balancer.Micros, id balancer.RequestID)
+	TimerFired(now balancer.Micros, token uint64)
+	HealthCheckEnded(now balancer.Micros, o balancer.Outcome)
+	PeerMessage(now balancer.Micros, from int, body []byte)
+	Reconfigure(now balancer.Micros, s balancer.Settings) error
 }
 
 // Timer is one that the module has set and that has not fired.
 type Timer struct {
-	At    choice.Micros
+	At    balancer.Micros
 	Token uint64
 }
 
 // Timers remembers those that are set, for a host that does not hold them itself:
 // by token, in the order they were set.
-type Timers map[uint64][]choice.Micros
+type Timers map[uint64][]balancer.Micros
 
 // Add enters one.
-func (t Timers) Add(at choice.Micros, token uint64) { t[token] = append(t[token], at) }
+func (t Timers) Add(at balancer.Micros, token uint64) { t[token] = append(t[token], at) }
 
 // Remove takes out the one of a token that was set first.
 func (t Timers) Remove(token uint64) {
@@ -69,8 +69,8 @@
 // the calls of the owner.
 type Host struct {
 	Timers      func() []Timer
-	ReplicaName func(choice.ReplicaID) string // "" if it has none
-	RequestName func(choice.RequestID) string
+	ReplicaName func(balancer.ReplicaID) string // "" if it has none
+	RequestName func(balancer.RequestID) string
 	OpenCharges func() []contract.OpenCharge // that are not settled
 }
 
@@ -81,34 +81,34 @@
 	FlushInterval      time.Duration
 	SegmentSize        int64
 	SegmentAge         time.Duration
-	Incident           incident.Settings
+	Incident           capturetrigger.Settings
 	IncidentInterval   time.Duration // least time between two incidents that the recorder orders
 }
 
 // Recorder records one module. It belongs to the module's owner.
 type Recorder struct {
-	balancer *choice.Balancer
-	sink     choice.Sink // where the module's orders go
+	balancer *balancer.Balancer
+	sink     balancer.Sink // where the module's orders go
 	writer   *Writer
 	host     Host
 	options  Options
 
-	now              choice.Micros
+	now              balancer.Micros
 	lastEvent        uint64 // number of the last event
 	blockBuffer      []byte // the block being filled
 	blockFirstEvent  uint64 // number of its first event
 	blockEvents      uint32
-	blockStartedAt   choice.Micros // when the block was begun
-	lastRecordAt     choice.Micros
+	blockStartedAt   balancer.Micros // when the block was begun
+	lastRecordAt     balancer.Micros
 	blockFlags       uint8
-	checkpointedAt   choice.Micros // when the last checkpoint was made
-	segmentStartedAt choice.Micros
+	checkpointedAt   balancer.Micros // when the last checkpoint was made
+	segmentStartedAt balancer.Micros
 	gap              *gap // records are being lost
-	incidentWatch    *incident.Detector
-	pendingIncident  string        // an incident to keep once the call is recorded
-	settingsChanged  bool          // the settings in force are not those that the run began with
-	incidentSavedAt  choice.Micros // when that was last ordered by itself
-	firingTimer      *Timer        // the one that is about to be told: it is not pending with the host any more
+	incidentWatch    *capturetrigger.Detector
+	pendingIncident  string          // an incident to keep once the call is recorded
+	settingsChanged  bool            // the settings in force are not those that the run began with
+	incidentSavedAt  balancer.Micros // when that was last ordered by itself
+	firingTimer      *Timer          // the one that is about to be told: it is not pending with the host any more
 
 	current       pb.Record
 	arrival       pb.Arrival
@@ -127,29 +127,29 @@
 
 type gap struct {
 	reason    string
-	startedAt choice.Micros
-	retryAt   choice.Micros
+	startedAt balancer.Micros
+	retryAt   balancer.Micros
 	events    uint64
 	actions   uint64
 }
 
 // diskRetryInterval is how long a recorder waits before it tries a failed disk again.
-const diskRetryInterval choice.Micros = 1_000_000
+const diskRetryInterval balancer.Micros = 1_000_000
 
 // NewRecorder puts a recorder before a module whose orders go to a sink; the owner
 // calls the recorder from here on in place of the module. The first thing in the
 // capture is a checkpoint.
-func NewRecorder(now choice.Micros, b *choice.Balancer, book *contract.Ledger, out choice.Sink, to *Writer, host Host, o Options) *Recorder {
+func NewRecorder(now balancer.Micros, b *balancer.Balancer, book *contract.Ledger, out balancer.Sink, to *Writer, host Host, o Options) *Recorder {
 	r := &Recorder{balancer: b, sink: out, writer: to, host: host, options: o, now: now, segmentStartedAt: now}
 	r.setLedger(book)
 	if host.ReplicaName == nil {
-		r.host.ReplicaName = func(choice.ReplicaID) string { return "" }
+		r.host.ReplicaName = func(balancer.ReplicaID) string { return "" }
 	}
 	if host.RequestName == nil {
-		r.host.RequestName = func(choice.RequestID) string { return "" }
+		r.host.RequestName = func(balancer.RequestID) string { return "" }
 	}
 	if o.Incident.Enabled() {
-		r.incidentWatch = incident.New(o.Incident, b.Settings())
+		r.incidentWatch = capturetrigger.New(o.Incident, b.Settings())
 	}
 	b.SetSink(r)
 	r.writeCheckpoint(true, nil)
@@ -165,7 +165,7 @@
 
 // SaveIncident orders that the last minutes be kept as an incident. The writer answers
 // on done, which must have room.
-func (r *Recorder) SaveIncident(now choice.Micros, reason string, done chan<- SavedIncident) {
+func (r *Recorder) SaveIncident(now balancer.Micros, reason string, done chan<- SavedIncident) {
 	r.now = max(r.now, now)
 	// A new segment, so that the old one is whole and closed.
 	if r.flush(); r.gap == nil {
@@ -177,7 +177,7 @@
 }
 
 // beginRecord readies the record of one call and tells whether it is recorded.
-func (r *Recorder) beginRecord(now choice.Micros, kind pb.Kind) bool {
+func (r *Recorder) beginRecord(now balancer.Micros, kind pb.Kind) bool {
 	r.now = now
 	r.lastEvent++
 	r.inCall = true
@@ -188,7 +188,7 @@
 		r.gap.events++
 		return false
 	}
-	micros := func(d time.Duration) choice.Micros { return d.Microseconds() }
+	micros := func(d time.Duration) balancer.Micros { return d.Microseconds() }
 	switch {
 	case now-r.segmentStartedAt >= micros(r.options.SegmentAge) || r.writer.segmentSize() >= r.options.SegmentSize:
 		r.writeCheckpoint(true, nil)
@@ -392,13 +392,13 @@
 
 // The calls.
 
-func (r *Recorder) Start(now choice.Micros) {
+func (r *Recorder) Start(now balancer.Micros) {
 	rec := r.beginRecord(now, pb.Kind_KIND_START)
 	r.balancer.Start(now)
 	r.endRecord(rec)
 }
 
-func (r *Recorder) ListChanged(now choice.Micros, l choice.EndpointList) {
+func (r *Recorder) ListChanged(now balancer.Micros, l balancer.EndpointList) {
 	rec := r.beginRecord(now, pb.Kind_KIND_LIST)
 	if rec {
 		r.current.List = endpointListToProto(&l, r.host.ReplicaName)
@@ -410,7 +410,7 @@
 	r.endRecord(rec)
 }
 
-func (r *Recorder) RequestArrived(now choice.Micros, in choice.Request) {
+func (r *Recorder) RequestArrived(now balancer.Micros, in balancer.Request) {
 	rec := r.beginRecord(now, pb.Kind_KIND_ARRIVED)
 	if rec {
 		r.current.Request = uint32(in.ID)
@@ -423,7 +423,7 @@
 	r.endRecord(rec)
 }
 
-func (r *Recorder) FirstToken(now choice.Micros, o choice.Outcome) {
+func (r *Recorder) FirstToken(now balancer.Micros, o balancer.Outcome) {
 	rec := r.beginRecord(now, pb.Kind_KIND_FIRST)
 	if rec {
 		r.current.Request, r.current.Outcome = uint32(o.ID), outcomeToProto(&r.outcome, &r.report, &o)
@@ -435,7 +435,7 @@
 	r.endRecord(rec)
 }
 
-func (r *Recorder) AttemptEnded(now choice.Micros, o choice.Outcome) {
+func (r *Recorder) AttemptEnded(now balancer.Micros, o balancer.Outcome) {
 	rec := r.beginRecord(now, pb.Kind_KIND_ENDED)
 	if rec {
 		r.current.Request, r.current.Outcome = uint32(o.ID), outcomeToProto(&r.outcome, &r.report, &o)
@@ -447,7 +447,7 @@
 	r.endRecord(rec)
 }
 
-func (r *Recorder) ClientGone(now choice.Micros, id choice.RequestID) {
+func (r *Recorder) ClientGone(now balancer.Micros, id balancer.RequestID) {
 	rec := r.beginRecord(now, pb.Kind_KIND_LEFT)
 	if rec {
 		r.current.Request = uint32(id)
@@ -459,7 +459,7 @@
 	r.endRecord(rec)
 }
 
-func (r *Recorder) TimerFired(now choice.Micros, token uint64) {
+func (r *Recorder) TimerFired(now balancer.Micros, token uint64) {
 	r.firingTimer = &Timer{now, token}
 	rec := r.beginRecord(now, pb.Kind_KIND_TIMER)
 	r.firingTimer = nil
@@ -470,7 +470,7 @@
 	r.endRecord(rec)
 }
 
-func (r *Recorder) HealthCheckEnded(now choice.Micros, o choice.Outcome) {
+func (r *Recorder) HealthCheckEnded(now balancer.Micros, o balancer.Outcome) {
 	rec := r.beginRecord(now, pb.Kind_KIND_PROBED)
 	if rec {
 		r.current.Outcome = outcomeToProto(&r.outcome, &r.report, &o)
@@ -479,7 +479,7 @@
 	r.endRecord(rec)
 }
 
-func (r *Recorder) PeerMessage(now choice.Micros, from int, body []byte) {
+func (r *Recorder) PeerMessage(now balancer.Micros, from int, body []byte) {
 	rec := r.beginRecord(now, pb.Kind_KIND_MESSAGE)
 	if rec {
 		r.current.Peer, r.current.Body = uint32(from), body
@@ -488,7 +488,7 @@
 	r.endRecord(rec)
 }
 
-func (r *Recorder) Reconfigure(now choice.Micros, s choice.Settings) error {
+func (r *Recorder) Reconfigure(now balancer.Micros, s balancer.Settings) error {
 	rec := r.beginRecord(now, pb.Kind_KIND_RECONFIGURE)
 	if rec {
 		r.current.Settings = marshalSettings(&s)
@@ -530,7 +530,7 @@
 	return a
 }
 
-func (r *Recorder) Dispatch(id choice.RequestID, to choice.ReplicaID, cutAt choice.Micros) {
+func (r *Recorder) Dispatch(id balancer.RequestID, to balancer.ReplicaID, cutAt balancer.Micros) {
 	if a := r.addAction(pb.Action_DISPATCH); a != nil {
 		a.Request, a.Worker, a.AtUs = uint32(id), uint32(to), cutAt
 	}
@@ -540,7 +540,7 @@
 	r.sink.Dispatch(id, to, cutAt)
 }
 
-func (r *Recorder) Shed(id choice.RequestID, retryAfter choice.Micros) {
+func (r *Recorder) Shed(id balancer.RequestID, retryAfter balancer.Micros) {
 	if a := r.addAction(pb.Action_REFUSE); a != nil {
 		a.Request, a.AtUs = uint32(id), retryAfter
 	}
@@ -550,7 +550,7 @@
 	r.sink.Shed(id, retryAfter)
 }
 
-func (r *Recorder) Fail(id choice.RequestID) {
+func (r *Recorder) Fail(id balancer.RequestID) {
 	if a := r.addAction(pb.Action_FAIL); a != nil {
 		a.Request = uint32(id)
 	}
@@ -560,21 +560,21 @@
 	r.sink.Fail(id)
 }
 
-func (r *Recorder) Cancel(id choice.RequestID, attempt int) {
+func (r *Recorder) Cancel(id balancer.RequestID, attempt int) {
 	if a := r.addAction(pb.Action_CANCEL); a != nil {
 		a.Request, a.Attempt = uint32(id), uint32(attempt)
 	}
 	r.sink.Cancel(id, attempt)
 }
 
-func (r *Recorder) SetTimer(delay choice.Micros, token uint64) {
+func (r *Recorder) SetTimer(delay balancer.Micros, token uint64) {
 	if a := r.addAction(pb.Action_SET_TIMER); a != nil {
 		a.AtUs, a.Token = delay, token
 	}
 	r.sink.SetTimer(delay, token)
 }
 
-func (r *Recorder) HealthCheck(to choice.ReplicaID) {
+func (r *Recorder) HealthCheck(to balancer.ReplicaID) {
 	if a := r.addAction(pb.Action_PROBE); a != nil {
 		a.Worker = uint32(to)
 	}
--- a/internal/capture/recorder_test.go
+++ b/internal/capture/recorder_test.go
@@ -4,47 +4,47 @@
 	"testing"
 	"time"
 
-	"archknot/choice"
-	"archknot/internal/incident"
+	"archknot/balancer"
+	"archknot/internal/capturetrigger"
 )
 
 type discardSink struct{ timers int }
 
-func (n *discardSink) Dispatch(choice.RequestID, choice.ReplicaID, choice.Micros) {}
-func (n *discardSink) Shed(choice.RequestID, choice.Micros)                       {}
-func (n *discardSink) Fail(choice.RequestID)                                      {}
-func (n *discardSink) Cancel(choice.RequestID, int)                               {}
-func (n *discardSink) SetTimer(choice.Micros, uint64)                             { n.timers++ }
-func (n *discardSink) HealthCheck(choice.ReplicaID)                               {}
-func (n *discardSink) Gossip([]byte)                                              {}
-func (n *discardSink) WatchDiscovery()                                            {}
+func (n *discardSink) Dispatch(balancer.RequestID, balancer.ReplicaID, balancer.Micros) {}
+func (n *discardSink) Shed(balancer.RequestID, balancer.Micros)                         {}
+func (n *discardSink) Fail(balancer.RequestID)                                          {}
+func (n *discardSink) Cancel(balancer.RequestID, int)                                   {}
+func (n *discardSink) SetTimer(balancer.Micros, uint64)                                 { n.timers++ }
+func (n *discardSink) HealthCheck(balancer.ReplicaID)                                   {}
+func (n *discardSink) Gossip([]byte)                                                    {}
+func (n *discardSink) WatchDiscovery()                                                  {}
 
-func newTestBalancer(tb testing.TB) *choice.Balancer {
-	b, err := choice.New(choice.Settings{Gateways: 3, Zone: "a", MaxAttempts: 3, Tick: 2000, MayCancel: true, MayHedge: true,
-		ReportSource: choice.ReportInline, StreamsPerConn: 1, ConnIdleTimeout: 60e6,
-		Classes: []choice.Class{{Name: "chat", LatencyObjective: 1e6, TokenObjective: 50_000, Deadline: 4e6, PriorityWeight: 1, Streaming: true}}}, 3, &discardSink{})
+func newTestBalancer(tb testing.TB) *balancer.Balancer {
+	b, err := balancer.New(balancer.Settings{Gateways: 3, Zone: "a", MaxAttempts: 3, Tick: 2000, MayCancel: true, MayHedge: true,
+		ReportSource: balancer.ReportInline, StreamsPerConn: 1, ConnIdleTimeout: 60e6,
+		Classes: []balancer.Class{{Name: "chat", LatencyObjective: 1e6, TokenObjective: 50_000, Deadline: 4e6, PriorityWeight: 1, Streaming: true}}}, 3, &discardSink{})
 	if err != nil {
 		tb.Fatal(err)
 	}
 	b.Start(1000)
-	var all []choice.Endpoint
-	for i := range choice.ReplicaID(14) {
-		all = append(all, choice.Endpoint{Replica: i + 1, Zone: "a", Kind: "k"})
+	var all []balancer.Endpoint
+	for i := range balancer.ReplicaID(14) {
+		all = append(all, balancer.Endpoint{Replica: i + 1, Zone: "a", Kind: "k"})
 	}
-	b.ListChanged(1000, choice.EndpointList{Kind: choice.ListFull, Endpoints: all})
+	b.ListChanged(1000, balancer.EndpointList{Kind: balancer.ListFull, Endpoints: all})
 	return b
 }
 
 // driveRequest tells a module one request's four events: arrival, first token, end, and
 // a timer that comes too late to matter.
-func driveRequest(m Module, i int, now choice.Micros) {
-	id := choice.RequestID(i)
-	m.RequestArrived(now, choice.Request{ID: id, Class: "chat", Tenant: "island-tax", TimeLeft: 4e6, PromptTokens: 900 + i%300, MaxTokens: 200,
+func driveRequest(m Module, i int, now balancer.Micros) {
+	id := balancer.RequestID(i)
+	m.RequestArrived(now, balancer.Request{ID: id, Class: "chat", Tenant: "island-tax", TimeLeft: 4e6, PromptTokens: 900 + i%300, MaxTokens: 200,
 		Session: uint64(i%700) + 1, Prefix: uint64(i%12) + 1})
-	o := choice.Outcome{ID: id, Replica: 1, Elapsed: 150_000}
+	o := balancer.Outcome{ID: id, Replica: 1, Elapsed: 150_000}
 	m.FirstToken(now+150_000, o)
-	o.Status, o.Final, o.Elapsed, o.CachedTokens, o.OutputTokens = choice.Served, true, 700_000, 300, 90
-	o.Report = choice.LoadReport{Has: choice.HasMemory | choice.HasInFlight, MemoryShare: 0.3, InFlight: 4}
+	o.Status, o.Final, o.Elapsed, o.CachedTokens, o.OutputTokens = balancer.Served, true, 700_000, 300, 90
+	o.Report = balancer.LoadReport{Has: balancer.HasMemory | balancer.HasInFlight, MemoryShare: 0.3, InFlight: 4}
 	m.AttemptEnded(now+700_000, o)
 	m.TimerFired(now+1_000_000, 1|uint64(id)<<2)
 }
@@ -56,7 +56,7 @@
 	i := 0
 	for b.Loop() {
 		i++
-		driveRequest(m, i, choice.Micros(i)*1_000_000)
+		driveRequest(m, i, balancer.Micros(i)*1_000_000)
 	}
 	b.ReportMetric(float64(b.Elapsed().Nanoseconds())/float64(b.N)/4, "ns/event")
 }
@@ -67,13 +67,13 @@
 		b.Fatal(err)
 	}
 	m := newTestBalancer(b)
-	r := NewRecorder(1000, m, nil, &discardSink{}, w, Host{RequestName: func(choice.RequestID) string { return "9b1f03aa5c7e2d41" }},
+	r := NewRecorder(1000, m, nil, &discardSink{}, w, Host{RequestName: func(balancer.RequestID) string { return "9b1f03aa5c7e2d41" }},
 		Options{CheckpointInterval: 24 * time.Hour, BlockSize: 32 << 10, FlushInterval: 24 * time.Hour, SegmentSize: 8 << 20, SegmentAge: 24 * time.Hour,
-			Incident: incident.Settings{Window: 10e6, MinRequests: 50, UnservedShare: 0.4, SlowFactor: 2, SlowReplicaShare: 0.8, DeadlineMargin: 500}})
+			Incident: capturetrigger.Settings{Window: 10e6, MinRequests: 50, UnservedShare: 0.4, SlowFactor: 2, SlowReplicaShare: 0.8, DeadlineMargin: 500}})
 	i := 0
 	for b.Loop() {
 		i++
-		driveRequest(r, i, choice.Micros(i)*1_000_000)
+		driveRequest(r, i, balancer.Micros(i)*1_000_000)
 	}
 	b.ReportMetric(float64(b.Elapsed().Nanoseconds())/float64(b.N)/4, "ns/event")
 	r.Close()
--- a/internal/capture/segment.go
+++ b/internal/capture/segment.go
@@ -10,7 +10,7 @@
 
 	"google.golang.org/protobuf/proto"
 
-	"archknot/choice"
+	"archknot/balancer"
 )
 
 // A segment is a file of blocks. Each block has a head of fixed size with a
@@ -60,7 +60,7 @@
 	rawLength    uint32 // length of the contents
 	storedLength uint32 // their length in the file
 	firstRecord  uint64 // number of the first record
-	at           choice.Micros
+	at           balancer.Micros
 	checksum     uint32
 	payload      []byte // as stored
 }
@@ -86,7 +86,7 @@
 }
 
 // messageBlock is one that holds a message as it is.
-func messageBlock(kind blockKind, at choice.Micros, m proto.Message) (block, error) {
+func messageBlock(kind blockKind, at balancer.Micros, m proto.Message) (block, error) {
 	text, err := proto.Marshal(m)
 	return block{kind: kind, rawLength: uint32(len(text)), at: at, payload: text}, err
 }
--- a/internal/capture/stored_test.go
+++ b/internal/capture/stored_test.go
@@ -10,7 +10,7 @@
 	"google.golang.org/protobuf/encoding/protojson"
 	"google.golang.org/protobuf/proto"
 
-	"archknot/choice"
+	"archknot/balancer"
 	"archknot/internal/capture"
 	pb "archknot/internal/capture/capturepb"
 	"archknot/internal/contract"
@@ -26,14 +26,14 @@
 )
 
 // storedSettings are the decision module's settings that the stored capture began with.
-func storedSettings() choice.Settings {
-	return choice.Settings{
+func storedSettings() balancer.Settings {
+	return balancer.Settings{
 		Self: 1, Gateways: 3, Zone: "a", Zones: []string{"a", "b"}, Kinds: []string{"k", "l"},
-		Classes: []choice.Class{
+		Classes: []balancer.Class{
 			{Name: "chat", LatencyObjective: 500000, ObjectivePer1000Tokens: 60000, TokenObjective: 50000, Deadline: 3000000, PriorityWeight: 2, LateWeightShare: 0.25, Streaming: true},
 			{Name: "order", LatencyObjective: 1000000, Deadline: 4000000, PriorityWeight: 3, LateWeightShare: 0.5, Idempotency: 1, DedupScope: 1, DedupWindow: 30000000},
 		},
-		Tenants:         []choice.Tenant{{Name: "quay", QuotaPerS: 20}, {Name: "reef", QuotaPerS: 12.5}},
+		Tenants:         []balancer.Tenant{{Name: "quay", QuotaPerS: 20}, {Name: "reef", QuotaPerS: 12.5}},
 		OverQuotaWeight: 0.0625, ReportSource: 1, WeightKind: 1, PollDiscovery: true, LocalDiscovery: true, WatchInterval: 700000, Tick: 2000,
 		MayHealthCheck: true, MayGossip: true, MayCancel: true, MayHedge: true, RetryAfter: true, MaxAttempts: 3, MaxRetryAfter: 2000000,
 		HedgeRatio: 0.125, RetryRatio: 0.1875, InitialCapacity: 0.375, OverloadMultiple: 3.5, SlowStartFor: 8000000, OverloadWindow: 1500000,
@@ -95,7 +95,7 @@
 		t.Errorf("header %v, expected %v", s.Header, header)
 	}
 	rewritten := proto.Clone(s.Header).(*pb.Header)
-	capture.ChangeSettings(func(*choice.Settings) {})(rewritten)
+	capture.ChangeSettings(func(*balancer.Settings) {})(rewritten)
 	if string(rewritten.Settings) != storedSettingsJSON {
 		t.Errorf("the settings would be written as %s", rewritten.Settings)
 	}
@@ -112,7 +112,7 @@
 // the states in checkpoints, which TestStoredSettingsAndStates looks at.
 var storedRecords = []struct {
 	number uint64
-	at     choice.Micros
+	at     balancer.Micros
 	json   string
 }{
 	{1, 1000, `{"kind":"KIND_CHECKPOINT","checkpoint":{"timers":[{"atUs":"5000","token":"9"}]}}`},
@@ -164,31 +164,35 @@
 // call is one call of a decision module.
 type call struct {
 	Name string
-	At   choice.Micros
+	At   balancer.Micros
 	With any
 }
 
 // calls notes the calls of a decision module.
 type calls struct{ list []call }
 
-func (c *calls) note(name string, at choice.Micros, with any) {
+func (c *calls) note(name string, at balancer.Micros, with any) {
 	c.list = append(c.list, call{name, at, with})
 }
 
-func (c *calls) Start(now choice.Micros)                              { c.note("Start", now, nil) }
-func (c *calls) ListChanged(now choice.Micros, l choice.EndpointList) { c.note("ListChanged", now, l) }
-func (c *calls) RequestArrived(now choice.Micros, in choice.Request) {
+func (c *calls) Start(now balancer.Micros) { c.note("Start", now, nil) }
+func (c *calls) ListChanged(now balancer.Micros, l balancer.EndpointList) {
+	c.note("ListChanged", now, l)
+}
+func (c *calls) RequestArrived(now balancer.Micros, in balancer.Request) {
 	c.note("RequestArrived", now, in)
 }
-func (c *calls) FirstToken(now choice.Micros, o choice.Outcome)       { c.note("FirstToken", now, o) }
-func (c *calls) AttemptEnded(now choice.Micros, o choice.Outcome)     { c.note("AttemptEnded", now, o) }
-func (c *calls) ClientGone(now choice.Micros, id choice.RequestID)    { c.note("ClientGone", now, id) }
-func (c *calls) TimerFired(now choice.Micros, token uint64)           { c.note("TimerFired", now, token) }
-func (c *calls) HealthCheckEnded(now choice.Micros, o choice.Outcome) { c.note("ProbeEnded", now, o) }
-func (c *calls) PeerMessage(now choice.Micros, from int, body []byte) {
+func (c *calls) FirstToken(now balancer.Micros, o balancer.Outcome)    { c.note("FirstToken", now, o) }
+func (c *calls) AttemptEnded(now balancer.Micros, o balancer.Outcome)  { c.note("AttemptEnded", now, o) }
+func (c *calls) ClientGone(now balancer.Micros, id balancer.RequestID) { c.note("ClientGone", now, id) }
+func (c *calls) TimerFired(now balancer.Micros, token uint64)          { c.note("TimerFired", now, token) }
+func (c *calls) HealthCheckEnded(now balancer.Micros, o balancer.Outcome) {
+	c.note("ProbeEnded", now, o)
+}
+func (c *calls) PeerMessage(now balancer.Micros, from int, body []byte) {
 	c.note("PeerMessage", now, []any{from, body})
 }
-func (c *calls) Reconfigure(now choice.Micros, s choice.Settings) error {
+func (c *calls) Reconfigure(now balancer.Micros, s balancer.Settings) error {
 	c.note("Reconfigure", now, s)
 	return nil
 }
@@ -201,27 +205,27 @@
 			t.Fatal(err)
 		}
 	}
-	request := func(id choice.RequestID, session uint64) choice.Request {
-		return choice.Request{ID: id, Class: "chat", Tenant: "quay", TimeLeft: 2900000, PromptTokens: 900, PrefixTokens: 300, MaxTokens: 200, Session: session, Prefix: 34,
+	request := func(id balancer.RequestID, session uint64) balancer.Request {
+		return balancer.Request{ID: id, Class: "chat", Tenant: "quay", TimeLeft: 2900000, PromptTokens: 900, PrefixTokens: 300, MaxTokens: 200, Session: session, Prefix: 34,
 			PriorityFactor: 1.5, PriorAttempts: 1, HomeReplica: 2}
 	}
 	reconfigured := storedSettings()
 	reconfigured.MaxAttempts = 2
 	want := []call{
 		{"Start", 1000, nil},
-		{"ListChanged", 1100, choice.EndpointList{Kind: 1, Version: 7, FleetSize: 40, Endpoints: []choice.Endpoint{
+		{"ListChanged", 1100, balancer.EndpointList{Kind: 1, Version: 7, FleetSize: 40, Endpoints: []balancer.Endpoint{
 			{Replica: 1, Weight: 1.5, Kind: "k", Zone: "a", StartedAt: 500},
 			{Replica: 2, Weight: 1.5, Cell: 1, Kind: "k", Zone: "a", StartedAt: 500},
 			{Replica: 3, Weight: 1.5, Cell: 2, Kind: "k", Zone: "a", StartedAt: 500},
 			{Replica: 4, State: 1, Weight: 1.5, Cell: 3, Kind: "l", Zone: "b", StartedAt: 500},
 		}}},
 		{"RequestArrived", 1300, request(1, 17)},
-		{"FirstToken", 151300, choice.Outcome{ID: 1, Replica: 1, Elapsed: 150000}},
+		{"FirstToken", 151300, balancer.Outcome{ID: 1, Replica: 1, Elapsed: 150000}},
 		{"RequestArrived", 160000, request(2, 18)},
-		{"ClientGone", 170000, choice.RequestID(2)},
-		{"AttemptEnded", 701300, choice.Outcome{ID: 1, Replica: 1, Status: 0, Elapsed: 700000, Final: true, CachedTokens: 250, OutputTokens: 90,
-			Report: choice.LoadReport{Has: 63, MemoryShare: 0.25, PrefillBacklogK: 1.5, InFlight: 4, Queued: 2, ServiceMs: 35.5, Utilization: 0.75}}},
-		{"ProbeEnded", 900000, choice.Outcome{Replica: 3, Status: 3, Elapsed: 40000, Final: true}},
+		{"ClientGone", 170000, balancer.RequestID(2)},
+		{"AttemptEnded", 701300, balancer.Outcome{ID: 1, Replica: 1, Status: 0, Elapsed: 700000, Final: true, CachedTokens: 250, OutputTokens: 90,
+			Report: balancer.LoadReport{Has: 63, MemoryShare: 0.25, PrefillBacklogK: 1.5, InFlight: 4, Queued: 2, ServiceMs: 35.5, Utilization: 0.75}}},
+		{"ProbeEnded", 900000, balancer.Outcome{Replica: 3, Status: 3, Elapsed: 40000, Final: true}},
 		{"PeerMessage", 910000, []any{2, []byte{1, 2, 3}}},
 		{"TimerFired", 1001300, uint64(5)},
 		{"Reconfigure", 1100000, reconfigured},
@@ -236,14 +240,14 @@
 // discard takes a decision module's orders and does nothing.
 type discard struct{}
 
-func (discard) Dispatch(choice.RequestID, choice.ReplicaID, choice.Micros) {}
-func (discard) Shed(choice.RequestID, choice.Micros)                       {}
-func (discard) Fail(choice.RequestID)                                      {}
-func (discard) Cancel(choice.RequestID, int)                               {}
-func (discard) SetTimer(choice.Micros, uint64)                             {}
-func (discard) HealthCheck(choice.ReplicaID)                               {}
-func (discard) Gossip([]byte)                                              {}
-func (discard) WatchDiscovery()                                            {}
+func (discard) Dispatch(balancer.RequestID, balancer.ReplicaID, balancer.Micros) {}
+func (discard) Shed(balancer.RequestID, balancer.Micros)                         {}
+func (discard) Fail(balancer.RequestID)                                          {}
+func (discard) Cancel(balancer.RequestID, int)                                   {}
+func (discard) SetTimer(balancer.Micros, uint64)                                 {}
+func (discard) HealthCheck(balancer.ReplicaID)                                   {}
+func (discard) Gossip([]byte)                                                    {}
+func (discard) WatchDiscovery()                                                  {}
 
 // Settings, contracts and the states in checkpoints of the stored capture are read; the
 // states come out again byte for byte. A later build may add a field to a state: then
@@ -284,14 +288,14 @@
 		if !cmp.Equal(b.Snapshot(), c.State) {
 			t.Errorf("checkpoint %d: another state comes out", checkpoints)
 		}
-		wantSettings, wantInHand, wantWorkers := storedSettings(), []choice.RequestID(nil), 0
+		wantSettings, wantInHand, wantWorkers := storedSettings(), []balancer.RequestID(nil), 0
 		if checkpoints == 1 {
-			wantSettings, wantInHand, wantWorkers = changed, []choice.RequestID{2, 3}, 4
+			wantSettings, wantInHand, wantWorkers = changed, []balancer.RequestID{2, 3}, 4
 		}
 		if diff := cmp.Diff(wantSettings, settings); diff != "" {
 			t.Errorf("checkpoint %d: %s", checkpoints, diff)
 		}
-		if got := b.InFlightRequests(); !cmp.Equal(append([]choice.RequestID(nil), got...), wantInHand) || len(b.Endpoints()) != wantWorkers {
+		if got := b.InFlightRequests(); !cmp.Equal(append([]balancer.RequestID(nil), got...), wantInHand) || len(b.Endpoints()) != wantWorkers {
 			t.Errorf("checkpoint %d: requests %v, %d replicas", checkpoints, got, len(b.Endpoints()))
 		}
 		checkAgreed(c.Agreed)
--- a/internal/incident/detector.go
+++ b/internal/capturetrigger/detector.go
@@ -1,22 +1,22 @@
 // Package incident decides when the last minutes of a capture are worth keeping.
 // It is told what the decision module is told and orders, and the time with it;
 // it reads no clock and writes nothing.
-package incident
+package capturetrigger
 
 import (
 	"fmt"
 
-	"archknot/choice"
+	"archknot/balancer"
 )
 
 // Settings are the conditions. Times are microseconds.
 type Settings struct {
-	Window           choice.Micros // the span that shares are taken over
-	MinRequests      int           // requests in it below which no share triggers
-	UnservedShare    float64       // share of late, refused, failed and left requests; 0: never
-	SlowFactor       float64       // first tokens take so many times the usual; 0: never
-	SlowReplicaShare float64       // share of slow workers among those heard of in the span
-	DeadlineMargin   choice.Micros // a final answer so little before the deadline; 0: never
+	Window           balancer.Micros // the span that shares are taken over
+	MinRequests      int             // requests in it below which no share triggers
+	UnservedShare    float64         // share of late, refused, failed and left requests; 0: never
+	SlowFactor       float64         // first tokens take so many times the usual; 0: never
+	SlowReplicaShare float64         // share of slow workers among those heard of in the span
+	DeadlineMargin   balancer.Micros // a final answer so little before the deadline; 0: never
 }
 
 // Enabled tells whether anything can trigger.
@@ -44,19 +44,19 @@
 // Detector looks for incidents in what one module is told.
 type Detector struct {
 	settings    Settings
-	classes     map[string]choice.Class
+	classes     map[string]balancer.Class
 	maxAttempts int
 
-	inFlight map[choice.RequestID]*request
+	inFlight map[balancer.RequestID]*request
 	baseline map[string]float64 // first-token time by class, microseconds
-	replicas map[choice.ReplicaID]*replica
+	replicas map[balancer.ReplicaID]*replica
 	outcomes [bucketCount]outcomeCounts
-	bucket   choice.Micros // the bucket in use, in buckets since 0
-	active   string        // the condition that has triggered and still holds
+	bucket   balancer.Micros // the bucket in use, in buckets since 0
+	active   string          // the condition that has triggered and still holds
 }
 
 type request struct {
-	objectiveAt, deadline choice.Micros
+	objectiveAt, deadline balancer.Micros
 	class                 string
 	attempts              int
 	started               bool
@@ -65,16 +65,16 @@
 type outcomeCounts struct{ total, bad int }
 
 type replica struct {
-	state    choice.EndpointState
+	state    balancer.EndpointState
 	baseline float64 // first-token time against the class's usual, slowly followed
 	samples  float64
 	ratios   [bucketCount]struct{ sum, n float64 }
 }
 
 // New returns a watch for a module with these settings.
-func New(s Settings, m choice.Settings) *Detector {
-	w := &Detector{settings: s, classes: map[string]choice.Class{}, maxAttempts: m.MaxAttempts, inFlight: map[choice.RequestID]*request{},
-		baseline: map[string]float64{}, replicas: map[choice.ReplicaID]*replica{}}
+func New(s Settings, m balancer.Settings) *Detector {
+	w := &Detector{settings: s, classes: map[string]balancer.Class{}, maxAttempts: m.MaxAttempts, inFlight: map[balancer.RequestID]*request{},
+		baseline: map[string]float64{}, replicas: map[balancer.ReplicaID]*replica{}}
 	for _, c := range m.Classes {
 		w.classes[c.Name] = c
 	}
@@ -82,15 +82,15 @@
 }
 
 // Reconfigured takes other settings over for what arrives from now on.
-func (w *Detector) Reconfigured(m choice.Settings) {
-	w.classes, w.maxAttempts = map[string]choice.Class{}, max(w.maxAttempts, m.MaxAttempts)
+func (w *Detector) Reconfigured(m balancer.Settings) {
+	w.classes, w.maxAttempts = map[string]balancer.Class{}, max(w.maxAttempts, m.MaxAttempts)
 	for _, c := range m.Classes {
 		w.classes[c.Name] = c
 	}
 }
 
 // advance moves on to the bucket of a time and empties those passed over.
-func (w *Detector) advance(now choice.Micros) int {
+func (w *Detector) advance(now balancer.Micros) int {
 	each := max(1, w.settings.Window/bucketCount)
 	at := now / each
 	if at > w.bucket {
@@ -106,13 +106,13 @@
 }
 
 // ListChanged takes news of the fleet.
-func (w *Detector) ListChanged(now choice.Micros, l choice.EndpointList) {
+func (w *Detector) ListChanged(now balancer.Micros, l balancer.EndpointList) {
 	if l.Kind.Failed() {
 		return
 	}
 	if l.Kind.Complete() {
 		for _, k := range w.replicas {
-			k.state = choice.EndpointGone
+			k.state = balancer.EndpointGone
 		}
 	}
 	for _, m := range l.Endpoints {
@@ -124,13 +124,13 @@
 		k.state = m.State
 	}
 	for id, k := range w.replicas {
-		if k.state == choice.EndpointGone && k.samples == 0 {
+		if k.state == balancer.EndpointGone && k.samples == 0 {
 			delete(w.replicas, id)
 		}
 	}
 	if len(w.replicas) > 2*len(l.Endpoints)+1024 { // those gone for good
 		for id, k := range w.replicas {
-			if k.state == choice.EndpointGone {
+			if k.state == balancer.EndpointGone {
 				delete(w.replicas, id)
 			}
 		}
@@ -138,26 +138,26 @@
 }
 
 // RequestArrived takes a request on.
-func (w *Detector) RequestArrived(now choice.Micros, in choice.Request) {
+func (w *Detector) RequestArrived(now balancer.Micros, in balancer.Request) {
 	c := w.classes[in.Class]
 	w.inFlight[in.ID] = &request{class: c.Name, objectiveAt: now + c.LatencyObjective + c.ObjectivePer1000Tokens*int64(in.PromptTokens)/1000, deadline: now + in.TimeLeft}
 }
 
 // Dispatched takes the order of an attempt.
-func (w *Detector) Dispatched(now choice.Micros, id choice.RequestID, to choice.ReplicaID) string {
+func (w *Detector) Dispatched(now balancer.Micros, id balancer.RequestID, to balancer.ReplicaID) string {
 	if r := w.inFlight[id]; r != nil {
 		if r.attempts++; r.attempts > w.maxAttempts {
 			return w.trigger(ReasonAttempts, "request %d had %d attempts, %d are allowed", id, r.attempts, w.maxAttempts)
 		}
 	}
-	if k := w.replicas[to]; k != nil && k.state != choice.EndpointReady {
+	if k := w.replicas[to]; k != nil && k.state != balancer.EndpointReady {
 		return w.trigger(ReasonDraining, "an attempt of request %d was ordered to worker %d, told as draining or gone", id, to)
 	}
 	return ""
 }
 
 // FirstToken takes a stream's beginning.
-func (w *Detector) FirstToken(now choice.Micros, o choice.Outcome) string {
+func (w *Detector) FirstToken(now balancer.Micros, o balancer.Outcome) string {
 	r := w.inFlight[o.ID]
 	if r == nil || r.started {
 		return ""
@@ -172,7 +172,7 @@
 }
 
 // checkSlow compares a first token with what is usual for its class and worker.
-func (w *Detector) checkSlow(at int, r *request, o choice.Outcome) string {
+func (w *Detector) checkSlow(at int, r *request, o balancer.Outcome) string {
 	k := w.replicas[o.Replica]
 	if w.settings.SlowFactor <= 0 || k == nil || o.Elapsed <= 0 {
 		return ""
@@ -213,7 +213,7 @@
 }
 
 // AttemptEnded takes the end of an attempt.
-func (w *Detector) AttemptEnded(now choice.Micros, o choice.Outcome) string {
+func (w *Detector) AttemptEnded(now balancer.Micros, o balancer.Outcome) string {
 	r := w.inFlight[o.ID]
 	if r == nil || !o.Final {
 		return ""
@@ -222,14 +222,14 @@
 	if r.started { // counted when it began
 		return ""
 	}
-	if o.Status == choice.Served {
+	if o.Status == balancer.Served {
 		return w.countOutcome(w.advance(now), now > r.objectiveAt)
 	}
 	return w.countOutcome(w.advance(now), true)
 }
 
 // ClientGone takes a client's leaving.
-func (w *Detector) ClientGone(now choice.Micros, id choice.RequestID) string {
+func (w *Detector) ClientGone(now balancer.Micros, id balancer.RequestID) string {
 	r := w.inFlight[id]
 	if r == nil {
 		return ""
@@ -242,7 +242,7 @@
 }
 
 // RequestFailed takes a refusal or a failure.
-func (w *Detector) RequestFailed(now choice.Micros, id choice.RequestID) string {
+func (w *Detector) RequestFailed(now balancer.Micros, id balancer.RequestID) string {
 	r := w.inFlight[id]
 	if r == nil {
 		return ""
--- a/internal/incident/detector_test.go
+++ b/internal/capturetrigger/detector_test.go
@@ -1,47 +1,47 @@
-package incident
+package capturetrigger
 
 import (
 	"strings"
 	"testing"
 
-	"archknot/choice"
+	"archknot/balancer"
 )
 
-const sec choice.Micros = 1_000_000
+const sec balancer.Micros = 1_000_000
 
 func newTestDetector(change func(*Settings)) *Detector {
 	s := Settings{Window: 10 * sec, MinRequests: 10, UnservedShare: 0.4, SlowFactor: 2, SlowReplicaShare: 0.8, DeadlineMargin: 2000}
 	if change != nil {
 		change(&s)
 	}
-	w := New(s, choice.Settings{MaxAttempts: 3, Classes: []choice.Class{{Name: "chat", LatencyObjective: sec, Deadline: 4 * sec}}})
-	w.ListChanged(0, choice.EndpointList{Kind: choice.ListFull, Endpoints: []choice.Endpoint{{Replica: 1}, {Replica: 2}, {Replica: 3}}})
+	w := New(s, balancer.Settings{MaxAttempts: 3, Classes: []balancer.Class{{Name: "chat", LatencyObjective: sec, Deadline: 4 * sec}}})
+	w.ListChanged(0, balancer.EndpointList{Kind: balancer.ListFull, Endpoints: []balancer.Endpoint{{Replica: 1}, {Replica: 2}, {Replica: 3}}})
 	return w
 }
 
 // serveRequest has one request answered after a time by a worker.
-func serveRequest(w *Detector, now choice.Micros, id choice.RequestID, to choice.ReplicaID, took choice.Micros) string {
-	w.RequestArrived(now, choice.Request{ID: id, Class: "chat", TimeLeft: 4 * sec})
+func serveRequest(w *Detector, now balancer.Micros, id balancer.RequestID, to balancer.ReplicaID, took balancer.Micros) string {
+	w.RequestArrived(now, balancer.Request{ID: id, Class: "chat", TimeLeft: 4 * sec})
 	why := w.Dispatched(now, id, to)
-	why += w.FirstToken(now+took, choice.Outcome{ID: id, Replica: to, Elapsed: took})
-	why += w.AttemptEnded(now+took+1, choice.Outcome{ID: id, Replica: to, Status: choice.Served, Final: true})
+	why += w.FirstToken(now+took, balancer.Outcome{ID: id, Replica: to, Elapsed: took})
+	why += w.AttemptEnded(now+took+1, balancer.Outcome{ID: id, Replica: to, Status: balancer.Served, Final: true})
 	return why
 }
 
 func TestUnservedShare(t *testing.T) {
 	w := newTestDetector(nil)
-	id := choice.RequestID(0)
+	id := balancer.RequestID(0)
 	for i := range 20 {
 		id++
-		if why := serveRequest(w, sec+choice.Micros(i)*1000, id, 1, 1000); why != "" {
+		if why := serveRequest(w, sec+balancer.Micros(i)*1000, id, 1, 1000); why != "" {
 			t.Fatal(why)
 		}
 	}
 	told := 0
 	for i := range 30 {
 		id++
-		now := 2*sec + choice.Micros(i)*1000
-		w.RequestArrived(now, choice.Request{ID: id, Class: "chat", TimeLeft: 4 * sec})
+		now := 2*sec + balancer.Micros(i)*1000
+		w.RequestArrived(now, balancer.Request{ID: id, Class: "chat", TimeLeft: 4 * sec})
 		if why := w.RequestFailed(now, id); why != "" {
 			told++
 			if !strings.HasPrefix(why, ReasonUnserved+": 14 of 34") {
@@ -55,14 +55,14 @@
 	// A span later what was is forgotten, and the condition may trigger again.
 	for i := range 20 {
 		id++
-		if why := serveRequest(w, 40*sec+choice.Micros(i)*1000, id, 1, 1000); why != "" {
+		if why := serveRequest(w, 40*sec+balancer.Micros(i)*1000, id, 1, 1000); why != "" {
 			t.Fatal(why)
 		}
 	}
 	for i := range 30 {
 		id++
-		w.RequestArrived(41*sec, choice.Request{ID: id, Class: "chat", TimeLeft: 4 * sec})
-		if w.ClientGone(41*sec+choice.Micros(i), id) != "" {
+		w.RequestArrived(41*sec, balancer.Request{ID: id, Class: "chat", TimeLeft: 4 * sec})
+		if w.ClientGone(41*sec+balancer.Micros(i), id) != "" {
 			told++
 		}
 	}
@@ -76,11 +76,11 @@
 
 func TestAllReplicasSlow(t *testing.T) {
 	w := newTestDetector(func(s *Settings) { s.UnservedShare = 0 })
-	id := choice.RequestID(0)
+	id := balancer.RequestID(0)
 	why := ""
 	for i := range 300 {
 		id++
-		why += serveRequest(w, choice.Micros(i)*sec/10, id, choice.ReplicaID(1+i%3), 100_000)
+		why += serveRequest(w, balancer.Micros(i)*sec/10, id, balancer.ReplicaID(1+i%3), 100_000)
 	}
 	if why != "" {
 		t.Fatal(why)
@@ -88,14 +88,14 @@
 	// One slow worker is no incident, all of them are.
 	for i := range 30 {
 		id++
-		why += serveRequest(w, 40*sec+choice.Micros(i)*sec/10, id, 1, 400_000)
+		why += serveRequest(w, 40*sec+balancer.Micros(i)*sec/10, id, 1, 400_000)
 	}
 	if why != "" {
 		t.Fatal(why)
 	}
 	for i := range 60 {
 		id++
-		why += serveRequest(w, 60*sec+choice.Micros(i)*sec/10, id, choice.ReplicaID(1+i%3), 400_000)
+		why += serveRequest(w, 60*sec+balancer.Micros(i)*sec/10, id, balancer.ReplicaID(1+i%3), 400_000)
 	}
 	if strings.Count(why, ReasonSlow) != 1 {
 		t.Errorf("%q", why)
@@ -104,12 +104,12 @@
 
 func TestRuleViolations(t *testing.T) {
 	w := newTestDetector(nil)
-	w.RequestArrived(0, choice.Request{ID: 1, Class: "chat", TimeLeft: 4 * sec})
+	w.RequestArrived(0, balancer.Request{ID: 1, Class: "chat", TimeLeft: 4 * sec})
 	if why := w.RequestFailed(4*sec-1000, 1); !strings.HasPrefix(why, ReasonNearDeadline) {
 		t.Errorf("near: %q", why)
 	}
-	w.ListChanged(sec, choice.EndpointList{Kind: choice.ListDelta, Endpoints: []choice.Endpoint{{Replica: 2, State: choice.EndpointDraining}}})
-	w.RequestArrived(sec, choice.Request{ID: 2, Class: "chat", TimeLeft: 4 * sec})
+	w.ListChanged(sec, balancer.EndpointList{Kind: balancer.ListDelta, Endpoints: []balancer.Endpoint{{Replica: 2, State: balancer.EndpointDraining}}})
+	w.RequestArrived(sec, balancer.Request{ID: 2, Class: "chat", TimeLeft: 4 * sec})
 	if why := w.Dispatched(sec, 2, 2); !strings.HasPrefix(why, ReasonDraining) {
 		t.Errorf("draining: %q", why)
 	}
--- a/internal/cli/capture.go
+++ b/internal/cli/capture.go
@@ -14,7 +14,7 @@
 	"google.golang.org/protobuf/encoding/protojson"
 	"google.golang.org/protobuf/proto"
 
-	"archknot/choice"
+	"archknot/balancer"
 	"archknot/internal/capture"
 	pb "archknot/internal/capture/capturepb"
 	"archknot/internal/lifecycle"
@@ -37,14 +37,14 @@
 }
 
 // of gives the span's ends on a run's clock; 0: none.
-func (s span) of(run *capture.Run) (from, to choice.Micros, err error) {
+func (s span) of(run *capture.Run) (from, to balancer.Micros, err error) {
 	if from, err = moment(s.From, run); err == nil {
 		to, err = moment(s.To, run)
 	}
 	return from, to, err
 }
 
-func moment(text string, run *capture.Run) (choice.Micros, error) {
+func moment(text string, run *capture.Run) (balancer.Micros, error) {
 	if text == "" {
 		return 0, nil
 	}
--- a/internal/cli/cli.go
+++ b/internal/cli/cli.go
@@ -11,7 +11,7 @@
 	"github.com/alecthomas/kong"
 	"github.com/google/renameio/v2"
 
-	"archknot/internal/build"
+	"archknot/internal/buildinfo"
 	"archknot/internal/lifecycle"
 )
 
@@ -119,9 +119,9 @@
 
 func (c *versionCmd) Run(s *streams) error {
 	if c.JSON {
-		return s.print(map[string]string{"build": build.Version()})
+		return s.print(map[string]string{"build": buildinfo.Version()})
 	}
-	fmt.Fprintln(s.out, "archknot", build.Version())
+	fmt.Fprintln(s.out, "archknot", buildinfo.Version())
 	return nil
 }
 
--- a/internal/cli/cli_test.go
+++ b/internal/cli/cli_test.go
@@ -9,7 +9,7 @@
 	"testing"
 	"time"
 
-	"archknot/choice"
+	"archknot/balancer"
 	"archknot/internal/capture"
 )
 
@@ -22,21 +22,21 @@
 
 type nowhere struct{}
 
-func (nowhere) Dispatch(choice.RequestID, choice.ReplicaID, choice.Micros) {}
-func (nowhere) Shed(choice.RequestID, choice.Micros)                       {}
-func (nowhere) Fail(choice.RequestID)                                      {}
-func (nowhere) Cancel(choice.RequestID, int)                               {}
-func (nowhere) SetTimer(choice.Micros, uint64)                             {}
-func (nowhere) HealthCheck(choice.ReplicaID)                               {}
-func (nowhere) Gossip([]byte)                                              {}
-func (nowhere) WatchDiscovery()                                            {}
+func (nowhere) Dispatch(balancer.RequestID, balancer.ReplicaID, balancer.Micros) {}
+func (nowhere) Shed(balancer.RequestID, balancer.Micros)                         {}
+func (nowhere) Fail(balancer.RequestID)                                          {}
+func (nowhere) Cancel(balancer.RequestID, int)                                   {}
+func (nowhere) SetTimer(balancer.Micros, uint64)                                 {}
+func (nowhere) HealthCheck(balancer.ReplicaID)                                   {}
+func (nowhere) Gossip([]byte)                                                    {}
+func (nowhere) WatchDiscovery()                                                  {}
 
 // small makes a capture of a hundred requests.
 func small(t *testing.T) string {
 	t.Helper()
 	dir := t.TempDir()
-	b, err := choice.New(choice.Settings{Gateways: 1, Zone: "a", MaxAttempts: 3, Tick: 2000, MayCancel: true,
-		Classes: []choice.Class{{Name: "chat", LatencyObjective: 1e6, Deadline: 4e6, PriorityWeight: 1, Streaming: true}}}, 3, nowhere{})
+	b, err := balancer.New(balancer.Settings{Gateways: 1, Zone: "a", MaxAttempts: 3, Tick: 2000, MayCancel: true,
+		Classes: []balancer.Class{{Name: "chat", LatencyObjective: 1e6, Deadline: 4e6, PriorityWeight: 1, Streaming: true}}}, 3, nowhere{})
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -44,15 +44,15 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	r := capture.NewRecorder(1000, b, nil, nowhere{}, w, capture.Host{RequestName: func(id choice.RequestID) string { return "req" + string(rune('a'+id%26)) }},
+	r := capture.NewRecorder(1000, b, nil, nowhere{}, w, capture.Host{RequestName: func(id balancer.RequestID) string { return "req" + string(rune('a'+id%26)) }},
 		capture.Options{CheckpointInterval: 10 * time.Second, BlockSize: 4096, FlushInterval: time.Second, SegmentSize: 1 << 20, SegmentAge: time.Hour})
 	r.Start(1000)
-	r.ListChanged(1000, choice.EndpointList{Kind: choice.ListFull, Endpoints: []choice.Endpoint{{Replica: 1, Zone: "a"}, {Replica: 2, Zone: "a"}}})
-	for i := range choice.RequestID(100) {
-		now := 2000 + choice.Micros(i)*500_000
-		r.RequestArrived(now, choice.Request{ID: i + 1, Class: "chat", TimeLeft: 4e6, PromptTokens: 500})
-		r.FirstToken(now+1000, choice.Outcome{ID: i + 1, Replica: 1, Elapsed: 1000})
-		r.AttemptEnded(now+2000, choice.Outcome{ID: i + 1, Replica: 1, Status: choice.Served, Elapsed: 2000, Final: true})
+	r.ListChanged(1000, balancer.EndpointList{Kind: balancer.ListFull, Endpoints: []balancer.Endpoint{{Replica: 1, Zone: "a"}, {Replica: 2, Zone: "a"}}})
+	for i := range balancer.RequestID(100) {
+		now := 2000 + balancer.Micros(i)*500_000
+		r.RequestArrived(now, balancer.Request{ID: i + 1, Class: "chat", TimeLeft: 4e6, PromptTokens: 500})
+		r.FirstToken(now+1000, balancer.Outcome{ID: i + 1, Replica: 1, Elapsed: 1000})
+		r.AttemptEnded(now+2000, balancer.Outcome{ID: i + 1, Replica: 1, Status: balancer.Served, Elapsed: 2000, Final: true})
 	}
 	r.Close()
 	w.Close()
@@ -169,7 +169,7 @@
 	dir := small(t)
 	files, _ := filepath.Glob(filepath.Join(dir, "*.akcap"))
 	changed := filepath.Join(t.TempDir(), "changed.akcap")
-	if err := capture.RewriteHeader(files[0], changed, capture.ChangeSettings(func(s *choice.Settings) { s.Tick = 3000 })); err != nil {
+	if err := capture.RewriteHeader(files[0], changed, capture.ChangeSettings(func(s *balancer.Settings) { s.Tick = 3000 })); err != nil {
 		t.Fatal(err)
 	}
 	if code, out, _ := run("replay", changed); code != No || !strings.Contains(out, "kind timer: 100") {
@@ -187,7 +187,7 @@
 	if err != nil || json.Unmarshal(text, &a) != nil || a["differ"] != 100.0 {
 		t.Fatalf("%s %v", text, err)
 	}
-	if err := capture.RewriteHeader(files[0], changed, capture.ChangeSettings(func(s *choice.Settings) { s.Tick = 4000 })); err != nil {
+	if err := capture.RewriteHeader(files[0], changed, capture.ChangeSettings(func(s *balancer.Settings) { s.Tick = 4000 })); err != nil {
 		t.Fatal(err)
 	}
 	if code, out, _ := run("replay", changed); code != No || !strings.Contains(out, "not as accepted") {
--- a/internal/cli/config.go
+++ b/internal/cli/config.go
@@ -4,7 +4,7 @@
 	"errors"
 	"fmt"
 
-	"archknot/internal/conf"
+	"archknot/internal/config"
 )
 
 type configCmd struct {
@@ -27,8 +27,8 @@
 }
 
 func (c *checkCmd) Run(s *streams) error {
-	_, err := conf.Load(c.File)
-	var problems conf.Problems
+	_, err := config.Load(c.File)
+	var problems config.Problems
 	if err != nil && !errors.As(err, &problems) {
 		return err
 	}
@@ -62,7 +62,7 @@
 }
 
 func (c *showCmd) Run(s *streams) error {
-	got, err := conf.Load(c.File)
+	got, err := config.Load(c.File)
 	if err != nil {
 		return err
 	}
--- a/internal/cli/contracts.go
+++ b/internal/cli/contracts.go
@@ -12,12 +12,12 @@
 
 	"github.com/dustin/go-humanize"
 
-	"archknot/choice"
+	"archknot/balancer"
 	"archknot/internal/capture"
-	"archknot/internal/conf"
+	"archknot/internal/config"
 	"archknot/internal/contract"
 	"archknot/internal/contract/report"
-	"archknot/internal/contract/trial"
+	"archknot/internal/contractsim"
 )
 
 type contractsCmd struct {
@@ -56,7 +56,7 @@
 		}
 		return s.accounts(list)
 	}
-	got, err := conf.Load(c.File)
+	got, err := config.Load(c.File)
 	if err != nil {
 		return err
 	}
@@ -80,7 +80,7 @@
 	return w.Flush()
 }
 
-func day(unix choice.Micros) string {
+func day(unix balancer.Micros) string {
 	if unix == 0 {
 		return "-"
 	}
@@ -134,7 +134,7 @@
 		}
 		return s.accounts(list[i : i+1])
 	}
-	got, err := conf.Load(c.File)
+	got, err := config.Load(c.File)
 	if err != nil {
 		return err
 	}
@@ -145,7 +145,7 @@
 	case c.JSON:
 		return s.print(got.Contracts.Teams[i])
 	}
-	fmt.Fprint(s.out, strings.TrimPrefix(conf.FormatContract(&got.Contracts.Teams[i]), "\n"))
+	fmt.Fprint(s.out, strings.TrimPrefix(config.FormatContract(&got.Contracts.Teams[i]), "\n"))
 	return nil
 }
 
@@ -156,8 +156,8 @@
 	Config string   `required:"" env:"ARCHKNOT_CONF" placeholder:"FILE" help:"The settings with the contracts."`
 }
 
-func (f *trialFlags) run(s *streams, points int) ([]*trial.Result, error) {
-	got, err := conf.Load(f.Config)
+func (f *trialFlags) run(s *streams, points int) ([]*contractsim.Result, error) {
+	got, err := config.Load(f.Config)
 	if err != nil {
 		return nil, err
 	}
@@ -168,15 +168,15 @@
 	if err != nil {
 		return nil, err
 	}
-	var out []*trial.Result
+	var out []*contractsim.Result
 	for _, r := range runs {
 		from, to, err := f.of(r)
 		if err != nil {
 			return nil, err
 		}
-		o := trial.Options{Settings: got.Contracts.LedgerSettings(), Terms: got.Contracts.Teams, From: from, To: to, SeriesPoints: points, Progress: progress(s, r)}
+		o := contractsim.Options{Settings: got.Contracts.LedgerSettings(), Terms: got.Contracts.Teams, From: from, To: to, SeriesPoints: points, Progress: progress(s, r)}
 		o.Settings.ReserveFraction, o.Settings.Strict = 0, false // there is no store
-		res, err := trial.Run(r, o)
+		res, err := contractsim.Run(r, o)
 		if err != nil {
 			return nil, fmt.Errorf("%s: %w", r.Name, err)
 		}
--- a/internal/cli/drill.go
+++ b/internal/cli/drill.go
@@ -17,8 +17,8 @@
 
 	"golang.org/x/sync/errgroup"
 
-	"archknot/internal/drill"
 	"archknot/internal/experiment"
+	"archknot/internal/faulttest"
 )
 
 type drillCmd struct {
@@ -46,7 +46,7 @@
 }
 
 // each carries a drill out with each seed, so many at once, until one cannot be or the user ends it.
-func (f *seedFlags) each(do func(ctx context.Context, seed uint64, o drill.Options) error) error {
+func (f *seedFlags) each(do func(ctx context.Context, seed uint64, o faulttest.Options) error) error {
 	if f.Seeds < 1 || f.Jobs < 1 {
 		return errors.New("--seeds, --jobs: expected 1 or more")
 	}
@@ -57,7 +57,7 @@
 	for i := range f.Seeds {
 		group.Go(func() error {
 			seed := f.Seed + uint64(i)
-			o := drill.Options{}
+			o := faulttest.Options{}
 			if f.Logs != "" {
 				o.Dir = filepath.Join(f.Logs, fmt.Sprint(seed))
 			}
@@ -99,14 +99,14 @@
 	}
 	bar := countBar(s, c.Seeds)
 	var mu sync.Mutex
-	var all []*drill.Result
-	err = c.each(func(ctx context.Context, seed uint64, o drill.Options) error {
+	var all []*faulttest.Result
+	err = c.each(func(ctx context.Context, seed uint64, o faulttest.Options) error {
 		spec, err := p.Spec(v, w, seed)
 		if err != nil {
 			return err
 		}
 		o.Program = cmp.Or(c.Program, v.Program)
-		r, err := drill.Run(ctx, spec, o)
+		r, err := faulttest.Run(ctx, spec, o)
 		if err != nil {
 			return err
 		}
@@ -142,7 +142,7 @@
 }
 
 // tell prints one drill as it ends.
-func (c *drillRunCmd) tell(s *streams, r *drill.Result) error {
+func (c *drillRunCmd) tell(s *streams, r *faulttest.Result) error {
 	if c.JSON {
 		return json.NewEncoder(s.out).Encode(r)
 	}
@@ -159,7 +159,7 @@
 }
 
 // tellBroken prints the rules that a drill saw broken and the processes that ended.
-func tellBroken(out io.Writer, r *drill.Result) {
+func tellBroken(out io.Writer, r *faulttest.Result) {
 	for _, b := range r.Breaks {
 		fmt.Fprintf(out, "  rule=%s request=%s %s\n", b.Rule, b.Root, b.What)
 	}
@@ -168,7 +168,7 @@
 	}
 }
 
-func (c *drillRunCmd) sum(all []*drill.Result) (out drilled) {
+func (c *drillRunCmd) sum(all []*faulttest.Result) (out drilled) {
 	var served, lost, first, cpu []float64
 	for _, r := range all {
 		out.Drills++
--- a/internal/cli/experiment.go
+++ b/internal/cli/experiment.go
@@ -14,7 +14,7 @@
 	"github.com/schollz/progressbar/v3"
 	"golang.org/x/term"
 
-	"archknot/internal/conf"
+	"archknot/internal/config"
 	"archknot/internal/experiment"
 	"archknot/internal/fleet/model"
 )
@@ -38,7 +38,7 @@
 }
 
 func (c *runExperimentCmd) Run(s *streams) error {
-	p, err := conf.LoadPlan(c.Plan)
+	p, err := config.LoadPlan(c.Plan)
 	if err != nil {
 		return err
 	}
@@ -212,8 +212,8 @@
 }
 
 // loadPlan reads a plan, and which variant and workload of it are meant.
-func loadPlan(file, variant, workload string) (p *conf.Plan, v, w conf.Variant, err error) {
-	if p, err = conf.LoadPlan(file); err != nil {
+func loadPlan(file, variant, workload string) (p *config.Plan, v, w config.Variant, err error) {
+	if p, err = config.LoadPlan(file); err != nil {
 		return
 	}
 	if v, err = pickVariant(p.Variants, variant); err != nil {
@@ -224,7 +224,7 @@
 }
 
 // pickVariant finds a variant, or a workload, by its name; "" is the first.
-func pickVariant(list []conf.Variant, name string) (conf.Variant, error) {
+func pickVariant(list []config.Variant, name string) (config.Variant, error) {
 	if name == "" {
 		return list[0], nil
 	}
@@ -235,5 +235,5 @@
 		}
 		names = append(names, v.Name)
 	}
-	return conf.Variant{}, fmt.Errorf("%q: not in the plan; there are %s", name, strings.Join(names, ", "))
+	return config.Variant{}, fmt.Errorf("%q: not in the plan; there are %s", name, strings.Join(names, ", "))
 }
--- a/internal/cli/fleet.go
+++ b/internal/cli/fleet.go
@@ -11,7 +11,7 @@
 	"time"
 
 	"archknot/internal/capture"
-	"archknot/internal/conf"
+	"archknot/internal/config"
 	"archknot/internal/fleet/emulate"
 	"archknot/internal/fleet/fit"
 )
@@ -38,7 +38,7 @@
 }
 
 func (c *emulateCmd) Run(s *streams) error {
-	p, err := conf.LoadPlan(c.Plan)
+	p, err := config.LoadPlan(c.Plan)
 	if err != nil {
 		return err
 	}
@@ -162,14 +162,14 @@
 }
 
 func (c *scaleCmd) Run(s *streams) error {
-	if _, err := conf.LoadPlan(c.Plan); err != nil {
+	if _, err := config.LoadPlan(c.Plan); err != nil {
 		return err
 	}
 	text, err := os.ReadFile(c.Plan)
 	if err != nil {
 		return err
 	}
-	out, err := conf.ScalePlan(string(text), c.Times, c.KeepGateways)
+	out, err := config.ScalePlan(string(text), c.Times, c.KeepGateways)
 	if err != nil {
 		return fmt.Errorf("%s: %w", c.Plan, err)
 	}
--- a/internal/cli/replay.go
+++ b/internal/cli/replay.go
@@ -16,8 +16,8 @@
 	"github.com/schollz/progressbar/v3"
 	"golang.org/x/term"
 
-	"archknot/choice"
-	"archknot/internal/build"
+	"archknot/balancer"
+	"archknot/internal/buildinfo"
 	"archknot/internal/capture"
 	"archknot/internal/replay"
 )
@@ -135,7 +135,7 @@
 	names := replay.NewNames()
 	o.OnStep = func(st *replay.Step) { names = st.Names }
 	bar := progress(s, run)
-	o.Progress = func(at choice.Micros) { bar(at) }
+	o.Progress = func(at balancer.Micros) { bar(at) }
 	res, err := replay.Replay(run, o)
 	bar(run.End())
 	if err != nil {
@@ -150,7 +150,7 @@
 				return nil, false, err
 			}
 		} else {
-			text, err := json.MarshalIndent(accepted{build.Version(), res.Differing, res.Differences, res.ByKind, first}, "", "  ")
+			text, err := json.MarshalIndent(accepted{buildinfo.Version(), res.Differing, res.Differences, res.ByKind, first}, "", "  ")
 			if err == nil {
 				err = renameio.WriteFile(path, append(text, '\n'), 0o644)
 			}
@@ -200,14 +200,14 @@
 }
 
 // progress shows how far a replay is, on a terminal.
-func progress(s *streams, run *capture.Run) func(choice.Micros) {
+func progress(s *streams, run *capture.Run) func(balancer.Micros) {
 	f, ok := s.err.(*os.File)
 	if !ok || !term.IsTerminal(int(f.Fd())) || run.Bytes() < 4<<20 {
-		return func(choice.Micros) {}
+		return func(balancer.Micros) {}
 	}
 	bar := progressbar.NewOptions64(run.End()-run.Begin(), progressbar.OptionSetWriter(f), progressbar.OptionSetDescription("reading "+run.Gateway),
 		progressbar.OptionSetPredictTime(true), progressbar.OptionClearOnFinish())
-	return func(at choice.Micros) { _ = bar.Set64(at - run.Begin()) }
+	return func(at balancer.Micros) { _ = bar.Set64(at - run.Begin()) }
 }
 
 func (c *replayCmd) against(s *streams) error {
--- a/internal/cli/scale.go
+++ b/internal/cli/scale.go
@@ -9,8 +9,8 @@
 	"os/signal"
 	"syscall"
 
-	"archknot/internal/conf"
-	"archknot/internal/drill/scale"
+	"archknot/internal/config"
+	"archknot/internal/scaletest"
 )
 
 // drillScaleCmd measures what grows with a fleet.
@@ -28,14 +28,14 @@
 }
 
 func (c *drillScaleCmd) Run(s *streams) error {
-	p, err := conf.LoadScaleRun(c.Plan)
+	p, err := config.LoadScaleRun(c.Plan)
 	if err != nil {
 		return err
 	}
 	ctx, stop := signal.NotifyContext(context.Background(), os.Interrupt, syscall.SIGTERM)
 	defer stop()
-	bar := countBar(s, len(scale.Steps(p)))
-	res, err := scale.Run(ctx, p, scale.Options{Program: c.Program, Progress: func(done, _ int, what string) {
+	bar := countBar(s, len(scaletest.Steps(p)))
+	res, err := scaletest.Run(ctx, p, scaletest.Options{Program: c.Program, Progress: func(done, _ int, what string) {
 		if bar != nil {
 			bar.Describe(what)
 			_ = bar.Set(done)
@@ -63,5 +63,5 @@
 
 func (c *scaleRoleCmd) Run(s *streams) error {
 	slog.SetDefault(slog.New(slog.NewTextHandler(os.Stderr, &slog.HandlerOptions{Level: slog.LevelError})))
-	return scale.Serve(context.Background(), c.Role, os.Stdin, s.out)
+	return scaletest.Serve(context.Background(), c.Role, os.Stdin, s.out)
 }
--- a/internal/cli/site.go
+++ b/internal/cli/site.go
@@ -19,10 +19,10 @@
 	"github.com/wcharczuk/go-chart/v2"
 	"golang.org/x/term"
 
-	"archknot/internal/drill"
 	"archknot/internal/experiment"
+	"archknot/internal/faulttest"
 	"archknot/internal/fleet/model"
-	"archknot/internal/site/forecast"
+	"archknot/internal/siteforecast"
 )
 
 type siteCmd struct {
@@ -45,15 +45,15 @@
 	JSON     bool          `name:"json" help:"Print JSON."`
 }
 
-func (c *lossFlags) loss() (l forecast.Loss, err error) {
+func (c *lossFlags) loss() (l siteforecast.Loss, err error) {
 	if c.At < time.Second || c.For <= 0 || c.Watch < time.Second || c.Told < 0 || c.At+c.Watch > time.Hour || c.Played < 2 || c.Played > 1000 {
 		return l, errors.New("--at, --watch: expected 1s or more, an hour at most in all; --for: above 0; --played: 2 to 1000")
 	}
-	return forecast.Loss{Site: c.Lose, At: c.At.Microseconds(), For: c.For.Microseconds(), Told: c.Told.Microseconds(), Watch: c.Watch.Microseconds()}, nil
+	return siteforecast.Loss{Site: c.Lose, At: c.At.Microseconds(), For: c.For.Microseconds(), Told: c.Told.Microseconds(), Watch: c.Watch.Microseconds()}, nil
 }
 
 // make plays the model.
-func (c *lossFlags) make(ctx context.Context, s *streams) (*forecast.Forecast, func(uint64) (*model.Spec, error), error) {
+func (c *lossFlags) make(ctx context.Context, s *streams) (*siteforecast.Forecast, func(uint64) (*model.Spec, error), error) {
 	l, err := c.loss()
 	if err != nil {
 		return nil, nil, err
@@ -63,11 +63,11 @@
 		return nil, nil, err
 	}
 	spec := func(seed uint64) (*model.Spec, error) { return p.Spec(v, w, seed) }
-	o := forecast.Options{Seeds: c.Played, First: c.Seed}
+	o := siteforecast.Options{Seeds: c.Played, First: c.Seed}
 	if bar := countBar(s, 2*c.Played); bar != nil {
 		o.Done = func() { _ = bar.Add(1) }
 	}
-	f, err := forecast.Make(ctx, spec, l, o)
+	f, err := siteforecast.Make(ctx, spec, l, o)
 	return f, spec, err
 }
 
@@ -109,7 +109,7 @@
 	return printForecast(s.out, f)
 }
 
-func printForecast(out io.Writer, f *forecast.Forecast) error {
+func printForecast(out io.Writer, f *siteforecast.Forecast) error {
 	t := tabwriter.NewWriter(out, 0, 0, 2, ' ', 0)
 	fmt.Fprintf(t, "site\tworkers\tload before\tload after\n")
 	for _, x := range f.Sites {
@@ -138,7 +138,7 @@
 }
 
 // writeChart draws the seconds from the loss on.
-func writeChart(path string, f *forecast.Forecast) error {
+func writeChart(path string, f *siteforecast.Forecast) error {
 	g := chart.Chart{Width: 820, Height: 300, Background: chart.Style{Padding: chart.Box{Top: 30, Left: 10, Right: 10, Bottom: 10}},
 		XAxis: chart.XAxis{Name: "seconds from the loss"}, YAxis: chart.YAxis{Name: "worth served", Range: &chart.ContinuousRange{Min: 0, Max: 1.02}}}
 	for i, name := range []string{"with the loss", "without", "back"} {
@@ -184,14 +184,14 @@
 
 // siteDrilled is one drill beside the forecast.
 type siteDrilled struct {
-	Seed     uint64             `json:"seed"`
-	Served   float64            `json:"worth_served"`
-	Within   bool               `json:"within"`
-	Classes  map[string]float64 `json:"classes"`              // worth served, as a share
-	ToLost   float64            `json:"to_lost_after_1500ms"` // share of attempts sent to the lost site then
-	Breaks   int                `json:"breaks"`
-	Crashes  int                `json:"crashes"`
-	Forecast *forecast.Range    `json:"forecast,omitempty"`
+	Seed     uint64              `json:"seed"`
+	Served   float64             `json:"worth_served"`
+	Within   bool                `json:"within"`
+	Classes  map[string]float64  `json:"classes"`              // worth served, as a share
+	ToLost   float64             `json:"to_lost_after_1500ms"` // share of attempts sent to the lost site then
+	Breaks   int                 `json:"breaks"`
+	Crashes  int                 `json:"crashes"`
+	Forecast *siteforecast.Range `json:"forecast,omitempty"`
 }
 
 func (c *siteDrillCmd) Run(s *streams) error {
@@ -219,11 +219,11 @@
 		if one, err = f.Lost.Spec(one); err != nil {
 			return err
 		}
-		o := drill.Options{Program: c.Program}
+		o := faulttest.Options{Program: c.Program}
 		if c.Logs != "" {
 			o.Dir = fmt.Sprintf("%s/%d", c.Logs, one.Seed)
 		}
-		r, err := drill.Run(ctx, one, o)
+		r, err := faulttest.Run(ctx, one, o)
 		if err != nil {
 			return fmt.Errorf("seed %d: %w", one.Seed, err)
 		}
--- a/internal/cli/soak.go
+++ b/internal/cli/soak.go
@@ -7,7 +7,7 @@
 	"strings"
 	"sync"
 
-	"archknot/internal/drill"
+	"archknot/internal/faulttest"
 )
 
 type drillSoakCmd struct {
@@ -31,13 +31,13 @@
 	}
 	var mu sync.Mutex
 	broken := 0
-	err = c.each(func(ctx context.Context, seed uint64, o drill.Options) error {
+	err = c.each(func(ctx context.Context, seed uint64, o faulttest.Options) error {
 		spec, err := p.Spec(v, w, seed)
 		if err != nil {
 			return err
 		}
 		o.Program = c.Program
-		r, err := drill.Soak(ctx, spec, o)
+		r, err := faulttest.Soak(ctx, spec, o)
 		if err != nil {
 			return err
 		}
@@ -56,7 +56,7 @@
 }
 
 // tell prints one soak as it ends.
-func (c *drillSoakCmd) tell(s *streams, r *drill.SoakResult) error {
+func (c *drillSoakCmd) tell(s *streams, r *faulttest.SoakResult) error {
 	if c.JSON {
 		return json.NewEncoder(s.out).Encode(r)
 	}
@@ -64,6 +64,6 @@
 	if c.Timeline || len(r.Breaks)+len(r.Crashes) > 0 {
 		fmt.Fprintf(s.out, "  %s\n", strings.Join(r.Events, "\n  "))
 	}
-	tellBroken(s.out, &drill.Result{Breaks: r.Breaks, Crashes: r.Crashes})
+	tellBroken(s.out, &faulttest.Result{Breaks: r.Breaks, Crashes: r.Crashes})
 	return nil
 }
--- a/internal/cli/version.go
+++ b/internal/cli/version.go
@@ -6,10 +6,10 @@
 	"fmt"
 	"text/tabwriter"
 
-	"archknot/internal/conf"
-	"archknot/internal/confstream"
-	"archknot/internal/control"
+	"archknot/internal/config"
+	"archknot/internal/controlsocket"
 	"archknot/internal/lifecycle"
+	"archknot/internal/xdsclient"
 )
 
 // socketFlags find a running gateway's control socket.
@@ -22,7 +22,7 @@
 func (f *socketFlags) call(s *streams, name string, order, answer any) error {
 	path := f.Socket
 	if path == "" {
-		got, err := conf.Load(f.Config)
+		got, err := config.Load(f.Config)
 		if err != nil {
 			return err
 		}
@@ -30,8 +30,8 @@
 			return errors.New("no socket: name it by --socket, or by control.socket in the settings")
 		}
 	}
-	err := control.Call(context.Background(), path, name, order, answer)
-	var refused control.CommandError
+	err := controlsocket.Call(context.Background(), path, name, order, answer)
+	var refused controlsocket.CommandError
 	if errors.As(err, &refused) {
 		fmt.Fprintf(s.err, "archknot: the gateway cannot: %v\n", refused)
 		return errNo
@@ -82,7 +82,7 @@
 }
 
 func (c *historyCmd) Run(s *streams) error {
-	var list []confstream.HistoryEntry
+	var list []xdsclient.HistoryEntry
 	if err := c.call(s, "config/history", struct{}{}, &list); err != nil {
 		return err
 	}
@@ -127,11 +127,11 @@
 }
 
 func (c *diffCmd) Run(s *streams) error {
-	one, err := conf.Load(c.One)
+	one, err := config.Load(c.One)
 	if err != nil {
 		return err
 	}
-	other, err := conf.Load(c.Other)
+	other, err := config.Load(c.Other)
 	if err != nil {
 		return err
 	}
--- a/internal/conf/grammar.go
+++ b/internal/config/grammar.go
@@ -2,7 +2,7 @@
 // as classic daemons have them. This is the one place where they are read,
 // checked and given defaults. What the platform tells a gateway (NODE_CONFIG) is
 // not here but in package lifecycle.
-package conf
+package config
 
 import (
 	"errors"
--- a/internal/conf/plan.go
+++ b/internal/config/plan.go
@@ -1,4 +1,4 @@
-package conf
+package config
 
 import (
 	"cmp"
@@ -9,7 +9,7 @@
 	"strings"
 	"time"
 
-	"archknot/choice"
+	"archknot/balancer"
 	"archknot/internal/contract"
 	"archknot/internal/fleet/model"
 )
@@ -162,7 +162,7 @@
 
 func defaultSpec() *model.Spec {
 	s := &model.Spec{}
-	s.Settings = choice.Settings{ReportSource: choice.ReportInline, PollDiscovery: true, Tick: 2000, MayCancel: true, MayHedge: true, MaxAttempts: 3,
+	s.Settings = balancer.Settings{ReportSource: balancer.ReportInline, PollDiscovery: true, Tick: 2000, MayCancel: true, MayHedge: true, MaxAttempts: 3,
 		InitialCapacity: 0.3, OverloadMultiple: 3, SlowStartFor: 8_000_000, OverloadWindow: 1_500_000, StreamsPerConn: 1, ConnIdleTimeout: 60_000_000, OverQuotaWeight: 0.05}
 	return s
 }
@@ -173,8 +173,8 @@
 	reader     *reader
 	seen       map[string]entry
 	keys       map[string][]keySpec // by section and label
-	classes    []*choice.Class
-	tenants    []*choice.Tenant
+	classes    []*balancer.Class
+	tenants    []*balancer.Tenant
 	groups     []*model.Group
 	streams    []*model.Stream
 	faults     []*model.Fault
@@ -237,7 +237,7 @@
 }
 
 // microsKey is a time on the module's clock.
-func microsKey(name string, to *choice.Micros, otherwise string, least, most time.Duration, doc string) keySpec {
+func microsKey(name string, to *balancer.Micros, otherwise string, least, most time.Duration, doc string) keySpec {
 	return convertedDurationKey(name, otherwise, least, most, doc, func(d time.Duration) { *to = d.Microseconds() })
 }
 
@@ -285,7 +285,7 @@
 			enumKey("reports", &b.reportMode, "inline", "how workers tell their load", "inline", "none"),
 			microsKey("cold-for", &g.SlowStartFor, "8s", 0, hour, "how long a worker counts as cold")}
 	case "class":
-		c := &choice.Class{Name: label}
+		c := &balancer.Class{Name: label}
 		effect := new(string)
 		b.classes, b.effects = append(b.classes, c), append(b.effects, effect)
 		return []keySpec{microsKey("aim", &c.LatencyObjective, "1s", 0, hour, "full worth for a first token within this"),
@@ -296,7 +296,7 @@
 			boolKey("stream", &c.Streaming, "on", "answers come as streams"),
 			enumKey("effect", effect, "repeatable", "whether it may run twice", "repeatable", "once")}
 	case "tenant":
-		t := &choice.Tenant{Name: label}
+		t := &balancer.Tenant{Name: label}
 		b.tenants = append(b.tenants, t)
 		return []keySpec{floatKey("quota", &t.QuotaPerS, "0", 0, 1e9, "requests a second, over all gateways")}
 	case "workers":
@@ -383,21 +383,21 @@
 			}
 		}
 	}
-	s.Settings.ReportSource = choice.ReportInline
+	s.Settings.ReportSource = balancer.ReportInline
 	if b.reportMode == "none" {
-		s.Settings.ReportSource = choice.ReportNone
+		s.Settings.ReportSource = balancer.ReportNone
 	}
 	for i, c := range b.classes {
 		if *b.effects[i] == "once" {
-			c.Idempotency = choice.NonIdempotent
+			c.Idempotency = balancer.NonIdempotent
 		}
 		s.Settings.Classes = append(s.Settings.Classes, *c)
 	}
 	for _, t := range b.tenants {
 		s.Settings.Tenants = append(s.Settings.Tenants, *t)
 	}
-	slices.SortFunc(s.Settings.Classes, func(x, y choice.Class) int { return cmp.Compare(x.Name, y.Name) })
-	slices.SortFunc(s.Settings.Tenants, func(x, y choice.Tenant) int { return cmp.Compare(x.Name, y.Name) })
+	slices.SortFunc(s.Settings.Classes, func(x, y balancer.Class) int { return cmp.Compare(x.Name, y.Name) })
+	slices.SortFunc(s.Settings.Tenants, func(x, y balancer.Tenant) int { return cmp.Compare(x.Name, y.Name) })
 	for _, g := range b.groups {
 		s.Groups = append(s.Groups, *g)
 	}
--- a/internal/conf/scale_test.go
+++ b/internal/config/scale_test.go
@@ -1,4 +1,4 @@
-package conf
+package config
 
 import (
 	"os"
--- a/internal/revision/bench_test.go
+++ b/internal/configversion/bench_test.go
@@ -1,17 +1,17 @@
-package revision
+package configversion
 
 import (
 	"fmt"
 	"testing"
 
-	"archknot/choice"
+	"archknot/balancer"
 )
 
 // BenchmarkValidate is the check of one version over the number of tenants: a version has all of them.
 func BenchmarkValidate(b *testing.B) {
 	for _, tenants := range []int{10, 100, 1000} {
 		b.Run(fmt.Sprint(tenants), func(b *testing.B) {
-			c := &Config{Number: 1, HasClasses: true, HasTenants: true, Classes: []choice.Class{{Name: "chat", LatencyObjective: 1e6, Deadline: 4e6, PriorityWeight: 1, Streaming: true}}}
+			c := &Config{Number: 1, HasClasses: true, HasTenants: true, Classes: []balancer.Class{{Name: "chat", LatencyObjective: 1e6, Deadline: 4e6, PriorityWeight: 1, Streaming: true}}}
 			for i := range tenants {
 				c.Tenants = append(c.Tenants, Tenant{Name: fmt.Sprintf("tenant-%04d", i)})
 			}
--- a/internal/revision/config.go
+++ b/internal/configversion/config.go
@@ -2,7 +2,7 @@
 // configuration: whether one is complete, good by itself, and good as a step
 // from the one in force; when it is taken, kept or given back. It reads no clock
 // and does no I/O; see docs/design/streamed-configuration.md.
-package revision
+package configversion
 
 import (
 	"cmp"
@@ -13,7 +13,7 @@
 
 	"github.com/cespare/xxhash/v2"
 
-	"archknot/choice"
+	"archknot/balancer"
 	"archknot/internal/contract"
 )
 
@@ -50,7 +50,7 @@
 
 	HasClasses, HasTenants, HasReplicaMarks, HasContracts bool
 
-	Classes      []choice.Class
+	Classes      []balancer.Class
 	Tenants      []Tenant
 	ReplicaMarks []ReplicaMark
 	Attempts     *Attempts
@@ -70,7 +70,7 @@
 // it by then. Without a hold all take it at once.
 type Rollout struct {
 	FirstPercent int
-	Hold         choice.Micros
+	Hold         balancer.Micros
 	// MaxRegression is by how much the share of late and unserved requests may rise
 	// within the hold, in parts of 1; a gateway where it rises more goes back.
 	MaxRegression float64
@@ -110,24 +110,24 @@
 type Admission struct {
 	MaxInFlight     int
 	OverQuotaWeight float64
-	MaxRetryAfter   choice.Micros
+	MaxRetryAfter   balancer.Micros
 }
 
 // Connections bounds sockets and their times.
 type Connections struct {
 	Clients, Replicas           int
-	IdleTimeout, ConnectTimeout choice.Micros
+	IdleTimeout, ConnectTimeout balancer.Micros
 }
 
 // Watch is how the registry is asked.
-type Watch struct{ Wait, CallTimeout choice.Micros }
+type Watch struct{ Wait, CallTimeout balancer.Micros }
 
 // Capture is whether the module is recorded, and how much is kept.
 type Capture struct {
 	Record             bool
-	CheckpointInterval choice.Micros
+	CheckpointInterval balancer.Micros
 	MaxBytes           int64
-	MaxAge             choice.Micros
+	MaxAge             balancer.Micros
 }
 
 // Log is what is logged.
@@ -137,14 +137,14 @@
 type Limits struct {
 	MaxAttempts     int // of a request, whatever kind; the protocol's bound
 	Sockets         int // client and worker connections together
-	MaxPollInterval choice.Micros
-	DrainGrace      choice.Micros // the drain rule: nothing new so long after the word
-	MayCapture      bool          // there is a folder for captures
+	MaxPollInterval balancer.Micros
+	DrainGrace      balancer.Micros // the drain rule: nothing new so long after the word
+	MayCapture      bool            // there is a folder for captures
 	MaxClasses      int
 	MaxTenants      int
 	MaxReplicaMarks int
-	MaxDuration     choice.Micros // of any time a version names
-	MaxInFlight     int           // requests in hand, at most
+	MaxDuration     balancer.Micros // of any time a version names
+	MaxInFlight     int             // requests in hand, at most
 
 	MaxContracts int
 }
@@ -200,7 +200,7 @@
 	if !(c.Rollout.MaxRegression >= 0 && c.Rollout.MaxRegression <= 1) {
 		r.addf(TypeVersion, "", "worse_by", "expected 0 to 1, got %v", c.Rollout.MaxRegression)
 	}
-	span := func(t ResourceType, resource, field string, v, least choice.Micros) {
+	span := func(t ResourceType, resource, field string, v, least balancer.Micros) {
 		if v < least || v > l.MaxDuration {
 			r.addf(t, resource, field, "expected %d to %d us, got %d", least, l.MaxDuration, v)
 		}
@@ -258,7 +258,7 @@
 	return r
 }
 
-func validateClasses(c *Config, l Limits, r *Rejections, span func(ResourceType, string, string, choice.Micros, choice.Micros)) {
+func validateClasses(c *Config, l Limits, r *Rejections, span func(ResourceType, string, string, balancer.Micros, balancer.Micros)) {
 	if !c.HasClasses {
 		return
 	}
@@ -285,7 +285,7 @@
 		if !(k.LateWeightShare >= 0 && k.LateWeightShare <= 1) {
 			r.addf(TypeClass, k.Name, "late_worth", "expected 0 to 1, got %v", k.LateWeightShare)
 		}
-		if k.Idempotency > choice.NonIdempotent || k.DedupScope > choice.DedupCell {
+		if k.Idempotency > balancer.NonIdempotent || k.DedupScope > balancer.DedupCell {
 			r.addf(TypeClass, k.Name, "effect, scope", "not known")
 		}
 	}
@@ -338,9 +338,9 @@
 
 // GatewayState is what a step must fit: the gateway as it is now.
 type GatewayState struct {
-	Settings         choice.Settings // in force in the module
-	Watch            Watch           // in force
-	Clients          int             // client connections open
+	Settings         balancer.Settings // in force in the module
+	Watch            Watch             // in force
+	Clients          int               // client connections open
 	Replicas         map[string]ReplicaState
 	InFlightByClass  map[string]InFlight      // by class
 	InFlight         int                      // requests in hand
@@ -350,7 +350,7 @@
 
 // ReplicaState is a worker as the registry and earlier marks have it.
 type ReplicaState struct {
-	Discovered choice.EndpointState
+	Discovered balancer.EndpointState
 	Marked     bool // drained by a mark
 	// AttemptsInFlight is how many own attempts are still out on a worker that drains.
 	AttemptsInFlight int
@@ -359,23 +359,23 @@
 // InFlight is what a class has in hand.
 type InFlight struct {
 	Requests        int
-	LongestDeadline choice.Micros // the most that one that waits for its first token was given from its arrival
+	LongestDeadline balancer.Micros // the most that one that waits for its first token was given from its arrival
 }
 
 // clockTolerance is how much more than it asked for a request may seem to have been
 // given: the loop reads its clock once a turn, a little before it takes one on.
-const clockTolerance choice.Micros = 20_000
+const clockTolerance balancer.Micros = 20_000
 
 // ValidateTransition tells why a version that is good by itself must not be taken from
 // where the gateway stands.
 func ValidateTransition(c *Config, l Limits, p *GatewayState) Rejections {
 	var r Rejections
 	if c.HasClasses {
-		next := map[string]choice.Class{}
+		next := map[string]balancer.Class{}
 		for _, k := range c.Classes {
 			next[k.Name] = k
 		}
-		now := map[string]choice.Micros{}
+		now := map[string]balancer.Micros{}
 		for _, k := range p.Settings.Classes {
 			now[k.Name] = k.Deadline
 		}
@@ -413,7 +413,7 @@
 			case w.Kind != MarkServe:
 			case !known:
 				r.addf(TypeReplica, w.Name, "mark", "brought back, but the registry's list does not have it")
-			case s.Discovered != choice.EndpointReady:
+			case s.Discovered != balancer.EndpointReady:
 				r.addf(TypeReplica, w.Name, "mark", "brought back, but the registry says that it drains or is gone")
 			case s.Marked && s.AttemptsInFlight > 0:
 				r.addf(TypeReplica, w.Name, "mark", "brought back while it empties: %d attempts are out on it", s.AttemptsInFlight)
@@ -471,7 +471,7 @@
 		drained[w.Name] = w.Kind == MarkDrain
 	}
 	for name, s := range p.Replicas {
-		if s.Discovered == choice.EndpointReady && !drained[name] {
+		if s.Discovered == balancer.EndpointReady && !drained[name] {
 			n++
 		}
 	}
@@ -479,18 +479,18 @@
 }
 
 // Overlay is the module's settings with a version's parts in place of the files'.
-func (c *Config) Overlay(base choice.Settings) choice.Settings {
+func (c *Config) Overlay(base balancer.Settings) balancer.Settings {
 	s := base
 	if c.HasClasses {
 		s.Classes = slices.Clone(c.Classes)
-		slices.SortFunc(s.Classes, func(a, b choice.Class) int { return cmp.Compare(a.Name, b.Name) })
+		slices.SortFunc(s.Classes, func(a, b balancer.Class) int { return cmp.Compare(a.Name, b.Name) })
 	}
 	if c.HasTenants {
 		s.Tenants = nil
 		for _, t := range c.Tenants {
-			s.Tenants = append(s.Tenants, choice.Tenant{Name: t.Name, QuotaPerS: t.QuotaPerS})
+			s.Tenants = append(s.Tenants, balancer.Tenant{Name: t.Name, QuotaPerS: t.QuotaPerS})
 		}
-		slices.SortFunc(s.Tenants, func(a, b choice.Tenant) int { return cmp.Compare(a.Name, b.Name) })
+		slices.SortFunc(s.Tenants, func(a, b balancer.Tenant) int { return cmp.Compare(a.Name, b.Name) })
 	}
 	if a := c.Attempts; a != nil {
 		s.MaxAttempts, s.MayHedge = a.Max, a.MayHedge && base.MayHedge
--- a/internal/revision/machine.go
+++ b/internal/configversion/machine.go
@@ -1,10 +1,10 @@
-package revision
+package configversion
 
 import (
 	"fmt"
 	"math/rand/v2"
 
-	"archknot/choice"
+	"archknot/balancer"
 )
 
 // Response is one message of the stream: all resources of one type, as the
@@ -35,7 +35,7 @@
 // Host carries out what the machine orders. It must not call back from within.
 type Host interface {
 	// Connect opens the stream after a while. Connected or Closed answers.
-	Connect(after choice.Micros)
+	Connect(after balancer.Micros)
 	// Close ends the stream; nothing answers.
 	Close(reason string)
 	// SendRequest asks for a type from a version name on: an acknowledgement where the
@@ -53,7 +53,7 @@
 
 // Event is one line of the history.
 type Event struct {
-	At     choice.Micros
+	At     balancer.Micros
 	Number Number
 	Kind   string // one of the words below
 	Reason string
@@ -76,17 +76,17 @@
 	Limits  Limits
 	Seed    uint64
 	// MinInterval is the least time from one version taken to the next.
-	MinInterval choice.Micros
+	MinInterval balancer.Micros
 	// StallTimeout is how long a version may stay incomplete before the stream is dropped.
-	StallTimeout choice.Micros
+	StallTimeout balancer.Micros
 	// InitialBackoff and MaxBackoff bound the wait before the stream is opened again;
 	// each wait is drawn from 0 to a bound that doubles.
-	InitialBackoff, MaxBackoff choice.Micros
+	InitialBackoff, MaxBackoff balancer.Micros
 	// BackoffResetAfter is how long a stream must have lasted for the bound to start anew.
-	BackoffResetAfter choice.Micros
+	BackoffResetAfter balancer.Micros
 	// WithdrawGrace is how much longer than the hold the others wait: the service must hear
 	// that a version was given back, and withdraw it.
-	WithdrawGrace choice.Micros
+	WithdrawGrace balancer.Micros
 	// MinVerdictRequests is how many requests must have ended within a hold for a
 	// verdict.
 	MinVerdictRequests int
@@ -107,23 +107,23 @@
 	options Options
 	host    Host
 	rng     *rand.Rand
-	now     choice.Micros
+	now     balancer.Micros
 
 	connected          bool
 	connecting         bool
-	openedAt           choice.Micros // when the stream opened
-	backoff            choice.Micros
+	openedAt           balancer.Micros // when the stream opened
+	backoff            balancer.Micros
 	latest             map[ResourceType]*Response
 	undecodable        map[ResourceType]bool   // types whose last response could not be read: told, and waited for
 	ackedVersions      map[ResourceType]string // version names in force, by type
-	incompleteSince    choice.Micros           // since when a version is incomplete; 0: none is
+	incompleteSince    balancer.Micros         // since when a version is incomplete; 0: none is
 	inForce            *Config                 // in force; nil: the files
 	inForceNonces      map[ResourceType]string // of its resources, on the stream that stands
 	previous           *Config                 // in force before that
 	verifying          bool                    // the one in force is within its hold
-	holdUntil          choice.Micros
-	appliedAt          choice.Micros // when a version was last taken, 0: never
-	rollbackAt         choice.Micros // when the way back is tried again; 0: it is not wanted
+	holdUntil          balancer.Micros
+	appliedAt          balancer.Micros // when a version was last taken, 0: never
+	rollbackAt         balancer.Micros // when the way back is tried again; 0: it is not wanted
 	rollbackReason     string
 	waiting            *candidate // complete and good, not to be taken yet
 	applying           *candidate
@@ -138,8 +138,8 @@
 	config   *Config
 	nonces   map[ResourceType]string // to be answered
 	versions map[ResourceType]string
-	applyAt  choice.Micros // when it may be taken
-	reason   string        // the reason it is given back for
+	applyAt  balancer.Micros // when it may be taken
+	reason   string          // the reason it is given back for
 }
 
 // outcomeTally counts requests that ended, and those late or not served.
@@ -164,7 +164,7 @@
 }
 
 // Start begins to connect.
-func (m *Machine) Start(now choice.Micros) {
+func (m *Machine) Start(now balancer.Micros) {
 	m.now = now
 	m.reconnect()
 }
@@ -204,12 +204,12 @@
 func (m *Machine) reconnect() {
 	m.connecting = true
 	m.backoff = min(m.options.MaxBackoff, max(m.options.InitialBackoff, 2*m.backoff))
-	m.host.Connect(choice.Micros(m.rng.Float64() * float64(m.backoff)))
+	m.host.Connect(balancer.Micros(m.rng.Float64() * float64(m.backoff)))
 }
 
 // Connected tells that the stream is open: every type is asked for from the
 // versions in force on.
-func (m *Machine) Connected(now choice.Micros) {
+func (m *Machine) Connected(now balancer.Micros) {
 	m.now, m.connected, m.connecting, m.openedAt = now, true, false, now
 	clear(m.latest)
 	clear(m.undecodable)
@@ -221,7 +221,7 @@
 
 // Closed tells that the stream could not be opened, or has ended. What was
 // incomplete is gone with it; what is complete is still taken.
-func (m *Machine) Closed(now choice.Micros, reason string) {
+func (m *Machine) Closed(now balancer.Micros, reason string) {
 	if !m.connected && !m.connecting {
 		return
 	}
@@ -249,7 +249,7 @@
 }
 
 // Received takes a message of the stream.
-func (m *Machine) Received(now choice.Micros, r Response) {
+func (m *Machine) Received(now balancer.Micros, r Response) {
 	if !m.connected {
 		return
 	}
@@ -420,7 +420,7 @@
 const maxReasonLength = 4096
 
 // Tick does what is due.
-func (m *Machine) Tick(now choice.Micros) {
+func (m *Machine) Tick(now balancer.Micros) {
 	m.now = now
 	if m.verifying && now >= m.holdUntil && m.applying == nil {
 		m.judgeHold()
@@ -440,7 +440,7 @@
 }
 
 // applicableAt is when a version that waits may be taken.
-func (m *Machine) applicableAt(c *candidate) choice.Micros {
+func (m *Machine) applicableAt(c *candidate) balancer.Micros {
 	at := c.applyAt
 	if m.appliedAt > 0 {
 		at = max(at, m.appliedAt+m.options.MinInterval)
@@ -449,9 +449,9 @@
 }
 
 // NextTick is when Tick is wanted; 0: not.
-func (m *Machine) NextTick() choice.Micros {
-	next := choice.Micros(0)
-	sooner := func(at choice.Micros) {
+func (m *Machine) NextTick() balancer.Micros {
+	next := balancer.Micros(0)
+	sooner := func(at balancer.Micros) {
 		if next == 0 || at < next {
 			next = max(1, at)
 		}
@@ -472,7 +472,7 @@
 }
 
 // Applied answers Apply: the step was taken, or refused with nothing changed.
-func (m *Machine) Applied(now choice.Micros, refused Rejections) {
+func (m *Machine) Applied(now balancer.Micros, refused Rejections) {
 	c := m.applying
 	if c == nil {
 		return
@@ -562,7 +562,7 @@
 
 // Rollback is an operator's order to go back to the version before; it tells
 // whether there is one to go back from.
-func (m *Machine) Rollback(now choice.Micros, why string) bool {
+func (m *Machine) Rollback(now balancer.Micros, why string) bool {
 	m.now = now
 	if m.inForce == nil || m.applying != nil {
 		return false
--- a/internal/revision/model_test.go
+++ b/internal/configversion/model_test.go
@@ -1,4 +1,4 @@
-package revision
+package configversion
 
 import (
 	"errors"
@@ -9,7 +9,7 @@
 
 	"pgregory.net/rapid"
 
-	"archknot/choice"
+	"archknot/balancer"
 )
 
 // model is what a reader of the protocol would expect of a machine, written
@@ -18,7 +18,7 @@
 type model struct {
 	t               *rapid.T
 	machine         *Machine
-	now             choice.Micros
+	now             balancer.Micros
 	open            bool
 	connectOrdered  bool
 	latest          map[ResourceType]Response // of this stream
@@ -38,8 +38,8 @@
 
 const attemptsOver = 9 // a version whose number divides by 4 asks for too many
 
-func (s *model) Connect(choice.Micros) { s.connectOrdered = true }
-func (s *model) Close(string)          { s.open = false }
+func (s *model) Connect(balancer.Micros) { s.connectOrdered = true }
+func (s *model) Close(string)            { s.open = false }
 
 func (s *model) SendRequest(t ResourceType, _, nonce, why string) {
 	if !s.open {
@@ -146,7 +146,7 @@
 		}
 		class := func(n Number) {
 			s.receive(Response{Type: TypeClass, Version: fmt.Sprint(TypeClass, n), Fragment: &Fragment{MergeInto: func(c *Config) {
-				c.HasClasses, c.Classes = true, []choice.Class{{Name: "chat", Deadline: sec, PriorityWeight: float64(n)}}
+				c.HasClasses, c.Classes = true, []balancer.Class{{Name: "chat", Deadline: sec, PriorityWeight: float64(n)}}
 			}}})
 		}
 		attempts := func(n Number) {
@@ -201,7 +201,7 @@
 				s.receive(Response{Type: rapid.SampledFrom(ResourceTypes).Draw(t, "type"), Version: "?", DecodeError: "unexpected end"})
 			},
 			"time": func(t *rapid.T) {
-				s.now += choice.Micros(rapid.IntRange(1, 8_000_000).Draw(t, "us"))
+				s.now += balancer.Micros(rapid.IntRange(1, 8_000_000).Draw(t, "us"))
 				s.machine.Tick(s.now)
 				if at := s.machine.NextTick(); at != 0 && at <= s.now && !s.applyPending {
 					t.Fatalf("due at %d, now %d, after a tick", at, s.now)
@@ -251,7 +251,7 @@
 // What is wrong is told by resource, field and reason, all of it at once.
 func TestValidateReportsAllProblems(t *testing.T) {
 	c := &Config{Number: 3, Rollout: Rollout{FirstPercent: 101, Hold: -1, MaxRegression: 2}, HasClasses: true, HasTenants: true, HasReplicaMarks: true,
-		Classes: []choice.Class{{Name: "chat", LatencyObjective: 5 * sec, Deadline: 3 * sec, PriorityWeight: -1, LateWeightShare: 2}, {Name: "chat", Deadline: 0}, {Idempotency: 9, Deadline: sec}},
+		Classes: []balancer.Class{{Name: "chat", LatencyObjective: 5 * sec, Deadline: 3 * sec, PriorityWeight: -1, LateWeightShare: 2}, {Name: "chat", Deadline: 0}, {Idempotency: 9, Deadline: sec}},
 		Tenants: []Tenant{{Name: "a", Share: 0.6}, {Name: "b", Share: 0.5, QuotaPerS: -1}, {Name: "b"}}, ReplicaMarks: []ReplicaMark{{Name: ""}, {Name: "w", Kind: 7}},
 		Attempts: &Attempts{Max: 4, HedgeRatio: 2}, Admission: &Admission{MaxInFlight: 0, OverQuotaWeight: 2, MaxRetryAfter: -1},
 		Connections: &Connections{Clients: 800, Replicas: 800, IdleTimeout: 0, ConnectTimeout: 0}, Watch: &Watch{Wait: 0, CallTimeout: 1 << 60},
@@ -275,22 +275,22 @@
 // A version that is good alone, and not as a step from where the gateway stands.
 func TestValidateTransition(t *testing.T) {
 	present := func() *GatewayState {
-		return &GatewayState{Settings: choice.Settings{Classes: []choice.Class{{Name: "chat", Deadline: 3 * sec}, {Name: "docs", Deadline: 3 * sec}}}, InFlight: 5, Clients: 7, InFlightByClass: map[string]InFlight{"chat": {3, 3 * sec}, "docs": {0, 0}}, InFlightByTenant: map[string]int{"a": 2},
-			Replicas: map[string]ReplicaState{"s-1": {Discovered: choice.EndpointReady}, "s-2": {Discovered: choice.EndpointDraining}, "s-3": {Discovered: choice.EndpointReady, Marked: true, AttemptsInFlight: 2},
-				"s-4": {Discovered: choice.EndpointReady, Marked: true}}}
+		return &GatewayState{Settings: balancer.Settings{Classes: []balancer.Class{{Name: "chat", Deadline: 3 * sec}, {Name: "docs", Deadline: 3 * sec}}}, InFlight: 5, Clients: 7, InFlightByClass: map[string]InFlight{"chat": {3, 3 * sec}, "docs": {0, 0}}, InFlightByTenant: map[string]int{"a": 2},
+			Replicas: map[string]ReplicaState{"s-1": {Discovered: balancer.EndpointReady}, "s-2": {Discovered: balancer.EndpointDraining}, "s-3": {Discovered: balancer.EndpointReady, Marked: true, AttemptsInFlight: 2},
+				"s-4": {Discovered: balancer.EndpointReady, Marked: true}}}
 	}
-	chat := choice.Class{Name: "chat", LatencyObjective: sec, Deadline: 3 * sec}
+	chat := balancer.Class{Name: "chat", LatencyObjective: sec, Deadline: 3 * sec}
 	short := chat
 	short.Deadline = 2 * sec
 	for name, c := range map[string]struct {
 		c    Config
 		want string
 	}{
-		"good":                             {Config{HasClasses: true, Classes: []choice.Class{chat}}, ""},
-		"class taken out":                  {Config{HasClasses: true, Classes: []choice.Class{{Name: "docs", Deadline: sec}}}, "Class chat: taken out with 3 requests in hand"},
-		"deadline":                         {Config{HasClasses: true, Classes: []choice.Class{short}}, "Class chat: deadline_us: shortened to 2000000 us"},
-		"a turn's difference":              {Config{HasClasses: true, Classes: []choice.Class{{Name: "chat", Deadline: 3*sec - 209}}}, ""},
-		"as it was, a client waits longer": {Config{HasClasses: true, Classes: []choice.Class{{Name: "chat", Deadline: 3 * sec}}}, ""},
+		"good":                             {Config{HasClasses: true, Classes: []balancer.Class{chat}}, ""},
+		"class taken out":                  {Config{HasClasses: true, Classes: []balancer.Class{{Name: "docs", Deadline: sec}}}, "Class chat: taken out with 3 requests in hand"},
+		"deadline":                         {Config{HasClasses: true, Classes: []balancer.Class{short}}, "Class chat: deadline_us: shortened to 2000000 us"},
+		"a turn's difference":              {Config{HasClasses: true, Classes: []balancer.Class{{Name: "chat", Deadline: 3*sec - 209}}}, ""},
+		"as it was, a client waits longer": {Config{HasClasses: true, Classes: []balancer.Class{{Name: "chat", Deadline: 3 * sec}}}, ""},
 		"tenant":                           {Config{HasTenants: true}, "Tenant a: taken out with 2 requests in hand"},
 		"draining":                         {Config{HasReplicaMarks: true, ReplicaMarks: []ReplicaMark{{"s-2", MarkServe}}}, "Worker s-2: mark: brought back, but the registry says that it drains"},
 		"emptying":                         {Config{HasReplicaMarks: true, ReplicaMarks: []ReplicaMark{{"s-3", MarkServe}}}, "Worker s-3: mark: brought back while it empties: 2 attempts"},
--- a/internal/revision/sim_test.go
+++ b/internal/configversion/sim_test.go
@@ -1,4 +1,4 @@
-package revision
+package configversion
 
 import (
 	"container/heap"
@@ -8,17 +8,17 @@
 	"strings"
 	"testing"
 
-	"archknot/choice"
+	"archknot/balancer"
 )
 
-const sec choice.Micros = 1_000_000
+const sec balancer.Micros = 1_000_000
 
 // fleet is a control service and its gateways in virtual time: the machines are
 // the real ones, streams are delays. A script is what the service publishes.
 type fleet struct {
 	t        testing.TB
 	rng      *rand.Rand
-	now      choice.Micros
+	now      balancer.Micros
 	schedule schedule
 	seq      int
 
@@ -26,10 +26,10 @@
 	current       *published // what the service has; nil: nothing yet
 	up            bool
 	opens         int // streams opened since the service came back
-	openedAt      []choice.Micros
+	openedAt      []balancer.Micros
 	badTransition map[Number]bool // refused as a step by every gateway
 	worse         map[Number]bool // in force, requests go badly
-	lastSent      choice.Micros
+	lastSent      balancer.Micros
 }
 
 type published struct {
@@ -42,7 +42,7 @@
 }
 
 type scheduledTask struct {
-	at  choice.Micros
+	at  balancer.Micros
 	seq int
 	run func()
 }
@@ -62,13 +62,13 @@
 	return x
 }
 
-func (f *fleet) after(d choice.Micros, do func()) {
+func (f *fleet) after(d balancer.Micros, do func()) {
 	f.seq++
 	heap.Push(&f.schedule, scheduledTask{f.now + max(0, d), f.seq, do})
 }
 
 // runUntil plays on to a time.
-func (f *fleet) runUntil(at choice.Micros) {
+func (f *fleet) runUntil(at balancer.Micros) {
 	for len(f.schedule) > 0 && f.schedule[0].at <= at {
 		d := heap.Pop(&f.schedule).(scheduledTask)
 		f.now = d.at
@@ -91,7 +91,7 @@
 	history   []Event
 	acks      map[string]bool // nonces answered, and by what
 	applied   []Number
-	wake      choice.Micros
+	wake      balancer.Micros
 }
 
 func newFleet(t testing.TB, seed uint64, gateways int) *fleet {
@@ -132,7 +132,7 @@
 	})
 }
 
-func (g *gatewaySim) Connect(after choice.Micros) {
+func (g *gatewaySim) Connect(after balancer.Micros) {
 	g.stream++
 	stream, m := g.stream, g.machine
 	g.fleet.after(after+1000, func() {
@@ -172,7 +172,7 @@
 	n := numberOf(c)
 	// The gateway's loop answers a little later.
 	m := g.machine
-	g.fleet.after(choice.Micros(g.fleet.rng.IntN(3000)), func() {
+	g.fleet.after(balancer.Micros(g.fleet.rng.IntN(3000)), func() {
 		if g.machine != m {
 			return // it was restarted meanwhile
 		}
@@ -215,9 +215,9 @@
 	}
 	slices.Sort(types)
 	f.rng.Shuffle(len(types), func(i, j int) { types[i], types[j] = types[j], types[i] })
-	stream, delay := g.stream, choice.Micros(0)
+	stream, delay := g.stream, balancer.Micros(0)
 	for i, t := range types {
-		delay += choice.Micros(f.rng.IntN(20_000))
+		delay += balancer.Micros(f.rng.IntN(20_000))
 		f.after(delay, func() {
 			if g.stream != stream || !g.open {
 				return
@@ -254,7 +254,7 @@
 func version(n Number) *published {
 	return &published{number: n, types: map[ResourceType]string{TypeClass: fmt.Sprint("c", n), TypeAttempts: fmt.Sprint("a", n)}, mergeInto: func(c *Config) {
 		c.HasClasses = true
-		c.Classes = []choice.Class{{Name: "chat", LatencyObjective: sec, Deadline: 3 * sec, PriorityWeight: float64(n)}}
+		c.Classes = []balancer.Class{{Name: "chat", LatencyObjective: sec, Deadline: 3 * sec, PriorityWeight: float64(n)}}
 		c.Attempts = &Attempts{Max: 1 + int(n%3), MayHedge: true}
 	}}
 }
@@ -288,7 +288,7 @@
 		case 4: // flood
 			for range 20 {
 				f.publish(p)
-				f.runUntil(f.now + choice.Micros(f.rng.IntN(3000)))
+				f.runUntil(f.now + balancer.Micros(f.rng.IntN(3000)))
 				n++
 				p = version(n)
 			}
@@ -302,7 +302,7 @@
 			for _, g := range f.gateways {
 				f.disconnect(g, "reset")
 			}
-			f.runUntil(f.now + choice.Micros(f.rng.IntN(5_000_000)))
+			f.runUntil(f.now + balancer.Micros(f.rng.IntN(5_000_000)))
 			f.up, f.opens, f.openedAt = true, 0, nil
 		case 7: // a gateway is killed and starts again
 			g := f.gateways[f.rng.IntN(len(f.gateways))]
@@ -310,13 +310,13 @@
 			g.start(uint64(n))
 		case 8: // the same once more
 			f.publish(p)
-			f.runUntil(f.now + choice.Micros(f.rng.IntN(200_000)))
+			f.runUntil(f.now + balancer.Micros(f.rng.IntN(200_000)))
 		}
 		f.publish(p)
 		if isGood {
 			good = n
 		}
-		f.runUntil(f.now + choice.Micros(f.rng.IntN(1_500_000)))
+		f.runUntil(f.now + balancer.Micros(f.rng.IntN(1_500_000)))
 	}
 	// The last word is a good version, or the one before stays.
 	_ = stepRefused
@@ -330,7 +330,7 @@
 	if testing.Short() {
 		scripts = 40
 	}
-	worst := choice.Micros(0)
+	worst := balancer.Micros(0)
 	for seed := range uint64(scripts) {
 		f := newFleet(t, seed, 3)
 		f.runUntil(2 * sec)
@@ -388,7 +388,7 @@
 }
 
 // settled tells whether all streams stood at a time: else the backoff counts too.
-func (f *fleet) settled(at choice.Micros) bool {
+func (f *fleet) settled(at balancer.Micros) bool {
 	for _, o := range f.openedAt {
 		if o >= at {
 			return false
--- a/internal/connpool/pool.go
+++ b/internal/connpool/pool.go
@@ -15,7 +15,7 @@
 
 	"golang.org/x/sys/unix"
 
-	"archknot/internal/figures"
+	"archknot/internal/controlstats"
 	"archknot/internal/sockets"
 )
 
@@ -34,7 +34,7 @@
 	net.Conn
 	Reader   *bufio.Reader
 	Reused   bool // it has carried a request before
-	meter    *figures.Meter
+	meter    *controlstats.Meter
 	peerKey  string
 	lastUsed time.Time
 }
@@ -113,7 +113,7 @@
 }
 
 // StartCall has a connection that Get returned counted for a purpose.
-func (c *Conn) StartCall(m *figures.Meter) {
+func (c *Conn) StartCall(m *controlstats.Meter) {
 	c.meter = m
 	m.AddCall(!c.Reused)
 }
--- a/internal/contract/accrual.go
+++ b/internal/contract/accrual.go
@@ -3,18 +3,18 @@
 import (
 	"math"
 
-	"archknot/choice"
+	"archknot/balancer"
 )
 
 // What accounts earn as time goes by, and the pool of idle shares.
 
 // accrueAllInterval is how often what idle accounts cannot hold goes to the pool. An
 // account that is used earns at once.
-const accrueAllInterval choice.Micros = 100_000
+const accrueAllInterval balancer.Micros = 100_000
 
 // advance moves the clock on. One that stood still, or was set back, moves nothing:
 // nothing is earned twice.
-func (b *Ledger) advance(now choice.Micros) {
+func (b *Ledger) advance(now balancer.Micros) {
 	if now <= b.now {
 		return
 	}
@@ -63,7 +63,7 @@
 	}
 }
 
-func (a *account) inForce(unix choice.Micros) bool {
+func (a *account) inForce(unix balancer.Micros) bool {
 	return a.terms.From <= unix && (a.terms.Until == 0 || a.terms.Until > unix)
 }
 
--- a/internal/contract/agreement.go
+++ b/internal/contract/agreement.go
@@ -6,14 +6,14 @@
 	"slices"
 	"time"
 
-	"archknot/choice"
+	"archknot/balancer"
 )
 
 // This gateway's parts of the contracts, and the terms that it has agreed to.
 
 // ApplyTerms puts contracts in force. A team that goes on keeps its level and what it
 // used; what is open is settled on the account it was charged to.
-func (b *Ledger) ApplyTerms(now choice.Micros, terms []Terms) error {
+func (b *Ledger) ApplyTerms(now balancer.Micros, terms []Terms) error {
 	if err := ValidateTerms(terms); err != nil {
 		return err
 	}
@@ -73,7 +73,7 @@
 // hold from now on: rates and floors are so much of the contract's, and
 // what is used here stands for that part of what the team uses in all. Others than
 // numbers from 0 to 1 change nothing.
-func (b *Ledger) SetQuotaShares(now choice.Micros, parts []float64) {
+func (b *Ledger) SetQuotaShares(now balancer.Micros, parts []float64) {
 	if len(parts) != len(b.accounts) {
 		return
 	}
--- a/internal/contract/charge.go
+++ b/internal/contract/charge.go
@@ -3,14 +3,14 @@
 import (
 	"math"
 
-	"archknot/choice"
+	"archknot/balancer"
 )
 
 // Taking: what a request is charged, admitted by, or refused for.
 
 // Charge charges a request, or a further copy of one, to its team, unless its
 // contract refuses it. The charge must be settled once.
-func (b *Ledger) Charge(now choice.Micros, tenant, class string, u Usage, c *Charge) Verdict {
+func (b *Ledger) Charge(now balancer.Micros, tenant, class string, u Usage, c *Charge) Verdict {
 	*c = Charge{}
 	b.advance(now)
 	a := b.accountFor(tenant, class)
@@ -64,7 +64,7 @@
 			a.borrowAllowance -= short
 			a.counters.Borrowed += Units(short)
 		} else if a.terms.Hard {
-			return a.reject(Verdict{Rejected: true, Reason: ReasonOverRate, RetryAfter: choice.Micros(short / (a.terms.Rate * a.quotaShare) * 1e6)}, cost)
+			return a.reject(Verdict{Rejected: true, Reason: ReasonOverRate, RetryAfter: balancer.Micros(short / (a.terms.Rate * a.quotaShare) * 1e6)}, cost)
 		} else {
 			// It competes beyond the rate, and takes nothing of what the rate earns:
 			// else a surge would keep its own team from its share.
@@ -78,7 +78,7 @@
 		a.floorLevels[class] -= fromFloor
 	}
 	a.level -= rest
-	var begun [periodCount]choice.Micros
+	var begun [periodCount]balancer.Micros
 	for p := range a.periods {
 		a.periods[p].used += all
 		begun[p] = a.periods[p].start
@@ -98,7 +98,7 @@
 }
 
 // notStoredRetryAfter is when a strict book expects the store to have caught up.
-const notStoredRetryAfter choice.Micros = 1_000_000
+const notStoredRetryAfter balancer.Micros = 1_000_000
 
 func (a *account) reject(v Verdict, cost Units) Verdict {
 	a.counters.Rejected++
--- a/internal/contract/ledger.go
+++ b/internal/contract/ledger.go
@@ -8,7 +8,7 @@
 	"math"
 	"time"
 
-	"archknot/choice"
+	"archknot/balancer"
 )
 
 // Units are thousandths of a token's work at price 1.
@@ -25,9 +25,9 @@
 	class        string
 	price        Price // it was made under
 	units        Units
-	overQuota    bool                       // the rate: its level is not touched
-	periodStarts [periodCount]choice.Micros // that it was charged in, by their beginnings
-	quotaShare   float64                    // of the contract that was this gateway's
+	overQuota    bool                         // the rate: its level is not touched
+	periodStarts [periodCount]balancer.Micros // that it was charged in, by their beginnings
+	quotaShare   float64                      // of the contract that was this gateway's
 }
 
 // Open tells whether something was charged that is not settled.
@@ -35,11 +35,11 @@
 
 // ActualUsage is what a request, or a copy, used by how it ended: what never ran nothing,
 // and what may have run and told nothing its estimate.
-func (c *Charge) ActualUsage(s choice.Status, prompt, kept, tokens int) Usage {
+func (c *Charge) ActualUsage(s balancer.Status, prompt, kept, tokens int) Usage {
 	switch {
 	case s.NeverRan():
 		return Usage{}
-	case s == choice.Served && tokens > 0:
+	case s == balancer.Served && tokens > 0:
 		return Usage{max(0, prompt-kept), tokens}
 	}
 	return c.Estimate
@@ -48,10 +48,10 @@
 // Verdict is what a team's contract says of a request.
 type Verdict struct {
 	Rejected       bool
-	Reason         string        // for machines: one of the words below
-	RetryAfter     choice.Micros // where waiting helps; 0: it does not
-	PriorityWeight float64       // the factor that it competes with
-	OverQuota      bool          // it competes beyond the rate, or beyond a soft limit
+	Reason         string          // for machines: one of the words below
+	RetryAfter     balancer.Micros // where waiting helps; 0: it does not
+	PriorityWeight float64         // the factor that it competes with
+	OverQuota      bool            // it competes beyond the rate, or beyond a soft limit
 }
 
 // Reasons.
@@ -86,10 +86,10 @@
 	byTenant        map[string][]*account
 	borrowPool      float64 // units that idle shares left
 	borrowPoolMax   float64
-	now             choice.Micros
-	unixNow         choice.Micros // that at stands for
-	lastAccrueAll   choice.Micros
-	latestUnix      choice.Micros // the latest Unix time seen: periods do not go back with the clock
+	now             balancer.Micros
+	unixNow         balancer.Micros // that at stands for
+	lastAccrueAll   balancer.Micros
+	latestUnix      balancer.Micros // the latest Unix time seen: periods do not go back with the clock
 	outputMeans     map[string]*outputMean
 	notices         []BudgetNotice
 	checkpointQueue []*account // whose balances must be written
@@ -103,25 +103,25 @@
 
 type account struct {
 	terms             Terms
-	index             int           // its place among the accounts
-	accruedAt         choice.Micros // it has earned up to then
-	level             float64       // units saved up; below 0: owed
+	index             int             // its place among the accounts
+	accruedAt         balancer.Micros // it has earned up to then
+	level             float64         // units saved up; below 0: owed
 	floorLevels       map[string]float64
 	floorClasses      []string // the classes that have floors, in order: sums must come out alike in each run
 	demandRate        float64  // units a second, lately
 	demandSinceUpdate float64  // units asked for since the last step
-	demandUpdatedAt   choice.Micros
+	demandUpdatedAt   balancer.Micros
 	borrowAllowance   float64 // units of its bound on borrowing, up to a second's
 	quotaShare        float64 // of the contract that is this gateway's: 1 where it is alone
 	periods           [periodCount]periodUsage
 	openCharges       int // charges not settled
 	coveredClasses    map[string]bool
-	successor         *account      // its successor
-	predecessor       *account      // whose successor it is
-	inherited         bool          // it has taken the place of the one before
-	retired           bool          // no longer agreed; charges on it are still settled
-	checkpointQueued  bool          // its balance is due to be written
-	noLendingUntil    choice.Micros // till then it lends nothing: the fleet has turned it away
+	successor         *account        // its successor
+	predecessor       *account        // whose successor it is
+	inherited         bool            // it has taken the place of the one before
+	retired           bool            // no longer agreed; charges on it are still settled
+	checkpointQueued  bool            // its balance is due to be written
+	noLendingUntil    balancer.Micros // till then it lends nothing: the fleet has turned it away
 	counters          Counters
 }
 
@@ -129,7 +129,7 @@
 type periodUsage struct {
 	used        Units
 	noticesSent uint8 // how many notices were given
-	start, end  choice.Micros
+	start, end  balancer.Micros
 	submitted   Units  // that was handed to the store as used
 	durable     Units  // that the store has as used
 	checkpoint  uint64 // the checkpoint that has the mark
@@ -154,7 +154,7 @@
 }
 
 // NewLedger makes a book at a moment: the module's clock and the Unix time.
-func NewLedger(s Settings, terms []Terms, now, unix choice.Micros) (*Ledger, error) {
+func NewLedger(s Settings, terms []Terms, now, unix balancer.Micros) (*Ledger, error) {
 	if s.Location == nil {
 		s.Location = time.UTC
 	}
@@ -205,7 +205,7 @@
 }
 
 // rollPeriods begins the periods that a moment lies in.
-func (a *account) rollPeriods(unix choice.Micros, zone *time.Location) {
+func (a *account) rollPeriods(unix balancer.Micros, zone *time.Location) {
 	for p := range Period(periodCount) {
 		if n := &a.periods[p]; unix >= n.end {
 			*n = periodUsage{}
@@ -219,15 +219,15 @@
 
 // AccountStatus is what a team's books say.
 type AccountStatus struct {
-	Team       string                     `json:"Team"`
-	Level      Units                      `json:"Level"`
-	Open       int                        `json:"Open"`
-	Used       [periodCount]Units         `json:"Used"` // by Period
-	Ends       [periodCount]choice.Micros `json:"Ends"`
-	Limit      [periodCount]Units         `json:"Limit"` // hard, or else soft; 0: none
-	QuotaShare float64                    `json:"Part"`  // of the contract that this gateway holds
-	InForce    bool                       `json:"Valid"`
-	Counters   Counters                   `json:"Count"`
+	Team       string                       `json:"Team"`
+	Level      Units                        `json:"Level"`
+	Open       int                          `json:"Open"`
+	Used       [periodCount]Units           `json:"Used"` // by Period
+	Ends       [periodCount]balancer.Micros `json:"Ends"`
+	Limit      [periodCount]Units           `json:"Limit"` // hard, or else soft; 0: none
+	QuotaShare float64                      `json:"Part"`  // of the contract that this gateway holds
+	InForce    bool                         `json:"Valid"`
+	Counters   Counters                     `json:"Count"`
 }
 
 // Accounts lists them, in the contracts' order.
--- a/internal/contract/ledger/ledger_test.go
+++ b/internal/contract/ledger/ledger_test.go
@@ -11,7 +11,7 @@
 	"testing"
 	"time"
 
-	"archknot/choice"
+	"archknot/balancer"
 	"archknot/internal/contract"
 )
 
@@ -48,7 +48,7 @@
 	out, busy := bufio.NewWriter(os.Stdout), false
 	for i := 0; ; i++ {
 		var c contract.Charge
-		if v := b.Charge(choice.Micros(i), "a", "", contract.Usage{OutputTokens: 10}, &c); !v.Rejected {
+		if v := b.Charge(balancer.Micros(i), "a", "", contract.Usage{OutputTokens: 10}, &c); !v.Rejected {
 			fmt.Fprintln(out, "charged 10")
 		}
 		out.Flush()
--- a/internal/contract/ledger_test.go
+++ b/internal/contract/ledger_test.go
@@ -9,10 +9,10 @@
 
 	"pgregory.net/rapid"
 
-	"archknot/choice"
+	"archknot/balancer"
 )
 
-const second choice.Micros = 1_000_000
+const second balancer.Micros = 1_000_000
 
 var start = time.Date(2026, 12, 1, 12, 0, 0, 0, time.UTC).UnixMicro()
 
@@ -39,8 +39,8 @@
 	next                  float64
 }
 
-func playLoads(b *Ledger, from choice.Micros, seconds float64, loads ...*trafficLoad) {
-	for us := from; us < from+choice.Micros(seconds*1e6); us += 1000 {
+func playLoads(b *Ledger, from balancer.Micros, seconds float64, loads ...*trafficLoad) {
+	for us := from; us < from+balancer.Micros(seconds*1e6); us += 1000 {
 		for _, l := range loads {
 			for l.next += l.tokensPerSecond / 1000; l.next >= float64(l.tokensPerRequest); l.next -= float64(l.tokensPerRequest) {
 				var c Charge
@@ -65,7 +65,7 @@
 	playLoads(b, second, 5, surge, one, two) // the bursts go
 	for w := range 3 {
 		surge.fullWeight, one.fullWeight, two.fullWeight, one.overQuota = 0, 0, 0, 0
-		playLoads(b, second+choice.Micros(5+10*w)*second, 10, surge, one, two)
+		playLoads(b, second+balancer.Micros(5+10*w)*second, 10, surge, one, two)
 		for l, want := range map[*trafficLoad]float64{surge: 40_000, one: 30_000, two: 30_000} {
 			if got := float64(l.fullWeight); got < 0.97*want || got > 1.03*want {
 				t.Errorf("window %d: %s had %.0f tokens at full worth, its share is %.0f", w, l.tenant, got, want)
@@ -117,7 +117,7 @@
 		var open []Charge
 		real, soft, refused, most := Units(0), 0, 0, 0
 		for i := range 30_000 {
-			now := second + choice.Micros(i)*1000
+			now := second + balancer.Micros(i)*1000
 			u := Usage{OutputTokens: 50 + rng.IntN(100)}
 			var c Charge
 			v := b.Charge(now, "a", "", Usage{OutputTokens: int(float64(u.OutputTokens) * wrong)}, &c)
@@ -173,7 +173,7 @@
 	if err != nil {
 		t.Skip(err)
 	}
-	at := func(s string) choice.Micros {
+	at := func(s string) balancer.Micros {
 		v, err := time.ParseInLocation("2006-01-02 15:04", s, hobart)
 		if err != nil {
 			t.Fatal(err)
@@ -286,7 +286,7 @@
 					t.Fatal(err)
 				}
 			},
-			"time": func(t *rapid.T) { now += choice.Micros(rapid.IntRange(-100_000, 300_000).Draw(t, "us")) },
+			"time": func(t *rapid.T) { now += balancer.Micros(rapid.IntRange(-100_000, 300_000).Draw(t, "us")) },
 			"": func(t *rapid.T) {
 				got := b.Accounts()[0]
 				if now-second < 3500*second && (got.Used[Hour] != sum || got.Open != len(open)) {
--- a/internal/contract/mechanisms_test.go
+++ b/internal/contract/mechanisms_test.go
@@ -6,7 +6,7 @@
 	"testing"
 	"time"
 
-	"archknot/choice"
+	"archknot/balancer"
 )
 
 // The mechanisms that were weighed, each in the form that a gateway without a
@@ -14,16 +14,16 @@
 
 // admissionMechanism shares so many units a second among teams.
 type admissionMechanism interface {
-	admitFullWeight(now choice.Micros, team int, cost float64) bool
+	admitFullWeight(now balancer.Micros, team int, cost float64) bool
 }
 
 // tokenBuckets are token buckets that lend nothing.
 type tokenBuckets struct {
 	rate, level []float64
-	at          choice.Micros
+	at          balancer.Micros
 }
 
-func (m *tokenBuckets) admitFullWeight(now choice.Micros, team int, cost float64) bool {
+func (m *tokenBuckets) admitFullWeight(now balancer.Micros, team int, cost float64) bool {
 	dt := float64(now-m.at) / 1e6
 	m.at = now
 	for i := range m.level {
@@ -42,10 +42,10 @@
 type startTimeFairQueue struct {
 	rate, tag []float64
 	v         float64
-	at        choice.Micros
+	at        balancer.Micros
 }
 
-func (m *startTimeFairQueue) admitFullWeight(now choice.Micros, team int, cost float64) bool {
+func (m *startTimeFairQueue) admitFullWeight(now balancer.Micros, team int, cost float64) bool {
 	left, all := float64(now-m.at)/1e6, 0.0
 	m.at = now
 	for _, r := range m.rate {
@@ -81,10 +81,10 @@
 type deficitRoundRobin struct {
 	rate, level []float64
 	wanted      []bool
-	round       choice.Micros
+	round       balancer.Micros
 }
 
-func (m *deficitRoundRobin) admitFullWeight(now choice.Micros, team int, cost float64) bool {
+func (m *deficitRoundRobin) admitFullWeight(now balancer.Micros, team int, cost float64) bool {
 	const every = 100_000
 	for now-m.round >= every {
 		m.round += every
@@ -117,7 +117,7 @@
 // pooledBuckets is what was taken: Book.
 type pooledBuckets struct{ ledger *Ledger }
 
-func (m pooledBuckets) admitFullWeight(now choice.Micros, team int, cost float64) bool {
+func (m pooledBuckets) admitFullWeight(now balancer.Micros, team int, cost float64) bool {
 	var c Charge
 	v := m.ledger.Charge(now, teamNames[team], "", Usage{OutputTokens: int(cost)}, &c)
 	m.ledger.Settle(now, &c, Usage{OutputTokens: int(cost)}, true)
@@ -168,7 +168,7 @@
 		}
 		if rate := traffic[i].tokensPerSecond(at); rate > 0 {
 			asked[i][int(at)] += traffic[i].tokensPerRequest
-			if m.admitFullWeight(second+choice.Micros(at*1e6), i, traffic[i].tokensPerRequest) {
+			if m.admitFullWeight(second+balancer.Micros(at*1e6), i, traffic[i].tokensPerRequest) {
 				full[i][int(at)] += traffic[i].tokensPerRequest
 			}
 			next[i] = at + rng.ExpFloat64()*traffic[i].tokensPerRequest/rate
@@ -215,7 +215,7 @@
 		f.dear = math.Abs(total(full[0][5:])/240_000 - 1)
 		busy, begin, n := m(), time.Now(), 0
 		for ; n < 200_000; n++ {
-			busy.admitFullWeight(second+choice.Micros(n*100), n%3, 50)
+			busy.admitFullWeight(second+balancer.Micros(n*100), n%3, 50)
 		}
 		f.cost = float64(time.Since(begin).Nanoseconds()) / float64(n)
 		rows[name] = f
--- a/internal/contract/report/report.go
+++ b/internal/contract/report/report.go
@@ -16,7 +16,7 @@
 	"github.com/dustin/go-humanize"
 	"github.com/wcharczuk/go-chart/v2"
 
-	"archknot/internal/contract/trial"
+	"archknot/internal/contractsim"
 )
 
 //go:embed page.html
@@ -27,7 +27,7 @@
 const maxCharts = 24
 
 type runView struct {
-	*trial.Result
+	*contractsim.Result
 	Charts  []teamChart
 	Left    int // teams that are not drawn
 	Seconds float64
@@ -59,7 +59,7 @@
 }
 
 // Write writes the page of some trials.
-func Write(w io.Writer, results []*trial.Result) error {
+func Write(w io.Writer, results []*contractsim.Result) error {
 	t, err := template.New("page").Funcs(templateFuncs).Parse(pageTemplate)
 	if err != nil {
 		return err
@@ -68,7 +68,7 @@
 	for _, r := range results {
 		d := runView{Result: r, Seconds: r.To.Sub(r.From).Seconds()}
 		teams := slices.Clone(r.Teams)
-		slices.SortStableFunc(teams, func(a, b trial.TeamResult) int { return int(b.Requests - a.Requests) })
+		slices.SortStableFunc(teams, func(a, b contractsim.TeamResult) int { return int(b.Requests - a.Requests) })
 		for i := range teams {
 			if teams[i].Requests == 0 {
 				continue
@@ -90,8 +90,8 @@
 
 // renderChart is a team's traffic over the period: at full worth, and on top of it beyond
 // the rate, and what was refused.
-func renderChart(t *trial.TeamResult) (template.HTML, error) {
-	series := func(name, color string, of func(*trial.SeriesPoint) float64) chart.TimeSeries {
+func renderChart(t *contractsim.TeamResult) (template.HTML, error) {
+	series := func(name, color string, of func(*contractsim.SeriesPoint) float64) chart.TimeSeries {
 		s := chart.TimeSeries{Name: name, Style: chart.Style{StrokeColor: chart.ColorBlack.WithAlpha(0), StrokeWidth: 1}}
 		c := chart.GetDefaultColor(0)
 		switch color {
@@ -117,9 +117,9 @@
 		YAxis: chart.YAxis{Name: "tokens/s", Range: &chart.ContinuousRange{Min: 0, Max: most * 1.05}},
 		// The highest first: each lower one is drawn over it.
 		Series: []chart.Series{
-			series("refused", "refused", func(p *trial.SeriesPoint) float64 { return p.FullWeight + p.OverQuota + p.Rejected }),
-			series("beyond the rate", "over", func(p *trial.SeriesPoint) float64 { return p.FullWeight + p.OverQuota }),
-			series("at full worth", "full", func(p *trial.SeriesPoint) float64 { return p.FullWeight }),
+			series("refused", "refused", func(p *contractsim.SeriesPoint) float64 { return p.FullWeight + p.OverQuota + p.Rejected }),
+			series("beyond the rate", "over", func(p *contractsim.SeriesPoint) float64 { return p.FullWeight + p.OverQuota }),
+			series("at full worth", "full", func(p *contractsim.SeriesPoint) float64 { return p.FullWeight }),
 		}}
 	g.Elements = []chart.Renderable{chart.LegendThin(&g)}
 	var b bytes.Buffer
--- a/internal/contract/settle.go
+++ b/internal/contract/settle.go
@@ -3,7 +3,7 @@
 import (
 	"math"
 
-	"archknot/choice"
+	"archknot/balancer"
 )
 
 // Settling what was used, and what was turned away.
@@ -12,7 +12,7 @@
 // whose charges are all settled. Within the rate it had its chance at full worth:
 // its estimate stays off the level, or a surge that is turned away would go on
 // competing as if it were within its rate. Budgets are not touched: nothing ran.
-func (b *Ledger) RecordShed(now choice.Micros, tenant, class string, u Usage, over bool) {
+func (b *Ledger) RecordShed(now balancer.Micros, tenant, class string, u Usage, over bool) {
 	b.advance(now)
 	a := b.accountFor(tenant, class)
 	if a == nil || over {
@@ -27,7 +27,7 @@
 // Settle puts what was used in the place of the estimate, on the terms that the
 // charge was made under. A charge that was settled is settled: the second time
 // does nothing, and tells so.
-func (b *Ledger) Settle(now choice.Micros, c *Charge, used Usage, served bool) bool {
+func (b *Ledger) Settle(now balancer.Micros, c *Charge, used Usage, served bool) bool {
 	a := c.account
 	if a == nil {
 		return false
--- a/internal/contract/split/fleet_test.go
+++ b/internal/contract/split/fleet_test.go
@@ -7,7 +7,7 @@
 	"math/rand/v2"
 	"testing"
 
-	"archknot/choice"
+	"archknot/balancer"
 	"archknot/internal/contract"
 )
 
@@ -90,7 +90,7 @@
 			}
 			for g := range n {
 				for k := poisson(rng, want/tokensPerRequest*weights[g]/sum); k > 0; k-- {
-					now := choice.Micros((float64(s) + rng.Float64()) * 1e6)
+					now := balancer.Micros((float64(s) + rng.Float64()) * 1e6)
 					var c contract.Charge
 					v := x.ledgers[g].Charge(now, terms[t].Team, "", contract.Usage{OutputTokens: tokensPerRequest}, &c)
 					took := v.PriorityWeight == 1 || !v.Rejected && rng.IntN(2) == 0
@@ -126,7 +126,7 @@
 				seen.Teams = append(seen.Teams, TeamUsage{Rate: terms[t].Rate, Requested: float64(d.RequestedUnits() - l.RequestedUnits()), Used: float64(d.Used - l.Used)})
 				*l = d
 			}
-			b.SetQuotaShares(choice.Micros(s+1)*1_000_000, x.strategies[g].Shares(seen))
+			b.SetQuotaShares(balancer.Micros(s+1)*1_000_000, x.strategies[g].Shares(seen))
 		}
 		// Windows of ten seconds: calm from the 30th second, surge from 10 s after it began.
 		if s%10 == 9 {
--- a/internal/contract/split/split.go
+++ b/internal/contract/split/split.go
@@ -7,7 +7,7 @@
 import (
 	"math"
 
-	"archknot/choice"
+	"archknot/balancer"
 )
 
 // TeamUsage is what a gateway saw of one team since it last looked.
@@ -19,8 +19,8 @@
 
 // Observation is what a gateway saw since it last looked.
 type Observation struct {
-	Interval choice.Micros // since then
-	Teams    []TeamUsage   // in the contracts' order
+	Interval balancer.Micros // since then
+	Teams    []TeamUsage     // in the contracts' order
 	// OwnInFlight and All are the work in hand at the workers: what this gateway sent, and
 	// what the workers report of all. All 0: nothing was reported.
 	OwnInFlight, FleetInFlight float64
@@ -70,7 +70,7 @@
 	started        bool
 }
 
-func (a *movingAverage) add(v float64, span choice.Micros) {
+func (a *movingAverage) add(v float64, span balancer.Micros) {
 	dt := float64(span) / 1e6
 	a.seconds = math.Min(smoothingSeconds, a.seconds+dt)
 	if !a.started {
--- a/internal/contract/state.go
+++ b/internal/contract/state.go
@@ -9,7 +9,7 @@
 
 	"google.golang.org/protobuf/proto"
 
-	"archknot/choice"
+	"archknot/balancer"
 	pb "archknot/internal/contract/contractpb"
 )
 
@@ -57,7 +57,7 @@
 
 // MarshalAgreement is what was put in force, for a capture. fresh says that a new book
 // began with it, and with the balances.
-func MarshalAgreement(s Settings, terms []Terms, unix choice.Micros, fresh bool, resumed []Balance) []byte {
+func MarshalAgreement(s Settings, terms []Terms, unix balancer.Micros, fresh bool, resumed []Balance) []byte {
 	m := &pb.Agreed{Zone: s.locationName(), PoolS: s.BorrowPoolSeconds, Unknown: s.UnknownTenantWeight, Reserve: s.ReserveFraction, Strict: s.Strict, UnixUs: unix, Fresh: fresh}
 	for i := range terms {
 		m.Terms = append(m.Terms, terms[i].ToProto())
@@ -79,7 +79,7 @@
 type Agreement struct {
 	Settings  Settings
 	Terms     []Terms
-	Unix      choice.Micros
+	Unix      balancer.Micros
 	NewLedger bool
 	Balances  []Balance
 }
@@ -198,7 +198,7 @@
 			return nil, nil, fmt.Errorf("book: a charge on account %d", o.Account)
 		}
 		c := &Charge{Estimate: Usage{int(o.Read), int(o.Made)}, class: string(o.Class), price: Price{o.PriceRead, o.PriceMade}, units: o.Units,
-			overQuota: o.Beyond, periodStarts: [periodCount]choice.Micros(o.PeriodsUs), quotaShare: o.Part}
+			overQuota: o.Beyond, periodStarts: [periodCount]balancer.Micros(o.PeriodsUs), quotaShare: o.Part}
 		if o.Account >= 0 {
 			c.account = b.accounts[o.Account]
 		} else {
@@ -212,11 +212,11 @@
 // Balance is what a store keeps of one team: what counts as used after a kill.
 type Balance struct {
 	Team         string
-	PeriodStarts [periodCount]choice.Micros
+	PeriodStarts [periodCount]balancer.Micros
 	Used         [periodCount]Units
 	Level        float64 // where Clean
 	Clean        bool    // written at an orderly end: exact
-	LatestUnix   choice.Micros
+	LatestUnix   balancer.Micros
 }
 
 // ToProto is a balance in the store's form.
@@ -298,7 +298,7 @@
 	return b.lastCheckpoint, out
 }
 
-func (a *account) balance(latest choice.Micros) Balance {
+func (a *account) balance(latest balancer.Micros) Balance {
 	k := Balance{Team: a.terms.Team, LatestUnix: latest}
 	for p := range a.periods {
 		k.PeriodStarts[p], k.Used[p] = a.periods[p].start, max(a.periods[p].used, a.periods[p].submitted)
@@ -357,7 +357,7 @@
 // maxClockAhead is by how much a stored time may lie ahead of the clock and be
 // believed: a clock set back keeps the periods it knew. One further off was wrong
 // when it was stored.
-const maxClockAhead choice.Micros = 24 * 3600 * 1_000_000
+const maxClockAhead balancer.Micros = 24 * 3600 * 1_000_000
 
 // RestoreBalances has a new book go on where stored balances end: what is stored counts as
 // used, where its period has not ended. After a kill levels begin at nothing, so
--- a/internal/contract/state_test.go
+++ b/internal/contract/state_test.go
@@ -9,7 +9,7 @@
 
 	"pgregory.net/rapid"
 
-	"archknot/choice"
+	"archknot/balancer"
 )
 
 // ledgerDriver is a book that a random sequence has worked on, with its open charges.
@@ -17,7 +17,7 @@
 	ledger *Ledger
 	open   map[uint64]*Charge
 	next   uint64
-	now    choice.Micros
+	now    balancer.Micros
 }
 
 func (w *ledgerDriver) openCharges() (out []OpenCharge) {
@@ -49,7 +49,7 @@
 			}
 		}
 	case 4:
-		w.now += choice.Micros(made) * 1000
+		w.now += balancer.Micros(made) * 1000
 	case 5:
 		w.ledger.SetQuotaShares(w.now, []float64{float64(n%10) / 10, 0.5, 1, 1})
 	case 6:
@@ -207,7 +207,7 @@
 	b.Settle(second, &c, Usage{OutputTokens: 250}, true)
 	kept := b.FinalBalances()
 	for _, x := range []struct {
-		later choice.Micros
+		later balancer.Micros
 		used  Units
 	}{{5 * second, 250 * Token}, {3600 * second, 0}, {-3600 * second, 250 * Token}} {
 		n, err := NewLedger(Settings{BorrowPoolSeconds: 1}, []Terms{a}, 0, start+x.later)
@@ -289,7 +289,7 @@
 	b.SetQuotaShares(second, []float64{1 / gateways})
 	rng := rand.New(rand.NewPCG(7, 7))
 	usage, since, last, over, n := 0.0, 0.0, second, 0, 0
-	for now := second; now < 120*second; now += 2000 + 2000*choice.Micros(rng.IntN(40)) {
+	for now := second; now < 120*second; now += 2000 + 2000*balancer.Micros(rng.IntN(40)) {
 		if now-last >= 250_000 { // the module's tick
 			dt := float64(now-last) / 1e6
 			usage += dt / span * (since/dt - usage)
@@ -403,7 +403,7 @@
 	before := heap()
 	var c Charge
 	for i := range 300_000 {
-		v := b.Charge(second+choice.Micros(i)*10, fmt.Sprint("nobody", i), fmt.Sprint("class", i), Usage{OutputTokens: 10}, &c)
+		v := b.Charge(second+balancer.Micros(i)*10, fmt.Sprint("nobody", i), fmt.Sprint("class", i), Usage{OutputTokens: 10}, &c)
 		if v.PriorityWeight != 0.05 || c.Open() {
 			t.Fatalf("%+v", v)
 		}
--- a/internal/contract/surge.go
+++ b/internal/contract/surge.go
@@ -3,7 +3,7 @@
 import (
 	"math"
 
-	"archknot/choice"
+	"archknot/balancer"
 )
 
 // Surges of a team, and the gate that holds them.
@@ -12,25 +12,25 @@
 const demandWindow = 8.0
 
 // demandInterval is how often what a team asks for is averaged, where the host does not say.
-const demandInterval choice.Micros = 1_000_000
+const demandInterval balancer.Micros = 1_000_000
 
 // UpdateDemand averages what teams ask for, up to now. A host that decides at moments of its
 // own, as the decision module does at its ticks, has the book step along with them.
-func (b *Ledger) UpdateDemand(now choice.Micros) {
+func (b *Ledger) UpdateDemand(now balancer.Micros) {
 	b.advance(now)
 	for _, a := range b.accounts {
 		a.updateDemand(now)
 	}
 }
 
-func (a *account) updateDemand(now choice.Micros) {
+func (a *account) updateDemand(now balancer.Micros) {
 	dt := math.Max(1e-3, float64(now-a.demandUpdatedAt)/1e6)
 	a.demandRate += math.Min(1, dt/demandWindow) * (a.demandSinceUpdate/dt - a.demandRate)
 	a.demandSinceUpdate, a.demandUpdatedAt = 0, now
 }
 
 // recordDemand notes what is asked for, and tells whether it is lately too much.
-func (a *account) recordDemand(now choice.Micros, cost Units) bool {
+func (a *account) recordDemand(now balancer.Micros, cost Units) bool {
 	if a.terms.Surge <= 0 {
 		return false
 	}
@@ -51,21 +51,21 @@
 	slowStartTarget float64 // up to which the rate grows quickly
 	level           float64 // of them that may be let in now
 	admittedRate    float64 // units a second that were let in lately
-	refilledAt      choice.Micros
-	decreasedAt     choice.Micros
+	refilledAt      balancer.Micros
+	decreasedAt     balancer.Micros
 }
 
 const (
-	limiterRetryAfter     choice.Micros = 1_000_000 // the advice to those that it stops
-	limiterHoldTime       choice.Micros = 300_000   // after a cut nothing is let in: what waits at the workers goes first
-	limiterInitialRate                  = 0.01      // of all contracts' rates, that it begins with
-	limiterGrowth                       = 0.002     // of all contracts' rates, in a second, beyond the goal
-	limiterOpenThreshold                = 2.0       // of all contracts' rates: from there on it bounds nothing
-	limiterDecreaseFactor               = 0.85      // what stays of the rate
-	limiterBurstSeconds                 = 0.2       // seconds that may be saved up
+	limiterRetryAfter     balancer.Micros = 1_000_000 // the advice to those that it stops
+	limiterHoldTime       balancer.Micros = 300_000   // after a cut nothing is let in: what waits at the workers goes first
+	limiterInitialRate                    = 0.01      // of all contracts' rates, that it begins with
+	limiterGrowth                         = 0.002     // of all contracts' rates, in a second, beyond the goal
+	limiterOpenThreshold                  = 2.0       // of all contracts' rates: from there on it bounds nothing
+	limiterDecreaseFactor                 = 0.85      // what stays of the rate
+	limiterBurstSeconds                   = 0.2       // seconds that may be saved up
 )
 
-func (g *excessLimiter) refill(now choice.Micros, rates float64) {
+func (g *excessLimiter) refill(now balancer.Micros, rates float64) {
 	dt := float64(now-g.refilledAt) / 1e6
 	g.refilledAt = now
 	g.admittedRate /= 1 + dt
@@ -98,7 +98,7 @@
 	return true
 }
 
-func (g *excessLimiter) decrease(now choice.Micros) {
+func (g *excessLimiter) decrease(now balancer.Micros) {
 	if g.active && now < g.decreasedAt+limiterHoldTime {
 		return // what was let in before still comes back
 	}
--- a/internal/contract/terms.go
+++ b/internal/contract/terms.go
@@ -7,7 +7,7 @@
 	"time"
 	"unicode/utf8"
 
-	"archknot/choice"
+	"archknot/balancer"
 )
 
 // What a team is entitled to, and whether a set of terms can be kept.
@@ -35,8 +35,8 @@
 	Prices          map[string]Price   `json:"Prices"`
 	Floors          map[string]float64 `json:"Floors"` // units a second by class, that no other class of the team can take
 	Budgets         []Budget           `json:"Budgets"`
-	From            choice.Micros      `json:"From"`  // Unix time from which it holds; 0: always has
-	Until           choice.Micros      `json:"Until"` // and until; 0: for good
+	From            balancer.Micros    `json:"From"`  // Unix time from which it holds; 0: always has
+	Until           balancer.Micros    `json:"Until"` // and until; 0: for good
 	// Successor is the contract that takes this one's place at Until: it goes on
 	// with the level, and with what was used in the periods at hand.
 	Successor string `json:"Successor"`
@@ -68,7 +68,7 @@
 
 // Bounds gives the period that a moment lies in, in a zone. Days and quarters are
 // the calendar's: a day with a change of the clock has 23 or 25 hours.
-func (p Period) Bounds(unix choice.Micros, zone *time.Location) (from, to choice.Micros) {
+func (p Period) Bounds(unix balancer.Micros, zone *time.Location) (from, to balancer.Micros) {
 	t := time.UnixMicro(unix).In(zone)
 	var a, b time.Time
 	switch p {
--- a/internal/contract/trial/simulate.go
+++ b/internal/contractsim/simulate.go
@@ -1,7 +1,7 @@
 // Package trial tells what contracts would have done to a capture: it has a book
 // judge the requests of a recording as they came, and settles them as they ended.
 // What the decision module did with them stays as it was recorded.
-package trial
+package contractsim
 
 import (
 	"cmp"
@@ -10,7 +10,7 @@
 	"slices"
 	"time"
 
-	"archknot/choice"
+	"archknot/balancer"
 	"archknot/internal/capture"
 	pb "archknot/internal/capture/capturepb"
 	"archknot/internal/contract"
@@ -20,9 +20,9 @@
 type Options struct {
 	Settings     contract.Settings
 	Terms        []contract.Terms
-	From, To     choice.Micros // on the recording's clock; 0: its ends
-	SeriesPoints int           // of the series; 0: 120
-	Progress     func(at choice.Micros)
+	From, To     balancer.Micros // on the recording's clock; 0: its ends
+	SeriesPoints int             // of the series; 0: 120
+	Progress     func(at balancer.Micros)
 }
 
 // TeamResult is what became of one team's requests. Units are tokens at price 1.
@@ -117,7 +117,7 @@
 }
 
 // lastEventTime is the time of a recording's last event: its index has those of blocks.
-func lastEventTime(run *capture.Run) (last choice.Micros, err error) {
+func lastEventTime(run *capture.Run) (last balancer.Micros, err error) {
 	r, err := capture.NewReader(run, run.End())
 	if err != nil {
 		return 0, err
@@ -138,7 +138,7 @@
 // openRequest is one in hand.
 type openRequest struct {
 	team          *TeamResult
-	arrival       choice.Request
+	arrival       balancer.Request
 	rejected      bool
 	charges       map[int64]*contract.Charge // by attempt
 	initialCharge contract.Charge            // until the first attempt has it
@@ -148,7 +148,7 @@
 type simulation struct {
 	run          *capture.Run
 	ledger       *contract.Ledger
-	from, to     choice.Micros
+	from, to     balancer.Micros
 	seriesPoints int
 	output       *Result
 	teams        map[string]*TeamResult
@@ -162,7 +162,7 @@
 		t = &TeamResult{Team: name, Rejected: map[string]int64{}, Series: make([]SeriesPoint, p.seriesPoints)}
 		span := float64(p.to-p.from) / float64(p.seriesPoints)
 		for i := range t.Series {
-			t.Series[i].At = p.run.WallTime(p.from + choice.Micros(span*float64(i)))
+			t.Series[i].At = p.run.WallTime(p.from + balancer.Micros(span*float64(i)))
 		}
 		p.teams[name] = t
 		p.order = append(p.order, t)
@@ -181,7 +181,7 @@
 	}
 }
 
-func (p *simulation) apply(at choice.Micros, rec *pb.Record) {
+func (p *simulation) apply(at balancer.Micros, rec *pb.Record) {
 	switch rec.Kind {
 	case pb.Kind_KIND_ARRIVED:
 		p.arrived(at, rec)
@@ -213,9 +213,9 @@
 	}
 }
 
-func (p *simulation) arrived(at choice.Micros, rec *pb.Record) {
+func (p *simulation) arrived(at balancer.Micros, rec *pb.Record) {
 	a := rec.Arrival
-	q := &openRequest{arrival: choice.Request{Class: string(a.GetClass()), Tenant: string(a.GetTenant()), PromptTokens: int(a.GetPromptTokens()),
+	q := &openRequest{arrival: balancer.Request{Class: string(a.GetClass()), Tenant: string(a.GetTenant()), PromptTokens: int(a.GetPromptTokens()),
 		MaxTokens: int(a.GetMaxTokens())}, charges: map[int64]*contract.Charge{}}
 	u := p.ledger.Estimate(q.arrival.Class, q.arrival.PromptTokens, q.arrival.MaxTokens)
 	v := p.ledger.Charge(at, q.arrival.Tenant, q.arrival.Class, u, &q.initialCharge)
@@ -242,7 +242,7 @@
 }
 
 // dispatched charges a further copy to whom it is sent for.
-func (p *simulation) dispatched(at choice.Micros, q *openRequest) {
+func (p *simulation) dispatched(at balancer.Micros, q *openRequest) {
 	n := q.attempts
 	q.attempts++
 	if q.rejected {
@@ -264,14 +264,14 @@
 	q.charges[n] = c
 }
 
-func (p *simulation) ended(at choice.Micros, rec *pb.Record) {
+func (p *simulation) ended(at balancer.Micros, rec *pb.Record) {
 	q := p.openRequests[rec.Request]
 	if q == nil {
 		return
 	}
 	o := rec.Outcome
-	status := choice.Status(o.GetStatus())
-	if status == choice.Served {
+	status := balancer.Status(o.GetStatus())
+	if status == balancer.Served {
 		q.team.Served++
 		if q.rejected {
 			q.team.ServedThoughRejected++
@@ -279,7 +279,7 @@
 	}
 	if c := q.charges[o.GetAttempt()]; c != nil {
 		used := c.ActualUsage(status, q.arrival.PromptTokens, int(o.GetKept()), int(o.GetTokens()))
-		p.ledger.Settle(at, c, used, status == choice.Served)
+		p.ledger.Settle(at, c, used, status == balancer.Served)
 		delete(q.charges, o.GetAttempt())
 	}
 	if o.GetFinal() && len(q.charges) == 0 {
--- a/internal/contract/trial/simulate_test.go
+++ b/internal/contractsim/simulate_test.go
@@ -1,28 +1,28 @@
-package trial_test
+package contractsim_test
 
 import (
 	"strings"
 	"testing"
 	"time"
 
-	"archknot/choice"
+	"archknot/balancer"
 	"archknot/internal/capture"
 	"archknot/internal/contract"
 	"archknot/internal/contract/report"
-	"archknot/internal/contract/trial"
+	"archknot/internal/contractsim"
 )
 
 // discardSink takes the module's orders.
-type discardSink struct{ choice.Sink }
+type discardSink struct{ balancer.Sink }
 
-func (discardSink) Dispatch(choice.RequestID, choice.ReplicaID, choice.Micros) {}
-func (discardSink) Shed(choice.RequestID, choice.Micros)                       {}
-func (discardSink) Fail(choice.RequestID)                                      {}
-func (discardSink) Cancel(choice.RequestID, int)                               {}
-func (discardSink) SetTimer(choice.Micros, uint64)                             {}
-func (discardSink) HealthCheck(choice.ReplicaID)                               {}
-func (discardSink) Gossip([]byte)                                              {}
-func (discardSink) WatchDiscovery()                                            {}
+func (discardSink) Dispatch(balancer.RequestID, balancer.ReplicaID, balancer.Micros) {}
+func (discardSink) Shed(balancer.RequestID, balancer.Micros)                         {}
+func (discardSink) Fail(balancer.RequestID)                                          {}
+func (discardSink) Cancel(balancer.RequestID, int)                                   {}
+func (discardSink) SetTimer(balancer.Micros, uint64)                                 {}
+func (discardSink) HealthCheck(balancer.ReplicaID)                                   {}
+func (discardSink) Gossip([]byte)                                                    {}
+func (discardSink) WatchDiscovery()                                                  {}
 
 // recordCapture is ten seconds in which a sends 20 requests a second and b 5, each of
 // 100 tokens read and 50 made; each fourth of a's is declined at first and sent again.
@@ -33,29 +33,29 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	b, err := choice.New(choice.Settings{Gateways: 1, Zone: "z", Zones: []string{"z"}, Kinds: []string{"k"}, MaxAttempts: 3, Tick: 2000,
-		Classes: []choice.Class{{Name: "chat", LatencyObjective: 1e6, TokenObjective: 50_000, Deadline: 4e6, PriorityWeight: 1, Streaming: true}}}, 1, discardSink{})
+	b, err := balancer.New(balancer.Settings{Gateways: 1, Zone: "z", Zones: []string{"z"}, Kinds: []string{"k"}, MaxAttempts: 3, Tick: 2000,
+		Classes: []balancer.Class{{Name: "chat", LatencyObjective: 1e6, TokenObjective: 50_000, Deadline: 4e6, PriorityWeight: 1, Streaming: true}}}, 1, discardSink{})
 	if err != nil {
 		t.Fatal(err)
 	}
 	r := capture.NewRecorder(1000, b, nil, discardSink{}, w, capture.Host{}, capture.Options{CheckpointInterval: time.Minute, BlockSize: 4 << 10, FlushInterval: time.Second,
 		SegmentSize: 1 << 20, SegmentAge: time.Hour})
 	r.Start(1000)
-	r.ListChanged(1000, choice.EndpointList{Kind: choice.ListFull, Version: 1, Endpoints: []choice.Endpoint{{Replica: 1, Zone: "z", Kind: "k", Weight: 1}, {Replica: 2, Zone: "z", Kind: "k", Weight: 1}}})
-	id := choice.RequestID(0)
-	for at := choice.Micros(2000); at < 10_002_000; at += 50_000 {
+	r.ListChanged(1000, balancer.EndpointList{Kind: balancer.ListFull, Version: 1, Endpoints: []balancer.Endpoint{{Replica: 1, Zone: "z", Kind: "k", Weight: 1}, {Replica: 2, Zone: "z", Kind: "k", Weight: 1}}})
+	id := balancer.RequestID(0)
+	for at := balancer.Micros(2000); at < 10_002_000; at += 50_000 {
 		for _, tenant := range []string{"a", "b"} {
 			if tenant == "b" && at%200_000 != 2000 {
 				continue
 			}
 			id++
-			r.RequestArrived(at, choice.Request{ID: id, Class: "chat", Tenant: tenant, TimeLeft: 4e6, PromptTokens: 100, MaxTokens: 50})
+			r.RequestArrived(at, balancer.Request{ID: id, Class: "chat", Tenant: tenant, TimeLeft: 4e6, PromptTokens: 100, MaxTokens: 50})
 			n := 0
 			if tenant == "a" && id%4 == 0 {
-				r.AttemptEnded(at+1000, choice.Outcome{ID: id, Attempt: 0, Replica: 1, Status: choice.Shed, Elapsed: 1000})
+				r.AttemptEnded(at+1000, balancer.Outcome{ID: id, Attempt: 0, Replica: 1, Status: balancer.Shed, Elapsed: 1000})
 				n = 1
 			}
-			r.AttemptEnded(at+30_000, choice.Outcome{ID: id, Attempt: n, Replica: 2, Status: choice.Served, Elapsed: 20_000, Final: true, OutputTokens: 50})
+			r.AttemptEnded(at+30_000, balancer.Outcome{ID: id, Attempt: n, Replica: 2, Status: balancer.Served, Elapsed: 20_000, Final: true, OutputTokens: 50})
 		}
 	}
 	r.Close()
@@ -76,7 +76,7 @@
 	a, idle := testTerms("a", 1500), testTerms("idle", 10)
 	a.Budgets = []contract.Budget{{Period: contract.Hour, Hard: 24_000 * contract.Token}}
 	a.NoBorrow = true
-	res, err := trial.Run(run, trial.Options{Settings: contract.Settings{BorrowPoolSeconds: 1, UnknownTenantWeight: 0.5}, Terms: []contract.Terms{a, idle}})
+	res, err := contractsim.Run(run, contractsim.Options{Settings: contract.Settings{BorrowPoolSeconds: 1, UnknownTenantWeight: 0.5}, Terms: []contract.Terms{a, idle}})
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -108,17 +108,17 @@
 		t.Errorf("the series sums to %v tokens", sum)
 	}
 	// Cut to a part.
-	part, err := trial.Run(run, trial.Options{Settings: contract.Settings{BorrowPoolSeconds: 1}, Terms: []contract.Terms{a}, From: run.Begin() + 5_000_000})
+	part, err := contractsim.Run(run, contractsim.Options{Settings: contract.Settings{BorrowPoolSeconds: 1}, Terms: []contract.Terms{a}, From: run.Begin() + 5_000_000})
 	if err != nil || part.Teams[0].Requests < 95 || part.Teams[0].Requests > 105 {
 		t.Errorf("%v %+v", err, part)
 	}
-	if _, err := trial.Run(run, trial.Options{Terms: []contract.Terms{a}, From: run.End() + 60_000_000}); err == nil {
+	if _, err := contractsim.Run(run, contractsim.Options{Terms: []contract.Terms{a}, From: run.End() + 60_000_000}); err == nil {
 		t.Error("nothing lies there")
 	}
 	// The page has all of it, and what came from outside is escaped.
 	res.Teams[0].Team = "<script>a"
 	var page strings.Builder
-	if err := report.Write(&page, []*trial.Result{res}); err != nil {
+	if err := report.Write(&page, []*contractsim.Result{res}); err != nil {
 		t.Fatal(err)
 	}
 	for _, want := range []string{"&lt;script&gt;a", "<svg", "budget spent", "(no contract)", "80%"} {
--- a/internal/control/control.go
+++ b/internal/controlsocket/control.go
@@ -1,7 +1,7 @@
 // Package control is the gateway's socket for orders of operators on its own
 // machine: HTTP over a Unix socket that only the gateway's user may open. Every
 // order and answer is one small JSON object.
-package control
+package controlsocket
 
 import (
 	"bytes"
--- a/internal/control/control_test.go
+++ b/internal/controlsocket/control_test.go
@@ -1,4 +1,4 @@
-package control
+package controlsocket
 
 import (
 	"context"
--- a/internal/figures/controlstats.go
+++ b/internal/controlstats/controlstats.go
@@ -1,6 +1,6 @@
 // Package figures holds what a gateway tells operators about its own control work: the list that it
 // follows, its part of the fleet, and what went over its connections for which purpose.
-package figures
+package controlstats
 
 import (
 	"sync/atomic"
--- a/internal/endpoint/registry.go
+++ b/internal/endpoint/registry.go
@@ -7,17 +7,17 @@
 	"slices"
 	"sync/atomic"
 
-	"archknot/choice"
-	"archknot/internal/wire/socket"
+	"archknot/balancer"
+	"archknot/internal/httpwire"
 )
 
 // Replica is one replica as the registry names it.
 type Replica struct {
-	socket.Endpoint
-	ID        choice.ReplicaID
-	StartedAt choice.Micros // its last start on the gateway's clock; 0: long ago
-	inFlight  *int          // own attempts that are out on it; kept while the list changes
-	accepting *atomic.Bool  // closed once this very process may get nothing new; nil: there is none
+	httpwire.Endpoint
+	ID        balancer.ReplicaID
+	StartedAt balancer.Micros // its last start on the gateway's clock; 0: long ago
+	inFlight  *int            // own attempts that are out on it; kept while the list changes
+	accepting *atomic.Bool    // closed once this very process may get nothing new; nil: there is none
 }
 
 // Accepting tells whether the worker may get new work as of now, also for an attempt that was ordered
@@ -55,18 +55,18 @@
 type Registry struct {
 	version    int64
 	byName     map[string]*Replica // by instanceId
-	byID       map[choice.ReplicaID]*Replica
+	byID       map[balancer.ReplicaID]*Replica
 	readyCount int // workers that take work
 	rehashed   int // workers whose number is not their name's first hash
 }
 
 // NewRegistry returns an empty registry.
 func NewRegistry() *Registry {
-	return &Registry{byName: map[string]*Replica{}, byID: map[choice.ReplicaID]*Replica{}}
+	return &Registry{byName: map[string]*Replica{}, byID: map[balancer.ReplicaID]*Replica{}}
 }
 
 // ByID is the worker with the module's number, nil if the list has none.
-func (r *Registry) ByID(id choice.ReplicaID) *Replica { return r.byID[id] }
+func (r *Registry) ByID(id balancer.ReplicaID) *Replica { return r.byID[id] }
 
 // ByName is the worker with the registry's own name, nil if the list has none.
 func (r *Registry) ByName(name string) *Replica { return r.byName[name] }
@@ -84,15 +84,15 @@
 // workers have left behind, by their end or a restart. sinceOf converts a
 // start in Unix milliseconds; it is asked once for each start, because a worker
 // whose start seems to move by a few microseconds would seem to start anew.
-func (r *Registry) Apply(l socket.EndpointList, kind choice.ListKind, sinceOf func(int64) choice.Micros) (choice.EndpointList, []string) {
-	out := choice.EndpointList{Kind: kind, Version: l.Generation}
+func (r *Registry) Apply(l httpwire.EndpointList, kind balancer.ListKind, sinceOf func(int64) balancer.Micros) (balancer.EndpointList, []string) {
+	out := balancer.EndpointList{Kind: kind, Version: l.Generation}
 	r.version = l.Generation
-	if kind == choice.ListDelta && r.canApplyInPlace(l) {
+	if kind == balancer.ListDelta && r.canApplyInPlace(l) {
 		return r.applyInPlace(l, out, sinceOf)
 	}
 	old := r.byName
 	next := map[string]*Replica{}
-	if kind == choice.ListDelta {
+	if kind == balancer.ListDelta {
 		for id, w := range old {
 			next[id] = w
 		}
@@ -101,7 +101,7 @@
 	for _, in := range l.Endpoints {
 		w := newReplica(in, old[in.ID], sinceOf)
 		changed[in.ID] = w
-		if w.State() == choice.EndpointGone {
+		if w.State() == balancer.EndpointGone {
 			delete(next, in.ID)
 		} else {
 			next[in.ID] = w
@@ -115,11 +115,11 @@
 	}
 	r.byName = next
 	moved := r.assignIDs(old)
-	if moved && kind == choice.ListDelta {
-		out.Kind, changed = choice.ListFull, next // numbers changed hands: tell everything
+	if moved && kind == balancer.ListDelta {
+		out.Kind, changed = balancer.ListFull, next // numbers changed hands: tell everything
 	}
 	for id, w := range changed {
-		if w.State() == choice.EndpointGone {
+		if w.State() == balancer.EndpointGone {
 			if old[id] == nil {
 				continue
 			}
@@ -132,7 +132,7 @@
 }
 
 // newReplica is a worker as a list names it, with what is known of it from before.
-func newReplica(in socket.Endpoint, was *Replica, sinceOf func(int64) choice.Micros) *Replica {
+func newReplica(in httpwire.Endpoint, was *Replica, sinceOf func(int64) balancer.Micros) *Replica {
 	w := &Replica{Endpoint: in}
 	switch {
 	case was != nil && was.StartedAtMs == in.StartedAtMs:
@@ -148,32 +148,32 @@
 	} else {
 		w.accepting = new(atomic.Bool)
 	}
-	w.accepting.Store(w.State() == choice.EndpointReady)
+	w.accepting.Store(w.State() == balancer.EndpointReady)
 	return w
 }
 
 // AssumeStarted has a worker count as started now, where nothing told of a start.
-func (r *Registry) AssumeStarted(name string, now choice.Micros) {
+func (r *Registry) AssumeStarted(name string, now balancer.Micros) {
 	if w := r.byName[name]; w != nil {
 		w.StartedAt = now
 	}
 }
 
 // toMember is the module's form of the worker.
-func (w *Replica) toMember() choice.Endpoint {
-	return choice.Endpoint{Replica: w.ID, State: w.State(), Weight: w.Weight, Cell: w.Cell, Kind: w.Kind, Zone: w.Zone, StartedAt: w.StartedAt}
+func (w *Replica) toMember() balancer.Endpoint {
+	return balancer.Endpoint{Replica: w.ID, State: w.State(), Weight: w.Weight, Cell: w.Cell, Kind: w.Kind, Zone: w.Zone, StartedAt: w.StartedAt}
 }
 
-func sortMembers(list []choice.Endpoint) {
-	slices.SortFunc(list, func(a, b choice.Endpoint) int { return int(int64(a.Replica) - int64(b.Replica)) })
+func sortMembers(list []balancer.Endpoint) {
+	slices.SortFunc(list, func(a, b balancer.Endpoint) int { return int(int64(a.Replica) - int64(b.Replica)) })
 }
 
 // canApplyInPlace tells whether changes can be entered one by one: no two names share a number, before or after.
-func (r *Registry) canApplyInPlace(l socket.EndpointList) bool {
+func (r *Registry) canApplyInPlace(l httpwire.EndpointList) bool {
 	if r.rehashed > 0 {
 		return false
 	}
-	names := make(map[choice.ReplicaID]string, len(l.Endpoints))
+	names := make(map[balancer.ReplicaID]string, len(l.Endpoints))
 	for _, in := range l.Endpoints {
 		id := hashReplicaID(in.ID, 0)
 		if w := r.byID[id]; w != nil && w.Endpoint.ID != in.ID {
@@ -188,7 +188,7 @@
 }
 
 // applyInPlace enters changes one by one: what it takes follows the changes and not the list.
-func (r *Registry) applyInPlace(l socket.EndpointList, out choice.EndpointList, sinceOf func(int64) choice.Micros) (choice.EndpointList, []string) {
+func (r *Registry) applyInPlace(l httpwire.EndpointList, out balancer.EndpointList, sinceOf func(int64) balancer.Micros) (balancer.EndpointList, []string) {
 	before := map[string]*Replica{} // as they were, of those that change
 	after := map[string]*Replica{}
 	for _, in := range l.Endpoints {
@@ -218,15 +218,15 @@
 
 // replace has a worker take the place of what was there under its name.
 func (r *Registry) replace(was, w *Replica) {
-	if was != nil && was.State() == choice.EndpointReady {
+	if was != nil && was.State() == balancer.EndpointReady {
 		r.readyCount--
 	}
-	if w.State() == choice.EndpointGone {
+	if w.State() == balancer.EndpointGone {
 		delete(r.byName, w.Endpoint.ID)
 		delete(r.byID, w.ID)
 		return
 	}
-	if w.State() == choice.EndpointReady {
+	if w.State() == balancer.EndpointReady {
 		r.readyCount++
 	}
 	r.byName[w.Endpoint.ID] = w
@@ -256,7 +256,7 @@
 		moved = moved || old[name] != nil && old[name].ID != id
 		w.ID = id
 		r.byID[id] = w
-		if w.State() == choice.EndpointReady {
+		if w.State() == balancer.EndpointReady {
 			r.readyCount++
 		}
 		if id != hashReplicaID(name, 0) {
@@ -267,11 +267,11 @@
 }
 
 // hashReplicaID is a variable so that a test can make names collide.
-var hashReplicaID = func(name string, salt byte) choice.ReplicaID {
+var hashReplicaID = func(name string, salt byte) balancer.ReplicaID {
 	h := fnv.New32a()
 	h.Write([]byte(name))
 	if salt > 0 {
 		h.Write([]byte{0, salt})
 	}
-	return choice.ReplicaID(h.Sum32())
+	return balancer.ReplicaID(h.Sum32())
 }
--- a/internal/endpoint/registry_bench_test.go
+++ b/internal/endpoint/registry_bench_test.go
@@ -4,27 +4,27 @@
 	"fmt"
 	"testing"
 
-	"archknot/choice"
-	"archknot/internal/wire/socket"
+	"archknot/balancer"
+	"archknot/internal/httpwire"
 )
 
 // BenchmarkApplyDelta is the cost of one worker's change of state, over the size of the list.
 func BenchmarkApplyDelta(b *testing.B) {
 	for _, n := range []int{1000, 6000, 12000} {
 		b.Run(fmt.Sprint(n), func(b *testing.B) {
-			list := socket.EndpointList{Reset: true}
+			list := httpwire.EndpointList{Reset: true}
 			for i := range n {
-				list.Endpoints = append(list.Endpoints, socket.Endpoint{ID: fmt.Sprint("replica-", i), Addr: "127.0.0.1:1", Lifecycle: "ready"})
+				list.Endpoints = append(list.Endpoints, httpwire.Endpoint{ID: fmt.Sprint("replica-", i), Addr: "127.0.0.1:1", Lifecycle: "ready"})
 			}
-			since := func(int64) choice.Micros { return 1 }
+			since := func(int64) balancer.Micros { return 1 }
 			r := NewRegistry()
-			r.Apply(list, choice.ListFull, since)
+			r.Apply(list, balancer.ListFull, since)
 			for i := range b.N {
 				w := list.Endpoints[i/2%n]
 				if i%2 == 0 {
 					w.Lifecycle = "draining"
 				}
-				r.Apply(socket.EndpointList{Endpoints: []socket.Endpoint{w}}, choice.ListDelta, since)
+				r.Apply(httpwire.EndpointList{Endpoints: []httpwire.Endpoint{w}}, balancer.ListDelta, since)
 			}
 		})
 	}
