--- a/internal/endpoint/registry_test.go
+++ b/internal/endpoint/registry_test.go
@@ -4,18 +4,18 @@
 	"slices"
 	"testing"
 
-	"archknot/choice"
-	"archknot/internal/wire/socket"
+	"archknot/balancer"
+	"archknot/internal/httpwire"
 
 	"github.com/google/go-cmp/cmp"
 )
 
-func listEntry(id, lifecycle string, started int64) socket.Endpoint {
-	return socket.Endpoint{ID: id, Addr: "127.0.0.1:" + id, Lifecycle: lifecycle, StartedAtMs: started}
+func listEntry(id, lifecycle string, started int64) httpwire.Endpoint {
+	return httpwire.Endpoint{ID: id, Addr: "127.0.0.1:" + id, Lifecycle: lifecycle, StartedAtMs: started}
 }
 
-func replicaIDs(r *Registry) map[string]choice.ReplicaID {
-	out := map[string]choice.ReplicaID{}
+func replicaIDs(r *Registry) map[string]balancer.ReplicaID {
+	out := map[string]balancer.ReplicaID{}
 	for name, w := range r.byName {
 		out[name] = w.ID
 	}
@@ -27,9 +27,9 @@
 func TestReplicaIDsDoNotDependOnOrder(t *testing.T) {
 	real := hashReplicaID
 	defer func() { hashReplicaID = real }()
-	for name, hash := range map[string]func(string, byte) choice.ReplicaID{
+	for name, hash := range map[string]func(string, byte) balancer.ReplicaID{
 		"real": real,
-		"all collide": func(name string, salt byte) choice.ReplicaID {
+		"all collide": func(name string, salt byte) balancer.ReplicaID {
 			if salt == 0 {
 				return 5
 			}
@@ -38,12 +38,12 @@
 	} {
 		hashReplicaID = hash
 		names := []string{"s-b", "s-a", "s-d", "s-c"}
-		var want map[string]choice.ReplicaID
+		var want map[string]balancer.ReplicaID
 		for range names {
 			names = append(names[1:], names[0])
 			r := NewRegistry()
 			for _, n := range names {
-				r.Apply(socket.EndpointList{Endpoints: []socket.Endpoint{listEntry(n, "ready", 0)}}, choice.ListDelta, nil)
+				r.Apply(httpwire.EndpointList{Endpoints: []httpwire.Endpoint{listEntry(n, "ready", 0)}}, balancer.ListDelta, nil)
 			}
 			got := replicaIDs(r)
 			if want == nil {
@@ -63,11 +63,11 @@
 
 func TestApplyListsAndDeltas(t *testing.T) {
 	conversions := int64(0)
-	since := func(ms int64) choice.Micros { conversions++; return ms*1000 + conversions }
+	since := func(ms int64) balancer.Micros { conversions++; return ms*1000 + conversions }
 	r := NewRegistry()
-	apply := func(kind choice.ListKind, in ...socket.Endpoint) (map[choice.ReplicaID]choice.EndpointState, []string) {
-		out, left := r.Apply(socket.EndpointList{Endpoints: in}, kind, since)
-		states := map[choice.ReplicaID]choice.EndpointState{}
+	apply := func(kind balancer.ListKind, in ...httpwire.Endpoint) (map[balancer.ReplicaID]balancer.EndpointState, []string) {
+		out, left := r.Apply(httpwire.EndpointList{Endpoints: in}, kind, since)
+		states := map[balancer.ReplicaID]balancer.EndpointState{}
 		for _, m := range out.Endpoints {
 			states[m.Replica] = m.State
 		}
@@ -76,24 +76,24 @@
 	}
 	a, b := hashReplicaID("a", 0), hashReplicaID("b", 0)
 	for i, step := range []struct {
-		kind  choice.ListKind
-		in    []socket.Endpoint
-		want  map[choice.ReplicaID]choice.EndpointState
+		kind  balancer.ListKind
+		in    []httpwire.Endpoint
+		want  map[balancer.ReplicaID]balancer.EndpointState
 		left  []string
 		ready int
 	}{
-		{choice.ListCached, []socket.Endpoint{listEntry("a", "ready", 0), listEntry("b", "ready", 50)},
-			map[choice.ReplicaID]choice.EndpointState{a: choice.EndpointReady, b: choice.EndpointReady}, nil, 2},
-		{choice.ListDelta, []socket.Endpoint{listEntry("a", "draining", 0)},
-			map[choice.ReplicaID]choice.EndpointState{a: choice.EndpointDraining}, nil, 1},
-		{choice.ListDelta, []socket.Endpoint{listEntry("a", "gone", 0), listEntry("never", "gone", 0)},
-			map[choice.ReplicaID]choice.EndpointState{a: choice.EndpointGone}, []string{"a@127.0.0.1:a/0"}, 1},
-		{choice.ListDelta, []socket.Endpoint{listEntry("b", "ready", 50)},
-			map[choice.ReplicaID]choice.EndpointState{b: choice.EndpointReady}, nil, 1},
-		{choice.ListDelta, []socket.Endpoint{listEntry("b", "ready", 60)}, // it restarted: its connections are dead
-			map[choice.ReplicaID]choice.EndpointState{b: choice.EndpointReady}, []string{"b@127.0.0.1:b/50"}, 1},
-		{choice.ListFull, []socket.Endpoint{listEntry("a", "odd word", 0)},
-			map[choice.ReplicaID]choice.EndpointState{a: choice.EndpointDraining}, []string{"b@127.0.0.1:b/60"}, 0},
+		{balancer.ListCached, []httpwire.Endpoint{listEntry("a", "ready", 0), listEntry("b", "ready", 50)},
+			map[balancer.ReplicaID]balancer.EndpointState{a: balancer.EndpointReady, b: balancer.EndpointReady}, nil, 2},
+		{balancer.ListDelta, []httpwire.Endpoint{listEntry("a", "draining", 0)},
+			map[balancer.ReplicaID]balancer.EndpointState{a: balancer.EndpointDraining}, nil, 1},
+		{balancer.ListDelta, []httpwire.Endpoint{listEntry("a", "gone", 0), listEntry("never", "gone", 0)},
+			map[balancer.ReplicaID]balancer.EndpointState{a: balancer.EndpointGone}, []string{"a@127.0.0.1:a/0"}, 1},
+		{balancer.ListDelta, []httpwire.Endpoint{listEntry("b", "ready", 50)},
+			map[balancer.ReplicaID]balancer.EndpointState{b: balancer.EndpointReady}, nil, 1},
+		{balancer.ListDelta, []httpwire.Endpoint{listEntry("b", "ready", 60)}, // it restarted: its connections are dead
+			map[balancer.ReplicaID]balancer.EndpointState{b: balancer.EndpointReady}, []string{"b@127.0.0.1:b/50"}, 1},
+		{balancer.ListFull, []httpwire.Endpoint{listEntry("a", "odd word", 0)},
+			map[balancer.ReplicaID]balancer.EndpointState{a: balancer.EndpointDraining}, []string{"b@127.0.0.1:b/60"}, 0},
 	} {
 		got, left := apply(step.kind, step.in...)
 		if diff := cmp.Diff(step.want, got); diff != "" {
--- a/internal/experiment/digest_test.go
+++ b/internal/experiment/digest_test.go
@@ -11,7 +11,7 @@
 
 	"github.com/google/go-cmp/cmp"
 
-	"archknot/internal/conf"
+	"archknot/internal/config"
 	"archknot/internal/fleet/model"
 )
 
@@ -27,7 +27,7 @@
 func TestModelDigests(t *testing.T) {
 	var got bytes.Buffer
 	for _, name := range []string{"testdata/behavior/slow-start.plan", "deploy/no-hedging.plan"} {
-		plan, err := conf.LoadPlan(filepath.Join("../..", name))
+		plan, err := config.LoadPlan(filepath.Join("../..", name))
 		if err != nil {
 			t.Fatal(err)
 		}
--- a/internal/experiment/experiment_test.go
+++ b/internal/experiment/experiment_test.go
@@ -10,7 +10,7 @@
 	"strings"
 	"testing"
 
-	"archknot/internal/conf"
+	"archknot/internal/config"
 )
 
 // Two that are equal are told apart in at most 7 of 100 experiments, also with few
@@ -99,7 +99,7 @@
 // tells nothing of the one that is the same.
 func TestExperiment(t *testing.T) {
 	file := write(t, plan)
-	p, err := conf.LoadPlan(file)
+	p, err := config.LoadPlan(file)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -188,7 +188,7 @@
 		if !strings.Contains(plan, change[0]) {
 			t.Fatal(change[0])
 		}
-		_, err := conf.LoadPlan(write(t, strings.Replace(plan, change[0], change[1], 1)))
+		_, err := config.LoadPlan(write(t, strings.Replace(plan, change[0], change[1], 1)))
 		if err == nil || !strings.Contains(err.Error(), want) {
 			t.Errorf("wanted %q:\n%v", want, err)
 		}
--- a/internal/experiment/run.go
+++ b/internal/experiment/run.go
@@ -20,7 +20,7 @@
 	"go.etcd.io/bbolt"
 
 	"archknot/internal/boltfile"
-	"archknot/internal/conf"
+	"archknot/internal/config"
 	"archknot/internal/fleet/model"
 )
 
@@ -121,7 +121,7 @@
 }
 
 // All runs what a plan asks for and the store does not have yet.
-func All(ctx context.Context, p *conf.Plan, s *Store, o Options) error {
+func All(ctx context.Context, p *config.Plan, s *Store, o Options) error {
 	var todo []func() (Record, error)
 	all := 0
 	for seed := uint64(1); seed <= uint64(p.Seeds); seed++ { // pairs first, so that an early look can compare
@@ -192,7 +192,7 @@
 }
 
 // one runs one variant, here or by another build's program.
-func one(ctx context.Context, p *conf.Plan, v, w conf.Variant, seed uint64) (*model.Result, error) {
+func one(ctx context.Context, p *config.Plan, v, w config.Variant, seed uint64) (*model.Result, error) {
 	if v.Program == "" {
 		spec, err := p.Spec(v, w, seed)
 		if err != nil {
--- a/internal/standin/controlservice/service.go
+++ b/internal/fakes/controlservice/service.go
@@ -20,8 +20,8 @@
 	"google.golang.org/protobuf/proto"
 	"google.golang.org/protobuf/types/known/anypb"
 
-	"archknot/internal/revision"
-	pb "archknot/internal/revision/configpb"
+	"archknot/internal/configversion"
+	pb "archknot/internal/configversion/configpb"
 )
 
 const typeURLPrefix = "type.googleapis.com/archknot.config.v1."
@@ -32,17 +32,17 @@
 	FirstPercent  uint32
 	Hold          time.Duration
 	MaxRegression float64
-	Resources     map[revision.ResourceType][]proto.Message
-	Truncate      revision.ResourceType // this type's resources come cut off
-	CloseAfter    int                   // so many messages; 0: not at all
-	Delay         time.Duration         // between two messages
-	RepeatNonce   bool                  // all messages have one and the same nonce
+	Resources     map[configversion.ResourceType][]proto.Message
+	Truncate      configversion.ResourceType // this type's resources come cut off
+	CloseAfter    int                        // so many messages; 0: not at all
+	Delay         time.Duration              // between two messages
+	RepeatNonce   bool                       // all messages have one and the same nonce
 }
 
 // Ack is what a gateway said of one response.
 type Ack struct {
 	Gateway string
-	Type    revision.ResourceType
+	Type    configversion.ResourceType
 	Version string // accepted so far
 	Nonce   string
 	Error   string // "" : acknowledged
@@ -160,7 +160,7 @@
 	}
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	a := Ack{Gateway: node.GetId(), Type: revision.ResourceType(url[min(len(typeURLPrefix), len(url)):]), Version: version, Nonce: nonce, Error: detail.GetMessage()}
+	a := Ack{Gateway: node.GetId(), Type: configversion.ResourceType(url[min(len(typeURLPrefix), len(url)):]), Version: version, Nonce: nonce, Error: detail.GetMessage()}
 	if s.acks = append(s.acks, a); len(s.acks) > 100_000 {
 		s.acks = s.acks[50_000:]
 	}
@@ -182,7 +182,7 @@
 
 // message is what one type of a version says.
 type message struct {
-	resourceType revision.ResourceType
+	resourceType configversion.ResourceType
 	version      string
 	resources    []*anypb.Any
 	repeatNonce  bool // its nonce is that of others
@@ -193,7 +193,7 @@
 func (v *Version) encode() ([]message, error) {
 	manifest := &pb.Version{Number: v.Number, Types: map[string]string{}, FirstPercent: v.FirstPercent, HoldUs: v.Hold.Microseconds(), WorseBy: v.MaxRegression}
 	var out []message
-	for _, t := range revision.ResourceTypes {
+	for _, t := range configversion.ResourceTypes {
 		list, ok := v.Resources[t]
 		if !ok {
 			continue
@@ -217,7 +217,7 @@
 	if err != nil {
 		return nil, err
 	}
-	m := message{resourceType: revision.TypeVersion, version: fmt.Sprint("v", v.Number), resources: []*anypb.Any{a}, repeatNonce: v.RepeatNonce}
+	m := message{resourceType: configversion.TypeVersion, version: fmt.Sprint("v", v.Number), resources: []*anypb.Any{a}, repeatNonce: v.RepeatNonce}
 	if v.Number%2 == 0 {
 		return append([]message{m}, out...), nil
 	}
@@ -296,7 +296,7 @@
 			s.recordAck(m.Node, m.TypeUrl, "", m.ResponseNonce, m.ErrorDetail)
 		}
 	}()
-	sent := map[revision.ResourceType]map[string]string{}
+	sent := map[configversion.ResourceType]map[string]string{}
 	return s.serve(ctx, func(m message) error {
 		r := &discovery.DeltaDiscoveryResponse{TypeUrl: typeURLPrefix + string(m.resourceType), SystemVersionInfo: m.version, Nonce: s.nextNonce(m)}
 		now := map[string]string{}
@@ -319,7 +319,7 @@
 }
 
 // resourceName is that of a named resource, or of the only one of its type.
-func resourceName(t revision.ResourceType, i int, a *anypb.Any) string {
+func resourceName(t configversion.ResourceType, i int, a *anypb.Any) string {
 	m, err := a.UnmarshalNew()
 	if err == nil {
 		if named, ok := m.(interface{ GetName() string }); ok {
--- a/internal/drill/audit.go
+++ b/internal/faulttest/audit.go
@@ -1,4 +1,4 @@
-package drill
+package faulttest
 
 import (
 	"cmp"
--- a/internal/drill/cluster.go
+++ b/internal/faulttest/cluster.go
@@ -1,4 +1,4 @@
-package drill
+package faulttest
 
 import (
 	"bytes"
@@ -19,8 +19,8 @@
 	"time"
 
 	"archknot/internal/fleet/model"
-	"archknot/internal/wire"
-	"archknot/internal/wire/socket"
+	"archknot/internal/httpwire"
+	"archknot/internal/simwire"
 )
 
 // cluster is the gateways' processes.
@@ -147,7 +147,7 @@
 		zones[g.Zone], kinds[g.Name] = true, true
 	}
 	s.Zone = s.Zones[n.site%len(s.Zones)]
-	settings, err := wire.MarshalSettings(s)
+	settings, err := simwire.MarshalSettings(s)
 	if err != nil {
 		return err
 	}
@@ -303,7 +303,7 @@
 		if !running {
 			return fmt.Errorf("%s does not run: %s", n.name, c.tail(n))
 		}
-		req, err := http.NewRequestWithContext(ctx, http.MethodGet, "http://"+n.addr+socket.ReadyPath, nil)
+		req, err := http.NewRequestWithContext(ctx, http.MethodGet, "http://"+n.addr+httpwire.ReadyPath, nil)
 		if err != nil {
 			return err
 		}
--- a/internal/drill/drill.go
+++ b/internal/faulttest/drill.go
@@ -1,4 +1,4 @@
-package drill
+package faulttest
 
 import (
 	"context"
@@ -10,7 +10,7 @@
 	"syscall"
 	"time"
 
-	"archknot/choice"
+	"archknot/balancer"
 	"archknot/internal/fleet/emulate"
 	"archknot/internal/fleet/model"
 	"archknot/internal/procstat"
@@ -163,7 +163,7 @@
 	res.ToLost = toLost(spec, w, s.began)
 	rules := Rules{Attempts: spec.Settings.MaxAttempts, Beside: spec.Settings.MayHedge, Once: map[string]bool{}, Slack: 50 * time.Millisecond, Drains: drains}
 	for _, k := range spec.Settings.Classes {
-		rules.Once[k.Name] = k.Idempotency == choice.NonIdempotent
+		rules.Once[k.Name] = k.Idempotency == balancer.NonIdempotent
 	}
 	res.Breaks = Audit(rules, w.tries, w.attempts)
 	return res, nil
@@ -486,7 +486,7 @@
 		}
 		for _, at := range s.ended[r.first.Gateway] {
 			died := at.Sub(s.began).Microseconds()
-			if k.Idempotency != choice.NonIdempotent && r.first.SentAt <= died-50_000 && r.first.At >= died {
+			if k.Idempotency != balancer.NonIdempotent && r.first.SentAt <= died-50_000 && r.first.At >= died {
 				res.Caught++
 				if inTime {
 					res.Saved++
--- a/internal/drill/drill_test.go
+++ b/internal/faulttest/drill_test.go
@@ -1,4 +1,4 @@
-package drill_test
+package faulttest_test
 
 import (
 	"context"
@@ -6,13 +6,13 @@
 	"testing"
 	"time"
 
-	"archknot/choice"
+	"archknot/balancer"
 	"archknot/internal/cli"
-	"archknot/internal/conf"
-	"archknot/internal/drill"
+	"archknot/internal/config"
+	"archknot/internal/faulttest"
 	"archknot/internal/fleet/emulate"
 	"archknot/internal/fleet/model"
-	"archknot/internal/site/forecast"
+	"archknot/internal/siteforecast"
 )
 
 // The gateways of a drill are processes of this very program.
@@ -66,9 +66,9 @@
 	}
 }
 
-func run(t *testing.T, plan, variant string) *drill.Result {
+func run(t *testing.T, plan, variant string) *faulttest.Result {
 	t.Helper()
-	p, err := conf.LoadPlan(plan)
+	p, err := config.LoadPlan(plan)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -80,7 +80,7 @@
 			}
 			ctx, stop := context.WithTimeout(t.Context(), time.Minute)
 			defer stop()
-			r, err := drill.Run(ctx, spec, drill.Options{Dir: t.TempDir()})
+			r, err := faulttest.Run(ctx, spec, faulttest.Options{Dir: t.TempDir()})
 			if err != nil {
 				t.Fatal(err)
 			}
@@ -103,11 +103,11 @@
 		}
 		return a
 	}
-	class := &choice.Class{Name: "chat"}
+	class := &balancer.Class{Name: "chat"}
 	try := func(id string, ask int, whole bool) emulate.Try {
 		return emulate.Try{Root: "a", ID: id, Ask: ask, Class: class, Patience: 4_000_000, FirstAt: 1, At: 100_000, Status: 200, Whole: whole}
 	}
-	rules := drill.Rules{Attempts: 3, Once: map[string]bool{"once": true}, Slack: 50 * time.Millisecond, Drains: map[string]time.Time{"k-9": at(1000)}}
+	rules := faulttest.Rules{Attempts: 3, Once: map[string]bool{"once": true}, Slack: 50 * time.Millisecond, Drains: map[string]time.Time{"k-9": at(1000)}}
 	once := func(a *emulate.Attempt) { a.Class = "once" }
 	for _, c := range []struct {
 		rule     string // "": none is broken
@@ -125,7 +125,7 @@
 		{"answers", []emulate.Try{try("a", 0, false), try("a", 0, false)}, nil},
 		{"late_answer", []emulate.Try{{Root: "a", ID: "a", Class: class, Patience: 1_000_000, At: 1_100_000, Status: 503}}, nil},
 	} {
-		got := drill.Audit(rules, c.tries, c.attempts)
+		got := faulttest.Audit(rules, c.tries, c.attempts)
 		switch {
 		case c.rule == "" && len(got) > 0:
 			t.Errorf("nothing was broken, and found was %v", got)
@@ -142,10 +142,10 @@
 	if testing.Short() {
 		t.Skip("it starts processes")
 	}
-	second := choice.Micros(1_000_000)
+	second := balancer.Micros(1_000_000)
 	again := model.Fault{At: 5 * second, For: 2 * second, Kind: "lose", Worker: -1, Zone: "south", Factor: 9}
 	for name, c := range map[string]struct {
-		away   choice.Micros
+		away   balancer.Micros
 		more   []model.Fault
 		least  float64
 		toLost float64
@@ -156,7 +156,7 @@
 	} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
-			p, err := conf.LoadPlan("../../deploy/site-loss.plan")
+			p, err := config.LoadPlan("../../deploy/site-loss.plan")
 			if err != nil {
 				t.Fatal(err)
 			}
@@ -164,7 +164,7 @@
 			if err != nil {
 				t.Fatal(err)
 			}
-			spec, err = forecast.Loss{Site: "south", At: 2 * second, For: max(1, c.away), Told: 9 * second, Watch: 7 * second}.Spec(spec)
+			spec, err = siteforecast.Loss{Site: "south", At: 2 * second, For: max(1, c.away), Told: 9 * second, Watch: 7 * second}.Spec(spec)
 			if err != nil {
 				t.Fatal(err)
 			}
@@ -174,7 +174,7 @@
 			spec.Faults = append(spec.Faults, c.more...)
 			ctx, stop := context.WithTimeout(t.Context(), time.Minute)
 			defer stop()
-			r, err := drill.Run(ctx, spec, drill.Options{})
+			r, err := faulttest.Run(ctx, spec, faulttest.Options{})
 			if err != nil {
 				t.Fatal(err)
 			}
--- a/internal/drill/relay.go
+++ b/internal/faulttest/relay.go
@@ -1,7 +1,7 @@
 // Package drill starts many processes of the program before an emulated fleet, lets
 // faults happen to them and between them, and checks the rules by what workers and
 // clients saw. Everything is on loopback addresses.
-package drill
+package faulttest
 
 import (
 	"bufio"
--- a/internal/drill/soak.go
+++ b/internal/faulttest/soak.go
@@ -1,4 +1,4 @@
-package drill
+package faulttest
 
 import (
 	"context"
@@ -12,7 +12,7 @@
 	"sync"
 	"time"
 
-	"archknot/choice"
+	"archknot/balancer"
 	"archknot/internal/fleet/emulate"
 	"archknot/internal/fleet/model"
 )
@@ -204,7 +204,7 @@
 	r.Ends = s.clients.counts()
 	rules := Rules{Attempts: s.spec.Settings.MaxAttempts, Beside: s.spec.Settings.MayHedge, Once: map[string]bool{}, Slack: 100 * time.Millisecond}
 	for _, k := range s.spec.Settings.Classes {
-		rules.Once[k.Name] = k.Idempotency == choice.NonIdempotent
+		rules.Once[k.Name] = k.Idempotency == balancer.NonIdempotent
 	}
 	s.spans.deadline = s.deadline
 	a := newSoakAuditor(s.spans, s.clients.tries, s.attempts)
--- a/internal/drill/soak_test.go
+++ b/internal/faulttest/soak_test.go
@@ -1,4 +1,4 @@
-package drill_test
+package faulttest_test
 
 import (
 	"context"
@@ -11,14 +11,14 @@
 	"testing"
 	"time"
 
-	"archknot/internal/conf"
-	"archknot/internal/drill"
+	"archknot/internal/config"
+	"archknot/internal/faulttest"
 )
 
 // soak runs the soak of deploy/soak.plan with a seed, before a build or this one.
-func soak(t *testing.T, seed uint64, program string, lasts time.Duration) *drill.SoakResult {
+func soak(t *testing.T, seed uint64, program string, lasts time.Duration) *faulttest.SoakResult {
 	t.Helper()
-	p, err := conf.LoadPlan("../../deploy/soak.plan")
+	p, err := config.LoadPlan("../../deploy/soak.plan")
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -29,7 +29,7 @@
 	spec.For = lasts.Microseconds()
 	ctx, stop := context.WithTimeout(t.Context(), time.Minute)
 	defer stop()
-	r, err := drill.Soak(ctx, spec, drill.Options{Dir: t.TempDir(), Program: program})
+	r, err := faulttest.Soak(ctx, spec, faulttest.Options{Dir: t.TempDir(), Program: program})
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -75,13 +75,13 @@
 var mutants = []mutant{
 	{"bans are forgotten", "drain", 2, []change{
 		{"internal/gateway/version.go", "return out || l.drainMarks[id]", "_ = out; return l.drainMarks[id]"},
-		{"internal/gateway/orders.go", "return w.Accepting() && (g.options.Orders == nil || !g.options.Orders.Out(id) && !g.pendingEjections.has(id))", "_ = id; return w.Accepting()"}}},
+		{"internal/gateway/orders.go", "return w.Accepting() && (g.options.Orders == nil || !g.options.Orders.Ejected(id) && !g.pendingEjections.has(id))", "_ = id; return w.Accepting()"}}},
 	{"a drained gateway keeps its clients", "drained", 2, []change{
 		{"internal/gateway/service.go", "return c.drainedAt.Load() > 0 || c.shutdownAt.Load() > 0", "return c.shutdownAt.Load() > 0"}}},
 	{"SIGTERM drops what is in hand", "lost", 7, []change{
 		{"internal/gateway/gateway.go", "return g.clients.waitUntilEmpty(ctx)", "return nil"}}},
 	{"time in the system's queue does not count", "deadline", 15, []change{
-		{"internal/gateway/clientconn.go", "return max(earliest, now-choice.Micros(info.Last_data_recv)*1000)", "_, _ = earliest, info; return now"}}},
+		{"internal/gateway/clientconn.go", "return max(earliest, now-balancer.Micros(info.Last_data_recv)*1000)", "_, _ = earliest, info; return now"}}},
 }
 
 // build makes the mutant's program.
--- a/internal/drill/soakclient.go
+++ b/internal/faulttest/soakclient.go
@@ -1,4 +1,4 @@
-package drill
+package faulttest
 
 import (
 	"bufio"
@@ -14,10 +14,10 @@
 	"syscall"
 	"time"
 
-	"archknot/choice"
+	"archknot/balancer"
 	"archknot/internal/connpool"
 	"archknot/internal/fleet/model"
-	"archknot/internal/wire/socket"
+	"archknot/internal/httpwire"
 )
 
 // How a request of a soak ended for its client.
@@ -92,7 +92,7 @@
 		all.Go(func() {
 			client := &http.Client{Timeout: time.Second, Transport: &http.Transport{DisableKeepAlives: true}}
 			for ctx.Err() == nil {
-				resp, err := client.Get("http://" + n.addr + socket.ReadyPath)
+				resp, err := client.Get("http://" + n.addr + httpwire.ReadyPath)
 				ready := err == nil && resp.StatusCode == http.StatusOK
 				if err == nil {
 					resp.Body.Close()
@@ -177,10 +177,10 @@
 }
 
 // text is a request in the platform's form.
-func (s *soakClients) text(rng *rand.Rand, t *soakTry, stream *model.Stream, class *choice.Class) string {
+func (s *soakClients) text(rng *rand.Rand, t *soakTry, stream *model.Stream, class *balancer.Class) string {
 	const body = `{"model":"chat","stream":true}`
 	return fmt.Sprintf("POST %s HTTP/1.1\r\nHost: app.svc\r\nReq-Id: %s\r\nReq-Kind: %s\r\nReq-Owner: %s\r\nReq-Key: %016x\r\nReq-Deadline: %dm\r\n"+
-		"Req-Extra: prompt_len=%d,max_out=%d\r\nX-Emulate-Out: %d\r\nContent-Length: %d\r\n\r\n%s", socket.CompletionsPath, t.id, class.Name, stream.Tenant, rng.Uint64(),
+		"Req-Extra: prompt_len=%d,max_out=%d\r\nX-Emulate-Out: %d\r\nContent-Length: %d\r\n\r\n%s", httpwire.CompletionsPath, t.id, class.Name, stream.Tenant, rng.Uint64(),
 		t.wait.Milliseconds(), int(stream.Prompt), stream.MaxOut, max(1, int(stream.Answer)), len(body), body)
 }
 
--- a/internal/fleet/emulate/clients.go
+++ b/internal/fleet/emulate/clients.go
@@ -9,7 +9,7 @@
 	"sync"
 	"time"
 
-	"archknot/choice"
+	"archknot/balancer"
 	"archknot/internal/fleet/model"
 )
 
@@ -78,9 +78,9 @@
 	ids      int
 }
 
-func (p *player) now() choice.Micros { return time.Since(p.began).Microseconds() }
+func (p *player) now() balancer.Micros { return time.Since(p.began).Microseconds() }
 
-func sleep(ctx context.Context, d choice.Micros) bool {
+func sleep(ctx context.Context, d balancer.Micros) bool {
 	if d <= 0 {
 		return ctx.Err() == nil
 	}
@@ -122,7 +122,7 @@
 	class := p.spec.ClassOf(s)
 	arrivals := model.NewSource(s, rand.New(rand.NewPCG(p.spec.Seed, uint64(i)*2)))
 	n := uint64(0)
-	begin := func(session *model.Session, after choice.Micros) {
+	begin := func(session *model.Session, after balancer.Micros) {
 		n++
 		// Each session draws by itself: how quickly others were served changes nothing.
 		from := model.NewSource(s, rand.New(rand.NewPCG(p.spec.Seed^n<<20, uint64(i)*2+1)))
@@ -157,7 +157,7 @@
 }
 
 // session is one client's turns.
-func (p *player) session(ctx context.Context, s *model.Stream, class *choice.Class, from *model.Source, n *model.Session, rng *rand.Rand) {
+func (p *player) session(ctx context.Context, s *model.Stream, class *balancer.Class, from *model.Source, n *model.Session, rng *rand.Rand) {
 	for {
 		in, out := from.Turn(n)
 		how := ""
--- a/internal/fleet/emulate/emulate.go
+++ b/internal/fleet/emulate/emulate.go
@@ -17,10 +17,10 @@
 	"sync"
 	"time"
 
-	"archknot/choice"
+	"archknot/balancer"
 	"archknot/internal/fleet/model"
-	"archknot/internal/fleet/worker"
-	"archknot/internal/wire/socket"
+	"archknot/internal/fleet/replica"
+	"archknot/internal/httpwire"
 )
 
 // Fleet is a registry and workers that run until Close.
@@ -51,7 +51,7 @@
 	Name, Addr string
 	group      *model.Group
 	mu         sync.Mutex
-	w          *worker.Worker // nil: killed
+	w          *replica.Worker // nil: killed
 	jobs       map[uint64]*job
 	nextJob    uint64
 	silent     bool
@@ -60,7 +60,7 @@
 	life       context.Context
 	kill       context.CancelFunc
 	server     *http.Server
-	clock      func() choice.Micros
+	clock      func() balancer.Micros
 	wake       chan struct{}
 	fleet      *Fleet
 	place      int
@@ -69,7 +69,7 @@
 // job is a request that a worker has.
 type job struct {
 	id     uint64
-	events chan worker.Event // with room for all: a slow reader holds no step up
+	events chan replica.Event // with room for all: a slow reader holds no step up
 }
 
 // Start opens a fleet's sockets. The registry listens at an address, such as
@@ -111,7 +111,7 @@
 	return net.Listen("tcp", addr)
 }
 
-func (f *Fleet) now() choice.Micros { return time.Since(f.began).Microseconds() }
+func (f *Fleet) now() balancer.Micros { return time.Since(f.began).Microseconds() }
 
 // Close ends all.
 func (f *Fleet) Close() {
@@ -123,12 +123,12 @@
 	}
 }
 
-func (w *Worker) instance(state string, startedMs int64) socket.Endpoint {
-	return socket.Endpoint{ID: w.Name, Addr: w.Addr, Zone: w.group.Zone, Kind: w.group.Name, Lifecycle: state, Weight: w.group.Weight, StartedAtMs: startedMs}
+func (w *Worker) instance(state string, startedMs int64) httpwire.Endpoint {
+	return httpwire.Endpoint{ID: w.Name, Addr: w.Addr, Zone: w.group.Zone, Kind: w.group.Name, Lifecycle: state, Weight: w.group.Weight, StartedAtMs: startedMs}
 }
 
 // start brings the worker up, at its address of before if it had one.
-func (w *Worker) start(takesWork choice.Micros) error {
+func (w *Worker) start(takesWork balancer.Micros) error {
 	var l net.Listener
 	var err error
 	// The port may be some other connection's for a moment.
@@ -143,7 +143,7 @@
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	w.Addr = l.Addr().String()
-	w.w, w.jobs, w.wake = worker.New(w.group.Params, takesWork), map[uint64]*job{}, make(chan struct{}, 1)
+	w.w, w.jobs, w.wake = replica.New(w.group.Params, takesWork), map[uint64]*job{}, make(chan struct{}, 1)
 	w.w.Each = true
 	w.life, w.kill = context.WithCancel(context.Background())
 	w.server = &http.Server{Handler: w, ReadHeaderTimeout: 5 * time.Second, BaseContext: func(net.Listener) context.Context { return w.life }}
@@ -212,11 +212,11 @@
 	load := w.load()
 	w.mu.Unlock()
 	if silent {
-		if r.URL.Path == socket.CompletionsPath && w.fleet.Worked != nil {
+		if r.URL.Path == httpwire.CompletionsPath && w.fleet.Worked != nil {
 			id := r.Header.Get("Req-Id")
 			met := Attempt{ID: id, Root: rootOf(r.Header, id), Worker: w.Name, From: time.Now(), Declined: true}
 			defer func() { met.To = time.Now(); w.fleet.Worked(met) }()
-			_, _ = io.Copy(io.Discard, http.MaxBytesReader(out, r.Body, socket.MaxBodyBytes)) // then an end of the connection is noticed
+			_, _ = io.Copy(io.Discard, http.MaxBytesReader(out, r.Body, httpwire.MaxBodyBytes)) // then an end of the connection is noticed
 		}
 		select { // half-open: it takes all and says nothing
 		case <-r.Context().Done():
@@ -225,10 +225,10 @@
 		return
 	}
 	switch r.URL.Path {
-	case socket.LivePath:
-	case socket.StatsPath:
+	case httpwire.LivePath:
+	case httpwire.StatsPath:
 		io.WriteString(out, load)
-	case socket.CompletionsPath:
+	case httpwire.CompletionsPath:
 		w.serveJob(out, r)
 	default:
 		http.NotFound(out, r)
@@ -237,19 +237,19 @@
 
 // rootOf is the id of a request's first try: its own, unless it asks for another's rest.
 func rootOf(h http.Header, id string) string {
-	if rest, asked, err := socket.ParseResume(h); asked && err == nil {
+	if rest, asked, err := httpwire.ParseResume(h); asked && err == nil {
 		return rest.ID
 	}
 	return id
 }
 
 func (w *Worker) serveJob(out http.ResponseWriter, r *http.Request) {
-	body, err := io.ReadAll(http.MaxBytesReader(out, r.Body, socket.MaxBodyBytes))
+	body, err := io.ReadAll(http.MaxBytesReader(out, r.Body, httpwire.MaxBodyBytes))
 	if err != nil {
 		http.Error(out, err.Error(), http.StatusBadRequest)
 		return
 	}
-	in, err := socket.ParseRequest(r.Header)
+	in, err := httpwire.ParseRequest(r.Header)
 	if err != nil {
 		http.Error(out, err.Error(), http.StatusBadRequest)
 		return
@@ -273,8 +273,8 @@
 		return
 	}
 	w.nextJob++
-	j := &job{w.nextJob, make(chan worker.Event, made+3)}
-	taken := w.w.Offer(w.clock(), worker.Job{ID: j.id, Prompt: max(1, q.PromptTokens), Out: made, Prefix: q.Prefix, Shared: min(q.PrefixTokens, q.PromptTokens), Session: q.Session})
+	j := &job{w.nextJob, make(chan replica.Event, made+3)}
+	taken := w.w.Offer(w.clock(), replica.Job{ID: j.id, Prompt: max(1, q.PromptTokens), Out: made, Prefix: q.Prefix, Shared: min(q.PrefixTokens, q.PromptTokens), Session: q.Session})
 	load := w.load()
 	spoil, reset := w.spoil, w.reset
 	if taken {
@@ -309,7 +309,7 @@
 	flush := http.NewResponseController(out)
 	begun, kept := false, 0
 	for {
-		var e worker.Event
+		var e replica.Event
 		select {
 		case e = <-j.events:
 		case <-r.Context().Done():
@@ -327,9 +327,9 @@
 			out.Header().Set("Content-Type", "text/event-stream")
 		}
 		switch e.Kind {
-		case worker.First:
+		case replica.First:
 			kept = e.Kept
-		case worker.Token:
+		case replica.Token:
 			if reset && e.Made > 2 {
 				if c, _, err := flush.Hijack(); err == nil {
 					if tcp, ok := c.(*net.TCPConn); ok {
@@ -347,7 +347,7 @@
 			if flush.Flush() != nil {
 				return false
 			}
-		case worker.Done:
+		case replica.Done:
 			w.mu.Lock()
 			load := w.load()
 			w.mu.Unlock()
@@ -363,14 +363,14 @@
 // registry tells the list, and waits for changes where it is asked to.
 type registry struct {
 	mu     sync.Mutex
-	list   socket.EndpointList
+	list   httpwire.EndpointList
 	news   chan struct{} // closed at the next change
 	deaf   bool
 	server *http.Server
 }
 
 func (g *registry) ServeHTTP(w http.ResponseWriter, r *http.Request) {
-	if r.URL.Path != socket.ListPath {
+	if r.URL.Path != httpwire.ListPath {
 		http.NotFound(w, r)
 		return
 	}
@@ -395,7 +395,7 @@
 		}
 	}
 	g.mu.Lock()
-	out := socket.EndpointList{Generation: g.list.Generation, Reset: true, Endpoints: g.list.Endpoints}
+	out := httpwire.EndpointList{Generation: g.list.Generation, Reset: true, Endpoints: g.list.Endpoints}
 	if err == nil && since == out.Generation {
 		out.Reset, out.Endpoints = false, nil
 	}
@@ -405,11 +405,11 @@
 	w.Write(b.Bytes())
 }
 
-func (g *registry) change(do func(*socket.EndpointList)) {
+func (g *registry) change(do func(*httpwire.EndpointList)) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	list := g.list
-	list.Endpoints = append([]socket.Endpoint(nil), list.Endpoints...)
+	list.Endpoints = append([]httpwire.Endpoint(nil), list.Endpoints...)
 	do(&list)
 	list.Generation++
 	g.list = list
@@ -446,7 +446,7 @@
 			if on {
 				state = "draining"
 			}
-			f.registry.change(func(l *socket.EndpointList) { l.Endpoints[i].Lifecycle = state })
+			f.registry.change(func(l *httpwire.EndpointList) { l.Endpoints[i].Lifecycle = state })
 			continue
 		}
 		w.mu.Lock()
@@ -487,7 +487,7 @@
 		still := w.silent
 		w.mu.Unlock()
 		if still {
-			f.registry.change(func(l *socket.EndpointList) { l.Endpoints[w.place].Lifecycle = "gone" })
+			f.registry.change(func(l *httpwire.EndpointList) { l.Endpoints[w.place].Lifecycle = "gone" })
 		}
 	})
 }
@@ -502,7 +502,7 @@
 			gone := w.w == nil
 			w.mu.Unlock()
 			if gone {
-				f.registry.change(func(l *socket.EndpointList) { l.Endpoints[i].Lifecycle = "gone" })
+				f.registry.change(func(l *httpwire.EndpointList) { l.Endpoints[i].Lifecycle = "gone" })
 			}
 		})
 		return
@@ -512,6 +512,6 @@
 	}
 	began := time.Now().UnixMilli()
 	time.AfterFunc(time.Duration(w.group.Params.Start)*time.Microsecond, func() {
-		f.registry.change(func(l *socket.EndpointList) { l.Endpoints[i] = w.instance("ready", began) })
+		f.registry.change(func(l *httpwire.EndpointList) { l.Endpoints[i] = w.instance("ready", began) })
 	})
 }
--- a/internal/fleet/emulate/emulate_test.go
+++ b/internal/fleet/emulate/emulate_test.go
@@ -8,20 +8,20 @@
 	"testing"
 	"time"
 
-	"archknot/choice"
+	"archknot/balancer"
 	"archknot/internal/fleet/model"
-	"archknot/internal/fleet/worker"
+	"archknot/internal/fleet/replica"
 	"archknot/internal/gateway"
-	"archknot/internal/wire/socket"
+	"archknot/internal/httpwire"
 )
 
 func spec() *model.Spec {
-	p := worker.Params{Slots: 8, Queue: 32, Memory: 50_000, Block: 16, Chunk: 512, Base: 4000, PerSequence: 100, PerContext: 20, PerPrompt: 20_000,
+	p := replica.Params{Slots: 8, Queue: 32, Memory: 50_000, Block: 16, Chunk: 512, Base: 4000, PerSequence: 100, PerContext: 20, PerPrompt: 20_000,
 		Start: 300_000, ColdFor: 1_000_000, ColdSlow: 2}
 	return &model.Spec{Seed: 3, For: 4_000_000, Warm: 500_000, Gateways: 1, Near: 100, Far: 100, PollWait: 1_000_000, Window: 1_000_000,
-		Settings: choice.Settings{MaxAttempts: 3, Tick: 2000, MayCancel: true, MayHedge: true, PollDiscovery: true, ReportSource: choice.ReportInline,
+		Settings: balancer.Settings{MaxAttempts: 3, Tick: 2000, MayCancel: true, MayHedge: true, PollDiscovery: true, ReportSource: balancer.ReportInline,
 			InitialCapacity: 0.3, OverloadMultiple: 3, SlowStartFor: 1_000_000, OverloadWindow: 1_500_000, StreamsPerConn: 1, ConnIdleTimeout: 60_000_000,
-			Classes: []choice.Class{{Name: "chat", LatencyObjective: 600_000, TokenObjective: 50_000, Deadline: 2_000_000, PriorityWeight: 1, LateWeightShare: 0.3, Streaming: true}}},
+			Classes: []balancer.Class{{Name: "chat", LatencyObjective: 600_000, TokenObjective: 50_000, Deadline: 2_000_000, PriorityWeight: 1, LateWeightShare: 0.3, Streaming: true}}},
 		Groups:  []model.Group{{Name: "k", Zone: "a", Count: 4, Weight: 1, Params: p}},
 		Streams: []model.Stream{{Class: "chat", Tenant: "t", PerS: 40, Turns: 3, Think: 0.3, Prompt: 100, Answer: 20, Spread: 0.4, MaxOut: 60, Prefixes: 3, Shared: 128}}}
 }
@@ -31,7 +31,7 @@
 	t.Helper()
 	set := s.Settings
 	set.Gateways, set.Zone, set.Zones, set.Kinds = 1, "a", []string{"a"}, []string{"k"}
-	g, err := gateway.New(gateway.Options{Name: "e", Discovery: registry, Seed: 1, CachedList: socket.EndpointList{Generation: socket.NoGeneration}, Settings: set,
+	g, err := gateway.New(gateway.Options{Name: "e", Discovery: registry, Seed: 1, CachedList: httpwire.EndpointList{Generation: httpwire.NoGeneration}, Settings: set,
 		MaxInFlight: 500, MaxClientConns: 500, OverflowConns: 8, MaxReplicaConns: 500, MaxBodyBytes: 1 << 20, ConnectTimeout: time.Second, ReplicaConnIdle: 10 * time.Second,
 		ClientConnIdle: 10 * time.Second, StreamIdleTimeout: 4 * time.Second, HealthCheckTimeout: time.Second, PollWithin: 10 * time.Second, WatchWait: time.Second,
 		DiscoveryTimeout: time.Second, DrainAcceptPeriod: 50 * time.Millisecond})
--- a/internal/fleet/emulate/tries.go
+++ b/internal/fleet/emulate/tries.go
@@ -15,9 +15,9 @@
 	"syscall"
 	"time"
 
-	"archknot/choice"
+	"archknot/balancer"
 	"archknot/internal/fleet/model"
-	"archknot/internal/wire/socket"
+	"archknot/internal/httpwire"
 )
 
 // Watch is told of tries. Its functions are called by many tasks at once.
@@ -33,25 +33,25 @@
 type Try struct {
 	Root, ID, Gateway   string
 	Ask                 int // 0: the first try
-	Class               *choice.Class
+	Class               *balancer.Class
 	Out                 int // tokens of the whole answer
-	Patience            choice.Micros
-	Born                choice.Micros // when the request's first try was sent, under whatever id
-	SentAt, FirstAt, At choice.Micros // since the traffic began; FirstAt 0: none
-	Status              int           // 0: the connection broke first
-	Text                string        // of an answer that is not 200
-	How                 string        // served, broken, refused, failed, late or contract
-	Whole               bool          // with what came before, it is the whole answer
-	Last                bool          // the client asks no more
+	Patience            balancer.Micros
+	Born                balancer.Micros // when the request's first try was sent, under whatever id
+	SentAt, FirstAt, At balancer.Micros // since the traffic began; FirstAt 0: none
+	Status              int             // 0: the connection broke first
+	Text                string          // of an answer that is not 200
+	How                 string          // served, broken, refused, failed, late or contract
+	Whole               bool            // with what came before, it is the whole answer
+	Last                bool            // the client asks no more
 }
 
 type ended struct {
 	model.Ended
-	after choice.Micros // that it was advised
+	after balancer.Micros // that it was advised
 }
 
 // request sends a request, and asks for the rest where its answer breaks.
-func (p *player) request(s *model.Stream, class *choice.Class, in *choice.Request, out int, rng *rand.Rand) ended {
+func (p *player) request(s *model.Stream, class *balancer.Class, in *balancer.Request, out int, rng *rand.Rand) ended {
 	var have []byte
 	var whole ended
 	root := p.id()
@@ -100,7 +100,7 @@
 
 // send sends a try in the platform's form, and reads its answer to the end. have is
 // what has come of the answer by all tries.
-func (p *player) send(t *Try, in *choice.Request, have *[]byte, rng *rand.Rand) ended {
+func (p *player) send(t *Try, in *balancer.Request, have *[]byte, rng *rand.Rand) ended {
 	t.SentAt = p.now()
 	e := ended{Ended: model.Ended{Class: t.Class, In: in, Out: t.Out, SentAt: t.SentAt, Attempts: 1}}
 	ctx, stop := context.WithCancel(context.Background())
@@ -134,7 +134,7 @@
 		text, _ := io.ReadAll(io.LimitReader(resp.Body, 4096))
 		t.Text = strings.TrimSpace(string(text))
 		if v, err := strconv.ParseFloat(resp.Header.Get("Retry-After"), 64); err == nil && v > 0 && v < 3600 {
-			e.after = choice.Micros(v * 1e6)
+			e.after = balancer.Micros(v * 1e6)
 		}
 		switch {
 		case t.Status == http.StatusTooManyRequests && bytes.Contains(text, []byte(`"contract"`)):
@@ -202,7 +202,7 @@
 
 // post sends a try to a gateway. One that does not take the connection is passed by,
 // as a front does.
-func (p *player) post(ctx context.Context, t *Try, in *choice.Request, have []byte, rng *rand.Rand) (*http.Response, error) {
+func (p *player) post(ctx context.Context, t *Try, in *balancer.Request, have []byte, rng *rand.Rand) (*http.Response, error) {
 	const body = `{"model":"chat","stream":true}`
 	for n := 0; ; n++ {
 		t.Gateway = p.gateways[rng.IntN(len(p.gateways))]
@@ -212,7 +212,7 @@
 			}
 			t.Gateway = p.gateways[rng.IntN(len(p.gateways))]
 		}
-		req, err := http.NewRequestWithContext(ctx, http.MethodPost, "http://"+t.Gateway+socket.CompletionsPath, strings.NewReader(body))
+		req, err := http.NewRequestWithContext(ctx, http.MethodPost, "http://"+t.Gateway+httpwire.CompletionsPath, strings.NewReader(body))
 		if err != nil {
 			return nil, err
 		}
@@ -233,7 +233,7 @@
 		h.Set("X-Emulate-Out", strconv.Itoa(t.Out))
 		if t.Ask > 0 {
 			h.Set("Req-Retry", "again")
-			h.Set(socket.ResumeHeader, fmt.Sprintf("id=%s,ask=%d,bytes=%d,sum=%08x", t.Root, t.Ask, len(have), crc32.ChecksumIEEE(have)))
+			h.Set(httpwire.ResumeHeader, fmt.Sprintf("id=%s,ask=%d,bytes=%d,sum=%08x", t.Root, t.Ask, len(have), crc32.ChecksumIEEE(have)))
 		}
 		p.watch.State(t, "sent")
 		resp, err := p.client.Do(req)
--- a/internal/fleet/engine/engine.go
+++ b/internal/fleet/engine/engine.go
@@ -7,13 +7,13 @@
 	"math"
 	"math/rand/v2"
 
-	"archknot/choice"
+	"archknot/balancer"
 )
 
 // Engine runs what is due in virtual time. What is due at one moment runs in the
 // order in which it was asked for.
 type Engine struct {
-	now  choice.Micros
+	now  balancer.Micros
 	seq  uint64
 	heap []item
 	seed uint64
@@ -21,16 +21,16 @@
 }
 
 type item struct {
-	at  choice.Micros
+	at  balancer.Micros
 	seq uint64
-	do  func(now choice.Micros)
+	do  func(now balancer.Micros)
 }
 
 // New is an engine at a moment.
-func New(seed uint64, now choice.Micros) *Engine { return &Engine{now: now, seed: seed} }
+func New(seed uint64, now balancer.Micros) *Engine { return &Engine{now: now, seed: seed} }
 
 // Now is the virtual time.
-func (e *Engine) Now() choice.Micros { return e.now }
+func (e *Engine) Now() balancer.Micros { return e.now }
 
 // Pending is how many events are yet to come.
 func (e *Engine) Pending() int { return len(e.heap) }
@@ -44,16 +44,16 @@
 }
 
 // At has something done at a moment, or now if that has passed.
-func (e *Engine) At(at choice.Micros, do func(now choice.Micros)) {
+func (e *Engine) At(at balancer.Micros, do func(now balancer.Micros)) {
 	e.seq++
 	e.push(item{max(at, e.now), e.seq, do})
 }
 
 // After has something done after a while.
-func (e *Engine) After(d choice.Micros, do func(now choice.Micros)) { e.At(e.now+d, do) }
+func (e *Engine) After(d balancer.Micros, do func(now balancer.Micros)) { e.At(e.now+d, do) }
 
 // Run does what is due until a moment, which it then is.
-func (e *Engine) Run(until choice.Micros) {
+func (e *Engine) Run(until balancer.Micros) {
 	for len(e.heap) > 0 && e.heap[0].at <= until {
 		i := e.pop()
 		e.now = i.at
--- a/internal/fleet/fit/fit.go
+++ b/internal/fleet/fit/fit.go
@@ -11,13 +11,13 @@
 	"slices"
 	"strings"
 
-	"archknot/choice"
+	"archknot/balancer"
 )
 
 // Turn is one request as it was recorded. Times are microseconds on one clock for
 // all gateways.
 type Turn struct {
-	At, End              choice.Micros // End: of the answer; 0: it was not served
+	At, End              balancer.Micros // End: of the answer; 0: it was not served
 	Class, Tenant        string
 	Session, Prefix      uint64
 	Prompt, Shared, Most int
@@ -61,10 +61,10 @@
 const quiet = 8.0
 
 // leastQuiet is that time where little thinking was seen, in microseconds.
-const leastQuiet choice.Micros = 10_000_000
+const leastQuiet balancer.Micros = 10_000_000
 
 // Streams estimates from all turns that were recorded from one time to another.
-func Streams(turns []Turn, from, to choice.Micros) []Stream {
+func Streams(turns []Turn, from, to balancer.Micros) []Stream {
 	type key struct{ class, tenant string }
 	by := map[key][]Turn{}
 	for _, t := range turns {
@@ -84,7 +84,7 @@
 	return out
 }
 
-func stream(turns []Turn, from, to choice.Micros) (s Stream) {
+func stream(turns []Turn, from, to balancer.Micros) (s Stream) {
 	s.Requests = len(turns)
 	seconds := math.Max(1e-6, float64(to-from)/1e6)
 	sessions := map[uint64][]Turn{}
@@ -100,7 +100,7 @@
 	keys := slices.Sorted(maps.Keys(sessions))
 	// Sessions come by chance, turns by sessions: a session's turns come together.
 	squares := float64(alone)
-	thinking := func(until choice.Micros) (gaps []float64) {
+	thinking := func(until balancer.Micros) (gaps []float64) {
 		for _, k := range keys {
 			list := sessions[k]
 			for i := 1; i < len(list); i++ {
@@ -118,7 +118,7 @@
 	s.Rate = Value{rate, math.Max(0, rate-1.96*se), rate + 1.96*se, len(turns)}
 	// Only a turn that is long over by the end tells whether its session went on, and
 	// after what time: of later ones, those that went on soon would count alone.
-	over := max(leastQuiet, choice.Micros(quiet*median(thinking(to)).Value*1e6))
+	over := max(leastQuiet, balancer.Micros(quiet*median(thinking(to)).Value*1e6))
 	over = min(over, (to-from)/2)
 	s.Think = median(thinking(to - over))
 
--- a/internal/fleet/fit/fit_test.go
+++ b/internal/fleet/fit/fit_test.go
@@ -6,21 +6,21 @@
 	"strings"
 	"testing"
 
-	"archknot/choice"
+	"archknot/balancer"
 	"archknot/internal/capture"
 	"archknot/internal/fleet/model"
-	"archknot/internal/fleet/worker"
+	"archknot/internal/fleet/replica"
 )
 
 // recorded plays a fleet with known traffic and reads what its gateways recorded.
 func recorded(t *testing.T, seed uint64, think float64) (*Recorded, []model.Stream) {
 	t.Helper()
-	p := worker.Params{Slots: 64, Queue: 64, Memory: 400_000, Block: 16, Chunk: 2048, Base: 4000, PerSequence: 50, PerContext: 10, PerPrompt: 10_000,
+	p := replica.Params{Slots: 64, Queue: 64, Memory: 400_000, Block: 16, Chunk: 2048, Base: 4000, PerSequence: 50, PerContext: 10, PerPrompt: 10_000,
 		Start: 1_000_000, ColdFor: 1_000_000, ColdSlow: 2, Connect: 100}
 	s := &model.Spec{Seed: seed, For: 120_000_000, Warm: 5_000_000, Gateways: 3, Near: 250, Far: 10_000, PollWait: 10_000_000, Capture: t.TempDir(),
-		Settings: choice.Settings{MaxAttempts: 3, Tick: 2000, MayCancel: true, PollDiscovery: true, ReportSource: choice.ReportInline, InitialCapacity: 0.3,
+		Settings: balancer.Settings{MaxAttempts: 3, Tick: 2000, MayCancel: true, PollDiscovery: true, ReportSource: balancer.ReportInline, InitialCapacity: 0.3,
 			OverloadMultiple: 3, SlowStartFor: 1_000_000, OverloadWindow: 1_500_000, StreamsPerConn: 1, ConnIdleTimeout: 60_000_000,
-			Classes: []choice.Class{{Name: "bulk", LatencyObjective: 4_000_000, TokenObjective: 300_000, Deadline: 10_000_000, PriorityWeight: 1, Streaming: true},
+			Classes: []balancer.Class{{Name: "bulk", LatencyObjective: 4_000_000, TokenObjective: 300_000, Deadline: 10_000_000, PriorityWeight: 1, Streaming: true},
 				{Name: "chat", LatencyObjective: 4_000_000, TokenObjective: 300_000, Deadline: 10_000_000, PriorityWeight: 2, Streaming: true}}},
 		Groups: []model.Group{{Name: "k", Zone: "a", Count: 8, Weight: 1, Params: p}},
 		Streams: []model.Stream{{Class: "chat", Tenant: "t", PerS: 12, Turns: 3, Think: think, Prompt: 200, Answer: 60, Spread: 0.5, MaxOut: 600, Prefixes: 12, Shared: 512},
@@ -94,8 +94,8 @@
 	rng := rand.New(rand.NewPCG(1, 2))
 	var turns []Turn
 	for s := range 200 {
-		at := choice.Micros(s/20) * 10_000_000 // twenty at once, each ten seconds
-		turns = append(turns, Turn{At: at + choice.Micros(rng.IntN(1000)), End: at + 500_000, Class: "c", Prompt: 100, Made: 10})
+		at := balancer.Micros(s/20) * 10_000_000 // twenty at once, each ten seconds
+		turns = append(turns, Turn{At: at + balancer.Micros(rng.IntN(1000)), End: at + 500_000, Class: "c", Prompt: 100, Made: 10})
 	}
 	turns = append(turns, Turn{At: 85_000_000, End: 86_000_000, Class: "c", Session: 7, Prompt: 100, Made: 10},
 		Turn{At: 87_000_000, Class: "c", Session: 7, Prompt: 220})
--- a/internal/fleet/fit/read.go
+++ b/internal/fleet/fit/read.go
@@ -5,7 +5,7 @@
 	"fmt"
 	"io"
 
-	"archknot/choice"
+	"archknot/balancer"
 	"archknot/internal/capture"
 	pb "archknot/internal/capture/capturepb"
 )
@@ -13,8 +13,8 @@
 // Recorded is what recordings of one fleet's gateways hold.
 type Recorded struct {
 	Turns    []Turn
-	From, To choice.Micros // in Unix time: when all gateways were recorded
-	Gaps     int           // places at which records are missing
+	From, To balancer.Micros // in Unix time: when all gateways were recorded
+	Gaps     int             // places at which records are missing
 }
 
 // Read takes the turns out of recordings, one for each gateway. What was recorded
@@ -48,7 +48,7 @@
 	return out, nil
 }
 
-func (o *Recorded) read(run *capture.Run) (last choice.Micros, err error) {
+func (o *Recorded) read(run *capture.Run) (last balancer.Micros, err error) {
 	r, err := capture.NewReader(run, run.Begin())
 	if err != nil {
 		return 0, err
@@ -78,7 +78,7 @@
 				Prefix: a.GetPrefix(), Prompt: int(a.GetPromptTokens()), Shared: int(a.GetPrefixTokens()), Most: int(a.GetMaxTokens())})
 		case pb.Kind_KIND_ENDED:
 			if i, ok := open[rec.Request]; ok && rec.Outcome.GetFinal() {
-				if choice.Status(rec.Outcome.GetStatus()) == choice.Served {
+				if balancer.Status(rec.Outcome.GetStatus()) == balancer.Served {
 					o.Turns[i].End, o.Turns[i].Made = at, int(rec.Outcome.GetTokens())
 				}
 				delete(open, rec.Request)
--- a/internal/fleet/model/clients.go
+++ b/internal/fleet/model/clients.go
@@ -4,7 +4,7 @@
 	"math"
 	"math/rand/v2"
 
-	"archknot/choice"
+	"archknot/balancer"
 	"archknot/internal/fleet/engine"
 )
 
@@ -37,8 +37,8 @@
 
 // Gap is the time to the next session's beginning. Sessions come as their turns make
 // up the stream's rate, times a factor.
-func (c *Source) Gap(factor float64) choice.Micros {
-	return choice.Micros(engine.Exp(c.rng, 1e6/(c.s.PerS/c.s.Turns*factor)))
+func (c *Source) Gap(factor float64) balancer.Micros {
+	return balancer.Micros(engine.Exp(c.rng, 1e6/(c.s.PerS/c.s.Turns*factor)))
 }
 
 // Session begins one; a part of hot has the most popular beginning.
@@ -64,7 +64,7 @@
 // UnderWay are sessions that are between two turns when a run begins, with the time
 // to the next: as many as there are in the long run, so that the stream's rate is
 // reached at once. What the turns before took at workers is left out.
-func (c *Source) UnderWay() (list []*Session, in []choice.Micros) {
+func (c *Source) UnderWay() (list []*Session, in []balancer.Micros) {
 	think := c.s.Think * math.Exp(c.s.Spread*c.s.Spread/2) // the mean
 	for n := c.s.PerS / c.s.Turns * (c.s.Turns - 1) * think; n > 0 && (n >= 1 || c.rng.Float64() < n); n-- {
 		// Turns are geometric: those to come are as many as of a session that begins.
@@ -72,17 +72,17 @@
 		for more := true; more; more = c.rng.Float64() > 1/c.s.Turns {
 			s.context += int(c.s.Prompt + c.s.Answer)
 		}
-		list, in = append(list, s), append(in, choice.Micros(c.rng.Float64()*think*1e6))
+		list, in = append(list, s), append(in, balancer.Micros(c.rng.Float64()*think*1e6))
 	}
 	return list, in
 }
 
 // Turn draws a session's next request, and how many tokens it will make.
-func (c *Source) Turn(n *Session) (in choice.Request, out int) {
+func (c *Source) Turn(n *Session) (in balancer.Request, out int) {
 	n.Left--
 	prompt := n.context + max(1, int(engine.LogNormal(c.rng, c.s.Prompt, c.s.Spread)))
 	out = min(c.s.MaxOut, max(1, int(engine.LogNormal(c.rng, c.s.Answer, c.s.Spread))))
-	in = choice.Request{Class: c.s.Class, Tenant: c.s.Tenant, PromptTokens: prompt, MaxTokens: c.s.MaxOut}
+	in = balancer.Request{Class: c.s.Class, Tenant: c.s.Tenant, PromptTokens: prompt, MaxTokens: c.s.MaxOut}
 	if c.s.Turns > 1 {
 		in.Session = n.key
 	}
@@ -93,27 +93,27 @@
 }
 
 // Answered adds a turn to the session's context.
-func (n *Session) Answered(in *choice.Request, out int) { n.context = in.PromptTokens + out }
+func (n *Session) Answered(in *balancer.Request, out int) { n.context = in.PromptTokens + out }
 
 // Think is the time to a session's next turn.
-func (c *Source) Think() choice.Micros {
-	return choice.Micros(engine.LogNormal(c.rng, math.Max(1, c.s.Think*1e6), c.s.Spread))
+func (c *Source) Think() balancer.Micros {
+	return balancer.Micros(engine.LogNormal(c.rng, math.Max(1, c.s.Think*1e6), c.s.Spread))
 }
 
 // Again is the time after which a client that was turned away comes back, beyond
 // what it was advised.
-func (c *Source) Again() choice.Micros { return choice.Micros(engine.Exp(c.rng, 500_000)) }
+func (c *Source) Again() balancer.Micros { return balancer.Micros(engine.Exp(c.rng, 500_000)) }
 
 // PatienceOf is how long a client of the stream waits for its first token.
-func (s *Stream) PatienceOf(class *choice.Class) choice.Micros {
+func (s *Stream) PatienceOf(class *balancer.Class) balancer.Micros {
 	if s.Patience > 0 {
-		return min(class.Deadline, choice.Micros(s.Patience*1e6))
+		return min(class.Deadline, balancer.Micros(s.Patience*1e6))
 	}
 	return class.Deadline
 }
 
 // ClassOf is the class of a stream.
-func (s *Spec) ClassOf(t *Stream) *choice.Class {
+func (s *Spec) ClassOf(t *Stream) *balancer.Class {
 	for j := range s.Settings.Classes {
 		if c := &s.Settings.Classes[j]; c.Name == t.Class {
 			return c
@@ -126,7 +126,7 @@
 type traffic struct {
 	x     *sim
 	s     *Stream
-	class *choice.Class
+	class *balancer.Class
 	from  *Source
 }
 
@@ -137,26 +137,26 @@
 	x.traffic = append(x.traffic, t)
 	list, in := t.from.UnderWay()
 	for i, n := range list {
-		x.e.After(in[i], func(now choice.Micros) { t.turn(now, n) })
+		x.e.After(in[i], func(now balancer.Micros) { t.turn(now, n) })
 	}
 	t.next()
 }
 
 // next has the next session begin.
 func (t *traffic) next() {
-	t.x.e.After(t.from.Gap(t.x.burst), func(now choice.Micros) {
+	t.x.e.After(t.from.Gap(t.x.burst), func(now balancer.Micros) {
 		t.turn(now, t.from.Session(t.x.hot))
 		t.next()
 	})
 }
 
-func (t *traffic) turn(now choice.Micros, n *Session) {
+func (t *traffic) turn(now balancer.Micros, n *Session) {
 	in, out := t.from.Turn(n)
 	t.send(now, &request{in: in, out: out, session: n, traffic: t})
 }
 
 // send sends a request to a gateway of the front's choosing.
-func (t *traffic) send(now choice.Micros, r *request) {
+func (t *traffic) send(now balancer.Micros, r *request) {
 	r.sentAt = now
 	r.deadline = now + t.s.PatienceOf(t.class)
 	g := t.x.gateways[t.from.rng.IntN(len(t.x.gateways))]
@@ -166,18 +166,18 @@
 		}
 		g = t.x.gateways[t.from.rng.IntN(len(t.x.gateways))]
 	}
-	t.x.e.After(t.x.way(g.zone, g.zone), func(now choice.Micros) { g.arrive(now, r) })
+	t.x.e.After(t.x.way(g.zone, g.zone), func(now balancer.Micros) { g.arrive(now, r) })
 }
 
 // ends is what a client does with the end of its request.
-func (x *sim) ends(now choice.Micros, r *request, how string, after choice.Micros) {
+func (x *sim) ends(now balancer.Micros, r *request, how string, after balancer.Micros) {
 	t := r.traffic
 	// Turned away: it comes back with all it has, as often as it likes to.
 	if (how == "refused" || how == "contract") && r.tried < t.s.Retries {
 		again := &request{in: r.in, out: r.out, session: r.session, traffic: t, tried: r.tried + 1}
 		again.in.ID, again.in.PriorityFactor = 0, 0
 		x.res.Retried(r.sentAt-start, &r.in)
-		x.e.After(after+t.from.Again(), func(now choice.Micros) { t.send(now, again) })
+		x.e.After(after+t.from.Again(), func(now balancer.Micros) { t.send(now, again) })
 		return
 	}
 	if r.counted {
@@ -188,6 +188,6 @@
 		Attempts: len(r.attempts), Wasted: r.wasted})
 	if r.session.Left > 0 && how == "served" {
 		r.session.Answered(&r.in, r.out)
-		x.e.After(t.from.Think(), func(now choice.Micros) { t.turn(now, r.session) })
+		x.e.After(t.from.Think(), func(now balancer.Micros) { t.turn(now, r.session) })
 	}
 }
--- a/internal/fleet/model/faults.go
+++ b/internal/fleet/model/faults.go
@@ -1,8 +1,8 @@
 package model
 
 import (
-	"archknot/choice"
-	"archknot/internal/fleet/worker"
+	"archknot/balancer"
+	"archknot/internal/fleet/replica"
 )
 
 // What goes wrong with replicas and gateways, and comes back.
@@ -14,7 +14,7 @@
 			hosts = append(hosts, h)
 		}
 	}
-	begin := func(choice.Micros) {
+	begin := func(balancer.Micros) {
 		switch f.Kind {
 		case "registry":
 			x.deaf = true
@@ -42,9 +42,9 @@
 			case "kill":
 				x.kill(h)
 			case "lose":
-				x.lose(h, choice.Micros(f.Factor*1e6))
+				x.lose(h, balancer.Micros(f.Factor*1e6))
 			case "drain":
-				x.tell(h, choice.EndpointDraining)
+				x.tell(h, balancer.EndpointDraining)
 			case "silent":
 				h.silent = true
 			case "flush":
@@ -52,7 +52,7 @@
 			}
 		}
 	}
-	end := func(now choice.Micros) {
+	end := func(now balancer.Micros) {
 		switch f.Kind {
 		case "registry":
 			x.deaf = false
@@ -75,7 +75,7 @@
 				h.silent = false
 				x.revive(now, h)
 			case "drain":
-				x.tell(h, choice.EndpointReady)
+				x.tell(h, balancer.EndpointReady)
 			case "silent":
 				h.silent = false
 			}
@@ -97,16 +97,16 @@
 	clear(h.jobs)
 	h.w, h.wake = nil, 0
 	life := h.life
-	x.e.After(500_000, func(choice.Micros) {
+	x.e.After(500_000, func(balancer.Micros) {
 		if h.life == life && h.w == nil {
-			x.tell(h, choice.EndpointGone)
+			x.tell(h, balancer.EndpointGone)
 		}
 	})
 }
 
 // lose takes a worker's machine away: what it had stays open and silent until the gateways
 // give it up, or the machine is back.
-func (x *sim) lose(h *host, told choice.Micros) {
+func (x *sim) lose(h *host, told balancer.Micros) {
 	h.life++
 	for _, id := range sorted(h.jobs) {
 		h.hung = append(h.hung, h.jobs[id])
@@ -114,12 +114,12 @@
 	clear(h.jobs)
 	h.w, h.wake, h.silent = nil, 0, true
 	life := h.life
-	x.e.After(told, func(choice.Micros) {
+	x.e.After(told, func(balancer.Micros) {
 		if h.life == life {
-			x.tell(h, choice.EndpointGone)
+			x.tell(h, balancer.EndpointGone)
 		}
 	})
-	x.e.After(stall, func(choice.Micros) {
+	x.e.After(stall, func(balancer.Micros) {
 		if h.life == life {
 			x.hangUp(h)
 		}
@@ -127,7 +127,7 @@
 }
 
 // stall is how long a gateway waits for the next event of a stream.
-const stall choice.Micros = 4_000_000
+const stall balancer.Micros = 4_000_000
 
 func (x *sim) hangUp(h *host) {
 	for _, a := range h.hung {
@@ -136,9 +136,9 @@
 	h.hung = nil
 }
 
-func (x *sim) revive(now choice.Micros, h *host) {
+func (x *sim) revive(now balancer.Micros, h *host) {
 	h.life++
 	h.since = now
-	h.w = worker.New(h.group.Params, now+h.group.Params.Start)
-	x.e.After(h.group.Params.Start, func(choice.Micros) { x.tell(h, choice.EndpointReady) })
+	h.w = replica.New(h.group.Params, now+h.group.Params.Start)
+	x.e.After(h.group.Params.Start, func(balancer.Micros) { x.tell(h, balancer.EndpointReady) })
 }
--- a/internal/fleet/model/gateway.go
+++ b/internal/fleet/model/gateway.go
@@ -7,7 +7,7 @@
 	"path/filepath"
 	"time"
 
-	"archknot/choice"
+	"archknot/balancer"
 	"archknot/internal/capture"
 	"archknot/internal/contract"
 	"archknot/internal/subset"
@@ -19,15 +19,15 @@
 	x        *sim
 	no       int
 	zone     string
-	b        *choice.Balancer
+	b        *balancer.Balancer
 	m        capture.Module
 	view     *subset.Selector
 	book     *contract.Ledger
 	books    capture.ContractLedger
 	rec      *capture.Recorder
 	writer   *capture.Writer
-	requests map[choice.RequestID]*request
-	next     choice.RequestID
+	requests map[balancer.RequestID]*request
+	next     balancer.RequestID
 	seen     int64 // the registry's version that it has
 	waiting  bool  // a watch is out
 	watch    int   // counts them
@@ -38,21 +38,21 @@
 }
 
 // askLimit is how long a call may wait for its turn at the registry.
-const askLimit choice.Micros = 2_000_000
+const askLimit balancer.Micros = 2_000_000
 
 // request is one at a gateway.
 type request struct {
-	in       choice.Request
+	in       balancer.Request
 	traffic  *traffic
 	session  *Session
 	tried    int // by the client, before
-	sentAt   choice.Micros
-	deadline choice.Micros
+	sentAt   balancer.Micros
+	deadline balancer.Micros
 	out      int
 	attempts []*attempt
 	bound    *attempt
 	done     bool
-	firstAt  choice.Micros
+	firstAt  balancer.Micros
 	charge   contract.Charge
 	charges  map[int]*contract.Charge
 	thought  contract.Usage
@@ -63,7 +63,7 @@
 
 // kill ends a gateway at once, with all that it has in hand, and has it come back with
 // the list that it had.
-func (g *gateway) kill(after choice.Micros) {
+func (g *gateway) kill(after balancer.Micros) {
 	x := g.x
 	if g.dead || x.s.Capture != "" { // a recording has one life
 		return
@@ -82,7 +82,7 @@
 			x.ends(x.e.Now(), r, "broken", 0)
 		}
 	}
-	x.e.After(max(1, after), func(choice.Micros) {
+	x.e.After(max(1, after), func(balancer.Micros) {
 		next, err := x.newGateway(g.no, x.zones, x.kinds)
 		if err != nil {
 			panic(err) // the same settings were good before
@@ -97,15 +97,15 @@
 	s := x.s.Settings
 	s.Self, s.Gateways, s.Zones, s.Kinds = i, x.s.Gateways, zones, kinds
 	s.Zone = zones[i%len(zones)]
-	g := &gateway{x: x, no: i, zone: s.Zone, requests: map[choice.RequestID]*request{}, next: 1, timers: capture.Timers{}, rng: x.e.Rand(fmt.Sprint("gateway", i))}
+	g := &gateway{x: x, no: i, zone: s.Zone, requests: map[balancer.RequestID]*request{}, next: 1, timers: capture.Timers{}, rng: x.e.Rand(fmt.Sprint("gateway", i))}
 	seed := g.rng.Uint64()
 	var err error
-	if g.b, err = choice.New(s, seed, g); err != nil {
+	if g.b, err = balancer.New(s, seed, g); err != nil {
 		return nil, err
 	}
 	g.m = g.b
 	g.view = subset.NewSelector(subset.Settings{MaxReplicas: x.s.Subset, GatewayIndex: i, GatewayCount: x.s.Gateways, Zone: s.Zone, RemoteFraction: subset.DefaultRemoteFraction,
-		WeightIsSize: s.WeightKind == choice.WeightNominal, SlowStart: s.SlowStartFor}, g.b)
+		WeightIsSize: s.WeightKind == balancer.WeightNominal, SlowStart: s.SlowStartFor}, g.b)
 	if len(x.s.Contracts) > 0 {
 		if g.book, err = contract.NewLedger(x.s.Book, x.s.Contracts, start, start); err != nil {
 			return nil, err
@@ -144,19 +144,19 @@
 func (g *gateway) start() {
 	now := g.x.e.Now()
 	g.m.Start(now)
-	list := choice.EndpointList{Kind: choice.ListFull, Version: g.x.version}
+	list := balancer.EndpointList{Kind: balancer.ListFull, Version: g.x.version}
 	for _, h := range g.x.workers {
 		list.Endpoints = append(list.Endpoints, g.x.member(h))
 	}
 	if !g.waiting { // its turn at the registry has not come
-		list.Kind = choice.ListCached
+		list.Kind = balancer.ListCached
 	}
 	if g.lives == 0 {
 		g.seen = g.x.version
 	} else { // what has changed since it does not know
 		for _, c := range g.x.changed {
 			if c.version > g.seen {
-				list.Endpoints[c.member.Replica-1].State = choice.EndpointReady
+				list.Endpoints[c.member.Replica-1].State = balancer.EndpointReady
 				list.Endpoints[c.member.Replica-1].StartedAt = 0
 			}
 		}
@@ -168,15 +168,15 @@
 func (g *gateway) changed() {
 	if g.waiting && !g.x.deaf && g.seen < g.x.version {
 		g.waiting = false
-		g.x.e.After(2*g.x.s.Near, func(now choice.Micros) { g.answer(now) })
+		g.x.e.After(2*g.x.s.Near, func(now balancer.Micros) { g.answer(now) })
 	}
 }
 
-func (g *gateway) answer(now choice.Micros) {
+func (g *gateway) answer(now balancer.Micros) {
 	if g.dead {
 		return
 	}
-	l := choice.EndpointList{Kind: choice.ListDelta, Version: g.x.version}
+	l := balancer.EndpointList{Kind: balancer.ListDelta, Version: g.x.version}
 	for _, c := range g.x.changed {
 		if c.version > g.seen {
 			l.Endpoints = append(l.Endpoints, c.member)
@@ -200,14 +200,14 @@
 		g.x.askFree = max(g.x.askFree, now) + each
 		if g.x.askFree > now+askLimit {
 			g.x.res.AsksFailed++
-			g.x.e.After(askLimit, func(now choice.Micros) {
+			g.x.e.After(askLimit, func(now balancer.Micros) {
 				if g.waiting = false; !g.dead {
-					g.m.ListChanged(now, choice.EndpointList{Kind: choice.ListFailed})
+					g.m.ListChanged(now, balancer.EndpointList{Kind: balancer.ListFailed})
 				}
 			})
 			return
 		}
-		g.x.e.At(g.x.askFree, func(choice.Micros) { g.watched() })
+		g.x.e.At(g.x.askFree, func(balancer.Micros) { g.watched() })
 		return
 	}
 	g.watched()
@@ -217,14 +217,14 @@
 func (g *gateway) watched() {
 	g.watch++
 	watch := g.watch
-	g.x.e.After(0, func(choice.Micros) { g.changed() })
-	g.x.e.After(g.x.s.PollWait, func(now choice.Micros) {
+	g.x.e.After(0, func(balancer.Micros) { g.changed() })
+	g.x.e.After(g.x.s.PollWait, func(now balancer.Micros) {
 		if !g.waiting || g.watch != watch {
 			return
 		}
 		g.waiting = false
 		if g.x.deaf && !g.dead {
-			g.m.ListChanged(now, choice.EndpointList{Kind: choice.ListFailed})
+			g.m.ListChanged(now, balancer.EndpointList{Kind: balancer.ListFailed})
 			return
 		}
 		g.answer(now)
@@ -246,10 +246,10 @@
 }
 
 // SetTimer: choice.Sink.
-func (g *gateway) SetTimer(delay choice.Micros, token uint64) {
+func (g *gateway) SetTimer(delay balancer.Micros, token uint64) {
 	at := g.x.e.Now() + delay
 	g.timers.Add(at, token)
-	g.x.e.At(at, func(now choice.Micros) {
+	g.x.e.At(at, func(now balancer.Micros) {
 		if g.dead {
 			return
 		}
@@ -259,7 +259,7 @@
 }
 
 // arrive is a request of a client.
-func (g *gateway) arrive(now choice.Micros, r *request) {
+func (g *gateway) arrive(now balancer.Micros, r *request) {
 	if g.dead {
 		g.x.ends(now, r, "failed", 0)
 		return
@@ -282,7 +282,7 @@
 		}
 		r.in.PriorityFactor, r.over, r.thought = max(1e-6, v.PriorityWeight), v.OverQuota, r.charge.Estimate
 	}
-	g.x.e.At(r.deadline, func(now choice.Micros) { g.leave(now, r) })
+	g.x.e.At(r.deadline, func(now balancer.Micros) { g.leave(now, r) })
 	if home, tell := g.view.AssignAffinityTarget(now, &r.in); tell {
 		g.m.ListChanged(now, home)
 	}
@@ -290,7 +290,7 @@
 }
 
 // leave is a client whose patience has ended before its first token.
-func (g *gateway) leave(now choice.Micros, r *request) {
+func (g *gateway) leave(now balancer.Micros, r *request) {
 	if r.done || r.bound != nil {
 		return
 	}
@@ -300,7 +300,7 @@
 		if !a.over {
 			a.over = true
 			a.cancel()
-			g.outcome(now, a, choice.Cancelled, choice.LoadReport{})
+			g.outcome(now, a, balancer.Cancelled, balancer.LoadReport{})
 		}
 	}
 	g.x.ends(now, r, "late", 0)
@@ -323,7 +323,7 @@
 }
 
 // Dispatch: choice.Sink.
-func (g *gateway) Dispatch(id choice.RequestID, to choice.ReplicaID, cutAt choice.Micros) {
+func (g *gateway) Dispatch(id balancer.RequestID, to balancer.ReplicaID, cutAt balancer.Micros) {
 	r, now := g.requests[id], g.x.e.Now()
 	if r == nil || r.done || r.bound != nil {
 		return
@@ -337,7 +337,7 @@
 		if a.n == 0 {
 			*c, r.charge = r.charge, contract.Charge{}
 		} else if v := g.books.Charge(now, &r.in, a.n, c); v.Rejected {
-			g.x.e.After(0, func(now choice.Micros) { g.ended(now, a, choice.NotSent, choice.LoadReport{}) })
+			g.x.e.After(0, func(now balancer.Micros) { g.ended(now, a, balancer.NotSent, balancer.LoadReport{}) })
 			return
 		}
 		if r.charges == nil {
@@ -348,17 +348,17 @@
 	if cutAt <= 0 || cutAt > r.deadline {
 		cutAt = r.deadline
 	}
-	g.x.e.At(cutAt, func(now choice.Micros) {
+	g.x.e.At(cutAt, func(now balancer.Micros) {
 		if !a.over && r.bound != a && !r.done {
 			a.cancel()
-			g.ended(now, a, choice.TimedOut, choice.LoadReport{})
+			g.ended(now, a, balancer.TimedOut, balancer.LoadReport{})
 		}
 	})
 	g.x.e.After(g.x.way(g.zone, h.zone)+h.group.Params.Connect, a.arrive)
 }
 
 // opened is a first token that has come.
-func (g *gateway) opened(now choice.Micros, a *attempt) {
+func (g *gateway) opened(now balancer.Micros, a *attempt) {
 	r := a.r
 	if a.over || a.first {
 		return
@@ -366,21 +366,21 @@
 	a.first = true
 	if r.done || r.bound != nil { // nobody's any more
 		a.cancel()
-		g.ended(now, a, choice.Cancelled, choice.LoadReport{})
+		g.ended(now, a, balancer.Cancelled, balancer.LoadReport{})
 		return
 	}
 	r.bound, r.firstAt = a, now
-	g.m.FirstToken(now, choice.Outcome{ID: r.in.ID, Attempt: a.n, Replica: choice.ReplicaID(a.h.no + 1), Elapsed: now - a.sent})
+	g.m.FirstToken(now, balancer.Outcome{ID: r.in.ID, Attempt: a.n, Replica: balancer.ReplicaID(a.h.no + 1), Elapsed: now - a.sent})
 }
 
-func (g *gateway) ended(now choice.Micros, a *attempt, status choice.Status, rep choice.LoadReport) {
+func (g *gateway) ended(now balancer.Micros, a *attempt, status balancer.Status, rep balancer.LoadReport) {
 	if a.over {
 		return
 	}
 	a.over = true
 	r := a.r
-	if status == choice.Served && r.bound != a {
-		status = choice.Cancelled
+	if status == balancer.Served && r.bound != a {
+		status = balancer.Cancelled
 	}
 	final := r.bound == a
 	if final {
@@ -388,7 +388,7 @@
 	}
 	g.outcome(now, a, status, rep)
 	if final {
-		if status == choice.Served {
+		if status == balancer.Served {
 			g.x.ends(now, r, "served", 0)
 		} else {
 			g.x.ends(now, r, "broken", 0)
@@ -398,30 +398,30 @@
 }
 
 // outcome settles an attempt and tells the module.
-func (g *gateway) outcome(now choice.Micros, a *attempt, status choice.Status, rep choice.LoadReport) {
+func (g *gateway) outcome(now balancer.Micros, a *attempt, status balancer.Status, rep balancer.LoadReport) {
 	r := a.r
 	if c := r.charges[a.n]; c != nil {
 		used := c.ActualUsage(status, r.in.PromptTokens, a.kept, a.made)
-		g.books.Settle(now, r.in.ID, a.n, c, used, status == choice.Served)
+		g.books.Settle(now, r.in.ID, a.n, c, used, status == balancer.Served)
 		g.book.TakeNotices()
 	}
-	if !status.NeverRan() && status != choice.Served {
+	if !status.NeverRan() && status != balancer.Served {
 		r.wasted++
 		if r.counted && r.sentAt-start >= g.x.s.Warm { // it ended after its request did
 			g.x.res.Wasted++
 		}
 	}
-	g.m.AttemptEnded(now, choice.Outcome{ID: r.in.ID, Attempt: a.n, Replica: choice.ReplicaID(a.h.no + 1), Status: status, Elapsed: now - a.sent,
+	g.m.AttemptEnded(now, balancer.Outcome{ID: r.in.ID, Attempt: a.n, Replica: balancer.ReplicaID(a.h.no + 1), Status: status, Elapsed: now - a.sent,
 		Final: r.done, CachedTokens: a.kept, OutputTokens: a.made, Report: rep})
 }
 
 // Shed: choice.Sink.
-func (g *gateway) Shed(id choice.RequestID, after choice.Micros) { g.giveUp(id, "refused", after) }
+func (g *gateway) Shed(id balancer.RequestID, after balancer.Micros) { g.giveUp(id, "refused", after) }
 
 // Fail: choice.Sink.
-func (g *gateway) Fail(id choice.RequestID) { g.giveUp(id, "failed", 0) }
+func (g *gateway) Fail(id balancer.RequestID) { g.giveUp(id, "failed", 0) }
 
-func (g *gateway) giveUp(id choice.RequestID, how string, after choice.Micros) {
+func (g *gateway) giveUp(id balancer.RequestID, how string, after balancer.Micros) {
 	r, now := g.requests[id], g.x.e.Now()
 	if r == nil || r.done || r.bound != nil {
 		return
@@ -432,34 +432,34 @@
 		g.books.RecordShed(now, &r.in, r.thought, r.over)
 	}
 	g.x.ends(now, r, how, after)
-	g.x.e.After(0, func(choice.Micros) { g.forget(r) })
+	g.x.e.After(0, func(balancer.Micros) { g.forget(r) })
 }
 
 // Cancel: choice.Sink.
-func (g *gateway) Cancel(id choice.RequestID, n int) {
+func (g *gateway) Cancel(id balancer.RequestID, n int) {
 	r := g.requests[id]
 	if r == nil || n >= len(r.attempts) || r.attempts[n] == r.bound || r.attempts[n].over {
 		return
 	}
 	a := r.attempts[n]
 	a.cancel()
-	g.x.e.After(0, func(now choice.Micros) { g.ended(now, a, choice.Cancelled, choice.LoadReport{}) })
+	g.x.e.After(0, func(now balancer.Micros) { g.ended(now, a, balancer.Cancelled, balancer.LoadReport{}) })
 }
 
 // HealthCheck: choice.Sink.
-func (g *gateway) HealthCheck(to choice.ReplicaID) {
+func (g *gateway) HealthCheck(to balancer.ReplicaID) {
 	g.x.res.Probes++
 	h, began := g.x.workers[to-1], g.x.e.Now()
-	g.x.e.After(g.x.way(g.zone, h.zone), func(choice.Micros) {
-		o := choice.Outcome{Replica: to, Status: choice.Served, Report: h.report()}
+	g.x.e.After(g.x.way(g.zone, h.zone), func(balancer.Micros) {
+		o := balancer.Outcome{Replica: to, Status: balancer.Served, Report: h.report()}
 		if h.w == nil && !h.silent {
-			o.Status = choice.ConnectFailed
+			o.Status = balancer.ConnectFailed
 		}
 		back := g.x.way(h.zone, g.zone)
 		if h.silent { // as the gateway gives a probe up
-			o.Status, o.Report, back = choice.TimedOut, choice.LoadReport{}, 250_000
+			o.Status, o.Report, back = balancer.TimedOut, balancer.LoadReport{}, 250_000
 		}
-		g.x.e.After(back, func(now choice.Micros) {
+		g.x.e.After(back, func(now balancer.Micros) {
 			if o.Elapsed = now - began; !g.dead {
 				g.m.HealthCheckEnded(now, o)
 			}
--- a/internal/fleet/model/model.go
+++ b/internal/fleet/model/model.go
@@ -13,9 +13,9 @@
 	"math/rand/v2"
 	"slices"
 
-	"archknot/choice"
+	"archknot/balancer"
 	"archknot/internal/fleet/engine"
-	"archknot/internal/fleet/worker"
+	"archknot/internal/fleet/replica"
 )
 
 // sim is one run.
@@ -25,9 +25,9 @@
 	gateways []*gateway
 	workers  []*host
 	version  int64
-	changed  []change      // the registry's log
-	deaf     bool          // the registry does not answer
-	askFree  choice.Micros // when it has worked off the calls that came
+	changed  []change        // the registry's log
+	deaf     bool            // the registry does not answer
+	askFree  balancer.Micros // when it has worked off the calls that came
 	net      *rand.Rand
 	traffic  []*traffic
 	zones    []string
@@ -40,27 +40,27 @@
 
 type change struct {
 	version int64
-	member  choice.Endpoint
+	member  balancer.Endpoint
 }
 
 // host is a worker at an address.
 type host struct {
 	no     int
 	group  *Group
-	w      *worker.Worker
-	state  choice.EndpointState
-	since  choice.Micros
+	w      *replica.Worker
+	state  balancer.EndpointState
+	since  balancer.Micros
 	life   int // counts its starts
 	silent bool
 	hung   []*attempt // what it had when its machine vanished
 	slow   float64
 	jobs   map[uint64]*attempt
-	wake   choice.Micros
+	wake   balancer.Micros
 	zone   string
 }
 
 // start is when virtual time begins: above 0, for 0 says 'long ago'.
-const start choice.Micros = 1_000_000_000
+const start balancer.Micros = 1_000_000_000
 
 // Run plays a run to its end.
 func Run(s *Spec) (*Result, error) {
@@ -80,7 +80,7 @@
 		}
 		for range g.Count {
 			h := &host{no: len(x.workers), group: g, slow: 1, zone: g.Zone, jobs: map[uint64]*attempt{}}
-			h.w = worker.New(g.Params, start-3600_000_000)
+			h.w = replica.New(g.Params, start-3600_000_000)
 			x.workers = append(x.workers, h)
 		}
 	}
@@ -116,17 +116,17 @@
 }
 
 // way is how long a message takes between two zones.
-func (x *sim) way(a, b string) choice.Micros {
+func (x *sim) way(a, b string) balancer.Micros {
 	d := x.s.Near
 	if a != b {
 		d = x.s.Far
 	}
-	return choice.Micros(float64(d) * (0.8 + 0.4*x.net.Float64()))
+	return balancer.Micros(float64(d) * (0.8 + 0.4*x.net.Float64()))
 }
 
 // The registry.
 
-func (x *sim) tell(h *host, state choice.EndpointState) {
+func (x *sim) tell(h *host, state balancer.EndpointState) {
 	h.state = state
 	x.version++
 	x.changed = append(x.changed, change{x.version, x.member(h)})
@@ -135,8 +135,8 @@
 	}
 }
 
-func (x *sim) member(h *host) choice.Endpoint {
-	return choice.Endpoint{Replica: choice.ReplicaID(h.no + 1), State: h.state, Weight: h.group.Weight, Kind: h.group.Name, Zone: h.zone, StartedAt: h.since}
+func (x *sim) member(h *host) balancer.Endpoint {
+	return balancer.Endpoint{Replica: balancer.ReplicaID(h.no + 1), State: h.state, Weight: h.group.Weight, Kind: h.group.Name, Zone: h.zone, StartedAt: h.since}
 }
 
 // sorted are a map's keys in their order, that each run goes by them alike.
@@ -150,7 +150,7 @@
 	}
 	h.wake = at
 	life := h.life
-	x.e.At(at, func(now choice.Micros) {
+	x.e.At(at, func(now balancer.Micros) {
 		if h.life != life || h.wake != at {
 			return
 		}
--- a/internal/fleet/model/model_test.go
+++ b/internal/fleet/model/model_test.go
@@ -7,20 +7,20 @@
 	"testing"
 	"time"
 
-	"archknot/choice"
+	"archknot/balancer"
 	"archknot/internal/capture"
 	"archknot/internal/contract"
-	"archknot/internal/fleet/worker"
+	"archknot/internal/fleet/replica"
 	"archknot/internal/replay"
 )
 
 func spec() *Spec {
-	p := worker.Params{Slots: 16, Queue: 64, Memory: 100_000, Block: 16, Chunk: 512, Base: 8000, PerSequence: 150, PerContext: 40, PerPrompt: 40_000,
+	p := replica.Params{Slots: 16, Queue: 64, Memory: 100_000, Block: 16, Chunk: 512, Base: 8000, PerSequence: 150, PerContext: 40, PerPrompt: 40_000,
 		Start: 5_000_000, ColdFor: 8_000_000, ColdSlow: 3, Connect: 100}
 	return &Spec{Seed: 1, For: 40_000_000, Warm: 5_000_000, Gateways: 3, Near: 250, Far: 10_000, PollWait: 10_000_000,
-		Settings: choice.Settings{MaxAttempts: 3, Tick: 2000, MayCancel: true, MayHedge: true, RetryAfter: true, MaxRetryAfter: 2_000_000, PollDiscovery: true,
-			ReportSource: choice.ReportInline, InitialCapacity: 0.3, OverloadMultiple: 3, SlowStartFor: 8_000_000, OverloadWindow: 1_500_000, StreamsPerConn: 1, ConnIdleTimeout: 60_000_000,
-			Classes: []choice.Class{{Name: "bulk", LatencyObjective: 4_000_000, TokenObjective: 300_000, Deadline: 10_000_000, PriorityWeight: 1, LateWeightShare: 0.3, Streaming: true},
+		Settings: balancer.Settings{MaxAttempts: 3, Tick: 2000, MayCancel: true, MayHedge: true, RetryAfter: true, MaxRetryAfter: 2_000_000, PollDiscovery: true,
+			ReportSource: balancer.ReportInline, InitialCapacity: 0.3, OverloadMultiple: 3, SlowStartFor: 8_000_000, OverloadWindow: 1_500_000, StreamsPerConn: 1, ConnIdleTimeout: 60_000_000,
+			Classes: []balancer.Class{{Name: "bulk", LatencyObjective: 4_000_000, TokenObjective: 300_000, Deadline: 10_000_000, PriorityWeight: 1, LateWeightShare: 0.3, Streaming: true},
 				{Name: "chat", LatencyObjective: 1_000_000, TokenObjective: 300_000, Deadline: 5_000_000, PriorityWeight: 2, LateWeightShare: 0.3, Streaming: true}}},
 		Groups: []Group{{Name: "k", Zone: "a", Count: 8, Weight: 1, Params: p}, {Name: "k", Zone: "b", Count: 6, Weight: 1, Params: p}},
 		Streams: []Stream{{Class: "chat", Tenant: "t", PerS: 18, Turns: 4, Think: 3, Prompt: 200, Answer: 120, Spread: 0.6, MaxOut: 600, Prefixes: 12, Shared: 512, Retries: 1},
--- a/internal/fleet/model/result.go
+++ b/internal/fleet/model/result.go
@@ -8,8 +8,8 @@
 
 	"github.com/HdrHistogram/hdrhistogram-go"
 
-	"archknot/choice"
-	"archknot/internal/fleet/worker"
+	"archknot/balancer"
+	"archknot/internal/fleet/replica"
 )
 
 // Count is how requests of one kind ended.
@@ -76,13 +76,13 @@
 func NewResult(s *Spec) *Result {
 	r := &Result{All: newCount(), Classes: map[string]*Count{}, Tenants: map[string]*Count{}, s: s}
 	window := cmp.Or(s.Window, 10_000_000)
-	for at := choice.Micros(0); at < s.For; at += window {
+	for at := balancer.Micros(0); at < s.For; at += window {
 		r.Windows = append(r.Windows, Window{At: float64(at) / 1e6})
 	}
 	return r
 }
 
-func (res *Result) counts(in *choice.Request) []*Count {
+func (res *Result) counts(in *balancer.Request) []*Count {
 	if res.Classes[in.Class] == nil {
 		res.Classes[in.Class] = newCount()
 	}
@@ -93,7 +93,7 @@
 }
 
 // Retried counts a client that comes back after a refusal.
-func (res *Result) Retried(sentAt choice.Micros, in *choice.Request) {
+func (res *Result) Retried(sentAt balancer.Micros, in *balancer.Request) {
 	if sentAt < res.s.Warm {
 		return
 	}
@@ -104,10 +104,10 @@
 
 // Ended is a request that has ended; times are since the run began.
 type Ended struct {
-	Class               *choice.Class
-	In                  *choice.Request
+	Class               *balancer.Class
+	In                  *balancer.Request
 	Out                 int // tokens
-	SentAt, FirstAt, At choice.Micros
+	SentAt, FirstAt, At balancer.Micros
 	How                 string // served, broken, refused, failed, late or contract
 	Attempts, Wasted    int
 }
@@ -154,7 +154,7 @@
 	}
 }
 
-func (res *Result) addWorker(w *worker.Worker) {
+func (res *Result) addWorker(w *replica.Worker) {
 	res.workers++
 	if w == nil {
 		return
--- a/internal/fleet/model/spec.go
+++ b/internal/fleet/model/spec.go
@@ -3,9 +3,9 @@
 import (
 	"fmt"
 
-	"archknot/choice"
+	"archknot/balancer"
 	"archknot/internal/contract"
-	"archknot/internal/fleet/worker"
+	"archknot/internal/fleet/replica"
 )
 
 // What a run depends on, and its checks.
@@ -16,7 +16,7 @@
 	Zone   string
 	Count  int
 	Weight float64
-	Params worker.Params
+	Params replica.Params
 }
 
 // Stream is a kind of traffic: sessions of one class and tenant.
@@ -38,10 +38,10 @@
 
 // Fault is something that goes wrong for a while.
 type Fault struct {
-	At, For choice.Micros // For 0: till the end
-	Kind    string        // one of Faults
-	Worker  int           // -1: all
-	Zone    string        // "": of any
+	At, For balancer.Micros // For 0: till the end
+	Kind    string          // one of Faults
+	Worker  int             // -1: all
+	Zone    string          // "": of any
 	Factor  float64
 }
 
@@ -64,20 +64,20 @@
 // Spec is all that a run depends on.
 type Spec struct {
 	Seed      uint64
-	For       choice.Micros
-	Warm      choice.Micros // what came before is not counted
+	For       balancer.Micros
+	Warm      balancer.Micros // what came before is not counted
 	Gateways  int
-	Settings  choice.Settings // Self, Gateways, zones and kinds are filled in
+	Settings  balancer.Settings // Self, Gateways, zones and kinds are filled in
 	Groups    []Group
 	Streams   []Stream
 	Faults    []Fault
-	Near, Far choice.Micros // one way within a zone, and between two; a fifth more or less
-	PollWait  choice.Micros // what a watch of the registry waits at most
-	AskEach   choice.Micros // the registry's time for a call that begins a watch; 0: none
+	Near, Far balancer.Micros // one way within a zone, and between two; a fifth more or less
+	PollWait  balancer.Micros // what a watch of the registry waits at most
+	AskEach   balancer.Micros // the registry's time for a call that begins a watch; 0: none
 	Contracts []contract.Terms
 	Book      contract.Settings
 	Capture   string // folder of captures; "": none
-	Window    choice.Micros
+	Window    balancer.Micros
 	Subset    int // replicas that a gateway works with; 0: all
 	Drill     Drill
 	Strikes   []Strike // at gateways, by drills with processes alone
@@ -85,14 +85,14 @@
 
 // Drill is what a drill with processes needs besides.
 type Drill struct {
-	Peers   bool          // gateways go on with each other's work
-	Relays  bool          // what they say to each other goes through relays, which strikes need
-	Copies  int           // keepers of each request
-	Records int           // of others' requests that a gateway keeps
-	Sites   int           // gateways are dealt to so many
-	Memory  int           // of a gateway, megabytes
-	Files   int           // descriptors
-	Settle  choice.Micros // from the last gateway's start to the traffic
+	Peers   bool            // gateways go on with each other's work
+	Relays  bool            // what they say to each other goes through relays, which strikes need
+	Copies  int             // keepers of each request
+	Records int             // of others' requests that a gateway keeps
+	Sites   int             // gateways are dealt to so many
+	Memory  int             // of a gateway, megabytes
+	Files   int             // descriptors
+	Settle  balancer.Micros // from the last gateway's start to the traffic
 
 	Operators bool // gateways have an address for operators, and a folder that lasts
 	Handed    bool // the lives of a gateway share the clients' listening socket
@@ -100,9 +100,9 @@
 
 // Strike is something that happens to gateways.
 type Strike struct {
-	At, For choice.Micros // For 0: till the end
-	Kind    string        // one of Strikes
-	Gateway int           // -1: by share or site, or that which serves
+	At, For balancer.Micros // For 0: till the end
+	Kind    string          // one of Strikes
+	Gateway int             // -1: by share or site, or that which serves
 	Share   float64
 	Site    int    // -1: any
 	When    string // "": at a time; else when a request is in this state, at the gateway that serves it
--- a/internal/fleet/worker/worker.go
+++ b/internal/fleet/replica/worker.go
@@ -8,12 +8,12 @@
 // alike, and kept until it is needed (Kwon et al., "PagedAttention", SOSP 2023);
 // prompts are read in chunks beside the tokens of running answers (Agrawal et al.,
 // "Sarathi-Serve", OSDI 2024).
-package worker
+package replica
 
 import (
 	"fmt"
 
-	"archknot/choice"
+	"archknot/balancer"
 )
 
 // Params are what a kind of worker is like.
@@ -29,10 +29,10 @@
 	// tokens read; microseconds.
 	Base, PerSequence, PerContext, PerPrompt float64
 
-	Start    choice.Micros // from its start until it takes work
-	ColdFor  choice.Micros // from then on it is slower: caches and kernels are cold
-	ColdSlow float64       // so many times at first, less and less
-	Connect  choice.Micros // to set a connection up
+	Start    balancer.Micros // from its start until it takes work
+	ColdFor  balancer.Micros // from then on it is slower: caches and kernels are cold
+	ColdSlow float64         // so many times at first, less and less
+	Connect  balancer.Micros // to set a connection up
 }
 
 // Check tells what is wrong with them.
@@ -86,7 +86,7 @@
 	made   int
 	kept   int
 	blocks []*block
-	queued choice.Micros
+	queued balancer.Micros
 	first  bool // its first token was told
 }
 
@@ -112,18 +112,18 @@
 	used    int   // blocks in use or kept
 	kept    int   // of them, kept only
 	total   int
-	ends    choice.Micros // of the step that runs; 0: none
-	chunk   []int         // tokens read in it, by place in running
-	warmAt  choice.Micros // when it began to take work
+	ends    balancer.Micros // of the step that runs; 0: none
+	chunk   []int           // tokens read in it, by place in running
+	warmAt  balancer.Micros // when it began to take work
 	events  []Event
 
 	// Figures since the start.
 	Steps, Made, Read, Reused, Preempted, Declined int64
-	Busy                                           choice.Micros
+	Busy                                           balancer.Micros
 }
 
 // New is a worker that begins to take work at a moment.
-func New(p Params, takesWork choice.Micros) *Worker {
+func New(p Params, takesWork balancer.Micros) *Worker {
 	w := &Worker{p: p, slow: 1, byKey: map[uint64]*block{}, total: p.Memory / p.Block, warmAt: takesWork}
 	w.idle.prev, w.idle.next = &w.idle, &w.idle
 	return w
@@ -146,7 +146,7 @@
 
 // Offer gives it a job; false says that it declines it: its queue is full, or its
 // memory could never hold it.
-func (w *Worker) Offer(now choice.Micros, j Job) bool {
+func (w *Worker) Offer(now balancer.Micros, j Job) bool {
 	if len(w.waiting) >= w.p.Queue && (len(w.running)+len(w.waiting) >= w.p.Slots+w.p.Queue || len(w.running) >= w.p.Slots) ||
 		w.blocksOf(j.Prompt+j.Out) > w.total {
 		w.Declined++
@@ -183,7 +183,7 @@
 }
 
 // Next is when its step ends; 0: it has nothing to do.
-func (w *Worker) Next() choice.Micros { return w.ends }
+func (w *Worker) Next() balancer.Micros { return w.ends }
 
 // key names a block of a context: what is alike has the same key.
 func (w *Worker) key(s *sequence, i int) uint64 {
@@ -290,7 +290,7 @@
 }
 
 // begin starts the next step, if there is something to do.
-func (w *Worker) begin(now choice.Micros) {
+func (w *Worker) begin(now balancer.Micros) {
 	w.ends = 0
 	for len(w.waiting) > 0 && len(w.running) < w.p.Slots && w.admit(w.waiting[0]) {
 		w.running = append(w.running, w.waiting[0])
@@ -317,13 +317,13 @@
 	}
 	d := w.p.Base + w.p.PerSequence*float64(making) + (w.p.PerContext*float64(context)+w.p.PerPrompt*float64(reading))/1000
 	d *= w.slow * w.cold(now)
-	w.ends = max(now, w.warmAt) + max(1, choice.Micros(d))
-	w.Busy += max(1, choice.Micros(d))
+	w.ends = max(now, w.warmAt) + max(1, balancer.Micros(d))
+	w.Busy += max(1, balancer.Micros(d))
 	w.Steps++
 	w.Read += int64(reading)
 }
 
-func (w *Worker) cold(now choice.Micros) float64 {
+func (w *Worker) cold(now balancer.Micros) float64 {
 	since := now - w.warmAt
 	if w.p.ColdFor <= 0 || since >= w.p.ColdFor {
 		return 1
@@ -333,7 +333,7 @@
 
 // Advance ends the step that ends now and begins the next. The events are good
 // until the next call.
-func (w *Worker) Advance(now choice.Micros) []Event {
+func (w *Worker) Advance(now balancer.Micros) []Event {
 	w.events = w.events[:0]
 	if w.ends == 0 || now < w.ends {
 		return nil
--- a/internal/fleet/worker/worker_test.go
+++ b/internal/fleet/replica/worker_test.go
@@ -1,11 +1,11 @@
-package worker
+package replica
 
 import (
 	"testing"
 
 	"pgregory.net/rapid"
 
-	"archknot/choice"
+	"archknot/balancer"
 )
 
 func params() Params {
@@ -32,7 +32,7 @@
 func TestInvariants(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		w := New(params(), 0)
-		now := choice.Micros(1)
+		now := balancer.Micros(1)
 		want, got, first := map[uint64]int{}, map[uint64]int{}, map[uint64]bool{}
 		check := func() {
 			inUse, blocks := map[*block]int{}, 0
@@ -116,10 +116,10 @@
 // token comes sooner; after a flush it is read whole.
 func TestPrefixesAreKept(t *testing.T) {
 	w := New(params(), 0)
-	ask := func(id uint64, session uint64) (Event, choice.Micros) {
+	ask := func(id uint64, session uint64) (Event, balancer.Micros) {
 		at := w.Next() + 1
 		if at == 1 {
-			at = choice.Micros(id) * 10_000_000
+			at = balancer.Micros(id) * 10_000_000
 		}
 		if !w.Offer(at, Job{ID: id, Prompt: 640, Out: 2, Prefix: 7, Shared: 480, Session: session}) {
 			t.Fatal("declined")
@@ -148,7 +148,7 @@
 
 // More running sequences make longer steps; a slow or cold worker is so by as much.
 func TestSteps(t *testing.T) {
-	first := func(p Params, jobs int, slow float64, at choice.Micros) choice.Micros {
+	first := func(p Params, jobs int, slow float64, at balancer.Micros) balancer.Micros {
 		w := New(p, 1)
 		w.Slow(slow)
 		for id := range uint64(jobs) {
--- a/internal/gateway/attempt.go
+++ b/internal/gateway/attempt.go
@@ -11,25 +11,25 @@
 	"os"
 	"time"
 
-	"archknot/choice"
+	"archknot/balancer"
 	"archknot/internal/connpool"
-	"archknot/internal/figures"
+	"archknot/internal/controlstats"
+	"archknot/internal/httpwire"
 	"archknot/internal/inflight"
-	"archknot/internal/wire/socket"
 )
 
 // runAttempt carries out one attempt from its send to its end and reports its
 // one outcome. The stream goes to d.Events as it comes.
 func (g *Gateway) runAttempt(r *http.Request, body []byte, d *inflight.Attempt, hand *requestLease) {
 	defer d.Cancel()
-	e := attemptEnded{attempt: d, status: choice.ConnectFailed}
+	e := attemptEnded{attempt: d, status: balancer.ConnectFailed}
 	switch {
 	case !hand.mayDispatch(d):
-		e.status = choice.NotSent
+		e.status = balancer.NotSent
 	case d.Replica.Addr != "":
 		e.status = g.exchange(r, body, d, &e, hand)
 	}
-	d.Complete = e.status == choice.Served
+	d.Complete = e.status == balancer.Served
 	close(d.Events)
 	g.loop.events <- e
 }
@@ -47,7 +47,7 @@
 // are no longer trusted.
 const silentReplicaAfter = time.Second
 
-func (g *Gateway) exchange(r *http.Request, body []byte, d *inflight.Attempt, e *attemptEnded, hand *requestLease) choice.Status {
+func (g *Gateway) exchange(r *http.Request, body []byte, d *inflight.Attempt, e *attemptEnded, hand *requestLease) balancer.Status {
 	cutAt := g.clock.timeAt(d.TimeoutAt)
 	ctx, stop := context.WithDeadline(d.Ctx, cutAt)
 	defer stop()
@@ -55,14 +55,14 @@
 	if err != nil {
 		switch {
 		case d.Ctx.Err() != nil:
-			return choice.Cancelled
+			return balancer.Cancelled
 		case errors.Is(err, connpool.ErrLocalShortage):
-			return choice.NotSent // no replica is at fault
+			return balancer.NotSent // no replica is at fault
 		}
-		return choice.ConnectFailed
+		return balancer.ConnectFailed
 	}
 	e.reused = c.Reused
-	c.StartCall(&g.meters[figures.PurposeAttempt])
+	c.StartCall(&g.meters[controlstats.PurposeAttempt])
 	keep := false
 	// A cancelled attempt frees its connection at once, whatever waits on it.
 	unhook := context.AfterFunc(d.Ctx, func() { c.Close() })
@@ -76,17 +76,17 @@
 	// Called off while it connected, or its client gone while it waited for the core: here, and
 	// nowhere else, an attempt begins, and nothing may go out any more.
 	if !hand.isHolder() || d.Request.ClientGone() || d.Ctx.Err() != nil {
-		return choice.Cancelled
+		return balancer.Cancelled
 	}
 	if !g.acceptsWork(d.Replica) { // taken out since it was ordered, while the connection came up
 		keep = true
-		return choice.NotSent
+		return balancer.NotSent
 	}
 	hand.markDispatched()
 	c.SetDeadline(cutAt)
-	if err := c.WriteBuffers(net.Buffers{socket.ForwardedHead(r, len(body), d.TimeoutAt-g.clock.now()), body}); err != nil {
+	if err := c.WriteBuffers(net.Buffers{httpwire.ForwardedHead(r, len(body), d.TimeoutAt-g.clock.now()), body}); err != nil {
 		// The last byte was never written, so the worker did not start.
-		return failureStatus(d, err, choice.ConnectFailed)
+		return failureStatus(d, err, balancer.ConnectFailed)
 	}
 	sent := time.Now()
 	resp, err := readHead(c, cutAt)
@@ -94,21 +94,21 @@
 		if time.Since(sent) >= silentReplicaAfter {
 			g.pool.CloseUnusedSince(d.Replica.ConnKey(), sent)
 		}
-		return failureStatus(d, err, choice.ConnBroken)
+		return failureStatus(d, err, balancer.ConnBroken)
 	}
-	in := socket.NewBody(c.Reader, resp)
+	in := httpwire.NewBody(c.Reader, resp)
 	// Bytes behind an answer would be taken for the next one's.
 	whole := func() bool { return in.Delimited() && !resp.Close && c.Reader.Buffered() == 0 }
 	if resp.StatusCode != http.StatusOK {
-		e.report, e.httpStatus = socket.LoadReportOf(resp.Header), resp.StatusCode
+		e.report, e.httpStatus = httpwire.LoadReportOf(resp.Header), resp.StatusCode
 		c.SetDeadline(time.Now().Add(time.Second))
-		_, err := in.ReadAll(socket.MaxBodyBytes)
-		status := socket.StatusOf(resp)
+		_, err := in.ReadAll(httpwire.MaxBodyBytes)
+		status := httpwire.StatusOf(resp)
 		// A worker that cannot use a request may close on what follows it.
-		keep = err == nil && whole() && status != choice.Rejected
+		keep = err == nil && whole() && status != balancer.Rejected
 		return status
 	}
-	var notes socket.StreamObserver
+	var notes httpwire.StreamObserver
 	var first []byte // of the first event: what breaks off before it is whole has given the client nothing
 	for begun := false; ; {
 		events, err := in.Next()
@@ -116,7 +116,7 @@
 		if !begun {
 			first = append(first, events...)
 			events = nil
-			if begun = socket.EndsEvent(first) || len(first) >= maxPartialEvent || err == io.EOF; begun {
+			if begun = httpwire.EndsEvent(first) || len(first) >= maxPartialEvent || err == io.EOF; begun {
 				events = first
 				g.loop.events <- streamOpened{d}
 			}
@@ -125,7 +125,7 @@
 			select {
 			case d.Events <- bytes.Clone(events):
 			case <-d.Ctx.Done():
-				return choice.Cancelled
+				return balancer.Cancelled
 			}
 			// From the first event on no deadline runs, but a silent machine
 			// leaves its connection open: only the clock tells.
@@ -134,16 +134,16 @@
 		if err == io.EOF {
 			e.cachedTokens, e.outputTokens, e.report = notes.CachedTokens, notes.OutputTokens, notes.Report
 			if e.report.Has == 0 {
-				e.report = socket.LoadReportOf(resp.Header)
+				e.report = httpwire.LoadReportOf(resp.Header)
 			}
 			if !in.Delimited() {
-				return choice.ConnBroken
+				return balancer.ConnBroken
 			}
 			keep = whole()
-			return choice.Served
+			return balancer.Served
 		}
 		if err != nil {
-			return failureStatus(d, err, choice.ConnBroken)
+			return failureStatus(d, err, balancer.ConnBroken)
 		}
 	}
 }
@@ -161,16 +161,16 @@
 		if by := time.Now().Add(responseHeadTimeout); by.Before(cutAt) {
 			c.SetDeadline(by)
 		}
-		resp, err := socket.ReadHead(c.Reader)
+		resp, err := httpwire.ReadHead(c.Reader)
 		if errors.Is(err, os.ErrDeadlineExceeded) && time.Now().Before(cutAt) {
-			err = socket.ErrMalformed
+			err = httpwire.ErrMalformed
 		}
 		c.SetDeadline(cutAt)
 		if err != nil || resp.StatusCode >= 200 {
 			return resp, err
 		}
 		if infos >= maxInformational {
-			return nil, fmt.Errorf("%w: over %d answers before the answer", socket.ErrMalformed, maxInformational)
+			return nil, fmt.Errorf("%w: over %d answers before the answer", httpwire.ErrMalformed, maxInformational)
 		}
 	}
 }
@@ -179,14 +179,14 @@
 const maxInformational = 8
 
 // failureStatus tells what the end of a connection means for an attempt.
-func failureStatus(d *inflight.Attempt, err error, otherwise choice.Status) choice.Status {
+func failureStatus(d *inflight.Attempt, err error, otherwise balancer.Status) balancer.Status {
 	switch {
 	case d.Ctx.Err() != nil:
-		return choice.Cancelled
-	case errors.Is(err, socket.ErrMalformed):
-		return choice.Malformed
+		return balancer.Cancelled
+	case errors.Is(err, httpwire.ErrMalformed):
+		return balancer.Malformed
 	case errors.Is(err, os.ErrDeadlineExceeded):
-		return choice.TimedOut
+		return balancer.TimedOut
 	}
 	return otherwise
 }
--- a/internal/gateway/capture.go
+++ b/internal/gateway/capture.go
@@ -4,7 +4,7 @@
 	"context"
 	"errors"
 
-	"archknot/choice"
+	"archknot/balancer"
 	"archknot/internal/capture"
 	"archknot/internal/contract"
 )
@@ -75,20 +75,20 @@
 }
 
 func (l *eventLoop) openCharges() (out []contract.OpenCharge) {
-	l.requests.EachOpenCharge(func(id choice.RequestID, copy int, c *contract.Charge) {
+	l.requests.EachOpenCharge(func(id balancer.RequestID, copy int, c *contract.Charge) {
 		out = append(out, contract.OpenCharge{Key: capture.ChargeKey(id, copy), Charge: c})
 	})
 	return out
 }
 
-func (l *eventLoop) replicaName(id choice.ReplicaID) string {
+func (l *eventLoop) replicaName(id balancer.ReplicaID) string {
 	if w := l.endpoints.ByID(id); w != nil {
 		return w.Endpoint.ID
 	}
 	return ""
 }
 
-func (l *eventLoop) requestName(id choice.RequestID) string {
+func (l *eventLoop) requestName(id balancer.RequestID) string {
 	if r := l.requests.Get(id); r != nil {
 		return r.ClientRequestID
 	}
--- a/internal/gateway/clientconn.go
+++ b/internal/gateway/clientconn.go
@@ -13,9 +13,9 @@
 
 	"golang.org/x/sys/unix"
 
-	"archknot/choice"
+	"archknot/balancer"
 	"archknot/internal/connpool"
-	"archknot/internal/wire/socket"
+	"archknot/internal/httpwire"
 )
 
 // clientConn is one connection of a client. The server's task reads and closes it; whoever else
@@ -31,15 +31,15 @@
 	closeOnce   sync.Once
 
 	mu           sync.Mutex
-	readClosed   bool                  // no further byte is read
-	peerClosed   bool                  // the client's end has been read
-	lingering    bool                  // it is being closed, and its client may still read
-	used         bool                  // a request has been answered on it
-	requestStart choice.Micros         // when a request's first byte was read: the server's handler starts later; 0: none is coming
-	idleSince    choice.Micros         // since when none has been, or was before first
-	answered     int                   // requests answered
-	framing      socket.RequestFraming // of all that was read
-	reason       closeReason           // what ended it first
+	readClosed   bool                    // no further byte is read
+	peerClosed   bool                    // the client's end has been read
+	lingering    bool                    // it is being closed, and its client may still read
+	used         bool                    // a request has been answered on it
+	requestStart balancer.Micros         // when a request's first byte was read: the server's handler starts later; 0: none is coming
+	idleSince    balancer.Micros         // since when none has been, or was before first
+	answered     int                     // requests answered
+	framing      httpwire.RequestFraming // of all that was read
+	reason       closeReason             // what ended it first
 }
 
 // closeReason is why a client's connection ended.
@@ -143,12 +143,12 @@
 }
 
 // maxQueueTime bounds how long a request may have waited in the system's queue.
-const maxQueueTime choice.Micros = 10_000_000
+const maxQueueTime balancer.Micros = 10_000_000
 
 // arrivalTime is when what has just been read came to this machine: it may have waited, with its connection
 // or on it, while this process was held up or short of descriptors, and its client's time runs from its
 // sending. It is called under mu.
-func (c *clientConn) arrivalTime(fd int, now choice.Micros) choice.Micros {
+func (c *clientConn) arrivalTime(fd int, now balancer.Micros) balancer.Micros {
 	info, err := unix.GetsockoptTCPInfo(fd, unix.IPPROTO_TCP, unix.TCP_INFO)
 	if err != nil {
 		return now
@@ -157,7 +157,7 @@
 	if c.used { // no sooner than the answer before
 		earliest = max(earliest, c.idleSince)
 	}
-	return max(earliest, now-choice.Micros(info.Last_data_recv)*1000)
+	return max(earliest, now-balancer.Micros(info.Last_data_recv)*1000)
 }
 
 // maxMemoryRetries is how often a read is tried that fails for want of memory, and memoryRetryPause the pause.
@@ -219,7 +219,7 @@
 }
 
 // requestAnswered notes that a request has been answered. In a drain the connection ends here.
-func (c *clientConn) requestAnswered(now choice.Micros) {
+func (c *clientConn) requestAnswered(now balancer.Micros) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.used, c.idleSince = true, now
@@ -315,7 +315,7 @@
 	return c.framing.RequestStarted(c.answered + 1)
 }
 
-func (c *clientConn) requestSentAt() choice.Micros {
+func (c *clientConn) requestSentAt() balancer.Micros {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if c.requestStart > 0 {
@@ -337,7 +337,7 @@
 
 // evictionRank tells how soon a connection may be ended, 1 the soonest, 0 never, and
 // for how long it has been so.
-func (c *clientConn) evictionRank(now choice.Micros) (int, choice.Micros) {
+func (c *clientConn) evictionRank(now balancer.Micros) (int, balancer.Micros) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	quiet := now - c.idleSince
--- a/internal/gateway/clientgone_test.go
+++ b/internal/gateway/clientgone_test.go
@@ -11,7 +11,7 @@
 	"testing"
 	"time"
 
-	"archknot/choice"
+	"archknot/balancer"
 	"archknot/internal/connpool"
 	"archknot/internal/endpoint"
 	"archknot/internal/inflight"
@@ -114,7 +114,7 @@
 	}
 	store := inflight.NewTable()
 	ctx, end := context.WithCancel(t.Context())
-	r := inflight.NewRequest(ctx, "late", choice.Request{}, 0, 3)
+	r := inflight.NewRequest(ctx, "late", balancer.Request{}, 0, 3)
 	r.ClientClosed, r.Cancel = func() bool { return true }, end // the system knows, the server does not
 	store.Add(r)
 	now := g.clock.now()
@@ -122,7 +122,7 @@
 	d.Replica.Addr = l.Addr().String()
 	in, _ := http.NewRequest("POST", "/v1/chat/completions", nil)
 	go g.runAttempt(in, []byte("{}"), d, nil)
-	if e := (<-g.loop.events).(attemptEnded); e.status != choice.Cancelled {
+	if e := (<-g.loop.events).(attemptEnded); e.status != balancer.Cancelled {
 		t.Errorf("status %v", e.status)
 	}
 	c, err := l.Accept()
--- a/internal/gateway/clients.go
+++ b/internal/gateway/clients.go
@@ -11,7 +11,7 @@
 	"sync/atomic"
 	"time"
 
-	"archknot/choice"
+	"archknot/balancer"
 )
 
 // clientTracker are the connections that the server holds, and what their requests
@@ -205,7 +205,7 @@
 
 // How soon after connecting the usual client sends something, and how long
 // after that it has sent all.
-const firstByteGrace, slowRequestAfter choice.Micros = 100_000, 500_000
+const firstByteGrace, slowRequestAfter balancer.Micros = 100_000, 500_000
 
 // evictOne ends the connection that is least likely to be missed and tells
 // whether there was any. Those who open connections by hundreds and say nothing,
@@ -215,7 +215,7 @@
 	for {
 		var least *clientConn
 		var leastRank int
-		var leastAge choice.Micros
+		var leastAge balancer.Micros
 		now := c.clock.now()
 		c.mu.Lock()
 		for conn := range c.conns {
--- a/internal/gateway/clients_test.go
+++ b/internal/gateway/clients_test.go
@@ -13,13 +13,13 @@
 	"time"
 
 	"archknot/internal/connpool"
-	"archknot/internal/hold"
+	"archknot/internal/syncpoint"
 )
 
 // acceptedConn is one accepted connection before any server reads it, with its client.
 func acceptedConn(t *testing.T) (*clientConn, *testClient) {
 	t.Helper()
-	l := hold.NewListener(t)
+	l := syncpoint.NewListener(t)
 	defer l.Close()
 	c := dial(t, l.Addr().String())
 	nc, err := l.Accept()
@@ -160,9 +160,9 @@
 }
 
 // startGatewayHeld is start on a listener whose connections can be held.
-func startGatewayHeld(t *testing.T, tweak func(*Options), workers ...*fakeReplica) (*testGateway, *hold.Listener) {
+func startGatewayHeld(t *testing.T, tweak func(*Options), workers ...*fakeReplica) (*testGateway, *syncpoint.Listener) {
 	t.Helper()
-	l := hold.NewListener(t)
+	l := syncpoint.NewListener(t)
 	return startGatewayOn(t, l, tweak, workers...), l
 }
 
@@ -172,10 +172,10 @@
 	ask := func(id string) string {
 		return strings.Replace(requestFirstHalf, "Req-Id: x", "Req-Id: "+id, 1) + requestSecondHalf
 	}
-	type meeting func(t *testing.T, c *testClient, conn *hold.Conn, drain func()) (sends int)
+	type meeting func(t *testing.T, c *testClient, conn *syncpoint.Conn, drain func()) (sends int)
 	read := func(n int) meeting { // so many bytes of it were, and nothing done with them yet
-		return func(t *testing.T, c *testClient, conn *hold.Conn, drain func()) int {
-			behind := hold.NewPoint(t)
+		return func(t *testing.T, c *testClient, conn *syncpoint.Conn, drain func()) int {
+			behind := syncpoint.NewPoint(t)
 			conn.StopAfterRead(behind)
 			c.raw(ask("b")[:n])
 			behind.WaitReached(t)
@@ -188,8 +188,8 @@
 	for name, play := range map[string]meeting{
 		"its first bytes were read": read(7),
 		"all of it was read":        read(len(ask("b"))),
-		"all of it has come and none was read": func(t *testing.T, c *testClient, conn *hold.Conn, drain func()) int {
-			before := hold.NewPoint(t)
+		"all of it has come and none was read": func(t *testing.T, c *testClient, conn *syncpoint.Conn, drain func()) int {
+			before := syncpoint.NewPoint(t)
 			conn.StopBeforeRead(before)
 			c.raw(ask("b"))
 			before.WaitReached(t)
@@ -197,7 +197,7 @@
 			before.Release()
 			return 2
 		},
-		"it comes behind the end": func(t *testing.T, c *testClient, conn *hold.Conn, drain func()) int {
+		"it comes behind the end": func(t *testing.T, c *testClient, conn *syncpoint.Conn, drain func()) int {
 			drain()
 			if _, err := c.in.ReadByte(); err != io.EOF {
 				t.Errorf("the resting connection: %v, want a clean end", err)
--- a/internal/gateway/contracts.go
+++ b/internal/gateway/contracts.go
@@ -8,13 +8,13 @@
 	"net/http"
 	"time"
 
-	"archknot/choice"
+	"archknot/balancer"
 	"archknot/internal/contract"
 	"archknot/internal/contract/ledger"
 	"archknot/internal/contract/split"
 	"archknot/internal/endpoint"
+	"archknot/internal/httpwire"
 	"archknot/internal/inflight"
-	"archknot/internal/wire/socket"
 )
 
 // Contracts are the teams' agreements, and what holds for all of them.
@@ -76,7 +76,7 @@
 			l.recording.recorder.ReplaceLedger(l.now, nil, 0, nil)
 		}
 		// What is open is no book's any more: a later one must not settle it.
-		l.requests.EachOpenCharge(func(_ choice.RequestID, _ int, c *contract.Charge) { *c = contract.Charge{} })
+		l.requests.EachOpenCharge(func(_ balancer.RequestID, _ int, c *contract.Charge) { *c = contract.Charge{} })
 		l.ledger, l.recordedLedger, l.quotaShares = nil, nil, quotaShares{}
 		return nil
 	}
@@ -200,7 +200,7 @@
 }
 
 // ledgerErrorInterval is how often a store that cannot be written is told.
-const ledgerErrorInterval choice.Micros = 10_000_000
+const ledgerErrorInterval balancer.Micros = 10_000_000
 
 // CloseLedger writes all balances as they are. It is called once nothing is in hand.
 func (g *Gateway) CloseLedger(ctx context.Context) error {
@@ -241,23 +241,23 @@
 type quotaShares struct {
 	splitter   split.Strategy // nil: it is the only gateway
 	own, all   float64        // sums over the workers' reports since the last look
-	updatedAt  choice.Micros
+	updatedAt  balancer.Micros
 	lastCounts []contract.Counters
 
-	checkpointing bool          // a checkpoint of balances is on its way to the disk
-	errorLoggedAt choice.Micros // when it was last said that it failed
+	checkpointing bool            // a checkpoint of balances is on its way to the disk
+	errorLoggedAt balancer.Micros // when it was last said that it failed
 }
 
 // quotaShareInterval is how often the gateway tells its parts anew.
-const quotaShareInterval choice.Micros = 1_000_000
+const quotaShareInterval balancer.Micros = 1_000_000
 
 // recordReplicaLoad notes what a worker says that it has in hand, beside what was sent there.
-func (l *eventLoop) recordReplicaLoad(w *endpoint.Replica, r *choice.LoadReport) {
-	if l.quotaShares.splitter == nil || r.Has&choice.HasInFlight == 0 {
+func (l *eventLoop) recordReplicaLoad(w *endpoint.Replica, r *balancer.LoadReport) {
+	if l.quotaShares.splitter == nil || r.Has&balancer.HasInFlight == 0 {
 		return
 	}
 	all := r.InFlight
-	if r.Has&choice.HasQueued != 0 {
+	if r.Has&balancer.HasQueued != 0 {
 		all += r.Queued
 	}
 	// The report may be from before the last of this gateway's requests came.
@@ -328,7 +328,7 @@
 	}
 	if v := l.charge(r, d.Index, &d.Charge); v.Rejected {
 		d.Cancel()
-		l.deferred = append(l.deferred, attemptEnded{attempt: d, status: choice.NotSent})
+		l.deferred = append(l.deferred, attemptEnded{attempt: d, status: balancer.NotSent})
 		return false
 	}
 	return true
@@ -340,7 +340,7 @@
 		return
 	}
 	used := e.attempt.Charge.ActualUsage(e.status, e.attempt.Request.BalancerRequest.PromptTokens, e.cachedTokens, e.outputTokens)
-	l.recordedLedger.Settle(l.now, e.attempt.Request.ID, e.attempt.Index, &e.attempt.Charge, used, e.status == choice.Served)
+	l.recordedLedger.Settle(l.now, e.attempt.Request.ID, e.attempt.Index, &e.attempt.Charge, used, e.status == balancer.Served)
 	l.logBudgetNotices()
 }
 
@@ -374,9 +374,9 @@
 }
 
 // writeContractRejection answers a request that its team's contract refuses.
-func writeContractRejection(w http.ResponseWriter, reason string, retryAfter choice.Micros) {
+func writeContractRejection(w http.ResponseWriter, reason string, retryAfter balancer.Micros) {
 	if retryAfter > 0 {
-		w.Header().Set("Retry-After", socket.FormatRetryAfter(retryAfter))
+		w.Header().Set("Retry-After", httpwire.FormatRetryAfter(retryAfter))
 	}
 	w.Header().Set("Content-Type", "application/json")
 	w.WriteHeader(http.StatusTooManyRequests)
--- a/internal/gateway/controlstats.go
+++ b/internal/gateway/controlstats.go
@@ -4,12 +4,12 @@
 	"context"
 	"time"
 
-	"archknot/choice"
-	"archknot/internal/figures"
+	"archknot/balancer"
+	"archknot/internal/controlstats"
 )
 
 // recordReportAge counts the age of the report that an attempt at a replica goes by.
-func (l *eventLoop) recordReportAge(to choice.ReplicaID) {
+func (l *eventLoop) recordReportAge(to balancer.ReplicaID) {
 	age, known := l.balancer.ReportAge(l.now, to)
 	if !known {
 		l.reports.WithoutReport++
@@ -20,21 +20,21 @@
 }
 
 // controlQuery asks the loop for its figures.
-type controlQuery struct{ result chan figures.Stats }
+type controlQuery struct{ result chan controlstats.Stats }
 
 func (e controlQuery) apply(l *eventLoop) {
 	of := l.view.Stats()
 	if l.gateway.options.Subset.MaxReplicas <= 0 { // there is no bound
 		of.Subset = l.endpoints.ReadyCount()
 	}
-	c := figures.Stats{Listed: l.endpoints.Len(), Ready: l.endpoints.ReadyCount(), Subset: of.Subset, OutsideTargets: of.OutsideTargets, Joined: of.Joined, Left: of.Left,
+	c := controlstats.Stats{Listed: l.endpoints.Len(), Ready: l.endpoints.ReadyCount(), Subset: of.Subset, OutsideTargets: of.OutsideTargets, Joined: of.Joined, Left: of.Left,
 		ListVersion: l.endpoints.Version(), ListSince: l.listReceivedAt, LoopBusy: l.busy, Reports: l.reports}
 	e.result <- c // it has room
 }
 
 // Control tells the gateway's account of its control work.
-func (g *Gateway) Control(ctx context.Context) (figures.Stats, error) {
-	ask := controlQuery{make(chan figures.Stats, 1)}
+func (g *Gateway) Control(ctx context.Context) (controlstats.Stats, error) {
+	ask := controlQuery{make(chan controlstats.Stats, 1)}
 	g.loop.post(ctx, ask)
 	select {
 	case c := <-ask.result:
@@ -46,7 +46,7 @@
 		}
 		return c, nil
 	case <-ctx.Done():
-		return figures.Stats{}, ctx.Err()
+		return controlstats.Stats{}, ctx.Err()
 	}
 }
 
--- a/internal/gateway/deadline_test.go
+++ b/internal/gateway/deadline_test.go
@@ -10,7 +10,7 @@
 	"testing"
 	"time"
 
-	"archknot/choice"
+	"archknot/balancer"
 )
 
 // The time that each attempt tells its replica is what the client has left when it is written, first
@@ -29,7 +29,7 @@
 	var mu sync.Mutex
 	var attempts []attempt
 	script := func(c net.Conn, r *http.Request) bool {
-		var told choice.Micros
+		var told balancer.Micros
 		fmt.Sscanf(r.Header.Get("Req-Deadline"), "%du", &told)
 		mu.Lock()
 		attempts = append(attempts, attempt{time.Duration(told) * time.Microsecond, time.Now()})
--- a/internal/gateway/discovery.go
+++ b/internal/gateway/discovery.go
@@ -9,7 +9,7 @@
 	"net/http"
 	"time"
 
-	"archknot/internal/wire/socket"
+	"archknot/internal/httpwire"
 )
 
 // connectRefusedWithin is how soon a call that meets nobody ends.
@@ -24,21 +24,21 @@
 		select {
 		case <-g.loop.pollRequests:
 		case next := <-g.discoveryMoves:
-			addr, version = g.switchDiscovery(addr, next), socket.NoGeneration
+			addr, version = g.switchDiscovery(addr, next), httpwire.NoGeneration
 		case <-ctx.Done():
 			return
 		}
 		for silent := false; ; {
 			live, begun := g.config.Load(), time.Now()
 			limit := live.watchWait + live.discoveryTimeout
-			if version == socket.NoGeneration { // such a call waits for no news
+			if version == httpwire.NoGeneration { // such a call waits for no news
 				limit = live.discoveryTimeout
 			}
-			path := socket.ListQuery(version, live.watchWait.Milliseconds())
+			path := httpwire.ListQuery(version, live.watchWait.Milliseconds())
 			list, next, err := g.pollList(ctx, addr, path, limit)
 			if next != "" {
 				// Another registry's versions mean nothing there: the whole list.
-				addr, version = g.switchDiscovery(addr, next), socket.NoGeneration
+				addr, version = g.switchDiscovery(addr, next), httpwire.NoGeneration
 				continue
 			}
 			if err != nil && !silent && !errors.Is(err, errNotConnected) && time.Since(begun) >= limit {
@@ -74,7 +74,7 @@
 }
 
 // pollList makes one call. A move ends it early and is returned.
-func (g *Gateway) pollList(ctx context.Context, addr, path string, limit time.Duration) (list socket.EndpointList, next string, err error) {
+func (g *Gateway) pollList(ctx context.Context, addr, path string, limit time.Duration) (list httpwire.EndpointList, next string, err error) {
 	ctx, stop := context.WithCancel(ctx)
 	defer stop()
 	done := make(chan struct{})
@@ -91,14 +91,14 @@
 	return list, next, err
 }
 
-func (g *Gateway) requestList(ctx context.Context, addr, path string, limit time.Duration) (socket.EndpointList, error) {
-	var list socket.EndpointList
-	limits := socket.ListLimits{Endpoints: g.options.MaxListEntries, Zones: g.options.Settings.Zones}
+func (g *Gateway) requestList(ctx context.Context, addr, path string, limit time.Duration) (httpwire.EndpointList, error) {
+	var list httpwire.EndpointList
+	limits := httpwire.ListLimits{Endpoints: g.options.MaxListEntries, Zones: g.options.Settings.Zones}
 	err := g.discovery.get(ctx, addr, addr, path, limit, func(resp *http.Response, body io.Reader) (err error) {
 		if resp.StatusCode != http.StatusOK {
 			return fmt.Errorf("status %d", resp.StatusCode)
 		}
-		list, err = socket.ReadList(body, limits)
+		list, err = httpwire.ReadList(body, limits)
 		return err
 	})
 	if list.InvalidEntryCount > 0 && err == nil {
@@ -107,7 +107,7 @@
 			g.invalidEntryLog.log("endpoint_list_invalid_entry", "index", odd.Index, "replica", odd.ID, "reason", odd.Reason, "invalid_entries", g.invalidEntries.Load())
 		}
 	}
-	var bad *socket.InvalidListError
+	var bad *httpwire.InvalidListError
 	if errors.As(err, &bad) {
 		g.rejectedLists.Add(1)
 		slog.Error("endpoint_list_rejected", "err", bad.Reason, "rejected_lists", g.rejectedLists.Load())
--- a/internal/gateway/discovery_test.go
+++ b/internal/gateway/discovery_test.go
@@ -10,10 +10,10 @@
 	"testing"
 	"time"
 
-	"archknot/choice"
+	"archknot/balancer"
 	"archknot/internal/capture"
+	"archknot/internal/httpwire"
 	"archknot/internal/inflight"
-	"archknot/internal/wire/socket"
 )
 
 // pollingModule is a module that orders a watch in the very moment in which it hears of a failed call.
@@ -23,7 +23,7 @@
 	off bool
 }
 
-func (o *pollingModule) ListChanged(_ choice.Micros, l choice.EndpointList) {
+func (o *pollingModule) ListChanged(_ balancer.Micros, l balancer.EndpointList) {
 	if l.Kind.Failed() && !o.off {
 		o.l.WatchDiscovery()
 	}
@@ -78,10 +78,10 @@
 	}
 	l := g.loop
 	l.now = g.clock.now()
-	l.receiveList(socket.EndpointList{Endpoints: []socket.Endpoint{{ID: "s-1", Addr: "127.0.0.1:1", Zone: "a", Kind: "k", Lifecycle: "ready"},
-		{ID: "s-2", Addr: "127.0.0.1:2", Zone: "a", Kind: "k", Lifecycle: "ready"}}}, choice.ListCached)
+	l.receiveList(httpwire.EndpointList{Endpoints: []httpwire.Endpoint{{ID: "s-1", Addr: "127.0.0.1:1", Zone: "a", Kind: "k", Lifecycle: "ready"},
+		{ID: "s-2", Addr: "127.0.0.1:2", Zone: "a", Kind: "k", Lifecycle: "ready"}}}, balancer.ListCached)
 	ctx := t.Context()
-	r := inflight.NewRequest(ctx, "w1", choice.Request{Class: "chat"}, l.now+4e6, 3)
+	r := inflight.NewRequest(ctx, "w1", balancer.Request{Class: "chat"}, l.now+4e6, 3)
 	requestArrived{r, l.gateway.config.Load(), true}.apply(l)
 	first := (<-r.Actions).Attempt
 	second := l.requests.StartAttempt(r, l.endpoints.ByName("s-2"), l.now, l.now+4e6)
@@ -108,7 +108,7 @@
 	off func()
 }
 
-func (c cancelObserver) FirstToken(now choice.Micros, o choice.Outcome) {
+func (c cancelObserver) FirstToken(now balancer.Micros, o balancer.Outcome) {
 	c.off()
 	c.Module.FirstToken(now, o)
 }
@@ -166,7 +166,7 @@
 				t.Fatal(err)
 			}
 			begun := time.Now()
-			got, err := g.requestList(t.Context(), l.Addr().String(), socket.ListPath, 300*time.Millisecond)
+			got, err := g.requestList(t.Context(), l.Addr().String(), httpwire.ListPath, 300*time.Millisecond)
 			if c.good != (err == nil) || c.good && (got.Generation != 7 || len(got.Endpoints) != 1) {
 				t.Errorf("%+v, %v", got, err)
 			}
@@ -225,7 +225,7 @@
 					io.WriteString(conn, text)
 				}
 			}()
-			got, err := g.requestList(t.Context(), l.Addr().String(), socket.ListPath, 5*time.Second)
+			got, err := g.requestList(t.Context(), l.Addr().String(), httpwire.ListPath, 5*time.Second)
 			if err != nil {
 				t.Fatal(err)
 			}
@@ -233,7 +233,7 @@
 			if !g.ready.Load() || g.loop.endpoints.ReadyCount() != 6000 {
 				t.Errorf("ready %t with %d", g.ready.Load(), g.loop.endpoints.ReadyCount())
 			}
-			if _, err := g.requestList(t.Context(), l.Addr().String(), socket.ListPath, 5*time.Second); err == nil || g.rejectedLists.Load() != 1 {
+			if _, err := g.requestList(t.Context(), l.Addr().String(), httpwire.ListPath, 5*time.Second); err == nil || g.rejectedLists.Load() != 1 {
 				t.Errorf("%v, %d lists refused", err, g.rejectedLists.Load())
 			}
 			if g.discovery.pool.OpenCount() != 1 {
--- a/internal/gateway/fakes_test.go
+++ b/internal/gateway/fakes_test.go
@@ -13,8 +13,8 @@
 	"testing"
 	"time"
 
-	"archknot/choice"
-	"archknot/internal/wire/socket"
+	"archknot/balancer"
+	"archknot/internal/httpwire"
 )
 
 // The scripted peers: workers and a registry on loopback sockets.
@@ -122,15 +122,15 @@
 	listener net.Listener
 	server   *http.Server
 	mu       sync.Mutex
-	list     socket.EndpointList
-	delta    []socket.Endpoint
+	list     httpwire.EndpointList
+	delta    []httpwire.Endpoint
 	changed  chan struct{}
 	calls    []string
 	fail     int // so many calls fail
 	mute     int // so many calls are never answered
 }
 
-func newFakeDiscovery(t *testing.T, list socket.EndpointList) *fakeDiscovery {
+func newFakeDiscovery(t *testing.T, list httpwire.EndpointList) *fakeDiscovery {
 	t.Helper()
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -190,7 +190,7 @@
 	}
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	out := socket.EndpointList{Generation: g.list.Generation, Reset: true, Endpoints: g.list.Endpoints}
+	out := httpwire.EndpointList{Generation: g.list.Generation, Reset: true, Endpoints: g.list.Endpoints}
 	if since >= 0 {
 		out.Reset, out.Endpoints = false, nil
 		if since < g.list.Generation {
@@ -200,7 +200,7 @@
 	json.NewEncoder(w).Encode(out)
 }
 
-func (g *fakeDiscovery) change(i ...socket.Endpoint) {
+func (g *fakeDiscovery) change(i ...httpwire.Endpoint) {
 	g.mu.Lock()
 	g.list.Generation++
 	g.delta = i
@@ -214,15 +214,15 @@
 	return len(g.calls)
 }
 
-func instance(w *fakeReplica, lifecycle string) socket.Endpoint {
-	return socket.Endpoint{ID: w.id, Addr: w.addr, Zone: "a", Kind: "k", Lifecycle: lifecycle, Weight: 1}
+func instance(w *fakeReplica, lifecycle string) httpwire.Endpoint {
+	return httpwire.Endpoint{ID: w.id, Addr: w.addr, Zone: "a", Kind: "k", Lifecycle: lifecycle, Weight: 1}
 }
 
 func options() Options {
-	return Options{Name: "t", Seed: 7, CachedList: socket.EndpointList{Generation: socket.NoGeneration},
-		Settings: choice.Settings{Gateways: 1, Zone: "a", Zones: []string{"a"}, Kinds: []string{"k"},
-			Classes: []choice.Class{{Name: "chat", LatencyObjective: 1e6, TokenObjective: 50_000, Deadline: 4e6, PriorityWeight: 1, Streaming: true}},
-			Tick:    2000, PollDiscovery: true, ReportSource: choice.ReportInline, MayCancel: true, MayHedge: true, RetryAfter: true, MaxAttempts: 3,
+	return Options{Name: "t", Seed: 7, CachedList: httpwire.EndpointList{Generation: httpwire.NoGeneration},
+		Settings: balancer.Settings{Gateways: 1, Zone: "a", Zones: []string{"a"}, Kinds: []string{"k"},
+			Classes: []balancer.Class{{Name: "chat", LatencyObjective: 1e6, TokenObjective: 50_000, Deadline: 4e6, PriorityWeight: 1, Streaming: true}},
+			Tick:    2000, PollDiscovery: true, ReportSource: balancer.ReportInline, MayCancel: true, MayHedge: true, RetryAfter: true, MaxAttempts: 3,
 			MaxRetryAfter: 2e6, InitialCapacity: 0.3, OverloadMultiple: 3, SlowStartFor: 8e6, OverloadWindow: 1.5e6, StreamsPerConn: 1, ConnIdleTimeout: 60e6},
 		MaxInFlight: 50, MaxClientConns: 50, OverflowConns: 5, MaxReplicaConns: 50, MaxBodyBytes: 8 << 20,
 		ConnectTimeout: time.Second, ReplicaConnIdle: 45 * time.Second, ClientConnIdle: time.Minute, StreamIdleTimeout: 4 * time.Second,
@@ -254,7 +254,7 @@
 	if tweak != nil {
 		tweak(&o)
 	}
-	list := socket.EndpointList{Generation: 0}
+	list := httpwire.EndpointList{Generation: 0}
 	for _, w := range workers {
 		list.Endpoints = append(list.Endpoints, instance(w, "ready"))
 	}
--- a/internal/gateway/gateway.go
+++ b/internal/gateway/gateway.go
@@ -11,16 +11,16 @@
 	"sync/atomic"
 	"time"
 
-	"archknot/choice"
+	"archknot/balancer"
+	"archknot/internal/adminapi"
 	"archknot/internal/connpool"
 	"archknot/internal/contract/ledger"
-	"archknot/internal/figures"
+	"archknot/internal/controlstats"
+	"archknot/internal/httpwire"
 	"archknot/internal/maintenance"
-	"archknot/internal/operator"
 	"archknot/internal/peers"
 	"archknot/internal/sockets"
 	"archknot/internal/subset"
-	"archknot/internal/wire/socket"
 )
 
 // Options is what a gateway is built with. Package lifecycle reads, checks and
@@ -29,8 +29,8 @@
 	Name       string
 	Discovery  string // address of the registry
 	Seed       uint64
-	Settings   choice.Settings
-	CachedList socket.EndpointList // the list as last held, maybe old
+	Settings   balancer.Settings
+	CachedList httpwire.EndpointList // the list as last held, maybe old
 
 	MaxInFlight           int // requests in hand at once
 	MaxClientConns        int // client connections at once
@@ -62,7 +62,7 @@
 
 // Gateway serves clients by the decisions of one choice.Balancer.
 type Gateway struct {
-	meters            [figures.PurposeCount]figures.Meter
+	meters            [controlstats.PurposeCount]controlstats.Meter
 	options           Options
 	clock             monotonicClock
 	pool              *connpool.Pool
@@ -88,7 +88,7 @@
 	recentReplicas    replicaIDHistory
 	pendingEjections  pendingEjections
 	orderUpdates      chan struct{}
-	adminCalls        operator.CallCounts
+	adminCalls        adminapi.CallCounts
 }
 
 // New returns a gateway, or tells why the module does not take its settings.
@@ -96,7 +96,7 @@
 	g := &Gateway{options: o, clock: newMonotonicClock(), discoveryMoves: make(chan string, 1), listening: make(chan struct{}), acceptDone: make(chan struct{}), orderUpdates: make(chan struct{}, 1),
 		pool: connpool.NewPool(o.MaxReplicaConns, o.ReplicaConnIdle, o.ConnectTimeout)}
 	g.pool.SetReuseDelay(o.ReplicaConnReuseDelay)
-	g.discovery = pooledClient{connpool.NewPool(2, o.ReplicaConnIdle, o.DiscoveryTimeout), &g.meters[figures.PurposeDiscovery]}
+	g.discovery = pooledClient{connpool.NewPool(2, o.ReplicaConnIdle, o.DiscoveryTimeout), &g.meters[controlstats.PurposeDiscovery]}
 	g.config.Store(&liveConfig{classes: o.Settings.Classes, maxInFlight: o.MaxInFlight, maxRetryAfter: o.Settings.MaxRetryAfter,
 		watchWait: o.WatchWait, discoveryTimeout: o.DiscoveryTimeout})
 	g.clients = newClientTracker(o.MaxClientConns, o.OverflowConns, g.clock)
@@ -200,23 +200,23 @@
 // still cold when its gateway restarts must count as cold.
 type monotonicClock struct {
 	start time.Time
-	base  choice.Micros
+	base  balancer.Micros
 	wall  *wallClock
 }
 
 func newMonotonicClock() monotonicClock {
 	now := time.Now()
-	return monotonicClock{start: now, base: now.UnixMicro(), wall: &wallClock{read: func() choice.Micros { return time.Now().UnixMicro() }}}
+	return monotonicClock{start: now, base: now.UnixMicro(), wall: &wallClock{read: func() balancer.Micros { return time.Now().UnixMicro() }}}
 }
 
-func (c monotonicClock) now() choice.Micros { return c.base + time.Since(c.start).Microseconds() }
+func (c monotonicClock) now() balancer.Micros { return c.base + time.Since(c.start).Microseconds() }
 
 // timeAt is the time of a clock reading.
-func (c monotonicClock) timeAt(us choice.Micros) time.Time {
+func (c monotonicClock) timeAt(us balancer.Micros) time.Time {
 	return c.start.Add(time.Duration(us-c.base) * time.Microsecond)
 }
 
 // fromUnixMillis converts Unix milliseconds, the time of a start that is over.
-func (c monotonicClock) fromUnixMillis(unixMs int64) choice.Micros {
+func (c monotonicClock) fromUnixMillis(unixMs int64) balancer.Micros {
 	return c.wall.toMonotonic(c.now(), unixMs*1000)
 }
--- a/internal/gateway/gateway_test.go
+++ b/internal/gateway/gateway_test.go
@@ -12,10 +12,10 @@
 	"testing"
 	"time"
 
-	"archknot/choice"
+	"archknot/balancer"
 	"archknot/internal/endpoint"
+	"archknot/internal/httpwire"
 	"archknot/internal/inflight"
-	"archknot/internal/wire/socket"
 
 	"github.com/google/go-cmp/cmp"
 )
@@ -110,8 +110,8 @@
 	}
 	l := g.loop
 	l.now = g.clock.now()
-	l.receiveList(socket.EndpointList{Endpoints: []socket.Endpoint{{ID: "s-1", Addr: "127.0.0.1:1", Zone: "a", Kind: "k", Lifecycle: "ready"}}}, choice.ListCached)
-	r := inflight.NewRequest(context.Background(), "l1", choice.Request{Class: "chat"}, l.now+1e6, 3)
+	l.receiveList(httpwire.EndpointList{Endpoints: []httpwire.Endpoint{{ID: "s-1", Addr: "127.0.0.1:1", Zone: "a", Kind: "k", Lifecycle: "ready"}}}, balancer.ListCached)
+	r := inflight.NewRequest(context.Background(), "l1", balancer.Request{Class: "chat"}, l.now+1e6, 3)
 	requestArrived{r, l.gateway.config.Load(), true}.apply(l)
 	if len(r.Actions) != 1 {
 		t.Fatalf("%d orders", len(r.Actions))
@@ -194,30 +194,30 @@
 		wait   time.Duration
 		want   attemptEnded
 	}{
-		"whole":           {script: answerCompletely, want: attemptEnded{status: choice.Served, cachedTokens: 4096, outputTokens: 200, report: choice.LoadReport{Has: choice.HasService | choice.HasInFlight | choice.HasMemory, ServiceMs: 12.5, InFlight: 7, MemoryShare: 0.4}}},
-		"500":             {script: replyWith("HTTP/1.1 500 Oops\r\nSrv-Load: x0=0.5\r\nContent-Length: 2\r\n\r\nno", true), want: attemptEnded{status: choice.Errored, httpStatus: 500, report: choice.LoadReport{Has: choice.HasMemory, MemoryShare: 0.5}}},
-		"503 declined":    {script: replyWith(shedReply, true), want: attemptEnded{status: choice.Shed, httpStatus: 503}},
-		"504 declined":    {script: replyWith("HTTP/1.1 504 Over\r\nSrv-Declined: 1\r\nContent-Length: 0\r\n\r\n", true), want: attemptEnded{status: choice.Shed, httpStatus: 504}},
-		"bare 503":        {script: replyWith("HTTP/1.1 503 Busy\r\nContent-Length: 0\r\n\r\n", true), want: attemptEnded{status: choice.Errored, httpStatus: 503}},
-		"400":             {script: replyWith("HTTP/1.1 400 No\r\nContent-Length: 0\r\n\r\n", true), want: attemptEnded{status: choice.Rejected, httpStatus: 400}},
-		"1xx before":      {script: replyWith(informational+informational+streamHead+chunk(event1)+lastChunk, true), want: attemptEnded{status: choice.Served}},
-		"1xx for ever":    {script: replyWith(strings.Repeat(informational, 100), true), want: attemptEnded{status: choice.Malformed}},
-		"noise":           {script: replyWith("\x00\x01\x02\x03", true), want: attemptEnded{status: choice.Malformed}},
-		"odd head":        {script: replyWith("HTTP/1.1 two hundred\r\n\r\n", true), want: attemptEnded{status: choice.Malformed}},
-		"long head":       {script: replyWith("HTTP/1.1 200 OK\r\nX: "+strings.Repeat("x", 20<<10), true), want: attemptEnded{status: choice.Malformed}},
-		"endless head":    {script: replyWith("HTTP/1.1 200 OK\r\n", true), want: attemptEnded{status: choice.Malformed}},
-		"odd chunk":       {script: replyWith(streamHead+"five\r\n", true), want: attemptEnded{status: choice.Malformed}},
-		"huge chunk":      {script: replyWith(streamHead+"c0000000\r\n"+event1, true), want: attemptEnded{status: choice.Malformed}},
-		"chunk too short": {script: replyWith(streamHead+"5\r\n"+event1, true), want: attemptEnded{status: choice.Malformed}},
-		"odd report":      {script: replyWith(streamHead+chunk(event1)+chunk(": Srv-Load: x0=0.5,svc_ms=-1\n\n")+lastChunk, true), want: attemptEnded{status: choice.Served}},
-		"not HTTP":        {script: replyWith("hello\r\n\r\n", false), want: attemptEnded{status: choice.Malformed}},
-		"ends unanswered": {script: replyWith("", false), want: attemptEnded{status: choice.ConnBroken}},
-		"breaks in head":  {script: replyWith("HTTP/1.1 200 OK\r\nConte", false), want: attemptEnded{status: choice.ConnBroken}},
-		"breaks in chunk": {script: replyWith(streamHead+"50\r\ndata", false), want: attemptEnded{status: choice.ConnBroken}},
-		"no last chunk":   {script: replyWith("HTTP/1.1 200 OK\r\n\r\n"+event1, false), want: attemptEnded{status: choice.ConnBroken}},
-		"nothing":         {script: neverAnswer, wait: 100 * time.Millisecond, want: attemptEnded{status: choice.TimedOut}},
-		"refused":         {addr: dead.addr, want: attemptEnded{status: choice.ConnectFailed}},
-		"called off":      {script: neverAnswer, leave: true, want: attemptEnded{status: choice.Cancelled}},
+		"whole":           {script: answerCompletely, want: attemptEnded{status: balancer.Served, cachedTokens: 4096, outputTokens: 200, report: balancer.LoadReport{Has: balancer.HasService | balancer.HasInFlight | balancer.HasMemory, ServiceMs: 12.5, InFlight: 7, MemoryShare: 0.4}}},
+		"500":             {script: replyWith("HTTP/1.1 500 Oops\r\nSrv-Load: x0=0.5\r\nContent-Length: 2\r\n\r\nno", true), want: attemptEnded{status: balancer.Errored, httpStatus: 500, report: balancer.LoadReport{Has: balancer.HasMemory, MemoryShare: 0.5}}},
+		"503 declined":    {script: replyWith(shedReply, true), want: attemptEnded{status: balancer.Shed, httpStatus: 503}},
+		"504 declined":    {script: replyWith("HTTP/1.1 504 Over\r\nSrv-Declined: 1\r\nContent-Length: 0\r\n\r\n", true), want: attemptEnded{status: balancer.Shed, httpStatus: 504}},
+		"bare 503":        {script: replyWith("HTTP/1.1 503 Busy\r\nContent-Length: 0\r\n\r\n", true), want: attemptEnded{status: balancer.Errored, httpStatus: 503}},
+		"400":             {script: replyWith("HTTP/1.1 400 No\r\nContent-Length: 0\r\n\r\n", true), want: attemptEnded{status: balancer.Rejected, httpStatus: 400}},
+		"1xx before":      {script: replyWith(informational+informational+streamHead+chunk(event1)+lastChunk, true), want: attemptEnded{status: balancer.Served}},
+		"1xx for ever":    {script: replyWith(strings.Repeat(informational, 100), true), want: attemptEnded{status: balancer.Malformed}},
+		"noise":           {script: replyWith("\x00\x01\x02\x03", true), want: attemptEnded{status: balancer.Malformed}},
+		"odd head":        {script: replyWith("HTTP/1.1 two hundred\r\n\r\n", true), want: attemptEnded{status: balancer.Malformed}},
+		"long head":       {script: replyWith("HTTP/1.1 200 OK\r\nX: "+strings.Repeat("x", 20<<10), true), want: attemptEnded{status: balancer.Malformed}},
+		"endless head":    {script: replyWith("HTTP/1.1 200 OK\r\n", true), want: attemptEnded{status: balancer.Malformed}},
+		"odd chunk":       {script: replyWith(streamHead+"five\r\n", true), want: attemptEnded{status: balancer.Malformed}},
+		"huge chunk":      {script: replyWith(streamHead+"c0000000\r\n"+event1, true), want: attemptEnded{status: balancer.Malformed}},
+		"chunk too short": {script: replyWith(streamHead+"5\r\n"+event1, true), want: attemptEnded{status: balancer.Malformed}},
+		"odd report":      {script: replyWith(streamHead+chunk(event1)+chunk(": Srv-Load: x0=0.5,svc_ms=-1\n\n")+lastChunk, true), want: attemptEnded{status: balancer.Served}},
+		"not HTTP":        {script: replyWith("hello\r\n\r\n", false), want: attemptEnded{status: balancer.Malformed}},
+		"ends unanswered": {script: replyWith("", false), want: attemptEnded{status: balancer.ConnBroken}},
+		"breaks in head":  {script: replyWith("HTTP/1.1 200 OK\r\nConte", false), want: attemptEnded{status: balancer.ConnBroken}},
+		"breaks in chunk": {script: replyWith(streamHead+"50\r\ndata", false), want: attemptEnded{status: balancer.ConnBroken}},
+		"no last chunk":   {script: replyWith("HTTP/1.1 200 OK\r\n\r\n"+event1, false), want: attemptEnded{status: balancer.ConnBroken}},
+		"nothing":         {script: neverAnswer, wait: 100 * time.Millisecond, want: attemptEnded{status: balancer.TimedOut}},
+		"refused":         {addr: dead.addr, want: attemptEnded{status: balancer.ConnectFailed}},
+		"called off":      {script: neverAnswer, leave: true, want: attemptEnded{status: balancer.Cancelled}},
 	} {
 		t.Run(name, func(t *testing.T) {
 			if c.wait == 0 {
@@ -232,10 +232,10 @@
 				addr = newFakeReplica(t, "w", c.script).addr
 			}
 			store := inflight.NewTable()
-			r := inflight.NewRequest(context.Background(), "o1", choice.Request{}, 0, 3)
+			r := inflight.NewRequest(context.Background(), "o1", balancer.Request{}, 0, 3)
 			store.Add(r)
 			now := g.clock.now()
-			d := store.StartAttempt(r, &endpoint.Replica{Endpoint: socket.Endpoint{Addr: addr}}, now, now+c.wait.Microseconds())
+			d := store.StartAttempt(r, &endpoint.Replica{Endpoint: httpwire.Endpoint{Addr: addr}}, now, now+c.wait.Microseconds())
 			if c.leave {
 				time.AfterFunc(50*time.Millisecond, d.Cancel)
 			}
@@ -509,7 +509,7 @@
 func TestMalformedRequests(t *testing.T) {
 	w := newFakeReplica(t, "s-1", answerCompletely)
 	g := startGateway(t, nil, w)
-	big := strings.Repeat("x", socket.MaxBodyBytes+1)
+	big := strings.Repeat("x", httpwire.MaxBodyBytes+1)
 	for name, c := range map[string]struct {
 		text   string
 		status int
@@ -588,11 +588,11 @@
 	c := dial(t, g.addr)
 	c.ask("r1", "4000m")
 	resp := c.head()
-	next := newFakeDiscovery(t, socket.EndpointList{Generation: 3, Endpoints: []socket.Endpoint{instance(b, "ready")}})
+	next := newFakeDiscovery(t, httpwire.EndpointList{Generation: 3, Endpoints: []httpwire.Endpoint{instance(b, "ready")}})
 	g.MoveDiscovery("127.0.0.1:1") // left again before it was taken up, or refused
 	g.MoveDiscovery(next.addr)
 	waitUntil(t, "the watch at the new address", func() bool { return next.callCount() >= 2 })
-	if path := next.calls[0]; path != socket.ListPath {
+	if path := next.calls[0]; path != httpwire.ListPath {
 		t.Errorf("the first call there: %s", path)
 	}
 	close(more)
@@ -759,7 +759,7 @@
 func TestReadyOnCachedList(t *testing.T) {
 	w := newFakeReplica(t, "s-1", answerCompletely)
 	g := startGateway(t, func(o *Options) {
-		o.CachedList = socket.EndpointList{Endpoints: []socket.Endpoint{instance(w, "ready")}}
+		o.CachedList = httpwire.EndpointList{Endpoints: []httpwire.Endpoint{instance(w, "ready")}}
 		o.Settings.Gateways, o.Settings.Self = 80, 79 // whose turn at the registry comes last
 	}, w)
 	c := dial(t, g.addr)
--- a/internal/gateway/ledger_test.go
+++ b/internal/gateway/ledger_test.go
@@ -16,13 +16,13 @@
 
 	"archknot/internal/capture"
 	pb "archknot/internal/capture/capturepb"
+	"archknot/internal/configversion"
+	"archknot/internal/configversion/configpb"
 	"archknot/internal/contract"
 	"archknot/internal/contract/ledger"
 	"archknot/internal/contract/split"
+	"archknot/internal/fakes/controlservice"
 	"archknot/internal/replay"
-	"archknot/internal/revision"
-	"archknot/internal/revision/configpb"
-	"archknot/internal/standin/controlservice"
 )
 
 // What the books were told stands in captures: verdicts, copies, settlements,
@@ -189,9 +189,9 @@
 	cl := dial(t, g.addr)
 	send := func(n uint64, teams ...contract.Terms) {
 		version := chatVersion(n)
-		version.Resources[revision.TypeContract] = []proto.Message{}
+		version.Resources[configversion.TypeContract] = []proto.Message{}
 		for i := range teams {
-			version.Resources[revision.TypeContract] = append(version.Resources[revision.TypeContract], &configpb.Contract{Name: teams[i].Team, Terms: teams[i].ToProto()})
+			version.Resources[configversion.TypeContract] = append(version.Resources[configversion.TypeContract], &configpb.Contract{Name: teams[i].Team, Terms: teams[i].ToProto()})
 		}
 		s.Publish(version)
 	}
--- a/internal/gateway/loop.go
+++ b/internal/gateway/loop.go
@@ -7,14 +7,14 @@
 	"slices"
 	"time"
 
-	"archknot/choice"
+	"archknot/balancer"
 	"archknot/internal/capture"
 	"archknot/internal/contract"
+	"archknot/internal/controlstats"
 	"archknot/internal/endpoint"
-	"archknot/internal/figures"
+	"archknot/internal/httpwire"
 	"archknot/internal/inflight"
 	"archknot/internal/subset"
-	"archknot/internal/wire/socket"
 )
 
 // event is something that happened, to be told to the module by the loop.
@@ -25,42 +25,42 @@
 // ever holds it up.
 type eventLoop struct {
 	gateway           *Gateway
-	balancer          *choice.Balancer
+	balancer          *balancer.Balancer
 	module            capture.Module    // b, or the recorder before it
 	recording         *captureRecording // nil: off
 	events            chan event
-	pollRequests      chan struct{} // orders to the watch task
-	now               choice.Micros // read once a turn
-	lostZones         []string      // sites, as last told
-	nextZoneCheck     choice.Micros // when they are looked at next
+	pollRequests      chan struct{}   // orders to the watch task
+	now               balancer.Micros // read once a turn
+	lostZones         []string        // sites, as last told
+	nextZoneCheck     balancer.Micros // when they are looked at next
 	timers            timerQueue
 	requests          *inflight.Table
 	endpoints         *endpoint.Registry
 	view              *subset.Selector // what of the registry's list the module is told
 	listReceivedAt    time.Time        // when the list came that is held
 	busy              time.Duration
-	reports           figures.ReportAge
-	discoveryAnswered bool                       // the registry itself has answered
-	ledger            *contract.Ledger           // nil: no contracts
-	recordedLedger    capture.ContractLedger     // the book, or the recorder before it
-	fileContracts     *Contracts                 // that the settings name; nil: none
-	versionContracts  []contract.Terms           // a version's, in the place of theirs; nil: it has none
-	quotaShares       quotaShares                // what this gateway's parts of contracts are told from
-	deferred          []event                    // that an order brought about; applied at the end of the turn
-	listed            map[string]socket.Endpoint // the list as the registry has it, without marks
-	drainMarks        map[string]bool            // workers that a version drains
-	ejected           map[string]struct{}        // replicas that operators have out
-	ejectedStart      map[string]int64           // when these had started, as listed when they were first seen out
+	reports           controlstats.ReportAge
+	discoveryAnswered bool                         // the registry itself has answered
+	ledger            *contract.Ledger             // nil: no contracts
+	recordedLedger    capture.ContractLedger       // the book, or the recorder before it
+	fileContracts     *Contracts                   // that the settings name; nil: none
+	versionContracts  []contract.Terms             // a version's, in the place of theirs; nil: it has none
+	quotaShares       quotaShares                  // what this gateway's parts of contracts are told from
+	deferred          []event                      // that an order brought about; applied at the end of the turn
+	listed            map[string]httpwire.Endpoint // the list as the registry has it, without marks
+	drainMarks        map[string]bool              // workers that a version drains
+	ejected           map[string]struct{}          // replicas that operators have out
+	ejectedStart      map[string]int64             // when these had started, as listed when they were first seen out
 }
 
 func newEventLoop(g *Gateway) (*eventLoop, error) {
 	l := &eventLoop{gateway: g, events: make(chan event, 1024), pollRequests: make(chan struct{}, 1),
-		requests: inflight.NewTable(), endpoints: endpoint.NewRegistry(), listed: map[string]socket.Endpoint{}, ejectedStart: map[string]int64{}}
+		requests: inflight.NewTable(), endpoints: endpoint.NewRegistry(), listed: map[string]httpwire.Endpoint{}, ejectedStart: map[string]int64{}}
 	if g.options.Orders != nil {
 		l.ejected = g.options.Orders.AllEjected()
 	}
 	var err error
-	if l.balancer, err = choice.New(g.options.Settings, g.options.Seed, l); err != nil {
+	if l.balancer, err = balancer.New(g.options.Settings, g.options.Seed, l); err != nil {
 		return nil, err
 	}
 	l.module = l.balancer
@@ -79,7 +79,7 @@
 func (l *eventLoop) run(ctx context.Context) {
 	l.now = l.gateway.clock.now()
 	l.module.Start(l.now)
-	l.receiveList(l.gateway.options.CachedList, choice.ListCached)
+	l.receiveList(l.gateway.options.CachedList, balancer.ListCached)
 	wake := time.NewTimer(0)
 	defer wake.Stop()
 	for {
@@ -116,7 +116,7 @@
 }
 
 // zoneCheckInterval is how often what is lost is looked at, to tell of it.
-const zoneCheckInterval choice.Micros = 250_000
+const zoneCheckInterval balancer.Micros = 250_000
 
 // logZoneChanges logs that a site was lost or is back.
 func (l *eventLoop) logZoneChanges() {
@@ -184,7 +184,7 @@
 	for len(e.request.Actions) > 0 {
 		if a := <-e.request.Actions; a.Kind == inflight.ActionForward {
 			a.Attempt.Cancel()
-			attemptEnded{attempt: a.Attempt, status: choice.NotSent}.apply(l)
+			attemptEnded{attempt: a.Attempt, status: balancer.NotSent}.apply(l)
 		}
 	}
 	l.releaseCharge(e.request)
@@ -203,24 +203,24 @@
 	}
 	r.Winner = e.attempt
 	// The others are called off before the client gets anything: nothing is sent for it from then on.
-	l.module.FirstToken(l.now, choice.Outcome{ID: r.ID, Attempt: e.attempt.Index, Replica: e.attempt.Replica.ID, Elapsed: l.now - e.attempt.SentAt})
+	l.module.FirstToken(l.now, balancer.Outcome{ID: r.ID, Attempt: e.attempt.Index, Replica: e.attempt.Replica.ID, Elapsed: l.now - e.attempt.SentAt})
 	r.Actions <- inflight.Action{Kind: inflight.ActionStream, Attempt: e.attempt}
 }
 
 // attemptEnded is an attempt's one outcome.
 type attemptEnded struct {
 	attempt      *inflight.Attempt
-	status       choice.Status
+	status       balancer.Status
 	cachedTokens int
 	outputTokens int
-	report       choice.LoadReport
+	report       balancer.LoadReport
 	reused       bool // over a kept connection
 	httpStatus   int  // the answer's status, where it was not 200
 }
 
-var attemptStatusNames = map[choice.Status]string{choice.Served: "served", choice.Errored: "error", choice.Shed: "shed",
-	choice.TimedOut: "timeout", choice.ConnectFailed: "connect_failed", choice.ConnBroken: "reset",
-	choice.Cancelled: "cancelled", choice.NotSent: "not_sent", choice.Malformed: "malformed", choice.Rejected: "rejected"}
+var attemptStatusNames = map[balancer.Status]string{balancer.Served: "served", balancer.Errored: "error", balancer.Shed: "shed",
+	balancer.TimedOut: "timeout", balancer.ConnectFailed: "connect_failed", balancer.ConnBroken: "reset",
+	balancer.Cancelled: "cancelled", balancer.NotSent: "not_sent", balancer.Malformed: "malformed", balancer.Rejected: "rejected"}
 
 func (e attemptEnded) apply(l *eventLoop) {
 	if !l.requests.FinishAttempt(e.attempt) {
@@ -233,36 +233,36 @@
 	e.attempt.NeverRan = e.status.NeverRan()
 	l.settleAttempt(&e)
 	l.recordReplicaLoad(e.attempt.Replica, &e.report)
-	if e.status != choice.Served {
+	if e.status != balancer.Served {
 		slog.LogAttrs(context.Background(), slog.LevelInfo, "attempt", slog.String("id", r.ClientRequestID), slog.Int("attempt", e.attempt.Index),
 			slog.String("kind", e.attempt.Cause), slog.String("replica", e.attempt.Replica.Endpoint.ID), slog.String("status", attemptStatusNames[e.status]),
 			slog.Int64("elapsed_ms", (l.now-e.attempt.SentAt)/1000), slog.Bool("streamed", r.Winner == e.attempt), slog.Bool("reused", e.reused),
 			slog.Int("http_status", e.httpStatus))
 	}
-	l.module.AttemptEnded(l.now, choice.Outcome{ID: r.ID, Attempt: e.attempt.Index, Replica: e.attempt.Replica.ID, Status: e.status,
+	l.module.AttemptEnded(l.now, balancer.Outcome{ID: r.ID, Attempt: e.attempt.Index, Replica: e.attempt.Replica.ID, Status: e.status,
 		Elapsed: l.now - e.attempt.SentAt, Final: r.Finished, CachedTokens: e.cachedTokens, OutputTokens: e.outputTokens, Report: e.report})
 	l.requests.RemoveIfFinished(r)
 }
 
 type healthCheckEnded struct {
 	replica *endpoint.Replica
-	status  choice.Status
-	elapsed choice.Micros
-	report  choice.LoadReport
+	status  balancer.Status
+	elapsed balancer.Micros
+	report  balancer.LoadReport
 }
 
 func (e healthCheckEnded) apply(l *eventLoop) {
 	l.recordReplicaLoad(e.replica, &e.report)
-	l.module.HealthCheckEnded(l.now, choice.Outcome{Replica: e.replica.ID, Status: e.status, Elapsed: e.elapsed, Report: e.report})
+	l.module.HealthCheckEnded(l.now, balancer.Outcome{Replica: e.replica.ID, Status: e.status, Elapsed: e.elapsed, Report: e.report})
 }
 
 // listReceived is an answer of the registry; failed, the lack of one.
-type listReceived struct{ list socket.EndpointList }
+type listReceived struct{ list httpwire.EndpointList }
 
 func (e listReceived) apply(l *eventLoop) {
-	kind := choice.ListDelta
+	kind := balancer.ListDelta
 	if e.list.Reset {
-		kind = choice.ListFull
+		kind = balancer.ListFull
 	}
 	l.receiveList(e.list, kind)
 }
@@ -275,21 +275,21 @@
 
 func (e listPollFailed) apply(l *eventLoop) {
 	slog.Info("discovery_failed", "err", e.err)
-	kind := choice.ListFailed
+	kind := balancer.ListFailed
 	if e.unreachable {
-		kind = choice.ListUnreachable
+		kind = balancer.ListUnreachable
 	}
 	select { // ordered while the call ran: answered by its failure
 	case <-l.pollRequests:
 	default:
 	}
-	l.module.ListChanged(l.now, choice.EndpointList{Kind: kind})
+	l.module.ListChanged(l.now, balancer.EndpointList{Kind: kind})
 	close(e.handled)
 }
 
-func (l *eventLoop) receiveList(in socket.EndpointList, kind choice.ListKind) {
+func (l *eventLoop) receiveList(in httpwire.EndpointList, kind balancer.ListKind) {
 	l.applyList(in, kind, false)
-	if kind != choice.ListCached && !l.discoveryAnswered {
+	if kind != balancer.ListCached && !l.discoveryAnswered {
 		l.discoveryAnswered = true
 		l.gateway.discoveryAnswered.Store(true)
 		if l.gateway.options.Orders != nil {
@@ -300,13 +300,13 @@
 }
 
 // applyList enters a list, or what this gateway's own marks change about it.
-func (l *eventLoop) applyList(in socket.EndpointList, kind choice.ListKind, own bool) {
+func (l *eventLoop) applyList(in httpwire.EndpointList, kind balancer.ListKind, own bool) {
 	in = l.fillPartialEntries(in)
 	l.recordListed(in)
 	in = l.overlayWithheld(in, kind)
 	out, left := l.endpoints.Apply(in, kind, l.gateway.clock.fromUnixMillis)
 	if own {
-		out.Kind = choice.ListOverride
+		out.Kind = balancer.ListOverride
 	}
 	for _, key := range left {
 		l.gateway.pool.CloseIdle(key)
@@ -322,7 +322,7 @@
 
 // fillPartialEntries has odd entries of a list complete by what was known of their replicas; those of replicas
 // that were not known are left out.
-func (l *eventLoop) fillPartialEntries(in socket.EndpointList) socket.EndpointList {
+func (l *eventLoop) fillPartialEntries(in httpwire.EndpointList) httpwire.EndpointList {
 	if in.InvalidEntryCount == 0 {
 		return in
 	}
@@ -341,7 +341,7 @@
 	return out
 }
 
-var listKindNames = map[choice.ListKind]string{choice.ListDelta: "delta", choice.ListFull: "full", choice.ListCached: "saved"}
+var listKindNames = map[balancer.ListKind]string{balancer.ListDelta: "delta", balancer.ListFull: "full", balancer.ListCached: "saved"}
 
 // updateReady opens the gateway to the front once a worker can be sent to. The list
 // as last held will do: where all gateways come back at once, the registry has no
@@ -354,7 +354,7 @@
 
 // The actions: choice.Sink.
 
-func (l *eventLoop) Dispatch(id choice.RequestID, to choice.ReplicaID, cutAt choice.Micros) {
+func (l *eventLoop) Dispatch(id balancer.RequestID, to balancer.ReplicaID, cutAt balancer.Micros) {
 	r, w := l.requests.Get(id), l.endpoints.ByID(to)
 	if r == nil || r.Finished || r.Winner != nil {
 		return
@@ -374,12 +374,12 @@
 	r.Actions <- inflight.Action{Kind: inflight.ActionForward, Attempt: d}
 }
 
-func (l *eventLoop) Shed(id choice.RequestID, retryAfter choice.Micros) {
+func (l *eventLoop) Shed(id balancer.RequestID, retryAfter balancer.Micros) {
 	l.sendFinalAnswer(id, inflight.Action{Kind: inflight.ActionShed, RetryAfter: retryAfter, Reason: l.shedReason(id)})
 }
 
 // shedReason tells, for the log, what a refusal of the module's comes from.
-func (l *eventLoop) shedReason(id choice.RequestID) string {
+func (l *eventLoop) shedReason(id balancer.RequestID) string {
 	r := l.requests.Get(id)
 	switch {
 	case r == nil:
@@ -395,7 +395,7 @@
 }
 
 // nearDeadline is how long before a client's time is over a refusal is put down to it.
-const nearDeadline choice.Micros = 20_000
+const nearDeadline balancer.Micros = 20_000
 
 // attemptReason tells, for the log, what the newest attempt of a request is.
 func attemptReason(r *inflight.Request) string {
@@ -408,11 +408,11 @@
 	return "retry"
 }
 
-func (l *eventLoop) Fail(id choice.RequestID) {
+func (l *eventLoop) Fail(id balancer.RequestID) {
 	l.sendFinalAnswer(id, inflight.Action{Kind: inflight.ActionFail})
 }
 
-func (l *eventLoop) sendFinalAnswer(id choice.RequestID, a inflight.Action) {
+func (l *eventLoop) sendFinalAnswer(id balancer.RequestID, a inflight.Action) {
 	r := l.requests.Get(id)
 	if r == nil || r.Finished || r.Winner != nil {
 		return
@@ -424,7 +424,7 @@
 	l.requests.RemoveIfFinished(r)
 }
 
-func (l *eventLoop) Cancel(id choice.RequestID, attempt int) {
+func (l *eventLoop) Cancel(id balancer.RequestID, attempt int) {
 	r := l.requests.Get(id)
 	if r == nil || attempt < 0 || attempt >= len(r.Attempts) {
 		return
@@ -434,11 +434,11 @@
 	}
 }
 
-func (l *eventLoop) SetTimer(delay choice.Micros, token uint64) {
+func (l *eventLoop) SetTimer(delay balancer.Micros, token uint64) {
 	heap.Push(&l.timers, timer{at: l.now + delay, token: token})
 }
 
-func (l *eventLoop) HealthCheck(to choice.ReplicaID) {
+func (l *eventLoop) HealthCheck(to balancer.ReplicaID) {
 	if w := l.endpoints.ByID(to); w != nil {
 		go l.gateway.runHealthCheck(w)
 	}
@@ -456,7 +456,7 @@
 func (l *eventLoop) Gossip([]byte) {}
 
 type timer struct {
-	at    choice.Micros
+	at    balancer.Micros
 	token uint64
 }
 
--- a/internal/gateway/orders.go
+++ b/internal/gateway/orders.go
@@ -9,11 +9,11 @@
 	"sync"
 	"time"
 
+	"archknot/internal/adminapi"
+	"archknot/internal/controlstats"
 	"archknot/internal/endpoint"
-	"archknot/internal/figures"
+	"archknot/internal/httpwire"
 	"archknot/internal/maintenance"
-	"archknot/internal/operator"
-	"archknot/internal/wire/socket"
 )
 
 // What operators order: Gateway is an operator.Gateway.
@@ -34,13 +34,13 @@
 		return g.options.Orders.SetEjected(ctx, id, true)
 	}
 	if g.discoveryAnswered.Load() || !g.pendingEjections.add(id) {
-		return operator.ErrUnknownReplica
+		return adminapi.ErrUnknownReplica
 	}
 	g.onOrdersChanged()
 	if g.discoveryAnswered.Load() { // discovery has answered just now, and may have passed it by
 		g.confirmEjections()
 	}
-	return operator.ErrDiscoveryPending
+	return adminapi.ErrDiscoveryPending
 }
 
 // confirmEjections has the orders that came before discovery had answered in force for good, or forgets them where
@@ -117,7 +117,7 @@
 func (g *Gateway) Reinstate(ctx context.Context, id string) error {
 	g.pendingEjections.remove(id)
 	if !g.isKnownReplica(ctx, id) {
-		return operator.ErrUnknownReplica
+		return adminapi.ErrUnknownReplica
 	}
 	return ignoreNotSaved(g.options.Orders.SetEjected(ctx, id, false))
 }
@@ -125,7 +125,7 @@
 // DrainClients sends clients away, and runs on.
 func (g *Gateway) DrainClients(ctx context.Context) error {
 	if g.clients.shutdownAt.Load() > 0 {
-		return operator.ErrShuttingDown
+		return adminapi.ErrShuttingDown
 	}
 	return ignoreNotSaved(g.options.Orders.SetDrained(ctx, true))
 }
@@ -133,7 +133,7 @@
 // Resume takes clients again.
 func (g *Gateway) Resume(ctx context.Context) error {
 	if g.clients.shutdownAt.Load() > 0 {
-		return operator.ErrShuttingDown
+		return adminapi.ErrShuttingDown
 	}
 	return ignoreNotSaved(g.options.Orders.SetDrained(ctx, false))
 }
@@ -234,7 +234,7 @@
 }
 
 // recordListed remembers the ids of a list, for operators.
-func (l *eventLoop) recordListed(in socket.EndpointList) {
+func (l *eventLoop) recordListed(in httpwire.EndpointList) {
 	if l.gateway.options.Orders == nil {
 		return
 	}
@@ -305,15 +305,15 @@
 }
 
 // AdminCalls are the counts of the operators' calls.
-func (g *Gateway) AdminCalls() *operator.CallCounts { return &g.adminCalls }
+func (g *Gateway) AdminCalls() *adminapi.CallCounts { return &g.adminCalls }
 
 // addOrderStats enters what operators ordered, and how often they called.
-func (g *Gateway) addOrderStats(c *figures.Stats) {
+func (g *Gateway) addOrderStats(c *controlstats.Stats) {
 	if g.options.Orders == nil {
 		return
 	}
 	c.EjectedReplicas, c.Drained, c.OrdersNotSaved = len(g.options.Orders.AllEjected()), g.options.Orders.Drained(), g.options.Orders.LastError() != nil
 	g.adminCalls.Each(func(call string, yes bool, n int64) {
-		c.OperatorCalls = append(c.OperatorCalls, figures.OperatorCallCount{Call: call, Accepted: yes, Count: n})
+		c.OperatorCalls = append(c.OperatorCalls, controlstats.OperatorCallCount{Call: call, Accepted: yes, Count: n})
 	})
 }
--- a/internal/gateway/pooledclient.go
+++ b/internal/gateway/pooledclient.go
@@ -9,8 +9,8 @@
 	"time"
 
 	"archknot/internal/connpool"
-	"archknot/internal/figures"
-	"archknot/internal/wire/socket"
+	"archknot/internal/controlstats"
+	"archknot/internal/httpwire"
 )
 
 // Short calls without a body: to discovery, and probes.
@@ -21,7 +21,7 @@
 // pooledClient makes short calls without a body over kept connections.
 type pooledClient struct {
 	pool  *connpool.Pool
-	meter *figures.Meter
+	meter *controlstats.Meter
 }
 
 // maxShortBody bounds the answer to a probe, and what is read of one that is of no use so that its
@@ -55,7 +55,7 @@
 	if err != nil {
 		return fmt.Errorf("no answer: %w", err)
 	}
-	in := socket.NewBody(conn.Reader, resp)
+	in := httpwire.NewBody(conn.Reader, resp)
 	body := in.Reader()
 	failed := read(resp, body)
 	whole := drainBody(body)
--- a/internal/gateway/server.go
+++ b/internal/gateway/server.go
@@ -13,9 +13,9 @@
 	"sync"
 	"time"
 
-	"archknot/choice"
+	"archknot/balancer"
+	"archknot/internal/httpwire"
 	"archknot/internal/inflight"
-	"archknot/internal/wire/socket"
 )
 
 // Time limits on what a client sends. Whoever sends nothing that can be served
@@ -36,11 +36,11 @@
 		switch post := r.Method == http.MethodPost; {
 		case conn.framingInDoubt():
 			g.reject(w, rejectAmbiguousFraming)
-		case r.URL.Path == socket.CompletionsPath && post:
+		case r.URL.Path == httpwire.CompletionsPath && post:
 			g.serve(w, r)
-		case r.URL.Path == socket.ReadyPath && !post:
+		case r.URL.Path == httpwire.ReadyPath && !post:
 			g.serveReady(w, r)
-		case r.URL.Path == socket.CompletionsPath || r.URL.Path == socket.ReadyPath:
+		case r.URL.Path == httpwire.CompletionsPath || r.URL.Path == httpwire.ReadyPath:
 			g.reject(w, &rejection{http.StatusMethodNotAllowed, "method: not that one"})
 		default: // a ServeMux would answer some of these with a redirect
 			g.reject(w, &rejection{http.StatusNotFound, "path: unknown"})
@@ -120,7 +120,7 @@
 	// All that the head tells is checked first: what cannot be served takes up
 	// neither memory nor a worker. A worker turns such a request away as an
 	// error, and errors count against it.
-	job, err := socket.ParseRequest(r.Header)
+	job, err := httpwire.ParseRequest(r.Header)
 	told := job.Timeout > 0
 	if err == nil {
 		err = live.checkClass(&job)
@@ -171,7 +171,7 @@
 	defer end()
 	req := inflight.NewRequest(ctx, job.ID, job.Request, sentAt+job.Timeout, max(protocolMaxAttempts, g.options.Settings.MaxAttempts))
 	req.ClientClosed, req.Cancel = conn.peerGone, end
-	answer, reason, replica, attempts, first, retryAfter := "client_gone", "", "", 0, choice.Micros(0), choice.Micros(0)
+	answer, reason, replica, attempts, first, retryAfter := "client_gone", "", "", 0, balancer.Micros(0), balancer.Micros(0)
 	defer func() {
 		if g.options.RequestEnded != nil {
 			g.options.RequestEnded(live.missedObjective(&job, answer, first))
@@ -258,7 +258,7 @@
 			if len(part) == 0 {
 				late.Reset(partialEventWait)
 			}
-			if part = append(part, piece...); !socket.EndsEvent(part) && len(part) < maxPartialEvent {
+			if part = append(part, piece...); !httpwire.EndsEvent(part) && len(part) < maxPartialEvent {
 				continue
 			}
 		case <-late.C:
@@ -286,16 +286,16 @@
 // clientWriteTimeout is how long a client may read nothing of what is sent to it.
 const clientWriteTimeout = 5 * time.Second
 
-func writeOverload(w http.ResponseWriter, retryAfter choice.Micros) {
+func writeOverload(w http.ResponseWriter, retryAfter balancer.Micros) {
 	if retryAfter > 0 {
-		w.Header().Set("Retry-After", socket.FormatRetryAfter(retryAfter))
+		w.Header().Set("Retry-After", httpwire.FormatRetryAfter(retryAfter))
 	}
 	http.Error(w, "overloaded, try again", http.StatusServiceUnavailable)
 }
 
 // checkClass turns away classes that the settings do not name, and gives the
 // class's deadline to a request that tells none.
-func (v *liveConfig) checkClass(job *socket.ClientRequest) error {
+func (v *liveConfig) checkClass(job *httpwire.ClientRequest) error {
 	c, err := v.class(job.Request.Class)
 	job.Timeout = cmp.Or(job.Timeout, c.Deadline)
 	return err
@@ -304,7 +304,7 @@
 // writeAtCapacity answers where a limit of the gateway's own is reached, of which the
 // module knows nothing.
 func writeAtCapacity(w http.ResponseWriter, v *liveConfig) {
-	const retryAfter choice.Micros = 500_000
+	const retryAfter balancer.Micros = 500_000
 	w.Header().Set("Connection", "close")
 	writeOverload(w, min(retryAfter, v.maxRetryAfter))
 }
@@ -321,7 +321,7 @@
 	// rejectAmbiguousFraming says that a request's length is in doubt.
 	rejectAmbiguousFraming = &rejection{http.StatusBadRequest, "Content-Length, Transfer-Encoding: one of them, once"}
 	rejectDuplicateID      = &rejection{http.StatusConflict, "Req-Id: that of a request in hand"}
-	rejectBodyTooLarge     = &rejection{http.StatusRequestEntityTooLarge, fmt.Sprintf("body: over %d bytes", socket.MaxBodyBytes)}
+	rejectBodyTooLarge     = &rejection{http.StatusRequestEntityTooLarge, fmt.Sprintf("body: over %d bytes", httpwire.MaxBodyBytes)}
 	// bodyMemoryExhausted says that the memory set aside for bodies is taken.
 	bodyMemoryExhausted = &rejection{http.StatusServiceUnavailable, "full"}
 )
@@ -337,10 +337,10 @@
 // readBody reads a request's body, within the protocol's size and the memory set
 // aside for bodies. What it returns must be given back by clients.releaseBytes.
 func (g *Gateway) readBody(w http.ResponseWriter, r *http.Request) ([]byte, *rejection) {
-	if r.ContentLength > socket.MaxBodyBytes {
+	if r.ContentLength > httpwire.MaxBodyBytes {
 		return nil, rejectBodyTooLarge
 	}
-	body, problem := g.clients.readBody(http.MaxBytesReader(w, r.Body, socket.MaxBodyBytes), r.ContentLength, g.options.MaxBodyBytes)
+	body, problem := g.clients.readBody(http.MaxBytesReader(w, r.Body, httpwire.MaxBodyBytes), r.ContentLength, g.options.MaxBodyBytes)
 	if problem != nil {
 		g.clients.releaseBytes(int64(cap(body)))
 		return nil, problem
--- a/internal/gateway/service.go
+++ b/internal/gateway/service.go
@@ -6,8 +6,8 @@
 	"net/http"
 	"time"
 
-	"archknot/choice"
-	"archknot/internal/wire/socket"
+	"archknot/balancer"
+	"archknot/internal/httpwire"
 )
 
 // Whether clients are taken: a gateway that operators drain sends its clients away and runs on, one
@@ -17,12 +17,12 @@
 	// drainAdmitPeriod is how long behind an operators' drain requests are still taken: what is in hand 4 s
 	// behind it may not have come in the last 2 s. shutdownAdmitPeriod is that time behind the order to end: what
 	// came later than 0.7 s behind it has to be answered whole before the process is killed.
-	drainAdmitPeriod, shutdownAdmitPeriod choice.Micros = 1_800_000, 650_000
+	drainAdmitPeriod, shutdownAdmitPeriod balancer.Micros = 1_800_000, 650_000
 	// unusedConnGrace is how long a connection may be open in a drain before its first request: the front
 	// hands out new ones for a while.
 	unusedConnGrace = 550 * time.Millisecond
 	// partialRequestGrace is how long behind a drain half a request is waited for.
-	partialRequestGrace choice.Micros = 3_300_000
+	partialRequestGrace balancer.Micros = 3_300_000
 	// drainCheckInterval is how often connections are looked at in a drain.
 	drainCheckInterval = 50 * time.Millisecond
 )
@@ -84,7 +84,7 @@
 }
 
 // idleBefore tells whether no request has come since a time.
-func (c *clientConn) idleBefore(at choice.Micros) bool {
+func (c *clientConn) idleBefore(at balancer.Micros) bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return c.idleSince <= at
@@ -101,7 +101,7 @@
 }
 
 // shedDraining answers a request that has come whole too late in a drain to be taken.
-func (g *Gateway) shedDraining(w http.ResponseWriter, job *socket.ClientRequest, v *liveConfig) {
+func (g *Gateway) shedDraining(w http.ResponseWriter, job *httpwire.ClientRequest, v *liveConfig) {
 	writeAtCapacity(w, v)
 	slog.Info("request", "id", job.ID, "class", job.Request.Class, "outcome", "shed", "reason", "draining", "attempts", 0)
 }
--- a/internal/gateway/subset_test.go
+++ b/internal/gateway/subset_test.go
@@ -4,8 +4,8 @@
 	"fmt"
 	"testing"
 
+	"archknot/internal/httpwire"
 	"archknot/internal/subset"
-	"archknot/internal/wire/socket"
 )
 
 // A gateway works with a part of its replicas, and hears at once that all of that part drain: others
@@ -62,7 +62,7 @@
 	if requests(false) > 0 {
 		t.Errorf("%d requests without a home went outside of the part", requests(false))
 	}
-	var drain []socket.Endpoint
+	var drain []httpwire.Endpoint
 	for _, w := range workers {
 		if part[w.id] {
 			drain = append(drain, instance(w, "draining"))
@@ -78,7 +78,7 @@
 	if got := requests(true); got != before {
 		t.Errorf("%d requests to replicas that drain", got-before)
 	}
-	var gone []socket.Endpoint
+	var gone []httpwire.Endpoint
 	for _, w := range workers[1:] {
 		gone = append(gone, instance(w, "gone"))
 	}
--- a/internal/gateway/takeover.go
+++ b/internal/gateway/takeover.go
@@ -10,11 +10,11 @@
 	"sync"
 	"time"
 
-	"archknot/choice"
+	"archknot/balancer"
+	"archknot/internal/httpwire"
 	"archknot/internal/inflight"
 	"archknot/internal/peers"
 	"archknot/internal/takeover"
-	"archknot/internal/wire/socket"
 )
 
 // requestLease is a request that this gateway holds where gateways go on with each other's work;
@@ -24,7 +24,7 @@
 	ctx        context.Context
 	cancel     context.CancelFunc
 	hasPermit  bool // the first attempt here has its permit
-	resume     socket.ResumeRequest
+	resume     httpwire.ResumeRequest
 	offset     int64 // of the answer, in bytes, with what the client had
 	checksum   hash.Hash32
 	attempts   sync.WaitGroup // attempts
@@ -35,17 +35,17 @@
 // takeoverTerms tells what a class allows a second run.
 func (g *Gateway) takeoverTerms(class string, v *liveConfig) takeover.RetryPolicy {
 	c, err := v.class(class)
-	safe := err == nil && c.Idempotency == choice.Idempotent
+	safe := err == nil && c.Idempotency == balancer.Idempotent
 	return takeover.RetryPolicy{Idempotent: safe, Hedgeable: safe && g.options.Settings.MayHedge}
 }
 
 // acquireLease holds a request, or goes on with one that another gateway had. requestSentAt is the
 // client's sending. A problem is the answer to a request that cannot be gone on with.
-func (g *Gateway) acquireLease(r *http.Request, job *socket.ClientRequest, sentAt choice.Micros, v *liveConfig) (*requestLease, *rejection) {
+func (g *Gateway) acquireLease(r *http.Request, job *httpwire.ClientRequest, sentAt balancer.Micros, v *liveConfig) (*requestLease, *rejection) {
 	if g.options.Peers == nil {
 		return nil, nil
 	}
-	rest, asked, err := socket.ParseResume(r.Header)
+	rest, asked, err := httpwire.ParseResume(r.Header)
 	if err != nil {
 		return nil, &rejection{http.StatusBadRequest, err.Error()}
 	}
--- a/internal/gateway/takeover_test.go
+++ b/internal/gateway/takeover_test.go
@@ -4,7 +4,7 @@
 	"hash/crc32"
 	"testing"
 
-	"archknot/internal/wire/socket"
+	"archknot/internal/httpwire"
 )
 
 // What the client has is passed over, however the events are cut up, and an answer that
@@ -13,7 +13,7 @@
 	answer := event1 + event2
 	for had := range len(answer) + 1 {
 		for _, size := range []int{1, 7, len(answer)} {
-			h := &requestLease{resume: socket.ResumeRequest{ReceivedBytes: int64(had), Checksum: crc32.ChecksumIEEE([]byte(answer[:had]))}, checksum: crc32.NewIEEE()}
+			h := &requestLease{resume: httpwire.ResumeRequest{ReceivedBytes: int64(had), Checksum: crc32.ChecksumIEEE([]byte(answer[:had]))}, checksum: crc32.NewIEEE()}
 			joined := answer[:had]
 			for i := 0; i < len(answer); i += size {
 				fresh, ok := h.skipDelivered([]byte(answer[i:min(i+size, len(answer))]))
@@ -27,11 +27,11 @@
 			}
 		}
 	}
-	h := &requestLease{resume: socket.ResumeRequest{ReceivedBytes: 5, Checksum: crc32.ChecksumIEEE([]byte("other"))}, checksum: crc32.NewIEEE()}
+	h := &requestLease{resume: httpwire.ResumeRequest{ReceivedBytes: 5, Checksum: crc32.ChecksumIEEE([]byte("other"))}, checksum: crc32.NewIEEE()}
 	if _, ok := h.skipDelivered([]byte(answer)); ok {
 		t.Error("another answer was joined")
 	}
-	h = &requestLease{resume: socket.ResumeRequest{ReceivedBytes: int64(len(answer) + 1)}, checksum: crc32.NewIEEE()}
+	h = &requestLease{resume: httpwire.ResumeRequest{ReceivedBytes: int64(len(answer) + 1)}, checksum: crc32.NewIEEE()}
 	if h.skipDelivered([]byte(answer)); h.prefixDelivered() {
 		t.Error("a shorter answer counts as whole")
 	}
--- a/internal/gateway/version.go
+++ b/internal/gateway/version.go
@@ -6,10 +6,10 @@
 	"log/slog"
 	"time"
 
-	"archknot/choice"
+	"archknot/balancer"
+	"archknot/internal/configversion"
 	"archknot/internal/contract"
-	"archknot/internal/revision"
-	"archknot/internal/wire/socket"
+	"archknot/internal/httpwire"
 )
 
 // protocolMaxAttempts is the protocol's bound, whatever a version says.
@@ -18,24 +18,24 @@
 // liveConfig is what versions may change and tasks other than the loop need. It is
 // replaced whole.
 type liveConfig struct {
-	classes                     []choice.Class
+	classes                     []balancer.Class
 	maxInFlight                 int
-	maxRetryAfter               choice.Micros
+	maxRetryAfter               balancer.Micros
 	watchWait, discoveryTimeout time.Duration
 }
 
 // class is the class of a name.
-func (v *liveConfig) class(name string) (choice.Class, error) {
+func (v *liveConfig) class(name string) (balancer.Class, error) {
 	for _, c := range v.classes {
 		if c.Name == name {
 			return c, nil
 		}
 	}
-	return choice.Class{}, fmt.Errorf("Req-Kind: no class %.40q", name)
+	return balancer.Class{}, fmt.Errorf("Req-Kind: no class %.40q", name)
 }
 
 // missedObjective tells whether a request came late or was not served.
-func (v *liveConfig) missedObjective(job *socket.ClientRequest, answer string, first choice.Micros) bool {
+func (v *liveConfig) missedObjective(job *httpwire.ClientRequest, answer string, first balancer.Micros) bool {
 	if answer != "served" && answer != "stream_broken" {
 		return true
 	}
@@ -45,21 +45,21 @@
 
 // Files are what holds where a version says nothing: the platform's
 // configuration.
-func (g *Gateway) baseConfig() *revision.Config {
+func (g *Gateway) baseConfig() *configversion.Config {
 	o := &g.options
-	c := &revision.Config{HasClasses: true, HasTenants: true, HasReplicaMarks: true, Classes: o.Settings.Classes,
-		Attempts:    &revision.Attempts{Max: o.Settings.MaxAttempts, MayHedge: o.Settings.MayHedge},
-		Admission:   &revision.Admission{MaxInFlight: o.MaxInFlight, OverQuotaWeight: o.Settings.OverQuotaWeight, MaxRetryAfter: o.Settings.MaxRetryAfter},
-		Connections: &revision.Connections{Clients: o.MaxClientConns, Replicas: o.MaxReplicaConns, IdleTimeout: o.Settings.ConnIdleTimeout, ConnectTimeout: o.ConnectTimeout.Microseconds()},
-		Watch:       &revision.Watch{Wait: o.WatchWait.Microseconds(), CallTimeout: o.DiscoveryTimeout.Microseconds()}}
+	c := &configversion.Config{HasClasses: true, HasTenants: true, HasReplicaMarks: true, Classes: o.Settings.Classes,
+		Attempts:    &configversion.Attempts{Max: o.Settings.MaxAttempts, MayHedge: o.Settings.MayHedge},
+		Admission:   &configversion.Admission{MaxInFlight: o.MaxInFlight, OverQuotaWeight: o.Settings.OverQuotaWeight, MaxRetryAfter: o.Settings.MaxRetryAfter},
+		Connections: &configversion.Connections{Clients: o.MaxClientConns, Replicas: o.MaxReplicaConns, IdleTimeout: o.Settings.ConnIdleTimeout, ConnectTimeout: o.ConnectTimeout.Microseconds()},
+		Watch:       &configversion.Watch{Wait: o.WatchWait.Microseconds(), CallTimeout: o.DiscoveryTimeout.Microseconds()}}
 	for _, t := range o.Settings.Tenants {
-		c.Tenants = append(c.Tenants, revision.Tenant{Name: t.Name, QuotaPerS: t.QuotaPerS})
+		c.Tenants = append(c.Tenants, configversion.Tenant{Name: t.Name, QuotaPerS: t.QuotaPerS})
 	}
 	return c
 }
 
 // completeVersion is a version with the files' parts where it has none of its own.
-func (g *Gateway) completeVersion(c *revision.Config) *revision.Config {
+func (g *Gateway) completeVersion(c *configversion.Config) *configversion.Config {
 	f := g.baseConfig()
 	if c == nil {
 		return f
@@ -89,41 +89,41 @@
 
 // ApplyVersion takes a version, or with nil goes back to the files. It is taken
 // whole, between two events of the loop, or not at all: the refusals say why.
-func (g *Gateway) ApplyVersion(ctx context.Context, c *revision.Config, limits revision.Limits) revision.Rejections {
+func (g *Gateway) ApplyVersion(ctx context.Context, c *configversion.Config, limits configversion.Limits) configversion.Rejections {
 	stored, err := g.storedBalances()
 	if err != nil {
-		return revision.Rejections{{Type: revision.TypeContract, Reason: err.Error()}}
+		return configversion.Rejections{{Type: configversion.TypeContract, Reason: err.Error()}}
 	}
-	e := versionChange{g.completeVersion(c), stored, limits, make(chan revision.Rejections, 1)}
+	e := versionChange{g.completeVersion(c), stored, limits, make(chan configversion.Rejections, 1)}
 	g.loop.post(ctx, e)
 	select {
 	case r := <-e.result:
 		return r
 	case <-ctx.Done():
-		return revision.Rejections{{Type: revision.TypeVersion, Reason: "the gateway ends"}}
+		return configversion.Rejections{{Type: configversion.TypeVersion, Reason: "the gateway ends"}}
 	}
 }
 
 type versionChange struct {
-	config   *revision.Config
+	config   *configversion.Config
 	balances []contract.Balance
-	limits   revision.Limits
-	result   chan revision.Rejections
+	limits   configversion.Limits
+	result   chan configversion.Rejections
 }
 
 func (e versionChange) apply(l *eventLoop) {
-	if r := revision.ValidateTransition(e.config, e.limits, l.currentState()); len(r) > 0 {
+	if r := configversion.ValidateTransition(e.config, e.limits, l.currentState()); len(r) > 0 {
 		e.result <- r
 		return
 	}
 	g := l.gateway
 	s := e.config.Overlay(g.options.Settings)
 	if err := l.module.Reconfigure(l.now, s); err != nil {
-		e.result <- revision.Rejections{{Type: revision.TypeVersion, Reason: err.Error()}}
+		e.result <- configversion.Rejections{{Type: configversion.TypeVersion, Reason: err.Error()}}
 		return
 	}
 	// From here on nothing can fail.
-	us := func(v choice.Micros) time.Duration { return time.Duration(v) * time.Microsecond }
+	us := func(v balancer.Micros) time.Duration { return time.Duration(v) * time.Microsecond }
 	g.config.Store(&liveConfig{classes: s.Classes, maxInFlight: min(e.config.Admission.MaxInFlight, e.config.Connections.Clients), maxRetryAfter: s.MaxRetryAfter,
 		watchWait: us(e.config.Watch.Wait), discoveryTimeout: us(e.config.Watch.CallTimeout)})
 	g.clients.maxConns.Store(int64(e.config.Connections.Clients))
@@ -142,12 +142,12 @@
 }
 
 // currentState is the gateway as a step must fit it.
-func (l *eventLoop) currentState() *revision.GatewayState {
+func (l *eventLoop) currentState() *configversion.GatewayState {
 	classes, tenants, emptying := l.balancer.InFlight()
-	p := &revision.GatewayState{Settings: l.balancer.Settings(), Clients: l.gateway.clients.connCount(), InFlight: l.gateway.clients.inFlightCount(),
-		InFlightByClass: map[string]revision.InFlight{}, InFlightByTenant: map[string]int{}, Replicas: map[string]revision.ReplicaState{}}
+	p := &configversion.GatewayState{Settings: l.balancer.Settings(), Clients: l.gateway.clients.connCount(), InFlight: l.gateway.clients.inFlightCount(),
+		InFlightByClass: map[string]configversion.InFlight{}, InFlightByTenant: map[string]int{}, Replicas: map[string]configversion.ReplicaState{}}
 	for name, in := range classes {
-		p.InFlightByClass[name] = revision.InFlight{Requests: in.Requests, LongestDeadline: in.LongestTimeout}
+		p.InFlightByClass[name] = configversion.InFlight{Requests: in.Requests, LongestDeadline: in.LongestTimeout}
 	}
 	for name, in := range tenants {
 		p.InFlightByTenant[name] = in.Requests
@@ -156,7 +156,7 @@
 		p.Accounts = l.ledger.Accounts()
 	}
 	for name, i := range l.listed {
-		s := revision.ReplicaState{Discovered: i.State(), Marked: l.drainMarks[name]}
+		s := configversion.ReplicaState{Discovered: i.State(), Marked: l.drainMarks[name]}
 		if w := l.endpoints.ByName(name); w != nil {
 			s.AttemptsInFlight = emptying[w.ID]
 		}
@@ -167,19 +167,19 @@
 
 // overlayWithheld puts the marks of the version in force on a list, and remembers what the
 // registry itself said.
-func (l *eventLoop) overlayWithheld(in socket.EndpointList, kind choice.ListKind) socket.EndpointList {
-	if kind != choice.ListDelta {
+func (l *eventLoop) overlayWithheld(in httpwire.EndpointList, kind balancer.ListKind) httpwire.EndpointList {
+	if kind != balancer.ListDelta {
 		clear(l.listed)
 	}
 	out := in
-	out.Endpoints = make([]socket.Endpoint, len(in.Endpoints))
+	out.Endpoints = make([]httpwire.Endpoint, len(in.Endpoints))
 	for i, w := range in.Endpoints {
-		if w.State() == choice.EndpointGone {
+		if w.State() == balancer.EndpointGone {
 			delete(l.listed, w.ID)
 		} else {
 			l.listed[w.ID] = w
 		}
-		if l.isWithheld(w.ID) && w.State() == choice.EndpointReady {
+		if l.isWithheld(w.ID) && w.State() == balancer.EndpointReady {
 			w.Lifecycle = "draining"
 		}
 		out.Endpoints[i] = w
@@ -202,13 +202,13 @@
 		was[name] = l.isWithheld(name)
 	}
 	l.drainMarks, l.ejected = marks, out
-	change := socket.EndpointList{Generation: l.endpoints.Version()}
+	change := httpwire.EndpointList{Generation: l.endpoints.Version()}
 	for name, i := range l.listed {
 		if was[name] != l.isWithheld(name) {
 			change.Endpoints = append(change.Endpoints, i)
 		}
 	}
 	if len(change.Endpoints) > 0 {
-		l.applyList(change, choice.ListDelta, true)
+		l.applyList(change, balancer.ListDelta, true)
 	}
 }
--- a/internal/gateway/version_test.go
+++ b/internal/gateway/version_test.go
@@ -14,23 +14,23 @@
 
 	"google.golang.org/protobuf/proto"
 
-	"archknot/choice"
-	"archknot/internal/confstream"
+	"archknot/balancer"
+	"archknot/internal/configversion"
+	pb "archknot/internal/configversion/configpb"
+	"archknot/internal/fakes/controlservice"
+	"archknot/internal/httpwire"
 	"archknot/internal/inflight"
-	"archknot/internal/revision"
-	pb "archknot/internal/revision/configpb"
-	"archknot/internal/standin/controlservice"
-	"archknot/internal/wire/socket"
+	"archknot/internal/xdsclient"
 )
 
 // streamedGateway is a gateway that follows a control service.
 type streamedGateway struct {
 	*testGateway
-	c *confstream.Client
+	c *xdsclient.Client
 }
 
-func (v *streamedGateway) Apply(ctx context.Context, c *revision.Config) revision.Rejections {
-	l := revision.DefaultLimits
+func (v *streamedGateway) Apply(ctx context.Context, c *configversion.Config) configversion.Rejections {
+	l := configversion.DefaultLimits
 	return v.ApplyVersion(ctx, c, l)
 }
 
@@ -44,11 +44,11 @@
 func follow(t *testing.T, name, addr string, g *testGateway) *streamedGateway {
 	t.Helper()
 	v := &streamedGateway{testGateway: g}
-	o := confstream.Options{Address: addr, Machine: revision.DefaultOptions(name, 1)}
+	o := xdsclient.Options{Address: addr, Machine: configversion.DefaultOptions(name, 1)}
 	o.Machine.InitialBackoff, o.Machine.MaxBackoff, o.Machine.MinInterval = 20_000, 200_000, 20_000
 	o.Log = func(msg string, args ...any) { t.Log(append([]any{name, msg}, args...)...) }
 	var err error
-	if v.c, err = confstream.New(o, v); err != nil {
+	if v.c, err = xdsclient.New(o, v); err != nil {
 		t.Fatal(err)
 	}
 	ctx, stop := context.WithCancel(context.Background())
@@ -62,9 +62,9 @@
 }
 
 func chatVersion(n uint64) *controlservice.Version {
-	return &controlservice.Version{Number: n, Resources: map[revision.ResourceType][]proto.Message{
-		revision.TypeClass:    {&pb.Class{Name: "chat", AimUs: 1_000_000, TokenAimUs: 50_000, DeadlineUs: 4_000_000, Worth: float64(n), Stream: true}},
-		revision.TypeAttempts: {&pb.Attempts{Most: uint32(1 + n%3), SecondCopies: true}},
+	return &controlservice.Version{Number: n, Resources: map[configversion.ResourceType][]proto.Message{
+		configversion.TypeClass:    {&pb.Class{Name: "chat", AimUs: 1_000_000, TokenAimUs: 50_000, DeadlineUs: 4_000_000, Worth: float64(n), Stream: true}},
+		configversion.TypeAttempts: {&pb.Attempts{Most: uint32(1 + n%3), SecondCopies: true}},
 	}}
 }
 
@@ -185,11 +185,11 @@
 	}
 	// Valid alone, not as a step: requests of the class are in hand all the time.
 	out := chatVersion(2)
-	out.Resources[revision.TypeClass] = []proto.Message{&pb.Class{Name: "docs", AimUs: 1, DeadlineUs: 4_000_000}}
+	out.Resources[configversion.TypeClass] = []proto.Message{&pb.Class{Name: "docs", AimUs: 1, DeadlineUs: 4_000_000}}
 	s.Publish(out)
 	refused("version 2: Class chat: taken out with")
 	short := chatVersion(3)
-	short.Resources[revision.TypeClass][0].(*pb.Class).DeadlineUs = 2_000_000
+	short.Resources[configversion.TypeClass][0].(*pb.Class).DeadlineUs = 2_000_000
 	s.Publish(short)
 	refused("version 3: Class chat: deadline_us: shortened")
 	if !on(1)() {
@@ -197,7 +197,7 @@
 	}
 	// A version drains a worker: nothing new goes there once it is in force.
 	drain := chatVersion(4)
-	drain.Resources[revision.TypeReplica] = []proto.Message{&pb.Worker{Name: "s-2", Mark: pb.Worker_DRAIN}}
+	drain.Resources[configversion.TypeReplica] = []proto.Message{&pb.Worker{Name: "s-2", Mark: pb.Worker_DRAIN}}
 	s.Publish(drain)
 	waitUntil(t, "version 4", on(4))
 	_, before := w2.seen()
@@ -221,7 +221,7 @@
 		return true
 	})
 	back := chatVersion(5)
-	back.Resources[revision.TypeReplica] = []proto.Message{&pb.Worker{Name: "s-3", Mark: pb.Worker_SERVE}}
+	back.Resources[configversion.TypeReplica] = []proto.Message{&pb.Worker{Name: "s-3", Mark: pb.Worker_SERVE}}
 	s.Publish(back)
 	refused("version 5: Worker s-3: mark: brought back, but the registry says that it drains")
 	// Whole again, by way of a service that vanishes.
@@ -238,11 +238,11 @@
 	}
 	// The rest of what a service can do wrong, in the same load.
 	bad := chatVersion(13)
-	bad.Resources[revision.TypeAttempts] = []proto.Message{&pb.Attempts{Most: 4}}
+	bad.Resources[configversion.TypeAttempts] = []proto.Message{&pb.Attempts{Most: 4}}
 	s.Publish(bad)
 	refused("version 13: Attempts: most: expected 1 to 3, got 4")
 	cut := chatVersion(14)
-	cut.Truncate = revision.TypeClass
+	cut.Truncate = configversion.TypeClass
 	s.Publish(cut)
 	refused("resource 0: proto:")
 	s.Publish(chatVersion(3))
@@ -297,21 +297,21 @@
 	}
 	l := g.loop
 	l.now = g.clock.now()
-	list := socket.EndpointList{Generation: 1}
+	list := httpwire.EndpointList{Generation: 1}
 	for i := range 1000 {
-		list.Endpoints = append(list.Endpoints, socket.Endpoint{ID: fmt.Sprint("s-", i), Addr: "127.0.0.1:1", Zone: "a", Kind: "k", Lifecycle: "ready"})
+		list.Endpoints = append(list.Endpoints, httpwire.Endpoint{ID: fmt.Sprint("s-", i), Addr: "127.0.0.1:1", Zone: "a", Kind: "k", Lifecycle: "ready"})
 	}
-	l.receiveList(list, choice.ListCached)
+	l.receiveList(list, balancer.ListCached)
 	for i := range 10_000 {
-		r := inflight.NewRequest(context.Background(), fmt.Sprint(i), choice.Request{Class: "chat", PromptTokens: 10}, l.now+60e6, 3)
+		r := inflight.NewRequest(context.Background(), fmt.Sprint(i), balancer.Request{Class: "chat", PromptTokens: 10}, l.now+60e6, 3)
 		requestArrived{r, l.gateway.config.Load(), true}.apply(l)
 	}
 	if n := l.balancer.Stats().Requests; n < 9_000 {
 		b.Fatal(n)
 	}
-	limits := revision.DefaultLimits
-	c := &revision.Config{Number: 1, HasClasses: true, Classes: []choice.Class{{Name: "chat", LatencyObjective: 1e6, Deadline: 4e6, PriorityWeight: 1, Streaming: true}}}
-	done := make(chan revision.Rejections, 1)
+	limits := configversion.DefaultLimits
+	c := &configversion.Config{Number: 1, HasClasses: true, Classes: []balancer.Class{{Name: "chat", LatencyObjective: 1e6, Deadline: 4e6, PriorityWeight: 1, Streaming: true}}}
+	done := make(chan configversion.Rejections, 1)
 	for b.Loop() {
 		c.Number++
 		c.Classes[0].PriorityWeight++
@@ -330,14 +330,14 @@
 // A version comes in force between the head of a request and its last byte: the request is taken by it
 // whole, or turned away where its class is gone. Nothing of two versions meets in one request.
 func TestVersionDuringRequest(t *testing.T) {
-	version := func(name string, deadline uint64) *revision.Config {
-		c := choice.Class{Name: name, LatencyObjective: 1_000_000, Deadline: choice.Micros(deadline), PriorityWeight: 1, Streaming: true}
-		return &revision.Config{HasClasses: true, Classes: []choice.Class{c}}
+	version := func(name string, deadline uint64) *configversion.Config {
+		c := balancer.Class{Name: name, LatencyObjective: 1_000_000, Deadline: balancer.Micros(deadline), PriorityWeight: 1, Streaming: true}
+		return &configversion.Config{HasClasses: true, Classes: []balancer.Class{c}}
 	}
 	for name, c := range map[string]struct {
-		next   *revision.Config
+		next   *configversion.Config
 		status int
-		told   choice.Micros // that the replica is told of its time, at most and at least a tenth of it
+		told   balancer.Micros // that the replica is told of its time, at most and at least a tenth of it
 	}{
 		"its class is gone":           {version("other", 4_000_000), 400, 0},
 		"its class has another time":  {version("chat", 60_000_000), 200, 60_000_000},
@@ -349,7 +349,7 @@
 			cl := dial(t, g.addr)
 			cl.raw("POST /v1/chat/completions HTTP/1.1\r\nHost: a\r\nReq-Id: v\r\nReq-Kind: chat\r\nContent-Length: 5\r\n\r\nab")
 			waitUntil(t, "its head was read", func() bool { return g.clients.bodyBytes.Load() > 0 })
-			if r := g.ApplyVersion(t.Context(), c.next, revision.DefaultLimits); len(r) > 0 {
+			if r := g.ApplyVersion(t.Context(), c.next, configversion.DefaultLimits); len(r) > 0 {
 				t.Fatal(r)
 			}
 			cl.raw("cde")
@@ -361,7 +361,7 @@
 				t.Fatalf("%d requests sent on", n)
 			}
 			if c.told > 0 {
-				var us choice.Micros
+				var us balancer.Micros
 				fmt.Sscanf(w.requests[0].Header.Get("Req-Deadline"), "%du", &us)
 				if us > c.told || us < c.told/10 {
 					t.Errorf("the replica was told %d us", us)
--- a/internal/gateway/wallclock.go
+++ b/internal/gateway/wallclock.go
@@ -5,7 +5,7 @@
 	"slices"
 	"sync"
 
-	"archknot/choice"
+	"archknot/balancer"
 )
 
 // wallClock converts times of the machines' wall clock, which may be stepped by an hour at any moment,
@@ -14,27 +14,27 @@
 // that has just started never seems old, and one that is old seems young only where the clock was
 // stepped back by just its age.
 type wallClock struct {
-	read    func() choice.Micros // the wall clock
+	read    func() balancer.Micros // the wall clock
 	mu      sync.Mutex
-	offsets []choice.Micros // wall clock less own clock, the newest last
+	offsets []balancer.Micros // wall clock less own clock, the newest last
 }
 
 const (
 	// minClockStep is the change of the offset that counts as a step: below it a clock is slewed, or this task
 	// was held up between its looks at the two clocks.
-	minClockStep choice.Micros = 100_000
+	minClockStep balancer.Micros = 100_000
 	// maxClockOffsets bounds the offsets that are remembered.
 	maxClockOffsets = 8
 	// maxClockSkew is how far in the future a start may lie by clocks that are not set alike.
-	maxClockSkew choice.Micros = 100_000
+	maxClockSkew balancer.Micros = 100_000
 )
 
 // observe notes the offset as of now. It is called each second, so that no step is missed.
-func (w *wallClock) observe(now choice.Micros) {
+func (w *wallClock) observe(now balancer.Micros) {
 	offset := w.read() - now
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	near := func(known choice.Micros) bool { return -minClockStep < offset-known && offset-known < minClockStep }
+	near := func(known balancer.Micros) bool { return -minClockStep < offset-known && offset-known < minClockStep }
 	n := len(w.offsets)
 	if n > 0 && near(w.offsets[n-1]) {
 		return
@@ -53,11 +53,11 @@
 }
 
 // toMonotonic is a time of the wall clock on the gateway's own, from 1 up to now.
-func (w *wallClock) toMonotonic(now, wall choice.Micros) choice.Micros {
+func (w *wallClock) toMonotonic(now, wall balancer.Micros) balancer.Micros {
 	w.observe(now)
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	latest, found := choice.Micros(0), false
+	latest, found := balancer.Micros(0), false
 	for _, offset := range w.offsets {
 		if at := wall - offset; at <= now+maxClockSkew && (!found || at > latest) {
 			latest, found = at, true
--- a/internal/gateway/wallclock_test.go
+++ b/internal/gateway/wallclock_test.go
@@ -3,15 +3,15 @@
 import (
 	"testing"
 
-	"archknot/choice"
-	"archknot/internal/wire/socket"
+	"archknot/balancer"
+	"archknot/internal/httpwire"
 
 	"pgregory.net/rapid"
 )
 
 const (
-	secondUs choice.Micros = 1_000_000
-	hourUs                 = 3600 * secondUs
+	secondUs balancer.Micros = 1_000_000
+	hourUs                   = 3600 * secondUs
 )
 
 // A replica's start comes out right over steps of the wall clock, forth and back, by seconds or an
@@ -19,16 +19,16 @@
 // old one to come.
 func TestReplicaStartsAcrossClockSteps(t *testing.T) {
 	const began = 1_700_000_000 * secondUs
-	for _, step := range []choice.Micros{hourUs, -hourUs, 5 * secondUs, -5 * secondUs, 400_000, -400_000} {
-		own, stepped := began, choice.Micros(0)
-		w := &wallClock{read: func() choice.Micros { return own + stepped }}
+	for _, step := range []balancer.Micros{hourUs, -hourUs, 5 * secondUs, -5 * secondUs, 400_000, -400_000} {
+		own, stepped := began, balancer.Micros(0)
+		w := &wallClock{read: func() balancer.Micros { return own + stepped }}
 		w.observe(own)
 		own += 60 * secondUs
 		before := own - 3*secondUs // started 3 s before the step, and dated then
 		dated := before
 		stepped = step
 		own += 2 * secondUs
-		younger := choice.Micros(0) // a step by less than the replica's age leaves in doubt which side of it the start was
+		younger := balancer.Micros(0) // a step by less than the replica's age leaves in doubt which side of it the start was
 		if -step > 0 && -step <= own-before+maxClockSkew {
 			younger = -step
 		}
@@ -52,8 +52,8 @@
 // started comes out as old as it is or younger, and never to come.
 func TestNoColdReplicaSeemsOld(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		own, stepped := 1_700_000_000*secondUs, choice.Micros(0)
-		w := &wallClock{read: func() choice.Micros { return own + stepped }}
+		own, stepped := 1_700_000_000*secondUs, balancer.Micros(0)
+		w := &wallClock{read: func() balancer.Micros { return own + stepped }}
 		w.observe(own)
 		for range rapid.IntRange(1, maxClockOffsets-1).Draw(t, "steps") {
 			started, dated := own, own+stepped
@@ -74,16 +74,16 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	offset := choice.Micros(0)
-	g.clock.wall.read = func() choice.Micros { return g.clock.now() + offset }
+	offset := balancer.Micros(0)
+	g.clock.wall.read = func() balancer.Micros { return g.clock.now() + offset }
 	l := g.loop
-	list := socket.EndpointList{Reset: true, Endpoints: []socket.Endpoint{{ID: "s-1", Addr: "127.0.0.1:1", Zone: "a", Kind: "k", Lifecycle: "ready",
+	list := httpwire.EndpointList{Reset: true, Endpoints: []httpwire.Endpoint{{ID: "s-1", Addr: "127.0.0.1:1", Zone: "a", Kind: "k", Lifecycle: "ready",
 		StartedAtMs: (g.clock.now() - secondUs) / 1000}}}
 	l.now = g.clock.now()
-	l.receiveList(list, choice.ListFull)
+	l.receiveList(list, balancer.ListFull)
 	was := *l.endpoints.ByName("s-1")
 	offset = -hourUs
-	l.receiveList(list, choice.ListFull)
+	l.receiveList(list, balancer.ListFull)
 	if now := l.endpoints.ByName("s-1"); now.StartedAt != was.StartedAt {
 		t.Errorf("its start moved by %d ms", (now.StartedAt-was.StartedAt)/1000)
 	}
--- a/internal/wire/socket/endpointlist.go
+++ b/internal/httpwire/endpointlist.go
@@ -1,9 +1,9 @@
-package socket
+package httpwire
 
 import (
 	"fmt"
 
-	"archknot/choice"
+	"archknot/balancer"
 )
 
 // EndpointList is the registry's answer, and the saved list of the configuration.
@@ -39,14 +39,14 @@
 
 // State is the worker's state. A word that is not known gets nothing new, as
 // one that drains: sending would be the graver mistake.
-func (i Endpoint) State() choice.EndpointState {
+func (i Endpoint) State() balancer.EndpointState {
 	switch i.Lifecycle {
 	case lifecycleReady:
-		return choice.EndpointReady
+		return balancer.EndpointReady
 	case lifecycleGone:
-		return choice.EndpointGone
+		return balancer.EndpointGone
 	}
-	return choice.EndpointDraining
+	return balancer.EndpointDraining
 }
 
 // NoGeneration stands for having no list yet. A version of 0 is a list: taken for
--- a/internal/wire/socket/httpwire_test.go
+++ b/internal/httpwire/httpwire_test.go
@@ -1,11 +1,11 @@
-package socket
+package httpwire
 
 import (
 	"net/http"
 	"strings"
 	"testing"
 
-	"archknot/choice"
+	"archknot/balancer"
 
 	"github.com/google/go-cmp/cmp"
 )
@@ -39,10 +39,10 @@
 	}{
 		"whole": {h: header("Req-Id", "9b1f", "Req-Kind", "chat", "Req-Owner", "acme", "Req-Key", "7f3a9c21e0b4d655",
 			"Req-Deadline", "4800m", "Req-Extra", "prefix=5c0f6e1a2b3d4c59,prompt_len=5120,prefix_len=2048,max_out=800"),
-			want: ClientRequest{ID: "9b1f", Timeout: 4_800_000, Request: choice.Request{Class: "chat", Tenant: "acme",
+			want: ClientRequest{ID: "9b1f", Timeout: 4_800_000, Request: balancer.Request{Class: "chat", Tenant: "acme",
 				Session: 0x7f3a9c21e0b4d655, Prefix: 0x5c0f6e1a2b3d4c59, PromptTokens: 5120, PrefixTokens: 2048, MaxTokens: 800}}},
 		"microseconds, length from the body": {h: header("Req-Id", "1", "Req-Deadline", "250u"),
-			want: ClientRequest{ID: "1", Timeout: 250, Request: choice.Request{PromptTokens: 10}}},
+			want: ClientRequest{ID: "1", Timeout: 250, Request: balancer.Request{PromptTokens: 10}}},
 		"no id":        {h: header("Req-Deadline", "1m"), err: "Req-Id"},
 		"no unit":      {h: header("Req-Id", "1", "Req-Deadline", "250"), err: "Req-Deadline"},
 		"not a number": {h: header("Req-Id", "1", "Req-Deadline", "NaNm"), err: "Req-Deadline"},
--- a/internal/wire/socket/listparser_test.go
+++ b/internal/httpwire/listparser_test.go
@@ -1,4 +1,4 @@
-package socket
+package httpwire
 
 import (
 	"bufio"
--- a/internal/wire/socket/request.go
+++ b/internal/httpwire/request.go
@@ -1,7 +1,7 @@
 // Package socket holds the gateway's own protocols as they are spoken on
 // sockets: what a client's request says, what a worker's answer means, and the
 // registry's list. It opens no connection and decides nothing.
-package socket
+package httpwire
 
 import (
 	"bytes"
@@ -13,7 +13,7 @@
 	"strconv"
 	"strings"
 
-	"archknot/choice"
+	"archknot/balancer"
 )
 
 // Paths and limits of the protocol.
@@ -38,8 +38,8 @@
 // ClientRequest is a client's request as its headers tell it.
 type ClientRequest struct {
 	ID      string
-	Timeout choice.Micros  // until the client gives up, from its sending; 0: not told
-	Request choice.Request // all but its number and the time left
+	Timeout balancer.Micros  // until the client gives up, from its sending; 0: not told
+	Request balancer.Request // all but its number and the time left
 }
 
 // ParseRequest reads the headers of a client's request. An error is for the client.
@@ -62,7 +62,7 @@
 			return j, err
 		}
 	}
-	j.Request = choice.Request{Class: h.Get("Req-Kind"), Tenant: h.Get("Req-Owner"),
+	j.Request = balancer.Request{Class: h.Get("Req-Kind"), Tenant: h.Get("Req-Owner"),
 		Session: keyNumber(h.Get("Req-Key")), PromptTokens: -1}
 	if err = j.parseExtra(h.Get("Req-Extra")); err != nil {
 		return j, err
@@ -78,8 +78,8 @@
 }
 
 // parseDeadline reads a time with its unit: 4800m or 4800000u.
-func parseDeadline(text string) (choice.Micros, error) {
-	number, unit := strings.TrimSuffix(text, "u"), choice.Micros(1)
+func parseDeadline(text string) (balancer.Micros, error) {
+	number, unit := strings.TrimSuffix(text, "u"), balancer.Micros(1)
 	if number == text {
 		number, unit = strings.TrimSuffix(text, "m"), 1000
 	}
@@ -87,7 +87,7 @@
 	if number == text || strings.Trim(number, "0123456789.") != "" || err != nil || !(n > 0) || n*float64(unit) > math.MaxInt32*1000.0 {
 		return 0, fmt.Errorf("Req-Deadline: expected a number above 0 and its unit m or u, got %.40q", text)
 	}
-	return choice.Micros(n * float64(unit)), nil
+	return balancer.Micros(n * float64(unit)), nil
 }
 
 // parseExtra reads the prompt's particulars: name=value pairs, unknown ones skipped.
@@ -139,7 +139,7 @@
 
 // ForwardedHead is the head of the request that goes to a worker: method, path,
 // query and Req-Id unchanged, and how long the gateway will wait.
-func ForwardedHead(r *http.Request, bodyLen int, wait choice.Micros) []byte {
+func ForwardedHead(r *http.Request, bodyLen int, wait balancer.Micros) []byte {
 	var b bytes.Buffer
 	target := r.RequestURI
 	if !strings.HasPrefix(target, "/") {
@@ -152,6 +152,6 @@
 }
 
 // FormatRetryAfter writes a time as the header's seconds, with three decimals.
-func FormatRetryAfter(d choice.Micros) string {
+func FormatRetryAfter(d balancer.Micros) string {
 	return strconv.FormatFloat(float64(d)/1e6, 'f', 3, 64)
 }
--- a/internal/wire/socket/response.go
+++ b/internal/httpwire/response.go
@@ -1,4 +1,4 @@
-package socket
+package httpwire
 
 import (
 	"bytes"
@@ -7,8 +7,8 @@
 	"strconv"
 	"strings"
 
-	"archknot/choice"
-	"archknot/internal/wire"
+	"archknot/balancer"
+	"archknot/internal/simwire"
 )
 
 const loadReportHeader = "Srv-Load"
@@ -16,22 +16,22 @@
 // StatusOf tells what an answer other than 200 means. 'Never ran' only where the
 // worker says so itself: a bare 503 may come from one that began. A 4xx speaks of
 // the request: a worker that gives one is as good as before.
-func StatusOf(resp *http.Response) choice.Status {
+func StatusOf(resp *http.Response) balancer.Status {
 	if (resp.StatusCode == http.StatusServiceUnavailable || resp.StatusCode == http.StatusGatewayTimeout) &&
 		resp.Header.Get("Srv-Declined") == "1" {
-		return choice.Shed
+		return balancer.Shed
 	}
 	if resp.StatusCode >= 400 && resp.StatusCode < 500 {
-		return choice.Rejected
+		return balancer.Rejected
 	}
-	return choice.Errored
+	return balancer.Errored
 }
 
 // ParseLoadReport reads a load report: name=value pairs, of which unknown ones are skipped.
 // One that cannot be read, or has a figure that no worker can have, counts for
 // nothing at all: what else it says is as doubtful.
-func ParseLoadReport(text string) choice.LoadReport {
-	var r choice.LoadReport
+func ParseLoadReport(text string) balancer.LoadReport {
+	var r balancer.LoadReport
 	if len(text) > maxReportBytes {
 		return r
 	}
@@ -39,12 +39,12 @@
 		name, value, _ := strings.Cut(strings.TrimSpace(pair), "=")
 		v, err := strconv.ParseFloat(value, 64)
 		if err != nil || !(v >= 0 && v <= maxReportValue) {
-			return choice.LoadReport{}
+			return balancer.LoadReport{}
 		}
-		wire.SetReportField(&r, name, v)
+		simwire.SetReportField(&r, name, v)
 	}
 	if r.MemoryShare > maxReportShare || r.Utilization > maxReportShare {
-		return choice.LoadReport{}
+		return balancer.LoadReport{}
 	}
 	return r
 }
@@ -58,7 +58,7 @@
 )
 
 // LoadReportOf is the load report of an answer's head.
-func LoadReportOf(h http.Header) choice.LoadReport { return ParseLoadReport(h.Get(loadReportHeader)) }
+func LoadReportOf(h http.Header) balancer.LoadReport { return ParseLoadReport(h.Get(loadReportHeader)) }
 
 // maxObservedLine bounds the line that Notes keeps: the two it looks for are short.
 const maxObservedLine = 4096
@@ -68,7 +68,7 @@
 type StreamObserver struct {
 	CachedTokens int
 	OutputTokens int // of the answer
-	Report       choice.LoadReport
+	Report       balancer.LoadReport
 	line         []byte
 	skipLine     bool // the line is too long to be one of ours
 }
