--- a/internal/inflight/table.go
+++ b/internal/inflight/table.go
@@ -4,7 +4,7 @@
 import (
 	"context"
 
-	"archknot/choice"
+	"archknot/balancer"
 	"archknot/internal/contract"
 	"archknot/internal/endpoint"
 )
@@ -25,21 +25,21 @@
 // Action is one such order.
 type Action struct {
 	Kind       ActionKind
-	Attempt    *Attempt      // for Begin and ActionStream
-	RetryAfter choice.Micros // for Overload and Contract; 0: no advice
-	Reason     string        // for Contract, for machines, and for ActionReject; for Overload, for the log
+	Attempt    *Attempt        // for Begin and ActionStream
+	RetryAfter balancer.Micros // for Overload and Contract; 0: no advice
+	Reason     string          // for Contract, for machines, and for ActionReject; for Overload, for the log
 }
 
 // Request is a client's request while it is owed an answer or has attempts
 // out. Its task reads Actions; all else belongs to the loop.
 type Request struct {
-	ID               choice.RequestID
+	ID               balancer.RequestID
 	ClientRequestID  string // the client's own id of it
-	BalancerRequest  choice.Request
+	BalancerRequest  balancer.Request
 	Ctx              context.Context // ends when the client leaves or is answered
 	ClientClosed     func() bool     // whether the client has closed its connection, asked of the system; nil: it cannot be asked
 	Cancel           func()          // ends Ctx
-	Deadline         choice.Micros   // when the client gives up, on the gateway's clock
+	Deadline         balancer.Micros // when the client gives up, on the gateway's clock
 	Actions          chan Action
 	Attempts         []*Attempt
 	Winner           *Attempt        // whose stream the client gets
@@ -55,8 +55,8 @@
 	Request   *Request
 	Index     int
 	Replica   *endpoint.Replica
-	SentAt    choice.Micros
-	TimeoutAt choice.Micros
+	SentAt    balancer.Micros
+	TimeoutAt balancer.Micros
 	Ctx       context.Context
 	Cancel    context.CancelFunc
 	Events    chan []byte // the stream as it comes; closed at its end
@@ -69,17 +69,17 @@
 
 // Table are those in hand, by the module's number. The loop owns it.
 type Table struct {
-	nextID choice.RequestID
-	byID   map[choice.RequestID]*Request
+	nextID balancer.RequestID
+	byID   map[balancer.RequestID]*Request
 }
 
 // NewTable returns an empty store.
-func NewTable() *Table { return &Table{byID: map[choice.RequestID]*Request{}} }
+func NewTable() *Table { return &Table{byID: map[balancer.RequestID]*Request{}} }
 
 // NewRequest makes the record of a request. The module sends at most
 // maxAttempts attempts, of which one is bound, and one final answer: so many
 // actions never block the loop.
-func NewRequest(ctx context.Context, name string, in choice.Request, deadline choice.Micros, maxAttempts int) *Request {
+func NewRequest(ctx context.Context, name string, in balancer.Request, deadline balancer.Micros, maxAttempts int) *Request {
 	return &Request{ClientRequestID: name, BalancerRequest: in, Ctx: ctx, Deadline: deadline, Actions: make(chan Action, maxAttempts+2)}
 }
 
@@ -106,13 +106,13 @@
 }
 
 // Get is the request with this number, nil if it is no longer in hand.
-func (s *Table) Get(id choice.RequestID) *Request { return s.byID[id] }
+func (s *Table) Get(id balancer.RequestID) *Request { return s.byID[id] }
 
 // Len is the number of requests in hand.
 func (s *Table) Len() int { return len(s.byID) }
 
 // StartAttempt enters a new attempt of r.
-func (s *Table) StartAttempt(r *Request, w *endpoint.Replica, now, cutAt choice.Micros) *Attempt {
+func (s *Table) StartAttempt(r *Request, w *endpoint.Replica, now, cutAt balancer.Micros) *Attempt {
 	d := &Attempt{Request: r, Index: len(r.Attempts), Replica: w, SentAt: now, TimeoutAt: cutAt, Events: make(chan []byte)}
 	d.Ctx, d.Cancel = context.WithCancel(r.Ctx)
 	r.Attempts = append(r.Attempts, d)
@@ -134,7 +134,7 @@
 
 // EachOpenCharge lists what is charged to contracts and not settled, by the requests'
 // numbers and the copies'.
-func (s *Table) EachOpenCharge(each func(id choice.RequestID, copy int, c *contract.Charge)) {
+func (s *Table) EachOpenCharge(each func(id balancer.RequestID, copy int, c *contract.Charge)) {
 	for id, r := range s.byID {
 		if r.Charge.Open() {
 			each(id, 0, &r.Charge)
--- a/internal/lifecycle/config.go
+++ b/internal/lifecycle/config.go
@@ -14,12 +14,12 @@
 	"strconv"
 	"time"
 
-	"archknot/choice"
-	"archknot/internal/conf"
+	"archknot/balancer"
+	"archknot/internal/adminapi"
+	"archknot/internal/config"
 	"archknot/internal/gateway"
-	"archknot/internal/operator"
-	"archknot/internal/wire"
-	"archknot/internal/wire/socket"
+	"archknot/internal/httpwire"
+	"archknot/internal/simwire"
 )
 
 // Config is what a gateway is told, checked and complete.
@@ -71,7 +71,7 @@
 	// each, mostly one in all.
 	reservedSockets = 16
 	// Operators' calls need theirs, with a listener, the saved orders and a successor's look at them.
-	adminSockets                                      = operator.MaxConnections + 4
+	adminSockets                                      = adminapi.MaxConnections + 4
 	clientConnShare, spareConnShare, replicaConnShare = 0.44, 0.03, 0.5
 	// Of the memory, what request bodies may take up at once, and where the
 	// garbage collector begins to work harder.
@@ -127,7 +127,7 @@
 
 // GatewayOptions are what a gateway is built with by a platform's configuration and our own settings,
 // for one that runs beside others in a process.
-func GatewayOptions(platform []byte, own *conf.Config) (gateway.Options, error) {
+func GatewayOptions(platform []byte, own *config.Config) (gateway.Options, error) {
 	var f nodeConfig
 	if err := json.Unmarshal(platform, &f); err != nil {
 		return gateway.Options{}, describeJSONError(err)
@@ -235,15 +235,15 @@
 	if len(f.Settings) == 0 {
 		return c, errors.New("settings: missing")
 	}
-	if o.Settings, err = wire.ParseSettings(f.Settings); err != nil {
+	if o.Settings, err = simwire.ParseSettings(f.Settings); err != nil {
 		return c, err
 	}
 	if err := adaptSettings(&o.Settings); err != nil {
 		return c, err
 	}
-	o.CachedList.Generation = socket.NoGeneration
+	o.CachedList.Generation = httpwire.NoGeneration
 	if len(f.Known) > 0 && string(f.Known) != "null" {
-		if o.CachedList, err = socket.ParseList(f.Known); err != nil {
+		if o.CachedList, err = httpwire.ParseList(f.Known); err != nil {
 			return c, fmt.Errorf("known: %w", err)
 		}
 	}
@@ -277,7 +277,7 @@
 
 // watchTimeouts is how long discovery may hold a call for news, and how much longer its answer may
 // take. A watch that has fallen silent is noticed after both together.
-func watchTimeouts(s *choice.Settings, askWithin time.Duration) (wait, answer time.Duration) {
+func watchTimeouts(s *balancer.Settings, askWithin time.Duration) (wait, answer time.Duration) {
 	if s.LocalDiscovery { // the agent is on this machine and its answers cost nothing
 		return time.Second, 500 * time.Millisecond
 	}
@@ -305,7 +305,7 @@
 
 // adaptSettings fits the module's settings to sockets. What would change decisions
 // unseen if it were taken as it is, is an error.
-func adaptSettings(s *choice.Settings) error {
+func adaptSettings(s *balancer.Settings) error {
 	switch {
 	case s.Gateways < 1:
 		return newKeyError("settings.nInstances", "expected 1 or more, got %d", s.Gateways)
@@ -337,7 +337,7 @@
 		switch {
 		case c.Name == "":
 			return newKeyError(key+".name", "missing")
-		case slices.ContainsFunc(s.Classes[:i], func(o choice.Class) bool { return o.Name == c.Name }):
+		case slices.ContainsFunc(s.Classes[:i], func(o balancer.Class) bool { return o.Name == c.Name }):
 			return newKeyError(key+".name", "%q is named twice", c.Name)
 		case c.Deadline <= 0:
 			return newKeyError(key+".deadlineUs", "expected above 0, got %d", c.Deadline)
--- a/internal/lifecycle/config_test.go
+++ b/internal/lifecycle/config_test.go
@@ -12,9 +12,9 @@
 	"testing"
 	"time"
 
-	"archknot/choice"
+	"archknot/balancer"
 	"archknot/internal/capture"
-	"archknot/internal/control"
+	"archknot/internal/controlsocket"
 	"archknot/internal/replay"
 
 	"github.com/google/go-cmp/cmp"
@@ -68,7 +68,7 @@
 	if !o.Settings.RetryAfter || !o.Settings.PollDiscovery || o.Settings.MayGossip || len(o.CachedList.Endpoints) != 1 || o.CachedList.Generation != 0 {
 		t.Errorf("%+v", o)
 	}
-	want := choice.Class{Name: "chat", LatencyObjective: 1e6, Deadline: 3e6, Streaming: true}
+	want := balancer.Class{Name: "chat", LatencyObjective: 1e6, Deadline: 3e6, Streaming: true}
 	if diff := cmp.Diff(want, o.Settings.Classes[0]); diff != "" {
 		t.Error(diff)
 	}
@@ -284,7 +284,7 @@
 		return err == nil
 	})
 	var a SaveResponse
-	if err := control.Call(t.Context(), socket, "capture/save", SaveRequest{Reason: "a test"}, &a); err != nil || a.Segments != 1 {
+	if err := controlsocket.Call(t.Context(), socket, "capture/save", SaveRequest{Reason: "a test"}, &a); err != nil || a.Segments != 1 {
 		t.Errorf("saved %+v, %v", a, err)
 	}
 	put(file, "[capture]\nrecrod off\n")
--- a/internal/lifecycle/configstream.go
+++ b/internal/lifecycle/configstream.go
@@ -9,9 +9,9 @@
 	"reflect"
 	"time"
 
-	"archknot/internal/conf"
-	"archknot/internal/confstream"
-	"archknot/internal/revision"
+	"archknot/internal/config"
+	"archknot/internal/configversion"
+	"archknot/internal/xdsclient"
 )
 
 // openConfigStream readies the client of the control service, if the settings name one.
@@ -28,11 +28,11 @@
 		}
 	}
 	g := &s.config.Gateway
-	o := confstream.Options{Address: v.Address, Delta: v.Protocol == "delta", Machine: revision.DefaultOptions(g.Name, g.Seed),
+	o := xdsclient.Options{Address: v.Address, Delta: v.Protocol == "delta", Machine: configversion.DefaultOptions(g.Name, g.Seed),
 		Log: func(msg string, args ...any) { slog.Info(msg, args...) }}
 	o.Machine.MinInterval, o.Machine.StallTimeout, o.Machine.Limits = v.MinInterval.Microseconds(), v.StallTimeout.Microseconds(), s.versionLimits()
 	if v.Cert != "" {
-		creds, closeFiles, err := confstream.ClientTLS(confstream.TLSFiles{Cert: v.Cert, Key: v.Key, CA: v.CA, ServerName: v.ServerName})
+		creds, closeFiles, err := xdsclient.ClientTLS(xdsclient.TLSFiles{Cert: v.Cert, Key: v.Key, CA: v.CA, ServerName: v.ServerName})
 		if err != nil {
 			return nil, fmt.Errorf("control-service.cert: %w", err)
 		}
@@ -40,7 +40,7 @@
 		closers = append(closers, closeFiles)
 	}
 	if v.StorePath != "" {
-		store, aside, err := confstream.OpenStore(v.StorePath)
+		store, aside, err := xdsclient.OpenStore(v.StorePath)
 		if err != nil {
 			closeAll()
 			return nil, fmt.Errorf("control-service.store: %w", err)
@@ -51,7 +51,7 @@
 		s.versionStore, o.Store = store, store
 		closers = append(closers, func() { store.Close() })
 	}
-	if s.configStream, err = confstream.New(o, s); err != nil {
+	if s.configStream, err = xdsclient.New(o, s); err != nil {
 		closeAll()
 		return nil, fmt.Errorf("control-service: %w", err)
 	}
@@ -60,15 +60,15 @@
 }
 
 // currentSettings are our own settings in force, for tasks other than that of signals. They are replaced whole.
-func (s *server) currentSettings() *conf.Config {
+func (s *server) currentSettings() *config.Config {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.fileSettings
 }
 
 // versionLimits are what versions must keep within, by the platform's configuration.
-func (s *server) versionLimits() revision.Limits {
-	l, g := revision.DefaultLimits, &s.config.Gateway
+func (s *server) versionLimits() configversion.Limits {
+	l, g := configversion.DefaultLimits, &s.config.Gateway
 	l.Sockets, l.MaxPollInterval = g.MaxClientConns+g.MaxReplicaConns, g.PollWithin.Microseconds()
 	l.MaxInFlight = g.MaxClientConns
 	l.MayCapture = s.currentSettings().Capture.Directory != ""
@@ -77,7 +77,7 @@
 
 // Apply takes a version: confstream.Target. The gateway's own part is the only
 // one that can be refused, and goes first.
-func (s *server) Apply(ctx context.Context, c *revision.Config) revision.Rejections {
+func (s *server) Apply(ctx context.Context, c *configversion.Config) configversion.Rejections {
 	if r := s.gateway.ApplyVersion(ctx, c, s.versionLimits()); len(r) > 0 {
 		return r
 	}
@@ -91,7 +91,7 @@
 
 // effectiveSettings is the settings with the parts of the version in force before the
 // file's: a version goes before the files, whichever came last.
-func (s *server) effectiveSettings() conf.Config {
+func (s *server) effectiveSettings() config.Config {
 	c := *s.fileSettings
 	if s.activeVersion == nil {
 		return c
@@ -110,7 +110,7 @@
 }
 
 // applySettings has log and recording follow what is in force now.
-func (s *server) applySettings(before conf.Config) {
+func (s *server) applySettings(before config.Config) {
 	now := s.effectiveSettings()
 	setLogLevel(now.Log.Level)
 	if reflect.DeepEqual(before.Capture, now.Capture) && reflect.DeepEqual(before.Incident, now.Incident) {
--- a/internal/lifecycle/configstream_test.go
+++ b/internal/lifecycle/configstream_test.go
@@ -12,16 +12,16 @@
 
 	"google.golang.org/protobuf/proto"
 
-	"archknot/internal/confstream"
-	"archknot/internal/control"
-	"archknot/internal/revision"
-	pb "archknot/internal/revision/configpb"
-	"archknot/internal/standin/controlservice"
+	"archknot/internal/configversion"
+	pb "archknot/internal/configversion/configpb"
+	"archknot/internal/controlsocket"
+	"archknot/internal/fakes/controlservice"
+	"archknot/internal/xdsclient"
 )
 
-func chatVersion(n uint64, more map[revision.ResourceType][]proto.Message) *controlservice.Version {
-	v := &controlservice.Version{Number: n, Resources: map[revision.ResourceType][]proto.Message{
-		revision.TypeClass: {&pb.Class{Name: "chat", AimUs: 1_000_000, DeadlineUs: 3_000_000, Worth: float64(n), Stream: true}}}}
+func chatVersion(n uint64, more map[configversion.ResourceType][]proto.Message) *controlservice.Version {
+	v := &controlservice.Version{Number: n, Resources: map[configversion.ResourceType][]proto.Message{
+		configversion.TypeClass: {&pb.Class{Name: "chat", AimUs: 1_000_000, DeadlineUs: 3_000_000, Worth: float64(n), Stream: true}}}}
 	for t, m := range more {
 		v.Resources[t] = m
 	}
@@ -73,7 +73,7 @@
 		}
 	}
 	status := func() (st ConfigStatus) {
-		_ = control.Call(t.Context(), socket, "config/status", struct{}{}, &st)
+		_ = controlsocket.Call(t.Context(), socket, "config/status", struct{}{}, &st)
 		return st
 	}
 	on := func(n uint64) func() bool { return func() bool { return status().Version == n } }
@@ -88,8 +88,8 @@
 	}
 	run()
 	wait("the stream", func() bool { return status().Connected })
-	s.Publish(chatVersion(1, map[revision.ResourceType][]proto.Message{revision.TypeLog: {&pb.Log{Level: "warn"}},
-		revision.TypeCapture: {&pb.Capture{Record: true, CheckpointUs: 2_000_000, KeepBytes: 1 << 20}}}))
+	s.Publish(chatVersion(1, map[configversion.ResourceType][]proto.Message{configversion.TypeLog: {&pb.Log{Level: "warn"}},
+		configversion.TypeCapture: {&pb.Capture{Record: true, CheckpointUs: 2_000_000, KeepBytes: 1 << 20}}}))
 	wait("version 1", on(1))
 	wait("the version records", func() bool { return segments() == 1 })
 	if logLevel.Level() != slog.LevelWarn {
@@ -98,7 +98,7 @@
 	// The file says otherwise, in the same moment as the next version.
 	put(file, settings("error"))
 	signal(syscall.SIGHUP)
-	s.Publish(chatVersion(2, map[revision.ResourceType][]proto.Message{revision.TypeLog: {&pb.Log{Level: "debug"}}}))
+	s.Publish(chatVersion(2, map[configversion.ResourceType][]proto.Message{configversion.TypeLog: {&pb.Log{Level: "debug"}}}))
 	wait("version 2", on(2))
 	wait("reload", func() bool { return strings.Contains(text.String(), "msg=reload ") })
 	if logLevel.Level() != slog.LevelDebug {
@@ -121,13 +121,13 @@
 		t.Errorf("%+v", st)
 	}
 	var st ConfigStatus
-	if err := control.Call(t.Context(), socket, "config/rollback", RollbackRequest{Reason: "a test"}, &st); err != nil || st.Version != 0 {
+	if err := controlsocket.Call(t.Context(), socket, "config/rollback", RollbackRequest{Reason: "a test"}, &st); err != nil || st.Version != 0 {
 		t.Errorf("rollback: %+v %v", st, err)
 	}
 	// The version is given back before the line about it is kept.
 	wait("the history of it all", func() bool {
-		var lines []confstream.HistoryEntry
-		if err := control.Call(t.Context(), socket, "config/history", struct{}{}, &lines); err != nil {
+		var lines []xdsclient.HistoryEntry
+		if err := controlsocket.Call(t.Context(), socket, "config/history", struct{}{}, &lines); err != nil {
 			t.Fatal(err)
 		}
 		var what []string
--- a/internal/lifecycle/publicnames_test.go
+++ b/internal/lifecycle/publicnames_test.go
@@ -5,13 +5,13 @@
 	"testing"
 
 	"archknot/internal/publicnames"
-	"archknot/internal/wire"
+	"archknot/internal/simwire"
 )
 
 // NODE_CONFIG keeps its keys: those that are read, and those that are known and left unread.
 func TestConfigurationKeysStay(t *testing.T) {
 	names := publicnames.JSONFields("read", reflect.TypeFor[nodeConfig]())
-	names = append(names, publicnames.JSONFields("read.settings", wire.SettingsType())...)
+	names = append(names, publicnames.JSONFields("read.settings", simwire.SettingsType())...)
 	names = append(names, publicnames.JSONFields("read.settings", reflect.TypeFor[transportSettings]())...)
 	for _, u := range ignoredKeys {
 		names = append(names, "unread."+u.key)
--- a/internal/lifecycle/run.go
+++ b/internal/lifecycle/run.go
@@ -17,23 +17,23 @@
 	"syscall"
 	"time"
 
-	"archknot/choice"
+	"archknot/balancer"
+	"archknot/internal/adminapi"
 	"archknot/internal/asynclog"
-	"archknot/internal/build"
+	"archknot/internal/buildinfo"
 	"archknot/internal/capture"
-	"archknot/internal/conf"
-	"archknot/internal/confstream"
+	"archknot/internal/capturetrigger"
+	"archknot/internal/config"
+	"archknot/internal/configversion"
 	"archknot/internal/contract/ledger"
 	"archknot/internal/contract/split"
-	"archknot/internal/control"
+	"archknot/internal/controlsocket"
 	"archknot/internal/gateway"
-	"archknot/internal/incident"
 	"archknot/internal/maintenance"
 	"archknot/internal/metrics"
-	"archknot/internal/operator"
 	"archknot/internal/peers"
-	"archknot/internal/revision"
 	"archknot/internal/subset"
+	"archknot/internal/xdsclient"
 )
 
 // ConfigError says that the gateway was not started because of what it was told.
@@ -68,24 +68,24 @@
 func setLogLevel(word string) { _ = logLevel.UnmarshalText([]byte(word)) } // conf lets in no other words
 
 // captureOptions makes the gateway's part of the settings; nil: nothing is recorded.
-func captureOptions(name string, c *conf.Config) *gateway.Capture {
+func captureOptions(name string, c *config.Config) *gateway.Capture {
 	p, in := c.Capture, c.Incident
 	if !p.Record {
 		return nil
 	}
 	return &gateway.Capture{
-		Writer: capture.WriterOptions{Directory: p.Directory, Gateway: name, Build: build.Version(), QueueLength: p.QueueBlocks, MaxBytes: p.KeepSize,
+		Writer: capture.WriterOptions{Directory: p.Directory, Gateway: name, Build: buildinfo.Version(), QueueLength: p.QueueBlocks, MaxBytes: p.KeepSize,
 			MaxAge: p.KeepAge, IncidentDirectory: in.Directory, MaxIncidents: in.MaxIncidents, IncidentWindow: in.Window, IncidentInterval: in.MinInterval,
 			Log: func(msg string, args ...any) { slog.Info(msg, args...) }},
 		Recorder: capture.Options{CheckpointInterval: p.CheckpointInterval, BlockSize: int(p.BlockSize), FlushInterval: p.FlushInterval, SegmentSize: p.SegmentSize,
-			SegmentAge: p.SegmentAge, IncidentInterval: in.MinInterval, Incident: incident.Settings{Window: in.EvaluationWindow.Microseconds(), MinRequests: in.MinRequests, UnservedShare: in.UnservedShare,
+			SegmentAge: p.SegmentAge, IncidentInterval: in.MinInterval, Incident: capturetrigger.Settings{Window: in.EvaluationWindow.Microseconds(), MinRequests: in.MinRequests, UnservedShare: in.UnservedShare,
 				SlowFactor: in.SlowFactor, SlowReplicaShare: in.SlowReplicas, DeadlineMargin: in.NearDeadline.Microseconds()}},
 	}
 }
 
 // contractOptions makes the gateway's part of the settings. Without teams there are none
 // in force, but for those that a version of the configuration brings.
-func contractOptions(c *conf.Config) *gateway.Contracts {
+func contractOptions(c *config.Config) *gateway.Contracts {
 	out := &gateway.Contracts{Teams: c.Contracts.Teams, Settings: c.Contracts.LedgerSettings()}
 	switch c.Contracts.Split {
 	case "equal":
@@ -99,17 +99,17 @@
 }
 
 // subsetSettings is what the gateway's part of the fleet is worked out from.
-func subsetSettings(c conf.Subset, s *choice.Settings) subset.Settings {
+func subsetSettings(c config.Subset, s *balancer.Settings) subset.Settings {
 	index := c.GatewayIndex
 	if index < 0 {
 		index = s.Self
 	}
 	return subset.Settings{MaxReplicas: c.MaxReplicas, GatewayIndex: index, GatewayCount: s.Gateways, Zone: s.Zone, RemoteFraction: c.RemoteShare,
-		WeightIsSize: s.WeightKind == choice.WeightNominal, SlowStart: s.SlowStartFor}
+		WeightIsSize: s.WeightKind == balancer.WeightNominal, SlowStart: s.SlowStartFor}
 }
 
 // startPeers opens the way to the other gateways, if there is one; nil: there is none.
-func startPeers(p conf.Peers, g gateway.Options) (*peers.Service, error) {
+func startPeers(p config.Peers, g gateway.Options) (*peers.Service, error) {
 	if p.Listen == "" {
 		return nil, nil
 	}
@@ -140,16 +140,16 @@
 	getenv         func(string) string
 	settingsFile   string // of our own settings; "" if there is none
 	config         Config
-	fileSettings   *conf.Config
+	fileSettings   *config.Config
 	gateway        *gateway.Gateway
-	controlSocket  *control.Server
-	metricsServer  *metrics.Server    // nil: none
-	configStream   *confstream.Client // nil: no control service
-	versionStore   *confstream.Store
-	activeVersion  *revision.Config // in force
-	mu             sync.Mutex       // over conf: a version's parts go before it
+	controlSocket  *controlsocket.Server
+	metricsServer  *metrics.Server   // nil: none
+	configStream   *xdsclient.Client // nil: no control service
+	versionStore   *xdsclient.Store
+	activeVersion  *configversion.Config // in force
+	mu             sync.Mutex            // over conf: a version's parts go before it
 	discovery      string
-	captureChanges chan *conf.Config // the newest settings of the recording
+	captureChanges chan *config.Config // the newest settings of the recording
 }
 
 // Run serves until SIGTERM or SIGINT has ended it in order. SIGHUP has it read
@@ -161,9 +161,9 @@
 	// Caught from the first moment: SIGHUP's default is to end the program.
 	signal.Notify(hangups, syscall.SIGHUP)
 	defer signal.Stop(hangups)
-	s := &server{getenv: getenv, settingsFile: file, captureChanges: make(chan *conf.Config, 1)}
+	s := &server{getenv: getenv, settingsFile: file, captureChanges: make(chan *config.Config, 1)}
 	var err error
-	if s.fileSettings, err = conf.Load(file); err != nil {
+	if s.fileSettings, err = config.Load(file); err != nil {
 		return ConfigError{err}
 	}
 	setLogLevel(s.fileSettings.Log.Level)
@@ -210,12 +210,12 @@
 	defer stop()
 	slog.Info("start", "name", s.config.Gateway.Name, "listen", s.config.Listen, "discovery", s.config.Gateway.Discovery, "cores", s.config.Cores,
 		"heap_mb", s.config.MemoryMB, "client_conns", s.config.Gateway.MaxClientConns, "replica_conns", s.config.Gateway.MaxReplicaConns,
-		"conf", s.settingsFile, "capture", s.fileSettings.Capture.Record, "build", build.Version())
+		"conf", s.settingsFile, "capture", s.fileSettings.Capture.Record, "build", buildinfo.Version())
 	if s.config.Admin != "" {
 		following, stopFollowing := context.WithCancel(context.Background())
 		defer stopFollowing()
 		go s.config.Gateway.Orders.Run(following)
-		defer operator.Listen(s.config.Admin, s.gateway, s.gateway.AdminCalls()).Close()
+		defer adminapi.Listen(s.config.Admin, s.gateway, s.gateway.AdminCalls()).Close()
 	}
 	s.config.logUnknownKeys()
 	s.gateway.SetUnknownKeys(s.config.UnknownKeyCount)
@@ -309,7 +309,7 @@
 		slog.Error("reload_failed", "err", err)
 		return
 	}
-	settings, err := conf.Load(s.settingsFile)
+	settings, err := config.Load(s.settingsFile)
 	if err != nil {
 		slog.Error("reload_failed", "err", err)
 		return
@@ -394,7 +394,7 @@
 	if s.fileSettings.Control.Socket == "" {
 		return nil
 	}
-	s.controlSocket, err = control.Listen(s.fileSettings.Control.Socket, map[string]control.Handler{"capture/save": s.saveCapture,
+	s.controlSocket, err = controlsocket.Listen(s.fileSettings.Control.Socket, map[string]controlsocket.Handler{"capture/save": s.saveCapture,
 		"config/status": s.configStatus, "config/history": s.configHistory, "config/rollback": s.configRollback,
 		"figures":            func(ctx context.Context, _ json.RawMessage) (any, error) { return s.gateway.Control(ctx) },
 		"contracts/accounts": func(ctx context.Context, _ json.RawMessage) (any, error) { return s.gateway.Accounts(ctx) }})
--- a/internal/lifecycle/stored_test.go
+++ b/internal/lifecycle/stored_test.go
@@ -11,11 +11,11 @@
 
 	"github.com/google/go-cmp/cmp"
 
-	"archknot/internal/confstream"
 	"archknot/internal/contract"
-	"archknot/internal/control"
-	"archknot/internal/figures"
+	"archknot/internal/controlsocket"
+	"archknot/internal/controlstats"
 	"archknot/internal/lifecycle"
+	"archknot/internal/xdsclient"
 )
 
 // message is one order on the control socket and its answer, as JSON.
@@ -47,7 +47,7 @@
 // answers would be given in the stored form.
 func TestStoredControlMessages(t *testing.T) {
 	stored := storedMessages(t)
-	orders := map[string]control.Handler{}
+	orders := map[string]controlsocket.Handler{}
 	for name, m := range stored {
 		orders[name] = func(_ context.Context, order json.RawMessage) (any, error) {
 			if string(order) != string(m.Order) {
@@ -57,7 +57,7 @@
 		}
 	}
 	socket := filepath.Join(t.TempDir(), "c.sock")
-	server, err := control.Listen(socket, orders)
+	server, err := controlsocket.Listen(socket, orders)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -69,18 +69,18 @@
 	}{
 		{"capture/save", lifecycle.SaveRequest{Reason: "chat is late"}, &lifecycle.SaveResponse{}, &lifecycle.SaveResponse{Path: "captures/incidents/1", Segments: 3, Bytes: 4096}},
 		{"config/status", struct{}{}, &lifecycle.ConfigStatus{}, &lifecycle.ConfigStatus{Service: "127.0.0.1:18000", Connected: true, Version: 42, Classes: 3, Tenants: 2, Marks: 1}},
-		{"config/history", struct{}{}, &[]confstream.HistoryEntry{}, &[]confstream.HistoryEntry{{At: at, Version: 41, Event: "refused", Reason: "no"},
+		{"config/history", struct{}{}, &[]xdsclient.HistoryEntry{}, &[]xdsclient.HistoryEntry{{At: at, Version: 41, Event: "refused", Reason: "no"},
 			{At: time.Date(2026, 12, 2, 9, 31, 0, 0, time.UTC), Version: 42, Event: "taken"}}},
 		{"config/rollback", lifecycle.RollbackRequest{Reason: "ordered"}, &lifecycle.ConfigStatus{}, &lifecycle.ConfigStatus{Service: "127.0.0.1:18000"}},
-		{"figures", struct{}{}, &figures.Stats{}, &figures.Stats{Listed: 1, Ready: 2, Subset: 3, OutsideTargets: 4, Joined: 5, Left: 6, RejectedLists: 7, MalformedEntries: 8, UnknownKeys: 9,
-			ClosedConnections: map[string]int64{"idle": 10}, EjectedReplicas: 11, Drained: true, OrdersNotSaved: true, OperatorCalls: []figures.OperatorCallCount{{Call: "drain", Accepted: true, Count: 12}}, ListVersion: 13,
-			ListSince: time.Date(2026, 12, 2, 9, 32, 0, 0, time.UTC), Connections: 14, LoopBusy: 15, Reports: figures.ReportAge{WithReport: 16, WithoutReport: 17, Sum: 18},
-			Traffic: [3]figures.Traffic{{Calls: 19, ConnectionsOpened: 20, BytesIn: 21, BytesOut: 22}, {Calls: 23, ConnectionsOpened: 24, BytesIn: 25, BytesOut: 26}, {Calls: 27, ConnectionsOpened: 28, BytesIn: 29, BytesOut: 30}}}},
+		{"figures", struct{}{}, &controlstats.Stats{}, &controlstats.Stats{Listed: 1, Ready: 2, Subset: 3, OutsideTargets: 4, Joined: 5, Left: 6, RejectedLists: 7, MalformedEntries: 8, UnknownKeys: 9,
+			ClosedConnections: map[string]int64{"idle": 10}, EjectedReplicas: 11, Drained: true, OrdersNotSaved: true, OperatorCalls: []controlstats.OperatorCallCount{{Call: "drain", Accepted: true, Count: 12}}, ListVersion: 13,
+			ListSince: time.Date(2026, 12, 2, 9, 32, 0, 0, time.UTC), Connections: 14, LoopBusy: 15, Reports: controlstats.ReportAge{WithReport: 16, WithoutReport: 17, Sum: 18},
+			Traffic: [3]controlstats.Traffic{{Calls: 19, ConnectionsOpened: 20, BytesIn: 21, BytesOut: 22}, {Calls: 23, ConnectionsOpened: 24, BytesIn: 25, BytesOut: 26}, {Calls: 27, ConnectionsOpened: 28, BytesIn: 29, BytesOut: 30}}}},
 		{"contracts/accounts", struct{}{}, &[]contract.AccountStatus{}, &[]contract.AccountStatus{{Team: "quay", Level: 1, Open: 2, Used: [3]contract.Units{3, 4, 5}, Ends: [3]int64{6, 7, 8},
 			Limit: [3]contract.Units{9, 10, 11}, QuotaShare: 0.5, InForce: true,
 			Counters: contract.Counters{Admitted: 12, OverQuota: 13, Rejected: 14, AdmittedUnits: 15, OverQuotaUnits: 16, RejectedUnits: 17, Borrowed: 18, Used: 19}}}},
 	} {
-		if err := control.Call(t.Context(), socket, c.name, c.order, c.read); err != nil {
+		if err := controlsocket.Call(t.Context(), socket, c.name, c.order, c.read); err != nil {
 			t.Errorf("%s: %v", c.name, err)
 		}
 		if diff := cmp.Diff(c.want, c.read); diff != "" {
--- a/internal/lifecycle/unknownkeys.go
+++ b/internal/lifecycle/unknownkeys.go
@@ -7,7 +7,7 @@
 	"reflect"
 	"strings"
 
-	"archknot/internal/wire"
+	"archknot/internal/simwire"
 )
 
 // UnknownKey is a key of NODE_CONFIG that the program does not serve, and where it stands.
@@ -53,7 +53,7 @@
 // knownKeys is what the program reads of NODE_CONFIG, or leaves unread on purpose.
 func knownKeys() keyTree {
 	root := keyTreeOf(reflect.TypeFor[nodeConfig]())
-	settings := keyTreeOf(wire.SettingsType())
+	settings := keyTreeOf(simwire.SettingsType())
 	settings.merge(keyTreeOf(reflect.TypeFor[transportSettings]()))
 	root["settings"] = settings
 	for _, u := range ignoredKeys {
--- a/internal/metrics/control.go
+++ b/internal/metrics/control.go
@@ -5,7 +5,7 @@
 
 	"github.com/prometheus/client_golang/prometheus"
 
-	"archknot/internal/figures"
+	"archknot/internal/controlstats"
 )
 
 // controlCollector collects a gateway's account of its control work.
@@ -85,8 +85,8 @@
 	count(attemptsDesc, float64(of.Reports.WithReport), "known")
 	count(attemptsDesc, float64(of.Reports.WithoutReport), "none")
 	count(reportAgeDesc, of.Reports.Sum.Seconds())
-	for p := range figures.PurposeCount {
-		t, word := of.Traffic[p], figures.Purpose(p).String()
+	for p := range controlstats.PurposeCount {
+		t, word := of.Traffic[p], controlstats.Purpose(p).String()
 		count(callsDesc, float64(t.Calls), word)
 		count(openedDesc, float64(t.ConnectionsOpened), word)
 		count(bytesDesc, float64(t.BytesIn), word, "in")
--- a/internal/metrics/metrics.go
+++ b/internal/metrics/metrics.go
@@ -14,13 +14,13 @@
 	"github.com/prometheus/client_golang/prometheus/promhttp"
 
 	"archknot/internal/contract"
-	"archknot/internal/figures"
+	"archknot/internal/controlstats"
 )
 
 // Source tells the figures.
 type Source interface {
 	Accounts(ctx context.Context) ([]contract.AccountStatus, error)
-	Control(ctx context.Context) (figures.Stats, error)
+	Control(ctx context.Context) (controlstats.Stats, error)
 }
 
 // scrapeTimeout bounds the time that figures may take.
--- a/internal/metrics/metrics_test.go
+++ b/internal/metrics/metrics_test.go
@@ -14,12 +14,12 @@
 	"github.com/prometheus/client_golang/prometheus/testutil"
 
 	"archknot/internal/contract"
-	"archknot/internal/figures"
+	"archknot/internal/controlstats"
 )
 
 type fakeSource struct {
 	accounts []contract.AccountStatus
-	control  figures.Stats
+	control  controlstats.Stats
 	err      error
 }
 
@@ -27,7 +27,7 @@
 	return s.accounts, s.err
 }
 
-func (s *fakeSource) Control(context.Context) (figures.Stats, error) { return s.control, s.err }
+func (s *fakeSource) Control(context.Context) (controlstats.Stats, error) { return s.control, s.err }
 
 func account(i int) contract.AccountStatus {
 	a := contract.AccountStatus{Team: fmt.Sprint("team", i), Level: 5 * contract.Token, Open: 2, QuotaShare: 0.25, InForce: true}
@@ -107,9 +107,9 @@
 
 // What a gateway tells of its control work is there by name, purpose and way.
 func TestControlMetrics(t *testing.T) {
-	s := &fakeSource{control: figures.Stats{Listed: 6000, Ready: 5990, Subset: 102, OutsideTargets: 64, Joined: 110, Left: 8, RejectedLists: 3, ListVersion: 41,
-		Connections: 120, LoopBusy: 2500 * time.Millisecond, Reports: figures.ReportAge{WithReport: 40, WithoutReport: 2, Sum: 12 * time.Second}}}
-	s.control.Traffic[figures.PurposeHealthCheck] = figures.Traffic{Calls: 70, ConnectionsOpened: 9, BytesIn: 10_000, BytesOut: 4000}
+	s := &fakeSource{control: controlstats.Stats{Listed: 6000, Ready: 5990, Subset: 102, OutsideTargets: 64, Joined: 110, Left: 8, RejectedLists: 3, ListVersion: 41,
+		Connections: 120, LoopBusy: 2500 * time.Millisecond, Reports: controlstats.ReportAge{WithReport: 40, WithoutReport: 2, Sum: 12 * time.Second}}}
+	s.control.Traffic[controlstats.PurposeHealthCheck] = controlstats.Traffic{Calls: 70, ConnectionsOpened: 9, BytesIn: 10_000, BytesOut: 4000}
 	got := map[string]float64{}
 	r := prometheus.NewRegistry()
 	r.MustRegister(&controlCollector{s})
--- a/internal/publicnames/publicnames_test.go
+++ b/internal/publicnames/publicnames_test.go
@@ -20,21 +20,21 @@
 
 	"go.etcd.io/bbolt"
 
-	"archknot/choice"
+	"archknot/balancer"
 	"archknot/internal/capture"
-	"archknot/internal/conf"
-	"archknot/internal/confstream"
+	"archknot/internal/config"
+	"archknot/internal/configversion"
 	"archknot/internal/contract"
 	"archknot/internal/contract/ledger"
-	"archknot/internal/contract/trial"
+	"archknot/internal/contractsim"
+	"archknot/internal/controlstats"
 	"archknot/internal/experiment"
-	"archknot/internal/figures"
 	"archknot/internal/lifecycle"
 	"archknot/internal/metrics"
 	"archknot/internal/publicnames"
 	"archknot/internal/replay"
-	"archknot/internal/revision"
-	"archknot/internal/wire"
+	"archknot/internal/simwire"
+	"archknot/internal/xdsclient"
 )
 
 // figuresSource has one figure of each kind.
@@ -48,8 +48,8 @@
 	return []contract.AccountStatus{account}, nil
 }
 
-func (figuresSource) Control(context.Context) (figures.Stats, error) {
-	return figures.Stats{ClosedConnections: map[string]int64{"idle": 1}, OperatorCalls: []figures.OperatorCallCount{{Call: "ready", Accepted: true}, {Call: "ready"}}}, nil
+func (figuresSource) Control(context.Context) (controlstats.Stats, error) {
+	return controlstats.Stats{ClosedConnections: map[string]int64{"idle": 1}, OperatorCalls: []controlstats.OperatorCallCount{{Call: "ready", Accepted: true}, {Call: "ready"}}}, nil
 }
 
 // Metrics keep their names, labels and the labels' values.
@@ -96,17 +96,17 @@
 }
 
 func loadSettings(file string) error {
-	_, err := conf.Load(file)
+	_, err := config.Load(file)
 	return err
 }
 
 func loadPlan(file string) error {
-	_, err := conf.LoadPlan(file)
+	_, err := config.LoadPlan(file)
 	return err
 }
 
 func loadScaleRun(file string) error {
-	_, err := conf.LoadScaleRun(file)
+	_, err := config.LoadScaleRun(file)
 	return err
 }
 
@@ -116,7 +116,7 @@
 	for i, section := range names {
 		names[i] = "[" + section + "]"
 	}
-	for _, s := range conf.Default().Settings() {
+	for _, s := range config.Default().Settings() {
 		names = append(names, s.Section+"."+s.Key+" = "+s.Default+" ("+s.Type+")")
 	}
 	for _, key := range knownKeys(t, loadSettings, "[contract x]\n"+noSuchKey+" 1\n") {
@@ -152,12 +152,12 @@
 func TestJSONFields(t *testing.T) {
 	var names []string
 	for root, of := range map[string]reflect.Type{
-		"capture settings":    reflect.TypeFor[choice.Settings](),
+		"capture settings":    reflect.TypeFor[balancer.Settings](),
 		"capture manifest":    reflect.TypeFor[capture.Manifest](),
 		"capture missing":     reflect.TypeFor[capture.Missing](),
-		"config history":      reflect.TypeFor[confstream.HistoryEntry](),
+		"config history":      reflect.TypeFor[xdsclient.HistoryEntry](),
 		"control accounts":    reflect.TypeFor[contract.AccountStatus](),
-		"control figures":     reflect.TypeFor[figures.Stats](),
+		"control figures":     reflect.TypeFor[controlstats.Stats](),
 		"control rollback":    reflect.TypeFor[lifecycle.RollbackRequest](),
 		"control save":        reflect.TypeFor[lifecycle.SaveRequest](),
 		"control save answer": reflect.TypeFor[lifecycle.SaveResponse](),
@@ -165,9 +165,9 @@
 		"contracts":           reflect.TypeFor[contract.Terms](),
 		"experiment record":   reflect.TypeFor[experiment.Record](),
 		"experiment report":   reflect.TypeFor[experiment.Summary](),
-		"settings shown":      reflect.TypeFor[conf.Setting](),
-		"simulator settings":  wire.SettingsType(),
-		"contracts simulated": reflect.TypeFor[trial.Result](),
+		"settings shown":      reflect.TypeFor[config.Setting](),
+		"simulator settings":  simwire.SettingsType(),
+		"contracts simulated": reflect.TypeFor[contractsim.Result](),
 		"replay builds":       reflect.TypeFor[replay.BuildComparison](),
 		"replay difference":   reflect.TypeFor[replay.Difference](),
 		"replay perturbed":    reflect.TypeFor[replay.PerturbResult](),
@@ -181,11 +181,11 @@
 // Stores keep their files, buckets and keys.
 func TestStores(t *testing.T) {
 	dir := t.TempDir()
-	configurations, _, err := confstream.OpenStore(filepath.Join(dir, "configurations"))
+	configurations, _, err := xdsclient.OpenStore(filepath.Join(dir, "configurations"))
 	if err != nil {
 		t.Fatal(err)
 	}
-	if err := configurations.SaveVersion(&revision.Config{}, []revision.Number{1}); err != nil {
+	if err := configurations.SaveVersion(&configversion.Config{}, []configversion.Number{1}); err != nil {
 		t.Fatal(err)
 	}
 	balances, _, err := ledger.Open(filepath.Join(dir, "balances"))
@@ -243,7 +243,7 @@
 // Headers, paths and environment variables that the program has as string literals stay.
 func TestWireLiterals(t *testing.T) {
 	var names []string
-	for _, dir := range []string{"../../cmd/archknot", "..", "../../choice", "../../balancer"} {
+	for _, dir := range []string{"../../cmd/archknot", "..", "../../balancer"} {
 		err := filepath.WalkDir(dir, func(path string, entry fs.DirEntry, err error) error {
 			switch {
 			case os.IsNotExist(err):
--- a/internal/replay/explain.go
+++ b/internal/replay/explain.go
@@ -7,14 +7,14 @@
 	"slices"
 	"strconv"
 
-	"archknot/choice"
+	"archknot/balancer"
 	"archknot/internal/capture"
 	pb "archknot/internal/capture/capturepb"
 )
 
-func sortedByScore(t []choice.ScoreBreakdown) []choice.ScoreBreakdown {
+func sortedByScore(t []balancer.ScoreBreakdown) []balancer.ScoreBreakdown {
 	out := slices.Clone(t)
-	slices.SortStableFunc(out, func(a, b choice.ScoreBreakdown) int { return cmp.Compare(a.Score, b.Score) })
+	slices.SortStableFunc(out, func(a, b balancer.ScoreBreakdown) int { return cmp.Compare(a.Score, b.Score) })
 	return out
 }
 
@@ -80,11 +80,11 @@
 }
 
 // mainReason names the term that sets the chosen worker apart from the next most.
-func mainReason(a, b choice.ScoreBreakdown) string {
-	held := func(t choice.ScoreBreakdown) float64 {
+func mainReason(a, b balancer.ScoreBreakdown) string {
+	held := func(t balancer.ScoreBreakdown) float64 {
 		return (1-t.ReportWeight)*(t.PeerLoad+t.LedgerLoad) + t.ReportWeight*(t.Reported+t.Unreported) + t.Noise
 	}
-	read := func(t choice.ScoreBreakdown) float64 { return t.PrefillCost * (t.PromptTokens - t.CachedTokens) }
+	read := func(t balancer.ScoreBreakdown) float64 { return t.PrefillCost * (t.PromptTokens - t.CachedTokens) }
 	best, gain := "", 0.0
 	for _, c := range []struct {
 		what string
--- a/internal/replay/filter.go
+++ b/internal/replay/filter.go
@@ -11,7 +11,7 @@
 	"github.com/alecthomas/participle/v2"
 	"github.com/alecthomas/participle/v2/lexer"
 
-	"archknot/choice"
+	"archknot/balancer"
 	pb "archknot/internal/capture/capturepb"
 )
 
@@ -72,7 +72,7 @@
 type filterSubject struct {
 	names  *Names
 	record *pb.Record
-	at     choice.Micros // since the run began
+	at     balancer.Micros // since the run began
 }
 
 type fieldType uint8
@@ -106,7 +106,7 @@
 // arrival is that of the event's request, where the capture told it.
 func (s *filterSubject) arrival() *pb.Arrival {
 	if s.record.Kind == pb.Kind_KIND_TIMER {
-		if _, id := choice.TimerPurpose(s.record.Token); id != 0 {
+		if _, id := balancer.TimerPurpose(s.record.Token); id != 0 {
 			return s.names.requests[uint32(id)]
 		}
 		return nil
@@ -119,7 +119,7 @@
 	case pb.Kind_KIND_ARRIVED, pb.Kind_KIND_FIRST, pb.Kind_KIND_ENDED, pb.Kind_KIND_LEFT, pb.Kind_KIND_CHARGED, pb.Kind_KIND_SETTLED, pb.Kind_KIND_TURNED:
 		return s.record.Request
 	case pb.Kind_KIND_TIMER:
-		_, id := choice.TimerPurpose(s.record.Token)
+		_, id := balancer.TimerPurpose(s.record.Token)
 		return uint32(id)
 	}
 	return 1<<32 - 1
@@ -180,7 +180,7 @@
 		if s.record.Kind != pb.Kind_KIND_TIMER {
 			return nil
 		}
-		purpose, _ := choice.TimerPurpose(s.record.Token)
+		purpose, _ := balancer.TimerPurpose(s.record.Token)
 		return oneOrNone(purpose)
 	}},
 	{name: "attempt", kind: numberField, doc: "its number, from 0", number: outcomeNumber(func(o *pb.Outcome) float64 { return float64(o.GetAttempt()) })},
@@ -222,7 +222,7 @@
 }
 
 // Match tells whether an event is meant; at is the time since the run began.
-func (f *Filter) Match(n *Names, r *pb.Record, at choice.Micros) bool {
+func (f *Filter) Match(n *Names, r *pb.Record, at balancer.Micros) bool {
 	return f == nil || f.match(&filterSubject{n, r, at})
 }
 
--- a/internal/replay/host_test.go
+++ b/internal/replay/host_test.go
@@ -7,20 +7,20 @@
 	"testing"
 	"time"
 
-	"archknot/choice"
+	"archknot/balancer"
 	"archknot/internal/capture"
 )
 
-const second choice.Micros = 1_000_000
+const second balancer.Micros = 1_000_000
 
-func testSettings() choice.Settings {
-	return choice.Settings{
+func testSettings() balancer.Settings {
+	return balancer.Settings{
 		Gateways: 3, Zone: "a", Zones: []string{"a", "b"}, Kinds: []string{"k", "l"},
-		Classes: []choice.Class{
+		Classes: []balancer.Class{
 			{Name: "chat", LatencyObjective: second / 2, TokenObjective: 50_000, Deadline: 3 * second, PriorityWeight: 2, LateWeightShare: 0.3, Streaming: true},
 			{Name: "agent", LatencyObjective: second, ObjectivePer1000Tokens: 60_000, TokenObjective: 60_000, Deadline: 4 * second, PriorityWeight: 3, Streaming: true}},
-		Tenants:      []choice.Tenant{{Name: "t1", QuotaPerS: 20}, {Name: "t2", QuotaPerS: 10}},
-		ReportSource: choice.ReportInline, Tick: 2000, PollDiscovery: true, MayHealthCheck: true, MayCancel: true, MayHedge: true, RetryAfter: true,
+		Tenants:      []balancer.Tenant{{Name: "t1", QuotaPerS: 20}, {Name: "t2", QuotaPerS: 10}},
+		ReportSource: balancer.ReportInline, Tick: 2000, PollDiscovery: true, MayHealthCheck: true, MayCancel: true, MayHedge: true, RetryAfter: true,
 		MaxAttempts: 3, MaxRetryAfter: 2 * second, InitialCapacity: 0.3, OverloadMultiple: 3, SlowStartFor: 8 * second,
 		OverloadWindow: 3 * second / 2, StreamsPerConn: 1, ConnIdleTimeout: 60 * second, OverQuotaWeight: 0.05, CrossZoneCost: 0.02, HandshakeCost: 0.02, HealthCheckCost: 0.002,
 	}
@@ -33,12 +33,12 @@
 	t        *testing.T
 	rng      *rand.Rand
 	module   capture.Module
-	balancer *choice.Balancer
-	now      choice.Micros
+	balancer *balancer.Balancer
+	now      balancer.Micros
 	pending  taskQueue
 	seq      uint64
 	timers   map[uint64]capture.Timer // by sequence
-	requests map[choice.RequestID]*hostedRequest
+	requests map[balancer.RequestID]*hostedRequest
 	slowness float64
 	events   int
 	versions int
@@ -51,9 +51,9 @@
 	ended            []bool
 }
 
-func newHost(t *testing.T, seed uint64, clock choice.Micros) *testHost {
-	h := &testHost{t: t, rng: rand.New(rand.NewPCG(seed, 7)), now: clock, timers: map[uint64]capture.Timer{}, requests: map[choice.RequestID]*hostedRequest{}, slowness: 1}
-	b, err := choice.New(testSettings(), seed, h)
+func newHost(t *testing.T, seed uint64, clock balancer.Micros) *testHost {
+	h := &testHost{t: t, rng: rand.New(rand.NewPCG(seed, 7)), now: clock, timers: map[uint64]capture.Timer{}, requests: map[balancer.RequestID]*hostedRequest{}, slowness: 1}
+	b, err := balancer.New(testSettings(), seed, h)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -69,8 +69,8 @@
 			}
 			return out
 		},
-		ReplicaName: func(id choice.ReplicaID) string { return fmt.Sprintf("s-%d", id) },
-		RequestName: func(id choice.RequestID) string { return fmt.Sprintf("req-%d", id) },
+		ReplicaName: func(id balancer.ReplicaID) string { return fmt.Sprintf("s-%d", id) },
+		RequestName: func(id balancer.RequestID) string { return fmt.Sprintf("req-%d", id) },
 	}
 }
 
@@ -81,7 +81,7 @@
 	return r
 }
 
-func (h *testHost) after(d choice.Micros, do func()) {
+func (h *testHost) after(d balancer.Micros, do func()) {
 	h.seq++
 	heap.Push(&h.pending, scheduledTask{h.now + max(1, d), h.seq, do})
 }
@@ -95,17 +95,17 @@
 // begin starts the module with a fleet.
 func (h *testHost) begin(workers int) {
 	h.module.Start(h.now)
-	var all []choice.Endpoint
+	var all []balancer.Endpoint
 	for i := range workers {
-		all = append(all, testEndpoint(i, choice.EndpointReady, 0))
+		all = append(all, testEndpoint(i, balancer.EndpointReady, 0))
 	}
-	h.module.ListChanged(h.now, choice.EndpointList{Kind: choice.ListCached, Endpoints: all})
-	h.module.ListChanged(h.now, choice.EndpointList{Kind: choice.ListFull, Version: 1, Endpoints: all})
+	h.module.ListChanged(h.now, balancer.EndpointList{Kind: balancer.ListCached, Endpoints: all})
+	h.module.ListChanged(h.now, balancer.EndpointList{Kind: balancer.ListFull, Version: 1, Endpoints: all})
 	h.after(second/2, h.churn(workers))
 }
 
-func testEndpoint(i int, state choice.EndpointState, since choice.Micros) choice.Endpoint {
-	return choice.Endpoint{Replica: choice.ReplicaID(1000 + i*17), State: state, Weight: 1, Kind: []string{"k", "l"}[i%2], Zone: []string{"a", "b"}[i%3%2],
+func testEndpoint(i int, state balancer.EndpointState, since balancer.Micros) balancer.Endpoint {
+	return balancer.Endpoint{Replica: balancer.ReplicaID(1000 + i*17), State: state, Weight: 1, Kind: []string{"k", "l"}[i%2], Zone: []string{"a", "b"}[i%3%2],
 		Cell: int64(i), StartedAt: since}
 }
 
@@ -116,17 +116,17 @@
 		i := h.rng.IntN(workers)
 		switch h.rng.IntN(5) {
 		case 0:
-			h.module.ListChanged(h.now, choice.EndpointList{Kind: choice.ListDelta, Endpoints: []choice.Endpoint{testEndpoint(i, choice.EndpointDraining, 0)}})
+			h.module.ListChanged(h.now, balancer.EndpointList{Kind: balancer.ListDelta, Endpoints: []balancer.Endpoint{testEndpoint(i, balancer.EndpointDraining, 0)}})
 		case 1:
-			h.module.ListChanged(h.now, choice.EndpointList{Kind: choice.ListDelta, Endpoints: []choice.Endpoint{testEndpoint(i, choice.EndpointGone, 0)}})
+			h.module.ListChanged(h.now, balancer.EndpointList{Kind: balancer.ListDelta, Endpoints: []balancer.Endpoint{testEndpoint(i, balancer.EndpointGone, 0)}})
 		case 2:
-			h.module.ListChanged(h.now, choice.EndpointList{Kind: choice.ListFailed})
+			h.module.ListChanged(h.now, balancer.EndpointList{Kind: balancer.ListFailed})
 			h.reconfigure()
 		default:
-			h.module.ListChanged(h.now, choice.EndpointList{Kind: choice.ListDelta, Endpoints: []choice.Endpoint{testEndpoint(i, choice.EndpointReady, h.now-second)}})
+			h.module.ListChanged(h.now, balancer.EndpointList{Kind: balancer.ListDelta, Endpoints: []balancer.Endpoint{testEndpoint(i, balancer.EndpointReady, h.now-second)}})
 		}
 		h.countEvent()
-		h.after(choice.Micros(h.rng.ExpFloat64()*0.7e6), next)
+		h.after(balancer.Micros(h.rng.ExpFloat64()*0.7e6), next)
 	}
 	return next
 }
@@ -136,7 +136,7 @@
 	s := testSettings()
 	h.versions++
 	s.MaxAttempts, s.OverQuotaWeight = 1+h.rng.IntN(3), h.rng.Float64()
-	s.Classes[h.rng.IntN(2)].LatencyObjective = second/4 + choice.Micros(h.rng.IntN(1_000_000))
+	s.Classes[h.rng.IntN(2)].LatencyObjective = second/4 + balancer.Micros(h.rng.IntN(1_000_000))
 	if h.rng.IntN(3) == 0 {
 		s.Classes = s.Classes[h.rng.IntN(2):][:1]
 	}
@@ -149,8 +149,8 @@
 
 // run tells the module seconds of requests at a rate.
 func (h *testHost) run(seconds float64, rate float64) {
-	end := h.now + choice.Micros(seconds*1e6)
-	id := choice.RequestID(h.seq)
+	end := h.now + balancer.Micros(seconds*1e6)
+	id := balancer.RequestID(h.seq)
 	var arrive func()
 	arrive = func() {
 		if h.now >= end {
@@ -160,14 +160,14 @@
 		if h.requests[id] == nil {
 			h.requests[id] = &hostedRequest{streamingAttempt: -1}
 			class := []string{"chat", "agent", "unknown"}[min(h.rng.IntN(20)/9, 2)]
-			h.module.RequestArrived(h.now, choice.Request{ID: id, Class: class, Tenant: []string{"t1", "t2", "t\xff3"}[h.rng.IntN(3)], TimeLeft: 2*second + choice.Micros(h.rng.IntN(2000000)),
+			h.module.RequestArrived(h.now, balancer.Request{ID: id, Class: class, Tenant: []string{"t1", "t2", "t\xff3"}[h.rng.IntN(3)], TimeLeft: 2*second + balancer.Micros(h.rng.IntN(2000000)),
 				PromptTokens: 100 + h.rng.IntN(5000), PrefixTokens: 90, MaxTokens: 300, Session: uint64(1 + h.rng.IntN(300)), Prefix: uint64(1 + h.rng.IntN(12))})
 			h.countEvent()
 			if h.rng.IntN(60) == 0 {
-				h.after(choice.Micros(h.rng.IntN(1000000)), func() { h.leave(id) })
+				h.after(balancer.Micros(h.rng.IntN(1000000)), func() { h.leave(id) })
 			}
 		}
-		h.after(choice.Micros(h.rng.ExpFloat64()*1e6/rate), arrive)
+		h.after(balancer.Micros(h.rng.ExpFloat64()*1e6/rate), arrive)
 	}
 	arrive()
 	for len(h.pending) > 0 && h.pending[0].at <= end {
@@ -178,7 +178,7 @@
 	h.now = end
 }
 
-func (h *testHost) leave(id choice.RequestID) {
+func (h *testHost) leave(id balancer.RequestID) {
 	if r := h.requests[id]; r != nil && !r.done {
 		r.done = true
 		h.module.ClientGone(h.now, id)
@@ -186,71 +186,71 @@
 	}
 }
 
-func (h *testHost) report() choice.LoadReport {
-	return choice.LoadReport{Has: choice.HasMemory | choice.HasInFlight | choice.HasService, MemoryShare: h.rng.Float64(), InFlight: float64(h.rng.IntN(9)),
+func (h *testHost) report() balancer.LoadReport {
+	return balancer.LoadReport{Has: balancer.HasMemory | balancer.HasInFlight | balancer.HasService, MemoryShare: h.rng.Float64(), InFlight: float64(h.rng.IntN(9)),
 		ServiceMs: 50 + 200*h.rng.Float64()}
 }
 
-func (h *testHost) Dispatch(id choice.RequestID, to choice.ReplicaID, cutAt choice.Micros) {
+func (h *testHost) Dispatch(id balancer.RequestID, to balancer.ReplicaID, cutAt balancer.Micros) {
 	r, sent := h.requests[id], h.now
 	n := len(r.ended)
 	r.ended = append(r.ended, false)
-	end := func(status choice.Status, report choice.LoadReport, kept int) {
+	end := func(status balancer.Status, report balancer.LoadReport, kept int) {
 		if r.ended[n] {
 			return
 		}
 		r.ended[n] = true
-		if r.streamingAttempt == n || status == choice.Served && r.streamingAttempt < 0 {
+		if r.streamingAttempt == n || status == balancer.Served && r.streamingAttempt < 0 {
 			r.done = true
 		} else if r.streamingAttempt >= 0 {
-			status = choice.Cancelled
+			status = balancer.Cancelled
 		}
-		h.module.AttemptEnded(h.now, choice.Outcome{ID: id, Attempt: n, Replica: to, Status: status, Elapsed: h.now - sent, Final: r.done, CachedTokens: kept,
+		h.module.AttemptEnded(h.now, balancer.Outcome{ID: id, Attempt: n, Replica: to, Status: status, Elapsed: h.now - sent, Final: r.done, CachedTokens: kept,
 			OutputTokens: 40, Report: report})
 		h.countEvent()
 	}
-	first := choice.Micros(h.slowness * (50_000 + h.rng.ExpFloat64()*200_000))
+	first := balancer.Micros(h.slowness * (50_000 + h.rng.ExpFloat64()*200_000))
 	switch h.rng.IntN(12) {
 	case 0:
-		status := choice.Status(h.rng.IntN(10))
-		h.after(first, func() { end(status, choice.LoadReport{}, 0) })
+		status := balancer.Status(h.rng.IntN(10))
+		h.after(first, func() { end(status, balancer.LoadReport{}, 0) })
 	case 1:
-		h.after(cutAt-h.now, func() { end(choice.TimedOut, choice.LoadReport{}, 0) })
+		h.after(cutAt-h.now, func() { end(balancer.TimedOut, balancer.LoadReport{}, 0) })
 	default:
 		h.after(first, func() {
 			if r.ended[n] || r.done || r.streamingAttempt >= 0 || h.now > cutAt {
 				return
 			}
 			r.streamingAttempt = n
-			h.module.FirstToken(h.now, choice.Outcome{ID: id, Attempt: n, Replica: to, Elapsed: h.now - sent})
+			h.module.FirstToken(h.now, balancer.Outcome{ID: id, Attempt: n, Replica: to, Elapsed: h.now - sent})
 			h.countEvent()
 		})
-		h.after(first+choice.Micros(h.slowness*h.rng.ExpFloat64()*500_000), func() { end(choice.Served, h.report(), h.rng.IntN(2000)) })
+		h.after(first+balancer.Micros(h.slowness*h.rng.ExpFloat64()*500_000), func() { end(balancer.Served, h.report(), h.rng.IntN(2000)) })
 	}
 }
 
-func (h *testHost) answer(id choice.RequestID) {
+func (h *testHost) answer(id balancer.RequestID) {
 	if h.requests[id].done {
 		h.t.Errorf("request %d: a second answer", id)
 	}
 	h.requests[id].done = true
 }
 
-func (h *testHost) Shed(id choice.RequestID, _ choice.Micros) { h.answer(id) }
-func (h *testHost) Fail(id choice.RequestID)                  { h.answer(id) }
+func (h *testHost) Shed(id balancer.RequestID, _ balancer.Micros) { h.answer(id) }
+func (h *testHost) Fail(id balancer.RequestID)                    { h.answer(id) }
 
-func (h *testHost) Cancel(id choice.RequestID, n int) {
+func (h *testHost) Cancel(id balancer.RequestID, n int) {
 	r := h.requests[id]
 	h.after(500, func() {
 		if n < len(r.ended) && !r.ended[n] && r.streamingAttempt != n {
 			r.ended[n] = true
-			h.module.AttemptEnded(h.now, choice.Outcome{ID: id, Attempt: n, Status: choice.Cancelled, Final: r.done})
+			h.module.AttemptEnded(h.now, balancer.Outcome{ID: id, Attempt: n, Status: balancer.Cancelled, Final: r.done})
 			h.countEvent()
 		}
 	})
 }
 
-func (h *testHost) SetTimer(delay choice.Micros, token uint64) {
+func (h *testHost) SetTimer(delay balancer.Micros, token uint64) {
 	h.after(delay, nil)
 	seq := h.seq
 	h.timers[seq] = capture.Timer{At: h.now + max(1, delay), Token: token}
@@ -265,9 +265,9 @@
 	}
 }
 
-func (h *testHost) HealthCheck(to choice.ReplicaID) {
+func (h *testHost) HealthCheck(to balancer.ReplicaID) {
 	h.after(3000, func() {
-		h.module.HealthCheckEnded(h.now, choice.Outcome{Replica: to, Status: choice.Served, Elapsed: 3000, Report: h.report()})
+		h.module.HealthCheckEnded(h.now, balancer.Outcome{Replica: to, Status: balancer.Served, Elapsed: 3000, Report: h.report()})
 		h.countEvent()
 	})
 }
@@ -285,7 +285,7 @@
 }
 
 // recordRun makes a capture of a host's run and opens it.
-func recordRun(t *testing.T, seed uint64, clock choice.Micros, seconds float64) (*capture.Run, *testHost, string) {
+func recordRun(t *testing.T, seed uint64, clock balancer.Micros, seconds float64) (*capture.Run, *testHost, string) {
 	t.Helper()
 	dir := t.TempDir()
 	w, err := capture.NewWriter(testWriterOptions(dir))
--- a/internal/replay/names.go
+++ b/internal/replay/names.go
@@ -5,7 +5,7 @@
 	"strings"
 	"time"
 
-	"archknot/choice"
+	"archknot/balancer"
 	"archknot/internal/capture"
 	pb "archknot/internal/capture/capturepb"
 	"archknot/internal/contract"
@@ -82,9 +82,9 @@
 // Class is that of a request, "" if it is not known.
 func (n *Names) Class(id uint32) string { return string(n.requests[id].GetClass()) }
 
-var statusNames = [...]string{choice.Served: "served", choice.Errored: "error", choice.Shed: "declined", choice.TimedOut: "timeout",
-	choice.ConnectFailed: "connect_failed", choice.ConnBroken: "reset", choice.Cancelled: "cancelled", choice.NotSent: "not_sent",
-	choice.Malformed: "spoilt", choice.Rejected: "rejected"}
+var statusNames = [...]string{balancer.Served: "served", balancer.Errored: "error", balancer.Shed: "declined", balancer.TimedOut: "timeout",
+	balancer.ConnectFailed: "connect_failed", balancer.ConnBroken: "reset", balancer.Cancelled: "cancelled", balancer.NotSent: "not_sent",
+	balancer.Malformed: "spoilt", balancer.Rejected: "rejected"}
 
 func statusName(s uint32) string {
 	if int(s) < len(statusNames) {
@@ -181,8 +181,8 @@
 		bit  uint8
 		name string
 		v    float64
-	}{{choice.HasMemory, "memory", r.MemoryShare}, {choice.HasPrefillBacklog, "unread_k", r.UnreadK}, {choice.HasInFlight, "in_flight", r.InFlight},
-		{choice.HasQueued, "queued", r.Queued}, {choice.HasService, "service_ms", r.ServiceMs}, {choice.HasUtilization, "util", r.Util}} {
+	}{{balancer.HasMemory, "memory", r.MemoryShare}, {balancer.HasPrefillBacklog, "unread_k", r.UnreadK}, {balancer.HasInFlight, "in_flight", r.InFlight},
+		{balancer.HasQueued, "queued", r.Queued}, {balancer.HasService, "service_ms", r.ServiceMs}, {balancer.HasUtilization, "util", r.Util}} {
 		if uint8(r.Has)&f.bit != 0 {
 			fmt.Fprintf(&b, "%s%s=%.4g", sep, f.name, f.v)
 			sep = ","
@@ -201,7 +201,7 @@
 
 // describeTimer names the purpose of a timer's token, as choice sets them.
 func (n *Names) describeTimer(token uint64) string {
-	purpose, id := choice.TimerPurpose(token)
+	purpose, id := balancer.TimerPurpose(token)
 	if purpose == "tick" {
 		return "tick"
 	}
@@ -232,6 +232,6 @@
 }
 
 // FormatOffset says a moment as the time since the run began.
-func FormatOffset(run *capture.Run, at choice.Micros) string {
+func FormatOffset(run *capture.Run, at balancer.Micros) string {
 	return fmt.Sprintf("%+.6fs", float64(at-run.Begin())/1e6)
 }
--- a/internal/replay/perturb.go
+++ b/internal/replay/perturb.go
@@ -8,7 +8,7 @@
 	"math/rand/v2"
 	"strings"
 
-	"archknot/choice"
+	"archknot/balancer"
 	"archknot/internal/capture"
 	pb "archknot/internal/capture/capturepb"
 )
@@ -71,14 +71,14 @@
 	result   *PerturbResult
 	kinds    map[Perturbation]bool
 	rng      *rand.Rand
-	balancer *choice.Balancer
-	now      choice.Micros
-	midpoint choice.Micros
+	balancer *balancer.Balancer
+	now      balancer.Micros
+	midpoint balancer.Micros
 	pending  taskQueue
 	seq      uint64
 
-	replicas    map[choice.ReplicaID]choice.EndpointState
-	requests    map[choice.RequestID]*simulatedRequest
+	replicas    map[balancer.ReplicaID]balancer.EndpointState
+	requests    map[balancer.RequestID]*simulatedRequest
 	outcomes    map[uint32][]*pb.Outcome // recorded ends, by the recorded request
 	firsts      map[uint32][]*pb.Outcome
 	samples     []*pb.Outcome // ends to draw from where the record has none
@@ -96,13 +96,13 @@
 }
 
 type simulatedAttempt struct {
-	replica      choice.ReplicaID
-	sent         choice.Micros
+	replica      balancer.ReplicaID
+	sent         balancer.Micros
 	begun, ended bool
 }
 
 type scheduledTask struct {
-	at  choice.Micros
+	at  balancer.Micros
 	seq uint64
 	run func()
 }
@@ -122,7 +122,7 @@
 	return x
 }
 
-func (w *perturbedFleet) after(d choice.Micros, do func()) {
+func (w *perturbedFleet) after(d balancer.Micros, do func()) {
 	w.seq++
 	heap.Push(&w.pending, scheduledTask{w.now + max(1, d), w.seq, do})
 }
@@ -139,7 +139,7 @@
 // module remembers stays bounded. Equal seeds harm alike.
 func Perturb(run *capture.Run, kinds map[Perturbation]bool, seed uint64) (res *PerturbResult, err error) {
 	w := &perturbedFleet{result: &PerturbResult{Violations: []string{}}, kinds: kinds, rng: rand.New(rand.NewPCG(seed, 1)), maxAttempts: run.Settings.MaxAttempts,
-		replicas: map[choice.ReplicaID]choice.EndpointState{}, requests: map[choice.RequestID]*simulatedRequest{}, outcomes: map[uint32][]*pb.Outcome{},
+		replicas: map[balancer.ReplicaID]balancer.EndpointState{}, requests: map[balancer.RequestID]*simulatedRequest{}, outcomes: map[uint32][]*pb.Outcome{},
 		firsts: map[uint32][]*pb.Outcome{}, heldReports: map[uint32][]*pb.Report{}, midpoint: run.Begin() + (run.End()-run.Begin())/2}
 	entries, err := w.load(run)
 	if err != nil {
@@ -205,7 +205,7 @@
 			w.firsts[rec.Request] = append(w.firsts[rec.Request], rec.Outcome)
 		case pb.Kind_KIND_ENDED:
 			w.outcomes[rec.Request] = append(w.outcomes[rec.Request], rec.Outcome)
-			if rec.Outcome.Status == uint32(choice.Served) && len(w.samples) < 4096 {
+			if rec.Outcome.Status == uint32(balancer.Served) && len(w.samples) < 4096 {
 				w.samples = append(w.samples, rec.Outcome)
 			}
 		}
@@ -244,16 +244,16 @@
 		return nil
 	case pb.Kind_KIND_LIST:
 		l := rec.List
-		if choice.ListKind(l.Kind).Complete() {
+		if balancer.ListKind(l.Kind).Complete() {
 			for id := range w.replicas {
-				w.replicas[id] = choice.EndpointGone
+				w.replicas[id] = balancer.EndpointGone
 			}
 		}
 		for _, m := range l.Members {
-			w.replicas[choice.ReplicaID(m.Worker)] = choice.EndpointState(m.State)
+			w.replicas[balancer.ReplicaID(m.Worker)] = balancer.EndpointState(m.State)
 		}
 	case pb.Kind_KIND_ARRIVED:
-		id := choice.RequestID(rec.Request)
+		id := balancer.RequestID(rec.Request)
 		if p := w.requests[id]; p != nil && !p.finished() {
 			return nil // the record's number is still in use here
 		}
@@ -264,7 +264,7 @@
 			w.maxAttempts = max(w.maxAttempts, s.MaxAttempts) // what is in hand keeps its own
 		}
 	case pb.Kind_KIND_LEFT:
-		p := w.requests[choice.RequestID(rec.Request)]
+		p := w.requests[balancer.RequestID(rec.Request)]
 		if p == nil || p.answered {
 			return nil
 		}
@@ -279,10 +279,10 @@
 }
 
 // endInitialAttempts ends the attempts that were out at the beginning.
-func (w *perturbedFleet) endInitialAttempts(b *choice.Balancer) {
+func (w *perturbedFleet) endInitialAttempts(b *balancer.Balancer) {
 	for _, id := range b.InFlightRequests() {
 		for n := range w.maxAttempts {
-			b.AttemptEnded(w.now, choice.Outcome{ID: id, Attempt: n, Status: choice.Cancelled, Final: true})
+			b.AttemptEnded(w.now, balancer.Outcome{ID: id, Attempt: n, Status: balancer.Cancelled, Final: true})
 		}
 	}
 }
@@ -300,7 +300,7 @@
 }
 
 // advanceTo does what is due up to a time.
-func (w *perturbedFleet) advanceTo(at choice.Micros) {
+func (w *perturbedFleet) advanceTo(at balancer.Micros) {
 	for len(w.pending) > 0 && w.pending[0].at <= at {
 		t := heap.Pop(&w.pending).(scheduledTask)
 		w.now = t.at
@@ -325,7 +325,7 @@
 
 // The module's orders: choice.Sink.
 
-func (w *perturbedFleet) Dispatch(id choice.RequestID, to choice.ReplicaID, cutAt choice.Micros) {
+func (w *perturbedFleet) Dispatch(id balancer.RequestID, to balancer.ReplicaID, cutAt balancer.Micros) {
 	p := w.requests[id]
 	if p == nil {
 		w.violation("an attempt for request %d, which nobody sent", id)
@@ -340,24 +340,24 @@
 		w.violation("an attempt for request %d, which has its answer", id)
 	case len(p.attempts) > w.maxAttempts:
 		w.violation("attempt %d for request %d: %d are allowed", n, id, w.maxAttempts)
-	case w.replicas[to] != choice.EndpointReady:
+	case w.replicas[to] != balancer.EndpointReady:
 		w.violation("an attempt to worker %d, told as draining or gone", to)
 	}
 	w.scheduleOutcome(id, p, n, a, cutAt)
 }
 
 // scheduleOutcome plans an attempt's stream and end by a recorded one, harmed.
-func (w *perturbedFleet) scheduleOutcome(id choice.RequestID, p *simulatedRequest, n int, a *simulatedAttempt, cutAt choice.Micros) {
+func (w *perturbedFleet) scheduleOutcome(id balancer.RequestID, p *simulatedRequest, n int, a *simulatedAttempt, cutAt balancer.Micros) {
 	var o *pb.Outcome
 	if ends := w.outcomes[p.recorded]; len(ends) > 0 {
 		o = ends[min(n, len(ends)-1)]
 	} else if len(w.samples) > 0 {
 		o = w.samples[w.rng.IntN(len(w.samples))]
 	}
-	status, elapsed, first := choice.Served, choice.Micros(200_000), choice.Micros(50_000)
-	out := choice.Outcome{ID: id, Attempt: n, Replica: a.replica}
+	status, elapsed, first := balancer.Served, balancer.Micros(200_000), balancer.Micros(50_000)
+	out := balancer.Outcome{ID: id, Attempt: n, Replica: a.replica}
 	if o != nil {
-		status, elapsed = choice.Status(o.Status), o.ElapsedUs
+		status, elapsed = balancer.Status(o.Status), o.ElapsedUs
 		out.CachedTokens, out.OutputTokens = int(o.Kept), int(o.Tokens)
 		out.Report = w.reportFor(o)
 	}
@@ -365,23 +365,23 @@
 	if f := w.firsts[p.recorded]; len(f) > 0 {
 		first = min(elapsed, f[0].ElapsedUs)
 	}
-	if status == choice.Cancelled || status == choice.TimedOut { // by decisions that are not these
-		status = choice.Served
+	if status == balancer.Cancelled || status == balancer.TimedOut { // by decisions that are not these
+		status = balancer.Served
 	}
 	if w.kinds[EvictedPrompts] && w.now >= w.midpoint {
 		out.CachedTokens = 0
 		first += first / 2
 	}
 	if w.kinds[LostAttempts] && w.rng.Float64() < 0.1 {
-		status = [...]choice.Status{choice.ConnBroken, choice.Errored, choice.ConnectFailed, choice.Shed, choice.Malformed}[w.rng.IntN(5)]
+		status = [...]balancer.Status{balancer.ConnBroken, balancer.Errored, balancer.ConnectFailed, balancer.Shed, balancer.Malformed}[w.rng.IntN(5)]
 		first = elapsed + 1
 	}
 	if w.kinds[DelayedOutcomes] && w.rng.Float64() < 0.3 {
-		first += choice.Micros(w.rng.ExpFloat64() * 1e6)
+		first += balancer.Micros(w.rng.ExpFloat64() * 1e6)
 	}
 	end := max(elapsed, first+1)
 	out.Status = status
-	if status == choice.Served {
+	if status == balancer.Served {
 		w.after(first, func() { w.beginStream(p, n, a, out, cutAt) })
 	}
 	w.after(end, func() { w.endAttempt(p, n, a, out) })
@@ -389,7 +389,7 @@
 		w.after(cutAt-w.now, func() {
 			if !a.begun {
 				o := out
-				o.Status, o.CachedTokens, o.OutputTokens, o.Report = choice.TimedOut, 0, 0, choice.LoadReport{}
+				o.Status, o.CachedTokens, o.OutputTokens, o.Report = balancer.TimedOut, 0, 0, balancer.LoadReport{}
 				w.endAttempt(p, n, a, o)
 			}
 		})
@@ -398,7 +398,7 @@
 
 // reportFor is that of a recorded outcome, or with LateReports an earlier one of the
 // same worker, in no order.
-func (w *perturbedFleet) reportFor(o *pb.Outcome) choice.LoadReport {
+func (w *perturbedFleet) reportFor(o *pb.Outcome) balancer.LoadReport {
 	r := o.Report
 	if w.kinds[LateReports] && r != nil {
 		kept := append(w.heldReports[o.Worker], r)
@@ -412,12 +412,12 @@
 }
 
 // beginStream is a stream's first token; the first of a request is the client's.
-func (w *perturbedFleet) beginStream(p *simulatedRequest, n int, a *simulatedAttempt, out choice.Outcome, cutAt choice.Micros) {
+func (w *perturbedFleet) beginStream(p *simulatedRequest, n int, a *simulatedAttempt, out balancer.Outcome, cutAt balancer.Micros) {
 	if a.ended || p.answered || p.streamingAttempt >= 0 {
 		return
 	}
 	a.begun, p.streamingAttempt = true, n
-	o := choice.Outcome{ID: out.ID, Attempt: n, Replica: a.replica, Elapsed: w.now - a.sent}
+	o := balancer.Outcome{ID: out.ID, Attempt: n, Replica: a.replica, Elapsed: w.now - a.sent}
 	w.balancer.FirstToken(w.now, o)
 	if w.kinds[DuplicateOutcomes] && w.rng.Float64() < 0.2 {
 		w.balancer.FirstToken(w.now, o)
@@ -425,15 +425,15 @@
 }
 
 // endAttempt is an attempt's end, told once, or with Duplicates again.
-func (w *perturbedFleet) endAttempt(p *simulatedRequest, n int, a *simulatedAttempt, out choice.Outcome) {
+func (w *perturbedFleet) endAttempt(p *simulatedRequest, n int, a *simulatedAttempt, out balancer.Outcome) {
 	if a.ended {
 		return
 	}
 	a.ended = true
-	if p.streamingAttempt >= 0 && p.streamingAttempt != n && out.Status == choice.Served {
-		out.Status = choice.Cancelled
+	if p.streamingAttempt >= 0 && p.streamingAttempt != n && out.Status == balancer.Served {
+		out.Status = balancer.Cancelled
 	}
-	if p.streamingAttempt == n || p.streamingAttempt < 0 && !p.answered && out.Status == choice.Served {
+	if p.streamingAttempt == n || p.streamingAttempt < 0 && !p.answered && out.Status == balancer.Served {
 		if !p.answered {
 			p.answered = true
 			w.result.Served++
@@ -443,11 +443,11 @@
 	w.balancer.AttemptEnded(w.now, out)
 	if w.kinds[DuplicateOutcomes] && w.rng.Float64() < 0.2 {
 		w.balancer.AttemptEnded(w.now, out)
-		w.after(choice.Micros(w.rng.ExpFloat64()*2e6), func() { w.balancer.AttemptEnded(w.now, out) })
+		w.after(balancer.Micros(w.rng.ExpFloat64()*2e6), func() { w.balancer.AttemptEnded(w.now, out) })
 	}
 }
 
-func (w *perturbedFleet) answerRequest(id choice.RequestID, count *uint64) {
+func (w *perturbedFleet) answerRequest(id balancer.RequestID, count *uint64) {
 	p := w.requests[id]
 	if p == nil || p.answered {
 		w.violation("a second answer for request %d", id)
@@ -460,12 +460,12 @@
 	*count++
 }
 
-func (w *perturbedFleet) Shed(id choice.RequestID, _ choice.Micros) {
+func (w *perturbedFleet) Shed(id balancer.RequestID, _ balancer.Micros) {
 	w.answerRequest(id, &w.result.Shed)
 }
-func (w *perturbedFleet) Fail(id choice.RequestID) { w.answerRequest(id, &w.result.Failed) }
+func (w *perturbedFleet) Fail(id balancer.RequestID) { w.answerRequest(id, &w.result.Failed) }
 
-func (w *perturbedFleet) Cancel(id choice.RequestID, n int) {
+func (w *perturbedFleet) Cancel(id balancer.RequestID, n int) {
 	p := w.requests[id]
 	if p == nil || n >= len(p.attempts) || p.streamingAttempt == n || p.attempts[n].ended {
 		return
@@ -473,18 +473,18 @@
 	a := p.attempts[n]
 	w.after(1000, func() {
 		if p.streamingAttempt != n {
-			w.endAttempt(p, n, a, choice.Outcome{ID: id, Attempt: n, Replica: a.replica, Status: choice.Cancelled})
+			w.endAttempt(p, n, a, balancer.Outcome{ID: id, Attempt: n, Replica: a.replica, Status: balancer.Cancelled})
 		}
 	})
 }
 
-func (w *perturbedFleet) SetTimer(delay choice.Micros, token uint64) {
+func (w *perturbedFleet) SetTimer(delay balancer.Micros, token uint64) {
 	w.after(delay, func() { w.balancer.TimerFired(w.now, token) })
 }
 
-func (w *perturbedFleet) HealthCheck(to choice.ReplicaID) {
+func (w *perturbedFleet) HealthCheck(to balancer.ReplicaID) {
 	w.after(2000, func() {
-		w.balancer.HealthCheckEnded(w.now, choice.Outcome{Replica: to, Status: choice.Served, Elapsed: 2000})
+		w.balancer.HealthCheckEnded(w.now, balancer.Outcome{Replica: to, Status: balancer.Served, Elapsed: 2000})
 	})
 }
 
--- a/internal/replay/replay.go
+++ b/internal/replay/replay.go
@@ -15,7 +15,7 @@
 	"google.golang.org/protobuf/proto"
 	"google.golang.org/protobuf/reflect/protoreflect"
 
-	"archknot/choice"
+	"archknot/balancer"
 	"archknot/internal/capture"
 	pb "archknot/internal/capture/capturepb"
 	"archknot/internal/contract/contractpb"
@@ -23,54 +23,54 @@
 
 // Options of a replay.
 type Options struct {
-	From, To             choice.Micros // on the module's clock; To 0: to the end
-	RestartAtCheckpoints bool          // begin anew at each checkpoint, from its state
-	Where                *Filter       // only differences at events that match count
+	From, To             balancer.Micros // on the module's clock; To 0: to the end
+	RestartAtCheckpoints bool            // begin anew at each checkpoint, from its state
+	Where                *Filter         // only differences at events that match count
 	Explain              func(*Names, *pb.Record) bool
 	OnStep               func(*Step) // after each event
 	OnDifference         func(*Difference)
-	Progress             func(at choice.Micros)
+	Progress             func(at balancer.Micros)
 }
 
 // Step is one event, replayed.
 type Step struct {
 	Number      uint64
-	At          choice.Micros
+	At          balancer.Micros
 	Record      *pb.Record
 	Actions     []*pb.Action // what this build ordered, in step with the record; good until the next event
 	Differences []*Difference
 	Picks       []Pick // where Explain asked for them
 	Names       *Names
-	Balancer    *choice.Balancer
+	Balancer    *balancer.Balancer
 }
 
 // Pick is one choice of a worker.
 type Pick struct {
-	Request  choice.RequestID
-	Chosen   choice.ReplicaID
+	Request  balancer.RequestID
+	Chosen   balancer.ReplicaID
 	Found    bool
-	Scores   []choice.ScoreBreakdown
+	Scores   []balancer.ScoreBreakdown
 	Excluded []Excluded
 }
 
 // Excluded is a worker that was not weighed, and why.
 type Excluded struct {
-	Replica choice.ReplicaID
+	Replica balancer.ReplicaID
 	Reason  string
 }
 
 // Difference is one decision that this build makes otherwise.
 type Difference struct {
-	Number   uint64        `json:"event"`
-	At       choice.Micros `json:"at_us"`
-	Kind     string        `json:"kind"` // of the decision: one of Kinds
-	Request  string        `json:"request,omitempty"`
-	Class    string        `json:"class,omitempty"`
-	Replica  string        `json:"worker,omitempty"` // that the record names
-	Event    string        `json:"told"`
-	Own      string        `json:"own"`
-	Recorded string        `json:"recorded"`
-	Pick     *Pick         `json:"-"` // for the first difference of a pick
+	Number   uint64          `json:"event"`
+	At       balancer.Micros `json:"at_us"`
+	Kind     string          `json:"kind"` // of the decision: one of Kinds
+	Request  string          `json:"request,omitempty"`
+	Class    string          `json:"class,omitempty"`
+	Replica  string          `json:"worker,omitempty"` // that the record names
+	Event    string          `json:"told"`
+	Own      string          `json:"own"`
+	Recorded string          `json:"recorded"`
+	Pick     *Pick           `json:"-"` // for the first difference of a pick
 }
 
 // Kinds of differences.
@@ -119,10 +119,10 @@
 	result     *Result
 	names      *Names
 	digestHash *xxhash.Digest
-	balancer   *choice.Balancer      // nil: waiting for a checkpoint
+	balancer   *balancer.Balancer    // nil: waiting for a checkpoint
 	ledger     *capture.ReplayLedger // the contracts' book beside it
 
-	now            choice.Micros
+	now            balancer.Micros
 	number         uint64
 	record         *pb.Record
 	usedActions    []bool // recorded orders that a decision has used up
@@ -337,7 +337,7 @@
 
 // recordedDispatch finds the dispatch of a request that the record has and no decision
 // of this event has used up.
-func (p *player) recordedDispatch(id choice.RequestID) int {
+func (p *player) recordedDispatch(id balancer.RequestID) int {
 	for i, a := range p.record.Actions {
 		if a.Kind == pb.Action_DISPATCH && a.Request == uint32(id) && !p.usedActions[i] {
 			return i
@@ -348,7 +348,7 @@
 
 // The judge: it keeps the module in step with the record.
 
-func (p *player) Admit(id choice.RequestID, own bool) bool {
+func (p *player) Admit(id balancer.RequestID, own bool) bool {
 	p.result.Decisions++
 	if !own && p.recordedDispatch(id) >= 0 {
 		p.addDifference(KindAdmit, uint32(id), 0, "turned away", "let in", nil)
@@ -357,7 +357,7 @@
 	return own // turned away in the record: the pick finds no dispatch
 }
 
-func (p *player) Retry(id choice.RequestID, own bool) bool {
+func (p *player) Retry(id balancer.RequestID, own bool) bool {
 	p.result.Decisions++
 	if !own && p.recordedDispatch(id) >= 0 {
 		p.addDifference(KindRetry, uint32(id), 0, "no further attempt", "a further attempt", nil)
@@ -366,7 +366,7 @@
 	return own
 }
 
-func (p *player) Pick(id choice.RequestID, own choice.ReplicaID, any bool, weighed []choice.ScoreBreakdown) (choice.ReplicaID, bool) {
+func (p *player) Pick(id balancer.RequestID, own balancer.ReplicaID, any bool, weighed []balancer.ScoreBreakdown) (balancer.ReplicaID, bool) {
 	p.result.Decisions++
 	explain := p.options.Explain != nil && p.options.Explain(p.names, p.record)
 	var kept *Pick
@@ -383,7 +383,7 @@
 	if i < 0 && !any {
 		return 0, false
 	}
-	word := func(id choice.ReplicaID, any bool) string {
+	word := func(id balancer.ReplicaID, any bool) string {
 		if !any {
 			return "no worker"
 		}
@@ -394,7 +394,7 @@
 		return 0, false
 	}
 	p.usedActions[i] = true
-	to := choice.ReplicaID(p.record.Actions[i].Worker)
+	to := balancer.ReplicaID(p.record.Actions[i].Worker)
 	if !any || own != to {
 		p.addDifference(KindPick, uint32(id), uint32(to), word(own, any), word(to, true), p.keepFirstPick(keep))
 	}
@@ -410,9 +410,9 @@
 	return keep()
 }
 
-func (p *player) newPick(id choice.RequestID, own choice.ReplicaID, any bool, weighed []choice.ScoreBreakdown) *Pick {
-	k := &Pick{Request: id, Chosen: own, Found: any, Scores: append([]choice.ScoreBreakdown(nil), weighed...)}
-	in := map[choice.ReplicaID]bool{}
+func (p *player) newPick(id balancer.RequestID, own balancer.ReplicaID, any bool, weighed []balancer.ScoreBreakdown) *Pick {
+	k := &Pick{Request: id, Chosen: own, Found: any, Scores: append([]balancer.ScoreBreakdown(nil), weighed...)}
+	in := map[balancer.ReplicaID]bool{}
 	for _, t := range weighed {
 		in[t.Replica] = true
 	}
@@ -482,7 +482,7 @@
 	}
 	request := any.Request
 	if any.Kind == pb.Action_SET_TIMER {
-		_, id := choice.TimerPurpose(any.Token)
+		_, id := balancer.TimerPurpose(any.Token)
 		request = uint32(id)
 	}
 	p.addDifference(kind, request, any.Worker, ownText, wantText, nil)
@@ -490,7 +490,7 @@
 
 // The module's orders: choice.Sink.
 
-func (p *player) addAction(kind pb.Action_Kind, id choice.RequestID, to choice.ReplicaID, at choice.Micros) *pb.Action {
+func (p *player) addAction(kind pb.Action_Kind, id balancer.RequestID, to balancer.ReplicaID, at balancer.Micros) *pb.Action {
 	if p.ownCount == len(p.ownActions) {
 		p.ownActions = append(p.ownActions, &pb.Action{})
 	}
@@ -500,22 +500,22 @@
 	return a
 }
 
-func (p *player) Dispatch(id choice.RequestID, to choice.ReplicaID, cutAt choice.Micros) {
+func (p *player) Dispatch(id balancer.RequestID, to balancer.ReplicaID, cutAt balancer.Micros) {
 	p.addAction(pb.Action_DISPATCH, id, to, cutAt)
 }
-func (p *player) Shed(id choice.RequestID, after choice.Micros) {
+func (p *player) Shed(id balancer.RequestID, after balancer.Micros) {
 	p.addAction(pb.Action_REFUSE, id, 0, after)
 }
-func (p *player) Fail(id choice.RequestID) { p.addAction(pb.Action_FAIL, id, 0, 0) }
-func (p *player) Cancel(id choice.RequestID, n int) {
+func (p *player) Fail(id balancer.RequestID) { p.addAction(pb.Action_FAIL, id, 0, 0) }
+func (p *player) Cancel(id balancer.RequestID, n int) {
 	p.addAction(pb.Action_CANCEL, id, 0, 0).Attempt = uint32(n)
 }
-func (p *player) SetTimer(delay choice.Micros, token uint64) {
+func (p *player) SetTimer(delay balancer.Micros, token uint64) {
 	p.addAction(pb.Action_SET_TIMER, 0, 0, delay).Token = token
 }
-func (p *player) HealthCheck(to choice.ReplicaID) { p.addAction(pb.Action_PROBE, 0, to, 0) }
-func (p *player) Gossip(body []byte)              { p.addAction(pb.Action_TELL_PEERS, 0, 0, 0).Body = body }
-func (p *player) WatchDiscovery()                 { p.addAction(pb.Action_WATCH_REGISTRY, 0, 0, 0) }
+func (p *player) HealthCheck(to balancer.ReplicaID) { p.addAction(pb.Action_PROBE, 0, to, 0) }
+func (p *player) Gossip(body []byte)                { p.addAction(pb.Action_TELL_PEERS, 0, 0, 0).Body = body }
+func (p *player) WatchDiscovery()                   { p.addAction(pb.Action_WATCH_REGISTRY, 0, 0, 0) }
 
 // describeStateDifference names the first field in which two states differ.
 func describeStateDifference(own, recorded []byte) string {
--- a/internal/replay/replay_test.go
+++ b/internal/replay/replay_test.go
@@ -14,7 +14,7 @@
 	"google.golang.org/protobuf/encoding/protowire"
 	"google.golang.org/protobuf/proto"
 
-	"archknot/choice"
+	"archknot/balancer"
 	"archknot/internal/capture"
 	pb "archknot/internal/capture/capturepb"
 )
@@ -22,7 +22,7 @@
 // A capture replayed twice gives the same decisions as were recorded, from the
 // start and from each checkpoint, whatever the clock begins at.
 func TestReplayReproducesDecisions(t *testing.T) {
-	for _, clock := range []choice.Micros{0, 1, 1_780_000_000_000_000} {
+	for _, clock := range []balancer.Micros{0, 1, 1_780_000_000_000_000} {
 		run, h, _ := recordRun(t, uint64(clock)+3, clock, 30)
 		a, b := mustReplay(t, run, Options{}), mustReplay(t, run, Options{RestartAtCheckpoints: true})
 		if a.Differing != 0 || a.Gaps != 0 || a.Skipped != 0 || a.Digest != b.Digest || b.Differing != 0 {
@@ -64,14 +64,14 @@
 // would have sent elsewhere do not lead it astray.
 func TestChangedModuleIsFlagged(t *testing.T) {
 	run, _, _ := recordRun(t, 8, 0, 20)
-	changed := map[string]func(*choice.Settings){
-		"price":    func(s *choice.Settings) { s.CrossZoneCost = 0.5 },
-		"attempts": func(s *choice.Settings) { s.MaxAttempts = 1 },
-		"copies":   func(s *choice.Settings) { s.MayHedge = false },
-		"worth":    func(s *choice.Settings) { s.OverQuotaWeight = 1 },
-		"advice":   func(s *choice.Settings) { s.MaxRetryAfter = 1000 },
-		"aim": func(s *choice.Settings) {
-			s.Classes = append([]choice.Class(nil), s.Classes...)
+	changed := map[string]func(*balancer.Settings){
+		"price":    func(s *balancer.Settings) { s.CrossZoneCost = 0.5 },
+		"attempts": func(s *balancer.Settings) { s.MaxAttempts = 1 },
+		"copies":   func(s *balancer.Settings) { s.MayHedge = false },
+		"worth":    func(s *balancer.Settings) { s.OverQuotaWeight = 1 },
+		"advice":   func(s *balancer.Settings) { s.MaxRetryAfter = 1000 },
+		"aim": func(s *balancer.Settings) {
+			s.Classes = append([]balancer.Class(nil), s.Classes...)
 			s.Classes[0].LatencyObjective = second / 4
 		},
 	}
--- a/internal/drill/scale/discovery.go
+++ b/internal/scaletest/discovery.go
@@ -1,4 +1,4 @@
-package scale
+package scaletest
 
 import (
 	"bytes"
@@ -13,14 +13,14 @@
 	"sync/atomic"
 	"time"
 
-	"archknot/internal/conf"
-	"archknot/internal/wire/socket"
+	"archknot/internal/config"
+	"archknot/internal/httpwire"
 )
 
 // DiscoverySpec is what the stand-in for discovery starts with.
 type DiscoverySpec struct {
-	Instances []socket.Endpoint `json:"instances"`
-	Framing   string            `json:"framing"`
+	Instances []httpwire.Endpoint `json:"instances"`
+	Framing   string              `json:"framing"`
 }
 
 // discovery is a stand-in for discovery: whole lists, changes since a version, and watches, in any
@@ -33,7 +33,7 @@
 
 	mu        sync.Mutex
 	version   int64
-	instances []socket.Endpoint
+	instances []httpwire.Endpoint
 	changed   []int64       // the version of each instance's last change
 	news      chan struct{} // closed at the next change
 }
@@ -50,14 +50,14 @@
 }
 
 func (d *discovery) ServeHTTP(w http.ResponseWriter, r *http.Request) {
-	if r.URL.Path != socket.ListPath {
+	if r.URL.Path != httpwire.ListPath {
 		http.NotFound(w, r)
 		return
 	}
 	d.lists.Add(1)
 	since, err := strconv.ParseInt(r.FormValue("since"), 10, 64)
 	if err != nil {
-		since = socket.NoGeneration
+		since = httpwire.NoGeneration
 	}
 	wait, _ := strconv.Atoi(r.FormValue("timeout_ms"))
 	if !d.waitForNews(r.Context(), since, time.Duration(min(wait, 60_000))*time.Millisecond) {
@@ -86,10 +86,10 @@
 }
 
 // listSince is the whole list, or what has changed since a version.
-func (d *discovery) listSince(since int64) socket.EndpointList {
+func (d *discovery) listSince(since int64) httpwire.EndpointList {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	list := socket.EndpointList{Generation: d.version, Reset: since < 0 || since > d.version}
+	list := httpwire.EndpointList{Generation: d.version, Reset: since < 0 || since > d.version}
 	for i, instance := range d.instances {
 		if list.Reset || d.changed[i] > since {
 			list.Endpoints = append(list.Endpoints, instance)
@@ -102,12 +102,12 @@
 const chunkSize = 4096
 
 // write writes a list in the framing that was asked for.
-func (d *discovery) write(w http.ResponseWriter, list socket.EndpointList) {
+func (d *discovery) write(w http.ResponseWriter, list httpwire.EndpointList) {
 	if list.Endpoints == nil {
-		list.Endpoints = []socket.Endpoint{}
+		list.Endpoints = []httpwire.Endpoint{}
 	}
 	text, err := json.Marshal(list)
-	if d.framing == conf.FramingIndented {
+	if d.framing == config.FramingIndented {
 		text, err = json.MarshalIndent(list, "", "  ")
 	}
 	if err != nil {
@@ -115,9 +115,9 @@
 		return
 	}
 	switch d.framing {
-	case conf.FramingOneChunk:
+	case config.FramingOneChunk:
 		writeOneChunk(w, text)
-	case conf.FramingChunks:
+	case config.FramingChunks:
 		flush := http.NewResponseController(w)
 		for part := range slicesOf(text, chunkSize) {
 			w.Write(part)
--- a/internal/drill/scale/driver.go
+++ b/internal/scaletest/driver.go
@@ -1,4 +1,4 @@
-package scale
+package scaletest
 
 import (
 	"bytes"
@@ -13,7 +13,7 @@
 	"sync/atomic"
 	"time"
 
-	"archknot/internal/wire/socket"
+	"archknot/internal/httpwire"
 )
 
 // driver sends drawn requests to gateways.
@@ -99,7 +99,7 @@
 	ctx, stop := context.WithTimeout(d.ctx, 10*time.Second)
 	defer stop()
 	body := bytes.NewReader([]byte(`{"model":"m","stream":true,"messages":[{"role":"user","content":"` + string(bytes.Repeat([]byte("word "), 60)) + `"}]}`))
-	r, err := http.NewRequestWithContext(ctx, http.MethodPost, "http://"+address+socket.CompletionsPath, body)
+	r, err := http.NewRequestWithContext(ctx, http.MethodPost, "http://"+address+httpwire.CompletionsPath, body)
 	if err != nil {
 		panic(err) // its parts are constants and an address of our own
 	}
--- a/internal/drill/scale/gateways.go
+++ b/internal/scaletest/gateways.go
@@ -1,4 +1,4 @@
-package scale
+package scaletest
 
 import (
 	"context"
@@ -10,11 +10,11 @@
 
 	"golang.org/x/sys/unix"
 
-	"archknot/choice"
-	"archknot/internal/conf"
+	"archknot/balancer"
+	"archknot/internal/config"
 	"archknot/internal/gateway"
 	"archknot/internal/lifecycle"
-	"archknot/internal/wire"
+	"archknot/internal/simwire"
 )
 
 // GatewaysSpec is what gateways are made by, hollow ones and processes alike.
@@ -39,16 +39,16 @@
 // config is the platform's configuration of one gateway.
 func (s *GatewaysSpec) config(index int, listen string) ([]byte, error) {
 	const second = 1_000_000
-	settings := choice.Settings{Self: index, Gateways: s.Of, Zone: zoneName(index % s.Zones), Kinds: []string{"kind-0", "kind-1"},
-		Classes:      []choice.Class{{Name: "chat", LatencyObjective: second, ObjectivePer1000Tokens: second / 10, TokenObjective: second, Deadline: 10 * second, PriorityWeight: 1, Streaming: true}},
-		Tenants:      []choice.Tenant{{Name: "chats", QuotaPerS: 1e6}},
-		ReportSource: choice.ReportInline, WeightKind: choice.WeightNone, PollDiscovery: true, Tick: 2000, MayHealthCheck: s.Probe, MayCancel: true,
+	settings := balancer.Settings{Self: index, Gateways: s.Of, Zone: zoneName(index % s.Zones), Kinds: []string{"kind-0", "kind-1"},
+		Classes:      []balancer.Class{{Name: "chat", LatencyObjective: second, ObjectivePer1000Tokens: second / 10, TokenObjective: second, Deadline: 10 * second, PriorityWeight: 1, Streaming: true}},
+		Tenants:      []balancer.Tenant{{Name: "chats", QuotaPerS: 1e6}},
+		ReportSource: balancer.ReportInline, WeightKind: balancer.WeightNone, PollDiscovery: true, Tick: 2000, MayHealthCheck: s.Probe, MayCancel: true,
 		MaxAttempts: 3, MaxRetryAfter: second, InitialCapacity: 0.3, OverloadMultiple: 3, SlowStartFor: 9 * second, OverloadWindow: 3 * second / 2,
 		StreamsPerConn: 1, ConnIdleTimeout: 45 * second, CrossZoneCost: 0.02, HandshakeCost: 0.02, HealthCheckCost: 0.002}
 	for i := range s.Zones {
 		settings.Zones = append(settings.Zones, zoneName(i))
 	}
-	text, err := wire.MarshalSettings(settings)
+	text, err := simwire.MarshalSettings(settings)
 	if err != nil {
 		return nil, err
 	}
@@ -82,7 +82,7 @@
 func startGateways(ctx context.Context, spec GatewaysSpec) (*gateways, Hello, error) {
 	ctx, stop := context.WithCancel(ctx)
 	p := &gateways{client: newDriver(spec.Rate, spec.Seed), stop: stop}
-	own := conf.Default()
+	own := config.Default()
 	own.Subset.MaxReplicas = spec.Subset
 	for i := range spec.Count {
 		text, err := spec.config(spec.First+i, "127.0.0.1:1")
--- a/internal/drill/scale/processes.go
+++ b/internal/scaletest/processes.go
@@ -1,4 +1,4 @@
-package scale
+package scaletest
 
 import (
 	"context"
@@ -11,10 +11,10 @@
 	"syscall"
 	"time"
 
-	"archknot/internal/control"
-	"archknot/internal/figures"
+	"archknot/internal/controlsocket"
+	"archknot/internal/controlstats"
+	"archknot/internal/httpwire"
 	"archknot/internal/procstat"
-	"archknot/internal/wire/socket"
 )
 
 // processes are gateways that run as `archknot serve`.
@@ -84,7 +84,7 @@
 	client := &http.Client{Timeout: time.Second}
 	for _, p := range all.list {
 		for {
-			resp, err := client.Get("http://" + p.address + socket.ReadyPath)
+			resp, err := client.Get("http://" + p.address + httpwire.ReadyPath)
 			if err == nil {
 				resp.Body.Close()
 				if resp.StatusCode == http.StatusOK {
@@ -100,8 +100,8 @@
 }
 
 // look asks a process for its figures.
-func (p *process) look(ctx context.Context) (c figures.Stats, u Usage, err error) {
-	if err := control.Call(ctx, p.control, "figures", struct{}{}, &c); err != nil {
+func (p *process) look(ctx context.Context) (c controlstats.Stats, u Usage, err error) {
+	if err := controlsocket.Call(ctx, p.control, "figures", struct{}{}, &c); err != nil {
 		return c, u, err
 	}
 	pid := p.cmd.Process.Pid
--- a/internal/drill/scale/replicas.go
+++ b/internal/scaletest/replicas.go
@@ -1,4 +1,4 @@
-package scale
+package scaletest
 
 import (
 	"context"
@@ -11,7 +11,7 @@
 	"sync/atomic"
 	"time"
 
-	"archknot/internal/wire/socket"
+	"archknot/internal/httpwire"
 )
 
 // ReplicasSpec is what hollow replicas are made by.
@@ -67,7 +67,7 @@
 		p.order = append(p.order, state)
 		go p.server.Serve(countedListener{l, &p.meter})
 		up := time.Duration(float64(time.Hour) * (1 + 99*rng.Float64()))
-		hello.Instances = append(hello.Instances, socket.Endpoint{ID: fmt.Sprintf("replica-%05d", n), Addr: addr, Zone: zoneName(n % spec.Zones),
+		hello.Instances = append(hello.Instances, httpwire.Endpoint{ID: fmt.Sprintf("replica-%05d", n), Addr: addr, Zone: zoneName(n % spec.Zones),
 			Kind: fmt.Sprintf("kind-%d", n%2), Lifecycle: "ready", Weight: 1, StartedAtMs: time.Now().Add(-up).UnixMilli()})
 	}
 	return p, hello, nil
@@ -89,12 +89,12 @@
 func (p *replicas) ServeHTTP(w http.ResponseWriter, r *http.Request) {
 	state := p.states[r.Context().Value(http.LocalAddrContextKey).(net.Addr).String()]
 	switch r.URL.Path {
-	case socket.StatsPath:
+	case httpwire.StatsPath:
 		p.calls[1].Add(1)
 		io.WriteString(w, state.load())
-	case socket.LivePath:
+	case httpwire.LivePath:
 		p.calls[1].Add(1)
-	case socket.CompletionsPath:
+	case httpwire.CompletionsPath:
 		p.calls[0].Add(1)
 		p.attempt(w, r, state)
 	default:
@@ -113,7 +113,7 @@
 func (p *replicas) attempt(w http.ResponseWriter, r *http.Request, state *replicaState) {
 	state.running.Add(1)
 	defer state.running.Add(-1)
-	if _, err := io.Copy(io.Discard, http.MaxBytesReader(w, r.Body, socket.MaxBodyBytes)); err != nil {
+	if _, err := io.Copy(io.Discard, http.MaxBytesReader(w, r.Body, httpwire.MaxBodyBytes)); err != nil {
 		return
 	}
 	const spread = 0.5
--- a/internal/drill/scale/report.go
+++ b/internal/scaletest/report.go
@@ -1,4 +1,4 @@
-package scale
+package scaletest
 
 import (
 	"context"
@@ -12,7 +12,7 @@
 	"gonum.org/v1/gonum/stat"
 	"gonum.org/v1/gonum/stat/distuv"
 
-	"archknot/internal/figures"
+	"archknot/internal/controlstats"
 )
 
 // Names of figures. Those of gateways stand once for hollow ones and once, behind Real, for processes.
@@ -51,7 +51,7 @@
 	replicas   []Answer
 	discovery  Answer
 	hollow     Answer // of all processes together
-	real       []figures.Stats
+	real       []controlstats.Stats
 	realUsage  []Usage
 	realServed [2]int64
 	oldest     int64     // the oldest version of the list that a gateway has
@@ -141,7 +141,7 @@
 }
 
 // gatewayFigures are the means over gateways.
-func gatewayFigures(out map[string]float64, prefix string, a, b []figures.Stats, seconds float64) {
+func gatewayFigures(out map[string]float64, prefix string, a, b []controlstats.Stats, seconds float64) {
 	n := float64(len(b))
 	add := func(name string, v float64) { out[prefix+name] += v / n }
 	var known, unknown int64
@@ -151,18 +151,18 @@
 		add(GatewayBusy, (is.LoopBusy-was.LoopBusy).Seconds()/seconds)
 		add(GatewayConns, float64(is.Connections))
 		add(GatewaySubset, float64(is.Subset))
-		traffic := func(p figures.Purpose) (calls, opened, bytes float64) {
+		traffic := func(p controlstats.Purpose) (calls, opened, bytes float64) {
 			t, s := is.Traffic[p], was.Traffic[p]
 			return float64(t.Calls-s.Calls) / seconds, float64(t.ConnectionsOpened-s.ConnectionsOpened) / seconds,
 				float64(t.BytesIn+t.BytesOut-s.BytesIn-s.BytesOut) / seconds
 		}
-		calls, opened, _ := traffic(figures.PurposeAttempt)
+		calls, opened, _ := traffic(controlstats.PurposeAttempt)
 		add(GatewayAttempts, calls)
 		add(GatewayOpened, opened)
-		calls, _, bytes := traffic(figures.PurposeHealthCheck)
+		calls, _, bytes := traffic(controlstats.PurposeHealthCheck)
 		add(GatewayProbes, calls)
 		add(GatewayProbe, bytes)
-		calls, _, bytes = traffic(figures.PurposeDiscovery)
+		calls, _, bytes = traffic(controlstats.PurposeDiscovery)
 		add(GatewayLists, calls)
 		add(GatewayDiscovery, bytes)
 		known, unknown = known+is.Reports.WithReport-was.Reports.WithReport, unknown+is.Reports.WithoutReport-was.Reports.WithoutReport
--- a/internal/drill/scale/role.go
+++ b/internal/scaletest/role.go
@@ -1,4 +1,4 @@
-package scale
+package scaletest
 
 import (
 	"bufio"
@@ -14,9 +14,9 @@
 	"syscall"
 	"time"
 
-	"archknot/internal/figures"
+	"archknot/internal/controlstats"
+	"archknot/internal/httpwire"
 	"archknot/internal/procstat"
-	"archknot/internal/wire/socket"
 )
 
 // The roles that a scale run starts as processes: `archknot drill scale-role ROLE`, which reads its
@@ -40,9 +40,9 @@
 
 // Hello is a role's first line: it is ready.
 type Hello struct {
-	Address   string            `json:"address,omitempty"`
-	Instances []socket.Endpoint `json:"instances,omitempty"`
-	Error     string            `json:"error,omitempty"`
+	Address   string              `json:"address,omitempty"`
+	Instances []httpwire.Endpoint `json:"instances,omitempty"`
+	Error     string              `json:"error,omitempty"`
 }
 
 // Answer is a role's answer to an order.
@@ -52,11 +52,11 @@
 	Usage   Usage     `json:"usage"`
 	Calls   Calls     `json:"calls"`
 	// Conns are the connections open at each hollow replica.
-	Conns    []int           `json:"conns,omitempty"`
-	Gateways []figures.Stats `json:"gateways,omitempty"`
-	Served   int64           `json:"served,omitempty"`
-	Unserved int64           `json:"unserved,omitempty"`
-	Error    string          `json:"error,omitempty"`
+	Conns    []int                `json:"conns,omitempty"`
+	Gateways []controlstats.Stats `json:"gateways,omitempty"`
+	Served   int64                `json:"served,omitempty"`
+	Unserved int64                `json:"unserved,omitempty"`
+	Error    string               `json:"error,omitempty"`
 }
 
 // Calls is what a role was asked, by kind, and the bytes of its connections.
--- a/internal/drill/scale/scale.go
+++ b/internal/scaletest/scale.go
@@ -4,7 +4,7 @@
 // gateways are processes of their own, for hollow figures to be compared with.
 //
 // Everything is on loopback addresses, and each process is ended by its id.
-package scale
+package scaletest
 
 import (
 	"context"
@@ -15,10 +15,10 @@
 	"slices"
 	"time"
 
-	"archknot/internal/build"
-	"archknot/internal/conf"
+	"archknot/internal/buildinfo"
+	"archknot/internal/config"
+	"archknot/internal/httpwire"
 	"archknot/internal/procstat"
-	"archknot/internal/wire/socket"
 )
 
 // Options are where a run finds its program and leaves its files.
@@ -43,15 +43,15 @@
 
 // Result is a whole run.
 type Result struct {
-	Build  string         `json:"build"`
-	Plan   *conf.ScaleRun `json:"plan"`
-	Points []Point        `json:"points"`
-	Slopes []Slope        `json:"slopes"`
-	Pairs  []Comparison   `json:"hollow_beside_real"`
+	Build  string           `json:"build"`
+	Plan   *config.ScaleRun `json:"plan"`
+	Points []Point          `json:"points"`
+	Slopes []Slope          `json:"slopes"`
+	Pairs  []Comparison     `json:"hollow_beside_real"`
 }
 
 // Steps are the sizes that a plan measures, in order.
-func Steps(p *conf.ScaleRun) (out []Point) {
+func Steps(p *config.ScaleRun) (out []Point) {
 	for repeat := range p.Repeat {
 		for _, n := range p.Replicas {
 			out = append(out, Point{Size: Size{n, p.BaseGateways}, Varied: "replicas", Repeat: repeat})
@@ -64,7 +64,7 @@
 }
 
 // Run measures all sizes of a plan.
-func Run(ctx context.Context, p *conf.ScaleRun, o Options) (*Result, error) {
+func Run(ctx context.Context, p *config.ScaleRun, o Options) (*Result, error) {
 	if o.Program == "" {
 		self, err := os.Executable()
 		if err != nil {
@@ -72,7 +72,7 @@
 		}
 		o.Program = self
 	}
-	res := &Result{Build: build.Version(), Plan: p, Points: Steps(p)}
+	res := &Result{Build: buildinfo.Version(), Plan: p, Points: Steps(p)}
 	for i := range res.Points {
 		point := &res.Points[i]
 		if o.Progress != nil {
@@ -88,7 +88,7 @@
 }
 
 // measure plays one size from the first process's start to the last one's end.
-func measure(ctx context.Context, p *conf.ScaleRun, program string, point *Point, seed uint64) error {
+func measure(ctx context.Context, p *config.ScaleRun, program string, point *Point, seed uint64) error {
 	limit := p.SettleTime + p.Duration + 3*time.Minute
 	ctx, stop := context.WithTimeout(ctx, limit)
 	defer stop()
@@ -127,7 +127,7 @@
 
 // fleet is the processes of one size.
 type fleet struct {
-	plan      *conf.ScaleRun
+	plan      *config.ScaleRun
 	program   string
 	dir       string
 	size      Size
@@ -136,7 +136,7 @@
 	discovery *role
 	hollow    []*role
 	real      *processes
-	instances []socket.Endpoint
+	instances []httpwire.Endpoint
 	client    *driver // of the real gateways
 }
 
--- a/internal/drill/scale/scale_test.go
+++ b/internal/scaletest/scale_test.go
@@ -1,4 +1,4 @@
-package scale_test
+package scaletest_test
 
 import (
 	"bytes"
@@ -11,8 +11,8 @@
 	"time"
 
 	"archknot/internal/cli"
-	"archknot/internal/conf"
-	"archknot/internal/drill/scale"
+	"archknot/internal/config"
+	"archknot/internal/scaletest"
 )
 
 // The gateways and roles of a run are processes of this very program.
@@ -29,13 +29,13 @@
 	if testing.Short() {
 		t.Skip("it starts processes")
 	}
-	p, err := conf.LoadScaleRun("testdata/small.plan")
+	p, err := config.LoadScaleRun("testdata/small.plan")
 	if err != nil {
 		t.Fatal(err)
 	}
 	ctx, stop := context.WithTimeout(t.Context(), time.Minute)
 	defer stop()
-	res, err := scale.Run(ctx, p, scale.Options{})
+	res, err := scaletest.Run(ctx, p, scaletest.Options{})
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -44,18 +44,18 @@
 	}
 	for _, point := range res.Points {
 		f := point.Figures
-		for _, prefix := range []string{"", scale.Real} {
-			if got := f[prefix+scale.GatewayAttempts]; got < 5 || got > 45 { // beyond a Poisson count of 20 by chance once in 10,000
+		for _, prefix := range []string{"", scaletest.Real} {
+			if got := f[prefix+scaletest.GatewayAttempts]; got < 5 || got > 45 { // beyond a Poisson count of 20 by chance once in 10,000
 				t.Errorf("%+v %s: %.1f attempts a second, 20 are drawn", point.Size, prefix, got)
 			}
-			if got := f[prefix+scale.GatewaySubset]; got > 32 || got < 12 {
+			if got := f[prefix+scaletest.GatewaySubset]; got > 32 || got < 12 {
 				t.Errorf("%+v %s: a subset of %.1f", point.Size, prefix, got)
 			}
-			if f[prefix+scale.GatewayUnserved] > 0.5 || f[prefix+scale.GatewayBusy] <= 0 || f[prefix+scale.GatewayConns] <= 0 || f[prefix+scale.GatewayDiscovery] <= 0 {
+			if f[prefix+scaletest.GatewayUnserved] > 0.5 || f[prefix+scaletest.GatewayBusy] <= 0 || f[prefix+scaletest.GatewayConns] <= 0 || f[prefix+scaletest.GatewayDiscovery] <= 0 {
 				t.Errorf("%+v %s: %v", point.Size, prefix, f)
 			}
 		}
-		if f[scale.ChangeInForce] <= 0 || f[scale.ChangeInForce] > 4000 || f[scale.DiscoveryCalls] <= 0 || f[scale.ReplicaConns] <= 0 {
+		if f[scaletest.ChangeInForce] <= 0 || f[scaletest.ChangeInForce] > 4000 || f[scaletest.DiscoveryCalls] <= 0 || f[scaletest.ReplicaConns] <= 0 {
 			t.Errorf("%+v: %v", point.Size, f)
 		}
 	}
@@ -70,27 +70,27 @@
 
 // A line is found with its interval, and a bend is told.
 func TestSlopes(t *testing.T) {
-	points := func(f func(n float64) float64) (out []scale.Point) {
+	points := func(f func(n float64) float64) (out []scaletest.Point) {
 		for _, n := range []int{100, 1000, 3000, 6000} {
 			for repeat := range 2 {
 				noise := 1 + 0.01*float64(2*repeat-1)
-				out = append(out, scale.Point{Size: scale.Size{Replicas: n, Gateways: 20}, Varied: "replicas", Repeat: repeat,
-					Figures: map[string]float64{"x": f(float64(n)) * noise, scale.Real + "x": f(float64(n)) * 1.5}})
+				out = append(out, scaletest.Point{Size: scaletest.Size{Replicas: n, Gateways: 20}, Varied: "replicas", Repeat: repeat,
+					Figures: map[string]float64{"x": f(float64(n)) * noise, scaletest.Real + "x": f(float64(n)) * 1.5}})
 			}
 		}
 		return out
 	}
-	straight := scale.Slopes(points(func(n float64) float64 { return 50 + 0.25*n }))
+	straight := scaletest.Slopes(points(func(n float64) float64 { return 50 + 0.25*n }))
 	if len(straight) != 2 || straight[1].Figure != "x" {
 		t.Fatalf("%+v", straight)
 	}
 	if s := straight[1]; math.Abs(s.Slope-0.25) > 0.005 || s.Interval[0] > 0.25 || s.Interval[1] < 0.25 || !s.Straight || s.Points != 8 {
 		t.Errorf("%+v", s)
 	}
-	if s := scale.Slopes(points(func(n float64) float64 { return n * n }))[1]; s.Straight {
+	if s := scaletest.Slopes(points(func(n float64) float64 { return n * n }))[1]; s.Straight {
 		t.Errorf("a square is taken for a line: %+v", s)
 	}
-	if c := scale.Compare(points(func(n float64) float64 { return n })); len(c) != 1 || c[0].Counts || math.Abs(c[0].Ratio-2/3.0) > 0.01 {
+	if c := scaletest.Compare(points(func(n float64) float64 { return n })); len(c) != 1 || c[0].Counts || math.Abs(c[0].Ratio-2/3.0) > 0.01 {
 		t.Errorf("hollow beside real: %+v", c)
 	}
 }
@@ -114,7 +114,7 @@
 		if err := os.WriteFile(path, []byte(text), 0o600); err != nil {
 			t.Fatal(err)
 		}
-		if _, err := conf.LoadScaleRun(path); err == nil || !strings.Contains(err.Error(), want) {
+		if _, err := config.LoadScaleRun(path); err == nil || !strings.Contains(err.Error(), want) {
 			t.Errorf("%q: %v, want %s", text, err, want)
 		}
 		out := bytes.Buffer{}
--- a/internal/wire/settings.go
+++ b/internal/simwire/settings.go
@@ -1,4 +1,4 @@
-package wire
+package simwire
 
 import (
 	"encoding/json"
@@ -7,7 +7,7 @@
 	"reflect"
 	"slices"
 
-	"archknot/choice"
+	"archknot/balancer"
 )
 
 // setup is the settings object of BORN. Keys it does not name are skipped here; package lifecycle tells them.
@@ -82,16 +82,16 @@
 }
 
 var (
-	idempotencyWords = map[string]choice.Idempotency{
-		"repeatable": choice.Idempotent, "by_key": choice.IdempotentWithKey, "once": choice.NonIdempotent}
-	dedupScopeWords = map[string]choice.DedupScope{
-		"": choice.DedupAll, "all": choice.DedupAll, "zone": choice.DedupZone, "cell": choice.DedupCell}
-	reportSourceWords = map[string]choice.ReportSource{
-		"": choice.ReportNone, "off": choice.ReportNone,
-		"inline": choice.ReportInline, "on_probe": choice.ReportOnHealthCheck}
-	weightKindWords = map[string]choice.WeightKind{
-		"": choice.WeightNone, "off": choice.WeightNone, "nominal": choice.WeightNominal,
-		"rough": choice.WeightNominal, "live": choice.WeightLive}
+	idempotencyWords = map[string]balancer.Idempotency{
+		"repeatable": balancer.Idempotent, "by_key": balancer.IdempotentWithKey, "once": balancer.NonIdempotent}
+	dedupScopeWords = map[string]balancer.DedupScope{
+		"": balancer.DedupAll, "all": balancer.DedupAll, "zone": balancer.DedupZone, "cell": balancer.DedupCell}
+	reportSourceWords = map[string]balancer.ReportSource{
+		"": balancer.ReportNone, "off": balancer.ReportNone,
+		"inline": balancer.ReportInline, "on_probe": balancer.ReportOnHealthCheck}
+	weightKindWords = map[string]balancer.WeightKind{
+		"": balancer.WeightNone, "off": balancer.WeightNone, "nominal": balancer.WeightNominal,
+		"rough": balancer.WeightNominal, "live": balancer.WeightLive}
 	pollDiscoveryWords = map[string]bool{"": false, "pushed": false, "on_request": true}
 )
 
@@ -99,13 +99,13 @@
 func SettingsType() reflect.Type { return reflect.TypeFor[setup]() }
 
 // ParseSettings reads the settings object of BORN.
-func ParseSettings(text []byte) (choice.Settings, error) {
+func ParseSettings(text []byte) (balancer.Settings, error) {
 	var in setup
-	var s choice.Settings
+	var s balancer.Settings
 	if err := json.Unmarshal(text, &in); err != nil {
 		return s, fmt.Errorf("settings: not the expected JSON object: %v", err)
 	}
-	s = choice.Settings{
+	s = balancer.Settings{
 		Self: in.SelfIndex, Gateways: in.NInstances, Zone: in.Zone, Zones: in.Zones, Kinds: in.Kinds,
 		OverQuotaWeight: in.OverShareWorth, Tick: in.TickUs,
 		MayHealthCheck: in.Limits.MayProbe, MayGossip: in.Limits.Peers, MayCancel: in.Limits.Cancelling,
@@ -129,7 +129,7 @@
 	}
 	s.LocalDiscovery = in.Discovery == "pushed"
 	for i, c := range in.RequestClasses {
-		out := choice.Class{Name: c.Name, LatencyObjective: c.TargetUs, Deadline: c.DeadlineUs, PriorityWeight: c.Points,
+		out := balancer.Class{Name: c.Name, LatencyObjective: c.TargetUs, Deadline: c.DeadlineUs, PriorityWeight: c.Points,
 			LateWeightShare: c.LateShare, DedupWindow: c.MemorySpanUs, Streaming: c.Streamed}
 		if out.Idempotency, err = lookUpWord("requestClasses.effect", c.Effect, idempotencyWords); err != nil {
 			return s, err
@@ -146,14 +146,14 @@
 		s.Classes = append(s.Classes, out)
 	}
 	for _, t := range in.Tenants {
-		s.Tenants = append(s.Tenants, choice.Tenant{Name: t.Name, QuotaPerS: t.AllowancePerS})
+		s.Tenants = append(s.Tenants, balancer.Tenant{Name: t.Name, QuotaPerS: t.AllowancePerS})
 	}
 	return s, nil
 }
 
 // MarshalSettings is the settings object that ParseSettings reads as these settings: for
 // those who start gateways.
-func MarshalSettings(s choice.Settings) ([]byte, error) {
+func MarshalSettings(s balancer.Settings) ([]byte, error) {
 	var out setup
 	out.SelfIndex, out.NInstances, out.Zone, out.Zones, out.Kinds = s.Self, s.Gateways, s.Zone, s.Zones, s.Kinds
 	out.OverShareWorth, out.TickUs = s.OverQuotaWeight, s.Tick
--- a/internal/wire/wire.go
+++ b/internal/simwire/wire.go
@@ -1,6 +1,6 @@
 // Package wire reads and writes the simulator's text dialect: tab-separated
 // lines, batches of events in and replies of actions out.
-package wire
+package simwire
 
 import (
 	"bufio"
@@ -11,7 +11,7 @@
 	"io"
 	"strconv"
 
-	"archknot/choice"
+	"archknot/balancer"
 )
 
 // Kind is the kind of an Event.
@@ -35,15 +35,15 @@
 // overwritten by the next call of Decoder.Next.
 type Event struct {
 	Kind    Kind
-	Now     choice.Micros
+	Now     balancer.Micros
 	Gateway int
 
 	Seed      uint64
-	Settings  choice.Settings
-	Endpoints choice.EndpointList
-	Request   choice.Request
+	Settings  balancer.Settings
+	Endpoints balancer.EndpointList
+	Request   balancer.Request
 	Token     uint64
-	Outcome   choice.Outcome // also Probed, Lapsed and Opened
+	Outcome   balancer.Outcome // also Probed, Lapsed and Opened
 	Peer      int
 	Body      []byte
 }
@@ -61,7 +61,7 @@
 	lineNumber   int
 	fields       [][]byte
 	interned     map[string]string
-	tables       [maxTables][]choice.Endpoint
+	tables       [maxTables][]balancer.Endpoint
 	defined      [maxTables]bool
 	inBatch      bool
 	gatewayNamed bool // an ON line of this batch has named the instance
@@ -213,31 +213,31 @@
 	return len(p.fields[i]) == 1 && p.fields[i][0] == '1'
 }
 
-func (p *fieldParser) status(i int) choice.Status {
+func (p *fieldParser) status(i int) balancer.Status {
 	switch string(p.fields[i]) {
 	case "delivered":
-		return choice.Served
+		return balancer.Served
 	case "app_error":
-		return choice.Errored
+		return balancer.Errored
 	case "shed":
-		return choice.Shed
+		return balancer.Shed
 	case "expired":
-		return choice.TimedOut
+		return balancer.TimedOut
 	case "dial_failed":
-		return choice.ConnectFailed
+		return balancer.ConnectFailed
 	case "dropped":
-		return choice.ConnBroken
+		return balancer.ConnBroken
 	case "revoked":
-		return choice.Cancelled
+		return balancer.Cancelled
 	case "unused":
-		return choice.NotSent
+		return balancer.NotSent
 	}
 	p.fail(i, "status", "a known outcome")
-	return choice.Errored
+	return balancer.Errored
 }
 
-func (p *fieldParser) loadReport(i int) choice.LoadReport {
-	var r choice.LoadReport
+func (p *fieldParser) loadReport(i int) balancer.LoadReport {
+	var r balancer.LoadReport
 	b := p.fields[i]
 	if isAbsent(b) || len(b) == 0 {
 		return r
@@ -262,20 +262,20 @@
 
 // SetReportField enters one value of a load report under its name on the wire; names
 // that are not known are skipped.
-func SetReportField(r *choice.LoadReport, name string, v float64) {
+func SetReportField(r *balancer.LoadReport, name string, v float64) {
 	switch name {
 	case "x0":
-		r.MemoryShare, r.Has = v, r.Has|choice.HasMemory
+		r.MemoryShare, r.Has = v, r.Has|balancer.HasMemory
 	case "x1":
-		r.PrefillBacklogK, r.Has = v, r.Has|choice.HasPrefillBacklog
+		r.PrefillBacklogK, r.Has = v, r.Has|balancer.HasPrefillBacklog
 	case "busy_reqs":
-		r.InFlight, r.Has = v, r.Has|choice.HasInFlight
+		r.InFlight, r.Has = v, r.Has|balancer.HasInFlight
 	case "pending":
-		r.Queued, r.Has = v, r.Has|choice.HasQueued
+		r.Queued, r.Has = v, r.Has|balancer.HasQueued
 	case "svc_ms":
-		r.ServiceMs, r.Has = v, r.Has|choice.HasService
+		r.ServiceMs, r.Has = v, r.Has|balancer.HasService
 	case "cpu_share":
-		r.Utilization, r.Has = v, r.Has|choice.HasUtilization
+		r.Utilization, r.Has = v, r.Has|balancer.HasUtilization
 	}
 }
 
@@ -335,7 +335,7 @@
 		if d.inBatch {
 			return false, errors.New("a batch is open already")
 		}
-		now := choice.Micros(p.uint(1, "clock", maxInt63))
+		now := balancer.Micros(p.uint(1, "clock", maxInt63))
 		if now < ev.Now {
 			return false, errors.New("field 1 (clock): it went back")
 		}
@@ -372,8 +372,8 @@
 		ev.Kind = RequestArrived
 		p.optionalInt(2, "flags")
 		p.optionalInt(7, "workUs")
-		ev.Request = choice.Request{
-			ID: choice.RequestID(p.uint(1, "call", maxUint32)), PrefixTokens: int(p.optionalFloat(3, "prefixLen")),
+		ev.Request = balancer.Request{
+			ID: balancer.RequestID(p.uint(1, "call", maxUint32)), PrefixTokens: int(p.optionalFloat(3, "prefixLen")),
 			PromptTokens: int(p.optionalFloat(4, "inputLen")), TimeLeft: p.optionalInt(5, "graceUs"),
 			Tenant: d.intern(p.fields[6]), Prefix: p.optionalHex(8, "prefixId"), MaxTokens: int(p.optionalFloat(9, "nMax")),
 			Session: p.optionalHex(10, "object"), Class: d.intern(p.fields[11]),
@@ -382,21 +382,21 @@
 		ev.Kind, ev.Token = TimerFired, p.uint(1, "ref", 1<<63)
 	case "PROBE_RESULT":
 		ev.Kind = HealthCheckEnded
-		ev.Outcome = choice.Outcome{Replica: choice.ReplicaID(p.uint(1, "engine", maxUint32)),
+		ev.Outcome = balancer.Outcome{Replica: balancer.ReplicaID(p.uint(1, "engine", maxUint32)),
 			Status: p.status(2), Elapsed: p.optionalInt(3, "rttUs"), Report: p.loadReport(4)}
 	case "RETURNED":
 		ev.Kind = AttemptEnded
-		ev.Outcome = choice.Outcome{
-			ID: choice.RequestID(p.uint(1, "call", maxUint32)), Attempt: int(p.uint(2, "n", maxUint32)),
-			Replica: choice.ReplicaID(p.uint(3, "engine", maxUint32)), Status: p.status(4),
+		ev.Outcome = balancer.Outcome{
+			ID: balancer.RequestID(p.uint(1, "call", maxUint32)), Attempt: int(p.uint(2, "n", maxUint32)),
+			Replica: balancer.ReplicaID(p.uint(3, "engine", maxUint32)), Status: p.status(4),
 			Elapsed: p.optionalInt(5, "rttUs"), Final: p.flag(6, "doneFlag"), CachedTokens: int(p.optionalFloat(7, "remark")),
 			Report: p.loadReport(8)}
 	case "LAPSED":
-		ev.Kind, ev.Outcome = ClientGone, choice.Outcome{ID: choice.RequestID(p.uint(1, "call", maxUint32))}
+		ev.Kind, ev.Outcome = ClientGone, balancer.Outcome{ID: balancer.RequestID(p.uint(1, "call", maxUint32))}
 	case "OPENED":
 		ev.Kind = FirstToken
-		ev.Outcome = choice.Outcome{ID: choice.RequestID(p.uint(1, "call", maxUint32)),
-			Replica: choice.ReplicaID(p.uint(2, "engine", maxUint32)), Elapsed: p.optionalInt(3, "rttUs"),
+		ev.Outcome = balancer.Outcome{ID: balancer.RequestID(p.uint(1, "call", maxUint32)),
+			Replica: balancer.ReplicaID(p.uint(2, "engine", maxUint32)), Elapsed: p.optionalInt(3, "rttUs"),
 			Attempt: int(p.uint(4, "n", maxUint32))}
 	case "MESSAGE":
 		ev.Kind, ev.Peer, ev.Body = PeerMessage, int(p.uint(1, "from", maxUint32)), nil
@@ -414,16 +414,16 @@
 func (d *Decoder) decodeEndpointList(p *fieldParser) error {
 	ev := &d.event
 	ev.Kind = EndpointList
-	ev.Endpoints = choice.EndpointList{Version: p.optionalInt(2, "generation")}
+	ev.Endpoints = balancer.EndpointList{Version: p.optionalInt(2, "generation")}
 	switch string(p.fields[1]) {
 	case "INCREMENTAL":
-		ev.Endpoints.Kind = choice.ListDelta
+		ev.Endpoints.Kind = balancer.ListDelta
 	case "FULL":
-		ev.Endpoints.Kind = choice.ListFull
+		ev.Endpoints.Kind = balancer.ListFull
 	case "SAVED":
-		ev.Endpoints.Kind = choice.ListCached
+		ev.Endpoints.Kind = balancer.ListCached
 	case "FAILED":
-		ev.Endpoints.Kind = choice.ListFailed
+		ev.Endpoints.Kind = balancer.ListFailed
 		return nil
 	default:
 		p.fail(1, "mode", "INCREMENTAL, FULL, SAVED or FAILED")
@@ -443,7 +443,7 @@
 	if p.err != nil {
 		return nil
 	}
-	var list []choice.Endpoint // a new one each time: a Balancer may hold the old
+	var list []balancer.Endpoint // a new one each time: a Balancer may hold the old
 	for range count {
 		line, err := d.readLine()
 		if err == io.EOF {
@@ -456,16 +456,16 @@
 		if len(q.fields) != 8 || string(q.fields[0]) != "ROW" {
 			return fmt.Errorf("expected ROW with 7 fields, got %q", truncate(line))
 		}
-		m := choice.Endpoint{Replica: choice.ReplicaID(q.uint(2, "engine", maxUint32)),
+		m := balancer.Endpoint{Replica: balancer.ReplicaID(q.uint(2, "engine", maxUint32)),
 			Weight: q.optionalFloat(3, "nominal"), Cell: q.optionalInt(4, "stripe"), Kind: d.intern(q.fields[5]),
 			StartedAt: q.optionalInt(6, "sinceUs"), Zone: d.intern(q.fields[7])}
 		switch string(q.fields[1]) {
 		case "active":
-			m.State = choice.EndpointReady
+			m.State = balancer.EndpointReady
 		case "leaving":
-			m.State = choice.EndpointDraining
+			m.State = balancer.EndpointDraining
 		case "left":
-			m.State = choice.EndpointGone
+			m.State = balancer.EndpointGone
 		default:
 			q.fail(1, "state", "active, leaving or left")
 		}
@@ -498,7 +498,7 @@
 }
 
 // Sink returns the sink of one instance's actions.
-func (e *Encoder) Sink(who int) choice.Sink { return &sink{encoder: e, gateway: who} }
+func (e *Encoder) Sink(who int) balancer.Sink { return &sink{encoder: e, gateway: who} }
 
 type sink struct {
 	encoder *Encoder
@@ -521,19 +521,19 @@
 	e.buf = append(e.buf, '\n')
 }
 
-func (s *sink) Dispatch(id choice.RequestID, to choice.ReplicaID, cutAt choice.Micros) {
+func (s *sink) Dispatch(id balancer.RequestID, to balancer.ReplicaID, cutAt balancer.Micros) {
 	s.writeLine("SUBMIT_TO", int64(id), int64(to), cutAt)
 }
-func (s *sink) Shed(id choice.RequestID, retryAfter choice.Micros) {
+func (s *sink) Shed(id balancer.RequestID, retryAfter balancer.Micros) {
 	s.writeLine("BUSY", int64(id), retryAfter)
 }
-func (s *sink) Fail(id choice.RequestID) { s.writeLine("FAIL", int64(id)) }
-func (s *sink) Cancel(id choice.RequestID, attempt int) {
+func (s *sink) Fail(id balancer.RequestID) { s.writeLine("FAIL", int64(id)) }
+func (s *sink) Cancel(id balancer.RequestID, attempt int) {
 	s.writeLine("DROP_ATTEMPT", int64(id), int64(attempt))
 }
-func (s *sink) HealthCheck(to choice.ReplicaID) { s.writeLine("HEALTH_CHECK", int64(to)) }
-func (s *sink) WatchDiscovery()                 { s.writeLine("TRACK", 1) }
-func (s *sink) SetTimer(delay choice.Micros, token uint64) {
+func (s *sink) HealthCheck(to balancer.ReplicaID) { s.writeLine("HEALTH_CHECK", int64(to)) }
+func (s *sink) WatchDiscovery()                   { s.writeLine("TRACK", 1) }
+func (s *sink) SetTimer(delay balancer.Micros, token uint64) {
 	s.writeLine("SET_ALARM", delay, int64(token))
 }
 func (s *sink) Gossip(body []byte) {
--- a/internal/wire/wire_test.go
+++ b/internal/simwire/wire_test.go
@@ -1,4 +1,4 @@
-package wire
+package simwire
 
 import (
 	"bytes"
@@ -6,7 +6,7 @@
 	"strings"
 	"testing"
 
-	"archknot/choice"
+	"archknot/balancer"
 
 	"github.com/google/go-cmp/cmp"
 )
@@ -61,26 +61,26 @@
 	}
 	s := got[1].Settings
 	c := s.Classes[0]
-	if got[1].Seed != 1<<64-1 || s.Gateways != 2 || s.Self != 1 || s.WeightKind != choice.WeightLive || c.Idempotency != choice.IdempotentWithKey ||
-		c.DedupScope != choice.DedupZone || c.PriorityWeight != 1.5 || c.TokenObjective != 100000 || s.HandshakeCost != 0.12 ||
-		s.OverloadWindow != 1500000 || s.Tenants[0].QuotaPerS != 13 || s.ReportSource != choice.ReportInline {
+	if got[1].Seed != 1<<64-1 || s.Gateways != 2 || s.Self != 1 || s.WeightKind != balancer.WeightLive || c.Idempotency != balancer.IdempotentWithKey ||
+		c.DedupScope != balancer.DedupZone || c.PriorityWeight != 1.5 || c.TokenObjective != 100000 || s.HandshakeCost != 0.12 ||
+		s.OverloadWindow != 1500000 || s.Tenants[0].QuotaPerS != 13 || s.ReportSource != balancer.ReportInline {
 		t.Errorf("settings %+v", s)
 	}
-	if m := got[2].Endpoints.Endpoints; len(m) != 2 || m[1].Weight != 1.5 || m[1].State != choice.EndpointDraining ||
+	if m := got[2].Endpoints.Endpoints; len(m) != 2 || m[1].Weight != 1.5 || m[1].State != balancer.EndpointDraining ||
 		m[1].StartedAt != 6100000 || m[0].StartedAt != 0 || m[1].Zone != "b" {
 		t.Errorf("list %+v (a reused number must not change the list before it)", m)
 	}
-	if m := got[3].Endpoints.Endpoints; len(m) != 1 || m[0].State != choice.EndpointGone {
+	if m := got[3].Endpoints.Endpoints; len(m) != 1 || m[0].State != balancer.EndpointGone {
 		t.Errorf("reused list %+v", m)
 	}
 	if r := got[5].Request; r.ID != 1564119492 || r.PrefixTokens != 1200 || r.PromptTokens != 1800 || r.TimeLeft != 240000 ||
 		r.Prefix != 0x2b8e6401d9f37c10 || r.Session != 0 || r.MaxTokens != 256 || r.Class != "chat" || r.Tenant != "t" {
 		t.Errorf("request %+v", r)
 	}
-	if r := got[7].Outcome.Report; r.Has != choice.HasService|choice.HasInFlight|choice.HasMemory || r.MemoryShare != 0.4 {
+	if r := got[7].Outcome.Report; r.Has != balancer.HasService|balancer.HasInFlight|balancer.HasMemory || r.MemoryShare != 0.4 {
 		t.Errorf("report %+v", r)
 	}
-	if o := got[8].Outcome; got[8].Gateway != 5 || o.ID != 9 || o.Attempt != 1 || o.Status != choice.Shed || o.Final {
+	if o := got[8].Outcome; got[8].Gateway != 5 || o.ID != 9 || o.Attempt != 1 || o.Status != balancer.Shed || o.Final {
 		t.Errorf("outcome %+v", o)
 	}
 	if string(got[10].Body) != "hi 7" {
@@ -89,9 +89,9 @@
 }
 
 func TestDecodesEveryStatus(t *testing.T) {
-	for word, want := range map[string]choice.Status{"delivered": choice.Served, "app_error": choice.Errored,
-		"shed": choice.Shed, "expired": choice.TimedOut, "dial_failed": choice.ConnectFailed, "dropped": choice.ConnBroken,
-		"revoked": choice.Cancelled, "unused": choice.NotSent} {
+	for word, want := range map[string]balancer.Status{"delivered": balancer.Served, "app_error": balancer.Errored,
+		"shed": balancer.Shed, "expired": balancer.TimedOut, "dial_failed": balancer.ConnectFailed, "dropped": balancer.ConnBroken,
+		"revoked": balancer.Cancelled, "unused": balancer.NotSent} {
 		got := decodeAll(t, joinLines("TURN\t1", "ON\t0", "RETURNED\t1\t0\t2\t"+word+"\t1\t1\t12\tx0:0.5", "OVER_TO_YOU"))
 		if got[0].Outcome.Status != want || got[0].Outcome.CachedTokens != 12 {
 			t.Errorf("%s: %+v", word, got[0].Outcome)
@@ -176,11 +176,11 @@
 
 // What is written is read as it was.
 func TestSettingsRoundTrip(t *testing.T) {
-	in := choice.Settings{Self: 2, Gateways: 5, Zone: "a", Zones: []string{"a", "b"}, Kinds: []string{"k"}, OverQuotaWeight: 0.05, Tick: 2000, ReportSource: choice.ReportInline,
-		WeightKind: choice.WeightNominal, PollDiscovery: true, MayHealthCheck: true, MayCancel: true, MayHedge: true, RetryAfter: true, MaxAttempts: 3, MaxRetryAfter: 2_000_000,
+	in := balancer.Settings{Self: 2, Gateways: 5, Zone: "a", Zones: []string{"a", "b"}, Kinds: []string{"k"}, OverQuotaWeight: 0.05, Tick: 2000, ReportSource: balancer.ReportInline,
+		WeightKind: balancer.WeightNominal, PollDiscovery: true, MayHealthCheck: true, MayCancel: true, MayHedge: true, RetryAfter: true, MaxAttempts: 3, MaxRetryAfter: 2_000_000,
 		InitialCapacity: 0.3, OverloadMultiple: 3, SlowStartFor: 8_000_000, OverloadWindow: 1_500_000, StreamsPerConn: 1, ConnIdleTimeout: 60_000_000, CrossZoneCost: 0.02, HandshakeCost: 0.02, HealthCheckCost: 0.002,
-		Classes: []choice.Class{{Name: "once", LatencyObjective: 1, ObjectivePer1000Tokens: 2, TokenObjective: 3, Deadline: 4, PriorityWeight: 5, LateWeightShare: 0.5, Idempotency: choice.NonIdempotent, Streaming: true}},
-		Tenants: []choice.Tenant{{Name: "t", QuotaPerS: 7}}}
+		Classes: []balancer.Class{{Name: "once", LatencyObjective: 1, ObjectivePer1000Tokens: 2, TokenObjective: 3, Deadline: 4, PriorityWeight: 5, LateWeightShare: 0.5, Idempotency: balancer.NonIdempotent, Streaming: true}},
+		Tenants: []balancer.Tenant{{Name: "t", QuotaPerS: 7}}}
 	text, err := MarshalSettings(in)
 	if err != nil {
 		t.Fatal(err)
--- a/internal/site/forecast/forecast.go
+++ b/internal/siteforecast/forecast.go
@@ -1,7 +1,7 @@
 // Package forecast says beforehand what the loss of a site would come to: it plays a
 // plan's fleet and traffic on the model, with the code that serves, with and without the
 // loss. It does no I/O: what is drawn comes from the seeds.
-package forecast
+package siteforecast
 
 import (
 	"cmp"
@@ -16,16 +16,16 @@
 	"gonum.org/v1/gonum/stat"
 	"gonum.org/v1/gonum/stat/distuv"
 
-	"archknot/choice"
+	"archknot/balancer"
 	"archknot/internal/fleet/model"
 )
 
 // Loss is what is asked: a site and its time away, in microseconds from the run's start.
 type Loss struct {
 	Site    string
-	At, For choice.Micros
-	Told    choice.Micros // until the registry says so
-	Watch   choice.Micros // what is counted: requests that come from At on for so long
+	At, For balancer.Micros
+	Told    balancer.Micros // until the registry says so
+	Watch   balancer.Micros // what is counted: requests that come from At on for so long
 }
 
 // Spec is a plan's run in which the site is lost: its workers vanish, its gateways are
--- a/internal/site/forecast/forecast_test.go
+++ b/internal/siteforecast/forecast_test.go
@@ -1,11 +1,11 @@
-package forecast
+package siteforecast
 
 import (
 	"context"
 	"reflect"
 	"testing"
 
-	"archknot/internal/conf"
+	"archknot/internal/config"
 	"archknot/internal/fleet/model"
 )
 
@@ -13,7 +13,7 @@
 
 func plan(t *testing.T, variant string) func(uint64) (*model.Spec, error) {
 	t.Helper()
-	p, err := conf.LoadPlan("../../../deploy/site-loss.plan")
+	p, err := config.LoadPlan("../../deploy/site-loss.plan")
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/internal/subset/affinity.go
+++ b/internal/subset/affinity.go
@@ -6,7 +6,7 @@
 	"math/bits"
 	"slices"
 
-	"archknot/choice"
+	"archknot/balancer"
 )
 
 const (
@@ -60,7 +60,7 @@
 // affinityTarget is the replica that all gateways of the zone take for a request's home: of the few that keep
 // its prefix, the one that its session ranks first (weighted rendezvous). Replicas in slow start are
 // nobody's home.
-func (v *Selector) affinityTarget(now choice.Micros, in *choice.Request) (best *replica) {
+func (v *Selector) affinityTarget(now balancer.Micros, in *balancer.Request) (best *replica) {
 	prefix, session := mix64(in.Prefix), mix64(in.Session)
 	key, rank := prefix, session
 	switch {
--- a/internal/subset/bench_test.go
+++ b/internal/subset/bench_test.go
@@ -4,7 +4,7 @@
 	"fmt"
 	"testing"
 
-	"archknot/choice"
+	"archknot/balancer"
 )
 
 // BenchmarkChange is the cost of one replica's change of state, over the size of the fleet.
@@ -17,9 +17,9 @@
 			for i := range b.N {
 				m := members[i/2%len(members)]
 				if i%2 == 0 {
-					m.State = choice.EndpointDraining
+					m.State = balancer.EndpointDraining
 				}
-				v.Apply(2*second, choice.EndpointList{Kind: choice.ListDelta, Endpoints: []choice.Endpoint{m}})
+				v.Apply(2*second, balancer.EndpointList{Kind: balancer.ListDelta, Endpoints: []balancer.Endpoint{m}})
 			}
 		})
 	}
@@ -32,7 +32,7 @@
 			v := NewSelector(testSettings(128, 7, "z0"), noPrefixStats{})
 			v.Apply(second, fullListOf(zonedMembers(0, n)))
 			for i := range b.N {
-				in := choice.Request{Session: uint64(i) + 1, Prefix: uint64(i%5000) + 1}
+				in := balancer.Request{Session: uint64(i) + 1, Prefix: uint64(i%5000) + 1}
 				v.AssignAffinityTarget(20*second, &in)
 			}
 		})
--- a/internal/subset/request_bench_test.go
+++ b/internal/subset/request_bench_test.go
@@ -4,23 +4,23 @@
 	"fmt"
 	"testing"
 
-	"archknot/choice"
+	"archknot/balancer"
 	"archknot/internal/subset"
 )
 
 // lastDispatchSink takes a module's orders.
-type lastDispatchSink struct{ lastDispatched choice.ReplicaID }
+type lastDispatchSink struct{ lastDispatched balancer.ReplicaID }
 
-func (n *lastDispatchSink) Dispatch(_ choice.RequestID, to choice.ReplicaID, _ choice.Micros) {
+func (n *lastDispatchSink) Dispatch(_ balancer.RequestID, to balancer.ReplicaID, _ balancer.Micros) {
 	n.lastDispatched = to
 }
-func (*lastDispatchSink) Shed(choice.RequestID, choice.Micros) {}
-func (*lastDispatchSink) Fail(choice.RequestID)                {}
-func (*lastDispatchSink) Cancel(choice.RequestID, int)         {}
-func (*lastDispatchSink) SetTimer(choice.Micros, uint64)       {}
-func (*lastDispatchSink) HealthCheck(choice.ReplicaID)         {}
-func (*lastDispatchSink) Gossip([]byte)                        {}
-func (*lastDispatchSink) WatchDiscovery()                      {}
+func (*lastDispatchSink) Shed(balancer.RequestID, balancer.Micros) {}
+func (*lastDispatchSink) Fail(balancer.RequestID)                  {}
+func (*lastDispatchSink) Cancel(balancer.RequestID, int)           {}
+func (*lastDispatchSink) SetTimer(balancer.Micros, uint64)         {}
+func (*lastDispatchSink) HealthCheck(balancer.ReplicaID)           {}
+func (*lastDispatchSink) Gossip([]byte)                            {}
+func (*lastDispatchSink) WatchDiscovery()                          {}
 
 // BenchmarkRequest is all that is decided for a request, from its arrival to its end: the home, the
 // list that tells it, the pick and what its end teaches. The fleet is in one zone or in eighteen.
@@ -30,34 +30,34 @@
 	} {
 		b.Run(fmt.Sprintf("replicas=%d/zones=%d/most=%d", c.replicas, c.zones, c.most), func(b *testing.B) {
 			sink := &lastDispatchSink{}
-			s := choice.Settings{Self: 3, Gateways: 1800, Zone: "z3", Kinds: []string{"k"}, MaxAttempts: 3, MayCancel: true, ReportSource: choice.ReportInline,
-				Classes: []choice.Class{{Name: "chat", LatencyObjective: 1e6, Deadline: 10e6, PriorityWeight: 1, Streaming: true}}, StreamsPerConn: 1, ConnIdleTimeout: 45e6}
-			m, err := choice.New(s, 7, sink)
+			s := balancer.Settings{Self: 3, Gateways: 1800, Zone: "z3", Kinds: []string{"k"}, MaxAttempts: 3, MayCancel: true, ReportSource: balancer.ReportInline,
+				Classes: []balancer.Class{{Name: "chat", LatencyObjective: 1e6, Deadline: 10e6, PriorityWeight: 1, Streaming: true}}, StreamsPerConn: 1, ConnIdleTimeout: 45e6}
+			m, err := balancer.New(s, 7, sink)
 			if err != nil {
 				b.Fatal(err)
 			}
 			v := subset.NewSelector(subset.Settings{MaxReplicas: c.most, GatewayIndex: 3, GatewayCount: 1800, Zone: "z3", RemoteFraction: subset.DefaultRemoteFraction, SlowStart: 9e6}, m)
-			list := choice.EndpointList{Kind: choice.ListFull}
+			list := balancer.EndpointList{Kind: balancer.ListFull}
 			for i := range c.replicas {
-				list.Endpoints = append(list.Endpoints, choice.Endpoint{Replica: choice.ReplicaID(uint32(i+1) * 2654435761), State: choice.EndpointReady,
+				list.Endpoints = append(list.Endpoints, balancer.Endpoint{Replica: balancer.ReplicaID(uint32(i+1) * 2654435761), State: balancer.EndpointReady,
 					Weight: 1, Kind: "k", Zone: fmt.Sprint("z", i%c.zones), StartedAt: 1})
 			}
-			now := choice.Micros(100e6)
+			now := balancer.Micros(100e6)
 			m.Start(now)
 			m.ListChanged(now, v.Apply(now, list))
 			b.ReportAllocs()
 			for n := 0; b.Loop(); n++ {
 				now += 27_000
-				in := choice.Request{ID: choice.RequestID(n + 1), Class: "chat", TimeLeft: 10e6, PromptTokens: 800, MaxTokens: 300,
+				in := balancer.Request{ID: balancer.RequestID(n + 1), Class: "chat", TimeLeft: 10e6, PromptTokens: 800, MaxTokens: 300,
 					Session: uint64(n%20_000) + 1, Prefix: uint64(n%4_000) + 1, PrefixTokens: 400}
 				if home, tell := v.AssignAffinityTarget(now, &in); tell {
 					m.ListChanged(now, home)
 				}
 				m.RequestArrived(now, in)
-				o := choice.Outcome{ID: in.ID, Replica: sink.lastDispatched, Elapsed: 400_000}
+				o := balancer.Outcome{ID: in.ID, Replica: sink.lastDispatched, Elapsed: 400_000}
 				m.FirstToken(now+400_000, o)
-				o.Elapsed, o.Status, o.Final, o.OutputTokens = 3_000_000, choice.Served, true, 90
-				o.Report = choice.LoadReport{Has: choice.HasInFlight, InFlight: float64(n % 9)}
+				o.Elapsed, o.Status, o.Final, o.OutputTokens = 3_000_000, balancer.Served, true, 90
+				o.Report = balancer.LoadReport{Has: balancer.HasInFlight, InFlight: float64(n % 9)}
 				m.AttemptEnded(now+3_000_000, o)
 			}
 		})
--- a/internal/subset/selector.go
+++ b/internal/subset/selector.go
@@ -6,7 +6,7 @@
 	"math"
 	"slices"
 
-	"archknot/choice"
+	"archknot/balancer"
 )
 
 // PrefixStats is what a view has to know of the decision module that it stands before.
@@ -20,15 +20,15 @@
 type Selector struct {
 	settings       Settings
 	prefixStats    PrefixStats
-	fleet          map[choice.ReplicaID]*replica
+	fleet          map[balancer.ReplicaID]*replica
 	sorted         []*replica // by id
 	zones          *zoneTable
 	affinityPools  map[string]*affinityPool // by zone; made when they are asked for
 	membersChanged bool                     // replicas have come or gone since sorted was made
 	subsetting     bool                     // the module is told a part
 	discoveryHeard bool                     // discovery itself has told a list
-	announced      map[choice.ReplicaID]choice.Endpoint
-	outsideTargets map[choice.ReplicaID]uint64 // homes outside of the subset, by when they were last wanted
+	announced      map[balancer.ReplicaID]balancer.Endpoint
+	outsideTargets map[balancer.ReplicaID]uint64 // homes outside of the subset, by when they were last wanted
 	useCounter     uint64
 	stats          Stats
 }
@@ -45,8 +45,8 @@
 
 // NewSelector returns a view that has heard of no list.
 func NewSelector(s Settings, figures PrefixStats) *Selector {
-	return &Selector{settings: s, prefixStats: figures, fleet: map[choice.ReplicaID]*replica{}, announced: map[choice.ReplicaID]choice.Endpoint{},
-		affinityPools: map[string]*affinityPool{}, outsideTargets: map[choice.ReplicaID]uint64{}}
+	return &Selector{settings: s, prefixStats: figures, fleet: map[balancer.ReplicaID]*replica{}, announced: map[balancer.ReplicaID]balancer.Endpoint{},
+		affinityPools: map[string]*affinityPool{}, outsideTargets: map[balancer.ReplicaID]uint64{}}
 }
 
 // Stats tells the view's figures.
@@ -54,7 +54,7 @@
 
 // Apply takes discovery's news and returns what the module is told of it. Lists of no more replicas
 // than the bound are returned as they are.
-func (v *Selector) Apply(now choice.Micros, list choice.EndpointList) choice.EndpointList {
+func (v *Selector) Apply(now balancer.Micros, list balancer.EndpointList) balancer.EndpointList {
 	if v.settings.MaxReplicas <= 0 || list.Kind.Failed() {
 		return list
 	}
@@ -79,13 +79,13 @@
 }
 
 // updateFleet takes the list over.
-func (v *Selector) updateFleet(now choice.Micros, list *choice.EndpointList) {
-	listed := map[choice.ReplicaID]bool{}
+func (v *Selector) updateFleet(now balancer.Micros, list *balancer.EndpointList) {
+	listed := map[balancer.ReplicaID]bool{}
 	for _, m := range list.Endpoints {
 		if list.Kind.Complete() {
 			listed[m.Replica] = true
 		}
-		if m.State == choice.EndpointGone {
+		if m.State == balancer.EndpointGone {
 			v.remove(m.Replica)
 			continue
 		}
@@ -101,7 +101,7 @@
 	v.discoveryHeard = v.discoveryHeard || list.Kind.FromDiscovery()
 }
 
-func (v *Selector) upsert(now choice.Micros, m choice.Endpoint) {
+func (v *Selector) upsert(now balancer.Micros, m balancer.Endpoint) {
 	was := v.fleet[m.Replica]
 	if m.StartedAt == 0 { // not told: long ago, unless it has come since discovery's first list
 		switch {
@@ -125,7 +125,7 @@
 	was.Endpoint = m
 }
 
-func (v *Selector) remove(id choice.ReplicaID) {
+func (v *Selector) remove(id balancer.ReplicaID) {
 	if v.fleet[id] != nil {
 		delete(v.fleet, id)
 		v.membersChanged = true
@@ -137,7 +137,7 @@
 
 // startedLongAgo is the start of a replica that was up before this gateway was. It is not 0, which the
 // module would take for no word of a start and hence for a start just now.
-const startedLongAgo choice.Micros = 1
+const startedLongAgo balancer.Micros = 1
 
 // refreshIndex renews what is worked out from the whole list: all of it where replicas have come or gone,
 // else only what has changed.
@@ -150,7 +150,7 @@
 	}
 	v.stats.Listed, v.stats.Ready = len(v.sorted), 0
 	for _, r := range v.sorted {
-		if r.State == choice.EndpointReady {
+		if r.State == balancer.EndpointReady {
 			v.stats.Ready++
 		}
 	}
@@ -163,7 +163,7 @@
 	}
 	var ready []*replica
 	for _, r := range v.sorted {
-		if r.Zone == zone && r.State == choice.EndpointReady {
+		if r.Zone == zone && r.State == balancer.EndpointReady {
 			ready = append(ready, r)
 		}
 	}
@@ -176,9 +176,9 @@
 }
 
 // subsetList makes the module's list of one that is longer than the bound.
-func (v *Selector) subsetList(list choice.EndpointList) choice.EndpointList {
+func (v *Selector) subsetList(list balancer.EndpointList) balancer.EndpointList {
 	v.zones, v.stats.Subset = v.settings.selectSubset(v.sorted)
-	next := make(map[choice.ReplicaID]choice.Endpoint, v.settings.MaxReplicas)
+	next := make(map[balancer.ReplicaID]balancer.Endpoint, v.settings.MaxReplicas)
 	for _, r := range v.sorted {
 		if _, guest := v.outsideTargets[r.Replica]; guest && r.selected {
 			delete(v.outsideTargets, r.Replica)
@@ -187,8 +187,8 @@
 		}
 		next[r.Replica] = r.Endpoint
 	}
-	maps.DeleteFunc(v.outsideTargets, func(id choice.ReplicaID, _ uint64) bool { return v.fleet[id] == nil })
-	out := choice.EndpointList{Kind: list.Kind, Version: list.Version, FleetSize: v.stats.Ready}
+	maps.DeleteFunc(v.outsideTargets, func(id balancer.ReplicaID, _ uint64) bool { return v.fleet[id] == nil })
+	out := balancer.EndpointList{Kind: list.Kind, Version: list.Version, FleetSize: v.stats.Ready}
 	for id, m := range next {
 		was, told := v.announced[id]
 		if !told {
@@ -204,7 +204,7 @@
 		}
 		v.stats.Left++
 		if !list.Kind.Complete() {
-			was.State = choice.EndpointGone
+			was.State = balancer.EndpointGone
 			out.Endpoints = append(out.Endpoints, was)
 		}
 	}
@@ -214,16 +214,16 @@
 }
 
 // fullList tells everything, after the list has shrunk to the bound.
-func (v *Selector) fullList(list choice.EndpointList) choice.EndpointList {
+func (v *Selector) fullList(list balancer.EndpointList) balancer.EndpointList {
 	clear(v.outsideTargets)
 	clear(v.announced)
-	out := choice.EndpointList{Kind: list.Kind, Version: list.Version}
+	out := balancer.EndpointList{Kind: list.Kind, Version: list.Version}
 	for _, r := range v.sorted {
 		out.Endpoints = append(out.Endpoints, r.Endpoint)
 	}
 	if !list.Kind.Complete() { // what has gone by this list
 		for _, m := range list.Endpoints {
-			if m.State == choice.EndpointGone {
+			if m.State == balancer.EndpointGone {
 				out.Endpoints = append(out.Endpoints, m)
 			}
 		}
@@ -232,13 +232,13 @@
 	return out
 }
 
-func sortMembers(list []choice.Endpoint) {
-	slices.SortFunc(list, func(a, b choice.Endpoint) int { return cmp.Compare(a.Replica, b.Replica) })
+func sortMembers(list []balancer.Endpoint) {
+	slices.SortFunc(list, func(a, b balancer.Endpoint) int { return cmp.Compare(a.Replica, b.Replica) })
 }
 
 // AssignAffinityTarget sets the home of a request that has come. Where the module has not been told of that replica
 // yet, the list that tells it is returned.
-func (v *Selector) AssignAffinityTarget(now choice.Micros, in *choice.Request) (list choice.EndpointList, tell bool) {
+func (v *Selector) AssignAffinityTarget(now balancer.Micros, in *balancer.Request) (list balancer.EndpointList, tell bool) {
 	if !v.subsetting {
 		return list, false
 	}
@@ -249,14 +249,14 @@
 	v.useCounter++
 	v.announceTarget(home, &list)
 	in.HomeReplica = home.Replica
-	list.Kind, list.FleetSize = choice.ListOverride, v.stats.Ready
+	list.Kind, list.FleetSize = balancer.ListOverride, v.stats.Ready
 	sortMembers(list.Endpoints)
 	return list, len(list.Endpoints) > 0
 }
 
 // announceTarget makes sure that the module is told of a replica, and enters what has to be told for it in
 // the list.
-func (v *Selector) announceTarget(r *replica, list *choice.EndpointList) {
+func (v *Selector) announceTarget(r *replica, list *balancer.EndpointList) {
 	_, told := v.announced[r.Replica]
 	_, guest := v.outsideTargets[r.Replica]
 	if told && !guest {
@@ -277,8 +277,8 @@
 func (v *Selector) maxOutsideTargets() int { return max(1, v.settings.MaxReplicas/2) }
 
 // withdrawOldestTarget takes the guest that was not wanted for longest back. What is out there goes on.
-func (v *Selector) withdrawOldestTarget(list *choice.EndpointList) {
-	var oldest choice.ReplicaID
+func (v *Selector) withdrawOldestTarget(list *balancer.EndpointList) {
+	var oldest balancer.ReplicaID
 	least := uint64(math.MaxUint64)
 	for id, at := range v.outsideTargets {
 		if at < least {
@@ -286,7 +286,7 @@
 		}
 	}
 	member := v.announced[oldest]
-	member.State = choice.EndpointGone
+	member.State = balancer.EndpointGone
 	list.Endpoints = append(list.Endpoints, member)
 	delete(v.outsideTargets, oldest)
 	delete(v.announced, oldest)
--- a/internal/subset/slowstart_test.go
+++ b/internal/subset/slowstart_test.go
@@ -7,7 +7,7 @@
 	"slices"
 	"testing"
 
-	"archknot/choice"
+	"archknot/balancer"
 	"archknot/internal/subset"
 )
 
@@ -16,41 +16,41 @@
 // N + 3 (under 30; else 2 roots and 2), N being what it can do then. Replicas in slow start look empty
 // and all others full; sessions and prefixes are shared by all gateways.
 func TestSlowStartAcrossGatewaysWithSubsets(t *testing.T) {
-	const second choice.Micros = 1_000_000
+	const second balancer.Micros = 1_000_000
 	for _, c := range []struct {
 		gateways, replicas, cold, zones, most int
 		rate                                  float64 // of the whole fleet, a second
 	}{{60, 240, 80, 1, 40, 400}, {60, 240, 80, 3, 40, 400}, {30, 90, 1, 3, 20, 900}, {12, 400, 390, 2, 50, 1200}} {
 		t.Run(fmt.Sprintf("%+v", c), func(t *testing.T) {
 			t.Parallel()
-			s := choice.Settings{Gateways: c.gateways, Kinds: []string{"k"}, MaxAttempts: 2, MayCancel: true, ReportSource: choice.ReportInline,
-				Classes: []choice.Class{{Name: "chat", LatencyObjective: second, Deadline: 10 * second, PriorityWeight: 1, Streaming: true}}, StreamsPerConn: 1, ConnIdleTimeout: 45 * second,
+			s := balancer.Settings{Gateways: c.gateways, Kinds: []string{"k"}, MaxAttempts: 2, MayCancel: true, ReportSource: balancer.ReportInline,
+				Classes: []balancer.Class{{Name: "chat", LatencyObjective: second, Deadline: 10 * second, PriorityWeight: 1, Streaming: true}}, StreamsPerConn: 1, ConnIdleTimeout: 45 * second,
 				InitialCapacity: 0.3, OverloadMultiple: 3, SlowStartFor: 9 * second, OverloadWindow: 3 * second / 2, Tick: 2000}
 			start := 100 * second
-			var list []choice.Endpoint
+			var list []balancer.Endpoint
 			for i := range c.replicas {
-				m := choice.Endpoint{Replica: choice.ReplicaID(i + 1), State: choice.EndpointReady, Weight: 1, Kind: "k", Zone: fmt.Sprint("z", i%c.zones), StartedAt: 1}
+				m := balancer.Endpoint{Replica: balancer.ReplicaID(i + 1), State: balancer.EndpointReady, Weight: 1, Kind: "k", Zone: fmt.Sprint("z", i%c.zones), StartedAt: 1}
 				if i < c.cold {
 					m.StartedAt = start
 				}
 				list = append(list, m)
 			}
-			sent := map[choice.ReplicaID][]float64{}
+			sent := map[balancer.ReplicaID][]float64{}
 			for self := range c.gateways {
 				s.Self, s.Zone = self, fmt.Sprint("z", self%c.zones)
 				sink := &lastDispatchSink{}
-				m, err := choice.New(s, 1, sink) // the same seed at each
+				m, err := balancer.New(s, 1, sink) // the same seed at each
 				if err != nil {
 					t.Fatal(err)
 				}
 				v := subset.NewSelector(subset.Settings{MaxReplicas: c.most, GatewayIndex: self, GatewayCount: c.gateways, Zone: s.Zone, RemoteFraction: subset.DefaultRemoteFraction, SlowStart: s.SlowStartFor}, m)
 				m.Start(start)
-				m.ListChanged(start, v.Apply(start, choice.EndpointList{Kind: choice.ListCached, Endpoints: list}))
+				m.ListChanged(start, v.Apply(start, balancer.EndpointList{Kind: balancer.ListCached, Endpoints: list}))
 				rng := rand.New(rand.NewPCG(uint64(self), 5))
-				now, id := float64(start), choice.RequestID(0)
+				now, id := float64(start), balancer.RequestID(0)
 				for tick := start; ; {
 					now += rng.ExpFloat64() * 1e6 * float64(c.gateways) / c.rate
-					at := choice.Micros(now)
+					at := balancer.Micros(now)
 					if at >= start+s.SlowStartFor {
 						break
 					}
@@ -58,7 +58,7 @@
 						m.TimerFired(tick, 0)
 					}
 					id++
-					in := choice.Request{ID: id, Class: "chat", TimeLeft: 10 * second, PromptTokens: 500, MaxTokens: 100,
+					in := balancer.Request{ID: id, Class: "chat", TimeLeft: 10 * second, PromptTokens: 500, MaxTokens: 100,
 						Session: rng.Uint64N(3000) + 1, Prefix: rng.Uint64N(50) + 1, PrefixTokens: 200}
 					if home, tell := v.AssignAffinityTarget(at, &in); tell {
 						m.ListChanged(at, home)
@@ -68,12 +68,12 @@
 					if sink.lastDispatched == 0 {
 						continue
 					}
-					report := choice.LoadReport{Has: choice.HasInFlight, InFlight: 40}
+					report := balancer.LoadReport{Has: balancer.HasInFlight, InFlight: 40}
 					if int(sink.lastDispatched) <= c.cold {
 						sent[sink.lastDispatched] = append(sent[sink.lastDispatched], now/1e6)
 						report.InFlight = 0
 					}
-					m.AttemptEnded(at+1, choice.Outcome{ID: id, Replica: sink.lastDispatched, Status: choice.Served, Elapsed: second / 2, Final: true, Report: report})
+					m.AttemptEnded(at+1, balancer.Outcome{ID: id, Replica: sink.lastDispatched, Status: balancer.Served, Elapsed: second / 2, Final: true, Report: report})
 				}
 			}
 			most, total, over := 0.0, 0, 0
--- a/internal/subset/subset.go
+++ b/internal/subset/subset.go
@@ -16,7 +16,7 @@
 	"math"
 	"slices"
 
-	"archknot/choice"
+	"archknot/balancer"
 )
 
 // Defaults of the settings.
@@ -27,13 +27,13 @@
 
 // Settings are what a gateway's subset is worked out from, beside the list.
 type Settings struct {
-	MaxReplicas    int           // replicas a gateway works with; lists up to it pass whole; 0: all pass whole
-	GatewayIndex   int           // this gateway's number
-	GatewayCount   int           // how many there are; 0: not told
-	Zone           string        // its zone; "": none
-	RemoteFraction float64       // part of the subset that is taken from all zones alike
-	WeightIsSize   bool          // weights in the list are sizes: twice the weight is in twice as many subsets
-	SlowStart      choice.Micros // how long a replica is in slow start
+	MaxReplicas    int             // replicas a gateway works with; lists up to it pass whole; 0: all pass whole
+	GatewayIndex   int             // this gateway's number
+	GatewayCount   int             // how many there are; 0: not told
+	Zone           string          // its zone; "": none
+	RemoteFraction float64         // part of the subset that is taken from all zones alike
+	WeightIsSize   bool            // weights in the list are sizes: twice the weight is in twice as many subsets
+	SlowStart      balancer.Micros // how long a replica is in slow start
 }
 
 // minGatewaysPerReplica is how many gateways have a replica in their subsets in the mean, at least. With fewer
@@ -56,7 +56,7 @@
 
 // replica is one of the list as the view holds it.
 type replica struct {
-	choice.Endpoint
+	balancer.Endpoint
 	hash         uint64
 	ringPosition float64 // on its ring, from 0 to 1
 	ring         int
@@ -66,7 +66,7 @@
 	selected     bool    // it is in the subset
 }
 
-func newReplica(m choice.Endpoint) *replica {
+func newReplica(m balancer.Endpoint) *replica {
 	r := &replica{Endpoint: m, hash: mix64(uint64(m.Replica))}
 	r.ringPosition = unitInterval(r.hash)
 	r.ring = int(mix64(r.hash) % ringsPerZone)
@@ -123,7 +123,7 @@
 func markInWindow(fleet []*replica, scale float64) (ready int) {
 	for _, r := range fleet {
 		r.selected = r.windowOffset < scale*r.windowWidth
-		if r.selected && r.State == choice.EndpointReady {
+		if r.selected && r.State == balancer.EndpointReady {
 			ready++
 		}
 	}
@@ -135,7 +135,7 @@
 func windowScale(fleet []*replica, want float64) float64 {
 	expected := func(scale float64) (sum float64) {
 		for _, r := range fleet {
-			if r.State == choice.EndpointReady {
+			if r.State == balancer.EndpointReady {
 				sum += min(1, scale*r.windowWidth)
 			}
 		}
@@ -166,7 +166,7 @@
 func trimToLimit(fleet []*replica, most int) (ready int) {
 	var in []*replica
 	for _, r := range fleet {
-		if r.selected && r.State == choice.EndpointReady {
+		if r.selected && r.State == balancer.EndpointReady {
 			in = append(in, r)
 		}
 	}
--- a/internal/subset/subset_test.go
+++ b/internal/subset/subset_test.go
@@ -8,7 +8,7 @@
 
 	"pgregory.net/rapid"
 
-	"archknot/choice"
+	"archknot/balancer"
 )
 
 // noPrefixStats is a module that has seen no prefix.
@@ -16,13 +16,13 @@
 
 func (noPrefixStats) PrefixShare(uint64) float64 { return 0 }
 
-const second choice.Micros = 1_000_000
+const second balancer.Micros = 1_000_000
 
 // zonedMembers is a list of replicas dealt to zones, so many in each, with ids from first on.
-func zonedMembers(first int, counts ...int) (out []choice.Endpoint) {
+func zonedMembers(first int, counts ...int) (out []balancer.Endpoint) {
 	for zone, n := range counts {
 		for range n {
-			out = append(out, choice.Endpoint{Replica: choice.ReplicaID(mix64(uint64(first))), State: choice.EndpointReady, Weight: 1,
+			out = append(out, balancer.Endpoint{Replica: balancer.ReplicaID(mix64(uint64(first))), State: balancer.EndpointReady, Weight: 1,
 				Zone: fmt.Sprint("z", zone), Kind: "k", StartedAt: 5})
 			first++
 		}
@@ -34,8 +34,8 @@
 	return slices.Repeat([]int{each}, zones)
 }
 
-func fullListOf(members []choice.Endpoint) choice.EndpointList {
-	return choice.EndpointList{Kind: choice.ListFull, Endpoints: members}
+func fullListOf(members []balancer.Endpoint) balancer.EndpointList {
+	return balancer.EndpointList{Kind: balancer.ListFull, Endpoints: members}
 }
 
 // testSettings is the settings of the tests: those of a gateway in the zone that its index stands for.
@@ -44,10 +44,10 @@
 }
 
 // readyIDs are the replicas of a list that take work.
-func readyIDs(list choice.EndpointList) map[choice.ReplicaID]bool {
-	out := map[choice.ReplicaID]bool{}
+func readyIDs(list balancer.EndpointList) map[balancer.ReplicaID]bool {
+	out := map[balancer.ReplicaID]bool{}
 	for _, m := range list.Endpoints {
-		if m.State == choice.EndpointReady {
+		if m.State == balancer.EndpointReady {
 			out[m.Replica] = true
 		}
 	}
@@ -55,12 +55,12 @@
 }
 
 // applyAnnounced applies what a view tells to what was told before, as the module does.
-func applyAnnounced(held map[choice.ReplicaID]choice.Endpoint, list choice.EndpointList) {
+func applyAnnounced(held map[balancer.ReplicaID]balancer.Endpoint, list balancer.EndpointList) {
 	if list.Kind.Complete() {
 		clear(held)
 	}
 	for _, m := range list.Endpoints {
-		if m.State == choice.EndpointGone {
+		if m.State == balancer.EndpointGone {
 			delete(held, m.Replica)
 		} else {
 			held[m.Replica] = m
@@ -77,7 +77,7 @@
 		if len(got.Endpoints) != n || got.FleetSize != 0 || n > 0 && &got.Endpoints[0] != &list.Endpoints[0] {
 			t.Errorf("%d replicas: %d told, fleet %d", n, len(got.Endpoints), got.FleetSize)
 		}
-		in := choice.Request{Session: 7, Prefix: 8}
+		in := balancer.Request{Session: 7, Prefix: 8}
 		if _, tell := v.AssignAffinityTarget(second, &in); tell || in.HomeReplica != 0 {
 			t.Errorf("%d replicas: a home of its own", n)
 		}
@@ -106,7 +106,7 @@
 		{"uneven zones", 1800, []int{600, 300, 900, 1200, 450, 150, 700, 800, 900}, func(i, z int) int { return i % z }},
 	} {
 		members := zonedMembers(0, c.counts...)
-		subsets := map[choice.ReplicaID]int{}
+		subsets := map[balancer.ReplicaID]int{}
 		sizes, least, most := 0, math.MaxInt, 0
 		var fleet []*replica
 		for _, m := range members {
@@ -177,12 +177,12 @@
 // Whatever becomes of a gateway's own replicas, others are told with the same list.
 func TestUnavailableReplicasAreReplaced(t *testing.T) {
 	members := zonedMembers(0, evenCounts(3, 500)...)
-	for _, state := range []choice.EndpointState{choice.EndpointDraining, choice.EndpointGone} {
+	for _, state := range []balancer.EndpointState{balancer.EndpointDraining, balancer.EndpointGone} {
 		v := NewSelector(testSettings(128, 11, "z1"), noPrefixStats{})
 		first := v.Apply(second, fullListOf(members))
-		held := map[choice.ReplicaID]choice.Endpoint{}
+		held := map[balancer.ReplicaID]balancer.Endpoint{}
 		applyAnnounced(held, first)
-		change := choice.EndpointList{Kind: choice.ListDelta}
+		change := balancer.EndpointList{Kind: balancer.ListDelta}
 		for _, m := range first.Endpoints {
 			m.State = state
 			change.Endpoints = append(change.Endpoints, m)
@@ -190,7 +190,7 @@
 		applyAnnounced(held, v.Apply(2*second, change))
 		ready := 0
 		for _, m := range held {
-			if m.State == choice.EndpointReady {
+			if m.State == balancer.EndpointReady {
 				ready++
 			}
 		}
@@ -202,7 +202,7 @@
 	for index := range 30 {
 		v := NewSelector(testSettings(128, index, "z1"), noPrefixStats{})
 		before := readyIDs(v.Apply(second, fullListOf(members)))
-		lost := slices.DeleteFunc(slices.Clone(members), func(m choice.Endpoint) bool { return m.Zone == "z1" })
+		lost := slices.DeleteFunc(slices.Clone(members), func(m balancer.Endpoint) bool { return m.Zone == "z1" })
 		if got := readyIDs(v.Apply(2*second, fullListOf(lost))); len(got) < 51 {
 			t.Errorf("gateway %d: %d left without its zone", index, len(got))
 		}
@@ -218,8 +218,8 @@
 				t.Fatalf("gateway %d: after the return %+v", index, m)
 			}
 		}
-		in := choice.Request{Session: uint64(index) + 1}
-		if v.AssignAffinityTarget(9*second, &in); in.HomeReplica != 0 && slices.ContainsFunc(back, func(m choice.Endpoint) bool { return m.Replica == in.HomeReplica && m.Zone == "z1" }) {
+		in := balancer.Request{Session: uint64(index) + 1}
+		if v.AssignAffinityTarget(9*second, &in); in.HomeReplica != 0 && slices.ContainsFunc(back, func(m balancer.Endpoint) bool { return m.Replica == in.HomeReplica && m.Zone == "z1" }) {
 			t.Errorf("gateway %d: at home at a replica in slow start", index)
 		}
 	}
@@ -230,13 +230,13 @@
 func TestListsShrinkAndGrow(t *testing.T) {
 	members := zonedMembers(0, 400)
 	v := NewSelector(testSettings(128, 5, "z0"), noPrefixStats{})
-	held := map[choice.ReplicaID]choice.Endpoint{}
+	held := map[balancer.ReplicaID]balancer.Endpoint{}
 	applyAnnounced(held, v.Apply(second, fullListOf(members[:100])))
 	for step, n := range []int{400, 129, 128, 1, 0, 300, 128, 129} {
-		change := choice.EndpointList{Kind: choice.ListDelta}
+		change := balancer.EndpointList{Kind: balancer.ListDelta}
 		for i, m := range members {
 			if i >= n {
-				m.State = choice.EndpointGone
+				m.State = balancer.EndpointGone
 			}
 			change.Endpoints = append(change.Endpoints, m)
 		}
@@ -244,9 +244,9 @@
 		if step%2 == 0 {
 			list = fullListOf(members[:n])
 		}
-		applyAnnounced(held, v.Apply(choice.Micros(step+2)*second, list))
+		applyAnnounced(held, v.Apply(balancer.Micros(step+2)*second, list))
 		for id := range held {
-			if !slices.ContainsFunc(members[:n], func(m choice.Endpoint) bool { return m.Replica == id }) {
+			if !slices.ContainsFunc(members[:n], func(m balancer.Endpoint) bool { return m.Replica == id }) {
 				t.Fatalf("step %d: holds one that has gone", step)
 			}
 		}
@@ -296,14 +296,14 @@
 // stays at a few replicas. A guest is told before it is used; there are no more than the bound allows.
 func TestGatewaysAgreeOnAffinityTargets(t *testing.T) {
 	members := zonedMembers(0, evenCounts(4, 400)...)
-	homes := map[uint64]choice.ReplicaID{}
-	ofPrefix := map[uint64]map[choice.ReplicaID]bool{}
+	homes := map[uint64]balancer.ReplicaID{}
+	ofPrefix := map[uint64]map[balancer.ReplicaID]bool{}
 	for _, index := range []int{1, 5, 9, 413} {
 		v := NewSelector(testSettings(128, index, "z1"), noPrefixStats{})
-		held := map[choice.ReplicaID]choice.Endpoint{}
+		held := map[balancer.ReplicaID]balancer.Endpoint{}
 		applyAnnounced(held, v.Apply(20*second, fullListOf(members)))
 		for session := range uint64(600) {
-			in := choice.Request{Session: session + 1, Prefix: session%40 + 1}
+			in := balancer.Request{Session: session + 1, Prefix: session%40 + 1}
 			list, tell := v.AssignAffinityTarget(20*second, &in)
 			if tell {
 				applyAnnounced(held, list)
@@ -319,7 +319,7 @@
 			}
 			homes[session] = in.HomeReplica
 			if ofPrefix[in.Prefix] == nil {
-				ofPrefix[in.Prefix] = map[choice.ReplicaID]bool{}
+				ofPrefix[in.Prefix] = map[balancer.ReplicaID]bool{}
 			}
 			ofPrefix[in.Prefix][in.HomeReplica] = true
 		}
@@ -340,12 +340,12 @@
 			Zone: rapid.SampledFrom([]string{"z0", "z1", "z9", ""}).Draw(t, "zone"), WeightIsSize: rapid.Bool().Draw(t, "weighted"), SlowStart: 9 * second}
 		counts := rapid.SliceOfN(rapid.IntRange(0, 200), 1, 5).Draw(t, "zones")
 		all := zonedMembers(0, counts...)
-		truth := map[choice.ReplicaID]choice.Endpoint{}
+		truth := map[balancer.ReplicaID]balancer.Endpoint{}
 		v := NewSelector(s, noPrefixStats{})
-		held := map[choice.ReplicaID]choice.Endpoint{}
+		held := map[balancer.ReplicaID]balancer.Endpoint{}
 		for step := range rapid.IntRange(1, 6).Draw(t, "lists") {
-			now := choice.Micros(step+1) * second
-			list := choice.EndpointList{Kind: rapid.SampledFrom([]choice.ListKind{choice.ListFull, choice.ListDelta, choice.ListOverride, choice.ListCached}).Draw(t, "kind")}
+			now := balancer.Micros(step+1) * second
+			list := balancer.EndpointList{Kind: rapid.SampledFrom([]balancer.ListKind{balancer.ListFull, balancer.ListDelta, balancer.ListOverride, balancer.ListCached}).Draw(t, "kind")}
 			if list.Kind.Complete() {
 				clear(truth)
 			}
@@ -355,20 +355,20 @@
 				case 0:
 					continue // not on this list
 				case 1:
-					m.State = choice.EndpointGone
+					m.State = balancer.EndpointGone
 				case 2:
-					m.State = choice.EndpointDraining
+					m.State = balancer.EndpointDraining
 				}
 				m.Weight = float64(mix64(seed^uint64(i)) % 4)
 				list.Endpoints = append(list.Endpoints, m)
-				if delete(truth, m.Replica); m.State != choice.EndpointGone {
+				if delete(truth, m.Replica); m.State != balancer.EndpointGone {
 					truth[m.Replica] = m
 				}
 			}
 			applyAnnounced(held, v.Apply(now, list))
 			ready, inUse := 0, 0
 			for _, m := range truth {
-				if m.State == choice.EndpointReady {
+				if m.State == balancer.EndpointReady {
 					ready++
 				}
 			}
@@ -381,7 +381,7 @@
 					guests++
 					continue
 				}
-				if m.State == choice.EndpointReady {
+				if m.State == balancer.EndpointReady {
 					inUse++
 				}
 			}
@@ -392,11 +392,11 @@
 				t.Fatalf("step %d: %d in use of %d, bound %d", step, inUse, ready, most)
 			}
 			anew := NewSelector(s, noPrefixStats{})
-			var members []choice.Endpoint
+			var members []balancer.Endpoint
 			for _, m := range truth {
 				members = append(members, m)
 			}
-			other := map[choice.ReplicaID]choice.Endpoint{}
+			other := map[balancer.ReplicaID]balancer.Endpoint{}
 			applyAnnounced(other, anew.Apply(now, fullListOf(members)))
 			if len(other) != len(held)-guests {
 				t.Fatalf("step %d: %d by these lists and %d guests, %d by one", step, len(held), guests, len(other))
@@ -406,11 +406,11 @@
 					t.Fatalf("step %d: another subset by other lists", step)
 				}
 			}
-			in := choice.Request{Session: 3, Prefix: 4}
+			in := balancer.Request{Session: 3, Prefix: 4}
 			if list, tell := v.AssignAffinityTarget(now+20*second, &in); tell {
 				applyAnnounced(held, list)
 			}
-			if in.HomeReplica != 0 && held[in.HomeReplica].State != choice.EndpointReady {
+			if in.HomeReplica != 0 && held[in.HomeReplica].State != balancer.EndpointReady {
 				t.Fatalf("step %d: at home where nothing is taken", step)
 			}
 		}
@@ -422,7 +422,7 @@
 func TestFewGateways(t *testing.T) {
 	members := zonedMembers(0, evenCounts(3, 400)...)
 	for _, c := range []struct{ gateways, told int }{{12, 12}, {40, 40}, {200, 200}, {200, 100}, {200, 400}, {100, 1800}} {
-		subsets, sizes := map[choice.ReplicaID]int{}, 0
+		subsets, sizes := map[balancer.ReplicaID]int{}, 0
 		for i := range c.gateways {
 			s := testSettings(64, i, fmt.Sprint("z", i%3))
 			s.GatewayCount = c.told
@@ -448,7 +448,7 @@
 // ten with an old index leaves the spread nearly as it was. The last list counts, whatever its version.
 func TestStaleIndexesAndLists(t *testing.T) {
 	members := zonedMembers(0, evenCounts(3, 400)...)
-	subsets, sizes := map[choice.ReplicaID]int{}, 0
+	subsets, sizes := map[balancer.ReplicaID]int{}, 0
 	for i := range 300 {
 		index := i
 		if i%10 == 9 {
@@ -471,8 +471,8 @@
 	}
 	v := NewSelector(testSettings(128, 5, "z1"), noPrefixStats{})
 	first := readyIDs(v.Apply(second, fullListOf(members)))
-	held := map[choice.ReplicaID]choice.Endpoint{}
-	for _, list := range []choice.EndpointList{fullListOf(members[:300]), fullListOf(members), fullListOf(members[200:]), fullListOf(members)} {
+	held := map[balancer.ReplicaID]balancer.Endpoint{}
+	for _, list := range []balancer.EndpointList{fullListOf(members[:300]), fullListOf(members), fullListOf(members[200:]), fullListOf(members)} {
 		list.Version = int64(len(list.Endpoints)) // out of order
 		applyAnnounced(held, v.Apply(2*second, list))
 	}
@@ -494,7 +494,7 @@
 		members[i].StartedAt = 0
 	}
 	v := NewSelector(testSettings(128, 5, "z0"), noPrefixStats{})
-	v.Apply(second, choice.EndpointList{Kind: choice.ListCached})
+	v.Apply(second, balancer.EndpointList{Kind: balancer.ListCached})
 	for _, m := range v.Apply(2*second, fullListOf(members)).Endpoints {
 		if m.StartedAt != startedLongAgo {
 			t.Fatalf("first list: started at %d", m.StartedAt)
@@ -504,7 +504,7 @@
 	for i := range late {
 		late[i].StartedAt = 0
 	}
-	news := v.Apply(3*second, choice.EndpointList{Kind: choice.ListDelta, Endpoints: late})
+	news := v.Apply(3*second, balancer.EndpointList{Kind: balancer.ListDelta, Endpoints: late})
 	came := 0
 	for _, m := range news.Endpoints {
 		if m.Replica != 0 && v.fleet[m.Replica].StartedAt == 3*second {
--- a/internal/subset/zones.go
+++ b/internal/subset/zones.go
@@ -3,7 +3,7 @@
 import (
 	"slices"
 
-	"archknot/choice"
+	"archknot/balancer"
 )
 
 // zone is what the list has of one zone.
@@ -32,7 +32,7 @@
 	t := &zoneTable{byName: map[string]*zone{}}
 	var last *zone // zones often come in runs
 	for _, r := range fleet {
-		if r.State != choice.EndpointReady {
+		if r.State != balancer.EndpointReady {
 			continue
 		}
 		if last == nil || last.name != r.Zone {
@@ -49,7 +49,7 @@
 		return 1
 	})
 	for _, r := range fleet { // what drains stays where it was, if its zone is there
-		if r.State != choice.EndpointReady {
+		if r.State != balancer.EndpointReady {
 			r.zone = t.byName[r.Zone]
 		}
 	}
--- a/internal/hold/syncpoint.go
+++ b/internal/syncpoint/syncpoint.go
@@ -1,7 +1,7 @@
 // Package hold forces the order of two events in tests: whoever comes to a Point stops there until
 // the test lets it go on. Connections accepted through a Listener, or wrapped, stop at reads.
 // Only tests import it.
-package hold
+package syncpoint
 
 import (
 	"net"
--- a/internal/confstream/client.go
+++ b/internal/xdsclient/client.go
@@ -1,4 +1,4 @@
-package confstream
+package xdsclient
 
 import (
 	"context"
@@ -19,8 +19,8 @@
 	"google.golang.org/grpc/credentials/insecure"
 	"google.golang.org/grpc/keepalive"
 
-	"archknot/choice"
-	"archknot/internal/revision"
+	"archknot/balancer"
+	"archknot/internal/configversion"
 )
 
 // Target is what versions are applied to.
@@ -28,7 +28,7 @@
 	// Apply takes a whole version, or goes back to one; nil is the files. It
 	// returns why not, with nothing changed, or nothing. It may wait for the
 	// module's owner, not for sockets.
-	Apply(ctx context.Context, c *revision.Config) revision.Rejections
+	Apply(ctx context.Context, c *configversion.Config) configversion.Rejections
 }
 
 // Options of a Client.
@@ -36,7 +36,7 @@
 	Address string
 	Delta   bool                             // the incremental form
 	TLS     credentials.TransportCredentials // nil: plain, for loopback only
-	Machine revision.Options
+	Machine configversion.Options
 	Store   *Store // nil: nothing is kept over restarts
 	Log     func(msg string, args ...any)
 }
@@ -54,15 +54,15 @@
 type Client struct {
 	options     Options
 	target      Target
-	machine     *revision.Machine
-	events      chan func(now choice.Micros)
+	machine     *configversion.Machine
+	events      chan func(now balancer.Micros)
 	startedAt   time.Time
 	stream      *stream // the one at hand; nil: none
 	streamCount int
 	ctx         context.Context
 
 	goodRequests, badRequests atomic.Int64 // requests that ended and are not told yet
-	inForce                   atomic.Pointer[revision.Config]
+	inForce                   atomic.Pointer[configversion.Config]
 	connected                 atomic.Bool
 }
 
@@ -79,9 +79,9 @@
 	if o.Log == nil {
 		o.Log = func(string, ...any) {}
 	}
-	c := &Client{options: o, target: target, events: make(chan func(choice.Micros), 256), startedAt: time.Now()}
-	var force *revision.Config
-	var never []revision.Number
+	c := &Client{options: o, target: target, events: make(chan func(balancer.Micros), 256), startedAt: time.Now()}
+	var force *configversion.Config
+	var never []configversion.Number
 	if o.Store != nil {
 		var err error
 		if force, never, err = o.Store.Load(); err != nil {
@@ -89,14 +89,14 @@
 		}
 	}
 	c.inForce.Store(force)
-	c.machine = revision.New(o.Machine, c, force, never)
+	c.machine = configversion.New(o.Machine, c, force, never)
 	return c, nil
 }
 
-func (c *Client) now() choice.Micros { return 1 + time.Since(c.startedAt).Microseconds() }
+func (c *Client) now() balancer.Micros { return 1 + time.Since(c.startedAt).Microseconds() }
 
 // InForce is the version in force; nil: the files.
-func (c *Client) InForce() *revision.Config { return c.inForce.Load() }
+func (c *Client) InForce() *configversion.Config { return c.inForce.Load() }
 
 // Connected tells whether the stream stands.
 func (c *Client) Connected() bool { return c.connected.Load() }
@@ -113,7 +113,7 @@
 // Rollback goes back to the version before.
 func (c *Client) Rollback(ctx context.Context, why string) error {
 	done := make(chan bool, 1)
-	if !c.post(ctx, func(now choice.Micros) { done <- c.machine.Rollback(now, why) }) {
+	if !c.post(ctx, func(now balancer.Micros) { done <- c.machine.Rollback(now, why) }) {
 		return ctx.Err()
 	}
 	select {
@@ -127,7 +127,7 @@
 	}
 }
 
-func (c *Client) post(ctx context.Context, f func(choice.Micros)) bool {
+func (c *Client) post(ctx context.Context, f func(balancer.Micros)) bool {
 	select {
 	case c.events <- f:
 		return true
@@ -143,7 +143,7 @@
 	if force := c.inForce.Load(); force != nil {
 		// As it was before the restart: nothing is in hand yet that it could harm,
 		// but what the files say may have changed since.
-		refused := revision.Validate(force, c.options.Machine.Limits)
+		refused := configversion.Validate(force, c.options.Machine.Limits)
 		if len(refused) == 0 {
 			refused = c.target.Apply(ctx, force)
 		}
@@ -151,7 +151,7 @@
 			c.options.Log("config_kept_refused", "version", uint64(force.Number), "reason", refused.Error())
 			_, never, _ := c.options.Store.Load()
 			c.inForce.Store(nil)
-			c.machine = revision.New(c.options.Machine, c, nil, never)
+			c.machine = configversion.New(c.options.Machine, c, nil, never)
 		} else {
 			c.options.Log("config_kept", "version", uint64(force.Number))
 		}
@@ -188,7 +188,7 @@
 
 // The machine's orders: revision.Host.
 
-func (c *Client) Connect(after choice.Micros) {
+func (c *Client) Connect(after balancer.Micros) {
 	c.streamCount++
 	ctx, stop := context.WithCancel(c.ctx)
 	s := &stream{serial: c.streamCount, cancel: stop, requests: make(chan any, sendQueueSize)}
@@ -201,7 +201,7 @@
 			return
 		}
 		err := c.follow(ctx, s)
-		c.post(c.ctx, func(now choice.Micros) {
+		c.post(c.ctx, func(now balancer.Micros) {
 			if c.stream == s {
 				c.stream = nil
 				c.connected.Store(false)
@@ -227,7 +227,7 @@
 	c.connected.Store(false)
 }
 
-func (c *Client) SendRequest(t revision.ResourceType, version, nonce, why string) {
+func (c *Client) SendRequest(t configversion.ResourceType, version, nonce, why string) {
 	if c.stream == nil {
 		return
 	}
@@ -253,11 +253,11 @@
 	}
 }
 
-func (c *Client) Apply(next *revision.Config) {
+func (c *Client) Apply(next *configversion.Config) {
 	s := c.ctx
 	go func() {
 		refused := c.target.Apply(s, next)
-		c.post(s, func(now choice.Micros) {
+		c.post(s, func(now balancer.Micros) {
 			if len(refused) == 0 {
 				c.inForce.Store(next)
 			}
@@ -266,7 +266,7 @@
 	}()
 }
 
-func (c *Client) Persist(v *revision.Config, never []revision.Number) {
+func (c *Client) Persist(v *configversion.Config, never []configversion.Number) {
 	if c.options.Store == nil {
 		return
 	}
@@ -275,9 +275,9 @@
 	}
 }
 
-func (c *Client) RecordEvent(e revision.Event) {
+func (c *Client) RecordEvent(e configversion.Event) {
 	c.options.Log("config_"+e.Kind, "version", uint64(e.Number), "reason", e.Reason)
-	if c.options.Store == nil || e.Kind == revision.EventStreamLost {
+	if c.options.Store == nil || e.Kind == configversion.EventStreamLost {
 		return
 	}
 	if err := c.options.Store.AppendHistory(HistoryEntry{time.Now().UTC(), e.Number, e.Kind, e.Reason}); err != nil {
@@ -323,7 +323,7 @@
 
 // startSending tells the machine that the stream stands, and sends what it orders.
 func startSending[R any](ctx context.Context, c *Client, s *stream, send func(R) error) {
-	c.post(ctx, func(now choice.Micros) {
+	c.post(ctx, func(now balancer.Micros) {
 		if c.stream == s {
 			c.connected.Store(true)
 			c.machine.Connected(now)
@@ -344,8 +344,8 @@
 	}()
 }
 
-func (c *Client) deliver(ctx context.Context, s *stream, r revision.Response) {
-	c.post(ctx, func(now choice.Micros) {
+func (c *Client) deliver(ctx context.Context, s *stream, r configversion.Response) {
+	c.post(ctx, func(now balancer.Micros) {
 		if c.stream == s {
 			c.machine.Received(now, r)
 		}
@@ -364,7 +364,7 @@
 		if !ok {
 			return fmt.Errorf("a response of type %q, which was not asked for", truncate(m.TypeUrl))
 		}
-		r := revision.Response{Type: t, Version: m.VersionInfo, Nonce: m.Nonce}
+		r := configversion.Response{Type: t, Version: m.VersionInfo, Nonce: m.Nonce}
 		raw := make([][]byte, 0, len(m.Resources))
 		for i, a := range m.Resources {
 			if a.GetTypeUrl() != m.TypeUrl {
@@ -376,7 +376,7 @@
 	}
 }
 
-func withFragment(r revision.Response, t revision.ResourceType, raw [][]byte) revision.Response {
+func withFragment(r configversion.Response, t configversion.ResourceType, raw [][]byte) configversion.Response {
 	if r.DecodeError == "" && len(raw) > maxResources {
 		r.DecodeError = fmt.Sprintf("%d resources, %d are the most", len(raw), maxResources)
 	}
@@ -397,7 +397,7 @@
 // machine gets all of it each time.
 func (c *Client) receiveDelta(ctx context.Context, s *stream, st discovery.AggregatedDiscoveryService_DeltaAggregatedResourcesClient) error {
 	startSending(ctx, c, s, st.Send)
-	held := map[revision.ResourceType]map[string][]byte{}
+	held := map[configversion.ResourceType]map[string][]byte{}
 	for {
 		m, err := st.Recv()
 		if err != nil {
@@ -407,7 +407,7 @@
 		if !ok {
 			return fmt.Errorf("a response of type %q, which was not asked for", truncate(m.TypeUrl))
 		}
-		r := revision.Response{Type: t, Version: m.SystemVersionInfo, Nonce: m.Nonce}
+		r := configversion.Response{Type: t, Version: m.SystemVersionInfo, Nonce: m.Nonce}
 		next := maps.Clone(held[t])
 		if next == nil {
 			next = map[string][]byte{}
--- a/internal/confstream/client_test.go
+++ b/internal/xdsclient/client_test.go
@@ -1,4 +1,4 @@
-package confstream
+package xdsclient
 
 import (
 	"context"
@@ -21,24 +21,24 @@
 
 	"google.golang.org/protobuf/proto"
 
-	"archknot/internal/revision"
-	pb "archknot/internal/revision/configpb"
-	"archknot/internal/standin/controlservice"
+	"archknot/internal/configversion"
+	pb "archknot/internal/configversion/configpb"
+	"archknot/internal/fakes/controlservice"
 )
 
 // target remembers what was applied, and refuses some versions as steps.
 type target struct {
 	mu      sync.Mutex
-	inForce *revision.Config
-	applied []revision.Number
-	rejects map[revision.Number]bool
+	inForce *configversion.Config
+	applied []configversion.Number
+	rejects map[configversion.Number]bool
 }
 
-func (t *target) Apply(_ context.Context, c *revision.Config) revision.Rejections {
+func (t *target) Apply(_ context.Context, c *configversion.Config) configversion.Rejections {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	if c != nil && t.rejects[c.Number] {
-		return revision.Rejections{{Type: revision.TypeClass, Resource: "chat", Reason: "taken out with 3 requests in hand"}}
+		return configversion.Rejections{{Type: configversion.TypeClass, Resource: "chat", Reason: "taken out with 3 requests in hand"}}
 	}
 	t.inForce = c
 	if c != nil {
@@ -47,7 +47,7 @@
 	return nil
 }
 
-func (t *target) version() revision.Number {
+func (t *target) version() configversion.Number {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	if t.inForce == nil {
@@ -57,11 +57,11 @@
 }
 
 func version(n uint64) *controlservice.Version {
-	return &controlservice.Version{Number: n, Resources: map[revision.ResourceType][]proto.Message{
-		revision.TypeClass: {&pb.Class{Name: "chat", AimUs: 1_000_000, DeadlineUs: 3_000_000, Worth: float64(n)},
+	return &controlservice.Version{Number: n, Resources: map[configversion.ResourceType][]proto.Message{
+		configversion.TypeClass: {&pb.Class{Name: "chat", AimUs: 1_000_000, DeadlineUs: 3_000_000, Worth: float64(n)},
 			&pb.Class{Name: fmt.Sprint("extra", n%2), AimUs: 1_000_000, DeadlineUs: 4_000_000, Worth: 1}},
-		revision.TypeAttempts: {&pb.Attempts{Most: uint32(1 + n%3)}},
-		revision.TypeWatch:    {&pb.Watch{WaitUs: 5_000_000, CallTimeoutUs: 1_000_000}},
+		configversion.TypeAttempts: {&pb.Attempts{Most: uint32(1 + n%3)}},
+		configversion.TypeWatch:    {&pb.Watch{WaitUs: 5_000_000, CallTimeoutUs: 1_000_000}},
 	}}
 }
 
@@ -74,8 +74,8 @@
 
 func startClient(t *testing.T, name, addr, store string, change func(*Options)) *gateway {
 	t.Helper()
-	g := &gateway{target: &target{rejects: map[revision.Number]bool{}}, done: make(chan struct{})}
-	o := Options{Address: addr, Machine: revision.DefaultOptions(name, uint64(len(name))), Log: func(msg string, args ...any) {}}
+	g := &gateway{target: &target{rejects: map[configversion.Number]bool{}}, done: make(chan struct{})}
+	o := Options{Address: addr, Machine: configversion.DefaultOptions(name, uint64(len(name))), Log: func(msg string, args ...any) {}}
 	o.Machine.InitialBackoff, o.Machine.MaxBackoff, o.Machine.MinInterval = 20_000, 300_000, 50_000
 	if store != "" {
 		s, _, err := OpenStore(store)
@@ -141,7 +141,7 @@
 			on := func(n uint64) func() bool {
 				return func() bool {
 					for _, g := range all {
-						if g.version() != revision.Number(n) {
+						if g.version() != configversion.Number(n) {
 							return false
 						}
 					}
@@ -151,7 +151,7 @@
 			s.Publish(version(1))
 			waitFor(t, "version 1", on(1))
 			bad := version(2)
-			bad.Resources[revision.TypeAttempts] = []proto.Message{&pb.Attempts{Most: 9}}
+			bad.Resources[configversion.TypeAttempts] = []proto.Message{&pb.Attempts{Most: 9}}
 			s.Publish(bad)
 			ctx, stop := context.WithTimeout(t.Context(), 10*time.Second)
 			defer stop()
@@ -170,7 +170,7 @@
 				t.Fatal(err, s.Acks())
 			}
 			cut := version(3)
-			cut.Truncate = revision.TypeClass
+			cut.Truncate = configversion.TypeClass
 			s.Publish(cut)
 			if err := s.AwaitAcks(ctx, refused("resource 0: proto:")); err != nil {
 				t.Fatal(err, s.Acks())
@@ -230,7 +230,7 @@
 			acked := func(list []controlservice.Ack) bool {
 				n := 0
 				for _, a := range list {
-					if a.Error == "" && (a.Version == "v60" || delta) && a.Type == revision.TypeVersion {
+					if a.Error == "" && (a.Version == "v60" || delta) && a.Type == configversion.TypeVersion {
 						n++
 					}
 				}
@@ -288,10 +288,10 @@
 	dir := t.TempDir()
 	path := filepath.Join(dir, "store")
 	rng := mrand.New(mrand.NewPCG(1, 2))
-	config := func(n uint64) *revision.Config {
-		c := &revision.Config{}
+	config := func(n uint64) *configversion.Config {
+		c := &configversion.Config{}
 		list, _ := proto.Marshal(&pb.Version{Number: n})
-		part, err := Decode(revision.TypeVersion, [][]byte{list})
+		part, err := Decode(configversion.TypeVersion, [][]byte{list})
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -299,7 +299,7 @@
 		part.MergeInto(c)
 		return c
 	}
-	last := revision.Number(0)
+	last := configversion.Number(0)
 	for round := range 200 {
 		s, aside, err := OpenStore(path)
 		if err != nil || aside != "" {
@@ -311,7 +311,7 @@
 		}
 		before, _ := os.ReadFile(path)
 		n := uint64(round + 1)
-		if err := s.SaveVersion(config(n), []revision.Number{3}); err != nil {
+		if err := s.SaveVersion(config(n), []configversion.Number{3}); err != nil {
 			t.Fatal(err)
 		}
 		s.Close()
@@ -341,7 +341,7 @@
 			t.Fatal(err)
 		}
 		if whole {
-			last = revision.Number(n)
+			last = configversion.Number(n)
 		}
 	}
 }
@@ -378,7 +378,7 @@
 	defer s.Close()
 	s.db.NoSync = true
 	for i := range maxHistoryEntries + 50 {
-		if err := s.AppendHistory(HistoryEntry{Version: revision.Number(i)}); err != nil {
+		if err := s.AppendHistory(HistoryEntry{Version: configversion.Number(i)}); err != nil {
 			t.Fatal(err)
 		}
 	}
--- a/internal/confstream/store.go
+++ b/internal/xdsclient/store.go
@@ -1,4 +1,4 @@
-package confstream
+package xdsclient
 
 import (
 	"encoding/binary"
@@ -8,7 +8,7 @@
 	"go.etcd.io/bbolt"
 
 	"archknot/internal/boltfile"
-	"archknot/internal/revision"
+	"archknot/internal/configversion"
 )
 
 // Store keeps the last good version, those that must not be taken again, and a
@@ -28,10 +28,10 @@
 
 // HistoryEntry is one line of the history.
 type HistoryEntry struct {
-	At      time.Time       `json:"at"`
-	Version revision.Number `json:"version"`
-	Event   string          `json:"what"`
-	Reason  string          `json:"reason,omitempty"`
+	At      time.Time            `json:"at"`
+	Version configversion.Number `json:"version"`
+	Event   string               `json:"what"`
+	Reason  string               `json:"reason,omitempty"`
 }
 
 // OpenStore opens the store at a path, mode 0600. One that is damaged is set
@@ -52,7 +52,7 @@
 
 // Load is the last good version, nil if there is none, and those that must not be
 // taken again.
-func (s *Store) Load() (c *revision.Config, never []revision.Number, err error) {
+func (s *Store) Load() (c *configversion.Config, never []configversion.Number, err error) {
 	err = s.db.View(func(tx *bbolt.Tx) error {
 		b := tx.Bucket(stateBucket)
 		if text := b.Get(rejectedKey); text != nil {
@@ -72,7 +72,7 @@
 }
 
 // SaveVersion puts a version in the place of the last good one; nil is the files.
-func (s *Store) SaveVersion(c *revision.Config, never []revision.Number) error {
+func (s *Store) SaveVersion(c *configversion.Config, never []configversion.Number) error {
 	list, err := json.Marshal(never)
 	if err != nil {
 		return err
--- a/internal/confstream/store_kill_test.go
+++ b/internal/xdsclient/store_kill_test.go
@@ -1,4 +1,4 @@
-package confstream
+package xdsclient
 
 import (
 	"bufio"
@@ -13,8 +13,8 @@
 
 	"google.golang.org/protobuf/proto"
 
-	"archknot/internal/revision"
-	pb "archknot/internal/revision/configpb"
+	"archknot/internal/configversion"
+	pb "archknot/internal/configversion/configpb"
 )
 
 // storeWriterEnv is the environment variable that makes the test's program one that keeps
@@ -46,12 +46,12 @@
 	for {
 		n++
 		raw, _ := proto.Marshal(&pb.Version{Number: n})
-		part, err := Decode(revision.TypeVersion, [][]byte{raw})
+		part, err := Decode(configversion.TypeVersion, [][]byte{raw})
 		if err == nil {
-			next := &revision.Config{Number: revision.Number(n)}
+			next := &configversion.Config{Number: configversion.Number(n)}
 			part.MergeInto(next)
-			if err = s.SaveVersion(next, []revision.Number{1}); err == nil {
-				err = s.AppendHistory(HistoryEntry{Version: next.Number, Event: revision.EventApplied})
+			if err = s.SaveVersion(next, []configversion.Number{1}); err == nil {
+				err = s.AppendHistory(HistoryEntry{Version: next.Number, Event: configversion.EventApplied})
 			}
 		}
 		if err != nil {
--- a/internal/confstream/tls.go
+++ b/internal/xdsclient/tls.go
@@ -1,4 +1,4 @@
-package confstream
+package xdsclient
 
 import (
 	"context"
