--- a/internal/connpool/pool_test.go
+++ b/internal/connpool/pool_test.go
@@ -2,13 +2,14 @@
 
 import (
 	"context"
+	"errors"
 	"net"
 	"testing"
 	"time"
 )
 
-// The pool reuses the connection used last, gives up what is idle for room,
-// and opens no more than it may.
+// The pool reuses the most recently used connection, closes idle ones to make room for others, and
+// never exceeds its limit.
 func TestPoolLimitsOpenConnections(t *testing.T) {
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -25,13 +26,13 @@
 		return c
 	}
 	a, b := get(), get()
-	if _, err := p.Get(context.Background(), "k", l.Addr().String()); err != ErrExhausted {
+	if _, err := p.Get(context.Background(), "k", l.Addr().String()); !errors.Is(err, ErrExhausted) {
 		t.Errorf("a third connection: %v", err)
 	}
 	p.Put(a)
 	p.Put(b)
 	if c := get(); c != b || !c.Reused {
-		t.Error("not the connection used last")
+		t.Error("not the most recently used connection")
 	}
 	p.Put(b)
 	other, err := net.Listen("tcp", "127.0.0.1:0")
@@ -43,15 +44,15 @@
 	if err != nil || p.OpenCount() != 2 {
 		t.Errorf("with two idle: %v, %d open", err, p.OpenCount())
 	}
-	// Another process at an address gets no connection of the one before.
+	// Another process at the same address gets no connection of the previous one.
 	if p.Put(c); c.Reused {
-		t.Error("a first connection taken for a kept one")
+		t.Error("a new connection is marked as reused")
 	}
 	if c, err = p.Get(context.Background(), "third", other.Addr().String()); err != nil || c.Reused {
 		t.Errorf("a connection of another peer at the same address: %v", err)
 	}
 	if _, err := a.Write([]byte("x")); err == nil {
-		t.Error("the idlest connection is still open")
+		t.Error("the connection that was idle for longest is still open")
 	}
 	p.Drop(c)
 	p.CloseIdle("k")
@@ -61,7 +62,7 @@
 	}
 }
 
-// A silent machine's kept connections go, unless one was in use since.
+// A silent peer's idle connections are closed, unless one was in use since.
 func TestCloseUnusedSince(t *testing.T) {
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -87,7 +88,7 @@
 	}
 }
 
-// What is idle for too long or closed by the other side holds no socket.
+// A connection that is idle for too long or closed by the peer occupies no socket.
 func TestCloseExpired(t *testing.T) {
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -104,24 +105,24 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		far, err := l.Accept()
+		peer, err := l.Accept()
 		if err != nil {
 			t.Fatal(err)
 		}
 		if c.close {
-			far.Close()
-			conn.Reader.Peek(1) // its end has arrived
+			peer.Close()
+			conn.Reader.Peek(1) // waits for the FIN
 		}
 		p.Put(conn)
 		p.CloseExpired()
 		if p.OpenCount() != c.open {
 			t.Errorf("%s: %d open, want %d", name, p.OpenCount(), c.open)
 		}
-		far.Close()
+		peer.Close()
 	}
 }
 
-// Bytes that came unasked on a kept connection would be taken for the next answer.
+// Unsolicited bytes on an idle connection would be taken for the next response.
 func TestUnsolicitedBytesPreventReuse(t *testing.T) {
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -133,13 +134,13 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	far, err := l.Accept()
+	peer, err := l.Accept()
 	if err != nil {
 		t.Fatal(err)
 	}
-	defer far.Close()
+	defer peer.Close()
 	p.Put(first)
-	far.Write([]byte("x"))
+	peer.Write([]byte("x"))
 	for end := time.Now().Add(5 * time.Second); !HasUnreadData(first.Conn) && time.Now().Before(end); {
 		time.Sleep(time.Millisecond)
 	}
--- /dev/null
+++ b/internal/connpool/sockstate.go
@@ -0,0 +1,87 @@
+package connpool
+
+import (
+	"cmp"
+	"errors"
+	"net"
+	"syscall"
+
+	"golang.org/x/sys/unix"
+)
+
+// HasUnreadData reports whether the connection has received bytes that were not read yet.
+func HasUnreadData(c net.Conn) bool {
+	n, err := peekConn(c)
+	return err == nil && n > 0
+}
+
+// PeerClosed reports whether the peer has closed its half of the connection or reset it. Unread bytes
+// may precede the peer's FIN in the receive buffer; in that case the kernel's TCP state decides.
+func PeerClosed(c net.Conn) bool {
+	switch n, err := peekConn(c); {
+	case err == nil && n > 0:
+		return finReceived(c)
+	case err == nil:
+		return true
+	default:
+		return !errors.Is(err, syscall.EAGAIN) && !errors.Is(err, syscall.EINTR)
+	}
+}
+
+// openWithoutData reports whether the connection is open and has no bytes to read.
+func openWithoutData(c net.Conn) bool {
+	_, err := peekConn(c)
+	return errors.Is(err, syscall.EAGAIN)
+}
+
+// finReceived reports whether the peer's FIN has arrived, whether or not all bytes before it were read.
+func finReceived(c net.Conn) (received bool) {
+	controlErr := withDescriptor(c, func(fd int) {
+		info, err := unix.GetsockoptTCPInfo(fd, unix.IPPROTO_TCP, unix.TCP_INFO)
+		received = err == nil && closedByPeer(info.State)
+	})
+	return controlErr == nil && received
+}
+
+// closedByPeer reports whether a TCP state (tcp_states.h) is one that follows the peer's FIN or a reset.
+func closedByPeer(state uint8) bool {
+	switch state {
+	case unix.BPF_TCP_CLOSE_WAIT, unix.BPF_TCP_CLOSE, unix.BPF_TCP_LAST_ACK, unix.BPF_TCP_CLOSING:
+		return true
+	default:
+		return false
+	}
+}
+
+// peekConn looks at what can be read from a connection now. EAGAIN means that nothing can, or that the
+// connection has no descriptor to look at.
+func peekConn(c net.Conn) (n int, err error) {
+	controlErr := withDescriptor(c, func(fd int) { n, err = PeekDescriptor(fd) })
+	return n, cmp.Or(controlErr, err)
+}
+
+// PeekDescriptor looks at what can be read from a socket descriptor now and leaves it unread. It never
+// blocks: where there is nothing to read it returns EAGAIN. A count of 0 without an error is the peer's FIN.
+func PeekDescriptor(fd int) (n int, err error) {
+	var buffer [1]byte
+	for {
+		n, _, err = syscall.Recvfrom(fd, buffer[:], syscall.MSG_PEEK|syscall.MSG_DONTWAIT)
+		if !errors.Is(err, syscall.EINTR) {
+			return n, err
+		}
+	}
+}
+
+// withDescriptor calls f with the connection's descriptor. It returns EAGAIN for a connection that has none.
+func withDescriptor(c net.Conn, f func(fd int)) error {
+	sc, ok := c.(syscall.Conn)
+	if !ok {
+		return syscall.EAGAIN
+	}
+	raw, err := sc.SyscallConn()
+	if err != nil {
+		return err
+	}
+	// Control instead of Read, which would wait for a goroutine that is reading.
+	return raw.Control(func(fd uintptr) { f(int(fd)) })
+}
