--- a/internal/connpool/pool.go
+++ b/internal/connpool/pool.go
@@ -91,7 +91,7 @@
 
 // Drop closes a connection that Get returned.
 func (p *Pool) Drop(c *Conn) {
-	c.Conn.Close()
+	c.Close()
 	p.releaseSlot()
 }
 
@@ -217,6 +217,6 @@
 }
 
 func (p *Pool) closeLocked(c *Conn) {
-	c.Conn.Close()
+	c.Close()
 	p.open--
 }
--- a/internal/endpoint/registry_bench_test.go
+++ b/internal/endpoint/registry_bench_test.go
@@ -8,7 +8,7 @@
 	"archknot/internal/httpwire"
 )
 
-// BenchmarkApplyDelta is the cost of one worker's change of state, over the size of the list.
+// BenchmarkApplyDelta measures one replica's change of state, over the size of the list.
 func BenchmarkApplyDelta(b *testing.B) {
 	for _, n := range []int{1000, 6000, 12000} {
 		b.Run(fmt.Sprint(n), func(b *testing.B) {
@@ -16,15 +16,15 @@
 			for i := range n {
 				list.Endpoints = append(list.Endpoints, httpwire.Endpoint{ID: fmt.Sprint("replica-", i), Addr: "127.0.0.1:1", Lifecycle: "ready"})
 			}
-			since := func(int64) balancer.Micros { return 1 }
+			sinceOf := func(int64) balancer.Micros { return 1 }
 			r := NewRegistry()
-			r.Apply(list, balancer.ListFull, since)
+			r.Apply(list, balancer.ListFull, sinceOf)
 			for i := range b.N {
-				w := list.Endpoints[i/2%n]
+				entry := list.Endpoints[i/2%n]
 				if i%2 == 0 {
-					w.Lifecycle = "draining"
+					entry.Lifecycle = "draining"
 				}
-				r.Apply(httpwire.EndpointList{Endpoints: []httpwire.Endpoint{w}}, balancer.ListDelta, since)
+				r.Apply(httpwire.EndpointList{Endpoints: []httpwire.Endpoint{entry}}, balancer.ListDelta, sinceOf)
 			}
 		})
 	}
--- a/internal/endpoint/registry_test.go
+++ b/internal/endpoint/registry_test.go
@@ -4,10 +4,10 @@
 	"slices"
 	"testing"
 
+	"github.com/google/go-cmp/cmp"
+
 	"archknot/balancer"
 	"archknot/internal/httpwire"
-
-	"github.com/google/go-cmp/cmp"
 )
 
 func listEntry(id, lifecycle string, started int64) httpwire.Endpoint {
@@ -16,24 +16,23 @@
 
 func replicaIDs(r *Registry) map[string]balancer.ReplicaID {
 	out := map[string]balancer.ReplicaID{}
-	for name, w := range r.byName {
-		out[name] = w.ID
+	for name, replica := range r.byName {
+		out[name] = replica.ID
 	}
 	return out
 }
 
-// Gateways that heard of the same workers in another order agree on their
-// numbers, also where names collide.
+// Gateways that learned of the same replicas in another order agree on their IDs, also where names collide.
 func TestReplicaIDsDoNotDependOnOrder(t *testing.T) {
-	real := hashReplicaID
-	defer func() { hashReplicaID = real }()
+	original := hashReplicaID
+	defer func() { hashReplicaID = original }()
 	for name, hash := range map[string]func(string, byte) balancer.ReplicaID{
-		"real": real,
+		"real": original,
 		"all collide": func(name string, salt byte) balancer.ReplicaID {
 			if salt == 0 {
 				return 5
 			}
-			return real(name, salt)
+			return original(name, salt)
 		},
 	} {
 		hashReplicaID = hash
@@ -54,33 +53,34 @@
 			}
 			for _, id := range got {
 				if r.ByID(id) == nil {
-					t.Errorf("%s: no worker %d", name, id)
+					t.Errorf("%s: no replica %d", name, id)
 				}
 			}
 		}
 	}
 }
 
+// Apply returns what has changed and which processes have ended or restarted, and converts each start once.
 func TestApplyListsAndDeltas(t *testing.T) {
 	conversions := int64(0)
 	since := func(ms int64) balancer.Micros { conversions++; return ms*1000 + conversions }
 	r := NewRegistry()
 	apply := func(kind balancer.ListKind, in ...httpwire.Endpoint) (map[balancer.ReplicaID]balancer.EndpointState, []string) {
-		out, left := r.Apply(httpwire.EndpointList{Endpoints: in}, kind, since)
+		out, retired := r.Apply(httpwire.EndpointList{Endpoints: in}, kind, since)
 		states := map[balancer.ReplicaID]balancer.EndpointState{}
-		for _, m := range out.Endpoints {
-			states[m.Replica] = m.State
+		for _, e := range out.Endpoints {
+			states[e.Replica] = e.State
 		}
-		slices.Sort(left)
-		return states, left
+		slices.Sort(retired)
+		return states, retired
 	}
 	a, b := hashReplicaID("a", 0), hashReplicaID("b", 0)
 	for i, step := range []struct {
-		kind  balancer.ListKind
-		in    []httpwire.Endpoint
-		want  map[balancer.ReplicaID]balancer.EndpointState
-		left  []string
-		ready int
+		kind    balancer.ListKind
+		in      []httpwire.Endpoint
+		want    map[balancer.ReplicaID]balancer.EndpointState
+		retired []string
+		ready   int
 	}{
 		{balancer.ListCached, []httpwire.Endpoint{listEntry("a", "ready", 0), listEntry("b", "ready", 50)},
 			map[balancer.ReplicaID]balancer.EndpointState{a: balancer.EndpointReady, b: balancer.EndpointReady}, nil, 2},
@@ -92,19 +92,19 @@
 			map[balancer.ReplicaID]balancer.EndpointState{b: balancer.EndpointReady}, nil, 1},
 		{balancer.ListDelta, []httpwire.Endpoint{listEntry("b", "ready", 60)}, // it restarted: its connections are dead
 			map[balancer.ReplicaID]balancer.EndpointState{b: balancer.EndpointReady}, []string{"b@127.0.0.1:b/50"}, 1},
-		{balancer.ListFull, []httpwire.Endpoint{listEntry("a", "odd word", 0)},
+		{balancer.ListFull, []httpwire.Endpoint{listEntry("a", "unknown state", 0)},
 			map[balancer.ReplicaID]balancer.EndpointState{a: balancer.EndpointDraining}, []string{"b@127.0.0.1:b/60"}, 0},
 	} {
-		got, left := apply(step.kind, step.in...)
+		got, retired := apply(step.kind, step.in...)
 		if diff := cmp.Diff(step.want, got); diff != "" {
 			t.Errorf("step %d: %s", i, diff)
 		}
-		if !slices.Equal(left, step.left) || r.ReadyCount() != step.ready {
-			t.Errorf("step %d: left %v, ready %d", i, left, r.ReadyCount())
+		if !slices.Equal(retired, step.retired) || r.ReadyCount() != step.ready {
+			t.Errorf("step %d: retired %v, ready %d", i, retired, r.ReadyCount())
 		}
 	}
-	// A start is converted once: one that moved with the clock's drift would
-	// look like another start, and the worker like a cold one.
+	// A start is converted once: one that moved with the clock's drift would look like another start, and
+	// the replica as if it were warming up.
 	if conversions != 2 {
 		t.Errorf("%d conversions of two starts", conversions)
 	}
