--- a/internal/asynclog/asynclog.go
+++ b/internal/asynclog/asynclog.go
@@ -1,5 +1,5 @@
-// Package asynclog writes log lines without ever holding up whoever logs: a reader of the log that
-// stands still, or a disk that is full, costs lines and nothing else.
+// Package asynclog writes log lines without ever blocking the caller: a stalled reader of the log or a
+// full disk costs lines and nothing else.
 package asynclog
 
 import (
@@ -9,30 +9,34 @@
 	"time"
 )
 
-// maxQueuedBytes bounds the text that waits to be written.
+// maxQueuedBytes bounds the text that is queued for writing.
 const maxQueuedBytes = 256 << 10
 
-// Writer hands lines to a task that writes them. Lines past the bound are dropped, and counted.
+// flushPollInterval is how often Flush looks whether all is written.
+const flushPollInterval = time.Millisecond
+
+// Writer passes lines to a goroutine that writes them. Lines beyond maxQueuedBytes are dropped and counted.
+// It may be used by many goroutines at once.
 type Writer struct {
 	out  io.Writer
 	wake chan struct{}
 
 	mu                sync.Mutex
 	queued            []byte
-	recycled          []byte // the buffer that was written last
+	recycled          []byte // the buffer of the last write, for reuse
 	writing           bool
-	droppedSinceWrite int64 // since the last line that was written
+	droppedSinceWrite int64 // lines dropped since the last write
 	droppedTotal      int64
 }
 
-// New returns a writer before another one.
+// New returns a Writer to out. Its goroutine runs until the process ends.
 func New(out io.Writer) *Writer {
 	w := &Writer{out: out, wake: make(chan struct{}, 1)}
 	go w.run()
 	return w
 }
 
-// Write takes a line, or drops it. It never fails and never waits for the log's reader.
+// Write queues or drops a line. It never fails and never waits for out.
 func (w *Writer) Write(line []byte) (int, error) {
 	w.mu.Lock()
 	if len(w.queued)+len(line) > maxQueuedBytes {
@@ -49,16 +53,16 @@
 	return len(line), nil
 }
 
-// Dropped counts the lines that were dropped since the start.
+// Dropped returns the number of lines that were dropped or failed to be written since the start.
 func (w *Writer) Dropped() int64 {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	return w.droppedTotal
 }
 
-// Flush waits until all is written, for so long at most.
-func (w *Writer) Flush(most time.Duration) {
-	for end := time.Now().Add(most); time.Now().Before(end); time.Sleep(time.Millisecond) {
+// Flush waits until all queued lines are written, but no longer than the timeout.
+func (w *Writer) Flush(timeout time.Duration) {
+	for deadline := time.Now().Add(timeout); time.Now().Before(deadline); time.Sleep(flushPollInterval) {
 		w.mu.Lock()
 		done := len(w.queued) == 0 && !w.writing
 		w.mu.Unlock()
@@ -68,6 +72,7 @@
 	}
 }
 
+// run writes queued text until the process ends.
 func (w *Writer) run() {
 	for range w.wake {
 		text := w.take()
@@ -75,13 +80,13 @@
 		w.mu.Lock()
 		w.writing, w.recycled = false, text[:0]
 		if err != nil && len(text) > 0 {
-			w.droppedTotal++ // at least: how much of it was written is not known
+			w.droppedTotal++ // at least one line; how many were written is unknown
 		}
 		w.mu.Unlock()
 	}
 }
 
-// take is all that waits, and how many lines were dropped before it.
+// take returns all queued text, followed by a line with the number of dropped lines if there are any.
 func (w *Writer) take() []byte {
 	w.mu.Lock()
 	defer w.mu.Unlock()
--- a/internal/asynclog/asynclog_test.go
+++ b/internal/asynclog/asynclog_test.go
@@ -10,7 +10,7 @@
 	"time"
 )
 
-// blockingWriter is a log's reader that stands still until it is opened.
+// blockingWriter is a destination whose writes block until unblocked is closed.
 type blockingWriter struct {
 	unblocked chan struct{}
 	mu        sync.Mutex
@@ -18,62 +18,62 @@
 	err       error
 }
 
-func (g *blockingWriter) Write(p []byte) (int, error) {
-	<-g.unblocked
-	g.mu.Lock()
-	defer g.mu.Unlock()
-	if g.err != nil {
-		return 0, g.err
+func (out *blockingWriter) Write(p []byte) (int, error) {
+	<-out.unblocked
+	out.mu.Lock()
+	defer out.mu.Unlock()
+	if out.err != nil {
+		return 0, out.err
 	}
-	return g.written.Write(p)
+	return out.written.Write(p)
 }
 
-// However long the reader stands still, nobody waits for it; what was kept comes in order, and the
-// number of lines that were dropped is told.
+// However long the destination blocks, logging does not; lines that were not dropped are written in order,
+// and the number of dropped lines is logged.
 func TestBlockedReaderNeverBlocksWriters(t *testing.T) {
-	g := &blockingWriter{unblocked: make(chan struct{})}
-	w := New(g)
+	out := &blockingWriter{unblocked: make(chan struct{})}
+	w := New(out)
 	const lines = 20_000
-	begun := time.Now()
+	start := time.Now()
 	for i := range lines {
 		fmt.Fprintf(w, "line %06d %s\n", i, strings.Repeat("x", 50))
 	}
-	if took := time.Since(begun); took > 2*time.Second {
+	if took := time.Since(start); took > 2*time.Second {
 		t.Errorf("logging took %v", took)
 	}
 	if w.Dropped() == 0 {
-		t.Error("nothing was dropped: the bound does not hold")
+		t.Error("nothing was dropped: the queue is not bounded")
 	}
-	w.Flush(10 * time.Millisecond) // ends though nothing is written
-	close(g.unblocked)
+	w.Flush(10 * time.Millisecond) // returns although nothing is written
+	close(out.unblocked)
 	w.Flush(5 * time.Second)
-	g.mu.Lock()
-	defer g.mu.Unlock()
-	if g.written.Len() > 2*maxQueuedBytes+100 {
-		t.Errorf("%d bytes were kept", g.written.Len())
+	out.mu.Lock()
+	defer out.mu.Unlock()
+	if out.written.Len() > 2*maxQueuedBytes+100 {
+		t.Errorf("%d bytes were queued", out.written.Len())
 	}
 	last := -1
-	kept := 0
-	for line := range strings.Lines(g.written.String()) {
+	writtenLines := 0
+	for line := range strings.Lines(out.written.String()) {
 		var n int
 		if _, err := fmt.Sscanf(line, "line %d", &n); err == nil {
 			if n <= last {
-				t.Fatalf("line %d behind %d", n, last)
+				t.Fatalf("line %d after %d", n, last)
 			}
 			last = n
-			kept++
+			writtenLines++
 		}
 	}
-	if int64(kept)+w.Dropped() != lines || !strings.Contains(g.written.String(), "msg=log_dropped lines=") {
-		t.Errorf("%d lines kept, %d dropped of %d", kept, w.Dropped(), lines)
+	if int64(writtenLines)+w.Dropped() != lines || !strings.Contains(out.written.String(), "msg=log_dropped lines=") {
+		t.Errorf("%d lines written, %d dropped of %d", writtenLines, w.Dropped(), lines)
 	}
 }
 
-// A log that cannot be written costs its lines.
+// Lines that cannot be written count as dropped.
 func TestFailedWriteIsCounted(t *testing.T) {
-	g := &blockingWriter{unblocked: make(chan struct{}), err: errors.New("no space left on device")}
-	close(g.unblocked)
-	w := New(g)
+	out := &blockingWriter{unblocked: make(chan struct{}), err: errors.New("no space left on device")}
+	close(out.unblocked)
+	w := New(out)
 	for range 10 {
 		if n, err := w.Write([]byte("x\n")); n != 2 || err != nil {
 			t.Fatal(n, err)
--- a/internal/controlstats/controlstats.go
+++ b/internal/controlstats/controlstats.go
@@ -1,5 +1,5 @@
-// Package figures holds what a gateway tells operators about its own control work: the list that it
-// follows, its part of the fleet, and what went over its connections for which purpose.
+// Package controlstats defines what a gateway reports to operators about its control plane: its endpoint
+// list, its subset of the fleet, and the traffic of its connections by purpose.
 package controlstats
 
 import (
@@ -7,10 +7,10 @@
 	"time"
 )
 
-// Purpose is what a connection carries.
+// Purpose is what a connection is used for.
 type Purpose uint8
 
-// The purposes.
+// The purposes; PurposeCount is their number.
 const (
 	PurposeDiscovery Purpose = iota
 	PurposeHealthCheck
@@ -18,13 +18,13 @@
 	PurposeCount int = iota
 )
 
-// String is the purpose's word in metrics and tables.
+// String returns the purpose's label in metrics and tables.
 func (p Purpose) String() string { return [...]string{"discovery", "probe", "attempt"}[p] }
 
-// Meter counts what goes over connections for one purpose. It may be used by many tasks at once.
+// Meter counts the traffic of connections for one purpose. It may be used by many goroutines at once.
 type Meter struct{ calls, opened, bytesIn, bytesOut atomic.Int64 }
 
-// AddCall counts a call that has begun; opened tells that it needed a new connection.
+// AddCall counts a call that has begun; opened is true if it needed a new connection.
 func (m *Meter) AddCall(opened bool) {
 	m.calls.Add(1)
 	if opened {
@@ -32,41 +32,46 @@
 	}
 }
 
-// AddBytesIn counts bytes that have come. A nil Meter counts nothing.
+// AddBytesIn counts received bytes. A nil Meter counts nothing.
 func (m *Meter) AddBytesIn(n int) {
 	if m != nil {
 		m.bytesIn.Add(int64(n))
 	}
 }
 
-// AddBytesOut counts bytes that were sent. A nil Meter counts nothing.
+// AddBytesOut counts sent bytes. A nil Meter counts nothing.
 func (m *Meter) AddBytesOut(n int) {
 	if m != nil {
 		m.bytesOut.Add(int64(n))
 	}
 }
 
-// Traffic is what a Meter has counted.
+// Traffic is the reading of a Meter since the gateway's start.
 type Traffic struct {
 	Calls             int64 `json:"calls"`
-	ConnectionsOpened int64 `json:"opened"` // connections
+	ConnectionsOpened int64 `json:"opened"`
 	BytesIn           int64 `json:"bytes_in"`
 	BytesOut          int64 `json:"bytes_out"`
 }
 
-// Snapshot tells what was counted so far.
+// Snapshot returns the current counts.
 func (m *Meter) Snapshot() Traffic {
-	return Traffic{Calls: m.calls.Load(), ConnectionsOpened: m.opened.Load(), BytesIn: m.bytesIn.Load(), BytesOut: m.bytesOut.Load()}
+	return Traffic{
+		Calls:             m.calls.Load(),
+		ConnectionsOpened: m.opened.Load(),
+		BytesIn:           m.bytesIn.Load(),
+		BytesOut:          m.bytesOut.Load(),
+	}
 }
 
-// ReportAge is how old the load reports were that attempts went by.
+// ReportAge sums up the age of the load reports at the time of the attempts that were decided with them.
 type ReportAge struct {
-	WithReport    int64         `json:"known"`   // attempts at replicas of which there was a report
-	WithoutReport int64         `json:"unknown"` // and at those of which there was none
-	Sum           time.Duration `json:"sum_ns"`
+	WithReport    int64         `json:"known"`   // attempts at replicas with a load report
+	WithoutReport int64         `json:"unknown"` // attempts at replicas without one
+	Sum           time.Duration `json:"sum_ns"`  // of the ages
 }
 
-// Mean is the reports' mean age; 0 where there was none.
+// Mean returns the mean age of the reports; 0 if there was none.
 func (a ReportAge) Mean() time.Duration {
 	if a.WithReport == 0 {
 		return 0
@@ -74,33 +79,38 @@
 	return a.Sum / time.Duration(a.WithReport)
 }
 
-// OperatorCallCount counts operators' calls of one kind.
+// OperatorCallCount counts operators' calls of one kind and answer.
 type OperatorCallCount struct {
 	Call     string `json:"call"`
-	Accepted bool   `json:"yes"` // how they were answered
+	Accepted bool   `json:"yes"`
 	Count    int64  `json:"n"`
 }
 
-// Stats is a gateway's account of its control work since its start.
+// Stats describes a gateway's control plane; counts are since its start.
 type Stats struct {
-	Listed            int                   `json:"listed"` // replicas on discovery's list
-	Ready             int                   `json:"ready"`  // those that take work
-	Subset            int                   `json:"subset"` // those of them that the gateway works with
-	OutsideTargets    int                   `json:"guests"` // homes of requests beside these
-	Joined            uint64                `json:"joined"` // replicas that have come into the subset
-	Left              uint64                `json:"left"`   // and out of it
-	RejectedLists     int64                 `json:"refused_lists"`
-	MalformedEntries  int64                 `json:"odd_entries"`      // of lists
-	UnknownKeys       int64                 `json:"unknown_keys"`     // of the configuration in force
-	ClosedConnections map[string]int64      `json:"closed"`           // clients' connections, by reason
-	EjectedReplicas   int                   `json:"replicas_out"`     // that operators have out
-	Drained           bool                  `json:"drained"`          // operators have the gateway drained
-	OrdersNotSaved    bool                  `json:"orders_not_saved"` // what operators ordered could not be read or saved at the last try
-	OperatorCalls     []OperatorCallCount   `json:"operator_calls"`
-	ListVersion       int64                 `json:"version"`     // of the list
-	ListSince         time.Time             `json:"in_force"`    // since when it has it
-	Connections       int                   `json:"connections"` // to replicas, open now
-	LoopBusy          time.Duration         `json:"busy_ns"`     // of the task that decides
-	Reports           ReportAge             `json:"reports"`
-	Traffic           [PurposeCount]Traffic `json:"traffic"`
+	Listed         int    `json:"listed"` // replicas on the endpoint list
+	Ready          int    `json:"ready"`  // those of them that accept new attempts
+	Subset         int    `json:"subset"` // those of them in the gateway's subset
+	OutsideTargets int    `json:"guests"` // affinity targets outside the subset
+	Joined         uint64 `json:"joined"` // replicas that have come into the subset
+	Left           uint64 `json:"left"`   // replicas that have left it
+
+	RejectedLists    int64 `json:"refused_lists"`
+	MalformedEntries int64 `json:"odd_entries"`  // of endpoint lists
+	UnknownKeys      int64 `json:"unknown_keys"` // of the configuration in force
+
+	ClosedConnections map[string]int64 `json:"closed"` // of clients, by reason
+
+	EjectedReplicas int                 `json:"replicas_out"`     // ejected by operators
+	Drained         bool                `json:"drained"`          // operators have drained the gateway
+	OrdersNotSaved  bool                `json:"orders_not_saved"` // the last read or save of the maintenance orders failed
+	OperatorCalls   []OperatorCallCount `json:"operator_calls"`
+
+	ListVersion int64     `json:"version"`  // version of the endpoint list in use
+	ListSince   time.Time `json:"in_force"` // when it was applied
+
+	Connections int                   `json:"connections"` // open connections to replicas
+	LoopBusy    time.Duration         `json:"busy_ns"`     // time that the event loop was busy
+	Reports     ReportAge             `json:"reports"`
+	Traffic     [PurposeCount]Traffic `json:"traffic"` // by Purpose
 }
--- a/internal/procstat/procstat_test.go
+++ b/internal/procstat/procstat_test.go
@@ -6,7 +6,7 @@
 	"time"
 )
 
-// A process has memory, and its processor time grows with its work; one that is not there has none.
+// A process has memory, and its CPU time grows with its work; a process that does not exist has neither.
 func TestOwnProcess(t *testing.T) {
 	pid := os.Getpid()
 	if mb := ResidentMB(pid); mb < 1 || mb > 10_000 {
@@ -22,6 +22,6 @@
 		t.Errorf("used %v (%d)", used, sum)
 	}
 	if ResidentMB(-1) != 0 || CPUTime(-1) != 0 {
-		t.Error("a process that is not there has used something")
+		t.Error("a process that does not exist has used something")
 	}
 }
--- a/internal/sockets/errors.go
+++ b/internal/sockets/errors.go
@@ -6,18 +6,21 @@
 	"syscall"
 )
 
-// shortageErrnos are what system calls fail with where this machine lacks something: a descriptor, memory, a
-// port, an entry of a table. They tell nothing of the other side, and pass.
-var shortageErrnos = []syscall.Errno{syscall.EMFILE, syscall.ENFILE, syscall.ENOBUFS, syscall.ENOMEM, syscall.EADDRNOTAVAIL, syscall.EAGAIN,
-	syscall.EINTR, syscall.ENOSPC, syscall.EPERM, syscall.EACCES}
+// shortageErrnos are the errors of system calls where this machine lacks a resource: a descriptor, memory,
+// a port, a table entry. They say nothing about the peer and are transient.
+var shortageErrnos = []syscall.Errno{
+	syscall.EMFILE, syscall.ENFILE, syscall.ENOBUFS, syscall.ENOMEM, syscall.EADDRNOTAVAIL, syscall.EAGAIN,
+	syscall.EINTR, syscall.ENOSPC, syscall.EPERM, syscall.EACCES,
+}
 
-// IsLocalShortage tells whether an error is the fault of this machine, and not of the other side.
+// IsLocalShortage reports whether an error of a dial is caused by this machine and not by the peer.
 func IsLocalShortage(err error) bool {
 	var errno syscall.Errno
 	return errors.As(err, &errno) && slices.Contains(shortageErrnos, errno)
 }
 
-// IsTransient tells whether it may go well to bind an address, or to read a file, a moment later.
+// IsTransient reports whether binding an address or reading a file, which failed with err, may succeed a
+// moment later.
 func IsTransient(err error) bool {
 	var errno syscall.Errno
 	if !errors.As(err, &errno) {
--- a/internal/sockets/listener.go
+++ b/internal/sockets/listener.go
@@ -1,4 +1,5 @@
-// Package sockets has listeners that outlast what the system does to them.
+// Package sockets provides listeners that survive failed accepts, and classifies errors of system calls on
+// sockets and files.
 package sockets
 
 import (
@@ -11,18 +12,19 @@
 )
 
 const (
-	minBackoff, maxBackoff = time.Millisecond, 100 * time.Millisecond
-	logInterval            = time.Second
+	minBackoff  = time.Millisecond
+	maxBackoff  = 100 * time.Millisecond
+	logInterval = time.Second // failed accepts are logged at most this often
 )
 
-// acceptFailures counts the accepts that failed, of all listeners.
+// acceptFailures counts the failed accepts of all listeners.
 var acceptFailures atomic.Int64
 
-// AcceptFailures counts the accepts that the system has failed since the start.
+// AcceptFailures returns the number of failed accepts since the process started.
 func AcceptFailures() int64 { return acceptFailures.Load() }
 
-// NewRetryListener returns a listener that ends only when it is closed. Whatever else an accept fails with
-// is the fault of one connection or passes: the next one is waited for.
+// NewRetryListener returns a listener whose Accept fails only once l is closed. Any other error of an accept
+// concerns a single connection or is transient: Accept retries with backoff.
 func NewRetryListener(l net.Listener) net.Listener { return &retryListener{Listener: l} }
 
 type retryListener struct {
@@ -30,18 +32,29 @@
 	lastLogged time.Time
 }
 
-// Accept waits for the next connection. It is called by one task.
-func (p *retryListener) Accept() (net.Conn, error) {
-	for pause := minBackoff; ; pause = min(2*pause, maxBackoff) {
-		c, err := p.Listener.Accept()
-		if err == nil || errors.Is(err, net.ErrClosed) || errors.Is(err, syscall.EBADF) || errors.Is(err, syscall.EINVAL) {
-			return c, err
+// Accept waits for the next connection. Only one goroutine may call it.
+func (l *retryListener) Accept() (net.Conn, error) {
+	for backoff := minBackoff; ; backoff = min(2*backoff, maxBackoff) {
+		conn, err := l.Listener.Accept()
+		if err == nil || isClosed(err) {
+			return conn, err
 		}
 		acceptFailures.Add(1)
-		if now := time.Now(); now.Sub(p.lastLogged) >= logInterval {
-			p.lastLogged = now
-			slog.Warn("accept_failed", "listen", p.Listener.Addr(), "err", err, "failures", acceptFailures.Load())
-		}
-		time.Sleep(pause)
+		l.logFailure(err)
+		time.Sleep(backoff)
+	}
+}
+
+// isClosed reports whether an accept failed because its listener is closed.
+func isClosed(err error) bool {
+	return errors.Is(err, net.ErrClosed) || errors.Is(err, syscall.EBADF) || errors.Is(err, syscall.EINVAL)
+}
+
+func (l *retryListener) logFailure(err error) {
+	now := time.Now()
+	if now.Sub(l.lastLogged) < logInterval {
+		return
 	}
+	l.lastLogged = now
+	slog.Warn("accept_failed", "listen", l.Addr(), "err", err, "failures", acceptFailures.Load())
 }
--- a/internal/sockets/listener_test.go
+++ b/internal/sockets/listener_test.go
@@ -8,7 +8,7 @@
 	"testing"
 )
 
-// failingListener is a listener whose accepts fail in turn as the system's may, before each connection.
+// failingListener is a listener whose first accepts fail with acceptErrs, one after another.
 type failingListener struct {
 	net.Listener
 	acceptErrs []error
@@ -23,25 +23,25 @@
 	return f.Listener.Accept()
 }
 
-// documentedAcceptErrors are those that accept(2) documents for a connection, a protocol or a shortage.
+// documentedAcceptErrors are the errors of a connection, a protocol or a shortage that accept(2) documents.
 var documentedAcceptErrors = []error{syscall.ECONNABORTED, syscall.EINTR, syscall.EMFILE, syscall.ENFILE, syscall.ENOBUFS, syscall.ENOMEM, syscall.EPROTO,
 	syscall.EPERM, syscall.ENETDOWN, syscall.ENOPROTOOPT, syscall.EHOSTDOWN, syscall.ENONET, syscall.EHOSTUNREACH, syscall.EOPNOTSUPP,
 	syscall.ENETUNREACH, syscall.ETIMEDOUT, syscall.ENOSR, syscall.ENOSPC}
 
-// A listener outlasts all that an accept fails with, but for its own end.
+// A retry listener survives every error of an accept except its own close.
 func TestAcceptRetriesOnError(t *testing.T) {
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
 	before := AcceptFailures()
-	p := NewRetryListener(&failingListener{Listener: l, acceptErrs: documentedAcceptErrors})
-	dialled, err := net.Dial("tcp", l.Addr().String())
+	retrying := NewRetryListener(&failingListener{Listener: l, acceptErrs: documentedAcceptErrors})
+	client, err := net.Dial("tcp", l.Addr().String())
 	if err != nil {
 		t.Fatal(err)
 	}
-	defer dialled.Close()
-	c, err := p.Accept()
+	defer client.Close()
+	c, err := retrying.Accept()
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -50,14 +50,14 @@
 		t.Errorf("%d failures counted of %d", n, len(documentedAcceptErrors))
 	}
 	l.Close()
-	if _, err := p.Accept(); !errors.Is(err, net.ErrClosed) {
+	if _, err := retrying.Accept(); !errors.Is(err, net.ErrClosed) {
 		t.Errorf("closed: %v", err)
 	}
 }
 
-// What this machine lacks is told from what the other side or the network does.
+// A shortage of this machine is told apart from errors of the peer or the network.
 func TestErrorClassification(t *testing.T) {
-	for errno, want := range map[syscall.Errno][2]bool{ // a shortage; passing where an address is bound or a file read
+	for errno, want := range map[syscall.Errno][2]bool{ // is it a local shortage; is it transient for a bind or a file read
 		syscall.EMFILE: {true, true}, syscall.ENOBUFS: {true, true}, syscall.EADDRNOTAVAIL: {true, false}, syscall.EACCES: {true, false},
 		syscall.ECONNREFUSED: {false, false}, syscall.ETIMEDOUT: {false, false}, syscall.ENETUNREACH: {false, false}, syscall.EHOSTUNREACH: {false, false},
 		syscall.EADDRINUSE: {false, true}, syscall.EIO: {false, true}, syscall.ENOENT: {false, false},
@@ -68,6 +68,6 @@
 		}
 	}
 	if IsLocalShortage(errors.New("x")) || IsTransient(nil) {
-		t.Error("no error of the system's is one")
+		t.Error("an error that is not of a system call is classified as one")
 	}
 }
