--- a/internal/subset/affinity.go
+++ b/internal/subset/affinity.go
@@ -10,22 +10,26 @@
 )
 
 const (
-	// affinityPoolSize is about how many replicas are looked at for a request's home.
+	// affinityPoolSize is about how many replicas are candidates for a request's affinity target.
 	affinityPoolSize = 128
-	// minPrefixTargets is how many replicas keep a shared prefix at least, and prefixTargetHeadroom how many times
-	// as many as its share of the traffic needs: see docs/measurements/scale.md.
+	// minPrefixTargets is the least number of replicas that serve a shared prefix, and prefixTargetHeadroom
+	// the factor over the number that its share of the traffic needs: see docs/measurements/scale.md.
 	minPrefixTargets     = 8
 	prefixTargetHeadroom = 6.0
+	// minScore keeps the logarithm in the rendezvous score finite.
+	minScore = 1e-18
+	// affinityPoolSeed separates the order of affinity pools from other uses of a replica's hash.
+	affinityPoolSeed = 0x706f6f6c // "pool"
 )
 
-// affinityPool is the replicas of a zone that take work, sorted by a hash of their own: a run of them with
-// the same leading bits is a part of the zone that all gateways see alike.
+// affinityPool holds the ready replicas of a zone, sorted by a hash of their own: a run of them with the
+// same leading bits is a part of the zone that all gateways see alike.
 type affinityPool struct {
 	sortKeys []uint64
-	replicas []*replica
+	replicas []*replica // in the order of sortKeys
 }
 
-// newAffinityPool makes a pool of replicas that are the pool's own from then on.
+// newAffinityPool returns a pool of the replicas and takes over the slice.
 func newAffinityPool(replicas []*replica) *affinityPool {
 	p := &affinityPool{replicas: replicas}
 	slices.SortFunc(p.replicas, func(a, b *replica) int { return cmp.Compare(affinityPoolKey(a), affinityPoolKey(b)) })
@@ -35,80 +39,152 @@
 	return p
 }
 
-func affinityPoolKey(r *replica) uint64 { return mix64(r.hash ^ 0x706f6f6c) }
+func affinityPoolKey(r *replica) uint64 { return mix64(r.hash ^ affinityPoolSeed) }
 
 // candidates returns the run of replicas that share a key's leading bits: as many bits as leave about
-// affinityPoolSize of the zone's replicas, and fewer where so few would not do.
-func (p *affinityPool) candidates(key uint64, least int) []*replica {
+// affinityPoolSize replicas, or fewer bits if the run would have less than minCount.
+func (p *affinityPool) candidates(key uint64, minCount int) []*replica {
 	n := len(p.replicas)
-	lead := bits.Len(uint((n - 1) / affinityPoolSize))
-	for ; lead > 0; lead-- {
-		first := key >> (64 - lead) << (64 - lead)
-		last := first | math.MaxUint64>>lead
+	leadingBits := bits.Len(uint((n - 1) / affinityPoolSize))
+	for ; leadingBits > 0; leadingBits-- {
+		first := key >> (64 - leadingBits) << (64 - leadingBits)
+		last := first | math.MaxUint64>>leadingBits
 		from, _ := slices.BinarySearch(p.sortKeys, first)
 		to, exact := slices.BinarySearch(p.sortKeys, last)
 		if exact {
 			to++
 		}
-		if to-from >= least {
+		if to-from >= minCount {
 			return p.replicas[from:to]
 		}
 	}
 	return p.replicas
 }
 
-// affinityTarget is the replica that all gateways of the zone take for a request's home: of the few that keep
-// its prefix, the one that its session ranks first (weighted rendezvous). Replicas in slow start are
-// nobody's home.
-func (v *Selector) affinityTarget(now balancer.Micros, in *balancer.Request) (best *replica) {
-	prefix, session := mix64(in.Prefix), mix64(in.Session)
-	key, rank := prefix, session
-	switch {
-	case in.Prefix == 0 && in.Session == 0:
+// AssignAffinityTarget sets the HomeReplica of an arriving request. If the balancer does not know that
+// replica yet, changed is true and the returned list announces it; the balancer must get this list before
+// the request.
+func (s *Selector) AssignAffinityTarget(now balancer.Micros, request *balancer.Request) (list balancer.EndpointList, changed bool) {
+	if !s.subsetting {
+		return list, false
+	}
+	target := s.affinityTarget(now, request)
+	if target == nil {
+		return list, false
+	}
+	s.useCounter++
+	s.announceTarget(target, &list)
+	request.HomeReplica = target.Replica
+	list.Kind, list.FleetSize = balancer.ListOverride, s.stats.Ready
+	sortByReplica(list.Endpoints)
+	return list, len(list.Endpoints) > 0
+}
+
+// affinityTarget returns the affinity target on which all gateways of the zone agree: of the few replicas
+// that serve the request's prefix, the one that ranks first for its session (weighted rendezvous hashing).
+// Replicas that are warming up are no targets. It returns nil if the request has neither session nor
+// prefix, or if there is no replica.
+func (s *Selector) affinityTarget(now balancer.Micros, request *balancer.Request) *replica {
+	if request.Prefix == 0 && request.Session == 0 {
 		return nil
-	case in.Prefix == 0:
-		key = session
-	case in.Session == 0:
-		rank = prefix
 	}
-	p := v.affinityPool(affinityZone(v.zones, mix64(key)))
-	if p == nil {
+	prefixHash, sessionHash := mix64(request.Prefix), mix64(request.Session)
+	poolHash, rankHash := prefixHash, sessionHash
+	if request.Prefix == 0 {
+		poolHash = sessionHash
+	} else if request.Session == 0 {
+		rankHash = prefixHash
+	}
+	pool := s.affinityPool(affinityZone(s.zones, mix64(poolHash)))
+	if pool == nil {
 		return nil
 	}
-	share := v.prefixStats.PrefixShare(in.Prefix)
-	keep := max(minPrefixTargets, int(math.Ceil(prefixTargetHeadroom*share*float64(len(p.replicas)))))
-	part := p.candidates(key, 2*keep)
-	threshold := 1.0
-	if in.Prefix != 0 {
-		threshold = float64(keep) / float64(len(part))
+	targetCount := s.prefixTargetCount(request.Prefix, len(pool.replicas))
+	candidates := pool.candidates(poolHash, 2*targetCount)
+	maxDistance := 1.0
+	if request.Prefix != 0 {
+		maxDistance = float64(targetCount) / float64(len(candidates))
 	}
-	var nearest *replica // where none keeps the prefix
-	least, near := math.Inf(1), math.Inf(1)
-	for _, r := range part {
-		if now < r.StartedAt+v.settings.SlowStart {
+	return s.rankFirst(now, candidates, prefixHash, rankHash, maxDistance)
+}
+
+// prefixTargetCount returns how many of the zone's replicas serve a prefix.
+func (s *Selector) prefixTargetCount(prefix uint64, zoneSize int) int {
+	share := s.prefixStats.PrefixShare(prefix)
+	return max(minPrefixTargets, int(math.Ceil(prefixTargetHeadroom*share*float64(zoneSize))))
+}
+
+// rankFirst returns the candidate with the best rendezvous score of those whose hash distance to the
+// prefix is less than maxDistance, or else the nearest one. Replicas that are warming up do not count.
+func (s *Selector) rankFirst(now balancer.Micros, candidates []*replica, prefixHash, rankHash uint64, maxDistance float64) *replica {
+	var best, nearest *replica
+	bestScore, nearestDistance := math.Inf(1), math.Inf(1)
+	for _, r := range candidates {
+		if now < r.StartedAt+s.settings.SlowStart {
 			continue
 		}
-		distance := unitInterval(mix64(prefix ^ r.hash))
-		if distance < near {
-			nearest, near = r, distance
+		distance := unitInterval(mix64(prefixHash ^ r.hash))
+		if distance < nearestDistance {
+			nearest, nearestDistance = r, distance
 		}
-		if distance >= threshold {
+		if distance >= maxDistance {
 			continue
 		}
-		if score := -math.Log(unitInterval(mix64(rank^r.hash))+1e-18) / r.size(v.settings.WeightIsSize); score < least {
-			best, least = r, score
+		score := -math.Log(unitInterval(mix64(rankHash^r.hash))+minScore) / r.size(s.settings.WeightIsSize)
+		if score < bestScore {
+			best, bestScore = r, score
 		}
 	}
 	return cmp.Or(best, nearest)
 }
 
-// affinityZone draws the zone of a key's home: the gateway's own, but for what it has no replicas for.
+// affinityZone returns the zone of a key's affinity target: the gateway's own, except for the share of
+// keys for which that zone has too few replicas.
 func affinityZone(zones *zoneTable, key uint64) string {
-	draw := unitInterval(key)
+	remaining := unitInterval(key)
 	for _, z := range zones.sorted {
-		if draw -= z.affinityShare; draw < 0 {
+		if remaining -= z.affinityShare; remaining < 0 {
 			return z.name
 		}
 	}
 	return ""
 }
+
+// announceTarget makes sure that the balancer knows a replica, and appends the changes that this needs to
+// the list.
+func (s *Selector) announceTarget(target *replica, list *balancer.EndpointList) {
+	_, announced := s.announced[target.Replica]
+	_, outside := s.outsideTargets[target.Replica]
+	if announced && !outside {
+		return
+	}
+	if !outside {
+		if len(s.outsideTargets) >= s.maxOutsideTargets() {
+			s.withdrawOldestTarget(list)
+		}
+		list.Endpoints = append(list.Endpoints, target.Endpoint)
+		s.announced[target.Replica] = target.Endpoint
+	}
+	s.outsideTargets[target.Replica] = s.useCounter
+	s.stats.OutsideTargets = len(s.outsideTargets)
+}
+
+// maxOutsideTargets returns how many affinity targets outside the subset the balancer may know at once.
+func (s *Selector) maxOutsideTargets() int { return max(1, s.settings.MaxReplicas/2) }
+
+// withdrawOldestTarget withdraws the least recently used target outside the subset. Its attempts in flight
+// continue.
+func (s *Selector) withdrawOldestTarget(list *balancer.EndpointList) {
+	var oldest balancer.ReplicaID
+	oldestUse := uint64(math.MaxUint64)
+	for id, lastUse := range s.outsideTargets {
+		if lastUse < oldestUse {
+			oldest, oldestUse = id, lastUse
+		}
+	}
+	withdrawn := s.announced[oldest]
+	withdrawn.State = balancer.EndpointGone
+	list.Endpoints = append(list.Endpoints, withdrawn)
+	delete(s.outsideTargets, oldest)
+	delete(s.announced, oldest)
+}
--- a/internal/subset/hash.go
+++ b/internal/subset/hash.go
@@ -8,14 +8,20 @@
 	return x ^ x>>31
 }
 
-// hashString is FNV-1a, finished.
+// Parameters of the 64-bit FNV-1a hash.
+const (
+	fnvOffset = 14695981039346656037
+	fnvPrime  = 1099511628211
+)
+
+// hashString returns the FNV-1a hash of a text, finalized by mix64.
 func hashString(text string) uint64 {
-	h := uint64(14695981039346656037)
+	h := uint64(fnvOffset)
 	for i := range len(text) {
-		h = (h ^ uint64(text[i])) * 1099511628211
+		h = (h ^ uint64(text[i])) * fnvPrime
 	}
 	return mix64(h)
 }
 
-// unitInterval maps a hash to 0 up to 1.
+// unitInterval maps a hash to [0, 1).
 func unitInterval(h uint64) float64 { return float64(h>>11) / (1 << 53) }
--- a/internal/subset/request_bench_test.go
+++ b/internal/subset/request_bench_test.go
@@ -8,7 +8,7 @@
 	"archknot/internal/subset"
 )
 
-// lastDispatchSink takes a module's orders.
+// lastDispatchSink receives a balancer's actions and remembers the replica of the last dispatch.
 type lastDispatchSink struct{ lastDispatched balancer.ReplicaID }
 
 func (n *lastDispatchSink) Dispatch(_ balancer.RequestID, to balancer.ReplicaID, _ balancer.Micros) {
@@ -22,43 +22,43 @@
 func (*lastDispatchSink) Gossip([]byte)                            {}
 func (*lastDispatchSink) WatchDiscovery()                          {}
 
-// BenchmarkRequest is all that is decided for a request, from its arrival to its end: the home, the
-// list that tells it, the pick and what its end teaches. The fleet is in one zone or in eighteen.
+// BenchmarkRequest measures all decisions for a request, from its arrival to its end: the affinity target,
+// the list that announces it, the pick, and learning from the outcome. The fleet is in one zone or eighteen.
 func BenchmarkRequest(b *testing.B) {
-	for _, c := range []struct{ replicas, zones, most int }{
+	for _, c := range []struct{ replicas, zones, maxReplicas int }{
 		{100, 1, 128}, {100, 1, 0}, {1000, 1, 0}, {6000, 1, 0}, {1000, 1, 128}, {6000, 1, 128}, {6000, 18, 128},
 	} {
-		b.Run(fmt.Sprintf("replicas=%d/zones=%d/most=%d", c.replicas, c.zones, c.most), func(b *testing.B) {
+		b.Run(fmt.Sprintf("replicas=%d/zones=%d/max=%d", c.replicas, c.zones, c.maxReplicas), func(b *testing.B) {
 			sink := &lastDispatchSink{}
 			s := balancer.Settings{Self: 3, Gateways: 1800, Zone: "z3", Kinds: []string{"k"}, MaxAttempts: 3, MayCancel: true, ReportSource: balancer.ReportInline,
 				Classes: []balancer.Class{{Name: "chat", LatencyObjective: 1e6, Deadline: 10e6, PriorityWeight: 1, Streaming: true}}, StreamsPerConn: 1, ConnIdleTimeout: 45e6}
-			m, err := balancer.New(s, 7, sink)
+			lb, err := balancer.New(s, 7, sink)
 			if err != nil {
 				b.Fatal(err)
 			}
-			v := subset.NewSelector(subset.Settings{MaxReplicas: c.most, GatewayIndex: 3, GatewayCount: 1800, Zone: "z3", RemoteFraction: subset.DefaultRemoteFraction, SlowStart: 9e6}, m)
+			selector := subset.NewSelector(subset.Settings{MaxReplicas: c.maxReplicas, GatewayIndex: 3, GatewayCount: 1800, Zone: "z3", RemoteFraction: subset.DefaultRemoteFraction, SlowStart: 9e6}, lb)
 			list := balancer.EndpointList{Kind: balancer.ListFull}
 			for i := range c.replicas {
 				list.Endpoints = append(list.Endpoints, balancer.Endpoint{Replica: balancer.ReplicaID(uint32(i+1) * 2654435761), State: balancer.EndpointReady,
 					Weight: 1, Kind: "k", Zone: fmt.Sprint("z", i%c.zones), StartedAt: 1})
 			}
 			now := balancer.Micros(100e6)
-			m.Start(now)
-			m.ListChanged(now, v.Apply(now, list))
+			lb.Start(now)
+			lb.ListChanged(now, selector.Apply(now, list))
 			b.ReportAllocs()
 			for n := 0; b.Loop(); n++ {
 				now += 27_000
-				in := balancer.Request{ID: balancer.RequestID(n + 1), Class: "chat", TimeLeft: 10e6, PromptTokens: 800, MaxTokens: 300,
+				request := balancer.Request{ID: balancer.RequestID(n + 1), Class: "chat", TimeLeft: 10e6, PromptTokens: 800, MaxTokens: 300,
 					Session: uint64(n%20_000) + 1, Prefix: uint64(n%4_000) + 1, PrefixTokens: 400}
-				if home, tell := v.AssignAffinityTarget(now, &in); tell {
-					m.ListChanged(now, home)
+				if list, changed := selector.AssignAffinityTarget(now, &request); changed {
+					lb.ListChanged(now, list)
 				}
-				m.RequestArrived(now, in)
-				o := balancer.Outcome{ID: in.ID, Replica: sink.lastDispatched, Elapsed: 400_000}
-				m.FirstToken(now+400_000, o)
+				lb.RequestArrived(now, request)
+				o := balancer.Outcome{ID: request.ID, Replica: sink.lastDispatched, Elapsed: 400_000}
+				lb.FirstToken(now+400_000, o)
 				o.Elapsed, o.Status, o.Final, o.OutputTokens = 3_000_000, balancer.Served, true, 90
 				o.Report = balancer.LoadReport{Has: balancer.HasInFlight, InFlight: float64(n % 9)}
-				m.AttemptEnded(now+3_000_000, o)
+				lb.AttemptEnded(now+3_000_000, o)
 			}
 		})
 	}
--- a/internal/subset/selector.go
+++ b/internal/subset/selector.go
@@ -3,291 +3,261 @@
 import (
 	"cmp"
 	"maps"
-	"math"
 	"slices"
 
 	"archknot/balancer"
 )
 
-// PrefixStats is what a view has to know of the decision module that it stands before.
+// PrefixStats is what a Selector needs to know from the balancer.
 type PrefixStats interface {
-	PrefixShare(prefix uint64) (share float64) // of the requests seen so far
+	// PrefixShare returns a prefix's share of the requests seen so far.
+	PrefixShare(prefix uint64) (share float64)
 }
 
-// Selector stands between discovery's lists and the decision module: it holds the whole list and tells
-// the module the gateway's subset of it, and beside that the homes of requests at hand. It has one
-// owner, and reads no clock.
+// startedLongAgo is the start of a replica that was up before this gateway was. It is not 0, which the
+// balancer takes for an unknown start and hence for a start just now.
+const startedLongAgo balancer.Micros = 1
+
+// Selector stands between discovery's endpoint lists and the balancer. It holds the complete list and
+// passes on the gateway's subset of it, and in addition the affinity targets of current requests that are
+// outside the subset. It reads no clock and must not be used by several goroutines at once.
 type Selector struct {
 	settings       Settings
 	prefixStats    PrefixStats
 	fleet          map[balancer.ReplicaID]*replica
-	sorted         []*replica // by id
+	sorted         []*replica // the fleet by ID
+	fleetChanged   bool       // replicas have joined or left the fleet since sorted was made
 	zones          *zoneTable
-	affinityPools  map[string]*affinityPool // by zone; made when they are asked for
-	membersChanged bool                     // replicas have come or gone since sorted was made
-	subsetting     bool                     // the module is told a part
-	discoveryHeard bool                     // discovery itself has told a list
+	affinityPools  map[string]*affinityPool // by zone, made on demand; nil: no replica of the zone is ready
+	subsetting     bool                     // the balancer knows a subset and not the complete list
+	discoveryHeard bool                     // a list has come from discovery itself
 	announced      map[balancer.ReplicaID]balancer.Endpoint
-	outsideTargets map[balancer.ReplicaID]uint64 // homes outside of the subset, by when they were last wanted
+	outsideTargets map[balancer.ReplicaID]uint64 // announced affinity targets outside the subset, with useCounter at their last use
 	useCounter     uint64
 	stats          Stats
 }
 
-// Stats are a view's figures for operators.
+// Stats describe a Selector for operators.
 type Stats struct {
 	Listed         int    // replicas on the list
-	Ready          int    // those that take work
-	Subset         int    // those in the subset that take work; as many as Ready where the list passes whole
-	OutsideTargets int    // homes outside of the subset that are told
-	Joined         uint64 // replicas that have come into the subset by changes of the list
-	Left           uint64 // and out of it
+	Ready          int    // those of them that accept new attempts
+	Subset         int    // ready replicas in the subset; equal to Ready where the list passes complete
+	OutsideTargets int    // announced affinity targets outside the subset
+	Joined         uint64 // replicas that have joined the subset by changes of the list
+	Left           uint64 // replicas that have left it
 }
 
-// NewSelector returns a view that has heard of no list.
-func NewSelector(s Settings, figures PrefixStats) *Selector {
-	return &Selector{settings: s, prefixStats: figures, fleet: map[balancer.ReplicaID]*replica{}, announced: map[balancer.ReplicaID]balancer.Endpoint{},
-		affinityPools: map[string]*affinityPool{}, outsideTargets: map[balancer.ReplicaID]uint64{}}
+// NewSelector returns a Selector that has seen no list.
+func NewSelector(settings Settings, prefixStats PrefixStats) *Selector {
+	return &Selector{
+		settings:       settings,
+		prefixStats:    prefixStats,
+		fleet:          map[balancer.ReplicaID]*replica{},
+		announced:      map[balancer.ReplicaID]balancer.Endpoint{},
+		affinityPools:  map[string]*affinityPool{},
+		outsideTargets: map[balancer.ReplicaID]uint64{},
+	}
 }
 
-// Stats tells the view's figures.
-func (v *Selector) Stats() Stats { return v.stats }
+// Stats returns the current figures.
+func (s *Selector) Stats() Stats { return s.stats }
 
-// Apply takes discovery's news and returns what the module is told of it. Lists of no more replicas
-// than the bound are returned as they are.
-func (v *Selector) Apply(now balancer.Micros, list balancer.EndpointList) balancer.EndpointList {
-	if v.settings.MaxReplicas <= 0 || list.Kind.Failed() {
+// Apply enters a list or delta from discovery and returns the one for the balancer. Lists within the size
+// limit are returned unchanged.
+func (s *Selector) Apply(now balancer.Micros, list balancer.EndpointList) balancer.EndpointList {
+	if s.settings.MaxReplicas <= 0 || list.Kind.Failed() {
 		return list
 	}
-	was := v.subsetting
-	if !was { // all that was listed so far
-		clear(v.announced)
-		for id, r := range v.fleet {
-			v.announced[id] = r.Endpoint
-		}
+	wasSubsetting := s.subsetting
+	if !wasSubsetting {
+		s.announceFleet()
 	}
-	v.updateFleet(now, &list)
-	v.subsetting = len(v.fleet) > v.settings.sizeLimit(len(v.fleet))
-	v.refreshIndex()
-	if !v.subsetting {
-		v.stats.Subset, v.stats.OutsideTargets = v.stats.Ready, 0
-		if was {
-			return v.fullList(list)
-		}
-		return list
+	s.updateFleet(now, &list)
+	s.subsetting = len(s.fleet) > s.settings.sizeLimit(len(s.fleet))
+	s.refreshIndex()
+	if s.subsetting {
+		return s.subsetList(list)
+	}
+	s.stats.Subset, s.stats.OutsideTargets = s.stats.Ready, 0
+	if wasSubsetting {
+		return s.completeList(list)
+	}
+	return list
+}
+
+// announceFleet notes that the balancer knows the complete fleet.
+func (s *Selector) announceFleet() {
+	clear(s.announced)
+	for id, r := range s.fleet {
+		s.announced[id] = r.Endpoint
 	}
-	return v.subsetList(list)
 }
 
-// updateFleet takes the list over.
-func (v *Selector) updateFleet(now balancer.Micros, list *balancer.EndpointList) {
+// updateFleet enters a list or delta in the fleet.
+func (s *Selector) updateFleet(now balancer.Micros, list *balancer.EndpointList) {
 	listed := map[balancer.ReplicaID]bool{}
-	for _, m := range list.Endpoints {
+	for _, e := range list.Endpoints {
 		if list.Kind.Complete() {
-			listed[m.Replica] = true
+			listed[e.Replica] = true
 		}
-		if m.State == balancer.EndpointGone {
-			v.remove(m.Replica)
+		if e.State == balancer.EndpointGone {
+			s.remove(e.Replica)
 			continue
 		}
-		v.upsert(now, m)
+		s.upsert(now, e)
 	}
 	if list.Kind.Complete() {
-		for id := range v.fleet {
+		for id := range s.fleet {
 			if !listed[id] {
-				v.remove(id)
+				s.remove(id)
 			}
 		}
 	}
-	v.discoveryHeard = v.discoveryHeard || list.Kind.FromDiscovery()
+	s.discoveryHeard = s.discoveryHeard || list.Kind.FromDiscovery()
 }
 
-func (v *Selector) upsert(now balancer.Micros, m balancer.Endpoint) {
-	was := v.fleet[m.Replica]
-	if m.StartedAt == 0 { // not told: long ago, unless it has come since discovery's first list
-		switch {
-		case was != nil:
-			m.StartedAt = was.StartedAt
-		case v.discoveryHeard:
-			m.StartedAt = now
-		default:
-			m.StartedAt = startedLongAgo
-		}
+func (s *Selector) upsert(now balancer.Micros, e balancer.Endpoint) {
+	known := s.fleet[e.Replica]
+	if e.StartedAt == 0 {
+		e.StartedAt = s.assumedStart(now, known)
 	}
-	if was == nil {
-		v.fleet[m.Replica] = newReplica(m)
-		v.membersChanged = true
+	if known == nil {
+		s.fleet[e.Replica] = newReplica(e)
+		s.fleetChanged = true
 		return
 	}
-	if was.State != m.State || was.Zone != m.Zone {
-		v.invalidatePool(was.Zone)
-		v.invalidatePool(m.Zone)
+	if known.State != e.State || known.Zone != e.Zone {
+		s.invalidatePool(known.Zone)
+		s.invalidatePool(e.Zone)
 	}
-	was.Endpoint = m
+	known.Endpoint = e
 }
 
-func (v *Selector) remove(id balancer.ReplicaID) {
-	if v.fleet[id] != nil {
-		delete(v.fleet, id)
-		v.membersChanged = true
+// assumedStart returns the start of a replica for which the list has none: long ago, unless the replica
+// has joined after discovery's first list.
+func (s *Selector) assumedStart(now balancer.Micros, known *replica) balancer.Micros {
+	switch {
+	case known != nil:
+		return known.StartedAt
+	case s.discoveryHeard:
+		return now
+	default:
+		return startedLongAgo
 	}
 }
 
-// invalidatePool has a zone's pool made anew.
-func (v *Selector) invalidatePool(zone string) { delete(v.affinityPools, zone) }
+func (s *Selector) remove(id balancer.ReplicaID) {
+	if s.fleet[id] != nil {
+		delete(s.fleet, id)
+		s.fleetChanged = true
+	}
+}
 
-// startedLongAgo is the start of a replica that was up before this gateway was. It is not 0, which the
-// module would take for no word of a start and hence for a start just now.
-const startedLongAgo balancer.Micros = 1
+// invalidatePool discards a zone's affinity pool.
+func (s *Selector) invalidatePool(zone string) { delete(s.affinityPools, zone) }
 
-// refreshIndex renews what is worked out from the whole list: all of it where replicas have come or gone,
-// else only what has changed.
-func (v *Selector) refreshIndex() {
-	if v.membersChanged {
-		v.sorted = slices.AppendSeq(v.sorted[:0], maps.Values(v.fleet))
-		slices.SortFunc(v.sorted, func(a, b *replica) int { return cmp.Compare(a.Replica, b.Replica) })
-		clear(v.affinityPools)
-		v.membersChanged = false
+// refreshIndex updates what is derived from the complete fleet: the sorted list and the affinity pools
+// only where replicas have joined or left.
+func (s *Selector) refreshIndex() {
+	if s.fleetChanged {
+		s.sorted = slices.AppendSeq(s.sorted[:0], maps.Values(s.fleet))
+		slices.SortFunc(s.sorted, func(a, b *replica) int { return cmp.Compare(a.Replica, b.Replica) })
+		clear(s.affinityPools)
+		s.fleetChanged = false
 	}
-	v.stats.Listed, v.stats.Ready = len(v.sorted), 0
-	for _, r := range v.sorted {
+	s.stats.Listed, s.stats.Ready = len(s.sorted), 0
+	for _, r := range s.sorted {
 		if r.State == balancer.EndpointReady {
-			v.stats.Ready++
+			s.stats.Ready++
 		}
 	}
 }
 
-// affinityPool is the pool of a zone, nil if nothing in it takes work.
-func (v *Selector) affinityPool(zone string) *affinityPool {
-	if p, ok := v.affinityPools[zone]; ok {
-		return p
+// affinityPool returns the pool of a zone, nil if no replica of it is ready.
+func (s *Selector) affinityPool(zone string) *affinityPool {
+	if pool, ok := s.affinityPools[zone]; ok {
+		return pool
 	}
 	var ready []*replica
-	for _, r := range v.sorted {
+	for _, r := range s.sorted {
 		if r.Zone == zone && r.State == balancer.EndpointReady {
 			ready = append(ready, r)
 		}
 	}
-	var p *affinityPool
+	var pool *affinityPool
 	if len(ready) > 0 {
-		p = newAffinityPool(ready)
+		pool = newAffinityPool(ready)
 	}
-	v.affinityPools[zone] = p
-	return p
+	s.affinityPools[zone] = pool
+	return pool
 }
 
-// subsetList makes the module's list of one that is longer than the bound.
-func (v *Selector) subsetList(list balancer.EndpointList) balancer.EndpointList {
-	v.zones, v.stats.Subset = v.settings.selectSubset(v.sorted)
-	next := make(map[balancer.ReplicaID]balancer.Endpoint, v.settings.MaxReplicas)
-	for _, r := range v.sorted {
-		if _, guest := v.outsideTargets[r.Replica]; guest && r.selected {
-			delete(v.outsideTargets, r.Replica)
-		} else if !r.selected && !guest {
-			continue
+// subsetList returns the balancer's list or delta for a list over the size limit.
+func (s *Selector) subsetList(list balancer.EndpointList) balancer.EndpointList {
+	s.zones, s.stats.Subset = s.settings.selectSubset(s.sorted)
+	next := s.nextAnnounced()
+	out := balancer.EndpointList{Kind: list.Kind, Version: list.Version, FleetSize: s.stats.Ready}
+	for id, e := range next {
+		previous, known := s.announced[id]
+		if !known {
+			s.stats.Joined++
 		}
-		next[r.Replica] = r.Endpoint
-	}
-	maps.DeleteFunc(v.outsideTargets, func(id balancer.ReplicaID, _ uint64) bool { return v.fleet[id] == nil })
-	out := balancer.EndpointList{Kind: list.Kind, Version: list.Version, FleetSize: v.stats.Ready}
-	for id, m := range next {
-		was, told := v.announced[id]
-		if !told {
-			v.stats.Joined++
-		}
-		if list.Kind.Complete() || !told || was != m {
-			out.Endpoints = append(out.Endpoints, m)
+		if list.Kind.Complete() || !known || previous != e {
+			out.Endpoints = append(out.Endpoints, e)
 		}
 	}
-	for id, was := range v.announced {
+	for id, previous := range s.announced {
 		if _, stays := next[id]; stays {
 			continue
 		}
-		v.stats.Left++
+		s.stats.Left++
 		if !list.Kind.Complete() {
-			was.State = balancer.EndpointGone
-			out.Endpoints = append(out.Endpoints, was)
+			previous.State = balancer.EndpointGone
+			out.Endpoints = append(out.Endpoints, previous)
 		}
 	}
-	v.announced, v.stats.OutsideTargets = next, len(v.outsideTargets)
-	sortMembers(out.Endpoints)
+	s.announced, s.stats.OutsideTargets = next, len(s.outsideTargets)
+	sortByReplica(out.Endpoints)
 	return out
 }
 
-// fullList tells everything, after the list has shrunk to the bound.
-func (v *Selector) fullList(list balancer.EndpointList) balancer.EndpointList {
-	clear(v.outsideTargets)
-	clear(v.announced)
-	out := balancer.EndpointList{Kind: list.Kind, Version: list.Version}
-	for _, r := range v.sorted {
-		out.Endpoints = append(out.Endpoints, r.Endpoint)
-	}
-	if !list.Kind.Complete() { // what has gone by this list
-		for _, m := range list.Endpoints {
-			if m.State == balancer.EndpointGone {
-				out.Endpoints = append(out.Endpoints, m)
-			}
+// nextAnnounced returns the replicas that the balancer is to know: the subset and the affinity targets
+// outside it. Targets that are in the subset now or have left the fleet are no outside targets any more.
+func (s *Selector) nextAnnounced() map[balancer.ReplicaID]balancer.Endpoint {
+	next := make(map[balancer.ReplicaID]balancer.Endpoint, s.settings.MaxReplicas)
+	for _, r := range s.sorted {
+		_, outside := s.outsideTargets[r.Replica]
+		if !r.selected && !outside {
+			continue
 		}
+		if r.selected {
+			delete(s.outsideTargets, r.Replica)
+		}
+		next[r.Replica] = r.Endpoint
 	}
-	sortMembers(out.Endpoints)
-	return out
-}
-
-func sortMembers(list []balancer.Endpoint) {
-	slices.SortFunc(list, func(a, b balancer.Endpoint) int { return cmp.Compare(a.Replica, b.Replica) })
-}
-
-// AssignAffinityTarget sets the home of a request that has come. Where the module has not been told of that replica
-// yet, the list that tells it is returned.
-func (v *Selector) AssignAffinityTarget(now balancer.Micros, in *balancer.Request) (list balancer.EndpointList, tell bool) {
-	if !v.subsetting {
-		return list, false
-	}
-	home := v.affinityTarget(now, in)
-	if home == nil {
-		return list, false
-	}
-	v.useCounter++
-	v.announceTarget(home, &list)
-	in.HomeReplica = home.Replica
-	list.Kind, list.FleetSize = balancer.ListOverride, v.stats.Ready
-	sortMembers(list.Endpoints)
-	return list, len(list.Endpoints) > 0
+	maps.DeleteFunc(s.outsideTargets, func(id balancer.ReplicaID, _ uint64) bool { return s.fleet[id] == nil })
+	return next
 }
 
-// announceTarget makes sure that the module is told of a replica, and enters what has to be told for it in
-// the list.
-func (v *Selector) announceTarget(r *replica, list *balancer.EndpointList) {
-	_, told := v.announced[r.Replica]
-	_, guest := v.outsideTargets[r.Replica]
-	if told && !guest {
-		return
+// completeList returns a list of the complete fleet, after the fleet has shrunk to the size limit.
+func (s *Selector) completeList(list balancer.EndpointList) balancer.EndpointList {
+	clear(s.outsideTargets)
+	clear(s.announced)
+	out := balancer.EndpointList{Kind: list.Kind, Version: list.Version}
+	for _, r := range s.sorted {
+		out.Endpoints = append(out.Endpoints, r.Endpoint)
 	}
-	if !guest {
-		if len(v.outsideTargets) >= v.maxOutsideTargets() {
-			v.withdrawOldestTarget(list)
+	if !list.Kind.Complete() { // a delta must also say what has gone
+		for _, e := range list.Endpoints {
+			if e.State == balancer.EndpointGone {
+				out.Endpoints = append(out.Endpoints, e)
+			}
 		}
-		list.Endpoints = append(list.Endpoints, r.Endpoint)
-		v.announced[r.Replica] = r.Endpoint
 	}
-	v.outsideTargets[r.Replica] = v.useCounter
-	v.stats.OutsideTargets = len(v.outsideTargets)
+	sortByReplica(out.Endpoints)
+	return out
 }
 
-// maxOutsideTargets is how many homes outside of the subset the module is told at once.
-func (v *Selector) maxOutsideTargets() int { return max(1, v.settings.MaxReplicas/2) }
-
-// withdrawOldestTarget takes the guest that was not wanted for longest back. What is out there goes on.
-func (v *Selector) withdrawOldestTarget(list *balancer.EndpointList) {
-	var oldest balancer.ReplicaID
-	least := uint64(math.MaxUint64)
-	for id, at := range v.outsideTargets {
-		if at < least {
-			oldest, least = id, at
-		}
-	}
-	member := v.announced[oldest]
-	member.State = balancer.EndpointGone
-	list.Endpoints = append(list.Endpoints, member)
-	delete(v.outsideTargets, oldest)
-	delete(v.announced, oldest)
+func sortByReplica(endpoints []balancer.Endpoint) {
+	slices.SortFunc(endpoints, func(a, b balancer.Endpoint) int { return cmp.Compare(a.Replica, b.Replica) })
 }
--- a/internal/subset/slowstart_test.go
+++ b/internal/subset/slowstart_test.go
@@ -11,15 +11,15 @@
 	"archknot/internal/subset"
 )
 
-// Slow start holds under the sum of all gateways where each works with its own part of the fleet and
-// is told homes beside it: what a replica in slow start is sent in any span stays within N + 3 roots of
-// N + 3 (under 30; else 2 roots and 2), N being what it can do then. Replicas in slow start look empty
-// and all others full; sessions and prefixes are shared by all gateways.
+// Slow start holds for the sum of all gateways where each works with its own subset of the fleet and with
+// affinity targets outside it: in any window of 1.5 s a replica that is warming up gets at most
+// N + 3 sqrt(N) + 3 requests (N + 2 sqrt(N) + 2 from N = 30 on), N being what slow start allows it then. Replicas that
+// are warming up look empty and all others full; all gateways share sessions and prefixes.
 func TestSlowStartAcrossGatewaysWithSubsets(t *testing.T) {
 	const second balancer.Micros = 1_000_000
 	for _, c := range []struct {
-		gateways, replicas, cold, zones, most int
-		rate                                  float64 // of the whole fleet, a second
+		gateways, replicas, warming, zones, maxReplicas int
+		rate                                            float64 // requests per second of the complete fleet
 	}{{60, 240, 80, 1, 40, 400}, {60, 240, 80, 3, 40, 400}, {30, 90, 1, 3, 20, 900}, {12, 400, 390, 2, 50, 1200}} {
 		t.Run(fmt.Sprintf("%+v", c), func(t *testing.T) {
 			t.Parallel()
@@ -29,23 +29,23 @@
 			start := 100 * second
 			var list []balancer.Endpoint
 			for i := range c.replicas {
-				m := balancer.Endpoint{Replica: balancer.ReplicaID(i + 1), State: balancer.EndpointReady, Weight: 1, Kind: "k", Zone: fmt.Sprint("z", i%c.zones), StartedAt: 1}
-				if i < c.cold {
-					m.StartedAt = start
+				e := balancer.Endpoint{Replica: balancer.ReplicaID(i + 1), State: balancer.EndpointReady, Weight: 1, Kind: "k", Zone: fmt.Sprint("z", i%c.zones), StartedAt: 1}
+				if i < c.warming {
+					e.StartedAt = start
 				}
-				list = append(list, m)
+				list = append(list, e)
 			}
 			sent := map[balancer.ReplicaID][]float64{}
 			for self := range c.gateways {
 				s.Self, s.Zone = self, fmt.Sprint("z", self%c.zones)
 				sink := &lastDispatchSink{}
-				m, err := balancer.New(s, 1, sink) // the same seed at each
+				lb, err := balancer.New(s, 1, sink) // the same seed at each
 				if err != nil {
 					t.Fatal(err)
 				}
-				v := subset.NewSelector(subset.Settings{MaxReplicas: c.most, GatewayIndex: self, GatewayCount: c.gateways, Zone: s.Zone, RemoteFraction: subset.DefaultRemoteFraction, SlowStart: s.SlowStartFor}, m)
-				m.Start(start)
-				m.ListChanged(start, v.Apply(start, balancer.EndpointList{Kind: balancer.ListCached, Endpoints: list}))
+				selector := subset.NewSelector(subset.Settings{MaxReplicas: c.maxReplicas, GatewayIndex: self, GatewayCount: c.gateways, Zone: s.Zone, RemoteFraction: subset.DefaultRemoteFraction, SlowStart: s.SlowStartFor}, lb)
+				lb.Start(start)
+				lb.ListChanged(start, selector.Apply(start, balancer.EndpointList{Kind: balancer.ListCached, Endpoints: list}))
 				rng := rand.New(rand.NewPCG(uint64(self), 5))
 				now, id := float64(start), balancer.RequestID(0)
 				for tick := start; ; {
@@ -55,52 +55,52 @@
 						break
 					}
 					for ; tick < at; tick += second / 4 {
-						m.TimerFired(tick, 0)
+						lb.TimerFired(tick, 0)
 					}
 					id++
-					in := balancer.Request{ID: id, Class: "chat", TimeLeft: 10 * second, PromptTokens: 500, MaxTokens: 100,
+					request := balancer.Request{ID: id, Class: "chat", TimeLeft: 10 * second, PromptTokens: 500, MaxTokens: 100,
 						Session: rng.Uint64N(3000) + 1, Prefix: rng.Uint64N(50) + 1, PrefixTokens: 200}
-					if home, tell := v.AssignAffinityTarget(at, &in); tell {
-						m.ListChanged(at, home)
+					if announced, changed := selector.AssignAffinityTarget(at, &request); changed {
+						lb.ListChanged(at, announced)
 					}
 					sink.lastDispatched = 0
-					m.RequestArrived(at, in)
+					lb.RequestArrived(at, request)
 					if sink.lastDispatched == 0 {
 						continue
 					}
 					report := balancer.LoadReport{Has: balancer.HasInFlight, InFlight: 40}
-					if int(sink.lastDispatched) <= c.cold {
+					if int(sink.lastDispatched) <= c.warming {
 						sent[sink.lastDispatched] = append(sent[sink.lastDispatched], now/1e6)
 						report.InFlight = 0
 					}
-					m.AttemptEnded(at+1, balancer.Outcome{ID: id, Replica: sink.lastDispatched, Status: balancer.Served, Elapsed: second / 2, Final: true, Report: report})
+					lb.AttemptEnded(at+1, balancer.Outcome{ID: id, Replica: sink.lastDispatched, Status: balancer.Served, Elapsed: second / 2, Final: true, Report: report})
 				}
 			}
-			most, total, over := 0.0, 0, 0
+			largestExcess, total, over := 0.0, 0, 0
 			for _, times := range sent {
 				slices.Sort(times)
 				total += len(times)
 				for i, first := range times {
-					warm := s.InitialCapacity + (1-s.InitialCapacity)*(first-100)/9
-					n := s.OverloadMultiple * warm * c.rate / float64(c.replicas) * 1.5
+					capacity := s.InitialCapacity + (1-s.InitialCapacity)*(first-100)/9
+					n := s.OverloadMultiple * capacity * c.rate / float64(c.replicas) * 1.5
 					got := 0.0
 					for _, next := range times[i:] {
 						if next < first+1.5 {
 							got++
 						}
 					}
-					bound := n + 3*math.Sqrt(n) + 3
+					limit := n + 3*math.Sqrt(n) + 3
 					if n >= 30 {
-						bound = n + 2*math.Sqrt(n) + 2
+						limit = n + 2*math.Sqrt(n) + 2
 					}
-					if most = max(most, (got-n)/math.Sqrt(n)); got > bound {
+					if largestExcess = max(largestExcess, (got-n)/math.Sqrt(n)); got > limit {
 						over++
 					}
 				}
 			}
-			t.Logf("largest excess %.2f roots of N; %d sent to %d in slow start", most, total, c.cold)
+			t.Logf("largest excess %.2f sqrt(N); %d requests to %d replicas in slow start", largestExcess, total, c.warming)
 			if over > 0 || total == 0 {
-				t.Errorf("over the bound in %d spans, largest excess %.2f roots of N; %d sent", over, most, total)
+				t.Errorf("over the limit in %d windows, largest excess %.2f sqrt(N); %d requests", over, largestExcess, total)
 			}
 		})
 	}
--- a/internal/subset/zones.go
+++ b/internal/subset/zones.go
@@ -1,36 +1,37 @@
 package subset
 
 import (
+	"cmp"
 	"slices"
 
 	"archknot/balancer"
 )
 
-// zone is what the list has of one zone.
+// zone is the part of the endpoint list in one zone.
 type zone struct {
 	name          string
-	readyWeight   float64               // of the replicas that take work
-	subsetShare   float64               // of this gateway's subset that comes from here
-	affinityShare float64               // share of the requests of this gateway's zone that are at home here
+	readyWeight   float64               // sum of the sizes of the ready replicas
+	subsetShare   float64               // share of this gateway's subset that comes from the zone
+	affinityShare float64               // share of the requests of this gateway's zone whose affinity target is in the zone
 	windowStarts  [ringsPerZone]float64 // where this gateway's windows begin
 }
 
-// zoneTable is the list by zones.
+// zoneTable is the endpoint list by zone.
 type zoneTable struct {
 	byName     map[string]*zone
-	sorted     []*zone // by name, so that all gateways go by the same order
+	sorted     []*zone // by name, so that all gateways use the same order
 	readyCount int
 }
 
-// groupByZone counts the list by zones and divides the subset among them.
+// groupByZone groups the fleet by zone and divides the subset among the zones.
 //
-// Gateways are taken to be spread evenly over the zones that have replicas. A zone with its part of
-// the fleet or more serves its own gateways; one with less serves as many as it has replicas for, and
-// the rest goes to zones that have more. So each replica is in as many subsets as any other. Beside
-// that a part, Remote, is drawn from all alike: what a gateway goes on with if its zone is lost.
+// Gateways are assumed to be spread evenly over the zones that have replicas. A zone with its fair part of
+// the fleet or more serves its own gateways. One with less serves as many as it has replicas for, and the
+// others use zones with a surplus. So each replica is in as many subsets as any other. In addition
+// RemoteFraction of the subset comes from all zones alike: with it a gateway continues if its zone is lost.
 func (s *Settings) groupByZone(fleet []*replica) *zoneTable {
 	t := &zoneTable{byName: map[string]*zone{}}
-	var last *zone // zones often come in runs
+	var last *zone // spares lookups: replicas of a zone often come in runs
 	for _, r := range fleet {
 		if r.State != balancer.EndpointReady {
 			continue
@@ -42,13 +43,8 @@
 		r.zone = last
 		t.readyCount++
 	}
-	slices.SortFunc(t.sorted, func(a, b *zone) int {
-		if a.name < b.name {
-			return -1
-		}
-		return 1
-	})
-	for _, r := range fleet { // what drains stays where it was, if its zone is there
+	slices.SortFunc(t.sorted, func(a, b *zone) int { return cmp.Compare(a.name, b.name) })
+	for _, r := range fleet { // a draining replica stays in its windows if its zone has ready ones
 		if r.State != balancer.EndpointReady {
 			r.zone = t.byName[r.Zone]
 		}
@@ -57,7 +53,7 @@
 	return t
 }
 
-// findOrAdd is the zone of a name, made if it is not there.
+// findOrAdd returns the zone of the name and adds it if it is missing.
 func (t *zoneTable) findOrAdd(s *Settings, name string) *zone {
 	z := t.byName[name]
 	if z == nil {
@@ -76,34 +72,34 @@
 	return z
 }
 
-// minRemoteFraction keeps every zone in reach: the windows of a zone without a share could not be widened.
+// minRemoteFraction keeps every zone reachable: the windows of a zone without a share could not be widened.
 const minRemoteFraction = 0.01
 
-// assignShares sets each zone's shares.
+// assignShares sets each zone's shares of the subset and of the affinity targets.
 func (t *zoneTable) assignShares(s *Settings) {
-	all := 0.0
+	totalWeight := 0.0
 	for _, z := range t.sorted {
-		all += z.readyWeight
+		totalWeight += z.readyWeight
 	}
-	if all == 0 {
+	if totalWeight == 0 {
 		return
 	}
 	remote := max(s.RemoteFraction, minRemoteFraction)
 	own := t.byName[s.Zone]
-	fair := all / float64(len(t.sorted))
+	fairWeight := totalWeight / float64(len(t.sorted))
 	surplus := 0.0
 	for _, z := range t.sorted {
-		surplus += max(0, z.readyWeight-fair)
+		surplus += max(0, z.readyWeight-fairWeight)
 	}
 	for _, z := range t.sorted {
 		switch {
 		case own == nil:
-			z.affinityShare = z.readyWeight / all
+			z.affinityShare = z.readyWeight / totalWeight
 		case z == own:
-			z.affinityShare = min(1, own.readyWeight/fair)
+			z.affinityShare = min(1, own.readyWeight/fairWeight)
 		case surplus > 0:
-			z.affinityShare = (1 - min(1, own.readyWeight/fair)) * max(0, z.readyWeight-fair) / surplus
+			z.affinityShare = (1 - min(1, own.readyWeight/fairWeight)) * max(0, z.readyWeight-fairWeight) / surplus
 		}
-		z.subsetShare = (1-remote)*z.affinityShare + remote*z.readyWeight/all
+		z.subsetShare = (1-remote)*z.affinityShare + remote*z.readyWeight/totalWeight
 	}
 }
