--- a/internal/fleet/replica/simulator.go
+++ b/internal/fleet/replica/simulator.go
@@ -1,81 +1,45 @@
-// Package worker is a model of one worker that runs a language model by continuous
-// batching. It is a state machine on a clock that it is told: the simulation drives
-// it in virtual time, the emulator in real time.
+// Package replica simulates a model server that runs a language model by continuous batching. The
+// simulator is a state machine without a clock of its own: the fleet model drives it in virtual time, the
+// emulator in real time.
 //
-// What is modelled follows what is published of such servers: sequences join and
-// leave the running batch between two steps (Yu et al., "Orca", OSDI 2022); memory
-// for keys and values is handed out in blocks, shared between prompts that begin
-// alike, and kept until it is needed (Kwon et al., "PagedAttention", SOSP 2023);
-// prompts are read in chunks beside the tokens of running answers (Agrawal et al.,
-// "Sarathi-Serve", OSDI 2024).
+// The model follows published descriptions of such servers: sequences join and leave the running batch
+// between two steps (Yu et al., "Orca", OSDI 2022); memory for keys and values is allocated in blocks,
+// shared between prompts with the same beginning, and cached until it is needed (Kwon et al.,
+// "PagedAttention", SOSP 2023); prompts are read in chunks together with the decoding of running sequences
+// (Agrawal et al., "Sarathi-Serve", OSDI 2024).
 package replica
 
 import (
-	"fmt"
+	"slices"
 
 	"archknot/balancer"
 )
 
-// Params are what a kind of worker is like.
-type Params struct {
-	MaxRunning   int // sequences that run at once
-	MaxQueued    int // that may wait; beyond them it declines
-	MemoryTokens int // tokens of keys and values
-	BlockTokens  int // tokens in a block
-	ChunkTokens  int // prompt tokens read in one step, at most
-
-	// A step takes Base, and StepPerSequence for each that makes a token, StepPerContext
-	// for each 1,000 tokens that those attend to, and StepPerPrompt for each 1,000
-	// tokens read; microseconds.
-	StepBase, StepPerSequence, StepPerContext, StepPerPrompt float64
-
-	StartupTime    balancer.Micros // from its start until it takes work
-	WarmUpTime     balancer.Micros // from then on it is slower: caches and kernels are cold
-	WarmUpSlowdown float64         // so many times at first, less and less
-	ConnectTime    balancer.Micros // to set a connection up
-}
-
-// Check tells what is wrong with them.
-func (p *Params) Check() error {
-	switch {
-	case p.MaxRunning < 1 || p.MaxQueued < 0 || p.MaxRunning > 1<<16 || p.MaxQueued > 1<<20:
-		return fmt.Errorf("slots %d, queue %d: expected 1 or more, and 0 or more", p.MaxRunning, p.MaxQueued)
-	case p.BlockTokens < 1 || p.MemoryTokens < p.BlockTokens || p.MemoryTokens > 1<<30:
-		return fmt.Errorf("memory %d, block %d: expected a block or more", p.MemoryTokens, p.BlockTokens)
-	case p.ChunkTokens < 1:
-		return fmt.Errorf("chunk %d: expected 1 or more", p.ChunkTokens)
-	case !(p.StepBase >= 0 && p.StepPerSequence >= 0 && p.StepPerContext >= 0 && p.StepPerPrompt >= 0 && p.StepBase+p.StepPerSequence > 0):
-		return fmt.Errorf("step times: expected 0 or more, and some time")
-	case p.StartupTime < 0 || p.WarmUpTime < 0 || p.ConnectTime < 0 || p.WarmUpTime > 0 && !(p.WarmUpSlowdown >= 1):
-		return fmt.Errorf("start, cold and connection: expected 0 or more, and a factor of 1 or more")
-	}
-	return nil
-}
-
-// Job is one request, as the worker sees it.
+// Job is a request as the replica gets it.
 type Job struct {
 	ID           uint64
-	PromptTokens int    // tokens
-	OutputTokens int    // tokens that it will make; the worker does not know it before
-	Prefix       uint64 // beginnings of one key are alike for PrefixLen tokens
-	PrefixTokens int    // PrefixLen
-	Session      uint64 // prompts of one session begin alike, answers included; 0: of none
+	PromptTokens int
+	OutputTokens int    // length of the answer, which the replica does not know beforehand
+	Prefix       uint64 // prompts with the same prefix have their first PrefixTokens in common
+	PrefixTokens int
+	Session      uint64 // prompts of a session continue each other, answers included; 0: none
 }
 
-// EventKind says what happened to a job.
+// EventKind is what happened to a job.
 type EventKind uint8
 
+// The kinds of events.
 const (
-	FirstToken EventKind = iota // its first token was made
-	Completed                   // its last
-	TokenMade                   // each, where the worker is told to tell
+	FirstToken EventKind = iota
+	Completed            // with the last token
+	TokenMade            // for each token, if Simulator.EmitTokens is set
 )
 
-// Event is one thing that happened at the end of a step.
+// Event is something that happened to a job at the end of a step.
 type Event struct {
 	Job          uint64
 	Kind         EventKind
-	CachedTokens int // tokens of the prompt that were not read anew; at First
+	CachedTokens int // prompt tokens whose keys and values were cached at the job's first admission
 	OutputTokens int // tokens made so far
 }
 
@@ -86,309 +50,259 @@
 	outputTokens   int
 	cachedTokens   int
 	blocks         []*block
-	queued         balancer.Micros
-	firstTokenMade bool // its first token was told
+	firstTokenMade bool
 }
 
-// unreadTokens is how many tokens must be read before the next can be made.
+// unreadTokens returns how many tokens must be read before the next one can be made.
 func (s *sequence) unreadTokens() int { return s.job.PromptTokens + s.outputTokens - s.readTokens }
 
-// block is one of the memory's, linked into the list of those that nobody uses.
-type block struct {
-	key        uint64 // 0: nobody else can use it
-	refs       int
-	prev, next *block
-}
+// contextTokens returns the length of the prompt and the tokens made so far.
+func (s *sequence) contextTokens() int { return s.job.PromptTokens + s.outputTokens }
 
-// Simulator is one. It is not safe for use by several tasks at once.
+// Simulator is the state of one replica. It must not be used by several goroutines at once.
 type Simulator struct {
-	params       Params
-	EmitTokens   bool    // tell each token
-	slowdown     float64 // by faults; 1: as it should be
-	waiting      []*sequence
-	running      []*sequence
-	byKey        map[uint64]*block
-	cachedList   block // ring of blocks that are kept and not used, the oldest first
-	usedBlocks   int   // blocks in use or kept
-	cachedBlocks int   // of them, kept only
-	totalBlocks  int
-	stepEnd      balancer.Micros // of the step that runs; 0: none
-	stepTokens   []int           // tokens read in it, by place in running
-	readyAt      balancer.Micros // when it began to take work
-	events       []Event
-
-	// Figures since the start.
+	EmitTokens bool // emit an event for each token
+
+	params     Params
+	slowdown   float64 // factor on the time of steps, set by faults
+	memory     *blockMemory
+	waiting    []*sequence
+	running    []*sequence
+	stepEnd    balancer.Micros // end of the step in progress; 0: none
+	stepTokens []int           // tokens read in that step, by index in running
+	readyAt    balancer.Micros // when it begins to accept jobs
+	events     []Event
+
+	// Counts since the start.
 	Steps, OutputTokens, PromptTokensRead, PromptTokensReused, Preempted, Declined int64
 	BusyTime                                                                       balancer.Micros
 }
 
-// New is a worker that begins to take work at a moment.
-func New(p Params, takesWork balancer.Micros) *Simulator {
-	w := &Simulator{params: p, slowdown: 1, byKey: map[uint64]*block{}, totalBlocks: p.MemoryTokens / p.BlockTokens, readyAt: takesWork}
-	w.cachedList.prev, w.cachedList.next = &w.cachedList, &w.cachedList
-	return w
+// New returns a replica that begins to accept jobs at readyAt.
+func New(params Params, readyAt balancer.Micros) *Simulator {
+	return &Simulator{
+		params:   params,
+		slowdown: 1,
+		memory:   newBlockMemory(params.MemoryTokens / params.BlockTokens),
+		readyAt:  readyAt,
+	}
 }
 
-// SetSlowdown has steps that begin from now on take so many times as long; 1: as they should.
-func (w *Simulator) SetSlowdown(factor float64) { w.slowdown = factor }
+// SetSlowdown sets the factor on the time of steps that begin from now on; 1 is normal.
+func (s *Simulator) SetSlowdown(factor float64) { s.slowdown = factor }
 
-// Load is what it would report: sequences running and waiting, memory in use by
-// them as a share, and prompt tokens that are yet to be read.
-func (w *Simulator) Load() (running, waiting int, memory float64, unread int) {
-	for _, s := range w.running {
-		unread += s.unreadTokens()
+// Load returns what the replica would report: the running and waiting sequences, the share of memory that
+// they use, and the prompt tokens that are still to be read.
+func (s *Simulator) Load() (running, waiting int, memory float64, unread int) {
+	for _, seq := range s.running {
+		unread += seq.unreadTokens()
 	}
-	for _, s := range w.waiting {
-		unread += s.unreadTokens()
+	for _, seq := range s.waiting {
+		unread += seq.unreadTokens()
 	}
-	return len(w.running), len(w.waiting), float64(w.usedBlocks-w.cachedBlocks) / float64(w.totalBlocks), unread
+	return len(s.running), len(s.waiting), s.memory.inUseShare(), unread
 }
 
-// Offer gives it a job; false says that it declines it: its queue is full, or its
-// memory could never hold it.
-func (w *Simulator) Offer(now balancer.Micros, j Job) bool {
-	if len(w.waiting) >= w.params.MaxQueued && (len(w.running)+len(w.waiting) >= w.params.MaxRunning+w.params.MaxQueued || len(w.running) >= w.params.MaxRunning) ||
-		w.blocksOf(j.PromptTokens+j.OutputTokens) > w.totalBlocks {
-		w.Declined++
+// Offer submits a job. It returns false if the replica declines it, because the queue is full or memory
+// could never hold the job.
+func (s *Simulator) Offer(now balancer.Micros, job Job) bool {
+	if s.queueFull() || s.params.blocksFor(job.PromptTokens+job.OutputTokens) > s.memory.totalCount {
+		s.Declined++
 		return false
 	}
-	w.waiting = append(w.waiting, &sequence{job: j, queued: now})
-	if w.stepEnd == 0 {
-		w.startStep(now)
+	s.waiting = append(s.waiting, &sequence{job: job})
+	if s.stepEnd == 0 {
+		s.startStep(now)
 	}
 	return true
 }
 
-func (w *Simulator) blocksOf(tokens int) int {
-	return (tokens + w.params.BlockTokens - 1) / w.params.BlockTokens
+func (s *Simulator) queueFull() bool {
+	if len(s.waiting) < s.params.MaxQueued {
+		return false
+	}
+	return len(s.running)+len(s.waiting) >= s.params.MaxRunning+s.params.MaxQueued || len(s.running) >= s.params.MaxRunning
 }
 
-// Cancel takes a job out: its client has gone.
-func (w *Simulator) Cancel(id uint64) {
-	for i, s := range w.waiting {
-		if s.job.ID == id {
-			w.release(s)
-			w.waiting = append(w.waiting[:i], w.waiting[i+1:]...)
-			return
-		}
+// Cancel removes a job whose client has disconnected.
+func (s *Simulator) Cancel(id uint64) {
+	hasID := func(seq *sequence) bool { return seq.job.ID == id }
+	if i := slices.IndexFunc(s.waiting, hasID); i >= 0 {
+		s.release(s.waiting[i])
+		s.waiting = slices.Delete(s.waiting, i, i+1)
+		return
 	}
-	for i, s := range w.running {
-		if s.job.ID == id {
-			w.release(s)
-			w.running = append(w.running[:i], w.running[i+1:]...)
-			if w.stepEnd != 0 {
-				w.stepTokens = append(w.stepTokens[:i], w.stepTokens[i+1:]...)
-			}
-			return
+	if i := slices.IndexFunc(s.running, hasID); i >= 0 {
+		s.release(s.running[i])
+		s.running = slices.Delete(s.running, i, i+1)
+		if s.stepEnd != 0 {
+			s.stepTokens = slices.Delete(s.stepTokens, i, i+1)
 		}
 	}
 }
 
-// StepEnd is when its step ends; 0: it has nothing to do.
-func (w *Simulator) StepEnd() balancer.Micros { return w.stepEnd }
+// StepEnd returns when the step in progress ends; 0: the replica is idle.
+func (s *Simulator) StepEnd() balancer.Micros { return s.stepEnd }
 
-// blockKey names a block of a context: what is alike has the same key.
-func (w *Simulator) blockKey(s *sequence, i int) uint64 {
-	of := s.job.Session
-	if (i+1)*w.params.BlockTokens <= s.job.PrefixTokens {
-		of = s.job.Prefix
+// JobIDs returns the jobs that the replica has, running ones first.
+func (s *Simulator) JobIDs() (ids []uint64) {
+	for _, seq := range s.running {
+		ids = append(ids, seq.job.ID)
 	}
-	if of == 0 {
-		return 0
+	for _, seq := range s.waiting {
+		ids = append(ids, seq.job.ID)
 	}
-	return mix(of, uint64(i)+1)
+	return ids
 }
 
-// mix is the finalizer of SplitMix64 (Steele et al., OOPSLA 2014) over both words.
-func mix(a, b uint64) uint64 {
-	z := a + b*0x9e3779b97f4a7c15
-	z = (z ^ z>>30) * 0xbf58476d1ce4e5b9
-	z = (z ^ z>>27) * 0x94d049bb133111eb
-	if z ^= z >> 31; z == 0 {
-		return 1
+// FlushCache frees all cached memory that no job uses.
+func (s *Simulator) FlushCache() { s.memory.flush() }
+
+// Advance ends the step in progress if it ends by now, and begins the next one. The events are valid until
+// the next call.
+func (s *Simulator) Advance(now balancer.Micros) []Event {
+	s.events = s.events[:0]
+	if s.stepEnd == 0 || now < s.stepEnd {
+		return nil
 	}
-	return z
+	remaining := s.running[:0]
+	for i, seq := range s.running {
+		seq.readTokens += s.stepTokens[i]
+		if seq.unreadTokens() > 0 || !s.makeToken(seq) {
+			remaining = append(remaining, seq)
+		}
+	}
+	clear(s.running[len(remaining):])
+	s.running = remaining
+	s.growBlocks()
+	s.startStep(now)
+	return s.events
 }
 
-func (w *Simulator) unlink(b *block) {
-	b.prev.next, b.next.prev = b.next, b.prev
-	b.prev, b.next = nil, nil
-	w.cachedBlocks--
+// makeToken adds a token to a sequence that has read its context, and returns true if it was the last one.
+func (s *Simulator) makeToken(seq *sequence) (completed bool) {
+	seq.outputTokens++
+	s.OutputTokens++
+	if !seq.firstTokenMade {
+		seq.firstTokenMade = true
+		s.emit(seq, FirstToken)
+	}
+	if s.EmitTokens {
+		s.emit(seq, TokenMade)
+	}
+	if seq.outputTokens < seq.job.OutputTokens {
+		return false
+	}
+	s.emit(seq, Completed)
+	s.release(seq)
+	return true
 }
 
-// allocateBlock finds memory for one more block: free, or of the kept one used longest ago.
-func (w *Simulator) allocateBlock(key uint64) *block {
-	if w.usedBlocks == w.totalBlocks {
-		old := w.cachedList.next
-		if old == &w.cachedList {
-			return nil
-		}
-		w.unlink(old)
-		delete(w.byKey, old.key)
-		w.usedBlocks--
+func (s *Simulator) emit(seq *sequence, kind EventKind) {
+	s.events = append(s.events, Event{Job: seq.job.ID, Kind: kind, CachedTokens: seq.cachedTokens, OutputTokens: seq.outputTokens})
+}
+
+// startStep admits waiting sequences and starts the next step, if there is anything to do.
+func (s *Simulator) startStep(now balancer.Micros) {
+	s.stepEnd = 0
+	for len(s.waiting) > 0 && len(s.running) < s.params.MaxRunning && s.admit(s.waiting[0]) {
+		s.running = append(s.running, s.waiting[0])
+		s.waiting = s.waiting[1:]
 	}
-	w.usedBlocks++
-	b := &block{key: key, refs: 1}
-	if key != 0 && w.byKey[key] == nil {
-		w.byKey[key] = b
-	} else {
-		b.key = 0
+	if len(s.running) == 0 {
+		return
 	}
-	return b
+	decoding, contextTokens, promptTokens := s.planStep()
+	p := &s.params
+	duration := p.StepBase + p.StepPerSequence*float64(decoding) + (p.StepPerContext*float64(contextTokens)+p.StepPerPrompt*float64(promptTokens))/1000
+	duration *= s.slowdown * p.warmUpFactor(now-s.readyAt)
+	s.stepEnd = max(now, s.readyAt) + max(1, balancer.Micros(duration))
+	s.BusyTime += max(1, balancer.Micros(duration))
+	s.Steps++
+	s.PromptTokensRead += int64(promptTokens)
 }
 
-// release gives a sequence's blocks back: those with a key are kept while there is
-// room, the last of a context before the first.
-func (w *Simulator) release(s *sequence) {
-	for i := len(s.blocks) - 1; i >= 0; i-- {
-		b := s.blocks[i]
-		if b.refs--; b.refs > 0 {
-			continue
-		}
-		if b.key == 0 {
-			w.usedBlocks--
+// planStep sets the tokens that each running sequence reads in the next step. It returns the number of
+// sequences that only make a token, the context that the step attends to, and the prompt tokens it reads.
+func (s *Simulator) planStep() (decoding, contextTokens, promptTokens int) {
+	chunkLeft := s.params.ChunkTokens
+	s.stepTokens = s.stepTokens[:0]
+	for _, seq := range s.running {
+		unread := seq.unreadTokens()
+		if unread <= 1 && seq.outputTokens > 0 { // only the token made last
+			decoding++
+			contextTokens += seq.readTokens
+			s.stepTokens = append(s.stepTokens, unread)
 			continue
 		}
-		b.prev, b.next = w.cachedList.prev, &w.cachedList
-		b.prev.next, b.next.prev = b, b
-		w.cachedBlocks++
+		n := min(unread, chunkLeft)
+		chunkLeft -= n
+		promptTokens += n
+		contextTokens += seq.readTokens * min(n, 1)
+		s.stepTokens = append(s.stepTokens, n)
 	}
-	s.blocks = s.blocks[:0]
-	s.readTokens = 0
+	return decoding, contextTokens, promptTokens
 }
 
-// admit brings a waiting sequence into the batch, with what is kept of its context;
-// false: there is no memory for its prompt.
-func (w *Simulator) admit(s *sequence) bool {
-	context := s.job.PromptTokens + s.outputTokens
-	need := w.blocksOf(context + 1)
-	// Whole blocks of the context that are kept, from its beginning on; the last
-	// token is always read, for it makes the next.
-	for i := 0; (i+1)*w.params.BlockTokens < context; i++ {
-		key := w.blockKey(s, i)
-		b := w.byKey[key]
-		if key == 0 || b == nil {
+// admit allocates the memory of a waiting sequence's context and reuses what is cached of it. It returns
+// false if there is not enough memory.
+func (s *Simulator) admit(seq *sequence) bool {
+	contextTokens := seq.contextTokens()
+	needed := s.params.blocksFor(contextTokens + 1)
+	// Complete blocks from the beginning of the context on. The last token is always read, because it
+	// makes the next one.
+	for i := 0; (i+1)*s.params.BlockTokens < contextTokens; i++ {
+		b := s.memory.reuse(s.blockKey(seq, i))
+		if b == nil {
 			break
 		}
-		if b.refs == 0 {
-			w.unlink(b)
-		}
-		b.refs++
-		s.blocks = append(s.blocks, b)
+		seq.blocks = append(seq.blocks, b)
 	}
-	if need-len(s.blocks) > w.totalBlocks-w.usedBlocks+w.cachedBlocks {
-		w.release(s)
+	if needed-len(seq.blocks) > s.memory.available() {
+		s.release(seq)
 		return false
 	}
-	s.readTokens = len(s.blocks) * w.params.BlockTokens
-	if !s.firstTokenMade {
-		s.cachedTokens = s.readTokens
+	seq.readTokens = len(seq.blocks) * s.params.BlockTokens
+	if !seq.firstTokenMade {
+		seq.cachedTokens = seq.readTokens
 	}
-	w.PromptTokensReused += int64(s.readTokens)
-	for len(s.blocks) < need {
-		s.blocks = append(s.blocks, w.allocateBlock(w.blockKey(s, len(s.blocks))))
+	s.PromptTokensReused += int64(seq.readTokens)
+	for len(seq.blocks) < needed {
+		seq.blocks = append(seq.blocks, s.memory.allocate(s.blockKey(seq, len(seq.blocks))))
 	}
 	return true
 }
 
-// startStep starts the next step, if there is something to do.
-func (w *Simulator) startStep(now balancer.Micros) {
-	w.stepEnd = 0
-	for len(w.waiting) > 0 && len(w.running) < w.params.MaxRunning && w.admit(w.waiting[0]) {
-		w.running = append(w.running, w.waiting[0])
-		w.waiting = w.waiting[1:]
+// blockKey returns the key of a block of the sequence's context: that of its prefix or of its session.
+func (s *Simulator) blockKey(seq *sequence, index int) uint64 {
+	content := seq.job.Session
+	if (index+1)*s.params.BlockTokens <= seq.job.PrefixTokens {
+		content = seq.job.Prefix
 	}
-	if len(w.running) == 0 {
-		return
-	}
-	left, making, context, reading := w.params.ChunkTokens, 0, 0, 0
-	w.stepTokens = w.stepTokens[:0]
-	for _, s := range w.running {
-		todo := s.unreadTokens()
-		if todo <= 1 && s.outputTokens > 0 { // it only needs its last token
-			making++
-			context += s.readTokens
-			w.stepTokens = append(w.stepTokens, todo)
-			continue
-		}
-		n := min(todo, left)
-		left -= n
-		reading += n
-		context += s.readTokens * min(n, 1)
-		w.stepTokens = append(w.stepTokens, n)
-	}
-	d := w.params.StepBase + w.params.StepPerSequence*float64(making) + (w.params.StepPerContext*float64(context)+w.params.StepPerPrompt*float64(reading))/1000
-	d *= w.slowdown * w.warmUpFactor(now)
-	w.stepEnd = max(now, w.readyAt) + max(1, balancer.Micros(d))
-	w.BusyTime += max(1, balancer.Micros(d))
-	w.Steps++
-	w.PromptTokensRead += int64(reading)
-}
-
-func (w *Simulator) warmUpFactor(now balancer.Micros) float64 {
-	since := now - w.readyAt
-	if w.params.WarmUpTime <= 0 || since >= w.params.WarmUpTime {
-		return 1
-	}
-	return 1 + (w.params.WarmUpSlowdown-1)*(1-float64(max(0, since))/float64(w.params.WarmUpTime))
+	return blockKey(content, uint64(index)+1)
 }
 
-// Advance ends the step that ends now and begins the next. The events are good
-// until the next call.
-func (w *Simulator) Advance(now balancer.Micros) []Event {
-	w.events = w.events[:0]
-	if w.stepEnd == 0 || now < w.stepEnd {
-		return nil
+// release gives a sequence's blocks back, the last of its context first, so that the first are evicted last.
+func (s *Simulator) release(seq *sequence) {
+	for _, b := range slices.Backward(seq.blocks) {
+		s.memory.release(b)
 	}
-	out := w.running[:0]
-	for i, s := range w.running {
-		s.readTokens += w.stepTokens[i]
-		if s.unreadTokens() > 0 { // its prompt is not read yet
-			out = append(out, s)
-			continue
-		}
-		s.outputTokens++
-		w.OutputTokens++
-		if !s.firstTokenMade {
-			s.firstTokenMade = true
-			w.events = append(w.events, Event{s.job.ID, FirstToken, s.cachedTokens, s.outputTokens})
-		}
-		if w.EmitTokens {
-			w.events = append(w.events, Event{s.job.ID, TokenMade, s.cachedTokens, s.outputTokens})
-		}
-		if s.outputTokens >= s.job.OutputTokens {
-			w.events = append(w.events, Event{s.job.ID, Completed, s.cachedTokens, s.outputTokens})
-			w.release(s)
-			continue
-		}
-		out = append(out, s)
-	}
-	for i := len(out); i < len(w.running); i++ {
-		w.running[i] = nil
-	}
-	w.running = out
-	w.growBlocks()
-	w.startStep(now)
-	return w.events
+	seq.blocks = seq.blocks[:0]
+	seq.readTokens = 0
 }
 
-// growBlocks finds room for the next token of each sequence. Where there is none, the one
-// that came last gives its memory up and is read again later.
-func (w *Simulator) growBlocks() {
-	for i := 0; i < len(w.running); i++ {
-		s := w.running[i]
-		for len(s.blocks) < w.blocksOf(s.job.PromptTokens+s.outputTokens+1) {
-			b := w.allocateBlock(w.blockKey(s, len(s.blocks)))
-			if b != nil {
-				s.blocks = append(s.blocks, b)
+// growBlocks allocates memory for the next token of each sequence. If there is none, it preempts the
+// sequence that was admitted last, which is read again later.
+func (s *Simulator) growBlocks() {
+	for i := 0; i < len(s.running); i++ {
+		seq := s.running[i]
+		for len(seq.blocks) < s.params.blocksFor(seq.contextTokens()+1) {
+			if b := s.memory.allocate(s.blockKey(seq, len(seq.blocks))); b != nil {
+				seq.blocks = append(seq.blocks, b)
 				continue
 			}
-			last := len(w.running) - 1
-			victim := w.running[last]
-			w.release(victim)
-			w.Preempted++
-			w.running = w.running[:last]
-			w.waiting = append([]*sequence{victim}, w.waiting...)
+			last := len(s.running) - 1
+			s.preempt(last)
 			if last <= i {
 				return
 			}
@@ -396,22 +310,11 @@
 	}
 }
 
-// FlushCache forgets all that is kept and not in use.
-func (w *Simulator) FlushCache() {
-	for b := w.cachedList.next; b != &w.cachedList; b = w.cachedList.next {
-		w.unlink(b)
-		delete(w.byKey, b.key)
-		w.usedBlocks--
-	}
-}
-
-// JobIDs are those that it has, running ones first.
-func (w *Simulator) JobIDs() (out []uint64) {
-	for _, s := range w.running {
-		out = append(out, s.job.ID)
-	}
-	for _, s := range w.waiting {
-		out = append(out, s.job.ID)
-	}
-	return out
+// preempt moves a running sequence back to the front of the queue and releases its memory.
+func (s *Simulator) preempt(index int) {
+	victim := s.running[index]
+	s.release(victim)
+	s.Preempted++
+	s.running = s.running[:index]
+	s.waiting = append([]*sequence{victim}, s.waiting...)
 }
--- a/internal/fleet/replica/simulator_test.go
+++ b/internal/fleet/replica/simulator_test.go
@@ -12,31 +12,31 @@
 	return Params{MaxRunning: 4, MaxQueued: 8, MemoryTokens: 1600, BlockTokens: 16, ChunkTokens: 128, StepBase: 5000, StepPerSequence: 200, StepPerContext: 50, StepPerPrompt: 30_000}
 }
 
-// run lets the worker do all it has, and gives what happened by job.
-func run(t testing.TB, w *Simulator) map[uint64][]Event {
+// run advances the simulator until it is idle and returns the events by job.
+func run(t *testing.T, sim *Simulator) map[uint64][]Event {
 	t.Helper()
 	out := map[uint64][]Event{}
-	for n := 0; w.StepEnd() != 0; n++ {
+	for n := 0; sim.StepEnd() != 0; n++ {
 		if n > 1_000_000 {
-			t.Fatal("it never ends")
+			t.Fatal("the replica never becomes idle")
 		}
-		for _, e := range w.Advance(w.StepEnd()) {
+		for _, e := range sim.Advance(sim.StepEnd()) {
 			out[e.Job] = append(out[e.Job], e)
 		}
 	}
 	return out
 }
 
-// Whatever comes and goes, memory is within its bound and adds up, each job that
-// stays is done once with all its tokens, and in the end nothing is in use.
+// Whatever jobs come and go, memory stays within its limit and adds up, each job that is not cancelled
+// completes once with all its tokens, and in the end no memory is in use.
 func TestInvariants(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		w := New(params(), 0)
+		sim := New(params(), 0)
 		now := balancer.Micros(1)
 		want, got, first := map[uint64]int{}, map[uint64]int{}, map[uint64]bool{}
 		check := func() {
 			inUse, blocks := map[*block]int{}, 0
-			for _, s := range append(append([]*sequence{}, w.running...), w.waiting...) {
+			for _, s := range append(append([]*sequence{}, sim.running...), sim.waiting...) {
 				for _, b := range s.blocks {
 					inUse[b]++
 				}
@@ -46,18 +46,18 @@
 					t.Fatalf("a block counts %d users, and has %d", b.refs, n)
 				}
 			}
-			for b := w.cachedList.next; b != &w.cachedList; b = b.next {
+			for b := sim.memory.cached.next; b != &sim.memory.cached; b = b.next {
 				blocks++
 			}
-			if blocks != w.cachedBlocks || w.usedBlocks != w.cachedBlocks+len(inUse) || w.usedBlocks > w.totalBlocks {
-				t.Fatalf("used %d of %d, kept %d; counted %d in use and %d kept", w.usedBlocks, w.totalBlocks, w.cachedBlocks, len(inUse), blocks)
+			if m := sim.memory; blocks != m.cachedCount || m.usedCount != m.cachedCount+len(inUse) || m.usedCount > m.totalCount {
+				t.Fatalf("used %d of %d, cached %d; counted %d in use and %d cached", m.usedCount, m.totalCount, m.cachedCount, len(inUse), blocks)
 			}
 		}
 		advance := func() {
-			if now = w.StepEnd(); now == 0 {
+			if now = sim.StepEnd(); now == 0 {
 				return
 			}
-			for _, e := range w.Advance(now) {
+			for _, e := range sim.Advance(now) {
 				switch e.Kind {
 				case FirstToken:
 					if first[e.Job] {
@@ -75,7 +75,7 @@
 			if j.Prefix > 0 {
 				j.PrefixTokens = min(j.PromptTokens, 160)
 			}
-			if w.Offer(max(now, 1), j) {
+			if sim.Offer(max(now, 1), j) {
 				want[id] = j.OutputTokens
 			}
 			check()
@@ -83,20 +83,20 @@
 				advance()
 				check()
 			}
-			if jobs := w.JobIDs(); len(jobs) > 0 && rapid.IntRange(0, 5).Draw(t, "leaves") == 0 {
+			if jobs := sim.JobIDs(); len(jobs) > 0 && rapid.IntRange(0, 5).Draw(t, "leaves") == 0 {
 				gone := jobs[rapid.IntRange(0, len(jobs)-1).Draw(t, "which")]
-				w.Cancel(gone)
+				sim.Cancel(gone)
 				delete(want, gone)
 				check()
 			}
 			if rapid.IntRange(0, 20).Draw(t, "flush") == 0 {
-				w.FlushCache()
+				sim.FlushCache()
 				check()
 			}
 		}
-		for n := 0; w.StepEnd() != 0; n++ {
+		for n := 0; sim.StepEnd() != 0; n++ {
 			if n > 200_000 {
-				t.Fatal("it never ends")
+				t.Fatal("the replica never becomes idle")
 			}
 			advance()
 		}
@@ -105,56 +105,56 @@
 				t.Fatalf("job %d made %d tokens of %d", id, got[id], out)
 			}
 		}
-		w.FlushCache()
-		if w.usedBlocks != 0 || len(w.byKey) != 0 {
-			t.Fatalf("%d blocks stay, %d keys", w.usedBlocks, len(w.byKey))
+		sim.FlushCache()
+		if sim.memory.usedCount != 0 || len(sim.memory.byKey) != 0 {
+			t.Fatalf("%d blocks in use, %d keys", sim.memory.usedCount, len(sim.memory.byKey))
 		}
 	})
 }
 
-// A prompt that begins as one before is read only from there on, and its first
-// token comes sooner; after a flush it is read whole.
-func TestPrefixesAreKept(t *testing.T) {
-	w := New(params(), 0)
-	ask := func(id uint64, session uint64) (Event, balancer.Micros) {
-		at := w.StepEnd() + 1
+// Of a prompt with a cached beginning only the rest is read, and its first token comes sooner; after a flush
+// all of it is read.
+func TestPrefixesAreCached(t *testing.T) {
+	sim := New(params(), 0)
+	submit := func(id uint64, session uint64) (Event, balancer.Micros) {
+		at := sim.StepEnd() + 1
 		if at == 1 {
 			at = balancer.Micros(id) * 10_000_000
 		}
-		if !w.Offer(at, Job{ID: id, PromptTokens: 640, OutputTokens: 2, Prefix: 7, PrefixTokens: 480, Session: session}) {
+		if !sim.Offer(at, Job{ID: id, PromptTokens: 640, OutputTokens: 2, Prefix: 7, PrefixTokens: 480, Session: session}) {
 			t.Fatal("declined")
 		}
 		for {
-			now := w.StepEnd()
-			for _, e := range w.Advance(now) {
+			now := sim.StepEnd()
+			for _, e := range sim.Advance(now) {
 				if e.Kind == FirstToken {
-					run(t, w)
+					run(t, sim)
 					return e, now - at
 				}
 			}
 		}
 	}
-	whole, slow := ask(1, 1)
-	shared, quick := ask(2, 2)
-	again, quickest := ask(3, 1)
-	if whole.CachedTokens != 0 || shared.CachedTokens != 480 || again.CachedTokens != 624 || !(quickest < quick && quick < slow) {
-		t.Errorf("kept %d, %d, %d tokens; %d, %d, %d us", whole.CachedTokens, shared.CachedTokens, again.CachedTokens, slow, quick, quickest)
+	full, slow := submit(1, 1)
+	shared, quick := submit(2, 2)
+	again, quickest := submit(3, 1)
+	if full.CachedTokens != 0 || shared.CachedTokens != 480 || again.CachedTokens != 624 || quickest >= quick || quick >= slow {
+		t.Errorf("cached %d, %d, %d tokens; %d, %d, %d us", full.CachedTokens, shared.CachedTokens, again.CachedTokens, slow, quick, quickest)
 	}
-	w.FlushCache()
-	if e, _ := ask(4, 1); e.CachedTokens != 0 {
-		t.Errorf("after a flush %d were kept", e.CachedTokens)
+	sim.FlushCache()
+	if e, _ := submit(4, 1); e.CachedTokens != 0 {
+		t.Errorf("after a flush %d tokens were cached", e.CachedTokens)
 	}
 }
 
-// More running sequences make longer steps; a slow or cold worker is so by as much.
+// Steps of a replica that is slowed down or warming up take longer by the factor.
 func TestSteps(t *testing.T) {
 	first := func(p Params, jobs int, slow float64, at balancer.Micros) balancer.Micros {
-		w := New(p, 1)
-		w.SetSlowdown(slow)
+		sim := New(p, 1)
+		sim.SetSlowdown(slow)
 		for id := range uint64(jobs) {
-			w.Offer(at, Job{ID: id + 1, PromptTokens: 100, OutputTokens: 5, Session: id + 1})
+			sim.Offer(at, Job{ID: id + 1, PromptTokens: 100, OutputTokens: 5, Session: id + 1})
 		}
-		return w.StepEnd() - at
+		return sim.StepEnd() - at
 	}
 	p := params()
 	one, slow := first(p, 1, 1, 1), first(p, 1, 3, 1)
@@ -162,37 +162,36 @@
 		t.Errorf("%d us, and three times slower %d", one, slow)
 	}
 	p.WarmUpTime, p.WarmUpSlowdown = 8_000_000, 4
-	if cold, half, warm := first(p, 1, 1, 1), first(p, 1, 1, 4_000_001), first(p, 1, 1, 8_000_001); cold < 4*one-4 || warm != one || half <= warm || half >= cold {
-		t.Errorf("cold %d, half warm %d, warm %d; as it should %d", cold, half, warm, one)
+	if initial, half, warm := first(p, 1, 1, 1), first(p, 1, 1, 4_000_001), first(p, 1, 1, 8_000_001); initial < 4*one-4 || warm != one || half <= warm || half >= initial {
+		t.Errorf("warming up %d, half way %d, warm %d; expected %d", initial, half, warm, one)
 	}
 	bad := params()
 	bad.MemoryTokens = 1
 	if bad.Check() == nil || p.Check() != nil {
-		t.Error("a memory of less than a block passed, or good ones did not")
+		t.Error("a memory of less than a block was accepted, or valid parameters were not")
 	}
 }
 
-// Where memory runs out the one that came last is set back and read again, and all
-// are served.
+// Where memory runs out, the sequence that was admitted last is preempted and read again; all complete.
 func TestPreemption(t *testing.T) {
 	p := params()
 	p.MemoryTokens = 640
-	w := New(p, 0)
+	sim := New(p, 0)
 	for id := range uint64(4) {
-		if !w.Offer(1, Job{ID: id + 1, PromptTokens: 140, OutputTokens: 300, Session: id + 1}) {
+		if !sim.Offer(1, Job{ID: id + 1, PromptTokens: 140, OutputTokens: 300, Session: id + 1}) {
 			t.Fatal("declined")
 		}
 	}
-	done := run(t, w)
+	done := run(t, sim)
 	for id := range uint64(4) {
 		if e := done[id+1]; len(e) != 2 || e[1].OutputTokens != 300 {
 			t.Errorf("job %d: %+v", id+1, e)
 		}
 	}
-	if w.Preempted == 0 {
-		t.Error("nothing was set back")
+	if sim.Preempted == 0 {
+		t.Error("nothing was preempted")
 	}
-	if w.Offer(1, Job{ID: 9, PromptTokens: 600, OutputTokens: 100}) {
-		t.Error("what can never be held was taken")
+	if sim.Offer(1, Job{ID: 9, PromptTokens: 600, OutputTokens: 100}) {
+		t.Error("a job that memory can never hold was accepted")
 	}
 }
