--- a/internal/fleet/model/attempt.go
+++ b/internal/fleet/model/attempt.go
@@ -5,36 +5,39 @@
 	"archknot/internal/fleet/replica"
 )
 
-// Attempts at workers: from their arrival there to the outcome that the gateway is told.
-
-// attempt is one attempt at a worker.
+// attempt is one attempt of a request at a replica, from the gateway's dispatch to the outcome.
 type attempt struct {
-	gateway        *gateway
-	request        *request
-	index          int
-	host           *host
-	jobID          uint64
-	incarnation    int
-	sentAt         balancer.Micros
-	ended          bool // its outcome was told
-	cachedTokens   int
-	outputTokens   int
-	firstTokenSeen bool
-	// When the news of its first token comes: what follows does not overtake it.
-	firstTokenArrival balancer.Micros
+	gateway      *gateway
+	request      *request
+	index        int
+	host         *host
+	jobID        uint64
+	incarnation  int // of the host that got it
+	sentAt       balancer.Micros
+	ended        bool // the gateway has its outcome
+	cachedTokens int
+	outputTokens int
+
+	firstTokenSeen    bool
+	firstTokenArrival balancer.Micros // at the gateway; later messages do not overtake it
 }
 
-// loadReport is the worker's load as it stands.
+// loadReport returns the replica's current load report.
 func (h *host) loadReport() balancer.LoadReport {
 	if h.simulator == nil {
 		return balancer.LoadReport{}
 	}
 	running, waiting, memory, unread := h.simulator.Load()
-	return balancer.LoadReport{Has: balancer.HasInFlight | balancer.HasQueued | balancer.HasMemory | balancer.HasPrefillBacklog, InFlight: float64(running + waiting),
-		Queued: float64(waiting), MemoryShare: memory, PrefillBacklogK: float64(unread) / 1000}
+	return balancer.LoadReport{
+		Has:             balancer.HasInFlight | balancer.HasQueued | balancer.HasMemory | balancer.HasPrefillBacklog,
+		InFlight:        float64(running + waiting),
+		Queued:          float64(waiting),
+		MemoryShare:     memory,
+		PrefillBacklogK: float64(unread) / 1000,
+	}
 }
 
-// arrive is the request at the worker.
+// arrive is the attempt's arrival at the replica.
 func (a *attempt) arrive(now balancer.Micros) {
 	h := a.host
 	a.incarnation = h.incarnation
@@ -45,9 +48,16 @@
 		a.notifyGateway(balancer.ConnectFailed, balancer.LoadReport{})
 		return
 	}
-	r := a.request
-	out := r.outputTokens
-	if !h.simulator.Offer(now, replica.Job{ID: a.jobID, PromptTokens: r.balancerRequest.PromptTokens, OutputTokens: out, Prefix: r.balancerRequest.Prefix, PrefixTokens: r.balancerRequest.PrefixTokens, Session: r.balancerRequest.Session}) {
+	r := &a.request.balancerRequest
+	job := replica.Job{
+		ID:           a.jobID,
+		PromptTokens: r.PromptTokens,
+		OutputTokens: a.request.outputTokens,
+		Prefix:       r.Prefix,
+		PrefixTokens: r.PrefixTokens,
+		Session:      r.Session,
+	}
+	if !h.simulator.Offer(now, job) {
 		a.notifyGateway(balancer.Shed, h.loadReport())
 		return
 	}
@@ -55,35 +65,35 @@
 	a.gateway.sim.scheduleStep(h)
 }
 
-// handleEvent is news of the worker.
-func (a *attempt) handleEvent(ev replica.Event) {
-	switch ev.Kind {
+// handleEvent handles an event of the attempt's job at the replica.
+func (a *attempt) handleEvent(event replica.Event) {
+	switch event.Kind {
 	case replica.FirstToken:
-		a.cachedTokens = ev.CachedTokens
-		x := a.gateway.sim
-		a.firstTokenArrival = x.engine.Now() + x.networkDelay(a.host.zone, a.gateway.zone)
-		x.engine.At(a.firstTokenArrival, func(now balancer.Micros) { a.gateway.firstToken(now, a) })
+		a.cachedTokens = event.CachedTokens
+		s := a.gateway.sim
+		a.firstTokenArrival = s.engine.Now() + s.networkDelay(a.host.zone, a.gateway.zone)
+		s.engine.At(a.firstTokenArrival, func(now balancer.Micros) { a.gateway.firstToken(now, a) })
 	case replica.Completed:
-		a.outputTokens = ev.OutputTokens
+		a.outputTokens = event.OutputTokens
 		delete(a.host.jobs, a.jobID)
 		a.notifyGateway(balancer.Served, a.host.loadReport())
 	}
 }
 
-// breakConnection is the end of the worker.
+// breakConnection is the end of the connection when the replica ends.
 func (a *attempt) breakConnection() { a.notifyGateway(balancer.ConnBroken, balancer.LoadReport{}) }
 
-// notifyGateway has the gateway learn the outcome, one way later.
-func (a *attempt) notifyGateway(status balancer.Status, rep balancer.LoadReport) {
-	x := a.gateway.sim
-	at := max(x.engine.Now()+x.networkDelay(a.host.zone, a.gateway.zone), a.firstTokenArrival)
-	x.engine.At(at, func(now balancer.Micros) { a.gateway.attemptEnded(now, a, status, rep) })
+// notifyGateway sends the outcome to the gateway, which gets it a network delay later.
+func (a *attempt) notifyGateway(status balancer.Status, report balancer.LoadReport) {
+	s := a.gateway.sim
+	at := max(s.engine.Now()+s.networkDelay(a.host.zone, a.gateway.zone), a.firstTokenArrival)
+	s.engine.At(at, func(now balancer.Micros) { a.gateway.attemptEnded(now, a, status, report) })
 }
 
-// cancel leaves the worker: it learns of it one way later.
+// cancel cancels the job at the replica, which gets the cancellation a network delay later.
 func (a *attempt) cancel() {
-	x, h := a.gateway.sim, a.host
-	x.engine.After(x.networkDelay(a.host.zone, a.gateway.zone), func(now balancer.Micros) {
+	s, h := a.gateway.sim, a.host
+	s.engine.After(s.networkDelay(h.zone, a.gateway.zone), func(balancer.Micros) {
 		if h.simulator != nil && h.incarnation == a.incarnation && h.jobs[a.jobID] == a {
 			delete(h.jobs, a.jobID)
 			h.simulator.Cancel(a.jobID)
--- a/internal/fleet/model/clients.go
+++ b/internal/fleet/model/clients.go
@@ -8,20 +8,27 @@
 	"archknot/internal/fleet/engine"
 )
 
-// Source draws a stream's sessions and turns: for the model, and for the emulator's
-// clients.
+const (
+	// meanRetryDelay is the mean time, beyond Retry-After, after which a client retries a request that was shed.
+	meanRetryDelay = 500_000 // microseconds
+	// maxGatewayPicks is how often the load balancer before the gateways picks another one if a gateway
+	// refuses the connection.
+	maxGatewayPicks = 8
+)
+
+// Source draws the sessions and turns of a stream, for the model and for the emulator's clients.
 type Source struct {
 	stream  *Stream
 	rng     *rand.Rand
-	weights []float64 // of the shared beginnings, summed up
+	weights []float64 // cumulative weights of the shared prefixes
 }
 
-// NewSource is one for a stream.
-func NewSource(s *Stream, rng *rand.Rand) *Source {
-	c := &Source{stream: s, rng: rng}
+// NewSource returns a source for a stream.
+func NewSource(stream *Stream, rng *rand.Rand) *Source {
+	c := &Source{stream: stream, rng: rng}
 	sum := 0.0
-	for p := range s.Prefixes {
-		sum += 1 / float64(p+1) // by Zipf's law
+	for rank := range stream.Prefixes {
+		sum += 1 / float64(rank+1) // Zipf's law
 		c.weights = append(c.weights, sum)
 	}
 	return c
@@ -29,84 +36,95 @@
 
 // Session is one client's conversation.
 type Session struct {
+	TurnsLeft int
+
 	key           uint64
-	prefix        uint64
-	contextTokens int // tokens so far
-	TurnsLeft     int // turns
+	prefix        uint64 // 0: none
+	contextTokens int    // prompts and answers so far
 }
 
-// NextArrival is the time to the next session's beginning. Sessions come as their turns make
+// NextArrival draws the time to the arrival of the next session. Sessions arrive so that their turns make
 // up the stream's rate, times a factor.
 func (c *Source) NextArrival(factor float64) balancer.Micros {
 	return balancer.Micros(engine.Exponential(c.rng, 1e6/(c.stream.RequestsPerSecond/c.stream.Turns*factor)))
 }
 
-// NewSession begins one; a part of hot has the most popular beginning.
-func (c *Source) NewSession(hot float64) *Session {
-	n := &Session{key: c.rng.Uint64() | 1, TurnsLeft: 1}
-	for c.stream.Turns > 1 && c.rng.Float64() > 1/c.stream.Turns { // geometric, with that mean
-		n.TurnsLeft++
+// NewSession draws a session. A share of hotShare has the most popular prefix in any case.
+func (c *Source) NewSession(hotShare float64) *Session {
+	session := &Session{key: c.rng.Uint64() | 1, TurnsLeft: 1}
+	for c.stream.Turns > 1 && c.rng.Float64() > 1/c.stream.Turns { // geometric with that mean
+		session.TurnsLeft++
 	}
 	if len(c.weights) > 0 {
-		at, p := c.rng.Float64()*c.weights[len(c.weights)-1], 0
-		for p < len(c.weights)-1 && c.weights[p] < at {
-			p++
-		}
-		if hot > 0 && c.rng.Float64() < hot {
-			p = 0
-		}
-		n.prefix = uint64(p+1)*0x9e3779b97f4a7c15 ^ uint64(len(c.stream.Class))
-		n.contextTokens = c.stream.PrefixTokens
+		rank := c.drawPrefix(hotShare)
+		session.prefix = uint64(rank+1)*0x9e3779b97f4a7c15 ^ uint64(len(c.stream.Class))
+		session.contextTokens = c.stream.PrefixTokens
 	}
-	return n
+	return session
 }
 
-// SessionsInProgress are sessions that are between two turns when a run begins, with the time
-// to the next: as many as there are in the long run, so that the stream's rate is
-// reached at once. What the turns before took at workers is left out.
-func (c *Source) SessionsInProgress() (list []*Session, in []balancer.Micros) {
-	think := c.stream.ThinkSeconds * math.Exp(c.stream.Spread*c.stream.Spread/2) // the mean
-	for n := c.stream.RequestsPerSecond / c.stream.Turns * (c.stream.Turns - 1) * think; n > 0 && (n >= 1 || c.rng.Float64() < n); n-- {
-		// Turns are geometric: those to come are as many as of a session that begins.
-		s := c.NewSession(0)
-		for more := true; more; more = c.rng.Float64() > 1/c.stream.Turns {
-			s.contextTokens += int(c.stream.PromptTokens + c.stream.AnswerTokens)
-		}
-		list, in = append(list, s), append(in, balancer.Micros(c.rng.Float64()*think*1e6))
+// drawPrefix draws the rank of a shared prefix, from 0.
+func (c *Source) drawPrefix(hotShare float64) int {
+	draw := c.rng.Float64() * c.weights[len(c.weights)-1]
+	rank := 0
+	for rank < len(c.weights)-1 && c.weights[rank] < draw {
+		rank++
+	}
+	if hotShare > 0 && c.rng.Float64() < hotShare {
+		rank = 0
 	}
-	return list, in
+	return rank
 }
 
-// NextTurn draws a session's next request, and how many tokens it will make.
-func (c *Source) NextTurn(n *Session) (in balancer.Request, out int) {
-	n.TurnsLeft--
-	prompt := n.contextTokens + max(1, int(engine.LogNormal(c.rng, c.stream.PromptTokens, c.stream.Spread)))
-	out = min(c.stream.MaxOutputTokens, max(1, int(engine.LogNormal(c.rng, c.stream.AnswerTokens, c.stream.Spread))))
-	in = balancer.Request{Class: c.stream.Class, Tenant: c.stream.Tenant, PromptTokens: prompt, MaxTokens: c.stream.MaxOutputTokens}
-	if c.stream.Turns > 1 {
-		in.Session = n.key
+// SessionsInProgress draws the sessions that are between two turns when a run begins, with the times to
+// their next turns: as many as there are in the long run, so that the stream's rate is reached at once.
+// The time that their earlier turns took at replicas is neglected.
+func (c *Source) SessionsInProgress() (sessions []*Session, nextTurnIn []balancer.Micros) {
+	meanThink := c.stream.ThinkSeconds * math.Exp(c.stream.Spread*c.stream.Spread/2)
+	for n := c.stream.RequestsPerSecond / c.stream.Turns * (c.stream.Turns - 1) * meanThink; n > 0 && (n >= 1 || c.rng.Float64() < n); n-- {
+		// The number of turns is geometric: a session in progress has as many to come as a new one.
+		session := c.NewSession(0)
+		for more := true; more; more = c.rng.Float64() > 1/c.stream.Turns {
+			session.contextTokens += int(c.stream.PromptTokens + c.stream.AnswerTokens)
+		}
+		sessions = append(sessions, session)
+		nextTurnIn = append(nextTurnIn, balancer.Micros(c.rng.Float64()*meanThink*1e6))
 	}
-	if n.prefix != 0 {
-		in.Prefix, in.PrefixTokens = n.prefix, c.stream.PrefixTokens
+	return sessions, nextTurnIn
+}
+
+// NextTurn draws a session's next request, and the length of its answer.
+func (c *Source) NextTurn(session *Session) (request balancer.Request, outputTokens int) {
+	session.TurnsLeft--
+	s := c.stream
+	promptTokens := session.contextTokens + max(1, int(engine.LogNormal(c.rng, s.PromptTokens, s.Spread)))
+	outputTokens = min(s.MaxOutputTokens, max(1, int(engine.LogNormal(c.rng, s.AnswerTokens, s.Spread))))
+	request = balancer.Request{Class: s.Class, Tenant: s.Tenant, PromptTokens: promptTokens, MaxTokens: s.MaxOutputTokens}
+	if s.Turns > 1 {
+		request.Session = session.key
 	}
-	return in, out
+	if session.prefix != 0 {
+		request.Prefix, request.PrefixTokens = session.prefix, s.PrefixTokens
+	}
+	return request, outputTokens
 }
 
 // AddTurn adds a turn to the session's context.
-func (n *Session) AddTurn(in *balancer.Request, out int) { n.contextTokens = in.PromptTokens + out }
+func (session *Session) AddTurn(request *balancer.Request, outputTokens int) {
+	session.contextTokens = request.PromptTokens + outputTokens
+}
 
-// ThinkTime is the time to a session's next turn.
+// ThinkTime draws the time to a session's next turn.
 func (c *Source) ThinkTime() balancer.Micros {
 	return balancer.Micros(engine.LogNormal(c.rng, math.Max(1, c.stream.ThinkSeconds*1e6), c.stream.Spread))
 }
 
-// RetryDelay is the time after which a client that was turned away comes back, beyond
-// what it was advised.
+// RetryDelay draws the time, beyond Retry-After, after which a client retries a request that was shed.
 func (c *Source) RetryDelay() balancer.Micros {
-	return balancer.Micros(engine.Exponential(c.rng, 500_000))
+	return balancer.Micros(engine.Exponential(c.rng, meanRetryDelay))
 }
 
-// FirstTokenTimeout is how long a client of the stream waits for its first token.
+// FirstTokenTimeout returns how long a client of the stream waits for its first token.
 func (s *Stream) FirstTokenTimeout(class *balancer.Class) balancer.Micros {
 	if s.PatienceSeconds > 0 {
 		return min(class.Deadline, balancer.Micros(s.PatienceSeconds*1e6))
@@ -114,17 +132,17 @@
 	return class.Deadline
 }
 
-// ClassOf is the class of a stream.
-func (s *Spec) ClassOf(t *Stream) *balancer.Class {
-	for j := range s.Settings.Classes {
-		if c := &s.Settings.Classes[j]; c.Name == t.Class {
-			return c
+// ClassOf returns the class of a stream, nil if the settings do not have it.
+func (s *Spec) ClassOf(stream *Stream) *balancer.Class {
+	for i := range s.Settings.Classes {
+		if class := &s.Settings.Classes[i]; class.Name == stream.Class {
+			return class
 		}
 	}
 	return nil
 }
 
-// traffic is one stream's clients in the model.
+// traffic is the clients of a stream in the model.
 type traffic struct {
 	sim    *sim
 	stream *Stream
@@ -132,64 +150,76 @@
 	source *Source
 }
 
-// startTraffic starts a stream's arrivals.
-func (x *sim) startTraffic(i int) {
-	s := &x.spec.Streams[i]
-	t := &traffic{sim: x, stream: s, class: x.spec.ClassOf(s), source: NewSource(s, x.engine.Rand("stream"+string(rune('0'+i))+s.Class+s.Tenant))}
-	x.traffic = append(x.traffic, t)
-	list, in := t.source.SessionsInProgress()
-	for i, n := range list {
-		x.engine.After(in[i], func(now balancer.Micros) { t.turn(now, n) })
+// startTraffic starts the arrivals of a stream.
+func (s *sim) startTraffic(index int) {
+	stream := &s.spec.Streams[index]
+	rng := s.engine.Rand("stream" + string(rune('0'+index)) + stream.Class + stream.Tenant)
+	t := &traffic{sim: s, stream: stream, class: s.spec.ClassOf(stream), source: NewSource(stream, rng)}
+	sessions, nextTurnIn := t.source.SessionsInProgress()
+	for i, session := range sessions {
+		s.engine.After(nextTurnIn[i], func(now balancer.Micros) { t.nextTurn(now, session) })
 	}
 	t.scheduleNext()
 }
 
-// scheduleNext has the next session begin.
+// scheduleNext schedules the arrival of the next session.
 func (t *traffic) scheduleNext() {
 	t.sim.engine.After(t.source.NextArrival(t.sim.arrivalFactor), func(now balancer.Micros) {
-		t.turn(now, t.source.NewSession(t.sim.hotPrefixShare))
+		t.nextTurn(now, t.source.NewSession(t.sim.hotPrefixShare))
 		t.scheduleNext()
 	})
 }
 
-func (t *traffic) turn(now balancer.Micros, n *Session) {
-	in, out := t.source.NextTurn(n)
-	t.send(now, &request{balancerRequest: in, outputTokens: out, session: n, traffic: t})
+func (t *traffic) nextTurn(now balancer.Micros, session *Session) {
+	balancerRequest, outputTokens := t.source.NextTurn(session)
+	t.send(now, &request{balancerRequest: balancerRequest, outputTokens: outputTokens, session: session, traffic: t})
 }
 
-// send sends a request to a gateway of the front's choosing.
+// send sends a request to a gateway that accepts connections.
 func (t *traffic) send(now balancer.Micros, r *request) {
 	r.sentAt = now
 	r.deadline = now + t.stream.FirstTokenTimeout(t.class)
-	g := t.sim.gateways[t.source.rng.IntN(len(t.sim.gateways))]
-	for range 8 { // a connection that is refused says at once that nobody is there
+	g := t.pickGateway()
+	for range maxGatewayPicks {
 		if !g.dead {
 			break
 		}
-		g = t.sim.gateways[t.source.rng.IntN(len(t.sim.gateways))]
+		g = t.pickGateway()
 	}
 	t.sim.engine.After(t.sim.networkDelay(g.zone, g.zone), func(now balancer.Micros) { g.arrive(now, r) })
 }
 
-// requestEnded is what a client does with the end of its request.
-func (x *sim) requestEnded(now balancer.Micros, r *request, how string, after balancer.Micros) {
+func (t *traffic) pickGateway() *gateway {
+	return t.sim.gateways[t.source.rng.IntN(len(t.sim.gateways))]
+}
+
+// requestEnded is the end of a request at its client, which retries it or begins the session's next turn.
+func (s *sim) requestEnded(now balancer.Micros, r *request, outcome string, retryAfter balancer.Micros) {
 	t := r.traffic
-	// Turned away: it comes back with all it has, as often as it likes to.
-	if (how == "refused" || how == "contract") && r.clientRetries < t.stream.MaxRetries {
-		again := &request{balancerRequest: r.balancerRequest, outputTokens: r.outputTokens, session: r.session, traffic: t, clientRetries: r.clientRetries + 1}
-		again.balancerRequest.ID, again.balancerRequest.PriorityFactor = 0, 0
-		x.result.CountRetry(r.sentAt-startTime, &r.balancerRequest)
-		x.engine.After(after+t.source.RetryDelay(), func(now balancer.Micros) { t.send(now, again) })
+	if (outcome == OutcomeShed || outcome == OutcomeContract) && r.clientRetries < t.stream.MaxRetries {
+		retry := &request{balancerRequest: r.balancerRequest, outputTokens: r.outputTokens, session: r.session, traffic: t, clientRetries: r.clientRetries + 1}
+		retry.balancerRequest.ID, retry.balancerRequest.PriorityFactor = 0, 0
+		s.result.CountRetry(r.sentAt-startTime, &r.balancerRequest)
+		s.engine.After(retryAfter+t.source.RetryDelay(), func(now balancer.Micros) { t.send(now, retry) })
 		return
 	}
 	if r.counted {
-		panic("a request ended twice") // the model is at fault
+		panic("model: a request ended twice")
 	}
 	r.counted = true
-	x.result.CountEnd(RequestEnd{Class: t.class, Request: &r.balancerRequest, OutputTokens: r.outputTokens, SentAt: r.sentAt - startTime, FirstTokenAt: r.firstTokenAt - startTime, EndedAt: now - startTime, Outcome: how,
-		Attempts: len(r.attempts), Wasted: r.wastedAttempts})
-	if r.session.TurnsLeft > 0 && how == "served" {
+	s.result.CountEnd(RequestEnd{
+		Class:        t.class,
+		Request:      &r.balancerRequest,
+		OutputTokens: r.outputTokens,
+		SentAt:       r.sentAt - startTime,
+		FirstTokenAt: r.firstTokenAt - startTime,
+		EndedAt:      now - startTime,
+		Outcome:      outcome,
+		Attempts:     len(r.attempts),
+		Wasted:       r.wastedAttempts,
+	})
+	if r.session.TurnsLeft > 0 && outcome == OutcomeServed {
 		r.session.AddTurn(&r.balancerRequest, r.outputTokens)
-		x.engine.After(t.source.ThinkTime(), func(now balancer.Micros) { t.turn(now, r.session) })
+		s.engine.After(t.source.ThinkTime(), func(now balancer.Micros) { t.nextTurn(now, r.session) })
 	}
 }
--- a/internal/fleet/model/model.go
+++ b/internal/fleet/model/model.go
@@ -1,10 +1,10 @@
-// Package model is a fleet in virtual time: gateways, workers, the network, the
-// registry and clients. The decision modules and the books of contracts in it are
-// those that serve; each gateway can be recorded, and what is recorded replays.
+// Package model simulates a fleet in virtual time: gateways, replicas, the network, discovery and clients.
+// The balancers and contract ledgers in it are those of the gateway itself; each gateway can be captured,
+// and its capture replays.
 //
-// Sources: package worker names those of its model. Clients come in sessions with
-// turns, as published traces of chat services do; arrivals of sessions are Poisson,
-// lengths and thinking times log-normal.
+// Sources: package replica names those of its model. Clients have sessions with several turns, as in
+// published traces of chat services; sessions arrive as a Poisson process, lengths and think times are
+// log-normal.
 package model
 
 import (
@@ -18,148 +18,150 @@
 	"archknot/internal/fleet/replica"
 )
 
-// sim is one run.
+const (
+	// startTime is when virtual time begins. It is above 0, because 0 means "long ago" for a replica's start.
+	startTime balancer.Micros = 1_000_000_000
+	// initialUptime is how long the replicas have been ready when a run begins.
+	initialUptime balancer.Micros = 3600_000_000
+)
+
+// sim is the state of one run.
 type sim struct {
-	spec            *Spec
-	engine          *engine.Engine
-	gateways        []*gateway
-	hosts           []*host
-	version         int64
-	changeLog       []listChange    // the registry's log
-	discoveryDown   bool            // the registry does not answer
-	discoveryFreeAt balancer.Micros // when it has worked off the calls that came
-	networkRand     *rand.Rand
-	traffic         []*traffic
-	zones           []string
-	kinds           []string
-	arrivalFactor   float64
-	hotPrefixShare  float64
-	lastJobID       uint64
-	result          *Result
-}
+	spec     *Spec
+	engine   *engine.Engine
+	gateways []*gateway
+	hosts    []*host
+	zones    []string
+	kinds    []string
+	result   *Result
+
+	version         int64           // of the endpoint list
+	changeLog       []listChange    // discovery's changes of the list
+	discoveryDown   bool            // discovery does not answer
+	discoveryFreeAt balancer.Micros // when discovery has answered the calls that wait
 
-type listChange struct {
-	version  int64
-	endpoint balancer.Endpoint
+	networkRand    *rand.Rand
+	arrivalFactor  float64 // factor on the arrival rate
+	hotPrefixShare float64 // share of sessions with the most popular prefix in addition
+	lastJobID      uint64
 }
 
-// host is a worker at an address.
+// host is an address at which replicas run, one incarnation after another.
 type host struct {
 	index           int
 	group           *Group
-	simulator       *replica.Simulator
+	zone            string
+	simulator       *replica.Simulator // nil: no process runs
 	state           balancer.EndpointState
 	startedAt       balancer.Micros
-	incarnation     int // counts its starts
-	silent          bool
-	hung            []*attempt // what it had when its machine vanished
-	slow            float64
+	incarnation     int
+	silent          bool       // it accepts everything and answers nothing
+	hung            []*attempt // open connections of a lost machine
 	jobs            map[uint64]*attempt
 	stepScheduledAt balancer.Micros
-	zone            string
 }
 
-// startTime is when virtual time begins: above 0, for 0 says 'long ago'.
-const startTime balancer.Micros = 1_000_000_000
-
-// Run plays a run to its end.
-func Run(s *Spec) (*Result, error) {
-	if err := s.Check(); err != nil {
+// Run simulates a run to its end. The same Spec gives the same Result.
+func Run(spec *Spec) (*Result, error) {
+	if err := spec.Check(); err != nil {
 		return nil, err
 	}
-	x := &sim{spec: s, engine: engine.New(s.Seed, startTime), arrivalFactor: 1, result: NewResult(s)}
-	x.networkRand = x.engine.Rand("net")
-	zones, kinds := []string{}, []string{}
-	for i := range s.Groups {
-		g := &s.Groups[i]
-		if !slices.Contains(zones, g.Zone) {
-			zones = append(zones, g.Zone)
+	s := &sim{spec: spec, engine: engine.New(spec.Seed, startTime), arrivalFactor: 1, result: NewResult(spec), version: 1}
+	s.networkRand = s.engine.Rand("net")
+	s.addHosts()
+	if err := s.addGateways(); err != nil {
+		return nil, err
+	}
+	for i := range spec.Streams {
+		s.startTraffic(i)
+	}
+	for _, f := range spec.Faults {
+		s.scheduleFault(f)
+	}
+	s.engine.RunUntil(startTime + spec.Duration)
+	s.finish()
+	return s.result, nil
+}
+
+// addHosts adds the replicas of all groups.
+func (s *sim) addHosts() {
+	for i := range s.spec.Groups {
+		group := &s.spec.Groups[i]
+		if !slices.Contains(s.zones, group.Zone) {
+			s.zones = append(s.zones, group.Zone)
 		}
-		if !slices.Contains(kinds, g.Name) {
-			kinds = append(kinds, g.Name)
+		if !slices.Contains(s.kinds, group.Name) {
+			s.kinds = append(s.kinds, group.Name)
 		}
-		for range g.Count {
-			h := &host{index: len(x.hosts), group: g, slow: 1, zone: g.Zone, jobs: map[uint64]*attempt{}}
-			h.simulator = replica.New(g.Params, startTime-3600_000_000)
-			x.hosts = append(x.hosts, h)
+		for range group.Count {
+			s.hosts = append(s.hosts, &host{
+				index:     len(s.hosts),
+				group:     group,
+				zone:      group.Zone,
+				simulator: replica.New(group.Params, startTime-initialUptime),
+				jobs:      map[uint64]*attempt{},
+			})
 		}
 	}
-	x.version, x.zones, x.kinds = 1, zones, kinds
-	for i := range s.Gateways {
-		g, err := x.newGateway(i, zones, kinds)
+}
+
+// addGateways adds all gateways and then starts them.
+func (s *sim) addGateways() error {
+	for i := range s.spec.Gateways {
+		g, err := s.newGateway(i)
 		if err != nil {
-			return nil, err
+			return err
 		}
-		x.gateways = append(x.gateways, g)
+		s.gateways = append(s.gateways, g)
 	}
-	for _, g := range x.gateways {
+	for _, g := range s.gateways {
 		g.start()
 	}
-	for i := range s.Streams {
-		x.startTraffic(i)
-	}
-	for _, f := range s.Faults {
-		x.scheduleFault(f)
-	}
-	x.engine.RunUntil(startTime + s.Duration)
-	x.result.Events = x.engine.Processed
-	for _, h := range x.hosts {
-		x.result.addReplica(h.simulator)
-	}
-	for _, g := range x.gateways {
-		if err := g.close(); err != nil {
-			return nil, err
-		}
-	}
-	x.result.Finish()
-	return x.result, nil
+	return nil
 }
 
-// networkDelay is how long a message takes between two zones.
-func (x *sim) networkDelay(a, b string) balancer.Micros {
-	d := x.spec.SameZoneDelay
-	if a != b {
-		d = x.spec.CrossZoneDelay
+// finish completes the result.
+func (s *sim) finish() {
+	s.result.Events = s.engine.Processed
+	for _, h := range s.hosts {
+		s.result.addReplica(h.simulator)
 	}
-	return balancer.Micros(float64(d) * (0.8 + 0.4*x.networkRand.Float64()))
-}
-
-// The registry.
-
-func (x *sim) publish(h *host, state balancer.EndpointState) {
-	h.state = state
-	x.version++
-	x.changeLog = append(x.changeLog, listChange{x.version, x.endpoint(h)})
-	for _, g := range x.gateways {
-		g.listChanged()
+	for _, g := range s.gateways {
+		g.close()
 	}
+	s.result.Finish()
 }
 
-func (x *sim) endpoint(h *host) balancer.Endpoint {
-	return balancer.Endpoint{Replica: balancer.ReplicaID(h.index + 1), State: h.state, Weight: h.group.Weight, Kind: h.group.Name, Zone: h.zone, StartedAt: h.startedAt}
+// networkDelay draws the time that a message takes between two zones.
+func (s *sim) networkDelay(from, to string) balancer.Micros {
+	delay := s.spec.SameZoneDelay
+	if from != to {
+		delay = s.spec.CrossZoneDelay
+	}
+	return balancer.Micros(float64(delay) * (0.8 + 0.4*s.networkRand.Float64()))
 }
 
-// sortedKeys are a map's keys in their order, that each run goes by them alike.
-func sortedKeys[K cmp.Ordered, V any](m map[K]V) []K { return slices.Sorted(maps.Keys(m)) }
-
-// scheduleStep has the worker's next step end when it does.
-func (x *sim) scheduleStep(h *host) {
+// scheduleStep schedules the end of the replica's step in progress.
+func (s *sim) scheduleStep(h *host) {
 	at := h.simulator.StepEnd()
 	if at == 0 || at == h.stepScheduledAt {
 		return
 	}
 	h.stepScheduledAt = at
-	life := h.incarnation
-	x.engine.At(at, func(now balancer.Micros) {
-		if h.incarnation != life || h.stepScheduledAt != at {
+	incarnation := h.incarnation
+	s.engine.At(at, func(now balancer.Micros) {
+		if h.incarnation != incarnation || h.stepScheduledAt != at {
 			return
 		}
 		h.stepScheduledAt = 0
-		for _, ev := range h.simulator.Advance(now) {
-			if a := h.jobs[ev.Job]; a != nil {
-				a.handleEvent(ev)
+		for _, event := range h.simulator.Advance(now) {
+			if a := h.jobs[event.Job]; a != nil {
+				a.handleEvent(event)
 			}
 		}
-		x.scheduleStep(h)
+		s.scheduleStep(h)
 	})
 }
+
+// sortedKeys returns a map's keys in order, so that every run visits them alike.
+func sortedKeys[K cmp.Ordered, V any](m map[K]V) []K { return slices.Sorted(maps.Keys(m)) }
--- a/internal/fleet/model/model_test.go
+++ b/internal/fleet/model/model_test.go
@@ -27,40 +27,40 @@
 			{Class: "bulk", Tenant: "u", RequestsPerSecond: 5, Turns: 1, PromptTokens: 1000, AnswerTokens: 200, Spread: 0.5, MaxOutputTokens: 800}}}
 }
 
-func play(t testing.TB, s *Spec) *Result {
-	t.Helper()
+func mustRun(tb testing.TB, s *Spec) *Result {
+	tb.Helper()
 	r, err := Run(s)
 	if err != nil {
-		t.Fatal(err)
+		tb.Fatal(err)
 	}
 	return r
 }
 
-var troubles = []Fault{{At: 8e6, Duration: 6e6, Kind: "slow", Replica: 2, Factor: 5}, {At: 10e6, Duration: 5e6, Kind: "kill", Replica: 4}, {At: 12e6, Duration: 5e6, Kind: "drain", Replica: 5},
+// allFaults has most kinds of faults in turn.
+var allFaults = []Fault{{At: 8e6, Duration: 6e6, Kind: "slow", Replica: 2, Factor: 5}, {At: 10e6, Duration: 5e6, Kind: "kill", Replica: 4}, {At: 12e6, Duration: 5e6, Kind: "drain", Replica: 5},
 	{At: 14e6, Duration: 4e6, Kind: "silent", Replica: 6}, {At: 16e6, Duration: 5e6, Kind: "registry", Replica: -1}, {At: 18e6, Kind: "flush", Replica: -1},
 	{At: 20e6, Duration: 5e6, Kind: "burst", Replica: -1, Factor: 3}, {At: 26e6, Duration: 5e6, Kind: "hot", Replica: -1, Factor: 0.8}, {At: 31e6, Duration: 3e6, Kind: "slow", Replica: -1, Factor: 4}}
 
-// The same seed gives the same result, byte for byte, on one core and on four; and
-// another seed another one.
+// The same seed gives the same result, byte for byte, on one core and on four; another seed gives another.
 func TestSameSeedSameResult(t *testing.T) {
 	s := spec()
-	s.Faults = troubles
+	s.Faults = allFaults
 	was := runtime.GOMAXPROCS(1)
-	one := play(t, s).JSON()
+	one := mustRun(t, s).JSON()
 	runtime.GOMAXPROCS(4)
-	four := play(t, s).JSON()
+	four := mustRun(t, s).JSON()
 	runtime.GOMAXPROCS(was)
 	if !bytes.Equal(one, four) {
-		t.Error("one core and four tell other results")
+		t.Error("one core and four give different results")
 	}
 	s.Seed = 2
-	if bytes.Equal(one, play(t, s).JSON()) {
-		t.Error("another seed tells the same")
+	if bytes.Equal(one, mustRun(t, s).JSON()) {
+		t.Error("another seed gives the same result")
 	}
 }
 
-// vast is a day of many gateways before sixty workers at a high load.
-func vast(gateways int, faults ...Fault) *Spec {
+// largeSpec returns a run of many gateways and sixty replicas at a high load.
+func largeSpec(gateways int, faults ...Fault) *Spec {
 	s := spec()
 	s.Gateways, s.Duration, s.Faults = gateways, 25_000_000, faults
 	s.Settings.HealthCheckCost = 0.002
@@ -71,65 +71,64 @@
 	return s
 }
 
-// zoneLost is a zone of a third of the workers that is gone for a while and comes
-// back cold; replaced, six in ten that are replaced within seven seconds.
+// zoneLost ends a zone with a third of the replicas for a while.
 func zoneLost() (f []Fault) {
-	for w := range 20 {
-		f = append(f, Fault{At: 8e6, Duration: 4e6, Kind: "kill", Replica: 40 + w})
+	for i := range 20 {
+		f = append(f, Fault{At: 8e6, Duration: 4e6, Kind: "kill", Replica: 40 + i})
 	}
 	return f
 }
 
-func replaced() (f []Fault) {
-	for w := range 36 {
-		f = append(f, Fault{At: 8e6 + int64(w/12)*3e6, Duration: 1e6, Kind: "kill", Replica: w})
+// rollingRestart restarts six in ten replicas within seven seconds.
+func rollingRestart() (f []Fault) {
+	for i := range 36 {
+		f = append(f, Fault{At: 8e6 + int64(i/12)*3e6, Duration: 1e6, Kind: "kill", Replica: i})
 	}
 	return f
 }
 
-// Eighty gateways that ask for reports before a request goes out answer more in time
-// than by what each hears by itself, where workers are lost and come back cold.
+// Eighty gateways that check a replica's load before they dispatch serve more in time than with the load
+// reports of their own attempts alone, where replicas are lost and return warming up.
 func TestEightyGatewaysSeeTheLoad(t *testing.T) {
-	for name, faults := range map[string][]Fault{"zone lost": zoneLost(), "replaced": replaced()} {
-		s := vast(80, faults...)
-		blind := play(t, s).All.WeightedGoodput()
+	for name, faults := range map[string][]Fault{"zone lost": zoneLost(), "replaced": rollingRestart()} {
+		s := largeSpec(80, faults...)
+		blind := mustRun(t, s).All.WeightedGoodput()
 		s.Settings.MayHealthCheck = true
-		asked := play(t, s).All.WeightedGoodput()
-		t.Logf("%s: in time %.3f without asking, %.3f with", name, blind, asked)
-		if asked < blind+0.05 {
-			t.Errorf("%s: in time %.3f without asking, %.3f with", name, blind, asked)
+		checked := mustRun(t, s).All.WeightedGoodput()
+		t.Logf("%s: in time %.3f without health checks, %.3f with", name, blind, checked)
+		if checked < blind+0.05 {
+			t.Errorf("%s: in time %.3f without health checks, %.3f with", name, blind, checked)
 		}
 	}
 }
 
-// At a calm load thirty gateways leave sessions where their prompts are kept: moved for
-// every small difference in load, 0.33 of the prompts' tokens were found in place of 0.39.
-func TestCalmGatewaysKeepPrompts(t *testing.T) {
+// At a low load thirty gateways leave sessions where their prompts are cached: when sessions migrated for
+// every small difference in load, 0.33 of the prompt tokens were cached instead of 0.39.
+func TestSessionsStayAtCachedPromptsUnderLowLoad(t *testing.T) {
 	s := spec()
 	s.Gateways, s.Duration, s.Settings.MayHealthCheck, s.Settings.HealthCheckCost = 30, 20_000_000, true, 0.002
 	s.Groups[0].Count, s.Groups[1].Count = 80, 60
 	for i := range s.Streams {
 		s.Streams[i].RequestsPerSecond *= 20
 	}
-	r := play(t, s)
-	if kept := float64(r.PromptTokensReused) / float64(r.PromptTokensReused+r.PromptTokensRead); kept < 0.36 || r.All.WeightedGoodput() < 0.99 {
-		t.Errorf("%.3f of the prompts' tokens were found kept, %.3f answered in time", kept, r.All.WeightedGoodput())
+	r := mustRun(t, s)
+	if cached := float64(r.PromptTokensReused) / float64(r.PromptTokensReused+r.PromptTokensRead); cached < 0.36 || r.All.WeightedGoodput() < 0.99 {
+		t.Errorf("%.3f of the prompt tokens were cached, %.3f served in time", cached, r.All.WeightedGoodput())
 	} else {
-		t.Logf("kept %.3f", kept)
+		t.Logf("cached %.3f", cached)
 	}
 }
 
-// Seven in ten of eighty gateways are killed at once while a zone is lost, and the
-// registry answers ten calls a second. All have their watch again in their turns, with
-// next to no call failed; all at once, some hundreds fail and most never hear of the
-// workers that come back.
-func TestMassKillDoesNotStallTheRegistry(t *testing.T) {
-	s := vast(80, append(zoneLost(), Fault{At: 9e6, Duration: 1_600_000, Kind: "restart", Replica: -1, Factor: 0.7})...)
+// Seven in ten of eighty gateways are killed at once while a zone is lost, and discovery answers ten calls a
+// second. All get their watch back in turn, with hardly any call failed; when all called at once, some
+// hundreds failed and most gateways never learned of the replicas that returned.
+func TestMassKillDoesNotStallDiscovery(t *testing.T) {
+	s := largeSpec(80, append(zoneLost(), Fault{At: 9e6, Duration: 1_600_000, Kind: "restart", Replica: -1, Factor: 0.7})...)
 	s.Settings.MayHealthCheck, s.DiscoveryServiceTime = true, 100_000
-	r := play(t, s)
+	r := mustRun(t, s)
 	t.Logf("%d calls failed, %.3f in time, %v", r.DiscoveryCallsFailed, r.All.WeightedGoodput(), r.All.Ends)
 	if r.DiscoveryCallsFailed > 8 {
-		t.Errorf("%d calls of the registry failed", r.DiscoveryCallsFailed)
+		t.Errorf("%d calls of discovery failed", r.DiscoveryCallsFailed)
 	}
 	if w := r.All.WeightedGoodput(); w < 0.7 {
 		t.Errorf("%.3f in time", w)
@@ -139,30 +138,30 @@
 	}
 }
 
-// BenchmarkGateways tells the worth in time of such days by the number of gateways.
+// BenchmarkGateways reports the weighted goodput of such runs by the number of gateways.
 func BenchmarkGateways(b *testing.B) {
 	for _, n := range []int{3, 8, 14, 30, 80, 300} {
-		for _, ask := range []bool{false, true} {
-			b.Run(fmt.Sprintf("%d/ask=%t", n, ask), func(b *testing.B) {
+		for _, check := range []bool{false, true} {
+			b.Run(fmt.Sprintf("%d/check=%t", n, check), func(b *testing.B) {
 				for range b.N {
-					zone, join := vast(n, zoneLost()...), vast(n, replaced()...)
-					zone.Settings.MayHealthCheck, join.Settings.MayHealthCheck = ask, ask
-					b.ReportMetric(play(b, zone).All.WeightedGoodput(), "zone-lost")
-					b.ReportMetric(play(b, join).All.WeightedGoodput(), "replaced")
+					zone, join := largeSpec(n, zoneLost()...), largeSpec(n, rollingRestart()...)
+					zone.Settings.MayHealthCheck, join.Settings.MayHealthCheck = check, check
+					b.ReportMetric(mustRun(b, zone).All.WeightedGoodput(), "zone-lost")
+					b.ReportMetric(mustRun(b, join).All.WeightedGoodput(), "replaced")
 				}
 			})
 		}
 	}
 }
 
-// Through all troubles each request ends once (the model panics otherwise), and the
-// sums over classes, tenants and windows are the same.
+// With all faults each request ends once (the model panics otherwise), and the sums over classes, tenants
+// and windows are equal.
 func TestConservation(t *testing.T) {
 	s := spec()
-	s.Faults = troubles
+	s.Faults = allFaults
 	s.Contracts = []contract.Terms{{Team: "t", Tenants: []string{"t"}, Rate: 12_000_000, Burst: 20_000_000, OverQuotaWeight: 0.1}}
 	s.LedgerSettings = contract.Settings{BorrowPoolSeconds: 1, UnknownTenantWeight: 1}
-	r := play(t, s)
+	r := mustRun(t, s)
 	var classes, tenants, windows, ends int64
 	for _, c := range r.Classes {
 		classes += c.Sent
@@ -184,14 +183,14 @@
 	}
 }
 
-// A simulated run is a capture: it replays without a difference, books and all.
+// The capture of a simulated run replays without a difference, the contract ledger included.
 func TestRunsAreCaptures(t *testing.T) {
 	s := spec()
-	s.Duration, s.Faults = 15_000_000, troubles[:3]
+	s.Duration, s.Faults = 15_000_000, allFaults[:3]
 	s.Contracts = []contract.Terms{{Team: "t", Tenants: []string{"t"}, Rate: 3_000_000, Burst: 3_000_000, OverQuotaWeight: 0.1}}
 	s.LedgerSettings = contract.Settings{BorrowPoolSeconds: 1, UnknownTenantWeight: 1}
 	s.Capture = t.TempDir()
-	play(t, s)
+	mustRun(t, s)
 	runs, err := capture.FindRuns(s.Capture+"/gateway0", s.Capture+"/gateway1", s.Capture+"/gateway2")
 	if err != nil || len(runs) != 3 {
 		t.Fatal(runs, err)
@@ -204,29 +203,29 @@
 	}
 }
 
-// More load is served worse, and a slow worker is routed round.
+// A higher load is served worse, and traffic avoids a slow replica.
 func TestPlausible(t *testing.T) {
 	calm, busy, slow := spec(), spec(), spec()
 	busy.Streams[0].RequestsPerSecond, busy.Streams[1].RequestsPerSecond = 150, 40
 	slow.Faults = []Fault{{At: 5e6, Kind: "slow", Replica: 0, Factor: 20}}
-	a, b, c := play(t, calm), play(t, busy), play(t, slow)
+	a, b, c := mustRun(t, calm), mustRun(t, busy), mustRun(t, slow)
 	if a.All.WeightedGoodput() < 0.97 || b.All.WeightedGoodput() > a.All.WeightedGoodput()-0.1 || c.All.WeightedGoodput() < 0.9 {
-		t.Errorf("worth in time: calm %.3f, busy %.3f, one slow %.3f", a.All.WeightedGoodput(), b.All.WeightedGoodput(), c.All.WeightedGoodput())
+		t.Errorf("weighted goodput: low load %.3f, high load %.3f, one replica slow %.3f", a.All.WeightedGoodput(), b.All.WeightedGoodput(), c.All.WeightedGoodput())
 	}
 	bad := spec()
 	bad.Streams[0].Class = "none"
 	if _, err := Run(bad); err == nil {
-		t.Error("traffic of no class ran")
+		t.Error("traffic without a class was accepted")
 	}
 }
 
-// Ten minutes of three gateways and 14 workers at 23 requests a second.
+// BenchmarkTenMinutes runs three gateways and 14 replicas for ten minutes at 23 requests a second.
 func BenchmarkTenMinutes(b *testing.B) {
 	for b.Loop() {
 		s := spec()
 		s.Duration = 600_000_000
 		begin := time.Now()
-		r := play(b, s)
+		r := mustRun(b, s)
 		b.ReportMetric(float64(r.Events)/time.Since(begin).Seconds(), "events/s")
 	}
 }
--- a/internal/fleet/model/result.go
+++ b/internal/fleet/model/result.go
@@ -12,22 +12,42 @@
 	"archknot/internal/fleet/replica"
 )
 
-// Count is how requests of one kind ended.
+// Outcomes of a request for its client.
+const (
+	OutcomeServed   = "served"
+	OutcomeBroken   = "broken"   // the answer broke off
+	OutcomeShed     = "refused"  // an overload response
+	OutcomeFailed   = "failed"   // a failure response, or none
+	OutcomeLate     = "late"     // no first token within the client's timeout
+	OutcomeContract = "contract" // rejected by the team's contract
+)
+
+// defaultWindowLength is the length of a Window if the Spec has none, in microseconds.
+const defaultWindowLength = 10_000_000
+
+// Bounds of the histograms of latencies, in microseconds, and their significant digits.
+const (
+	minLatency    = 1
+	maxLatency    = 600_000_000
+	latencyDigits = 3
+)
+
+// Count sums up how requests ended. "Weight" is the priority weight of their classes.
 type Count struct {
 	Sent          int64            `json:"sent"`
-	Ends          map[string]int64 `json:"ends"`    // served, broken, refused, failed, late (before a first token), contract
-	InTime        int64            `json:"in_time"` // served, with the first token within the aim
-	WeightServed  float64          `json:"points"`  // worth answered
-	WeightOffered float64          `json:"most"`    // worth asked for
-	Retried       int64            `json:"retried"` // by clients, after a refusal
-	OutputTokens  int64            `json:"made"`    // tokens
+	Ends          map[string]int64 `json:"ends"`    // by outcome
+	InTime        int64            `json:"in_time"` // served, with the first token within the latency objective
+	WeightServed  float64          `json:"points"`  // of served requests; late ones count by their class's LateWeightShare
+	WeightOffered float64          `json:"most"`    // of all requests
+	Retried       int64            `json:"retried"` // retries of clients whose requests were shed
+	OutputTokens  int64            `json:"made"`    // of served requests
 	firstToken    *hdrhistogram.Histogram
 	response      *hdrhistogram.Histogram
-	FirstTokenMs  map[string]float64 `json:"first_ms"` // percentiles of the first token
-	ResponseMs    map[string]float64 `json:"whole_ms"` // and of the whole answer
+	FirstTokenMs  map[string]float64 `json:"first_ms"` // percentiles of the time to the first token
+	ResponseMs    map[string]float64 `json:"whole_ms"` // percentiles of the time to the end of the answer
 }
 
-// Result of a run.
+// Result is the result of a run.
 type Result struct {
 	All      *Count            `json:"all"`
 	Classes  map[string]*Count `json:"classes"`
@@ -35,24 +55,24 @@
 	Windows  []Window          `json:"windows"`
 	Attempts int64             `json:"attempts"`
 	Wasted   int64             `json:"wasted"` // attempts that may have run and served nobody
-	Events   uint64            `json:"events"`
-	// DiscoveryCallsFailed counts calls of the registry that waited for too long.
+	Events   uint64            `json:"events"` // of the simulation
+	// DiscoveryCallsFailed counts calls of discovery that waited for too long.
 	DiscoveryCallsFailed int     `json:"asks_failed"`
 	Steps                int64   `json:"steps"`
-	OutputTokens         int64   `json:"made"` // tokens, by all workers
+	OutputTokens         int64   `json:"made"` // by all replicas, those of unserved requests included
 	PromptTokensRead     int64   `json:"read"`
-	PromptTokensReused   int64   `json:"reused"` // tokens that were kept and not read again
+	PromptTokensReused   int64   `json:"reused"` // cached and not read again
 	Preempted            int64   `json:"preempted"`
 	Declined             int64   `json:"declined"`
 	HealthChecks         int64   `json:"probes"`
-	BusyShare            float64 `json:"busy"` // of the workers' time
+	BusyShare            float64 `json:"busy"` // of the replicas' time
 	spec                 *Spec
 	replicaCount         int
 }
 
-// Window is what ended of what was sent within a span.
+// Window sums up the requests that were sent within a span of the run.
 type Window struct {
-	At            float64 `json:"at_s"`
+	At            float64 `json:"at_s"` // its beginning
 	Sent          int64   `json:"sent"`
 	Served        int64   `json:"served"`
 	InTime        int64   `json:"in_time"`
@@ -60,7 +80,17 @@
 	WeightOffered float64 `json:"most"`
 }
 
-// WeightedGoodput is what was answered in worth, of what was asked for.
+// RequestEnd describes a request that has ended. Times are since the run began.
+type RequestEnd struct {
+	Class                         *balancer.Class
+	Request                       *balancer.Request
+	OutputTokens                  int
+	SentAt, FirstTokenAt, EndedAt balancer.Micros
+	Outcome                       string
+	Attempts, Wasted              int
+}
+
+// WeightedGoodput returns the share of the offered weight that was served.
 func (c *Count) WeightedGoodput() float64 {
 	if c.WeightOffered == 0 {
 		return 0
@@ -69,125 +99,138 @@
 }
 
 func newCount() *Count {
-	return &Count{Ends: map[string]int64{}, firstToken: hdrhistogram.New(1, 600_000_000, 3), response: hdrhistogram.New(1, 600_000_000, 3)}
+	return &Count{
+		Ends:       map[string]int64{},
+		firstToken: hdrhistogram.New(minLatency, maxLatency, latencyDigits),
+		response:   hdrhistogram.New(minLatency, maxLatency, latencyDigits),
+	}
 }
 
-// NewResult is one with nothing in it.
-func NewResult(s *Spec) *Result {
-	r := &Result{All: newCount(), Classes: map[string]*Count{}, Tenants: map[string]*Count{}, spec: s}
-	window := cmp.Or(s.WindowLength, 10_000_000)
-	for at := balancer.Micros(0); at < s.Duration; at += window {
-		r.Windows = append(r.Windows, Window{At: float64(at) / 1e6})
+// NewResult returns an empty result with the windows of a run.
+func NewResult(spec *Spec) *Result {
+	res := &Result{All: newCount(), Classes: map[string]*Count{}, Tenants: map[string]*Count{}, spec: spec}
+	for at := balancer.Micros(0); at < spec.Duration; at += spec.windowLength() {
+		res.Windows = append(res.Windows, Window{At: float64(at) / 1e6})
 	}
-	return r
+	return res
 }
 
-func (res *Result) counts(in *balancer.Request) []*Count {
-	if res.Classes[in.Class] == nil {
-		res.Classes[in.Class] = newCount()
+func (s *Spec) windowLength() balancer.Micros { return cmp.Or(s.WindowLength, defaultWindowLength) }
+
+// countsOf returns the counts to which a request belongs.
+func (res *Result) countsOf(request *balancer.Request) []*Count {
+	if res.Classes[request.Class] == nil {
+		res.Classes[request.Class] = newCount()
 	}
-	if res.Tenants[in.Tenant] == nil {
-		res.Tenants[in.Tenant] = newCount()
+	if res.Tenants[request.Tenant] == nil {
+		res.Tenants[request.Tenant] = newCount()
 	}
-	return []*Count{res.All, res.Classes[in.Class], res.Tenants[in.Tenant]}
+	return []*Count{res.All, res.Classes[request.Class], res.Tenants[request.Tenant]}
 }
 
-// CountRetry counts a client that comes back after a refusal.
-func (res *Result) CountRetry(sentAt balancer.Micros, in *balancer.Request) {
+// CountRetry counts the retry of a request that was sent at sentAt since the run began.
+func (res *Result) CountRetry(sentAt balancer.Micros, request *balancer.Request) {
 	if sentAt < res.spec.WarmUp {
 		return
 	}
-	for _, c := range res.counts(in) {
+	for _, c := range res.countsOf(request) {
 		c.Retried++
 	}
 }
 
-// RequestEnd is a request that has ended; times are since the run began.
-type RequestEnd struct {
-	Class                         *balancer.Class
-	Request                       *balancer.Request
-	OutputTokens                  int // tokens
-	SentAt, FirstTokenAt, EndedAt balancer.Micros
-	Outcome                       string // served, broken, refused, failed, late or contract
-	Attempts, Wasted              int
-}
-
-// CountEnd counts a request's end.
+// CountEnd counts the end of a request.
 func (res *Result) CountEnd(e RequestEnd) {
 	if e.SentAt < res.spec.WarmUp {
 		return
 	}
 	res.Attempts += int64(e.Attempts)
 	res.Wasted += int64(e.Wasted)
-	aim := e.Class.LatencyObjective + e.Class.ObjectivePer1000Tokens*int64(e.Request.PromptTokens)/1000
-	first := e.FirstTokenAt - e.SentAt
-	inTime := e.Outcome == "served" && first <= aim
-	points := 0.0
-	if e.Outcome == "served" {
-		if points = e.Class.PriorityWeight; !inTime {
-			points *= e.Class.LateWeightShare
-		}
-	}
-	for _, c := range res.counts(e.Request) {
+	served, inTime, weight := e.Outcome == OutcomeServed, e.inTime(), e.weightServed()
+	for _, c := range res.countsOf(e.Request) {
 		c.Sent++
 		c.Ends[e.Outcome]++
 		c.WeightOffered += e.Class.PriorityWeight
-		c.WeightServed += points
-		if e.Outcome == "served" {
+		c.WeightServed += weight
+		if served {
 			c.OutputTokens += int64(e.OutputTokens)
-			_ = c.firstToken.RecordValue(max(1, first))
-			_ = c.response.RecordValue(max(1, e.EndedAt-e.SentAt))
+			// Values over maxLatency are left out of the percentiles.
+			_ = c.firstToken.RecordValue(max(minLatency, e.firstTokenLatency()))
+			_ = c.response.RecordValue(max(minLatency, e.EndedAt-e.SentAt))
 		}
 		if inTime {
 			c.InTime++
 		}
 	}
-	w := &res.Windows[min(len(res.Windows)-1, int(e.SentAt/cmp.Or(res.spec.WindowLength, 10_000_000)))]
-	w.Sent++
-	w.WeightOffered += e.Class.PriorityWeight
-	w.WeightServed += points
-	if e.Outcome == "served" {
-		w.Served++
+	window := &res.Windows[min(len(res.Windows)-1, int(e.SentAt/res.spec.windowLength()))]
+	window.Sent++
+	window.WeightOffered += e.Class.PriorityWeight
+	window.WeightServed += weight
+	if served {
+		window.Served++
 	}
 	if inTime {
-		w.InTime++
+		window.InTime++
 	}
 }
 
-func (res *Result) addReplica(w *replica.Simulator) {
+func (e *RequestEnd) firstTokenLatency() balancer.Micros { return e.FirstTokenAt - e.SentAt }
+
+// inTime reports whether the request was served within its class's latency objective.
+func (e *RequestEnd) inTime() bool {
+	objective := e.Class.LatencyObjective + e.Class.ObjectivePer1000Tokens*int64(e.Request.PromptTokens)/1000
+	return e.Outcome == OutcomeServed && e.firstTokenLatency() <= objective
+}
+
+// weightServed returns the weight that counts as served.
+func (e *RequestEnd) weightServed() float64 {
+	switch {
+	case e.Outcome != OutcomeServed:
+		return 0
+	case e.inTime():
+		return e.Class.PriorityWeight
+	default:
+		return e.Class.PriorityWeight * e.Class.LateWeightShare
+	}
+}
+
+// addReplica adds the counts of a replica, nil if its process does not run.
+func (res *Result) addReplica(r *replica.Simulator) {
 	res.replicaCount++
-	if w == nil {
+	if r == nil {
 		return
 	}
-	res.Steps += w.Steps
-	res.OutputTokens += w.OutputTokens
-	res.PromptTokensRead += w.PromptTokensRead
-	res.PromptTokensReused += w.PromptTokensReused
-	res.Preempted += w.Preempted
-	res.Declined += w.Declined
-	res.BusyShare += float64(w.BusyTime)
+	res.Steps += r.Steps
+	res.OutputTokens += r.OutputTokens
+	res.PromptTokensRead += r.PromptTokensRead
+	res.PromptTokensReused += r.PromptTokensReused
+	res.Preempted += r.Preempted
+	res.Declined += r.Declined
+	res.BusyShare += float64(r.BusyTime)
 }
 
-// Finish sums it up.
+// percentiles are those that results have.
+var percentiles = []struct {
+	name     string
+	quantile float64
+}{{"p50", 50}, {"p90", 90}, {"p95", 95}, {"p99", 99}, {"max", 100}}
+
+// Finish computes percentiles and shares after the last request.
 func (res *Result) Finish() {
 	res.BusyShare /= float64(res.spec.Duration) * float64(max(1, res.replicaCount))
 	for _, c := range slices.Concat([]*Count{res.All}, slices.Collect(maps.Values(res.Classes)), slices.Collect(maps.Values(res.Tenants))) {
 		c.FirstTokenMs, c.ResponseMs = map[string]float64{}, map[string]float64{}
-		for _, p := range []struct {
-			name string
-			q    float64
-		}{{"p50", 50}, {"p90", 90}, {"p95", 95}, {"p99", 99}, {"max", 100}} {
-			c.FirstTokenMs[p.name] = float64(c.firstToken.ValueAtQuantile(p.q)) / 1000
-			c.ResponseMs[p.name] = float64(c.response.ValueAtQuantile(p.q)) / 1000
+		for _, p := range percentiles {
+			c.FirstTokenMs[p.name] = float64(c.firstToken.ValueAtQuantile(p.quantile)) / 1000
+			c.ResponseMs[p.name] = float64(c.response.ValueAtQuantile(p.quantile)) / 1000
 		}
 	}
 }
 
-// JSON is the result as JSON: the same bytes for the same run.
+// JSON returns the result as indented JSON: the same bytes for the same run.
 func (res *Result) JSON() []byte {
 	text, err := json.MarshalIndent(res, "", "  ")
 	if err != nil {
-		panic(err) // numbers and words alone
+		panic(err) // a result has only numbers and strings
 	}
 	return text
 }
