--- /dev/null
+++ b/internal/fleet/emulate/answer.go
@@ -0,0 +1,49 @@
+package emulate
+
+import (
+	"bytes"
+	"fmt"
+	"io"
+	"strconv"
+)
+
+// Forms of an answer's events; see the platform's protocol.
+const (
+	tokenEvent          = "data: {\"choices\":[{\"index\":0,\"delta\":{\"content\":\"%s \"},\"finish_reason\":null}]}\n\n"
+	malformedTokenEvent = "data: {\"choices\":[{\"index\":0,\"del\n\n"
+	usageEvent          = "data: {\"choices\":[],\"usage\":{\"prompt_tokens\":%d,\"completion_tokens\":%d,\"prompt_tokens_details\":{\"cached_tokens\":%d}}}\n\n"
+	usageEventStart     = `data: {"choices":[],"usage":`
+	doneEvent           = "data: [DONE]\n\n"
+	loadComment         = ": Srv-Load: %s\n\n"
+)
+
+// tokenText returns the text of a token, counted from 1.
+func tokenText(n int) string { return "word" + strconv.Itoa(n) }
+
+// writeToken writes a token's event. Errors show when the response is flushed.
+func writeToken(w io.Writer, n int, malformed bool) {
+	if malformed {
+		fmt.Fprint(w, malformedTokenEvent)
+		return
+	}
+	fmt.Fprintf(w, tokenEvent, tokenText(n))
+}
+
+// writeUsage writes the end of an answer.
+func writeUsage(w io.Writer, promptTokens, outputTokens, cachedTokens int, load string) {
+	fmt.Fprintf(w, usageEvent+doneEvent+loadComment, promptTokens, outputTokens, cachedTokens, load)
+}
+
+// isCompleteAnswer reports whether a text is a replica's complete answer of so many tokens, byte for byte
+// except for what depends on the replica's state.
+func isCompleteAnswer(text []byte, outputTokens int) bool {
+	for n := 1; n <= outputTokens; n++ {
+		rest, ok := bytes.CutPrefix(text, fmt.Appendf(nil, tokenEvent, tokenText(n)))
+		if !ok {
+			return false
+		}
+		text = rest
+	}
+	usage, end, ok := bytes.Cut(text, []byte("\n\n"))
+	return ok && bytes.HasPrefix(usage, []byte(usageEventStart)) && bytes.HasPrefix(end, []byte(doneEvent))
+}
--- a/internal/fleet/emulate/attempts.go
+++ b/internal/fleet/emulate/attempts.go
@@ -7,11 +7,10 @@
 	"fmt"
 	"hash/crc32"
 	"io"
-	"math/rand/v2"
 	"net/http"
 	"strconv"
 	"strings"
-	"sync"
+	"sync/atomic"
 	"syscall"
 	"time"
 
@@ -20,77 +19,121 @@
 	"archknot/internal/httpwire"
 )
 
-// Observer is told of tries. Its functions are called by many tasks at once.
+const (
+	// minResumeDelay and maxResumeDelay bound the Retry-After before an answer is resumed, in microseconds.
+	minResumeDelay, maxResumeDelay = 10_000, 500_000
+	// maxAnswerTime bounds the time for a complete answer.
+	maxAnswerTime = 10 * time.Minute
+	// maxErrorText bounds the bytes that are read of a response that is not 200.
+	maxErrorText = 4096
+	// maxRetryAfter is the longest Retry-After in seconds that a client accepts.
+	maxRetryAfter = 3600
+	// maxGatewayPicks bounds how often a client picks another gateway for an attempt.
+	maxGatewayPicks = 8
+	// readBufferSize is the size in bytes of the reads of an answer.
+	readBufferSize = 16 << 10
+)
+
+// States of a client attempt for an Observer.
+const (
+	StateSent       = "sent"
+	StateFirstToken = "first"
+	StateHalf       = "half" // half of the tokens
+	StateLastToken  = "last"
+)
+
+// Observer is notified of client attempts. Its functions are called from many goroutines at once.
 type Observer struct {
-	OnState func(t *ClientAttempt, state string) // sent, first, half, last
-	OnEnd   func(t *ClientAttempt)
-	// IsOffered tells whether the front offers a gateway to clients: it asks them whether
-	// they are ready. Nil: all are.
+	OnState func(attempt *ClientAttempt, state string)
+	OnEnd   func(attempt *ClientAttempt)
+	// IsOffered reports whether the load balancer before the gateways offers this one to clients, by its
+	// readiness. Nil: all are offered.
 	IsOffered func(addr string) bool
 }
 
-// ClientAttempt is one sending of a request by a client: the first, or an ask for the rest.
+// ClientAttempt is one HTTP request of a client: the first one for a request, or one that resumes an
+// answer that broke off. Times are since the traffic began.
 type ClientAttempt struct {
 	RootID, ID, Gateway           string
-	ResumeIndex                   int // 0: the first try
+	ResumeIndex                   int // 0: the first attempt
 	Class                         *balancer.Class
-	OutputTokens                  int // tokens of the whole answer
+	OutputTokens                  int // length of the complete answer
 	FirstTokenTimeout             balancer.Micros
-	RequestedAt                   balancer.Micros // when the request's first try was sent, under whatever id
-	SentAt, FirstTokenAt, EndedAt balancer.Micros // since the traffic began; FirstTokenAt 0: none
-	Status                        int             // 0: the connection broke first
-	ErrorText                     string          // of an answer that is not 200
-	Outcome                       string          // served, broken, refused, failed, late or contract
-	Complete                      bool            // with what came before, it is the whole answer
-	Last                          bool            // the client asks no more
+	RequestedAt                   balancer.Micros // when the request's first attempt was sent, under any ID
+	SentAt, FirstTokenAt, EndedAt balancer.Micros // FirstTokenAt 0: none
+	Status                        int             // HTTP status; 0: the connection broke before
+	ErrorText                     string          // body of a response that is not 200
+	Outcome                       string          // a model.Outcome constant
+	Complete                      bool            // the answer is complete, with what earlier attempts received
+	Last                          bool            // the client does not resume again
 }
 
+// attemptEnd is the end of an attempt, or of a request with all its attempts.
 type attemptEnd struct {
 	model.RequestEnd
-	retryAfter balancer.Micros // that it was advised
+	retryAfter balancer.Micros
 }
 
-// sendRequest sends a request, and asks for the rest where its answer breaks.
-func (p *player) sendRequest(s *model.Stream, class *balancer.Class, in *balancer.Request, out int, rng *rand.Rand) attemptEnd {
-	var have []byte
-	var whole attemptEnd
-	root := p.newID()
-	for n, ask := 0, 0; ; n, ask = n+1, ask+1 {
-		t := &ClientAttempt{RootID: root, ID: root, ResumeIndex: ask, Class: class, OutputTokens: out, FirstTokenTimeout: s.FirstTokenTimeout(class)}
-		if ask > 0 {
-			t.ID = p.newID()
+// sendRequest sends a request and resumes its answer where it breaks off. A request that was sent goes on
+// to its end although the context ends.
+func (c *sessionClient) sendRequest(ctx context.Context, request *balancer.Request, outputTokens int) attemptEnd {
+	p := c.player
+	var received []byte
+	var total attemptEnd
+	rootID := p.newID()
+	for n, resumeIndex := 0, 0; ; n, resumeIndex = n+1, resumeIndex+1 {
+		a := &ClientAttempt{
+			RootID:            rootID,
+			ID:                rootID,
+			ResumeIndex:       resumeIndex,
+			Class:             c.class,
+			OutputTokens:      outputTokens,
+			FirstTokenTimeout: c.stream.FirstTokenTimeout(c.class),
+		}
+		if resumeIndex > 0 {
+			a.ID = p.newID()
 		}
-		e := p.sendAttempt(t, in, &have, rng)
+		end := c.sendAttempt(context.WithoutCancel(ctx), a, request, &received)
 		if n == 0 {
-			whole = e
+			total = end
 		} else {
-			whole.EndedAt, whole.Outcome, whole.Attempts, whole.retryAfter = e.EndedAt, e.Outcome, whole.Attempts+1, e.retryAfter
-			if whole.FirstTokenAt == 0 {
-				whole.FirstTokenAt = e.FirstTokenAt
-			}
+			total.add(end)
 		}
-		t.Outcome = e.Outcome
-		t.RequestedAt = whole.SentAt
-		inTime := whole.FirstTokenAt > 0 || p.now()-whole.SentAt < t.FirstTokenTimeout
-		fresh := t.Status == http.StatusNotFound && len(have) == 0 // nobody has heard of it
-		if again := fresh || t.Status == http.StatusServiceUnavailable; again && n < s.MaxResumes && inTime {
-			// A new request, or the same ask once more where there was no room.
-			p.observer.OnEnd(t)
-			if fresh || ask == 0 {
-				root, ask = p.newID(), -1
+		a.Outcome = end.Outcome
+		a.RequestedAt = total.SentAt
+		inTime := total.FirstTokenAt > 0 || p.now()-total.SentAt < a.FirstTokenTimeout
+		unknown := a.Status == http.StatusNotFound && len(received) == 0 // no gateway has a record of the request
+		if (unknown || a.Status == http.StatusServiceUnavailable) && n < c.stream.MaxResumes && inTime {
+			// Send a new request, or resume again where there was no capacity.
+			p.observer.OnEnd(a)
+			if unknown || resumeIndex == 0 {
+				rootID, resumeIndex = p.newID(), -1
 			}
-			time.Sleep(time.Duration(min(max(e.retryAfter, 10_000), 500_000)) * time.Microsecond)
+			time.Sleep(time.Duration(min(max(end.retryAfter, minResumeDelay), maxResumeDelay)) * time.Microsecond)
 			continue
 		}
-		// No first token yet: it is waited for no longer than the first try would have.
-		t.Last = n >= s.MaxResumes || t.Outcome != "broken" && t.Outcome != "failed" || !inTime
-		p.observer.OnEnd(t)
-		if t.Last {
-			return whole
+		// Without a first token yet, the client waits no longer than for the first attempt.
+		canResume := a.Outcome == model.OutcomeBroken || a.Outcome == model.OutcomeFailed
+		a.Last = n >= c.stream.MaxResumes || !canResume || !inTime
+		p.observer.OnEnd(a)
+		if a.Last {
+			return total
 		}
 	}
 }
 
+// add adds the end of a further attempt to that of the request.
+func (total *attemptEnd) add(end attemptEnd) {
+	total.EndedAt = end.EndedAt
+	total.Outcome = end.Outcome
+	total.Attempts++
+	total.retryAfter = end.retryAfter
+	if total.FirstTokenAt == 0 {
+		total.FirstTokenAt = end.FirstTokenAt
+	}
+}
+
+// newID returns a new request ID.
 func (p *player) newID() string {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -98,148 +141,170 @@
 	return fmt.Sprintf("e%016x%08x", p.spec.Seed, p.lastID)
 }
 
-// sendAttempt sends a try in the platform's form, and reads its answer to the end. have is
-// what has come of the answer by all tries.
-func (p *player) sendAttempt(t *ClientAttempt, in *balancer.Request, have *[]byte, rng *rand.Rand) attemptEnd {
-	t.SentAt = p.now()
-	e := attemptEnd{RequestEnd: model.RequestEnd{Class: t.Class, Request: in, OutputTokens: t.OutputTokens, SentAt: t.SentAt, Attempts: 1}}
-	ctx, stop := context.WithCancel(context.Background())
+// sendAttempt sends an attempt and reads its answer to the end. received is the answer as far as all
+// attempts have received it.
+func (c *sessionClient) sendAttempt(ctx context.Context, a *ClientAttempt, request *balancer.Request, received *[]byte) attemptEnd {
+	p := c.player
+	a.SentAt = p.now()
+	end := attemptEnd{RequestEnd: model.RequestEnd{Class: a.Class, Request: request, OutputTokens: a.OutputTokens, SentAt: a.SentAt, Attempts: 1}}
+	ctx, stop := context.WithTimeout(ctx, maxAnswerTime)
 	defer stop()
-	// Its patience is for the first token; the answer may take longer, up to a bound.
-	var mu sync.Mutex
-	first := false
-	timer := time.AfterFunc(time.Duration(t.FirstTokenTimeout)*time.Microsecond, func() {
-		mu.Lock()
-		defer mu.Unlock()
-		if !first {
+	// FirstTokenTimeout ends the attempt only before its first token.
+	var gotFirstToken atomic.Bool
+	timer := time.AfterFunc(time.Duration(a.FirstTokenTimeout)*time.Microsecond, func() {
+		if !gotFirstToken.Load() {
 			stop()
 		}
 	})
 	defer timer.Stop()
-	bound := time.AfterFunc(10*time.Minute, stop)
-	defer bound.Stop()
-	over := func(how string) attemptEnd {
-		t.EndedAt = p.now()
-		if e.EndedAt, e.Outcome = t.EndedAt, how; t.FirstTokenAt == 0 && t.EndedAt-t.SentAt >= t.FirstTokenTimeout && (how == "failed" || how == "broken") {
-			e.Outcome = "late"
+	finish := func(outcome string) attemptEnd {
+		a.EndedAt = p.now()
+		timedOut := a.FirstTokenAt == 0 && a.EndedAt-a.SentAt >= a.FirstTokenTimeout
+		if timedOut && (outcome == model.OutcomeFailed || outcome == model.OutcomeBroken) {
+			outcome = model.OutcomeLate
 		}
-		return e
+		end.FirstTokenAt, end.EndedAt, end.Outcome = a.FirstTokenAt, a.EndedAt, outcome
+		return end
 	}
-	resp, err := p.post(ctx, t, in, *have, rng)
+	resp, err := c.post(ctx, a, request, *received)
 	if err != nil {
-		return over("failed")
+		return finish(model.OutcomeFailed)
 	}
 	defer resp.Body.Close()
-	if t.Status = resp.StatusCode; t.Status != http.StatusOK {
-		text, _ := io.ReadAll(io.LimitReader(resp.Body, 4096))
-		t.ErrorText = strings.TrimSpace(string(text))
-		if v, err := strconv.ParseFloat(resp.Header.Get("Retry-After"), 64); err == nil && v > 0 && v < 3600 {
-			e.retryAfter = balancer.Micros(v * 1e6)
-		}
-		switch {
-		case t.Status == http.StatusTooManyRequests && bytes.Contains(text, []byte(`"contract"`)):
-			return over("contract")
-		case t.Status == http.StatusServiceUnavailable || t.Status == http.StatusTooManyRequests:
-			return over("refused")
-		case t.ResumeIndex > 0:
-			return over("refused") // plainly: what was asked for cannot be had
-		}
-		return over("failed")
+	a.Status = resp.StatusCode
+	if a.Status != http.StatusOK {
+		text, _ := io.ReadAll(io.LimitReader(resp.Body, maxErrorText)) // what there is of it will do
+		a.ErrorText = strings.TrimSpace(string(text))
+		end.retryAfter = retryAfter(resp.Header)
+		return finish(errorOutcome(a, text))
+	}
+	return finish(c.readAnswer(a, resp.Body, received, func() { gotFirstToken.Store(true) }))
+}
+
+// retryAfter returns the Retry-After of a response; 0: none or not valid.
+func retryAfter(h http.Header) balancer.Micros {
+	seconds, err := strconv.ParseFloat(h.Get("Retry-After"), 64)
+	if err != nil || seconds <= 0 || seconds >= maxRetryAfter {
+		return 0
+	}
+	return balancer.Micros(seconds * 1e6)
+}
+
+// errorOutcome returns the outcome of a response that is not 200.
+func errorOutcome(a *ClientAttempt, text []byte) string {
+	switch {
+	case a.Status == http.StatusTooManyRequests && bytes.Contains(text, []byte(`"contract"`)):
+		return model.OutcomeContract
+	case a.Status == http.StatusServiceUnavailable || a.Status == http.StatusTooManyRequests:
+		return model.OutcomeShed
+	case a.ResumeIndex > 0:
+		return model.OutcomeShed // a clear answer: the rest cannot be had
+	default:
+		return model.OutcomeFailed
 	}
-	told := 0
-	buf := make([]byte, 16<<10)
+}
+
+// readAnswer reads an answer, appends it to received, and returns the attempt's outcome.
+func (c *sessionClient) readAnswer(a *ClientAttempt, body io.Reader, received *[]byte, onFirstToken func()) (outcome string) {
+	states := stateNotifier{observer: &c.player.observer, attempt: a}
+	buffer := make([]byte, readBufferSize)
 	for {
-		n, err := resp.Body.Read(buf)
+		n, err := body.Read(buffer)
 		if n > 0 {
-			if t.FirstTokenAt == 0 {
-				mu.Lock()
-				first = true
-				mu.Unlock()
-				t.FirstTokenAt = p.now()
-				e.FirstTokenAt = t.FirstTokenAt
-			}
-			*have = append(*have, buf[:n]...)
-		}
-		switch made := bytes.Count(*have, []byte(`"content"`)); {
-		case told == 0 && n > 0:
-			told = 1
-			p.observer.OnState(t, "first")
-		case told == 1 && made*2 >= t.OutputTokens:
-			told = 2
-			p.observer.OnState(t, "half")
-		case told == 2 && made >= t.OutputTokens:
-			told = 3
-			p.observer.OnState(t, "last")
-		}
-		if err == io.EOF {
-			if t.Complete = isCompleteAnswer(*have, t.OutputTokens); t.Complete {
-				return over("served")
+			if a.FirstTokenAt == 0 {
+				onFirstToken()
+				a.FirstTokenAt = c.player.now()
 			}
-			return over("broken")
+			*received = append(*received, buffer[:n]...)
 		}
-		if err != nil {
-			if t.Complete = isCompleteAnswer(*have, t.OutputTokens); t.Complete { // all is there but the last chunk
-				return over("served")
+		states.update(n, *received)
+		if err != nil { // the answer may be complete although its last chunk is missing
+			if a.Complete = isCompleteAnswer(*received, a.OutputTokens); a.Complete {
+				return model.OutcomeServed
 			}
-			return over("broken")
+			return model.OutcomeBroken
 		}
 	}
 }
 
-// isCompleteAnswer tells whether a text is an emulated worker's answer, byte for byte as far as
-// it does not tell of the worker's own state.
-func isCompleteAnswer(have []byte, out int) bool {
-	for n := 1; n <= out; n++ {
-		rest, ok := bytes.CutPrefix(have, fmt.Appendf(nil, "data: {\"choices\":[{\"index\":0,\"delta\":{\"content\":\"%s \"},\"finish_reason\":null}]}\n\n", tokenText(n)))
-		if !ok {
-			return false
-		}
-		have = rest
+// stateNotifier notifies the observer of an attempt's states, at most one for each read.
+type stateNotifier struct {
+	observer *Observer
+	attempt  *ClientAttempt
+	state    string // the last one
+}
+
+// update is called after a read of n bytes with all that was received.
+func (s *stateNotifier) update(n int, received []byte) {
+	tokens := bytes.Count(received, []byte(`"content"`))
+	var next string
+	switch {
+	case s.state == "" && n > 0:
+		next = StateFirstToken
+	case s.state == StateFirstToken && tokens*2 >= s.attempt.OutputTokens:
+		next = StateHalf
+	case s.state == StateHalf && tokens >= s.attempt.OutputTokens:
+		next = StateLastToken
+	default:
+		return
 	}
-	usage, end, ok := bytes.Cut(have, []byte("\n\n"))
-	return ok && bytes.HasPrefix(usage, []byte(`data: {"choices":[],"usage":`)) && bytes.HasPrefix(end, []byte("data: [DONE]\n\n"))
+	s.state = next
+	s.observer.OnState(s.attempt, next)
 }
 
-// post sends a try to a gateway. One that does not take the connection is passed by,
-// as a front does.
-func (p *player) post(ctx context.Context, t *ClientAttempt, in *balancer.Request, have []byte, rng *rand.Rand) (*http.Response, error) {
+// post sends an attempt to a gateway. Like a load balancer, it goes on to another gateway if one refuses
+// the connection.
+func (c *sessionClient) post(ctx context.Context, a *ClientAttempt, request *balancer.Request, received []byte) (*http.Response, error) {
 	const body = `{"model":"chat","stream":true}`
+	p := c.player
 	for n := 0; ; n++ {
-		t.Gateway = p.gateways[rng.IntN(len(p.gateways))]
-		for range 8 {
-			if p.observer.IsOffered == nil || p.observer.IsOffered(t.Gateway) {
-				break
-			}
-			t.Gateway = p.gateways[rng.IntN(len(p.gateways))]
-		}
-		req, err := http.NewRequestWithContext(ctx, http.MethodPost, "http://"+t.Gateway+httpwire.CompletionsPath, strings.NewReader(body))
+		a.Gateway = c.pickGateway()
+		req, err := http.NewRequestWithContext(ctx, http.MethodPost, "http://"+a.Gateway+httpwire.CompletionsPath, strings.NewReader(body))
 		if err != nil {
 			return nil, err
 		}
-		req.GetBody = nil // one that may have come is not sent again unseen
-		h := req.Header
-		h.Set("Req-Id", t.ID)
-		h.Set("Req-Kind", in.Class)
-		h.Set("Req-Owner", in.Tenant)
-		h.Set("Req-Deadline", fmt.Sprintf("%du", max(1, t.FirstTokenTimeout-(p.now()-t.SentAt))))
-		if in.Session != 0 {
-			h.Set("Req-Key", fmt.Sprintf("%016x", in.Session))
-		}
-		extra := fmt.Sprintf("prompt_len=%d,max_out=%d", in.PromptTokens, in.MaxTokens)
-		if in.Prefix != 0 {
-			extra += fmt.Sprintf(",prefix=%016x,prefix_len=%d", in.Prefix, in.PrefixTokens)
-		}
-		h.Set("Req-Extra", extra)
-		h.Set("X-Emulate-Out", strconv.Itoa(t.OutputTokens))
-		if t.ResumeIndex > 0 {
-			h.Set("Req-Retry", "again")
-			h.Set(httpwire.ResumeHeader, fmt.Sprintf("id=%s,ask=%d,bytes=%d,sum=%08x", t.RootID, t.ResumeIndex, len(have), crc32.ChecksumIEEE(have)))
-		}
-		p.observer.OnState(t, "sent")
+		req.GetBody = nil // a request that may have arrived is not sent again by the transport
+		setHeaders(req.Header, a, request, received, p.now())
+		p.observer.OnState(a, StateSent)
 		resp, err := p.client.Do(req)
-		if errors.Is(err, syscall.ECONNREFUSED) && n < 8 {
+		if errors.Is(err, syscall.ECONNREFUSED) && n < maxGatewayPicks {
 			continue
 		}
 		return resp, err
 	}
 }
+
+// pickGateway picks a gateway at random, one that is offered if possible.
+func (c *sessionClient) pickGateway() string {
+	p := c.player
+	pick := func() string { return p.gateways[c.rng.IntN(len(p.gateways))] }
+	gateway := pick()
+	for range maxGatewayPicks {
+		if p.observer.IsOffered == nil || p.observer.IsOffered(gateway) {
+			break
+		}
+		gateway = pick()
+	}
+	return gateway
+}
+
+// setHeaders sets the platform's headers of an attempt.
+func setHeaders(h http.Header, a *ClientAttempt, request *balancer.Request, received []byte, now balancer.Micros) {
+	h.Set(requestIDHeader, a.ID)
+	h.Set("Req-Kind", request.Class)
+	h.Set("Req-Owner", request.Tenant)
+	h.Set("Req-Deadline", fmt.Sprintf("%du", max(1, a.FirstTokenTimeout-(now-a.SentAt))))
+	if request.Session != 0 {
+		h.Set("Req-Key", fmt.Sprintf("%016x", request.Session))
+	}
+	extra := fmt.Sprintf("prompt_len=%d,max_out=%d", request.PromptTokens, request.MaxTokens)
+	if request.Prefix != 0 {
+		extra += fmt.Sprintf(",prefix=%016x,prefix_len=%d", request.Prefix, request.PrefixTokens)
+	}
+	h.Set("Req-Extra", extra)
+	h.Set(outputTokensHeader, strconv.Itoa(a.OutputTokens))
+	if a.ResumeIndex > 0 {
+		h.Set("Req-Retry", "again")
+		h.Set(httpwire.ResumeHeader, fmt.Sprintf("id=%s,ask=%d,bytes=%d,sum=%08x", a.RootID, a.ResumeIndex, len(received), crc32.ChecksumIEEE(received)))
+	}
+}
--- /dev/null
+++ b/internal/fleet/emulate/discovery.go
@@ -0,0 +1,118 @@
+package emulate
+
+import (
+	"encoding/json"
+	"net"
+	"net/http"
+	"slices"
+	"strconv"
+	"sync"
+	"time"
+
+	"archknot/internal/httpwire"
+)
+
+// Lifecycle states of a replica on the endpoint list.
+const (
+	lifecycleReady    = "ready"
+	lifecycleDraining = "draining"
+	lifecycleGone     = "gone"
+)
+
+// maxPollWait is the longest wait of a poll that the discovery server accepts.
+const maxPollWait = time.Minute
+
+// discoveryServer serves the endpoint list, and long polls for its changes.
+type discoveryServer struct {
+	server *http.Server
+
+	mu           sync.Mutex
+	list         httpwire.EndpointList
+	changed      chan struct{} // closed at the next change
+	unresponsive bool
+}
+
+func newDiscoveryServer() *discoveryServer {
+	d := &discoveryServer{changed: make(chan struct{}), list: httpwire.EndpointList{Generation: 1}}
+	d.server = &http.Server{Handler: d, ReadHeaderTimeout: readHeaderTimeout}
+	return d
+}
+
+func (d *discoveryServer) serve(l net.Listener) { go serveHTTP(d.server, l) }
+
+func (d *discoveryServer) close() { d.server.Close() }
+
+// ServeHTTP answers a poll. One with the current generation waits for a change.
+func (d *discoveryServer) ServeHTTP(w http.ResponseWriter, r *http.Request) {
+	if r.URL.Path != httpwire.ListPath {
+		http.NotFound(w, r)
+		return
+	}
+	since, err := strconv.ParseInt(r.FormValue("since"), 10, 64)
+	hasSince := err == nil
+	waitMs, _ := strconv.Atoi(r.FormValue("timeout_ms")) // missing or malformed: 0
+	d.mu.Lock()
+	generation, changed, unresponsive := d.list.Generation, d.changed, d.unresponsive
+	d.mu.Unlock()
+	if unresponsive {
+		waitForClient(r)
+		return
+	}
+	if hasSince && since == generation {
+		select {
+		case <-changed:
+		case <-time.After(min(time.Duration(waitMs)*time.Millisecond, maxPollWait)):
+		case <-r.Context().Done():
+			return
+		}
+	}
+	text, err := d.encodeList(hasSince, since)
+	if err != nil {
+		http.Error(w, err.Error(), http.StatusInternalServerError)
+		return
+	}
+	_, _ = w.Write(text) // a client that is gone needs no answer
+}
+
+// encodeList returns the list, without entries if the client has its generation.
+func (d *discoveryServer) encodeList(hasSince bool, since int64) ([]byte, error) {
+	d.mu.Lock()
+	defer d.mu.Unlock()
+	out := httpwire.EndpointList{Generation: d.list.Generation, Reset: true, Endpoints: d.list.Endpoints}
+	if hasSince && since == out.Generation {
+		out.Reset, out.Endpoints = false, nil
+	}
+	text, err := json.Marshal(out)
+	return append(text, '\n'), err
+}
+
+// setUnresponsive makes the server accept polls without answering them.
+func (d *discoveryServer) setUnresponsive(on bool) {
+	d.mu.Lock()
+	defer d.mu.Unlock()
+	d.unresponsive = on
+}
+
+// update changes an entry of the list and ends the polls that wait.
+func (d *discoveryServer) update(index int, change func(*httpwire.Endpoint)) {
+	d.mu.Lock()
+	defer d.mu.Unlock()
+	d.list.Endpoints = slices.Clone(d.list.Endpoints) // answers in progress share the old one
+	change(&d.list.Endpoints[index])
+	d.list.Generation++
+	close(d.changed)
+	d.changed = make(chan struct{})
+}
+
+// setLifecycle changes the lifecycle of an entry.
+func (d *discoveryServer) setLifecycle(index int, lifecycle string) {
+	d.update(index, func(e *httpwire.Endpoint) { e.Lifecycle = lifecycle })
+}
+
+// waitForClient keeps a request unanswered until its client gives up.
+func waitForClient(r *http.Request) {
+	select {
+	case <-r.Context().Done():
+	case <-time.After(silentTimeout):
+	}
+}
--- /dev/null
+++ b/internal/fleet/emulate/faults.go
@@ -0,0 +1,121 @@
+package emulate
+
+import (
+	"time"
+
+	"archknot/internal/fleet/model"
+	"archknot/internal/httpwire"
+)
+
+// failureDetectionTime is the time after which discovery notices that a replica's process has ended.
+const failureDetectionTime = 500 * time.Millisecond
+
+// StartFault begins a fault.
+func (f *Fleet) StartFault(fault model.Fault) { f.setFault(fault, true) }
+
+// EndFault ends a fault.
+func (f *Fleet) EndFault(fault model.Fault) { f.setFault(fault, false) }
+
+func (f *Fleet) setFault(fault model.Fault, on bool) {
+	if fault.Kind == model.FaultDiscovery {
+		f.discovery.setUnresponsive(on)
+		return
+	}
+	for i, r := range f.Replicas {
+		if fault.Replica >= 0 && fault.Replica != i || fault.Zone != "" && fault.Zone != r.group.Zone {
+			continue
+		}
+		f.setReplicaFault(r, fault, on)
+	}
+}
+
+func (f *Fleet) setReplicaFault(r *Replica, fault model.Fault, on bool) {
+	switch fault.Kind {
+	case model.FaultKill:
+		if on {
+			f.kill(r)
+		} else {
+			f.restart(r)
+		}
+	case model.FaultLoseMachine:
+		if on {
+			f.loseMachine(r, time.Duration(fault.Factor*float64(time.Second)))
+		} else {
+			f.returnMachine(r)
+		}
+	case model.FaultDrain:
+		lifecycle := lifecycleReady
+		if on {
+			lifecycle = lifecycleDraining
+		}
+		f.discovery.setLifecycle(r.index, lifecycle)
+	default:
+		r.setFault(fault, on)
+	}
+}
+
+// setFault begins or ends a fault of the process itself.
+func (r *Replica) setFault(fault model.Fault, on bool) {
+	r.mu.Lock()
+	defer r.mu.Unlock()
+	switch fault.Kind {
+	case model.FaultSlow:
+		slowdown := 1.0
+		if on {
+			slowdown = fault.Factor
+		}
+		if r.simulator != nil {
+			r.simulator.SetSlowdown(slowdown)
+		}
+	case model.FaultSilent:
+		r.silent = on
+	case model.FaultFlushCache:
+		if on && r.simulator != nil {
+			r.simulator.FlushCache()
+		}
+	case model.FaultMalformed:
+		r.malformed = on
+	case model.FaultReset:
+		r.resetMidAnswer = on
+	}
+}
+
+// kill ends a replica's process at once. Discovery notices it a little later.
+func (f *Fleet) kill(r *Replica) {
+	r.stop()
+	time.AfterFunc(failureDetectionTime, func() {
+		if r.isStopped() {
+			f.discovery.setLifecycle(r.index, lifecycleGone)
+		}
+	})
+}
+
+// restart starts a replica's process anew at the same address, warming up.
+func (f *Fleet) restart(r *Replica) {
+	startup := r.group.Params.StartupTime
+	if err := r.start(f.now() + startup); err != nil {
+		return // its port is taken by another process: it stays gone
+	}
+	startedAtMs := time.Now().UnixMilli()
+	time.AfterFunc(time.Duration(startup)*time.Microsecond, func() {
+		f.discovery.update(r.index, func(e *httpwire.Endpoint) { *e = r.listEntry(lifecycleReady, startedAtMs) })
+	})
+}
+
+// loseMachine takes a replica's machine away without notice: it falls silent, and discovery notices it
+// after noticedAfter. It still accepts connections, because a loopback address cannot be silent before.
+func (f *Fleet) loseMachine(r *Replica, noticedAfter time.Duration) {
+	r.setSilent(true)
+	time.AfterFunc(noticedAfter, func() {
+		if r.isSilent() {
+			f.discovery.setLifecycle(r.index, lifecycleGone)
+		}
+	})
+}
+
+// returnMachine brings a lost machine back: open connections are reset, and the replica restarts.
+func (f *Fleet) returnMachine(r *Replica) {
+	r.setSilent(false)
+	r.stop()
+	f.restart(r)
+}
--- a/internal/fleet/emulate/emulate_test.go
+++ b/internal/fleet/emulate/fleet_test.go
@@ -15,6 +15,7 @@
 	"archknot/internal/httpwire"
 )
 
+// spec returns four replicas with a light load for four seconds.
 func spec() *model.Spec {
 	p := replica.Params{MaxRunning: 8, MaxQueued: 32, MemoryTokens: 50_000, BlockTokens: 16, ChunkTokens: 512, StepBase: 4000, StepPerSequence: 100, StepPerContext: 20, StepPerPrompt: 20_000,
 		StartupTime: 300_000, WarmUpTime: 1_000_000, WarmUpSlowdown: 2}
@@ -26,12 +27,12 @@
 		Streams: []model.Stream{{Class: "chat", Tenant: "t", RequestsPerSecond: 40, Turns: 3, ThinkSeconds: 0.3, PromptTokens: 100, AnswerTokens: 20, Spread: 0.4, MaxOutputTokens: 60, Prefixes: 3, PrefixTokens: 128}}}
 }
 
-// serve runs a gateway of this process before the fleet.
-func serve(t *testing.T, s *model.Spec, registry string) string {
+// serve runs a gateway in this process and returns its address.
+func serve(t *testing.T, s *model.Spec, discoveryAddr string) string {
 	t.Helper()
 	set := s.Settings
 	set.Gateways, set.Zone, set.Zones, set.Kinds = 1, "a", []string{"a"}, []string{"k"}
-	g, err := gateway.New(gateway.Options{Name: "e", Discovery: registry, Seed: 1, CachedList: httpwire.EndpointList{Generation: httpwire.NoGeneration}, Settings: set,
+	g, err := gateway.New(gateway.Options{Name: "e", Discovery: discoveryAddr, Seed: 1, CachedList: httpwire.EndpointList{Generation: httpwire.NoGeneration}, Settings: set,
 		MaxInFlight: 500, MaxClientConns: 500, OverflowConns: 8, MaxReplicaConns: 500, MaxBodyBytes: 1 << 20, ConnectTimeout: time.Second, ReplicaConnIdle: 10 * time.Second,
 		ClientConnIdle: 10 * time.Second, StreamIdleTimeout: 4 * time.Second, HealthCheckTimeout: time.Second, PollWithin: 10 * time.Second, WatchWait: time.Second,
 		DiscoveryTimeout: time.Second, DrainAcceptPeriod: 50 * time.Millisecond})
@@ -48,9 +49,9 @@
 	return l.Addr().String()
 }
 
-// The gateway meets the emulated fleet: through a kill and a return at the same
-// address, a drain, a slow and a silent worker, resets, spoilt streams and a stalled
-// registry, most is served, and every request ends.
+// With a gateway before the emulated fleet most requests are served and every request ends, through a kill
+// and a restart at the same address, draining, a slow and a silent replica, resets, malformed streams and
+// discovery that does not answer.
 func TestEmulator(t *testing.T) {
 	was := slog.Default()
 	slog.SetDefault(slog.New(slog.DiscardHandler))
@@ -69,7 +70,7 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		res, left, err := Play(t.Context(), f, s, []string{serve(t, s, f.DiscoveryAddr)})
+		res, skipped, err := Play(t.Context(), f, s, []string{serve(t, s, f.DiscoveryAddr)})
 		f.Close()
 		if err != nil {
 			t.Fatal(err)
@@ -78,8 +79,8 @@
 		for _, n := range res.All.Ends {
 			ends += n
 		}
-		if left > 0 || res.All.Sent < 60 || ends != res.All.Sent || float64(res.All.Ends["served"]) < x.least*float64(res.All.Sent) {
-			t.Errorf("%s: left out %d, sent %d: %v", x.name, left, res.All.Sent, res.All.Ends)
+		if skipped > 0 || res.All.Sent < 60 || ends != res.All.Sent || float64(res.All.Ends["served"]) < x.least*float64(res.All.Sent) {
+			t.Errorf("%s: skipped %d sessions, sent %d: %v", x.name, skipped, res.All.Sent, res.All.Ends)
 		}
 		m, err := model.Run(s)
 		if err != nil {
--- /dev/null
+++ b/internal/fleet/emulate/replica.go
@@ -0,0 +1,378 @@
+package emulate
+
+import (
+	"fmt"
+	"io"
+	"net"
+	"net/http"
+	"strconv"
+	"sync"
+	"time"
+
+	"archknot/balancer"
+	"archknot/internal/fleet/model"
+	"archknot/internal/fleet/replica"
+	"archknot/internal/httpwire"
+)
+
+const (
+	// listenTimeout and listenRetryInterval bound the wait for an address that is taken for a moment, by the
+	// outgoing connection of some other process.
+	listenTimeout       = 2 * time.Second
+	listenRetryInterval = 5 * time.Millisecond
+	// idleWait is the wait of a replica that has no step in progress; a new job ends it.
+	idleWait = time.Hour
+	// faultyFromToken is the token from which on answers are reset or malformed.
+	faultyFromToken = 3
+	// maxOutputTokens is the longest answer that a client may choose.
+	maxOutputTokens = 1 << 20
+)
+
+// Headers of the emulator and of replicas.
+const (
+	outputTokensHeader = "X-Emulate-Out" // the length of the answer, which only the client knows
+	declinedHeader     = "Srv-Declined"
+	loadHeader         = "Srv-Load"
+	requestIDHeader    = "Req-Id"
+)
+
+// Replica is a model replica behind an HTTP server.
+type Replica struct {
+	Name, Addr string
+	group      *model.Group
+	fleet      *Fleet
+	index      int // in the fleet and on the endpoint list
+
+	mu             sync.Mutex
+	simulator      *replica.Simulator // nil: the process is stopped
+	jobs           map[uint64]*job
+	lastJobID      uint64
+	silent         bool
+	malformed      bool   // answers become malformed
+	resetMidAnswer bool   // connections are reset during the answer
+	endSteps       func() // ends the goroutine that runs the steps
+	server         *http.Server
+	wake           chan struct{} // a job was added
+}
+
+// job is a request that the replica runs.
+type job struct {
+	id     uint64
+	events chan replica.Event // with capacity for all events: a slow reader delays no step
+	// Faults of its answer.
+	malformed, resetMidAnswer bool
+}
+
+// listEntry returns the replica's entry on the endpoint list.
+func (r *Replica) listEntry(lifecycle string, startedAtMs int64) httpwire.Endpoint {
+	return httpwire.Endpoint{
+		ID:          r.Name,
+		Addr:        r.Addr,
+		Zone:        r.group.Zone,
+		Kind:        r.group.Name,
+		Lifecycle:   lifecycle,
+		Weight:      r.group.Weight,
+		StartedAtMs: startedAtMs,
+	}
+}
+
+// start starts the process, at its previous address if it had one. It accepts jobs from readyAt on.
+func (r *Replica) start(readyAt balancer.Micros) error {
+	l, err := r.listen()
+	if err != nil {
+		return err
+	}
+	r.mu.Lock()
+	defer r.mu.Unlock()
+	r.Addr = l.Addr().String()
+	r.simulator = replica.New(r.group.Params, readyAt)
+	r.simulator.EmitTokens = true
+	r.jobs = map[uint64]*job{}
+	r.wake = make(chan struct{}, 1)
+	ended := make(chan struct{})
+	r.endSteps = sync.OnceFunc(func() { close(ended) })
+	r.server = &http.Server{Handler: r, ReadHeaderTimeout: readHeaderTimeout}
+	go serveHTTP(r.server, l)
+	go r.runSteps(ended, r.wake)
+	return nil
+}
+
+func (r *Replica) listen() (l net.Listener, err error) {
+	for deadline := time.Now().Add(listenTimeout); ; time.Sleep(listenRetryInterval) {
+		if l, err = listenLoopback(r.Addr); err == nil || time.Now().After(deadline) {
+			return l, err
+		}
+	}
+}
+
+// stop ends the process and its connections.
+func (r *Replica) stop() {
+	r.mu.Lock()
+	server, endSteps := r.server, r.endSteps
+	r.simulator = nil
+	r.mu.Unlock()
+	if server != nil {
+		endSteps()
+		server.Close()
+	}
+}
+
+func (r *Replica) isStopped() bool {
+	r.mu.Lock()
+	defer r.mu.Unlock()
+	return r.simulator == nil
+}
+
+func (r *Replica) isSilent() bool {
+	r.mu.Lock()
+	defer r.mu.Unlock()
+	return r.silent
+}
+
+func (r *Replica) setSilent(on bool) {
+	r.mu.Lock()
+	defer r.mu.Unlock()
+	r.silent = on
+}
+
+// runSteps ends the simulator's steps in real time, until the process ends.
+func (r *Replica) runSteps(ended, wake <-chan struct{}) {
+	timer := time.NewTimer(idleWait)
+	defer timer.Stop()
+	for {
+		timer.Reset(r.advance())
+		select {
+		case <-timer.C:
+		case <-wake:
+		case <-ended:
+			return
+		}
+	}
+}
+
+// advance ends the steps that are over and returns the time to the end of the next one. Steps end at their
+// own times and not when the goroutine was scheduled, so that the replica has the model's speed.
+func (r *Replica) advance() time.Duration {
+	r.mu.Lock()
+	defer r.mu.Unlock()
+	for r.simulator != nil {
+		stepEnd := r.simulator.StepEnd()
+		if stepEnd == 0 {
+			break
+		}
+		if now := r.fleet.now(); stepEnd > now {
+			return time.Duration(stepEnd-now) * time.Microsecond
+		}
+		for _, event := range r.simulator.Advance(stepEnd) {
+			if j := r.jobs[event.Job]; j != nil {
+				j.events <- event
+			}
+		}
+	}
+	return idleWait
+}
+
+// loadReport returns the load report in the platform's form. The caller holds the lock.
+func (r *Replica) loadReport() string {
+	if r.simulator == nil {
+		return ""
+	}
+	running, waiting, memory, unread := r.simulator.Load()
+	return fmt.Sprintf("busy_reqs=%d,pending=%d,x0=%.4f,x1=%.3f", running+waiting, waiting, memory, float64(unread)/1000)
+}
+
+func (r *Replica) currentLoadReport() string {
+	r.mu.Lock()
+	defer r.mu.Unlock()
+	return r.loadReport()
+}
+
+// ServeHTTP implements http.Handler with the platform's protocol.
+func (r *Replica) ServeHTTP(w http.ResponseWriter, req *http.Request) {
+	r.mu.Lock()
+	silent, load := r.silent, r.loadReport()
+	r.mu.Unlock()
+	if silent {
+		r.serveSilent(w, req)
+		return
+	}
+	switch req.URL.Path {
+	case httpwire.LivePath:
+	case httpwire.StatsPath:
+		_, _ = io.WriteString(w, load) // a client that is gone needs no answer
+	case httpwire.CompletionsPath:
+		r.serveCompletion(w, req)
+	default:
+		http.NotFound(w, req)
+	}
+}
+
+// serveSilent accepts a request like a half-open connection does: it reads everything and answers nothing.
+func (r *Replica) serveSilent(w http.ResponseWriter, req *http.Request) {
+	if req.URL.Path == httpwire.CompletionsPath && r.fleet.OnAttemptEnd != nil {
+		id := req.Header.Get(requestIDHeader)
+		attempt := ReplicaAttempt{ID: id, RootID: rootID(req.Header, id), Replica: r.Name, ReceivedAt: time.Now(), Declined: true}
+		defer func() {
+			attempt.EndedAt = time.Now()
+			r.fleet.OnAttemptEnd(attempt)
+		}()
+		// Once the body is read, the server notices the end of the connection.
+		_, _ = io.Copy(io.Discard, http.MaxBytesReader(w, req.Body, httpwire.MaxBodyBytes))
+	}
+	waitForClient(req)
+}
+
+// rootID returns the ID of a request's first attempt: its own, unless it resumes another's answer.
+func rootID(h http.Header, id string) string {
+	if resume, resumes, err := httpwire.ParseResume(h); resumes && err == nil {
+		return resume.ID
+	}
+	return id
+}
+
+func (r *Replica) serveCompletion(w http.ResponseWriter, req *http.Request) {
+	body, err := io.ReadAll(http.MaxBytesReader(w, req.Body, httpwire.MaxBodyBytes))
+	if err != nil {
+		http.Error(w, err.Error(), http.StatusBadRequest)
+		return
+	}
+	parsed, err := httpwire.ParseRequest(req.Header)
+	if err != nil {
+		http.Error(w, err.Error(), http.StatusBadRequest)
+		return
+	}
+	parsed.EstimatePrompt(len(body))
+	attempt := ReplicaAttempt{
+		ID:           parsed.ID,
+		RootID:       rootID(req.Header, parsed.ID),
+		Replica:      r.Name,
+		Class:        parsed.Request.Class,
+		ReceivedAt:   time.Now(),
+		FirstTokenBy: time.Now().Add(time.Duration(parsed.Timeout) * time.Microsecond),
+	}
+	defer func() {
+		attempt.EndedAt = time.Now()
+		if r.fleet.OnAttemptEnd != nil {
+			r.fleet.OnAttemptEnd(attempt)
+		}
+	}()
+	j, load, stopped := r.offer(&parsed.Request, outputTokens(req.Header, parsed.Request.MaxTokens))
+	if stopped {
+		return
+	}
+	if j == nil {
+		attempt.Declined = true
+		w.Header().Set(declinedHeader, "1")
+		w.Header().Set(loadHeader, load)
+		w.WriteHeader(http.StatusServiceUnavailable)
+		return
+	}
+	defer r.cancelJob(j)
+	attempt.Complete = r.streamTokens(w, req, j, parsed.Request.PromptTokens)
+}
+
+// outputTokens returns the length of the answer: what the client chose, or a quarter of its limit.
+func outputTokens(h http.Header, maxTokens int) int {
+	n, err := strconv.Atoi(h.Get(outputTokensHeader))
+	if err != nil || n < 1 || n > maxOutputTokens {
+		return max(1, maxTokens/4)
+	}
+	return n
+}
+
+// offer submits a request to the simulator. The job is nil if it was declined; load is the load report then.
+func (r *Replica) offer(request *balancer.Request, outputTokens int) (j *job, load string, stopped bool) {
+	r.mu.Lock()
+	defer r.mu.Unlock()
+	if r.simulator == nil {
+		return nil, "", true
+	}
+	r.lastJobID++
+	j = &job{
+		id:             r.lastJobID,
+		events:         make(chan replica.Event, outputTokens+3), // also the first token and the end
+		malformed:      r.malformed,
+		resetMidAnswer: r.resetMidAnswer,
+	}
+	accepted := r.simulator.Offer(r.fleet.now(), replica.Job{
+		ID:           j.id,
+		PromptTokens: max(1, request.PromptTokens),
+		OutputTokens: outputTokens,
+		Prefix:       request.Prefix,
+		PrefixTokens: min(request.PrefixTokens, request.PromptTokens),
+		Session:      request.Session,
+	})
+	if !accepted {
+		return nil, r.loadReport(), false
+	}
+	r.jobs[j.id] = j
+	select {
+	case r.wake <- struct{}{}:
+	default:
+	}
+	return j, "", false
+}
+
+// cancelJob cancels a job, if the process that has it still runs.
+func (r *Replica) cancelJob(j *job) {
+	r.mu.Lock()
+	defer r.mu.Unlock()
+	if r.jobs[j.id] != j {
+		return
+	}
+	delete(r.jobs, j.id)
+	if r.simulator != nil {
+		r.simulator.Cancel(j.id)
+	}
+}
+
+// streamTokens streams a job's tokens as they are made. It returns true if the answer is complete.
+func (r *Replica) streamTokens(w http.ResponseWriter, req *http.Request, j *job, promptTokens int) (complete bool) {
+	control := http.NewResponseController(w)
+	started, cachedTokens := false, 0
+	for {
+		var event replica.Event
+		select {
+		case event = <-j.events:
+		case <-req.Context().Done():
+			return false
+		}
+		if r.isSilent() { // an answer in progress falls silent too
+			<-req.Context().Done()
+			return false
+		}
+		if !started {
+			started = true
+			w.Header().Set("Content-Type", "text/event-stream")
+		}
+		switch event.Kind {
+		case replica.FirstToken:
+			cachedTokens = event.CachedTokens
+		case replica.TokenMade:
+			faulty := event.OutputTokens >= faultyFromToken
+			if j.resetMidAnswer && faulty {
+				resetConnection(control)
+				return false
+			}
+			writeToken(w, event.OutputTokens, j.malformed && faulty)
+			if control.Flush() != nil {
+				return false
+			}
+		case replica.Completed:
+			writeUsage(w, promptTokens, event.OutputTokens, cachedTokens, r.currentLoadReport())
+			return true
+		}
+	}
+}
+
+// resetConnection closes the connection of a response with a TCP reset.
+func resetConnection(control *http.ResponseController) {
+	conn, _, err := control.Hijack()
+	if err != nil {
+		return
+	}
+	if tcp, ok := conn.(*net.TCPConn); ok {
+		_ = tcp.SetLinger(0) // without it the connection is closed all the same
+	}
+	conn.Close()
+}
