--- /dev/null
+++ b/internal/fleet/engine/queue.go
@@ -0,0 +1,72 @@
+package engine
+
+import "archknot/balancer"
+
+// event is a function that is scheduled for a time.
+type event struct {
+	at  balancer.Micros
+	seq uint64 // orders events of the same time
+	run func(now balancer.Micros)
+}
+
+func (a *event) before(b *event) bool { return a.at < b.at || a.at == b.at && a.seq < b.seq }
+
+// arity is the number of children of a node in the heap: with four it is flatter than a binary heap, and
+// the children of a node lie together in memory.
+const arity = 4
+
+// eventQueue is a heap of events; the first element is the next one.
+type eventQueue []event
+
+func (q *eventQueue) push(e event) {
+	heap := append(*q, e)
+	i := len(heap) - 1
+	for i > 0 {
+		parent := (i - 1) / arity
+		if !e.before(&heap[parent]) {
+			break
+		}
+		heap[i] = heap[parent]
+		i = parent
+	}
+	heap[i] = e
+	*q = heap
+}
+
+// pop removes and returns the next event of a queue that is not empty.
+func (q *eventQueue) pop() event {
+	heap := *q
+	top, last := heap[0], heap[len(heap)-1]
+	heap[len(heap)-1] = event{} // release the function
+	heap = heap[:len(heap)-1]
+	*q = heap
+	if len(heap) == 0 {
+		return top
+	}
+	i := 0
+	for {
+		child := heap.firstChild(i)
+		if child < 0 || !heap[child].before(&last) {
+			break
+		}
+		heap[i] = heap[child]
+		i = child
+	}
+	heap[i] = last
+	return top
+}
+
+// firstChild returns the index of a node's child that comes first, -1 if it has none.
+func (q eventQueue) firstChild(node int) int {
+	first := node*arity + 1
+	if first >= len(q) {
+		return -1
+	}
+	least := first
+	for child := first + 1; child < first+arity && child < len(q); child++ {
+		if q[child].before(&q[least]) {
+			least = child
+		}
+	}
+	return least
+}
