--- a/internal/fleet/fit/fit_test.go
+++ b/internal/fleet/fit/fit_test.go
@@ -12,8 +12,8 @@
 	"archknot/internal/fleet/replica"
 )
 
-// recorded plays a fleet with known traffic and reads what its gateways recorded.
-func recorded(t *testing.T, seed uint64, think float64) (*Recording, []model.Stream) {
+// runAndRead runs a fleet with known traffic and reads the captures of its gateways.
+func runAndRead(t *testing.T, seed uint64, think float64) (*Recording, []model.Stream) {
 	t.Helper()
 	p := replica.Params{MaxRunning: 64, MaxQueued: 64, MemoryTokens: 400_000, BlockTokens: 16, ChunkTokens: 2048, StepBase: 4000, StepPerSequence: 50, StepPerContext: 10, StepPerPrompt: 10_000,
 		StartupTime: 1_000_000, WarmUpTime: 1_000_000, WarmUpSlowdown: 2, ConnectTime: 100}
@@ -39,31 +39,31 @@
 	return r, s.Streams
 }
 
-// Traffic that is known, recorded by three gateways that serve each other's sessions:
-// nine in ten of the intervals or more hold what it was made with.
+// For known traffic, captured by three gateways that serve each other's sessions, at least nine in ten
+// intervals contain the true value.
 func TestKnownTrafficIsFound(t *testing.T) {
-	in, all := 0, 0
-	var off []string
+	inside, all := 0, 0
+	var missed []string
 	for seed := range uint64(8) {
 		think := 2.0
-		if seed%2 == 1 { // half of the recording is over before a session counts as ended
+		if seed%2 == 1 { // a session counts as ended only after half of the capture
 			think = 8
 		}
-		r, truth := recorded(t, seed+1, think)
+		r, actual := runAndRead(t, seed+1, think)
 		got := Streams(r.Turns, r.From, r.To)
 		if len(got) != 2 {
 			t.Fatalf("%d streams", len(got))
 		}
 		for i, s := range []Stream{got[1], got[0]} {
-			w := truth[i]
-			if s.Class != w.Class || s.Tenant != w.Tenant {
+			want := actual[i]
+			if s.Class != want.Class || s.Tenant != want.Tenant {
 				t.Fatalf("%s of %s", s.Class, s.Tenant)
 			}
 			for name, c := range map[string]struct {
 				got  Value
 				want float64
-			}{"rate": {s.Rate, w.RequestsPerSecond}, "turns": {s.Turns, w.Turns}, "think": {s.Think, w.ThinkSeconds}, "prompt": {s.Prompt, w.PromptTokens}, "answer": {s.Answer, w.AnswerTokens},
-				"spread": {s.Spread, w.Spread}, "prefixes": {s.Prefixes, float64(w.Prefixes)}, "shared": {s.Shared, float64(w.PrefixTokens)}, "dispersion": {s.Dispersion, 1}} {
+			}{"rate": {s.Rate, want.RequestsPerSecond}, "turns": {s.Turns, want.Turns}, "think": {s.Think, want.ThinkSeconds}, "prompt": {s.Prompt, want.PromptTokens}, "answer": {s.Answer, want.AnswerTokens},
+				"spread": {s.Spread, want.Spread}, "prefixes": {s.Prefixes, float64(want.Prefixes)}, "shared": {s.Shared, float64(want.PrefixTokens)}, "dispersion": {s.Dispersion, 1}} {
 				if c.want == 0 || c.got.N == 0 {
 					if c.got.N > 0 {
 						t.Errorf("%s of %s: %v where there is none", name, s.Class, c.got)
@@ -72,29 +72,29 @@
 				}
 				all++
 				if c.got.Low <= c.want && c.want <= c.got.High {
-					in++
+					inside++
 				} else {
-					off = append(off, fmt.Sprintf("seed %d %s %s: %v, made with %v", seed+1, s.Class, name, c.got, c.want))
+					missed = append(missed, fmt.Sprintf("seed %d %s %s: %v, true value %v", seed+1, s.Class, name, c.got, c.want))
 				}
 				if c.got.Value > 1.4*c.want || c.got.Value < c.want/1.4 {
-					t.Errorf("%s of %s: %v, made with %v", name, s.Class, c.got, c.want)
+					t.Errorf("%s of %s: %v, true value %v", name, s.Class, c.got, c.want)
 				}
 			}
 		}
 	}
-	t.Logf("%d of %d intervals hold the truth", in, all)
-	if all < 100 || in < all*9/10 {
-		t.Errorf("%d of %d intervals hold the truth:\n%s", in, all, strings.Join(off, "\n"))
+	t.Logf("%d of %d intervals contain the true value", inside, all)
+	if all < 100 || inside < all*9/10 {
+		t.Errorf("%d of %d intervals contain the true value:\n%s", inside, all, strings.Join(missed, "\n"))
 	}
 }
 
-// Arrivals that come in bursts are told from those by chance; what was cut off, not
-// served or never seen again is named and does not count as an end.
-func TestWhatARecordingDoesNotTell(t *testing.T) {
+// Bursts are told apart from Poisson arrivals; turns that were cut off, not served or never seen again are
+// noted as unknown and do not count as the end of a session.
+func TestUnknownsOfARecording(t *testing.T) {
 	rng := rand.New(rand.NewPCG(1, 2))
 	var turns []Turn
 	for s := range 200 {
-		at := balancer.Micros(s/20) * 10_000_000 // twenty at once, each ten seconds
+		at := balancer.Micros(s/20) * 10_000_000 // twenty at once, every ten seconds
 		turns = append(turns, Turn{At: at + balancer.Micros(rng.IntN(1000)), EndedAt: at + 500_000, Class: "c", PromptTokens: 100, OutputTokens: 10})
 	}
 	turns = append(turns, Turn{At: 85_000_000, EndedAt: 86_000_000, Class: "c", Session: 7, PromptTokens: 100, OutputTokens: 10},
@@ -106,7 +106,7 @@
 	if s.Turns.N != 201 || s.Turns.Value > 1.01 {
 		t.Errorf("turns %v: one session went on, and is then not served", s.Turns)
 	}
-	if said := strings.Join(s.Unknown, "\n"); !strings.Contains(said, "1 of 202 requests") {
-		t.Errorf("not told: %s", said)
+	if notes := strings.Join(s.Unknown, "\n"); !strings.Contains(notes, "1 of 202 requests") {
+		t.Errorf("not noted: %s", notes)
 	}
 }
--- /dev/null
+++ b/internal/fleet/fit/plan.go
@@ -0,0 +1,60 @@
+package fit
+
+import (
+	"cmp"
+	"fmt"
+	"math"
+	"strings"
+)
+
+// Plan returns the [traffic] sections of a plan with the estimates of streams.
+func Plan(streams []Stream) string {
+	var b strings.Builder
+	for i := range streams {
+		streams[i].writeSection(&b, i+1)
+	}
+	return b.String()
+}
+
+// writeSection writes the stream's section; number distinguishes sections of one class.
+func (s *Stream) writeSection(b *strings.Builder, number int) {
+	writeValue := func(key, format string, v Value) {
+		if v.N > 0 {
+			fmt.Fprintf(b, "%s "+format+"\n", key, v.Value)
+		}
+	}
+	fmt.Fprintf(b, "[traffic %s-%d]\n", sectionName(s.Class), number)
+	fmt.Fprintf(b, "class %s\n", s.Class)
+	if s.Tenant != "" {
+		fmt.Fprintf(b, "tenant %s\n", s.Tenant)
+	}
+	writeValue("rate", "%.4g", s.Rate)
+	writeValue("turns", "%.4g", s.Turns)
+	writeValue("think", "%.3fs", s.Think)
+	writeValue("prompt", "%.0f", s.Prompt.atLeast(1))
+	writeValue("answer", "%.0f", s.Answer.atLeast(1))
+	writeValue("spread", "%.3f", s.Spread)
+	if s.MaxTokens > 0 {
+		fmt.Fprintf(b, "most %d\n", s.MaxTokens)
+	}
+	writeValue("prefixes", "%.0f", s.Prefixes)
+	writeValue("shared", "%.0f", s.Shared)
+	b.WriteString("\n")
+}
+
+// atLeast returns the value raised to a minimum.
+func (v Value) atLeast(minimum float64) Value {
+	v.Value = math.Max(minimum, v.Value)
+	return v
+}
+
+// sectionName returns a class's name with the characters that a section's name may have.
+func sectionName(class string) string {
+	allowed := strings.Map(func(r rune) rune {
+		if r == '-' || r == '_' || r >= 'a' && r <= 'z' || r >= 'A' && r <= 'Z' || r >= '0' && r <= '9' {
+			return r
+		}
+		return '-'
+	}, class)
+	return cmp.Or(allowed, "traffic")
+}
--- a/internal/fleet/fit/read.go
+++ b/internal/fleet/fit/read.go
@@ -4,85 +4,106 @@
 	"errors"
 	"fmt"
 	"io"
+	"slices"
 
 	"archknot/balancer"
 	"archknot/internal/capture"
 	pb "archknot/internal/capture/capturepb"
 )
 
-// Recording is what recordings of one fleet's gateways hold.
+// Errors of Read.
+var (
+	ErrNoCapture    = errors.New("no recording")
+	ErrNoCommonTime = errors.New("the recordings have no time in common")
+)
+
+// Recording is the turns in the captures of one fleet's gateways.
 type Recording struct {
 	Turns    []Turn
-	From, To balancer.Micros // in Unix time: when all gateways were recorded
+	From, To balancer.Micros // Unix time in microseconds: while all gateways were captured
 	Gaps     int             // places at which records are missing
 }
 
-// Read takes the turns out of recordings, one for each gateway. What was recorded
-// while another was not yet, or no more, is left out: sessions go from one to another.
+// Read reads the turns of captures, one for each gateway. Turns outside the time that all captures have in
+// common are left out, because sessions move from one gateway to another.
 func Read(runs []*capture.Run) (*Recording, error) {
 	if len(runs) == 0 {
-		return nil, errors.New("no recording")
+		return nil, ErrNoCapture
 	}
-	out := &Recording{}
+	rec := &Recording{}
 	for i, run := range runs {
 		from := run.WallTime(run.Begin()).UnixMicro()
-		to, err := out.read(run)
+		to, err := rec.read(run)
 		if err != nil {
 			return nil, fmt.Errorf("%s: %w", run.Gateway, err)
 		}
 		if i == 0 {
-			out.From, out.To = from, to
+			rec.From, rec.To = from, to
 		}
-		out.From, out.To = max(out.From, from), min(out.To, to)
-	}
-	if out.To <= out.From {
-		return nil, errors.New("the recordings have no time in common")
+		rec.From, rec.To = max(rec.From, from), min(rec.To, to)
 	}
-	keep := out.Turns[:0]
-	for _, t := range out.Turns {
-		if t.At >= out.From && t.At <= out.To {
-			keep = append(keep, t)
-		}
+	if rec.To <= rec.From {
+		return nil, ErrNoCommonTime
 	}
-	out.Turns = keep
-	return out, nil
+	rec.Turns = slices.DeleteFunc(rec.Turns, func(t Turn) bool { return t.At < rec.From || t.At > rec.To })
+	return rec, nil
 }
 
-func (o *Recording) read(run *capture.Run) (last balancer.Micros, err error) {
-	r, err := capture.NewReader(run, run.Begin())
+// read adds a capture's turns and returns the time of its last record.
+func (rec *Recording) read(run *capture.Run) (last balancer.Micros, err error) {
+	reader, err := capture.NewReader(run, run.Begin())
 	if err != nil {
 		return 0, err
 	}
-	defer r.Close()
-	open := map[uint32]int{} // where its turn stands
+	defer reader.Close()
+	open := map[uint32]int{} // index in Turns by request
 	for {
-		e, err := r.Next()
-		if err == io.EOF {
+		entry, err := reader.Next()
+		if errors.Is(err, io.EOF) {
 			return last, nil
 		}
 		if err != nil {
 			return 0, err
 		}
-		if e.Missing != nil {
-			o.Gaps++
+		if entry.Missing != nil {
+			rec.Gaps++
 			clear(open)
 			continue
 		}
-		at := run.WallTime(e.At).UnixMicro()
+		at := run.WallTime(entry.At).UnixMicro()
 		last = max(last, at)
-		switch rec := e.Record; rec.Kind {
-		case pb.Kind_KIND_ARRIVED:
-			a := rec.Arrival
-			open[rec.Request] = len(o.Turns)
-			o.Turns = append(o.Turns, Turn{At: at, Class: string(a.GetClass()), Tenant: string(a.GetTenant()), Session: a.GetSession(),
-				Prefix: a.GetPrefix(), PromptTokens: int(a.GetPromptTokens()), PrefixTokens: int(a.GetPrefixTokens()), MaxTokens: int(a.GetMaxTokens())})
-		case pb.Kind_KIND_ENDED:
-			if i, ok := open[rec.Request]; ok && rec.Outcome.GetFinal() {
-				if balancer.Status(rec.Outcome.GetStatus()) == balancer.Served {
-					o.Turns[i].EndedAt, o.Turns[i].OutputTokens = at, int(rec.Outcome.GetTokens())
-				}
-				delete(open, rec.Request)
-			}
+		rec.add(entry.Record, at, open)
+	}
+}
+
+// add adds what a record says of a turn.
+func (rec *Recording) add(record *pb.Record, at balancer.Micros, open map[uint32]int) {
+	switch record.Kind {
+	case pb.Kind_KIND_ARRIVED:
+		open[record.Request] = len(rec.Turns)
+		rec.Turns = append(rec.Turns, newTurn(record.Arrival, at))
+	case pb.Kind_KIND_ENDED:
+		i, ok := open[record.Request]
+		if !ok || !record.Outcome.GetFinal() {
+			return
+		}
+		if balancer.Status(record.Outcome.GetStatus()) == balancer.Served {
+			rec.Turns[i].EndedAt = at
+			rec.Turns[i].OutputTokens = int(record.Outcome.GetTokens())
 		}
+		delete(open, record.Request)
+	}
+}
+
+func newTurn(arrival *pb.Arrival, at balancer.Micros) Turn {
+	return Turn{
+		At:           at,
+		Class:        string(arrival.GetClass()),
+		Tenant:       string(arrival.GetTenant()),
+		Session:      arrival.GetSession(),
+		Prefix:       arrival.GetPrefix(),
+		PromptTokens: int(arrival.GetPromptTokens()),
+		PrefixTokens: int(arrival.GetPrefixTokens()),
+		MaxTokens:    int(arrival.GetMaxTokens()),
 	}
 }
