--- a/internal/cli/experiment.go
+++ b/internal/cli/experiment.go
@@ -87,7 +87,7 @@
 }
 
 func summary(dir, base string) (*experiment.Summary, error) {
-	if _, err := os.Stat(filepath.Join(dir, "results.db")); err != nil {
+	if _, err := os.Stat(filepath.Join(dir, experiment.FileName)); err != nil {
 		return nil, err
 	}
 	store, _, err := experiment.OpenStore(dir, nil)
@@ -137,7 +137,7 @@
 	fmt.Fprintf(w, "workload\tvariant\tfigure\t%s\tvariant's\tverdict\n", sum.Base)
 	for _, r := range sum.Rows {
 		d := r.Difference
-		fmt.Fprintf(w, "%s\t%s\t%s\t%.5g\t%.5g\t%s\n", r.Workload, r.Variant, r.Figure, d.Base, d.Variant, d.Words())
+		fmt.Fprintf(w, "%s\t%s\t%s\t%.5g\t%.5g\t%s\n", r.Workload, r.Variant, r.Metric, d.Base, d.Variant, d.Describe())
 	}
 	return w.Flush()
 }
@@ -169,7 +169,7 @@
 		}
 	} else {
 		for _, r := range bad {
-			fmt.Fprintf(s.out, "%s on %s: %s: may be worse by more than %g: %s\n", r.Variant, r.Workload, r.Figure, c.Bound, r.Difference.Words())
+			fmt.Fprintf(s.out, "%s on %s: %s: may be worse by more than %g: %s\n", r.Variant, r.Workload, r.Metric, c.Bound, r.Difference.Describe())
 		}
 	}
 	if len(bad) > 0 {
--- a/internal/experiment/experiment_test.go
+++ b/internal/experiment/experiment_test.go
@@ -13,44 +13,44 @@
 	"archknot/internal/config"
 )
 
-// Two that are equal are told apart in at most 7 of 100 experiments, also with few
-// pairs and with skewed figures; a difference of one deviation nearly always.
+// Equal variants are found different in at most 7 of 100 experiments, also with few pairs and skewed values;
+// a difference of one standard deviation is found in nearly all.
 func TestVerdicts(t *testing.T) {
 	rng := rand.New(rand.NewPCG(4, 4))
 	draw := func(n int, by float64, skewed bool) (a, b []float64) {
 		for range n {
-			day := rng.NormFloat64() // what both have in common
+			common := rng.NormFloat64()
 			noise := func() float64 {
 				if skewed {
 					return rng.ExpFloat64() - 1
 				}
 				return rng.NormFloat64()
 			}
-			a, b = append(a, day+0.5*noise()), append(b, day+0.5*noise()+by)
+			a, b = append(a, common+0.5*noise()), append(b, common+0.5*noise()+by)
 		}
 		return a, b
 	}
 	for _, n := range []int{8, 12, 30} {
 		for _, skewed := range []bool{false, true} {
-			apart, found := 0, 0
+			falsePositives, found := 0, 0
 			for i := range 300 {
 				a, b := draw(n, 0, skewed)
 				if Compare(a, b, true, uint64(i)).Verdict != Inconclusive {
-					apart++
+					falsePositives++
 				}
 				a, b = draw(n, 1, skewed)
 				if Compare(a, b, true, uint64(i)).Verdict == Better {
 					found++
 				}
 			}
-			if apart > 21 || n > 8 && found < 240 {
-				t.Errorf("%d pairs, skewed %v: %d of 300 equal ones told apart, %d of 300 others found", n, skewed, apart, found)
+			if falsePositives > 21 || n > 8 && found < 240 {
+				t.Errorf("%d pairs, skewed %v: %d of 300 equal ones found different, %d of 300 others found", n, skewed, falsePositives, found)
 			}
 		}
 	}
 	d := Compare([]float64{1, 2, 3}, []float64{2, 3, 4}, true, 1)
-	if d.Verdict != Inconclusive || !strings.Contains(d.Words(), "at least") {
-		t.Error(d.Words())
+	if d.Verdict != Inconclusive || !strings.Contains(d.Describe(), "at least") {
+		t.Error(d.Describe())
 	}
 	if d := Compare([]float64{5, 6, 7, 8}, []float64{1, 2, 3, 4}, false, 1); d.Verdict != Better {
 		t.Errorf("lower is better: %+v", d)
@@ -95,8 +95,8 @@
 	return p
 }
 
-// An experiment that is ended goes on where it stood, finds the planted setting, and
-// tells nothing of the one that is the same.
+// An experiment that was interrupted continues with the missing runs, finds the planted setting, and is
+// inconclusive about the variant that is the same.
 func TestExperiment(t *testing.T) {
 	file := write(t, plan)
 	p, err := config.LoadPlan(file)
@@ -118,7 +118,7 @@
 		}
 	}})
 	if !errors.Is(err, context.Canceled) {
-		t.Errorf("ended: %v", err)
+		t.Errorf("interrupted: %v", err)
 	}
 	s.Close()
 	if _, _, err := OpenStore(dir, []byte("another")); !errors.Is(err, ErrOtherPlan) {
@@ -128,16 +128,16 @@
 		t.Fatal(err)
 	}
 	defer s.Close()
-	began := -1
+	doneAtStart := -1
 	if err := RunPlan(t.Context(), p, s, Options{Progress: func(done, _ int) {
-		if began < 0 {
-			began = done
+		if doneAtStart < 0 {
+			doneAtStart = done
 		}
 	}}); err != nil {
 		t.Fatal(err)
 	}
-	if began < 5 {
-		t.Errorf("it went on from %d", began)
+	if doneAtStart < 5 {
+		t.Errorf("it continued from %d", doneAtStart)
 	}
 	records, err := s.Records()
 	if err != nil || len(records) != 18 {
@@ -150,16 +150,16 @@
 	for _, r := range sum.Rows {
 		switch d := r.Difference; {
 		case r.Variant == "same" && (d.Mean != 0 || d.Verdict != Inconclusive):
-			t.Errorf("%s: %s", r.Figure, d.Words())
-		case r.Variant == "planted" && r.Figure == "worth_in_time" && d.Verdict != Worse:
-			t.Errorf("%s: %s", r.Figure, d.Words())
+			t.Errorf("%s: %s", r.Metric, d.Describe())
+		case r.Variant == "planted" && r.Metric == "worth_in_time" && d.Verdict != Worse:
+			t.Errorf("%s: %s", r.Metric, d.Describe())
 		}
 	}
 	if bad, err := sum.Gate("worth_in_time", 0.001); err != nil || len(bad) != 1 || bad[0].Variant != "planted" {
 		t.Errorf("%v %v", bad, err)
 	}
 	if _, err := sum.Gate("nothing", 1); err == nil {
-		t.Error("a gate on no figure")
+		t.Error("a gate on a metric that does not exist")
 	}
 	if _, err := Summarize(records, "nobody"); !errors.Is(err, ErrNoBase) {
 		t.Error(err)
@@ -173,7 +173,7 @@
 	}
 }
 
-// A plan with a bad key, section, value or override is refused before any run.
+// A plan with an invalid key, section, value or override is rejected before any run.
 func TestBadPlans(t *testing.T) {
 	for want, change := range map[string][2]string{
 		"a.plan:10:1: workers k.slits: unknown key; did you mean slots?":                                                           {"count 4", "slits 4"},
--- a/internal/experiment/report.go
+++ b/internal/experiment/report.go
@@ -19,67 +19,24 @@
 	"archknot/internal/fleet/model"
 )
 
-// Metric is one that variants are compared by.
-type Metric struct {
-	Name           string
-	HigherIsBetter bool // higher is better
-	value          func(*model.Result) float64
-}
-
-// Metrics are all of them; the first is what a gate looks at if not told otherwise.
-var Metrics = []Metric{
-	{"worth_in_time", true, func(r *model.Result) float64 { return r.All.WeightedGoodput() }},
-	{"worst_class", true, func(r *model.Result) float64 { return worst(r.Classes) }},
-	{"worst_tenant", true, func(r *model.Result) float64 { return worst(r.Tenants) }},
-	{"worst_window", true, func(r *model.Result) float64 {
-		v := 1.0
-		for _, w := range r.Windows {
-			if w.WeightOffered > 0 {
-				v = min(v, w.WeightServed/w.WeightOffered)
-			}
-		}
-		return v
-	}},
-	{"first_p50_ms", false, func(r *model.Result) float64 { return r.All.FirstTokenMs["p50"] }},
-	{"first_p95_ms", false, func(r *model.Result) float64 { return r.All.FirstTokenMs["p95"] }},
-	{"first_p99_ms", false, func(r *model.Result) float64 { return r.All.FirstTokenMs["p99"] }},
-	{"whole_p95_ms", false, func(r *model.Result) float64 { return r.All.ResponseMs["p95"] }},
-	{"refused_share", false, func(r *model.Result) float64 { return share(r.All, "refused", "failed", "contract") }},
-	{"late_share", false, func(r *model.Result) float64 { return share(r.All, "late", "broken") }},
-	{"attempts_a_request", false, func(r *model.Result) float64 { return float64(r.Attempts) / float64(max(1, r.All.Sent)) }},
-	{"wasted_a_request", false, func(r *model.Result) float64 { return float64(r.Wasted) / float64(max(1, r.All.Sent)) }},
-	{"read_anew", false, func(r *model.Result) float64 {
-		return float64(r.PromptTokensRead) / float64(max(1, r.PromptTokensRead+r.PromptTokensReused))
-	}},
-}
-
-func worst(m map[string]*model.Count) float64 {
-	v := 1.0
-	for _, c := range m {
-		if c.WeightOffered > 0 {
-			v = min(v, c.WeightedGoodput())
-		}
-	}
-	return v
-}
+// Errors of Summarize and Gate.
+var (
+	ErrNoBase           = errors.New("no runs of the variant to compare with")
+	ErrNothingToCompare = errors.New("nothing to compare: there is one variant")
+)
 
-func share(c *model.Count, ends ...string) float64 {
-	n := int64(0)
-	for _, e := range ends {
-		n += c.Ends[e]
-	}
-	return float64(n) / float64(max(1, c.Sent))
-}
+// defaultBase is the name of the variant that others are compared with if there is one of this name.
+const defaultBase = "base"
 
-// Row compares one variant with the base by one figure, on one workload.
+// Row compares a variant with the base by a metric on a workload.
 type Row struct {
 	Workload   string     `json:"workload"`
 	Variant    string     `json:"variant"`
-	Figure     string     `json:"figure"`
+	Metric     string     `json:"figure"`
 	Difference Difference `json:"difference"`
 }
 
-// Summary is what an experiment tells.
+// Summary is the comparison of all variants with the base.
 type Summary struct {
 	Base      string   `json:"base"`
 	Workloads []string `json:"workloads"`
@@ -89,13 +46,14 @@
 	records   []Record
 }
 
-// ErrNoBase says that the variant to compare with is not there.
-var ErrNoBase = errors.New("no runs of the variant to compare with")
+// resultsBySeed are the results of a variant with a workload.
+type resultsBySeed map[uint64]*model.Result
 
-// Summarize compares all variants with a base; "" is the first by name.
+// Summarize compares all variants with a base variant. "" is the one named base, or else the first by name.
 func Summarize(records []Record, base string) (*Summary, error) {
 	s := &Summary{Base: base, Runs: len(records), records: records}
-	values := map[string]map[uint64]*model.Result{}
+	type cell struct{ workload, variant string }
+	results := map[cell]resultsBySeed{}
 	for _, r := range records {
 		if !slices.Contains(s.Workloads, r.Workload) {
 			s.Workloads = append(s.Workloads, r.Workload)
@@ -103,152 +61,196 @@
 		if !slices.Contains(s.Variants, r.Variant) {
 			s.Variants = append(s.Variants, r.Variant)
 		}
-		k := r.Workload + "/" + r.Variant
-		if values[k] == nil {
-			values[k] = map[uint64]*model.Result{}
+		key := cell{r.Workload, r.Variant}
+		if results[key] == nil {
+			results[key] = resultsBySeed{}
 		}
-		values[k][r.Seed] = r.Result
+		results[key][r.Seed] = r.Result
 	}
 	slices.Sort(s.Workloads)
 	slices.Sort(s.Variants)
+	if err := s.chooseBase(); err != nil {
+		return nil, err
+	}
+	for _, workload := range s.Workloads {
+		for _, variant := range s.Variants {
+			if variant != s.Base {
+				s.compare(workload, variant, results[cell{workload, s.Base}], results[cell{workload, variant}])
+			}
+		}
+	}
+	return s, nil
+}
+
+// chooseBase sets the default base and checks that the base has runs.
+func (s *Summary) chooseBase() error {
 	if s.Base == "" && len(s.Variants) > 0 {
-		if s.Base = s.Variants[0]; slices.Contains(s.Variants, "base") {
-			s.Base = "base"
+		s.Base = s.Variants[0]
+		if slices.Contains(s.Variants, defaultBase) {
+			s.Base = defaultBase
 		}
 	}
 	if !slices.Contains(s.Variants, s.Base) {
-		return nil, fmt.Errorf("%w: %q", ErrNoBase, s.Base)
+		return fmt.Errorf("%w: %q", ErrNoBase, s.Base)
 	}
-	for _, w := range s.Workloads {
-		for _, v := range s.Variants {
-			if v == s.Base {
+	return nil
+}
+
+// compare adds the rows of a variant on a workload, by pairs of runs with the same seed.
+func (s *Summary) compare(workload, variant string, base, other resultsBySeed) {
+	for _, metric := range Metrics {
+		var baseValues, otherValues []float64
+		for _, seed := range slices.Sorted(maps.Keys(base)) {
+			if other[seed] == nil {
 				continue
 			}
-			a, b := values[w+"/"+s.Base], values[w+"/"+v]
-			for _, f := range Metrics {
-				var x, y []float64
-				for _, seed := range slices.Sorted(maps.Keys(a)) {
-					if b[seed] != nil {
-						x, y = append(x, f.value(a[seed])), append(y, f.value(b[seed]))
-					}
-				}
-				s.Rows = append(s.Rows, Row{w, v, f.Name, Compare(x, y, f.HigherIsBetter, 1)})
-			}
+			baseValues = append(baseValues, metric.value(base[seed]))
+			otherValues = append(otherValues, metric.value(other[seed]))
 		}
+		s.Rows = append(s.Rows, Row{workload, variant, metric.Name, Compare(baseValues, otherValues, metric.HigherIsBetter, 1)})
 	}
-	return s, nil
 }
 
-// Gate tells the rows by a figure in which a variant is, or may be, worse than the
-// base by more than a bound.
-func (s *Summary) Gate(figure string, bound float64) (bad []Row, err error) {
-	i := slices.IndexFunc(Metrics, func(f Metric) bool { return f.Name == figure })
+// Gate returns the rows of a metric in which a variant is, or may be, worse than the base by more than a
+// bound.
+func (s *Summary) Gate(metricName string, bound float64) (failed []Row, err error) {
+	i := slices.IndexFunc(Metrics, func(m Metric) bool { return m.Name == metricName })
 	if i < 0 {
-		return nil, fmt.Errorf("no figure %q", figure)
+		return nil, fmt.Errorf("no figure %q", metricName)
 	}
-	seen := false
+	compared := false
 	for _, r := range s.Rows {
-		if r.Figure != figure {
+		if r.Metric != metricName {
 			continue
 		}
-		seen = true
+		compared = true
 		low, high := r.Difference.Interval[0], r.Difference.Interval[1]
-		if r.Difference.Pairs < minPairs || Metrics[i].HigherIsBetter && low < -bound || !Metrics[i].HigherIsBetter && high > bound {
-			bad = append(bad, r)
+		mayBeWorse := high > bound
+		if Metrics[i].HigherIsBetter {
+			mayBeWorse = low < -bound
+		}
+		if r.Difference.Pairs < minPairs || mayBeWorse {
+			failed = append(failed, r)
 		}
 	}
-	if !seen {
-		return nil, errors.New("nothing to compare: there is one variant")
+	if !compared {
+		return nil, ErrNothingToCompare
 	}
-	return bad, nil
+	return failed, nil
 }
 
-// WriteJSON writes the summary.
+// WriteJSON writes the summary as JSON.
 func (s *Summary) WriteJSON(w io.Writer) error {
-	e := json.NewEncoder(w)
-	e.SetIndent("", "  ")
-	return e.Encode(s)
+	encoder := json.NewEncoder(w)
+	encoder.SetIndent("", "  ")
+	return encoder.Encode(s)
 }
 
-// WriteCSV writes a line a run with all figures.
+// WriteCSV writes a line with all metrics for each run.
 func (s *Summary) WriteCSV(w io.Writer) error {
-	c := csv.NewWriter(w)
-	head := []string{"variant", "workload", "seed", "sent", "served"}
-	for _, f := range Metrics {
-		head = append(head, f.Name)
+	writer := csv.NewWriter(w)
+	header := []string{"variant", "workload", "seed", "sent", "served"}
+	for _, metric := range Metrics {
+		header = append(header, metric.Name)
 	}
-	if err := c.Write(head); err != nil {
+	if err := writer.Write(header); err != nil {
 		return err
 	}
 	for _, r := range s.records {
-		line := []string{r.Variant, r.Workload, strconv.FormatUint(r.Seed, 10), strconv.FormatInt(r.Result.All.Sent, 10), strconv.FormatInt(r.Result.All.Ends["served"], 10)}
-		for _, f := range Metrics {
-			line = append(line, strconv.FormatFloat(f.value(r.Result), 'g', 8, 64))
-		}
-		if err := c.Write(line); err != nil {
+		if err := writer.Write(csvLine(r)); err != nil {
 			return err
 		}
 	}
-	c.Flush()
-	return c.Error()
+	writer.Flush()
+	return writer.Error()
+}
+
+func csvLine(r Record) []string {
+	line := []string{
+		r.Variant,
+		r.Workload,
+		strconv.FormatUint(r.Seed, 10),
+		strconv.FormatInt(r.Result.All.Sent, 10),
+		strconv.FormatInt(r.Result.All.Ends[model.OutcomeServed], 10),
+	}
+	for _, metric := range Metrics {
+		line = append(line, strconv.FormatFloat(metric.value(r.Result), 'g', 8, 64))
+	}
+	return line
 }
 
 //go:embed page.html
-var page string
+var pageTemplate string
 
-// WriteHTML writes a page that stands by itself.
+// WriteHTML writes a self-contained page with charts and tables.
 func (s *Summary) WriteHTML(w io.Writer) error {
-	t, err := template.New("page").Funcs(template.FuncMap{
+	functions := template.FuncMap{
 		"num":   func(v float64) string { return strconv.FormatFloat(v, 'g', 5, 64) },
-		"chart": func(workload string) (template.HTML, error) { return s.chart(workload) },
-		"rows": func(workload, variant string) (out []Row) {
-			for _, r := range s.Rows {
-				if r.Workload == workload && r.Variant == variant {
-					out = append(out, r)
-				}
-			}
-			return out
-		},
-	}).Parse(page)
+		"chart": s.chart,
+		"rows":  s.rowsOf,
+	}
+	page, err := template.New("page").Funcs(functions).Parse(pageTemplate)
 	if err != nil {
 		return err
 	}
-	return t.Execute(w, s)
+	return page.Execute(w, s)
 }
 
-// chart is the worth answered in time over the time of a run, by variant, as the
-// mean over seeds.
-func (s *Summary) chart(workload string) (template.HTML, error) {
-	g := chart.Chart{Width: 820, Height: 280, Background: chart.Style{Padding: chart.Box{Top: 30, Left: 10, Right: 10, Bottom: 10}},
-		XAxis: chart.XAxis{Name: "seconds"}, YAxis: chart.YAxis{Name: "worth in time", Range: &chart.ContinuousRange{Min: 0, Max: 1.02}}}
-	for i, v := range s.Variants {
-		sum, n := map[float64]float64{}, map[float64]float64{}
-		for _, r := range s.records {
-			if r.Variant != v || r.Workload != workload {
-				continue
-			}
-			for _, w := range r.Result.Windows {
-				if w.WeightOffered > 0 {
-					sum[w.At] += w.WeightServed / w.WeightOffered
-					n[w.At]++
-				}
-			}
-		}
-		line := chart.ContinuousSeries{Name: template.HTMLEscapeString(v), Style: chart.Style{StrokeColor: chart.GetDefaultColor(i), StrokeWidth: 2}}
-		for _, at := range slices.SortedFunc(maps.Keys(sum), cmp.Compare) {
-			line.XValues, line.YValues = append(line.XValues, at), append(line.YValues, sum[at]/n[at])
+func (s *Summary) rowsOf(workload, variant string) (rows []Row) {
+	for _, r := range s.Rows {
+		if r.Workload == workload && r.Variant == variant {
+			rows = append(rows, r)
 		}
-		if len(line.XValues) > 1 {
-			g.Series = append(g.Series, line)
+	}
+	return rows
+}
+
+// chart draws the weighted goodput over the time of a run on a workload, for each variant the mean over
+// seeds.
+func (s *Summary) chart(workload string) (template.HTML, error) {
+	graph := chart.Chart{
+		Width:      820,
+		Height:     280,
+		Background: chart.Style{Padding: chart.Box{Top: 30, Left: 10, Right: 10, Bottom: 10}},
+		XAxis:      chart.XAxis{Name: "seconds"},
+		YAxis:      chart.YAxis{Name: "worth in time", Range: &chart.ContinuousRange{Min: 0, Max: 1.02}},
+	}
+	for i, variant := range s.Variants {
+		series := s.goodputSeries(workload, variant)
+		series.Style = chart.Style{StrokeColor: chart.GetDefaultColor(i), StrokeWidth: 2}
+		if len(series.XValues) > 1 {
+			graph.Series = append(graph.Series, series)
 		}
 	}
-	if len(g.Series) == 0 {
+	if len(graph.Series) == 0 {
 		return "", nil
 	}
-	g.Elements = []chart.Renderable{chart.LegendThin(&g)}
-	var b bytes.Buffer
-	if err := g.Render(chart.SVG, &b); err != nil {
+	graph.Elements = []chart.Renderable{chart.LegendThin(&graph)}
+	var svg bytes.Buffer
+	if err := graph.Render(chart.SVG, &svg); err != nil {
 		return "", err
 	}
-	return template.HTML(b.String()), nil // names are escaped; the rest is numbers
+	return template.HTML(svg.String()), nil // names are escaped; the rest is numbers
+}
+
+// goodputSeries returns a variant's weighted goodput by the start of the window.
+func (s *Summary) goodputSeries(workload, variant string) chart.ContinuousSeries {
+	sums, counts := map[float64]float64{}, map[float64]float64{}
+	for _, r := range s.records {
+		if r.Variant != variant || r.Workload != workload {
+			continue
+		}
+		for _, window := range r.Result.Windows {
+			if window.WeightOffered > 0 {
+				sums[window.At] += window.WeightServed / window.WeightOffered
+				counts[window.At]++
+			}
+		}
+	}
+	series := chart.ContinuousSeries{Name: template.HTMLEscapeString(variant)}
+	for _, at := range slices.SortedFunc(maps.Keys(sums), cmp.Compare) {
+		series.XValues = append(series.XValues, at)
+		series.YValues = append(series.YValues, sums[at]/counts[at])
+	}
+	return series
 }
--- a/internal/experiment/run.go
+++ b/internal/experiment/run.go
@@ -1,211 +1,162 @@
-// Package experiment tries variants of a plan against each other on the fleet model:
-// each with each workload and seed, in parallel, and tells what the pairs of runs
-// tell. Results are kept one by one: a run that was ended goes on where it stood.
+// Package experiment compares variants of a plan on the fleet model: it runs each one with each workload and
+// seed in parallel, stores the results, and compares pairs of runs. An experiment that was interrupted
+// continues with the runs that are missing.
 package experiment
 
 import (
-	"bytes"
 	"context"
 	"encoding/json"
-	"errors"
 	"fmt"
 	"os"
 	"os/exec"
-	"path/filepath"
 	"runtime"
 	"strconv"
 	"sync"
 
-	"github.com/cespare/xxhash/v2"
-	"go.etcd.io/bbolt"
-
-	"archknot/internal/boltfile"
 	"archknot/internal/config"
 	"archknot/internal/fleet/model"
 )
 
-// Run is one run's place among the others.
-type Run struct {
-	Variant  string `json:"variant"`
-	Workload string `json:"workload"`
-	Seed     uint64 `json:"seed"`
+// Options of an experiment.
+type Options struct {
+	Jobs     int                   // runs at once; 0: GOMAXPROCS
+	Progress func(done, total int) // called at the start and after each run; may be nil
 }
 
-func (r Run) key() []byte { return fmt.Appendf(nil, "%s/%s/%d", r.Variant, r.Workload, r.Seed) }
-
-// Record is a run with its result.
-type Record struct {
+// plannedRun is a run that the store does not have.
+type plannedRun struct {
 	Run
-	Result *model.Result `json:"result"`
+	variant, workload config.Variant
 }
 
-var (
-	runsBucket = []byte("runs")
-	planBucket = []byte("plan")
-	planKey    = []byte("digest")
-)
-
-// Store keeps records. A run is one transaction: a kill loses those under way.
-type Store struct{ db *bbolt.DB }
-
-// ErrOtherPlan says that a folder has the results of another plan.
-var ErrOtherPlan = errors.New("it has the results of another plan")
-
-// OpenStore opens the results of a plan in a folder; plan nil: whatever plan's. One
-// that is damaged is set aside.
-func OpenStore(dir string, plan []byte) (s *Store, aside string, err error) {
-	db, aside, err := boltfile.Open(filepath.Join(dir, "results.db"), [][]byte{runsBucket, planBucket}, func(db *bbolt.DB) error {
-		_, err := (&Store{db}).Records()
-		return err
-	})
+// RunPlan runs what the plan has and the store has not, and stores the results. It stops at the first error
+// or when the context ends; runs in progress in this process are completed and stored.
+func RunPlan(ctx context.Context, plan *config.Plan, store *Store, options Options) error {
+	missing, total, err := missingRuns(plan, store)
 	if err != nil {
-		return nil, aside, err
-	}
-	s = &Store{db}
-	if plan == nil {
-		return s, aside, nil
+		return err
 	}
-	digest := strconv.AppendUint(nil, xxhash.Sum64(plan), 16)
-	err = db.Update(func(tx *bbolt.Tx) error {
-		b := tx.Bucket(planBucket)
-		if was := b.Get(planKey); was != nil && !bytes.Equal(was, digest) {
-			return ErrOtherPlan
-		}
-		return b.Put(planKey, digest)
-	})
-	if err != nil {
-		db.Close()
-		return nil, aside, err
+	ctx, stop := context.WithCancel(ctx)
+	defer stop()
+	r := &runner{plan: plan, store: store, progress: options.Progress, total: total, done: total - len(missing), stop: stop}
+	r.reportProgress()
+	jobs := options.Jobs
+	if jobs <= 0 {
+		jobs = runtime.GOMAXPROCS(0)
 	}
-	return s, aside, nil
-}
-
-// Close closes the store.
-func (s *Store) Close() error { return s.db.Close() }
-
-// Records are those that are done, by variant, workload and seed.
-func (s *Store) Records() (out []Record, err error) {
-	err = s.db.View(func(tx *bbolt.Tx) error {
-		return tx.Bucket(runsBucket).ForEach(func(_, text []byte) error {
-			var r Record
-			if err := json.Unmarshal(text, &r); err != nil {
-				return err
+	queue := make(chan plannedRun)
+	var workers sync.WaitGroup
+	for range min(jobs, max(1, len(missing))) {
+		workers.Go(func() {
+			for planned := range queue {
+				r.run(ctx, planned)
 			}
-			out = append(out, r)
-			return nil
 		})
-	})
-	return out, err
+	}
+	enqueue(ctx, queue, missing)
+	close(queue)
+	workers.Wait()
+	if r.firstErr != nil {
+		return r.firstErr
+	}
+	return ctx.Err()
 }
 
-func (s *Store) has(r Run) (ok bool) {
-	_ = s.db.View(func(tx *bbolt.Tx) error {
-		ok = tx.Bucket(runsBucket).Get(r.key()) != nil
-		return nil
-	})
-	return ok
+// enqueue sends runs to the queue until the context ends.
+func enqueue(ctx context.Context, queue chan<- plannedRun, runs []plannedRun) {
+	for _, planned := range runs {
+		select {
+		case queue <- planned:
+		case <-ctx.Done():
+		}
+		if ctx.Err() != nil {
+			return
+		}
+	}
 }
 
-func (s *Store) put(r Record) error {
-	text, err := json.Marshal(r)
-	if err != nil {
-		return err
+// missingRuns returns the plan's runs that the store does not have, and the number of all. Pairs of runs
+// come first, so that an early summary can compare variants.
+func missingRuns(plan *config.Plan, store *Store) (missing []plannedRun, total int, err error) {
+	for seed := uint64(1); seed <= uint64(plan.Seeds); seed++ {
+		for _, workload := range plan.Workloads {
+			for _, variant := range plan.Variants {
+				total++
+				run := Run{variant.Name, workload.Name, seed}
+				found, err := store.has(run)
+				if err != nil {
+					return nil, 0, err
+				}
+				if !found {
+					missing = append(missing, plannedRun{run, variant, workload})
+				}
+			}
+		}
 	}
-	return s.db.Update(func(tx *bbolt.Tx) error { return tx.Bucket(runsBucket).Put(r.key(), text) })
+	return missing, total, nil
 }
 
-// Options of an experiment.
-type Options struct {
-	Jobs     int // at once; 0: as many as there are cores
-	Progress func(done, all int)
+// runner runs and stores planned runs, and keeps count.
+type runner struct {
+	plan     *config.Plan
+	store    *Store
+	progress func(done, total int)
+	total    int
+	stop     context.CancelFunc // ends the experiment
+
+	mu       sync.Mutex
+	done     int
+	firstErr error
 }
 
-// RunPlan runs what a plan asks for and the store does not have yet.
-func RunPlan(ctx context.Context, p *config.Plan, s *Store, o Options) error {
-	var todo []func() (Record, error)
-	all := 0
-	for seed := uint64(1); seed <= uint64(p.Seeds); seed++ { // pairs first, so that an early look can compare
-		for _, w := range p.Workloads {
-			for _, v := range p.Variants {
-				all++
-				run := Run{v.Name, w.Name, seed}
-				if s.has(run) {
-					continue
-				}
-				todo = append(todo, func() (Record, error) {
-					res, err := runOnce(ctx, p, v, w, seed)
-					return Record{run, res}, err
-				})
-			}
-		}
+// run runs a planned run and stores its result. The first error stops the experiment.
+func (r *runner) run(ctx context.Context, planned plannedRun) {
+	result, err := runOnce(ctx, r.plan, planned)
+	r.mu.Lock()
+	defer r.mu.Unlock()
+	if err == nil {
+		err = r.store.put(Record{planned.Run, result})
 	}
-	if o.Jobs <= 0 {
-		o.Jobs = runtime.GOMAXPROCS(0)
+	r.done++
+	if err == nil {
+		r.reportProgress()
+		return
 	}
-	done := all - len(todo)
-	if o.Progress != nil {
-		o.Progress(done, all)
+	if r.firstErr == nil {
+		r.firstErr = fmt.Errorf("%s: %w", planned.Run, err)
+		r.stop()
 	}
-	ctx, stop := context.WithCancel(ctx)
-	defer stop()
-	var mu sync.Mutex
-	var first error
-	work := make(chan func() (Record, error))
-	var tasks sync.WaitGroup
-	for range min(o.Jobs, max(1, len(todo))) {
-		tasks.Add(1)
-		go func() {
-			defer tasks.Done()
-			for f := range work {
-				r, err := f()
-				mu.Lock()
-				if err == nil {
-					err = s.put(r)
-				}
-				if err != nil && first == nil {
-					first = fmt.Errorf("%s: %w", r.key(), err)
-					stop()
-				}
-				done++
-				if o.Progress != nil && err == nil {
-					o.Progress(done, all)
-				}
-				mu.Unlock()
-			}
-		}()
+}
+
+// reportProgress reports the progress. The caller holds the lock once runs are in progress.
+func (r *runner) reportProgress() {
+	if r.progress != nil {
+		r.progress(r.done, r.total)
 	}
-	for _, f := range todo {
-		select {
-		case work <- f:
-		case <-ctx.Done():
-		}
-		if ctx.Err() != nil {
-			break
-		}
+}
+
+// runOnce runs a planned run in this process, or with the program of another build.
+func runOnce(ctx context.Context, plan *config.Plan, planned plannedRun) (*model.Result, error) {
+	if planned.variant.Program != "" {
+		return runProgram(ctx, plan, planned)
 	}
-	close(work)
-	tasks.Wait()
-	if first != nil {
-		return first
+	spec, err := plan.Spec(planned.variant, planned.workload, planned.Seed)
+	if err != nil {
+		return nil, err
 	}
-	return ctx.Err()
+	return model.Run(spec)
 }
 
-// runOnce runs one variant, here or by another build's program.
-func runOnce(ctx context.Context, p *config.Plan, v, w config.Variant, seed uint64) (*model.Result, error) {
-	if v.Program == "" {
-		spec, err := p.Spec(v, w, seed)
-		if err != nil {
-			return nil, err
-		}
-		return model.Run(spec)
-	}
-	cmd := exec.CommandContext(ctx, v.Program, "experiment", "one", p.File, "--variant", v.Name, "--workload", w.Name, "--seed", strconv.FormatUint(seed, 10))
+// runProgram runs a planned run with another build's program, which prints the result as JSON.
+func runProgram(ctx context.Context, plan *config.Plan, planned plannedRun) (*model.Result, error) {
+	program := planned.variant.Program
+	cmd := exec.CommandContext(ctx, program, "experiment", "one", plan.File,
+		"--variant", planned.Variant, "--workload", planned.Workload, "--seed", strconv.FormatUint(planned.Seed, 10))
 	cmd.Stderr = os.Stderr
 	out, err := cmd.Output()
 	if err != nil {
-		return nil, fmt.Errorf("%s: %w", v.Program, err)
+		return nil, fmt.Errorf("%s: %w", program, err)
 	}
-	res := &model.Result{}
-	return res, json.Unmarshal(out, res)
+	result := &model.Result{}
+	return result, json.Unmarshal(out, result)
 }
--- a/internal/experiment/stats.go
+++ b/internal/experiment/stats.go
@@ -11,36 +11,38 @@
 	"gonum.org/v1/gonum/stat/distuv"
 )
 
-// Verdict is what pairs of runs tell of a difference.
+// Verdict is what pairs of runs show of a difference.
 type Verdict uint8
 
+// The verdicts.
 const (
 	Inconclusive Verdict = iota
 	Better
 	Worse
 )
 
+// String returns the verdict in words.
 func (v Verdict) String() string { return [...]string{"cannot tell", "better", "worse"}[v] }
 
-// MarshalText: the word.
+// MarshalText returns String.
 func (v Verdict) MarshalText() ([]byte, error) { return []byte(v.String()), nil }
 
-// Difference is that of one figure between two variants, over pairs of runs with
-// the same workload and seed.
+// Difference is the difference of a metric between a variant and the base, over pairs of runs with the
+// same workload and seed.
 type Difference struct {
 	Pairs    int        `json:"pairs"`
-	Base     float64    `json:"base"` // means
-	Variant  float64    `json:"variant"`
-	Mean     float64    `json:"difference"`
-	Interval [2]float64 `json:"interval"` // 95%
+	Base     float64    `json:"base"`       // the mean
+	Variant  float64    `json:"variant"`    // the mean
+	Mean     float64    `json:"difference"` // of the variant from the base
+	Interval [2]float64 `json:"interval"`   // 95% interval of the difference
 	Verdict  Verdict    `json:"verdict"`
-	// PairsNeeded is how many pairs in all would likely tell a difference as large as was
-	// seen; 0: this many did, or none was seen.
+	// PairsNeeded is about how many pairs in all would show a difference as large as the mean; 0: this many
+	// do, or there is no difference.
 	PairsNeeded int `json:"pairs_needed,omitempty"`
 }
 
-// Words says it plainly.
-func (d *Difference) Words() string {
+// Describe returns the difference in words.
+func (d *Difference) Describe() string {
 	switch {
 	case d.Verdict != Inconclusive:
 		low, high := math.Abs(d.Interval[0]), math.Abs(d.Interval[1])
@@ -53,76 +55,95 @@
 	return fmt.Sprintf("cannot tell with %d runs: no difference was seen", d.Pairs)
 }
 
-// minPairs is how many pairs a verdict needs.
-const minPairs = 4
-
-// resamples is how many resamples an interval is made of.
-const resamples = 2000
+const (
+	// minPairs is the least number of pairs for a verdict.
+	minPairs = 4
+	// resamples is the number of bootstrap resamples of an interval.
+	resamples = 2000
+	// upperQuantile and lowerQuantile bound a 95% interval.
+	upperQuantile, lowerQuantile = 0.975, 0.025
+	// degenerateWidth is the width of the interval, in standard errors to each side, where nearly all
+	// resamples have a single value.
+	degenerateWidth = 4
+	// detectionZ is the sum of the normal quantiles of a 5% two-sided test with a power of 80%.
+	detectionZ = 1.96 + 0.84
+)
 
-// Compare tells how a variant differs from the base, pair by pair. more says that a
-// higher figure is better. The interval is the studentized bootstrap's (Efron and
-// Tibshirani, An Introduction to the Bootstrap, 1993, chapter 12), or Student's where
-// that is wider: with few pairs the plain percentile one is too narrow.
-func Compare(base, variant []float64, more bool, seed uint64) Difference {
+// Compare compares a variant with the base pair by pair. The interval is the studentized bootstrap's (Efron
+// and Tibshirani, An Introduction to the Bootstrap, 1993, chapter 12), or Student's where that is wider:
+// with few pairs the plain percentile interval is too narrow.
+func Compare(base, variant []float64, higherIsBetter bool, seed uint64) Difference {
 	n := min(len(base), len(variant))
 	d := Difference{Pairs: n}
 	if n == 0 {
 		return d
 	}
-	diff := make([]float64, n)
-	for i := range diff {
-		diff[i] = variant[i] - base[i]
+	differences := make([]float64, n)
+	for i := range differences {
+		differences[i] = variant[i] - base[i]
 	}
 	d.Base, d.Variant = stat.Mean(base[:n], nil), stat.Mean(variant[:n], nil)
-	d.Mean = stat.Mean(diff, nil)
+	d.Mean = stat.Mean(differences, nil)
 	low, high := d.Mean, d.Mean
 	sd := 0.0
 	if n > 1 {
-		sd = stat.StdDev(diff, nil)
+		sd = stat.StdDev(differences, nil)
 	}
 	if sd > 0 && n >= minPairs {
-		low, high = interval(diff, d.Mean, sd/math.Sqrt(float64(n)), seed)
+		low, high = bootstrapInterval(differences, d.Mean, sd/math.Sqrt(float64(n)), seed)
 	}
 	d.Interval = [2]float64{low, high}
 	if n < minPairs {
 		return d
 	}
 	switch {
-	case low > 0 && more, high < 0 && !more:
+	case low > 0 && higherIsBetter, high < 0 && !higherIsBetter:
 		d.Verdict = Better
 	case high < 0, low > 0:
 		d.Verdict = Worse
 	case d.Mean != 0:
-		// A normal test of that size with four chances in five to tell it.
-		const z = 1.96 + 0.84
-		d.PairsNeeded = max(n+1, int(math.Ceil(z*z*sd*sd/(d.Mean*d.Mean))))
+		d.PairsNeeded = max(n+1, int(math.Ceil(detectionZ*detectionZ*sd*sd/(d.Mean*d.Mean))))
 	}
 	return d
 }
 
-func interval(diff []float64, mean, se float64, seed uint64) (low, high float64) {
-	rng := rand.New(rand.NewPCG(seed, uint64(len(diff))))
-	n := len(diff)
-	ts := make([]float64, 0, resamples)
+// bootstrapInterval returns the interval of a mean with its standard error.
+func bootstrapInterval(values []float64, mean, standardError float64, seed uint64) (low, high float64) {
+	n := len(values)
+	statistics := bootstrapStatistics(values, mean, seed)
+	if len(statistics) < resamples/2 {
+		return mean - degenerateWidth*standardError, mean + degenerateWidth*standardError
+	}
+	slices.SortFunc(statistics, cmp.Compare)
+	low = mean - stat.Quantile(upperQuantile, stat.Empirical, statistics, nil)*standardError
+	high = mean - stat.Quantile(lowerQuantile, stat.Empirical, statistics, nil)*standardError
+	// With a dozen pairs the bootstrap's interval found a difference between equal variants in 7 to 11 of
+	// 100 experiments, hence it is never narrower than Student's.
+	halfWidth := studentQuantile(n) * standardError
+	return min(low, mean-halfWidth), max(high, mean+halfWidth)
+}
+
+// bootstrapStatistics returns the t statistics of resamples. Those of resamples of a single value are left out.
+func bootstrapStatistics(values []float64, mean float64, seed uint64) []float64 {
+	rng := rand.New(rand.NewPCG(seed, uint64(len(values))))
+	n := len(values)
+	statistics := make([]float64, 0, resamples)
 	sample := make([]float64, n)
 	for range resamples {
 		for i := range sample {
-			sample[i] = diff[rng.IntN(n)]
+			sample[i] = values[rng.IntN(n)]
 		}
-		m, s := stat.MeanStdDev(sample, nil)
-		if s > 0 {
-			ts = append(ts, (m-mean)/(s/math.Sqrt(float64(n))))
+		m, sd := stat.MeanStdDev(sample, nil)
+		if sd > 0 {
+			statistics = append(statistics, (m-mean)/(sd/math.Sqrt(float64(n))))
 		}
 	}
-	if len(ts) < resamples/2 {
-		return mean - 4*se, mean + 4*se // nearly all resamples are of one value: a wide one
-	}
-	slices.SortFunc(ts, cmp.Compare)
-	low, high = mean-stat.Quantile(0.975, stat.Empirical, ts, nil)*se, mean-stat.Quantile(0.025, stat.Empirical, ts, nil)*se
-	// With a dozen pairs it was seen to tell equal ones apart in 7 to 11 of 100: it is
-	// never taken narrower than Student's.
-	t := distuv.StudentsT{Mu: 0, Sigma: 1, Nu: float64(n - 1)}.Quantile(0.975) * se
-	return min(low, mean-t), max(high, mean+t)
+	return statistics
+}
+
+// studentQuantile returns the quantile of Student's distribution for a 95% interval from n values.
+func studentQuantile(n int) float64 {
+	return distuv.StudentsT{Mu: 0, Sigma: 1, Nu: float64(n - 1)}.Quantile(upperQuantile)
 }
 
 // Interval is a mean with its 95% interval.
@@ -133,7 +154,7 @@
 	High float64 `json:"high"`
 }
 
-// String is for tables.
+// String returns the interval for tables.
 func (i Interval) String() string {
 	if i.N < 2 {
 		return fmt.Sprintf("%.4g", i.Mean)
@@ -141,16 +162,17 @@
 	return fmt.Sprintf("%.4g (%.4g to %.4g, n=%d)", i.Mean, i.Low, i.High, i.N)
 }
 
-// MeanInterval is the mean of some runs' figures with Student's interval.
-func MeanInterval(list []float64) Interval {
-	n := len(list)
+// MeanInterval returns the mean of values with Student's interval.
+func MeanInterval(values []float64) Interval {
+	n := len(values)
 	if n == 0 {
 		return Interval{}
 	}
-	i := Interval{N: n, Mean: stat.Mean(list, nil)}
-	if i.Low, i.High = i.Mean, i.Mean; n > 1 {
-		half := distuv.StudentsT{Sigma: 1, Nu: float64(n - 1)}.Quantile(0.975) * stat.StdDev(list, nil) / math.Sqrt(float64(n))
-		i.Low, i.High = i.Mean-half, i.Mean+half
+	mean := stat.Mean(values, nil)
+	interval := Interval{N: n, Mean: mean, Low: mean, High: mean}
+	if n > 1 {
+		halfWidth := studentQuantile(n) * stat.StdDev(values, nil) / math.Sqrt(float64(n))
+		interval.Low, interval.High = mean-halfWidth, mean+halfWidth
 	}
-	return i
+	return interval
 }
