--- a/internal/cli/site.go
+++ b/internal/cli/site.go
@@ -49,7 +49,7 @@
 	if c.At < time.Second || c.For <= 0 || c.Watch < time.Second || c.Told < 0 || c.At+c.Watch > time.Hour || c.Played < 2 || c.Played > 1000 {
 		return l, errors.New("--at, --watch: expected 1s or more, an hour at most in all; --for: above 0; --played: 2 to 1000")
 	}
-	return siteforecast.Loss{Site: c.Lose, At: c.At.Microseconds(), For: c.For.Microseconds(), Told: c.Told.Microseconds(), Watch: c.Watch.Microseconds()}, nil
+	return siteforecast.Loss{Site: c.Lose, At: c.At.Microseconds(), Duration: c.For.Microseconds(), NoticedAfter: c.Told.Microseconds(), Observed: c.Watch.Microseconds()}, nil
 }
 
 // make plays the model.
@@ -144,7 +144,7 @@
 	for i, name := range []string{"with the loss", "without", "back"} {
 		line := chart.ContinuousSeries{Name: name, Style: chart.Style{StrokeColor: chart.GetDefaultColor(i), StrokeWidth: 2}}
 		if name == "back" {
-			at := float64(f.Lost.For) / 1e6
+			at := float64(f.Lost.Duration) / 1e6
 			line.XValues, line.YValues = []float64{at, at}, []float64{0, 1}
 		} else {
 			for _, x := range f.Seconds {
--- a/internal/faulttest/drill_test.go
+++ b/internal/faulttest/drill_test.go
@@ -164,7 +164,7 @@
 			if err != nil {
 				t.Fatal(err)
 			}
-			spec, err = siteforecast.Loss{Site: "south", At: 2 * second, For: max(1, c.away), Told: 9 * second, Watch: 7 * second}.Spec(spec)
+			spec, err = siteforecast.Loss{Site: "south", At: 2 * second, Duration: max(1, c.away), NoticedAfter: 9 * second, Observed: 7 * second}.Spec(spec)
 			if err != nil {
 				t.Fatal(err)
 			}
--- a/internal/siteforecast/forecast_test.go
+++ b/internal/siteforecast/forecast_test.go
@@ -5,13 +5,15 @@
 	"reflect"
 	"testing"
 
+	"archknot/balancer"
 	"archknot/internal/config"
 	"archknot/internal/fleet/model"
 )
 
-const sec = 1_000_000
+const second balancer.Micros = 1_000_000
 
-func plan(t *testing.T, variant string) func(uint64) (*model.Spec, error) {
+// plan returns the runs of a variant of the site-loss plan.
+func plan(t *testing.T, variant string) SpecFunc {
 	t.Helper()
 	p, err := config.LoadPlan("../../deploy/site-loss.plan")
 	if err != nil {
@@ -26,28 +28,31 @@
 	return nil
 }
 
+// A forecast is deterministic, within the fluid bound, sheds the lowest weight for its work first, and is worse
+// for more traffic.
 func TestForecast(t *testing.T) {
-	l := Loss{Site: "south", At: 4 * sec, For: 5 * sec, Told: 6 * sec, Watch: 15 * sec}
-	make := func(variant string) *Forecast {
+	l := Loss{Site: "south", At: 4 * second, Duration: 5 * second, NoticedAfter: 6 * second, Observed: 15 * second}
+	forecast := func(variant string) *Forecast {
+		t.Helper()
 		f, err := Run(context.Background(), plan(t, variant), l, Options{Seeds: 4, FirstSeed: 1})
 		if err != nil {
 			t.Fatal(err)
 		}
 		return f
 	}
-	usual, full := make("usual"), make("full")
-	if !reflect.DeepEqual(usual, make("usual")) {
+	usual, full := forecast("usual"), forecast("full")
+	if !reflect.DeepEqual(usual, forecast("usual")) {
 		t.Error("two forecasts of one plan differ")
 	}
 	if usual.Served.Mean < full.Served.Mean || full.FluidBound >= usual.FluidBound || full.Sites[0].LoadAfterLoss <= 1 || usual.Sites[0].LoadAfterLoss >= 1 {
 		t.Errorf("more traffic is no worse: %+v and %+v", usual.Sites, full.Sites)
 	}
 	if full.Served.Mean > full.FluidBound+0.03 {
-		t.Errorf("served %.3f, above the oracle's bound %.3f", full.Served.Mean, full.FluidBound)
+		t.Errorf("served %.3f, above the fluid bound %.3f", full.Served.Mean, full.FluidBound)
 	}
 	for i := 1; i < len(full.Classes); i++ {
 		if full.Classes[i].WeightPerWork < full.Classes[i-1].WeightPerWork {
-			t.Errorf("the order of refusals: %+v", full.Classes)
+			t.Errorf("the order in which classes are shed: %+v", full.Classes)
 		}
 	}
 	if len(full.Seconds) < 14 || full.SpareFactor < 1.1 || usual.SpareFactor != 1 {
@@ -55,14 +60,15 @@
 	}
 }
 
-func TestWrongLosses(t *testing.T) {
+// A loss of an unknown site or without a duration is rejected; the plan's own run stays unchanged.
+func TestInvalidLosses(t *testing.T) {
 	s, err := plan(t, "usual")(1)
 	if err != nil {
 		t.Fatal(err)
 	}
-	for name, l := range map[string]Loss{"no such site": {Site: "east", At: 1, For: 1, Watch: 1}, "no time": {Site: "south", At: 1, Watch: 1}} {
+	for name, l := range map[string]Loss{"no such site": {Site: "east", At: 1, Duration: 1, Observed: 1}, "no time": {Site: "south", At: 1, Observed: 1}} {
 		if _, err := l.Spec(s); err == nil {
-			t.Errorf("%s: taken", name)
+			t.Errorf("%s: accepted", name)
 		}
 	}
 	if len(s.Faults) != 0 || len(s.Strikes) != 0 {
