--- a/internal/cli/capture.go
+++ b/internal/cli/capture.go
@@ -30,21 +30,21 @@
 	Save    saveCmd    `cmd:"" help:"Have a running gateway keep its last minutes as an incident."`
 }
 
-// span is a part of a run.
-type span struct {
+// timeSpan is a part of a run.
+type timeSpan struct {
 	From string `placeholder:"TIME" help:"Where to begin: +30s from the start, -30s from the end, or a time of day as 2026-12-01T10:00:00Z."`
 	To   string `placeholder:"TIME" help:"Where to end."`
 }
 
-// of gives the span's ends on a run's clock; 0: none.
-func (s span) of(run *capture.Run) (from, to balancer.Micros, err error) {
-	if from, err = moment(s.From, run); err == nil {
-		to, err = moment(s.To, run)
+// within gives the span's ends on a run's clock; 0: none.
+func (s timeSpan) within(run *capture.Run) (from, to balancer.Micros, err error) {
+	if from, err = parseMoment(s.From, run); err == nil {
+		to, err = parseMoment(s.To, run)
 	}
 	return from, to, err
 }
 
-func moment(text string, run *capture.Run) (balancer.Micros, error) {
+func parseMoment(text string, run *capture.Run) (balancer.Micros, error) {
 	if text == "" {
 		return 0, nil
 	}
@@ -115,7 +115,7 @@
 		list = append(list, i)
 	}
 	if c.JSON {
-		return s.print(list)
+		return s.printJSON(list)
 	}
 	w := tabwriter.NewWriter(s.out, 0, 0, 2, ' ', 0)
 	fmt.Fprintln(w, "gateway\trun\tbuild\tbegin\tlength\tfiles\tsize\tevents\tcheckpoints\tincident")
@@ -145,7 +145,7 @@
 		Missing []capture.Missing `json:"missing"`
 	}{Missing: []capture.Missing{}}
 	for _, run := range runs {
-		err := each(run, span{}, func(e capture.Entry) error {
+		err := eachEntry(run, timeSpan{}, func(e capture.Entry) error {
 			switch {
 			case e.Missing != nil:
 				out.Missing = append(out.Missing, *e.Missing)
@@ -165,7 +165,7 @@
 		}
 	}
 	if c.JSON {
-		if err := s.print(out); err != nil {
+		if err := s.printJSON(out); err != nil {
 			return err
 		}
 	} else {
@@ -175,14 +175,14 @@
 		fmt.Fprintf(s.out, "events=%d missing=%d\n", out.Events, len(out.Missing))
 	}
 	if len(out.Missing) > 0 {
-		return errNo
+		return errNegative
 	}
 	return nil
 }
 
-// each reads a span of a run, entry by entry.
-func each(run *capture.Run, sp span, do func(capture.Entry) error) error {
-	from, to, err := sp.of(run)
+// eachEntry reads a span of a run, entry by entry.
+func eachEntry(run *capture.Run, sp timeSpan, do func(capture.Entry) error) error {
+	from, to, err := sp.within(run)
 	if err != nil {
 		return err
 	}
@@ -207,7 +207,7 @@
 
 type dumpCmd struct {
 	Paths []string `arg:"" help:"Segments, or folders of them."`
-	span
+	timeSpan
 	Where string `placeholder:"EXPR" help:"Only events that match; see archknot replay --help."`
 	Exact bool   `help:"No event before --from, though the checkpoint before it is read."`
 	JSON  bool   `name:"json" help:"Print JSON, an object a line, checkpoints with their whole state."`
@@ -229,14 +229,14 @@
 	w := bufio.NewWriter(s.out)
 	for _, run := range runs {
 		names := replay.NewNames()
-		from, _, err := c.of(run)
+		from, _, err := c.within(run)
 		if err != nil {
 			return err
 		}
 		if !c.JSON {
 			fmt.Fprintf(w, "# %s run %s from %s\n", run.Gateway, run.Name, run.WallTime(run.Begin()).Format(time.RFC3339Nano))
 		}
-		err = each(run, c.span, func(e capture.Entry) error {
+		err = eachEntry(run, c.timeSpan, func(e capture.Entry) error {
 			if e.Missing != nil {
 				if c.JSON {
 					fmt.Fprintf(w, "{\"missing\":%q,\"events\":%d}\n", e.Missing.Reason, e.Missing.Events)
@@ -298,7 +298,7 @@
 type cutCmd struct {
 	Path string `arg:"" help:"The capture: one run."`
 	Out  string `arg:"" help:"The new file."`
-	span
+	timeSpan
 	JSON bool `name:"json" help:"Print JSON."`
 }
 
@@ -315,7 +315,7 @@
 	if len(runs) != 1 {
 		return fmt.Errorf("%s: %d runs in it; name the files of one", c.Path, len(runs))
 	}
-	from, to, err := c.of(runs[0])
+	from, to, err := c.within(runs[0])
 	if err != nil {
 		return err
 	}
@@ -331,7 +331,7 @@
 		return err
 	}
 	if c.JSON {
-		return s.print(map[string]any{"path": c.Out, "events": events, "bytes": info.Size()})
+		return s.printJSON(map[string]any{"path": c.Out, "events": events, "bytes": info.Size()})
 	}
 	fmt.Fprintf(s.out, "%s: events=%d bytes=%d\n", c.Out, events, info.Size())
 	return nil
@@ -361,7 +361,7 @@
 	}
 	if !found {
 		fmt.Fprintf(s.err, "archknot: request %q is not in the capture\n", c.ID)
-		return errNo
+		return errNegative
 	}
 	return nil
 }
@@ -382,7 +382,7 @@
 		return err
 	}
 	if c.JSON {
-		return s.print(a)
+		return s.printJSON(a)
 	}
 	fmt.Fprintf(s.out, "%s: segments=%d bytes=%d\n", a.Path, a.Segments, a.Bytes)
 	return nil
--- a/internal/cli/cli.go
+++ b/internal/cli/cli.go
@@ -17,9 +17,9 @@
 
 // Exit codes.
 const (
-	Good  = 0
-	No    = 1 // the answer is no
-	Wrong = 2 // wrong use, or something cannot be read
+	ExitOK       = 0
+	ExitNegative = 1 // the answer is no
+	ExitError    = 2 // wrong use, or something cannot be read
 )
 
 type commands struct {
@@ -41,15 +41,15 @@
 	getenv   func(string) string
 }
 
-// errNo is an answer that is no: what was found is told already.
-var errNo = errors.New("no")
+// errNegative is an answer that is no: what was found is told already.
+var errNegative = errors.New("no")
 
 // Main runs the command that the arguments name and returns the exit code.
 func Main(args []string, out, errOut io.Writer, getenv func(string) string) int {
 	s := &streams{out, errOut, getenv}
 	if len(args) == 0 {
 		// As the platform starts it: without what the commands' parser takes up.
-		return s.exit((&serveCmd{Config: getenv("ARCHKNOT_CONF")}).Run(s))
+		return s.exitCode((&serveCmd{Config: getenv("ARCHKNOT_CONF")}).Run(s))
 	}
 	var c commands
 	exited := -1
@@ -61,45 +61,45 @@
 	}
 	ctx, err := parser.Parse(args)
 	if exited >= 0 { // --help has been shown
-		return Good
+		return ExitOK
 	}
 	if err != nil {
 		fmt.Fprintf(errOut, "archknot: %v\n", err)
 		fmt.Fprintf(errOut, "archknot: see archknot --help\n")
-		return Wrong
+		return ExitError
 	}
-	return s.exit(ctx.Run())
+	return s.exitCode(ctx.Run())
 }
 
-// exit tells the exit code of a command that ended with an error, and says why.
-func (s *streams) exit(err error) int {
+// exitCode tells the exit code of a command that ended with an error, and says why.
+func (s *streams) exitCode(err error) int {
 	var bad lifecycle.ConfigError
-	var failed serveFailed
+	var failed serveError
 	switch {
 	case err == nil:
-		return Good
-	case errors.Is(err, errNo):
-		return No
+		return ExitOK
+	case errors.Is(err, errNegative):
+		return ExitNegative
 	case errors.As(err, &bad): // in the log's form: this is what a supervisor reads
 		fmt.Fprintf(s.err, "level=ERROR msg=failed err=%q\n", bad.Error())
-		return Wrong
+		return ExitError
 	case errors.As(err, &failed):
 		fmt.Fprintf(s.err, "level=ERROR msg=failed err=%q\n", failed.Error())
-		return No
+		return ExitNegative
 	}
 	fmt.Fprintf(s.err, "archknot: %v\n", err)
-	return Wrong
+	return ExitError
 }
 
-// print writes a value as indented JSON.
-func (s *streams) print(v any) error {
+// printJSON writes a value as indented JSON.
+func (s *streams) printJSON(v any) error {
 	e := json.NewEncoder(s.out)
 	e.SetIndent("", "  ")
 	return e.Encode(v)
 }
 
-// writeFile writes a file that is whole or not there.
-func writeFile(path string, write func(io.Writer) error) error {
+// writeFileAtomically writes a file that is whole or not there.
+func writeFileAtomically(path string, write func(io.Writer) error) error {
 	f, err := renameio.NewPendingFile(path, renameio.WithPermissions(0o644))
 	if err != nil {
 		return err
@@ -119,7 +119,7 @@
 
 func (c *versionCmd) Run(s *streams) error {
 	if c.JSON {
-		return s.print(map[string]string{"build": buildinfo.Version()})
+		return s.printJSON(map[string]string{"build": buildinfo.Version()})
 	}
 	fmt.Fprintln(s.out, "archknot", buildinfo.Version())
 	return nil
@@ -135,8 +135,8 @@
 		"Example:\n  NODE_CONFIG=example/config.json archknot serve --config deploy/archknot.conf"
 }
 
-// serveFailed is a gateway that could not start or go on.
-type serveFailed struct{ error }
+// serveError is a gateway that could not start or go on.
+type serveError struct{ error }
 
 func (c *serveCmd) Run(s *streams) error {
 	lifecycle.StartLog()
@@ -144,7 +144,7 @@
 	err := lifecycle.Run(s.getenv, c.Config)
 	var bad lifecycle.ConfigError
 	if err != nil && !errors.As(err, &bad) {
-		return serveFailed{err}
+		return serveError{err}
 	}
 	return err
 }
--- a/internal/cli/config.go
+++ b/internal/cli/config.go
@@ -37,7 +37,7 @@
 		for _, p := range problems {
 			list = append(list, map[string]any{"file": p.File, "line": p.Line, "column": p.Column, "key": p.Key, "what": p.Message})
 		}
-		if err := s.print(map[string]any{"good": err == nil, "problems": list}); err != nil {
+		if err := s.printJSON(map[string]any{"good": err == nil, "problems": list}); err != nil {
 			return err
 		}
 	} else if err != nil {
@@ -46,7 +46,7 @@
 		fmt.Fprintf(s.out, "%s: good\n", c.File)
 	}
 	if err != nil {
-		return errNo
+		return errNegative
 	}
 	return nil
 }
@@ -67,7 +67,7 @@
 		return err
 	}
 	if c.JSON {
-		return s.print(got.Settings())
+		return s.printJSON(got.Settings())
 	}
 	fmt.Fprint(s.out, got.Text(c.Docs))
 	return nil
--- a/internal/cli/contracts.go
+++ b/internal/cli/contracts.go
@@ -27,8 +27,8 @@
 	Report   reportCmd        `cmd:"" help:"Write the same as an HTML page with a chart and a table."`
 }
 
-// accounts are the books of a running gateway.
-func (f *socketFlags) accounts(s *streams) (list []contract.AccountStatus, err error) {
+// loadAccounts are the books of a running gateway.
+func (f *socketFlags) loadAccounts(s *streams) (list []contract.AccountStatus, err error) {
 	err = f.call(s, "contracts/accounts", struct{}{}, &list)
 	return list, err
 }
@@ -43,51 +43,51 @@
 	return "Examples:\n  archknot contracts list deploy/archknot.conf\n  archknot contracts list --socket /run/archknot.sock"
 }
 
-func tokens(u contract.Units) string { return humanize.Comma(u / contract.Token) }
+func formatTokens(u contract.Units) string { return humanize.Comma(u / contract.Token) }
 
 func (c *listContractsCmd) Run(s *streams) error {
 	if c.File == "" {
-		list, err := c.accounts(s)
+		list, err := c.loadAccounts(s)
 		if err != nil {
 			return err
 		}
 		if c.JSON {
-			return s.print(list)
+			return s.printJSON(list)
 		}
-		return s.accounts(list)
+		return s.printAccounts(list)
 	}
 	got, err := config.Load(c.File)
 	if err != nil {
 		return err
 	}
 	if c.JSON {
-		return s.print(got.Contracts.Teams)
+		return s.printJSON(got.Contracts.Teams)
 	}
 	w := tabwriter.NewWriter(s.out, 0, 4, 2, ' ', tabwriter.AlignRight)
 	fmt.Fprintln(w, "team\trate/s\tburst\tworth\tover\thard\ttenants\tbudgets\tfrom\tuntil\t")
 	for _, t := range got.Contracts.Teams {
 		var budgets []string
 		for _, g := range t.Budgets {
-			budgets = append(budgets, fmt.Sprintf("%s %s/%s", g.Period, tokens(g.Soft), tokens(g.Hard)))
+			budgets = append(budgets, fmt.Sprintf("%s %s/%s", g.Period, formatTokens(g.Soft), formatTokens(g.Hard)))
 		}
 		worth := t.PriorityWeight
 		if worth == 0 {
 			worth = 1
 		}
-		fmt.Fprintf(w, "%s\t%s\t%s\t%g\t%g\t%v\t%d\t%s\t%s\t%s\t\n", t.Team, tokens(contract.Units(t.Rate)), tokens(t.Burst), worth, t.OverQuotaWeight, t.Hard,
-			len(t.Tenants), strings.Join(budgets, ", "), day(t.From), day(t.Until))
+		fmt.Fprintf(w, "%s\t%s\t%s\t%g\t%g\t%v\t%d\t%s\t%s\t%s\t\n", t.Team, formatTokens(contract.Units(t.Rate)), formatTokens(t.Burst), worth, t.OverQuotaWeight, t.Hard,
+			len(t.Tenants), strings.Join(budgets, ", "), formatDay(t.From), formatDay(t.Until))
 	}
 	return w.Flush()
 }
 
-func day(unix balancer.Micros) string {
+func formatDay(unix balancer.Micros) string {
 	if unix == 0 {
 		return "-"
 	}
 	return time.UnixMicro(unix).UTC().Format(time.DateOnly)
 }
 
-func (s *streams) accounts(list []contract.AccountStatus) error {
+func (s *streams) printAccounts(list []contract.AccountStatus) error {
 	w := tabwriter.NewWriter(s.out, 0, 4, 2, ' ', tabwriter.AlignRight)
 	fmt.Fprintln(w, "team\tvalid\tpart\tlevel\topen\ttaken\tover\trefused\tused\tborrowed\tbudgets\t")
 	for _, a := range list {
@@ -97,8 +97,8 @@
 				budgets = append(budgets, fmt.Sprintf("%s %.1f%%", contract.Period(p), 100*float64(a.Used[p])/float64(limit)))
 			}
 		}
-		fmt.Fprintf(w, "%s\t%v\t%.3f\t%s\t%d\t%d\t%d\t%d\t%s\t%s\t%s\t\n", a.Team, a.InForce, a.QuotaShare, tokens(a.Level), a.Open, a.Counters.Admitted, a.Counters.OverQuota,
-			a.Counters.Rejected, tokens(a.Counters.Used), tokens(a.Counters.Borrowed), strings.Join(budgets, ", "))
+		fmt.Fprintf(w, "%s\t%v\t%.3f\t%s\t%d\t%d\t%d\t%d\t%s\t%s\t%s\t\n", a.Team, a.InForce, a.QuotaShare, formatTokens(a.Level), a.Open, a.Counters.Admitted, a.Counters.OverQuota,
+			a.Counters.Rejected, formatTokens(a.Counters.Used), formatTokens(a.Counters.Borrowed), strings.Join(budgets, ", "))
 	}
 	return w.Flush()
 }
@@ -118,10 +118,10 @@
 func (c *showContractCmd) Run(s *streams) error {
 	none := func() error {
 		fmt.Fprintf(s.err, "archknot: no contract %q\n", c.Team)
-		return errNo
+		return errNegative
 	}
 	if c.File == "" {
-		list, err := c.accounts(s)
+		list, err := c.loadAccounts(s)
 		if err != nil {
 			return err
 		}
@@ -130,9 +130,9 @@
 		case i < 0:
 			return none()
 		case c.JSON:
-			return s.print(list[i])
+			return s.printJSON(list[i])
 		}
-		return s.accounts(list[i : i+1])
+		return s.printAccounts(list[i : i+1])
 	}
 	got, err := config.Load(c.File)
 	if err != nil {
@@ -143,20 +143,20 @@
 	case i < 0:
 		return none()
 	case c.JSON:
-		return s.print(got.Contracts.Teams[i])
+		return s.printJSON(got.Contracts.Teams[i])
 	}
 	fmt.Fprint(s.out, strings.TrimPrefix(config.FormatContract(&got.Contracts.Teams[i]), "\n"))
 	return nil
 }
 
-// trialFlags are what a trial of contracts needs.
-type trialFlags struct {
-	span
+// simulationFlags are what a trial of contracts needs.
+type simulationFlags struct {
+	timeSpan
 	Paths  []string `arg:"" help:"Segments of a capture, or folders of them."`
 	Config string   `required:"" env:"ARCHKNOT_CONF" placeholder:"FILE" help:"The settings with the contracts."`
 }
 
-func (f *trialFlags) run(s *streams, points int) ([]*contractsim.Result, error) {
+func (f *simulationFlags) simulate(s *streams, points int) ([]*contractsim.Result, error) {
 	got, err := config.Load(f.Config)
 	if err != nil {
 		return nil, err
@@ -170,11 +170,11 @@
 	}
 	var out []*contractsim.Result
 	for _, r := range runs {
-		from, to, err := f.of(r)
+		from, to, err := f.within(r)
 		if err != nil {
 			return nil, err
 		}
-		o := contractsim.Options{Settings: got.Contracts.LedgerSettings(), Terms: got.Contracts.Teams, From: from, To: to, SeriesPoints: points, Progress: progress(s, r)}
+		o := contractsim.Options{Settings: got.Contracts.LedgerSettings(), Terms: got.Contracts.Teams, From: from, To: to, SeriesPoints: points, Progress: replayProgress(s, r)}
 		o.Settings.ReserveFraction, o.Settings.Strict = 0, false // there is no store
 		res, err := contractsim.Run(r, o)
 		if err != nil {
@@ -189,7 +189,7 @@
 }
 
 type simulateCmd struct {
-	trialFlags
+	simulationFlags
 	JSON bool `name:"json" help:"Print JSON."`
 }
 
@@ -200,12 +200,12 @@
 }
 
 func (c *simulateCmd) Run(s *streams) error {
-	list, err := c.run(s, 0)
+	list, err := c.simulate(s, 0)
 	if err != nil {
 		return err
 	}
 	if c.JSON {
-		return s.print(list)
+		return s.printJSON(list)
 	}
 	for i, r := range list {
 		if i > 0 {
@@ -223,7 +223,7 @@
 			if name == "" {
 				name = "(no contract)"
 			}
-			fmt.Fprintf(w, "%s\t%d\t%d\t%d\t%s\t%d\t%s\t%s\t%.1f%%\t%s\t%d\t%d\t\n", name, t.Requests, t.Admitted, t.OverQuota, reasons(t.Rejected), t.ServedThoughRejected,
+			fmt.Fprintf(w, "%s\t%d\t%d\t%d\t%s\t%d\t%s\t%s\t%.1f%%\t%s\t%d\t%d\t\n", name, t.Requests, t.Admitted, t.OverQuota, formatReasons(t.Rejected), t.ServedThoughRejected,
 				humanize.Comma(int64(t.Requested)), humanize.Comma(int64(t.Used)), 100*t.RateShare, humanize.Comma(int64(t.Borrowed)), t.ExtraAttempts, t.ExtraAttemptsRejected)
 		}
 		w.Flush()
@@ -234,7 +234,7 @@
 	return nil
 }
 
-func reasons(m map[string]int64) string {
+func formatReasons(m map[string]int64) string {
 	if len(m) == 0 {
 		return "0"
 	}
@@ -246,7 +246,7 @@
 }
 
 type reportCmd struct {
-	trialFlags
+	simulationFlags
 	Out string `required:"" placeholder:"FILE" help:"Where the page goes."`
 }
 
@@ -256,11 +256,11 @@
 }
 
 func (c *reportCmd) Run(s *streams) error {
-	list, err := c.run(s, 0)
+	list, err := c.simulate(s, 0)
 	if err != nil {
 		return err
 	}
-	if err := writeFile(c.Out, func(w io.Writer) error { return report.Write(w, list) }); err != nil {
+	if err := writeFileAtomically(c.Out, func(w io.Writer) error { return report.Write(w, list) }); err != nil {
 		return err
 	}
 	fmt.Fprintln(s.out, c.Out)
--- a/internal/cli/drill.go
+++ b/internal/cli/drill.go
@@ -136,7 +136,7 @@
 		}
 	}
 	if sum.Breaks+sum.Crashes > 0 {
-		return errNo
+		return errNegative
 	}
 	return nil
 }
--- a/internal/cli/experiment.go
+++ b/internal/cli/experiment.go
@@ -56,7 +56,7 @@
 	}
 	ctx, stop := signal.NotifyContext(context.Background(), os.Interrupt, syscall.SIGTERM)
 	defer stop()
-	if err := experiment.RunPlan(ctx, p, store, experiment.Options{Jobs: c.Jobs, Progress: s.runs()}); err != nil {
+	if err := experiment.RunPlan(ctx, p, store, experiment.Options{Jobs: c.Jobs, Progress: s.runsProgress()}); err != nil {
 		return err
 	}
 	records, err := store.Records()
@@ -64,14 +64,14 @@
 		return err
 	}
 	if c.JSON {
-		return s.print(map[string]int{"runs": len(records)})
+		return s.printJSON(map[string]int{"runs": len(records)})
 	}
 	fmt.Fprintf(s.out, "runs=%d dir=%s\n", len(records), c.Out)
 	return nil
 }
 
-// runs shows how many runs are done, and the time that is left, on a terminal.
-func (s *streams) runs() func(done, all int) {
+// runsProgress shows how many runs are done, and the time that is left, on a terminal.
+func (s *streams) runsProgress() func(done, all int) {
 	f, ok := s.err.(*os.File)
 	if !ok || !term.IsTerminal(int(f.Fd())) {
 		return nil
@@ -86,7 +86,7 @@
 	}
 }
 
-func summary(dir, base string) (*experiment.Summary, error) {
+func loadSummary(dir, base string) (*experiment.Summary, error) {
 	if _, err := os.Stat(filepath.Join(dir, experiment.FileName)); err != nil {
 		return nil, err
 	}
@@ -115,7 +115,7 @@
 }
 
 func (c *reportExperimentCmd) Run(s *streams) error {
-	sum, err := summary(c.Dir, c.Base)
+	sum, err := loadSummary(c.Dir, c.Base)
 	if err != nil {
 		return err
 	}
@@ -126,7 +126,7 @@
 		if f.path == "" {
 			continue
 		}
-		if err := writeFile(f.path, f.write); err != nil {
+		if err := writeFileAtomically(f.path, f.write); err != nil {
 			return err
 		}
 	}
@@ -155,7 +155,7 @@
 }
 
 func (c *gateCmd) Run(s *streams) error {
-	sum, err := summary(c.Dir, c.Base)
+	sum, err := loadSummary(c.Dir, c.Base)
 	if err != nil {
 		return err
 	}
@@ -164,7 +164,7 @@
 		return err
 	}
 	if c.JSON {
-		if err := s.print(map[string]any{"good": len(bad) == 0, "bad": bad}); err != nil {
+		if err := s.printJSON(map[string]any{"good": len(bad) == 0, "bad": bad}); err != nil {
 			return err
 		}
 	} else {
@@ -173,7 +173,7 @@
 		}
 	}
 	if len(bad) > 0 {
-		return errNo
+		return errNegative
 	}
 	if !c.JSON {
 		fmt.Fprintln(s.out, "good")
--- a/internal/cli/fleet.go
+++ b/internal/cli/fleet.go
@@ -80,7 +80,7 @@
 	}
 	fmt.Fprintf(s.out, "%s\n", res.JSON())
 	if res.All.Ends["served"] == 0 {
-		return errNo
+		return errNegative
 	}
 	return nil
 }
@@ -109,7 +109,7 @@
 	got := fit.Streams(r.Turns, r.From, r.To)
 	switch {
 	case c.JSON:
-		err = s.print(struct {
+		err = s.printJSON(struct {
 			Seconds float64      `json:"seconds"`
 			Gaps    int          `json:"gaps"`
 			Streams []fit.Stream `json:"streams"`
@@ -117,18 +117,18 @@
 	case c.Plan:
 		_, err = fmt.Fprint(s.out, fit.Plan(got))
 	default:
-		err = c.table(s, r, got)
+		err = c.printTable(s, r, got)
 	}
 	if err != nil {
 		return err
 	}
 	if len(got) == 0 {
-		return errNo
+		return errNegative
 	}
 	return nil
 }
 
-func (c *fitCmd) table(s *streams, r *fit.Recording, got []fit.Stream) error {
+func (c *fitCmd) printTable(s *streams, r *fit.Recording, got []fit.Stream) error {
 	fmt.Fprintf(s.out, "seconds=%.0f requests=%d gaps=%d\n", float64(r.To-r.From)/1e6, len(r.Turns), r.Gaps)
 	for _, t := range got {
 		fmt.Fprintf(s.out, "\nclass=%s tenant=%s requests=%d\n", t.Class, t.Tenant, t.Requests)
--- a/internal/cli/publicnames_test.go
+++ b/internal/cli/publicnames_test.go
@@ -44,7 +44,7 @@
 	if err := os.WriteFile(bad, []byte("[log]\nlevel loud\n"), 0o600); err != nil {
 		t.Fatal(err)
 	}
-	_, out, _ := run("config", "check", "--json", bad)
+	_, out, _ := runCommand("config", "check", "--json", bad)
 	var got map[string]any
 	if err := json.Unmarshal([]byte(out), &got); err != nil {
 		t.Fatalf("%v: %s", err, out)
@@ -71,7 +71,7 @@
 		want int
 		args []string
 	}{{0, []string{"version"}}, {1, []string{"config", "check", bad}}, {2, []string{"nosuchcommand"}}} {
-		if code, _, errOut := run(c.args...); code != c.want {
+		if code, _, errOut := runCommand(c.args...); code != c.want {
 			t.Errorf("%v: exit code %d, want %d: %s", c.args, code, c.want, errOut)
 		}
 	}
--- a/internal/cli/replay.go
+++ b/internal/cli/replay.go
@@ -26,7 +26,7 @@
 
 type replayCmd struct {
 	Paths []string `arg:"" help:"Segments, or folders of them."`
-	span
+	timeSpan
 	Where   string `placeholder:"EXPR" help:"Only differences at events that match count."`
 	Restart bool   `help:"Begin anew at each checkpoint, from its state."`
 	Show    int    `default:"1" help:"How many differences to show, the first with all workers as they were weighed."`
@@ -56,7 +56,7 @@
 
 func (c *replayCmd) Run(s *streams) error {
 	if c.Against != "" {
-		return c.against(s)
+		return c.compareBuilds(s)
 	}
 	if c.Step != "" {
 		return (&explainCmd{ID: c.Step, Paths: c.Paths}).Run(s)
@@ -70,13 +70,13 @@
 		return err
 	}
 	if c.Perturb != "" {
-		return c.perturb(s, runs)
+		return c.perturbRuns(s, runs)
 	}
 	bad := false
 	var results []*replay.Result
 	for _, run := range runs {
 		o := replay.Options{RestartAtCheckpoints: c.Restart, Where: filter}
-		if o.From, o.To, err = c.of(run); err != nil {
+		if o.From, o.To, err = c.within(run); err != nil {
 			return err
 		}
 		if c.Emit {
@@ -87,7 +87,7 @@
 			bad = bad || res.Differing > 0
 			continue
 		}
-		res, ok, err := c.one(s, run, o)
+		res, ok, err := c.replayRun(s, run, o)
 		if err != nil {
 			return err
 		}
@@ -95,18 +95,18 @@
 		results = append(results, res)
 	}
 	if c.JSON && !c.Emit {
-		if err := s.print(results); err != nil {
+		if err := s.printJSON(results); err != nil {
 			return err
 		}
 	}
 	if bad {
-		return errNo
+		return errNegative
 	}
 	return nil
 }
 
-// accepted is what stands beside a capture whose differences are intended.
-type accepted struct {
+// acceptedDifferences is what stands beside a capture whose differences are intended.
+type acceptedDifferences struct {
 	Build       string               `json:"build"`
 	Differ      uint64               `json:"differ"`
 	Differences string               `json:"differences"`
@@ -123,8 +123,8 @@
 	return filepath.Join(filepath.Dir(first), run.Gateway+"-"+run.Name+".accepted")
 }
 
-// one replays one run and tells whether it is as it should be.
-func (c *replayCmd) one(s *streams, run *capture.Run, o replay.Options) (*replay.Result, bool, error) {
+// replayRun replays one run and tells whether it is as it should be.
+func (c *replayCmd) replayRun(s *streams, run *capture.Run, o replay.Options) (*replay.Result, bool, error) {
 	shown := 0
 	var first []*replay.Difference
 	o.OnDifference = func(d *replay.Difference) {
@@ -134,7 +134,7 @@
 	}
 	names := replay.NewNames()
 	o.OnStep = func(st *replay.Step) { names = st.Names }
-	bar := progress(s, run)
+	bar := replayProgress(s, run)
 	o.Progress = func(at balancer.Micros) { bar(at) }
 	res, err := replay.Replay(run, o)
 	bar(run.End())
@@ -150,7 +150,7 @@
 				return nil, false, err
 			}
 		} else {
-			text, err := json.MarshalIndent(accepted{buildinfo.Version(), res.Differing, res.Differences, res.ByKind, first}, "", "  ")
+			text, err := json.MarshalIndent(acceptedDifferences{buildinfo.Version(), res.Differing, res.Differences, res.ByKind, first}, "", "  ")
 			if err == nil {
 				err = renameio.WriteFile(path, append(text, '\n'), 0o644)
 			}
@@ -160,7 +160,7 @@
 		}
 		ok, note = true, " accepted: "+path
 	} else if text, err := os.ReadFile(path); err == nil && o.Where == nil && o.From == 0 && o.To == 0 {
-		var a accepted
+		var a acceptedDifferences
 		if err := json.Unmarshal(text, &a); err != nil {
 			return nil, false, fmt.Errorf("%s: %w", path, err)
 		}
@@ -199,8 +199,8 @@
 	return res, ok, nil
 }
 
-// progress shows how far a replay is, on a terminal.
-func progress(s *streams, run *capture.Run) func(balancer.Micros) {
+// replayProgress shows how far a replay is, on a terminal.
+func replayProgress(s *streams, run *capture.Run) func(balancer.Micros) {
 	f, ok := s.err.(*os.File)
 	if !ok || !term.IsTerminal(int(f.Fd())) || run.Bytes() < 4<<20 {
 		return func(balancer.Micros) {}
@@ -210,7 +210,7 @@
 	return func(at balancer.Micros) { _ = bar.Set64(at - run.Begin()) }
 }
 
-func (c *replayCmd) against(s *streams) error {
+func (c *replayCmd) compareBuilds(s *streams) error {
 	self, err := os.Executable()
 	if err != nil {
 		return err
@@ -229,7 +229,7 @@
 		return err
 	}
 	if c.JSON {
-		if err := s.print(res); err != nil {
+		if err := s.printJSON(res); err != nil {
 			return err
 		}
 	} else {
@@ -245,12 +245,12 @@
 		fmt.Fprintln(s.out, res.Line())
 	}
 	if res.Differing > 0 {
-		return errNo
+		return errNegative
 	}
 	return nil
 }
 
-func (c *replayCmd) perturb(s *streams, runs []*capture.Run) error {
+func (c *replayCmd) perturbRuns(s *streams, runs []*capture.Run) error {
 	kinds, err := replay.ParsePerturbations(c.Perturb)
 	if err != nil {
 		return err
@@ -272,12 +272,12 @@
 		}
 	}
 	if c.JSON {
-		if err := s.print(all); err != nil {
+		if err := s.printJSON(all); err != nil {
 			return err
 		}
 	}
 	if bad {
-		return errNo
+		return errNegative
 	}
 	return nil
 }
--- a/internal/cli/scale.go
+++ b/internal/cli/scale.go
@@ -45,12 +45,12 @@
 		return err
 	}
 	if c.Out != "" {
-		if err := writeFile(c.Out, func(w io.Writer) error { return json.NewEncoder(w).Encode(res) }); err != nil {
+		if err := writeFileAtomically(c.Out, func(w io.Writer) error { return json.NewEncoder(w).Encode(res) }); err != nil {
 			return err
 		}
 	}
 	if c.JSON {
-		return s.print(res)
+		return s.printJSON(res)
 	}
 	res.Table(s.out)
 	return nil
--- a/internal/cli/site.go
+++ b/internal/cli/site.go
@@ -52,8 +52,8 @@
 	return siteforecast.Loss{Site: c.Lose, At: c.At.Microseconds(), Duration: c.For.Microseconds(), NoticedAfter: c.Told.Microseconds(), Observed: c.Watch.Microseconds()}, nil
 }
 
-// make plays the model.
-func (c *lossFlags) make(ctx context.Context, s *streams) (*siteforecast.Forecast, func(uint64) (*model.Spec, error), error) {
+// forecast plays the model.
+func (c *lossFlags) forecast(ctx context.Context, s *streams) (*siteforecast.Forecast, func(uint64) (*model.Spec, error), error) {
 	l, err := c.loss()
 	if err != nil {
 		return nil, nil, err
@@ -94,7 +94,7 @@
 func (c *sitePlanCmd) Run(s *streams) error {
 	ctx, stop := signal.NotifyContext(context.Background(), os.Interrupt, syscall.SIGTERM)
 	defer stop()
-	f, _, err := c.make(ctx, s)
+	f, _, err := c.forecast(ctx, s)
 	if err != nil {
 		return err
 	}
@@ -182,8 +182,8 @@
 		"Example:\n  archknot site drill deploy/site-loss.plan --lose south --seeds 3"
 }
 
-// siteDrilled is one drill beside the forecast.
-type siteDrilled struct {
+// siteDrillResult is one drill beside the forecast.
+type siteDrillResult struct {
 	Seed     uint64              `json:"seed"`
 	Served   float64             `json:"worth_served"`
 	Within   bool                `json:"within"`
@@ -200,7 +200,7 @@
 	if c.Seeds < 1 || c.Seeds > 10_000 {
 		return errors.New("--seeds: expected 1 to 10000")
 	}
-	f, spec, err := c.make(ctx, s)
+	f, spec, err := c.forecast(ctx, s)
 	if err != nil {
 		return err
 	}
@@ -227,7 +227,7 @@
 		if err != nil {
 			return fmt.Errorf("seed %d: %w", one.Seed, err)
 		}
-		d := siteDrilled{Seed: one.Seed, Served: r.Worth / max(1e-9, r.Asked), Classes: map[string]float64{}, Breaks: len(r.Breaks), Crashes: len(r.Crashes), ToLost: r.ToLost}
+		d := siteDrillResult{Seed: one.Seed, Served: r.Worth / max(1e-9, r.Asked), Classes: map[string]float64{}, Breaks: len(r.Breaks), Crashes: len(r.Crashes), ToLost: r.ToLost}
 		d.Within, d.Forecast = f.Served.Within(d.Served), &f.Served
 		for name, k := range r.Classes {
 			d.Classes[name] = k.Worth / max(1e-9, k.Asked)
@@ -255,7 +255,7 @@
 			experiment.MeanInterval(served), f.Served, c.Seeds-outside, c.Seeds, experiment.MeanInterval(toLost))
 	}
 	if broken > 0 || 5*outside > c.Seeds {
-		return errNo
+		return errNegative
 	}
 	return nil
 }
--- a/internal/cli/soak.go
+++ b/internal/cli/soak.go
@@ -50,7 +50,7 @@
 		return err
 	}
 	if broken > 0 {
-		return errNo
+		return errNegative
 	}
 	return nil
 }
--- a/internal/cli/version.go
+++ b/internal/cli/version.go
@@ -34,7 +34,7 @@
 	var refused controlsocket.CommandError
 	if errors.As(err, &refused) {
 		fmt.Fprintf(s.err, "archknot: the gateway cannot: %v\n", refused)
-		return errNo
+		return errNegative
 	}
 	if err != nil {
 		return fmt.Errorf("no gateway answers at %s: %w", path, err)
@@ -56,12 +56,12 @@
 	if err := c.call(s, "config/status", struct{}{}, &a); err != nil {
 		return err
 	}
-	return s.status(a, c.JSON)
+	return s.printStatus(a, c.JSON)
 }
 
-func (s *streams) status(a lifecycle.ConfigStatus, json bool) error {
+func (s *streams) printStatus(a lifecycle.ConfigStatus, json bool) error {
 	if json {
-		return s.print(a)
+		return s.printJSON(a)
 	}
 	from := fmt.Sprint("version ", a.Version)
 	if a.Version == 0 {
@@ -87,7 +87,7 @@
 		return err
 	}
 	if c.JSON {
-		return s.print(list)
+		return s.printJSON(list)
 	}
 	w := tabwriter.NewWriter(s.out, 0, 0, 2, ' ', 0)
 	for _, l := range list {
@@ -113,7 +113,7 @@
 	if err := c.call(s, "config/rollback", lifecycle.RollbackRequest{Reason: c.Reason}, &a); err != nil {
 		return err
 	}
-	return s.status(a, c.JSON)
+	return s.printStatus(a, c.JSON)
 }
 
 type diffCmd struct {
@@ -148,7 +148,7 @@
 		}
 	}
 	if c.JSON {
-		if err := s.print(differ); err != nil {
+		if err := s.printJSON(differ); err != nil {
 			return err
 		}
 	} else {
@@ -157,7 +157,7 @@
 		}
 	}
 	if len(differ) > 0 {
-		return errNo
+		return errNegative
 	}
 	return nil
 }
--- a/internal/scaletest/scale_test.go
+++ b/internal/scaletest/scale_test.go
@@ -118,7 +118,7 @@
 			t.Errorf("%q: %v, want %s", text, err, want)
 		}
 		out := bytes.Buffer{}
-		if code := cli.Main([]string{"drill", "scale", path}, &out, &out, func(string) string { return "" }); code != cli.Wrong {
+		if code := cli.Main([]string{"drill", "scale", path}, &out, &out, func(string) string { return "" }); code != cli.ExitError {
 			t.Errorf("%q: exit code %d", text, code)
 		}
 	}
