--- a/internal/cli/capture.go
+++ b/internal/cli/capture.go
@@ -2,6 +2,8 @@
 
 import (
 	"bufio"
+	"encoding/json"
+	"errors"
 	"fmt"
 	"io"
 	"os"
@@ -30,13 +32,13 @@
 	Save    saveCmd    `cmd:"" help:"Have a running gateway keep its last minutes as an incident."`
 }
 
-// timeSpan is a part of a run.
+// timeSpan selects a part of a run by flags.
 type timeSpan struct {
 	From string `placeholder:"TIME" help:"Where to begin: +30s from the start, -30s from the end, or a time of day as 2026-12-01T10:00:00Z."`
 	To   string `placeholder:"TIME" help:"Where to end."`
 }
 
-// within gives the span's ends on a run's clock; 0: none.
+// within returns the span's ends on a run's clock; 0: none.
 func (s timeSpan) within(run *capture.Run) (from, to balancer.Micros, err error) {
 	if from, err = parseMoment(s.From, run); err == nil {
 		to, err = parseMoment(s.To, run)
@@ -44,6 +46,7 @@
 	return from, to, err
 }
 
+// parseMoment parses a time relative to a run's start or end, or a time of day. It returns it on the run's clock.
 func parseMoment(text string, run *capture.Run) (balancer.Micros, error) {
 	if text == "" {
 		return 0, nil
@@ -72,6 +75,7 @@
 
 func (infoCmd) Help() string { return "Example:\n  archknot capture info /var/lib/archknot/capture" }
 
+// runInfo describes a run for printing.
 type runInfo struct {
 	Gateway     string    `json:"gateway"`
 	Run         string    `json:"run"`
@@ -92,27 +96,8 @@
 		return err
 	}
 	var list []runInfo
-	for _, r := range runs {
-		i := runInfo{Gateway: r.Gateway, Run: r.Name, Build: r.Build, Begin: r.WallTime(r.Begin()), Seconds: float64(r.End()-r.Begin()) / 1e6,
-			Segments: len(r.Segments), Bytes: r.Bytes()}
-		for _, seg := range r.Segments {
-			if seg.Closed {
-				i.Closed++
-			}
-			for _, b := range seg.Blocks {
-				i.Events += uint64(b.Records)
-				if b.Checkpoint {
-					i.Checkpoints++
-				}
-			}
-		}
-		if m, err := os.ReadFile(filepath.Join(filepath.Dir(r.Segments[0].Path), capture.ManifestName)); err == nil {
-			var manifest capture.Manifest
-			if unmarshal(m, &manifest) == nil {
-				i.Incident = manifest.Reason
-			}
-		}
-		list = append(list, i)
+	for _, run := range runs {
+		list = append(list, newRunInfo(run))
 	}
 	if c.JSON {
 		return s.printJSON(list)
@@ -126,6 +111,44 @@
 	return w.Flush()
 }
 
+func newRunInfo(run *capture.Run) runInfo {
+	info := runInfo{
+		Gateway:  run.Gateway,
+		Run:      run.Name,
+		Build:    run.Build,
+		Begin:    run.WallTime(run.Begin()),
+		Seconds:  float64(run.End()-run.Begin()) / 1e6,
+		Segments: len(run.Segments),
+		Bytes:    run.Bytes(),
+		Incident: incidentReason(run),
+	}
+	for _, segment := range run.Segments {
+		if segment.Closed {
+			info.Closed++
+		}
+		for _, block := range segment.Blocks {
+			info.Events += uint64(block.Records)
+			if block.Checkpoint {
+				info.Checkpoints++
+			}
+		}
+	}
+	return info
+}
+
+// incidentReason returns the reason in the manifest beside a run, if there is a manifest.
+func incidentReason(run *capture.Run) string {
+	text, err := os.ReadFile(filepath.Join(filepath.Dir(run.Segments[0].Path), capture.ManifestName))
+	if err != nil {
+		return ""
+	}
+	var manifest capture.Manifest
+	if json.Unmarshal(text, &manifest) != nil {
+		return ""
+	}
+	return manifest.Reason
+}
+
 type verifyCmd struct {
 	Paths []string `arg:"" help:"Segments, or folders of them."`
 	JSON  bool     `name:"json" help:"Print JSON."`
@@ -140,24 +163,10 @@
 	if err != nil {
 		return err
 	}
-	out := struct {
-		Events  uint64            `json:"events"`
-		Missing []capture.Missing `json:"missing"`
-	}{Missing: []capture.Missing{}}
+	out := verification{Missing: []capture.Missing{}}
 	for _, run := range runs {
-		err := eachEntry(run, timeSpan{}, func(e capture.Entry) error {
-			switch {
-			case e.Missing != nil:
-				out.Missing = append(out.Missing, *e.Missing)
-			case e.Record.Kind == pb.Kind_KIND_GAP:
-				if n := len(out.Missing); n > 0 && out.Missing[n-1].Events > 0 { // the jump of the numbers has told it
-					out.Missing[n-1].Reason = "not recorded: " + e.Record.Gap.Reason
-					break
-				}
-				out.Missing = append(out.Missing, capture.Missing{Path: run.Segments[0].Path, Events: e.Record.Gap.Events, Reason: "not recorded: " + e.Record.Gap.Reason})
-			case e.Record.Kind != pb.Kind_KIND_CHECKPOINT:
-				out.Events++
-			}
+		err := eachEntry(run, timeSpan{}, func(entry capture.Entry) error {
+			out.add(run, entry)
 			return nil
 		})
 		if err != nil {
@@ -180,28 +189,54 @@
 	return nil
 }
 
+// verification is what the verify command finds.
+type verification struct {
+	Events  uint64            `json:"events"`
+	Missing []capture.Missing `json:"missing"`
+}
+
+func (v *verification) add(run *capture.Run, entry capture.Entry) {
+	switch {
+	case entry.Missing != nil:
+		v.Missing = append(v.Missing, *entry.Missing)
+	case entry.Record.Kind == pb.Kind_KIND_GAP:
+		gap := entry.Record.Gap
+		reason := "not recorded: " + gap.Reason
+		if n := len(v.Missing); n > 0 && v.Missing[n-1].Events > 0 { // found by the jump of the event numbers
+			v.Missing[n-1].Reason = reason
+			return
+		}
+		v.Missing = append(v.Missing, capture.Missing{Path: run.Segments[0].Path, Events: gap.Events, Reason: reason})
+	case entry.Record.Kind != pb.Kind_KIND_CHECKPOINT:
+		v.Events++
+	}
+}
+
 // eachEntry reads a span of a run, entry by entry.
 func eachEntry(run *capture.Run, sp timeSpan, do func(capture.Entry) error) error {
 	from, to, err := sp.within(run)
 	if err != nil {
 		return err
 	}
-	r, err := capture.NewReader(run, from)
+	reader, err := capture.NewReader(run, from)
 	if err != nil {
 		return err
 	}
-	defer r.Close()
+	defer reader.Close()
 	for {
-		e, err := r.Next()
-		if err == io.EOF || err == nil && to != 0 && e.At > to {
+		entry, err := reader.Next()
+		if errors.Is(err, io.EOF) {
 			return nil
 		}
-		if err == nil {
-			err = do(e)
-		}
 		if err != nil {
 			return err
 		}
+		if to != 0 && entry.At > to {
+			return nil
+		}
+		if err := do(entry); err != nil {
+			return err
+		}
 	}
 }
 
@@ -228,73 +263,91 @@
 	}
 	w := bufio.NewWriter(s.out)
 	for _, run := range runs {
-		names := replay.NewNames()
-		from, _, err := c.within(run)
-		if err != nil {
+		if err := c.dump(w, run, filter); err != nil {
 			return err
 		}
-		if !c.JSON {
-			fmt.Fprintf(w, "# %s run %s from %s\n", run.Gateway, run.Name, run.WallTime(run.Begin()).Format(time.RFC3339Nano))
+	}
+	return w.Flush()
+}
+
+// dump prints the entries of a run that match the filter.
+func (c *dumpCmd) dump(w io.Writer, run *capture.Run, filter *replay.Filter) error {
+	from, _, err := c.within(run)
+	if err != nil {
+		return err
+	}
+	if !c.JSON {
+		fmt.Fprintf(w, "# %s run %s from %s\n", run.Gateway, run.Name, run.WallTime(run.Begin()).Format(time.RFC3339Nano))
+	}
+	names := replay.NewNames()
+	return eachEntry(run, c.timeSpan, func(entry capture.Entry) error {
+		if entry.Missing != nil {
+			return c.dumpMissing(w, entry.Missing)
+		}
+		names.Learn(entry.Record)
+		if c.Exact && entry.At < from || !filter.Match(names, entry.Record, entry.At-run.Begin()) {
+			return nil
 		}
-		err = eachEntry(run, c.timeSpan, func(e capture.Entry) error {
-			if e.Missing != nil {
-				if c.JSON {
-					fmt.Fprintf(w, "{\"missing\":%q,\"events\":%d}\n", e.Missing.Reason, e.Missing.Events)
-				} else {
-					fmt.Fprintf(w, "# missing: %s (events: %d)\n", e.Missing.Reason, e.Missing.Events)
-				}
-				return nil
-			}
-			names.Learn(e.Record)
-			if c.Exact && e.At < from || !filter.Match(names, e.Record, e.At-run.Begin()) {
-				return nil
-			}
-			if c.JSON {
-				return dumpJSON(w, e)
-			}
-			orders := make([]string, len(e.Record.Actions))
-			for i, a := range e.Record.Actions {
-				orders[i] = names.DescribeAction(a)
-			}
-			fmt.Fprintf(w, "%s #%d %s", replay.FormatOffset(run, e.At), e.Number, names.DescribeEvent(e.Record))
-			if len(orders) > 0 {
-				fmt.Fprintf(w, " -> %s", strings.Join(orders, "; "))
-			}
-			_, err := fmt.Fprintln(w)
-			return err
-		})
-		if err != nil {
-			return err
+		if c.JSON {
+			return dumpJSON(w, entry)
 		}
+		return dumpText(w, run, names, entry)
+	})
+}
+
+func (c *dumpCmd) dumpMissing(w io.Writer, missing *capture.Missing) error {
+	format := "# missing: %s (events: %d)\n"
+	if c.JSON {
+		format = "{\"missing\":%q,\"events\":%d}\n"
 	}
-	return w.Flush()
+	_, err := fmt.Fprintf(w, format, missing.Reason, missing.Events)
+	return err
+}
+
+// dumpText prints an event and the balancer's actions in one line.
+func dumpText(w io.Writer, run *capture.Run, names *replay.Names, entry capture.Entry) error {
+	line := fmt.Sprintf("%s #%d %s", replay.FormatOffset(run, entry.At), entry.Number, names.DescribeEvent(entry.Record))
+	actions := make([]string, len(entry.Record.Actions))
+	for i, action := range entry.Record.Actions {
+		actions[i] = names.DescribeAction(action)
+	}
+	if len(actions) > 0 {
+		line += " -> " + strings.Join(actions, "; ")
+	}
+	_, err := fmt.Fprintln(w, line)
+	return err
 }
 
-func dumpJSON(w io.Writer, e capture.Entry) error {
-	rec := e.Record
+// dumpJSON prints an entry as a JSON object in one line. A checkpoint's state is decoded beside the record.
+func dumpJSON(w io.Writer, entry capture.Entry) error {
+	record := entry.Record
 	state := ""
-	if c := rec.Checkpoint; c != nil {
-		var st pb.State
-		if err := proto.Unmarshal(c.State, &st); err != nil {
-			return err
-		}
-		text, err := protojson.Marshal(&st)
+	if checkpoint := record.Checkpoint; checkpoint != nil {
+		text, err := stateJSON(checkpoint.State)
 		if err != nil {
 			return err
 		}
 		state = `,"state":` + string(text)
-		short := proto.Clone(rec).(*pb.Record)
-		short.Checkpoint.State = nil
-		rec = short
+		record = proto.CloneOf(record)
+		record.Checkpoint.State = nil
 	}
-	text, err := protojson.Marshal(rec)
+	text, err := protojson.Marshal(record)
 	if err != nil {
 		return err
 	}
-	_, err = fmt.Fprintf(w, "{\"event\":%d,\"at_us\":%d,\"record\":%s%s}\n", e.Number, e.At, text, state)
+	_, err = fmt.Fprintf(w, "{\"event\":%d,\"at_us\":%d,\"record\":%s%s}\n", entry.Number, entry.At, text, state)
 	return err
 }
 
+// stateJSON converts a checkpoint's state to JSON.
+func stateJSON(encoded []byte) ([]byte, error) {
+	var state pb.State
+	if err := proto.Unmarshal(encoded, &state); err != nil {
+		return nil, err
+	}
+	return protojson.Marshal(&state)
+}
+
 type cutCmd struct {
 	Path string `arg:"" help:"The capture: one run."`
 	Out  string `arg:"" help:"The new file."`
--- a/internal/cli/cli.go
+++ b/internal/cli/cli.go
@@ -1,4 +1,4 @@
-// Package cli is the command line of archknot.
+// Package cli implements the commands of the archknot program.
 package cli
 
 import (
@@ -18,10 +18,14 @@
 // Exit codes.
 const (
 	ExitOK       = 0
-	ExitNegative = 1 // the answer is no
-	ExitError    = 2 // wrong use, or something cannot be read
+	ExitNegative = 1 // the command answers no, such as a check that fails
+	ExitError    = 2 // wrong usage, or an input that cannot be read
 )
 
+// filePermissions are those of files that commands write.
+const filePermissions = 0o644
+
+// commands is the command line as kong parses it.
 type commands struct {
 	Serve      serveCmd      `cmd:"" default:"withargs" aliases:"run" help:"Serve clients: what the bare command does."`
 	Config     configCmd     `cmd:"" help:"Check and show archknot's own settings."`
@@ -35,20 +39,20 @@
 	Version    versionCmd    `cmd:"" help:"Tell which build this is."`
 }
 
-// streams are what a command reads and writes.
+// streams are a command's output and environment.
 type streams struct {
 	out, err io.Writer
 	getenv   func(string) string
 }
 
-// errNegative is an answer that is no: what was found is told already.
+// errNegative ends a command with ExitNegative. The command has printed why.
 var errNegative = errors.New("no")
 
-// Main runs the command that the arguments name and returns the exit code.
+// Main runs the command of the arguments and returns its exit code. Without arguments it serves.
 func Main(args []string, out, errOut io.Writer, getenv func(string) string) int {
 	s := &streams{out, errOut, getenv}
 	if len(args) == 0 {
-		// As the platform starts it: without what the commands' parser takes up.
+		// This is how the platform starts the program; it spares the memory of the parser.
 		return s.exitCode((&serveCmd{Config: getenv("ARCHKNOT_CONF")}).Run(s))
 	}
 	var c commands
@@ -57,7 +61,7 @@
 		kong.Writers(out, errOut), kong.Exit(func(code int) { exited = code }), kong.UsageOnError(),
 		kong.ConfigureHelp(kong.HelpOptions{Compact: true}), kong.Bind(s))
 	if err != nil {
-		panic(err) // the commands above are at fault, whatever the arguments
+		panic(err) // the commands struct is malformed, whatever the arguments
 	}
 	ctx, err := parser.Parse(args)
 	if exited >= 0 { // --help has been shown
@@ -71,40 +75,45 @@
 	return s.exitCode(ctx.Run())
 }
 
-// exitCode tells the exit code of a command that ended with an error, and says why.
+// exitCode prints a command's error and returns the exit code.
 func (s *streams) exitCode(err error) int {
-	var bad lifecycle.ConfigError
-	var failed serveError
+	var configErr lifecycle.ConfigError
+	var serveErr serveError
 	switch {
 	case err == nil:
 		return ExitOK
 	case errors.Is(err, errNegative):
 		return ExitNegative
-	case errors.As(err, &bad): // in the log's form: this is what a supervisor reads
-		fmt.Fprintf(s.err, "level=ERROR msg=failed err=%q\n", bad.Error())
+	case errors.As(err, &configErr): // in the log's form, which a supervisor reads
+		fmt.Fprintf(s.err, "level=ERROR msg=failed err=%q\n", configErr.Error())
 		return ExitError
-	case errors.As(err, &failed):
-		fmt.Fprintf(s.err, "level=ERROR msg=failed err=%q\n", failed.Error())
+	case errors.As(err, &serveErr):
+		fmt.Fprintf(s.err, "level=ERROR msg=failed err=%q\n", serveErr.Error())
 		return ExitNegative
 	}
 	fmt.Fprintf(s.err, "archknot: %v\n", err)
 	return ExitError
 }
 
-// printJSON writes a value as indented JSON.
+// printJSON prints a value as indented JSON.
 func (s *streams) printJSON(v any) error {
-	e := json.NewEncoder(s.out)
-	e.SetIndent("", "  ")
-	return e.Encode(v)
+	encoder := json.NewEncoder(s.out)
+	encoder.SetIndent("", "  ")
+	return encoder.Encode(v)
 }
 
-// writeFileAtomically writes a file that is whole or not there.
+// writeFileAtomically writes a file so that it is either complete or unchanged.
 func writeFileAtomically(path string, write func(io.Writer) error) error {
-	f, err := renameio.NewPendingFile(path, renameio.WithPermissions(0o644))
+	return replaceFile(path, write, renameio.WithPermissions(filePermissions))
+}
+
+// replaceFile writes a pending file and puts it in the place of path.
+func replaceFile(path string, write func(io.Writer) error, options ...renameio.Option) error {
+	f, err := renameio.NewPendingFile(path, options...)
 	if err != nil {
 		return err
 	}
-	defer f.Cleanup()
+	defer func() { _ = f.Cleanup() }() // removes a file that was not put in place
 	if err := write(f); err != nil {
 		return err
 	}
@@ -135,19 +144,19 @@
 		"Example:\n  NODE_CONFIG=example/config.json archknot serve --config deploy/archknot.conf"
 }
 
-// serveError is a gateway that could not start or go on.
+// serveError is an error with which a gateway could not start or continue.
 type serveError struct{ error }
 
 func (c *serveCmd) Run(s *streams) error {
 	lifecycle.StartLog()
 	defer lifecycle.FlushLog()
 	err := lifecycle.Run(s.getenv, c.Config)
-	var bad lifecycle.ConfigError
-	if err != nil && !errors.As(err, &bad) {
+	var configErr lifecycle.ConfigError
+	if err != nil && !errors.As(err, &configErr) {
 		return serveError{err}
 	}
 	return err
 }
 
-// Exec is Main for the process itself.
+// Exec runs Main with the process's arguments and exits.
 func Exec() { os.Exit(Main(os.Args[1:], os.Stdout, os.Stderr, os.Getenv)) }
--- a/internal/cli/replay.go
+++ b/internal/cli/replay.go
@@ -5,6 +5,7 @@
 	"encoding/json"
 	"errors"
 	"fmt"
+	"io"
 	"io/fs"
 	"maps"
 	"os"
@@ -22,8 +23,6 @@
 	"archknot/internal/replay"
 )
 
-func unmarshal(text []byte, to any) error { return json.Unmarshal(text, to) }
-
 type replayCmd struct {
 	Paths []string `arg:"" help:"Segments, or folders of them."`
 	timeSpan
@@ -47,6 +46,7 @@
 		"\nExample:\n  archknot replay --where 'class == agent and elapsed > 2s' /var/lib/archknot/capture"
 }
 
+// parseFilter parses a condition; no condition matches everything.
 func parseFilter(text string) (*replay.Filter, error) {
 	if text == "" {
 		return nil, nil
@@ -72,7 +72,7 @@
 	if c.Perturb != "" {
 		return c.perturbRuns(s, runs)
 	}
-	bad := false
+	failed := false
 	var results []*replay.Result
 	for _, run := range runs {
 		o := replay.Options{RestartAtCheckpoints: c.Restart, Where: filter}
@@ -84,14 +84,14 @@
 			if err != nil {
 				return err
 			}
-			bad = bad || res.Differing > 0
+			failed = failed || res.Differing > 0
 			continue
 		}
 		res, ok, err := c.replayRun(s, run, o)
 		if err != nil {
 			return err
 		}
-		bad = bad || !ok
+		failed = failed || !ok
 		results = append(results, res)
 	}
 	if c.JSON && !c.Emit {
@@ -99,13 +99,13 @@
 			return err
 		}
 	}
-	if bad {
+	if failed {
 		return errNegative
 	}
 	return nil
 }
 
-// acceptedDifferences is what stands beside a capture whose differences are intended.
+// acceptedDifferences is the content of a file beside a capture whose differences are intended.
 type acceptedDifferences struct {
 	Build       string               `json:"build"`
 	Differ      uint64               `json:"differ"`
@@ -114,7 +114,7 @@
 	First       []*replay.Difference `json:"first"`
 }
 
-// acceptedPath is where the accepted differences of a run stand.
+// acceptedPath returns the path of a run's accepted differences.
 func acceptedPath(run *capture.Run) string {
 	first := run.Segments[0].Path
 	if len(run.Segments) == 1 {
@@ -123,83 +123,121 @@
 	return filepath.Join(filepath.Dir(first), run.Gateway+"-"+run.Name+".accepted")
 }
 
-// replayRun replays one run and tells whether it is as it should be.
-func (c *replayCmd) replayRun(s *streams, run *capture.Run, o replay.Options) (*replay.Result, bool, error) {
-	shown := 0
+// maxStoredDifferences is how many differences are stored with accepted ones.
+const maxStoredDifferences = 20
+
+// replayRun replays a run and prints its differences. It returns true if there are none, or only accepted ones.
+func (c *replayCmd) replayRun(s *streams, run *capture.Run, options replay.Options) (*replay.Result, bool, error) {
 	var first []*replay.Difference
-	o.OnDifference = func(d *replay.Difference) {
-		if len(first) < 20 {
+	options.OnDifference = func(d *replay.Difference) {
+		if len(first) < maxStoredDifferences {
 			first = append(first, d)
 		}
 	}
 	names := replay.NewNames()
-	o.OnStep = func(st *replay.Step) { names = st.Names }
-	bar := replayProgress(s, run)
-	o.Progress = func(at balancer.Micros) { bar(at) }
-	res, err := replay.Replay(run, o)
-	bar(run.End())
+	options.OnStep = func(step *replay.Step) { names = step.Names }
+	options.Progress = replayProgress(s, run)
+	result, err := replay.Replay(run, options)
+	options.Progress(run.End())
+	if err != nil {
+		return nil, false, err
+	}
+	ok, note, err := c.checkAccepted(run, options, result, first)
 	if err != nil {
 		return nil, false, err
 	}
-	ok := res.Differing == 0
-	note := ""
+	if c.JSON {
+		return result, ok, nil
+	}
+	if !ok {
+		c.printDifferences(s.out, run, first, names)
+		printCounts(s.out, "kind", result.ByKind)
+		printCounts(s.out, "class", result.ByClass)
+		printCounts(s.out, "worker", result.ByReplica)
+	}
+	if result.Missing > 0 || result.Skipped > 0 {
+		fmt.Fprintf(s.out, "  events that the capture lost: %d; events that no checkpoint leads to: %d\n", result.Missing, result.Skipped)
+	}
+	fmt.Fprintf(s.out, "run=%s-%s build=%s checkpoints=%d%s\n%s\n", run.Gateway, run.Name, run.Build, result.Checkpoints, note, result.Line())
+	return result, ok, nil
+}
+
+// checkAccepted accepts the differences of a run, or compares them with those that were accepted before. It
+// returns whether the run is as expected, and a note for its summary.
+func (c *replayCmd) checkAccepted(run *capture.Run, options replay.Options, result *replay.Result, first []*replay.Difference) (ok bool, note string, err error) {
 	path := acceptedPath(run)
 	if c.Accept {
-		if res.Differing == 0 {
-			if err := os.Remove(path); err != nil && !errors.Is(err, fs.ErrNotExist) {
-				return nil, false, err
-			}
-		} else {
-			text, err := json.MarshalIndent(acceptedDifferences{buildinfo.Version(), res.Differing, res.Differences, res.ByKind, first}, "", "  ")
-			if err == nil {
-				err = renameio.WriteFile(path, append(text, '\n'), 0o644)
-			}
-			if err != nil {
-				return nil, false, err
-			}
-		}
-		ok, note = true, " accepted: "+path
-	} else if text, err := os.ReadFile(path); err == nil && o.Where == nil && o.From == 0 && o.To == 0 {
-		var a acceptedDifferences
-		if err := json.Unmarshal(text, &a); err != nil {
-			return nil, false, fmt.Errorf("%s: %w", path, err)
-		}
-		if ok = a.Differences == res.Differences; ok {
-			note = " as accepted"
-		} else {
-			note = fmt.Sprintf(" not as accepted (%d, %s)", a.Differ, a.Differences)
-		}
+		return true, " accepted: " + path, storeAccepted(path, result, first)
 	}
-	if c.JSON {
-		return res, ok, nil
+	ok = result.Differing == 0
+	isPart := options.Where != nil || options.From != 0 || options.To != 0
+	accepted, err := loadAccepted(path)
+	if err != nil && !isPart {
+		return false, "", err
 	}
-	for _, d := range first {
-		if shown++; shown > c.Show || ok {
-			break
-		}
-		fmt.Fprintf(s.out, "%s event %d: %s\n  %s: this build: %s; recorded: %s\n", replay.FormatOffset(run, d.At), d.Number, d.Event, d.Kind, d.Own, d.Recorded)
-		if d.Pick != nil {
-			fmt.Fprint(s.out, d.Pick.FormatTable(names))
-		}
+	if accepted == nil || isPart {
+		return ok, "", nil
 	}
-	sums := func(what string, m map[string]uint64) {
-		for _, k := range slices.SortedFunc(maps.Keys(m), func(a, b string) int { return int(m[b]) - int(m[a]) }) {
-			fmt.Fprintf(s.out, "  %s %s: %d\n", what, k, m[k])
-		}
+	if accepted.Differences == result.Differences {
+		return true, " as accepted", nil
 	}
+	return false, fmt.Sprintf(" not as accepted (%d, %s)", accepted.Differ, accepted.Differences), nil
+}
+
+// readOptional reads a file. It returns false if the file cannot be read.
+func readOptional(path string) ([]byte, bool) {
+	text, err := os.ReadFile(path)
+	return text, err == nil
+}
+
+// loadAccepted reads the accepted differences. It returns nil if there is no file: nothing was accepted.
+func loadAccepted(path string) (*acceptedDifferences, error) {
+	text, ok := readOptional(path)
 	if !ok {
-		sums("kind", res.ByKind)
-		sums("class", res.ByClass)
-		sums("worker", res.ByReplica)
+		return nil, nil
+	}
+	accepted := &acceptedDifferences{}
+	if err := json.Unmarshal(text, accepted); err != nil {
+		return nil, fmt.Errorf("%s: %w", path, err)
+	}
+	return accepted, nil
+}
+
+// storeAccepted stores a run's differences as accepted, or removes the file if there are none.
+func storeAccepted(path string, result *replay.Result, first []*replay.Difference) error {
+	if result.Differing == 0 {
+		if err := os.Remove(path); err != nil && !errors.Is(err, fs.ErrNotExist) {
+			return err
+		}
+		return nil
+	}
+	accepted := acceptedDifferences{buildinfo.Version(), result.Differing, result.Differences, result.ByKind, first}
+	text, err := json.MarshalIndent(accepted, "", "  ")
+	if err != nil {
+		return err
 	}
-	if res.Missing > 0 || res.Skipped > 0 {
-		fmt.Fprintf(s.out, "  events that the capture lost: %d; events that no checkpoint leads to: %d\n", res.Missing, res.Skipped)
+	return renameio.WriteFile(path, append(text, '\n'), filePermissions)
+}
+
+// printDifferences prints the first differences, up to the number of --show.
+func (c *replayCmd) printDifferences(w io.Writer, run *capture.Run, differences []*replay.Difference, names *replay.Names) {
+	for _, d := range differences[:min(len(differences), max(0, c.Show))] {
+		fmt.Fprintf(w, "%s event %d: %s\n  %s: this build: %s; recorded: %s\n", replay.FormatOffset(run, d.At), d.Number, d.Event, d.Kind, d.Own, d.Recorded)
+		if d.Pick != nil {
+			fmt.Fprint(w, d.Pick.FormatTable(names))
+		}
+	}
+}
+
+// printCounts prints counts, the largest first.
+func printCounts(w io.Writer, what string, counts map[string]uint64) {
+	largestFirst := func(a, b string) int { return int(counts[b]) - int(counts[a]) }
+	for _, key := range slices.SortedFunc(maps.Keys(counts), largestFirst) {
+		fmt.Fprintf(w, "  %s %s: %d\n", what, key, counts[key])
 	}
-	fmt.Fprintf(s.out, "run=%s-%s build=%s checkpoints=%d%s\n%s\n", run.Gateway, run.Name, run.Build, res.Checkpoints, note, res.Line())
-	return res, ok, nil
 }
 
-// replayProgress shows how far a replay is, on a terminal.
+// replayProgress returns a function that shows the progress of a replay on a terminal.
 func replayProgress(s *streams, run *capture.Run) func(balancer.Micros) {
 	f, ok := s.err.(*os.File)
 	if !ok || !term.IsTerminal(int(f.Fd())) || run.Bytes() < 4<<20 {
@@ -210,6 +248,7 @@
 	return func(at balancer.Micros) { _ = bar.Set64(at - run.Begin()) }
 }
 
+// compareBuilds compares this build's decisions with those of another build's program.
 func (c *replayCmd) compareBuilds(s *streams) error {
 	self, err := os.Executable()
 	if err != nil {
@@ -250,12 +289,13 @@
 	return nil
 }
 
+// perturbRuns replays runs with perturbed events and checks the balancer's invariants.
 func (c *replayCmd) perturbRuns(s *streams, runs []*capture.Run) error {
 	kinds, err := replay.ParsePerturbations(c.Perturb)
 	if err != nil {
 		return err
 	}
-	bad := false
+	violated := false
 	var all []*replay.PerturbResult
 	for _, run := range runs {
 		res, err := replay.Perturb(run, kinds, c.Seed)
@@ -263,7 +303,7 @@
 			return err
 		}
 		all = append(all, res)
-		bad = bad || len(res.Violations) > 0
+		violated = violated || len(res.Violations) > 0
 		if !c.JSON {
 			for _, f := range res.Violations {
 				fmt.Fprintf(s.out, "fault: %s\n", f)
@@ -276,7 +316,7 @@
 			return err
 		}
 	}
-	if bad {
+	if violated {
 		return errNegative
 	}
 	return nil
--- a/internal/cli/site.go
+++ b/internal/cli/site.go
@@ -14,7 +14,6 @@
 	"text/tabwriter"
 	"time"
 
-	"github.com/google/renameio/v2"
 	"github.com/schollz/progressbar/v3"
 	"github.com/wcharczuk/go-chart/v2"
 	"golang.org/x/term"
@@ -30,7 +29,7 @@
 	Drill siteDrillCmd `cmd:"" help:"Lose a site of a plan's fleet with processes, and tell what was seen beside what was forecast."`
 }
 
-// lossFlags are what both commands ask for.
+// lossFlags are the flags of both commands.
 type lossFlags struct {
 	File     string        `arg:"" name:"plan" help:"The plan: see deploy/site-loss.plan."`
 	Lose     string        `required:"" placeholder:"SITE" help:"The site: a zone of the plan's workers."`
@@ -52,8 +51,8 @@
 	return siteforecast.Loss{Site: c.Lose, At: c.At.Microseconds(), Duration: c.For.Microseconds(), NoticedAfter: c.Told.Microseconds(), Observed: c.Watch.Microseconds()}, nil
 }
 
-// forecast plays the model.
-func (c *lossFlags) forecast(ctx context.Context, s *streams) (*siteforecast.Forecast, func(uint64) (*model.Spec, error), error) {
+// forecast runs the forecast. It also returns the plan's runs by seed.
+func (c *lossFlags) forecast(ctx context.Context, s *streams) (*siteforecast.Forecast, siteforecast.SpecFunc, error) {
 	l, err := c.loss()
 	if err != nil {
 		return nil, nil, err
@@ -71,7 +70,7 @@
 	return f, spec, err
 }
 
-// countBar shows how many of n are done, on a terminal; nil elsewhere.
+// countBar returns a bar of n steps on a terminal, and nil elsewhere.
 func countBar(s *streams, n int) *progressbar.ProgressBar {
 	if f, ok := s.err.(*os.File); ok && term.IsTerminal(int(f.Fd())) {
 		return progressbar.NewOptions(n, progressbar.OptionSetWriter(f), progressbar.OptionShowCount(), progressbar.OptionClearOnFinish())
@@ -109,6 +108,7 @@
 	return printForecast(s.out, f)
 }
 
+// printForecast prints a forecast as tables.
 func printForecast(out io.Writer, f *siteforecast.Forecast) error {
 	t := tabwriter.NewWriter(out, 0, 0, 2, ' ', 0)
 	fmt.Fprintf(t, "site\tworkers\tload before\tload after\n")
@@ -137,36 +137,28 @@
 	return t.Flush()
 }
 
-// writeChart draws the seconds from the loss on.
+// writeChart writes a chart of the seconds from the loss on.
 func writeChart(path string, f *siteforecast.Forecast) error {
-	g := chart.Chart{Width: 820, Height: 300, Background: chart.Style{Padding: chart.Box{Top: 30, Left: 10, Right: 10, Bottom: 10}},
-		XAxis: chart.XAxis{Name: "seconds from the loss"}, YAxis: chart.YAxis{Name: "worth served", Range: &chart.ContinuousRange{Min: 0, Max: 1.02}}}
-	for i, name := range []string{"with the loss", "without", "back"} {
-		line := chart.ContinuousSeries{Name: name, Style: chart.Style{StrokeColor: chart.GetDefaultColor(i), StrokeWidth: 2}}
-		if name == "back" {
-			at := float64(f.Lost.Duration) / 1e6
-			line.XValues, line.YValues = []float64{at, at}, []float64{0, 1}
-		} else {
-			for _, x := range f.Seconds {
-				v := x.WithLoss.Mean
-				if i == 1 {
-					v = x.Baseline.Mean
-				}
-				line.XValues, line.YValues = append(line.XValues, x.At), append(line.YValues, v)
-			}
-		}
-		g.Series = append(g.Series, line)
+	graph := chart.Chart{
+		Width:      820,
+		Height:     300,
+		Background: chart.Style{Padding: chart.Box{Top: 30, Left: 10, Right: 10, Bottom: 10}},
+		XAxis:      chart.XAxis{Name: "seconds from the loss"},
+		YAxis:      chart.YAxis{Name: "worth served", Range: &chart.ContinuousRange{Min: 0, Max: 1.02}},
 	}
-	g.Elements = []chart.Renderable{chart.LegendThin(&g)}
-	file, err := renameio.NewPendingFile(path)
-	if err != nil {
-		return err
+	withLoss, baseline := chart.ContinuousSeries{Name: "with the loss"}, chart.ContinuousSeries{Name: "without"}
+	for _, second := range f.Seconds {
+		withLoss.XValues, withLoss.YValues = append(withLoss.XValues, second.At), append(withLoss.YValues, second.WithLoss.Mean)
+		baseline.XValues, baseline.YValues = append(baseline.XValues, second.At), append(baseline.YValues, second.Baseline.Mean)
 	}
-	defer file.Cleanup()
-	if err := g.Render(chart.SVG, file); err != nil {
-		return err
+	returnAt := float64(f.Lost.Duration) / 1e6
+	siteReturn := chart.ContinuousSeries{Name: "back", XValues: []float64{returnAt, returnAt}, YValues: []float64{0, 1}}
+	for i, series := range []chart.ContinuousSeries{withLoss, baseline, siteReturn} {
+		series.Style = chart.Style{StrokeColor: chart.GetDefaultColor(i), StrokeWidth: 2}
+		graph.Series = append(graph.Series, series)
 	}
-	return file.CloseAtomicallyReplace()
+	graph.Elements = []chart.Renderable{chart.LegendThin(&graph)}
+	return replaceFile(path, func(w io.Writer) error { return graph.Render(chart.SVG, w) })
 }
 
 type siteDrillCmd struct {
@@ -182,7 +174,7 @@
 		"Example:\n  archknot site drill deploy/site-loss.plan --lose south --seeds 3"
 }
 
-// siteDrillResult is one drill beside the forecast.
+// siteDrillResult compares a drill with the forecast.
 type siteDrillResult struct {
 	Seed     uint64              `json:"seed"`
 	Served   float64             `json:"worth_served"`
@@ -194,10 +186,13 @@
 	Forecast *siteforecast.Range `json:"forecast,omitempty"`
 }
 
+// maxSiteDrills is the largest number of drills of a command.
+const maxSiteDrills = 10_000
+
 func (c *siteDrillCmd) Run(s *streams) error {
 	ctx, stop := signal.NotifyContext(context.Background(), os.Interrupt, syscall.SIGTERM)
 	defer stop()
-	if c.Seeds < 1 || c.Seeds > 10_000 {
+	if c.Seeds < 1 || c.Seeds > maxSiteDrills {
 		return errors.New("--seeds: expected 1 to 10000")
 	}
 	f, spec, err := c.forecast(ctx, s)
@@ -212,43 +207,18 @@
 	outside, broken := 0, 0
 	var served, toLost []float64
 	for i := range c.Seeds {
-		one, err := spec(c.Seed + uint64(i))
+		result, drill, err := c.drill(ctx, f, spec, c.Seed+uint64(i))
 		if err != nil {
 			return err
 		}
-		if one, err = f.Lost.Spec(one); err != nil {
-			return err
-		}
-		o := faulttest.Options{Program: c.Program}
-		if c.Logs != "" {
-			o.Dir = fmt.Sprintf("%s/%d", c.Logs, one.Seed)
-		}
-		r, err := faulttest.Run(ctx, one, o)
-		if err != nil {
-			return fmt.Errorf("seed %d: %w", one.Seed, err)
-		}
-		d := siteDrillResult{Seed: one.Seed, Served: r.Worth / max(1e-9, r.Asked), Classes: map[string]float64{}, Breaks: len(r.Breaks), Crashes: len(r.Crashes), ToLost: r.ToLost}
-		d.Within, d.Forecast = f.Served.Within(d.Served), &f.Served
-		for name, k := range r.Classes {
-			d.Classes[name] = k.Worth / max(1e-9, k.Asked)
-		}
-		served, toLost = append(served, d.Served), append(toLost, d.ToLost)
-		if !d.Within {
+		served, toLost = append(served, result.Served), append(toLost, result.ToLost)
+		if !result.Within {
 			outside++
 		}
-		broken += d.Breaks + d.Crashes
-		if c.JSON {
-			if err := json.NewEncoder(s.out).Encode(d); err != nil {
-				return err
-			}
-			continue
-		}
-		fmt.Fprintf(s.out, "seed=%d worth=%.3f within=%v to_lost=%.4f breaks=%d crashes=%d", d.Seed, d.Served, d.Within, d.ToLost, d.Breaks, d.Crashes)
-		for _, name := range slices.Sorted(maps.Keys(d.Classes)) {
-			fmt.Fprintf(s.out, " %s=%.3f", name, d.Classes[name])
+		broken += result.Breaks + result.Crashes
+		if err := c.printResult(s.out, result, drill); err != nil {
+			return err
 		}
-		fmt.Fprintln(s.out)
-		tellBroken(s.out, r)
 	}
 	if !c.JSON {
 		fmt.Fprintf(s.out, "worth served %s; forecast %s; %d of %d within; attempts at the lost site later than 1.5 s: %s of all\n",
@@ -259,3 +229,53 @@
 	}
 	return nil
 }
+
+// drill loses the site of a run with processes, and compares the outcome with the forecast.
+func (c *siteDrillCmd) drill(ctx context.Context, f *siteforecast.Forecast, spec siteforecast.SpecFunc, seed uint64) (*siteDrillResult, *faulttest.Result, error) {
+	run, err := spec(seed)
+	if err != nil {
+		return nil, nil, err
+	}
+	if run, err = f.Lost.Spec(run); err != nil {
+		return nil, nil, err
+	}
+	options := faulttest.Options{Program: c.Program}
+	if c.Logs != "" {
+		options.Dir = fmt.Sprintf("%s/%d", c.Logs, run.Seed)
+	}
+	drill, err := faulttest.Run(ctx, run, options)
+	if err != nil {
+		return nil, nil, fmt.Errorf("seed %d: %w", run.Seed, err)
+	}
+	result := &siteDrillResult{
+		Seed:     run.Seed,
+		Served:   drill.Worth / max(minWeight, drill.Asked),
+		Classes:  map[string]float64{},
+		ToLost:   drill.ToLost,
+		Breaks:   len(drill.Breaks),
+		Crashes:  len(drill.Crashes),
+		Forecast: &f.Served,
+	}
+	result.Within = f.Served.Within(result.Served)
+	for name, class := range drill.Classes {
+		result.Classes[name] = class.Worth / max(minWeight, class.Asked)
+	}
+	return result, drill, nil
+}
+
+// minWeight keeps shares of weight finite where nothing was offered.
+const minWeight = 1e-9
+
+// printResult prints the outcome of a drill in one line, and what it broke.
+func (c *siteDrillCmd) printResult(w io.Writer, result *siteDrillResult, drill *faulttest.Result) error {
+	if c.JSON {
+		return json.NewEncoder(w).Encode(result)
+	}
+	fmt.Fprintf(w, "seed=%d worth=%.3f within=%v to_lost=%.4f breaks=%d crashes=%d", result.Seed, result.Served, result.Within, result.ToLost, result.Breaks, result.Crashes)
+	for _, name := range slices.Sorted(maps.Keys(result.Classes)) {
+		fmt.Fprintf(w, " %s=%.3f", name, result.Classes[name])
+	}
+	fmt.Fprintln(w)
+	tellBroken(w, drill)
+	return nil
+}
