--- a/internal/cli/contracts.go
+++ b/internal/cli/contracts.go
@@ -16,7 +16,7 @@
 	"archknot/internal/capture"
 	"archknot/internal/config"
 	"archknot/internal/contract"
-	"archknot/internal/contract/report"
+	"archknot/internal/contractsim/report"
 	"archknot/internal/contractsim"
 )
 
--- a/internal/contractsim/simulate_test.go
+++ b/internal/contractsim/simulate_test.go
@@ -8,7 +8,7 @@
 	"archknot/balancer"
 	"archknot/internal/capture"
 	"archknot/internal/contract"
-	"archknot/internal/contract/report"
+	"archknot/internal/contractsim/report"
 	"archknot/internal/contractsim"
 )
 
