--- a/internal/cli/contracts.go
+++ b/internal/cli/contracts.go
@@ -16,8 +16,8 @@
 	"archknot/internal/capture"
 	"archknot/internal/config"
 	"archknot/internal/contract"
-	"archknot/internal/contractsim/report"
 	"archknot/internal/contractsim"
+	"archknot/internal/contractsim/report"
 )
 
 type contractsCmd struct {
--- a/internal/contractsim/simulate_test.go
+++ b/internal/contractsim/simulate_test.go
@@ -8,8 +8,8 @@
 	"archknot/balancer"
 	"archknot/internal/capture"
 	"archknot/internal/contract"
-	"archknot/internal/contractsim/report"
 	"archknot/internal/contractsim"
+	"archknot/internal/contractsim/report"
 )
 
 // discardSink takes the module's orders.
