--- a/balancer/admission.go
+++ b/balancer/admission.go
@@ -43,11 +43,11 @@
 
 // warmCapacity is the least share of its capacity that w has by now: the slowest
 // even ramp from the least start.
-func (b *Balancer) warmCapacity(now Micros, w *replicaRow) float64 {
-	if now >= w.warmingUntil || b.settings.SlowStartFor <= 0 {
+func (b *Balancer) warmCapacity(now Micros, row *replicaRow) float64 {
+	if now >= row.warmingUntil || b.settings.SlowStartFor <= 0 {
 		return 1
 	}
-	age := math.Max(0, float64(now-w.warmingSince)/float64(b.settings.SlowStartFor))
+	age := math.Max(0, float64(now-row.warmingSince)/float64(b.settings.SlowStartFor))
 	return b.settings.InitialCapacity + (1-b.settings.InitialCapacity)*age
 }
 
@@ -57,22 +57,22 @@
 // that is the same wherever the attempt comes and whatever else it prefers: slowStartMargin * N offers in
 // the mean, by chance as a Poisson count has it. How many gateways there are, what each gets, and a
 // preference that all of them share change nothing about it, and nothing is learnt or saved up.
-func (b *Balancer) offerWarming(now Micros, r *request) *replicaRow {
+func (b *Balancer) offerWarming(now Micros, req *request) *replicaRow {
 	if b.warmingCount == 0 {
 		return nil
 	}
-	heavy := math.Max(1, b.workTokens(r)/math.Max(1, b.meanWork))
+	heavy := math.Max(1, b.workTokens(req)/math.Max(1, b.meanWork))
 	// Gateways may be given the same seed: by its number each draws otherwise.
 	drawn := splitmix(math.Float64bits(b.random()) ^ splitmix(uint64(b.settings.Self)))
 	draw := unitFloat(drawn)
 	n := len(b.rows)
 	for i, start := 0, int(unitFloat(splitmix(drawn))*float64(n)); i < n; i++ { // chances may be over 1 in all: from any on
-		w := b.rows[(start+i)%n]
-		if w.state != EndpointReady || now >= w.warmingUntil {
+		row := b.rows[(start+i)%n]
+		if row.state != EndpointReady || now >= row.warmingUntil {
 			continue
 		}
-		if draw -= b.offerChance(now, w) / (heavy * heavy); draw < 0 {
-			return w
+		if draw -= b.offerChance(now, row) / (heavy * heavy); draw < 0 {
+			return row
 		}
 	}
 	return nil
@@ -81,8 +81,8 @@
 // offerChance is the chance by which an attempt of mean work is offered w. Of R attempts in the span
 // to n replicas, N is OverloadMultiple * warmth * R / n. A heavy request is offered it by the square of
 // its work less often: by its work, and that it scatters the sum no more than others.
-func (b *Balancer) offerChance(now Micros, w *replicaRow) float64 {
-	share := slowStartMargin * b.settings.OverloadMultiple * b.warmCapacity(now, w) / math.Max(1, w.slowness)
+func (b *Balancer) offerChance(now Micros, row *replicaRow) float64 {
+	share := slowStartMargin * b.settings.OverloadMultiple * b.warmCapacity(now, row) / math.Max(1, row.slowness)
 	if b.warmUtilization > 0 { // what replicas can do is more than what they get
 		share /= math.Max(minUtilization, math.Min(1, b.warmUtilization))
 	}
@@ -90,21 +90,21 @@
 }
 
 // workTokens is what r takes of a replica that has kept nothing, in held tokens.
-func (b *Balancer) workTokens(r *request) float64 {
-	return prefillCost*float64(r.PromptTokens) + b.expectedHeldTokens(r)
+func (b *Balancer) workTokens(req *request) float64 {
+	return prefillCost*float64(req.PromptTokens) + b.expectedHeldTokens(req)
 }
 
 // countDispatch counts a dispatch.
-func (b *Balancer) countDispatch(now Micros, w *replicaRow) {
+func (b *Balancer) countDispatch(now Micros, row *replicaRow) {
 	b.dispatchesSinceTick++
-	b.zones.TrialDue(now, w.zone, 0.5) // where nothing else may, this request tries a lost site
+	b.zones.TrialDue(now, row.zone, 0.5) // where nothing else may, this request tries a lost site
 }
 
 // lastResort tells whether every replica that r may use is resting: then the
 // rest is cut short, for sending somewhere beats sending nowhere.
-func (b *Balancer) lastResort(now Micros, r *request) bool {
-	for _, w := range b.rows {
-		if b.eligible(now, w, r, false) {
+func (b *Balancer) lastResort(now Micros, req *request) bool {
+	for _, row := range b.rows {
+		if b.eligible(now, row, req, false) {
 			return false
 		}
 	}
@@ -112,111 +112,111 @@
 }
 
 // eligible tells whether r may go to w at all.
-func (b *Balancer) eligible(now Micros, w *replicaRow, r *request, last bool) bool {
-	if w.state != EndpointReady {
+func (b *Balancer) eligible(now Micros, row *replicaRow, req *request, last bool) bool {
+	if row.state != EndpointReady {
 		return false
 	}
-	if !last && (now < w.backoffUntil || !b.zoneOpen(now, w) || w.consecutiveFailures > 0 && len(w.ledger) > 0) {
+	if !last && (now < row.backoffUntil || !b.zoneOpen(now, row) || row.consecutiveFailures > 0 && len(row.ledger) > 0) {
 		return false
 	}
-	if !last && b.healthCheckOverdue(now, w) || b.mayBeStale(now, w) && !b.mayPoll && (b.settings.MayHealthCheck || !last) {
+	if !last && b.healthCheckOverdue(now, row) || b.mayBeStale(now, row) && !b.mayPoll && (b.settings.MayHealthCheck || !last) {
 		return false
 	}
-	for _, a := range r.attempts {
-		if a.row == w && (!last || !a.ended) {
+	for _, a := range req.attempts {
+		if a.row == row && (!last || !a.ended) {
 			return false
 		}
 	}
-	if len(r.attempts) > 0 && !b.idempotencyAllows(now, r, w) {
+	if len(req.attempts) > 0 && !b.idempotencyAllows(now, req, row) {
 		return false
 	}
-	return now >= w.warmingUntil || w == b.offeredWarming
+	return now >= row.warmingUntil || row == b.offeredWarming
 }
 
 // penaltyFactor weighs a usable row's predicted load: a replica that errs wastes
 // attempts, one in another zone or without a connection costs a little.
-func (b *Balancer) penaltyFactor(now Micros, w *replicaRow, r *request) float64 {
+func (b *Balancer) penaltyFactor(now Micros, row *replicaRow, req *request) float64 {
 	f := 1.0
-	if now < w.warmingUntil { // it reads and streams as much slower
-		f = slowStartPreference / b.warmCapacity(now, w)
+	if now < row.warmingUntil { // it reads and streams as much slower
+		f = slowStartPreference / b.warmCapacity(now, row)
 	}
-	if w.errorRate > 0.02 {
-		f /= (1 - w.errorRate) * (1 - w.errorRate)
+	if row.errorRate > 0.02 {
+		f /= (1 - row.errorRate) * (1 - row.errorRate)
 	}
-	if w.zone != b.ownZone && b.firstTokenFit.mean() <= 0 {
+	if row.zone != b.ownZone && b.firstTokenFit.mean() <= 0 {
 		f *= 1 + b.settings.CrossZoneCost // nothing yet to weigh it by: see crossZoneCost
 	}
-	if b.settings.HandshakeCost > 0 && b.needsConnection(now, w) {
+	if b.settings.HandshakeCost > 0 && b.needsConnection(now, row) {
 		f *= 1 + b.settings.HandshakeCost
 	}
-	if w.zone == r.avoidZone {
+	if row.zone == req.avoidZone {
 		f *= 4
 	}
-	return f * b.zonePenalty(now, w)
+	return f * b.zonePenalty(now, row)
 }
 
 // crossZoneCost is what a crossing adds to r's score: a share of r's worth, lost once the
 // first token is past the aim. The load that would use up what is left to the aim is
 // (aim - usual first) / usual first times the usual load; 0 at the aim. Before first
 // tokens are known, penaltyFactor prices a crossing.
-func (b *Balancer) crossZoneCost(r *request) float64 {
+func (b *Balancer) crossZoneCost(req *request) float64 {
 	if first := b.firstTokenFit.mean(); first > 0 {
-		return b.settings.CrossZoneCost * math.Max(0, float64(b.latencyObjective(r))-first) / first * (b.meanLoad + b.meanHeldTokens)
+		return b.settings.CrossZoneCost * math.Max(0, float64(b.latencyObjective(req))-first) / first * (b.meanLoad + b.meanHeldTokens)
 	}
 	return 0
 }
 
 // needsConnection tells whether a dispatch to w needs a new connection.
-func (b *Balancer) needsConnection(now Micros, w *replicaRow) bool {
-	if len(w.ledger) == 0 && now-w.lastUsedAt > b.settings.ConnIdleTimeout {
+func (b *Balancer) needsConnection(now Micros, row *replicaRow) bool {
+	if len(row.ledger) == 0 && now-row.lastUsedAt > b.settings.ConnIdleTimeout {
 		return true
 	}
-	return len(w.ledger) >= w.openConns*max(1, b.settings.StreamsPerConn)
+	return len(row.ledger) >= row.openConns*max(1, b.settings.StreamsPerConn)
 }
 
 // dischargeLedger takes the end of an attempt off the ledger and into the health.
-func (b *Balancer) dischargeLedger(now Micros, a *attempt, o Outcome) {
-	w := a.row
-	b.releaseCharge(w, a, true)
-	b.recordAnswer(now, w, o.Status, false)
-	w.lastUsedAt = now
-	if o.Status == ConnectFailed || o.Status == ConnBroken {
-		w.openConns = 0
-	}
-	switch o.Status {
+func (b *Balancer) dischargeLedger(now Micros, a *attempt, outcome Outcome) {
+	row := a.row
+	b.releaseCharge(row, a, true)
+	b.recordAnswer(now, row, outcome.Status, false)
+	row.lastUsedAt = now
+	if outcome.Status == ConnectFailed || outcome.Status == ConnBroken {
+		row.openConns = 0
+	}
+	switch outcome.Status {
 	case Served:
-		b.clearFailures(w)
-		w.errorRate *= 0.8
+		b.clearFailures(row)
+		row.errorRate *= 0.8
 	case Errored, ConnectFailed, ConnBroken:
-		b.recordFailure(now, w, o.Status)
+		b.recordFailure(now, row, outcome.Status)
 	case Malformed: // from a good worker too: weighs, but is no reason to rest
-		w.errorRate += 0.2 * (1 - w.errorRate)
+		row.errorRate += 0.2 * (1 - row.errorRate)
 	case Shed:
 		// Full: what its last report said is wrong. Take it for as loaded as
 		// twice the fleet until a newer report comes.
-		b.setReportedLoad(now, w, math.Max(w.reportedTokens, 2*b.meanLoad/w.slowness))
+		b.setReportedLoad(now, row, math.Max(row.reportedTokens, 2*b.meanLoad/row.slowness))
 	}
 }
 
 // clearFailures clears what stood against w.
-func (b *Balancer) clearFailures(w *replicaRow) {
-	w.consecutiveFailures, w.backoffUntil = 0, 0
+func (b *Balancer) clearFailures(row *replicaRow) {
+	row.consecutiveFailures, row.backoffUntil = 0, 0
 }
 
 // recordFailure notes a failure. Quick errors free memory and would top the scan: the
 // replica rests, longer each time, and comes back one attempt at a time.
-func (b *Balancer) recordFailure(now Micros, w *replicaRow, s Status) {
-	if b.zones.IsUnavailable(w.zone) {
+func (b *Balancer) recordFailure(now Micros, row *replicaRow, s Status) {
+	if b.zones.IsUnavailable(row.zone) {
 		return // its site's failure, not its own
 	}
-	w.errorRate += 0.2 * (1 - w.errorRate)
-	w.consecutiveFailures++
+	row.errorRate += 0.2 * (1 - row.errorRate)
+	row.consecutiveFailures++
 	many := 1.0
 	if b.largeFleet() {
 		many = b.gatewaysPerReplica() / largeFleetGateways
 	}
 	rests := zonehealth.Backoff{Min: backoffMin, Max: backoffMax}
-	w.backoffUntil = now + rests.Delay(w.consecutiveFailures, s != Errored, many, b.random())
+	row.backoffUntil = now + rests.Delay(row.consecutiveFailures, s != Errored, many, b.random())
 }
 
 // takeRetry tells whether the budget allows a further attempt after s. What
@@ -233,11 +233,11 @@
 }
 
 // countArrival counts a request.
-func (b *Balancer) countArrival(r *request) {
-	b.countPrefix(r)
-	updateMean(&b.meanWork, b.workTokens(r))
-	if r.tenantIndex >= 0 {
-		b.tenantArrivals[r.tenantIndex]++
+func (b *Balancer) countArrival(req *request) {
+	b.countPrefix(req)
+	updateMean(&b.meanWork, b.workTokens(req))
+	if req.tenantIndex >= 0 {
+		b.tenantArrivals[req.tenantIndex]++
 	}
 	calm := 1 - b.lateShare // budgets of further attempts shrink as the fleet falls behind
 	b.hedgeBudget = math.Min(budgetCap, b.hedgeBudget+cmp.Or(b.settings.HedgeRatio, defaultHedgeRatio)*calm)
@@ -245,41 +245,41 @@
 }
 
 // weightPerToken is what r is worth a token of its charge.
-func (b *Balancer) weightPerToken(r *request) float64 {
-	v := b.classOf(r).PriorityWeight
-	if r.PriorityFactor > 0 {
-		v *= r.PriorityFactor
-	} else if r.tenantIndex >= 0 {
-		quota := b.settings.Tenants[r.tenantIndex].QuotaPerS / float64(b.settings.Gateways)
-		if b.tenantRate[r.tenantIndex] > 1.25*quota {
+func (b *Balancer) weightPerToken(req *request) float64 {
+	v := b.classOf(req).PriorityWeight
+	if req.PriorityFactor > 0 {
+		v *= req.PriorityFactor
+	} else if req.tenantIndex >= 0 {
+		quota := b.settings.Tenants[req.tenantIndex].QuotaPerS / float64(b.settings.Gateways)
+		if b.tenantRate[req.tenantIndex] > 1.25*quota {
 			v *= b.settings.OverQuotaWeight
 		}
 	}
-	return v / (prefillCost*float64(r.PromptTokens)*(1-b.stats[r.classIndex].cachedShare) + b.expectedHeldTokens(r))
+	return v / (prefillCost*float64(req.PromptTokens)*(1-b.stats[req.classIndex].cachedShare) + b.expectedHeldTokens(req))
 }
 
 // admit refuses early, what is worth least for its work first, once this
 // gateway holds as many tokens open as went together with lateness. A limit on
 // what is open lets in again as soon as work ends; a limit on what comes in
 // kept refusing long after the fleet stood idle.
-func (b *Balancer) admit(r *request) bool {
-	updateMean(&b.meanWeightPerToken, b.weightPerToken(r))
+func (b *Balancer) admit(req *request) bool {
+	updateMean(&b.meanWeightPerToken, b.weightPerToken(req))
 	if b.tokenLimit == 0 {
 		return true
 	}
-	return b.inFlightTokens+b.random()*b.expectedHeldTokens(r) <= b.limitShare(r)*b.tokenLimit
+	return b.inFlightTokens+b.random()*b.expectedHeldTokens(req) <= b.limitShare(req)*b.tokenLimit
 }
 
 // limitShare is the part of the limit that r may fill, by its worth.
-func (b *Balancer) limitShare(r *request) float64 {
-	return math.Max(minLimitShare, math.Min(1, b.weightPerToken(r)/b.meanWeightPerToken))
+func (b *Balancer) limitShare(req *request) float64 {
+	return math.Max(minLimitShare, math.Min(1, b.weightPerToken(req)/b.meanWeightPerToken))
 }
 
 // recordFirstToken takes the lateness of a request whose answer begins. One whose aim
 // passed before was counted then: counted when its answer came, seconds later,
 // the jam of before went on closing the limit of an idle fleet.
-func (b *Balancer) recordFirstToken(r *request, tooSlow bool) {
-	if !r.late {
+func (b *Balancer) recordFirstToken(req *request, tooSlow bool) {
+	if !req.late {
 		b.recordLateness(boolToFloat(tooSlow))
 	}
 }
@@ -305,8 +305,8 @@
 // stands in the least time seen, with the network's, and is put at a third of
 // the aim. Without this, a fleet that answers at once but streams too slowly
 // for its aims takes on all that comes.
-func (b *Balancer) streamsTooSlow(r *request, a *attempt) bool {
-	aim := float64(b.classOf(r).TokenObjective)
+func (b *Balancer) streamsTooSlow(req *request, a *attempt) bool {
+	aim := float64(b.classOf(req).TokenObjective)
 	if aim == 0 || b.firstTokenFit.n < 16 {
 		return false
 	}
@@ -341,15 +341,15 @@
 // r's part of the limit will have ended, at the pace at which requests end. It
 // is kept within a part of r's aim, for an answer past that is worth little, and
 // scattered, so that those refused together do not come back together.
-func (b *Balancer) retryAfter(r *request) Micros {
+func (b *Balancer) retryAfter(req *request) Micros {
 	if !b.settings.RetryAfter {
 		return 0
 	}
 	wait := 0.0
-	if over := b.inFlightTokens + b.expectedHeldTokens(r) - b.limitShare(r)*b.tokenLimit; b.tokenLimit > 0 && over > 0 {
-		wait = b.meanLifetime * over / (b.inFlightTokens + b.expectedHeldTokens(r))
+	if over := b.inFlightTokens + b.expectedHeldTokens(req) - b.limitShare(req)*b.tokenLimit; b.tokenLimit > 0 && over > 0 {
+		wait = b.meanLifetime * over / (b.inFlightTokens + b.expectedHeldTokens(req))
 	}
-	aim := float64(b.latencyObjective(r))
+	aim := float64(b.latencyObjective(req))
 	wait = math.Max(aim*minRetryAfter, math.Min(aim*maxRetryAfter, wait)) * (0.75 + 0.5*b.random())
 	return min(b.settings.MaxRetryAfter, int64(wait))
 }
@@ -388,20 +388,20 @@
 	if !b.settings.MayHealthCheck || b.settings.ReportSource == ReportNone || b.largeFleet() {
 		return
 	}
-	for _, w := range b.rows {
-		if w.state != EndpointReady || w.healthCheckPending {
+	for _, row := range b.rows {
+		if row.state != EndpointReady || row.healthCheckPending {
 			continue
 		}
-		age := now - max(w.reportedAt, w.healthCheckedAt)
+		age := now - max(row.reportedAt, row.healthCheckedAt)
 		due := b.healthCheckInterval()
-		if b.settings.MayGossip && !b.ownsHealthCheck(w) {
+		if b.settings.MayGossip && !b.ownsHealthCheck(row) {
 			// Its owner is silent: step in, but not all of us at once.
 			if age < 3*due || b.random() > 2/float64(b.settings.Gateways) {
 				continue
 			}
 		}
 		if age >= due {
-			b.sendHealthCheck(now, w)
+			b.sendHealthCheck(now, row)
 		}
 	}
 }
@@ -422,10 +422,10 @@
 }
 
 // ownsHealthCheck tells whether this gateway is the one that probes w, by rendezvous.
-func (b *Balancer) ownsHealthCheck(w *replicaRow) bool {
+func (b *Balancer) ownsHealthCheck(row *replicaRow) bool {
 	best, owner := uint64(0), 0
 	for i := range b.settings.Gateways {
-		if h := splitmix(w.hash ^ uint64(i+1)); h > best {
+		if h := splitmix(row.hash ^ uint64(i+1)); h > best {
 			best, owner = h, i
 		}
 	}
@@ -433,28 +433,28 @@
 }
 
 // HealthCheckEnded takes a probe's result.
-func (b *Balancer) HealthCheckEnded(now Micros, o Outcome) {
-	w := b.rowByID[o.Replica]
-	if w == nil {
+func (b *Balancer) HealthCheckEnded(now Micros, outcome Outcome) {
+	row := b.rowByID[outcome.Replica]
+	if row == nil {
 		return
 	}
-	w.healthCheckPending = false
+	row.healthCheckPending = false
 	if b.largeFleet() {
 		defer b.resumeWaiting(now)
 	}
-	b.recordAnswer(now, w, o.Status, true)
-	if o.Status != Served {
-		if o.Status == ConnectFailed || o.Status == Errored || o.Status == TimedOut && b.largeFleet() {
-			b.recordFailure(now, w, o.Status)
+	b.recordAnswer(now, row, outcome.Status, true)
+	if outcome.Status != Served {
+		if outcome.Status == ConnectFailed || outcome.Status == Errored || outcome.Status == TimedOut && b.largeFleet() {
+			b.recordFailure(now, row, outcome.Status)
 		}
 		return
 	}
-	w.confirmedReadyAt = w.healthCheckedAt
-	b.applyReport(now, w, o.Report)
-	if w.backoffUntil > 0 && w.errorRate < 0.1 {
-		b.clearFailures(w)
+	row.confirmedReadyAt = row.healthCheckedAt
+	b.applyReport(now, row, outcome.Report)
+	if row.backoffUntil > 0 && row.errorRate < 0.1 {
+		b.clearFailures(row)
 	}
-	if b.settings.MayGossip && b.settings.Gateways > 1 && w.reportedAt == now {
-		b.sink.Gossip(b.packPeerReport(nil, w))
+	if b.settings.MayGossip && b.settings.Gateways > 1 && row.reportedAt == now {
+		b.sink.Gossip(b.packPeerReport(nil, row))
 	}
 }
--- a/balancer/balancer_test.go
+++ b/balancer/balancer_test.go
@@ -145,14 +145,14 @@
 		now := 200 * second
 		b.meanLifetime, b.meanLoad = float64(10*second), 10000
 		for i, in := range c.rows {
-			w := b.rows[i]
-			w.reportedTokens, w.charge, w.unreported, w.slowness, w.reportedAt = in.held, in.charge, in.charge, in.slow, now-in.age
+			row := b.rows[i]
+			row.reportedTokens, row.charge, row.unreported, row.slowness, row.reportedAt = in.held, in.charge, in.charge, in.slow, now-in.age
 			if in.age < 0 {
-				w.reportedAt = -1
+				row.reportedAt = -1
 			}
 		}
-		r := &request{Request: testRequest(1), policy: b.policies[0], tenantIndex: -1, avoidZone: -1}
-		if got, _, _ := b.pick(now, r); got == nil || got.id != c.want {
+		req := &request{Request: testRequest(1), policy: b.policies[0], tenantIndex: -1, avoidZone: -1}
+		if got, _, _ := b.pick(now, req); got == nil || got.id != c.want {
 			t.Errorf("%s: picked %v, want %d", c.name, got, c.want)
 		}
 	}
@@ -165,17 +165,17 @@
 	if dispatched(b, rec, 101*second, testRequest(1)) != 1 {
 		t.Fatal("not sent")
 	}
-	w := b.rows[0]
-	if want := prefillCost*1000 + 1000 + 100; w.charge != want {
-		t.Fatalf("charge %v after the dispatch, want %v", w.charge, want)
+	row := b.rows[0]
+	if want := prefillCost*1000 + 1000 + 100; row.charge != want {
+		t.Fatalf("charge %v after the dispatch, want %v", row.charge, want)
 	}
 	b.FirstToken(102*second, Outcome{ID: 1, Replica: 1, Elapsed: second})
-	if w.charge != 1100 {
-		t.Fatalf("charge %v after the first token, want 1100", w.charge)
+	if row.charge != 1100 {
+		t.Fatalf("charge %v after the first token, want 1100", row.charge)
 	}
 	b.AttemptEnded(103*second, Outcome{ID: 1, Replica: 1, Status: Served, Elapsed: 2 * second, Final: true})
-	if w.charge != 0 || len(w.ledger) != 0 || len(b.requests) != 0 {
-		t.Fatalf("charge %v, %d open, %d requests after the end", w.charge, len(w.ledger), len(b.requests))
+	if row.charge != 0 || len(row.ledger) != 0 || len(b.requests) != 0 {
+		t.Fatalf("charge %v, %d open, %d requests after the end", row.charge, len(row.ledger), len(b.requests))
 	}
 }
 
@@ -196,8 +196,8 @@
 func TestRatioStartsAtFleetMeanAndFitsReplica(t *testing.T) {
 	b, _ := startBalancer(t, settings(), fleet(2)...)
 	b.meanHeldTokens = 1000
-	rep := func(w *replicaRow, share float64) {
-		b.applyReport(101*second, w, LoadReport{Has: HasMemory | HasInFlight, MemoryShare: share, InFlight: 10})
+	rep := func(row *replicaRow, share float64) {
+		b.applyReport(101*second, row, LoadReport{Has: HasMemory | HasInFlight, MemoryShare: share, InFlight: 10})
 	}
 	rep(b.rows[0], 0.2)
 	rep(b.rows[1], 0.2)
@@ -220,18 +220,18 @@
 	b, _ := startBalancer(t, s, fleet(10)...)
 	now := 101 * second
 	b.meanLifetime, b.meanLoad, b.meanHeldTokens, b.dispatchRate = float64(5*second), 50000, 1100, 5
-	for i, w := range b.rows {
-		b.setReportedLoad(now, w, 50000)
+	for i, row := range b.rows {
+		b.setReportedLoad(now, row, 50000)
 		if i == 3 {
-			b.setReportedLoad(now, w, 20000)
+			b.setReportedLoad(now, row, 20000)
 		}
 	}
 	hits := 0
 	for i := range 40 {
 		r := testRequest(RequestID(i + 1))
 		r.Session = splitmix(uint64(i)) // sessions with homes of their own
-		w, _, _ := b.pick(now, &request{Request: r, policy: b.policies[0], tenantIndex: -1, avoidZone: -1})
-		if w.id == 4 {
+		row, _, _ := b.pick(now, &request{Request: r, policy: b.policies[0], tenantIndex: -1, avoidZone: -1})
+		if row.id == 4 {
 			hits++
 		}
 	}
@@ -250,12 +250,12 @@
 		s := settings()
 		s.Self, s.Gateways = self, 3
 		b, _ := startBalancer(t, s, fleet(8)...)
-		w, kept, _ := b.pick(101*second, &request{Request: r, policy: b.policies[0], tenantIndex: -1, avoidZone: -1})
-		if home != 0 && w.id != home || kept <= 0 {
-			t.Fatalf("gateway %d picked %d (kept %v), another %d", self, w.id, kept, home)
+		row, kept, _ := b.pick(101*second, &request{Request: r, policy: b.policies[0], tenantIndex: -1, avoidZone: -1})
+		if home != 0 && row.id != home || kept <= 0 {
+			t.Fatalf("gateway %d picked %d (kept %v), another %d", self, row.id, kept, home)
 		}
-		home = w.id
-		w.charge, w.unreported = 1e6, 1e6
+		home = row.id
+		row.charge, row.unreported = 1e6, 1e6
 		if w2, _, _ := b.pick(101*second, &request{Request: r, policy: b.policies[0], tenantIndex: -1, avoidZone: -1}); w2.id == home {
 			t.Fatal("a jammed home is still picked")
 		}
@@ -290,7 +290,7 @@
 		}
 		b.AttemptEnded(103*second, Outcome{ID: i + 2, Replica: first, Status: Served, Final: true, Elapsed: second})
 	}
-	if w := b.rowByID[first]; !b.needsConnection(200*second, w) {
+	if row := b.rowByID[first]; !b.needsConnection(200*second, row) {
 		t.Fatal("the connection is believed open past its idle time")
 	}
 }
@@ -318,8 +318,8 @@
 	b, rec := startBalancer(t, settings(), fleet(4)...)
 	now := 101 * second
 	for range 50 {
-		for _, w := range b.rows {
-			b.recordSlowness(now, w, 8)
+		for _, row := range b.rows {
+			b.recordSlowness(now, row, 8)
 		}
 	}
 	b.refreshEstimates(now)
@@ -334,8 +334,8 @@
 	a.setReportedLoad(101*second, a.rows[1], 12345)
 	a.recordSlowness(101*second, a.rows[1], 2)
 	b.PeerMessage(102*second, 1, a.packPeerReport(nil, a.rows[1]))
-	if w := b.rows[1]; w.reportedAt != 102*second || math.Abs(w.reportedTokens-12345) > 900 || math.Abs(w.slownessSum-2) > 0.2 {
-		t.Fatalf("relayed row %+v", w)
+	if row := b.rows[1]; row.reportedAt != 102*second || math.Abs(row.reportedTokens-12345) > 900 || math.Abs(row.slownessSum-2) > 0.2 {
+		t.Fatalf("relayed row %+v", row)
 	}
 	b.PeerMessage(102*second, 1, []byte("odd")) // cut short: harmless
 	if b.rows[0].reportedAt != -1 || b.rows[2].reportedAt != -1 {
@@ -360,9 +360,9 @@
 			}
 		}
 	}
-	for _, m := range fleet(20) {
-		if owners[m.Replica] != 1 {
-			t.Fatalf("replica %d probed by %d gateways", m.Replica, owners[m.Replica])
+	for _, endpoint := range fleet(20) {
+		if owners[endpoint.Replica] != 1 {
+			t.Fatalf("replica %d probed by %d gateways", endpoint.Replica, owners[endpoint.Replica])
 		}
 	}
 }
@@ -415,7 +415,7 @@
 }
 
 func TestReportsOfEveryShape(t *testing.T) {
-	for name, in := range map[string]LoadReport{
+	for name, report := range map[string]LoadReport{
 		"memory":   {Has: HasMemory, MemoryShare: 0.5},
 		"util":     {Has: HasUtilization, Utilization: 0.5},
 		"inflight": {Has: HasInFlight, InFlight: 9},
@@ -424,7 +424,7 @@
 	} {
 		b, rec := startBalancer(t, settings(), fleet(2)...)
 		dispatched(b, rec, 101*second, testRequest(1))
-		b.applyReport(101*second, b.rows[0], in)
+		b.applyReport(101*second, b.rows[0], report)
 		if b.rows[0].reportedTokens <= 0 || b.rows[0].reportedAt != 101*second {
 			t.Errorf("%s: held %v", name, b.rows[0].reportedTokens)
 		}
@@ -445,8 +445,8 @@
 	b.tokensPerLiveLoad = 1000
 	m[1].Weight = 0.25
 	b.ListChanged(101*second, EndpointList{Kind: ListDelta, Endpoints: m[1:2]})
-	if w := b.rows[1]; w.reportedTokens != 3000 || w.reportedAt != 101*second {
-		t.Fatalf("held %v at %v", w.reportedTokens, w.reportedAt)
+	if row := b.rows[1]; row.reportedTokens != 3000 || row.reportedAt != 101*second {
+		t.Fatalf("held %v at %v", row.reportedTokens, row.reportedAt)
 	}
 }
 
@@ -487,10 +487,10 @@
 	} {
 		b, _ := startBalancer(t, s, fleet(3)...)
 		b.inFlightTokens, b.tokenLimit, b.meanWeightPerToken = c.open, c.limit, 1e-9
-		r := &request{Request: testRequest(1), classIndex: b.classIndex[c.class], policy: b.policies[b.classIndex[c.class]], tenantIndex: -1}
+		req := &request{Request: testRequest(1), classIndex: b.classIndex[c.class], policy: b.policies[b.classIndex[c.class]], tenantIndex: -1}
 		seen := map[Micros]bool{}
 		for range 100 {
-			d := b.retryAfter(r)
+			d := b.retryAfter(req)
 			if d < c.least || d > c.most {
 				t.Fatalf("%+v: told to come back after %d", c, d)
 			}
@@ -529,8 +529,8 @@
 		now := 200 * second
 		b.meanLifetime, b.meanLoad = float64(10*second), 10000
 		b.rows[0].reportedTokens, b.rows[1].reportedTokens = c.home, c.away
-		for _, w := range b.rows {
-			w.reportedAt, w.slowness = now, 1
+		for _, row := range b.rows {
+			row.reportedAt, row.slowness = now, 1
 		}
 		first := 50_000.0 // first tokens in 0.25 s, 1 s of aim: a crossing weighs 0.03 x 3 x usual load
 		if c.home-c.away < 200 {
@@ -539,8 +539,8 @@
 		for x := 0.0; c.learned && x <= 4000; x += 1000 {
 			b.firstTokenFit.add(x, first+100*x)
 		}
-		r := &request{Request: testRequest(1), policy: b.policies[0], tenantIndex: -1, avoidZone: -1}
-		if got, _, _ := b.pick(now, r); got == nil || got.id != c.want {
+		req := &request{Request: testRequest(1), policy: b.policies[0], tenantIndex: -1, avoidZone: -1}
+		if got, _, _ := b.pick(now, req); got == nil || got.id != c.want {
 			t.Errorf("%s: picked %v, want %d", c.name, got, c.want)
 		}
 	}
--- a/balancer/bench_test.go
+++ b/balancer/bench_test.go
@@ -25,15 +25,15 @@
 	b.Start(100 * second)
 	b.ListChanged(100*second, EndpointList{Kind: ListFull, Endpoints: members})
 	b.meanHeldTokens, b.meanLoad, b.dispatchRate = 1500, 9000, 20
-	for i, w := range b.rows {
+	for i, row := range b.rows {
 		if i%3 > 0 {
-			w.reportedTokens, w.reportedAt = float64(i%23)*900, 100*second-Micros(i%29)*200_000
+			row.reportedTokens, row.reportedAt = float64(i%23)*900, 100*second-Micros(i%29)*200_000
 		}
 		if i%41 == 0 {
-			w.errorRate, w.backoffUntil = 0.3, 100*second+Micros(i%5)*second/4
+			row.errorRate, row.backoffUntil = 0.3, 100*second+Micros(i%5)*second/4
 		}
-		w.lastUsedAt = 100*second - Micros(i%7)*second
-		w.openConns = i % 2
+		row.lastUsedAt = 100*second - Micros(i%7)*second
+		row.openConns = i % 2
 	}
 	b.refreshEstimates(100 * second)
 	return b
@@ -44,11 +44,11 @@
 		for _, workers := range []int{14, 60, 1000, 10_000} {
 			b.Run(fmt.Sprintf("gateways=%d/workers=%d", gateways, workers), func(b *testing.B) {
 				g := busyBalancer(b, gateways, workers)
-				r := &request{Request: testRequest(1), policy: g.policies[0], tenantIndex: -1, avoidZone: -1, deadline: 200 * second}
+				req := &request{Request: testRequest(1), policy: g.policies[0], tenantIndex: -1, avoidZone: -1, deadline: 200 * second}
 				for n := 0; b.Loop(); n++ {
-					r.Session, r.Prefix, r.PrefixTokens = uint64(n%997+1), uint64(n%31+1), 600
-					g.prefixCounts[r.Prefix], g.prefixTotal = 5, 200
-					g.pick(101*second, r)
+					req.Session, req.Prefix, req.PrefixTokens = uint64(n%997+1), uint64(n%31+1), 600
+					g.prefixCounts[req.Prefix], g.prefixTotal = 5, 200
+					g.pick(101*second, req)
 				}
 			})
 		}
--- a/balancer/discovery.go
+++ b/balancer/discovery.go
@@ -26,41 +26,41 @@
 
 // ListChanged takes news of the fleet. Rule 3: what drains or is gone gets
 // nothing from this moment on, which is within any grace.
-func (b *Balancer) ListChanged(now Micros, l EndpointList) {
-	if l.Kind.Failed() {
+func (b *Balancer) ListChanged(now Micros, list EndpointList) {
+	if list.Kind.Failed() {
 		if b.settings.PollDiscovery {
-			b.scheduleNextPoll(now, l.Kind == ListUnreachable)
+			b.scheduleNextPoll(now, list.Kind == ListUnreachable)
 		}
 		return
 	}
-	if l.Kind.FromDiscovery() {
+	if list.Kind.FromDiscovery() {
 		b.watching, b.pollBackoff, b.nextPollAt, b.lastHeardAt = true, 0, 0, now
 	}
-	if l.Kind.Complete() {
-		seen := make(map[ReplicaID]bool, len(l.Endpoints))
-		for _, m := range l.Endpoints {
-			seen[m.Replica] = true
+	if list.Kind.Complete() {
+		seen := make(map[ReplicaID]bool, len(list.Endpoints))
+		for _, endpoint := range list.Endpoints {
+			seen[endpoint.Replica] = true
 		}
-		for _, w := range b.rows {
-			if !seen[w.id] {
-				w.state = EndpointGone
+		for _, row := range b.rows {
+			if !seen[row.id] {
+				row.state = EndpointGone
 			}
 		}
 	}
-	b.fleetSize = l.FleetSize
-	for _, m := range l.Endpoints {
-		b.applyEndpoint(now, m, !b.listReceived)
+	b.fleetSize = list.FleetSize
+	for _, endpoint := range list.Endpoints {
+		b.applyEndpoint(now, endpoint, !b.listReceived)
 	}
-	if l.Kind.FromDiscovery() {
+	if list.Kind.FromDiscovery() {
 		b.listReceived = true
 	}
 	keep := b.rows[:0]
-	for _, w := range b.rows {
-		if w.state == EndpointGone && len(w.ledger) == 0 {
-			delete(b.rowByID, w.id)
+	for _, row := range b.rows {
+		if row.state == EndpointGone && len(row.ledger) == 0 {
+			delete(b.rowByID, row.id)
 			continue
 		}
-		keep = append(keep, w)
+		keep = append(keep, row)
 	}
 	clear(b.rows[len(keep):])
 	b.rows = keep
@@ -109,8 +109,8 @@
 // mayBeStale tells that w may be draining or gone by now without this gateway's having heard of
 // it: neither has discovery answered for as long as a change may take to count as told, nor
 // has w itself taken work or answered a probe, which one that drains does not.
-func (b *Balancer) mayBeStale(now Micros, w *replicaRow) bool {
-	return b.settings.WatchInterval > 0 && now-max(b.lastHeardAt, w.confirmedReadyAt) >= listGracePeriod
+func (b *Balancer) mayBeStale(now Micros, row *replicaRow) bool {
+	return b.settings.WatchInterval > 0 && now-max(b.lastHeardAt, row.confirmedReadyAt) >= listGracePeriod
 }
 
 // followDiscovery asks discovery when it is time, and replicas for a sign before they are doubted.
@@ -122,9 +122,9 @@
 	if b.settings.WatchInterval <= 0 || !b.settings.MayHealthCheck || b.largeFleet() || now-b.lastHeardAt < listGracePeriod-confirmAhead {
 		return
 	}
-	for _, w := range b.rows {
-		if w.state == EndpointReady && !w.healthCheckPending && now-w.confirmedReadyAt >= listGracePeriod-confirmAhead && now-w.healthCheckedAt >= confirmInterval {
-			b.sendHealthCheck(now, w)
+	for _, row := range b.rows {
+		if row.state == EndpointReady && !row.healthCheckPending && now-row.confirmedReadyAt >= listGracePeriod-confirmAhead && now-row.healthCheckedAt >= confirmInterval {
+			b.sendHealthCheck(now, row)
 		}
 	}
 }
--- a/balancer/discovery_test.go
+++ b/balancer/discovery_test.go
@@ -200,12 +200,12 @@
 	for seed := range RequestID(40) {
 		b, rec := startBalancer(t, s, members...)
 		b.refreshEstimates(107 * second)
-		for _, w := range b.rows {
-			w.reportedAt = 107 * second // nobody is asked: all reports are fresh
+		for _, row := range b.rows {
+			row.reportedAt = 107 * second // nobody is asked: all reports are fresh
 		}
-		for _, w := range b.rows[:3] {
-			w.slowness = 1e9 // is offered to nobody
-			w.confirmedReadyAt = 106 * second
+		for _, row := range b.rows[:3] {
+			row.slowness = 1e9 // is offered to nobody
+			row.confirmedReadyAt = 106 * second
 		}
 		b.rows[3].healthCheckPending, b.rows[3].healthCheckedAt = true, 106*second+900_000 // nor can the fourth be
 		b.rows[3].reportedTokens, b.rows[3].backoffUntil = 1e9, 0
--- a/balancer/interceptor.go
+++ b/balancer/interceptor.go
@@ -45,12 +45,12 @@
 }
 
 // interceptPick hands the pick to the judge.
-func (b *Balancer) interceptPick(r *request, best *replicaRow, kept float64) (*replicaRow, float64) {
+func (b *Balancer) interceptPick(req *request, best *replicaRow, kept float64) (*replicaRow, float64) {
 	var own ReplicaID
 	if best != nil {
 		own = best.id
 	}
-	to, any := b.interceptor.Pick(r.ID, own, best != nil, b.breakdowns)
+	to, any := b.interceptor.Pick(req.ID, own, best != nil, b.breakdowns)
 	defer func() { b.breakdowns = b.breakdowns[:0] }()
 	if !any {
 		return nil, 0
@@ -67,53 +67,53 @@
 	return b.rowByID[to], kept
 }
 
-func (b *Balancer) interceptAdmit(r *request, own bool) bool {
+func (b *Balancer) interceptAdmit(req *request, own bool) bool {
 	if b.interceptor == nil {
 		return own
 	}
-	return b.interceptor.Admit(r.ID, own)
+	return b.interceptor.Admit(req.ID, own)
 }
 
-func (b *Balancer) interceptRetry(r *request, own bool) bool {
+func (b *Balancer) interceptRetry(req *request, own bool) bool {
 	if b.interceptor == nil {
 		return own
 	}
-	return b.interceptor.Retry(r.ID, own)
+	return b.interceptor.Retry(req.ID, own)
 }
 
 // ExclusionReason tells in words why a worker may not take a further attempt of the
 // request now, "" if it may. It changes nothing.
 func (b *Balancer) ExclusionReason(now Micros, id RequestID, to ReplicaID) string {
-	w, r := b.rowByID[to], b.requests[id]
-	if w == nil {
+	row, req := b.rowByID[to], b.requests[id]
+	if row == nil {
 		return "not on the list"
 	}
-	if r == nil {
+	if req == nil {
 		return "the request is not in hand"
 	}
-	last := b.lastResort(now, r)
+	last := b.lastResort(now, req)
 	switch {
-	case w.state == EndpointDraining:
+	case row.state == EndpointDraining:
 		return "draining"
-	case w.state != EndpointReady:
+	case row.state != EndpointReady:
 		return "gone"
-	case !last && now < w.backoffUntil:
-		return fmt.Sprintf("rests for %.3f s more after %d failures in a row", float64(w.backoffUntil-now)/1e6, w.consecutiveFailures)
-	case !last && !b.zoneOpen(now, w):
+	case !last && now < row.backoffUntil:
+		return fmt.Sprintf("rests for %.3f s more after %d failures in a row", float64(row.backoffUntil-now)/1e6, row.consecutiveFailures)
+	case !last && !b.zoneOpen(now, row):
 		return "its site is lost"
-	case !last && b.healthCheckOverdue(now, w):
+	case !last && b.healthCheckOverdue(now, row):
 		return "it was asked for its load and says nothing"
-	case b.mayBeStale(now, w) && (b.settings.MayHealthCheck || !last):
-		return fmt.Sprintf("no word of discovery for %.3f s, nor sign of it", float64(now-max(b.lastHeardAt, w.confirmedReadyAt))/1e6)
-	case !last && w.consecutiveFailures > 0 && len(w.ledger) > 0:
+	case b.mayBeStale(now, row) && (b.settings.MayHealthCheck || !last):
+		return fmt.Sprintf("no word of discovery for %.3f s, nor sign of it", float64(now-max(b.lastHeardAt, row.confirmedReadyAt))/1e6)
+	case !last && row.consecutiveFailures > 0 && len(row.ledger) > 0:
 		return "on trial after a failure, with one attempt out"
 	}
-	for i, a := range r.attempts {
-		if a.row == w && (!last || !a.ended) {
+	for i, a := range req.attempts {
+		if a.row == row && (!last || !a.ended) {
 			return fmt.Sprintf("attempt %d went there", i)
 		}
 	}
-	if len(r.attempts) > 0 && !b.idempotencyAllows(now, r, w) {
+	if len(req.attempts) > 0 && !b.idempotencyAllows(now, req, row) {
 		return "the class does not allow a repeat there"
 	}
 	return ""
--- a/balancer/introspect.go
+++ b/balancer/introspect.go
@@ -19,19 +19,19 @@
 // Endpoints lists the replicas of the table, in its order.
 func (b *Balancer) Endpoints() []Endpoint {
 	out := make([]Endpoint, len(b.rows))
-	for i, w := range b.rows {
-		out[i] = Endpoint{Replica: w.id, State: w.state, Cell: w.cell, StartedAt: w.startedAt, Weight: w.size}
+	for i, row := range b.rows {
+		out[i] = Endpoint{Replica: row.id, State: row.state, Cell: row.cell, StartedAt: row.startedAt, Weight: row.size}
 	}
 	return out
 }
 
 // ReportAge is how old the last report of a replica's load is, if there is one.
 func (b *Balancer) ReportAge(now Micros, id ReplicaID) (age Micros, known bool) {
-	w := b.rowByID[id]
-	if w == nil || w.reportedAt < 0 {
+	row := b.rowByID[id]
+	if row == nil || row.reportedAt < 0 {
 		return 0, false
 	}
-	return now - w.reportedAt, true
+	return now - row.reportedAt, true
 }
 
 // PrefixShare is a low estimate of a prefix's share of the requests: while few were seen, one sight
@@ -51,8 +51,8 @@
 func (b *Balancer) Stats() Stats {
 	f := Stats{Rows: len(b.rows), Requests: len(b.requests), Sessions: len(b.sessions), Prefixes: len(b.prefixCounts),
 		InFlightTokens: b.inFlightTokens, TokenLimit: b.tokenLimit, LateShare: b.lateShare}
-	for _, w := range b.rows {
-		f.LedgerEntries += len(w.ledger)
+	for _, row := range b.rows {
+		f.LedgerEntries += len(row.ledger)
 	}
 	return f
 }
@@ -73,29 +73,29 @@
 // and how many attempts are out on each worker that does not take work.
 func (b *Balancer) InFlight() (classes, tenants map[string]InFlight, emptying map[ReplicaID]int) {
 	byClass, byTenant := make([]InFlight, len(b.policies)), make([]InFlight, len(b.settings.Tenants))
-	count := func(in *InFlight, r *request) {
-		if in.Requests++; !r.streaming {
-			in.LongestTimeout = max(in.LongestTimeout, r.TimeLeft)
+	count := func(in *InFlight, req *request) {
+		if in.Requests++; !req.streaming {
+			in.LongestTimeout = max(in.LongestTimeout, req.TimeLeft)
 		}
 	}
-	for _, r := range b.requests {
-		if r.ended {
+	for _, req := range b.requests {
+		if req.ended {
 			continue
 		}
-		if count(&byClass[r.classIndex], r); r.tenantIndex >= 0 {
-			count(&byTenant[r.tenantIndex], r)
+		if count(&byClass[req.classIndex], req); req.tenantIndex >= 0 {
+			count(&byTenant[req.tenantIndex], req)
 		}
 	}
 	classes, tenants, emptying = map[string]InFlight{}, map[string]InFlight{}, map[ReplicaID]int{}
-	for i, c := range b.settings.Classes { // what is of no class of the list has no place there to lose
-		classes[c.Name] = byClass[i]
+	for i, class := range b.settings.Classes { // what is of no class of the list has no place there to lose
+		classes[class.Name] = byClass[i]
 	}
 	for i, t := range b.settings.Tenants {
 		tenants[t.Name] = byTenant[i]
 	}
-	for _, w := range b.rows {
-		if w.state != EndpointReady && len(w.ledger) > 0 {
-			emptying[w.id] = len(w.ledger)
+	for _, row := range b.rows {
+		if row.state != EndpointReady && len(row.ledger) > 0 {
+			emptying[row.id] = len(row.ledger)
 		}
 	}
 	return classes, tenants, emptying
--- a/balancer/learning.go
+++ b/balancer/learning.go
@@ -6,35 +6,35 @@
 
 // learnFromSuccess takes what a served attempt tells: its session's place, what was
 // kept, how long it ran.
-func (b *Balancer) learnFromSuccess(r *request, a *attempt, o Outcome) {
-	st := &b.stats[r.classIndex]
-	updateMean(&b.meanLifetime, float64(o.Elapsed))
+func (b *Balancer) learnFromSuccess(req *request, a *attempt, outcome Outcome) {
+	stats := &b.stats[req.classIndex]
+	updateMean(&b.meanLifetime, float64(outcome.Elapsed))
 	if a.timeToFirstToken > 0 {
-		stream := float64(o.Elapsed - a.timeToFirstToken)
-		if st.streamTime > 0 {
-			k := &b.kinds[a.row.kind]
-			k.slownessSum += stream / st.streamTime
-			k.slownessCount++
+		stream := float64(outcome.Elapsed - a.timeToFirstToken)
+		if stats.streamTime > 0 {
+			kind := &b.kinds[a.row.kind]
+			kind.slownessSum += stream / stats.streamTime
+			kind.slownessCount++
 		}
-		updateMean(&st.streamTime, stream)
-		b.recordStreamPace(stream, float64(o.OutputTokens)*float64(b.classOf(r).TokenObjective))
+		updateMean(&stats.streamTime, stream)
+		b.recordStreamPace(stream, float64(outcome.OutputTokens)*float64(b.classOf(req).TokenObjective))
 	}
-	if expected := float64(r.PromptTokens) - a.prefillTokens; expected > float64(r.PromptTokens)/8 {
+	if expected := float64(req.PromptTokens) - a.prefillTokens; expected > float64(req.PromptTokens)/8 {
 		full := expected / math.Max(b.cacheTrust, 0.1) // before it was tempered
-		b.cacheTrust += learnRate * (math.Min(1, float64(o.CachedTokens)/full) - b.cacheTrust)
+		b.cacheTrust += learnRate * (math.Min(1, float64(outcome.CachedTokens)/full) - b.cacheTrust)
 	}
-	if r.PromptTokens > 0 {
-		st.cachedShare += learnRate * (math.Min(1, float64(o.CachedTokens)/float64(r.PromptTokens)) - st.cachedShare)
+	if req.PromptTokens > 0 {
+		stats.cachedShare += learnRate * (math.Min(1, float64(outcome.CachedTokens)/float64(req.PromptTokens)) - stats.cachedShare)
 	}
-	if r.Session == 0 {
+	if req.Session == 0 {
 		return
 	}
-	if _, ok := b.sessions[r.Session]; !ok {
+	if _, ok := b.sessions[req.Session]; !ok {
 		delete(b.sessions, b.sessionRing[b.sessionRingNext])
-		b.sessionRing[b.sessionRingNext] = r.Session
+		b.sessionRing[b.sessionRingNext] = req.Session
 		b.sessionRingNext = (b.sessionRingNext + 1) % maxSessions
 	}
-	b.sessions[r.Session] = session{replica: a.row.id, tokens: r.PromptTokens}
+	b.sessions[req.Session] = session{replica: a.row.id, tokens: req.PromptTokens}
 }
 
 // learnFirstToken compares a first token with what so many unread tokens usually take.
@@ -50,21 +50,21 @@
 const slownessDecay Micros = 20_000_000
 
 // recordSlowness takes one observation of w's slowness against the usual.
-func (b *Balancer) recordSlowness(now Micros, w *replicaRow, ratio float64) {
-	keep := math.Max(0, 1-float64(now-w.slownessAt)/float64(slownessDecay))
-	w.slownessSum = w.slownessSum*keep + math.Min(ratio, 10)
-	w.slownessCount = w.slownessCount*keep + 1
-	w.slownessAt = now
+func (b *Balancer) recordSlowness(now Micros, row *replicaRow, ratio float64) {
+	keep := math.Max(0, 1-float64(now-row.slownessAt)/float64(slownessDecay))
+	row.slownessSum = row.slownessSum*keep + math.Min(ratio, 10)
+	row.slownessCount = row.slownessCount*keep + 1
+	row.slownessAt = now
 }
 
 // recordFirstTokenTime takes a first-token time at w, in microseconds, for its kind, in large fleets.
-func (b *Balancer) recordFirstTokenTime(w *replicaRow, took float64) {
+func (b *Balancer) recordFirstTokenTime(row *replicaRow, took float64) {
 	if !b.largeFleet() {
 		return // kinds stay alike
 	}
-	k := &b.kinds[w.kind]
-	k.firstTokenSum += took
-	k.firstTokenCount++
+	kind := &b.kinds[row.kind]
+	kind.firstTokenSum += took
+	kind.firstTokenCount++
 }
 
 // updateKindRatios sets how long first tokens take on each kind against all, within four times,
@@ -76,31 +76,31 @@
 		num, den = num+k.firstTokenSum, den+k.firstTokenCount
 	}
 	for i := range t.kinds {
-		k := &t.kinds[i]
+		kind := &t.kinds[i]
 		if num > 0 {
 			all := num / den
-			k.firstTokenRatio = math.Max(0.25, math.Min(4, (prior*all+k.firstTokenSum)/(prior+k.firstTokenCount)/all))
+			kind.firstTokenRatio = math.Max(0.25, math.Min(4, (prior*all+kind.firstTokenSum)/(prior+kind.firstTokenCount)/all))
 		}
-		k.firstTokenSum, k.firstTokenCount = k.firstTokenSum*0.99, k.firstTokenCount*0.99
+		kind.firstTokenSum, kind.firstTokenCount = kind.firstTokenSum*0.99, kind.firstTokenCount*0.99
 	}
 }
 
 // recordServiceTime takes a reported service time as an observation of slowness.
-func (b *Balancer) recordServiceTime(now Micros, w *replicaRow, ms float64) {
+func (b *Balancer) recordServiceTime(now Micros, row *replicaRow, ms float64) {
 	updateMean(&b.meanServiceMs, ms)
-	b.recordFirstTokenTime(w, 1000*ms)
-	b.recordSlowness(now, w, ms/b.meanServiceMs)
+	b.recordFirstTokenTime(row, 1000*ms)
+	b.recordSlowness(now, row, ms/b.meanServiceMs)
 }
 
 // fitMemoryRatio fits the memory share that one token takes on w, starting from the
 // fleet's mean.
-func (b *Balancer) fitMemoryRatio(w *replicaRow, share float64, in LoadReport) {
+func (b *Balancer) fitMemoryRatio(row *replicaRow, share float64, report LoadReport) {
 	if share <= 0 || b.meanHeldTokens <= 0 {
 		return
 	}
 	tokens := 0.0
-	if in.Has&HasInFlight != 0 {
-		tokens = in.InFlight * b.meanHeldTokens
+	if report.Has&HasInFlight != 0 {
+		tokens = report.InFlight * b.meanHeldTokens
 	} else if b.readyCount > 0 { // own tokens out, times the gateways, spread evenly
 		tokens = b.inFlightTokens * b.gatewaysPerReplica() / float64(b.readyCount)
 	}
@@ -112,14 +112,14 @@
 		b.memoryPerToken = r
 	}
 	b.memoryPerToken += learnRate * (r - b.memoryPerToken)
-	if in.Has&HasInFlight == 0 {
-		w.memoryPerToken = b.memoryPerToken // nothing tells this replica's own count: the fleet's mean serves
+	if report.Has&HasInFlight == 0 {
+		row.memoryPerToken = b.memoryPerToken // nothing tells this replica's own count: the fleet's mean serves
 		return
 	}
 	const prior = 4 // reports before a replica's own figure outweighs the fleet's
-	w.memoryPerTokenSamples = math.Min(w.memoryPerTokenSamples+1, 1/learnRate)
-	if w.memoryPerToken == 0 {
-		w.memoryPerToken = b.memoryPerToken
+	row.memoryPerTokenSamples = math.Min(row.memoryPerTokenSamples+1, 1/learnRate)
+	if row.memoryPerToken == 0 {
+		row.memoryPerToken = b.memoryPerToken
 	}
-	w.memoryPerToken += (r - w.memoryPerToken) / (w.memoryPerTokenSamples + prior)
+	row.memoryPerToken += (r - row.memoryPerToken) / (row.memoryPerTokenSamples + prior)
 }
--- a/balancer/ledger.go
+++ b/balancer/ledger.go
@@ -5,75 +5,75 @@
 import "math"
 
 // applyReport takes a replica's own account of its load.
-func (b *Balancer) applyReport(now Micros, w *replicaRow, in LoadReport) {
-	if in.Has == 0 {
+func (b *Balancer) applyReport(now Micros, row *replicaRow, report LoadReport) {
+	if report.Has == 0 {
 		return
 	}
 	tokens := 0.0
-	hasShare := in.Has&HasMemory != 0
-	share := in.MemoryShare
-	if !hasShare && in.Has&HasUtilization != 0 {
-		hasShare, share = true, in.Utilization
+	hasShare := report.Has&HasMemory != 0
+	share := report.MemoryShare
+	if !hasShare && report.Has&HasUtilization != 0 {
+		hasShare, share = true, report.Utilization
 	}
 	if hasShare {
-		b.fitMemoryRatio(w, share, in)
-		if w.memoryPerToken > 0 {
-			tokens = share / w.memoryPerToken
+		b.fitMemoryRatio(row, share, report)
+		if row.memoryPerToken > 0 {
+			tokens = share / row.memoryPerToken
 		}
 	}
-	if in.Has&HasUtilization != 0 && in.Has&HasInFlight != 0 && in.InFlight >= 1 && in.Utilization > 0 {
-		updateMean(&b.meanSlotShare, in.Utilization/in.InFlight)
+	if report.Has&HasUtilization != 0 && report.Has&HasInFlight != 0 && report.InFlight >= 1 && report.Utilization > 0 {
+		updateMean(&b.meanSlotShare, report.Utilization/report.InFlight)
 	}
-	if in.Has&HasUtilization != 0 && now >= w.warmingUntil {
-		b.warmUtilization += (math.Max(0, math.Min(1, in.Utilization)) - b.warmUtilization) / 8
+	if report.Has&HasUtilization != 0 && now >= row.warmingUntil {
+		b.warmUtilization += (math.Max(0, math.Min(1, report.Utilization)) - b.warmUtilization) / 8
 	}
 	// What waits is held soon: prompts still to be read, requests in the queue.
 	switch {
-	case in.Has&HasPrefillBacklog != 0:
-		tokens += prefillCost * 1000 * in.PrefillBacklogK
-	case in.Has&HasQueued != 0:
-		tokens += in.Queued * b.meanCharge
-	case in.Has&HasInFlight != 0:
-		tokens = math.Max(tokens, in.InFlight*b.meanHeldTokens)
+	case report.Has&HasPrefillBacklog != 0:
+		tokens += prefillCost * 1000 * report.PrefillBacklogK
+	case report.Has&HasQueued != 0:
+		tokens += report.Queued * b.meanCharge
+	case report.Has&HasInFlight != 0:
+		tokens = math.Max(tokens, report.InFlight*b.meanHeldTokens)
 	}
-	if in.Has&HasService != 0 && in.ServiceMs > 0 {
-		b.recordServiceTime(now, w, in.ServiceMs)
+	if report.Has&HasService != 0 && report.ServiceMs > 0 {
+		b.recordServiceTime(now, row, report.ServiceMs)
 	}
-	if w.liveLoad > 0 && hasShare {
-		s := tokens / w.liveLoad
+	if row.liveLoad > 0 && hasShare {
+		s := tokens / row.liveLoad
 		if b.tokensPerLiveLoad == 0 {
 			b.tokensPerLiveLoad = s
 		}
 		b.tokensPerLiveLoad += learnRate * (s - b.tokensPerLiveLoad)
 	}
-	b.setReportedLoad(now, w, tokens)
+	b.setReportedLoad(now, row, tokens)
 }
 
 // applyLiveWeight takes a registry weight as a dated report of requests held.
-func (b *Balancer) applyLiveWeight(now Micros, w *replicaRow, weight float64) {
-	k := &b.kinds[w.kind]
-	k.idleWeight = math.Max(k.idleWeight, weight)
-	load := k.idleWeight/weight - 1
+func (b *Balancer) applyLiveWeight(now Micros, row *replicaRow, weight float64) {
+	kind := &b.kinds[row.kind]
+	kind.idleWeight = math.Max(kind.idleWeight, weight)
+	load := kind.idleWeight/weight - 1
 	if b.tokensPerLiveLoad > 0 {
-		b.setReportedLoad(now, w, load*b.tokensPerLiveLoad)
+		b.setReportedLoad(now, row, load*b.tokensPerLiveLoad)
 	}
-	w.liveLoad = load
+	row.liveLoad = load
 }
 
 // setReportedLoad dates a report and finds the charges that are too young for it.
-func (b *Balancer) setReportedLoad(now Micros, w *replicaRow, tokens float64) {
-	w.reportedTokens, w.reportedAt, w.unreported = tokens, now, 0
-	for _, a := range w.ledger {
+func (b *Balancer) setReportedLoad(now Micros, row *replicaRow, tokens float64) {
+	row.reportedTokens, row.reportedAt, row.unreported = tokens, now, 0
+	for _, a := range row.ledger {
 		if a.sentAt > now-reportLag {
-			w.unreported += a.charge()
+			row.unreported += a.charge()
 		}
 	}
 }
 
 // beginSlowStart marks w as freshly started.
-func (b *Balancer) beginSlowStart(w *replicaRow, at Micros) {
-	w.warmingSince, w.warmingUntil = at, at+b.settings.SlowStartFor
-	w.consecutiveFailures, w.errorRate, w.backoffUntil = 0, 0, 0
+func (b *Balancer) beginSlowStart(row *replicaRow, at Micros) {
+	row.warmingSince, row.warmingUntil = at, at+b.settings.SlowStartFor
+	row.consecutiveFailures, row.errorRate, row.backoffUntil = 0, 0, 0
 }
 
 func (a *attempt) charge() float64 {
@@ -84,33 +84,33 @@
 }
 
 // releaseCharge takes the reading part, or with all the whole charge, off the ledger.
-func (b *Balancer) releaseCharge(w *replicaRow, a *attempt, all bool) {
+func (b *Balancer) releaseCharge(row *replicaRow, a *attempt, all bool) {
 	if !all {
-		w.charge -= a.prefillCharge
-		w.unreported = math.Max(0, w.unreported-a.prefillCharge)
+		row.charge -= a.prefillCharge
+		row.unreported = math.Max(0, row.unreported-a.prefillCharge)
 		return
 	}
-	for i, o := range w.ledger {
+	for i, o := range row.ledger {
 		if o == a {
-			w.ledger = append(w.ledger[:i], w.ledger[i+1:]...)
+			row.ledger = append(row.ledger[:i], row.ledger[i+1:]...)
 			break
 		}
 	}
 	c := a.charge()
-	w.charge -= c
-	w.unreported = math.Max(0, w.unreported-c)
+	row.charge -= c
+	row.unreported = math.Max(0, row.unreported-c)
 	b.inFlightTokens -= a.heldTokens
-	if len(w.ledger) == 0 {
-		w.charge, w.unreported = 0, 0
+	if len(row.ledger) == 0 {
+		row.charge, row.unreported = 0, 0
 	}
 }
 
 // addToShortlist enters a candidate in the short list, least score first.
-func (b *Balancer) addToShortlist(c candidate) {
+func (b *Balancer) addToShortlist(next candidate) {
 	for i := range b.shortlist {
-		if o := b.shortlist[i]; o.row == nil || c.score < o.score {
-			b.shortlist[i], c = c, o
-			if c.row == nil {
+		if o := b.shortlist[i]; o.row == nil || next.score < o.score {
+			b.shortlist[i], next = next, o
+			if next.row == nil {
 				return
 			}
 		}
--- a/balancer/polling.go
+++ b/balancer/polling.go
@@ -26,18 +26,18 @@
 // addRandomCandidate puts a replica drawn by chance in the last place of the short list, the cold one
 // that is offered before others: of one that no reckoning favours, as of one that is new,
 // nothing would ever be heard.
-func (b *Balancer) addRandomCandidate(now Micros, r *request) {
-	if w := b.offeredWarming; w != nil && b.eligible(now, w, r, false) {
-		if w != b.shortlist[0].row && w != b.shortlist[1].row {
-			b.shortlist[shortlistSize-1] = candidate{row: w}
+func (b *Balancer) addRandomCandidate(now Micros, req *request) {
+	if row := b.offeredWarming; row != nil && b.eligible(now, row, req, false) {
+		if row != b.shortlist[0].row && row != b.shortlist[1].row {
+			b.shortlist[shortlistSize-1] = candidate{row: row}
 		}
 		return
 	}
 	n := len(b.rows)
 	for i, k := 0, int(b.random()*float64(n)); i < n; i++ {
-		w := b.rows[(k+i)%n]
-		if w != b.shortlist[0].row && w != b.shortlist[1].row && b.eligible(now, w, r, false) {
-			b.shortlist[shortlistSize-1] = candidate{row: w}
+		row := b.rows[(k+i)%n]
+		if row != b.shortlist[0].row && row != b.shortlist[1].row && b.eligible(now, row, req, false) {
+			b.shortlist[shortlistSize-1] = candidate{row: row}
 			return
 		}
 	}
@@ -45,31 +45,31 @@
 
 // pollShortlist asks the workers on the short list for reports where theirs are old, when r
 // has just come, and tells whether r is to wait for answers that are out.
-func (b *Balancer) pollShortlist(now Micros, r *request) (wait bool) {
+func (b *Balancer) pollShortlist(now Micros, req *request) (wait bool) {
 	if !b.mayPoll {
-		return b.awaitsReports(now, r)
+		return b.awaitsReports(now, req)
 	}
 	left, drawn := b.pollLimit()
 	if drawn {
-		b.addRandomCandidate(now, r)
+		b.addRandomCandidate(now, req)
 	}
-	for _, c := range b.shortlist {
-		if c.row == nil {
+	for _, next := range b.shortlist {
+		if next.row == nil {
 			break
 		}
-		if left > 0 && !c.row.healthCheckPending && (c.row.reportedAt < 0 || now-c.row.reportedAt > pollReportAge || b.mayBeStale(now, c.row)) {
-			b.sendHealthCheck(now, c.row)
+		if left > 0 && !next.row.healthCheckPending && (next.row.reportedAt < 0 || now-next.row.reportedAt > pollReportAge || b.mayBeStale(now, next.row)) {
+			b.sendHealthCheck(now, next.row)
 			left--
 		}
-		wait = wait || c.row.healthCheckPending && c.row.healthCheckedAt == now
+		wait = wait || next.row.healthCheckPending && next.row.healthCheckedAt == now
 	}
 	return wait
 }
 
 // awaitsReports tells whether r waits for an answer that it asked for.
-func (b *Balancer) awaitsReports(now Micros, r *request) bool {
-	return b.largeFleet() && len(r.attempts) == 0 && now > r.arrivedAt && now < r.arrivedAt+pollTimeout &&
-		slices.ContainsFunc(b.rows, func(w *replicaRow) bool { return w.healthCheckPending && w.healthCheckedAt == r.arrivedAt })
+func (b *Balancer) awaitsReports(now Micros, req *request) bool {
+	return b.largeFleet() && len(req.attempts) == 0 && now > req.arrivedAt && now < req.arrivedAt+pollTimeout &&
+		slices.ContainsFunc(b.rows, func(row *replicaRow) bool { return row.healthCheckPending && row.healthCheckedAt == req.arrivedAt })
 }
 
 // pollLimit is how many replicas a request may ask for reports, and whether one of them is drawn by
--- a/balancer/polling_test.go
+++ b/balancer/polling_test.go
@@ -32,9 +32,9 @@
 func TestOneOfEightyPollsBeforeItSends(t *testing.T) {
 	s := eightyGateways()
 	b, rec := startBalancer(t, s, fleet(40)...)
-	for i, w := range b.rows { // told long ago, all alike
-		b.HealthCheckEnded(100*second, Outcome{Replica: w.id, Status: Served, Report: reportInFlight(8)})
-		w.lastUsedAt = Micros(i)
+	for i, row := range b.rows { // told long ago, all alike
+		b.HealthCheckEnded(100*second, Outcome{Replica: row.id, Status: Served, Report: reportInFlight(8)})
+		row.lastUsedAt = Micros(i)
 	}
 	b.meanHeldTokens, b.meanLoad = 1200, 9600
 	rec.acts = nil
@@ -71,7 +71,7 @@
 	for range 2 { // the second time as one whose reports came: it gets no second copy
 		for _, id := range []uint64{2, 3} {
 			b.TimerFired(now+6000+pollTimeout, timerPoll|id<<timerBits)
-			if r := b.requests[RequestID(id)]; r == nil || len(r.attempts) != 1 {
+			if req := b.requests[RequestID(id)]; req == nil || len(req.attempts) != 1 {
 				t.Fatal("a request waits for a report that does not come")
 			}
 		}
@@ -164,18 +164,18 @@
 	b, rec := startBalancer(t, eightyGateways(), fleet(40)...)
 	b.meanHeldTokens, b.meanLoad = 1200, 9600
 	now := 110 * second
-	for _, w := range b.rows {
+	for _, row := range b.rows {
 		n := 8.0
-		if w.id == 1 {
+		if row.id == 1 {
 			n = 0
 		}
-		b.HealthCheckEnded(now, Outcome{Replica: w.id, Status: Served, Report: reportInFlight(n)})
+		b.HealthCheckEnded(now, Outcome{Replica: row.id, Status: Served, Report: reportInFlight(n)})
 	}
 	b.meanLoad = 9600
-	r := &request{Request: testRequest(1), policy: b.policies[0], tenantIndex: -1, avoidZone: -1, arrivedAt: now - second, deadline: now + 3*second}
-	b.pick(now, r)
-	if c := b.shortlist[0]; c.row.id == 1 && c.score < 0.6*b.shortlist[1].score {
-		t.Errorf("the idle one scores %.0f, the next %.0f", c.score, b.shortlist[1].score)
+	req := &request{Request: testRequest(1), policy: b.policies[0], tenantIndex: -1, avoidZone: -1, arrivedAt: now - second, deadline: now + 3*second}
+	b.pick(now, req)
+	if next := b.shortlist[0]; next.row.id == 1 && next.score < 0.6*b.shortlist[1].score {
+		t.Errorf("the idle one scores %.0f, the next %.0f", next.score, b.shortlist[1].score)
 	}
 	rec.acts = nil
 	b.recordFailure(now, b.rowByID[1], Errored)
@@ -263,8 +263,8 @@
 		for _, b := range all {
 			in := testRequest(1)
 			in.Session, in.Prefix, in.PrefixTokens = 1000+session, 100+session%25, 800
-			r := &request{Request: in, policy: b.policies[0]}
-			home, _, _, _ := b.sessionHomes(r)
+			req := &request{Request: in, policy: b.policies[0]}
+			home, _, _, _ := b.sessionHomes(req)
 			count[home.id]++
 			n++
 		}
@@ -305,8 +305,8 @@
 	j := &breakdownChecker{t: t}
 	b.SetInterceptor(j)
 	b.meanHeldTokens, b.meanLoad = 1200, 9600
-	for _, w := range b.rows { // a third of them idle
-		b.HealthCheckEnded(110*second, Outcome{Replica: w.id, Status: Served, Report: reportInFlight(float64(w.id % 3 * 6))})
+	for _, row := range b.rows { // a third of them idle
+		b.HealthCheckEnded(110*second, Outcome{Replica: row.id, Status: Served, Report: reportInFlight(float64(row.id % 3 * 6))})
 	}
 	b.meanLoad = 9600
 	b.RequestArrived(110*second, testRequest(1))
--- a/balancer/prefill_test.go
+++ b/balancer/prefill_test.go
@@ -14,11 +14,11 @@
 		for i := range RequestID(200) {
 			in := testRequest(i + 1)
 			in.Session, in.Prefix, in.PrefixTokens, in.PromptTokens = 1000+uint64(i), 7, prefix, prompt
-			r := &request{Request: in, policy: b.policies[0]}
+			req := &request{Request: in, policy: b.policies[0]}
 			if i < 5 { // what a gateway has seen of it
-				b.countPrefix(r)
+				b.countPrefix(req)
 			}
-			home, _, _, _ := b.sessionHomes(r)
+			home, _, _, _ := b.sessionHomes(req)
 			seen[home.id] = true
 		}
 		return len(seen)
@@ -70,10 +70,10 @@
 	}
 	b, _ := startBalancer(t, eightyGateways(), members...)
 	told := func(ms map[string]float64) {
-		for _, w := range b.rows {
+		for _, row := range b.rows {
 			for kind, k := range b.kindIndex {
-				if took := ms[kind]; k == w.kind && took > 0 {
-					b.applyReport(101*second, w, LoadReport{Has: HasService | HasInFlight, ServiceMs: took, InFlight: 1})
+				if took := ms[kind]; k == row.kind && took > 0 {
+					b.applyReport(101*second, row, LoadReport{Has: HasService | HasInFlight, ServiceMs: took, InFlight: 1})
 				}
 			}
 		}
@@ -86,12 +86,12 @@
 	}
 	in := testRequest(1)
 	in.PromptTokens = 12_000
-	r := &request{Request: in, policy: b.policies[0], tenantIndex: -1, avoidZone: -1}
+	req := &request{Request: in, policy: b.policies[0], tenantIndex: -1, avoidZone: -1}
 	for range 20 {
-		if w, _, _ := b.pick(101*second, r); w != nil && w.kind == b.kindIndex["old"] {
+		if row, _, _ := b.pick(101*second, req); row != nil && row.kind == b.kindIndex["old"] {
 			t.Fatal("a long prompt goes to a worker that reads slowest, all else being equal")
 		}
-		r.arrivedAt = 0 // as one that has asked
+		req.arrivedAt = 0 // as one that has asked
 	}
 	for range 50 {
 		told(map[string]float64{"old": 1e7, "new": 1e-6})
@@ -119,14 +119,14 @@
 	}
 	spread := map[ReplicaID]int{}
 	for session := range uint64(400) {
-		r := &request{Request: testRequest(1)}
-		r.Session = session + 1
-		home, second, _, _ := all[0].sessionHomes(r)
+		req := &request{Request: testRequest(1)}
+		req.Session = session + 1
+		home, second, _, _ := all[0].sessionHomes(req)
 		if home.kind == second.kind {
 			t.Fatalf("session %d: both homes are of one kind", session)
 		}
 		for _, b := range all[1:] {
-			if h, s, _, _ := b.sessionHomes(r); h.id != home.id || s.id != second.id {
+			if h, s, _, _ := b.sessionHomes(req); h.id != home.id || s.id != second.id {
 				t.Fatalf("session %d: homes %d and %d, elsewhere %d and %d", session, home.id, second.id, h.id, s.id)
 			}
 		}
--- a/balancer/reconfigure.go
+++ b/balancer/reconfigure.go
@@ -8,12 +8,12 @@
 // setPolicies makes what requests are taken on under from the settings.
 func (b *Balancer) setPolicies() {
 	b.classIndex, b.tenantIndex, b.policies = map[string]int{}, map[string]int{}, nil
-	add := func(c Class) {
-		b.policies = append(b.policies, &requestPolicy{Class: c, maxAttempts: b.settings.MaxAttempts, mayHedge: b.settings.MayHedge})
+	add := func(class Class) {
+		b.policies = append(b.policies, &requestPolicy{Class: class, maxAttempts: b.settings.MaxAttempts, mayHedge: b.settings.MayHedge})
 	}
-	for i, c := range b.settings.Classes {
-		b.classIndex[c.Name] = i
-		add(c)
+	for i, class := range b.settings.Classes {
+		b.classIndex[class.Name] = i
+		add(class)
 	}
 	// A class that is on no list is treated as the most fragile one.
 	add(Class{Idempotency: NonIdempotent, LatencyObjective: b.settings.Classes[0].LatencyObjective})
@@ -58,16 +58,16 @@
 	for name, old := range ten {
 		tenTo[old] = indexOr(b.tenantIndex, name, -1)
 	}
-	for _, r := range b.requests {
-		if r.classIndex < len(stats)-1 {
-			r.classIndex = classTo[r.classIndex]
+	for _, req := range b.requests {
+		if req.classIndex < len(stats)-1 {
+			req.classIndex = classTo[req.classIndex]
 		} else {
-			r.classIndex = indexOr(b.classIndex, r.Class, len(b.policies)-1)
+			req.classIndex = indexOr(b.classIndex, req.Class, len(b.policies)-1)
 		}
-		if r.tenantIndex >= 0 {
-			r.tenantIndex = tenTo[r.tenantIndex]
+		if req.tenantIndex >= 0 {
+			req.tenantIndex = tenTo[req.tenantIndex]
 		} else {
-			r.tenantIndex = indexOr(b.tenantIndex, r.Tenant, -1)
+			req.tenantIndex = indexOr(b.tenantIndex, req.Tenant, -1)
 		}
 	}
 	b.refreshEstimates(now)
--- a/balancer/request.go
+++ b/balancer/request.go
@@ -87,65 +87,65 @@
 	if b.requests[in.ID] != nil {
 		return // ids never repeat; a second arrival is not ours to answer twice
 	}
-	r := &request{Request: in, arrivedAt: now, deadline: now + in.TimeLeft, tenantIndex: -1, avoidZone: -1}
+	req := &request{Request: in, arrivedAt: now, deadline: now + in.TimeLeft, tenantIndex: -1, avoidZone: -1}
 	var ok bool
-	if r.classIndex, ok = b.classIndex[in.Class]; !ok {
-		r.classIndex = len(b.policies) - 1
+	if req.classIndex, ok = b.classIndex[in.Class]; !ok {
+		req.classIndex = len(b.policies) - 1
 	}
-	r.policy = b.policies[r.classIndex].withPriorAttempts(in.PriorAttempts)
+	req.policy = b.policies[req.classIndex].withPriorAttempts(in.PriorAttempts)
 	if t, ok := b.tenantIndex[in.Tenant]; ok {
-		r.tenantIndex = t
+		req.tenantIndex = t
 	}
-	b.requests[in.ID] = r
-	b.countArrival(r)
+	b.requests[in.ID] = req
+	b.countArrival(req)
 	// Rule 1: the answer is given two ticks before the client leaves, whatever
 	// else happens; without this timer a request whose replicas all vanish is lost.
 	b.sink.SetTimer(max(1, in.TimeLeft-2*b.settings.Tick), timerDeadline|uint64(in.ID)<<timerBits)
-	if !b.interceptAdmit(r, b.admit(r)) {
-		b.shedOrFail(r)
+	if !b.interceptAdmit(req, b.admit(req)) {
+		b.shedOrFail(req)
 		return
 	}
-	b.dispatch(now, r)
-	if !r.ended && len(r.attempts) == 0 { // it waits for reports, but not for long
+	b.dispatch(now, req)
+	if !req.ended && len(req.attempts) == 0 { // it waits for reports, but not for long
 		b.sink.SetTimer(pollTimeout, timerPoll|uint64(in.ID)<<timerBits)
 	}
-	if !r.ended {
-		b.sink.SetTimer(max(1, b.latencyObjective(r)), timerObjective|uint64(in.ID)<<timerBits)
+	if !req.ended {
+		b.sink.SetTimer(max(1, b.latencyObjective(req)), timerObjective|uint64(in.ID)<<timerBits)
 	}
 }
 
 // classOf is the class of r, as it was when r was taken on.
-func (b *Balancer) classOf(r *request) *Class { return &r.policy.Class }
+func (b *Balancer) classOf(req *request) *Class { return &req.policy.Class }
 
 // latencyObjective is when the first token of r is wanted, after its arrival.
-func (b *Balancer) latencyObjective(r *request) Micros {
-	c := b.classOf(r)
-	return c.LatencyObjective + c.ObjectivePer1000Tokens*int64(r.PromptTokens)/1000
+func (b *Balancer) latencyObjective(req *request) Micros {
+	class := b.classOf(req)
+	return class.LatencyObjective + class.ObjectivePer1000Tokens*int64(req.PromptTokens)/1000
 }
 
 // dispatch sends an attempt of r to the best replica that the rules allow, or
 // ends r if there is none and nothing is out.
-func (b *Balancer) dispatch(now Micros, r *request) bool {
-	if r.ended || len(r.attempts) >= r.policy.maxAttempts || now >= r.deadline-2*b.settings.Tick {
-		b.finishIfIdle(r)
+func (b *Balancer) dispatch(now Micros, req *request) bool {
+	if req.ended || len(req.attempts) >= req.policy.maxAttempts || now >= req.deadline-2*b.settings.Tick {
+		b.finishIfIdle(req)
 		return false
 	}
-	w, kept, wait := b.pick(now, r)
+	row, kept, wait := b.pick(now, req)
 	if wait {
 		return false
 	}
-	if w == nil {
-		b.finishIfIdle(r)
+	if row == nil {
+		b.finishIfIdle(req)
 		return false
 	}
-	unread := math.Max(0, float64(r.PromptTokens)-kept)
-	a := &attempt{row: w, sentAt: now, prefillTokens: unread, prefillCharge: prefillCost * unread, heldTokens: b.expectedHeldTokens(r)}
-	r.attempts = append(r.attempts, a)
-	r.inFlight++
-	b.chargeLedger(now, w, a)
-	b.sink.Dispatch(r.ID, w.id, r.deadline)
-	if d := b.hedgeDelay(r, a); d > 0 {
-		b.sink.SetTimer(d, timerHedge|uint64(r.ID)<<timerBits)
+	unread := math.Max(0, float64(req.PromptTokens)-kept)
+	a := &attempt{row: row, sentAt: now, prefillTokens: unread, prefillCharge: prefillCost * unread, heldTokens: b.expectedHeldTokens(req)}
+	req.attempts = append(req.attempts, a)
+	req.inFlight++
+	b.chargeLedger(now, row, a)
+	b.sink.Dispatch(req.ID, row.id, req.deadline)
+	if d := b.hedgeDelay(req, a); d > 0 {
+		b.sink.SetTimer(d, timerHedge|uint64(req.ID)<<timerBits)
 	}
 	return true
 }
@@ -153,8 +153,8 @@
 // resumeWaiting takes up the requests that wait for reports: those with nothing sent.
 func (b *Balancer) resumeWaiting(now Micros) {
 	var ids []RequestID
-	for id, r := range b.requests {
-		if len(r.attempts) == 0 && !r.ended {
+	for id, req := range b.requests {
+		if len(req.attempts) == 0 && !req.ended {
 			ids = append(ids, id)
 		}
 	}
@@ -162,40 +162,40 @@
 	for _, id := range ids {
 		// One that goes on waiting is not weighed anew: with many of them each answer would cost
 		// as many scans, and an overloaded gateway fell ever further behind.
-		if r := b.requests[id]; !b.awaitsReports(now, r) {
-			b.dispatch(now, r)
+		if req := b.requests[id]; !b.awaitsReports(now, req) {
+			b.dispatch(now, req)
 		}
 	}
 }
 
 // finishIfIdle ends r if no attempt is out.
-func (b *Balancer) finishIfIdle(r *request) {
-	if r.ended || r.inFlight > 0 || r.streaming {
+func (b *Balancer) finishIfIdle(req *request) {
+	if req.ended || req.inFlight > 0 || req.streaming {
 		return
 	}
-	b.shedOrFail(r)
+	b.shedOrFail(req)
 }
 
 // shedOrFail ends r with a refusal where rule 2 allows one, else with a failure.
-func (b *Balancer) shedOrFail(r *request) {
-	if r.ended {
+func (b *Balancer) shedOrFail(req *request) {
+	if req.ended {
 		return
 	}
-	if b.mayShed(r) {
-		b.sink.Shed(r.ID, b.retryAfter(r))
+	if b.mayShed(req) {
+		b.sink.Shed(req.ID, b.retryAfter(req))
 	} else {
-		b.sink.Fail(r.ID)
+		b.sink.Fail(req.ID)
 	}
-	b.finish(r)
+	b.finish(req)
 }
 
 // mayShed is rule 2 for refusals: they say that a repeat is harmless.
-func (b *Balancer) mayShed(r *request) bool {
-	c := b.classOf(r)
-	if c.Idempotency == Idempotent || (c.Idempotency == IdempotentWithKey && c.DedupScope == DedupAll) {
+func (b *Balancer) mayShed(req *request) bool {
+	class := b.classOf(req)
+	if class.Idempotency == Idempotent || (class.Idempotency == IdempotentWithKey && class.DedupScope == DedupAll) {
 		return true
 	}
-	for _, a := range r.attempts {
+	for _, a := range req.attempts {
 		if !a.ended || !a.status.NeverRan() {
 			return false
 		}
@@ -204,18 +204,18 @@
 }
 
 // idempotencyAllows is rule 2 for a further attempt of r on w.
-func (b *Balancer) idempotencyAllows(now Micros, r *request, w *replicaRow) bool {
-	c := b.classOf(r)
-	for _, a := range r.attempts {
-		if !a.ended && !r.policy.mayHedge {
+func (b *Balancer) idempotencyAllows(now Micros, req *request, row *replicaRow) bool {
+	class := b.classOf(req)
+	for _, a := range req.attempts {
+		if !a.ended && !req.policy.mayHedge {
 			return false
 		}
-		if c.Idempotency == Idempotent || (a.ended && a.status.NeverRan()) {
+		if class.Idempotency == Idempotent || (a.ended && a.status.NeverRan()) {
 			continue
 		}
-		if c.Idempotency == NonIdempotent || now-a.sentAt >= c.DedupWindow-2*b.settings.Tick ||
-			(c.DedupScope == DedupZone && w.zone != a.row.zone) ||
-			(c.DedupScope == DedupCell && w.cell != a.row.cell) {
+		if class.Idempotency == NonIdempotent || now-a.sentAt >= class.DedupWindow-2*b.settings.Tick ||
+			(class.DedupScope == DedupZone && row.zone != a.row.zone) ||
+			(class.DedupScope == DedupCell && row.cell != a.row.cell) {
 			return false
 		}
 	}
@@ -224,97 +224,97 @@
 
 // finish marks r as answered and calls off what is still out, except a stream
 // that is the client's already.
-func (b *Balancer) finish(r *request) {
-	r.ended = true
-	b.cancelOthers(r, nil)
-	b.dropIfDone(r)
+func (b *Balancer) finish(req *request) {
+	req.ended = true
+	b.cancelOthers(req, nil)
+	b.dropIfDone(req)
 }
 
 // cancelOthers cancels the attempts of r that are out and not begun, but for keep.
-func (b *Balancer) cancelOthers(r *request, keep *attempt) {
-	for i, a := range r.attempts {
+func (b *Balancer) cancelOthers(req *request, keep *attempt) {
+	for i, a := range req.attempts {
 		if b.settings.MayCancel && !a.ended && a.timeToFirstToken == 0 && a != keep {
-			b.sink.Cancel(r.ID, i)
+			b.sink.Cancel(req.ID, i)
 		}
 	}
 }
 
 // dropIfDone drops an ended request once its last attempt is accounted for.
-func (b *Balancer) dropIfDone(r *request) {
-	if r.ended && r.inFlight == 0 {
-		delete(b.requests, r.ID)
+func (b *Balancer) dropIfDone(req *request) {
+	if req.ended && req.inFlight == 0 {
+		delete(b.requests, req.ID)
 	}
 }
 
 // FirstToken tells that a stream has begun: the client has it from here on.
-func (b *Balancer) FirstToken(now Micros, o Outcome) {
-	r := b.requests[o.ID]
-	if r == nil || o.Attempt < 0 || o.Attempt >= len(r.attempts) {
+func (b *Balancer) FirstToken(now Micros, outcome Outcome) {
+	req := b.requests[outcome.ID]
+	if req == nil || outcome.Attempt < 0 || outcome.Attempt >= len(req.attempts) {
 		return
 	}
-	a := r.attempts[o.Attempt]
+	a := req.attempts[outcome.Attempt]
 	if a.ended || a.timeToFirstToken > 0 {
 		return
 	}
-	a.timeToFirstToken = max(1, o.Elapsed)
+	a.timeToFirstToken = max(1, outcome.Elapsed)
 	b.releaseCharge(a.row, a, false)
 	b.recordAnswer(now, a.row, Served, false)
 	a.row.confirmedReadyAt = max(a.row.confirmedReadyAt, a.sentAt)
 	b.learnFirstToken(now, a)
-	if !r.streaming && !r.ended {
-		r.streaming = true
-		b.recordFirstToken(r, b.streamsTooSlow(r, a))
-		b.cancelOthers(r, a)
+	if !req.streaming && !req.ended {
+		req.streaming = true
+		b.recordFirstToken(req, b.streamsTooSlow(req, a))
+		b.cancelOthers(req, a)
 	}
 }
 
 // AttemptEnded takes the one outcome of an attempt.
-func (b *Balancer) AttemptEnded(now Micros, o Outcome) {
-	r := b.requests[o.ID]
-	if r == nil || o.Attempt < 0 || o.Attempt >= len(r.attempts) || r.attempts[o.Attempt].ended {
+func (b *Balancer) AttemptEnded(now Micros, outcome Outcome) {
+	req := b.requests[outcome.ID]
+	if req == nil || outcome.Attempt < 0 || outcome.Attempt >= len(req.attempts) || req.attempts[outcome.Attempt].ended {
 		return
 	}
-	a := r.attempts[o.Attempt]
-	a.ended, a.status = true, o.Status
-	r.inFlight--
-	b.dischargeLedger(now, a, o)
-	b.applyReport(now, a.row, o.Report)
-	if o.Status == Served {
-		b.learnFromSuccess(r, a, o)
-	}
-	if o.Final {
-		if !r.ended {
-			if !r.streaming && o.Status == Served {
-				b.recordFirstToken(r, false) // a class that is not streamed: its answer is its first token
+	a := req.attempts[outcome.Attempt]
+	a.ended, a.status = true, outcome.Status
+	req.inFlight--
+	b.dischargeLedger(now, a, outcome)
+	b.applyReport(now, a.row, outcome.Report)
+	if outcome.Status == Served {
+		b.learnFromSuccess(req, a, outcome)
+	}
+	if outcome.Final {
+		if !req.ended {
+			if !req.streaming && outcome.Status == Served {
+				b.recordFirstToken(req, false) // a class that is not streamed: its answer is its first token
 			}
-			b.cancelOthers(r, a)
+			b.cancelOthers(req, a)
 		}
-		r.ended = true
-		b.dropIfDone(r)
+		req.ended = true
+		b.dropIfDone(req)
 		return
 	}
-	if r.ended || r.streaming || r.inFlight > 0 {
-		b.dropIfDone(r)
+	if req.ended || req.streaming || req.inFlight > 0 {
+		b.dropIfDone(req)
 		return
 	}
-	if o.Status == ConnectFailed {
-		r.avoidZone = a.row.zone
+	if outcome.Status == ConnectFailed {
+		req.avoidZone = a.row.zone
 	}
 	switch {
-	case o.Status == Rejected: // no worker is at fault, and none would take it
-		b.sink.Fail(r.ID)
-		b.finish(r)
-	case o.Status != TimedOut && b.interceptRetry(r, b.takeRetry(o.Status)):
-		b.dispatch(now, r)
+	case outcome.Status == Rejected: // no worker is at fault, and none would take it
+		b.sink.Fail(req.ID)
+		b.finish(req)
+	case outcome.Status != TimedOut && b.interceptRetry(req, b.takeRetry(outcome.Status)):
+		b.dispatch(now, req)
 	default:
-		b.finishIfIdle(r)
+		b.finishIfIdle(req)
 	}
 }
 
 // ClientGone tells that the client of a request left; nothing is owed.
 func (b *Balancer) ClientGone(now Micros, id RequestID) {
-	if r := b.requests[id]; r != nil && !r.ended {
-		b.finish(r)
+	if req := b.requests[id]; req != nil && !req.ended {
+		b.finish(req)
 	}
 }
 
@@ -325,59 +325,59 @@
 		b.sink.SetTimer(int64(tickEvery), timerTick)
 		return
 	}
-	r := b.requests[RequestID(token>>timerBits)]
-	if r == nil || r.ended || r.streaming {
+	req := b.requests[RequestID(token>>timerBits)]
+	if req == nil || req.ended || req.streaming {
 		return
 	}
 	switch token & (1<<timerBits - 1 | timerPoll) {
 	case timerPoll:
-		if len(r.attempts) == 0 {
-			b.recordSilence(now, r)
-			b.dispatch(now, r)
+		if len(req.attempts) == 0 {
+			b.recordSilence(now, req)
+			b.dispatch(now, req)
 		}
 	case timerDeadline:
-		b.shedOrFail(r)
+		b.shedOrFail(req)
 	case timerHedge:
-		b.hedge(now, r)
+		b.hedge(now, req)
 	case timerObjective:
-		r.late = true
+		req.late = true
 		b.recordLateness(1)
-		b.recordOverdue(now, r)
+		b.recordOverdue(now, req)
 	}
 }
 
 // hedgeDelay is how long an attempt may go without a first token before a
 // second copy is considered; 0: never.
-func (b *Balancer) hedgeDelay(r *request, a *attempt) Micros {
-	if !b.mayHedge(r) {
+func (b *Balancer) hedgeDelay(req *request, a *attempt) Micros {
+	if !b.mayHedge(req) {
 		return 0
 	}
 	// Long past what is usual for so many tokens, and late enough in the aim
 	// that waiting is likely to lose the worth.
-	return max(int64(3*b.firstTokenFit.predict(a.prefillTokens)), b.latencyObjective(r)/2)
+	return max(int64(3*b.firstTokenFit.predict(a.prefillTokens)), b.latencyObjective(req)/2)
 }
 
 // mayHedge tells whether r's class and settings let a copy run beside an attempt.
-func (b *Balancer) mayHedge(r *request) bool {
-	c := b.classOf(r)
-	return r.policy.mayHedge && c.Idempotency == Idempotent && c.Streaming && len(r.attempts) < r.policy.maxAttempts
+func (b *Balancer) mayHedge(req *request) bool {
+	class := b.classOf(req)
+	return req.policy.mayHedge && class.Idempotency == Idempotent && class.Streaming && len(req.attempts) < req.policy.maxAttempts
 }
 
 // hedge sends a second copy of r if the budget for them allows.
-func (b *Balancer) hedge(now Micros, r *request) {
-	if r.hedged || r.inFlight != 1 {
+func (b *Balancer) hedge(now Micros, req *request) {
+	if req.hedged || req.inFlight != 1 {
 		return
 	}
-	for _, a := range r.attempts {
+	for _, a := range req.attempts {
 		if !a.ended { // what has not come yet is at least so slow
 			b.recordSlowness(now, a.row, float64(now-a.sentAt)/math.Max(1, b.firstTokenFit.predict(a.prefillTokens)))
 		}
 	}
-	if !b.interceptRetry(r, b.hedgeBudget >= 1) {
+	if !b.interceptRetry(req, b.hedgeBudget >= 1) {
 		return
 	}
-	r.hedged = true
-	if b.dispatch(now, r) {
+	req.hedged = true
+	if b.dispatch(now, req) {
 		b.hedgeBudget--
 	}
 }
--- a/balancer/rules_test.go
+++ b/balancer/rules_test.go
@@ -70,16 +70,16 @@
 		s := settings()
 		s.Classes[0].Idempotency, s.Classes[0].DedupScope, s.Classes[0].DedupWindow = c.effect, c.scope, 5*second
 		b, _ := startBalancer(t, s, members...)
-		r := &request{Request: testRequest(1), policy: b.policies[0], tenantIndex: -1, avoidZone: -1}
-		r.attempts = []*attempt{{row: b.rows[0], sentAt: 101 * second, ended: true, status: c.status}}
+		req := &request{Request: testRequest(1), policy: b.policies[0], tenantIndex: -1, avoidZone: -1}
+		req.attempts = []*attempt{{row: b.rows[0], sentAt: 101 * second, ended: true, status: c.status}}
 		var got []ReplicaID
-		for _, w := range b.rows[1:] {
-			if b.idempotencyAllows(101*second+c.after, r, w) {
-				got = append(got, w.id)
+		for _, row := range b.rows[1:] {
+			if b.idempotencyAllows(101*second+c.after, req, row) {
+				got = append(got, row.id)
 			}
 		}
-		if fmt.Sprint(got) != fmt.Sprint(c.may) || b.mayShed(r) != c.refuse {
-			t.Errorf("%s: may go to %v, refuse %v", c.name, got, b.mayShed(r))
+		if fmt.Sprint(got) != fmt.Sprint(c.may) || b.mayShed(req) != c.refuse {
+			t.Errorf("%s: may go to %v, refuse %v", c.name, got, b.mayShed(req))
 		}
 	}
 }
@@ -147,8 +147,8 @@
 		for k := range 10 {
 			now := begin + 8*second + int64(k)*s.OverloadWindow/10
 			r := testRequest(RequestID(k + 1))
-			for _, w := range b.rows[1:] { // everything else looks full
-				w.charge, w.unreported = 1e9, 1e9
+			for _, row := range b.rows[1:] { // everything else looks full
+				row.charge, row.unreported = 1e9, 1e9
 			}
 			if dispatched(b, recs[i], now, r) == 1 {
 				sent++
@@ -176,10 +176,10 @@
 	m[0].StartedAt = now - second // restarted
 	m[2].StartedAt = now - second // new, with a start time
 	b.ListChanged(now, EndpointList{Kind: ListDelta, Endpoints: m})
-	for _, w := range b.rows {
-		cold := now < w.warmingUntil
-		if want := w.id != 2; cold != want {
-			t.Errorf("replica %d cold: %v", w.id, cold)
+	for _, row := range b.rows {
+		cold := now < row.warmingUntil
+		if want := row.id != 2; cold != want {
+			t.Errorf("replica %d cold: %v", row.id, cold)
 		}
 	}
 	// a gateway that itself restarts judges by the start time alone
@@ -226,13 +226,13 @@
 	for i := range RequestID(300) {
 		b.RequestArrived(101*second, testRequest(i))
 		for n := 0; n < 3; n++ {
-			r := b.requests[i]
-			if r == nil || r.attempts[n].ended {
+			req := b.requests[i]
+			if req == nil || req.attempts[n].ended {
 				break
 			}
-			before := len(r.attempts)
-			b.AttemptEnded(101*second, Outcome{ID: i, Attempt: n, Replica: r.attempts[n].row.id, Status: Errored})
-			if b.requests[i] == nil || len(r.attempts) == before {
+			before := len(req.attempts)
+			b.AttemptEnded(101*second, Outcome{ID: i, Attempt: n, Replica: req.attempts[n].row.id, Status: Errored})
+			if b.requests[i] == nil || len(req.attempts) == before {
 				break
 			}
 			extra++
@@ -326,14 +326,14 @@
 func TestConnectionsDoNotLookSlow(t *testing.T) {
 	b, _ := startBalancer(t, settings(), fleet(1)...)
 	b.firstTokenFit.n = 100
-	r := &request{Request: testRequest(1), policy: b.policies[0]}
+	req := &request{Request: testRequest(1), policy: b.policies[0]}
 	slow := false
 	for i := range 400 {
 		a := &attempt{row: b.rows[0], timeToFirstToken: 50_000, newConn: i%8 != 0}
 		if a.newConn {
 			a.timeToFirstToken = 150_000
 		}
-		slow = b.streamsTooSlow(r, a) || slow
+		slow = b.streamsTooSlow(req, a) || slow
 	}
 	if slow {
 		t.Fatal("handshakes counted as slow streams")
@@ -484,9 +484,9 @@
 				if cl.Idempotency == Idempotent || e.ended && e.status.NeverRan() {
 					continue
 				}
-				m, n := c.member[e.to], c.member[a.to]
-				if cl.Idempotency == NonIdempotent || c.now-e.at > cl.DedupWindow || cl.DedupScope == DedupZone && m.Zone != n.Zone ||
-					cl.DedupScope == DedupCell && m.Cell != n.Cell {
+				endpoint, n := c.member[e.to], c.member[a.to]
+				if cl.Idempotency == NonIdempotent || c.now-e.at > cl.DedupWindow || cl.DedupScope == DedupZone && endpoint.Zone != n.Zone ||
+					cl.DedupScope == DedupCell && endpoint.Cell != n.Cell {
 					c.t.Fatalf("request %d (%s): a second effect", a.id, cl.Name)
 				}
 			}
@@ -542,9 +542,9 @@
 		rec.acts = nil
 	}
 	member := func(id int) Endpoint {
-		m := Endpoint{Replica: ReplicaID(id), Weight: 1, Kind: "k", Zone: []string{"a", "b"}[id%2], Cell: int64(id % 4)}
-		c.member[m.Replica] = m
-		return m
+		endpoint := Endpoint{Replica: ReplicaID(id), Weight: 1, Kind: "k", Zone: []string{"a", "b"}[id%2], Cell: int64(id % 4)}
+		c.member[endpoint.Replica] = endpoint
+		return endpoint
 	}
 	var all []Endpoint
 	for i := range 12 {
@@ -575,13 +575,13 @@
 			flush()
 		}
 		if rng.Intn(100) == 0 {
-			m := member(1 + rng.Intn(16))
-			m.State = EndpointState(rng.Intn(3))
+			endpoint := member(1 + rng.Intn(16))
+			endpoint.State = EndpointState(rng.Intn(3))
 			if rng.Intn(2) == 0 {
-				m.StartedAt = c.now
+				endpoint.StartedAt = c.now
 			}
-			c.blocked[m.Replica] = m.State != EndpointReady
-			b.ListChanged(c.now, EndpointList{Kind: ListDelta, Endpoints: []Endpoint{m}})
+			c.blocked[endpoint.Replica] = endpoint.State != EndpointReady
+			b.ListChanged(c.now, EndpointList{Kind: ListDelta, Endpoints: []Endpoint{endpoint}})
 			flush()
 		}
 		keep := live[:0]
@@ -715,7 +715,7 @@
 	if n := inZone(103*second+settleTime, 200); n < 2 {
 		t.Fatalf("%d sent to the zone after a success there", n)
 	}
-	if w := b.rows[1]; w.backoffUntil > 0 || w.consecutiveFailures > 0 {
+	if row := b.rows[1]; row.backoffUntil > 0 || row.consecutiveFailures > 0 {
 		t.Fatal("what was the site's stands against a worker")
 	}
 }
@@ -728,13 +728,13 @@
 	for status, want := range map[Status]string{Malformed: "dispatch", Rejected: "fail"} {
 		b, rec := startBalancer(t, settings(), fleet(2)...)
 		b.RequestArrived(101*second, testRequest(1))
-		w := b.requests[1].attempts[0].row
+		row := b.requests[1].attempts[0].row
 		rec.acts = nil
-		b.AttemptEnded(101*second, Outcome{ID: 1, Replica: w.id, Status: status})
+		b.AttemptEnded(101*second, Outcome{ID: 1, Replica: row.id, Status: status})
 		if n := len(rec.take(want)); n != 1 {
 			t.Errorf("status %d: %d times %s", status, n, want)
 		}
-		if r := (&request{Request: testRequest(2), policy: b.policies[0], tenantIndex: -1, avoidZone: -1}); !b.eligible(101*second, w, r, false) {
+		if req := (&request{Request: testRequest(2), policy: b.policies[0], tenantIndex: -1, avoidZone: -1}); !b.eligible(101*second, row, req, false) {
 			t.Errorf("status %d: the worker rests", status)
 		}
 	}
@@ -782,19 +782,19 @@
 func TestSlowPaceIsConfirmedByStreams(t *testing.T) {
 	b, _ := startBalancer(t, settings(), fleet(1)...)
 	a := &attempt{row: b.rows[0], timeToFirstToken: 400_000}
-	r := &request{Request: testRequest(1), policy: b.policies[0], tenantIndex: -1}
+	req := &request{Request: testRequest(1), policy: b.policies[0], tenantIndex: -1}
 	b.firstTokenFit.n, b.stepExcess, b.stepFloor[2*a.row.zone] = 20, 1e6, 1000
-	if !b.streamsTooSlow(r, a) {
+	if !b.streamsTooSlow(req, a) {
 		t.Error("not too slow where lengths are not told")
 	}
 	b.recordStreamPace(2e6, 100*50_000) // 100 tokens in 2 s: well within 50 ms each
-	if b.streamsTooSlow(r, a) {
+	if b.streamsTooSlow(req, a) {
 		t.Error("too slow, although streams are quick")
 	}
 	for range 20 {
 		b.recordStreamPace(9e6, 100*50_000)
 	}
-	if !b.streamsTooSlow(r, a) {
+	if !b.streamsTooSlow(req, a) {
 		t.Error("not too slow, although streams are")
 	}
 }
@@ -814,8 +814,8 @@
 			t.Errorf("%d s: the old worker has read nothing", now/second)
 		}
 	}
-	r := &request{Request: testRequest(1), policy: b.policies[0], tenantIndex: -1, avoidZone: -1}
-	if f, g := b.penaltyFactor(101*second, young, r), b.penaltyFactor(101*second, old, r); f < 2*g {
+	req := &request{Request: testRequest(1), policy: b.policies[0], tenantIndex: -1, avoidZone: -1}
+	if f, g := b.penaltyFactor(101*second, young, req), b.penaltyFactor(101*second, old, req); f < 2*g {
 		t.Errorf("a cold worker weighs %.2f, a warm one %.2f", f, g)
 	}
 }
--- a/balancer/slowstart_test.go
+++ b/balancer/slowstart_test.go
@@ -90,8 +90,8 @@
 				if f.one {
 					full = b.rows[1:]
 				}
-				for _, w := range full {
-					w.reportedTokens, w.charge, w.reportedAt = 1e6, 1e6, now
+				for _, row := range full {
+					row.reportedTokens, row.charge, row.reportedAt = 1e6, 1e6, now
 				}
 			}
 			for _, a := range rec.take("dispatch") {
--- a/balancer/snapshot.go
+++ b/balancer/snapshot.go
@@ -282,12 +282,12 @@
 	names(2, &t.kindIndex)
 	integer(a, 3, &t.ownZone)
 	a.each(4, len(t.kinds), func(n int) { t.kinds = make([]kindStats, n) }, func(i int, s *archive) {
-		k := &t.kinds[i]
-		for i, v := range []*float64{&k.slownessSum, &k.slownessCount, &k.slowness, &k.slownessStep, &k.idleWeight, &k.firstTokenSum, &k.firstTokenCount, &k.firstTokenRatio} {
+		kind := &t.kinds[i]
+		for i, v := range []*float64{&kind.slownessSum, &kind.slownessCount, &kind.slowness, &kind.slownessStep, &kind.idleWeight, &kind.firstTokenSum, &kind.firstTokenCount, &kind.firstTokenRatio} {
 			s.float(protowire.Number(i+1), v)
 		}
-		if k.firstTokenRatio == 0 { // of a build that did not know it
-			k.firstTokenRatio = 1
+		if kind.firstTokenRatio == 0 { // of a build that did not know it
+			kind.firstTokenRatio = 1
 		}
 	})
 	integer(a, 5, &t.readyCount)
@@ -362,18 +362,18 @@
 		if !s.saving {
 			*v = &zonehealth.Zone{}
 		}
-		p := *v
+		zone := *v
 		integer(s, 1, k)
-		integer(s, 2, &p.State)
-		integer(s, 3, &p.Since)
-		s.uints(4, &p.MissedReplicas)
-		integer(s, 5, &p.LastMissAt)
-		s.uints(6, &p.AnsweredReplicas)
-		integer(s, 7, &p.NextTrialAt)
-		integer(s, 8, &p.Trials)
-		integer(s, 9, &p.Outages)
-		integer(s, 10, &p.UnavailableAt)
-		integer(s, 11, &p.Misses)
+		integer(s, 2, &zone.State)
+		integer(s, 3, &zone.Since)
+		s.uints(4, &zone.MissedReplicas)
+		integer(s, 5, &zone.LastMissAt)
+		s.uints(6, &zone.AnsweredReplicas)
+		integer(s, 7, &zone.NextTrialAt)
+		integer(s, 8, &zone.Trials)
+		integer(s, 9, &zone.Outages)
+		integer(s, 10, &zone.UnavailableAt)
+		integer(s, 11, &zone.Misses)
 	})
 	integer(a, 27, &g.lastHeardAt)
 	a.float(28, &g.meanWork)
@@ -395,19 +395,19 @@
 	oldPlace := map[*requestPolicy]int{}
 	if a.saving {
 		ids = slices.Sorted(maps.Keys(b.requests))
-		for i, w := range rows {
-			place[w] = i
+		for i, row := range rows {
+			place[row] = i
 		}
 		for _, id := range ids {
-			r := b.requests[id]
-			if _, ok := oldPlace[r.policy]; !ok && r.policy != b.policies[r.classIndex] {
-				oldPlace[r.policy] = len(old)
-				old = append(old, r.policy)
+			req := b.requests[id]
+			if _, ok := oldPlace[req.policy]; !ok && req.policy != b.policies[req.classIndex] {
+				oldPlace[req.policy] = len(old)
+				old = append(old, req.policy)
 			}
-			for _, t := range r.attempts {
-				if _, ok := place[t.row]; !ok {
-					place[t.row] = len(rows)
-					rows = append(rows, t.row)
+			for _, a := range req.attempts {
+				if _, ok := place[a.row]; !ok {
+					place[a.row] = len(rows)
+					rows = append(rows, a.row)
 				}
 			}
 		}
@@ -418,13 +418,13 @@
 			rows[i] = &replicaRow{}
 		}
 	}, func(i int, s *archive) {
-		w := rows[i]
-		listed := s.saving && b.rowByID[w.id] == w
+		row := rows[i]
+		listed := s.saving && b.rowByID[row.id] == row
 		s.bool(1, &listed)
-		archiveRow(s, w)
+		archiveRow(s, row)
 		if listed && !s.saving {
-			b.rows = append(b.rows, w)
-			b.rowByID[w.id] = w
+			b.rows = append(b.rows, row)
+			b.rowByID[row.id] = row
 		}
 	})
 	oldTerms := func() {
@@ -438,31 +438,31 @@
 		oldTerms()
 	}
 	a.each(8, len(ids), func(n int) { ids = make([]RequestID, n) }, func(i int, s *archive) {
-		r := &request{}
+		req := &request{}
 		if s.saving {
-			r = b.requests[ids[i]]
+			req = b.requests[ids[i]]
 		}
-		archiveRequest(s, r, rows, place)
+		archiveRequest(s, req, rows, place)
 		at := 0 // 0: the terms in force
-		if i, ok := oldPlace[r.policy]; ok {
+		if i, ok := oldPlace[req.policy]; ok {
 			at = i + 1
 		}
 		integer(s, 21, &at)
-		s.float(22, &r.PriorityFactor)
-		integer(s, 23, &r.PriorAttempts)
-		integer(s, 24, &r.HomeReplica)
+		s.float(22, &req.PriorityFactor)
+		integer(s, 23, &req.PriorAttempts)
+		integer(s, 24, &req.HomeReplica)
 		if !s.saving {
-			b.requests[r.ID] = r
+			b.requests[req.ID] = req
 			switch {
 			case at > 0 && at <= len(old):
-				r.policy = old[at-1]
-			case at == 0 && r.classIndex >= 0 && r.classIndex < len(b.policies):
-				r.policy = b.policies[r.classIndex]
+				req.policy = old[at-1]
+			case at == 0 && req.classIndex >= 0 && req.classIndex < len(b.policies):
+				req.policy = b.policies[req.classIndex]
 			default:
-				s.fail(fmt.Errorf("request %d: no such terms", r.ID))
+				s.fail(fmt.Errorf("request %d: no such terms", req.ID))
 			}
-			if r.classIndex < 0 || r.classIndex >= len(b.policies) || r.tenantIndex >= len(b.settings.Tenants) {
-				s.fail(fmt.Errorf("request %d: no such class or tenant", r.ID))
+			if req.classIndex < 0 || req.classIndex >= len(b.policies) || req.tenantIndex >= len(b.settings.Tenants) {
+				s.fail(fmt.Errorf("request %d: no such class or tenant", req.ID))
 			}
 		}
 	})
@@ -477,12 +477,12 @@
 		integer(s, 1, &at)
 		integer(s, 2, &id)
 		integer(s, 3, &n)
-		r := b.requests[id]
-		if r == nil || n < 0 || n >= len(r.attempts) || at < 0 || at >= len(rows) {
+		req := b.requests[id]
+		if req == nil || n < 0 || n >= len(req.attempts) || at < 0 || at >= len(rows) {
 			s.fail(errors.New("a ledger names what is not there"))
 			return
 		}
-		rows[at].ledger = append(rows[at].ledger, r.attempts[n])
+		rows[at].ledger = append(rows[at].ledger, req.attempts[n])
 	})
 }
 
@@ -493,13 +493,13 @@
 	}
 	names := map[*attempt]name{}
 	for _, id := range ids {
-		for n, t := range b.requests[id].attempts {
-			names[t] = name{id, n}
+		for n, a := range b.requests[id].attempts {
+			names[a] = name{id, n}
 		}
 	}
-	for at, w := range rows {
-		a.each(9, len(w.ledger), nil, func(i int, s *archive) {
-			nm := names[w.ledger[i]]
+	for at, row := range rows {
+		a.each(9, len(row.ledger), nil, func(i int, s *archive) {
+			nm := names[row.ledger[i]]
 			integer(s, 1, &at)
 			integer(s, 2, &nm.id)
 			integer(s, 3, &nm.n)
@@ -523,76 +523,76 @@
 	a.bool(13, &t.mayHedge)
 }
 
-func archiveRow(a *archive, w *replicaRow) {
-	integer(a, 2, &w.id)
-	integer(a, 3, &w.state)
-	integer(a, 4, &w.zone)
-	integer(a, 5, &w.kind)
-	integer(a, 6, &w.cell)
-	a.float(7, &w.size)
-	integer(a, 8, &w.startedAt)
-	a.float(9, &w.reportedTokens)
-	integer(a, 10, &w.reportedAt)
-	integer(a, 11, &w.openConns)
-	integer(a, 12, &w.lastUsedAt)
-	integer(a, 13, &w.slownessAt)
-	for i, v := range []*float64{&w.memoryPerToken, &w.memoryPerTokenSamples, &w.charge, &w.unreported, &w.slownessSum, &w.slownessCount, &w.slowness, &w.liveLoad,
-		&w.errorRate} {
+func archiveRow(a *archive, row *replicaRow) {
+	integer(a, 2, &row.id)
+	integer(a, 3, &row.state)
+	integer(a, 4, &row.zone)
+	integer(a, 5, &row.kind)
+	integer(a, 6, &row.cell)
+	a.float(7, &row.size)
+	integer(a, 8, &row.startedAt)
+	a.float(9, &row.reportedTokens)
+	integer(a, 10, &row.reportedAt)
+	integer(a, 11, &row.openConns)
+	integer(a, 12, &row.lastUsedAt)
+	integer(a, 13, &row.slownessAt)
+	for i, v := range []*float64{&row.memoryPerToken, &row.memoryPerTokenSamples, &row.charge, &row.unreported, &row.slownessSum, &row.slownessCount, &row.slowness, &row.liveLoad,
+		&row.errorRate} {
 		a.float(protowire.Number(14+i), v)
 	}
-	integer(a, 24, &w.consecutiveFailures)
-	integer(a, 25, &w.backoffUntil)
-	a.bool(26, &w.healthCheckPending)
-	integer(a, 27, &w.healthCheckedAt)
-	integer(a, 28, &w.warmingSince)
-	integer(a, 29, &w.warmingUntil)
-	integer(a, 31, &w.confirmedReadyAt)
+	integer(a, 24, &row.consecutiveFailures)
+	integer(a, 25, &row.backoffUntil)
+	a.bool(26, &row.healthCheckPending)
+	integer(a, 27, &row.healthCheckedAt)
+	integer(a, 28, &row.warmingSince)
+	integer(a, 29, &row.warmingUntil)
+	integer(a, 31, &row.confirmedReadyAt)
 	a.skip(23, 30, 32) // what a cold one was sent, in builds before 1.4, or wanted for, in those of 1.5
-	w.hash = splitmix(uint64(w.id))
+	row.hash = splitmix(uint64(row.id))
 }
 
-func archiveRequest(a *archive, r *request, rows []*replicaRow, place map[*replicaRow]int) {
-	integer(a, 1, &r.ID)
-	a.string(2, &r.Class)
-	a.string(3, &r.Tenant)
-	integer(a, 4, &r.TimeLeft)
-	integer(a, 5, &r.PromptTokens)
-	integer(a, 6, &r.PrefixTokens)
-	integer(a, 7, &r.MaxTokens)
-	a.fixed(8, &r.Session)
-	a.fixed(9, &r.Prefix)
-	integer(a, 10, &r.classIndex)
-	integer(a, 11, &r.tenantIndex)
-	integer(a, 12, &r.arrivedAt)
-	integer(a, 13, &r.deadline)
-	integer(a, 14, &r.inFlight)
-	a.bool(15, &r.streaming)
-	a.bool(16, &r.ended)
-	a.bool(17, &r.hedged)
-	a.bool(18, &r.late)
-	integer(a, 19, &r.avoidZone)
-	a.each(20, len(r.attempts), func(n int) {
+func archiveRequest(a *archive, req *request, rows []*replicaRow, place map[*replicaRow]int) {
+	integer(a, 1, &req.ID)
+	a.string(2, &req.Class)
+	a.string(3, &req.Tenant)
+	integer(a, 4, &req.TimeLeft)
+	integer(a, 5, &req.PromptTokens)
+	integer(a, 6, &req.PrefixTokens)
+	integer(a, 7, &req.MaxTokens)
+	a.fixed(8, &req.Session)
+	a.fixed(9, &req.Prefix)
+	integer(a, 10, &req.classIndex)
+	integer(a, 11, &req.tenantIndex)
+	integer(a, 12, &req.arrivedAt)
+	integer(a, 13, &req.deadline)
+	integer(a, 14, &req.inFlight)
+	a.bool(15, &req.streaming)
+	a.bool(16, &req.ended)
+	a.bool(17, &req.hedged)
+	a.bool(18, &req.late)
+	integer(a, 19, &req.avoidZone)
+	a.each(20, len(req.attempts), func(n int) {
 		for range n {
-			r.attempts = append(r.attempts, &attempt{})
+			req.attempts = append(req.attempts, &attempt{})
 		}
 	}, func(i int, s *archive) {
-		t := r.attempts[i]
-		at := place[t.row]
+		a := req.attempts[i]
+		at := place[a.row]
 		integer(s, 1, &at)
 		if !s.saving {
 			if at < 0 || at >= len(rows) {
 				s.fail(errors.New("an attempt at no row"))
 				return
 			}
-			t.row = rows[at]
-		}
-		integer(s, 2, &t.sentAt)
-		s.float(3, &t.prefillTokens)
-		s.float(4, &t.prefillCharge)
-		s.float(5, &t.heldTokens)
-		integer(s, 6, &t.status)
-		s.bool(7, &t.ended)
-		s.bool(8, &t.newConn)
-		integer(s, 9, &t.timeToFirstToken)
+			a.row = rows[at]
+		}
+		integer(s, 2, &a.sentAt)
+		s.float(3, &a.prefillTokens)
+		s.float(4, &a.prefillCharge)
+		s.float(5, &a.heldTokens)
+		integer(s, 6, &a.status)
+		s.bool(7, &a.ended)
+		s.bool(8, &a.newConn)
+		integer(s, 9, &a.timeToFirstToken)
 	})
 }
--- a/balancer/snapshot_test.go
+++ b/balancer/snapshot_test.go
@@ -51,9 +51,9 @@
 		r.Session, r.Prefix, r.Tenant = uint64(i+1), uint64(i%2+1), "t1"
 		b.RequestArrived(now, r)
 	}
-	w := b.requests[1].attempts[0].row
-	b.FirstToken(now+second/2, Outcome{ID: 1, Replica: w.id, Elapsed: second / 2})
-	b.AttemptEnded(now+second, Outcome{ID: 1, Replica: w.id, Elapsed: second, Status: Served, Final: true, CachedTokens: 100, OutputTokens: 50,
+	row := b.requests[1].attempts[0].row
+	b.FirstToken(now+second/2, Outcome{ID: 1, Replica: row.id, Elapsed: second / 2})
+	b.AttemptEnded(now+second, Outcome{ID: 1, Replica: row.id, Elapsed: second, Status: Served, Final: true, CachedTokens: 100, OutputTokens: 50,
 		Report: LoadReport{Has: HasMemory | HasInFlight | HasService, MemoryShare: 0.3, InFlight: 2, ServiceMs: 200}})
 	b.TimerFired(now+second, timerHedge|2<<timerBits)
 	b.TimerFired(now+2*second, timerObjective|3<<timerBits)
--- a/balancer/state.go
+++ b/balancer/state.go
@@ -199,9 +199,9 @@
 	case s.SlowStartFor < 0 || s.OverloadWindow < 0 || s.OverloadMultiple < 0 || s.Tick < 0:
 		return errors.New("balancer: negative figure in the rules")
 	}
-	for _, c := range s.Classes {
-		if c.Deadline <= 0 || c.LatencyObjective < 0 {
-			return fmt.Errorf("balancer: class %q: deadline must be positive", c.Name)
+	for _, class := range s.Classes {
+		if class.Deadline <= 0 || class.LatencyObjective < 0 {
+			return fmt.Errorf("balancer: class %q: deadline must be positive", class.Name)
 		}
 	}
 	return nil
@@ -211,8 +211,8 @@
 // microseconds.
 func (s *Settings) prefillTimePerToken() float64 {
 	sum := 0.0
-	for _, c := range s.Classes {
-		sum += float64(c.ObjectivePer1000Tokens)
+	for _, class := range s.Classes {
+		sum += float64(class.ObjectivePer1000Tokens)
 	}
 	return sum / 1000 / float64(len(s.Classes))
 }
@@ -229,8 +229,8 @@
 // rebuildHashes follows a change of the rows.
 func (t *loadTable) rebuildHashes() {
 	t.hashes = t.hashes[:0]
-	for _, w := range t.rows {
-		t.hashes = append(t.hashes, w.hash)
+	for _, row := range t.rows {
+		t.hashes = append(t.hashes, row.hash)
 	}
 }
 
@@ -261,8 +261,8 @@
 }
 
 // countPrefix counts a prefix; all counts are halved when there are too many.
-func (b *Balancer) countPrefix(r *request) {
-	if r.Prefix == 0 {
+func (b *Balancer) countPrefix(req *request) {
+	if req.Prefix == 0 {
 		return
 	}
 	if len(b.prefixCounts) >= maxPrefixes || b.prefixTotal > 1<<14 {
@@ -279,6 +279,6 @@
 		}
 		b.prefixCounts = keep
 	}
-	b.prefixCounts[r.Prefix]++
+	b.prefixCounts[req.Prefix]++
 	b.prefixTotal++
 }
--- a/balancer/subset_test.go
+++ b/balancer/subset_test.go
@@ -13,22 +13,22 @@
 	}{{500, 50 * second, false}, {500, 104 * second, true}, {0, 50 * second, true}} {
 		b, rec := startBalancer(t, eightyGateways(), fleet(40)...)
 		b.fleetSize = c.fleet
-		m := Endpoint{Replica: 7, State: EndpointReady, Weight: 1, StartedAt: 50 * second, Zone: "a", Kind: "k"}
+		endpoint := Endpoint{Replica: 7, State: EndpointReady, Weight: 1, StartedAt: 50 * second, Zone: "a", Kind: "k"}
 		tell := func(now Micros, state EndpointState, since Micros) {
-			m.State, m.StartedAt = state, since
-			b.ListChanged(now, EndpointList{Kind: ListOverride, FleetSize: c.fleet, Endpoints: []Endpoint{m}})
+			endpoint.State, endpoint.StartedAt = state, since
+			b.ListChanged(now, EndpointList{Kind: ListOverride, FleetSize: c.fleet, Endpoints: []Endpoint{endpoint}})
 		}
 		tell(102*second, EndpointReady, 50*second)
-		w := b.rowByID[7]
-		w.warmingUntil = 0
-		w.ledger = append(w.ledger, &attempt{row: w})
+		row := b.rowByID[7]
+		row.warmingUntil = 0
+		row.ledger = append(row.ledger, &attempt{row: row})
 		rec.acts = nil
 		tell(103*second, EndpointGone, 50*second)
-		if b.rowByID[7] != w || w.state != EndpointGone {
+		if b.rowByID[7] != row || row.state != EndpointGone {
 			t.Fatal("with something out its row stays, and takes nothing")
 		}
 		tell(105*second, EndpointReady, c.since)
-		if got := 105*second < w.warmingUntil; got != c.cold {
+		if got := 105*second < row.warmingUntil; got != c.cold {
 			t.Errorf("%+v: cold %t", c, got)
 		}
 	}
@@ -71,13 +71,13 @@
 func TestRequestedHomeReplica(t *testing.T) {
 	b, _ := startBalancer(t, eightyGateways(), fleet(40)...)
 	b.fleetSize = 400
-	r := &request{Request: testRequest(1), policy: b.policies[0], tenantIndex: -1, avoidZone: -1}
-	r.Session, r.Prefix, r.PrefixTokens, r.HomeReplica = 77, 5, 500, 31
-	if home, second, _, _ := b.sessionHomes(r); home != b.rowByID[31] || second != nil {
+	req := &request{Request: testRequest(1), policy: b.policies[0], tenantIndex: -1, avoidZone: -1}
+	req.Session, req.Prefix, req.PrefixTokens, req.HomeReplica = 77, 5, 500, 31
+	if home, second, _, _ := b.sessionHomes(req); home != b.rowByID[31] || second != nil {
 		t.Errorf("home %v, second %v", home, second)
 	}
 	b.rowByID[31].state = EndpointDraining
-	if home, _, _, _ := b.sessionHomes(r); home != nil {
+	if home, _, _, _ := b.sessionHomes(req); home != nil {
 		t.Errorf("at home at one that drains: %v", home)
 	}
 }
--- a/balancer/zonehealth/zonehealth.go
+++ b/balancer/zonehealth/zonehealth.go
@@ -71,8 +71,8 @@
 
 // State tells how a site is.
 func (b Tracker) State(site int) State {
-	if p := b.Zones[site]; p != nil {
-		return p.State
+	if zone := b.Zones[site]; zone != nil {
+		return zone.State
 	}
 	return Healthy
 }
@@ -84,38 +84,38 @@
 // came up, or what was open fell silent or broke. News tells that others of the site are
 // to be asked; lost that with this the site counts as lost.
 func (b Tracker) RecordMiss(now Micros, site int, worker uint64, of int) (news, lost bool) {
-	p := b.Zones[site]
-	if p == nil {
-		p = &Zone{Since: now}
-		b.Zones[site] = p
+	zone := b.Zones[site]
+	if zone == nil {
+		zone = &Zone{Since: now}
+		b.Zones[site] = zone
 	}
-	b.expire(now, p)
-	if p.State == Unavailable {
+	b.expire(now, zone)
+	if zone.State == Unavailable {
 		return false, false
 	}
-	since := now - p.LastMissAt
+	since := now - zone.LastMissAt
 	if since > missWindow {
-		p.MissedReplicas, p.Misses = nil, 0
+		zone.MissedReplicas, zone.Misses = nil, 0
 	}
-	p.LastMissAt = now
-	if slices.Contains(p.MissedReplicas, worker) {
+	zone.LastMissAt = now
+	if slices.Contains(zone.MissedReplicas, worker) {
 		// Of a site with few workers each counts again, as often as it takes.
 		if of >= missThreshold || since < trialIntervalMin {
 			return false, false
 		}
-	} else if len(p.MissedReplicas) < missThreshold {
-		p.MissedReplicas = append(p.MissedReplicas, worker)
+	} else if len(zone.MissedReplicas) < missThreshold {
+		zone.MissedReplicas = append(zone.MissedReplicas, worker)
 	}
-	if p.Misses++; of >= 2 && len(p.MissedReplicas) >= min(missThreshold, of) && p.Misses >= missThreshold {
-		if p.Outages = min(maxOutages, p.Outages+1); now-p.UnavailableAt > outageMemory {
-			p.Outages = 1
+	if zone.Misses++; of >= 2 && len(zone.MissedReplicas) >= min(missThreshold, of) && zone.Misses >= missThreshold {
+		if zone.Outages = min(maxOutages, zone.Outages+1); now-zone.UnavailableAt > outageMemory {
+			zone.Outages = 1
 		}
-		p.State, p.Since, p.UnavailableAt = Unavailable, now, now
-		p.MissedReplicas, p.Misses, p.AnsweredReplicas, p.Trials, p.NextTrialAt = nil, 0, nil, 0, now+trialIntervalMin
+		zone.State, zone.Since, zone.UnavailableAt = Unavailable, now, now
+		zone.MissedReplicas, zone.Misses, zone.AnsweredReplicas, zone.Trials, zone.NextTrialAt = nil, 0, nil, 0, now+trialIntervalMin
 		return false, true
 	}
-	if p.State == Healthy {
-		p.State, p.Since = Suspect, now
+	if zone.State == Healthy {
+		zone.State, zone.Since = Suspect, now
 	}
 	return true, false
 }
@@ -124,22 +124,22 @@
 // site returns with this: one word is enough the first time, and more each time that it
 // was lost again soon.
 func (b Tracker) RecordAnswer(now Micros, site int, worker uint64, of int) (back bool) {
-	p := b.Zones[site]
-	if p == nil {
+	zone := b.Zones[site]
+	if zone == nil {
 		return false
 	}
-	b.expire(now, p)
-	p.MissedReplicas, p.Misses = nil, 0
-	switch p.State {
+	b.expire(now, zone)
+	zone.MissedReplicas, zone.Misses = nil, 0
+	switch zone.State {
 	case Suspect:
-		p.State, p.Since = Healthy, now
+		zone.State, zone.Since = Healthy, now
 	case Unavailable:
-		if !slices.Contains(p.AnsweredReplicas, worker) {
-			p.AnsweredReplicas = append(p.AnsweredReplicas, worker)
+		if !slices.Contains(zone.AnsweredReplicas, worker) {
+			zone.AnsweredReplicas = append(zone.AnsweredReplicas, worker)
 		}
-		p.NextTrialAt = now // where one answers others are asked soon
-		if len(p.AnsweredReplicas) >= min(p.Outages, max(1, of)) {
-			p.State, p.Since, p.AnsweredReplicas = Recovering, now, nil
+		zone.NextTrialAt = now // where one answers others are asked soon
+		if len(zone.AnsweredReplicas) >= min(zone.Outages, max(1, of)) {
+			zone.State, zone.Since, zone.AnsweredReplicas = Recovering, now, nil
 			return true
 		}
 	}
@@ -147,41 +147,41 @@
 }
 
 // expire lets time end what it ends.
-func (b Tracker) expire(now Micros, p *Zone) {
+func (b Tracker) expire(now Micros, zone *Zone) {
 	switch {
-	case p.State == Suspect && now-p.LastMissAt > missWindow:
-		p.State, p.Since, p.MissedReplicas, p.Misses = Healthy, now, nil, 0
-	case p.State == Recovering && now-p.Since >= p.rampTime():
-		p.State, p.Since = Healthy, now
+	case zone.State == Suspect && now-zone.LastMissAt > missWindow:
+		zone.State, zone.Since, zone.MissedReplicas, zone.Misses = Healthy, now, nil, 0
+	case zone.State == Recovering && now-zone.Since >= zone.rampTime():
+		zone.State, zone.Since = Healthy, now
 	}
 }
 
 // rampTime is how long the site's part takes to the whole.
-func (p *Zone) rampTime() Micros { return recoveryRamp * Micros(max(1, p.Outages)) }
+func (zone *Zone) rampTime() Micros { return recoveryRamp * Micros(max(1, zone.Outages)) }
 
 // TrafficShare is the part of its usual load that a site may be given. The first return is held
 // back by its workers' own warmth alone: a part for the whole site beside it left warm
 // workers idle (docs/measurements/site.md). After each further loss soon after, a part
 // that starts lower grows to the whole, for longer.
 func (b Tracker) TrafficShare(now Micros, site int) float64 {
-	p := b.Zones[site]
-	if p == nil || p.State != Recovering || p.Outages < 2 {
+	zone := b.Zones[site]
+	if zone == nil || zone.State != Recovering || zone.Outages < 2 {
 		return 1
 	}
-	least := 1 / float64(p.Outages)
-	return min(1, least+(1-least)*float64(now-p.Since)/float64(p.rampTime()))
+	least := 1 / float64(zone.Outages)
+	return min(1, least+(1-least)*float64(now-zone.Since)/float64(zone.rampTime()))
 }
 
 // TrialDue tells whether a lost site is to be tried now, and notes the trial. By is from 0 to
 // 1 and sets many gateways apart.
 func (b Tracker) TrialDue(now Micros, site int, by float64) bool {
-	p := b.Zones[site]
-	if p == nil || p.State != Unavailable || now < p.NextTrialAt {
+	zone := b.Zones[site]
+	if zone == nil || zone.State != Unavailable || now < zone.NextTrialAt {
 		return false
 	}
-	p.Trials++
-	wait := min(trialIntervalMax, trialIntervalMin<<min(p.Trials, 8)) * Micros(p.Outages)
-	p.NextTrialAt = now + Micros(float64(wait)*(0.75+by/2))
+	zone.Trials++
+	wait := min(trialIntervalMax, trialIntervalMin<<min(zone.Trials, 8)) * Micros(zone.Outages)
+	zone.NextTrialAt = now + Micros(float64(wait)*(0.75+by/2))
 	return true
 }
 
--- a/balancer/zonehealth/zonehealth_test.go
+++ b/balancer/zonehealth/zonehealth_test.go
@@ -158,8 +158,8 @@
 					tried = now
 				}
 			}
-			if p := a.Zones[1]; p != nil && (len(p.MissedReplicas) > missThreshold || len(p.AnsweredReplicas) > maxOutages || p.Outages > maxOutages) {
-				t.Fatalf("grows: %+v", p)
+			if zone := a.Zones[1]; zone != nil && (len(zone.MissedReplicas) > missThreshold || len(zone.AnsweredReplicas) > maxOutages || zone.Outages > maxOutages) {
+				t.Fatalf("grows: %+v", zone)
 			}
 			if trust := a.TrafficShare(now, 1); trust <= 0 || trust > 1 {
 				t.Fatalf("trust %v", trust)
--- a/balancer/zones.go
+++ b/balancer/zones.go
@@ -9,42 +9,42 @@
 const suspectZoneChecks = 2
 
 // recordAnswer tells the book of sites whether w answered, by how an attempt or a probe ended.
-func (b *Balancer) recordAnswer(now Micros, w *replicaRow, s Status, probe bool) {
+func (b *Balancer) recordAnswer(now Micros, row *replicaRow, s Status, probe bool) {
 	switch {
 	case s == ConnectFailed, s == ConnBroken, probe && s == TimedOut:
-		b.recordMiss(now, w)
+		b.recordMiss(now, row)
 	case s == Served, s == Errored, s == Shed, s == Malformed:
 		of := 0
-		if b.zones.IsUnavailable(w.zone) { // else nobody asks, and each answer would count the fleet
-			of = b.readyInZone(w.zone)
+		if b.zones.IsUnavailable(row.zone) { // else nobody asks, and each answer would count the fleet
+			of = b.readyInZone(row.zone)
 		}
-		if b.zones.RecordAnswer(now, w.zone, uint64(w.id), of) {
-			b.zoneRecovered(w.zone)
+		if b.zones.RecordAnswer(now, row.zone, uint64(row.id), of) {
+			b.zoneRecovered(row.zone)
 		}
 	}
 }
 
 // recordMiss tells the book that w did not answer. Others of its site are asked, and where
 // the site is lost by this, what waits there for a first token is taken up elsewhere.
-func (b *Balancer) recordMiss(now Micros, w *replicaRow) {
-	news, lost := b.zones.RecordMiss(now, w.zone, uint64(w.id), b.readyInZone(w.zone))
+func (b *Balancer) recordMiss(now Micros, row *replicaRow) {
+	news, lost := b.zones.RecordMiss(now, row.zone, uint64(row.id), b.readyInZone(row.zone))
 	if news {
-		b.checkZone(now, w.zone, suspectZoneChecks)
+		b.checkZone(now, row.zone, suspectZoneChecks)
 	}
 	if !lost {
 		return
 	}
 	var ids []RequestID
-	for id, r := range b.requests {
-		if !r.ended && !r.streaming && r.inFlight == 1 && slices.ContainsFunc(r.attempts, func(a *attempt) bool { return !a.ended && a.row.zone == w.zone }) {
+	for id, req := range b.requests {
+		if !req.ended && !req.streaming && req.inFlight == 1 && slices.ContainsFunc(req.attempts, func(a *attempt) bool { return !a.ended && a.row.zone == row.zone }) {
 			ids = append(ids, id)
 		}
 	}
 	slices.Sort(ids)
 	for _, id := range ids {
-		if r := b.requests[id]; b.mayHedge(r) {
+		if req := b.requests[id]; b.mayHedge(req) {
 			b.hedgeBudget++ // beside an attempt that is lost a copy is no more work
-			b.hedge(now, r)
+			b.hedge(now, req)
 		}
 	}
 }
@@ -52,17 +52,17 @@
 // zoneRecovered forgets what stood against workers of a site for what was the site's: each
 // fails by itself again if it is not back.
 func (b *Balancer) zoneRecovered(zone int) {
-	for _, w := range b.rows {
-		if w.zone == zone {
-			w.consecutiveFailures, w.backoffUntil = 0, 0
+	for _, row := range b.rows {
+		if row.zone == zone {
+			row.consecutiveFailures, row.backoffUntil = 0, 0
 		}
 	}
 }
 
 // readyInZone is how many workers of a zone are listed as ready.
 func (b *Balancer) readyInZone(zone int) (n int) {
-	for _, w := range b.rows {
-		if w.zone == zone && w.state == EndpointReady {
+	for _, row := range b.rows {
+		if row.zone == zone && row.state == EndpointReady {
 			n++
 		}
 	}
@@ -70,9 +70,9 @@
 }
 
 // sendHealthCheck probes w.
-func (b *Balancer) sendHealthCheck(now Micros, w *replicaRow) {
-	w.healthCheckPending, w.healthCheckedAt = true, now
-	b.sink.HealthCheck(w.id)
+func (b *Balancer) sendHealthCheck(now Micros, row *replicaRow) {
+	row.healthCheckPending, row.healthCheckedAt = true, now
+	b.sink.HealthCheck(row.id)
 }
 
 // checkZone probes some workers of a zone, from one drawn by chance on.
@@ -82,8 +82,8 @@
 	}
 	n := len(b.rows)
 	for i, k := 0, int(b.random()*float64(n)); i < n && most > 0; i++ {
-		if w := b.rows[(k+i)%n]; w.zone == zone && w.state == EndpointReady && !w.healthCheckPending {
-			b.sendHealthCheck(now, w)
+		if row := b.rows[(k+i)%n]; row.zone == zone && row.state == EndpointReady && !row.healthCheckPending {
+			b.sendHealthCheck(now, row)
 			most--
 		}
 	}
@@ -103,26 +103,26 @@
 }
 
 // recordSilence takes those that r was to hear from, and did not, for not answering.
-func (b *Balancer) recordSilence(now Micros, r *request) {
-	for _, w := range b.rows {
-		if w.healthCheckPending && w.healthCheckedAt == r.arrivedAt {
-			b.recordMiss(now, w)
+func (b *Balancer) recordSilence(now Micros, req *request) {
+	for _, row := range b.rows {
+		if row.healthCheckPending && row.healthCheckedAt == req.arrivedAt {
+			b.recordMiss(now, row)
 		}
 	}
 }
 
 // healthCheckOverdue tells that w was asked for its load, and says nothing.
-func (b *Balancer) healthCheckOverdue(now Micros, w *replicaRow) bool {
-	return w.healthCheckPending && b.largeFleet() && now-w.healthCheckedAt >= pollTimeout/2
+func (b *Balancer) healthCheckOverdue(now Micros, row *replicaRow) bool {
+	return row.healthCheckPending && b.largeFleet() && now-row.healthCheckedAt >= pollTimeout/2
 }
 
 // recordOverdue takes a first token that has not come in its time for a miss where nothing can be
 // asked: jams are told from losses by the answers that others of the site still give.
-func (b *Balancer) recordOverdue(now Micros, r *request) {
+func (b *Balancer) recordOverdue(now Micros, req *request) {
 	if b.settings.MayHealthCheck {
 		return
 	}
-	for _, a := range r.attempts {
+	for _, a := range req.attempts {
 		if !a.ended && a.timeToFirstToken == 0 {
 			b.recordMiss(now, a.row)
 		}
@@ -130,16 +130,16 @@
 }
 
 // zoneOpen tells whether the zone of w takes ordinary requests.
-func (b *Balancer) zoneOpen(now Micros, w *replicaRow) bool {
-	if !b.zones.IsUnavailable(w.zone) {
+func (b *Balancer) zoneOpen(now Micros, row *replicaRow) bool {
+	if !b.zones.IsUnavailable(row.zone) {
 		return true
 	}
-	return !b.settings.MayHealthCheck && now >= b.zones.Zones[w.zone].NextTrialAt
+	return !b.settings.MayHealthCheck && now >= b.zones.Zones[row.zone].NextTrialAt
 }
 
 // zonePenalty weighs a worker of a site that comes back after it was lost more than once.
-func (b *Balancer) zonePenalty(now Micros, w *replicaRow) float64 {
-	return 1 / b.zones.TrafficShare(now, w.zone)
+func (b *Balancer) zonePenalty(now Micros, row *replicaRow) float64 {
+	return 1 / b.zones.TrafficShare(now, row.zone)
 }
 
 // UnavailableZones lists the zones that are lost to this gateway, in order, and tells whether they
