--- a/balancer/balancer_test.go
+++ b/balancer/balancer_test.go
@@ -89,6 +89,12 @@
 	return Request{ID: id, Class: "chat", TimeLeft: 4 * second, PromptTokens: 1000, MaxTokens: 400}
 }
 
+// homesOf are the first and the second home of a request.
+func homesOf(b *Balancer, req *request) (home, second *replicaRow) {
+	found := b.affinityOf(req)
+	return found.home, found.second
+}
+
 // dispatched sends one request and tells where it went; 0: nowhere.
 func dispatched(b *Balancer, rec *recorder, now Micros, r Request) ReplicaID {
 	rec.acts = nil
@@ -300,8 +306,8 @@
 	b, _ := startBalancer(t, settings(), fleet(2)...)
 	now := 101 * second
 	for range 10 {
-		b.recordSlowness(now, b.rows[0], 1.4)
-		b.recordSlowness(now, b.rows[1], 6)
+		b.rows[0].recordSlowness(now, 1.4)
+		b.rows[1].recordSlowness(now, 6)
 	}
 	b.refreshEstimates(now)
 	if b.rows[0].slowness != 1 || b.rows[1].slowness < 3 {
@@ -319,7 +325,7 @@
 	now := 101 * second
 	for range 50 {
 		for _, row := range b.rows {
-			b.recordSlowness(now, row, 8)
+			row.recordSlowness(now, 8)
 		}
 	}
 	b.refreshEstimates(now)
@@ -332,8 +338,8 @@
 	a, _ := startBalancer(t, settings(), fleet(3)...)
 	b, _ := startBalancer(t, settings(), fleet(3)...)
 	a.setReportedLoad(101*second, a.rows[1], 12345)
-	a.recordSlowness(101*second, a.rows[1], 2)
-	b.PeerMessage(102*second, 1, a.packPeerReport(nil, a.rows[1]))
+	a.rows[1].recordSlowness(101*second, 2)
+	b.PeerMessage(102*second, 1, a.rows[1].packPeerReport(nil))
 	if row := b.rows[1]; row.reportedAt != 102*second || math.Abs(row.reportedTokens-12345) > 900 || math.Abs(row.slownessSum-2) > 0.2 {
 		t.Fatalf("relayed row %+v", row)
 	}
--- a/balancer/events.go
+++ b/balancer/events.go
@@ -1,187 +1,82 @@
-// The interface of the decision module: the settings it is built with, the
-// events it is told and the actions it asks for. The decisions themselves
-// stand in choice.go (requests), table.go (rows and the pick) and guard.go
-// (health, cold starts, admission).
-
 package balancer
 
-// Micros is a clock time or a duration in microseconds.
-type Micros = int64
-
-// ReplicaID names a model server; RequestID names one try of a client.
-type (
-	ReplicaID uint32
-	RequestID uint32
-)
-
-// Idempotency tells what a repeated request does.
-type Idempotency uint8
-
-const (
-	Idempotent        Idempotency = iota // may be repeated at will
-	IdempotentWithKey                    // repeats are dropped within a group, for a while
-	NonIdempotent                        // must not run twice
-)
-
-// DedupScope is the set of replicas that drop a keyed request's repeats.
-type DedupScope uint8
-
-const (
-	DedupAll DedupScope = iota
-	DedupZone
-	DedupCell
-)
-
-// Class describes one class of requests.
-type Class struct {
-	Name                   string
-	LatencyObjective       Micros      `json:"Aim"`        // full worth for a first token (or answer) within this
-	ObjectivePer1000Tokens Micros      `json:"AimPer1000"` // added to Aim for each 1,000 prompt tokens
-	TokenObjective         Micros      `json:"TokenAim"`   // time allowed for each streamed token
-	Deadline               Micros      // the client's total wait
-	PriorityWeight         float64     `json:"Worth"`
-	LateWeightShare        float64     `json:"LateWorth"` // share of Worth paid between aim and deadline
-	Idempotency            Idempotency `json:"Effect"`
-	DedupScope             DedupScope  `json:"Scope"`       // for Keyed
-	DedupWindow            Micros      `json:"RepeatsKept"` // for Keyed: how long the group remembers
-	Streaming              bool        `json:"Stream"`
-}
-
-// Tenant is a party that shares the fleet.
-type Tenant struct {
-	Name      string
-	QuotaPerS float64 // requests a second within its share, over all gateways
-}
-
-// ReportSource tells how replicas report their load.
-type ReportSource uint8
-
-const (
-	ReportNone ReportSource = iota
-	ReportInline
-	ReportOnHealthCheck
-)
-
-// WeightKind tells what a list entry's Weight stands for.
-type WeightKind uint8
-
-const (
-	WeightNone    WeightKind = iota
-	WeightNominal            // the registered size, exact or rough
-	WeightLive               // size / (1 + requests held a core), measured a while ago
-)
+// ReplicaID identifies a model replica.
+type ReplicaID uint32
 
-// Settings are fixed for the life of a Balancer.
-type Settings struct {
-	Self, Gateways  int // this gateway's number and how many there are
-	Zone            string
-	Zones, Kinds    []string
-	Classes         []Class
-	Tenants         []Tenant
-	OverQuotaWeight float64      `json:"OverShareWorth"`
-	ReportSource    ReportSource `json:"ReportVia"`
-	WeightKind      WeightKind   `json:"Weights"`
-	PollDiscovery   bool         `json:"AskRegistry"` // the server list answers only when asked
-	LocalDiscovery  bool         `json:"ListsPushed"` // whom to ask is an agent on this machine, which answers at no cost
-	WatchInterval   Micros       `json:"WatchWait"`   // a call that waits for news is answered at least so often; 0: no news means that there is none
-	Tick            Micros       // least time between two rounds of events
-
-	MayHealthCheck bool `json:"MayProbe"`
-	MayGossip      bool `json:"MayTellPeers"`
-	MayCancel      bool
-	MayHedge       bool `json:"SecondCopies"`
-	RetryAfter     bool
-	MaxAttempts    int
-	MaxRetryAfter  Micros
-	HedgeRatio     float64 `json:"HedgeShare"` // further attempts allowed a request; 0: the module's own figures
-	RetryRatio     float64 `json:"RetryShare"`
-
-	// Cold replicas: sent more than OverloadMultiple times their present capacity
-	// for OverloadWindow by all gateways together, they fall over.
-	InitialCapacity  float64 `json:"StartCapacity"`
-	OverloadMultiple float64 `json:"FallMultiple"`
-	SlowStartFor     Micros  `json:"ColdFor"`
-	OverloadWindow   Micros  `json:"FallSpan"`
-
-	// Connections: attempts that share one, and how long an idle one stays open.
-	StreamsPerConn  int    `json:"ConnStreams"`
-	ConnIdleTimeout Micros `json:"ConnIdle"`
-
-	// Points of service for one of each, a request.
-	CrossZoneCost   float64 `json:"PriceCrossZone"`
-	HandshakeCost   float64 `json:"PriceHandshake"`
-	HealthCheckCost float64 `json:"PriceProbe"`
-}
+// RequestID identifies a request, as the gateway numbers them.
+type RequestID uint32
 
-// EndpointState is a replica's state in the server list.
+// EndpointState is a replica's state in the endpoint list.
 type EndpointState uint8
 
+// The states of an endpoint.
 const (
 	EndpointReady EndpointState = iota
 	EndpointDraining
 	EndpointGone
 )
 
-// Endpoint is one entry of the server list.
+// Endpoint is one entry of the endpoint list.
 type Endpoint struct {
 	Replica    ReplicaID
 	State      EndpointState
-	Weight     float64
+	Weight     float64 // see WeightKind
 	Cell       int64
 	Kind, Zone string
-	StartedAt  Micros // when it last started; 0: long ago
+	StartedAt  Micros // 0: long ago
 }
 
-// ListKind tells how a EndpointList relates to what was held before.
+// ListKind says how an EndpointList relates to the list that the Balancer has.
 type ListKind uint8
 
+// The kinds of endpoint lists.
 const (
-	ListDelta       ListKind = iota // changed entries only
-	ListFull                        // everything; what is absent is gone
-	ListCached                      // the list as last held, maybe outdated
-	ListFailed                      // a call to discovery failed, the old list stands
-	ListUnreachable                 // so too, and discovery could not be reached just now
-	ListOverride                    // changed entries by the operators' word: nothing was heard of discovery
+	ListDelta       ListKind = iota // the changed entries
+	ListFull                        // all entries: a replica that is not in it is gone
+	ListCached                      // all entries as last stored, which may be outdated
+	ListFailed                      // no list: a call to discovery failed
+	ListUnreachable                 // no list: discovery could not be reached
+	ListOverride                    // entries changed by an operator, without word from discovery
 )
 
-// Complete tells whether a list of this kind has all replicas: what it lacks is gone.
+// Complete reports whether a list of this kind has all replicas.
 func (k ListKind) Complete() bool { return k == ListFull || k == ListCached }
 
-// Failed tells that there is no list, but word of a call that failed.
+// Failed reports whether there is no list, since a call to discovery failed.
 func (k ListKind) Failed() bool { return k == ListFailed || k == ListUnreachable }
 
-// FromDiscovery tells that a list of this kind is discovery's own word, given now.
+// FromDiscovery reports whether discovery itself has sent a list of this kind just now.
 func (k ListKind) FromDiscovery() bool { return k == ListFull || k == ListDelta }
 
-// EndpointList is news of the fleet.
+// EndpointList is a change of the fleet, or the news that none could be had.
 type EndpointList struct {
 	Kind      ListKind
 	Version   int64
 	Endpoints []Endpoint
-	// FleetSize is how many replicas take work in all, where the lists name a part of them to this
-	// gateway and other parts to others; 0: the lists name all.
+	// FleetSize is the number of ready replicas in the whole fleet if lists name only
+	// this gateway's subset of it; 0: lists name all.
 	FleetSize int
 }
 
-// Request is one try of a client; exactly one final answer is owed for it.
+// Request is one request of a client. The Balancer owes it exactly one final answer.
 type Request struct {
 	ID                                    RequestID
 	Class, Tenant                         string
-	TimeLeft                              Micros // until the client gives this try up
+	TimeLeft                              Micros // until the client gives up
 	PromptTokens, PrefixTokens, MaxTokens int
-	Session, Prefix                       uint64 // 0: none
-	// HomeReplica is the replica that all gateways agree to keep the request's session or prefix at;
-	// 0: it is found among the replicas listed.
+	Session, Prefix                       uint64 // hashes; 0: none
+	// HomeReplica is the replica that keeps the cache of the request's session or prefix,
+	// by agreement of all gateways; 0: it is found among the listed replicas.
 	HomeReplica ReplicaID
-	// PriorityFactor is what a contract makes of the class's worth; 0: there is none, and
-	// the tenant's quota counts.
+	// PriorityFactor multiplies the class's priority weight by contract; 0: there is no
+	// contract, and the tenant's quota counts.
 	PriorityFactor float64
-	// PriorAttempts is how many attempts another gateway has made, or may have made: this
-	// one goes on with a request that it lost.
+	// PriorAttempts is how many attempts another gateway has made, or may have made, if
+	// this one takes the request over.
 	PriorAttempts int
 }
 
-// Fields of a Report that were present.
+// The fields that are present in a LoadReport.
 const (
 	HasMemory uint8 = 1 << iota
 	HasPrefillBacklog
@@ -191,57 +86,72 @@
 	HasUtilization
 )
 
-// LoadReport is a replica's own account of its load, late and noisy.
+// LoadReport is a replica's own account of its load. It is late and noisy.
 type LoadReport struct {
-	Has             uint8
-	MemoryShare     float64 // of memory held by running requests
-	PrefillBacklogK float64 // thousands of prompt tokens waiting to be read
-	InFlight        float64 // requests held
+	Has             uint8   // the fields that are present: a union of HasMemory and so on
+	MemoryShare     float64 // share of its memory held by running requests
+	PrefillBacklogK float64 // thousands of prompt tokens that wait for prefill
+	InFlight        float64 // requests running
 	Queued          float64 // requests waiting
 	ServiceMs       float64 // recent service time
-	Utilization     float64 // share of capacity busy
+	Utilization     float64 // share of capacity in use
 }
 
-// Status is how an attempt or a probe ended.
+// Status says how an attempt or a health check ended.
 type Status uint8
 
+// The ends of an attempt. See NeverRan for those that prove it had no effect.
 const (
 	Served        Status = iota
 	Errored              // may have run
-	Shed                 // refused unseen
+	Shed                 // the replica refused it, overloaded
 	TimedOut             // may have run
 	ConnectFailed        // never ran
 	ConnBroken           // may have run
 	Cancelled            // may have run
 	NotSent              // never ran
-	Malformed            // may have run; what came back cannot be read
-	Rejected             // the request itself is at fault, wherever it goes
+	Malformed            // may have run; the answer cannot be read
+	Rejected             // the request itself is invalid, at whichever replica
 )
 
-// NeverRan tells whether the status proves that the attempt had no effect.
+// NeverRan reports whether the status proves that the attempt had no effect.
 func (s Status) NeverRan() bool { return s == Shed || s == ConnectFailed || s == NotSent }
 
-// Outcome is the end of one attempt.
+// Outcome describes the first token or the end of an attempt, or the end of a
+// health check (which has no ID and no Attempt).
 type Outcome struct {
 	ID           RequestID
-	Attempt      int
+	Attempt      int // index among the request's attempts
 	Replica      ReplicaID
 	Status       Status
-	Elapsed      Micros
-	Final        bool // the request has ended, by this or before
-	CachedTokens int  // prompt tokens found kept
-	OutputTokens int  // of the answer; 0: not told
+	Elapsed      Micros // since the dispatch
+	Final        bool   // the client has its answer, by this attempt or before
+	CachedTokens int    // prompt tokens found in the replica's cache
+	OutputTokens int    // of the answer; 0: not reported
 	Report       LoadReport
 }
 
-// Sink takes the actions of a Balancer, in order.
+// Sink carries out the actions of a Balancer. Its methods are called in order, from
+// within the event that caused them, and must not call the Balancer.
 type Sink interface {
-	Dispatch(id RequestID, to ReplicaID, cutAt Micros)
+	// Dispatch sends an attempt of a request to a replica; it is cut off at deadline.
+	Dispatch(id RequestID, to ReplicaID, deadline Micros)
+	// Shed answers a request with an overload reply, which says that a repeat is
+	// harmless; retryAfter 0: without advice.
 	Shed(id RequestID, retryAfter Micros)
+	// Fail answers a request with an error.
 	Fail(id RequestID)
+	// Cancel aborts an attempt; its outcome still follows.
 	Cancel(id RequestID, attempt int)
+	// SetTimer has TimerFired called with the token after the delay. Timers are
+	// never stopped.
 	SetTimer(delay Micros, token uint64)
+	// HealthCheck asks a replica for a sign of life and its load report;
+	// HealthCheckEnded follows.
 	HealthCheck(to ReplicaID)
+	// Gossip sends a message to the other gateways, for their PeerMessage.
 	Gossip(body []byte)
+	// WatchDiscovery asks discovery for the endpoint list and its changes; ListChanged
+	// follows.
 	WatchDiscovery()
 }
--- a/balancer/gossip.go
+++ b/balancer/gossip.go
@@ -2,32 +2,35 @@
 
 import "encoding/binary"
 
-// What gateways tell each other where they may. No decision stands here.
+// Load reports that gateways share, where they may.
 
-// peerReportSize is the size of one report in a peer message: 3 bytes of hashed id,
-// tokens held and slowness on log scales.
+// peerReportSize is the size in bytes of one report in a peer message: 3 bytes of the
+// replica's hash, then the held tokens and the slowness on log scales.
 const peerReportSize = 5
 
-// packPeerReport packs w's fresh report for the peers.
-func (b *Balancer) packPeerReport(body []byte, row *replicaRow) []byte {
+// slownessScale stretches slowness over the range of packLog.
+const slownessScale = 256
+
+// packPeerReport appends a row's fresh report to a peer message.
+func (row *replicaRow) packPeerReport(body []byte) []byte {
 	var id [4]byte
 	binary.BigEndian.PutUint32(id[:], uint32(row.hash>>40))
-	slow := 1.0
+	slowness := 1.0
 	if row.slownessCount > 0 {
-		slow = row.slownessSum / row.slownessCount
+		slowness = row.slownessSum / row.slownessCount
 	}
-	return append(body, id[1], id[2], id[3], packLog(row.reportedTokens), packLog(slow*256))
+	return append(body, id[1], id[2], id[3], packLog(row.reportedTokens), packLog(slowness*slownessScale))
 }
 
-// PeerMessage takes reports that a peer has probed.
+// PeerMessage handles a message of load reports that the gateway from has sent by Gossip.
 func (b *Balancer) PeerMessage(now Micros, from int, body []byte) {
 	for ; len(body) >= peerReportSize; body = body[peerReportSize:] {
-		short := uint64(body[0])<<16 | uint64(body[1])<<8 | uint64(body[2])
+		hash := uint64(body[0])<<16 | uint64(body[1])<<8 | uint64(body[2])
 		for _, row := range b.rows {
-			if row.hash>>40 == short {
+			if row.hash>>40 == hash {
 				b.setReportedLoad(now, row, unpackLog(body[3]))
-				b.recordSlowness(now, row, unpackLog(body[4])/256)
-				b.clearFailures(row)
+				row.recordSlowness(now, unpackLog(body[4])/slownessScale)
+				row.clearFailures()
 			}
 		}
 	}
--- a/balancer/introspect.go
+++ b/balancer/introspect.go
@@ -1,22 +1,23 @@
 package balancer
 
 import (
+	"fmt"
 	"maps"
 	"slices"
 )
 
-// What others may look at or exchange. No decision stands here.
+// What owners, replay and the operators' views may look at. Nothing here changes a decision.
 
-// Settings are those in force.
+// Settings returns the settings in force.
 func (b *Balancer) Settings() Settings { return b.settings }
 
-// SetSink has the orders go elsewhere from now on.
-func (b *Balancer) SetSink(out Sink) { b.sink = out }
+// SetSink replaces the sink of all further actions.
+func (b *Balancer) SetSink(sink Sink) { b.sink = sink }
 
-// InFlightRequests lists the requests that the module remembers, in order.
+// InFlightRequests lists the requests that have not ended or have attempts in flight, in order.
 func (b *Balancer) InFlightRequests() []RequestID { return slices.Sorted(maps.Keys(b.requests)) }
 
-// Endpoints lists the replicas of the table, in its order.
+// Endpoints lists the replicas of the load table, in its order, without their zone and kind.
 func (b *Balancer) Endpoints() []Endpoint {
 	out := make([]Endpoint, len(b.rows))
 	for i, row := range b.rows {
@@ -25,7 +26,7 @@
 	return out
 }
 
-// ReportAge is how old the last report of a replica's load is, if there is one.
+// ReportAge returns the age of a replica's last load report, and whether there is one.
 func (b *Balancer) ReportAge(now Micros, id ReplicaID) (age Micros, known bool) {
 	row := b.rowByID[id]
 	if row == nil || row.reportedAt < 0 {
@@ -34,69 +35,133 @@
 	return now - row.reportedAt, true
 }
 
-// PrefixShare is a low estimate of a prefix's share of the requests: while few were seen, one sight
-// says little.
+// PrefixShare is a low estimate of a prefix's share of the requests: while few were seen,
+// one sight says little.
 func (b *Balancer) PrefixShare(prefix uint64) float64 {
 	const few = 32.0 // requests
 	return b.prefixCounts[prefix] / (b.prefixTotal + few)
 }
 
-// Stats are sizes of the state, and what the module has learnt.
+// Stats are sizes of a Balancer's state, and what it has learned.
 type Stats struct {
 	Rows, Requests, Sessions, Prefixes, LedgerEntries int
-	InFlightTokens, TokenLimit, LateShare             float64
+	InFlightTokens                                    float64
+	TokenLimit                                        float64 // most tokens in flight; 0: no limit
+	LateShare                                         float64 // share of recent requests that came late
 }
 
-// Stats tells them.
+// Stats returns the present figures.
 func (b *Balancer) Stats() Stats {
-	f := Stats{Rows: len(b.rows), Requests: len(b.requests), Sessions: len(b.sessions), Prefixes: len(b.prefixCounts),
-		InFlightTokens: b.inFlightTokens, TokenLimit: b.tokenLimit, LateShare: b.lateShare}
+	stats := Stats{
+		Rows:           len(b.rows),
+		Requests:       len(b.requests),
+		Sessions:       len(b.sessions),
+		Prefixes:       len(b.prefixCounts),
+		InFlightTokens: b.inFlightTokens,
+		TokenLimit:     b.tokenLimit,
+		LateShare:      b.lateShare,
+	}
 	for _, row := range b.rows {
-		f.LedgerEntries += len(row.ledger)
+		stats.LedgerEntries += len(row.ledger)
 	}
-	return f
+	return stats
 }
 
-// TimerPurpose tells what a timer's token is for.
+// timerPurposes are the names of timers' purposes in replay's output.
+var timerPurposes = [...]string{timerTick: "tick", timerDeadline: "deadline", timerHedge: "hedge", timerObjective: "aim"}
+
+// TimerPurpose returns the name of a timer's purpose, and its request.
 func TimerPurpose(token uint64) (purpose string, id RequestID) {
-	return [...]string{timerTick: "tick", timerDeadline: "deadline", timerHedge: "hedge", timerObjective: "aim"}[token&(1<<timerBits-1)],
-		RequestID(token >> timerBits)
+	return timerPurposes[token&timerPurposeMask], RequestID(token >> timerBits)
 }
 
-// InFlight is what a class, or a tenant, has in hand.
+// InFlight is what a class or a tenant has in flight.
 type InFlight struct {
-	Requests       int
-	LongestTimeout Micros // the most that one that waits for its first token was given from its arrival
+	Requests int
+	// LongestTimeout is the most that a request that waits for its first token was given
+	// from its arrival.
+	LongestTimeout Micros
 }
 
-// InFlight tells what is in hand, by the classes and tenants in force,
-// and how many attempts are out on each worker that does not take work.
-func (b *Balancer) InFlight() (classes, tenants map[string]InFlight, emptying map[ReplicaID]int) {
-	byClass, byTenant := make([]InFlight, len(b.policies)), make([]InFlight, len(b.settings.Tenants))
-	count := func(in *InFlight, req *request) {
-		if in.Requests++; !req.streaming {
-			in.LongestTimeout = max(in.LongestTimeout, req.TimeLeft)
-		}
+// add counts a request.
+func (f *InFlight) add(req *request) {
+	f.Requests++
+	if !req.streaming {
+		f.LongestTimeout = max(f.LongestTimeout, req.TimeLeft)
 	}
+}
+
+// InFlight returns what is in flight by the classes and the tenants in force, and the
+// number of attempts in flight at each replica that takes no new work.
+func (b *Balancer) InFlight() (classes, tenants map[string]InFlight, draining map[ReplicaID]int) {
+	byClass, byTenant := make([]InFlight, len(b.policies)), make([]InFlight, len(b.settings.Tenants))
 	for _, req := range b.requests {
 		if req.ended {
 			continue
 		}
-		if count(&byClass[req.classIndex], req); req.tenantIndex >= 0 {
-			count(&byTenant[req.tenantIndex], req)
+		byClass[req.classIndex].add(req)
+		if req.tenantIndex >= 0 {
+			byTenant[req.tenantIndex].add(req)
 		}
 	}
-	classes, tenants, emptying = map[string]InFlight{}, map[string]InFlight{}, map[ReplicaID]int{}
-	for i, class := range b.settings.Classes { // what is of no class of the list has no place there to lose
+	classes, tenants, draining = map[string]InFlight{}, map[string]InFlight{}, map[ReplicaID]int{}
+	for i, class := range b.settings.Classes { // requests of unknown classes have no entry
 		classes[class.Name] = byClass[i]
 	}
-	for i, t := range b.settings.Tenants {
-		tenants[t.Name] = byTenant[i]
+	for i, tenant := range b.settings.Tenants {
+		tenants[tenant.Name] = byTenant[i]
 	}
 	for _, row := range b.rows {
 		if row.state != EndpointReady && len(row.ledger) > 0 {
-			emptying[row.id] = len(row.ledger)
+			draining[row.id] = len(row.ledger)
+		}
+	}
+	return classes, tenants, draining
+}
+
+// ExclusionReason says in words why a replica may not take a further attempt of a request
+// now, "" if it may. It changes nothing.
+func (b *Balancer) ExclusionReason(now Micros, id RequestID, to ReplicaID) string {
+	row, req := b.rowByID[to], b.requests[id]
+	if row == nil {
+		return "not on the list"
+	}
+	if req == nil {
+		return "the request is not in hand"
+	}
+	lastResort := b.lastResort(now, req)
+	if reason := b.rowExclusion(now, row, lastResort); reason != "" {
+		return reason
+	}
+	for i, a := range req.attempts {
+		if a.row == row && (!lastResort || !a.ended) {
+			return fmt.Sprintf("attempt %d went there", i)
 		}
 	}
-	return classes, tenants, emptying
+	if len(req.attempts) > 0 && !b.idempotencyAllows(now, req, row) {
+		return "the class does not allow a repeat there"
+	}
+	return ""
+}
+
+// rowExclusion says why a replica takes no attempt of any request now, "" if it may.
+func (b *Balancer) rowExclusion(now Micros, row *replicaRow, lastResort bool) string {
+	switch {
+	case row.state == EndpointDraining:
+		return "draining"
+	case row.state != EndpointReady:
+		return "gone"
+	case !lastResort && now < row.backoffUntil:
+		return fmt.Sprintf("rests for %.3f s more after %d failures in a row", float64(row.backoffUntil-now)/microsPerSecond, row.consecutiveFailures)
+	case !lastResort && !b.zoneOpen(now, row):
+		return "its site is lost"
+	case !lastResort && b.healthCheckOverdue(now, row):
+		return "it was asked for its load and says nothing"
+	case b.mayBeStale(now, row) && (b.settings.MayHealthCheck || !lastResort):
+		silence := now - max(b.lastHeardAt, row.confirmedReadyAt)
+		return fmt.Sprintf("no word of discovery for %.3f s, nor sign of it", float64(silence)/microsPerSecond)
+	case !lastResort && row.onTrial():
+		return "on trial after a failure, with one attempt out"
+	}
+	return ""
 }
--- a/balancer/polling_test.go
+++ b/balancer/polling_test.go
@@ -220,7 +220,7 @@
 			in.Session, in.Prefix, in.PrefixTokens, in.PromptTokens = 1000+session, 7, 500, 6000
 			now := 101 * second
 			b.RequestArrived(now, in)
-			home, second, _, _ := b.sessionHomes(b.requests[1])
+			home, second := homesOf(b, b.requests[1])
 			for _, id := range healthChecked(rec) {
 				n := 4.0
 				if id == home.id {
@@ -264,7 +264,7 @@
 			in := testRequest(1)
 			in.Session, in.Prefix, in.PrefixTokens = 1000+session, 100+session%25, 800
 			req := &request{Request: in, policy: b.policies[0]}
-			home, _, _, _ := b.sessionHomes(req)
+			home, _ := homesOf(b, req)
 			count[home.id]++
 			n++
 		}
--- a/balancer/prefill_test.go
+++ b/balancer/prefill_test.go
@@ -18,7 +18,7 @@
 			if i < 5 { // what a gateway has seen of it
 				b.countPrefix(req)
 			}
-			home, _, _, _ := b.sessionHomes(req)
+			home, _ := homesOf(b, req)
 			seen[home.id] = true
 		}
 		return len(seen)
@@ -121,12 +121,12 @@
 	for session := range uint64(400) {
 		req := &request{Request: testRequest(1)}
 		req.Session = session + 1
-		home, second, _, _ := all[0].sessionHomes(req)
+		home, second := homesOf(all[0], req)
 		if home.kind == second.kind {
 			t.Fatalf("session %d: both homes are of one kind", session)
 		}
 		for _, b := range all[1:] {
-			if h, s, _, _ := b.sessionHomes(req); h.id != home.id || s.id != second.id {
+			if h, s := homesOf(b, req); h.id != home.id || s.id != second.id {
 				t.Fatalf("session %d: homes %d and %d, elsewhere %d and %d", session, home.id, second.id, h.id, s.id)
 			}
 		}
--- a/balancer/rules_test.go
+++ b/balancer/rules_test.go
@@ -807,10 +807,10 @@
 	b, _ := startBalancer(t, settings(), members...)
 	old, young := b.rowByID[1], b.rowByID[2]
 	for now, want := range map[Micros]float64{100 * second: 0, 101 * second: 0.39, 160 * second: 1} {
-		if got := b.prefixCachedChance(now, young, 0.5); math.Abs(got-want) > 0.01 {
+		if got := young.prefixCachedChance(now, 0.5); math.Abs(got-want) > 0.01 {
 			t.Errorf("%d s: has read %.2f, want %.2f", now/second, got, want)
 		}
-		if b.prefixCachedChance(now, old, 0.5) != 1 {
+		if old.prefixCachedChance(now, 0.5) != 1 {
 			t.Errorf("%d s: the old worker has read nothing", now/second)
 		}
 	}
--- a/balancer/snapshot_test.go
+++ b/balancer/snapshot_test.go
@@ -79,8 +79,12 @@
 }
 
 // derived are fields that are made anew from the settings or from others.
-var derived = map[string]bool{"Balancer.settings": true, "Balancer.sink": true, "Balancer.classIndex": true, "Balancer.tenantIndex": true,
-	"Balancer.interceptor": true, "Balancer.breakdowns": true, "loadTable.shortlist": true, "loadTable.mayPoll": true, "loadTable.hashes": true, "Balancer.policies": true, "replicaRow.hash": true, "loadTable.offeredWarming": true, "loadTable.homeByKind": true}
+var derived = map[string]bool{
+	"Balancer.settings": true, "Balancer.sink": true, "Balancer.classIndex": true, "Balancer.tenantIndex": true,
+	"Balancer.policies": true, "Balancer.interceptor": true, "Balancer.breakdowns": true,
+	"pickState.shortlist": true, "pickState.mayPoll": true, "pickState.offeredWarming": true, "pickState.homeByKind": true,
+	"loadTable.hashes": true, "replicaRow.hash": true,
+}
 
 // A field of the state that the snapshot leaves out makes a replay from a
 // checkpoint go astray: each is changed by itself, and must change the bytes.
@@ -176,8 +180,11 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	if diff := cmp.Diff(b, got, cmp.AllowUnexported(Balancer{}, loadTable{}, guard{}, replicaRow{}, request{}, requestPolicy{}, attempt{}, session{},
-		classStats{}, kindStats{}, linearFit{}), cmpopts.IgnoreFields(Balancer{}, "sink", "interceptor", "breakdowns"), cmpopts.IgnoreFields(loadTable{}, "shortlist", "homeByKind"), cmpopts.EquateEmpty()); diff != "" {
+	if diff := cmp.Diff(b, got,
+		cmp.AllowUnexported(Balancer{}, loadTable{}, promptCache{}, pickState{}, discoveryState{}, trafficRates{}, attemptBudgets{}, admissionState{},
+			replicaRow{}, request{}, requestPolicy{}, attempt{}, session{}, classStats{}, kindStats{}, linearFit{}),
+		cmpopts.IgnoreFields(Balancer{}, "sink", "interceptor", "breakdowns"),
+		cmpopts.IgnoreFields(pickState{}, "shortlist", "homeByKind"), cmpopts.EquateEmpty()); diff != "" {
 		t.Fatal(diff)
 	}
 }
--- a/balancer/subset_test.go
+++ b/balancer/subset_test.go
@@ -73,11 +73,11 @@
 	b.fleetSize = 400
 	req := &request{Request: testRequest(1), policy: b.policies[0], tenantIndex: -1, avoidZone: -1}
 	req.Session, req.Prefix, req.PrefixTokens, req.HomeReplica = 77, 5, 500, 31
-	if home, second, _, _ := b.sessionHomes(req); home != b.rowByID[31] || second != nil {
+	if home, second := homesOf(b, req); home != b.rowByID[31] || second != nil {
 		t.Errorf("home %v, second %v", home, second)
 	}
 	b.rowByID[31].state = EndpointDraining
-	if home, _, _, _ := b.sessionHomes(req); home != nil {
+	if home, _ := homesOf(b, req); home != nil {
 		t.Errorf("at home at one that drains: %v", home)
 	}
 }
--- a/balancer/zonehealth/zonehealth_test.go
+++ b/balancer/zonehealth/zonehealth_test.go
@@ -52,7 +52,7 @@
 	}
 	trials := 0
 	for now := Micros(second); now < 6*second; now += 250_000 {
-		if b.TrialDue(now, 1, 0.5) {
+		if b.TakeTrial(now, 1, 0.5) {
 			trials++
 		}
 	}
@@ -152,7 +152,7 @@
 				tried = 0
 			case 3:
 				by := rapid.Float64Range(0, 1).Draw(t, "by")
-				if due := a.TrialDue(now, 1, by); due != b.TrialDue(now, 1, by) || due && (was != Unavailable || tried > 0 && now-tried < trialIntervalMin*3/4) {
+				if due := a.TakeTrial(now, 1, by); due != b.TakeTrial(now, 1, by) || due && (was != Unavailable || tried > 0 && now-tried < trialIntervalMin*3/4) {
 					t.Fatalf("due %v, was %v, last %d now %d", due, was, tried, now)
 				} else if due {
 					tried = now
@@ -170,16 +170,3 @@
 		}
 	})
 }
-
-func TestBackoff(t *testing.T) {
-	r := Backoff{Min: 500_000, Max: 16_000_000}
-	if got := r.Delay(1, true, 30, 0.5); got != 500_000 {
-		t.Errorf("silent: %d", got)
-	}
-	if got := r.Delay(1, false, 30, 0.5); got != 15_000_000 {
-		t.Errorf("quick errors before 300 gateways: %d", got)
-	}
-	if got := r.Delay(60, true, 1, 1); got != 20_000_000 {
-		t.Errorf("bound: %d", got)
-	}
-}
--- a/balancer/zones.go
+++ b/balancer/zones.go
@@ -2,64 +2,77 @@
 
 import "slices"
 
-// What is told to the book of sites, and what follows where a site is lost or comes back.
-// Whether it is stands in package site; whom to send to, in the table and the guard.
+// What zonehealth is told, and what follows when a zone becomes unavailable or recovers.
 
-// suspectZoneChecks is how many others of a site are asked where one did not answer.
+// suspectZoneChecks is how many other replicas of a zone are checked when one did not answer.
 const suspectZoneChecks = 2
 
-// recordAnswer tells the book of sites whether w answered, by how an attempt or a probe ended.
-func (b *Balancer) recordAnswer(now Micros, row *replicaRow, s Status, probe bool) {
-	switch {
-	case s == ConnectFailed, s == ConnBroken, probe && s == TimedOut:
+// recordAnswer tells zonehealth whether a replica answered, by how an attempt or a health
+// check ended.
+func (b *Balancer) recordAnswer(now Micros, row *replicaRow, status Status, healthCheck bool) {
+	switch status {
+	case ConnectFailed, ConnBroken:
 		b.recordMiss(now, row)
-	case s == Served, s == Errored, s == Shed, s == Malformed:
-		of := 0
-		if b.zones.IsUnavailable(row.zone) { // else nobody asks, and each answer would count the fleet
-			of = b.readyInZone(row.zone)
+	case TimedOut:
+		if healthCheck {
+			b.recordMiss(now, row)
+		}
+	case Served, Errored, Shed, Malformed:
+		ready := 0
+		if b.zones.IsUnavailable(row.zone) { // else it is not used, and each answer would count the fleet
+			ready = b.readyInZone(row.zone)
 		}
-		if b.zones.RecordAnswer(now, row.zone, uint64(row.id), of) {
+		if b.zones.RecordAnswer(now, row.zone, uint64(row.id), ready) {
 			b.zoneRecovered(row.zone)
 		}
 	}
 }
 
-// recordMiss tells the book that w did not answer. Others of its site are asked, and where
-// the site is lost by this, what waits there for a first token is taken up elsewhere.
+// recordMiss tells zonehealth that a replica did not answer. Others of its zone are checked,
+// and if the zone becomes unavailable by this, its requests are hedged elsewhere.
 func (b *Balancer) recordMiss(now Micros, row *replicaRow) {
-	news, lost := b.zones.RecordMiss(now, row.zone, uint64(row.id), b.readyInZone(row.zone))
-	if news {
+	suspect, unavailable := b.zones.RecordMiss(now, row.zone, uint64(row.id), b.readyInZone(row.zone))
+	if suspect {
 		b.checkZone(now, row.zone, suspectZoneChecks)
 	}
-	if !lost {
-		return
+	if unavailable {
+		b.hedgeZone(now, row.zone)
 	}
+}
+
+// hedgeZone hedges the requests that wait for a first token from an unavailable zone.
+func (b *Balancer) hedgeZone(now Micros, zone int) {
 	var ids []RequestID
 	for id, req := range b.requests {
-		if !req.ended && !req.streaming && req.inFlight == 1 && slices.ContainsFunc(req.attempts, func(a *attempt) bool { return !a.ended && a.row.zone == row.zone }) {
+		if !req.ended && !req.streaming && req.inFlight == 1 && req.waitsForZone(zone) {
 			ids = append(ids, id)
 		}
 	}
 	slices.Sort(ids)
 	for _, id := range ids {
 		if req := b.requests[id]; b.mayHedge(req) {
-			b.hedgeBudget++ // beside an attempt that is lost a copy is no more work
+			b.hedgeBudget++ // beside an attempt that is lost a hedge is no more work
 			b.hedge(now, req)
 		}
 	}
 }
 
-// zoneRecovered forgets what stood against workers of a site for what was the site's: each
+// waitsForZone reports whether a request has an attempt in flight in a zone.
+func (req *request) waitsForZone(zone int) bool {
+	return slices.ContainsFunc(req.attempts, func(a *attempt) bool { return !a.ended && a.row.zone == zone })
+}
+
+// zoneRecovered clears the failures of a zone's replicas, which were the zone's: each
 // fails by itself again if it is not back.
 func (b *Balancer) zoneRecovered(zone int) {
 	for _, row := range b.rows {
 		if row.zone == zone {
-			row.consecutiveFailures, row.backoffUntil = 0, 0
+			row.clearFailures()
 		}
 	}
 }
 
-// readyInZone is how many workers of a zone are listed as ready.
+// readyInZone is the number of replicas of a zone that are listed as ready.
 func (b *Balancer) readyInZone(zone int) (n int) {
 	for _, row := range b.rows {
 		if row.zone == zone && row.state == EndpointReady {
@@ -69,40 +82,34 @@
 	return n
 }
 
-// sendHealthCheck probes w.
-func (b *Balancer) sendHealthCheck(now Micros, row *replicaRow) {
-	row.healthCheckPending, row.healthCheckedAt = true, now
-	b.sink.HealthCheck(row.id)
-}
-
-// checkZone probes some workers of a zone, from one drawn by chance on.
-func (b *Balancer) checkZone(now Micros, zone, most int) {
+// checkZone sends health checks to up to limit replicas of a zone, from a random one on.
+func (b *Balancer) checkZone(now Micros, zone, limit int) {
 	if !b.settings.MayHealthCheck {
 		return
 	}
 	n := len(b.rows)
-	for i, k := 0, int(b.random()*float64(n)); i < n && most > 0; i++ {
-		if row := b.rows[(k+i)%n]; row.zone == zone && row.state == EndpointReady && !row.healthCheckPending {
+	for i, start := 0, int(b.random()*float64(n)); i < n && limit > 0; i++ {
+		if row := b.rows[(start+i)%n]; row.zone == zone && row.state == EndpointReady && !row.healthCheckPending {
 			b.sendHealthCheck(now, row)
-			most--
+			limit--
 		}
 	}
 }
 
-// tryUnavailableZones sends the trials that lost sites are due: probes, or where there are none the
-// next request of each.
+// tryUnavailableZones sends the trials that unavailable zones are due: health checks. Where
+// those are not allowed the zone's next request is the trial.
 func (b *Balancer) tryUnavailableZones(now Micros) {
 	if !b.settings.MayHealthCheck {
 		return
 	}
 	for zone := range len(b.zoneIndex) {
-		if b.zones.TrialDue(now, zone, b.random()) {
+		if b.zones.TakeTrial(now, zone, b.random()) {
 			b.checkZone(now, zone, 1)
 		}
 	}
 }
 
-// recordSilence takes those that r was to hear from, and did not, for not answering.
+// recordSilence counts the replicas that a request polled in vain as not answering.
 func (b *Balancer) recordSilence(now Micros, req *request) {
 	for _, row := range b.rows {
 		if row.healthCheckPending && row.healthCheckedAt == req.arrivedAt {
@@ -111,13 +118,9 @@
 	}
 }
 
-// healthCheckOverdue tells that w was asked for its load, and says nothing.
-func (b *Balancer) healthCheckOverdue(now Micros, row *replicaRow) bool {
-	return row.healthCheckPending && b.largeFleet() && now-row.healthCheckedAt >= pollTimeout/2
-}
-
-// recordOverdue takes a first token that has not come in its time for a miss where nothing can be
-// asked: jams are told from losses by the answers that others of the site still give.
+// recordOverdue counts an attempt without a first token at its latency objective as not
+// answered, where health checks are not allowed: overload is told from an outage by the
+// answers that others of the zone still give.
 func (b *Balancer) recordOverdue(now Micros, req *request) {
 	if b.settings.MayHealthCheck {
 		return
@@ -129,7 +132,7 @@
 	}
 }
 
-// zoneOpen tells whether the zone of w takes ordinary requests.
+// zoneOpen reports whether a replica's zone takes ordinary requests.
 func (b *Balancer) zoneOpen(now Micros, row *replicaRow) bool {
 	if !b.zones.IsUnavailable(row.zone) {
 		return true
@@ -137,23 +140,25 @@
 	return !b.settings.MayHealthCheck && now >= b.zones.Zones[row.zone].NextTrialAt
 }
 
-// zonePenalty weighs a worker of a site that comes back after it was lost more than once.
+// zonePenalty multiplies the score of a replica whose zone recovers from repeated outages.
 func (b *Balancer) zonePenalty(now Micros, row *replicaRow) float64 {
 	return 1 / b.zones.TrafficShare(now, row.zone)
 }
 
-// UnavailableZones lists the zones that are lost to this gateway, in order, and tells whether they
-// are all but its own: then it is likelier that it is cut off itself.
-func (b *Balancer) UnavailableZones() (names []string, alone bool) {
+// UnavailableZones lists the zones that are unavailable to this gateway, in order, and
+// reports whether they are all but its own: then this gateway is more likely to be
+// isolated itself.
+func (b *Balancer) UnavailableZones() (names []string, isolated bool) {
 	if len(b.zones.Zones) == 0 {
 		return nil, false
 	}
 	var all []int
-	for name, n := range b.zoneIndex {
-		if name == "" || b.readyInZone(n) == 0 {
+	for name, zone := range b.zoneIndex {
+		if name == "" || b.readyInZone(zone) == 0 {
 			continue
 		}
-		if all = append(all, n); b.zones.IsUnavailable(n) {
+		all = append(all, zone)
+		if b.zones.IsUnavailable(zone) {
 			names = append(names, name)
 		}
 	}
