--- a/balancer/bench_test.go
+++ b/balancer/bench_test.go
@@ -5,25 +5,26 @@
 	"testing"
 )
 
-// busyBalancer is a Balancer before so many workers, with some of everything: reports of all
-// ages, own sends, sessions, errors, rests, cold ones, two zones and kinds.
-func busyBalancer(t testing.TB, gateways, workers int) *Balancer {
+// busyBalancer is a Balancer with so many replicas and some of everything: reports of all ages,
+// own dispatches, sessions, errors, backoff, warming replicas, two zones and kinds.
+func busyBalancer(tb testing.TB, gateways, replicas int) *Balancer {
+	tb.Helper()
 	s := settings()
 	s.Gateways, s.Kinds, s.CrossZoneCost, s.HandshakeCost, s.MayHealthCheck = gateways, []string{"k", "older"}, 0.022, 0.02, true
 	b, err := New(s, 7, &recorder{})
 	if err != nil {
-		t.Fatal(err)
+		tb.Fatal(err)
 	}
-	members := fleet(workers)
-	for i := range members {
-		members[i].Kind = s.Kinds[i%3%2]
-		members[i].Zone = s.Zones[i%2]
+	endpoints := fleet(replicas)
+	for i := range endpoints {
+		endpoints[i].Kind = s.Kinds[i%3%2]
+		endpoints[i].Zone = s.Zones[i%2]
 		if i%17 == 0 {
-			members[i].StartedAt = 90 * second
+			endpoints[i].StartedAt = 90 * second
 		}
 	}
 	b.Start(100 * second)
-	b.ListChanged(100*second, EndpointList{Kind: ListFull, Endpoints: members})
+	b.ListChanged(100*second, EndpointList{Kind: ListFull, Endpoints: endpoints})
 	b.meanHeldTokens, b.meanLoad, b.dispatchRate = 1500, 9000, 20
 	for i, row := range b.rows {
 		if i%3 > 0 {
@@ -41,9 +42,9 @@
 
 func BenchmarkPick(b *testing.B) {
 	for _, gateways := range []int{3, 80} {
-		for _, workers := range []int{14, 60, 1000, 10_000} {
-			b.Run(fmt.Sprintf("gateways=%d/workers=%d", gateways, workers), func(b *testing.B) {
-				g := busyBalancer(b, gateways, workers)
+		for _, replicas := range []int{14, 60, 1000, 10_000} {
+			b.Run(fmt.Sprintf("gateways=%d/replicas=%d", gateways, replicas), func(b *testing.B) {
+				g := busyBalancer(b, gateways, replicas)
 				req := &request{Request: testRequest(1), policy: g.policies[0], tenantIndex: -1, avoidZone: -1, deadline: 200 * second}
 				for n := 0; b.Loop(); n++ {
 					req.Session, req.Prefix, req.PrefixTokens = uint64(n%997+1), uint64(n%31+1), 600
--- a/balancer/discovery_test.go
+++ b/balancer/discovery_test.go
@@ -7,12 +7,13 @@
 	"testing"
 )
 
-// slowDiscovery takes calls in turn, so many a second, and fails those that have waited for two
-// seconds though it has worked for them too. Before it is up it takes none.
+// slowDiscovery serves calls in turn, so many a second, and fails those that have waited for two
+// seconds, though it has worked for them too. Before upAt it is unreachable.
 type slowDiscovery struct {
 	upAt, each, free Micros
 }
 
+// call returns when a call ends, and with what kind of list.
 func (d *slowDiscovery) call(now Micros) (at Micros, kind ListKind) {
 	if now < d.upAt {
 		return now, ListUnreachable
@@ -24,8 +25,8 @@
 	return d.free, ListFull
 }
 
-// Gateways that all start together without a list, before a discovery that is down at first
-// or slow: nine in ten can serve within ten seconds.
+// Of gateways that all start together without a list, before a discovery that is down at first
+// or slow, nine in ten can serve within ten seconds.
 func TestNineInTenAreReadyInTime(t *testing.T) {
 	for _, c := range []struct {
 		gateways   int
@@ -33,29 +34,29 @@
 	}{{3, 8 * second, second / 10}, {20, 6 * second, second / 10}, {30, 0, second / 5}, {80, 0, second / 10}, {300, 0, second / 40}, {300, 5 * second, second / 150}} {
 		d := slowDiscovery{upAt: 100*second + c.down, each: c.each}
 		all := startAll(c.gateways, 100*second)
-		told := d.until(all, 100*second, 130*second)
-		if len(told) < c.gateways {
-			t.Errorf("%+v: only %d have the list", c, len(told))
+		notified := d.until(all, 100*second, 130*second)
+		if len(notified) < c.gateways {
+			t.Errorf("%+v: only %d have the list", c, len(notified))
 			continue
 		}
-		ninth := float64(told[(c.gateways*9+9)/10-1]-100*second) / 1e6
-		t.Logf("%+v: nine in ten after %.1f s, all after %.1f s", c, ninth, float64(told[len(told)-1]-100*second)/1e6)
+		ninth := float64(notified[(c.gateways*9+9)/10-1]-100*second) / 1e6
+		t.Logf("%+v: nine in ten after %.1f s, all after %.1f s", c, ninth, float64(notified[len(notified)-1]-100*second)/1e6)
 		if ninth > 10 {
 			t.Errorf("%+v: nine in ten are ready after %.1f s", c, ninth)
 		}
 	}
 }
 
-// pollingGateway is a gateway that asks discovery.
+// pollingGateway is a gateway that polls discovery.
 type pollingGateway struct {
-	b    *Balancer
-	rec  *recorder
-	at   Micros // when its call ends; 0: none is out
-	kind ListKind
-	told bool
+	b        *Balancer
+	rec      *recorder
+	at       Micros // when its call ends; 0: none is open
+	kind     ListKind
+	notified bool
 }
 
-// startAll are all gateways of a fleet, started at a time without a list.
+// startAll starts all gateways of a fleet at once without a list.
 func startAll(gateways int, at Micros) (all []*pollingGateway) {
 	for i := range gateways {
 		s := eightyGateways()
@@ -68,35 +69,35 @@
 	return all
 }
 
-// until has gateways ask between two times, and tells when each has its first list.
-func (d *slowDiscovery) until(all []*pollingGateway, from, to Micros) (told []Micros) {
-	for now := from; now < to && len(told) < len(all); now += tickEvery / 5 {
+// until lets gateways poll between two times, and returns when each has its first list.
+func (d *slowDiscovery) until(all []*pollingGateway, from, to Micros) (notified []Micros) {
+	for now := from; now < to && len(notified) < len(all); now += tickEvery / 5 {
 		for i, g := range all {
 			if g.at > 0 && now >= g.at {
 				g.at = 0
 				g.b.ListChanged(now, EndpointList{Kind: g.kind, Endpoints: fleet(2)})
-				if g.kind == ListFull && !g.told {
-					g.told = true
-					told = append(told, now)
+				if g.kind == ListFull && !g.notified {
+					g.notified = true
+					notified = append(notified, now)
 				}
 			}
 			if now%tickEvery == Micros(i%5)*(tickEvery/5) {
 				g.b.tick(now)
 			}
-			if asked := len(g.rec.take("watch")) > 0; asked && g.at == 0 && !g.told {
+			if polled := len(g.rec.take("watch")) > 0; polled && g.at == 0 && !g.notified {
 				g.at, g.kind = d.call(now)
 				g.at = max(g.at, now+1)
 			}
 		}
 	}
-	slices.Sort(told)
-	return told
+	slices.Sort(notified)
+	return notified
 }
 
 // After an outage of eight seconds a few gateways all have the list again well within the six
-// seconds after which what it tells counts as told. Many cannot all have it by then from a
-// discovery that answers ten calls a second; they have in the end, and meanwhile trust none of
-// the old list that does not show itself.
+// seconds after which a change counts as known. Many cannot all have it by then from a
+// discovery that serves ten calls a second; they have in the end, and meanwhile trust no entry
+// of the old list whose replica does not show itself.
 func TestListArrivesAfterDiscoveryOutage(t *testing.T) {
 	for _, c := range []struct {
 		gateways int
@@ -117,15 +118,15 @@
 				after[i] -= up
 			}
 			if len(after) < c.gateways || after[len(after)-1] > c.within {
-				t.Fatalf("%d of %d told, the last %.1f s after it could be reached", len(after), c.gateways, float64(after[max(0, len(after)-1)])/1e6)
+				t.Fatalf("%d of %d notified, the last %.1f s after it could be reached", len(after), c.gateways, float64(after[max(0, len(after)-1)])/1e6)
 			}
-			t.Logf("told after it could be reached: median %.2f s, 99th percentile %.2f s, worst %.2f s", float64(after[len(after)/2])/1e6,
+			t.Logf("notified after it could be reached: median %.2f s, 99th percentile %.2f s, worst %.2f s", float64(after[len(after)/2])/1e6,
 				float64(after[len(after)*99/100])/1e6, float64(after[len(after)-1])/1e6)
 		})
 	}
 }
 
-// silence has a gateway whose calls fail since so long.
+// silence returns a Balancer whose calls to discovery have failed since 101 s.
 func silence(t *testing.T, s Settings, now Micros, kind ListKind) (*Balancer, *recorder) {
 	t.Helper()
 	s.PollDiscovery, s.WatchInterval = true, 2*second
@@ -137,9 +138,9 @@
 	return b, rec
 }
 
-// Where discovery can be reached and its calls fail all the same, a replica may drain unheard
-// of: six seconds after the last word only those get new work that have shown themselves by a
-// probe or by work that they took. Where it is not there at all the list stands.
+// Where discovery can be reached and its calls fail all the same, a replica may drain without a
+// gateway's knowledge: six seconds after the last list only those get new work that have passed a
+// health check or taken work. Where discovery is unreachable the list stands.
 func TestStaleListIsTrustedForSixSeconds(t *testing.T) {
 	for _, gateways := range []int{3, 80} {
 		s := eightyGateways()
@@ -149,9 +150,9 @@
 			t.Fatal("nothing is sent within the six seconds")
 		}
 		b, rec = silence(t, s, 107*second, ListFailed)
-		probes := healthChecked(rec)
-		if gateways == 3 && len(probes) < 4 {
-			t.Errorf("%d replicas asked for a sign", len(probes))
+		checked := healthChecked(rec)
+		if gateways == 3 && len(checked) < 4 {
+			t.Errorf("%d replicas checked", len(checked))
 		}
 		now := 107*second + 1
 		r := testRequest(2)
@@ -162,12 +163,12 @@
 			t.Errorf("%d gateways: sent to %d of an old list", gateways, got[0].to)
 		}
 		if gateways == 80 {
-			probes = healthChecked(&recorder{acts: acts})
+			checked = healthChecked(&recorder{acts: acts})
 		}
-		if len(probes) == 0 {
-			t.Fatal("nobody is asked")
+		if len(checked) == 0 {
+			t.Fatal("nobody is polled")
 		}
-		for i, w := range probes { // the first drains: it answers with 503
+		for i, w := range checked { // the first is draining: it answers with 503
 			b.HealthCheckEnded(now+second/100, Outcome{Replica: w, Status: []Status{Errored, Served}[min(i, 1)], Report: reportInFlight(1)})
 		}
 		for id := range RequestID(12) {
@@ -175,39 +176,39 @@
 			b.RequestArrived(now+second/50, testRequest(10+id))
 			b.TimerFired(now+second/50+pollTimeout, uint64(10+id)<<timerBits|timerPoll)
 			got := append(rec.take("dispatch"), recordedAction{})[0].to
-			if got == probes[0] || got != 0 && !slices.Contains(probes, got) {
+			if got == checked[0] || got != 0 && !slices.Contains(checked, got) {
 				t.Errorf("%d gateways: sent to %d, of which there was no sign", gateways, got)
 			}
 		}
 		b, rec = silence(t, s, 130*second, ListUnreachable)
 		rec.acts = nil
 		b.RequestArrived(130*second+1, testRequest(3))
-		if len(rec.acts) == 0 || slices.ContainsFunc(rec.acts, func(a recordedAction) bool { return a.what == "refuse" }) {
-			t.Errorf("%d gateways: nothing is sent while discovery is not there", gateways)
+		if len(rec.acts) == 0 || slices.ContainsFunc(rec.acts, func(a recordedAction) bool { return a.what == "shed" }) {
+			t.Errorf("%d gateways: nothing is sent while discovery is unreachable", gateways)
 		}
 	}
 }
 
-// An attempt that a cold replica does not let in goes to none that is doubted either, also where
-// its request has just come and asks about replicas.
+// An attempt that no warming replica is offered to goes to none whose entry may be stale either,
+// also where its request has just arrived and polls replicas.
 func TestStaleReplicaNeverReplacesAWarmingOne(t *testing.T) {
 	s := eightyGateways()
 	s.PollDiscovery, s.WatchInterval = true, 2*second
-	members := fleet(4)
-	for i := range 3 { // the fourth is long up, and doubted
-		members[i].StartedAt = 105 * second
+	endpoints := fleet(4)
+	for i := range 3 { // the fourth has been running for long, and may be stale
+		endpoints[i].StartedAt = 105 * second
 	}
 	for seed := range RequestID(40) {
-		b, rec := startBalancer(t, s, members...)
+		b, rec := startBalancer(t, s, endpoints...)
 		b.refreshEstimates(107 * second)
 		for _, row := range b.rows {
-			row.reportedAt = 107 * second // nobody is asked: all reports are fresh
+			row.reportedAt = 107 * second // nobody is polled: all reports are fresh
 		}
 		for _, row := range b.rows[:3] {
-			row.slowness = 1e9 // is offered to nobody
+			row.slowness = 1e9 // no attempt is offered it
 			row.confirmedReadyAt = 106 * second
 		}
-		b.rows[3].healthCheckPending, b.rows[3].healthCheckedAt = true, 106*second+900_000 // nor can the fourth be
+		b.rows[3].healthCheckPending, b.rows[3].healthCheckedAt = true, 106*second+900_000 // nor can the fourth be polled
 		b.rows[3].reportedTokens, b.rows[3].backoffUntil = 1e9, 0
 		rec.acts = nil
 		b.rng = uint64(seed)*2 + 1
@@ -220,8 +221,8 @@
 	}
 }
 
-// An agent on this machine is asked at once again, however many gateways there are. The
-// operators' own marks are no word of discovery: it goes on being asked.
+// A local agent is polled again at once, however many gateways there are. The operators' own
+// marks do not come from discovery: it is polled further.
 func TestDiscoveryPollBackoff(t *testing.T) {
 	s := eightyGateways()
 	s.Gateways, s.Self, s.PollDiscovery, s.LocalDiscovery = 300, 299, true, true
@@ -229,16 +230,127 @@
 	b, _ := New(s, 3, rec)
 	b.Start(100 * second)
 	if len(rec.take("watch")) != 1 {
-		t.Error("the agent is not asked at the start")
+		t.Error("the agent is not polled at the start")
 	}
 	for range 8 {
 		b.ListChanged(100*second, EndpointList{Kind: ListFailed})
 	}
 	if wait := b.nextPollAt - 100*second; wait > localPollBackoff {
-		t.Errorf("the agent is asked again after %d", wait)
+		t.Errorf("the agent is polled again after %d", wait)
 	}
 	b.ListChanged(100*second, EndpointList{Kind: ListOverride, Endpoints: []Endpoint{{Replica: 1, State: EndpointDraining}}})
 	if b.watching || b.nextPollAt == 0 || math.Abs(float64(b.lastHeardAt-100*second)) > 0 {
-		t.Errorf("after a mark: watching %t, asked at %d", b.watching, b.nextPollAt)
+		t.Errorf("after a mark: watching %t, polled at %d", b.watching, b.nextPollAt)
+	}
+}
+
+// Rule 3: a replica that is draining or gone gets nothing, from the change of the list on.
+func TestDrainingReplicasGetNothing(t *testing.T) {
+	for _, change := range []EndpointList{
+		{Kind: ListDelta, Endpoints: []Endpoint{{Replica: 1, State: EndpointDraining, Kind: "k", Zone: "a"}}},
+		{Kind: ListDelta, Endpoints: []Endpoint{{Replica: 1, State: EndpointGone}}},
+		{Kind: ListFull, Endpoints: fleet(2)[1:]},
+	} {
+		b, rec := startBalancer(t, settings(), fleet(2)...)
+		b.ListChanged(101*second, change)
+		for i := range RequestID(20) {
+			if got := dispatched(b, rec, 101*second, testRequest(i)); got == 1 {
+				t.Fatalf("%+v: still sent to 1", change)
+			}
+		}
+	}
+}
+
+// queue is a discovery that serves calls in turn, a tenth of a second each. Those that would wait
+// for over two seconds fail then, and it has worked for them too.
+type queue struct{ free Micros }
+
+func (q *queue) call(now Micros) (at Micros, ok bool) {
+	q.free = max(q.free, now) + second/10
+	return min(q.free, now+2*second), q.free <= now+2*second
+}
+
+// Eighty gateways that all start at once, as after a mass kill, have the list of a discovery that
+// serves ten of them a second within twelve seconds, and hardly a call fails. Without a spread,
+// one in five had it.
+func TestEightyGatewaysDoNotStallDiscovery(t *testing.T) {
+	const gateways = 80
+	var q queue
+	type one struct {
+		b        *Balancer
+		rec      *recorder
+		at       Micros // when its call ends; 0: none is open
+		ok       bool
+		notified bool
+	}
+	var all []*one
+	for i := range gateways {
+		s := settings()
+		s.PollDiscovery, s.Gateways, s.Self = true, gateways, i
+		g := &one{rec: &recorder{}}
+		g.b, _ = New(s, uint64(i+1), g.rec)
+		g.b.Start(0)
+		all = append(all, g)
+	}
+	failed := 0
+	for now := Micros(0); now < 12*second; now += tickEvery {
+		for _, g := range all {
+			if g.at > 0 && now >= g.at {
+				g.at, g.notified = 0, g.ok
+				kind := ListFull
+				if !g.ok {
+					kind = ListFailed
+					failed++
+				}
+				g.b.ListChanged(now, EndpointList{Kind: kind, Endpoints: fleet(2)})
+			}
+			g.b.tick(now)
+			if polled := len(g.rec.take("watch")) > 0; polled && g.at == 0 && !g.notified {
+				g.at, g.ok = q.call(now)
+			}
+		}
+	}
+	notified := 0
+	for _, g := range all {
+		if g.notified {
+			notified++
+		}
+	}
+	if notified < gateways || failed > gateways/10 {
+		t.Errorf("%d of %d gateways were answered, %d calls failed", notified, gateways, failed)
+	}
+}
+
+// After failed calls discovery is polled again with backoff, and not while a watch is open.
+func TestDiscoveryPollsAreSpread(t *testing.T) {
+	s := settings()
+	s.PollDiscovery = true
+	rec := &recorder{}
+	b, _ := New(s, 3, rec)
+	b.Start(0)
+	if len(rec.take("watch")) != 1 {
+		t.Fatal("not polled at the start")
+	}
+	last := Micros(0)
+	for range 6 {
+		b.ListChanged(last, EndpointList{Kind: ListFailed})
+		wait := b.nextPollAt - last
+		if wait <= 0 || wait > pollBackoffMax {
+			t.Fatalf("waits %d", wait)
+		}
+		b.tick(b.nextPollAt - 1)
+		if len(rec.take("watch")) != 0 {
+			t.Fatal("polled too early")
+		}
+		last = b.nextPollAt
+		b.tick(last)
+		if len(rec.take("watch")) != 1 {
+			t.Fatal("not polled again")
+		}
+	}
+	b.ListChanged(last, EndpointList{Kind: ListFull, Endpoints: fleet(1)})
+	b.tick(last + 60*second)
+	if len(rec.take("watch")) != 0 {
+		t.Fatal("polled while watching")
 	}
 }
--- /dev/null
+++ b/balancer/hedging_test.go
@@ -0,0 +1,44 @@
+package balancer
+
+import (
+	"testing"
+)
+
+// Settings without hedging allow none.
+func TestNoHedgeWhereForbidden(t *testing.T) {
+	s := settings()
+	s.MayHedge = false
+	b, rec := startBalancer(t, s, fleet(3)...)
+	b.hedgeBudget = 8
+	b.RequestArrived(101*second, testRequest(1))
+	rec.acts = nil
+	b.TimerFired(103*second, timerHedge|1<<timerBits)
+	if len(rec.take("dispatch")) != 0 {
+		t.Fatal("a hedge was dispatched")
+	}
+}
+
+// The retry budget bounds the retries of requests that all fail.
+func TestRetriesAreBounded(t *testing.T) {
+	b, rec := startBalancer(t, settings(), fleet(30)...)
+	extra := 0
+	for i := range RequestID(300) {
+		b.RequestArrived(101*second, testRequest(i))
+		for n := 0; n < 3; n++ {
+			req := b.requests[i]
+			if req == nil || req.attempts[n].ended {
+				break
+			}
+			before := len(req.attempts)
+			b.AttemptEnded(101*second, Outcome{ID: i, Attempt: n, Replica: req.attempts[n].row.id, Status: Errored})
+			if b.requests[i] == nil || len(req.attempts) == before {
+				break
+			}
+			extra++
+		}
+		rec.acts = nil
+	}
+	if most := int(budgetCap + defaultRetryRatio*300 + 1); extra > most || extra == 0 {
+		t.Fatalf("%d further attempts for 300 requests that all fail, at most %d", extra, most)
+	}
+}
--- /dev/null
+++ b/balancer/predict_test.go
@@ -0,0 +1,248 @@
+package balancer
+
+import (
+	"testing"
+)
+
+// The ordinary pick, by hand: report + own charges not yet in it + the request's own.
+func TestPickLeastPredicted(t *testing.T) {
+	type rowState struct {
+		held   float64
+		age    Micros // of the report; -1: none
+		charge float64
+		slow   float64
+	}
+	// One gateway: the report counts with 1 - (age + lag/2) / (2 x lifetime),
+	// lifetime 10 s, and the mean load is 10000.
+	for _, c := range []struct {
+		name string
+		rows []rowState
+		want ReplicaID
+	}{
+		{"least report", []rowState{{9000, 0, 0, 1}, {3000, 0, 0, 1}, {6000, 0, 0, 1}}, 2},
+		{"own charges are added", []rowState{{9000, 0, 0, 1}, {3000, 0, 8000, 1}, {6000, 0, 0, 1}}, 3},
+		{"slowness weighs", []rowState{{9000, 0, 0, 0.5}, {3000, 0, 0, 4}, {6000, 0, 0, 2}}, 1},
+		{"no reports: own ledger decides", []rowState{{0, -1, 500, 1}, {0, -1, 200, 1}, {0, -1, 900, 1}}, 2},
+		{"an old full row is tried again", []rowState{{90000, 60 * second, 0, 1}, {8000, 0, 0, 1}}, 1},
+		{"an old empty row is no longer crowded", []rowState{{100, 60 * second, 5000, 1}, {1000, 0, 0, 1}}, 2},
+	} {
+		b, _ := startBalancer(t, settings(), fleet(len(c.rows))...)
+		now := 200 * second
+		b.meanLifetime, b.meanLoad = float64(10*second), 10000
+		for i, in := range c.rows {
+			row := b.rows[i]
+			row.reportedTokens, row.charge, row.unreported, row.slowness, row.reportedAt = in.held, in.charge, in.charge, in.slow, now-in.age
+			if in.age < 0 {
+				row.reportedAt = -1
+			}
+		}
+		req := &request{Request: testRequest(1), policy: b.policies[0], tenantIndex: -1, avoidZone: -1}
+		if got, _, _ := b.pick(now, req); got == nil || got.id != c.want {
+			t.Errorf("%s: picked %v, want %d", c.name, got, c.want)
+		}
+	}
+}
+
+// With many gateways, each answers for its share of what a report shows, so one emptier replica
+// does not draw every dispatch.
+func TestManyGatewaysDoNotHerd(t *testing.T) {
+	s := settings()
+	s.Gateways = 50
+	b, _ := startBalancer(t, s, fleet(10)...)
+	now := 101 * second
+	b.meanLifetime, b.meanLoad, b.meanHeldTokens, b.dispatchRate = float64(5*second), 50000, 1100, 5
+	for i, row := range b.rows {
+		b.setReportedLoad(now, row, 50000)
+		if i == 3 {
+			b.setReportedLoad(now, row, 20000)
+		}
+	}
+	hits := 0
+	for i := range 40 {
+		r := testRequest(RequestID(i + 1))
+		r.Session = splitmix(uint64(i)) // sessions with homes of their own
+		row, _, _ := b.pick(now, &request{Request: r, policy: b.policies[0], tenantIndex: -1, avoidZone: -1})
+		if row.id == 4 {
+			hits++
+		}
+	}
+	if hits > 20 {
+		t.Fatalf("%d of 40 went to the replica whose report was lowest", hits)
+	}
+}
+
+// A new connection has a cost: of like replicas, one with an idle connection is taken.
+func TestIdleConnectionPreferred(t *testing.T) {
+	s := settings()
+	s.HandshakeCost = 0.12
+	b, rec := startBalancer(t, s, fleet(5)...)
+	first := ReplicaID(4) // not the first of the scan
+	b.rowByID[first].openConns, b.rowByID[first].lastUsedAt = 1, 102*second
+	for i := range RequestID(5) {
+		if got := dispatched(b, rec, 103*second, testRequest(i+2)); got != first {
+			t.Fatalf("request %d opened a connection to %d beside the idle one to %d", i+2, got, first)
+		}
+		b.AttemptEnded(103*second, Outcome{ID: i + 2, Replica: first, Status: Served, Final: true, Elapsed: second})
+	}
+	if row := b.rowByID[first]; !b.needsConnection(200*second, row) {
+		t.Fatal("the connection is believed open past its idle time")
+	}
+}
+
+// First-token times scatter: only a replica that stands out counts as slow.
+func TestOwnSlownessMustStandOut(t *testing.T) {
+	b, _ := startBalancer(t, settings(), fleet(2)...)
+	now := 101 * second
+	for range 10 {
+		b.rows[0].recordSlowness(now, 1.4)
+		b.rows[1].recordSlowness(now, 6)
+	}
+	b.refreshEstimates(now)
+	if b.rows[0].slowness != 1 || b.rows[1].slowness < 3 {
+		t.Fatalf("slowness %v and %v", b.rows[0].slowness, b.rows[1].slowness)
+	}
+	b.refreshEstimates(now + slownessDecay)
+	if b.rows[1].slowness != 1 {
+		t.Fatal("slowness never fades")
+	}
+}
+
+// When all replicas slow down at once, all are still used.
+func TestSharedSlownessExcludesNoReplica(t *testing.T) {
+	b, rec := startBalancer(t, settings(), fleet(4)...)
+	now := 101 * second
+	for range 50 {
+		for _, row := range b.rows {
+			row.recordSlowness(now, 8)
+		}
+	}
+	b.refreshEstimates(now)
+	if dispatched(b, rec, now, testRequest(1)) == 0 {
+		t.Fatal("nothing sent while all are slow alike")
+	}
+}
+
+// Where discovery reports sizes, the larger replica bears more.
+func TestNominalSizesWeigh(t *testing.T) {
+	s := settings()
+	s.WeightKind = WeightNominal
+	m := fleet(2)
+	m[1].Weight = 3
+	b, rec := startBalancer(t, s, m...)
+	count := map[ReplicaID]int{}
+	for i := range RequestID(80) {
+		count[dispatched(b, rec, 101*second, testRequest(i))]++
+	}
+	if count[2] < 50 || count[1] < 10 {
+		t.Fatalf("sent %v to replicas of sizes 1 and 3", count)
+	}
+}
+
+// A crossing costs a share of the request's weight, which is lost only once the first token is
+// late: a little more load at home does not pay for it, much more does.
+func TestCrossZoneCostFollowsTheLatencyObjective(t *testing.T) {
+	for _, c := range []struct {
+		name       string
+		home, away float64 // held load by report
+		learned    bool    // first-token times are known
+		want       ReplicaID
+	}{
+		{"a little more at home stays home", 5600, 5000, true, 1},
+		{"far more at home goes away", 20000, 5000, true, 2},
+		{"nothing learned: the price as a factor", 6000, 5000, false, 2},
+		{"first tokens at the aim: a crossing costs only its own", 5000, 4900, true, 2},
+	} {
+		s := settings()
+		s.CrossZoneCost = 0.03
+		endpoints := fleet(2)
+		endpoints[1].Zone = "b"
+		b, _ := startBalancer(t, s, endpoints...)
+		now := 200 * second
+		b.meanLifetime, b.meanLoad = float64(10*second), 10000
+		b.rows[0].reportedTokens, b.rows[1].reportedTokens = c.home, c.away
+		for _, row := range b.rows {
+			row.reportedAt, row.slowness = now, 1
+		}
+		first := 50_000.0 // first tokens in 0.25 s, an objective of 1 s: a crossing weighs 0.03 x 3 x usual load
+		if c.home-c.away < 200 {
+			first = 800_000 // most of the objective is used up already
+		}
+		for x := 0.0; c.learned && x <= 4000; x += 1000 {
+			b.firstTokenFit.add(x, first+100*x)
+		}
+		req := &request{Request: testRequest(1), policy: b.policies[0], tenantIndex: -1, avoidZone: -1}
+		if got, _, _ := b.pick(now, req); got == nil || got.id != c.want {
+			t.Errorf("%s: picked %v, want %d", c.name, got, c.want)
+		}
+	}
+}
+
+// The weight of a prefill token follows from the reports: without them it is the least, then it
+// grows the smaller a part of a replica a request takes, up to its bound.
+func TestPrefillWeightFollowsSlotTime(t *testing.T) {
+	s := eightyGateways()
+	s.Classes[0].ObjectivePer1000Tokens = 50_000
+	b, _ := startBalancer(t, s, fleet(40)...)
+	b.meanHeldTokens, b.meanLifetime = 4000, 3e6
+	report := func(util, inFlight float64) float64 {
+		b.meanSlotShare = 0
+		b.HealthCheckEnded(101*second, Outcome{Replica: 1, Status: Served, Report: LoadReport{Has: HasUtilization | HasInFlight, Utilization: util, InFlight: inFlight}})
+		return b.prefillWeight()
+	}
+	least := prefillCost * largeFleetPrefillFactor
+	for name, odd := range map[string][2]float64{"nothing in hand": {0, 0}, "no share": {0, 8}, "a negative share": {-1, 8}, "less than one": {0.5, 0.1}} {
+		if got := report(odd[0], odd[1]); got != least {
+			t.Errorf("%s: %v, want %v", name, got, least)
+		}
+	}
+	few, many, odd := report(0.8, 8), report(0.8, 64), report(1e-9, 1e9)
+	if few < least || many <= few || odd != maxPrefillWeight {
+		t.Errorf("%v with ten slots, %v with eighty, %v by an odd report", few, many, odd)
+	}
+	for i := range b.settings.Classes {
+		b.settings.Classes[i].ObjectivePer1000Tokens = 0
+	}
+	if got := b.prefillWeight(); got != least {
+		t.Errorf("%v where the objectives say nothing of prefill, want %v", got, least)
+	}
+}
+
+// A kind whose first tokens take longer is given less to prefill, within four times; one of which
+// nothing is known counts as the mean.
+func TestKindRatiosFollowFirstTokenTimes(t *testing.T) {
+	endpoints := fleet(40)
+	for i := range endpoints {
+		endpoints[i].Kind = []string{"old", "new", "unseen"}[i%3]
+	}
+	b, _ := startBalancer(t, eightyGateways(), endpoints...)
+	observe := func(ms map[string]float64) {
+		for _, row := range b.rows {
+			for kind, k := range b.kindIndex {
+				if took := ms[kind]; k == row.kind && took > 0 {
+					b.applyReport(101*second, row, LoadReport{Has: HasService | HasInFlight, ServiceMs: took, InFlight: 1})
+				}
+			}
+		}
+		b.refreshEstimates(101 * second)
+	}
+	first := func(kind string) float64 { return b.kinds[b.kindIndex[kind]].firstTokenRatio }
+	observe(map[string]float64{"old": 900, "new": 150})
+	if first("unseen") != 1 || first("new") > 0.7 || first("old") < 1.2 {
+		t.Errorf("old %v, new %v, unseen %v", first("old"), first("new"), first("unseen"))
+	}
+	in := testRequest(1)
+	in.PromptTokens = 12_000
+	req := &request{Request: in, policy: b.policies[0], tenantIndex: -1, avoidZone: -1}
+	for range 20 {
+		if row, _, _ := b.pick(101*second, req); row != nil && row.kind == b.kindIndex["old"] {
+			t.Fatal("a long prompt goes to a replica of the slowest prefill, all else being equal")
+		}
+		req.arrivedAt = 0 // as one that has polled
+	}
+	for range 50 {
+		observe(map[string]float64{"old": 1e7, "new": 1e-6})
+	}
+	if first("old") > 4 || first("new") < 0.25 {
+		t.Errorf("out of bounds: old %v, new %v", first("old"), first("new"))
+	}
+}
--- a/balancer/snapshot_test.go
+++ b/balancer/snapshot_test.go
@@ -8,13 +8,14 @@
 	"testing"
 	"unsafe"
 
-	"archknot/balancer/zonehealth"
 	"github.com/google/go-cmp/cmp"
 	"github.com/google/go-cmp/cmp/cmpopts"
+
+	"archknot/balancer/zonehealth"
 )
 
-// A Balancer that is put down and taken up again every few ticks, in the midst
-// of open requests and second copies, orders the same as one that was not.
+// A Balancer that is stored and restored every few ticks, in the midst of requests in flight and
+// hedges, acts the same as one that was not.
 func TestRestoredBalancerDecidesAlike(t *testing.T) {
 	for seed := range int64(4) {
 		n := 0
@@ -26,12 +27,12 @@
 				t.Fatal(err)
 			}
 			if !bytes.Equal(next.Snapshot(), state) {
-				t.Fatal("the snapshot of a restored Balancer is another")
+				t.Fatal("the snapshot of a restored Balancer differs")
 			}
 			return next
 		}
 		if randomRun(t, seed, renew) != randomRun(t, seed, nil) {
-			t.Fatalf("seed %d: the restored one orders otherwise", seed)
+			t.Fatalf("seed %d: the restored one acts otherwise", seed)
 		}
 		if n < 50 {
 			t.Fatalf("restored %d times", n)
@@ -41,6 +42,7 @@
 
 // fullState is a Balancer in which every part of the state is in use.
 func fullState(t *testing.T) *Balancer {
+	t.Helper()
 	s := settings()
 	s.Gateways, s.PollDiscovery, s.MayHealthCheck = 3, true, true
 	s.Tenants = []Tenant{{Name: "t1", QuotaPerS: 1}, {Name: "t2", QuotaPerS: 1}}
@@ -59,13 +61,13 @@
 	b.TimerFired(now+2*second, timerObjective|3<<timerBits)
 	b.AttemptEnded(now+2*second, Outcome{ID: 4, Replica: b.requests[4].attempts[0].row.id, Elapsed: second, Status: ConnectFailed})
 	b.TimerFired(now+2*second, timerTick)
-	// A worker that leaves the table while a request remembers it.
+	// A replica that leaves the table while a request remembers it.
 	gone := b.requests[4].attempts[0].row
 	b.ListChanged(now+2*second, EndpointList{Kind: ListDelta, Endpoints: []Endpoint{{Replica: gone.id, State: EndpointGone}}})
 	if b.rowByID[gone.id] != nil && len(gone.ledger) == 0 {
-		t.Fatal("the worker did not leave")
+		t.Fatal("the replica did not leave")
 	}
-	// Requests taken on under terms that are in force no more.
+	// Requests accepted under policies that are in force no more.
 	s = b.Settings()
 	s.Classes = append([]Class{{Name: "other", Deadline: second}}, s.Classes...)
 	if err := b.Reconfigure(now+2*second, s); err != nil {
@@ -86,94 +88,119 @@
 	"loadTable.hashes": true, "replicaRow.hash": true,
 }
 
-// A field of the state that the snapshot leaves out makes a replay from a
-// checkpoint go astray: each is changed by itself, and must change the bytes.
-func TestSnapshotHoldsEveryField(t *testing.T) {
-	b := fullState(t)
-	state := b.Snapshot()
-	seen, n := map[uintptr]bool{}, 0
-	for _, t := range b.policies { // made anew from the settings
-		seen[reflect.ValueOf(t).Pointer()] = true
-	}
-	var walk func(path string, v reflect.Value)
-	try := func(path string, v reflect.Value, change func()) {
-		old := reflect.New(v.Type()).Elem()
-		old.Set(v)
-		change()
-		if n++; bytes.Equal(b.Snapshot(), state) {
-			t.Errorf("%s is not in the snapshot", path)
+// fieldWalker changes each field of a Balancer's state by itself, and checks that the snapshot shows it.
+type fieldWalker struct {
+	t     *testing.T
+	b     *Balancer
+	state []byte // the snapshot before any change
+	seen  map[uintptr]bool
+	tried int
+}
+
+// try makes one change, checks the snapshot and takes the change back.
+func (w *fieldWalker) try(path string, v reflect.Value, change func()) {
+	old := reflect.New(v.Type()).Elem()
+	old.Set(v)
+	change()
+	w.tried++
+	if bytes.Equal(w.b.Snapshot(), w.state) {
+		w.t.Errorf("%s is not in the snapshot", path)
+	}
+	v.Set(old)
+}
+
+// walk tries all fields from a value on.
+func (w *fieldWalker) walk(path string, v reflect.Value) {
+	if v.CanAddr() {
+		v = reflect.NewAt(v.Type(), unsafe.Pointer(v.UnsafeAddr())).Elem() // unexported fields too
+	}
+	switch v.Kind() {
+	case reflect.Pointer:
+		if !v.IsNil() && !w.seen[v.Pointer()] {
+			w.seen[v.Pointer()] = true
+			w.walk(path, v.Elem())
+		}
+	case reflect.Struct:
+		for i := range v.NumField() {
+			name := v.Type().Name() + "." + v.Type().Field(i).Name
+			if !derived[name] {
+				w.walk(path+"/"+name, v.Field(i))
+			}
+		}
+	case reflect.Slice:
+		for i := range min(v.Len(), 3) {
+			w.walk(fmt.Sprintf("%s[%d]", path, i), v.Index(i))
 		}
-		v.Set(old)
+		if v.Len() == 0 && !strings.HasSuffix(path, "replicaRow.ledger") && !strings.HasSuffix(path, "request.attempts") {
+			w.t.Errorf("%s is empty in this test", path)
+		}
+	case reflect.Map:
+		w.walkMap(path, v)
+	default:
+		w.walkScalar(path, v)
 	}
-	walk = func(path string, v reflect.Value) {
-		if v.CanAddr() {
-			v = reflect.NewAt(v.Type(), unsafe.Pointer(v.UnsafeAddr())).Elem() // unexported fields too
+}
+
+// walkMap tries a map without its first entry, or walks the entries if they are pointers.
+func (w *fieldWalker) walkMap(path string, v reflect.Value) {
+	if v.Len() == 0 {
+		w.t.Errorf("%s is empty in this test", path)
+	}
+	for _, key := range v.MapKeys() {
+		entry := v.MapIndex(key)
+		if entry.Kind() == reflect.Pointer {
+			w.walk(fmt.Sprintf("%s[%v]", path, key), entry)
+			continue
 		}
-		switch v.Kind() {
-		case reflect.Pointer:
-			if !v.IsNil() && !seen[v.Pointer()] {
-				seen[v.Pointer()] = true
-				walk(path, v.Elem())
-			}
-		case reflect.Struct:
-			for i := range v.NumField() {
-				name := v.Type().Name() + "." + v.Type().Field(i).Name
-				if !derived[name] {
-					walk(path+"/"+name, v.Field(i))
-				}
-			}
-		case reflect.Slice:
-			for i := range min(v.Len(), 3) {
-				walk(fmt.Sprintf("%s[%d]", path, i), v.Index(i))
-			}
-			if v.Len() == 0 && !strings.HasSuffix(path, "replicaRow.ledger") && !strings.HasSuffix(path, "request.attempts") {
-				t.Errorf("%s is empty in this test", path)
-			}
-		case reflect.Map:
-			if v.Len() == 0 {
-				t.Errorf("%s is empty in this test", path)
-			}
-			for _, k := range v.MapKeys() {
-				e := v.MapIndex(k)
-				if e.Kind() == reflect.Pointer {
-					walk(fmt.Sprintf("%s[%v]", path, k), e)
-					continue
+		w.try(fmt.Sprintf("%s[%v]", path, key), v, func() {
+			rest := reflect.MakeMap(v.Type())
+			for _, other := range v.MapKeys() {
+				if other.Interface() != key.Interface() {
+					rest.SetMapIndex(other, v.MapIndex(other))
 				}
-				try(fmt.Sprintf("%s[%v]", path, k), v, func() {
-					less := reflect.MakeMap(v.Type())
-					for _, other := range v.MapKeys() {
-						if other.Interface() != k.Interface() {
-							less.SetMapIndex(other, v.MapIndex(other))
-						}
-					}
-					v.Set(less)
-				})
-				break
 			}
-		case reflect.Bool:
-			try(path, v, func() { v.SetBool(!v.Bool()) })
-		case reflect.String:
-			try(path, v, func() { v.SetString(v.String() + "x") })
-		case reflect.Float64:
-			try(path, v, func() { v.SetFloat(v.Float() + 1.5) })
-		case reflect.Int, reflect.Int64:
-			try(path, v, func() { v.SetInt(v.Int() + 1) })
-		case reflect.Uint8, reflect.Uint32, reflect.Uint64:
-			if strings.HasSuffix(path, "sessionRing[0]") || strings.HasSuffix(path, "sessionRing[1]") || strings.HasSuffix(path, "sessionRing[2]") {
-				return // a ring's place without its session cannot be; tried with the map
-			}
-			try(path, v, func() { v.SetUint(v.Uint() + 1) })
-		default:
-			t.Errorf("%s: a %s, which this test does not know", path, v.Kind())
+			v.Set(rest)
+		})
+		break
+	}
+}
+
+// walkScalar tries another value.
+func (w *fieldWalker) walkScalar(path string, v reflect.Value) {
+	switch v.Kind() {
+	case reflect.Bool:
+		w.try(path, v, func() { v.SetBool(!v.Bool()) })
+	case reflect.String:
+		w.try(path, v, func() { v.SetString(v.String() + "x") })
+	case reflect.Float64:
+		w.try(path, v, func() { v.SetFloat(v.Float() + 1.5) })
+	case reflect.Int, reflect.Int64:
+		w.try(path, v, func() { v.SetInt(v.Int() + 1) })
+	case reflect.Uint8, reflect.Uint32, reflect.Uint64:
+		if strings.Contains(path, "sessionRing[") {
+			return // the ring has no place without its session; tried with the map
 		}
+		w.try(path, v, func() { v.SetUint(v.Uint() + 1) })
+	default:
+		w.t.Errorf("%s: a %s, which this test does not know", path, v.Kind())
 	}
-	walk("", reflect.ValueOf(b))
-	if n < 250 {
-		t.Fatalf("%d fields tried", n)
+}
+
+// A field of the state that the snapshot leaves out would make a replay from a checkpoint diverge:
+// each is changed by itself, and must change the bytes.
+func TestSnapshotHoldsEveryField(t *testing.T) {
+	b := fullState(t)
+	w := &fieldWalker{t: t, b: b, state: b.Snapshot(), seen: map[uintptr]bool{}}
+	for _, policy := range b.policies { // made anew from the settings
+		w.seen[reflect.ValueOf(policy).Pointer()] = true
+	}
+	w.walk("", reflect.ValueOf(b))
+	if w.tried < 250 {
+		t.Fatalf("%d fields tried", w.tried)
 	}
 }
 
-// The values come back as they were, each in its place.
+// All values come back, each in its place.
 func TestRestoreReturnsEveryField(t *testing.T) {
 	b := fullState(t)
 	got, err := Restore(b.Settings(), b.Snapshot(), b.sink)
@@ -224,74 +251,3 @@
 		b.Snapshot()
 	}
 }
-
-// A request in hand keeps the terms it was taken on under; those that come after
-// have the new ones; what was learnt of a class goes by its name.
-func TestReconfigure(t *testing.T) {
-	s := settings()
-	s.Classes = append(s.Classes, Class{Name: "docs", LatencyObjective: second, Deadline: 5 * second, PriorityWeight: 1, Streaming: true})
-	s.Tenants = []Tenant{{Name: "t1", QuotaPerS: 1}, {Name: "t2", QuotaPerS: 9}}
-	b, rec := startBalancer(t, s, fleet(4)...)
-	now := 101 * second
-	r := testRequest(1)
-	r.Tenant = "t2"
-	b.RequestArrived(now, r)
-	b.stats[0].streamTime, b.stats[1].streamTime, b.tenantRate[0], b.tenantRate[1] = 11, 22, 1, 2
-	next := s
-	next.Classes = []Class{{Name: "docs", LatencyObjective: second, Deadline: 5 * second, PriorityWeight: 1, Streaming: true}, {Name: "new", Deadline: second}}
-	next.Tenants = []Tenant{{Name: "t2", QuotaPerS: 3}}
-	next.MaxAttempts, next.MayHedge = 1, false
-	if err := b.Reconfigure(now, next); err != nil {
-		t.Fatal(err)
-	}
-	if b.stats[0].streamTime != 22 || b.stats[1].streamTime != 0 || b.tenantRate[0] != 2 || len(b.tenantRate) != 1 {
-		t.Errorf("learnt: %v %v", b.stats, b.tenantRate)
-	}
-	// The old request may still be sent three times, by its class of before.
-	for n := range 3 {
-		if got := len(b.requests[1].attempts); got != n+1 {
-			t.Fatalf("%d attempts, not %d", got, n+1)
-		}
-		b.AttemptEnded(now+second/10, Outcome{ID: 1, Attempt: n, Replica: b.requests[1].attempts[n].row.id, Status: ConnectFailed})
-	}
-	if len(rec.take("refuse")) != 1 {
-		t.Error("not answered once")
-	}
-	// A new one has one attempt.
-	r = testRequest(2)
-	r.Class = "docs"
-	b.RequestArrived(now, r)
-	b.AttemptEnded(now+second/10, Outcome{ID: 2, Replica: b.requests[2].attempts[0].row.id, Status: ConnectFailed})
-	if n := len(rec.take("refuse")); n != 1 {
-		t.Errorf("answered %d times", n)
-	}
-	for name, bad := range map[string]func(*Settings){
-		"gateways": func(s *Settings) { s.Gateways = 9 }, "zone": func(s *Settings) { s.Zone = "z" },
-		"classes": func(s *Settings) { s.Classes = nil }, "reports": func(s *Settings) { s.ReportSource = ReportNone }} {
-		other := next
-		bad(&other)
-		state := b.Snapshot()
-		if err := b.Reconfigure(now, other); err == nil || !bytes.Equal(state, b.Snapshot()) {
-			t.Errorf("%s: taken, or changed by halves: %v", name, err)
-		}
-	}
-}
-
-func BenchmarkReconfigure(bench *testing.B) {
-	s := settings()
-	b, _ := startBalancer(&testing.T{}, s, fleet(1000)...)
-	for i := range RequestID(10_000) {
-		r := testRequest(i + 1)
-		r.Session = uint64(i + 1)
-		b.RequestArrived(101*second, r)
-	}
-	if len(b.requests) < 9_000 {
-		bench.Fatal(len(b.requests))
-	}
-	for bench.Loop() {
-		s.Classes[0].PriorityWeight++
-		if err := b.Reconfigure(102*second, s); err != nil {
-			bench.Fatal(err)
-		}
-	}
-}
--- a/balancer/subset_test.go
+++ b/balancer/subset_test.go
@@ -1,15 +1,17 @@
 package balancer
 
-import "testing"
+import (
+	"testing"
+)
 
-// A replica that leaves a gateway's part of the list while something is out at it, and comes back in
-// the same life, is not in slow start for it; one that has started anew is. Where lists name all
-// replicas, one that was gone is taken to have started anew, as before.
+// A replica that leaves a gateway's subset with an attempt in flight, and comes back without a
+// restart, is not in slow start for it; one that has restarted is. Where lists name all replicas,
+// one that was gone is taken to have restarted.
 func TestReplicaReturnsToTheSubset(t *testing.T) {
 	for _, c := range []struct {
-		fleet int
-		since Micros
-		cold  bool
+		fleet   int
+		since   Micros
+		warming bool
 	}{{500, 50 * second, false}, {500, 104 * second, true}, {0, 50 * second, true}} {
 		b, rec := startBalancer(t, eightyGateways(), fleet(40)...)
 		b.fleetSize = c.fleet
@@ -28,14 +30,14 @@
 			t.Fatal("with something out its row stays, and takes nothing")
 		}
 		tell(105*second, EndpointReady, c.since)
-		if got := 105*second < row.warmingUntil; got != c.cold {
-			t.Errorf("%+v: cold %t", c, got)
+		if got := 105*second < row.warmingUntil; got != c.warming {
+			t.Errorf("%+v: warming %t", c, got)
 		}
 	}
 }
 
-// Where lists are a part of the fleet, as many gateways share a replica as have it on theirs, and a
-// request asks fewer replicas the more of its part the gateway hears of by itself.
+// Where lists are a subset of the fleet, as many gateways share a replica as have it in theirs, and
+// a request polls fewer replicas the more of its subset the gateway hears of by itself.
 func TestSubsetOfTheFleet(t *testing.T) {
 	s := eightyGateways()
 	s.Gateways = 1800
@@ -50,14 +52,14 @@
 	for _, c := range []struct {
 		rate         float64
 		asks         int
-		fewest, most int // drawn, of 400
+		fewest, most int // random ones, of 400
 	}{{1, 2, 400, 400}, {37, 1, 60, 140}} {
 		b.dispatchRate, b.meanLifetime = c.rate, 3e6
 		drawn := 0
 		for range 400 {
 			n, by := b.pollLimit()
 			if n != c.asks {
-				t.Fatalf("at %v requests a second %d asked, want %d", c.rate, n, c.asks)
+				t.Fatalf("at %v requests a second %d polled, want %d", c.rate, n, c.asks)
 			}
 			drawn += int(boolToFloat(by))
 		}
@@ -66,18 +68,3 @@
 		}
 	}
 }
-
-// A home that is told goes before what the module would find, and only it has the prefix.
-func TestRequestedHomeReplica(t *testing.T) {
-	b, _ := startBalancer(t, eightyGateways(), fleet(40)...)
-	b.fleetSize = 400
-	req := &request{Request: testRequest(1), policy: b.policies[0], tenantIndex: -1, avoidZone: -1}
-	req.Session, req.Prefix, req.PrefixTokens, req.HomeReplica = 77, 5, 500, 31
-	if home, second := homesOf(b, req); home != b.rowByID[31] || second != nil {
-		t.Errorf("home %v, second %v", home, second)
-	}
-	b.rowByID[31].state = EndpointDraining
-	if home, _ := homesOf(b, req); home != nil {
-		t.Errorf("at home at one that drains: %v", home)
-	}
-}
--- a/balancer/zonehealth/zonehealth_test.go
+++ b/balancer/zonehealth/zonehealth_test.go
@@ -7,13 +7,15 @@
 	"pgregory.net/rapid"
 )
 
+// second is one second in Micros.
 const second = 1_000_000
 
+// Few bad replicas, or few replicas, are no outage of their zone.
 func TestFewBadReplicasAreNoOutage(t *testing.T) {
 	b := New()
-	for i := range uint64(20) { // one worker that fails on and on
-		if _, lost := b.RecordMiss(second*Micros(i), 1, 7, 10); lost {
-			t.Fatal("one worker's failures lost its site")
+	for i := range uint64(20) { // one replica that fails on and on
+		if _, unavailable := b.RecordMiss(second*Micros(i), 1, 7, 10); unavailable {
+			t.Fatal("one replica's failures made its zone unavailable")
 		}
 	}
 	for i := range uint64(3) {
@@ -25,29 +27,30 @@
 	b.RecordAnswer(30*second+1000, 1, 9, 10) // a fourth is silent, but another answers before
 	b.RecordMiss(30*second+2000, 1, 4, 10)
 	if b.State(1) != Suspect || len(b.Zones[1].MissedReplicas) != 1 {
-		t.Fatalf("an answer did not end the doubt: %+v", b.Zones[1])
+		t.Fatalf("an answer did not end the suspicion: %+v", b.Zones[1])
 	}
 	for i := range Micros(9) {
 		if b.RecordMiss((40+i)*second, 2, 1, 1); b.State(2) == Unavailable {
-			t.Fatal("a site of one worker is its worker")
+			t.Fatal("a zone of one replica became unavailable")
 		}
 	}
-	b.RecordMiss(40*second, 3, 1, 2) // of two both: as likely two bad ones
+	b.RecordMiss(40*second, 3, 1, 2) // both of two: as likely two bad replicas
 	if b.RecordMiss(40*second, 3, 2, 2); b.State(3) == Unavailable {
-		t.Fatal("two misses of a site of two lost it")
+		t.Fatal("two misses in a zone of two made it unavailable")
 	}
 	b.RecordMiss(41*second, 3, 1, 2)
 	if b.RecordMiss(42*second, 3, 2, 2); b.State(3) != Unavailable {
-		t.Fatal("a site of two never silent enough")
+		t.Fatal("a zone of two never becomes unavailable")
 	}
 }
 
+// An unavailable zone is tried at intervals, and recovers with an answer.
 func TestUnavailableTriedAndRecovered(t *testing.T) {
 	b := New()
 	for i := range uint64(missThreshold) {
-		news, lost := b.RecordMiss(second, 1, i, 10)
-		if lost != (i == missThreshold-1) || news == lost {
-			t.Fatalf("miss %d: news %v lost %v", i, news, lost)
+		suspect, unavailable := b.RecordMiss(second, 1, i, 10)
+		if unavailable != (i == missThreshold-1) || suspect == unavailable {
+			t.Fatalf("miss %d: suspect %v, unavailable %v", i, suspect, unavailable)
 		}
 	}
 	trials := 0
@@ -68,8 +71,8 @@
 	}
 }
 
-// Each loss soon after another asks for more words before the site is believed, and lets
-// its part grow for longer; both by a bound, and peace makes good.
+// Each outage soon after another needs more answers before the zone recovers, and a longer ramp;
+// both are bounded, and a long healthy time resets them.
 func TestFlappingZoneRecoversMoreSlowly(t *testing.T) {
 	b := New()
 	lose := func(now Micros) {
@@ -88,42 +91,43 @@
 		now := Micros(i+1) * 2 * second
 		lose(now)
 		if got := words(now + second); got != want {
-			t.Errorf("loss %d: back after %d words, want %d", i+1, got, want)
+			t.Errorf("outage %d: recovered after %d answers, want %d", i+1, got, want)
 		}
 		if trust := b.TrafficShare(now+second, 1); i > 0 && (trust >= 1 || trust < 1.0/maxOutages) {
-			t.Errorf("loss %d: trusted by %.2f at once", i+1, trust)
+			t.Errorf("outage %d: a share of %.2f at once", i+1, trust)
 		}
 		if trust := b.TrafficShare(now+second+maxOutages*recoveryRamp, 1); trust != 1 {
-			t.Errorf("loss %d: trusted by %.2f in the end", i+1, trust)
+			t.Errorf("outage %d: a share of %.2f in the end", i+1, trust)
 		}
 	}
 	lose(100 * second)
 	if got := words(101 * second); got != 1 {
-		t.Errorf("after long peace back after %d words", got)
+		t.Errorf("after a long healthy time recovered after %d answers", got)
 	}
 }
 
+// A gateway is likely isolated if all zones but its own are unavailable.
 func TestLikelyIsolated(t *testing.T) {
 	b := New()
-	lose := func(site int) {
+	lose := func(zone int) {
 		for i := range uint64(missThreshold) {
-			b.RecordMiss(second, site, i, 10)
+			b.RecordMiss(second, zone, i, 10)
 		}
 	}
 	lose(1)
 	if b.LikelyIsolated(0, []int{0, 1, 2}) {
-		t.Error("one of two others lost")
+		t.Error("one of two others unavailable")
 	}
 	if lose(2); !b.LikelyIsolated(0, []int{0, 1, 2}) {
-		t.Error("both others lost")
+		t.Error("both others unavailable")
 	}
 	if lose(0); b.LikelyIsolated(0, []int{0, 1, 2}) {
-		t.Error("its own lost too: its own machine, or all of it")
+		t.Error("its own unavailable too: its own machine, or all of it")
 	}
 }
 
-// Whatever happens: a site is lost only by enough distinct workers with no answer between,
-// trials keep apart, and the same inputs give the same book.
+// Whatever happens: a zone is unavailable only by enough distinct replicas with no answer between,
+// trials keep apart, and the same inputs give the same tracker.
 func TestAnySequence(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		a, b := New(), New()
@@ -132,17 +136,17 @@
 		var now, tried Micros
 		for range rapid.IntRange(1, 120).Draw(t, "steps") {
 			now += rapid.Int64Range(0, 400_000).Draw(t, "dt")
-			w := rapid.Uint64Range(0, uint64(of-1)).Draw(t, "worker")
+			w := rapid.Uint64Range(0, uint64(of-1)).Draw(t, "replica")
 			was := a.State(1)
 			switch rapid.IntRange(0, 3).Draw(t, "what") {
 			case 0, 1:
 				if was != Unavailable {
 					silent[w] = true
 				}
-				_, lost := a.RecordMiss(now, 1, w, of)
+				_, unavailable := a.RecordMiss(now, 1, w, of)
 				b.RecordMiss(now, 1, w, of)
-				if lost != (was != Unavailable && a.State(1) == Unavailable) || lost && len(silent) < min(missThreshold, of) {
-					t.Fatalf("lost %v by %d of %d, was %v", lost, len(silent), of, was)
+				if unavailable != (was != Unavailable && a.State(1) == Unavailable) || unavailable && len(silent) < min(missThreshold, of) {
+					t.Fatalf("unavailable %v by %d of %d, was %v", unavailable, len(silent), of, was)
 				}
 			case 2:
 				clear(silent)
@@ -166,7 +170,7 @@
 			}
 		}
 		if !reflect.DeepEqual(a, b) {
-			t.Fatal("two books of one story differ")
+			t.Fatal("two trackers of one sequence differ")
 		}
 	})
 }
--- /dev/null
+++ b/balancer/zones_test.go
@@ -0,0 +1,55 @@
+package balancer
+
+import (
+	"testing"
+)
+
+// An unavailable zone is tried as a whole: else each of its replicas must fail on its own, a
+// connect timeout each.
+func TestUnavailableZoneIsTriedAsAWhole(t *testing.T) {
+	endpoints := fleet(20)
+	for i := range 10 {
+		endpoints[i].Zone = "b"
+	}
+	b, rec := startBalancer(t, settings(), endpoints...)
+	fail := func(i int) {
+		b.recordAnswer(101*second, b.rows[i], ConnectFailed, false)
+		b.recordFailure(101*second, b.rows[i], ConnectFailed)
+	}
+	inZone := func(now Micros, from RequestID) (n int) {
+		for i := range RequestID(15) {
+			if dispatched(b, rec, now, testRequest(from+i)) <= 10 {
+				n++
+			}
+		}
+		return n
+	}
+	for i := range 3 {
+		fail(i)
+	}
+	if b.zones.IsUnavailable(b.rows[0].zone) || inZone(101*second, 50) == 0 {
+		t.Fatal("three bad replicas of ten made their zone unavailable")
+	}
+	fail(3)
+	if n := inZone(101*second, 1); n != 0 {
+		t.Fatalf("%d sent to the zone right after", n)
+	}
+	rec.acts = nil
+	b.tick(103 * second)
+	if n := len(rec.take("health check")); b.settings.MayHealthCheck != (n >= 1) {
+		t.Fatalf("%d trials by health checks", n)
+	}
+	if n := inZone(103*second, 100); b.settings.MayHealthCheck != (n == 0) || n > 1 {
+		t.Fatalf("%d trials by requests in the zone", n)
+	}
+	b.recordAnswer(103*second, b.rows[5], Served, false)
+	if n := inZone(103*second+settleTime, 200); n < 2 {
+		t.Fatalf("%d sent to the zone after a success there", n)
+	}
+	if row := b.rows[1]; row.backoffUntil > 0 || row.consecutiveFailures > 0 {
+		t.Fatal("a failure of the zone stands against a replica")
+	}
+}
+
+// settleTime is the time in which a zone's traffic share is whole after its recovery.
+const settleTime = 3 * second
