--- a/balancer/admission.go
+++ b/balancer/admission.go
@@ -6,7 +6,7 @@
 	// maxLateShare is the share of late requests from which less is admitted, and
 	// minLimitShare the part of the limit that even requests of the least weight may fill.
 	maxLateShare, minLimitShare = 0.2, 0.3
-	// latenessDecay is the time in which what was seen of lateness decays, in seconds.
+	// latenessDecay is the time constant of lateness's decay, in seconds.
 	latenessDecay = 12.0
 	// limitGrowth is the part by which the limit grows each second.
 	limitGrowth = 0.2
@@ -140,7 +140,7 @@
 // its pace; but a first token waits for about one step beside its own prefill, and each
 // further token takes a step. What a step takes with nothing else to do stands in the least
 // time seen, with the network's, and is put at a third of the objective. Without this, a
-// fleet that answers at once but streams too slowly admits all that comes.
+// fleet that answers at once but streams too slowly admits every request.
 func (b *Balancer) streamsTooSlow(req *request, a *attempt) bool {
 	objective := float64(b.classOf(req).TokenObjective)
 	if objective == 0 || b.firstTokenFit.n < minFirstTokens {
@@ -162,7 +162,7 @@
 	return b.stepExcess > objective*slowStepFactor && (!b.lengthsReported || b.slowStreamShare > maxLateShare)
 }
 
-// stepFloorKey tells apart attempts whose least first-token times differ: by zone and, for
+// stepFloorKey distinguishes attempts whose least first-token times differ: by zone and, for
 // the handshake, by whether the connection was new.
 func (a *attempt) stepFloorKey() int {
 	key := 2 * a.row.zone
@@ -172,7 +172,7 @@
 	return key
 }
 
-// recordStreamPace compares the time of a whole stream with what its tokens may take.
+// recordStreamPace compares the duration of a stream with what its tokens may take.
 func (b *Balancer) recordStreamPace(took, allowed float64) {
 	if allowed > 0 {
 		b.lengthsReported = true
@@ -182,8 +182,8 @@
 
 // retryAfter is the advice that goes with an overload reply: when what stands over the
 // request's share of the limit will have ended, at the pace at which requests end. It is
-// kept within a part of the latency objective, for a later answer is worth little, and
-// scattered, so that requests shed together do not come back together.
+// bounded by a part of the latency objective, for a later answer has little value, and
+// scattered, so that requests shed together are not repeated together.
 func (b *Balancer) retryAfter(req *request) Micros {
 	if !b.settings.RetryAfter {
 		return 0
--- a/balancer/admission_test.go
+++ b/balancer/admission_test.go
@@ -43,7 +43,7 @@
 }
 
 // Streams slower than their token objective count as late though their first tokens come
-// in time: else an overloaded fleet admits all that comes.
+// in time: else an overloaded fleet admits every request.
 func TestSlowStreamsLimitAdmission(t *testing.T) {
 	serve := func(first Micros) (shed int) {
 		b, rec := startBalancer(t, settings(), fleet(4)...)
@@ -94,7 +94,7 @@
 	low := b.tokenLimit
 	for now := 101 * second; now < 102*second; now += tickEvery {
 		b.meanInFlightTokens = 50000
-		b.tick(now) // nothing comes: only time opens it
+		b.tick(now) // nothing arrives: only time raises it
 	}
 	if b.tokenLimit < 1.1*low {
 		t.Fatalf("limit %v after a second, was %v", b.tokenLimit, low)
@@ -156,19 +156,19 @@
 func TestLatenessCountsWhenTheObjectivePasses(t *testing.T) {
 	b, rec := startBalancer(t, settings(), fleet(2)...)
 	b.RequestArrived(101*second, testRequest(1))
-	var aim recordedAction
+	var timer recordedAction
 	for _, a := range rec.take("timer") {
 		if a.token&(1<<timerBits-1) == timerObjective {
-			aim = a
+			timer = a
 		}
 	}
-	if aim.delay != second {
-		t.Fatalf("aim timer %+v", aim)
+	if timer.delay != second {
+		t.Fatalf("objective timer %+v", timer)
 	}
-	b.TimerFired(101*second+aim.delay, aim.token)
+	b.TimerFired(101*second+timer.delay, timer.token)
 	late := b.lateShare
 	if late == 0 {
-		t.Fatal("not counted when the aim passed")
+		t.Fatal("not counted when the objective passed")
 	}
 	b.FirstToken(104*second, Outcome{ID: 1, Replica: b.requests[1].attempts[0].row.id, Elapsed: 3 * second})
 	if b.lateShare != late {
--- a/balancer/affinity_test.go
+++ b/balancer/affinity_test.go
@@ -20,9 +20,9 @@
 		s := settings()
 		s.Self, s.Gateways = self, 3
 		b, _ := startBalancer(t, s, fleet(8)...)
-		row, kept, _ := b.pick(101*second, &request{Request: r, policy: b.policies[0], tenantIndex: -1, avoidZone: -1})
-		if home != 0 && row.id != home || kept <= 0 {
-			t.Fatalf("gateway %d picked %d (cached %v), another %d", self, row.id, kept, home)
+		row, cached, _ := b.pick(101*second, &request{Request: r, policy: b.policies[0], tenantIndex: -1, avoidZone: -1})
+		if home != 0 && row.id != home || cached <= 0 {
+			t.Fatalf("gateway %d picked %d (cached %v), another %d", self, row.id, cached, home)
 		}
 		home = row.id
 		row.charge, row.unreported = 1e6, 1e6
--- a/balancer/discovery_test.go
+++ b/balancer/discovery_test.go
@@ -222,7 +222,7 @@
 }
 
 // A local agent is polled again at once, however many gateways there are. The operators' own
-// marks do not come from discovery: it is polled further.
+// marks do not come from discovery: polling continues.
 func TestDiscoveryPollBackoff(t *testing.T) {
 	s := eightyGateways()
 	s.Gateways, s.Self, s.PollDiscovery, s.LocalDiscovery = 300, 299, true, true
--- a/balancer/events.go
+++ b/balancer/events.go
@@ -48,7 +48,7 @@
 // FromDiscovery reports whether discovery itself has sent a list of this kind just now.
 func (k ListKind) FromDiscovery() bool { return k == ListFull || k == ListDelta }
 
-// EndpointList is a change of the fleet, or the news that none could be had.
+// EndpointList is a change of the fleet, or the fact that none could be fetched.
 type EndpointList struct {
 	Kind      ListKind
 	Version   int64
--- a/balancer/healthcheck.go
+++ b/balancer/healthcheck.go
@@ -20,7 +20,7 @@
 }
 
 // runHealthChecks renews load reports where they come in no other way. Gateways that may
-// gossip share the replicas by hash and tell each other the results.
+// gossip share the replicas by hash and send each other the results.
 func (b *Balancer) runHealthChecks(now Micros) {
 	if !b.settings.MayHealthCheck || b.settings.ReportSource == ReportNone || b.largeFleet() {
 		return
@@ -44,7 +44,7 @@
 }
 
 // healthCheckInterval is the time between two health checks of a replica: no less than
-// reports take to be renewed. Without gossip it keeps health checks to a part of the
+// reports take to be renewed. Without gossip health checks are limited to a part of the
 // requests, and within their cost.
 func (b *Balancer) healthCheckInterval() Micros {
 	if b.settings.MayGossip || b.dispatchRate <= 0 {
--- a/balancer/polling_test.go
+++ b/balancer/polling_test.go
@@ -48,19 +48,19 @@
 			t.Errorf("a timer's token %d, which the simulator's wire does not know", a.token)
 		}
 	}
-	ask := healthChecked(rec)
-	if len(ask) != shortlistSize {
-		t.Fatalf("polled %v, want %d replicas", ask, shortlistSize)
+	polled := healthChecked(rec)
+	if len(polled) != shortlistSize {
+		t.Fatalf("polled %v, want %d replicas", polled, shortlistSize)
 	}
-	for i, id := range ask {
+	for i, id := range polled {
 		in := 20.0
 		if i == 1 {
 			in = 5
 		}
 		b.HealthCheckEnded(now+5000, Outcome{Replica: id, Status: Served, Report: reportInFlight(in)})
 		sent := rec.take("dispatch")
-		if last := i == len(ask)-1; last != (len(sent) == 1) || last && sent[0].to != ask[1] {
-			t.Fatalf("after answer %d: sent %v, the least loaded is %d", i, sent, ask[1])
+		if last := i == len(polled)-1; last != (len(sent) == 1) || last && sent[0].to != polled[1] {
+			t.Fatalf("after answer %d: sent %v, the least loaded is %d", i, sent, polled[1])
 		}
 	}
 	// A fresh report is not polled again; one that does not come is not waited for.
@@ -100,7 +100,7 @@
 func TestOneOfThePolledIsRandom(t *testing.T) {
 	endpoints := fleet(40)
 	endpoints[39].StartedAt = 95 * second
-	drawn := 0
+	random := 0
 	for seed := range uint64(400) {
 		rec := &recorder{}
 		b, _ := New(eightyGateways(), seed, rec)
@@ -109,11 +109,11 @@
 		b.meanHeldTokens, b.meanLoad = 1200, 9600
 		b.RequestArrived(101*second, testRequest(1))
 		if slices.Contains(healthChecked(rec), 40) {
-			drawn++
+			random++
 		}
 	}
-	if drawn < 2 || drawn > 40 { // one in forty, of the times in which it is offered
-		t.Errorf("a warming replica was polled by %d of 400", drawn)
+	if random < 2 || random > 40 { // one in forty, of the times in which it is offered
+		t.Errorf("a warming replica was polled by %d of 400", random)
 	}
 }
 
--- a/balancer/predict_test.go
+++ b/balancer/predict_test.go
@@ -150,7 +150,7 @@
 		{"a little more at home stays home", 5600, 5000, true, 1},
 		{"far more at home goes away", 20000, 5000, true, 2},
 		{"nothing learned: the price as a factor", 6000, 5000, false, 2},
-		{"first tokens at the aim: a crossing costs only its own", 5000, 4900, true, 2},
+		{"first tokens at the objective: a crossing costs only its own", 5000, 4900, true, 2},
 	} {
 		s := settings()
 		s.CrossZoneCost = 0.03
@@ -190,14 +190,14 @@
 		return b.prefillWeight()
 	}
 	least := prefillCost * largeFleetPrefillFactor
-	for name, odd := range map[string][2]float64{"nothing in hand": {0, 0}, "no share": {0, 8}, "a negative share": {-1, 8}, "less than one": {0.5, 0.1}} {
-		if got := report(odd[0], odd[1]); got != least {
+	for name, values := range map[string][2]float64{"nothing in flight": {0, 0}, "no share": {0, 8}, "a negative share": {-1, 8}, "less than one": {0.5, 0.1}} {
+		if got := report(values[0], values[1]); got != least {
 			t.Errorf("%s: %v, want %v", name, got, least)
 		}
 	}
-	few, many, odd := report(0.8, 8), report(0.8, 64), report(1e-9, 1e9)
-	if few < least || many <= few || odd != maxPrefillWeight {
-		t.Errorf("%v with ten slots, %v with eighty, %v by an odd report", few, many, odd)
+	few, many, extreme := report(0.8, 8), report(0.8, 64), report(1e-9, 1e9)
+	if few < least || many <= few || extreme != maxPrefillWeight {
+		t.Errorf("%v with ten slots, %v with eighty, %v by an extreme report", few, many, extreme)
 	}
 	for i := range b.settings.Classes {
 		b.settings.Classes[i].ObjectivePer1000Tokens = 0
--- a/balancer/request_test.go
+++ b/balancer/request_test.go
@@ -22,7 +22,7 @@
 			t.Errorf("%d made elsewhere: %d more, expected %d", spent, got, want)
 		}
 		if b.requests[id] != nil {
-			t.Errorf("%d made elsewhere: still in hand", spent)
+			t.Errorf("%d made elsewhere: still in flight", spent)
 		}
 	}
 }
--- a/balancer/slowstart.go
+++ b/balancer/slowstart.go
@@ -32,11 +32,11 @@
 	return b.settings.InitialCapacity + (1-b.settings.InitialCapacity)*age
 }
 
-// offerWarming draws the warming replica that an attempt of a request may go to, nil for
+// offerWarming picks at random the warming replica that an attempt of a request may go to, nil for
 // none. It is rule 4: all gateways together may send a warming replica no more than a
 // multiple of what it can do now, N requests of mean work in a window. Each attempt is
 // offered one warming replica at most, with a probability that is the same wherever the
-// attempt comes and whatever else it prefers: slowStartMargin * N offers in the mean, with
+// attempt comes from and whatever else it prefers: slowStartMargin * N offers in the mean, with
 // the scatter of a Poisson count. The number of gateways, what each of them gets and a
 // preference that all of them share change nothing about it, and nothing is learned or
 // saved up.
@@ -46,10 +46,10 @@
 	}
 	heavy := math.Max(1, b.workTokens(req)/math.Max(1, b.meanWork))
 	// Gateways may have the same seed: their index makes their draws differ.
-	drawn := splitmix(math.Float64bits(b.random()) ^ splitmix(uint64(b.settings.Self)))
-	draw := unitFloat(drawn)
+	hash := splitmix(math.Float64bits(b.random()) ^ splitmix(uint64(b.settings.Self)))
+	draw := unitFloat(hash)
 	n := len(b.rows)
-	start := int(unitFloat(splitmix(drawn)) * float64(n)) // random, for probabilities may add up to more than 1
+	start := int(unitFloat(splitmix(hash)) * float64(n)) // random, for probabilities may add up to more than 1
 	for i := range n {
 		row := b.rows[(start+i)%n]
 		if row.state != EndpointReady || now >= row.warmingUntil {
--- a/balancer/snapshot.go
+++ b/balancer/snapshot.go
@@ -16,7 +16,7 @@
 	errNoLedgerEntry = errors.New("a ledger names an attempt that does not exist")
 )
 
-// Snapshot returns the whole state of b in protobuf's wire form: the message State of
+// Snapshot returns the complete state of b in protobuf's wire form: the message State of
 // internal/capture/capturepb. Restore with the settings and this makes a Balancer that goes
 // on exactly as b does. Equal states give equal bytes.
 //
--- a/balancer/zonehealth/zonehealth.go
+++ b/balancer/zonehealth/zonehealth.go
@@ -1,4 +1,4 @@
-// Package zonehealth tells whether zones are healthy, as one gateway sees it: healthy,
+// Package zonehealth tracks the health of zones as one gateway sees it: healthy,
 // suspect, unavailable or recovering. It performs no I/O and reads no clock: each input
 // brings its time, and equal inputs give equal states. A [Tracker] belongs to one goroutine.
 //
@@ -174,12 +174,12 @@
 	}
 }
 
-// rampTime is how long the zone's traffic share takes to grow to the whole.
+// rampTime is how long the zone's traffic share takes to grow to 1.
 func (z *Zone) rampTime() Micros { return recoveryRamp * Micros(max(1, z.Outages)) }
 
 // TrafficShare is the part of its usual load that a zone may be given, above 0 and up to 1.
 // The first recovery is held back by the slow start of its replicas alone: a share for the
-// whole zone beside it left warm replicas idle (docs/measurements/site.md). After each
+// zone beside it left warm replicas idle (docs/measurements/site.md). After each
 // further outage soon after, the share starts lower and grows for longer.
 func (t Tracker) TrafficShare(now Micros, index int) float64 {
 	zone := t.Zones[index]
--- a/balancer/zonehealth/zonehealth_test.go
+++ b/balancer/zonehealth/zonehealth_test.go
@@ -75,12 +75,12 @@
 // both are bounded, and a long healthy time resets them.
 func TestFlappingZoneRecoversMoreSlowly(t *testing.T) {
 	b := New()
-	lose := func(now Micros) {
+	fail := func(now Micros) {
 		for i := range uint64(missThreshold) {
 			b.RecordMiss(now, 1, i, 10)
 		}
 	}
-	words := func(now Micros) (n int) {
+	answersToRecover := func(now Micros) (n int) {
 		for w := uint64(20); b.State(1) == Unavailable && n < 50; w++ {
 			b.RecordAnswer(now, 1, w, 10)
 			n++
@@ -89,8 +89,8 @@
 	}
 	for i, want := range []int{1, 2, 3, 4, 4, 4} {
 		now := Micros(i+1) * 2 * second
-		lose(now)
-		if got := words(now + second); got != want {
+		fail(now)
+		if got := answersToRecover(now + second); got != want {
 			t.Errorf("outage %d: recovered after %d answers, want %d", i+1, got, want)
 		}
 		if trust := b.TrafficShare(now+second, 1); i > 0 && (trust >= 1 || trust < 1.0/maxOutages) {
@@ -100,8 +100,8 @@
 			t.Errorf("outage %d: a share of %.2f in the end", i+1, trust)
 		}
 	}
-	lose(100 * second)
-	if got := words(101 * second); got != 1 {
+	fail(100 * second)
+	if got := answersToRecover(101 * second); got != 1 {
 		t.Errorf("after a long healthy time recovered after %d answers", got)
 	}
 }
@@ -109,19 +109,19 @@
 // A gateway is likely isolated if all zones but its own are unavailable.
 func TestLikelyIsolated(t *testing.T) {
 	b := New()
-	lose := func(zone int) {
+	fail := func(zone int) {
 		for i := range uint64(missThreshold) {
 			b.RecordMiss(second, zone, i, 10)
 		}
 	}
-	lose(1)
+	fail(1)
 	if b.LikelyIsolated(0, []int{0, 1, 2}) {
 		t.Error("one of two others unavailable")
 	}
-	if lose(2); !b.LikelyIsolated(0, []int{0, 1, 2}) {
+	if fail(2); !b.LikelyIsolated(0, []int{0, 1, 2}) {
 		t.Error("both others unavailable")
 	}
-	if lose(0); b.LikelyIsolated(0, []int{0, 1, 2}) {
+	if fail(0); b.LikelyIsolated(0, []int{0, 1, 2}) {
 		t.Error("its own unavailable too: its own machine, or all of it")
 	}
 }
@@ -131,33 +131,33 @@
 func TestAnySequence(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		a, b := New(), New()
-		of := rapid.IntRange(1, 8).Draw(t, "of")
+		ready := rapid.IntRange(1, 8).Draw(t, "ready")
 		silent := map[uint64]bool{}
 		var now, tried Micros
 		for range rapid.IntRange(1, 120).Draw(t, "steps") {
 			now += rapid.Int64Range(0, 400_000).Draw(t, "dt")
-			w := rapid.Uint64Range(0, uint64(of-1)).Draw(t, "replica")
-			was := a.State(1)
+			w := rapid.Uint64Range(0, uint64(ready-1)).Draw(t, "replica")
+			before := a.State(1)
 			switch rapid.IntRange(0, 3).Draw(t, "what") {
 			case 0, 1:
-				if was != Unavailable {
+				if before != Unavailable {
 					silent[w] = true
 				}
-				_, unavailable := a.RecordMiss(now, 1, w, of)
-				b.RecordMiss(now, 1, w, of)
-				if unavailable != (was != Unavailable && a.State(1) == Unavailable) || unavailable && len(silent) < min(missThreshold, of) {
-					t.Fatalf("unavailable %v by %d of %d, was %v", unavailable, len(silent), of, was)
+				_, unavailable := a.RecordMiss(now, 1, w, ready)
+				b.RecordMiss(now, 1, w, ready)
+				if unavailable != (before != Unavailable && a.State(1) == Unavailable) || unavailable && len(silent) < min(missThreshold, ready) {
+					t.Fatalf("unavailable %v by %d of %d, was %v", unavailable, len(silent), ready, before)
 				}
 			case 2:
 				clear(silent)
-				if back := a.RecordAnswer(now, 1, w, of); back != (was == Unavailable && a.State(1) == Recovering) || b.RecordAnswer(now, 1, w, of) != back {
-					t.Fatalf("back %v, was %v", back, was)
+				if back := a.RecordAnswer(now, 1, w, ready); back != (before == Unavailable && a.State(1) == Recovering) || b.RecordAnswer(now, 1, w, ready) != back {
+					t.Fatalf("back %v, was %v", back, before)
 				}
 				tried = 0
 			case 3:
-				by := rapid.Float64Range(0, 1).Draw(t, "by")
-				if due := a.TakeTrial(now, 1, by); due != b.TakeTrial(now, 1, by) || due && (was != Unavailable || tried > 0 && now-tried < trialIntervalMin*3/4) {
-					t.Fatalf("due %v, was %v, last %d now %d", due, was, tried, now)
+				jitter := rapid.Float64Range(0, 1).Draw(t, "jitter")
+				if due := a.TakeTrial(now, 1, jitter); due != b.TakeTrial(now, 1, jitter) || due && (before != Unavailable || tried > 0 && now-tried < trialIntervalMin*3/4) {
+					t.Fatalf("due %v, was %v, last %d now %d", due, before, tried, now)
 				} else if due {
 					tried = now
 				}
@@ -165,8 +165,8 @@
 			if zone := a.Zones[1]; zone != nil && (len(zone.MissedReplicas) > missThreshold || len(zone.AnsweredReplicas) > maxOutages || zone.Outages > maxOutages) {
 				t.Fatalf("grows: %+v", zone)
 			}
-			if trust := a.TrafficShare(now, 1); trust <= 0 || trust > 1 {
-				t.Fatalf("trust %v", trust)
+			if share := a.TrafficShare(now, 1); share <= 0 || share > 1 {
+				t.Fatalf("traffic share %v", share)
 			}
 		}
 		if !reflect.DeepEqual(a, b) {
--- a/balancer/zones.go
+++ b/balancer/zones.go
@@ -2,12 +2,12 @@
 
 import "slices"
 
-// What zonehealth is told, and what follows when a zone becomes unavailable or recovers.
+// What zonehealth is notified of, and what follows when a zone becomes unavailable or recovers.
 
 // suspectZoneChecks is how many other replicas of a zone are checked when one did not answer.
 const suspectZoneChecks = 2
 
-// recordAnswer tells zonehealth whether a replica answered, by how an attempt or a health
+// recordAnswer notifies zonehealth whether a replica answered, by how an attempt or a health
 // check ended.
 func (b *Balancer) recordAnswer(now Micros, row *replicaRow, status Status, healthCheck bool) {
 	switch status {
@@ -28,7 +28,7 @@
 	}
 }
 
-// recordMiss tells zonehealth that a replica did not answer. Others of its zone are checked,
+// recordMiss notifies zonehealth that a replica did not answer. Others of its zone are checked,
 // and if the zone becomes unavailable by this, its requests are hedged elsewhere.
 func (b *Balancer) recordMiss(now Micros, row *replicaRow) {
 	suspect, unavailable := b.zones.RecordMiss(now, row.zone, uint64(row.id), b.readyInZone(row.zone))
@@ -119,7 +119,7 @@
 }
 
 // recordOverdue counts an attempt without a first token at its latency objective as not
-// answered, where health checks are not allowed: overload is told from an outage by the
+// answered, where health checks are not allowed: overload is distinguished from an outage by the
 // answers that others of the zone still give.
 func (b *Balancer) recordOverdue(now Micros, req *request) {
 	if b.settings.MayHealthCheck {
--- a/balancer/zones_test.go
+++ b/balancer/zones_test.go
@@ -51,5 +51,5 @@
 	}
 }
 
-// settleTime is the time in which a zone's traffic share is whole after its recovery.
+// settleTime is the time in which a zone's traffic share is 1 again after its recovery.
 const settleTime = 3 * second
