--- a/internal/configversion/sim_test.go
+++ b/internal/configversion/machine_fleet_test.go
@@ -13,10 +13,10 @@
 
 const sec balancer.Micros = 1_000_000
 
-// fleet is a control service and its gateways in virtual time: the machines are
-// the real ones, streams are delays. A script is what the service publishes.
+// fleet is a control service and its gateways in virtual time: the machines are real,
+// streams are delays. A script is what the service publishes.
 type fleet struct {
-	t        testing.TB
+	tb       testing.TB
 	rng      *rand.Rand
 	now      balancer.Micros
 	schedule schedule
@@ -67,7 +67,7 @@
 	heap.Push(&f.schedule, scheduledTask{f.now + max(0, d), f.seq, do})
 }
 
-// runUntil plays on to a time.
+// runUntil runs the scheduled tasks up to a time.
 func (f *fleet) runUntil(at balancer.Micros) {
 	for len(f.schedule) > 0 && f.schedule[0].at <= at {
 		d := heap.Pop(&f.schedule).(scheduledTask)
@@ -77,7 +77,7 @@
 	f.now = at
 }
 
-// gatewaySim is one gateway: its machine, and the world it acts on.
+// gatewaySim is one gateway: its machine, and the Host that it acts on.
 type gatewaySim struct {
 	fleet     *fleet
 	machine   *Machine
@@ -85,17 +85,18 @@
 	stream    int // counts streams; messages of old ones are dropped
 	open      bool
 	nonce     int
-	inForce   *Config // what is applied
+	inForce   *Config // what was applied last
 	persisted *Config
 	rejected  []Number
 	history   []Event
-	acks      map[string]bool // nonces answered, and by what
+	acks      map[string]bool // answers by nonce: true is an acknowledgement
 	applied   []Number
 	wake      balancer.Micros
 }
 
-func newFleet(t testing.TB, seed uint64, gateways int) *fleet {
-	f := &fleet{t: t, rng: rand.New(rand.NewPCG(seed, 3)), up: true, now: sec, badTransition: map[Number]bool{}, worse: map[Number]bool{}}
+func newFleet(tb testing.TB, seed uint64, gateways int) *fleet {
+	tb.Helper()
+	f := &fleet{tb: tb, rng: rand.New(rand.NewPCG(seed, 3)), up: true, now: sec, badTransition: map[Number]bool{}, worse: map[Number]bool{}}
 	for i := range gateways {
 		g := &gatewaySim{fleet: f, name: fmt.Sprintf("n%d", i), acks: map[string]bool{}}
 		f.gateways = append(f.gateways, g)
@@ -104,7 +105,7 @@
 	return f
 }
 
-// start makes the gateway's machine, as after a restart: from what was kept.
+// start makes the gateway's machine, as after a restart: from what was persisted.
 func (g *gatewaySim) start(seed uint64) {
 	g.machine = New(DefaultOptions(g.name, seed), g, g.persisted, g.rejected)
 	g.inForce = g.persisted
@@ -112,7 +113,7 @@
 	g.scheduleTick()
 }
 
-// call is every entry into the machine: afterwards its next wake is planned.
+// call makes a call of the machine, and schedules its next tick.
 func (g *gatewaySim) call(do func()) {
 	do()
 	g.scheduleTick()
@@ -155,17 +156,17 @@
 
 func (g *gatewaySim) Close(string) { g.stream, g.open = g.stream+1, false }
 
-func (g *gatewaySim) SendRequest(t ResourceType, version, nonce, why string) {
+func (g *gatewaySim) SendRequest(t ResourceType, version, nonce, reason string) {
 	if !g.open {
-		g.fleet.t.Errorf("%s: sent on no stream", g.name)
+		g.fleet.tb.Errorf("%s: sent on no stream", g.name)
 	}
 	if nonce == "" {
 		return
 	}
 	if !strings.HasPrefix(nonce, fmt.Sprintf("%s/%d/", g.name, g.stream)) {
-		g.fleet.t.Errorf("%s: answered %s on stream %d", g.name, nonce, g.stream)
+		g.fleet.tb.Errorf("%s: answered %s on stream %d", g.name, nonce, g.stream)
 	}
-	g.acks[nonce] = why == ""
+	g.acks[nonce] = reason == ""
 }
 
 func (g *gatewaySim) Apply(c *Config) {
@@ -187,13 +188,13 @@
 	})
 }
 
-func (g *gatewaySim) Persist(c *Config, never []Number) {
-	g.persisted, g.rejected = c, slices.Clone(never)
+func (g *gatewaySim) Persist(c *Config, rejected []Number) {
+	g.persisted, g.rejected = c, slices.Clone(rejected)
 }
 
 func (g *gatewaySim) RecordEvent(e Event) {
 	if g.history = append(g.history, e); len(g.history) > 10_000 {
-		g.fleet.t.Fatal("the history does not end")
+		g.fleet.tb.Fatal("the history does not end")
 	}
 }
 
@@ -207,7 +208,7 @@
 	}
 }
 
-// publishTo sends a version's messages, in an order of its own, with delays.
+// publishTo sends a version's messages in a random order, with delays.
 func (f *fleet) publishTo(g *gatewaySim, p *published) {
 	types := []ResourceType{TypeVersion}
 	for t := range p.types {
@@ -228,10 +229,10 @@
 			}
 			g.nonce++
 			r := Response{Type: t, Version: p.types[t], Nonce: fmt.Sprintf("%s/%d/%d", g.name, g.stream, g.nonce)}
-			switch {
-			case t == p.truncated:
+			switch t {
+			case p.truncated:
 				r.DecodeError = "cannot be read: unexpected end"
-			case t == TypeVersion:
+			case TypeVersion:
 				r.Version = fmt.Sprint("v", p.number)
 				r.Fragment = &Fragment{Manifest: &Manifest{Number: p.number, Types: p.types, Rollout: p.rollout}}
 			default:
@@ -242,15 +243,15 @@
 	}
 }
 
-func (f *fleet) disconnect(g *gatewaySim, why string) {
+func (f *fleet) disconnect(g *gatewaySim, reason string) {
 	if !g.open {
 		return
 	}
 	g.stream, g.open = g.stream+1, false
-	g.call(func() { g.machine.Closed(f.now, why) })
+	g.call(func() { g.machine.Closed(f.now, reason) })
 }
 
-// version is a good one with classes and attempts.
+// version returns a valid version with classes and attempts.
 func version(n Number) *published {
 	return &published{number: n, types: map[ResourceType]string{TypeClass: fmt.Sprint("c", n), TypeAttempts: fmt.Sprint("a", n)}, mergeInto: func(c *Config) {
 		c.HasClasses = true
@@ -262,23 +263,21 @@
 // script plays a seeded script and returns the version that all must end on.
 func (f *fleet) script(steps int) Number {
 	good, n := Number(0), Number(0)
-	stepRefused := Number(0)
 	for range steps {
 		n++
 		p := version(n)
 		what := f.rng.IntN(11)
 		isGood := true
 		switch what {
-		case 0: // bad by itself
+		case 0: // invalid by itself
 			fill := p.mergeInto
 			p.mergeInto = func(c *Config) { fill(c); c.Attempts = &Attempts{Max: 7} }
 			isGood = false
 		case 1: // truncated
 			p.truncated, isGood = TypeClass, false
-		case 2: // good alone, not as a step
+		case 2: // valid by itself, not as a step
 			f.badTransition[n], isGood = true, false
-			stepRefused = n
-		case 3: // vanishes between two resources, then the service has it whole
+		case 3: // the stream ends between two resources, then the service has the version complete
 			p.disconnectAfter = 1 + f.rng.IntN(2)
 			f.publish(p)
 			f.after(200_000, func() { p.disconnectAfter = 0 })
@@ -308,7 +307,7 @@
 			g := f.gateways[f.rng.IntN(len(f.gateways))]
 			g.stream, g.open, g.wake = g.stream+1, false, 0
 			g.start(uint64(n))
-		case 8: // the same once more
+		case 8: // the same again
 			f.publish(p)
 			f.runUntil(f.now + balancer.Micros(f.rng.IntN(200_000)))
 		}
@@ -318,13 +317,11 @@
 		}
 		f.runUntil(f.now + balancer.Micros(f.rng.IntN(1_500_000)))
 	}
-	// The last word is a good version, or the one before stays.
-	_ = stepRefused
 	return good
 }
 
-// Whatever the service does, each gateway ends on the last good version, within
-// 2 s of the last message that reached it, and holds no version in part.
+// Whatever the service does, each gateway ends on the last good version, within 2 s of
+// the last message that reached it, and never has a version in part.
 func TestEveryGatewayEndsOnTheLastGood(t *testing.T) {
 	scripts := 250
 	if testing.Short() {
@@ -352,20 +349,18 @@
 			}
 			return
 		}
-		connected := true
 		for _, g := range f.gateways {
-			connected = connected && len(g.history) > 0
-			// Whole: what is applied is what the version says.
+			// Complete: what is applied is what the version says.
 			if g.inForce.Classes[0].PriorityWeight != float64(last.number) || g.inForce.Attempts.Max != 1+int(last.number%3) {
 				t.Errorf("seed %d: %s has version %d in part: %+v", seed, g.name, g.inForce.Number, g.inForce)
 			}
 			for _, n := range g.applied {
 				if f.badTransition[n] {
-					t.Errorf("seed %d: %s took version %d", seed, g.name, n)
+					t.Errorf("seed %d: %s applied version %d", seed, g.name, n)
 				}
 			}
 			if numberOf(g.persisted) != last.number {
-				t.Errorf("seed %d: %s kept %d", seed, g.name, numberOf(g.persisted))
+				t.Errorf("seed %d: %s persisted %d", seed, g.name, numberOf(g.persisted))
 			}
 		}
 		if took := f.now - reach; f.settled(reach) {
@@ -387,7 +382,7 @@
 	return true
 }
 
-// settled tells whether all streams stood at a time: else the backoff counts too.
+// settled reports whether all streams were open at a time; otherwise the backoff counts too.
 func (f *fleet) settled(at balancer.Micros) bool {
 	for _, o := range f.openedAt {
 		if o >= at {
@@ -399,8 +394,8 @@
 
 func tail(h []Event) []Event { return h[max(0, len(h)-6):] }
 
-// 300 gateways: all on the last good one in time, and when the service comes
-// back after a while they do not come together.
+// 300 gateways are on the last good version in time, and when the service returns after
+// an outage they do not reconnect together.
 func TestReconnectsAreSpread(t *testing.T) {
 	f := newFleet(t, 77, 300)
 	f.runUntil(2 * sec)
@@ -441,8 +436,9 @@
 	}
 }
 
-// A version that makes requests late is given back by the gateways that took it
-// first; the service is told, the others never take it, and nobody takes it again.
+// A version that makes requests late is rolled back by the gateways that applied it
+// first; the service is notified, the others never apply it, and no gateway applies it
+// again.
 func TestWorseVersionIsRolledBack(t *testing.T) {
 	f := newFleet(t, 5, 40)
 	f.runUntil(2 * sec)
@@ -471,10 +467,10 @@
 		}
 	}
 	if first < 3 || first > 20 {
-		t.Fatalf("%d of 40 took it first", first)
+		t.Fatalf("%d of 40 applied it first", first)
 	}
 	serve(5)
-	// The service hears of it and goes back to the old contents under a new number.
+	// The service learns of it and returns to the old contents under a new number.
 	nacked := 0
 	for _, g := range f.gateways {
 		for _, e := range g.history {
@@ -487,7 +483,7 @@
 		}
 	}
 	if nacked != first {
-		t.Errorf("%d took it, %d gave it back", first, nacked)
+		t.Errorf("%d applied it, %d rolled it back", first, nacked)
 	}
 	next := version(3)
 	next.rollout = Rollout{FirstPercent: 50, Hold: 5 * sec, MaxRegression: 0.1}
@@ -495,7 +491,7 @@
 	serve(3)
 	for _, g := range f.gateways {
 		if n := numberOf(g.inForce); n == 2 {
-			t.Errorf("%s took version 2 after its hold", g.name)
+			t.Errorf("%s applied version 2 after its hold", g.name)
 		}
 	}
 	f.publish(bad) // the old one again: nobody
@@ -505,7 +501,7 @@
 	if !f.allOn(3) {
 		for _, g := range f.gateways {
 			if numberOf(g.persisted) != 3 {
-				t.Fatalf("%s: kept %d, %v", g.name, numberOf(g.persisted), tail(g.history))
+				t.Fatalf("%s: persisted %d, %v", g.name, numberOf(g.persisted), tail(g.history))
 			}
 		}
 	}
@@ -516,7 +512,7 @@
 	}
 }
 
-// A stream that stops in the midst of a version is dropped, and opened again.
+// A stream that stops within a version is dropped, and opened again.
 func TestStalledStreamIsDropped(t *testing.T) {
 	f := newFleet(t, 6, 1)
 	f.runUntil(2 * sec)
@@ -542,7 +538,7 @@
 	}
 }
 
-// A restart begins with what was kept, whether or not the service is there.
+// A restart begins with what was persisted, whether or not the service is reachable.
 func TestRestartKeepsTheLastGood(t *testing.T) {
 	f := newFleet(t, 8, 1)
 	f.runUntil(2 * sec)
@@ -558,10 +554,10 @@
 		t.Errorf("on %d", numberOf(g.inForce))
 	}
 	if !g.machine.Rollback(f.now, "ordered") {
-		t.Error("there is a version to go back from")
+		t.Error("there is a version to roll back")
 	}
 	f.runUntil(f.now + sec)
 	if g.inForce != nil || !slices.Contains(g.machine.Rejected(), 4) {
-		t.Errorf("after the rollback: %v, never %v", g.inForce, g.machine.Rejected())
+		t.Errorf("after the rollback: %v, rejected %v", g.inForce, g.machine.Rejected())
 	}
 }
--- a/internal/configversion/model_test.go
+++ b/internal/configversion/machine_model_test.go
@@ -12,9 +12,8 @@
 	"archknot/balancer"
 )
 
-// model is what a reader of the protocol would expect of a machine, written
-// plainly: it keeps every message of the stream and works out anew each time what
-// is whole.
+// model is what a reader of the protocol expects of a machine, written plainly: it
+// stores each message of the stream, and computes anew each time what is complete.
 type model struct {
 	t               *rapid.T
 	machine         *Machine
@@ -23,8 +22,8 @@
 	connectOrdered  bool
 	latest          map[ResourceType]Response // of this stream
 	nonces          int
-	answered        map[string]string // nonce: "" acknowledged, else why not
-	complete        map[Number]bool   // versions that were whole on some stream
+	answered        map[string]string // by nonce: "" acknowledged, else the reason of the rejection
+	complete        map[Number]bool   // versions that were complete on some stream
 	badTransition   map[Number]bool
 	pending         *Config // ordered, not answered
 	applyPending    bool
@@ -36,22 +35,23 @@
 	ended           int
 }
 
-const attemptsOver = 9 // a version whose number divides by 4 asks for too many
+// attemptsOverLimit is what a version whose number divides by 4 has: too many.
+const attemptsOverLimit = 9
 
 func (s *model) Connect(balancer.Micros) { s.connectOrdered = true }
 func (s *model) Close(string)            { s.open = false }
 
-func (s *model) SendRequest(t ResourceType, _, nonce, why string) {
+func (s *model) SendRequest(t ResourceType, _, nonce, reason string) {
 	if !s.open {
 		s.t.Fatalf("sent while no stream is open")
 	}
 	if nonce == "" {
 		return
 	}
-	if why == "" && s.answered[nonce] != "" {
-		s.t.Fatalf("%s: acknowledged after it was refused", nonce)
+	if reason == "" && s.answered[nonce] != "" {
+		s.t.Fatalf("%s: acknowledged after it was rejected", nonce)
 	}
-	s.answered[nonce] = why
+	s.answered[nonce] = reason
 }
 
 func (s *model) Apply(c *Config) {
@@ -59,9 +59,9 @@
 		s.t.Fatal("an order before the last was answered")
 	}
 	n := numberOf(c)
-	if n != 0 && n > s.inForce { // forward: whole, good and not given back
+	if n != 0 && n > s.inForce { // forward: complete, valid and not rolled back
 		if !s.complete[n] || n%4 == 0 || s.rejected[n] {
-			s.t.Fatalf("version %d ordered: whole=%t never=%t", n, s.complete[n], s.rejected[n])
+			s.t.Fatalf("version %d ordered: complete=%t rejected=%t", n, s.complete[n], s.rejected[n])
 		}
 		if !c.HasClasses || c.Classes[0].PriorityWeight != float64(n) || c.Attempts == nil {
 			s.t.Fatalf("version %d ordered in part: %+v", n, c)
@@ -70,14 +70,14 @@
 	s.pending, s.applyPending = c, true
 }
 
-func (s *model) Persist(c *Config, never []Number) {
+func (s *model) Persist(c *Config, rejected []Number) {
 	s.persisted = numberOf(c)
 	if s.persisted != s.inForce {
-		s.t.Fatalf("kept %d, in force is %d", s.persisted, s.inForce)
+		s.t.Fatalf("persisted %d, in force is %d", s.persisted, s.inForce)
 	}
-	for _, n := range never {
+	for _, n := range rejected {
 		if n == s.persisted {
-			s.t.Fatalf("kept %d, which is not to be taken", n)
+			s.t.Fatalf("persisted %d, which must not be applied", n)
 		}
 	}
 }
@@ -103,7 +103,7 @@
 	} else {
 		s.latest[r.Type] = r
 	}
-	// What is whole, worked out from all that came.
+	// What is complete, computed from all that was received.
 	if v, ok := s.latest[TypeVersion]; ok {
 		f, complete := v.Fragment.Manifest, true
 		for t, name := range f.Types {
@@ -115,12 +115,12 @@
 	}
 	s.machine.Received(s.now, r)
 	if r.DecodeError != "" && !strings.Contains(s.answered[r.Nonce], r.DecodeError) {
-		s.t.Fatal("what cannot be read was not refused at once")
+		s.t.Fatal("what cannot be decoded was not rejected at once")
 	}
 }
 
 func TestMachineAgainstModel(t *testing.T) {
-	// The same cases each time; -rapid.seed asks for others.
+	// The same cases each time; -rapid.seed selects others.
 	if seed := flag.Lookup("rapid.seed"); seed.Value.String() == "0" {
 		if err := errors.Join(flag.Set("rapid.seed", "1"), flag.Set("rapid.checks", "3000"), flag.Set("rapid.steps", "60"), flag.Set("rapid.nofailfile", "true")); err != nil {
 			t.Fatal(err)
@@ -152,7 +152,7 @@
 		attempts := func(n Number) {
 			most := 2
 			if n%4 == 0 {
-				most = attemptsOver
+				most = attemptsOverLimit
 			}
 			s.receive(Response{Type: TypeAttempts, Version: fmt.Sprint(TypeAttempts, n), Fragment: &Fragment{MergeInto: func(c *Config) {
 				c.Attempts = &Attempts{Max: most}
@@ -197,7 +197,7 @@
 			"manifest": func(t *rapid.T) { manifest(Number(number.Draw(t, "number")), staged(t)) },
 			"class":    func(t *rapid.T) { class(Number(number.Draw(t, "number"))) },
 			"attempts": func(t *rapid.T) { attempts(Number(number.Draw(t, "number"))) },
-			"spoilt": func(t *rapid.T) {
+			"undecodable": func(t *rapid.T) {
 				s.receive(Response{Type: rapid.SampledFrom(ResourceTypes).Draw(t, "type"), Version: "?", DecodeError: "unexpected end"})
 			},
 			"time": func(t *rapid.T) {
@@ -235,10 +235,10 @@
 			},
 			"": func(t *rapid.T) {
 				if numberOf(s.machine.InForce()) != s.inForce && !s.applyPending {
-					t.Fatalf("the machine takes %d for in force, applied is %d", numberOf(s.machine.InForce()), s.inForce)
+					t.Fatalf("the machine has %d in force, applied is %d", numberOf(s.machine.InForce()), s.inForce)
 				}
 				if s.rejected[s.inForce] && s.inForce != 0 {
-					t.Fatalf("version %d is in force, and was given back", s.inForce)
+					t.Fatalf("version %d is in force, and was rolled back", s.inForce)
 				}
 				if len(s.machine.Rejected()) > maxRejected {
 					t.Fatal("too many are remembered")
@@ -248,7 +248,7 @@
 	})
 }
 
-// What is wrong is told by resource, field and reason, all of it at once.
+// All that is wrong is returned at once, by resource, field and reason.
 func TestValidateReportsAllProblems(t *testing.T) {
 	c := &Config{Number: 3, Rollout: Rollout{FirstPercent: 101, Hold: -1, MaxRegression: 2}, HasClasses: true, HasTenants: true, HasReplicaMarks: true,
 		Classes: []balancer.Class{{Name: "chat", LatencyObjective: 5 * sec, Deadline: 3 * sec, PriorityWeight: -1, LateWeightShare: 2}, {Name: "chat", Deadline: 0}, {Idempotency: 9, Deadline: sec}},
@@ -256,7 +256,7 @@
 		Attempts: &Attempts{Max: 4, HedgeRatio: 2}, Admission: &Admission{MaxInFlight: 0, OverQuotaWeight: 2, MaxRetryAfter: -1},
 		Connections: &Connections{Clients: 800, Replicas: 800, IdleTimeout: 0, ConnectTimeout: 0}, Watch: &Watch{Wait: 0, CallTimeout: 1 << 60},
 		Capture: &Capture{Record: true, CheckpointInterval: 1, MaxBytes: 1}, Log: &Log{Level: "loud"}}
-	got := Validate(c, DefaultLimits).Error()
+	got := Validate(c, DefaultLimits).String()
 	for _, want := range []string{"Version: first_percent", "Version: hold_us", "Version: worse_by", "Class chat: aim_us: longer than the deadline",
 		"Class chat: worth", "Class chat: late_worth", "Class chat: name: missing, or given twice", "Class chat: deadline_us", "Class: effect, scope",
 		"Tenant: share: the shares sum to 1.1000, over 1", "Tenant b: quota_per_s", "Tenant b: name", "Worker: name", "Worker w: mark",
@@ -264,7 +264,7 @@
 		"Connections: clients, workers: expected 1 or more each and 1024 in all", "Connections: idle_us", "Watch: wait_us", "Watch: call_timeout_us",
 		"Capture: record: there is no folder", "Capture: checkpoint_us", "Capture: keep_bytes", "Log: level"} {
 		if !strings.Contains(got, want) {
-			t.Errorf("not told: %s\n%s", want, got)
+			t.Errorf("not reported: %s\n%s", want, got)
 		}
 	}
 	if r := Validate(&Config{Number: 1}, DefaultLimits); len(r) > 0 {
@@ -272,7 +272,7 @@
 	}
 }
 
-// A version that is good alone, and not as a step from where the gateway stands.
+// Versions that are valid by themselves, as steps from a state of the gateway.
 func TestValidateTransition(t *testing.T) {
 	present := func() *GatewayState {
 		return &GatewayState{Settings: balancer.Settings{Classes: []balancer.Class{{Name: "chat", Deadline: 3 * sec}, {Name: "docs", Deadline: 3 * sec}}}, InFlight: 5, Clients: 7, InFlightByClass: map[string]InFlight{"chat": {3, 3 * sec}, "docs": {0, 0}}, InFlightByTenant: map[string]int{"a": 2},
@@ -286,23 +286,23 @@
 		c    Config
 		want string
 	}{
-		"good":                             {Config{HasClasses: true, Classes: []balancer.Class{chat}}, ""},
-		"class taken out":                  {Config{HasClasses: true, Classes: []balancer.Class{{Name: "docs", Deadline: sec}}}, "Class chat: taken out with 3 requests in hand"},
-		"deadline":                         {Config{HasClasses: true, Classes: []balancer.Class{short}}, "Class chat: deadline_us: shortened to 2000000 us"},
-		"a turn's difference":              {Config{HasClasses: true, Classes: []balancer.Class{{Name: "chat", Deadline: 3*sec - 209}}}, ""},
-		"as it was, a client waits longer": {Config{HasClasses: true, Classes: []balancer.Class{{Name: "chat", Deadline: 3 * sec}}}, ""},
-		"tenant":                           {Config{HasTenants: true}, "Tenant a: taken out with 2 requests in hand"},
-		"draining":                         {Config{HasReplicaMarks: true, ReplicaMarks: []ReplicaMark{{"s-2", MarkServe}}}, "Worker s-2: mark: brought back, but the registry says that it drains"},
-		"emptying":                         {Config{HasReplicaMarks: true, ReplicaMarks: []ReplicaMark{{"s-3", MarkServe}}}, "Worker s-3: mark: brought back while it empties: 2 attempts"},
-		"emptied":                          {Config{HasReplicaMarks: true, ReplicaMarks: []ReplicaMark{{"s-4", MarkServe}}}, ""},
-		"unknown":                          {Config{HasReplicaMarks: true, ReplicaMarks: []ReplicaMark{{"s-9", MarkServe}}}, "Worker s-9: mark: brought back, but the registry's list does not have it"},
-		"drain one":                        {Config{HasReplicaMarks: true, ReplicaMarks: []ReplicaMark{{"s-1", MarkDrain}}}, ""},
-		"drain all":                        {Config{HasReplicaMarks: true, ReplicaMarks: []ReplicaMark{{"s-1", MarkDrain}, {"s-3", MarkDrain}, {"s-4", MarkDrain}}}, "no worker would be left"},
-		"watch":                            {Config{Watch: &Watch{Wait: 9 * sec, CallTimeout: 2 * sec}}, "Watch: wait_us: with the call's time-out 11000000 us"},
-		"held":                             {Config{Admission: &Admission{MaxInFlight: 4}}, "Admission: most_held: below the 5"},
-		"clients":                          {Config{Connections: &Connections{Clients: 6}}, "Connections: clients: below the 7"},
+		"good":                                {Config{HasClasses: true, Classes: []balancer.Class{chat}}, ""},
+		"class removed":                       {Config{HasClasses: true, Classes: []balancer.Class{{Name: "docs", Deadline: sec}}}, "Class chat: taken out with 3 requests in hand"},
+		"deadline":                            {Config{HasClasses: true, Classes: []balancer.Class{short}}, "Class chat: deadline_us: shortened to 2000000 us"},
+		"deadline within the clock tolerance": {Config{HasClasses: true, Classes: []balancer.Class{{Name: "chat", Deadline: 3*sec - 209}}}, ""},
+		"deadline unchanged, a client waits longer": {Config{HasClasses: true, Classes: []balancer.Class{{Name: "chat", Deadline: 3 * sec}}}, ""},
+		"tenant":                {Config{HasTenants: true}, "Tenant a: taken out with 2 requests in hand"},
+		"draining":              {Config{HasReplicaMarks: true, ReplicaMarks: []ReplicaMark{{"s-2", MarkServe}}}, "Worker s-2: mark: brought back, but the registry says that it drains"},
+		"attempts in flight":    {Config{HasReplicaMarks: true, ReplicaMarks: []ReplicaMark{{"s-3", MarkServe}}}, "Worker s-3: mark: brought back while it empties: 2 attempts"},
+		"no attempts in flight": {Config{HasReplicaMarks: true, ReplicaMarks: []ReplicaMark{{"s-4", MarkServe}}}, ""},
+		"unknown":               {Config{HasReplicaMarks: true, ReplicaMarks: []ReplicaMark{{"s-9", MarkServe}}}, "Worker s-9: mark: brought back, but the registry's list does not have it"},
+		"drain one":             {Config{HasReplicaMarks: true, ReplicaMarks: []ReplicaMark{{"s-1", MarkDrain}}}, ""},
+		"drain all":             {Config{HasReplicaMarks: true, ReplicaMarks: []ReplicaMark{{"s-1", MarkDrain}, {"s-3", MarkDrain}, {"s-4", MarkDrain}}}, "no worker would be left"},
+		"watch":                 {Config{Watch: &Watch{Wait: 9 * sec, CallTimeout: 2 * sec}}, "Watch: wait_us: with the call's time-out 11000000 us"},
+		"requests in flight":    {Config{Admission: &Admission{MaxInFlight: 4}}, "Admission: most_held: below the 5"},
+		"clients":               {Config{Connections: &Connections{Clients: 6}}, "Connections: clients: below the 7"},
 	} {
-		got := ValidateTransition(&c.c, DefaultLimits, present()).Error()
+		got := ValidateTransition(&c.c, DefaultLimits, present()).String()
 		if (c.want == "") != (got == "") || !strings.Contains(got, c.want) {
 			t.Errorf("%s: %q", name, got)
 		}
--- /dev/null
+++ b/internal/configversion/validate.go
@@ -0,0 +1,297 @@
+package configversion
+
+import (
+	"fmt"
+	"slices"
+	"strings"
+
+	"archknot/balancer"
+	"archknot/internal/contract"
+)
+
+// Limits are what a version must stay within, from the platform's configuration.
+type Limits struct {
+	MaxAttempts     int // of a request, whatever its class; the protocol's limit
+	Sockets         int // connections to clients and replicas together
+	MaxPollInterval balancer.Micros
+	DrainGrace      balancer.Micros // how long after a drain was learned new attempts may still go out
+	MayCapture      bool            // there is a directory for captures
+	MaxClasses      int
+	MaxTenants      int
+	MaxReplicaMarks int
+	MaxDuration     balancer.Micros // of any duration in a version
+	MaxInFlight     int             // requests in flight
+	MaxContracts    int
+}
+
+// DefaultLimits are the limits where the platform's configuration says nothing.
+var DefaultLimits = Limits{MaxAttempts: 3, Sockets: 1024, MaxPollInterval: 10_000_000, DrainGrace: 2_500_000, MaxClasses: 64,
+	MaxTenants: 10_000, MaxReplicaMarks: 10_000, MaxDuration: 3_600_000_000, MaxInFlight: 20_000,
+	MaxContracts: 10_000}
+
+// Bounds on single values. Times are microseconds.
+const (
+	minTimeout            balancer.Micros = 1000
+	minCheckpointInterval balancer.Micros = 1_000_000
+	minCaptureBytes                       = 256 << 10
+	maxPriorityWeight                     = 1e6
+	maxQuotaPerS                          = 1e9
+	shareRoundingError                    = 1e-9 // of shares that sum to 1
+)
+
+// Rejection is one reason why a version is not applied.
+type Rejection struct {
+	Type     ResourceType `json:"type"`
+	Resource string       `json:"resource"` // its name, "" for the whole type
+	Field    string       `json:"field"`
+	Reason   string       `json:"reason"`
+}
+
+// String returns the type, the resource, the field and the reason in one line.
+func (r Rejection) String() string {
+	at := string(r.Type)
+	if r.Resource != "" {
+		at += " " + r.Resource
+	}
+	if r.Field != "" {
+		at += ": " + r.Field
+	}
+	return at + ": " + r.Reason
+}
+
+// Rejections are all reasons, in order. None means that the version is accepted.
+type Rejections []Rejection
+
+// String joins the reasons, for logs and for the control service.
+func (r Rejections) String() string {
+	lines := make([]string, len(r))
+	for i, one := range r {
+		lines[i] = one.String()
+	}
+	return strings.Join(lines, "; ")
+}
+
+func (r *Rejections) addf(t ResourceType, resource, field, format string, args ...any) {
+	*r = append(*r, Rejection{t, resource, field, fmt.Sprintf(format, args...)})
+}
+
+// Validate returns all that is wrong with a version by itself.
+func Validate(c *Config, l Limits) Rejections {
+	v := validator{config: c, limits: l}
+	v.validateRollout()
+	v.validateClasses()
+	v.validateTenants()
+	v.validateReplicaMarks()
+	v.validateContracts()
+	v.validateAttempts()
+	v.validateAdmission()
+	v.validateConnections()
+	v.validateWatch()
+	v.validateCapture()
+	v.validateLog()
+	return v.rejections
+}
+
+// validator collects what is wrong with one version.
+type validator struct {
+	config     *Config
+	limits     Limits
+	rejections Rejections
+}
+
+func (v *validator) rejectf(t ResourceType, resource, field, format string, args ...any) {
+	v.rejections.addf(t, resource, field, format, args...)
+}
+
+// duration rejects a duration that is shorter than least or over the limit.
+func (v *validator) duration(t ResourceType, resource, field string, d, least balancer.Micros) {
+	if d < least || d > v.limits.MaxDuration {
+		v.rejectf(t, resource, field, "expected %d to %d us, got %d", least, v.limits.MaxDuration, d)
+	}
+}
+
+// inRange reports whether a value is from 0 to most; NaN is not.
+func inRange(value, most float64) bool { return value >= 0 && value <= most }
+
+func (v *validator) validateRollout() {
+	if v.config.Number == 0 {
+		v.rejectf(TypeVersion, "", "number", "expected above 0")
+	}
+	r := &v.config.Rollout
+	if r.FirstPercent < 0 || r.FirstPercent > 100 {
+		v.rejectf(TypeVersion, "", "first_percent", "expected 0 to 100, got %d", r.FirstPercent)
+	}
+	if !inRange(r.MaxRegression, 1) {
+		v.rejectf(TypeVersion, "", "worse_by", "expected 0 to 1, got %v", r.MaxRegression)
+	}
+	v.duration(TypeVersion, "", "hold_us", r.Hold, 0)
+}
+
+func (v *validator) validateClasses() {
+	if !v.config.HasClasses {
+		return
+	}
+	classes := v.config.Classes
+	if len(classes) == 0 || len(classes) > v.limits.MaxClasses {
+		v.rejectf(TypeClass, "", "", "expected 1 to %d classes, got %d", v.limits.MaxClasses, len(classes))
+	}
+	seen := map[string]bool{}
+	for i := range classes {
+		class := &classes[i]
+		if class.Name == "" || seen[class.Name] {
+			v.rejectf(TypeClass, class.Name, "name", "missing, or given twice")
+		}
+		seen[class.Name] = true
+		v.validateClass(class)
+	}
+}
+
+func (v *validator) validateClass(class *balancer.Class) {
+	v.duration(TypeClass, class.Name, "deadline_us", class.Deadline, minTimeout)
+	v.duration(TypeClass, class.Name, "aim_us", class.LatencyObjective, 0)
+	v.duration(TypeClass, class.Name, "aim_per_1000_us", class.ObjectivePer1000Tokens, 0)
+	v.duration(TypeClass, class.Name, "token_aim_us", class.TokenObjective, 0)
+	v.duration(TypeClass, class.Name, "repeats_kept_us", class.DedupWindow, 0)
+	if class.LatencyObjective > class.Deadline {
+		v.rejectf(TypeClass, class.Name, "aim_us", "longer than the deadline, %d us", class.Deadline)
+	}
+	if !inRange(class.PriorityWeight, maxPriorityWeight) {
+		v.rejectf(TypeClass, class.Name, "worth", "expected 0 to 1000000, got %v", class.PriorityWeight)
+	}
+	if !inRange(class.LateWeightShare, 1) {
+		v.rejectf(TypeClass, class.Name, "late_worth", "expected 0 to 1, got %v", class.LateWeightShare)
+	}
+	if class.Idempotency > balancer.NonIdempotent || class.DedupScope > balancer.DedupCell {
+		v.rejectf(TypeClass, class.Name, "effect, scope", "not known")
+	}
+}
+
+func (v *validator) validateTenants() {
+	if !v.config.HasTenants {
+		return
+	}
+	tenants := v.config.Tenants
+	if len(tenants) > v.limits.MaxTenants {
+		v.rejectf(TypeTenant, "", "", "expected at most %d, got %d", v.limits.MaxTenants, len(tenants))
+	}
+	sum, seen := 0.0, map[string]bool{}
+	for _, t := range tenants {
+		if t.Name == "" || seen[t.Name] {
+			v.rejectf(TypeTenant, t.Name, "name", "missing, or given twice")
+		}
+		seen[t.Name] = true
+		if !inRange(t.QuotaPerS, maxQuotaPerS) {
+			v.rejectf(TypeTenant, t.Name, "quota_per_s", "expected 0 or more, got %v", t.QuotaPerS)
+		}
+		if !inRange(t.Share, 1) {
+			v.rejectf(TypeTenant, t.Name, "share", "expected 0 to 1, got %v", t.Share)
+		}
+		sum += t.Share
+	}
+	if sum > 1+shareRoundingError {
+		v.rejectf(TypeTenant, "", "share", "the shares sum to %.4f, over 1", sum)
+	}
+}
+
+func (v *validator) validateReplicaMarks() {
+	if !v.config.HasReplicaMarks {
+		return
+	}
+	marks := v.config.ReplicaMarks
+	if len(marks) > v.limits.MaxReplicaMarks {
+		v.rejectf(TypeReplica, "", "", "expected at most %d, got %d", v.limits.MaxReplicaMarks, len(marks))
+	}
+	seen := map[string]bool{}
+	for _, mark := range marks {
+		if mark.Name == "" || seen[mark.Name] {
+			v.rejectf(TypeReplica, mark.Name, "name", "missing, or given twice")
+		}
+		seen[mark.Name] = true
+		if mark.Kind > MarkServe {
+			v.rejectf(TypeReplica, mark.Name, "mark", "not known")
+		}
+	}
+}
+
+func (v *validator) validateContracts() {
+	if !v.config.HasContracts {
+		return
+	}
+	if n := len(v.config.Contracts); n > v.limits.MaxContracts {
+		v.rejectf(TypeContract, "", "", "expected at most %d, got %d", v.limits.MaxContracts, n)
+	}
+	if err := contract.ValidateTerms(v.config.Contracts); err != nil {
+		v.rejectf(TypeContract, "", "", "%v", err)
+	}
+}
+
+func (v *validator) validateAttempts() {
+	a := v.config.Attempts
+	if a == nil {
+		return
+	}
+	if a.Max < 1 || a.Max > v.limits.MaxAttempts {
+		v.rejectf(TypeAttempts, "", "most", "expected 1 to %d, got %d", v.limits.MaxAttempts, a.Max)
+	}
+	if !inRange(a.HedgeRatio, 1) || !inRange(a.RetryRatio, 1) {
+		v.rejectf(TypeAttempts, "", "hedge_share, retry_share", "expected 0 to 1, got %v and %v", a.HedgeRatio, a.RetryRatio)
+	}
+}
+
+func (v *validator) validateAdmission() {
+	a := v.config.Admission
+	if a == nil {
+		return
+	}
+	if a.MaxInFlight < 1 || a.MaxInFlight > v.limits.MaxInFlight {
+		v.rejectf(TypeAdmission, "", "most_held", "expected 1 to %d, got %d", v.limits.MaxInFlight, a.MaxInFlight)
+	}
+	if !inRange(a.OverQuotaWeight, 1) {
+		v.rejectf(TypeAdmission, "", "over_share_worth", "expected 0 to 1, got %v", a.OverQuotaWeight)
+	}
+	v.duration(TypeAdmission, "", "max_retry_after_us", a.MaxRetryAfter, 0)
+}
+
+func (v *validator) validateConnections() {
+	n := v.config.Connections
+	if n == nil {
+		return
+	}
+	if n.Clients < 1 || n.Replicas < 1 || n.Clients+n.Replicas > v.limits.Sockets {
+		v.rejectf(TypeConnections, "", "clients, workers", "expected 1 or more each and %d in all, got %d and %d", v.limits.Sockets, n.Clients, n.Replicas)
+	}
+	v.duration(TypeConnections, "", "idle_us", n.IdleTimeout, minTimeout)
+	v.duration(TypeConnections, "", "connect_timeout_us", n.ConnectTimeout, minTimeout)
+}
+
+func (v *validator) validateWatch() {
+	w := v.config.Watch
+	if w == nil {
+		return
+	}
+	v.duration(TypeWatch, "", "wait_us", w.Wait, minTimeout)
+	v.duration(TypeWatch, "", "call_timeout_us", w.CallTimeout, minTimeout)
+}
+
+func (v *validator) validateCapture() {
+	p := v.config.Capture
+	if p == nil {
+		return
+	}
+	if p.Record && !v.limits.MayCapture {
+		v.rejectf(TypeCapture, "", "record", "there is no folder for captures on this gateway (capture.directory)")
+	}
+	v.duration(TypeCapture, "", "checkpoint_us", p.CheckpointInterval, minCheckpointInterval)
+	if p.MaxBytes < minCaptureBytes {
+		v.rejectf(TypeCapture, "", "keep_bytes", "expected %d or more, got %d", minCaptureBytes, p.MaxBytes)
+	}
+}
+
+// logLevels are the levels that a Log resource may name.
+var logLevels = []string{"debug", "info", "warn", "error"}
+
+func (v *validator) validateLog() {
+	if log := v.config.Log; log != nil && !slices.Contains(logLevels, log.Level) {
+		v.rejectf(TypeLog, "", "level", "expected debug, info, warn or error, got %q", log.Level)
+	}
+}
--- a/internal/xdsclient/client.go
+++ b/internal/xdsclient/client.go
@@ -148,7 +148,7 @@
 			refused = c.target.Apply(ctx, force)
 		}
 		if len(refused) > 0 {
-			c.options.Log("config_kept_refused", "version", uint64(force.Number), "reason", refused.Error())
+			c.options.Log("config_kept_refused", "version", uint64(force.Number), "reason", refused.String())
 			_, never, _ := c.options.Store.Load()
 			c.inForce.Store(nil)
 			c.machine = configversion.New(c.options.Machine, c, nil, never)
