--- a/internal/xdsclient/client_test.go
+++ b/internal/xdsclient/client_test.go
@@ -2,17 +2,7 @@
 
 import (
 	"context"
-	"crypto/ecdsa"
-	"crypto/elliptic"
-	"crypto/rand"
-	"crypto/x509"
-	"crypto/x509/pkix"
-	"encoding/pem"
 	"fmt"
-	"math/big"
-	mrand "math/rand/v2"
-	"net"
-	"os"
 	"path/filepath"
 	"strings"
 	"sync"
@@ -26,7 +16,7 @@
 	"archknot/internal/fakes/controlservice"
 )
 
-// target remembers what was applied, and refuses some versions as steps.
+// target records what was applied, and rejects some versions as steps.
 type target struct {
 	mu      sync.Mutex
 	inForce *configversion.Config
@@ -56,6 +46,7 @@
 	return t.inForce.Number
 }
 
+// version returns a valid version.
 func version(n uint64) *controlservice.Version {
 	return &controlservice.Version{Number: n, Resources: map[configversion.ResourceType][]proto.Message{
 		configversion.TypeClass: {&pb.Class{Name: "chat", AimUs: 1_000_000, DeadlineUs: 3_000_000, Worth: float64(n)},
@@ -65,6 +56,7 @@
 	}}
 }
 
+// gateway is a client with its target.
 type gateway struct {
 	*target
 	client *Client
@@ -72,6 +64,7 @@
 	done   chan struct{}
 }
 
+// startClient starts a client that ends with the test.
 func startClient(t *testing.T, name, addr, store string, change func(*Options)) *gateway {
 	t.Helper()
 	g := &gateway{target: &target{rejects: map[configversion.Number]bool{}}, done: make(chan struct{})}
@@ -107,6 +100,7 @@
 	return g
 }
 
+// waitFor waits until a condition holds, and returns how long that took.
 func waitFor(t *testing.T, what string, done func() bool) time.Duration {
 	t.Helper()
 	begin := time.Now()
@@ -118,7 +112,7 @@
 	return time.Since(begin)
 }
 
-func service(t *testing.T) *controlservice.Service {
+func startService(t *testing.T) *controlservice.Service {
 	t.Helper()
 	s, err := controlservice.Start("127.0.0.1:0", nil)
 	if err != nil {
@@ -128,12 +122,13 @@
 	return s
 }
 
-// Three gateways, in both forms of the stream: good, bad, truncated and step-bad
-// versions, a service that vanishes in mid-update, floods, an old one again.
+// Three gateways, in both forms of the stream: versions that are valid, invalid, truncated
+// and not valid as a step, a service that ends the stream within a version, a flood of
+// versions, an old version again.
 func TestVersionScripts(t *testing.T) {
 	for name, delta := range map[string]bool{"world": false, "delta": true} {
 		t.Run(name, func(t *testing.T) {
-			s := service(t)
+			s := startService(t)
 			var all []*gateway
 			for i := range 3 {
 				all = append(all, startClient(t, fmt.Sprint("n", i), s.Addr(), filepath.Join(t.TempDir(), "store"), func(o *Options) { o.Delta = delta }))
@@ -185,7 +180,7 @@
 				t.Fatal(err, s.Acks())
 			}
 			if !on(1)() {
-				t.Fatal("not on version 1 any more")
+				t.Fatal("no longer on version 1")
 			}
 			half := version(5)
 			half.CloseAfter = 2
@@ -218,7 +213,7 @@
 				}
 				g.mu.Unlock()
 			}
-			// The service vanishes and comes back with the next version.
+			// The service stops, and returns with the next version.
 			s.Stop()
 			odd := version(60)
 			odd.RepeatNonce = true
@@ -249,15 +244,15 @@
 	}
 }
 
-// A restart begins with the last good version, without the service; and does not
-// wait for it.
+// A restart begins with the last good version, without the service and without waiting
+// for it.
 func TestRestartWithoutControlService(t *testing.T) {
-	s := service(t)
+	s := startService(t)
 	store := filepath.Join(t.TempDir(), "store")
 	g := startClient(t, "n0", s.Addr(), store, nil)
 	s.Publish(version(7))
 	waitFor(t, "version 7", func() bool { return g.version() == 7 })
-	waitFor(t, "kept", func() bool { c, _, _ := g.client.options.Store.Load(); return c != nil && c.Number == 7 })
+	waitFor(t, "version 7 is saved", func() bool { c, _, _ := g.client.options.Store.Load(); return c != nil && c.Number == 7 })
 	g.stop()
 	s.Stop()
 	g = startClient(t, "n0", s.Addr(), store, nil)
@@ -279,243 +274,6 @@
 	if err := s.AwaitAcks(ctx, func(l []controlservice.Ack) bool {
 		return len(l) > 0 && strings.Contains(l[len(l)-1].Error, "given back or refused before")
 	}); err != nil || g.version() != 0 {
-		t.Error("a version that was given back was taken again", err)
-	}
-}
-
-// A kill at any point of a write leaves the state of before, or that of after.
-func TestStoreSurvivesKills(t *testing.T) {
-	dir := t.TempDir()
-	path := filepath.Join(dir, "store")
-	rng := mrand.New(mrand.NewPCG(1, 2))
-	config := func(n uint64) *configversion.Config {
-		c := &configversion.Config{}
-		list, _ := proto.Marshal(&pb.Version{Number: n})
-		part, err := Decode(configversion.TypeVersion, [][]byte{list})
-		if err != nil {
-			t.Fatal(err)
-		}
-		c.Number = part.Manifest.Number
-		part.MergeInto(c)
-		return c
-	}
-	last := configversion.Number(0)
-	for round := range 200 {
-		s, aside, err := OpenStore(path)
-		if err != nil || aside != "" {
-			t.Fatal(err, aside)
-		}
-		c, _, err := s.Load()
-		if err != nil || c != nil && c.Number != last || c == nil && last != 0 {
-			t.Fatalf("round %d: %+v, %v; last was %d", round, c, err, last)
-		}
-		before, _ := os.ReadFile(path)
-		n := uint64(round + 1)
-		if err := s.SaveVersion(config(n), []configversion.Number{3}); err != nil {
-			t.Fatal(err)
-		}
-		s.Close()
-		after, _ := os.ReadFile(path)
-		// A kill: some pages of the transaction have come to the disk, the meta page,
-		// which is written last, has not.
-		torn := append([]byte(nil), after...)
-		page := os.Getpagesize()
-		whole := rng.IntN(3) == 0
-		if !whole {
-			for _, m := range []int{0, 1} { // the newer meta page goes back
-				if m*page+page <= len(before) {
-					copy(torn[m*page:(m+1)*page], before[m*page:(m+1)*page])
-				}
-			}
-			for p := 2; p*page+page <= min(len(before), len(torn)); p++ {
-				if rng.IntN(2) == 0 {
-					copy(torn[p*page:(p+1)*page], before[p*page:(p+1)*page])
-				}
-			}
-			if len(before) == 0 {
-				whole = true
-				torn = after
-			}
-		}
-		if err := os.WriteFile(path, torn, 0o600); err != nil {
-			t.Fatal(err)
-		}
-		if whole {
-			last = configversion.Number(n)
-		}
-	}
-}
-
-// A damaged store is set aside and told, and the files serve.
-func TestDamagedStoreIsSetAside(t *testing.T) {
-	path := filepath.Join(t.TempDir(), "store")
-	for _, text := range []string{"not a store", strings.Repeat("\xff", 64<<10)} {
-		if err := os.WriteFile(path, []byte(text), 0o600); err != nil {
-			t.Fatal(err)
-		}
-		s, aside, err := OpenStore(path)
-		if err != nil || aside == "" {
-			t.Fatal(err, aside)
-		}
-		if kept, _ := os.ReadFile(aside); string(kept) != text {
-			t.Error("it was not kept")
-		}
-		if c, _, err := s.Load(); c != nil || err != nil {
-			t.Error(c, err)
-		}
-		if info, _ := os.Stat(path); info.Mode().Perm() != 0o600 {
-			t.Error(info.Mode())
-		}
-		s.Close()
-	}
-}
-
-func TestHistoryIsBounded(t *testing.T) {
-	s, _, err := OpenStore(filepath.Join(t.TempDir(), "store"))
-	if err != nil {
-		t.Fatal(err)
-	}
-	defer s.Close()
-	s.db.NoSync = true
-	for i := range maxHistoryEntries + 50 {
-		if err := s.AppendHistory(HistoryEntry{Version: configversion.Number(i)}); err != nil {
-			t.Fatal(err)
-		}
-	}
-	h, err := s.History()
-	if err != nil || len(h) != maxHistoryEntries || h[len(h)-1].Version != maxHistoryEntries+49 {
-		t.Errorf("%d lines, %v", len(h), err)
-	}
-}
-
-// authority makes certificates.
-type authority struct {
-	t    *testing.T
-	key  *ecdsa.PrivateKey
-	cert *x509.Certificate
-}
-
-func newAuthority(t *testing.T) *authority {
-	key, err := ecdsa.GenerateKey(elliptic.P256(), rand.Reader)
-	if err != nil {
-		t.Fatal(err)
-	}
-	c := &x509.Certificate{SerialNumber: big.NewInt(1), Subject: pkix.Name{CommonName: "test"}, NotBefore: time.Now().Add(-time.Hour),
-		NotAfter: time.Now().Add(time.Hour), IsCA: true, BasicConstraintsValid: true, KeyUsage: x509.KeyUsageCertSign}
-	raw, err := x509.CreateCertificate(rand.Reader, c, c, key.Public(), key)
-	if err != nil {
-		t.Fatal(err)
-	}
-	c, _ = x509.ParseCertificate(raw)
-	return &authority{t, key, c}
-}
-
-// issue writes a certificate, its key and the authority's into a folder.
-func (a *authority) issue(dir string, notAfter time.Time) TLSFiles {
-	a.t.Helper()
-	key, err := ecdsa.GenerateKey(elliptic.P256(), rand.Reader)
-	if err != nil {
-		a.t.Fatal(err)
-	}
-	c := &x509.Certificate{SerialNumber: big.NewInt(time.Now().UnixNano()), NotBefore: time.Now().Add(-2 * time.Hour), NotAfter: notAfter,
-		IPAddresses: []net.IP{net.IPv4(127, 0, 0, 1)}, ExtKeyUsage: []x509.ExtKeyUsage{x509.ExtKeyUsageServerAuth, x509.ExtKeyUsageClientAuth}}
-	raw, err := x509.CreateCertificate(rand.Reader, c, a.cert, key.Public(), a.key)
-	if err != nil {
-		a.t.Fatal(err)
-	}
-	pkcs8, err := x509.MarshalPKCS8PrivateKey(key)
-	if err != nil {
-		a.t.Fatal(err)
-	}
-	f := TLSFiles{Cert: filepath.Join(dir, "cert.pem"), Key: filepath.Join(dir, "key.pem"), CA: filepath.Join(dir, "ca.pem"), RefreshInterval: 20 * time.Millisecond}
-	for path, b := range map[string]*pem.Block{f.Cert: {Type: "CERTIFICATE", Bytes: raw}, f.Key: {Type: "PRIVATE KEY", Bytes: pkcs8}, f.CA: {Type: "CERTIFICATE", Bytes: a.cert.Raw}} {
-		if err := os.WriteFile(path, pem.EncodeToMemory(b), 0o600); err != nil {
-			a.t.Fatal(err)
-		}
-	}
-	return f
-}
-
-// Both sides show certificates; wrong and expired ones are refused in words, and
-// files that are replaced are read again.
-func TestMutualTLS(t *testing.T) {
-	a, other := newAuthority(t), newAuthority(t)
-	hour := time.Now().Add(time.Hour)
-	creds, closeFiles, err := ServerTLS(a.issue(t.TempDir(), hour))
-	if err != nil {
-		t.Fatal(err)
-	}
-	defer closeFiles()
-	s, err := controlservice.Start("127.0.0.1:0", creds)
-	if err != nil {
-		t.Fatal(err)
-	}
-	defer s.Stop()
-	s.Publish(version(1))
-	var mu sync.Mutex
-	said := ""
-	connect := func(f TLSFiles) *gateway {
-		creds, closeFiles, err := ClientTLS(f)
-		if err != nil {
-			t.Fatal(err)
-		}
-		t.Cleanup(closeFiles)
-		mu.Lock()
-		said = ""
-		mu.Unlock()
-		return startClient(t, "n0", s.Addr(), "", func(o *Options) {
-			o.TLS = creds
-			o.Log = func(msg string, args ...any) {
-				mu.Lock()
-				said += fmt.Sprintln(append([]any{msg}, args...)...)
-				mu.Unlock()
-			}
-		})
-	}
-	heard := func(what string) func() bool {
-		return func() bool {
-			mu.Lock()
-			defer mu.Unlock()
-			return strings.Contains(said, what)
-		}
-	}
-	g := connect(a.issue(t.TempDir(), hour))
-	waitFor(t, "version 1", func() bool { return g.version() == 1 })
-	g.stop()
-	// The gateway's is of another authority: the service refuses it.
-	dir := t.TempDir()
-	foreign := other.issue(dir, hour)
-	if err := os.WriteFile(foreign.CA, pem.EncodeToMemory(&pem.Block{Type: "CERTIFICATE", Bytes: a.cert.Raw}), 0o600); err != nil {
-		t.Fatal(err)
-	}
-	g = connect(foreign)
-	waitFor(t, "a refusal", heard("config_lost"))
-	if g.version() != 0 {
-		t.Error("a foreign gateway was served")
-	}
-	// Its files are replaced: it is let in, with no restart.
-	a.issue(dir, hour)
-	waitFor(t, "version 1", func() bool { return g.version() == 1 })
-	g.stop()
-	// The service's is of an authority that the gateway does not know.
-	g = connect(other.issue(t.TempDir(), hour))
-	waitFor(t, "the reason", heard("the other side's certificate is not accepted"))
-	g.stop()
-	// The service's has expired.
-	expired, closeExpired, err := ServerTLS(a.issue(t.TempDir(), time.Now().Add(-time.Hour)))
-	if err != nil {
-		t.Fatal(err)
-	}
-	defer closeExpired()
-	old, err := controlservice.Start("127.0.0.1:0", expired)
-	if err != nil {
-		t.Fatal(err)
-	}
-	defer old.Stop()
-	s = old
-	g = connect(a.issue(t.TempDir(), hour))
-	waitFor(t, "the reason", heard("is of another time: valid from"))
-	if g.version() != 0 {
-		t.Error("an expired service was followed")
+		t.Error("a version that was rolled back was applied again", err)
 	}
 }
--- a/internal/xdsclient/decode.go
+++ b/internal/xdsclient/decode.go
@@ -1,10 +1,7 @@
-// Package confstream is the gateway's side of a streamed configuration: the
-// aggregated discovery service of xDS v3 over gRPC, both in its state-of-the-world
-// and its incremental form, and the store of the last good version. What becomes
-// of a version is decided by package revision.
 package xdsclient
 
 import (
+	"errors"
 	"fmt"
 	"math"
 	"strings"
@@ -17,13 +14,19 @@
 	"archknot/internal/contract"
 )
 
-// TypeURLPrefix begins the type URLs of our resources.
+// TypeURLPrefix begins the type URLs of the gateway's resources.
 const TypeURLPrefix = "type.googleapis.com/archknot.config.v1."
 
-// TypeURL is the type URL of a type.
+// maxEnum bounds the numbers of enumerations: configversion has them as bytes.
+const maxEnum = math.MaxUint8
+
+var errNoNumber = errors.New("it has no number")
+
+// TypeURL returns the type URL of a resource type.
 func TypeURL(t configversion.ResourceType) string { return TypeURLPrefix + string(t) }
 
-// ResourceTypeOf is the type of a URL, if it is one of ours.
+// ResourceTypeOf returns the resource type of a type URL; false if it isn't one of the
+// gateway's.
 func ResourceTypeOf(url string) (configversion.ResourceType, bool) {
 	name, ok := strings.CutPrefix(url, TypeURLPrefix)
 	if !ok {
@@ -37,50 +40,51 @@
 	return "", false
 }
 
-// clampInt reads a number that must fit an int.
+// clampInt converts a number to an int that fits 32 bits.
 func clampInt(v uint32) int { return int(min(v, math.MaxInt32)) }
 
-// Decode reads the resources of one type.
+// clampEnum converts an enumeration's number; one that is too high becomes an unknown one.
+func clampEnum[E ~int32](v E) uint8 { return uint8(min(uint32(v), maxEnum)) }
+
+// Decode decodes the resources of one type.
 func Decode(t configversion.ResourceType, resources [][]byte) (*configversion.Fragment, error) {
 	if t == configversion.TypeVersion {
 		return decodeManifest(resources)
 	}
-	fills := make([]func(*configversion.Config), 0, len(resources))
+	decodeOne := decoders[t]
+	merges := make([]mergeFunc, 0, len(resources))
 	for i, raw := range resources {
-		fill, err := decodeResource(t, raw)
+		if decodeOne == nil {
+			return nil, fmt.Errorf("resource %d: no type %q", i, t)
+		}
+		merge, err := decodeOne(raw)
 		if err != nil {
 			return nil, fmt.Errorf("resource %d: %w", i, err)
 		}
-		fills = append(fills, fill)
+		merges = append(merges, merge)
 	}
-	switch t {
-	case configversion.TypeClass, configversion.TypeTenant, configversion.TypeReplica, configversion.TypeContract:
-	default:
-		if len(resources) != 1 {
-			return nil, fmt.Errorf("expected one resource, got %d", len(resources))
-		}
+	if markList := listTypes[t]; markList == nil && len(resources) != 1 {
+		return nil, fmt.Errorf("expected one resource, got %d", len(resources))
 	}
 	return &configversion.Fragment{MergeInto: func(c *configversion.Config) {
-		switch t { // also where the list is empty
-		case configversion.TypeClass:
-			c.HasClasses = true
-		case configversion.TypeTenant:
-			c.HasTenants = true
-		case configversion.TypeReplica:
-			c.HasReplicaMarks = true
-		case configversion.TypeContract:
-			c.HasContracts = true
-		}
-		for _, fill := range fills {
-			fill(c)
+		if markList := listTypes[t]; markList != nil {
+			markList(c)
 		}
-		if c.Resources == nil {
-			c.Resources = map[configversion.ResourceType][][]byte{}
+		for _, merge := range merges {
+			merge(c)
 		}
-		c.Resources[t] = resources
+		addResources(c, t, resources)
 	}}, nil
 }
 
+// addResources stores a type's messages in a version.
+func addResources(c *configversion.Config, t configversion.ResourceType, resources [][]byte) {
+	if c.Resources == nil {
+		c.Resources = map[configversion.ResourceType][][]byte{}
+	}
+	c.Resources[t] = resources
+}
+
 func decodeManifest(resources [][]byte) (*configversion.Fragment, error) {
 	if len(resources) != 1 {
 		return nil, fmt.Errorf("expected one resource, got %d", len(resources))
@@ -89,143 +93,151 @@
 	if err := proto.Unmarshal(resources[0], &v); err != nil {
 		return nil, err
 	}
-	m := &configversion.Manifest{Number: configversion.Number(v.Number), Types: map[configversion.ResourceType]string{},
+	manifest := &configversion.Manifest{Number: configversion.Number(v.Number), Types: map[configversion.ResourceType]string{},
 		Rollout: configversion.Rollout{FirstPercent: clampInt(v.FirstPercent), Hold: v.HoldUs, MaxRegression: v.WorseBy}}
 	for name, version := range v.Types {
 		t, ok := ResourceTypeOf(TypeURLPrefix + name)
 		if !ok || t == configversion.TypeVersion {
 			return nil, fmt.Errorf("types: %q is no type of resources", name)
 		}
-		m.Types[t] = version
+		manifest.Types[t] = version
 	}
-	return &configversion.Fragment{Manifest: m, MergeInto: func(c *configversion.Config) {
-		if c.Resources == nil {
-			c.Resources = map[configversion.ResourceType][][]byte{}
-		}
-		c.Resources[configversion.TypeVersion] = resources
+	return &configversion.Fragment{Manifest: manifest, MergeInto: func(c *configversion.Config) {
+		addResources(c, configversion.TypeVersion, resources)
 	}}, nil
 }
 
-// decodeResource reads one resource of a type other than Version.
-func decodeResource(t configversion.ResourceType, raw []byte) (func(*configversion.Config), error) {
-	read := func(m proto.Message) error { return proto.Unmarshal(raw, m) }
-	switch t {
-	case configversion.TypeClass:
-		var m pb.Class
-		if err := read(&m); err != nil {
-			return nil, err
-		}
-		k := balancer.Class{Name: m.Name, LatencyObjective: m.AimUs, ObjectivePer1000Tokens: m.AimPer_1000Us, TokenObjective: m.TokenAimUs, Deadline: m.DeadlineUs, PriorityWeight: m.Worth,
-			LateWeightShare: m.LateWorth, Idempotency: balancer.Idempotency(min(uint32(m.Effect), 255)), DedupScope: balancer.DedupScope(min(uint32(m.Scope), 255)), DedupWindow: m.RepeatsKeptUs, Streaming: m.Stream}
-		return func(c *configversion.Config) { c.Classes = append(c.Classes, k) }, nil
-	case configversion.TypeTenant:
-		var m pb.Tenant
-		if err := read(&m); err != nil {
-			return nil, err
-		}
-		return func(c *configversion.Config) {
-			c.Tenants = append(c.Tenants, configversion.Tenant{Name: m.Name, QuotaPerS: m.QuotaPerS, Share: m.Share})
-		}, nil
-	case configversion.TypeReplica:
-		var m pb.Worker
-		if err := read(&m); err != nil {
-			return nil, err
-		}
-		return func(c *configversion.Config) {
-			c.ReplicaMarks = append(c.ReplicaMarks, configversion.ReplicaMark{Name: m.Name, Kind: configversion.MarkKind(min(uint32(m.Mark), 255))})
-		}, nil
-	case configversion.TypeAttempts:
-		var m pb.Attempts
-		if err := read(&m); err != nil {
-			return nil, err
-		}
-		return func(c *configversion.Config) {
-			c.Attempts = &configversion.Attempts{Max: clampInt(m.Most), MayHedge: m.SecondCopies, HedgeRatio: m.HedgeShare, RetryRatio: m.RetryShare}
-		}, nil
-	case configversion.TypeAdmission:
-		var m pb.Admission
-		if err := read(&m); err != nil {
-			return nil, err
-		}
-		return func(c *configversion.Config) {
-			c.Admission = &configversion.Admission{MaxInFlight: clampInt(m.MostHeld), OverQuotaWeight: m.OverShareWorth, MaxRetryAfter: m.MaxRetryAfterUs}
-		}, nil
-	case configversion.TypeConnections:
-		var m pb.Connections
-		if err := read(&m); err != nil {
-			return nil, err
-		}
-		return func(c *configversion.Config) {
-			c.Connections = &configversion.Connections{Clients: clampInt(m.Clients), Replicas: clampInt(m.Workers), IdleTimeout: m.IdleUs, ConnectTimeout: m.ConnectTimeoutUs}
-		}, nil
-	case configversion.TypeWatch:
-		var m pb.Watch
-		if err := read(&m); err != nil {
-			return nil, err
-		}
-		return func(c *configversion.Config) {
-			c.Watch = &configversion.Watch{Wait: m.WaitUs, CallTimeout: m.CallTimeoutUs}
-		}, nil
-	case configversion.TypeCapture:
-		var m pb.Capture
-		if err := read(&m); err != nil {
-			return nil, err
-		}
-		return func(c *configversion.Config) {
-			c.Capture = &configversion.Capture{Record: m.Record, CheckpointInterval: m.CheckpointUs, MaxBytes: m.KeepBytes, MaxAge: m.KeepAgeUs}
-		}, nil
-	case configversion.TypeContract:
-		var m pb.Contract
-		if err := read(&m); err != nil {
-			return nil, err
-		}
-		t := contract.TermsFromProto(m.Terms)
-		t.Team = m.Name
-		return func(c *configversion.Config) { c.Contracts = append(c.Contracts, t) }, nil
-	case configversion.TypeLog:
-		var m pb.Log
-		if err := read(&m); err != nil {
+// mergeFunc merges a decoded resource into a version.
+type mergeFunc func(*configversion.Config)
+
+// listTypes are the types that a version may have any number of resources of. The
+// functions note that the version has the list, even an empty one.
+var listTypes = map[configversion.ResourceType]mergeFunc{
+	configversion.TypeClass:    func(c *configversion.Config) { c.HasClasses = true },
+	configversion.TypeTenant:   func(c *configversion.Config) { c.HasTenants = true },
+	configversion.TypeReplica:  func(c *configversion.Config) { c.HasReplicaMarks = true },
+	configversion.TypeContract: func(c *configversion.Config) { c.HasContracts = true },
+}
+
+// decoders decode one resource of each type but TypeVersion.
+var decoders = map[configversion.ResourceType]func(raw []byte) (mergeFunc, error){
+	configversion.TypeClass:       decoder(mergeClass),
+	configversion.TypeTenant:      decoder(mergeTenant),
+	configversion.TypeReplica:     decoder(mergeReplicaMark),
+	configversion.TypeAttempts:    decoder(mergeAttempts),
+	configversion.TypeAdmission:   decoder(mergeAdmission),
+	configversion.TypeConnections: decoder(mergeConnections),
+	configversion.TypeWatch:       decoder(mergeWatch),
+	configversion.TypeCapture:     decoder(mergeCapture),
+	configversion.TypeContract:    decoder(mergeContract),
+	configversion.TypeLog:         decoder(mergeLog),
+}
+
+// messageOf is a pointer to M that is a protocol buffer message.
+type messageOf[M any] interface {
+	*M
+	proto.Message
+}
+
+// decoder returns a function that decodes a message of one type, to be merged by merge.
+func decoder[M any, P messageOf[M]](merge func(*configversion.Config, P)) func(raw []byte) (mergeFunc, error) {
+	return func(raw []byte) (mergeFunc, error) {
+		m := P(new(M))
+		if err := proto.Unmarshal(raw, m); err != nil {
 			return nil, err
 		}
-		return func(c *configversion.Config) { c.Log = &configversion.Log{Level: m.Level} }, nil
+		return func(c *configversion.Config) { merge(c, m) }, nil
 	}
-	return nil, fmt.Errorf("no type %q", t)
 }
 
-// MarshalConfig is a version in the store's form.
+func mergeClass(c *configversion.Config, m *pb.Class) {
+	c.Classes = append(c.Classes, balancer.Class{
+		Name:                   m.Name,
+		LatencyObjective:       m.AimUs,
+		ObjectivePer1000Tokens: m.AimPer_1000Us,
+		TokenObjective:         m.TokenAimUs,
+		Deadline:               m.DeadlineUs,
+		PriorityWeight:         m.Worth,
+		LateWeightShare:        m.LateWorth,
+		Idempotency:            balancer.Idempotency(clampEnum(m.Effect)),
+		DedupScope:             balancer.DedupScope(clampEnum(m.Scope)),
+		DedupWindow:            m.RepeatsKeptUs,
+		Streaming:              m.Stream,
+	})
+}
+
+func mergeTenant(c *configversion.Config, m *pb.Tenant) {
+	c.Tenants = append(c.Tenants, configversion.Tenant{Name: m.Name, QuotaPerS: m.QuotaPerS, Share: m.Share})
+}
+
+func mergeReplicaMark(c *configversion.Config, m *pb.Worker) {
+	c.ReplicaMarks = append(c.ReplicaMarks, configversion.ReplicaMark{Name: m.Name, Kind: configversion.MarkKind(clampEnum(m.Mark))})
+}
+
+func mergeAttempts(c *configversion.Config, m *pb.Attempts) {
+	c.Attempts = &configversion.Attempts{Max: clampInt(m.Most), MayHedge: m.SecondCopies, HedgeRatio: m.HedgeShare, RetryRatio: m.RetryShare}
+}
+
+func mergeAdmission(c *configversion.Config, m *pb.Admission) {
+	c.Admission = &configversion.Admission{MaxInFlight: clampInt(m.MostHeld), OverQuotaWeight: m.OverShareWorth, MaxRetryAfter: m.MaxRetryAfterUs}
+}
+
+func mergeConnections(c *configversion.Config, m *pb.Connections) {
+	c.Connections = &configversion.Connections{Clients: clampInt(m.Clients), Replicas: clampInt(m.Workers), IdleTimeout: m.IdleUs, ConnectTimeout: m.ConnectTimeoutUs}
+}
+
+func mergeWatch(c *configversion.Config, m *pb.Watch) {
+	c.Watch = &configversion.Watch{Wait: m.WaitUs, CallTimeout: m.CallTimeoutUs}
+}
+
+func mergeCapture(c *configversion.Config, m *pb.Capture) {
+	c.Capture = &configversion.Capture{Record: m.Record, CheckpointInterval: m.CheckpointUs, MaxBytes: m.KeepBytes, MaxAge: m.KeepAgeUs}
+}
+
+func mergeContract(c *configversion.Config, m *pb.Contract) {
+	terms := contract.TermsFromProto(m.Terms)
+	terms.Team = m.Name
+	c.Contracts = append(c.Contracts, terms)
+}
+
+func mergeLog(c *configversion.Config, m *pb.Log) {
+	c.Log = &configversion.Log{Level: m.Level}
+}
+
+// MarshalConfig returns a version in the store's form.
 func MarshalConfig(c *configversion.Config) ([]byte, error) {
-	var s pb.Stored
+	var stored pb.Stored
 	for _, t := range configversion.ResourceTypes {
 		if raw, ok := c.Resources[t]; ok {
-			s.Parts = append(s.Parts, &pb.Stored_Part{Type: string(t), Resources: raw})
+			stored.Parts = append(stored.Parts, &pb.Stored_Part{Type: string(t), Resources: raw})
 		}
 	}
-	return proto.Marshal(&s)
+	return proto.Marshal(&stored)
 }
 
-// UnmarshalConfig reads a version as Pack wrote it.
+// UnmarshalConfig reads a version that MarshalConfig wrote.
 func UnmarshalConfig(text []byte) (*configversion.Config, error) {
-	var s pb.Stored
-	if err := proto.Unmarshal(text, &s); err != nil {
+	var stored pb.Stored
+	if err := proto.Unmarshal(text, &stored); err != nil {
 		return nil, err
 	}
 	c := &configversion.Config{}
-	for _, p := range s.Parts {
+	for _, p := range stored.Parts {
 		t, ok := ResourceTypeOf(TypeURLPrefix + p.Type)
 		if !ok {
 			return nil, fmt.Errorf("no type %q", p.Type)
 		}
-		part, err := Decode(t, p.Resources)
+		fragment, err := Decode(t, p.Resources)
 		if err != nil {
 			return nil, fmt.Errorf("%s: %w", t, err)
 		}
-		if m := part.Manifest; m != nil {
+		if m := fragment.Manifest; m != nil {
 			c.Number, c.Rollout = m.Number, m.Rollout
 		}
-		part.MergeInto(c)
+		fragment.MergeInto(c)
 	}
 	if c.Number == 0 {
-		return nil, fmt.Errorf("it has no number")
+		return nil, errNoNumber
 	}
 	return c, nil
 }
--- a/internal/xdsclient/store.go
+++ b/internal/xdsclient/store.go
@@ -3,6 +3,7 @@
 import (
 	"encoding/binary"
 	"encoding/json"
+	"fmt"
 	"time"
 
 	"go.etcd.io/bbolt"
@@ -11,11 +12,12 @@
 	"archknot/internal/configversion"
 )
 
-// Store keeps the last good version, those that must not be taken again, and a
-// history, over restarts. Each change is one transaction: a kill at any point
-// leaves the state of before or the state after.
+// Store saves the last good version, the versions that must not be applied again, and a
+// history, over restarts. Each change is one transaction: a kill at any point leaves the
+// state before or the state after it.
 type Store struct{ db *bbolt.DB }
 
+// Buckets and keys in the file.
 var (
 	stateBucket   = []byte("state")
 	historyBucket = []byte("history")
@@ -23,19 +25,19 @@
 	rejectedKey   = []byte("never")
 )
 
-// maxHistoryEntries bounds the lines of the history.
+// maxHistoryEntries bounds the history.
 const maxHistoryEntries = 1000
 
-// HistoryEntry is one line of the history.
+// HistoryEntry is one entry of the history.
 type HistoryEntry struct {
 	At      time.Time            `json:"at"`
 	Version configversion.Number `json:"version"`
-	Event   string               `json:"what"`
+	Event   string               `json:"what"` // one of configversion's Event constants
 	Reason  string               `json:"reason,omitempty"`
 }
 
-// OpenStore opens the store at a path, mode 0600. One that is damaged is set
-// aside, and aside is its new name: a new one takes its place.
+// OpenStore opens the store at a path, with mode 0600. A damaged store is set aside: aside
+// is its new name, and an empty one takes its place.
 func OpenStore(path string) (s *Store, aside string, err error) {
 	db, aside, err := boltfile.Open(path, [][]byte{stateBucket, historyBucket}, func(db *bbolt.DB) error {
 		_, _, err := (&Store{db}).Load()
@@ -50,14 +52,14 @@
 // Close closes the store.
 func (s *Store) Close() error { return s.db.Close() }
 
-// Load is the last good version, nil if there is none, and those that must not be
-// taken again.
-func (s *Store) Load() (c *configversion.Config, never []configversion.Number, err error) {
+// Load returns the last good version, nil if there is none, and the versions that must not
+// be applied again.
+func (s *Store) Load() (c *configversion.Config, rejected []configversion.Number, err error) {
 	err = s.db.View(func(tx *bbolt.Tx) error {
 		b := tx.Bucket(stateBucket)
 		if text := b.Get(rejectedKey); text != nil {
-			if err := json.Unmarshal(text, &never); err != nil {
-				return err
+			if err := json.Unmarshal(text, &rejected); err != nil {
+				return fmt.Errorf("%s/%s: %w", stateBucket, rejectedKey, err)
 			}
 		}
 		text := b.Get(inForceKey)
@@ -65,15 +67,17 @@
 			return nil
 		}
 		var err error
-		c, err = UnmarshalConfig(append([]byte(nil), text...))
-		return err
+		if c, err = UnmarshalConfig(append([]byte(nil), text...)); err != nil {
+			return fmt.Errorf("%s/%s: %w", stateBucket, inForceKey, err)
+		}
+		return nil
 	})
-	return c, never, err
+	return c, rejected, err
 }
 
-// SaveVersion puts a version in the place of the last good one; nil is the files.
-func (s *Store) SaveVersion(c *configversion.Config, never []configversion.Number) error {
-	list, err := json.Marshal(never)
+// SaveVersion makes a version the last good one; nil is the configuration files.
+func (s *Store) SaveVersion(c *configversion.Config, rejected []configversion.Number) error {
+	list, err := json.Marshal(rejected)
 	if err != nil {
 		return err
 	}
@@ -95,9 +99,9 @@
 	})
 }
 
-// AppendHistory adds a line to the history and drops the oldest past the bound.
-func (s *Store) AppendHistory(l HistoryEntry) error {
-	text, err := json.Marshal(l)
+// AppendHistory appends an entry to the history, and drops the oldest past the bound.
+func (s *Store) AppendHistory(e HistoryEntry) error {
+	text, err := json.Marshal(e)
 	if err != nil {
 		return err
 	}
@@ -120,17 +124,17 @@
 	})
 }
 
-// History lists the lines, the oldest first.
-func (s *Store) History() (out []HistoryEntry, err error) {
+// History returns the entries, the oldest first.
+func (s *Store) History() (entries []HistoryEntry, err error) {
 	err = s.db.View(func(tx *bbolt.Tx) error {
 		return tx.Bucket(historyBucket).ForEach(func(_, text []byte) error {
-			var l HistoryEntry
-			if err := json.Unmarshal(text, &l); err != nil {
+			var e HistoryEntry
+			if err := json.Unmarshal(text, &e); err != nil {
 				return err
 			}
-			out = append(out, l)
+			entries = append(entries, e)
 			return nil
 		})
 	})
-	return out, err
+	return entries, err
 }
--- a/internal/xdsclient/store_kill_test.go
+++ b/internal/xdsclient/store_kill_test.go
@@ -17,7 +17,7 @@
 	pb "archknot/internal/configversion/configpb"
 )
 
-// storeWriterEnv is the environment variable that makes the test's program one that keeps
+// storeWriterEnv is the environment variable that makes the test program one that saves
 // versions in a store until it is killed.
 const storeWriterEnv = "ARCHKNOT_TEST_KEEPER"
 
@@ -62,8 +62,8 @@
 	}
 }
 
-// A process that is killed in the midst of keeping versions leaves a store that
-// opens, with the version that it said it had kept, or the one it was keeping.
+// A process that is killed while it saves versions leaves a store that opens, with the
+// version that it reported last, or the one that it was saving.
 func TestStoreSurvivesSIGKILL(t *testing.T) {
 	path := filepath.Join(t.TempDir(), "store")
 	rng := rand.New(rand.NewPCG(7, 7))
@@ -79,13 +79,13 @@
 			t.Fatal(err)
 		}
 		in := bufio.NewScanner(out)
-		said := last
+		reported := last
 		for i, stop := 0, 1+rng.IntN(4); i < stop && in.Scan(); i++ {
 			n, err := strconv.ParseUint(in.Text(), 10, 64)
 			if err != nil {
 				t.Fatalf("round %d: %s", round, in.Text())
 			}
-			said = n
+			reported = n
 		}
 		time.Sleep(time.Duration(rng.IntN(2000)) * time.Microsecond) // somewhere in the next ones
 		if err := cmd.Process.Kill(); err != nil {
@@ -93,7 +93,7 @@
 		}
 		for in.Scan() {
 			if n, err := strconv.ParseUint(in.Text(), 10, 64); err == nil {
-				said = n
+				reported = n
 			}
 		}
 		_ = cmd.Wait()
@@ -102,8 +102,8 @@
 			t.Fatalf("round %d: %v, set aside as %q", round, err, aside)
 		}
 		c, never, err := s.Load()
-		if err != nil || c == nil || uint64(c.Number) < said || uint64(c.Number) > said+1 || len(never) != 1 {
-			t.Fatalf("round %d: %+v, %v; it said %d", round, c, err, said)
+		if err != nil || c == nil || uint64(c.Number) < reported || uint64(c.Number) > reported+1 || len(never) != 1 {
+			t.Fatalf("round %d: %+v, %v; it reported %d", round, c, err, reported)
 		}
 		if h, err := s.History(); err != nil || len(h) == 0 || uint64(h[len(h)-1].Version) > uint64(c.Number) {
 			t.Fatalf("round %d: history %v, %v", round, len(h), err)
@@ -112,6 +112,6 @@
 		s.Close()
 	}
 	if last < 200 {
-		t.Errorf("only %d versions were kept", last)
+		t.Errorf("only %d versions were saved", last)
 	}
 }
--- /dev/null
+++ b/internal/xdsclient/stream.go
@@ -0,0 +1,237 @@
+package xdsclient
+
+import (
+	"context"
+	"fmt"
+	"maps"
+	"slices"
+	"time"
+
+	corev3 "github.com/envoyproxy/go-control-plane/envoy/config/core/v3"
+	discovery "github.com/envoyproxy/go-control-plane/envoy/service/discovery/v3"
+	"google.golang.org/genproto/googleapis/rpc/status"
+	"google.golang.org/grpc"
+	"google.golang.org/grpc/codes"
+	"google.golang.org/grpc/credentials/insecure"
+	"google.golang.org/grpc/keepalive"
+
+	"archknot/balancer"
+	"archknot/internal/configversion"
+)
+
+// Bounds on the stream.
+const (
+	maxMessageSize   = 2 << 20
+	sendQueueSize    = 64
+	maxResources     = 10_100 // in one response
+	dialTimeout      = 10 * time.Second
+	grpcBufferSize   = 8 << 10
+	keepaliveTime    = 10 * time.Second
+	keepaliveTimeout = 5 * time.Second
+	maxNameInError   = 80 // bytes of a name that the service sent
+)
+
+// userAgent is the gateway's name for the service.
+const userAgent = "archknot"
+
+// stream is one attempt to follow the service.
+type stream struct {
+	cancel   context.CancelFunc
+	requests chan request
+}
+
+// request is a subscription, an acknowledgement or a rejection; see
+// configversion.Host.SendRequest.
+type request struct {
+	resourceType           configversion.ResourceType
+	version, nonce, reason string
+}
+
+// errorDetail is the reason of a rejection in the form of the protocol, nil for others.
+func (r *request) errorDetail() *status.Status {
+	if r.reason == "" {
+		return nil
+	}
+	return &status.Status{Code: int32(codes.InvalidArgument), Message: r.reason}
+}
+
+func (c *Client) node() *corev3.Node {
+	return &corev3.Node{Id: c.options.Machine.Gateway, UserAgentName: userAgent}
+}
+
+func (c *Client) stateOfTheWorldRequest(r request) *discovery.DiscoveryRequest {
+	return &discovery.DiscoveryRequest{Node: c.node(), TypeUrl: TypeURL(r.resourceType), VersionInfo: r.version, ResponseNonce: r.nonce, ErrorDetail: r.errorDetail()}
+}
+
+func (c *Client) deltaRequest(r request) *discovery.DeltaDiscoveryRequest {
+	m := &discovery.DeltaDiscoveryRequest{Node: c.node(), TypeUrl: TypeURL(r.resourceType), ResponseNonce: r.nonce, ErrorDetail: r.errorDetail()}
+	if r.nonce == "" {
+		m.ResourceNamesSubscribe = []string{"*"}
+	}
+	return m
+}
+
+// follow opens the stream and passes on what is received, until it ends.
+func (c *Client) follow(ctx context.Context, s *stream) error {
+	creds := c.options.TLS
+	if creds == nil {
+		creds = insecure.NewCredentials()
+	}
+	conn, err := grpc.NewClient("passthrough:///"+c.options.Address, grpc.WithTransportCredentials(creds),
+		grpc.WithDefaultCallOptions(grpc.MaxCallRecvMsgSize(maxMessageSize)), grpc.WithDisableServiceConfig(),
+		grpc.WithReadBufferSize(grpcBufferSize), grpc.WithWriteBufferSize(grpcBufferSize),
+		// A host that vanished leaves its connection open and silent.
+		grpc.WithKeepaliveParams(keepalive.ClientParameters{Time: keepaliveTime, Timeout: keepaliveTimeout, PermitWithoutStream: true}))
+	if err != nil {
+		return err
+	}
+	defer conn.Close()
+	client := discovery.NewAggregatedDiscoveryServiceClient(conn)
+	opening, cancelOpening := context.WithCancel(ctx)
+	defer cancelOpening()
+	timeout := time.AfterFunc(dialTimeout, cancelOpening)
+	defer timeout.Stop()
+	if c.options.Delta {
+		st, err := client.DeltaAggregatedResources(opening, grpc.WaitForReady(false))
+		if err != nil {
+			return err
+		}
+		timeout.Stop()
+		return c.receiveDelta(ctx, s, st)
+	}
+	st, err := client.StreamAggregatedResources(opening, grpc.WaitForReady(false))
+	if err != nil {
+		return err
+	}
+	timeout.Stop()
+	return c.receiveStateOfTheWorld(ctx, s, st)
+}
+
+// startSending notifies the machine that the stream is open, and starts to send the
+// requests that it orders.
+func (c *Client) startSending(ctx context.Context, s *stream, send func(request) error) {
+	c.post(ctx, func(now balancer.Micros) {
+		if c.stream == s {
+			c.connected.Store(true)
+			c.machine.Connected(now)
+		}
+	})
+	go func() {
+		for {
+			select {
+			case r := <-s.requests:
+				if send(r) != nil { // the receiving side has the error as well
+					s.cancel()
+					return
+				}
+			case <-ctx.Done():
+				return
+			}
+		}
+	}()
+}
+
+// deliver passes a response on to the machine, unless another stream has taken its place.
+func (c *Client) deliver(ctx context.Context, s *stream, r configversion.Response) {
+	c.post(ctx, func(now balancer.Micros) {
+		if c.stream == s {
+			c.machine.Received(now, r)
+		}
+	})
+}
+
+// receiveStateOfTheWorld receives responses that each have all resources of a type.
+func (c *Client) receiveStateOfTheWorld(ctx context.Context, s *stream, st discovery.AggregatedDiscoveryService_StreamAggregatedResourcesClient) error {
+	c.startSending(ctx, s, func(r request) error { return st.Send(c.stateOfTheWorldRequest(r)) })
+	for {
+		m, err := st.Recv()
+		if err != nil {
+			return err
+		}
+		t, ok := ResourceTypeOf(m.TypeUrl)
+		if !ok {
+			return unexpectedTypeError(m.TypeUrl)
+		}
+		r := configversion.Response{Type: t, Version: m.VersionInfo, Nonce: m.Nonce}
+		raw := make([][]byte, 0, len(m.Resources))
+		for i, a := range m.Resources {
+			if a.GetTypeUrl() != m.TypeUrl {
+				r.DecodeError = fmt.Sprintf("resource %d: of type %q", i, truncate(a.GetTypeUrl()))
+			}
+			raw = append(raw, a.GetValue())
+		}
+		c.deliver(ctx, s, withFragment(r, raw))
+	}
+}
+
+// receiveDelta receives responses that each change the resources of a type. The machine
+// gets all resources of the type each time.
+func (c *Client) receiveDelta(ctx context.Context, s *stream, st discovery.AggregatedDiscoveryService_DeltaAggregatedResourcesClient) error {
+	c.startSending(ctx, s, func(r request) error { return st.Send(c.deltaRequest(r)) })
+	current := map[configversion.ResourceType]map[string][]byte{} // by name
+	for {
+		m, err := st.Recv()
+		if err != nil {
+			return err
+		}
+		t, ok := ResourceTypeOf(m.TypeUrl)
+		if !ok {
+			return unexpectedTypeError(m.TypeUrl)
+		}
+		r := configversion.Response{Type: t, Version: m.SystemVersionInfo, Nonce: m.Nonce}
+		next, decodeError := applyDelta(current[t], m)
+		r.DecodeError = decodeError
+		raw := make([][]byte, 0, len(next))
+		for _, name := range slices.Sorted(maps.Keys(next)) {
+			raw = append(raw, next[name])
+		}
+		r = withFragment(r, raw)
+		if r.DecodeError == "" { // what can't be decoded changes nothing
+			current[t] = next
+		}
+		c.deliver(ctx, s, r)
+	}
+}
+
+// applyDelta returns the resources of a type after a response, by name, and what is wrong
+// with the response, if anything is.
+func applyDelta(current map[string][]byte, m *discovery.DeltaDiscoveryResponse) (next map[string][]byte, decodeError string) {
+	next = maps.Clone(current)
+	if next == nil {
+		next = map[string][]byte{}
+	}
+	for _, name := range m.RemovedResources {
+		delete(next, name)
+	}
+	for _, r := range m.Resources {
+		if r.GetResource().GetTypeUrl() != m.TypeUrl {
+			decodeError = fmt.Sprintf("resource %q: of type %q", truncate(r.GetName()), truncate(r.GetResource().GetTypeUrl()))
+		}
+		next[r.GetName()] = r.GetResource().GetValue()
+	}
+	return next, decodeError
+}
+
+// withFragment adds the decoded resources to a response, or why they can't be decoded.
+func withFragment(r configversion.Response, raw [][]byte) configversion.Response {
+	if r.DecodeError == "" && len(raw) > maxResources {
+		r.DecodeError = fmt.Sprintf("%d resources, %d are the most", len(raw), maxResources)
+	}
+	if r.DecodeError != "" {
+		return r
+	}
+	fragment, err := Decode(r.Type, raw)
+	if err != nil {
+		r.DecodeError = err.Error()
+		return r
+	}
+	r.Fragment = fragment
+	return r
+}
+
+func unexpectedTypeError(typeURL string) error {
+	return fmt.Errorf("a response of type %q, which was not asked for", truncate(typeURL))
+}
+
+// truncate bounds a name that the service sent, for error texts.
+func truncate(s string) string { return s[:min(len(s), maxNameInError)] }
--- a/internal/xdsclient/tls.go
+++ b/internal/xdsclient/tls.go
@@ -13,25 +13,38 @@
 	"google.golang.org/grpc/credentials/tls/certprovider/pemfile"
 )
 
-// TLSFiles are the PEM files of one side. They are read again when they are
-// replaced; what stands goes on with what it had.
+// How TLSFiles are read.
+const (
+	defaultRefreshInterval = 5 * time.Second
+	firstReadTimeout       = 5 * time.Second
+	handshakeReadTimeout   = time.Second // for key material within a handshake
+)
+
+var (
+	errNoOwnCertificate  = errors.New("no certificate of our own")
+	errNoPeerCertificate = errors.New("the other side has no certificate")
+)
+
+// TLSFiles are the PEM files of one side. They are read again when they are replaced; open
+// connections keep what they were opened with.
 type TLSFiles struct {
 	Cert, Key       string
-	CA              string // who may be on the other side
-	ServerName      string // that the service's certificate must be for; "": the address's
-	RefreshInterval time.Duration
+	CA              string        // the authorities of the other side
+	ServerName      string        // the name in the service's certificate; "": the address's
+	RefreshInterval time.Duration // how often the files are looked at; 0: 5 s
 }
 
+// newProvider starts the reading of the files. An error says which files can't be read.
 func (f TLSFiles) newProvider() (certprovider.Provider, error) {
 	if f.RefreshInterval == 0 {
-		f.RefreshInterval = 5 * time.Second
+		f.RefreshInterval = defaultRefreshInterval
 	}
 	p, err := pemfile.NewProvider(pemfile.Options{CertFile: f.Cert, KeyFile: f.Key, RootFile: f.CA, RefreshDuration: f.RefreshInterval})
 	if err != nil {
 		return nil, err
 	}
-	ctx, stop := context.WithTimeout(context.Background(), 5*time.Second)
-	defer stop()
+	ctx, cancel := context.WithTimeout(context.Background(), firstReadTimeout)
+	defer cancel()
 	if _, err := p.KeyMaterial(ctx); err != nil {
 		p.Close()
 		return nil, fmt.Errorf("%s, %s, %s: cannot be read: %w", f.Cert, f.Key, f.CA, err)
@@ -39,21 +52,18 @@
 	return p, nil
 }
 
-// ClientTLS are the gateway's credentials. Close ends the reading of the files.
+// ClientTLS returns the gateway's credentials. closeFiles ends the reading of the files.
 func ClientTLS(f TLSFiles) (creds credentials.TransportCredentials, closeFiles func(), err error) {
 	p, err := f.newProvider()
 	if err != nil {
 		return nil, nil, err
 	}
 	cfg := &tls.Config{MinVersion: tls.VersionTLS12, ServerName: f.ServerName,
-		// The roots may be replaced, so each handshake is checked against those of now.
+		// The authorities may be replaced: VerifyConnection checks each handshake against
+		// the present ones.
 		InsecureSkipVerify: true,
 		GetClientCertificate: func(*tls.CertificateRequestInfo) (*tls.Certificate, error) {
-			k, err := keyMaterial(p)
-			if err != nil {
-				return nil, err
-			}
-			return &k.Certs[0], nil
+			return ownCertificate(p)
 		},
 		VerifyConnection: func(s tls.ConnectionState) error {
 			return verifyPeer(p, s.PeerCertificates, s.ServerName, x509.ExtKeyUsageServerAuth)
@@ -61,8 +71,8 @@
 	return credentials.NewTLS(cfg), p.Close, nil
 }
 
-// ServerTLS are a service's credentials, for stand-ins: it asks for a certificate
-// of the gateway.
+// ServerTLS returns a service's credentials, for fakes. The service requires a certificate
+// of the gateway. closeFiles ends the reading of the files.
 func ServerTLS(f TLSFiles) (creds credentials.TransportCredentials, closeFiles func(), err error) {
 	p, err := f.newProvider()
 	if err != nil {
@@ -70,11 +80,7 @@
 	}
 	cfg := &tls.Config{MinVersion: tls.VersionTLS12, ClientAuth: tls.RequireAnyClientCert,
 		GetCertificate: func(*tls.ClientHelloInfo) (*tls.Certificate, error) {
-			k, err := keyMaterial(p)
-			if err != nil {
-				return nil, err
-			}
-			return &k.Certs[0], nil
+			return ownCertificate(p)
 		},
 		VerifyConnection: func(s tls.ConnectionState) error {
 			return verifyPeer(p, s.PeerCertificates, "", x509.ExtKeyUsageClientAuth)
@@ -82,31 +88,42 @@
 	return credentials.NewTLS(cfg), p.Close, nil
 }
 
+// ownCertificate returns the present certificate of this side.
+func ownCertificate(p certprovider.Provider) (*tls.Certificate, error) {
+	k, err := keyMaterial(p)
+	if err != nil {
+		return nil, err
+	}
+	return &k.Certs[0], nil
+}
+
+// keyMaterial returns the present contents of the files, with one certificate at least.
 func keyMaterial(p certprovider.Provider) (*certprovider.KeyMaterial, error) {
-	ctx, stop := context.WithTimeout(context.Background(), time.Second)
-	defer stop()
+	ctx, cancel := context.WithTimeout(context.Background(), handshakeReadTimeout)
+	defer cancel()
 	k, err := p.KeyMaterial(ctx)
 	if err == nil && len(k.Certs) == 0 {
-		err = errors.New("no certificate of our own")
+		err = errNoOwnCertificate
 	}
 	return k, err
 }
 
+// verifyPeer verifies the other side's certificates against the present authorities.
 func verifyPeer(p certprovider.Provider, chain []*x509.Certificate, name string, use x509.ExtKeyUsage) error {
 	if len(chain) == 0 {
-		return errors.New("the other side has no certificate")
+		return errNoPeerCertificate
 	}
 	k, err := keyMaterial(p)
 	if err != nil {
 		return err
 	}
-	between := x509.NewCertPool()
+	intermediates := x509.NewCertPool()
 	for _, c := range chain[1:] {
-		between.AddCert(c)
+		intermediates.AddCert(c)
 	}
-	_, err = chain[0].Verify(x509.VerifyOptions{Roots: k.Roots, Intermediates: between, DNSName: name, KeyUsages: []x509.ExtKeyUsage{use}})
-	var expired x509.CertificateInvalidError
-	if errors.As(err, &expired) && expired.Reason == x509.Expired {
+	_, err = chain[0].Verify(x509.VerifyOptions{Roots: k.Roots, Intermediates: intermediates, DNSName: name, KeyUsages: []x509.ExtKeyUsage{use}})
+	var invalid x509.CertificateInvalidError
+	if errors.As(err, &invalid) && invalid.Reason == x509.Expired {
 		return fmt.Errorf("the other side's certificate is of another time: valid from %s to %s", chain[0].NotBefore.UTC().Format(time.RFC3339), chain[0].NotAfter.UTC().Format(time.RFC3339))
 	}
 	if err != nil {
