--- a/internal/capturetrigger/detector.go
+++ b/internal/capturetrigger/detector.go
@@ -1,6 +1,6 @@
-// Package incident decides when the last minutes of a capture are worth keeping.
-// It is told what the decision module is told and orders, and the time with it;
-// it reads no clock and writes nothing.
+// Package capturetrigger decides when the last minutes of a capture are worth saving as an
+// incident. A Detector receives what the balancer receives and orders, with the time of
+// each; it reads no clock and does no I/O.
 package capturetrigger
 
 import (
@@ -9,283 +9,304 @@
 	"archknot/balancer"
 )
 
-// Settings are the conditions. Times are microseconds.
+// Settings are the conditions of an incident. Times are microseconds.
 type Settings struct {
-	Window           balancer.Micros // the span that shares are taken over
-	MinRequests      int             // requests in it below which no share triggers
-	UnservedShare    float64         // share of late, refused, failed and left requests; 0: never
-	SlowFactor       float64         // first tokens take so many times the usual; 0: never
-	SlowReplicaShare float64         // share of slow workers among those heard of in the span
-	DeadlineMargin   balancer.Micros // a final answer so little before the deadline; 0: never
+	Window           balancer.Micros // the time that shares are computed over; 0: nothing triggers
+	MinRequests      int             // requests within the window below which no share triggers
+	UnservedShare    float64         // share of late, shed, failed and abandoned requests; 0: never
+	SlowFactor       float64         // first tokens take so many times the baseline; 0: never
+	SlowReplicaShare float64         // share of slow replicas among those with samples in the window
+	DeadlineMargin   balancer.Micros // a final answer so shortly before the deadline; 0: never
 }
 
-// Enabled tells whether anything can trigger.
+// Enabled reports whether anything can trigger.
 func (s Settings) Enabled() bool { return s.Window > 0 }
 
-// Reasons begin with one of these words.
+// The conditions. The reason of an incident begins with one of these words.
 const (
-	ReasonUnserved     = "unserved"      // too many requests late, refused, failed or left
-	ReasonSlow         = "slow"          // all workers at once
+	ReasonUnserved     = "unserved"      // too many requests late, shed, failed or abandoned
+	ReasonSlow         = "slow"          // nearly all replicas at once
 	ReasonNearDeadline = "near-deadline" // an answer just before, or past, its deadline
-	ReasonDraining     = "draining"      // an attempt ordered to a worker told as draining or gone
+	ReasonDraining     = "draining"      // an attempt was sent to a replica known as draining or gone
 	ReasonAttempts     = "attempts"      // more attempts than the settings allow
 )
 
 const (
-	bucketCount = 10 // buckets that the span is cut into
-	// baselineSamples is the number of first tokens that what is usual is taken over.
+	// bucketCount is how many buckets the window is divided into.
+	bucketCount = 10
+	// baselineSamples is how many first tokens a baseline follows.
 	baselineSamples = 200
-	// minFirstTokens is how many first tokens a worker must have had in the span to
-	// be heard of, and in all before anything is usual there.
+	// A replica counts with so many first tokens within the window, and so many in all, so
+	// that it has a baseline.
 	minFirstTokens, minBaselineTokens = 3, 20
-	minReplicas                       = 2
+	// minReplicas is how many replicas must count.
+	minReplicas = 2
+	// rememberedMargin is how many replicas may be remembered beyond twice the list.
+	rememberedMargin = 1024
 )
 
-// Detector looks for incidents in what one module is told.
+// Detector detects incidents in the events of one balancer. It isn't safe for concurrent
+// use. The methods that return a string return the reason of an incident, or "".
 type Detector struct {
 	settings    Settings
 	classes     map[string]balancer.Class
 	maxAttempts int
 
 	inFlight map[balancer.RequestID]*request
-	baseline map[string]float64 // first-token time by class, microseconds
+	baseline map[string]float64 // time to the first token by class, microseconds
 	replicas map[balancer.ReplicaID]*replica
 	outcomes [bucketCount]outcomeCounts
-	bucket   balancer.Micros // the bucket in use, in buckets since 0
-	active   string          // the condition that has triggered and still holds
+	bucket   balancer.Micros // the present bucket, counted from time 0
+	active   string          // the condition that triggered last and still holds
 }
 
+// request is a request in flight.
 type request struct {
 	objectiveAt, deadline balancer.Micros
 	class                 string
 	attempts              int
-	started               bool
+	started               bool // its first token has come
 }
 
+// outcomeCounts counts requests, and those of them late or not served.
 type outcomeCounts struct{ total, bad int }
 
+// ratioSum is a sum of times to the first token, each relative to its class's baseline.
+type ratioSum struct{ sum, n float64 }
+
 type replica struct {
 	state    balancer.EndpointState
-	baseline float64 // first-token time against the class's usual, slowly followed
-	samples  float64
-	ratios   [bucketCount]struct{ sum, n float64 }
+	baseline float64 // time to the first token relative to the class's baseline
+	samples  float64 // first tokens in all
+	ratios   [bucketCount]ratioSum
 }
 
-// New returns a watch for a module with these settings.
+// New returns a detector for a balancer with the given settings.
 func New(s Settings, m balancer.Settings) *Detector {
-	w := &Detector{settings: s, classes: map[string]balancer.Class{}, maxAttempts: m.MaxAttempts, inFlight: map[balancer.RequestID]*request{},
+	d := &Detector{settings: s, inFlight: map[balancer.RequestID]*request{},
 		baseline: map[string]float64{}, replicas: map[balancer.ReplicaID]*replica{}}
-	for _, c := range m.Classes {
-		w.classes[c.Name] = c
-	}
-	return w
+	d.Reconfigured(m)
+	return d
 }
 
-// Reconfigured takes other settings over for what arrives from now on.
-func (w *Detector) Reconfigured(m balancer.Settings) {
-	w.classes, w.maxAttempts = map[string]balancer.Class{}, max(w.maxAttempts, m.MaxAttempts)
+// Reconfigured applies other settings of the balancer to requests that arrive from now on.
+func (d *Detector) Reconfigured(m balancer.Settings) {
+	d.classes, d.maxAttempts = map[string]balancer.Class{}, max(d.maxAttempts, m.MaxAttempts)
 	for _, c := range m.Classes {
-		w.classes[c.Name] = c
+		d.classes[c.Name] = c
 	}
 }
 
-// advance moves on to the bucket of a time and empties those passed over.
-func (w *Detector) advance(now balancer.Micros) int {
-	each := max(1, w.settings.Window/bucketCount)
-	at := now / each
-	if at > w.bucket {
-		for i := max(w.bucket+1, at-bucketCount+1); i <= at; i++ {
-			w.outcomes[i%bucketCount] = outcomeCounts{}
-			for _, k := range w.replicas {
-				k.ratios[i%bucketCount] = struct{ sum, n float64 }{}
+// advance moves to the bucket of a time, clears the buckets in between, and returns the
+// bucket's index.
+func (d *Detector) advance(now balancer.Micros) int {
+	width := max(1, d.settings.Window/bucketCount)
+	bucket := now / width
+	if bucket > d.bucket {
+		for i := max(d.bucket+1, bucket-bucketCount+1); i <= bucket; i++ {
+			d.outcomes[i%bucketCount] = outcomeCounts{}
+			for _, r := range d.replicas {
+				r.ratios[i%bucketCount] = ratioSum{}
 			}
 		}
-		w.bucket = at
+		d.bucket = bucket
 	}
-	return int(w.bucket % bucketCount)
+	return int(d.bucket % bucketCount)
 }
 
-// ListChanged takes news of the fleet.
-func (w *Detector) ListChanged(now balancer.Micros, l balancer.EndpointList) {
+// ListChanged takes a change of the endpoint list.
+func (d *Detector) ListChanged(_ balancer.Micros, l balancer.EndpointList) {
 	if l.Kind.Failed() {
 		return
 	}
 	if l.Kind.Complete() {
-		for _, k := range w.replicas {
-			k.state = balancer.EndpointGone
+		for _, r := range d.replicas {
+			r.state = balancer.EndpointGone
 		}
 	}
-	for _, m := range l.Endpoints {
-		k := w.replicas[m.Replica]
-		if k == nil {
-			k = &replica{}
-			w.replicas[m.Replica] = k
+	for _, e := range l.Endpoints {
+		r := d.replicas[e.Replica]
+		if r == nil {
+			r = &replica{}
+			d.replicas[e.Replica] = r
 		}
-		k.state = m.State
+		r.state = e.State
 	}
-	for id, k := range w.replicas {
-		if k.state == balancer.EndpointGone && k.samples == 0 {
-			delete(w.replicas, id)
+	d.forgetGone(len(l.Endpoints))
+}
+
+// forgetGone forgets replicas that are gone: those without samples, and past a bound all.
+func (d *Detector) forgetGone(listed int) {
+	for id, r := range d.replicas {
+		if r.state == balancer.EndpointGone && r.samples == 0 {
+			delete(d.replicas, id)
 		}
 	}
-	if len(w.replicas) > 2*len(l.Endpoints)+1024 { // those gone for good
-		for id, k := range w.replicas {
-			if k.state == balancer.EndpointGone {
-				delete(w.replicas, id)
-			}
+	if len(d.replicas) <= 2*listed+rememberedMargin {
+		return
+	}
+	for id, r := range d.replicas {
+		if r.state == balancer.EndpointGone {
+			delete(d.replicas, id)
 		}
 	}
 }
 
-// RequestArrived takes a request on.
-func (w *Detector) RequestArrived(now balancer.Micros, in balancer.Request) {
-	c := w.classes[in.Class]
-	w.inFlight[in.ID] = &request{class: c.Name, objectiveAt: now + c.LatencyObjective + c.ObjectivePer1000Tokens*int64(in.PromptTokens)/1000, deadline: now + in.TimeLeft}
+// RequestArrived takes a request that arrived.
+func (d *Detector) RequestArrived(now balancer.Micros, in balancer.Request) {
+	c := d.classes[in.Class]
+	d.inFlight[in.ID] = &request{class: c.Name, objectiveAt: now + c.LatencyObjective + c.ObjectivePer1000Tokens*int64(in.PromptTokens)/1000, deadline: now + in.TimeLeft}
 }
 
-// Dispatched takes the order of an attempt.
-func (w *Detector) Dispatched(now balancer.Micros, id balancer.RequestID, to balancer.ReplicaID) string {
-	if r := w.inFlight[id]; r != nil {
-		if r.attempts++; r.attempts > w.maxAttempts {
-			return w.trigger(ReasonAttempts, "request %d had %d attempts, %d are allowed", id, r.attempts, w.maxAttempts)
+// Dispatched takes the balancer's order of an attempt.
+func (d *Detector) Dispatched(_ balancer.Micros, id balancer.RequestID, to balancer.ReplicaID) string {
+	if r := d.inFlight[id]; r != nil {
+		if r.attempts++; r.attempts > d.maxAttempts {
+			return d.trigger(ReasonAttempts, "request %d had %d attempts, %d are allowed", id, r.attempts, d.maxAttempts)
 		}
 	}
-	if k := w.replicas[to]; k != nil && k.state != balancer.EndpointReady {
-		return w.trigger(ReasonDraining, "an attempt of request %d was ordered to worker %d, told as draining or gone", id, to)
+	if r := d.replicas[to]; r != nil && r.state != balancer.EndpointReady {
+		return d.trigger(ReasonDraining, "an attempt of request %d was ordered to worker %d, told as draining or gone", id, to)
 	}
 	return ""
 }
 
-// FirstToken takes a stream's beginning.
-func (w *Detector) FirstToken(now balancer.Micros, o balancer.Outcome) string {
-	r := w.inFlight[o.ID]
+// FirstToken takes the first token of a stream.
+func (d *Detector) FirstToken(now balancer.Micros, o balancer.Outcome) string {
+	r := d.inFlight[o.ID]
 	if r == nil || r.started {
 		return ""
 	}
 	r.started = true
-	at := w.advance(now)
-	why := w.countOutcome(at, now > r.objectiveAt)
-	if slow := w.checkSlow(at, r, o); why == "" {
-		why = slow
+	bucket := d.advance(now)
+	reason := d.countOutcome(bucket, now > r.objectiveAt)
+	if slow := d.checkSlow(bucket, r, o); reason == "" {
+		reason = slow
+	}
+	return reason
+}
+
+// follow moves a baseline towards a value.
+func follow(baseline *float64, value float64) {
+	if *baseline == 0 {
+		*baseline = value
 	}
-	return why
+	*baseline += (value - *baseline) / baselineSamples
 }
 
-// checkSlow compares a first token with what is usual for its class and worker.
-func (w *Detector) checkSlow(at int, r *request, o balancer.Outcome) string {
-	k := w.replicas[o.Replica]
-	if w.settings.SlowFactor <= 0 || k == nil || o.Elapsed <= 0 {
+// checkSlow compares the time to a first token with the baseline of its class and replica.
+func (d *Detector) checkSlow(bucket int, in *request, o balancer.Outcome) string {
+	r := d.replicas[o.Replica]
+	if d.settings.SlowFactor <= 0 || r == nil || o.Elapsed <= 0 {
 		return ""
 	}
-	follow := func(m *float64, v float64) {
-		if *m == 0 {
-			*m = v
-		}
-		*m += (v - *m) / baselineSamples
+	baseline := d.baseline[in.class]
+	follow(&baseline, float64(o.Elapsed))
+	d.baseline[in.class] = baseline
+	ratio := float64(o.Elapsed) / baseline
+	r.ratios[bucket].sum += ratio
+	r.ratios[bucket].n++
+	r.samples++
+	follow(&r.baseline, ratio)
+	counted, slow := d.countSlow()
+	if counted < minReplicas || float64(slow) < d.settings.SlowReplicaShare*float64(counted) {
+		d.clearCondition(ReasonSlow)
+		return ""
 	}
-	usual := w.baseline[r.class]
-	follow(&usual, float64(o.Elapsed))
-	w.baseline[r.class] = usual
-	ratio := float64(o.Elapsed) / usual
-	k.ratios[at].sum += ratio
-	k.ratios[at].n++
-	k.samples++
-	follow(&k.baseline, ratio)
-	heard, slow := 0, 0
-	for _, k := range w.replicas {
+	return d.trigger(ReasonSlow, "first tokens at %d of %d workers take over %g times the usual", slow, counted, d.settings.SlowFactor)
+}
+
+// countSlow counts the replicas with enough first tokens, and those of them that are slow
+// within the window.
+func (d *Detector) countSlow() (counted, slow int) {
+	for _, r := range d.replicas {
 		sum, n := 0.0, 0.0
-		for _, b := range k.ratios {
+		for _, b := range r.ratios {
 			sum, n = sum+b.sum, n+b.n
 		}
-		if n < minFirstTokens || k.samples < minBaselineTokens {
+		if n < minFirstTokens || r.samples < minBaselineTokens {
 			continue
 		}
-		heard++
-		if sum/n > w.settings.SlowFactor*k.baseline {
+		counted++
+		if sum/n > d.settings.SlowFactor*r.baseline {
 			slow++
 		}
 	}
-	if heard < minReplicas || float64(slow) < w.settings.SlowReplicaShare*float64(heard) {
-		w.clearCondition(ReasonSlow)
-		return ""
-	}
-	return w.trigger(ReasonSlow, "first tokens at %d of %d workers take over %g times the usual", slow, heard, w.settings.SlowFactor)
+	return counted, slow
 }
 
 // AttemptEnded takes the end of an attempt.
-func (w *Detector) AttemptEnded(now balancer.Micros, o balancer.Outcome) string {
-	r := w.inFlight[o.ID]
+func (d *Detector) AttemptEnded(now balancer.Micros, o balancer.Outcome) string {
+	r := d.inFlight[o.ID]
 	if r == nil || !o.Final {
 		return ""
 	}
-	delete(w.inFlight, o.ID)
-	if r.started { // counted when it began
+	delete(d.inFlight, o.ID)
+	if r.started { // counted at its first token
 		return ""
 	}
-	if o.Status == balancer.Served {
-		return w.countOutcome(w.advance(now), now > r.objectiveAt)
-	}
-	return w.countOutcome(w.advance(now), true)
+	return d.countOutcome(d.advance(now), o.Status != balancer.Served || now > r.objectiveAt)
 }
 
-// ClientGone takes a client's leaving.
-func (w *Detector) ClientGone(now balancer.Micros, id balancer.RequestID) string {
-	r := w.inFlight[id]
+// ClientGone takes a client's disconnection.
+func (d *Detector) ClientGone(now balancer.Micros, id balancer.RequestID) string {
+	r := d.inFlight[id]
 	if r == nil {
 		return ""
 	}
-	delete(w.inFlight, id)
+	delete(d.inFlight, id)
 	if r.started {
 		return ""
 	}
-	return w.countOutcome(w.advance(now), true)
+	return d.countOutcome(d.advance(now), true)
 }
 
-// RequestFailed takes a refusal or a failure.
-func (w *Detector) RequestFailed(now balancer.Micros, id balancer.RequestID) string {
-	r := w.inFlight[id]
+// RequestFailed takes the balancer's order to shed or fail a request.
+func (d *Detector) RequestFailed(now balancer.Micros, id balancer.RequestID) string {
+	r := d.inFlight[id]
 	if r == nil {
 		return ""
 	}
-	delete(w.inFlight, id)
-	why := w.countOutcome(w.advance(now), true)
-	if left := r.deadline - now; w.settings.DeadlineMargin > 0 && left < w.settings.DeadlineMargin {
-		return w.trigger(ReasonNearDeadline, "request %d was answered %.1f ms before its deadline", id, float64(left)/1000)
+	delete(d.inFlight, id)
+	reason := d.countOutcome(d.advance(now), true)
+	if left := r.deadline - now; d.settings.DeadlineMargin > 0 && left < d.settings.DeadlineMargin {
+		return d.trigger(ReasonNearDeadline, "request %d was answered %.1f ms before its deadline", id, float64(left)/1000)
 	}
-	return why
+	return reason
 }
 
-func (w *Detector) countOutcome(at int, bad bool) string {
-	c := &w.outcomes[at]
+// countOutcome counts a request, and checks the share of bad ones within the window.
+func (d *Detector) countOutcome(bucket int, bad bool) string {
+	c := &d.outcomes[bucket]
 	if c.total++; bad {
 		c.bad++
 	}
-	all, allBad := 0, 0
-	for _, c := range w.outcomes {
-		all, allBad = all+c.total, allBad+c.bad
+	total, totalBad := 0, 0
+	for _, c := range d.outcomes {
+		total, totalBad = total+c.total, totalBad+c.bad
 	}
-	if w.settings.UnservedShare <= 0 || all < w.settings.MinRequests || float64(allBad) < w.settings.UnservedShare*float64(all) {
-		w.clearCondition(ReasonUnserved)
+	if d.settings.UnservedShare <= 0 || total < d.settings.MinRequests || float64(totalBad) < d.settings.UnservedShare*float64(total) {
+		d.clearCondition(ReasonUnserved)
 		return ""
 	}
-	return w.trigger(ReasonUnserved, "%d of %d requests within %g s were late or not served", allBad, all, float64(w.settings.Window)/1e6)
+	return d.trigger(ReasonUnserved, "%d of %d requests within %g s were late or not served", totalBad, total, float64(d.settings.Window)/1e6)
 }
 
-// trigger gives the reason once; a condition that goes on holding is silent
-// until it has eased.
-func (w *Detector) trigger(word, format string, args ...any) string {
-	if w.active == word && (word == ReasonUnserved || word == ReasonSlow) {
+// trigger returns the reason of an incident. A share that stays over its bound triggers
+// once, until its condition has been cleared.
+func (d *Detector) trigger(condition, format string, args ...any) string {
+	if d.active == condition && (condition == ReasonUnserved || condition == ReasonSlow) {
 		return ""
 	}
-	w.active = word
-	return word + ": " + fmt.Sprintf(format, args...)
+	d.active = condition
+	return condition + ": " + fmt.Sprintf(format, args...)
 }
 
-func (w *Detector) clearCondition(word string) {
-	if w.active == word {
-		w.active = ""
+func (d *Detector) clearCondition(condition string) {
+	if d.active == condition {
+		d.active = ""
 	}
 }
 
-// InFlight is the number of requests that the watch remembers.
-func (w *Detector) InFlight() int { return len(w.inFlight) }
+// InFlight returns the number of requests that the detector remembers.
+func (d *Detector) InFlight() int { return len(d.inFlight) }
--- a/internal/capturetrigger/detector_test.go
+++ b/internal/capturetrigger/detector_test.go
@@ -14,110 +14,110 @@
 	if change != nil {
 		change(&s)
 	}
-	w := New(s, balancer.Settings{MaxAttempts: 3, Classes: []balancer.Class{{Name: "chat", LatencyObjective: sec, Deadline: 4 * sec}}})
-	w.ListChanged(0, balancer.EndpointList{Kind: balancer.ListFull, Endpoints: []balancer.Endpoint{{Replica: 1}, {Replica: 2}, {Replica: 3}}})
-	return w
+	d := New(s, balancer.Settings{MaxAttempts: 3, Classes: []balancer.Class{{Name: "chat", LatencyObjective: sec, Deadline: 4 * sec}}})
+	d.ListChanged(0, balancer.EndpointList{Kind: balancer.ListFull, Endpoints: []balancer.Endpoint{{Replica: 1}, {Replica: 2}, {Replica: 3}}})
+	return d
 }
 
-// serveRequest has one request answered after a time by a worker.
-func serveRequest(w *Detector, now balancer.Micros, id balancer.RequestID, to balancer.ReplicaID, took balancer.Micros) string {
-	w.RequestArrived(now, balancer.Request{ID: id, Class: "chat", TimeLeft: 4 * sec})
-	why := w.Dispatched(now, id, to)
-	why += w.FirstToken(now+took, balancer.Outcome{ID: id, Replica: to, Elapsed: took})
-	why += w.AttemptEnded(now+took+1, balancer.Outcome{ID: id, Replica: to, Status: balancer.Served, Final: true})
-	return why
+// serveRequest has one request served by a replica after a time.
+func serveRequest(d *Detector, now balancer.Micros, id balancer.RequestID, to balancer.ReplicaID, took balancer.Micros) string {
+	d.RequestArrived(now, balancer.Request{ID: id, Class: "chat", TimeLeft: 4 * sec})
+	reason := d.Dispatched(now, id, to)
+	reason += d.FirstToken(now+took, balancer.Outcome{ID: id, Replica: to, Elapsed: took})
+	reason += d.AttemptEnded(now+took+1, balancer.Outcome{ID: id, Replica: to, Status: balancer.Served, Final: true})
+	return reason
 }
 
 func TestUnservedShare(t *testing.T) {
-	w := newTestDetector(nil)
+	d := newTestDetector(nil)
 	id := balancer.RequestID(0)
 	for i := range 20 {
 		id++
-		if why := serveRequest(w, sec+balancer.Micros(i)*1000, id, 1, 1000); why != "" {
-			t.Fatal(why)
+		if reason := serveRequest(d, sec+balancer.Micros(i)*1000, id, 1, 1000); reason != "" {
+			t.Fatal(reason)
 		}
 	}
-	told := 0
+	triggered := 0
 	for i := range 30 {
 		id++
 		now := 2*sec + balancer.Micros(i)*1000
-		w.RequestArrived(now, balancer.Request{ID: id, Class: "chat", TimeLeft: 4 * sec})
-		if why := w.RequestFailed(now, id); why != "" {
-			told++
-			if !strings.HasPrefix(why, ReasonUnserved+": 14 of 34") {
-				t.Error(why)
+		d.RequestArrived(now, balancer.Request{ID: id, Class: "chat", TimeLeft: 4 * sec})
+		if reason := d.RequestFailed(now, id); reason != "" {
+			triggered++
+			if !strings.HasPrefix(reason, ReasonUnserved+": 14 of 34") {
+				t.Error(reason)
 			}
 		}
 	}
-	if told != 1 {
-		t.Errorf("told %d times", told)
+	if triggered != 1 {
+		t.Errorf("triggered %d times", triggered)
 	}
-	// A span later what was is forgotten, and the condition may trigger again.
+	// A window later the old outcomes are forgotten, and the condition may trigger again.
 	for i := range 20 {
 		id++
-		if why := serveRequest(w, 40*sec+balancer.Micros(i)*1000, id, 1, 1000); why != "" {
-			t.Fatal(why)
+		if reason := serveRequest(d, 40*sec+balancer.Micros(i)*1000, id, 1, 1000); reason != "" {
+			t.Fatal(reason)
 		}
 	}
 	for i := range 30 {
 		id++
-		w.RequestArrived(41*sec, balancer.Request{ID: id, Class: "chat", TimeLeft: 4 * sec})
-		if w.ClientGone(41*sec+balancer.Micros(i), id) != "" {
-			told++
+		d.RequestArrived(41*sec, balancer.Request{ID: id, Class: "chat", TimeLeft: 4 * sec})
+		if d.ClientGone(41*sec+balancer.Micros(i), id) != "" {
+			triggered++
 		}
 	}
-	if told != 2 {
-		t.Errorf("told %d times", told)
+	if triggered != 2 {
+		t.Errorf("triggered %d times", triggered)
 	}
-	if w.InFlight() != 0 {
-		t.Errorf("%d in hand", w.InFlight())
+	if d.InFlight() != 0 {
+		t.Errorf("%d in flight", d.InFlight())
 	}
 }
 
 func TestAllReplicasSlow(t *testing.T) {
-	w := newTestDetector(func(s *Settings) { s.UnservedShare = 0 })
+	d := newTestDetector(func(s *Settings) { s.UnservedShare = 0 })
 	id := balancer.RequestID(0)
-	why := ""
+	reason := ""
 	for i := range 300 {
 		id++
-		why += serveRequest(w, balancer.Micros(i)*sec/10, id, balancer.ReplicaID(1+i%3), 100_000)
+		reason += serveRequest(d, balancer.Micros(i)*sec/10, id, balancer.ReplicaID(1+i%3), 100_000)
 	}
-	if why != "" {
-		t.Fatal(why)
+	if reason != "" {
+		t.Fatal(reason)
 	}
-	// One slow worker is no incident, all of them are.
+	// One slow replica is no incident, all of them are.
 	for i := range 30 {
 		id++
-		why += serveRequest(w, 40*sec+balancer.Micros(i)*sec/10, id, 1, 400_000)
+		reason += serveRequest(d, 40*sec+balancer.Micros(i)*sec/10, id, 1, 400_000)
 	}
-	if why != "" {
-		t.Fatal(why)
+	if reason != "" {
+		t.Fatal(reason)
 	}
 	for i := range 60 {
 		id++
-		why += serveRequest(w, 60*sec+balancer.Micros(i)*sec/10, id, balancer.ReplicaID(1+i%3), 400_000)
+		reason += serveRequest(d, 60*sec+balancer.Micros(i)*sec/10, id, balancer.ReplicaID(1+i%3), 400_000)
 	}
-	if strings.Count(why, ReasonSlow) != 1 {
-		t.Errorf("%q", why)
+	if strings.Count(reason, ReasonSlow) != 1 {
+		t.Errorf("%q", reason)
 	}
 }
 
 func TestRuleViolations(t *testing.T) {
-	w := newTestDetector(nil)
-	w.RequestArrived(0, balancer.Request{ID: 1, Class: "chat", TimeLeft: 4 * sec})
-	if why := w.RequestFailed(4*sec-1000, 1); !strings.HasPrefix(why, ReasonNearDeadline) {
-		t.Errorf("near: %q", why)
+	d := newTestDetector(nil)
+	d.RequestArrived(0, balancer.Request{ID: 1, Class: "chat", TimeLeft: 4 * sec})
+	if reason := d.RequestFailed(4*sec-1000, 1); !strings.HasPrefix(reason, ReasonNearDeadline) {
+		t.Errorf("near: %q", reason)
 	}
-	w.ListChanged(sec, balancer.EndpointList{Kind: balancer.ListDelta, Endpoints: []balancer.Endpoint{{Replica: 2, State: balancer.EndpointDraining}}})
-	w.RequestArrived(sec, balancer.Request{ID: 2, Class: "chat", TimeLeft: 4 * sec})
-	if why := w.Dispatched(sec, 2, 2); !strings.HasPrefix(why, ReasonDraining) {
-		t.Errorf("draining: %q", why)
+	d.ListChanged(sec, balancer.EndpointList{Kind: balancer.ListDelta, Endpoints: []balancer.Endpoint{{Replica: 2, State: balancer.EndpointDraining}}})
+	d.RequestArrived(sec, balancer.Request{ID: 2, Class: "chat", TimeLeft: 4 * sec})
+	if reason := d.Dispatched(sec, 2, 2); !strings.HasPrefix(reason, ReasonDraining) {
+		t.Errorf("draining: %q", reason)
 	}
-	var why string
+	var reason string
 	for range 4 {
-		why += w.Dispatched(sec, 2, 1)
+		reason += d.Dispatched(sec, 2, 1)
 	}
-	if strings.Count(why, ReasonAttempts+":") != 2 {
-		t.Errorf("attempts: %q", why)
+	if strings.Count(reason, ReasonAttempts+":") != 2 {
+		t.Errorf("attempts: %q", reason)
 	}
 }
