--- a/internal/metrics/control.go
+++ b/internal/metrics/control.go
@@ -8,7 +8,8 @@
 	"archknot/internal/controlstats"
 )
 
-// controlCollector collects a gateway's account of its control work.
+// controlCollector collects the statistics of a gateway's control work: discovery, health
+// checks, connections and operators' calls.
 type controlCollector struct{ source Source }
 
 func controlDesc(name, help string, labels ...string) *prometheus.Desc {
@@ -36,6 +37,7 @@
 	bytesDesc         = controlDesc("bytes_total", "Bytes over connections, by purpose and way.", "purpose", "way")
 )
 
+// Describe sends the descriptions of all metrics of control work.
 func (c *controlCollector) Describe(ch chan<- *prometheus.Desc) {
 	for _, d := range []*prometheus.Desc{replicasDesc, subsetChangesDesc, rejectedListsDesc, oddEntriesDesc, unknownKeysDesc, closedDesc, ejectedDesc, drainedDesc, unsavedOrdersDesc, operatorDesc, versionDesc, connectionsDesc, busyDesc, attemptsDesc,
 		reportAgeDesc, callsDesc, openedDesc, bytesDesc} {
@@ -43,57 +45,69 @@
 	}
 }
 
+// Collect sends the statistics.
 func (c *controlCollector) Collect(ch chan<- prometheus.Metric) {
-	ctx, stop := context.WithTimeout(context.Background(), scrapeTimeout)
-	defer stop()
-	of, err := c.source.Control(ctx)
+	ctx, cancel := context.WithTimeout(context.Background(), scrapeTimeout)
+	defer cancel()
+	stats, err := c.source.Control(ctx)
 	if err != nil {
 		ch <- prometheus.NewInvalidMetric(replicasDesc, err)
 		return
 	}
-	gauge := func(d *prometheus.Desc, v float64, labels ...string) {
-		ch <- prometheus.MustNewConstMetric(d, prometheus.GaugeValue, v, labels...)
-	}
-	count := func(d *prometheus.Desc, v float64, labels ...string) {
-		ch <- prometheus.MustNewConstMetric(d, prometheus.CounterValue, v, labels...)
-	}
-	gauge(replicasDesc, float64(of.Listed), "listed")
-	gauge(replicasDesc, float64(of.Ready), "ready")
-	gauge(replicasDesc, float64(of.Subset), "subset")
-	gauge(replicasDesc, float64(of.OutsideTargets), "home")
-	count(subsetChangesDesc, float64(of.Joined), "in")
-	count(subsetChangesDesc, float64(of.Left), "out")
-	count(rejectedListsDesc, float64(of.RejectedLists))
-	count(oddEntriesDesc, float64(of.MalformedEntries))
-	gauge(unknownKeysDesc, float64(of.UnknownKeys))
-	for reason, n := range of.ClosedConnections {
-		count(closedDesc, float64(n), reason)
+	e := emitter{ch, nil}
+	emitEndpoints(e, &stats)
+	emitOperators(e, &stats)
+	emitTraffic(e, &stats)
+}
+
+// emitEndpoints sends the metrics of the endpoint list and of the subset.
+func emitEndpoints(e emitter, stats *controlstats.Stats) {
+	e.gauge(replicasDesc, float64(stats.Listed), "listed")
+	e.gauge(replicasDesc, float64(stats.Ready), "ready")
+	e.gauge(replicasDesc, float64(stats.Subset), "subset")
+	e.gauge(replicasDesc, float64(stats.OutsideTargets), "home")
+	e.counter(subsetChangesDesc, float64(stats.Joined), "in")
+	e.counter(subsetChangesDesc, float64(stats.Left), "out")
+	e.counter(rejectedListsDesc, float64(stats.RejectedLists))
+	e.counter(oddEntriesDesc, float64(stats.MalformedEntries))
+	e.gauge(unknownKeysDesc, float64(stats.UnknownKeys))
+	for reason, n := range stats.ClosedConnections {
+		e.counter(closedDesc, float64(n), reason)
 	}
-	gauge(ejectedDesc, float64(of.EjectedReplicas))
-	gauge(drainedDesc, boolValue(of.Drained))
-	gauge(unsavedOrdersDesc, boolValue(of.OrdersNotSaved))
-	for _, c := range of.OperatorCalls {
-		word := "no"
+	e.gauge(versionDesc, float64(stats.ListVersion))
+}
+
+// emitOperators sends the metrics of operators' orders and calls.
+func emitOperators(e emitter, stats *controlstats.Stats) {
+	e.gauge(ejectedDesc, float64(stats.EjectedReplicas))
+	e.gauge(drainedDesc, boolValue(stats.Drained))
+	e.gauge(unsavedOrdersDesc, boolValue(stats.OrdersNotSaved))
+	for _, c := range stats.OperatorCalls {
+		answer := "no"
 		if c.Accepted {
-			word = "yes"
+			answer = "yes"
 		}
-		count(operatorDesc, float64(c.Count), c.Call, word)
+		e.counter(operatorDesc, float64(c.Count), c.Call, answer)
 	}
-	gauge(versionDesc, float64(of.ListVersion))
-	gauge(connectionsDesc, float64(of.Connections))
-	count(busyDesc, of.LoopBusy.Seconds())
-	count(attemptsDesc, float64(of.Reports.WithReport), "known")
-	count(attemptsDesc, float64(of.Reports.WithoutReport), "none")
-	count(reportAgeDesc, of.Reports.Sum.Seconds())
+}
+
+// emitTraffic sends the metrics of connections, of the event loop and of load reports.
+func emitTraffic(e emitter, stats *controlstats.Stats) {
+	e.gauge(connectionsDesc, float64(stats.Connections))
+	e.counter(busyDesc, stats.LoopBusy.Seconds())
+	e.counter(attemptsDesc, float64(stats.Reports.WithReport), "known")
+	e.counter(attemptsDesc, float64(stats.Reports.WithoutReport), "none")
+	e.counter(reportAgeDesc, stats.Reports.Sum.Seconds())
 	for p := range controlstats.PurposeCount {
-		t, word := of.Traffic[p], controlstats.Purpose(p).String()
-		count(callsDesc, float64(t.Calls), word)
-		count(openedDesc, float64(t.ConnectionsOpened), word)
-		count(bytesDesc, float64(t.BytesIn), word, "in")
-		count(bytesDesc, float64(t.BytesOut), word, "out")
+		t, purpose := stats.Traffic[p], controlstats.Purpose(p).String()
+		e.counter(callsDesc, float64(t.Calls), purpose)
+		e.counter(openedDesc, float64(t.ConnectionsOpened), purpose)
+		e.counter(bytesDesc, float64(t.BytesIn), purpose, "in")
+		e.counter(bytesDesc, float64(t.BytesOut), purpose, "out")
 	}
 }
 
+// boolValue is 1 for true.
 func boolValue(on bool) float64 {
 	if on {
 		return 1
--- a/internal/metrics/metrics_test.go
+++ b/internal/metrics/metrics_test.go
@@ -17,6 +17,7 @@
 	"archknot/internal/controlstats"
 )
 
+// fakeSource is a Source of fixed values.
 type fakeSource struct {
 	accounts []contract.AccountStatus
 	control  controlstats.Stats
@@ -29,6 +30,7 @@
 
 func (s *fakeSource) Control(context.Context) (controlstats.Stats, error) { return s.control, s.err }
 
+// account is the state of one team's contract.
 func account(i int) contract.AccountStatus {
 	a := contract.AccountStatus{Team: fmt.Sprint("team", i), Level: 5 * contract.Token, Open: 2, QuotaShare: 0.25, InForce: true}
 	a.Used[contract.Hour], a.Limit[contract.Hour] = 30*contract.Token, 100*contract.Token
@@ -36,8 +38,8 @@
 	return a
 }
 
-// However many teams there are, those with figures of their own are bounded, and
-// the sums are of all.
+// However many teams there are, the number of those with metrics of their own is bounded,
+// and the sums are over all teams.
 func TestTeamLabelsAreBounded(t *testing.T) {
 	s := &fakeSource{}
 	for i := range 10_000 {
@@ -49,7 +51,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	teams, taken := map[string]bool{}, 0.0
+	teams, admitted := map[string]bool{}, 0.0
 	for _, f := range families {
 		for _, m := range f.Metric {
 			for _, l := range m.Label {
@@ -57,13 +59,13 @@
 					teams[l.GetValue()] = true
 				}
 				if f.GetName() == "archknot_contract_requests_total" && l.GetValue() == "taken" {
-					taken += m.Counter.GetValue()
+					admitted += m.Counter.GetValue()
 				}
 			}
 		}
 	}
-	if len(teams) != 50 || !teams[OtherTeams] || taken != 100_000 {
-		t.Errorf("%d teams, %v taken", len(teams), taken)
+	if len(teams) != 50 || !teams[OtherTeams] || admitted != 100_000 {
+		t.Errorf("%d teams, %v admitted", len(teams), admitted)
 	}
 }
 
@@ -83,7 +85,7 @@
 	if problems, err := testutil.CollectAndLint(&contractCollector{50, s}); err != nil || len(problems) > 0 {
 		t.Error(problems, err)
 	}
-	// A gateway that does not answer is an error and no figures of nothing.
+	// A gateway that does not answer is an error, not metrics with the value 0.
 	s.err = errors.New("no answer")
 	w := httptest.NewRecorder()
 	Handler(50, s).ServeHTTP(w, httptest.NewRequest(http.MethodGet, "/metrics", nil))
@@ -105,7 +107,7 @@
 	none.Close()
 }
 
-// What a gateway tells of its control work is there by name, purpose and way.
+// The statistics of control work are there by name, purpose and direction.
 func TestControlMetrics(t *testing.T) {
 	s := &fakeSource{control: controlstats.Stats{Listed: 6000, Ready: 5990, Subset: 102, OutsideTargets: 64, Joined: 110, Left: 8, RejectedLists: 3, ListVersion: 41,
 		Connections: 120, LoopBusy: 2500 * time.Millisecond, Reports: controlstats.ReportAge{WithReport: 40, WithoutReport: 2, Sum: 12 * time.Second}}}
@@ -136,6 +138,6 @@
 	}
 	s.err = errors.New("it does not answer")
 	if _, err := r.Gather(); err == nil {
-		t.Error("figures that cannot be had are told as if they could")
+		t.Error("metrics are served although there are no values")
 	}
 }
