--- a/internal/boltfile/boltfile.go
+++ b/internal/boltfile/boltfile.go
@@ -136,7 +136,7 @@
 		pages = max(pages, pageCount(&head))
 	}
 	if pages > maxPageCount || info.Size() < int64(pages)*pageSize {
-		return fmt.Errorf("%w: %d bytes, its head tells of %d pages of %d", ErrDamaged, info.Size(), pages, pageSize)
+		return fmt.Errorf("%w: %d bytes, its head has %d pages of %d", ErrDamaged, info.Size(), pages, pageSize)
 	}
 	return nil
 }
--- a/internal/xdsclient/store_test.go
+++ b/internal/xdsclient/store_test.go
@@ -87,7 +87,7 @@
 		if err != nil || aside == "" {
 			t.Fatal(err, aside)
 		}
-		if kept, _ := os.ReadFile(aside); string(kept) != text {
+		if damaged, _ := os.ReadFile(aside); string(damaged) != text {
 			t.Error("the damaged file was changed")
 		}
 		if c, _, err := s.Load(); c != nil || err != nil {
