--- a/internal/maintenance/handoff.go
+++ b/internal/maintenance/handoff.go
@@ -14,28 +14,31 @@
 	"golang.org/x/sys/unix"
 )
 
-// handoff tells a process that is started beside this one what is in force here, also where the
-// folder cannot be written. It is a socket in the system's abstract names: no file stands for it, and
-// it ends with its process.
+// handoffTimeout bounds one exchange over the handoff socket.
+const handoffTimeout = 100 * time.Millisecond
+
+// handoff passes the orders in force to a process that is started beside this one, even where the
+// directory of the orders file cannot be written. It uses a Unix socket in the abstract namespace: no
+// file stands for it, and it ends with its process. All methods may be called from any goroutine.
 type handoff struct {
-	address       string
+	address string
+
 	mu            sync.Mutex
-	listener      net.Listener // nil: a predecessor has the name, or there are no such sockets
-	listening     atomic.Bool  // l is set
-	failureLogged bool         // that there are none was told
-}
+	listener      net.Listener // nil: a predecessor owns the address, or abstract sockets are not available
+	failureLogged bool         // that abstract sockets are not available
 
-// handoffTimeout bounds a look at the predecessor.
-const handoffTimeout = 100 * time.Millisecond
+	listening atomic.Bool // whether listener is set
+}
 
-// listen begins to tell, once the name is free.
+// listen begins to serve snapshots of a store to a successor, unless a predecessor still owns the
+// address. It is called again and again until it succeeds.
 func (h *handoff) listen(s *Store) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	if h.listener != nil {
 		return
 	}
-	l, err := net.Listen("unix", h.address)
+	listener, err := net.Listen("unix", h.address)
 	if err != nil {
 		if !errors.Is(err, syscall.EADDRINUSE) && !h.failureLogged {
 			h.failureLogged = true
@@ -43,57 +46,63 @@
 		}
 		return
 	}
-	h.listener = l
+	h.listener = listener
 	h.listening.Store(true)
-	go func() {
-		for {
-			c, err := l.Accept()
-			if err != nil {
-				return
-			}
-			if isSameUser(c) {
-				_ = c.SetDeadline(time.Now().Add(handoffTimeout))
-				_, _ = c.Write(s.snapshot())
-			}
-			c.Close()
+	go serveSnapshots(listener, s)
+}
+
+// serveSnapshots writes the state of a store to each connection of the same user, until the listener
+// is closed.
+func serveSnapshots(listener net.Listener, s *Store) {
+	for {
+		conn, err := listener.Accept()
+		if err != nil {
+			return
+		}
+		if isSameUser(conn) {
+			_ = conn.SetDeadline(time.Now().Add(handoffTimeout))
+			_, _ = conn.Write(s.snapshot()) // a successor that did not receive it queries again
 		}
-	}()
+		conn.Close()
+	}
 }
 
-// queryOutcome is what became of a look at the predecessor.
+// queryOutcome is the outcome of a query to the predecessor.
 type queryOutcome uint8
 
 const (
-	noPredecessor     queryOutcome = iota // there is none
-	predecessorSilent                     // there is one, which does not tell
-	predecessorAnswered
+	noPredecessor       queryOutcome = iota // no other process owns the address
+	predecessorSilent                       // a predecessor exists, but gave no usable answer
+	predecessorAnswered                     // a predecessor answered with its state
 )
 
-// queryPredecessor asks the predecessor.
-func (h *handoff) queryPredecessor() (before state, a queryOutcome) {
-	if h.listening.Load() { // whoever has the name has no predecessor
-		return before, noPredecessor
+// queryPredecessor asks the predecessor for its state. The state is set only if the outcome is
+// predecessorAnswered.
+func (h *handoff) queryPredecessor() (state, queryOutcome) {
+	if h.listening.Load() { // the owner of the address has no predecessor
+		return state{}, noPredecessor
+	}
+	conn, err := net.DialTimeout("unix", h.address, handoffTimeout)
+	if errors.Is(err, syscall.ECONNREFUSED) {
+		return state{}, noPredecessor
 	}
-	c, err := net.DialTimeout("unix", h.address, handoffTimeout)
 	if err != nil {
-		if errors.Is(err, syscall.ECONNREFUSED) {
-			return before, noPredecessor
-		}
-		return before, predecessorSilent
+		return state{}, predecessorSilent
 	}
-	defer c.Close()
-	if !isSameUser(c) {
-		return before, noPredecessor
+	defer conn.Close()
+	if !isSameUser(conn) {
+		return state{}, noPredecessor
 	}
-	_ = c.SetDeadline(time.Now().Add(handoffTimeout))
-	text, err := io.ReadAll(io.LimitReader(c, maxStateBytes))
+	_ = conn.SetDeadline(time.Now().Add(handoffTimeout))
+	content, err := io.ReadAll(io.LimitReader(conn, maxStateBytes))
 	if err != nil {
-		return before, predecessorSilent
+		return state{}, predecessorSilent
 	}
-	if before, err = parseState(text); err != nil {
-		return before, predecessorSilent
+	predecessor, err := parseState(content)
+	if err != nil {
+		return state{}, predecessorSilent
 	}
-	return before, predecessorAnswered
+	return predecessor, predecessorAnswered
 }
 
 func (h *handoff) close() {
@@ -104,22 +113,25 @@
 	}
 }
 
-// peerCredentials are those of the process at the other end.
-func peerCredentials(c net.Conn) *unix.Ucred {
-	u, ok := c.(*net.UnixConn)
+// peerCredentials returns the credentials of the process at the other end of a Unix socket; nil if they
+// cannot be read.
+func peerCredentials(conn net.Conn) *unix.Ucred {
+	unixConn, ok := conn.(*net.UnixConn)
 	if !ok {
 		return nil
 	}
-	raw, err := u.SyscallConn()
+	raw, err := unixConn.SyscallConn()
 	if err != nil {
 		return nil
 	}
-	var cred *unix.Ucred
-	_ = raw.Control(func(fd uintptr) { cred, _ = unix.GetsockoptUcred(int(fd), unix.SOL_SOCKET, unix.SO_PEERCRED) })
-	return cred
+	var credentials *unix.Ucred
+	_ = raw.Control(func(fd uintptr) {
+		credentials, _ = unix.GetsockoptUcred(int(fd), unix.SOL_SOCKET, unix.SO_PEERCRED) // nil on error
+	})
+	return credentials
 }
 
-func isSameUser(c net.Conn) bool {
-	cred := peerCredentials(c)
-	return cred != nil && cred.Uid == uint32(os.Geteuid())
+func isSameUser(conn net.Conn) bool {
+	credentials := peerCredentials(conn)
+	return credentials != nil && credentials.Uid == uint32(os.Geteuid())
 }
--- a/internal/maintenance/state.go
+++ b/internal/maintenance/state.go
@@ -1,6 +1,3 @@
-// Package maintenance keeps what operators have ordered of a gateway: the replicas that they have
-// taken out, and whether the gateway itself is drained. Orders outlive the process: they are saved in
-// a file, and a process that is started beside its predecessor takes them over from it.
 package maintenance
 
 import (
@@ -15,38 +12,49 @@
 const (
 	// formatVersion is the version of the saved form. A later one may add fields, which are skipped.
 	formatVersion = 1
-	// maxOrders bounds the orders that are remembered, and maxReplicaIDLength a replica's name.
-	maxOrders          = 4096
+	// maxOrders bounds the number of replicas with a stored order.
+	maxOrders = 4096
+	// maxReplicaIDLength bounds the length of a replica's id, in bytes.
 	maxReplicaIDLength = 256
 	// maxStateBytes bounds the saved form.
 	maxStateBytes = 4 << 20
 )
 
-// order is the last word on one subject. Orders are numbered, not dated: the clock may be stepped.
+// ErrTooManyEjected is returned for an order to eject a replica when maxOrders are ejected already.
+var ErrTooManyEjected = errors.New("too many replicas are out")
+
+// order is the newest maintenance order on one subject: a replica, or the gateway itself. Orders are
+// numbered, not dated: the clock may be stepped.
 type order struct {
 	Number uint64 `json:"number"`
-	Active bool   `json:"on"` // the replica is out, or the gateway drained
+	Active bool   `json:"on"` // the replica is ejected, or the gateway drained
 }
 
-// supersedes tells whether o counts and not p. Of two with the same number, given to two processes at
-// once, the one that takes out counts.
-func (o order) supersedes(p order) bool {
-	return o.Number > p.Number || o.Number == p.Number && o.Active && !p.Active
+// supersedes reports whether o takes precedence over other. Of two with the same number, given to two
+// processes at once, the active one takes precedence.
+func (o order) supersedes(other order) bool {
+	if o.Number != other.Number {
+		return o.Number > other.Number
+	}
+	return o.Active && !other.Active
 }
 
-// state is all that was ordered. Merging two states gives the same whatever their order.
+// state is the set of all orders. Merging states gives the same result in any order. It is not safe for
+// concurrent use.
 type state struct {
-	Format   int              `json:"format"`
-	Drain    order            `json:"drain"`
-	Replicas map[string]order `json:"replicas"` // by id; those put back stand there too, to outlast older orders
+	Format int   `json:"format"`
+	Drain  order `json:"drain"`
+	// Replicas has the order on each replica, by id. Reinstated replicas stay in it, to supersede older
+	// orders of other processes.
+	Replicas map[string]order `json:"replicas"`
 }
 
 func newState() state { return state{Format: formatVersion, Replicas: map[string]order{}} }
 
-// parseState reads a saved state.
-func parseState(text []byte) (state, error) {
-	s := state{}
-	if err := json.Unmarshal(text, &s); err != nil {
+// parseState parses the saved form. With an error it returns an empty state.
+func parseState(content []byte) (state, error) {
+	var s state
+	if err := json.Unmarshal(content, &s); err != nil {
 		return newState(), err
 	}
 	if s.Format < formatVersion {
@@ -62,12 +70,13 @@
 	return s, nil
 }
 
+// marshal returns the saved form: one line of JSON.
 func (s state) marshal() []byte {
-	text, err := json.Marshal(s)
+	content, err := json.Marshal(s)
 	if err != nil {
-		panic(err) // numbers and words
+		panic(err) // cannot happen: the state has only numbers, booleans and strings
 	}
-	return append(text, '\n')
+	return append(content, '\n')
 }
 
 func (s state) clone() state {
@@ -75,23 +84,27 @@
 	return s
 }
 
-func (s state) equal(o state) bool { return s.Drain == o.Drain && maps.Equal(s.Replicas, o.Replicas) }
+func (s state) equal(other state) bool {
+	return s.Drain == other.Drain && maps.Equal(s.Replicas, other.Replicas)
+}
 
-// merge takes over what counts of another state, and tells whether anything did.
-func (s *state) merge(o state) (changed bool) {
-	if o.Drain.supersedes(s.Drain) {
-		s.Drain, changed = o.Drain, true
+// merge adopts the orders of another state that supersede those of s, and reports whether any did.
+func (s *state) merge(other state) (changed bool) {
+	if other.Drain.supersedes(s.Drain) {
+		s.Drain = other.Drain
+		changed = true
 	}
-	for id, theirs := range o.Replicas {
+	for id, theirs := range other.Replicas {
 		if ours, ok := s.Replicas[id]; !ok || theirs.supersedes(ours) {
-			s.Replicas[id], changed = theirs, true
+			s.Replicas[id] = theirs
+			changed = true
 		}
 	}
 	s.trimReinstated()
 	return changed
 }
 
-// nextNumber is the number of a new order.
+// nextNumber returns the number of a new order: one above the highest known.
 func (s *state) nextNumber() uint64 {
 	highest := s.Drain.Number
 	for _, o := range s.Replicas {
@@ -100,43 +113,59 @@
 	return highest + 1
 }
 
-// ErrTooManyEjected says that no further replica can be taken out.
-var ErrTooManyEjected = errors.New("too many replicas are out")
+// setDrained records a new order on the gateway itself.
+func (s *state) setDrained(drained bool) {
+	s.Drain = order{Number: s.nextNumber(), Active: drained}
+}
 
-// setEjected enters a new order for a replica.
-func (s *state) setEjected(id string, out bool) error {
-	if _, known := s.Replicas[id]; !known && out && s.ejectedCount() >= maxOrders {
+// setEjected records a new order to eject or reinstate a replica. The error is ErrTooManyEjected.
+func (s *state) setEjected(id string, ejected bool) error {
+	_, known := s.Replicas[id]
+	if !known && ejected && s.ejectedCount() >= maxOrders {
 		return ErrTooManyEjected
 	}
-	s.Replicas[id] = order{Number: s.nextNumber(), Active: out}
+	s.Replicas[id] = order{Number: s.nextNumber(), Active: ejected}
 	s.trimReinstated()
 	return nil
 }
 
-// ejectedCount counts the replicas that are out.
-func (s *state) ejectedCount() (n int) {
+// ejectedCount returns the number of ejected replicas.
+func (s *state) ejectedCount() int {
+	count := 0
 	for _, o := range s.Replicas {
 		if o.Active {
-			n++
+			count++
+		}
+	}
+	return count
+}
+
+// ejected returns the ids of the ejected replicas.
+func (s *state) ejected() map[string]struct{} {
+	ids := map[string]struct{}{}
+	for id, o := range s.Replicas {
+		if o.Active {
+			ids[id] = struct{}{}
 		}
 	}
-	return n
+	return ids
 }
 
-// trimReinstated forgets the oldest orders that put replicas back, past the bound.
+// trimReinstated forgets the oldest orders on reinstated replicas, as far as there are more than
+// maxOrders orders.
 func (s *state) trimReinstated() {
-	over := len(s.Replicas) - maxOrders
-	if over <= 0 {
+	excess := len(s.Replicas) - maxOrders
+	if excess <= 0 {
 		return
 	}
-	var back []string
+	var reinstated []string
 	for id, o := range s.Replicas {
 		if !o.Active {
-			back = append(back, id)
+			reinstated = append(reinstated, id)
 		}
 	}
-	slices.SortFunc(back, func(a, b string) int { return cmp.Compare(s.Replicas[a].Number, s.Replicas[b].Number) })
-	for _, id := range back[:min(over, len(back))] {
+	slices.SortFunc(reinstated, func(a, b string) int { return cmp.Compare(s.Replicas[a].Number, s.Replicas[b].Number) })
+	for _, id := range reinstated[:min(excess, len(reinstated))] {
 		delete(s.Replicas, id)
 	}
 }
--- a/internal/maintenance/store_test.go
+++ b/internal/maintenance/store_test.go
@@ -17,31 +17,30 @@
 	"pgregory.net/rapid"
 )
 
-// flakyFileSystem is a file system that fails while it is told to, in the ways that Linux documents, and leaves
-// writes half done.
+// flakyFileSystem fails on demand, with the errors that Linux documents, or leaves writes half done.
 type flakyFileSystem struct {
 	osFileSystem
-	broken  atomic.Bool
-	tearing atomic.Bool // also leaves half of a text where the whole was to be, as after a crash of the machine
+	broken  atomic.Bool // reads and writes fail
+	tearing atomic.Bool // writes leave half of the content in the file, as after a crash of the machine
 }
 
 func (f *flakyFileSystem) fault() error {
 	if !f.broken.Load() {
 		return nil
 	}
-	all := []error{syscall.ENOSPC, syscall.EIO, syscall.EROFS, syscall.EDQUOT, syscall.EFBIG, syscall.EMFILE, syscall.ENFILE, syscall.EINTR, syscall.ENOMEM}
-	return &os.PathError{Op: "write", Path: "x", Err: all[rand.IntN(len(all))]}
+	faults := []error{syscall.ENOSPC, syscall.EIO, syscall.EROFS, syscall.EDQUOT, syscall.EFBIG, syscall.EMFILE, syscall.ENFILE, syscall.EINTR, syscall.ENOMEM}
+	return &os.PathError{Op: "write", Path: "x", Err: faults[rand.IntN(len(faults))]}
 }
 
-func (f *flakyFileSystem) WriteFileAtomic(path string, text []byte) (string, error) {
+func (f *flakyFileSystem) WriteFileAtomic(path string, content []byte) (string, error) {
 	if f.tearing.Load() {
-		_ = os.WriteFile(path, text[:len(text)/2], 0o600)
+		_ = os.WriteFile(path, content[:len(content)/2], 0o600)
 		return "", syscall.EIO
 	}
 	if err := f.fault(); err != nil {
 		return "", err
 	}
-	return f.osFileSystem.WriteFileAtomic(path, text)
+	return f.osFileSystem.WriteFileAtomic(path, content)
 }
 
 func (f *flakyFileSystem) ReadFile(path string) ([]byte, error) {
@@ -51,32 +50,42 @@
 	return f.osFileSystem.ReadFile(path)
 }
 
-// openStore opens a store that ends with the test. beside: its task runs, and it tells successors.
-func openStore(t *testing.T, dir string, files FileSystem, beside bool) (*Store, func()) {
+// openStore opens a store. With running, Run is active until the test ends or the returned function is
+// called, and successors can query the store.
+func openStore(t *testing.T, dir string, fileSystem FileSystem, running bool) (*Store, func()) {
 	t.Helper()
-	s := Open(Options{Directory: dir, Name: "n0", Listen: "127.0.0.1:1", FileSystem: files})
-	ctx, stop := context.WithCancel(context.Background())
+	s := Open(Options{Directory: dir, Name: "n0", Listen: "127.0.0.1:1", FileSystem: fileSystem})
+	ctx, cancel := context.WithCancel(context.Background())
 	end := func() {}
-	if beside {
+	if running {
 		done := make(chan struct{})
 		go func() { s.Run(ctx); close(done) }()
-		waitUntil(t, "the store tells successors", s.handoff.listening.Load)
-		end = func() { stop(); <-done }
+		waitUntil(t, "the store serves successors", s.handoff.listening.Load)
+		end = func() { cancel(); <-done }
 	}
-	t.Cleanup(stop)
+	t.Cleanup(cancel)
 	return s, end
 }
 
-func waitUntil(t *testing.T, what string, yes func() bool) {
+func waitUntil(t *testing.T, what string, condition func() bool) {
 	t.Helper()
-	for end := time.Now().Add(5 * time.Second); !yes(); time.Sleep(2 * time.Millisecond) {
-		if time.Now().After(end) {
+	for deadline := time.Now().Add(5 * time.Second); !condition(); time.Sleep(2 * time.Millisecond) {
+		if time.Now().After(deadline) {
 			t.Fatalf("not in time: %s", what)
 		}
 	}
 }
 
-// What is out stays out in later processes, until it is put back. A drain ends with its process.
+// hasSavedEjected returns a condition: the file of a store has a complete state with count ejected replicas.
+func hasSavedEjected(s *Store, count int) func() bool {
+	return func() bool {
+		content, _ := os.ReadFile(s.path)
+		saved, err := parseState(content)
+		return err == nil && saved.ejectedCount() == count
+	}
+}
+
+// Ejected replicas stay ejected in later processes, until they are reinstated. A drain ends with its process.
 func TestOrdersOutliveProcess(t *testing.T) {
 	dir, ctx := t.TempDir(), context.Background()
 	s, _ := openStore(t, dir, nil, false)
@@ -90,84 +99,84 @@
 	}
 	s, _ = openStore(t, dir, nil, false)
 	if !s.Ejected("s-1") || !s.Ejected("s-2") || s.Ejected("s-3") || s.Drained() {
-		t.Errorf("in the next life: %v, drained %v", s.AllEjected(), s.Drained())
+		t.Errorf("in the next process: %v, drained %v", s.AllEjected(), s.Drained())
 	}
 	if err := s.SetEjected(ctx, "s-1", false); err != nil {
 		t.Fatal(err)
 	}
 	s, _ = openStore(t, dir, nil, false)
 	if s.Ejected("s-1") || !s.Ejected("s-2") || !s.HasOrder("s-1") {
-		t.Errorf("after one was put back: %v", s.AllEjected())
+		t.Errorf("after one was reinstated: %v", s.AllEjected())
 	}
 	if other := Open(Options{Directory: dir, Name: "n1", Listen: "127.0.0.1:1"}); other.Ejected("s-2") {
-		t.Error("another gateway's orders were taken over")
+		t.Error("another gateway's orders were loaded")
 	}
 }
 
-// A process beside its predecessor takes over what is in force, the drain too, also where the folder
-// cannot be written; what one is told the other hears of, and what was not saved is saved later.
+// A process beside its predecessor takes over the orders in force, including a drain, even if the directory
+// cannot be written. Later orders to either process reach the other, and unsaved orders are saved later.
 func TestHandoffToSuccessor(t *testing.T) {
 	dir, ctx := t.TempDir(), context.Background()
-	files := &flakyFileSystem{}
-	files.broken.Store(true)
-	old, end := openStore(t, dir, files, true)
-	begun := time.Now()
+	fileSystem := &flakyFileSystem{}
+	fileSystem.broken.Store(true)
+	old, end := openStore(t, dir, fileSystem, true)
+	start := time.Now()
 	if err := old.SetEjected(ctx, "s-1", true); !errors.Is(err, ErrNotSaved) || !old.Ejected("s-1") {
-		t.Errorf("on a broken disk: %v, out %v", err, old.Ejected("s-1"))
+		t.Errorf("on a broken disk: %v, ejected %v", err, old.Ejected("s-1"))
 	}
 	if err := old.SetDrained(ctx, true); !errors.Is(err, ErrNotSaved) {
 		t.Errorf("on a broken disk: %v", err)
 	}
-	if took := time.Since(begun); took > 2*time.Second {
+	if took := time.Since(start); took > 2*time.Second {
 		t.Errorf("two orders took %v", took)
 	}
-	next := Open(Options{Directory: dir, Name: "n0", Listen: "127.0.0.1:1", FileSystem: files})
+	next := Open(Options{Directory: dir, Name: "n0", Listen: "127.0.0.1:1", FileSystem: fileSystem})
 	if !next.Ejected("s-1") || !next.Drained() {
-		t.Errorf("handed on: %v, drained %v", next.AllEjected(), next.Drained())
+		t.Errorf("handed over: %v, drained %v", next.AllEjected(), next.Drained())
 	}
-	running, stop := context.WithCancel(ctx)
-	defer stop()
+	running, cancel := context.WithCancel(ctx)
+	defer cancel()
 	go next.Run(running)
 	_ = old.SetEjected(ctx, "s-2", true)
-	waitUntil(t, "the next hears of the old one's order", func() bool { return next.Ejected("s-2") })
-	files.broken.Store(false)
-	waitUntil(t, "saved in the end", func() bool { return old.LastError() == nil && next.LastError() == nil })
+	waitUntil(t, "the successor receives the predecessor's order", func() bool { return next.Ejected("s-2") })
+	fileSystem.broken.Store(false)
+	waitUntil(t, "both have saved", func() bool { return old.LastError() == nil && next.LastError() == nil })
 	if err := next.SetEjected(ctx, "s-1", false); err != nil {
 		t.Fatal(err)
 	}
-	waitUntil(t, "the old one hears of the next's", func() bool { return !old.Ejected("s-1") })
+	waitUntil(t, "the predecessor receives the successor's order", func() bool { return !old.Ejected("s-1") })
 	end()
 	if err := next.SetDrained(ctx, false); err != nil {
 		t.Fatal(err)
 	}
-	waitUntil(t, "the name is the next one's", next.handoff.listening.Load)
+	waitUntil(t, "the successor owns the handoff address", next.handoff.listening.Load)
 	third, _ := openStore(t, dir, nil, false)
 	if third.Ejected("s-1") || !third.Ejected("s-2") || third.Drained() {
-		t.Errorf("in the third life: %v, drained %v", third.AllEjected(), third.Drained())
+		t.Errorf("in the third process: %v, drained %v", third.AllEjected(), third.Drained())
 	}
 }
 
-// A file that is no state of ours, whole or half, is kept aside, and what is in force is saved anew.
+// A file that is not a complete state is quarantined, and the orders in force are saved to a new file.
 func TestCorruptedFiles(t *testing.T) {
-	for name, text := range map[string]string{"empty": "", "half": `{"format":1,"replicas":{"s-1":{"numb`, "another's": "#!/bin/sh\n",
-		"no format": `{"replicas":{}}`, "odd": `{"format":"x"}`} {
+	for name, content := range map[string]string{"empty": "", "half": `{"format":1,"replicas":{"s-1":{"numb`, "another's": "#!/bin/sh\n",
+		"no format": `{"replicas":{}}`, "format of another type": `{"format":"x"}`} {
 		dir, ctx := t.TempDir(), context.Background()
 		s, _ := openStore(t, dir, nil, false)
-		if err := os.WriteFile(s.path, []byte(text), 0o600); err != nil {
+		if err := os.WriteFile(s.path, []byte(content), 0o600); err != nil {
 			t.Fatal(err)
 		}
 		s, _ = openStore(t, dir, nil, false)
 		if err := s.SetEjected(ctx, "s-2", true); err != nil {
 			t.Errorf("%s: %v", name, err)
 		}
-		if kept, err := os.ReadFile(s.path + ".damaged"); err != nil || string(kept) != text {
-			t.Errorf("%s: kept aside %q, %v", name, kept, err)
+		if quarantined, err := os.ReadFile(s.path + ".damaged"); err != nil || string(quarantined) != content {
+			t.Errorf("%s: quarantined %q, %v", name, quarantined, err)
 		}
 		if s, _ = openStore(t, dir, nil, false); !s.Ejected("s-2") {
 			t.Errorf("%s: lost", name)
 		}
 	}
-	// A later version's file, with more in it, serves.
+	// The file of a later version, with more fields, is read.
 	dir := t.TempDir()
 	s, _ := openStore(t, dir, nil, false)
 	if err := os.WriteFile(s.path, []byte(`{"format":7,"more":[1],"replicas":{"s-1":{"number":3,"on":true,"why":"x"}}}`), 0o600); err != nil {
@@ -176,7 +185,7 @@
 	if s, _ = openStore(t, dir, nil, false); !s.Ejected("s-1") {
 		t.Error("a later version's order is lost")
 	}
-	// Nor is a file believed that is another's or no file.
+	// A symbolic link is not trusted.
 	if err := os.Rename(s.path, s.path+".x"); err != nil {
 		t.Fatal(err)
 	}
@@ -188,35 +197,27 @@
 	}
 }
 
-// A running process that finds its file half written, emptied or gone writes it anew: what was
-// acknowledged is still owed.
+// A running process that finds its file half written, truncated or removed writes it again: acknowledged
+// orders must not be lost.
 func TestFileIsRewritten(t *testing.T) {
 	dir, ctx := t.TempDir(), context.Background()
-	files := &flakyFileSystem{}
-	s, end := openStore(t, dir, files, true)
+	fileSystem := &flakyFileSystem{}
+	s, end := openStore(t, dir, fileSystem, true)
 	if err := s.SetEjected(ctx, "s-1", true); err != nil {
 		t.Fatal(err)
 	}
-	files.tearing.Store(true)
+	fileSystem.tearing.Store(true)
 	if err := s.SetEjected(ctx, "s-2", true); !errors.Is(err, ErrNotSaved) {
 		t.Errorf("half a write: %v", err)
 	}
-	files.tearing.Store(false)
-	for _, harm := range []func() error{func() error { return nil }, func() error { return os.Remove(s.path) }, func() error { return os.Truncate(s.path, 10) }} {
-		waitUntil(t, "saved", func() bool {
-			text, _ := os.ReadFile(s.path)
-			in, err := parseState(text)
-			return err == nil && in.ejectedCount() == 2
-		})
-		if err := harm(); err != nil {
+	fileSystem.tearing.Store(false)
+	for _, damage := range []func() error{func() error { return nil }, func() error { return os.Remove(s.path) }, func() error { return os.Truncate(s.path, 10) }} {
+		waitUntil(t, "saved", hasSavedEjected(s, 2))
+		if err := damage(); err != nil {
 			t.Fatal(err)
 		}
 	}
-	waitUntil(t, "saved again", func() bool {
-		text, _ := os.ReadFile(s.path)
-		in, err := parseState(text)
-		return err == nil && in.ejectedCount() == 2
-	})
+	waitUntil(t, "saved again", hasSavedEjected(s, 2))
 	end()
 	if left, _ := filepath.Glob(filepath.Join(dir, "*.new-*")); len(left) > 0 {
 		t.Errorf("left behind: %v", left)
@@ -229,45 +230,42 @@
 	once sync.Once
 }
 
-func (d *damagingFileSystem) WriteFileAtomic(path string, text []byte) (string, error) {
-	stamp, err := d.osFileSystem.WriteFileAtomic(path, text)
+func (d *damagingFileSystem) WriteFileAtomic(path string, content []byte) (string, error) {
+	fingerprint, err := d.osFileSystem.WriteFileAtomic(path, content)
 	d.once.Do(func() { _ = os.Truncate(path, 10) })
-	return stamp, err
+	return fingerprint, err
 }
 
-// Damage that comes before the store has looked at what it wrote does not pass for the written file.
+// Corruption that happens before the store has read the fingerprint back does not pass for the written file.
 func TestCorruptionRightAfterWrite(t *testing.T) {
 	s, end := openStore(t, t.TempDir(), &damagingFileSystem{}, true)
 	defer end()
 	if err := s.SetEjected(context.Background(), "s-1", true); err != nil {
 		t.Fatal(err)
 	}
-	waitUntil(t, "written anew", func() bool {
-		text, _ := os.ReadFile(s.path)
-		in, err := parseState(text)
-		return err == nil && in.ejectedCount() == 1
-	})
+	waitUntil(t, "written again", hasSavedEjected(s, 1))
 }
 
-// A file system that hangs holds up no order, and keeps one task at most.
+// A file system that hangs delays no order beyond its timeout, and blocks one goroutine at most.
 func TestHangingFileSystem(t *testing.T) {
 	hang := &hangingFileSystem{release: make(chan struct{})}
 	s := Open(Options{Directory: t.TempDir(), Name: "n0", Listen: "127.0.0.1:1", FileSystem: hang})
-	begun := time.Now()
+	start := time.Now()
 	for i := range 3 {
 		if err := s.SetEjected(context.Background(), fmt.Sprint("s-", i), true); !errors.Is(err, ErrNotSaved) {
 			t.Errorf("%v", err)
 		}
 	}
-	if took := time.Since(begun); took > 2700*time.Millisecond {
+	if took := time.Since(start); took > 2700*time.Millisecond {
 		t.Errorf("three orders took %v", took)
 	}
 	if n := hang.entered.Load(); n > 1 {
-		t.Errorf("%d tasks hang", n)
+		t.Errorf("%d goroutines hang", n)
 	}
 	close(hang.release)
 }
 
+// hangingFileSystem blocks in Fingerprint until released.
 type hangingFileSystem struct {
 	osFileSystem
 	entered atomic.Int32
@@ -280,8 +278,8 @@
 	return "", nil
 }
 
-// Whatever is ordered where and in whatever order states are merged, all come to the same, and an
-// order given after another was seen counts.
+// States merged in any sequence give the same result, and an order that is given after another was seen
+// supersedes it.
 func TestMergeIsOrderIndependent(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		states := []state{newState(), newState(), newState()}
@@ -289,34 +287,34 @@
 		for range rapid.IntRange(1, 30).Draw(t, "steps") {
 			i := rapid.IntRange(0, 2).Draw(t, "process")
 			id := fmt.Sprint("s-", rapid.IntRange(0, 3).Draw(t, "id"))
-			if rapid.Bool().Draw(t, "hears first") {
+			if rapid.Bool().Draw(t, "merges first") {
 				for _, o := range states {
 					states[i].merge(o)
 				}
-				last[id] = rapid.Bool().Draw(t, "out")
+				last[id] = rapid.Bool().Draw(t, "ejected")
 				if err := states[i].setEjected(id, last[id]); err != nil {
 					t.Fatal(err)
 				}
 				continue
 			}
-			delete(last, id) // crossed orders: either may count
-			_ = states[i].setEjected(id, rapid.Bool().Draw(t, "out"))
+			delete(last, id) // concurrent orders: either may win
+			_ = states[i].setEjected(id, rapid.Bool().Draw(t, "ejected"))
 		}
-		var all []state
-		for _, order := range [][]int{{0, 1, 2}, {2, 1, 0}, {1, 0, 2}} {
+		var merged []state
+		for _, sequence := range [][]int{{0, 1, 2}, {2, 1, 0}, {1, 0, 2}} {
 			sum := newState()
-			for _, i := range order {
+			for _, i := range sequence {
 				sum.merge(states[i])
 			}
-			all = append(all, sum)
+			merged = append(merged, sum)
 		}
-		if !all[0].equal(all[1]) || !all[0].equal(all[2]) {
-			t.Fatalf("%v, %v, %v", all[0], all[1], all[2])
+		if !merged[0].equal(merged[1]) || !merged[0].equal(merged[2]) {
+			t.Fatalf("%v, %v, %v", merged[0], merged[1], merged[2])
 		}
 	})
 }
 
-// However many replicas come and go, so much is remembered, and what is out is not forgotten.
+// The number of stored orders is bounded however many replicas come and go, and no ejected replica is forgotten.
 func TestOrdersAreBounded(t *testing.T) {
 	s := newState()
 	for i := range maxOrders - 5 {
@@ -328,13 +326,13 @@
 		}
 	}
 	if len(s.Replicas) != maxOrders || s.ejectedCount() != 10 {
-		t.Errorf("%d orders, %d out", len(s.Replicas), s.ejectedCount())
+		t.Errorf("%d orders, %d ejected", len(s.Replicas), s.ejectedCount())
 	}
 	for id := range s.Replicas {
 		s.Replicas[id] = order{Number: s.Replicas[id].Number, Active: true}
 	}
 	err := s.setEjected("b", true)
 	if !errors.Is(err, ErrTooManyEjected) || s.ejectedCount() != maxOrders || slices.Contains([]bool{s.Replicas["a0"].Active, s.Replicas["a9"].Active}, false) {
-		t.Errorf("%v with %d out", err, s.ejectedCount())
+		t.Errorf("%v with %d ejected", err, s.ejectedCount())
 	}
 }
--- a/internal/maintenance/stored_test.go
+++ b/internal/maintenance/stored_test.go
@@ -15,7 +15,7 @@
 	"archknot/internal/maintenance"
 )
 
-// orders is the saved form, spelled out.
+// orders is the saved form, declared apart from the package's own types.
 type orders struct {
 	Format   int              `json:"format"`
 	Drain    order            `json:"drain"`
@@ -27,26 +27,26 @@
 	Active bool   `json:"on"`
 }
 
-// baseName is how the file and the hand-off socket of a gateway are named.
-func baseName(folder string) string {
+// baseName returns the name of a gateway's orders file and handoff socket, without the suffix and the @.
+func baseName(dir string) string {
 	id := fnv.New64a()
-	fmt.Fprintf(id, "%d\x00n0\x00127.0.0.1:1\x00%s", os.Geteuid(), folder)
+	fmt.Fprintf(id, "%d\x00n0\x00127.0.0.1:1\x00%s", os.Geteuid(), dir)
 	return fmt.Sprintf("archknot-n0-%016x", id.Sum64())
 }
 
-func openStored(folder string) *maintenance.Store {
-	return maintenance.Open(maintenance.Options{Directory: folder, Name: "n0", Listen: "127.0.0.1:1"})
+func openStored(dir string) *maintenance.Store {
+	return maintenance.Open(maintenance.Options{Directory: dir, Name: "n0", Listen: "127.0.0.1:1"})
 }
 
-// folderWith returns a folder that has a stored file as a gateway's orders.
-func folderWith(t *testing.T, stored string) string {
+// directoryWith returns a directory that has a file of testdata as a gateway's orders.
+func directoryWith(t *testing.T, stored string) string {
 	t.Helper()
-	text, err := os.ReadFile(filepath.Join("testdata/stored", stored))
+	content, err := os.ReadFile(filepath.Join("testdata/stored", stored))
 	if err != nil {
 		t.Fatal(err)
 	}
 	dir := t.TempDir()
-	if err := os.WriteFile(filepath.Join(dir, baseName(dir)+".orders"), text, 0o600); err != nil {
+	if err := os.WriteFile(filepath.Join(dir, baseName(dir)+".orders"), content, 0o600); err != nil {
 		t.Fatal(err)
 	}
 	return dir
@@ -55,10 +55,10 @@
 // A file of orders written by the build of commit b3142ba is read, and further orders
 // are saved in the same form. The drain in it ended with its process.
 func TestStoredOrders(t *testing.T) {
-	dir := folderWith(t, "orders.json")
+	dir := directoryWith(t, "orders.json")
 	s := openStored(dir)
 	if diff := cmp.Diff(map[string]struct{}{"s-1": {}, "s-3": {}}, s.AllEjected()); diff != "" || s.Drained() || !s.HasOrder("s-2") || s.HasOrder("s-4") {
-		t.Errorf("drained %v, s-2 known %v, s-4 known %v, out: %s", s.Drained(), s.HasOrder("s-2"), s.HasOrder("s-4"), diff)
+		t.Errorf("drained %v, s-2 known %v, s-4 known %v, ejected: %s", s.Drained(), s.HasOrder("s-2"), s.HasOrder("s-4"), diff)
 	}
 	if err := s.SetEjected(context.Background(), "s-3", false); err != nil {
 		t.Fatal(err)
@@ -81,10 +81,10 @@
 	}
 }
 
-// What a process of the build of commit b3142ba hands on to its successor is taken over:
-// what is newer than the file, and the drain.
+// The state that a process of the build of commit b3142ba hands over to its successor is
+// merged: orders newer than the file, and the drain.
 func TestStoredHandoff(t *testing.T) {
-	dir := folderWith(t, "orders.json")
+	dir := directoryWith(t, "orders.json")
 	text, err := os.ReadFile("testdata/stored/handoff.json")
 	if err != nil {
 		t.Fatal(err)
@@ -106,6 +106,6 @@
 	}()
 	s := openStored(dir)
 	if diff := cmp.Diff(map[string]struct{}{"s-1": {}, "s-3": {}, "s-4": {}}, s.AllEjected()); diff != "" || !s.Drained() || !s.HasOrder("s-2") {
-		t.Errorf("drained %v, s-2 known %v, out: %s", s.Drained(), s.HasOrder("s-2"), diff)
+		t.Errorf("drained %v, s-2 known %v, ejected: %s", s.Drained(), s.HasOrder("s-2"), diff)
 	}
 }
