--- a/internal/adminapi/connlimiter.go
+++ b/internal/adminapi/connlimiter.go
@@ -7,79 +7,90 @@
 	"time"
 )
 
-// connLimiter bounds the operators' connections. Where all are taken, one that has sent no whole call gives
-// way to the next: callers that send nothing keep no one out.
+// connLimiter bounds the number of open connections to MaxConnections. At the limit a new connection
+// replaces the oldest one that has not sent a complete call: silent clients lock nobody out. Its methods
+// may be called from any goroutine.
 type connLimiter struct {
 	mu        sync.Mutex
-	pending   map[net.Conn]time.Time // those that have sent no whole call, and since when
-	answering int                    // connections that are being answered
+	pending   map[net.Conn]time.Time // connections without a complete call, with the time of their accept
+	answering int                    // number of connections whose call is being answered
 }
 
-// wrap bounds what a listener accepts.
-func (s *connLimiter) wrap(l net.Listener) net.Listener { return &limitedListener{l, s} }
+func newConnLimiter() *connLimiter {
+	return &connLimiter{pending: map[net.Conn]time.Time{}}
+}
+
+// wrap returns a listener whose connections are limited.
+func (l *connLimiter) wrap(listener net.Listener) net.Listener {
+	return &limitedListener{Listener: listener, limiter: l}
+}
 
+// limitedListener closes the connections that its limiter does not admit.
 type limitedListener struct {
 	net.Listener
 	limiter *connLimiter
 }
 
-// Accept returns the next connection once there is a place for it.
+// Accept returns the next connection that the limiter admits.
 func (l *limitedListener) Accept() (net.Conn, error) {
 	for {
-		c, err := l.Listener.Accept()
+		conn, err := l.Listener.Accept()
 		if err != nil {
 			return nil, err
 		}
-		if l.limiter.admit(c) {
-			return c, nil
+		if l.limiter.admit(conn) {
+			return conn, nil
 		}
-		c.Close()
+		conn.Close()
 	}
 }
 
-// admit finds a place for a connection.
-func (s *connLimiter) admit(c net.Conn) bool {
-	s.mu.Lock()
-	defer s.mu.Unlock()
-	if len(s.pending)+s.answering >= MaxConnections {
-		oldest := s.oldestPending()
+// admit registers a new connection, and closes the oldest pending one to make room for it. It reports
+// false if the limit is reached and no connection is pending.
+func (l *connLimiter) admit(conn net.Conn) bool {
+	l.mu.Lock()
+	defer l.mu.Unlock()
+	if len(l.pending)+l.answering >= MaxConnections {
+		oldest := l.oldestPending()
 		if oldest == nil {
 			return false
 		}
-		delete(s.pending, oldest)
+		delete(l.pending, oldest)
 		oldest.Close()
 	}
-	s.pending[c] = time.Now()
+	l.pending[conn] = time.Now()
 	return true
 }
 
-func (s *connLimiter) oldestPending() (oldest net.Conn) {
-	for c, since := range s.pending {
-		if oldest == nil || since.Before(s.pending[oldest]) {
-			oldest = c
+func (l *connLimiter) oldestPending() net.Conn {
+	var oldest net.Conn
+	for conn, since := range l.pending {
+		if oldest == nil || since.Before(l.pending[oldest]) {
+			oldest = conn
 		}
 	}
 	return oldest
 }
 
-// startAnswer keeps a connection from giving way while its call is being answered; the result ends that.
-func (s *connLimiter) startAnswer(c net.Conn) (end func()) {
-	s.mu.Lock()
-	defer s.mu.Unlock()
-	delete(s.pending, c)
-	s.answering++
+// startAnswer protects a connection from being replaced while its call is answered, until the returned
+// function is called.
+func (l *connLimiter) startAnswer(conn net.Conn) (end func()) {
+	l.mu.Lock()
+	defer l.mu.Unlock()
+	delete(l.pending, conn)
+	l.answering++
 	return func() {
-		s.mu.Lock()
-		defer s.mu.Unlock()
-		s.answering--
+		l.mu.Lock()
+		defer l.mu.Unlock()
+		l.answering--
 	}
 }
 
-// trackState keeps the places by the server's word on its connections.
-func (s *connLimiter) trackState(c net.Conn, state http.ConnState) {
+// trackState forgets connections that have ended; it is the ConnState callback of the HTTP server.
+func (l *connLimiter) trackState(conn net.Conn, state http.ConnState) {
 	if state == http.StateClosed || state == http.StateHijacked {
-		s.mu.Lock()
-		delete(s.pending, c)
-		s.mu.Unlock()
+		l.mu.Lock()
+		delete(l.pending, conn)
+		l.mu.Unlock()
 	}
 }
--- a/internal/adminapi/server.go
+++ b/internal/adminapi/server.go
@@ -1,6 +1,3 @@
-// Package operator serves the address for operators alone: they ask whether the process can serve,
-// take replicas out and put them back, and drain the gateway and end that. One call to a connection;
-// 2xx is yes, 4xx and 5xx are no.
 package adminapi
 
 import (
@@ -11,10 +8,7 @@
 	"log/slog"
 	"net"
 	"net/http"
-	"net/url"
-	"strings"
 	"sync"
-	"sync/atomic"
 	"time"
 
 	"archknot/internal/maintenance"
@@ -22,69 +16,49 @@
 )
 
 const (
-	// MaxConnections bounds the connections of operators that are open at once, the listener not counted.
+	// MaxConnections bounds the connections that are open at once, the listening socket not counted.
 	MaxConnections = 16
-	// callTimeout bounds a call from its connecting to its last byte: who sends nothing, or half a call,
-	// holds a connection for no longer.
+	// callTimeout bounds a call from its connection's accept to the last byte of the request: a client
+	// that sends nothing, or half a call, occupies a connection no longer than that.
 	callTimeout = 2 * time.Second
-	// answerTimeout bounds what a call may wait for: operators are owed an answer within a second.
+	// answerTimeout bounds how long a call waits for the gateway: operators expect an answer within a second.
 	answerTimeout = 750 * time.Millisecond
-	// maxBodyBytes is what of a call's body is read. It means nothing.
+	// maxBodyBytes bounds a request's body, which is read and ignored.
 	maxBodyBytes   = 16 << 10
 	maxHeaderBytes = 8 << 10
-	// bindRetryInterval is the pause before an address that is in use is tried again.
+	// bindRetryInterval is the pause between two attempts to bind an address that is in use.
 	bindRetryInterval = 200 * time.Millisecond
 )
 
-// Errors of a Gateway that have answers of their own.
+// Errors of a Gateway that have a status or text of their own in the response.
 var (
+	// ErrUnknownReplica is returned for a replica that no endpoint list ever had.
 	ErrUnknownReplica = errors.New("this replica was never listed")
-	ErrShuttingDown   = errors.New("this process ends")
-	// ErrDiscoveryPending says that discovery has not answered this process yet, so that nobody can tell whether
-	// there is such a replica. It gets nothing in case it is listed.
+	// ErrShuttingDown is returned when the process is shutting down.
+	ErrShuttingDown = errors.New("this process ends")
+	// ErrDiscoveryPending is returned when discovery has not answered this process yet, so that it is not
+	// known whether the replica exists. The replica is ejected in case it is listed later.
 	ErrDiscoveryPending = errors.New("held out, but discovery has not answered yet")
 )
 
-// Gateway is what the calls are about.
+// errNotReady is the answer to a query for readiness while the gateway cannot serve.
+var errNotReady = errors.New("not ready")
+
+// Gateway carries out the calls. Its methods may be called from any goroutine, and return when their
+// context ends.
 type Gateway interface {
-	// CanServe tells whether this process can serve.
+	// CanServe reports whether this process can serve clients.
 	CanServe() bool
-	// Eject takes a replica out, Reinstate puts it back.
+	// Eject has a replica receive no new requests until Reinstate.
 	Eject(ctx context.Context, replica string) error
+	// Reinstate ends an ejection.
 	Reinstate(ctx context.Context, replica string) error
-	// DrainClients sends clients away, Resume takes them again.
+	// DrainClients has clients go elsewhere, while the process keeps running.
 	DrainClients(ctx context.Context) error
+	// Resume ends a drain.
 	Resume(ctx context.Context) error
 }
 
-// CallCounts are the calls answered, by call and whether the answer was yes.
-type CallCounts struct{ succeeded, failed [callKindCount]atomic.Int64 }
-
-// callKind is one of the calls.
-type callKind uint8
-
-const (
-	callReady callKind = iota
-	callDisable
-	callEnable
-	callDrain
-	callResume
-	callOther         // none of these
-	callKindCount int = iota
-)
-
-func (c callKind) String() string {
-	return [...]string{"ready", "disable", "enable", "drain", "resume", "other"}[c]
-}
-
-// Each tells the counts.
-func (c *CallCounts) Each(tell func(call string, yes bool, n int64)) {
-	for i := range callKindCount {
-		tell(callKind(i).String(), true, c.succeeded[i].Load())
-		tell(callKind(i).String(), false, c.failed[i].Load())
-	}
-}
-
 // Server answers operators until Close.
 type Server struct {
 	gateway   Gateway
@@ -95,23 +69,31 @@
 	closeOnce sync.Once
 }
 
-// Listen begins to serve an address. Where that cannot be bound just now, it is tried on until it can:
-// the gateway serves its clients meanwhile.
-func Listen(addr string, g Gateway, counts *CallCounts) *Server {
-	s := &Server{gateway: g, counts: counts, closed: make(chan struct{}), limiter: &connLimiter{pending: map[net.Conn]time.Time{}}}
-	s.http = &http.Server{Handler: http.HandlerFunc(s.handle), ReadTimeout: callTimeout, WriteTimeout: callTimeout + answerTimeout, MaxHeaderBytes: maxHeaderBytes,
-		ConnState: s.limiter.trackState, ConnContext: withConnection, ErrorLog: log.New(io.Discard, "", 0)}
+// Listen begins to serve an address, and counts the calls in counts. If the address cannot be bound at
+// the moment, that is logged and retried in the background: the gateway serves its clients meanwhile.
+func Listen(addr string, gateway Gateway, counts *CallCounts) *Server {
+	s := &Server{gateway: gateway, counts: counts, closed: make(chan struct{}), limiter: newConnLimiter()}
+	s.http = &http.Server{
+		Handler:        http.HandlerFunc(s.handle),
+		ReadTimeout:    callTimeout,
+		WriteTimeout:   callTimeout + answerTimeout,
+		MaxHeaderBytes: maxHeaderBytes,
+		ConnState:      s.limiter.trackState,
+		ConnContext:    withConnection,
+		ErrorLog:       log.New(io.Discard, "", 0),
+	}
 	s.http.SetKeepAlivesEnabled(false)
-	if l, err := net.Listen("tcp", addr); err == nil {
-		go s.serveListener(l)
-	} else {
+	listener, err := net.Listen("tcp", addr)
+	if err != nil {
 		slog.Error("admin_listener", "listen", addr, "err", err)
 		go s.retryListen(addr)
+		return s
 	}
+	go s.serveListener(listener)
 	return s
 }
 
-// retryListen tries for the address until it has it.
+// retryListen tries to bind the address until it succeeds or the server is closed, then serves it.
 func (s *Server) retryListen(addr string) {
 	for {
 		select {
@@ -119,106 +101,79 @@
 			return
 		case <-time.After(bindRetryInterval):
 		}
-		if l, err := net.Listen("tcp", addr); err == nil {
+		listener, err := net.Listen("tcp", addr)
+		if err == nil {
 			slog.Info("admin_listener", "listen", addr)
-			s.serveListener(l)
+			s.serveListener(listener)
 			return
 		}
 	}
 }
 
-func (s *Server) serveListener(l net.Listener) {
-	if err := s.http.Serve(s.limiter.wrap(sockets.NewRetryListener(l))); !errors.Is(err, http.ErrServerClosed) {
+// serveListener serves a listener until the server is closed.
+func (s *Server) serveListener(listener net.Listener) {
+	err := s.http.Serve(s.limiter.wrap(sockets.NewRetryListener(listener)))
+	if !errors.Is(err, http.ErrServerClosed) {
 		slog.Error("admin_listener", "err", err)
 	}
 }
 
-// Close ends the server.
+// Close ends the server and its connections at once. It may be called more than once.
 func (s *Server) Close() {
 	s.closeOnce.Do(func() { close(s.closed) })
 	s.http.Close()
 }
 
-// handle answers one call. A call with a body that does not come whole has no effect.
+// handle answers one call. A call whose body does not arrive completely has no effect.
 func (s *Server) handle(w http.ResponseWriter, r *http.Request) {
-	begun := time.Now()
+	start := time.Now()
 	w.Header().Set("Connection", "close")
-	c, replica, status := parseCall(r)
-	if status == 0 {
-		if _, err := io.Copy(io.Discard, http.MaxBytesReader(w, r.Body, maxBodyBytes)); err != nil {
-			status = http.StatusBadRequest
-		}
+	c, status := parseCall(r)
+	if status == 0 && !discardBody(w, r) {
+		status = http.StatusBadRequest
 	}
 	defer s.limiter.startAnswer(connectionOf(r.Context()))()
 	var err error
 	if status == 0 {
-		ctx, stop := context.WithTimeout(r.Context(), answerTimeout)
-		err = s.execute(ctx, c, replica)
-		stop()
+		err = s.execute(r.Context(), c)
 		status = statusCode(err)
 	}
-	text := "ok"
-	if err != nil {
-		text = err.Error()
-	} else if status != http.StatusOK {
-		text = http.StatusText(status)
-	}
+	text := answerText(status, err)
 	http.Error(w, text, status)
-	s.record(r, c, replica, status, text, time.Since(begun))
+	succeeded := status == http.StatusOK
+	s.counts.add(c.kind, succeeded)
+	slog.Log(r.Context(), logLevel(c.kind, succeeded), "admin_call", "call", c.kind.String(), "replica", c.replica,
+		"client", r.RemoteAddr, "request_id", r.Header.Get("Req-Id"),
+		"status", status, "answer", text, "took_ms", time.Since(start).Milliseconds())
+}
+
+// discardBody reads a request's body, and reports whether it arrived completely and within maxBodyBytes.
+func discardBody(w http.ResponseWriter, r *http.Request) bool {
+	_, err := io.Copy(io.Discard, http.MaxBytesReader(w, r.Body, maxBodyBytes))
+	return err == nil
 }
 
+// connectionKey is the context key of a request's connection.
 type connectionKey struct{}
 
-func withConnection(ctx context.Context, c net.Conn) context.Context {
-	return context.WithValue(ctx, connectionKey{}, c)
+func withConnection(ctx context.Context, conn net.Conn) context.Context {
+	return context.WithValue(ctx, connectionKey{}, conn)
 }
 
 func connectionOf(ctx context.Context) net.Conn {
-	c, _ := ctx.Value(connectionKey{}).(net.Conn)
-	return c
-}
-
-// parseCall tells which call a request is; a status above 0 says that it is none.
-func parseCall(r *http.Request) (c callKind, replica string, status int) {
-	rest, ok := strings.CutPrefix(r.URL.EscapedPath(), "/-/")
-	if !ok {
-		return callOther, "", http.StatusNotFound
-	}
-	method := http.MethodPut
-	switch parts := strings.Split(rest, "/"); {
-	case rest == "ready":
-		c, method = callReady, http.MethodGet
-	case rest == "drain":
-		c = callDrain
-	case rest == "resume":
-		c = callResume
-	case len(parts) == 3 && parts[0] == "replicas" && (parts[2] == "disable" || parts[2] == "enable"):
-		if c = callEnable; parts[2] == "disable" {
-			c = callDisable
-		}
-		id, err := url.PathUnescape(parts[1])
-		if err != nil || id == "" {
-			return callOther, "", http.StatusBadRequest
-		}
-		replica = id
-	default:
-		return callOther, "", http.StatusNotFound
-	}
-	if r.Method != method {
-		return callOther, "", http.StatusMethodNotAllowed
-	}
-	return c, replica, 0
+	conn, _ := ctx.Value(connectionKey{}).(net.Conn) // withConnection has set it on every connection
+	return conn
 }
 
-// errNotReady is the no to a question for readiness.
-var errNotReady = errors.New("not ready")
-
-func (s *Server) execute(ctx context.Context, c callKind, replica string) error {
-	switch c {
+// execute carries out a call within answerTimeout.
+func (s *Server) execute(ctx context.Context, c call) error {
+	ctx, cancel := context.WithTimeout(ctx, answerTimeout)
+	defer cancel()
+	switch c.kind {
 	case callDisable:
-		return s.gateway.Eject(ctx, replica)
+		return s.gateway.Eject(ctx, c.replica)
 	case callEnable:
-		return s.gateway.Reinstate(ctx, replica)
+		return s.gateway.Reinstate(ctx, c.replica)
 	case callDrain:
 		return s.gateway.DrainClients(ctx)
 	case callResume:
@@ -230,6 +185,7 @@
 	return nil
 }
 
+// statusCode returns the status of the response to a valid call.
 func statusCode(err error) int {
 	switch {
 	case err == nil:
@@ -244,19 +200,25 @@
 	return http.StatusServiceUnavailable
 }
 
-// record counts a call and logs it. Questions for readiness come many times a second, and change nothing.
-func (s *Server) record(r *http.Request, c callKind, replica string, status int, text string, took time.Duration) {
-	if status == http.StatusOK {
-		s.counts.succeeded[c].Add(1)
-	} else {
-		s.counts.failed[c].Add(1)
+// answerText returns the body of the response.
+func answerText(status int, err error) string {
+	switch {
+	case err != nil:
+		return err.Error()
+	case status == http.StatusOK:
+		return "ok"
 	}
-	level := slog.LevelInfo
-	if c == callReady {
-		level = slog.LevelDebug
-	} else if status != http.StatusOK {
-		level = slog.LevelWarn
+	return http.StatusText(status)
+}
+
+// logLevel returns the level of a call's log line. Queries for readiness come many times a second and
+// change nothing.
+func logLevel(kind callKind, succeeded bool) slog.Level {
+	switch {
+	case kind == callReady:
+		return slog.LevelDebug
+	case succeeded:
+		return slog.LevelInfo
 	}
-	slog.Log(r.Context(), level, "admin_call", "call", c.String(), "replica", replica, "client", r.RemoteAddr, "request_id", r.Header.Get("Req-Id"),
-		"status", status, "answer", text, "took_ms", took.Milliseconds())
+	return slog.LevelWarn
 }
