--- a/internal/controlsocket/server.go
+++ b/internal/controlsocket/server.go
@@ -1,10 +1,6 @@
-// Package control is the gateway's socket for orders of operators on its own
-// machine: HTTP over a Unix socket that only the gateway's user may open. Every
-// order and answer is one small JSON object.
 package controlsocket
 
 import (
-	"bytes"
 	"context"
 	"encoding/json"
 	"errors"
@@ -20,50 +16,85 @@
 
 const (
 	maxRequestBytes  = 64 << 10
+	maxHeaderBytes   = 8 << 10
 	maxResponseBytes = 16 << 20
-	maxConcurrent    = 8
-	commandTimeout   = 30 * time.Second
+	// maxConcurrent bounds the commands that are carried out at once; further ones are rejected.
+	maxConcurrent = 8
+	// commandTimeout bounds how long a command may take, and transferTimeout the time around it to read
+	// the request or write the response.
+	commandTimeout  = 30 * time.Second
+	transferTimeout = 5 * time.Second
+	// probeTimeout bounds the attempt to connect to an existing socket.
+	probeTimeout = time.Second
+	// socketUmask leaves the socket with mode 0600.
+	socketUmask = 0o177
 )
 
-// Handler carries out one kind of order. The answer is put into JSON.
-type Handler func(ctx context.Context, order json.RawMessage) (answer any, err error)
+// Handler carries out one kind of command. The response is encoded as JSON; the text of an error is sent
+// to the caller. Handlers may run concurrently, and should return when the context ends.
+type Handler func(ctx context.Context, request json.RawMessage) (response any, err error)
 
-// Server listens for orders until Close.
+// Server serves commands until Close.
 type Server struct {
 	http     *http.Server
 	listener net.Listener
-	slots    chan struct{}
+	slots    chan struct{} // has one token for each command that is being carried out
 }
 
-// Listen opens the socket with mode 0600 and serves orders by name. A socket
-// that a dead gateway left behind is replaced; one that answers is not.
-func Listen(path string, orders map[string]Handler) (*Server, error) {
-	if c, err := net.DialTimeout("unix", path, time.Second); err == nil {
-		c.Close()
-		return nil, fmt.Errorf("control.socket: %s: another gateway listens there", path)
-	} else if errors.Is(err, syscall.ECONNREFUSED) {
-		if info, serr := os.Lstat(path); serr == nil && info.Mode()&fs.ModeSocket != 0 {
-			os.Remove(path)
-		}
+// Listen opens the socket with mode 0600 and serves the handlers by name. The stale socket of a process
+// that has ended is replaced; a socket on which a process still listens is not.
+func Listen(path string, handlers map[string]Handler) (*Server, error) {
+	if err := removeStaleSocket(path); err != nil {
+		return nil, err
 	}
-	old := syscall.Umask(0o177)
-	l, err := net.Listen("unix", path)
-	syscall.Umask(old)
+	listener, err := listenPrivate(path)
 	if err != nil {
 		return nil, fmt.Errorf("control.socket: %w", err)
 	}
-	s := &Server{listener: l, slots: make(chan struct{}, maxConcurrent)}
+	s := &Server{listener: listener, slots: make(chan struct{}, maxConcurrent)}
 	mux := http.NewServeMux()
-	for name, h := range orders {
-		mux.HandleFunc("POST /"+name, func(w http.ResponseWriter, r *http.Request) { s.serve(w, r, h) })
+	for name, handler := range handlers {
+		mux.HandleFunc("POST /"+name, func(w http.ResponseWriter, r *http.Request) { s.serve(w, r, handler) })
+	}
+	s.http = &http.Server{
+		Handler:        mux,
+		ReadTimeout:    transferTimeout,
+		WriteTimeout:   commandTimeout + transferTimeout,
+		MaxHeaderBytes: maxHeaderBytes,
 	}
-	s.http = &http.Server{Handler: mux, ReadTimeout: 5 * time.Second, WriteTimeout: commandTimeout + 5*time.Second, MaxHeaderBytes: 8 << 10}
 	s.http.SetKeepAlivesEnabled(false)
-	go s.http.Serve(l)
+	go func() { _ = s.http.Serve(listener) }() // returns after Close; callers see a failing socket themselves
 	return s, nil
 }
 
-func (s *Server) serve(w http.ResponseWriter, r *http.Request, h Handler) {
+// removeStaleSocket removes a socket file on which no process listens. It returns an error if one does.
+// Files of other kinds are left alone.
+func removeStaleSocket(path string) error {
+	conn, err := net.DialTimeout("unix", path, probeTimeout)
+	if err == nil {
+		conn.Close()
+		return fmt.Errorf("control.socket: %s: another gateway listens there", path)
+	}
+	if !errors.Is(err, syscall.ECONNREFUSED) {
+		return nil // mostly no such file; otherwise the attempt to listen fails and reports why
+	}
+	info, err := os.Lstat(path)
+	if err == nil && info.Mode()&fs.ModeSocket != 0 {
+		os.Remove(path)
+	}
+	return nil
+}
+
+// listenPrivate listens on a socket that only the current user may open. The umask holds for the whole
+// process while the socket is created.
+func listenPrivate(path string) (net.Listener, error) {
+	previous := syscall.Umask(socketUmask)
+	defer syscall.Umask(previous)
+	return net.Listen("unix", path)
+}
+
+// serve carries out one command.
+func (s *Server) serve(w http.ResponseWriter, r *http.Request, handler Handler) {
 	select {
 	case s.slots <- struct{}{}:
 		defer func() { <-s.slots }()
@@ -71,60 +102,25 @@
 		http.Error(w, "too many orders at once", http.StatusServiceUnavailable)
 		return
 	}
-	body, err := io.ReadAll(http.MaxBytesReader(w, r.Body, maxRequestBytes))
+	request, err := io.ReadAll(http.MaxBytesReader(w, r.Body, maxRequestBytes))
 	if err != nil {
 		http.Error(w, err.Error(), http.StatusBadRequest)
 		return
 	}
-	ctx, stop := context.WithTimeout(r.Context(), commandTimeout)
-	defer stop()
-	answer, err := h(ctx, body)
+	ctx, cancel := context.WithTimeout(r.Context(), commandTimeout)
+	defer cancel()
+	response, err := handler(ctx, request)
 	if err != nil {
 		http.Error(w, err.Error(), http.StatusConflict)
 		return
 	}
 	w.Header().Set("Content-Type", "application/json")
-	json.NewEncoder(w).Encode(answer)
+	_ = json.NewEncoder(w).Encode(response) // the caller sees that the response is incomplete
 }
 
-// Close ends the server and takes the socket away.
+// Close ends the server and removes the socket.
 func (s *Server) Close() error {
 	err := s.http.Close()
-	s.listener.Close() // also where it has not begun to serve
+	s.listener.Close() // needed if Serve has not begun yet
 	return err
 }
-
-// Call gives one order to the gateway behind a socket. An error of type Refused
-// is the gateway's own.
-func Call(ctx context.Context, socket, name string, order, answer any) error {
-	body, err := json.Marshal(order)
-	if err != nil {
-		return err
-	}
-	client := http.Client{Timeout: commandTimeout + 5*time.Second, Transport: &http.Transport{DisableKeepAlives: true,
-		DialContext: func(ctx context.Context, _, _ string) (net.Conn, error) {
-			return (&net.Dialer{}).DialContext(ctx, "unix", socket)
-		}}}
-	req, err := http.NewRequestWithContext(ctx, http.MethodPost, "http://gateway/"+name, bytes.NewReader(body))
-	if err != nil {
-		return err
-	}
-	resp, err := client.Do(req)
-	if err != nil {
-		return err
-	}
-	defer resp.Body.Close()
-	text, err := io.ReadAll(io.LimitReader(resp.Body, maxResponseBytes))
-	if err != nil {
-		return err
-	}
-	if resp.StatusCode != http.StatusOK {
-		return CommandError(bytes.TrimSpace(text))
-	}
-	return json.Unmarshal(text, answer)
-}
-
-// CommandError is a gateway's reason for not carrying out an order.
-type CommandError string
-
-func (r CommandError) Error() string { return string(r) }
--- a/internal/controlsocket/server_test.go
+++ b/internal/controlsocket/server_test.go
@@ -11,15 +11,17 @@
 	"testing"
 )
 
+// A command's response or error reaches the caller; the socket has mode 0600 and is not taken from a
+// server that uses it.
 func TestCommands(t *testing.T) {
 	path := filepath.Join(t.TempDir(), "c.sock")
 	s, err := Listen(path, map[string]Handler{
-		"echo": func(_ context.Context, order json.RawMessage) (any, error) {
+		"echo": func(_ context.Context, request json.RawMessage) (any, error) {
 			var v map[string]string
-			err := json.Unmarshal(order, &v)
+			err := json.Unmarshal(request, &v)
 			return v, err
 		},
-		"refuse": func(context.Context, json.RawMessage) (any, error) { return nil, errors.New("not now") },
+		"reject": func(context.Context, json.RawMessage) (any, error) { return nil, errors.New("not now") },
 	})
 	if err != nil {
 		t.Fatal(err)
@@ -32,27 +34,26 @@
 	if err := Call(t.Context(), path, "echo", map[string]string{"a": "b"}, &got); err != nil || got["a"] != "b" {
 		t.Errorf("%v %v", got, err)
 	}
-	var refused CommandError
-	if err := Call(t.Context(), path, "refuse", 1, &got); !errors.As(err, &refused) || refused != "not now" {
+	var commandError CommandError
+	if err := Call(t.Context(), path, "reject", 1, &got); !errors.As(err, &commandError) || commandError != "not now" {
 		t.Errorf("%v", err)
 	}
-	if err := Call(t.Context(), path, "nothing", 1, &got); !errors.As(err, &refused) {
+	if err := Call(t.Context(), path, "nothing", 1, &got); !errors.As(err, &commandError) {
 		t.Errorf("%v", err)
 	}
-	if err := Call(t.Context(), path, "echo", strings.Repeat("x", maxRequestBytes), &got); !errors.As(err, &refused) || !strings.Contains(err.Error(), "too large") {
-		t.Errorf("a large order: %v", err)
+	if err := Call(t.Context(), path, "echo", strings.Repeat("x", maxRequestBytes), &got); !errors.As(err, &commandError) || !strings.Contains(err.Error(), "too large") {
+		t.Errorf("a large request: %v", err)
 	}
 	if _, err := Listen(path, nil); err == nil || !strings.Contains(err.Error(), "another gateway") {
 		t.Errorf("a socket in use: %v", err)
 	}
 	s.Close()
-	if err := Call(t.Context(), path, "echo", 1, &got); err == nil || errors.As(err, &refused) {
-		t.Errorf("after its end: %v", err)
+	if err := Call(t.Context(), path, "echo", 1, &got); err == nil || errors.As(err, &commandError) {
+		t.Errorf("after Close: %v", err)
 	}
 }
 
-// A gateway that was killed leaves its socket behind; the next one replaces it,
-// but no file of another kind.
+// A gateway that was killed leaves its socket behind. The next one replaces it, but no file of another kind.
 func TestStaleSocketIsReplaced(t *testing.T) {
 	path := filepath.Join(t.TempDir(), "c.sock")
 	l, err := net.Listen("unix", path)
