--- a/internal/lifecycle/configstream.go
+++ b/internal/lifecycle/configstream.go
@@ -2,182 +2,158 @@
 
 import (
 	"context"
-	"encoding/json"
-	"errors"
 	"fmt"
 	"log/slog"
 	"reflect"
-	"time"
 
 	"archknot/internal/config"
 	"archknot/internal/configversion"
 	"archknot/internal/xdsclient"
 )
 
-// openConfigStream readies the client of the control service, if the settings name one.
-// It connects to nothing yet.
-func (s *server) openConfigStream() (closeAll func(), err error) {
-	v := s.fileSettings.ControlService
-	if v.Address == "" {
+// protocolDelta is the setting control-service.form for the incremental protocol.
+const protocolDelta = "delta"
+
+// openConfigStream creates the client of the control service and opens its files, if the settings have
+// one. It does not connect yet. The caller calls closeFiles when the client has ended.
+func (s *server) openConfigStream() (closeFiles func(), err error) {
+	service := s.fileSettings.ControlService
+	if service.Address == "" {
 		return func() {}, nil
 	}
 	var closers []func()
-	closeAll = func() {
-		for _, c := range closers {
-			c()
+	closeFiles = func() {
+		for _, closeFile := range closers {
+			closeFile()
 		}
 	}
-	g := &s.config.Gateway
-	o := xdsclient.Options{Address: v.Address, Delta: v.Protocol == "delta", Machine: configversion.DefaultOptions(g.Name, g.Seed),
-		Log: func(msg string, args ...any) { slog.Info(msg, args...) }}
-	o.Machine.MinInterval, o.Machine.StallTimeout, o.Machine.Limits = v.MinInterval.Microseconds(), v.StallTimeout.Microseconds(), s.versionLimits()
-	if v.Cert != "" {
-		creds, closeFiles, err := xdsclient.ClientTLS(xdsclient.TLSFiles{Cert: v.Cert, Key: v.Key, CA: v.CA, ServerName: v.ServerName})
+	options := s.streamOptions(service)
+	if service.Cert != "" {
+		credentials, closeTLS, err := xdsclient.ClientTLS(xdsclient.TLSFiles{Cert: service.Cert, Key: service.Key, CA: service.CA, ServerName: service.ServerName})
 		if err != nil {
 			return nil, fmt.Errorf("control-service.cert: %w", err)
 		}
-		o.TLS = creds
-		closers = append(closers, closeFiles)
+		options.TLS = credentials
+		closers = append(closers, closeTLS)
 	}
-	if v.StorePath != "" {
-		store, aside, err := xdsclient.OpenStore(v.StorePath)
-		if err != nil {
-			closeAll()
-			return nil, fmt.Errorf("control-service.store: %w", err)
+	if service.StorePath != "" {
+		if options.Store, err = openVersionStore(service.StorePath); err != nil {
+			closeFiles()
+			return nil, err
 		}
-		if aside != "" {
-			slog.Error("config_store_corrupted", "path", v.StorePath, "set_aside", aside)
-		}
-		s.versionStore, o.Store = store, store
-		closers = append(closers, func() { store.Close() })
+		s.versionStore = options.Store
+		closers = append(closers, func() { s.versionStore.Close() })
 	}
-	if s.configStream, err = xdsclient.New(o, s); err != nil {
-		closeAll()
+	if s.configStream, err = xdsclient.New(options, s); err != nil {
+		closeFiles()
 		return nil, fmt.Errorf("control-service: %w", err)
 	}
-	g.RequestEnded = s.configStream.RequestEnded
-	return closeAll, nil
+	s.config.Gateway.RequestEnded = s.configStream.RequestEnded
+	return closeFiles, nil
 }
 
-// currentSettings are our own settings in force, for tasks other than that of signals. They are replaced whole.
+// streamOptions returns the options of the client, without TLS and store.
+func (s *server) streamOptions(service config.ControlService) xdsclient.Options {
+	o := &s.config.Gateway
+	machine := configversion.DefaultOptions(o.Name, o.Seed)
+	machine.MinInterval = service.MinInterval.Microseconds()
+	machine.StallTimeout = service.StallTimeout.Microseconds()
+	machine.Limits = s.versionLimits()
+	return xdsclient.Options{Address: service.Address, Delta: service.Protocol == protocolDelta, Machine: machine, Log: logInfo}
+}
+
+// openVersionStore opens the store of streamed versions. A corrupted one is set aside and replaced.
+func openVersionStore(path string) (*xdsclient.Store, error) {
+	store, setAside, err := xdsclient.OpenStore(path)
+	if err != nil {
+		return nil, fmt.Errorf("control-service.store: %w", err)
+	}
+	if setAside != "" {
+		slog.Error("config_store_corrupted", "path", path, "set_aside", setAside)
+	}
+	return store, nil
+}
+
+// currentSettings returns the settings file's content, for goroutines other than that of Run. It is never
+// changed, only replaced.
 func (s *server) currentSettings() *config.Config {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.fileSettings
 }
 
-// versionLimits are what versions must keep within, by the platform's configuration.
+// versionLimits returns the limits that the platform's configuration sets to streamed versions.
 func (s *server) versionLimits() configversion.Limits {
-	l, g := configversion.DefaultLimits, &s.config.Gateway
-	l.Sockets, l.MaxPollInterval = g.MaxClientConns+g.MaxReplicaConns, g.PollWithin.Microseconds()
-	l.MaxInFlight = g.MaxClientConns
-	l.MayCapture = s.currentSettings().Capture.Directory != ""
-	return l
+	limits := configversion.DefaultLimits
+	o := &s.config.Gateway
+	limits.Sockets = o.MaxClientConns + o.MaxReplicaConns
+	limits.MaxPollInterval = o.PollWithin.Microseconds()
+	limits.MaxInFlight = o.MaxClientConns
+	limits.MayCapture = s.currentSettings().Capture.Directory != ""
+	return limits
 }
 
-// Apply takes a version: confstream.Target. The gateway's own part is the only
-// one that can be refused, and goes first.
-func (s *server) Apply(ctx context.Context, c *configversion.Config) configversion.Rejections {
-	if r := s.gateway.ApplyVersion(ctx, c, s.versionLimits()); len(r) > 0 {
-		return r
+// Apply puts a streamed version in force; it implements xdsclient.Target. The gateway's own part comes
+// first: it is the only one that can be rejected.
+func (s *server) Apply(ctx context.Context, version *configversion.Config) configversion.Rejections {
+	if rejections := s.gateway.ApplyVersion(ctx, version, s.versionLimits()); len(rejections) > 0 {
+		return rejections
 	}
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	before := s.effectiveSettings()
-	s.activeVersion = c
+	s.activeVersion = version
 	s.applySettings(before)
 	return nil
 }
 
-// effectiveSettings is the settings with the parts of the version in force before the
-// file's: a version goes before the files, whichever came last.
+// effectiveSettings returns the settings of the file, overridden by the parts of the version in force: a
+// version takes precedence over the file, whichever is newer. The caller holds mu.
 func (s *server) effectiveSettings() config.Config {
-	c := *s.fileSettings
+	settings := *s.fileSettings
 	if s.activeVersion == nil {
-		return c
+		return settings
 	}
-	if l := s.activeVersion.Log; l != nil {
-		c.Log.Level = l.Level
+	if log := s.activeVersion.Log; log != nil {
+		settings.Log.Level = log.Level
 	}
-	if p := s.activeVersion.Capture; p != nil {
-		c.Capture.Record, c.Capture.CheckpointInterval = p.Record && c.Capture.Directory != "", time.Duration(p.CheckpointInterval)*time.Microsecond
-		c.Capture.KeepSize = p.MaxBytes
-		if p.MaxAge > 0 {
-			c.Capture.KeepAge = time.Duration(p.MaxAge) * time.Microsecond
+	if c := s.activeVersion.Capture; c != nil {
+		settings.Capture.Record = c.Record && settings.Capture.Directory != ""
+		settings.Capture.CheckpointInterval = microseconds(c.CheckpointInterval)
+		settings.Capture.KeepSize = c.MaxBytes
+		if c.MaxAge > 0 {
+			settings.Capture.KeepAge = microseconds(c.MaxAge)
 		}
 	}
-	return c
+	return settings
 }
 
-// applySettings has log and recording follow what is in force now.
+// applySettings applies the effective settings to the log and, if they differ from those before, to the
+// capture. The caller holds mu.
 func (s *server) applySettings(before config.Config) {
-	now := s.effectiveSettings()
-	setLogLevel(now.Log.Level)
-	if reflect.DeepEqual(before.Capture, now.Capture) && reflect.DeepEqual(before.Incident, now.Incident) {
+	settings := s.effectiveSettings()
+	setLogLevel(settings.Log.Level)
+	if reflect.DeepEqual(before.Capture, settings.Capture) && reflect.DeepEqual(before.Incident, settings.Incident) {
 		return
 	}
 	select {
-	case <-s.captureChanges: // not yet taken up, and now out of date
+	case <-s.captureChanges: // not applied yet, and outdated now
 	default:
 	}
-	s.captureChanges <- &now
-}
-
-// ConfigStatus is what `archknot config status` shows.
-type ConfigStatus struct {
-	Service   string `json:"service"`
-	Connected bool   `json:"connected"`
-	Version   uint64 `json:"version"` // 0: the files
-	Classes   int    `json:"classes"`
-	Tenants   int    `json:"tenants"`
-	Marks     int    `json:"marks"`
+	s.captureChanges <- &settings
 }
 
-var errNoControlService = errors.New("no control service is set (control-service.address)")
-
-func (s *server) configStatus(context.Context, json.RawMessage) (any, error) {
-	if s.configStream == nil {
-		return nil, errNoControlService
-	}
-	st := ConfigStatus{Service: s.currentSettings().ControlService.Address, Connected: s.configStream.Connected()}
-	if c := s.configStream.InForce(); c != nil {
-		st.Version, st.Classes, st.Tenants, st.Marks = uint64(c.Number), len(c.Classes), len(c.Tenants), len(c.ReplicaMarks)
-	}
-	return st, nil
-}
-
-func (s *server) configHistory(context.Context, json.RawMessage) (any, error) {
-	if s.versionStore == nil {
-		return nil, errors.New("no history is kept (control-service.store)")
-	}
-	return s.versionStore.History()
-}
-
-// RollbackRequest is what `archknot config rollback` sends.
-type RollbackRequest struct {
-	Reason string `json:"reason"`
-}
-
-func (s *server) configRollback(ctx context.Context, text json.RawMessage) (any, error) {
-	if s.configStream == nil {
-		return nil, errNoControlService
-	}
-	var o RollbackRequest
-	if err := json.Unmarshal(text, &o); err != nil {
-		return nil, err
-	}
-	was := s.configStream.InForce()
-	if err := s.configStream.Rollback(ctx, "ordered: "+o.Reason); err != nil {
-		return nil, err
-	}
-	for { // until the gateway has gone back
-		if s.configStream.InForce() != was {
-			return s.configStatus(ctx, nil)
-		}
+// restartCaptures restarts the capture whenever its settings have changed, until the context ends. It
+// has a goroutine of its own: a slow disk must not delay signals.
+func (s *server) restartCaptures(ctx context.Context) {
+	for {
 		select {
-		case <-time.After(5 * time.Millisecond):
+		case settings := <-s.captureChanges:
+			if err := s.gateway.SetCapture(ctx, captureOptions(s.config.Gateway.Name, settings)); err != nil {
+				slog.Error("capture_failed", "err", err)
+			}
 		case <-ctx.Done():
-			return nil, errors.New("ordered, but what is in hand does not allow it yet; it is tried again each second")
+			return
 		}
 	}
 }
--- /dev/null
+++ b/internal/lifecycle/gatewayoptions.go
@@ -0,0 +1,148 @@
+package lifecycle
+
+import (
+	"cmp"
+	"fmt"
+	"log/slog"
+	"os"
+	"strings"
+
+	"archknot/balancer"
+	"archknot/internal/buildinfo"
+	"archknot/internal/capture"
+	"archknot/internal/capturetrigger"
+	"archknot/internal/config"
+	"archknot/internal/contract/ledger"
+	"archknot/internal/contract/split"
+	"archknot/internal/gateway"
+	"archknot/internal/maintenance"
+	"archknot/internal/peers"
+	"archknot/internal/subset"
+)
+
+// captureOptions returns the options of the capture by the settings; nil if nothing is to be captured.
+func captureOptions(gatewayName string, settings *config.Config) *gateway.Capture {
+	c, incident := settings.Capture, settings.Incident
+	if !c.Record {
+		return nil
+	}
+	return &gateway.Capture{
+		Writer: capture.WriterOptions{
+			Directory:         c.Directory,
+			Gateway:           gatewayName,
+			Build:             buildinfo.Version(),
+			QueueLength:       c.QueueBlocks,
+			MaxBytes:          c.KeepSize,
+			MaxAge:            c.KeepAge,
+			IncidentDirectory: incident.Directory,
+			MaxIncidents:      incident.MaxIncidents,
+			IncidentWindow:    incident.Window,
+			IncidentInterval:  incident.MinInterval,
+			Log:               logInfo,
+		},
+		Recorder: capture.Options{
+			CheckpointInterval: c.CheckpointInterval,
+			BlockSize:          int(c.BlockSize),
+			FlushInterval:      c.FlushInterval,
+			SegmentSize:        c.SegmentSize,
+			SegmentAge:         c.SegmentAge,
+			IncidentInterval:   incident.MinInterval,
+			Incident: capturetrigger.Settings{
+				Window:           incident.EvaluationWindow.Microseconds(),
+				MinRequests:      incident.MinRequests,
+				UnservedShare:    incident.UnservedShare,
+				SlowFactor:       incident.SlowFactor,
+				SlowReplicaShare: incident.SlowReplicas,
+				DeadlineMargin:   incident.NearDeadline.Microseconds(),
+			},
+		},
+	}
+}
+
+// contractOptions returns the options of the teams' contracts by the settings. Without teams no contract
+// is in force, except those that a streamed version brings.
+func contractOptions(settings *config.Config) *gateway.Contracts {
+	c := &settings.Contracts
+	options := &gateway.Contracts{Teams: c.Teams, Settings: c.LedgerSettings()}
+	switch c.Split {
+	case "equal":
+		options.Split = func() split.Strategy { return split.Equal{Gateways: c.Gateways} }
+	case "front":
+		options.Split = func() split.Strategy { return &split.Proportional{} }
+	case "alone":
+		options.Split = func() split.Strategy { return &split.LocalEstimate{} }
+	}
+	return options
+}
+
+// subsetSettings returns the settings by which the gateway selects its subset of the replicas.
+func subsetSettings(c config.Subset, s *balancer.Settings) subset.Settings {
+	index := c.GatewayIndex
+	if index < 0 {
+		index = s.Self
+	}
+	return subset.Settings{
+		MaxReplicas:    c.MaxReplicas,
+		GatewayIndex:   index,
+		GatewayCount:   s.Gateways,
+		Zone:           s.Zone,
+		RemoteFraction: c.RemoteShare,
+		WeightIsSize:   s.WeightKind == balancer.WeightNominal,
+		SlowStart:      s.SlowStartFor,
+	}
+}
+
+// startPeers starts the service that connects the gateway with the others; nil if none is set.
+func startPeers(c config.Peers, o gateway.Options) (*peers.Service, error) {
+	if c.Listen == "" {
+		return nil, nil
+	}
+	return peers.Start(peers.Options{
+		Name:                o.Name,
+		ListenAddr:          c.Listen,
+		AdvertiseAddr:       c.Advertise,
+		Zone:                c.Zone,
+		Seeds:               splitCommas(c.Join),
+		Backups:             c.Keepers,
+		Permits:             max(0, o.Settings.MaxAttempts-1),
+		ReplyTimeout:        c.ReplyTimeout,
+		RecordTTL:           c.RecordTTL,
+		FreezeThreshold:     c.FreezeThreshold,
+		HandOverDelay:       c.HandOverDelay,
+		MaxRecords:          c.MaxRecords,
+		MaxRecordsPerHolder: c.MaxRecordsPerGateway,
+		RandomSeed:          o.Seed,
+	})
+}
+
+// splitCommas splits a list and drops its empty elements.
+func splitCommas(list string) []string {
+	return strings.FieldsFunc(list, func(r rune) bool { return r == ',' })
+}
+
+// openLedger opens the contract ledger; nil if none is set. A corrupted one is set aside and replaced.
+func openLedger(path string) (*ledger.Store, error) {
+	if path == "" {
+		return nil, nil
+	}
+	store, setAside, err := ledger.Open(path)
+	if err != nil {
+		return nil, fmt.Errorf("contracts.store: %w", err)
+	}
+	if setAside != "" {
+		slog.Error("contract_ledger_corrupted", "set_aside", setAside)
+	}
+	return store, nil
+}
+
+// openOrders opens the store of maintenance orders; nil if there is no address for operators.
+func openOrders(c *Config, tempDirectory string) *maintenance.Store {
+	if c.Admin == "" {
+		return nil
+	}
+	return maintenance.Open(maintenance.Options{
+		Directory: cmp.Or(tempDirectory, os.TempDir()),
+		Name:      c.Gateway.Name,
+		Listen:    c.Listen,
+	})
+}
--- a/internal/lifecycle/keyposition.go
+++ b/internal/lifecycle/keyposition.go
@@ -9,122 +9,147 @@
 	"strings"
 )
 
-// keyError is a setting that is wrong, named by its path in NODE_CONFIG, such as
+// keyError is the error about a wrong value in NODE_CONFIG. Its key is a path such as
 // settings.requestClasses[1].targetUs.
 type keyError struct{ key, reason string }
 
+// Error returns the key and the reason.
 func (e *keyError) Error() string { return e.key + ": " + e.reason }
 
 func newKeyError(key, format string, args ...any) error {
 	return &keyError{key: key, reason: fmt.Sprintf(format, args...)}
 }
 
-// withPosition puts the file and the line and column of the key's value before an
-// error that names a key, where the file holds that key; other errors pass.
+// withPosition prefixes a keyError with the path of the file and, if the file has the key, the line and
+// column of its value. Other errors are returned unchanged.
 func withPosition(path string, text []byte, err error) error {
-	var k *keyError
-	if !errors.As(err, &k) {
+	var wrongKey *keyError
+	if !errors.As(err, &wrongKey) {
 		return err
 	}
-	line, col, ok := locate(text, k.key)
+	line, column, ok := locate(text, wrongKey.key)
 	if !ok {
 		return fmt.Errorf("%s: %w", path, err)
 	}
-	return fmt.Errorf("%s:%d:%d: %w", path, line, col, err)
+	return fmt.Errorf("%s:%d:%d: %w", path, line, column, err)
 }
 
-// locate finds where the value of a dotted key with [n] indices begins in a JSON
-// text: line and column from 1, the column in bytes.
-func locate(text []byte, key string) (line, col int, ok bool) {
-	dec := json.NewDecoder(bytes.NewReader(text))
+// locate returns the line and column where the value of a key begins in a JSON text, see lineAndColumn.
+// The key is a dotted path with [n] indices.
+func locate(text []byte, key string) (line, column int, ok bool) {
 	path := parseKeyPath(key)
 	if path == nil {
 		return 0, 0, false
 	}
-	at, ok := findValue(dec, text, path)
+	decoder := json.NewDecoder(bytes.NewReader(text))
+	offset, ok := findValue(decoder, text, path)
 	if !ok {
 		return 0, 0, false
 	}
-	before := text[:at]
+	line, column = lineAndColumn(text, offset)
+	return line, column, true
+}
+
+// lineAndColumn returns the position of an offset in a text. Both begin with 1; the column counts bytes.
+func lineAndColumn(text []byte, offset int) (line, column int) {
+	before := text[:offset]
 	line = bytes.Count(before, []byte{'\n'}) + 1
-	col = at - (bytes.LastIndexByte(before, '\n') + 1) + 1
-	return line, col, true
+	lineStart := bytes.LastIndexByte(before, '\n') + 1
+	return line, offset - lineStart + 1
 }
 
-// pathStep is one part of a key: a member's name, or an index where name is empty.
+// pathStep is one part of a key's path: a member's name, or an index if the name is empty.
 type pathStep struct {
 	name  string
 	index int
 }
 
+// parseKeyPath splits a key into its steps; nil if an index is not a number.
 func parseKeyPath(key string) []pathStep {
-	var out []pathStep
+	var path []pathStep
 	for _, part := range strings.Split(key, ".") {
-		name, rest, _ := strings.Cut(part, "[")
-		out = append(out, pathStep{name: name, index: -1})
-		for rest != "" {
-			n, after, _ := strings.Cut(rest, "]")
-			i, err := strconv.Atoi(n)
+		name, indices, _ := strings.Cut(part, "[")
+		path = append(path, pathStep{name: name, index: -1})
+		for indices != "" {
+			number, remainder, _ := strings.Cut(indices, "]")
+			index, err := strconv.Atoi(number)
 			if err != nil {
 				return nil
 			}
-			out = append(out, pathStep{index: i})
-			rest = strings.TrimPrefix(after, "[")
+			path = append(path, pathStep{index: index})
+			indices = strings.TrimPrefix(remainder, "[")
 		}
 	}
-	return out
+	return path
 }
 
-// findValue reads the value that comes next and returns the offset where the value at
-// the steps begins.
-func findValue(dec *json.Decoder, text []byte, path []pathStep) (int, bool) {
+// findValue reads the next value and returns the offset in the text where the value at the path begins.
+func findValue(decoder *json.Decoder, text []byte, path []pathStep) (offset int, ok bool) {
 	if len(path) == 0 {
-		at := int(dec.InputOffset())
-		for at < len(text) && strings.IndexByte(" \t\r\n:,", text[at]) >= 0 {
-			at++
-		}
-		return at, at < len(text)
+		return nextValueOffset(decoder, text)
 	}
-	tok, err := dec.Token()
+	token, err := decoder.Token()
 	if err != nil {
 		return 0, false
 	}
 	switch {
-	case tok == json.Delim('{') && path[0].name != "":
-		for dec.More() {
-			name, err := dec.Token()
-			if err != nil {
-				return 0, false
-			}
-			if name == path[0].name {
-				return findValue(dec, text, path[1:])
-			}
-			if skipValue(dec) != nil {
-				return 0, false
-			}
+	case token == json.Delim('{') && path[0].name != "":
+		return findInObject(decoder, text, path)
+	case token == json.Delim('[') && path[0].name == "":
+		return findInArray(decoder, text, path)
+	}
+	return 0, false
+}
+
+// nextValueOffset returns the offset of the value that the decoder has not read yet: behind white space and
+// the separator.
+func nextValueOffset(decoder *json.Decoder, text []byte) (offset int, ok bool) {
+	offset = int(decoder.InputOffset())
+	for offset < len(text) && strings.IndexByte(" \t\r\n:,", text[offset]) >= 0 {
+		offset++
+	}
+	return offset, offset < len(text)
+}
+
+// findInObject continues findValue behind the opening brace of an object.
+func findInObject(decoder *json.Decoder, text []byte, path []pathStep) (offset int, ok bool) {
+	for decoder.More() {
+		name, err := decoder.Token()
+		if err != nil {
+			return 0, false
 		}
-	case tok == json.Delim('[') && path[0].name == "":
-		for i := 0; dec.More(); i++ {
-			if i == path[0].index {
-				return findValue(dec, text, path[1:])
-			}
-			if skipValue(dec) != nil {
-				return 0, false
-			}
+		if name == path[0].name {
+			return findValue(decoder, text, path[1:])
+		}
+		if skipValue(decoder) != nil {
+			return 0, false
+		}
+	}
+	return 0, false
+}
+
+// findInArray continues findValue behind the opening bracket of an array.
+func findInArray(decoder *json.Decoder, text []byte, path []pathStep) (offset int, ok bool) {
+	for i := 0; decoder.More(); i++ {
+		if i == path[0].index {
+			return findValue(decoder, text, path[1:])
+		}
+		if skipValue(decoder) != nil {
+			return 0, false
 		}
 	}
 	return 0, false
 }
 
-// skipValue reads one whole value.
-func skipValue(dec *json.Decoder) error {
+// skipValue reads one complete value.
+func skipValue(decoder *json.Decoder) error {
 	depth := 0
 	for {
-		tok, err := dec.Token()
+		token, err := decoder.Token()
 		if err != nil {
 			return err
 		}
-		switch tok {
+		switch token {
 		case json.Delim('{'), json.Delim('['):
 			depth++
 		case json.Delim('}'), json.Delim(']'):
--- a/internal/lifecycle/publicnames_test.go
+++ b/internal/lifecycle/publicnames_test.go
@@ -13,8 +13,8 @@
 	names := publicnames.JSONFields("read", reflect.TypeFor[nodeConfig]())
 	names = append(names, publicnames.JSONFields("read.settings", simwire.SettingsType())...)
 	names = append(names, publicnames.JSONFields("read.settings", reflect.TypeFor[transportSettings]())...)
-	for _, u := range ignoredKeys {
-		names = append(names, "unread."+u.key)
+	for _, ignored := range ignoredKeys {
+		names = append(names, "unread."+ignored.key)
 	}
 	publicnames.Compare(t, "nodeconfig", names)
 }
--- a/internal/lifecycle/retry.go
+++ b/internal/lifecycle/retry.go
@@ -7,19 +7,24 @@
 	"archknot/internal/sockets"
 )
 
-// transientRetryTimeout is how long the start, or a reload, tries again what the system fails for a moment.
-const transientRetryTimeout, transientRetryInterval = 2 * time.Second, 20 * time.Millisecond
+const (
+	// transientRetryTimeout bounds how long the start, or a reload, retries after transient errors.
+	transientRetryTimeout = 2 * time.Second
+	// transientRetryInterval is the pause between two attempts.
+	transientRetryInterval = 20 * time.Millisecond
+)
 
-// retryTransient tries something until it goes well, or fails for a reason that does not pass by itself.
-func retryTransient(try func() error) error {
-	told := false
-	for end := time.Now().Add(transientRetryTimeout); ; time.Sleep(transientRetryInterval) {
-		err := try()
-		if err == nil || !sockets.IsTransient(err) || time.Now().After(end) {
+// retryTransient calls operation until it succeeds, fails with an error that is not transient, or
+// transientRetryTimeout has passed. The first transient error is logged.
+func retryTransient(operation func() error) error {
+	deadline := time.Now().Add(transientRetryTimeout)
+	for logged := false; ; time.Sleep(transientRetryInterval) {
+		err := operation()
+		if err == nil || !sockets.IsTransient(err) || time.Now().After(deadline) {
 			return err
 		}
-		if !told {
-			told = true
+		if !logged {
+			logged = true
 			slog.Warn("retrying", "err", err, "for", transientRetryTimeout)
 		}
 	}
--- a/internal/lifecycle/stored_test.go
+++ b/internal/lifecycle/stored_test.go
@@ -18,54 +18,55 @@
 	"archknot/internal/xdsclient"
 )
 
-// message is one order on the control socket and its answer, as JSON.
+// message is one command on the control socket and its response, as JSON.
 type message struct {
-	Name   string          `json:"name"`
-	Order  json.RawMessage `json:"order"`
-	Answer json.RawMessage `json:"answer"`
+	Name     string          `json:"name"`
+	Request  json.RawMessage `json:"order"`
+	Response json.RawMessage `json:"answer"`
 }
 
+// storedMessages returns the messages of testdata by the command's name.
 func storedMessages(t *testing.T) map[string]message {
 	t.Helper()
 	text, err := os.ReadFile("testdata/stored/control.jsonl")
 	if err != nil {
 		t.Fatal(err)
 	}
-	out := map[string]message{}
+	messages := map[string]message{}
 	for line := range bytes.Lines(text) {
 		var m message
 		if err := json.Unmarshal(line, &m); err != nil {
 			t.Fatal(err)
 		}
-		out[m.Name] = m
+		messages[m.Name] = m
 	}
-	return out
+	return messages
 }
 
-// The control socket's messages are those of the build of commit b3142ba: orders go out
-// in the stored form, stored answers are read with all their fields, and the same
-// answers would be given in the stored form.
+// The control socket's messages are those of the build of commit b3142ba: requests are sent in the stored
+// form, stored responses are read with all their fields, and the same responses would be sent in the
+// stored form.
 func TestStoredControlMessages(t *testing.T) {
 	stored := storedMessages(t)
-	orders := map[string]controlsocket.Handler{}
+	handlers := map[string]controlsocket.Handler{}
 	for name, m := range stored {
-		orders[name] = func(_ context.Context, order json.RawMessage) (any, error) {
-			if string(order) != string(m.Order) {
-				t.Errorf("%s: the order is %s, expected %s", name, order, m.Order)
+		handlers[name] = func(_ context.Context, request json.RawMessage) (any, error) {
+			if string(request) != string(m.Request) {
+				t.Errorf("%s: the request is %s, expected %s", name, request, m.Request)
 			}
-			return m.Answer, nil
+			return m.Response, nil
 		}
 	}
 	socket := filepath.Join(t.TempDir(), "c.sock")
-	server, err := controlsocket.Listen(socket, orders)
+	server, err := controlsocket.Listen(socket, handlers)
 	if err != nil {
 		t.Fatal(err)
 	}
 	defer server.Close()
 	at := time.Date(2026, 12, 2, 9, 30, 0, 123000000, time.UTC)
 	for _, c := range []struct {
-		name              string
-		order, read, want any
+		name                string
+		request, read, want any
 	}{
 		{"capture/save", lifecycle.SaveRequest{Reason: "chat is late"}, &lifecycle.SaveResponse{}, &lifecycle.SaveResponse{Path: "captures/incidents/1", Segments: 3, Bytes: 4096}},
 		{"config/status", struct{}{}, &lifecycle.ConfigStatus{}, &lifecycle.ConfigStatus{Service: "127.0.0.1:18000", Connected: true, Version: 42, Classes: 3, Tenants: 2, Marks: 1}},
@@ -80,18 +81,18 @@
 			Limit: [3]contract.Units{9, 10, 11}, QuotaShare: 0.5, InForce: true,
 			Counters: contract.Counters{Admitted: 12, OverQuota: 13, Rejected: 14, AdmittedUnits: 15, OverQuotaUnits: 16, RejectedUnits: 17, Borrowed: 18, Used: 19}}}},
 	} {
-		if err := controlsocket.Call(t.Context(), socket, c.name, c.order, c.read); err != nil {
+		if err := controlsocket.Call(t.Context(), socket, c.name, c.request, c.read); err != nil {
 			t.Errorf("%s: %v", c.name, err)
 		}
 		if diff := cmp.Diff(c.want, c.read); diff != "" {
 			t.Errorf("%s: %s", c.name, diff)
 		}
-		if text, err := json.Marshal(c.want); err != nil || string(text) != string(stored[c.name].Answer) {
-			t.Errorf("%s: the answer is %s, expected %s (%v)", c.name, text, stored[c.name].Answer, err)
+		if text, err := json.Marshal(c.want); err != nil || string(text) != string(stored[c.name].Response) {
+			t.Errorf("%s: the response is %s, expected %s (%v)", c.name, text, stored[c.name].Response, err)
 		}
 		delete(stored, c.name)
 	}
 	if len(stored) > 0 {
-		t.Errorf("not looked at: %v", stored)
+		t.Errorf("not tested: %v", stored)
 	}
 }
--- /dev/null
+++ b/internal/lifecycle/transportsettings.go
@@ -0,0 +1,105 @@
+package lifecycle
+
+import (
+	"cmp"
+	"encoding/json"
+	"errors"
+	"fmt"
+	"time"
+
+	"archknot/balancer"
+	"archknot/internal/gateway"
+)
+
+// Defaults of transportSettings.
+const (
+	defaultConnectTimeoutUs = 50_000
+	defaultMaxInFlight      = 20_000
+	defaultPollWithinUs     = 10_000_000
+)
+
+// Timeouts that the platform does not set.
+const (
+	clientConnIdle     = 15 * time.Second
+	streamIdleTimeout  = 4 * time.Second
+	healthCheckTimeout = 250 * time.Millisecond
+	// drainAcceptPeriod is what the operators' front and the protocol allow at a planned restart:
+	// connections arrive for up to 0.4 s, and nothing may arrive after 0.7 s.
+	drainAcceptPeriod = 550 * time.Millisecond
+	// connReuseDelay allows for the second response to a request, which a replica may send some
+	// milliseconds behind the first.
+	connReuseDelay = 20 * time.Millisecond
+)
+
+// Bounds of the calls to discovery, see watchTimeouts.
+const (
+	localWatchWait     = time.Second
+	localAnswerTimeout = 500 * time.Millisecond
+	maxAnswerTimeout   = 2500 * time.Millisecond
+	minWatchWait       = time.Second
+	maxWatchWait       = 8 * time.Second
+	// watchIntervalPerGateway limits the watch calls of all gateways to four a second, where the bounds allow.
+	watchIntervalPerGateway = 250 * time.Millisecond
+)
+
+// transportSettings are settings for sockets, which the balancer does not use. Their keys are those of
+// the settings in NODE_CONFIG.
+type transportSettings struct {
+	Limits struct {
+		ConnectTimeoutUs int64 `json:"connectTimeoutUs"`
+		MaxInFlight      int   `json:"mostHeld"`
+	} `json:"limits"`
+	Rules struct {
+		PollWithinUs int64 `json:"askWithinUs"`
+	} `json:"rules"`
+}
+
+// parseTransportSettings parses and checks the settings, and replaces missing ones by defaults.
+func parseTransportSettings(text []byte) (transportSettings, error) {
+	var s transportSettings
+	if err := json.Unmarshal(text, &s); err != nil {
+		return s, fmt.Errorf("settings: %w", describeJSONError(err))
+	}
+	if s.Limits.ConnectTimeoutUs < 0 || s.Limits.MaxInFlight < 0 || s.Rules.PollWithinUs < 0 {
+		return s, errors.New("settings.limits.connectTimeoutUs, limits.mostHeld, rules.askWithinUs: expected 0 or more")
+	}
+	s.Limits.ConnectTimeoutUs = cmp.Or(s.Limits.ConnectTimeoutUs, defaultConnectTimeoutUs)
+	s.Limits.MaxInFlight = cmp.Or(s.Limits.MaxInFlight, defaultMaxInFlight)
+	s.Rules.PollWithinUs = cmp.Or(s.Rules.PollWithinUs, defaultPollWithinUs)
+	return s, nil
+}
+
+// apply sets the timeouts and the number of requests in flight. It needs the balancer's settings and
+// MaxClientConns, which are set before.
+func (s transportSettings) apply(o *gateway.Options) {
+	o.MaxInFlight = min(s.Limits.MaxInFlight, o.MaxClientConns)
+	o.ConnectTimeout = microseconds(s.Limits.ConnectTimeoutUs)
+	// Well below the replicas' own limit: what is written to a connection that they have closed is lost
+	// with it.
+	o.ReplicaConnIdle = microseconds(o.Settings.ConnIdleTimeout) * 3 / 4
+	o.ReplicaConnReuseDelay = connReuseDelay
+	o.ClientConnIdle = clientConnIdle
+	o.StreamIdleTimeout = streamIdleTimeout
+	o.HealthCheckTimeout = healthCheckTimeout
+	o.PollWithin = microseconds(s.Rules.PollWithinUs)
+	o.WatchWait, o.DiscoveryTimeout = watchTimeouts(&o.Settings, o.PollWithin)
+	o.Settings.WatchInterval = o.WatchWait.Microseconds()
+	o.DrainAcceptPeriod = drainAcceptPeriod
+}
+
+func microseconds(n int64) time.Duration { return time.Duration(n) * time.Microsecond }
+
+// watchTimeouts returns how long discovery may delay the answer to a watch call until there is a change,
+// and how much longer the answer may take. A watch that has fallen silent is noticed after the sum.
+func watchTimeouts(s *balancer.Settings, pollWithin time.Duration) (watchWait, answerTimeout time.Duration) {
+	if s.LocalDiscovery { // the agent is on this machine, and its answers cost nothing
+		return localWatchWait, localAnswerTimeout
+	}
+	// Longer than calls wait in discovery's queue: a caller that leaves the queue earlier has wasted its
+	// place and queues again.
+	answerTimeout = min(maxAnswerTimeout, pollWithin/2)
+	// Few gateways poll often, so that after any failed call the next one is answered within the
+	// protocol's 6 s; with many gateways the calls would be too many.
+	watchWait = time.Duration(s.Gateways) * watchIntervalPerGateway
+	return min(max(minWatchWait, watchWait), pollWithin-answerTimeout, maxWatchWait), answerTimeout
+}
--- a/internal/lifecycle/unknownkeys.go
+++ b/internal/lifecycle/unknownkeys.go
@@ -10,59 +10,63 @@
 	"archknot/internal/simwire"
 )
 
-// UnknownKey is a key of NODE_CONFIG that the program does not serve, and where it stands.
+// UnknownKey is a key of NODE_CONFIG that the program does not read, with its position.
 type UnknownKey struct {
-	Key          string // by its path, such as limits.cpu
-	Line, Column int
+	Key          string // its path, such as limits.cpu
+	Line, Column int    // both begin with 1; the column counts bytes
 }
 
-// maxReportedUnknownKeys bounds the keys that are told one by one.
+// maxReportedUnknownKeys bounds the unknown keys that are reported one by one.
 const maxReportedUnknownKeys = 16
 
-// ignoredKeys are keys that the platform's pages define and the gateway has no use for, each with why.
-// A key that is neither here nor in the types that are read is told at start.
-var ignoredKeys = []struct{ key, why string }{
-	{"settings.callers", "whether clients mark retries: the header tells it"},
-	{"settings.countedBy", "how the bench weighs requests"},
-	{"settings.scoreParts", "how the bench weighs a day"},
-	{"settings.family", "of the deployment: there is one"},
-	{"settings.feedback.names", "reports name their fields"},
-	{"settings.extra.notes", "prose"},
-	{"settings.extra.reportX0", "prose"},
-	{"settings.extra.reportX1", "prose"},
-	{"settings.extra.resume", "a client that asks for the rest marks its request"},
+// ignoredKey is a key that is left unread on purpose.
+type ignoredKey struct{ key, reason string }
+
+// ignoredKeys are keys that the platform's documentation defines and the gateway has no use for. A key
+// that is neither here nor in the types that are read is reported at start.
+var ignoredKeys = []ignoredKey{
+	{"settings.callers", "whether clients mark retries: the header says so"},
+	{"settings.countedBy", "how the benchmark weighs requests"},
+	{"settings.scoreParts", "how the benchmark weighs a day"},
+	{"settings.family", "about the deployment: there is one"},
+	{"settings.feedback.names", "load reports name their fields"},
+	{"settings.extra.notes", "description only"},
+	{"settings.extra.reportX0", "description only"},
+	{"settings.extra.reportX1", "description only"},
+	{"settings.extra.resume", "a request to resume a stream is marked by the client"},
 	{"settings.limits.cpuUsPerRequest", "the simulator's figure"},
 	{"settings.limits.cpuUsPerS", "the simulator's figure"},
-	{"settings.penalties.connection", "a price that connections to replicas have no choice about"},
-	{"settings.penalties.discovery", "paid for by the pace of calls, which is bounded"},
+	{"settings.penalties.connection", "a cost of connections to replicas that no decision can change"},
+	{"settings.penalties.discovery", "a cost that the bounded rate of calls limits"},
 	{"settings.penalties.lateFail", "failures are answered as soon as they are certain"},
-	{"settings.penalties.moves", "sessions move only where their home is worse"},
-	{"settings.penalties.origin", "of deployments with an origin"},
-	{"settings.penalties.peer", "gateways do not talk"},
+	{"settings.penalties.moves", "sessions migrate only away from a worse replica"},
+	{"settings.penalties.origin", "about deployments with an origin"},
+	{"settings.penalties.peer", "gateways do not gossip"},
 	{"settings.penalties.waste", "attempts are bounded by budgets"},
 	{"settings.rules.answerSlackUs", "no slack is used"},
-	{"settings.rules.stopSendingWithinUs", "nothing is sent from the moment on that a drain is known"},
+	{"settings.rules.stopSendingWithinUs", "nothing is dispatched once a drain is known"},
 	{"settings.stages", "there is one"},
-	{"settings.tenants.fraction", "the traffic's, for the simulator"},
+	{"settings.tenants.fraction", "about the simulator's traffic"},
 	{"settings.tier", "there is one"},
 }
 
-// keyTree has the known keys of an object, in lower case; a nil one says that nothing below is checked.
+// keyTree has the known keys of an object, in lower case, each with the keys below it. Below a nil tree
+// nothing is checked.
 type keyTree map[string]keyTree
 
-// knownKeys is what the program reads of NODE_CONFIG, or leaves unread on purpose.
+// knownKeys returns the keys of NODE_CONFIG that the program reads or leaves unread on purpose.
 func knownKeys() keyTree {
 	root := keyTreeOf(reflect.TypeFor[nodeConfig]())
 	settings := keyTreeOf(simwire.SettingsType())
 	settings.merge(keyTreeOf(reflect.TypeFor[transportSettings]()))
 	root["settings"] = settings
-	for _, u := range ignoredKeys {
-		root.add(strings.Split(strings.ToLower(u.key), "."))
+	for _, ignored := range ignoredKeys {
+		root.add(strings.Split(strings.ToLower(ignored.key), "."))
 	}
 	return root
 }
 
-// keyTreeOf is the tree of a type's JSON keys; nil for one that is no structure.
+// keyTreeOf returns the JSON keys of a type; nil unless it is a struct, or a slice of or pointer to one.
 func keyTreeOf(t reflect.Type) keyTree {
 	for t.Kind() == reflect.Pointer || t.Kind() == reflect.Slice && t.Elem().Kind() == reflect.Struct {
 		t = t.Elem()
@@ -79,6 +83,7 @@
 	return tree
 }
 
+// merge adds the keys of another tree.
 func (t keyTree) merge(other keyTree) {
 	for name, below := range other {
 		if t[name] == nil {
@@ -89,6 +94,7 @@
 	}
 }
 
+// add adds one key by its path. Its parents must be known.
 func (t keyTree) add(path []string) {
 	if len(path) == 1 {
 		t[path[0]] = nil
@@ -97,37 +103,37 @@
 	}
 }
 
-// findUnknownKeys lists the keys of a configuration that are not known, the first of them, and counts
-// them all. The text is known to be an object.
-func findUnknownKeys(text []byte) (first []UnknownKey, all int) {
-	w := keyWalker{text: text, dec: json.NewDecoder(bytes.NewReader(text))}
-	_ = w.walkValue(knownKeys(), "") // the text was read before
+// findUnknownKeys returns the first unknown keys of a configuration, and the number of all unknown keys.
+// The text must be a JSON object.
+func findUnknownKeys(text []byte) (reported []UnknownKey, count int) {
+	w := keyWalker{text: text, decoder: json.NewDecoder(bytes.NewReader(text))}
+	_ = w.walkValue(knownKeys(), "") // cannot fail: the text was parsed before
 	return w.reported, w.count
 }
 
-// keyWalker goes through a JSON text and compares its keys with the known ones.
+// keyWalker reads a JSON text and compares its keys with the known ones.
 type keyWalker struct {
 	text     []byte
-	dec      *json.Decoder
+	decoder  *json.Decoder
 	reported []UnknownKey
 	count    int
 }
 
-// walkValue reads the value that comes next, an object of known keys or an array of such.
+// walkValue reads the next value: an object with known keys, an array of such objects, or a scalar.
 func (w *keyWalker) walkValue(known keyTree, path string) error {
-	token, err := w.dec.Token()
+	token, err := w.decoder.Token()
 	if err != nil {
 		return err
 	}
 	switch token {
 	case json.Delim('['):
-		for w.dec.More() {
+		for w.decoder.More() {
 			if err := w.walkValue(known, path); err != nil {
 				return err
 			}
 		}
 	case json.Delim('{'):
-		for w.dec.More() {
+		for w.decoder.More() {
 			if err := w.walkMember(known, path); err != nil {
 				return err
 			}
@@ -135,13 +141,13 @@
 	default:
 		return nil
 	}
-	_, err = w.dec.Token() // the end of it
+	_, err = w.decoder.Token() // the closing delimiter
 	return err
 }
 
-// walkMember reads a key and its value.
+// walkMember reads a key and its value. Values of unknown keys are skipped.
 func (w *keyWalker) walkMember(known keyTree, path string) error {
-	token, err := w.dec.Token()
+	token, err := w.decoder.Token()
 	if err != nil {
 		return err
 	}
@@ -152,32 +158,33 @@
 		w.report(key)
 	}
 	if below == nil {
-		return skipValue(w.dec)
+		return skipValue(w.decoder)
 	}
 	return w.walkValue(below, key)
 }
 
-// report notes a key that has just been read.
+// report counts an unknown key that has just been read, and adds it to the reported ones.
 func (w *keyWalker) report(key string) {
 	w.count++
 	if len(w.reported) >= maxReportedUnknownKeys {
 		return
 	}
-	end := int(w.dec.InputOffset())
-	begin := bytes.LastIndexByte(w.text[:end-1], '"')
-	before := w.text[:max(begin, 0)]
-	w.reported = append(w.reported, UnknownKey{Key: key, Line: bytes.Count(before, []byte{'\n'}) + 1,
-		Column: len(before) - (bytes.LastIndexByte(before, '\n') + 1) + 1})
+	closingQuote := int(w.decoder.InputOffset()) - 1
+	openingQuote := bytes.LastIndexByte(w.text[:closingQuote], '"')
+	line, column := lineAndColumn(w.text, max(openingQuote, 0))
+	w.reported = append(w.reported, UnknownKey{Key: key, Line: line, Column: column})
 }
 
-// logUnknownKeys logs the keys that the program does not serve: a term that nothing carries must not
-// be passed over in silence.
+// logUnknownKeys logs the unknown keys, and the invalid entries of the known endpoint list: what has no
+// effect must not be ignored silently.
 func (c *Config) logUnknownKeys() {
-	for _, u := range c.ReportedUnknownKeys {
-		slog.Warn("config_unknown_key", "key", u.Key, "file", c.path, "line", u.Line, "column", u.Column)
+	for _, unknown := range c.ReportedUnknownKeys {
+		slog.Warn("config_unknown_key", "key", unknown.Key, "file", c.path, "line", unknown.Line, "column", unknown.Column)
 	}
-	for _, odd := range c.Gateway.CachedList.InvalidEntries {
-		slog.Warn("endpoint_list_invalid_entry", "list", "known", "index", odd.Index, "replica", odd.ID, "reason", odd.Reason, "invalid_entries", c.Gateway.CachedList.InvalidEntryCount)
+	known := &c.Gateway.CachedList
+	for _, entry := range known.InvalidEntries {
+		slog.Warn("endpoint_list_invalid_entry", "list", "known", "index", entry.Index, "replica", entry.ID, "reason", entry.Reason,
+			"invalid_entries", known.InvalidEntryCount)
 	}
 	if c.UnknownKeyCount > len(c.ReportedUnknownKeys) {
 		slog.Warn("config_unknown_keys", "total", c.UnknownKeyCount, "reported", len(c.ReportedUnknownKeys))
--- a/internal/lifecycle/unknownkeys_test.go
+++ b/internal/lifecycle/unknownkeys_test.go
@@ -8,8 +8,8 @@
 	"github.com/google/go-cmp/cmp"
 )
 
-// Keys that nothing serves are told with their place, at each level; those of the pages that the
-// gateway has no use for are not, nor what stands below the list as last held.
+// Unknown keys are reported with their position, at each level. Keys that are ignored on purpose are not
+// reported, nor keys inside the known endpoint list.
 func TestUnknownKeysAreReported(t *testing.T) {
 	text := strings.Replace(validConfig, `"name":"n3",`, `"name":"n3","Administrator":"x",
  "odd":{"a":1},`, 1)
@@ -31,14 +31,14 @@
 	if c, err = loadText(t, validConfig, nil); err != nil || c.UnknownKeyCount != 0 {
 		t.Errorf("of a known configuration: %v, %v", c.ReportedUnknownKeys, err)
 	}
-	// However many there are, so many lines at most.
+	// The number of reported keys is bounded.
 	many := strings.Replace(validConfig, `"name"`, strings.Repeat(`"x":1,`, 100)+`"name"`, 1)
 	if c, err = loadText(t, many, nil); err != nil || len(c.ReportedUnknownKeys) != maxReportedUnknownKeys || c.UnknownKeyCount != 100 {
-		t.Errorf("%d of %d keys are told, %v", len(c.ReportedUnknownKeys), c.UnknownKeyCount, err)
+		t.Errorf("%d of %d keys are reported, %v", len(c.ReportedUnknownKeys), c.UnknownKeyCount, err)
 	}
 }
 
-// Each key that is left unread on purpose stands in an object that the program knows, and says why.
+// Each ignored key belongs to an object that the program knows, and has a reason.
 func TestIgnoredKeysAreKnown(t *testing.T) {
 	known := knownKeys()
 	for _, u := range ignoredKeys {
@@ -46,7 +46,7 @@
 		for _, name := range path[:len(path)-1] {
 			at = at[name]
 		}
-		if _, ok := at[path[len(path)-1]]; !ok || u.why == "" {
+		if _, ok := at[path[len(path)-1]]; !ok || u.reason == "" {
 			t.Errorf("%s: not in the tree, or without a reason", u.key)
 		}
 	}
