--- /dev/null
+++ b/internal/contract/accrue.go
@@ -0,0 +1,84 @@
+package contract
+
+import (
+	"math"
+
+	"archknot/balancer"
+)
+
+// accrueAllInterval is how often idle accounts are credited, which moves what they
+// cannot save up to the pool. An account that is charged is credited at once.
+const accrueAllInterval balancer.Micros = 100_000
+
+// inSeconds converts a time span.
+func inSeconds(span balancer.Micros) float64 { return float64(span) / 1e6 }
+
+// advance moves the ledger's clock on. A clock that stands still or was set back
+// changes nothing, so that nothing is credited twice.
+func (l *Ledger) advance(now balancer.Micros) {
+	if now <= l.now {
+		return
+	}
+	l.unixNow += now - l.now
+	l.now = now
+	l.latestUnix = max(l.latestUnix, l.unixNow)
+	l.excess.refill(now, l.totalRate)
+	if now-l.lastAccrueAll >= accrueAllInterval {
+		l.accrueAll()
+	}
+}
+
+// accrueAll credits all accounts up to now.
+func (l *Ledger) accrueAll() {
+	l.lastAccrueAll = l.now
+	for _, a := range l.accounts {
+		l.accrue(a)
+	}
+}
+
+// accrue credits an account with what its rate earned since the last time, floors
+// first. What it cannot save up goes to the pool.
+func (l *Ledger) accrue(a *account) {
+	if l.now <= a.accruedAt {
+		return
+	}
+	elapsed := inSeconds(l.now - a.accruedAt)
+	a.accruedAt = l.now
+	remainder := a.terms.Rate * a.quotaShare * elapsed
+	for _, class := range a.floorClasses {
+		rate := a.terms.Floors[class] * a.quotaShare
+		credit := math.Max(0, math.Min(rate*elapsed, rate-a.floorLevels[class])) // a floor saves up one second
+		a.floorLevels[class] += credit
+		remainder -= credit
+	}
+	if a.terms.Borrow > 0 {
+		limit := a.terms.Borrow * a.quotaShare
+		a.borrowAllowance = math.Min(limit, a.borrowAllowance+limit*elapsed)
+	}
+	if !a.inForce(l.latestUnix) { // nor does the pool get anything of it
+		return
+	}
+	capacity := a.burst() - a.level
+	a.level += math.Min(remainder, capacity)
+	if remainder > capacity && l.now >= a.noLendingUntil {
+		l.borrowPool = math.Min(l.borrowPoolMax, l.borrowPool+remainder-capacity)
+	}
+}
+
+// inheritUsage moves the level and the usage of a predecessor that has ended to its
+// successor, once.
+func (l *Ledger) inheritUsage(a *account) {
+	predecessor := a.predecessor
+	if a.inherited || predecessor == nil || predecessor.inForce(l.latestUnix) {
+		return
+	}
+	a.inherited = true
+	l.accrue(predecessor)
+	predecessor.rollPeriods(l.latestUnix, l.settings.Location)
+	a.level = math.Min(a.burst(), predecessor.level)
+	for i := range a.periods {
+		a.periods[i].used += predecessor.periods[i].used
+		a.periods[i].noticesSent = predecessor.periods[i].noticesSent
+	}
+	l.queueCheckpoint(a)
+}
--- /dev/null
+++ b/internal/contract/apply_test.go
@@ -0,0 +1,61 @@
+package contract
+
+import (
+	"bytes"
+	"testing"
+)
+
+// charged is settled there.
+func TestSuccessor(t *testing.T) {
+	terms := variedTerms(1000)
+	ledger := newTestLedger(t, terms...)
+	var c, d Charge
+	ledger.Charge(20*second, "old", "", Usage{OutputTokens: 400}, &c)
+	if v := ledger.Charge(31*second, "old", "", Usage{OutputTokens: 100}, &d); v.Rejected {
+		t.Fatal(v)
+	}
+	if name, _ := ledger.Team("old", ""); name != "new" {
+		t.Error(name)
+	}
+	ledger.Settle(32*second, &c, Usage{OutputTokens: 500}, true)
+	if used := ledger.Accounts()[3].Used[Quarter]; used != 600*Token {
+		t.Errorf("the successor has %d", used/Token)
+	}
+	for want, change := range map[string]func(*Terms){
+		"no other contract": func(o *Terms) { o.Successor = "x" }, "expected an end": func(o *Terms) { o.Until = 0 },
+		"begins after": func(o *Terms) { o.Until -= 5 },
+	} {
+		bad := variedTerms(1000)
+		change(&bad[2])
+		if err := ValidateTerms(bad); err == nil || !bytes.Contains([]byte(err.Error()), []byte(want)) {
+			t.Errorf("%s: %v", want, err)
+		}
+	}
+}
+
+// Budgets count the usage of the fleet where a gateway has a share of the contract.
+func TestQuotaShares(t *testing.T) {
+	a := testTerms("a", 1000)
+	a.Budgets = []Budget{{Hour, 0, 1_000_000 * Token}}
+	ledger := newTestLedger(t, a)
+	ledger.SetQuotaShares(second, []float64{0.25})
+	var c Charge
+	ledger.Charge(2*second, "a", "", Usage{OutputTokens: 100}, &c)
+	ledger.SetQuotaShares(3*second, []float64{0.5}) // what was charged before counts at the share of that time
+	ledger.Settle(3*second, &c, Usage{OutputTokens: 50}, true)
+	if got := ledger.Accounts()[0]; got.Used[Hour] != 200*Token || got.Counters.Used != 50*Token {
+		t.Errorf("%+v", got)
+	}
+	l := &trafficLoad{tenant: "a", tokensPerSecond: 5000, tokensPerRequest: 10}
+	playLoads(ledger, 4*second, 3, l)
+	l.fullWeight = 0
+	if playLoads(ledger, 7*second, 10, l); l.fullWeight < 4900 || l.fullWeight > 5100 {
+		t.Errorf("%d tokens in ten seconds at half of 1000 a second", l.fullWeight)
+	}
+	for _, bad := range [][]float64{{}, {0.1, 0.2}, {-1}, {2}} {
+		ledger.SetQuotaShares(20*second, bad)
+	}
+	if p := ledger.Accounts()[0].QuotaShare; p != 0.5 {
+		t.Error(p)
+	}
+}
--- /dev/null
+++ b/internal/contract/balance_test.go
@@ -0,0 +1,96 @@
+package contract
+
+import (
+	"testing"
+
+	"pgregory.net/rapid"
+
+	"archknot/balancer"
+)
+
+// reserve, and nothing if nothing was charged in between.
+func TestRepeatedKillsCostAtMostTheReserve(t *testing.T) {
+	rapid.Check(t, func(t *rapid.T) {
+		const limit = 1_000_000
+		a := testTerms("a", 1e6)
+		a.Budgets = []Budget{{Day, 0, limit * Token}}
+		s := Settings{BorrowPoolSeconds: 1, ReserveFraction: 0.01, Strict: true}
+		const reserve = limit * Token / 100
+		var stored []Balance
+		charged, lost := Units(0), Units(0) // in fact, and counted as used because of kills
+		now := second
+		for run := range rapid.IntRange(1, 12).Draw(t, "runs") {
+			ledger, err := NewLedger(s, []Terms{a}, now, start+now)
+			if err != nil {
+				t.Fatal(err)
+			}
+			ledger.RestoreBalances(stored)
+			if used := ledger.Accounts()[0].Used[Day]; used < charged || used > charged+lost+reserve {
+				t.Fatalf("run %d: %d counts as used; %d was charged, and kills had cost %d", run, used, charged, lost)
+			} else {
+				lost = used - charged
+			}
+			var writing []Balance // not on the disk yet
+			number, busy := uint64(0), false
+			for range rapid.IntRange(0, 80).Draw(t, "steps") {
+				now += 10_000
+				switch what := rapid.IntRange(0, 4).Draw(t, "what"); {
+				case what < 3:
+					var c Charge
+					n := rapid.IntRange(1, 3000).Draw(t, "output")
+					if v := ledger.Charge(now, "a", "", Usage{OutputTokens: n}, &c); !v.Rejected {
+						charged += Units(n) * Token
+					} else if v.Reason != ReasonBalanceNotStored && v.Reason != ReasonBudgetSpent {
+						t.Fatal(v)
+					}
+				case !busy && ledger.CheckpointDue():
+					number, writing = ledger.Checkpoint()
+					busy = true
+				case busy:
+					if rapid.IntRange(0, 5).Draw(t, "fails") == 0 {
+						ledger.CheckpointDone(number, false)
+					} else {
+						stored = writing
+						ledger.CheckpointDone(number, true)
+					}
+					busy = false
+				}
+			}
+			if busy && rapid.Bool().Draw(t, "written before the kill") {
+				stored = writing
+			}
+		}
+	})
+}
+
+// since starts anew; a clock that was set back does not start one again.
+func TestRestoreBalances(t *testing.T) {
+	a := testTerms("a", 1000)
+	a.Budgets = []Budget{{Hour, 0, 10_000 * Token}}
+	ledger := newTestLedger(t, a)
+	var c Charge
+	ledger.Charge(second, "a", "", Usage{OutputTokens: 300}, &c)
+	ledger.Settle(second, &c, Usage{OutputTokens: 250}, true)
+	stored := ledger.FinalBalances()
+	for _, x := range []struct {
+		later balancer.Micros
+		used  Units
+	}{{5 * second, 250 * Token}, {3600 * second, 0}, {-3600 * second, 250 * Token}} {
+		n, err := NewLedger(Settings{BorrowPoolSeconds: 1}, []Terms{a}, 0, start+x.later)
+		if err != nil {
+			t.Fatal(err)
+		}
+		if n.RestoreBalances(stored) != 1 {
+			t.Error("not restored")
+		}
+		if got := n.Accounts()[0]; got.Used[Hour] != x.used || got.Level != 750*Token {
+			t.Errorf("after %v s: %+v", x.later/second, got)
+		}
+	}
+	stored[0].Clean = false
+	n := newTestLedger(t, a)
+	n.RestoreBalances(stored)
+	if got := n.Accounts()[0].Level; got != 0 {
+		t.Errorf("after a kill the level is %d", got)
+	}
+}
--- a/internal/contract/charge.go
+++ b/internal/contract/charge.go
@@ -6,109 +6,212 @@
 	"archknot/balancer"
 )
 
-// Taking: what a request is charged, admitted by, or refused for.
-
-// Charge charges a request, or a further copy of one, to its team, unless its
-// contract refuses it. The charge must be settled once.
-func (b *Ledger) Charge(now balancer.Micros, tenant, class string, u Usage, c *Charge) Verdict {
-	*c = Charge{}
-	b.advance(now)
-	a := b.accountFor(tenant, class)
+// Units are thousandths of the work of a token at price 1.
+type Units = int64
+
+// Usage is the work of a request, estimated or actual.
+type Usage struct{ PromptTokens, OutputTokens int }
+
+// Charge is the entry of one attempt in the ledger, from Ledger.Charge to
+// Ledger.Settle. The caller owns it, so that a charge needs no allocation.
+type Charge struct {
+	account      *account // nil: nothing was charged, or it is settled
+	Estimate     Usage    // the usage that was charged
+	class        string
+	price        Price // at the time of the charge
+	units        Units
+	overQuota    bool                         // it was admitted beyond the rate and is not part of the account's level
+	periodStarts [periodCount]balancer.Micros // the periods that it was charged in
+	quotaShare   float64                      // this gateway's share of the contract at the time of the charge
+}
+
+// Open reports whether something was charged that is not settled yet.
+func (c *Charge) Open() bool { return c.account != nil }
+
+// ActualUsage returns what an attempt used, by how it ended: nothing if it never
+// ran, and the estimate if it may have run and did not report its tokens. cached
+// are the prompt tokens that the replica had in its cache.
+func (c *Charge) ActualUsage(status balancer.Status, prompt, cached, tokens int) Usage {
+	switch {
+	case status.NeverRan():
+		return Usage{}
+	case status == balancer.Served && tokens > 0:
+		return Usage{PromptTokens: max(0, prompt-cached), OutputTokens: tokens}
+	}
+	return c.Estimate
+}
+
+// Verdict is the decision of a team's contract on a request.
+type Verdict struct {
+	Rejected       bool
+	Reason         string          // one of the Reason constants, if rejected
+	RetryAfter     balancer.Micros // how long to wait before a retry; 0: a retry does not help
+	PriorityWeight float64         // the factor on the priority of its class
+	OverQuota      bool            // it competes beyond the rate, or beyond a soft limit
+}
+
+// Reasons of a rejection, as clients get them.
+const (
+	ReasonOverRate         = "over_rate"
+	ReasonBudgetSpent      = "budget_spent"
+	ReasonNoContract       = "no_contract"
+	ReasonNotInForce       = "contract_not_valid"
+	ReasonBalanceNotStored = "balance_not_kept" // a strict ledger waits for its store
+)
+
+// notStoredRetryAfter is when a strict ledger expects its store to have caught up.
+const notStoredRetryAfter balancer.Micros = 1_000_000
+
+// Charge decides on a request, or on a further attempt of one, and charges it to
+// its team unless the contract rejects it. A charge must be settled once.
+func (l *Ledger) Charge(now balancer.Micros, tenant, class string, estimate Usage, charge *Charge) Verdict {
+	*charge = Charge{}
+	l.advance(now)
+	a := l.accountFor(tenant, class)
 	if a == nil {
-		switch {
-		case b.settings.UnknownTenantWeight < 0:
-			return Verdict{Rejected: true, Reason: ReasonNoContract}
-		case b.settings.UnknownTenantWeight < 1 && !b.excess.admit(float64((&Terms{}).priceOf(class).cost(u))):
-			return Verdict{Rejected: true, Reason: ReasonOverRate, RetryAfter: limiterRetryAfter}
-		}
-		return Verdict{PriorityWeight: b.settings.UnknownTenantWeight}
+		return l.decideUnknownTenant(class, estimate)
 	}
-	if !a.inForce(b.latestUnix) {
-		v := Verdict{Rejected: true, Reason: ReasonNotInForce}
-		if a.terms.From > b.latestUnix {
-			v.RetryAfter = a.terms.From - b.latestUnix
-		}
-		return a.reject(v, 0)
+	if !a.inForce(l.latestUnix) {
+		return a.rejectNotInForce(l.latestUnix)
 	}
-	b.accrue(a)
-	a.rollPeriods(b.latestUnix, b.settings.Location)
-	b.inheritUsage(a)
+	l.accrue(a)
+	a.rollPeriods(l.latestUnix, l.settings.Location)
+	l.inheritUsage(a)
 	price := a.terms.priceOf(class)
-	cost := price.cost(u)
-	all := fleetWide(cost, a.quotaShare)
-	v := Verdict{PriorityWeight: a.priorityWeight()}
-	for i := range a.terms.Budgets {
-		g := &a.terms.Budgets[i]
-		n := &a.periods[g.Period]
-		if g.Hard > 0 && n.used+all > g.Hard {
-			return a.reject(Verdict{Rejected: true, Reason: ReasonBudgetSpent, RetryAfter: n.end - b.latestUnix}, cost)
-		}
-		if g.Hard > 0 && b.settings.Strict && b.settings.ReserveFraction > 0 && n.used+all > n.durable {
-			b.queueCheckpoint(a)
-			return a.reject(Verdict{Rejected: true, Reason: ReasonBalanceNotStored, RetryAfter: notStoredRetryAfter}, cost)
-		}
-		if g.Soft > 0 && n.used+all > g.Soft {
-			v.PriorityWeight, v.OverQuota = a.terms.OverQuotaWeight, true
-		}
+	cost := price.cost(estimate)
+	verdict := l.checkBudgets(a, fleetWide(cost, a.quotaShare))
+	if verdict.Rejected {
+		return a.reject(verdict, cost)
 	}
-	fromFloor := math.Min(math.Max(0, a.floorLevels[class]), float64(cost))
-	rest, beyond := float64(cost)-fromFloor, false
-	if a.recordDemand(b.now, cost) && rest > 0 {
-		v.PriorityWeight, v.OverQuota, fromFloor, rest, beyond = a.terms.OverQuotaWeight, true, 0, 0, true
-	} else if rest > math.Max(0, a.level) {
-		// Beyond what it has: from what idle shares left, or beyond the rate.
-		short := rest - math.Max(0, a.level)
-		if short <= b.borrowPool && !a.terms.NoBorrow && (a.terms.Borrow == 0 || short <= a.borrowAllowance) {
-			b.borrowPool -= short
-			a.level += short
-			a.borrowAllowance -= short
-			a.counters.Borrowed += Units(short)
-		} else if a.terms.Hard {
-			return a.reject(Verdict{Rejected: true, Reason: ReasonOverRate, RetryAfter: balancer.Micros(short / (a.terms.Rate * a.quotaShare) * 1e6)}, cost)
-		} else {
-			// It competes beyond the rate, and takes nothing of what the rate earns:
-			// else a surge would keep its own team from its share.
-			v.PriorityWeight, v.OverQuota, fromFloor, rest, beyond = a.terms.OverQuotaWeight, true, 0, 0, true
-		}
+	funds, shortfall := l.fund(a, class, cost)
+	if shortfall > 0 {
+		retryAfter := balancer.Micros(shortfall / (a.terms.Rate * a.quotaShare) * 1e6)
+		return a.reject(Verdict{Rejected: true, Reason: ReasonOverRate, RetryAfter: retryAfter}, cost)
 	}
-	if v.OverQuota && !b.excess.admit(float64(cost)) {
+	if funds.overQuota {
+		verdict.PriorityWeight, verdict.OverQuota = a.terms.OverQuotaWeight, true
+	}
+	if verdict.OverQuota && !l.excess.admit(float64(cost)) {
 		return a.reject(Verdict{Rejected: true, Reason: ReasonOverRate, RetryAfter: limiterRetryAfter}, cost)
 	}
-	if fromFloor > 0 {
-		a.floorLevels[class] -= fromFloor
+	*charge = Charge{Estimate: estimate, class: class, price: price, units: cost, overQuota: funds.overQuota}
+	a.enter(charge, funds, verdict.OverQuota)
+	l.recordNotices(a)
+	l.queueCheckpoint(a)
+	return verdict
+}
+
+// decideUnknownTenant decides on a request of a tenant without a contract. Nothing
+// is charged.
+func (l *Ledger) decideUnknownTenant(class string, estimate Usage) Verdict {
+	weight := l.settings.UnknownTenantWeight
+	if weight < 0 {
+		return Verdict{Rejected: true, Reason: ReasonNoContract}
 	}
-	a.level -= rest
-	var begun [periodCount]balancer.Micros
-	for p := range a.periods {
-		a.periods[p].used += all
-		begun[p] = a.periods[p].start
+	cost := (&Terms{}).priceOf(class).cost(estimate)
+	if weight < 1 && !l.excess.admit(float64(cost)) {
+		return Verdict{Rejected: true, Reason: ReasonOverRate, RetryAfter: limiterRetryAfter}
 	}
-	*c = Charge{Estimate: u, account: a, class: class, price: price, units: cost, overQuota: beyond, periodStarts: begun, quotaShare: a.quotaShare}
-	a.openCharges++
-	if v.OverQuota {
-		a.counters.OverQuota++
-		a.counters.OverQuotaUnits += cost
-	} else {
-		a.counters.Admitted++
-		a.counters.AdmittedUnits += cost
-	}
-	b.recordNotices(a)
-	b.queueCheckpoint(a)
-	return v
+	return Verdict{PriorityWeight: weight}
 }
 
-// notStoredRetryAfter is when a strict book expects the store to have caught up.
-const notStoredRetryAfter balancer.Micros = 1_000_000
+// rejectNotInForce rejects a request under a contract that has not begun, or has
+// ended.
+func (a *account) rejectNotInForce(unix balancer.Micros) Verdict {
+	verdict := Verdict{Rejected: true, Reason: ReasonNotInForce}
+	if a.terms.From > unix {
+		verdict.RetryAfter = a.terms.From - unix
+	}
+	return a.reject(verdict, 0)
+}
+
+// checkBudgets decides on a cost, in units of the entire fleet, by the budgets alone.
+func (l *Ledger) checkBudgets(a *account, cost Units) Verdict {
+	verdict := Verdict{PriorityWeight: a.priorityWeight()}
+	waitsForStore := l.settings.Strict && l.settings.ReserveFraction > 0
+	for i := range a.terms.Budgets {
+		budget := &a.terms.Budgets[i]
+		period := &a.periods[budget.Period]
+		used := period.used + cost
+		if budget.Hard > 0 && used > budget.Hard {
+			return Verdict{Rejected: true, Reason: ReasonBudgetSpent, RetryAfter: period.end - l.latestUnix}
+		}
+		if budget.Hard > 0 && waitsForStore && used > period.durable {
+			l.queueCheckpoint(a)
+			return Verdict{Rejected: true, Reason: ReasonBalanceNotStored, RetryAfter: notStoredRetryAfter}
+		}
+		if budget.Soft > 0 && used > budget.Soft {
+			verdict.PriorityWeight, verdict.OverQuota = a.terms.OverQuotaWeight, true
+		}
+	}
+	return verdict
+}
 
-func (a *account) reject(v Verdict, cost Units) Verdict {
-	a.counters.Rejected++
-	a.counters.RejectedUnits += cost
-	return v
+// funding is what pays for a charge, in units.
+type funding struct {
+	fromFloor float64 // of the floor of its class
+	fromLevel float64 // of the account's level
+	// overQuota: nothing pays for it, it competes beyond the rate. It takes nothing
+	// of what the rate earns, else a surge would keep its own team from its quota.
+	overQuota bool
 }
 
-func (a *account) priorityWeight() float64 {
-	if a.terms.PriorityWeight == 0 {
-		return 1
+// fund finds what pays for a charge: the floor of its class, the level, units
+// borrowed from the pool, or nothing. A contract that is hard rejects what nothing
+// pays for: then shortfall, in units, is above 0.
+func (l *Ledger) fund(a *account, class string, cost Units) (funds funding, shortfall float64) {
+	funds.fromFloor = math.Min(math.Max(0, a.floorLevels[class]), float64(cost))
+	funds.fromLevel = float64(cost) - funds.fromFloor
+	surging := a.recordDemand(l.now, cost)
+	available := math.Max(0, a.level)
+	missing := funds.fromLevel - available
+	switch {
+	case surging && funds.fromLevel > 0:
+		return funding{overQuota: true}, 0
+	case funds.fromLevel <= available:
+		return funds, 0
+	case l.borrow(a, missing):
+		return funds, 0
+	case a.terms.Hard:
+		return funding{}, missing
+	}
+	return funding{overQuota: true}, 0
+}
+
+// borrow moves units from the pool to an account, if the pool has them and the
+// contract allows it.
+func (l *Ledger) borrow(a *account, units float64) bool {
+	if units > l.borrowPool || a.terms.NoBorrow {
+		return false
+	}
+	if a.terms.Borrow != 0 && units > a.borrowAllowance {
+		return false
+	}
+	l.borrowPool -= units
+	a.level += units
+	a.borrowAllowance -= units
+	a.counters.Borrowed += Units(units)
+	return true
+}
+
+// enter records an admitted charge in its account.
+func (a *account) enter(charge *Charge, funds funding, overQuota bool) {
+	if funds.fromFloor > 0 {
+		a.floorLevels[charge.class] -= funds.fromFloor
+	}
+	a.level -= funds.fromLevel
+	charge.account, charge.quotaShare = a, a.quotaShare
+	cost := fleetWide(charge.units, a.quotaShare)
+	for i := range a.periods {
+		a.periods[i].used += cost
+		charge.periodStarts[i] = a.periods[i].start
+	}
+	a.openCharges++
+	if overQuota {
+		a.counters.OverQuota++
+		a.counters.OverQuotaUnits += charge.units
+		return
 	}
-	return a.terms.PriorityWeight
+	a.counters.Admitted++
+	a.counters.AdmittedUnits += charge.units
 }
--- /dev/null
+++ b/internal/contract/demand_test.go
@@ -0,0 +1,66 @@
+package contract
+
+import (
+	"math/rand/v2"
+	"testing"
+
+	"archknot/balancer"
+)
+
+// floors; one that stays within its rate does not.
+func TestSurge(t *testing.T) {
+	a := testTerms("a", 1000)
+	a.Surge, a.Floors = 1.25, map[string]float64{"agent": 100 * float64(Token)}
+	ledger := newTestLedger(t, a)
+	bulk, agent := &trafficLoad{tenant: "a", class: "bulk", tokensPerSecond: 900, tokensPerRequest: 30}, &trafficLoad{tenant: "a", class: "agent", tokensPerSecond: 90, tokensPerRequest: 30}
+	playLoads(ledger, second, 20, bulk, agent)
+	if bulk.overQuota+agent.overQuota > 0 {
+		t.Errorf("within its rate %d and %d tokens competed beyond it", bulk.overQuota, agent.overQuota)
+	}
+	bulk.tokensPerSecond = 4000
+	playLoads(ledger, 21*second, 20, bulk, agent)
+	bulk.fullWeight, agent.overQuota = 0, 0
+	playLoads(ledger, 41*second, 10, bulk, agent)
+	if bulk.fullWeight > 0 || agent.overQuota > 0 {
+		t.Errorf("in a surge %d tokens competed in full, and %d of the floor beyond", bulk.fullWeight, agent.overQuota)
+	}
+}
+
+// by it.
+func TestSurgeStepsWithTheModule(t *testing.T) {
+	const quota, gateways, span = 11.0, 3.0, 8.0
+	a := testTerms("a", 1)
+	a.Rate, a.Burst, a.Surge = 1.25*quota*float64(Token), Units(1e6*quota*float64(Token)), 1
+	ledger := newTestLedger(t, a)
+	ledger.SetQuotaShares(second, []float64{1 / gateways})
+	rng := rand.New(rand.NewPCG(7, 7))
+	usage, since, last, over, n := 0.0, 0.0, second, 0, 0
+	for now := second; now < 120*second; now += 2000 + 2000*balancer.Micros(rng.IntN(40)) {
+		if now-last >= 250_000 { // the module's tick
+			dt := float64(now-last) / 1e6
+			usage += dt / span * (since/dt - usage)
+			since, last = 0, now
+			ledger.UpdateDemand(now)
+		}
+		chance := 0.08
+		if now/second%30 < 12 {
+			chance = 0.35
+		}
+		if rng.Float64() > chance {
+			continue
+		}
+		since++
+		var c Charge
+		v := ledger.Charge(now, "a", "chat", Usage{OutputTokens: 1}, &c)
+		ledger.Settle(now, &c, Usage{OutputTokens: 1}, false)
+		if own := usage > 1.25*quota/gateways; v.OverQuota != own {
+			t.Fatalf("at %d: beyond %t by the contract, %t by the quota", now, v.OverQuota, own)
+		} else if own {
+			over++
+		}
+		n++
+	}
+	if over < n/10 || over > n*9/10 {
+		t.Fatalf("%d of %d beyond: this shows nothing", over, n)
+	}
+}
--- a/internal/contract/ledger_test.go
+++ b/internal/contract/ledger_test.go
@@ -16,59 +16,61 @@
 
 var start = time.Date(2026, 12, 1, 12, 0, 0, 0, time.UTC).UnixMicro()
 
-func newTestLedger(t testing.TB, terms ...Terms) *Ledger {
-	t.Helper()
-	b, err := NewLedger(Settings{BorrowPoolSeconds: 1, UnknownTenantWeight: 0.05}, terms, 0, start)
+func newTestLedger(tb testing.TB, terms ...Terms) *Ledger {
+	tb.Helper()
+	ledger, err := NewLedger(Settings{BorrowPoolSeconds: 1, UnknownTenantWeight: 0.05}, terms, 0, start)
 	if err != nil {
-		t.Fatal(err)
+		tb.Fatal(err)
 	}
-	return b
+	return ledger
 }
 
+// testTerms are terms at a rate in tokens a second, with a burst of one second.
 func testTerms(name string, rate float64) Terms {
 	return Terms{Team: name, Tenants: []string{name}, Rate: rate * float64(Token), Burst: Units(rate) * Token, OverQuotaWeight: 0.05}
 }
 
-// trafficLoad sends one team's requests at a rate for a while and tells how many tokens
-// were taken at full worth.
+// trafficLoad is the requests of one tenant at a constant rate. It counts the tokens
+// that were admitted at full weight and those that were not.
 type trafficLoad struct {
 	tenant, class         string
-	tokensPerSecond       float64 // tokens a second
-	tokensPerRequest      int     // tokens a request
+	tokensPerSecond       float64
+	tokensPerRequest      int
 	fullWeight, overQuota int
 	next                  float64
 }
 
-func playLoads(b *Ledger, from balancer.Micros, seconds float64, loads ...*trafficLoad) {
+// playLoads sends loads for a while; each request is served at once.
+func playLoads(ledger *Ledger, from balancer.Micros, seconds float64, loads ...*trafficLoad) {
 	for us := from; us < from+balancer.Micros(seconds*1e6); us += 1000 {
 		for _, l := range loads {
 			for l.next += l.tokensPerSecond / 1000; l.next >= float64(l.tokensPerRequest); l.next -= float64(l.tokensPerRequest) {
 				var c Charge
-				v := b.Charge(us, l.tenant, l.class, Usage{OutputTokens: l.tokensPerRequest}, &c)
+				v := ledger.Charge(us, l.tenant, l.class, Usage{OutputTokens: l.tokensPerRequest}, &c)
 				switch {
 				case v.Rejected || v.PriorityWeight < 1:
 					l.overQuota += l.tokensPerRequest
 				default:
 					l.fullWeight += l.tokensPerRequest
 				}
-				b.Settle(us, &c, Usage{OutputTokens: l.tokensPerRequest}, true)
+				ledger.Settle(us, &c, Usage{OutputTokens: l.tokensPerRequest}, true)
 			}
 		}
 	}
 }
 
-// A surge of ten times the rate takes its own share at full worth and no more,
-// and leaves the others theirs.
+// A surge of ten times the rate gets its quota at full weight and no more, and
+// leaves the other teams theirs.
 func TestSurgeKeepsToItsShare(t *testing.T) {
-	b := newTestLedger(t, testTerms("a", 4000), testTerms("b", 3000), testTerms("c", 3000))
+	ledger := newTestLedger(t, testTerms("a", 4000), testTerms("b", 3000), testTerms("c", 3000))
 	surge, one, two := &trafficLoad{tenant: "a", tokensPerSecond: 40_000, tokensPerRequest: 100}, &trafficLoad{tenant: "b", tokensPerSecond: 3000, tokensPerRequest: 100}, &trafficLoad{tenant: "c", tokensPerSecond: 3000, tokensPerRequest: 100}
-	playLoads(b, second, 5, surge, one, two) // the bursts go
+	playLoads(ledger, second, 5, surge, one, two) // the bursts go
 	for w := range 3 {
 		surge.fullWeight, one.fullWeight, two.fullWeight, one.overQuota = 0, 0, 0, 0
-		playLoads(b, second+balancer.Micros(5+10*w)*second, 10, surge, one, two)
+		playLoads(ledger, second+balancer.Micros(5+10*w)*second, 10, surge, one, two)
 		for l, want := range map[*trafficLoad]float64{surge: 40_000, one: 30_000, two: 30_000} {
 			if got := float64(l.fullWeight); got < 0.97*want || got > 1.03*want {
-				t.Errorf("window %d: %s had %.0f tokens at full worth, its share is %.0f", w, l.tenant, got, want)
+				t.Errorf("window %d: %s had %.0f tokens at full weight, its quota is %.0f", w, l.tenant, got, want)
 			}
 		}
 	}
@@ -76,17 +78,17 @@
 
 // What others leave idle is not wasted: one team alone may use all rates together.
 func TestIdleSharesAreLent(t *testing.T) {
-	b := newTestLedger(t, testTerms("a", 1000), testTerms("b", 5000), testTerms("c", 4000))
+	ledger := newTestLedger(t, testTerms("a", 1000), testTerms("b", 5000), testTerms("c", 4000))
 	alone := &trafficLoad{tenant: "a", tokensPerSecond: 20_000, tokensPerRequest: 50}
-	playLoads(b, second, 5, alone)
+	playLoads(ledger, second, 5, alone)
 	alone.fullWeight = 0
-	playLoads(b, 6*second, 10, alone)
+	playLoads(ledger, 6*second, 10, alone)
 	if got := float64(alone.fullWeight); got < 98_000 || got > 102_000 {
 		t.Errorf("%.0f tokens of 100000", got)
 	}
 	// Given back at once: the moment b comes, it has its own.
 	back := &trafficLoad{tenant: "b", tokensPerSecond: 5000, tokensPerRequest: 50}
-	playLoads(b, 16*second, 5, alone, back)
+	playLoads(ledger, 16*second, 5, alone, back)
 	if back.overQuota > 0 {
 		t.Errorf("b had %d tokens beyond its rate", back.overQuota)
 	}
@@ -96,33 +98,33 @@
 func TestFloors(t *testing.T) {
 	a := testTerms("a", 1000)
 	a.Floors = map[string]float64{"agent": 300 * float64(Token)}
-	b := newTestLedger(t, a)
+	ledger := newTestLedger(t, a)
 	bulk, agent := &trafficLoad{tenant: "a", class: "bulk", tokensPerSecond: 9000, tokensPerRequest: 30}, &trafficLoad{tenant: "a", class: "agent", tokensPerSecond: 290, tokensPerRequest: 29}
-	playLoads(b, second, 5, bulk, agent)
+	playLoads(ledger, second, 5, bulk, agent)
 	bulk.fullWeight, agent.fullWeight, agent.overQuota = 0, 0, 0
-	playLoads(b, 6*second, 10, bulk, agent)
+	playLoads(ledger, 6*second, 10, bulk, agent)
 	if agent.overQuota > 0 || bulk.fullWeight > 7200 || bulk.fullWeight < 6800 {
 		t.Errorf("agent %d and %d beyond, bulk %d", agent.fullWeight, agent.overQuota, bulk.fullWeight)
 	}
 }
 
-// A budget is overrun by one request at most, also where estimates are wrong by
-// five times, and refused with the time until the period's end.
+// A budget is overrun by one request at most, even if estimates are wrong five
+// times, and beyond it requests are rejected with the time until the period ends.
 func TestBudgetUnderBurst(t *testing.T) {
 	for _, wrong := range []float64{0.2, 1, 5} {
 		a := testTerms("a", 100_000)
 		a.Budgets = []Budget{{Hour, 800_000 * Token, 1_000_000 * Token}}
-		b := newTestLedger(t, a)
+		ledger := newTestLedger(t, a)
 		rng := rand.New(rand.NewPCG(1, 1))
 		var open []Charge
-		real, soft, refused, most := Units(0), 0, 0, 0
+		actual, soft, rejected, most := Units(0), 0, 0, 0
 		for i := range 30_000 {
 			now := second + balancer.Micros(i)*1000
 			u := Usage{OutputTokens: 50 + rng.IntN(100)}
 			var c Charge
-			v := b.Charge(now, "a", "", Usage{OutputTokens: int(float64(u.OutputTokens) * wrong)}, &c)
+			v := ledger.Charge(now, "a", "", Usage{OutputTokens: int(float64(u.OutputTokens) * wrong)}, &c)
 			if v.Rejected {
-				refused++
+				rejected++
 				if v.Reason != ReasonBudgetSpent || v.RetryAfter != 3600*second-now {
 					t.Fatalf("%+v at %d", v, now)
 				}
@@ -132,18 +134,18 @@
 				soft++
 			}
 			most = max(most, u.OutputTokens)
-			// Ten are in hand at once; the one taken first ends first.
+			// Ten are in flight at once; the one admitted first ends first.
 			if open = append(open, c); len(open) > 10 {
-				b.Settle(now, &open[0], u, true)
+				ledger.Settle(now, &open[0], u, true)
 				open = open[1:]
 			}
-			real += Units(u.OutputTokens) * Token
+			actual += Units(u.OutputTokens) * Token
 		}
-		got := b.Accounts()[0].Used[Hour]
-		// Settled wrong by five times, ten requests in hand may be over.
+		got := ledger.Accounts()[0].Used[Hour]
+		// If estimates are wrong five times, the ten requests in flight may be over.
 		over := got - 1_000_000*Token
-		if refused == 0 || soft == 0 || over > 10_000*Token {
-			t.Errorf("estimates times %v: refused %d, soft %d, over by %d tokens", wrong, refused, soft, over/Token)
+		if rejected == 0 || soft == 0 || over > 10_000*Token {
+			t.Errorf("estimates times %v: rejected %d, soft %d, over by %d tokens", wrong, rejected, soft, over/Token)
 		}
 	}
 }
@@ -166,8 +168,8 @@
 	}
 }
 
-// Periods are the calendar's, also where the clock changes, and a clock that is
-// set back neither earns twice nor begins a period again.
+// Periods are the calendar's, even when the clock changes, and a clock that is set
+// back neither credits twice nor starts a period again.
 func TestPeriods(t *testing.T) {
 	hobart, err := time.LoadLocation("Australia/Hobart")
 	if err != nil {
@@ -193,54 +195,54 @@
 	}
 	a := testTerms("a", 10)
 	a.Budgets = []Budget{{Hour, 0, 100 * Token}}
-	b := newTestLedger(t, a)
+	ledger := newTestLedger(t, a)
 	var c, d Charge
-	b.Charge(second, "a", "", Usage{OutputTokens: 90}, &c)
-	if v := b.Charge(-3600*second, "a", "", Usage{OutputTokens: 20}, &d); !v.Rejected {
-		t.Error("a clock set back gave the budget anew")
+	ledger.Charge(second, "a", "", Usage{OutputTokens: 90}, &c)
+	if v := ledger.Charge(-3600*second, "a", "", Usage{OutputTokens: 20}, &d); !v.Rejected {
+		t.Error("a clock that was set back granted the budget again")
 	}
 	// Settled after the period's end: the old period's, not the new one's.
-	if v := b.Charge(3601*second, "a", "", Usage{OutputTokens: 20}, &d); v.Rejected {
-		t.Error("the new period is refused")
+	if v := ledger.Charge(3601*second, "a", "", Usage{OutputTokens: 20}, &d); v.Rejected {
+		t.Error("the new period is rejected")
 	}
-	b.Settle(3602*second, &c, Usage{OutputTokens: 500}, true)
-	if got := b.Accounts()[0].Used[Hour]; got != 20*Token {
+	ledger.Settle(3602*second, &c, Usage{OutputTokens: 500}, true)
+	if got := ledger.Accounts()[0].Used[Hour]; got != 20*Token {
 		t.Errorf("the new period has %d units", got)
 	}
 }
 
-// Contracts change with requests in hand: what was taken is settled at its own
-// price, once; nothing is lost or doubled.
+// Contracts change with requests in flight: a charge is settled at the price that it
+// was made at, once; nothing is lost or doubled.
 func TestApplyTermsInFlight(t *testing.T) {
 	a := testTerms("a", 1000)
 	a.Prices = map[string]Price{"agent": {1, 2}}
 	a.Budgets = []Budget{{Day, 0, 1_000_000 * Token}}
-	b := newTestLedger(t, a, testTerms("gone", 10))
+	ledger := newTestLedger(t, a, testTerms("gone", 10))
 	var c, g Charge
-	b.Charge(second, "a", "agent", Usage{PromptTokens: 100, OutputTokens: 50}, &c)
-	b.Charge(second, "gone", "", Usage{OutputTokens: 5}, &g)
+	ledger.Charge(second, "a", "agent", Usage{PromptTokens: 100, OutputTokens: 50}, &c)
+	ledger.Charge(second, "gone", "", Usage{OutputTokens: 5}, &g)
 	next := a
 	next.Prices = map[string]Price{"agent": {10, 10}}
 	next.Budgets = []Budget{{Hour, 0, 500_000 * Token}, {Day, 0, 2_000_000 * Token}}
-	if err := b.ApplyTerms(2*second, []Terms{next}); err != nil {
+	if err := ledger.ApplyTerms(2*second, []Terms{next}); err != nil {
 		t.Fatal(err)
 	}
-	if used := b.Accounts()[0].Used[Day]; used != 200*Token {
+	if used := ledger.Accounts()[0].Used[Day]; used != 200*Token {
 		t.Errorf("used %d", used)
 	}
-	if !b.Settle(3*second, &c, Usage{PromptTokens: 100, OutputTokens: 80}, true) || b.Settle(3*second, &c, Usage{PromptTokens: 100, OutputTokens: 80}, true) {
+	if !ledger.Settle(3*second, &c, Usage{PromptTokens: 100, OutputTokens: 80}, true) || ledger.Settle(3*second, &c, Usage{PromptTokens: 100, OutputTokens: 80}, true) {
 		t.Error("settled other than once")
 	}
-	if used := b.Accounts()[0].Used[Day]; used != 260*Token {
+	if used := ledger.Accounts()[0].Used[Day]; used != 260*Token {
 		t.Errorf("used %d", used)
 	}
-	if !b.Settle(3*second, &g, Usage{OutputTokens: 9}, true) {
+	if !ledger.Settle(3*second, &g, Usage{OutputTokens: 9}, true) {
 		t.Error("a charge of a contract that has gone was not settled")
 	}
-	if v := b.Charge(4*second, "gone", "", Usage{OutputTokens: 5}, &g); v.Rejected || v.PriorityWeight != 0.05 {
+	if v := ledger.Charge(4*second, "gone", "", Usage{OutputTokens: 5}, &g); v.Rejected || v.PriorityWeight != 0.05 {
 		t.Errorf("a tenant without a contract: %+v", v)
 	}
-	if n := b.Accounts()[0].Open; n != 0 {
+	if n := ledger.Accounts()[0].Open; n != 0 {
 		t.Errorf("%d open", n)
 	}
 }
@@ -250,22 +252,22 @@
 func TestLedgerBalances(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		a := testTerms("a", 1000)
-		b, err := NewLedger(Settings{BorrowPoolSeconds: 1}, []Terms{a}, 0, start)
+		ledger, err := NewLedger(Settings{BorrowPoolSeconds: 1}, []Terms{a}, 0, start)
 		if err != nil {
 			t.Fatal(err)
 		}
-		type held struct {
+		type openCharge struct {
 			c    *Charge
 			cost Units
 		}
-		var open []held
+		var open []openCharge
 		sum, now := Units(0), second
 		t.Repeat(map[string]func(*rapid.T){
-			"take": func(t *rapid.T) {
-				u := Usage{rapid.IntRange(0, 500).Draw(t, "read"), rapid.IntRange(0, 500).Draw(t, "made")}
+			"charge": func(t *rapid.T) {
+				u := Usage{rapid.IntRange(0, 500).Draw(t, "prompt"), rapid.IntRange(0, 500).Draw(t, "output")}
 				c := &Charge{}
-				if v := b.Charge(now, "a", "x", u, c); !v.Rejected {
-					open = append(open, held{c, Units(u.PromptTokens+u.OutputTokens) * Token})
+				if v := ledger.Charge(now, "a", "x", u, c); !v.Rejected {
+					open = append(open, openCharge{c, Units(u.PromptTokens+u.OutputTokens) * Token})
 					sum += Units(u.PromptTokens+u.OutputTokens) * Token
 				}
 			},
@@ -274,21 +276,21 @@
 					return
 				}
 				i := rapid.IntRange(0, len(open)-1).Draw(t, "which")
-				made := rapid.IntRange(0, 900).Draw(t, "made")
+				output := rapid.IntRange(0, 900).Draw(t, "output")
 				for range rapid.IntRange(1, 3).Draw(t, "times") {
-					b.Settle(now, open[i].c, Usage{OutputTokens: made}, true)
+					ledger.Settle(now, open[i].c, Usage{OutputTokens: output}, true)
 				}
-				sum += Units(made)*Token - open[i].cost
+				sum += Units(output)*Token - open[i].cost
 				open = append(open[:i], open[i+1:]...)
 			},
-			"agree": func(t *rapid.T) {
-				if err := b.ApplyTerms(now, []Terms{a}); err != nil {
+			"apply terms": func(t *rapid.T) {
+				if err := ledger.ApplyTerms(now, []Terms{a}); err != nil {
 					t.Fatal(err)
 				}
 			},
 			"time": func(t *rapid.T) { now += balancer.Micros(rapid.IntRange(-100_000, 300_000).Draw(t, "us")) },
 			"": func(t *rapid.T) {
-				got := b.Accounts()[0]
+				got := ledger.Accounts()[0]
 				if now-second < 3500*second && (got.Used[Hour] != sum || got.Open != len(open)) {
 					t.Fatalf("used %d, settled and open make %d; %d open, %d are", got.Used[Hour], sum, got.Open, len(open))
 				}
@@ -307,14 +309,14 @@
 		a.Floors = map[string]float64{"agent": 100}
 		terms = append(terms, a)
 	}
-	bk := newTestLedger(b, terms...)
+	ledger := newTestLedger(b, terms...)
 	now, i := second, 0
 	var c Charge
 	b.ReportAllocs()
 	for b.Loop() {
 		now += 10
 		i++
-		bk.Charge(now, names[i%len(names)], "agent", Usage{100, 50}, &c)
-		bk.Settle(now, &c, Usage{100, 60}, true)
+		ledger.Charge(now, names[i%len(names)], "agent", Usage{100, 50}, &c)
+		ledger.Settle(now, &c, Usage{100, 60}, true)
 	}
 }
--- a/internal/contract/mechanisms_test.go
+++ b/internal/contract/mechanisms_test.go
@@ -10,14 +10,14 @@
 )
 
 // The mechanisms that were weighed, each in the form that a gateway without a
-// queue could use: a request is let in at full worth at once, or it is not.
+// queue could use: a request is admitted at full weight at once, or it is not.
 
 // admissionMechanism shares so many units a second among teams.
 type admissionMechanism interface {
 	admitFullWeight(now balancer.Micros, team int, cost float64) bool
 }
 
-// tokenBuckets are token buckets that lend nothing.
+// tokenBuckets are token buckets without lending.
 type tokenBuckets struct {
 	rate, level []float64
 	at          balancer.Micros
@@ -36,8 +36,8 @@
 	return true
 }
 
-// startTimeFairQueue is start-time fair queuing as admission: a request is let in while its
-// team's start tag is less than a second ahead of the virtual time, which runs the
+// startTimeFairQueue is start-time fair queuing as admission: a request is admitted while
+// its team's start tag is less than a second ahead of the virtual time, which runs the
 // faster the fewer teams have tags ahead of it.
 type startTimeFairQueue struct {
 	rate, tag []float64
@@ -76,8 +76,8 @@
 }
 
 // deficitRoundRobin is deficit round robin as admission: every tenth of a second each team
-// gets its quantum, and what teams that asked for less left of theirs goes to those
-// that were refused, by their weights. A deficit is bounded to a second.
+// gets its quantum, and what teams that requested less left of theirs goes to those
+// that were rejected, by their weights. A deficit is bounded to a second.
 type deficitRoundRobin struct {
 	rate, level []float64
 	wanted      []bool
@@ -114,7 +114,7 @@
 	return true
 }
 
-// pooledBuckets is what was taken: Book.
+// pooledBuckets is the mechanism that was chosen: Ledger.
 type pooledBuckets struct{ ledger *Ledger }
 
 func (m pooledBuckets) admitFullWeight(now balancer.Micros, team int, cost float64) bool {
@@ -126,7 +126,8 @@
 
 var teamNames = []string{"a", "b", "c"}
 
-func mechanisms(t testing.TB, rate []float64) map[string]admissionMechanism {
+func mechanisms(tb testing.TB, rate []float64) map[string]admissionMechanism {
+	tb.Helper()
 	var terms []Terms
 	level := make([]float64, len(rate))
 	for i, r := range rate {
@@ -135,7 +136,7 @@
 	}
 	again := func() []float64 { return append([]float64(nil), level...) }
 	return map[string]admissionMechanism{"1 buckets": &tokenBuckets{rate: rate, level: again()}, "2 fair time": &startTimeFairQueue{rate: rate, tag: make([]float64, len(rate))},
-		"3 deficit": &deficitRoundRobin{rate: rate, level: again(), wanted: make([]bool, len(rate))}, "4 buckets with a pool": pooledBuckets{newTestLedger(t, terms...)}}
+		"3 deficit": &deficitRoundRobin{rate: rate, level: again(), wanted: make([]bool, len(rate))}, "4 buckets with a pool": pooledBuckets{newTestLedger(tb, terms...)}}
 }
 
 // teamTraffic is one team's traffic: tokens a second by time, and tokens a request.
@@ -146,13 +147,13 @@
 
 func constantRate(v float64) func(float64) float64 { return func(float64) float64 { return v } }
 
-// playTraffic plays Poisson traffic and gives what was let in at full worth, and asked for,
-// by team and second.
-func playTraffic(m admissionMechanism, seed uint64, seconds int, traffic [3]teamTraffic) (full, asked [3][]float64) {
+// playTraffic sends Poisson traffic and returns the tokens that were admitted at full
+// weight and those that were requested, by team and second.
+func playTraffic(m admissionMechanism, seed uint64, seconds int, traffic [3]teamTraffic) (admitted, requested [3][]float64) {
 	rng := rand.New(rand.NewPCG(seed, 9))
 	var next [3]float64
-	for i := range full {
-		full[i], asked[i] = make([]float64, seconds), make([]float64, seconds)
+	for i := range admitted {
+		admitted[i], requested[i] = make([]float64, seconds), make([]float64, seconds)
 		next[i] = rng.ExpFloat64() * traffic[i].tokensPerRequest / math.Max(1, traffic[i].tokensPerSecond(0))
 	}
 	for {
@@ -164,12 +165,12 @@
 		}
 		at := next[i]
 		if at >= float64(seconds) {
-			return full, asked
+			return admitted, requested
 		}
 		if rate := traffic[i].tokensPerSecond(at); rate > 0 {
-			asked[i][int(at)] += traffic[i].tokensPerRequest
+			requested[i][int(at)] += traffic[i].tokensPerRequest
 			if m.admitFullWeight(second+balancer.Micros(at*1e6), i, traffic[i].tokensPerRequest) {
-				full[i][int(at)] += traffic[i].tokensPerRequest
+				admitted[i][int(at)] += traffic[i].tokensPerRequest
 			}
 			next[i] = at + rng.ExpFloat64()*traffic[i].tokensPerRequest/rate
 		} else {
@@ -186,9 +187,9 @@
 }
 
 // The figures of docs/measurements/contracts.md, "Mechanisms": how far a surge's
-// share is off, how much of the whole one busy team gets, how much a team that
-// comes back lacks in its first two seconds, what a team at 0.9 of its rate is
-// refused by chance, and by requests of a third of a second's worth.
+// quota is off, how much of the total one busy team gets, how much a team that comes
+// back lacks in its first two seconds, what a team at 0.9 of its rate is rejected by
+// chance, and by requests of what a rate earns in a third of a second.
 func TestMechanisms(t *testing.T) {
 	rate := []float64{4000, 3000, 3000}
 	type figures struct{ surge, alone, back, chance, dear, cost float64 }
@@ -196,30 +197,30 @@
 	for name := range mechanisms(t, rate) {
 		var f figures
 		m := func() admissionMechanism { return mechanisms(t, rate)[name] }
-		full, _ := playTraffic(m(), 1, 65, [3]teamTraffic{{constantRate(40_000), 50}, {constantRate(3000), 50}, {constantRate(3000), 50}})
+		admitted, _ := playTraffic(m(), 1, 65, [3]teamTraffic{{constantRate(40_000), 50}, {constantRate(3000), 50}, {constantRate(3000), 50}})
 		for w := 5; w < 55; w += 10 {
-			f.surge = math.Max(f.surge, math.Abs(total(full[0][w:w+10])/40_000-1))
+			f.surge = math.Max(f.surge, math.Abs(total(admitted[0][w:w+10])/40_000-1))
 		}
-		full, _ = playTraffic(m(), 2, 30, [3]teamTraffic{{constantRate(30_000), 50}, {constantRate(0), 50}, {constantRate(0), 50}})
-		f.alone = total(full[0][5:]) / 250_000
-		full, asked := playTraffic(m(), 3, 30, [3]teamTraffic{{constantRate(40_000), 50}, {func(s float64) float64 {
+		admitted, _ = playTraffic(m(), 2, 30, [3]teamTraffic{{constantRate(30_000), 50}, {constantRate(0), 50}, {constantRate(0), 50}})
+		f.alone = total(admitted[0][5:]) / 250_000
+		admitted, requested := playTraffic(m(), 3, 30, [3]teamTraffic{{constantRate(40_000), 50}, {func(s float64) float64 {
 			if s < 20 {
 				return 0
 			}
 			return 3000
 		}, 50}, {constantRate(3000), 50}})
-		f.back = 1 - total(full[1][20:22])/math.Min(6000, total(asked[1][20:22]))
-		full, asked = playTraffic(m(), 4, 60, [3]teamTraffic{{constantRate(3600), 50}, {constantRate(2700), 50}, {constantRate(2700), 50}})
-		f.chance = 1 - (total(full[0])+total(full[1])+total(full[2]))/(total(asked[0])+total(asked[1])+total(asked[2]))
-		full, _ = playTraffic(m(), 5, 65, [3]teamTraffic{{constantRate(40_000), 1300}, {constantRate(3000), 50}, {constantRate(3000), 50}})
-		f.dear = math.Abs(total(full[0][5:])/240_000 - 1)
+		f.back = 1 - total(admitted[1][20:22])/math.Min(6000, total(requested[1][20:22]))
+		admitted, requested = playTraffic(m(), 4, 60, [3]teamTraffic{{constantRate(3600), 50}, {constantRate(2700), 50}, {constantRate(2700), 50}})
+		f.chance = 1 - (total(admitted[0])+total(admitted[1])+total(admitted[2]))/(total(requested[0])+total(requested[1])+total(requested[2]))
+		admitted, _ = playTraffic(m(), 5, 65, [3]teamTraffic{{constantRate(40_000), 1300}, {constantRate(3000), 50}, {constantRate(3000), 50}})
+		f.dear = math.Abs(total(admitted[0][5:])/240_000 - 1)
 		busy, begin, n := m(), time.Now(), 0
 		for ; n < 200_000; n++ {
 			busy.admitFullWeight(second+balancer.Micros(n*100), n%3, 50)
 		}
 		f.cost = float64(time.Since(begin).Nanoseconds()) / float64(n)
 		rows[name] = f
-		t.Logf("%-22s surge's share off by %5.2f%%; alone %5.1f%% of the whole; back: lacks %5.1f%%; by chance %5.2f%%; dear off by %5.2f%%; %4.0f ns",
+		t.Logf("%-22s surge's quota off by %5.2f%%; alone %5.1f%% of the total; back: lacks %5.1f%%; by chance %5.2f%%; dear off by %5.2f%%; %4.0f ns",
 			name, 100*f.surge, 100*f.alone, 100*f.back, 100*f.chance, 100*f.dear, f.cost)
 	}
 	f := rows["4 buckets with a pool"]
--- a/internal/contract/notice.go
+++ b/internal/contract/notice.go
@@ -1,8 +1,7 @@
 package contract
 
-// Notices of budgets that run out.
-
-// BudgetNotice tells that a budget has come to a part of its limit.
+// BudgetNotice reports that the usage of a budget has reached a percentage of its
+// limit.
 type BudgetNotice struct {
 	Team        string
 	Period      Period
@@ -10,28 +9,39 @@
 	Used, Limit Units
 }
 
+// noticePercents are the percentages of a limit that are reported, once a period.
 var noticePercents = [...]int{50, 80, 100}
 
-// recordNotices looks whether an account's budgets have come to a further part; at most
-// three a budget and period.
-func (b *Ledger) recordNotices(a *account) {
+// recordNotices queues notices of the percentages that an account's budgets have
+// reached since the last call.
+func (l *Ledger) recordNotices(a *account) {
 	for i := range a.terms.Budgets {
-		g := &a.terms.Budgets[i]
-		limit := g.Hard
+		budget := &a.terms.Budgets[i]
+		period := &a.periods[budget.Period]
+		limit := budget.limit()
 		if limit == 0 {
-			limit = g.Soft
+			continue
 		}
-		p := &a.periods[g.Period]
-		for limit > 0 && int(p.noticesSent) < len(noticePercents) && float64(p.used)*100 >= float64(limit)*float64(noticePercents[p.noticesSent]) {
-			b.notices = append(b.notices, BudgetNotice{a.terms.Team, g.Period, noticePercents[p.noticesSent], p.used, limit})
-			p.noticesSent++
+		for int(period.noticesSent) < len(noticePercents) {
+			percent := noticePercents[period.noticesSent]
+			if float64(period.used)*100 < float64(limit)*float64(percent) {
+				break
+			}
+			l.notices = append(l.notices, BudgetNotice{
+				Team:    a.terms.Team,
+				Period:  budget.Period,
+				Percent: percent,
+				Used:    period.used,
+				Limit:   limit,
+			})
+			period.noticesSent++
 		}
 	}
 }
 
-// TakeNotices are those since the last call.
-func (b *Ledger) TakeNotices() []BudgetNotice {
-	n := b.notices
-	b.notices = nil
-	return n
+// TakeNotices returns the notices since the last call.
+func (l *Ledger) TakeNotices() []BudgetNotice {
+	notices := l.notices
+	l.notices = nil
+	return notices
 }
--- a/internal/contract/settle.go
+++ b/internal/contract/settle.go
@@ -6,71 +6,71 @@
 	"archknot/balancer"
 )
 
-// Settling what was used, and what was turned away.
-
-// RecordShed tells that the fleet, and not a contract, has turned away a request
-// whose charges are all settled. Within the rate it had its chance at full worth:
-// its estimate stays off the level, or a surge that is turned away would go on
-// competing as if it were within its rate. Budgets are not touched: nothing ran.
-func (b *Ledger) RecordShed(now balancer.Micros, tenant, class string, u Usage, over bool) {
-	b.advance(now)
-	a := b.accountFor(tenant, class)
-	if a == nil || over {
-		return
-	}
-	b.accrue(a)
-	a.level = math.Max(-a.burst(), a.level-float64(a.terms.priceOf(class).cost(u)))
-	a.noLendingUntil = b.now + limiterRetryAfter
-	b.excess.decrease(b.now)
-}
-
-// Settle puts what was used in the place of the estimate, on the terms that the
-// charge was made under. A charge that was settled is settled: the second time
-// does nothing, and tells so.
-func (b *Ledger) Settle(now balancer.Micros, c *Charge, used Usage, served bool) bool {
-	a := c.account
+// Settle replaces the estimate of a charge by what was used, at the price of the
+// time of the charge. served says that the answer was served to its end: its length then
+// counts for estimates. It returns false, and does nothing, if there is nothing to
+// settle or the charge is settled already.
+func (l *Ledger) Settle(now balancer.Micros, charge *Charge, used Usage, served bool) bool {
+	a := charge.account
 	if a == nil {
 		return false
 	}
-	c.account = nil
-	b.advance(now)
+	charge.account = nil
+	l.advance(now)
 	if !a.retired {
-		b.accrue(a)
+		l.accrue(a)
 	}
-	a.rollPeriods(b.latestUnix, b.settings.Location)
+	a.rollPeriods(l.latestUnix, l.settings.Location)
 	a.openCharges--
-	more := c.price.cost(used) - c.units
-	a.counters.Used += c.units + more
-	if !c.overQuota {
-		a.level = math.Max(-a.burst(), math.Min(a.burst(), a.level-float64(more)))
+	difference := charge.price.cost(used) - charge.units
+	a.counters.Used += charge.units + difference
+	if !charge.overQuota {
+		a.level = a.clampLevel(a.level - float64(difference))
 	}
-	// A charge of a contract that has been followed by another is that one's now.
-	on := a
+	current := a
 	if a.successor != nil && a.successor.inherited {
-		on = a.successor
-	}
-	for p := range on.periods {
-		// A period that has ended since keeps the estimate: its sum is told already.
-		if n := &on.periods[p]; c.periodStarts[p] == n.start {
-			n.used = max(0, n.used+fleetWide(more, c.quotaShare))
-		}
+		current = a.successor // it has taken over the charges of the periods
 	}
+	current.correctPeriods(charge, difference)
 	if !a.retired {
-		b.queueCheckpoint(on)
+		l.queueCheckpoint(current)
 	}
 	if served && used.OutputTokens > 0 {
-		m := b.outputMeans[c.class]
-		if m == nil {
-			if len(b.outputMeans) >= maxOutputMeans {
-				return true
-			}
-			m = &outputMean{tokens: float64(used.OutputTokens)}
-			b.outputMeans[c.class] = m
-		}
-		m.tokens += (float64(used.OutputTokens) - m.tokens) / 32
+		l.observeOutput(charge.class, used.OutputTokens)
 	}
 	return true
 }
 
-// maxOutputMeans bounds the classes whose answers are remembered.
-const maxOutputMeans = 256
+// clampLevel bounds a level to the burst, saved up or owed.
+func (a *account) clampLevel(level float64) float64 {
+	return math.Max(-a.burst(), math.Min(a.burst(), level))
+}
+
+// correctPeriods adds what a charge used beyond its estimate to the periods that it
+// was charged in. A period that has ended since keeps the estimate: its sum has
+// been reported already.
+func (a *account) correctPeriods(charge *Charge, difference Units) {
+	correction := fleetWide(difference, charge.quotaShare)
+	for i := range a.periods {
+		if period := &a.periods[i]; charge.periodStarts[i] == period.start {
+			period.used = max(0, period.used+correction)
+		}
+	}
+}
+
+// RecordShed records that the fleet, and not a contract, shed a request whose
+// charges are all settled. A request within its rate had its chance at full
+// priority: its estimate is taken off the level, or a surge that is shed would go
+// on competing as if it were within its rate. Budgets are not touched, because
+// nothing ran.
+func (l *Ledger) RecordShed(now balancer.Micros, tenant, class string, estimate Usage, overQuota bool) {
+	l.advance(now)
+	a := l.accountFor(tenant, class)
+	if a == nil || overQuota {
+		return
+	}
+	l.accrue(a)
+	a.level = math.Max(-a.burst(), a.level-float64(a.terms.priceOf(class).cost(estimate)))
+	a.noLendingUntil = l.now + limiterRetryAfter
+	l.excess.decrease(l.now)
+}
