--- a/internal/contract/split/bench_test.go
+++ b/internal/contract/split/bench_test.go
@@ -5,7 +5,7 @@
 	"testing"
 )
 
-// BenchmarkLocalEstimate is one look at the parts over the number of teams: a gateway looks once a second.
+// BenchmarkLocalEstimate computes the shares once, by the number of teams: a gateway does so once a second.
 func BenchmarkLocalEstimate(b *testing.B) {
 	for _, teams := range []int{10, 100, 1000} {
 		b.Run(fmt.Sprint(teams), func(b *testing.B) {
