--- a/internal/contract/ledger/ledger_test.go
+++ b/internal/contract/ledger/ledger_test.go
@@ -17,13 +17,14 @@
 
 const dailyLimit = 10_000_000 // tokens a day
 
+// testTerms are the terms of one team with a daily budget.
 func testTerms() []contract.Terms {
 	return []contract.Terms{{Team: "a", Tenants: []string{"a"}, Rate: 1e12, Burst: 1e12, OverQuotaWeight: 0.05,
 		Budgets: []contract.Budget{{Period: contract.Day, Hard: dailyLimit * contract.Token}}}}
 }
 
-// chargeUntilKilled charges without end, tells each charge once it is made, and keeps the
-// balances as a gateway does. It is killed.
+// chargeUntilKilled charges without end, prints each charge after it is made, and
+// stores the balances as a gateway does, until its process is killed.
 func chargeUntilKilled(path string) error {
 	s, _, err := Open(path)
 	if err != nil {
@@ -33,12 +34,12 @@
 	if err != nil {
 		return err
 	}
-	b, err := contract.NewLedger(contract.Settings{BorrowPoolSeconds: 1, ReserveFraction: 0.001, Strict: true}, testTerms(), 0, time.Now().UnixMicro())
+	accounts, err := contract.NewLedger(contract.Settings{BorrowPoolSeconds: 1, ReserveFraction: 0.001, Strict: true}, testTerms(), 0, time.Now().UnixMicro())
 	if err != nil {
 		return err
 	}
-	b.RestoreBalances(stored)
-	fmt.Printf("began %d\n", b.Accounts()[0].Used[contract.Day]/contract.Token)
+	accounts.RestoreBalances(stored)
+	fmt.Printf("began %d\n", accounts.Accounts()[0].Used[contract.Day]/contract.Token)
 	type result struct {
 		number uint64
 		err    error
@@ -48,18 +49,18 @@
 	out, busy := bufio.NewWriter(os.Stdout), false
 	for i := 0; ; i++ {
 		var c contract.Charge
-		if v := b.Charge(balancer.Micros(i), "a", "", contract.Usage{OutputTokens: 10}, &c); !v.Rejected {
+		if v := accounts.Charge(balancer.Micros(i), "a", "", contract.Usage{OutputTokens: 10}, &c); !v.Rejected {
 			fmt.Fprintln(out, "charged 10")
 		}
 		out.Flush()
 		select {
 		case r := <-results:
-			b.CheckpointDone(r.number, r.err == nil)
+			accounts.CheckpointDone(r.number, r.err == nil)
 			busy = false
 		default:
 		}
-		if b.CheckpointDue() && !busy {
-			busy = w.Write(b.Checkpoint())
+		if accounts.CheckpointDue() && !busy {
+			busy = w.Write(accounts.Checkpoint())
 		}
 	}
 }
@@ -72,8 +73,8 @@
 	os.Exit(m.Run())
 }
 
-// A process that charges is killed at random points, again and again: no charge
-// that was told is ever missing, and each kill costs a reserve at most.
+// A process that charges is killed at random points, again and again: no charge that
+// it printed is ever missing, and each kill costs a reserve at most.
 func TestKilledProcessLosesNoCharge(t *testing.T) {
 	self, err := os.Executable()
 	if err != nil {
@@ -104,7 +105,7 @@
 			}
 		}
 		cmd.Process.Kill()
-		for lines.Scan() { // told before it died
+		for lines.Scan() { // printed before it died
 			if lines.Text() == "charged 10" {
 				charged += 10
 			}
@@ -117,62 +118,62 @@
 	t.Logf("%d tokens charged over 40 kills; counted at the last start: %d", charged, began)
 }
 
-// A damaged store is set aside, and a new one serves; a failing disk is told.
+// A damaged store is renamed and replaced by a new one; a failing disk is reported.
 func TestDamagedStore(t *testing.T) {
 	path := filepath.Join(t.TempDir(), "balances.db")
 	s, _, err := Open(path)
 	if err != nil {
 		t.Fatal(err)
 	}
-	b := []contract.Balance{{Team: "a", Used: [3]contract.Units{1, 2, 3}, Clean: true, Level: -4.5, LatestUnix: 7}}
-	if err := s.Write(b); err != nil {
+	balances := []contract.Balance{{Team: "a", Used: [3]contract.Units{1, 2, 3}, Clean: true, Level: -4.5, LatestUnix: 7}}
+	if err := s.Write(balances); err != nil {
 		t.Fatal(err)
 	}
-	if got, err := s.Load(); err != nil || len(got) != 1 || got[0] != b[0] {
+	if got, err := s.Load(); err != nil || len(got) != 1 || got[0] != balances[0] {
 		t.Errorf("%+v %v", got, err)
 	}
 	s.Close()
-	if err := s.Write(b); err == nil {
-		t.Error("a closed store took a balance")
+	if err := s.Write(balances); err == nil {
+		t.Error("a closed store accepted a balance")
 	}
-	whole, err := os.ReadFile(path)
+	intact, err := os.ReadFile(path)
 	if err != nil {
 		t.Fatal(err)
 	}
 	rng := rand.New(rand.NewPCG(1, 2))
-	aside := 0
+	renamed := 0
 	for range 60 {
-		bad := append([]byte(nil), whole...)
+		bad := append([]byte(nil), intact...)
 		for range 1 + rng.IntN(200) {
 			bad[rng.IntN(len(bad))] ^= byte(1 + rng.IntN(255))
 		}
 		if err := os.WriteFile(path, bad[:rng.IntN(len(bad))+1], 0o600); err != nil {
 			t.Fatal(err)
 		}
-		s, where, err := Open(path)
+		s, damaged, err := Open(path)
 		if err != nil {
 			t.Fatal(err)
 		}
-		if where != "" {
-			aside++
-			if _, err := os.Stat(where); err != nil {
+		if damaged != "" {
+			renamed++
+			if _, err := os.Stat(damaged); err != nil {
 				t.Error(err)
 			}
 		}
-		if err := s.Write(b); err != nil {
+		if err := s.Write(balances); err != nil {
 			t.Error(err)
 		}
 		s.Close()
 		os.Remove(path)
 	}
-	if aside == 0 {
-		t.Error("no damage was seen")
+	if renamed == 0 {
+		t.Error("no damage was detected")
 	}
 	if _, _, err := Open(filepath.Join(t.TempDir(), "dir", "x")); err != nil {
 		t.Error(err)
 	}
 	var perr *os.PathError
 	if _, _, err := Open(t.TempDir()); !errors.As(err, &perr) && err == nil {
-		t.Error("a folder was taken for a store")
+		t.Error("a directory was opened as a store")
 	}
 }
--- /dev/null
+++ b/internal/contract/ledger/store.go
@@ -0,0 +1,106 @@
+// Package ledger stores the balances of teams on disk, so that they survive restarts
+// and kills. Package contract decides what is written, and how much above the usage.
+package ledger
+
+import (
+	"bytes"
+	"fmt"
+
+	"go.etcd.io/bbolt"
+	"google.golang.org/protobuf/proto"
+
+	"archknot/internal/boltfile"
+	"archknot/internal/contract"
+	pb "archknot/internal/contract/contractpb"
+)
+
+// balancesBucket has a contractpb.Balance for each team, by its name.
+var balancesBucket = []byte("balances")
+
+// maxTeams bounds the teams in a store. Beyond it the balances of teams that were not
+// written for longest are deleted: those of contracts that are long gone.
+const maxTeams = 20_000
+
+// Store is a file of balances by team. Each write is one transaction: a kill at any
+// point leaves the state before it or the state after it. A Store may be used by
+// several goroutines.
+type Store struct{ db *bbolt.DB }
+
+// Open opens the store at a path, or creates it with mode 0600. A file that is damaged
+// is renamed, and replaced by an empty store: then damaged is its new name.
+func Open(path string) (s *Store, damaged string, err error) {
+	db, damaged, err := boltfile.Open(path, [][]byte{balancesBucket}, func(db *bbolt.DB) error {
+		_, err := (&Store{db}).Load()
+		return err
+	})
+	if err != nil {
+		return nil, damaged, err
+	}
+	return &Store{db}, damaged, nil
+}
+
+// Close closes the store.
+func (s *Store) Close() error { return s.db.Close() }
+
+// Load returns all balances, in the order of the teams' names.
+func (s *Store) Load() (balances []contract.Balance, err error) {
+	err = s.db.View(func(tx *bbolt.Tx) error {
+		return tx.Bucket(balancesBucket).ForEach(func(team, text []byte) error {
+			var m pb.Balance
+			if err := proto.Unmarshal(text, &m); err != nil {
+				return fmt.Errorf("balance of %q: %w", team, err)
+			}
+			balances = append(balances, contract.BalanceFromProto(&m))
+			return nil
+		})
+	})
+	return balances, err
+}
+
+// Write replaces the balances of teams, all or none of them.
+func (s *Store) Write(balances []contract.Balance) error {
+	return s.db.Update(func(tx *bbolt.Tx) error {
+		bucket := tx.Bucket(balancesBucket)
+		for i := range balances {
+			team := balances[i].Team
+			text, err := proto.Marshal(balances[i].ToProto())
+			if err != nil {
+				return fmt.Errorf("balance of %q: %w", team, err)
+			}
+			if err := bucket.Put([]byte(team), text); err != nil {
+				return fmt.Errorf("balance of %q: %w", team, err)
+			}
+		}
+		return prune(bucket)
+	})
+}
+
+// prune deletes the balances that were written longest ago, down to maxTeams.
+func prune(bucket *bbolt.Bucket) error {
+	for n := bucket.Stats().KeyN; n > maxTeams; n-- {
+		team, err := oldest(bucket)
+		if err != nil {
+			return err
+		}
+		if err := bucket.Delete(team); err != nil {
+			return fmt.Errorf("balance of %q: %w", team, err)
+		}
+	}
+	return nil
+}
+
+// oldest returns the team whose balance was written longest ago.
+func oldest(bucket *bbolt.Bucket) (oldest []byte, err error) {
+	oldestAt := int64(0)
+	err = bucket.ForEach(func(team, text []byte) error {
+		var m pb.Balance
+		if err := proto.Unmarshal(text, &m); err != nil {
+			return fmt.Errorf("balance of %q: %w", team, err)
+		}
+		if oldest == nil || m.GetLatestUs() < oldestAt {
+			oldest, oldestAt = bytes.Clone(team), m.GetLatestUs()
+		}
+		return nil
+	})
+	return oldest, err
+}
