--- a/internal/contractsim/simulate.go
+++ b/internal/contractsim/simulate.go
@@ -1,6 +1,6 @@
-// Package trial tells what contracts would have done to a capture: it has a book
-// judge the requests of a recording as they came, and settles them as they ended.
-// What the decision module did with them stays as it was recorded.
+// Package contractsim simulates contracts on a capture: a ledger decides on the
+// requests of a recording as they arrived, and settles them as they ended. What the
+// decision module did with them stays as it was recorded.
 package contractsim
 
 import (
@@ -8,7 +8,6 @@
 	"errors"
 	"io"
 	"slices"
-	"time"
 
 	"archknot/balancer"
 	"archknot/internal/capture"
@@ -16,60 +15,26 @@
 	"archknot/internal/contract"
 )
 
-// Options of a trial.
+// ErrEmptyInterval is returned if no part of the recording lies within the options.
+var ErrEmptyInterval = errors.New("nothing lies between the ends")
+
+const (
+	// defaultSeriesPoints is the length of each team's series.
+	defaultSeriesPoints = 120
+	// eventsPerProgress is how often Options.Progress is called.
+	eventsPerProgress = 4096
+)
+
+// Options of a simulation.
 type Options struct {
 	Settings     contract.Settings
 	Terms        []contract.Terms
-	From, To     balancer.Micros // on the recording's clock; 0: its ends
-	SeriesPoints int             // of the series; 0: 120
-	Progress     func(at balancer.Micros)
-}
-
-// TeamResult is what became of one team's requests. Units are tokens at price 1.
-type TeamResult struct {
-	Team                  string           `json:"team"` // "" is whoever has no contract
-	Requests              int64            `json:"requests"`
-	Admitted              int64            `json:"taken"` // at full worth
-	OverQuota             int64            `json:"over"`  // beyond the rate: competing with a smaller worth
-	Rejected              map[string]int64 `json:"refused"`
-	ExtraAttempts         int64            `json:"copies"`         // further copies that were charged
-	ExtraAttemptsRejected int64            `json:"copies_refused"` // copies that the contract would not have let out
-	Served                int64            `json:"served"`         // in the recording
-	ServedThoughRejected  int64            `json:"served_refused"` // of those refused, served in the recording
-	Requested             float64          `json:"asked_tokens"`
-	Used                  float64          `json:"used_tokens"`
-	Borrowed              float64          `json:"borrowed_tokens"`
-	RateShare             float64          `json:"used_of_rate"` // what was used, in parts of what the rate earned
-	Series                []SeriesPoint    `json:"series"`
-}
-
-// SeriesPoint is one span of the series.
-type SeriesPoint struct {
-	At         time.Time `json:"at"`
-	FullWeight float64   `json:"full_tokens_per_s"` // asked for and taken at full worth
-	OverQuota  float64   `json:"over_tokens_per_s"`
-	Rejected   float64   `json:"refused_tokens_per_s"`
+	From, To     balancer.Micros          // on the recording's clock; 0: its ends
+	SeriesPoints int                      // length of each team's series; 0: defaultSeriesPoints
+	Progress     func(at balancer.Micros) // called now and then; nil: not at all
 }
 
-// Notice is a budget that came to a part of its limit.
-type Notice struct {
-	At      time.Time `json:"at"`
-	Team    string    `json:"team"`
-	Period  string    `json:"period"`
-	Percent int       `json:"percent"`
-}
-
-// Result of a trial.
-type Result struct {
-	Gateway string       `json:"gateway"`
-	From    time.Time    `json:"from"`
-	To      time.Time    `json:"to"`
-	Teams   []TeamResult `json:"teams"` // in the contracts' order, then those without
-	Notices []Notice     `json:"notices"`
-	Gaps    int64        `json:"gaps"` // in the recording: what came then is not counted
-}
-
-// Run plays a recording.
+// Run simulates contracts on a recording.
 func Run(run *capture.Run, o Options) (*Result, error) {
 	last, err := lastEventTime(run)
 	if err != nil {
@@ -77,74 +42,61 @@
 	}
 	from, to := cmp.Or(o.From, run.Begin()), cmp.Or(o.To, last)
 	if to <= from {
-		return nil, errors.New("nothing lies between the ends")
+		return nil, ErrEmptyInterval
 	}
-	r, err := capture.NewReader(run, from)
+	events, err := capture.NewReader(run, from)
 	if err != nil {
 		return nil, err
 	}
-	defer r.Close()
-	book, err := contract.NewLedger(o.Settings, o.Terms, from, run.WallTime(from).UnixMicro())
+	defer events.Close()
+	s, err := newSimulation(run, &o, from, to)
 	if err != nil {
 		return nil, err
 	}
-	p := &simulation{run: run, ledger: book, from: from, to: to, seriesPoints: cmp.Or(o.SeriesPoints, 120), output: &Result{Gateway: run.Gateway,
-		From: run.WallTime(from), To: run.WallTime(to)}, teams: map[string]*TeamResult{}, openRequests: map[uint32]*openRequest{}}
-	for _, t := range o.Terms {
-		p.team(t.Team)
-	}
 	for n := 0; ; n++ {
-		e, err := r.Next()
-		if err == io.EOF || err == nil && e.At > to {
-			break
+		event, err := events.Next()
+		if errors.Is(err, io.EOF) || err == nil && event.At > to {
+			return s.finish(o.Terms), nil
 		}
 		if err != nil {
 			return nil, err
 		}
-		if e.Missing != nil {
-			p.output.Gaps++
-			p.abandonOpenRequests()
+		if event.Missing != nil {
+			s.output.Gaps++
+			s.abandonOpenRequests()
 			continue
 		}
-		if e.At < from {
+		if event.At < from {
 			continue
 		}
-		if p.apply(e.At, e.Record); n%4096 == 0 && o.Progress != nil {
-			o.Progress(e.At)
+		s.apply(event.At, event.Record)
+		if n%eventsPerProgress == 0 && o.Progress != nil {
+			o.Progress(event.At)
 		}
 	}
-	return p.finish(o.Terms), nil
 }
 
-// lastEventTime is the time of a recording's last event: its index has those of blocks.
+// lastEventTime returns the time of a recording's last event. The recording's index
+// only has those of its blocks.
 func lastEventTime(run *capture.Run) (last balancer.Micros, err error) {
-	r, err := capture.NewReader(run, run.End())
+	events, err := capture.NewReader(run, run.End())
 	if err != nil {
 		return 0, err
 	}
-	defer r.Close()
+	defer events.Close()
 	for last = run.End(); ; {
-		e, err := r.Next()
-		if err == io.EOF {
+		event, err := events.Next()
+		if errors.Is(err, io.EOF) {
 			return last, nil
 		}
 		if err != nil {
 			return 0, err
 		}
-		last = max(last, e.At)
+		last = max(last, event.At)
 	}
 }
 
-// openRequest is one in hand.
-type openRequest struct {
-	team          *TeamResult
-	arrival       balancer.Request
-	rejected      bool
-	charges       map[int64]*contract.Charge // by attempt
-	initialCharge contract.Charge            // until the first attempt has it
-	attempts      int64
-}
-
+// simulation is a ledger with the requests that are open at one time of a recording.
 type simulation struct {
 	run          *capture.Run
 	ledger       *contract.Ledger
@@ -152,158 +104,228 @@
 	seriesPoints int
 	output       *Result
 	teams        map[string]*TeamResult
-	order        []*TeamResult
+	order        []*TeamResult // of their first request, after those of the contracts
 	openRequests map[uint32]*openRequest
 }
 
-func (p *simulation) team(name string) *TeamResult {
-	t := p.teams[name]
-	if t == nil {
-		t = &TeamResult{Team: name, Rejected: map[string]int64{}, Series: make([]SeriesPoint, p.seriesPoints)}
-		span := float64(p.to-p.from) / float64(p.seriesPoints)
-		for i := range t.Series {
-			t.Series[i].At = p.run.WallTime(p.from + balancer.Micros(span*float64(i)))
-		}
-		p.teams[name] = t
-		p.order = append(p.order, t)
+// openRequest is a request that has not ended.
+type openRequest struct {
+	team          *TeamResult
+	arrival       balancer.Request
+	rejected      bool
+	charges       map[int64]*contract.Charge // by attempt
+	initialCharge contract.Charge            // until the first attempt is dispatched
+	attempts      int64
+}
+
+// newSimulation returns a simulation before the first event.
+func newSimulation(run *capture.Run, o *Options, from, to balancer.Micros) (*simulation, error) {
+	ledger, err := contract.NewLedger(o.Settings, o.Terms, from, run.WallTime(from).UnixMicro())
+	if err != nil {
+		return nil, err
+	}
+	s := &simulation{
+		run:          run,
+		ledger:       ledger,
+		from:         from,
+		to:           to,
+		seriesPoints: cmp.Or(o.SeriesPoints, defaultSeriesPoints),
+		output:       &Result{Gateway: run.Gateway, From: run.WallTime(from), To: run.WallTime(to)},
+		teams:        map[string]*TeamResult{},
+		openRequests: map[uint32]*openRequest{},
+	}
+	for i := range o.Terms {
+		s.team(o.Terms[i].Team)
+	}
+	return s, nil
+}
+
+// team returns the result of a team, and adds it if it is new.
+func (s *simulation) team(name string) *TeamResult {
+	if team := s.teams[name]; team != nil {
+		return team
+	}
+	team := &TeamResult{Team: name, Rejected: map[string]int64{}, Series: make([]SeriesPoint, s.seriesPoints)}
+	interval := float64(s.to-s.from) / float64(s.seriesPoints)
+	for i := range team.Series {
+		team.Series[i].At = s.run.WallTime(s.from + balancer.Micros(interval*float64(i)))
 	}
-	return t
+	s.teams[name] = team
+	s.order = append(s.order, team)
+	return team
 }
 
-// abandonOpenRequests forgets what was in hand: how it ended is not known. It keeps its estimates.
-func (p *simulation) abandonOpenRequests() {
-	for id, q := range p.openRequests {
-		p.ledger.Settle(0, &q.initialCharge, q.initialCharge.Estimate, false)
-		for _, c := range q.charges {
-			p.ledger.Settle(0, c, c.Estimate, false)
+// abandonOpenRequests settles all open requests at their estimates, at a gap of the
+// recording: how they ended is unknown.
+func (s *simulation) abandonOpenRequests() {
+	for id, request := range s.openRequests {
+		s.ledger.Settle(0, &request.initialCharge, request.initialCharge.Estimate, false)
+		for _, charge := range request.charges {
+			s.ledger.Settle(0, charge, charge.Estimate, false)
 		}
-		delete(p.openRequests, id)
+		delete(s.openRequests, id)
 	}
 }
 
-func (p *simulation) apply(at balancer.Micros, rec *pb.Record) {
-	switch rec.Kind {
+// apply applies one record: what happened, then what the decision module did.
+func (s *simulation) apply(at balancer.Micros, record *pb.Record) {
+	switch record.GetKind() {
 	case pb.Kind_KIND_ARRIVED:
-		p.arrived(at, rec)
+		s.arrived(at, record)
 	case pb.Kind_KIND_ENDED:
-		p.ended(at, rec)
+		s.ended(at, record)
 	case pb.Kind_KIND_LEFT:
-		if q := p.openRequests[rec.Request]; q != nil && q.attempts == 0 {
-			p.ledger.Settle(at, &q.initialCharge, contract.Usage{}, false)
-			delete(p.openRequests, rec.Request)
-		}
+		s.left(at, record.GetRequest())
 	}
-	for _, a := range rec.Actions {
-		q := p.openRequests[a.Request]
-		if q == nil {
-			continue
-		}
-		switch a.Kind {
-		case pb.Action_DISPATCH:
-			p.dispatched(at, q)
-		case pb.Action_REFUSE, pb.Action_FAIL:
-			p.ledger.Settle(at, &q.initialCharge, contract.Usage{}, false)
-			if len(q.charges) == 0 {
-				delete(p.openRequests, a.Request)
-			}
-		}
+	for _, action := range record.GetActions() {
+		s.applyAction(at, action)
+	}
+	for _, n := range s.ledger.TakeNotices() {
+		s.output.Notices = append(s.output.Notices,
+			Notice{At: s.run.WallTime(at), Team: n.Team, Period: n.Period.String(), Percent: n.Percent})
 	}
-	for _, n := range p.ledger.TakeNotices() {
-		p.output.Notices = append(p.output.Notices, Notice{p.run.WallTime(at), n.Team, n.Period.String(), n.Percent})
+}
+
+// applyAction applies one action of the decision module.
+func (s *simulation) applyAction(at balancer.Micros, action *pb.Action) {
+	request := s.openRequests[action.GetRequest()]
+	if request == nil {
+		return
+	}
+	switch action.GetKind() {
+	case pb.Action_DISPATCH:
+		s.dispatched(at, request)
+	case pb.Action_REFUSE, pb.Action_FAIL:
+		s.ledger.Settle(at, &request.initialCharge, contract.Usage{}, false)
+		if len(request.charges) == 0 {
+			delete(s.openRequests, action.GetRequest())
+		}
 	}
 }
 
-func (p *simulation) arrived(at balancer.Micros, rec *pb.Record) {
-	a := rec.Arrival
-	q := &openRequest{arrival: balancer.Request{Class: string(a.GetClass()), Tenant: string(a.GetTenant()), PromptTokens: int(a.GetPromptTokens()),
-		MaxTokens: int(a.GetMaxTokens())}, charges: map[int64]*contract.Charge{}}
-	u := p.ledger.Estimate(q.arrival.Class, q.arrival.PromptTokens, q.arrival.MaxTokens)
-	v := p.ledger.Charge(at, q.arrival.Tenant, q.arrival.Class, u, &q.initialCharge)
-	name, _ := p.ledger.Team(q.arrival.Tenant, q.arrival.Class)
-	q.team = p.team(name)
-	q.team.Requests++
-	cost := float64(u.PromptTokens + u.OutputTokens)
-	i := int(int64(p.seriesPoints) * (at - p.from) / (p.to - p.from))
-	point := &q.team.Series[min(max(0, i), p.seriesPoints-1)]
-	perS := cost * float64(p.seriesPoints) / (float64(p.to-p.from) / 1e6)
+// arrived has the contract decide on a request and counts the decision.
+func (s *simulation) arrived(at balancer.Micros, record *pb.Record) {
+	arrival := record.GetArrival()
+	request := &openRequest{
+		arrival: balancer.Request{
+			Class:        string(arrival.GetClass()),
+			Tenant:       string(arrival.GetTenant()),
+			PromptTokens: int(arrival.GetPromptTokens()),
+			MaxTokens:    int(arrival.GetMaxTokens()),
+		},
+		charges: map[int64]*contract.Charge{},
+	}
+	estimate, verdict := s.charge(at, request, &request.initialCharge)
+	name, _ := s.ledger.Team(request.arrival.Tenant, request.arrival.Class)
+	request.team = s.team(name)
+	request.rejected = verdict.Rejected
+	request.team.Requests++
+	point := &request.team.Series[s.seriesIndex(at)]
+	tokens := float64(estimate.PromptTokens + estimate.OutputTokens)
+	tokensPerSecond := tokens * float64(s.seriesPoints) / s.seconds()
 	switch {
-	case v.Rejected:
-		q.team.Rejected[v.Reason]++
-		q.rejected = true
-		point.Rejected += perS
-	case v.OverQuota || name == "":
-		q.team.OverQuota++
-		point.OverQuota += perS
+	case verdict.Rejected:
+		request.team.Rejected[verdict.Reason]++
+		point.Rejected += tokensPerSecond
+	case verdict.OverQuota || name == "":
+		request.team.OverQuota++
+		point.OverQuota += tokensPerSecond
 	default:
-		q.team.Admitted++
-		point.FullWeight += perS
+		request.team.Admitted++
+		point.FullWeight += tokensPerSecond
 	}
-	p.openRequests[rec.Request] = q
+	s.openRequests[record.GetRequest()] = request
+}
+
+// charge charges an attempt of a request.
+func (s *simulation) charge(at balancer.Micros, request *openRequest, charge *contract.Charge) (contract.Usage, contract.Verdict) {
+	arrival := &request.arrival
+	estimate := s.ledger.Estimate(arrival.Class, arrival.PromptTokens, arrival.MaxTokens)
+	return estimate, s.ledger.Charge(at, arrival.Tenant, arrival.Class, estimate, charge)
+}
+
+// seriesIndex returns the point of the series that a time belongs to.
+func (s *simulation) seriesIndex(at balancer.Micros) int {
+	i := int(int64(s.seriesPoints) * (at - s.from) / (s.to - s.from))
+	return min(max(0, i), s.seriesPoints-1)
 }
 
-// dispatched charges a further copy to whom it is sent for.
-func (p *simulation) dispatched(at balancer.Micros, q *openRequest) {
-	n := q.attempts
-	q.attempts++
-	if q.rejected {
+// seconds returns the length of the simulation.
+func (s *simulation) seconds() float64 { return float64(s.to-s.from) / 1e6 }
+
+// dispatched charges an attempt: the first has the charge of the request, a further
+// one a charge of its own.
+func (s *simulation) dispatched(at balancer.Micros, request *openRequest) {
+	attempt := request.attempts
+	request.attempts++
+	if request.rejected {
 		return
 	}
-	if n == 0 {
-		c := q.initialCharge
-		q.initialCharge = contract.Charge{}
-		q.charges[0] = &c
+	charge := &contract.Charge{}
+	if attempt == 0 {
+		*charge, request.initialCharge = request.initialCharge, contract.Charge{}
+		request.charges[0] = charge
 		return
 	}
-	c := &contract.Charge{}
-	u := p.ledger.Estimate(q.arrival.Class, q.arrival.PromptTokens, q.arrival.MaxTokens)
-	if v := p.ledger.Charge(at, q.arrival.Tenant, q.arrival.Class, u, c); v.Rejected {
-		q.team.ExtraAttemptsRejected++
+	if _, verdict := s.charge(at, request, charge); verdict.Rejected {
+		request.team.ExtraAttemptsRejected++
 		return
 	}
-	q.team.ExtraAttempts++
-	q.charges[n] = c
+	request.team.ExtraAttempts++
+	request.charges[attempt] = charge
+}
+
+// left drops a request whose client is gone before an attempt was dispatched.
+func (s *simulation) left(at balancer.Micros, id uint32) {
+	if request := s.openRequests[id]; request != nil && request.attempts == 0 {
+		s.ledger.Settle(at, &request.initialCharge, contract.Usage{}, false)
+		delete(s.openRequests, id)
+	}
 }
 
-func (p *simulation) ended(at balancer.Micros, rec *pb.Record) {
-	q := p.openRequests[rec.Request]
-	if q == nil {
+// ended settles an attempt.
+func (s *simulation) ended(at balancer.Micros, record *pb.Record) {
+	request := s.openRequests[record.GetRequest()]
+	if request == nil {
 		return
 	}
-	o := rec.Outcome
-	status := balancer.Status(o.GetStatus())
+	outcome := record.GetOutcome()
+	status := balancer.Status(outcome.GetStatus())
 	if status == balancer.Served {
-		q.team.Served++
-		if q.rejected {
-			q.team.ServedThoughRejected++
+		request.team.Served++
+		if request.rejected {
+			request.team.ServedThoughRejected++
 		}
 	}
-	if c := q.charges[o.GetAttempt()]; c != nil {
-		used := c.ActualUsage(status, q.arrival.PromptTokens, int(o.GetKept()), int(o.GetTokens()))
-		p.ledger.Settle(at, c, used, status == balancer.Served)
-		delete(q.charges, o.GetAttempt())
+	if charge := request.charges[outcome.GetAttempt()]; charge != nil {
+		used := charge.ActualUsage(status, request.arrival.PromptTokens, int(outcome.GetKept()), int(outcome.GetTokens()))
+		s.ledger.Settle(at, charge, used, status == balancer.Served)
+		delete(request.charges, outcome.GetAttempt())
 	}
-	if o.GetFinal() && len(q.charges) == 0 {
-		delete(p.openRequests, rec.Request)
+	if outcome.GetFinal() && len(request.charges) == 0 {
+		delete(s.openRequests, record.GetRequest())
 	}
 }
 
-func (p *simulation) finish(terms []contract.Terms) *Result {
-	seconds := float64(p.to-p.from) / 1e6
-	token := float64(contract.Token)
-	for i, a := range p.ledger.Accounts() {
-		t := p.teams[a.Team]
-		c := &a.Counters
-		t.Requested, t.Used, t.Borrowed = float64(c.RequestedUnits())/token, float64(c.Used)/token, float64(c.Borrowed)/token
-		t.RateShare = float64(c.Used) / (terms[i].Rate * seconds)
+// finish completes the result from the ledger's accounts.
+func (s *simulation) finish(terms []contract.Terms) *Result {
+	const token = float64(contract.Token)
+	for i, account := range s.ledger.Accounts() {
+		team := s.teams[account.Team]
+		counters := &account.Counters
+		team.Requested = float64(counters.RequestedUnits()) / token
+		team.Used = float64(counters.Used) / token
+		team.Borrowed = float64(counters.Borrowed) / token
+		team.RateShare = float64(counters.Used) / (terms[i].Rate * s.seconds())
 	}
-	for _, t := range p.order {
-		p.output.Teams = append(p.output.Teams, *t)
+	for _, team := range s.order {
+		s.output.Teams = append(s.output.Teams, *team)
 	}
-	slices.SortStableFunc(p.output.Teams, func(a, b TeamResult) int {
-		if (a.Team == "") != (b.Team == "") { // whoever has none comes last
+	slices.SortStableFunc(s.output.Teams, func(a, b TeamResult) int {
+		if (a.Team == "") != (b.Team == "") { // requests without a contract come last
 			return cmp.Compare(b.Team, a.Team)
 		}
 		return 0
 	})
-	return p.output
+	return s.output
 }
--- a/internal/contractsim/simulate_test.go
+++ b/internal/contractsim/simulate_test.go
@@ -12,7 +12,7 @@
 	"archknot/internal/contractsim/report"
 )
 
-// discardSink takes the module's orders.
+// discardSink discards the decision module's actions.
 type discardSink struct{ balancer.Sink }
 
 func (discardSink) Dispatch(balancer.RequestID, balancer.ReplicaID, balancer.Micros) {}
@@ -24,8 +24,9 @@
 func (discardSink) Gossip([]byte)                                                    {}
 func (discardSink) WatchDiscovery()                                                  {}
 
-// recordCapture is ten seconds in which a sends 20 requests a second and b 5, each of
-// 100 tokens read and 50 made; each fourth of a's is declined at first and sent again.
+// recordCapture records ten seconds in which tenant a sends 20 requests a second and b
+// 5, each with 100 prompt tokens and 50 output tokens. Every fourth of a's is shed at
+// first and retried.
 func recordCapture(t *testing.T) *capture.Run {
 	t.Helper()
 	dir := t.TempDir()
@@ -67,6 +68,7 @@
 	return runs[0]
 }
 
+// testTerms are terms at a rate in tokens a second, with a burst of one second.
 func testTerms(name string, rate float64) contract.Terms {
 	return contract.Terms{Team: name, Tenants: []string{name}, Rate: rate * float64(contract.Token), Burst: contract.Units(rate) * contract.Token, OverQuotaWeight: 0.05}
 }
@@ -85,7 +87,7 @@
 	}
 	got, none := res.Teams[0], res.Teams[2]
 	// 200 requests of 150 tokens: 1,500 a second is half of what it sends. The
-	// budget has room for about 160 of them.
+	// budget allows about 160 of them.
 	if got.Requests != 200 || got.Admitted < 85 || got.Admitted > 120 || got.Rejected["budget_spent"] < 30 || got.Rejected["budget_spent"] > 45 ||
 		got.ServedThoughRejected != got.Rejected["budget_spent"] || got.Served != 200 || got.OverQuota+got.Admitted+got.Rejected["budget_spent"] != 200 {
 		got.Series = nil
@@ -107,15 +109,15 @@
 	if sum < 25_000 || sum > 30_500 {
 		t.Errorf("the series sums to %v tokens", sum)
 	}
-	// Cut to a part.
+	// Only a part of the recording.
 	part, err := contractsim.Run(run, contractsim.Options{Settings: contract.Settings{BorrowPoolSeconds: 1}, Terms: []contract.Terms{a}, From: run.Begin() + 5_000_000})
 	if err != nil || part.Teams[0].Requests < 95 || part.Teams[0].Requests > 105 {
 		t.Errorf("%v %+v", err, part)
 	}
 	if _, err := contractsim.Run(run, contractsim.Options{Terms: []contract.Terms{a}, From: run.End() + 60_000_000}); err == nil {
-		t.Error("nothing lies there")
+		t.Error("an interval without events was simulated")
 	}
-	// The page has all of it, and what came from outside is escaped.
+	// The page has all of it, and names from outside are escaped.
 	res.Teams[0].Team = "<script>a"
 	var page strings.Builder
 	if err := report.Write(&page, []*contractsim.Result{res}); err != nil {
