--- a/internal/cli/config.go
+++ b/internal/cli/config.go
@@ -28,7 +28,7 @@
 
 func (c *checkCmd) Run(s *streams) error {
 	_, err := config.Load(c.File)
-	var problems config.Problems
+	var problems config.SettingErrors
 	if err != nil && !errors.As(err, &problems) {
 		return err
 	}
--- a/internal/config/config_test.go
+++ b/internal/config/config_test.go
@@ -12,6 +12,7 @@
 	"archknot/internal/contract"
 )
 
+// writeFile writes a file and returns its path.
 func writeFile(t *testing.T, dir, name, text string) string {
 	t.Helper()
 	p := filepath.Join(dir, name)
@@ -74,9 +75,9 @@
 	if diff := cmp.Diff(want, c); diff != "" {
 		t.Error(diff)
 	}
-	// What is shown reads back as the same.
-	shown := writeFile(t, dir, "shown.conf", c.Text(true))
-	again, err := Load(shown)
+	// The text reads back as the same settings.
+	text := writeFile(t, dir, "shown.conf", c.Text(true))
+	again, err := Load(text)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -88,7 +89,7 @@
 	}
 }
 
-// All that is wrong is told at once, each by its place.
+// All errors are reported at once, each with its place.
 func TestProblems(t *testing.T) {
 	dir := t.TempDir()
 	writeFile(t, dir, "loop.conf", "include a.conf\n")
@@ -124,7 +125,7 @@
 `)
 	_, err := Load(p)
 	if err == nil {
-		t.Fatal("taken")
+		t.Fatal("accepted")
 	}
 	got := strings.ReplaceAll(err.Error(), dir+"/", "")
 	want := []string{
@@ -152,7 +153,7 @@
 	}
 	for _, w := range want {
 		if !strings.Contains(got, w) {
-			t.Errorf("not told: %s", w)
+			t.Errorf("not reported: %s", w)
 		}
 	}
 	if t.Failed() {
--- a/internal/config/contract.go
+++ b/internal/config/contract.go
@@ -1,31 +1,32 @@
 package config
 
 import (
+	"errors"
 	"fmt"
-	"maps"
 	"slices"
 	"strconv"
-	"strings"
 	"time"
 
 	"archknot/internal/contract"
 )
 
-// Contracts are the teams' agreements: [contract TEAM] sections.
+// Contracts configures the contracts of teams: the section [contracts] for all, and
+// a section [contract TEAM] for each.
 type Contracts struct {
-	TimeZone            string // of days and quarters
-	BorrowPool          time.Duration
-	UnknownTenantWeight float64 // the worth of tenants without one; below 0 they are refused
+	TimeZone            string        // of days and quarters
+	BorrowPool          time.Duration // how much of all rates together may be saved up for borrowing
+	UnknownTenantWeight float64       // priority weight of tenants without a contract; below 0: rejected
 	Teams               []contract.Terms
 
-	StorePath       string // "": balances are not kept
+	StorePath       string // "": balances are not stored
 	ReserveFraction float64
 	Strict          bool
-	Split           string
-	Gateways        int
+	Split           string // strategy of the gateway's quota shares: "whole", "equal", "front" or "alone"
+	Gateways        int    // how many there are, for the strategy "equal"
 }
 
-// LedgerSettings are the book's.
+// LedgerSettings returns the settings of the ledger. Without a store there is no
+// reserve.
 func (c *Contracts) LedgerSettings() contract.Settings {
 	s := contract.Settings{Location: c.Location(), BorrowPoolSeconds: c.BorrowPool.Seconds(), UnknownTenantWeight: c.UnknownTenantWeight}
 	if c.StorePath != "" {
@@ -34,238 +35,283 @@
 	return s
 }
 
-// Location is the zone's.
+// Location returns the time zone of days and quarters.
 func (c *Contracts) Location() *time.Location {
-	l, err := time.LoadLocation(c.TimeZone)
+	location, err := time.LoadLocation(c.TimeZone)
 	if err != nil {
-		return time.UTC // the zone was checked when it was read
+		return time.UTC // not reached: timeZoneKey checked it
 	}
-	return l
+	return location
 }
 
-// contractKeys are what may stand in a [contract TEAM] section. Those in repeats
-// may stand more than once.
-var (
-	contractKeys           = []string{"tenants", "classes", "rate", "burst", "worth", "over", "hard", "price", "floor", "budget", "from", "until", "successor", "borrow", "surge"}
-	repeatableContractKeys = []string{"price", "floor", "budget"}
+// defaultOverQuotaWeight is the weight beyond the rate where a contract has none.
+const defaultOverQuotaWeight = 0.05
+
+// contractKey is one key of a section [contract TEAM].
+type contractKey struct {
+	name       string
+	repeatable bool // it may be given more than once
+	set        func(t *contract.Terms, words []string) error
+}
+
+// contractKeys are all keys of a section [contract TEAM]. Rates, bursts and budgets
+// are in tokens at price 1.
+var contractKeys = []contractKey{
+	{name: "tenants", set: func(t *contract.Terms, words []string) error { return setNames(&t.Tenants, words) }},
+	{name: "classes", set: func(t *contract.Terms, words []string) error { return setNames(&t.Classes, words) }},
+	{name: "rate", set: setRate},
+	{name: "burst", set: setBurst},
+	{name: "worth", set: func(t *contract.Terms, words []string) error { return setNumber(&t.PriorityWeight, words) }},
+	{name: "over", set: func(t *contract.Terms, words []string) error { return setNumber(&t.OverQuotaWeight, words) }},
+	{name: "hard", set: setHard},
+	{name: "price", repeatable: true, set: setPrice},
+	{name: "floor", repeatable: true, set: setFloor},
+	{name: "budget", repeatable: true, set: setBudget},
+	{name: "from", set: func(t *contract.Terms, words []string) error { return setTime(&t.From, words) }},
+	{name: "until", set: func(t *contract.Terms, words []string) error { return setTime(&t.Until, words) }},
+	{name: "successor", set: setSuccessor},
+	{name: "borrow", set: setBorrow},
+	{name: "surge", set: func(t *contract.Terms, words []string) error { return setNumber(&t.Surge, words) }},
+}
+
+// contractKeyIndex returns the index of a key among contractKeys, -1 if it is unknown.
+func contractKeyIndex(name string) int {
+	return slices.IndexFunc(contractKeys, func(k contractKey) bool { return k.name == name })
+}
+
+// isRepeatable reports whether a key may be given more than once.
+func isRepeatable(name string) bool {
+	i := contractKeyIndex(name)
+	return i >= 0 && contractKeys[i].repeatable
+}
+
+// contractKeyNames returns the names of contractKeys.
+func contractKeyNames() []string {
+	names := make([]string, len(contractKeys))
+	for i := range contractKeys {
+		names[i] = contractKeys[i].name
+	}
+	return names
+}
+
+// applyEntry sets one key of a section [contract TEAM].
+func (c *Contracts) applyEntry(r *reader, e entry, seen map[string]entry) {
+	if e.label == "" {
+		r.addProblem(e.file, e.sectionPos, contractSection, "expected [contract TEAM]")
+		return
+	}
+	fullName := contractSection + " " + e.label + "." + e.setting.Key
+	i := contractKeyIndex(e.setting.Key)
+	if i < 0 {
+		r.addProblem(e.file, e.setting.Pos, fullName, "unknown key%s", suggestWord(e.setting.Key, contractKeyNames()))
+		return
+	}
+	key := &contractKeys[i]
+	if earlier, found := seen[fullName]; found && !key.repeatable {
+		r.addProblem(e.file, e.setting.Pos, fullName, "given already at %s:%d", earlier.file, earlier.setting.Pos.Line)
+		return
+	}
+	seen[fullName] = e
+	if err := key.set(c.team(e.label), e.setting.words()); err != nil {
+		r.addProblem(e.file, e.setting.valuePos(), fullName, "%v", err)
+	}
+}
+
+// team returns the contract of a team, and adds it if it is new.
+func (c *Contracts) team(name string) *contract.Terms {
+	i := slices.IndexFunc(c.Teams, func(t contract.Terms) bool { return t.Team == name })
+	if i < 0 {
+		i = len(c.Teams)
+		c.Teams = append(c.Teams, contract.Terms{Team: name, OverQuotaWeight: defaultOverQuotaWeight})
+	}
+	return &c.Teams[i]
+}
+
+const (
+	// maxTokens bounds rates, bursts, budgets and prices.
+	maxTokens = 1e12
+	// maxWeight bounds weights.
+	maxWeight = 1e6
 )
 
-// setContractKey enters one key of a team's contract. Rates, bursts and budgets are
-// in tokens at price 1.
-func setContractKey(t *contract.Terms, key string, words []string) error {
-	need := func(n int, form string) error {
-		if len(words) != n {
-			return fmt.Errorf("expected %s, got %d words", form, len(words))
-		}
-		return nil
+// expectWords checks the number of words of a value; form says what they are.
+func expectWords(words []string, n int, form string) error {
+	if len(words) != n {
+		return fmt.Errorf("expected %s, got %d words", form, len(words))
 	}
-	tokens := func(s string) (float64, error) {
-		v, err := strconv.ParseFloat(s, 64)
-		if err != nil || !(v >= 0 && v <= 1e12) {
-			return 0, fmt.Errorf("expected tokens, 0 or more, got %q", s)
-		}
-		return v, nil
+	return nil
+}
+
+// parseTokens parses a number of tokens.
+func parseTokens(s string) (float64, error) {
+	v, err := strconv.ParseFloat(s, 64)
+	if err != nil || !(v >= 0 && v <= maxTokens) {
+		return 0, fmt.Errorf("expected tokens, 0 or more, got %q", s)
 	}
-	number := func(to *float64) error {
-		if err := need(1, "one number"); err != nil {
-			return err
-		}
-		v, err := strconv.ParseFloat(words[0], 64)
-		if err != nil || !(v >= 0 && v <= 1e6) {
-			return fmt.Errorf("expected a number, 0 or more, got %q", words[0])
-		}
-		*to = v
-		return nil
+	return v, nil
+}
+
+// rateInUnits converts tokens a second.
+func rateInUnits(tokens float64) float64 { return tokens * float64(contract.Token) }
+
+// inUnits converts tokens, without their fraction.
+func inUnits(tokens float64) contract.Units { return contract.Units(tokens) * contract.Token }
+
+func setNames(to *[]string, words []string) error {
+	if len(words) == 0 {
+		return errors.New("expected one name or more")
 	}
-	switch key {
-	case "tenants", "classes":
-		if len(words) == 0 {
-			return fmt.Errorf("expected one name or more")
-		}
-		if key == "tenants" {
-			t.Tenants = words
-		} else {
-			t.Classes = words
-		}
-		return nil
-	case "rate", "burst":
-		if err := need(1, "one number of tokens"); err != nil {
-			return err
-		}
-		v, err := tokens(words[0])
-		if key == "rate" {
-			t.Rate = v * float64(contract.Token)
-		} else {
-			t.Burst = contract.Units(v) * contract.Token
-		}
+	*to = words
+	return nil
+}
+
+func setNumber(to *float64, words []string) error {
+	if err := expectWords(words, 1, "one number"); err != nil {
 		return err
-	case "worth":
-		return number(&t.PriorityWeight)
-	case "over":
-		return number(&t.OverQuotaWeight)
-	case "surge":
-		return number(&t.Surge)
-	case "hard":
-		if err := need(1, "on or off"); err != nil {
-			return err
-		}
-		if words[0] != "on" && words[0] != "off" {
-			return fmt.Errorf("expected on or off, got %q", words[0])
-		}
-		t.Hard = words[0] == "on"
-		return nil
-	case "successor":
-		if err := need(1, "a contract's name"); err != nil {
-			return err
-		}
-		t.Successor = words[0]
-		return nil
-	case "borrow":
-		if err := need(1, "any, none, or tokens a second"); err != nil {
-			return err
-		}
-		switch words[0] {
-		case "any", "none":
-			t.NoBorrow = words[0] == "none"
-			return nil
-		}
-		v, err := tokens(words[0])
-		if err == nil && v == 0 {
-			return fmt.Errorf("expected any, none, or tokens a second above 0")
-		}
-		t.Borrow = v * float64(contract.Token)
+	}
+	v, err := strconv.ParseFloat(words[0], 64)
+	if err != nil || !(v >= 0 && v <= maxWeight) {
+		return fmt.Errorf("expected a number, 0 or more, got %q", words[0])
+	}
+	*to = v
+	return nil
+}
+
+func setTime(to *int64, words []string) error {
+	if err := expectWords(words, 1, "a time such as 2026-07-01T00:00:00+10:00"); err != nil {
 		return err
-	case "price":
-		if err := need(3, "a class, the price of a token read and of one made"); err != nil {
-			return err
-		}
-		read, err := tokens(words[1])
-		if err != nil {
-			return err
-		}
-		made, err := tokens(words[2])
-		if t.Prices == nil {
-			t.Prices = map[string]contract.Price{}
-		}
-		t.Prices[words[0]] = contract.Price{PromptToken: read, OutputToken: made}
+	}
+	at, err := time.Parse(time.RFC3339, words[0])
+	if err != nil {
+		return fmt.Errorf("expected a time such as 2026-07-01T00:00:00+10:00, got %q", words[0])
+	}
+	*to = at.UnixMicro()
+	return nil
+}
+
+// oneTokenNumber parses a value of one number of tokens.
+func oneTokenNumber(words []string) (float64, error) {
+	if err := expectWords(words, 1, "one number of tokens"); err != nil {
+		return 0, err
+	}
+	return parseTokens(words[0])
+}
+
+func setRate(t *contract.Terms, words []string) error {
+	tokens, err := oneTokenNumber(words)
+	if err != nil {
 		return err
-	case "floor":
-		if err := need(2, "a class and tokens a second"); err != nil {
-			return err
-		}
-		v, err := tokens(words[1])
-		if t.Floors == nil {
-			t.Floors = map[string]float64{}
-		}
-		t.Floors[words[0]] = v * float64(contract.Token)
+	}
+	t.Rate = rateInUnits(tokens)
+	return nil
+}
+
+func setBurst(t *contract.Terms, words []string) error {
+	tokens, err := oneTokenNumber(words)
+	if err != nil {
 		return err
-	case "budget":
-		if err := need(3, "hour, day or quarter, the soft limit and the hard one"); err != nil {
-			return err
-		}
-		p := slices.Index([]string{"hour", "day", "quarter"}, words[0])
-		if p < 0 {
-			return fmt.Errorf("expected hour, day or quarter, got %q", words[0])
-		}
-		soft, err := tokens(words[1])
-		if err != nil {
-			return err
-		}
-		hard, err := tokens(words[2])
-		t.Budgets = append(t.Budgets, contract.Budget{Period: contract.Period(p), Soft: contract.Units(soft) * contract.Token, Hard: contract.Units(hard) * contract.Token})
+	}
+	t.Burst = inUnits(tokens)
+	return nil
+}
+
+func setHard(t *contract.Terms, words []string) error {
+	if err := expectWords(words, 1, "on or off"); err != nil {
 		return err
-	default: // from, until
-		if err := need(1, "a time such as 2026-07-01T00:00:00+10:00"); err != nil {
-			return err
-		}
-		at, err := time.Parse(time.RFC3339, words[0])
-		if err != nil {
-			return fmt.Errorf("expected a time such as 2026-07-01T00:00:00+10:00, got %q", words[0])
-		}
-		if key == "from" {
-			t.From = at.UnixMicro()
-		} else {
-			t.Until = at.UnixMicro()
-		}
-		return nil
 	}
+	if words[0] != "on" && words[0] != "off" {
+		return fmt.Errorf("expected on or off, got %q", words[0])
+	}
+	t.Hard = words[0] == "on"
+	return nil
 }
 
-// applyEntry enters one line of a [contract TEAM] section.
-func (c *Contracts) applyEntry(r *reader, e entry, seen map[string]entry) {
-	if e.label == "" {
-		r.addProblem(e.file, e.sectionPos, "contract", "expected [contract TEAM]")
-		return
+func setSuccessor(t *contract.Terms, words []string) error {
+	if err := expectWords(words, 1, "a contract's name"); err != nil {
+		return err
 	}
-	full := "contract " + e.label + "." + e.setting.Key
-	if !slices.Contains(contractKeys, e.setting.Key) {
-		r.addProblem(e.file, e.setting.Pos, full, "unknown key%s", suggestWord(e.setting.Key, contractKeys))
-		return
+	t.Successor = words[0]
+	return nil
+}
+
+func setBorrow(t *contract.Terms, words []string) error {
+	if err := expectWords(words, 1, "any, none, or tokens a second"); err != nil {
+		return err
 	}
-	if was, twice := seen[full]; twice && !slices.Contains(repeatableContractKeys, e.setting.Key) {
-		r.addProblem(e.file, e.setting.Pos, full, "given already at %s:%d", was.file, was.setting.Pos.Line)
-		return
+	if words[0] == "any" || words[0] == "none" {
+		t.NoBorrow = words[0] == "none"
+		return nil
 	}
-	seen[full] = e
-	i := slices.IndexFunc(c.Teams, func(t contract.Terms) bool { return t.Team == e.label })
-	if i < 0 {
-		i = len(c.Teams)
-		c.Teams = append(c.Teams, contract.Terms{Team: e.label, OverQuotaWeight: 0.05})
+	tokens, err := parseTokens(words[0])
+	if err != nil {
+		return err
 	}
-	if err := setContractKey(&c.Teams[i], e.setting.Key, e.setting.words()); err != nil {
-		r.addProblem(e.file, e.setting.valuePos(), full, "%v", err)
+	if tokens == 0 {
+		return errors.New("expected any, none, or tokens a second above 0")
 	}
+	t.Borrow = rateInUnits(tokens)
+	return nil
 }
 
-// FormatContract is a contract in the form of a file.
-func FormatContract(t *contract.Terms) string {
-	var b strings.Builder
-	quote := func(words []string) string {
-		out := make([]string, len(words))
-		for i, w := range words {
-			if out[i] = w; strings.ContainsAny(w, " \t#\"[]") {
-				out[i] = strconv.Quote(w)
-			}
-		}
-		return strings.Join(out, " ")
+func setPrice(t *contract.Terms, words []string) error {
+	if err := expectWords(words, 3, "a class, the price of a token read and of one made"); err != nil {
+		return err
 	}
-	token := float64(contract.Token)
-	fmt.Fprintf(&b, "\n[contract %s]\ntenants %s\n", quote([]string{t.Team}), quote(t.Tenants))
-	if len(t.Classes) > 0 {
-		fmt.Fprintf(&b, "classes %s\n", quote(t.Classes))
+	prompt, err := parseTokens(words[1])
+	if err != nil {
+		return err
 	}
-	fmt.Fprintf(&b, "rate %s\nburst %d\nworth %s\nover %s\n", formatFloat(t.Rate/token), t.Burst/contract.Token, formatFloat(t.PriorityWeight), formatFloat(t.OverQuotaWeight))
-	if t.Hard {
-		b.WriteString("hard on\n")
+	output, err := parseTokens(words[2])
+	if err != nil {
+		return err
 	}
-	for _, class := range slices.Sorted(maps.Keys(t.Prices)) {
-		fmt.Fprintf(&b, "price %s %s %s\n", quote([]string{class}), formatFloat(t.Prices[class].PromptToken), formatFloat(t.Prices[class].OutputToken))
+	if t.Prices == nil {
+		t.Prices = map[string]contract.Price{}
 	}
-	for _, class := range slices.Sorted(maps.Keys(t.Floors)) {
-		fmt.Fprintf(&b, "floor %s %s\n", quote([]string{class}), formatFloat(t.Floors[class]/token))
+	t.Prices[words[0]] = contract.Price{PromptToken: prompt, OutputToken: output}
+	return nil
+}
+
+func setFloor(t *contract.Terms, words []string) error {
+	if err := expectWords(words, 2, "a class and tokens a second"); err != nil {
+		return err
 	}
-	for _, g := range t.Budgets {
-		fmt.Fprintf(&b, "budget %s %d %d\n", g.Period, g.Soft/contract.Token, g.Hard/contract.Token)
+	tokens, err := parseTokens(words[1])
+	if err != nil {
+		return err
 	}
-	switch {
-	case t.NoBorrow:
-		b.WriteString("borrow none\n")
-	case t.Borrow > 0:
-		fmt.Fprintf(&b, "borrow %s\n", formatFloat(t.Borrow/token))
+	if t.Floors == nil {
+		t.Floors = map[string]float64{}
 	}
-	if t.Surge > 0 {
-		fmt.Fprintf(&b, "surge %s\n", formatFloat(t.Surge))
+	t.Floors[words[0]] = rateInUnits(tokens)
+	return nil
+}
+
+func setBudget(t *contract.Terms, words []string) error {
+	if err := expectWords(words, 3, "hour, day or quarter, the soft limit and the hard one"); err != nil {
+		return err
 	}
-	if t.Successor != "" {
-		fmt.Fprintf(&b, "successor %s\n", quote([]string{t.Successor}))
+	period, err := parsePeriod(words[0])
+	if err != nil {
+		return err
 	}
-	for _, at := range []struct {
-		key string
-		us  int64
-	}{{"from", t.From}, {"until", t.Until}} {
-		if at.us != 0 {
-			fmt.Fprintf(&b, "%s %s\n", at.key, time.UnixMicro(at.us).UTC().Format(time.RFC3339))
+	soft, err := parseTokens(words[1])
+	if err != nil {
+		return err
+	}
+	hard, err := parseTokens(words[2])
+	if err != nil {
+		return err
+	}
+	t.Budgets = append(t.Budgets, contract.Budget{Period: period, Soft: inUnits(soft), Hard: inUnits(hard)})
+	return nil
+}
+
+func parsePeriod(word string) (contract.Period, error) {
+	for _, period := range []contract.Period{contract.Hour, contract.Day, contract.Quarter} {
+		if word == period.String() {
+			return period, nil
 		}
 	}
-	return b.String()
+	return 0, fmt.Errorf("expected hour, day or quarter, got %q", word)
 }
--- /dev/null
+++ b/internal/config/keys.go
@@ -0,0 +1,338 @@
+package config
+
+import (
+	"cmp"
+	"errors"
+	"fmt"
+	"math"
+	"slices"
+	"strconv"
+	"strings"
+	"time"
+
+	"github.com/agnivade/levenshtein"
+	"github.com/dustin/go-humanize"
+
+	"archknot/balancer"
+)
+
+// keySpec is one key: its name, its type as the documentation has it, its default
+// and its meaning, bound to the variable that it sets.
+type keySpec struct {
+	name, valueType, defaultText, doc string
+	set                               func(words []string) error
+	get                               func() string
+}
+
+// pathType is the valueType of paths and addresses.
+const pathType = "path"
+
+// mustSetDefault sets a key of a section to its default.
+func (k *keySpec) mustSetDefault(section string) {
+	if err := k.set([]string{k.defaultText}); err != nil {
+		panic(section + "." + k.name + ": its default: " + err.Error())
+	}
+}
+
+// setDefaults sets the keys of a section that have a default.
+func setDefaults(section string, keys []keySpec) {
+	for i := range keys {
+		if keys[i].defaultText != "" {
+			keys[i].mustSetDefault(section)
+		}
+	}
+}
+
+// keyNames returns the names of keys.
+func keyNames(keys []keySpec) []string {
+	names := make([]string, len(keys))
+	for i := range keys {
+		names[i] = keys[i].name
+	}
+	return names
+}
+
+// newKey returns a key with one value.
+func newKey[T any](name, valueType string, to *T, defaultText, doc string, parse func(string) (T, error), format func(T) string) keySpec {
+	set := func(words []string) error {
+		if len(words) != 1 {
+			return fmt.Errorf("expected one value (%s), got %d", valueType, len(words))
+		}
+		v, err := parse(words[0])
+		if err != nil {
+			return err
+		}
+		*to = v
+		return nil
+	}
+	return keySpec{
+		name:        name,
+		valueType:   valueType,
+		defaultText: defaultText,
+		doc:         doc,
+		set:         set,
+		get:         func() string { return format(*to) },
+	}
+}
+
+// checkRange checks a value against its bounds, which are allowed values.
+func checkRange[T cmp.Ordered](v, least, most T, format func(T) string) error {
+	if v < least || v > most {
+		return fmt.Errorf("expected %s to %s, got %s", format(least), format(most), format(v))
+	}
+	return nil
+}
+
+// identity formats a string.
+func identity(s string) string { return s }
+
+// parseString accepts any string.
+func parseString(s string) (string, error) { return s, nil }
+
+// pathKey is a path or an address, without a default.
+func pathKey(name string, to *string, doc string) keySpec {
+	return newKey(name, pathType, to, "", doc, parseString, identity)
+}
+
+// stringKey is any name.
+func stringKey(name string, to *string, defaultText, doc string) keySpec {
+	return newKey(name, "name", to, defaultText, doc, parseString, identity)
+}
+
+// timeZoneKey is the name of a time zone.
+func timeZoneKey(name string, to *string, defaultText, doc string) keySpec {
+	parse := func(s string) (string, error) {
+		if _, err := time.LoadLocation(s); err != nil || s == "" {
+			return "", fmt.Errorf("expected a time zone such as Australia/Hobart, got %q", s)
+		}
+		return s, nil
+	}
+	return newKey(name, "time zone", to, defaultText, doc, parse, identity)
+}
+
+// enumKey is one of some words.
+func enumKey(name string, to *string, defaultText, doc string, words ...string) keySpec {
+	parse := func(s string) (string, error) {
+		if !slices.Contains(words, s) {
+			return "", fmt.Errorf("expected %s, got %q%s", strings.Join(words, ", "), s, suggestWord(s, words))
+		}
+		return s, nil
+	}
+	return newKey(name, strings.Join(words, "|"), to, defaultText, doc, parse, identity)
+}
+
+// boolKey is on or off.
+func boolKey(name string, to *bool, defaultText, doc string) keySpec {
+	return newKey(name, "on|off", to, defaultText, doc, parseBool, formatBool)
+}
+
+func parseBool(s string) (bool, error) {
+	switch s {
+	case "on", "yes", "true":
+		return true, nil
+	case "off", "no", "false":
+		return false, nil
+	}
+	return false, fmt.Errorf("expected on or off, got %q", s)
+}
+
+func formatBool(v bool) string {
+	if v {
+		return "on"
+	}
+	return "off"
+}
+
+// durationKey is a duration within bounds.
+func durationKey(name string, to *time.Duration, defaultText string, least, most time.Duration, doc string) keySpec {
+	parse := func(s string) (time.Duration, error) {
+		v, err := time.ParseDuration(s)
+		if err != nil {
+			return 0, fmt.Errorf("expected a duration such as 30s or 5m, got %q", s)
+		}
+		return v, checkRange(v, least, most, formatDuration)
+	}
+	return newKey(name, "duration", to, defaultText, doc, parse, formatDuration)
+}
+
+// formatDuration formats a duration without the zero parts of 1h0m0s.
+func formatDuration(d time.Duration) string {
+	s := strings.Replace(d.String(), "µs", "us", 1)
+	if strings.HasSuffix(s, "m0s") {
+		s = strings.TrimSuffix(s, "0s")
+	}
+	if strings.HasSuffix(s, "h0m") {
+		s = strings.TrimSuffix(s, "0m")
+	}
+	return s
+}
+
+// convertedDurationKey is a duration that is stored by a function, in another unit.
+func convertedDurationKey(name, defaultText string, least, most time.Duration, doc string, store func(time.Duration)) keySpec {
+	var d time.Duration
+	key := durationKey(name, &d, defaultText, least, most, doc)
+	setDuration := key.set
+	key.set = func(words []string) error {
+		if err := setDuration(words); err != nil {
+			return err
+		}
+		store(d)
+		return nil
+	}
+	return key
+}
+
+// microsKey is a duration in microseconds.
+func microsKey(name string, to *balancer.Micros, defaultText string, least, most time.Duration, doc string) keySpec {
+	return convertedDurationKey(name, defaultText, least, most, doc, func(d time.Duration) { *to = d.Microseconds() })
+}
+
+// fractionalMicrosKey is a duration in microseconds with a fraction.
+func fractionalMicrosKey(name string, to *float64, defaultText string, doc string) keySpec {
+	return convertedDurationKey(name, defaultText, 0, time.Minute, doc, func(d time.Duration) { *to = float64(d.Nanoseconds()) / 1000 })
+}
+
+// secondsKey is a duration in seconds.
+func secondsKey(name string, to *float64, defaultText, doc string) keySpec {
+	return convertedDurationKey(name, defaultText, 0, 24*time.Hour, doc, func(d time.Duration) { *to = d.Seconds() })
+}
+
+// sizeKey is a number of bytes within bounds.
+func sizeKey(name string, to *int64, defaultText string, least, most int64, doc string) keySpec {
+	parse := func(s string) (int64, error) {
+		v, err := humanize.ParseBytes(s)
+		if err != nil || v > 1<<62 {
+			return 0, fmt.Errorf("expected a size such as 64KiB or 8MiB, got %q", s)
+		}
+		return int64(v), checkRange(int64(v), least, most, formatSize)
+	}
+	return newKey(name, "size", to, defaultText, doc, parse, formatSize)
+}
+
+func formatSize(v int64) string { return strings.ReplaceAll(humanize.IBytes(uint64(v)), " ", "") }
+
+// intKey is an integer within bounds.
+func intKey(name string, to *int, defaultText string, least, most int, doc string) keySpec {
+	parse := func(s string) (int, error) {
+		v, err := strconv.Atoi(s)
+		if err != nil {
+			return 0, fmt.Errorf("expected a whole number, got %q", s)
+		}
+		return v, checkRange(v, least, most, strconv.Itoa)
+	}
+	return newKey(name, "number", to, defaultText, doc, parse, strconv.Itoa)
+}
+
+const (
+	// allIndices is the value of an indexKey that stands for all.
+	allIndices = -1
+	allWord    = "all"
+)
+
+// indexKey is the index of one of some things, or all of them.
+func indexKey(name string, to *int, doc string) keySpec {
+	parse := func(s string) (int, error) {
+		if s == allWord {
+			return allIndices, nil
+		}
+		v, err := strconv.Atoi(s)
+		if err != nil || v < 0 {
+			return 0, fmt.Errorf("expected all, or a number from 0, got %q", s)
+		}
+		return v, nil
+	}
+	return newKey(name, "all|number", to, allWord, doc, parse, strconv.Itoa)
+}
+
+// maxListLength bounds the numbers of an intListKey.
+const maxListLength = 20
+
+// errNotIncreasing rejects a list of numbers.
+var errNotIncreasing = errors.New("expected 1 to 20 numbers, each larger than the one before")
+
+// intListKey is a list of increasing integers within bounds.
+func intListKey(name string, to *[]int, defaultText string, least, most int, doc string) keySpec {
+	set := func(words []string) error {
+		var list []int
+		for _, word := range strings.Fields(strings.Join(words, " ")) {
+			n, err := strconv.Atoi(word)
+			if err != nil {
+				return fmt.Errorf("expected whole numbers, got %q", word)
+			}
+			if err := checkRange(n, least, most, strconv.Itoa); err != nil {
+				return err
+			}
+			list = append(list, n)
+		}
+		if len(list) == 0 || len(list) > maxListLength || !isIncreasing(list) {
+			return errNotIncreasing
+		}
+		*to = list
+		return nil
+	}
+	get := func() string {
+		words := make([]string, len(*to))
+		for i, n := range *to {
+			words[i] = strconv.Itoa(n)
+		}
+		return strings.Join(words, " ")
+	}
+	return keySpec{name: name, valueType: "numbers", defaultText: defaultText, doc: doc, set: set, get: get}
+}
+
+// isIncreasing reports whether each number is larger than the one before.
+func isIncreasing(list []int) bool {
+	for i := 1; i < len(list); i++ {
+		if list[i] <= list[i-1] {
+			return false
+		}
+	}
+	return true
+}
+
+// floatKey is a number within bounds.
+func floatKey(name string, to *float64, defaultText string, least, most float64, doc string) keySpec {
+	parse := func(s string) (float64, error) {
+		v, err := strconv.ParseFloat(s, 64)
+		if err != nil || math.IsNaN(v) {
+			return 0, fmt.Errorf("expected a number, got %q", s)
+		}
+		return v, checkRange(v, least, most, formatFloat)
+	}
+	return newKey(name, "number", to, defaultText, doc, parse, formatFloat)
+}
+
+func formatFloat(v float64) string { return strconv.FormatFloat(v, 'g', -1, 64) }
+
+// shareKey is a share from 0 to 1, which may be given in percent.
+func shareKey(name string, to *float64, defaultText, doc string) keySpec {
+	parse := func(s string) (float64, error) {
+		text, percent := strings.CutSuffix(s, "%")
+		v, err := strconv.ParseFloat(text, 64)
+		if err != nil || math.IsNaN(v) {
+			return 0, fmt.Errorf("expected a share such as 40%% or 0.4, got %q", s)
+		}
+		if percent {
+			v /= 100
+		}
+		return v, checkRange(v, 0, 1, formatPercent)
+	}
+	return newKey(name, "share", to, defaultText, doc, parse, formatPercent)
+}
+
+func formatPercent(v float64) string { return formatFloat(v*100) + "%" }
+
+// suggestWord returns the end of an error message about an unknown word: the known
+// word that was likely meant, or all of them.
+func suggestWord(word string, known []string) string {
+	closest, least := "", len(word)/2+1
+	for _, k := range known {
+		if d := levenshtein.ComputeDistance(word, k); d < least {
+			closest, least = k, d
+		}
+	}
+	if closest == "" {
+		return "; known: " + strings.Join(known, ", ")
+	}
+	return fmt.Sprintf("; did you mean %s?", closest)
+}
--- /dev/null
+++ b/internal/config/plan_keys.go
@@ -0,0 +1,230 @@
+package config
+
+import (
+	"maps"
+	"slices"
+	"time"
+
+	"archknot/balancer"
+	"archknot/internal/fleet/model"
+)
+
+// planSection is a section of a plan.
+type planSection struct {
+	name     string
+	labelled bool // there may be several, each with a label
+	// keys returns the keys, bound to a new part of the specification; nil: they are
+	// read elsewhere.
+	keys func(b *specBuilder, label string) []keySpec
+}
+
+// planSections are all sections of a plan.
+var planSections = []planSection{
+	{name: runSection, keys: (*specBuilder).runKeys},
+	{name: "network", keys: (*specBuilder).networkKeys},
+	{name: "gateway", keys: (*specBuilder).gatewayKeys},
+	{name: "class", labelled: true, keys: (*specBuilder).classKeys},
+	{name: "tenant", labelled: true, keys: (*specBuilder).tenantKeys},
+	{name: "workers", labelled: true, keys: (*specBuilder).replicaKeys},
+	{name: "traffic", labelled: true, keys: (*specBuilder).trafficKeys},
+	{name: "fault", labelled: true, keys: (*specBuilder).faultKeys},
+	{name: "contracts", keys: (*specBuilder).contractsKeys},
+	{name: contractSection, labelled: true},
+	{name: "drill", keys: (*specBuilder).drillKeys},
+	{name: "strike", labelled: true, keys: (*specBuilder).strikeKeys},
+	{name: variantSection, labelled: true},
+	{name: workloadSection, labelled: true},
+}
+
+// isUnlabelled reports whether there is one section of the name, with defaults for
+// all keys.
+func (s *planSection) isUnlabelled() bool { return !s.labelled && s.keys != nil }
+
+// planSectionNames returns the names of planSections.
+func planSectionNames() []string {
+	names := make([]string, len(planSections))
+	for i := range planSections {
+		names[i] = planSections[i].name
+	}
+	return names
+}
+
+// isUnlabelledSection reports whether there is one section of a name in a plan.
+func isUnlabelledSection(name string) bool {
+	return slices.ContainsFunc(planSections, func(s planSection) bool { return s.name == name && s.isUnlabelled() })
+}
+
+// sectionKeys returns the keys of a section, bound to a new part of the
+// specification; nil if there is no such section with, or without, a label.
+func (b *specBuilder) sectionKeys(name, label string) []keySpec {
+	i := slices.IndexFunc(planSections, func(s planSection) bool { return s.name == name })
+	if i < 0 || planSections[i].keys == nil || planSections[i].labelled != (label != "") {
+		return nil
+	}
+	return planSections[i].keys(b, label)
+}
+
+const (
+	hour = time.Hour
+	day  = 24 * time.Hour
+)
+
+func (b *specBuilder) runKeys(string) []keySpec {
+	s := b.spec
+	return []keySpec{
+		microsKey("for", &s.For, "60s", time.Second, day, "virtual time of a run"),
+		microsKey("warm", &s.Warm, "5s", 0, hour, "requests that are sent before are not counted"),
+		microsKey("window", &s.Window, "10s", time.Second, hour, "length of the intervals that results are given for"),
+		intKey("gateways", &s.Gateways, "3", 1, 10_000, "number of gateways"),
+		intKey("subset", &s.Subset, "0", 0, 10_000, "replicas that a gateway uses; 0: all"),
+	}
+}
+
+func (b *specBuilder) networkKeys(string) []keySpec {
+	s := b.spec
+	return []keySpec{
+		microsKey("near", &s.Near, "250us", 0, time.Second, "one way within a zone"),
+		microsKey("far", &s.Far, "10ms", 0, time.Second, "one way between two zones"),
+		microsKey("poll", &s.PollWait, "10s", 10*time.Millisecond, hour, "the longest wait of a watch of discovery"),
+	}
+}
+
+func (b *specBuilder) gatewayKeys(string) []keySpec {
+	g := &b.spec.Settings
+	return []keySpec{
+		intKey("attempts", &g.MaxAttempts, "3", 1, 3, "of a request, of any kind"),
+		boolKey("second-copies", &g.MayHedge, "on", "hedged requests"),
+		boolKey("probe", &g.MayHealthCheck, "off", "health checks that return the load"),
+		boolKey("cancel", &g.MayCancel, "on", "attempts may be cancelled"),
+		boolKey("retry-after", &g.RetryAfter, "on", "rejections have a Retry-After"),
+		microsKey("retry-after-most", &g.MaxRetryAfter, "2s", 0, hour, "the longest Retry-After"),
+		floatKey("over-share-worth", &g.OverQuotaWeight, "0.05", 0, 1, "priority weight beyond a tenant's quota"),
+		floatKey("hedge-share", &g.HedgeRatio, "0", 0, 1, "hedges a request; 0: the module's own"),
+		floatKey("retry-share", &g.RetryRatio, "0", 0, 1, "retries a request; 0: the module's own"),
+		enumKey("reports", &b.reportMode, reportsInline, "how replicas report their load", reportsInline, reportsNone),
+		microsKey("cold-for", &g.SlowStartFor, "8s", 0, hour, "length of a replica's slow start"),
+	}
+}
+
+func (b *specBuilder) classKeys(label string) []keySpec {
+	c := &balancer.Class{Name: label}
+	effect := new(string)
+	b.classes = append(b.classes, c)
+	b.effects = append(b.effects, effect)
+	return []keySpec{
+		microsKey("aim", &c.LatencyObjective, "1s", 0, hour, "latency objective of the first token"),
+		microsKey("aim-per-1000", &c.ObjectivePer1000Tokens, "0s", 0, hour, "added for each 1,000 prompt tokens"),
+		microsKey("token-aim", &c.TokenObjective, "300ms", 0, time.Minute, "latency objective of each further token"),
+		microsKey("deadline", &c.Deadline, "5s", time.Millisecond, hour, "the client's total wait"),
+		floatKey("worth", &c.PriorityWeight, "1", 0, 1e6, "priority weight"),
+		floatKey("late-worth", &c.LateWeightShare, "0.3", 0, 1, "share of the weight beyond the objective"),
+		boolKey("stream", &c.Streaming, "on", "answers are streamed"),
+		enumKey("effect", effect, effectRepeatable, "whether it may run twice", effectRepeatable, effectOnce),
+	}
+}
+
+func (b *specBuilder) tenantKeys(label string) []keySpec {
+	t := &balancer.Tenant{Name: label}
+	b.tenants = append(b.tenants, t)
+	return []keySpec{floatKey("quota", &t.QuotaPerS, "0", 0, 1e9, "requests a second, over all gateways")}
+}
+
+func (b *specBuilder) replicaKeys(label string) []keySpec {
+	g := &model.Group{Name: label}
+	b.groups = append(b.groups, g)
+	w := &g.Params
+	return []keySpec{
+		stringKey("zone", &g.Zone, "here", "of the replicas"),
+		intKey("count", &g.Count, "1", 1, 100_000, "number of replicas"),
+		floatKey("weight", &g.Weight, "1", 0, 1e6, "in the endpoint list"),
+		intKey("slots", &w.Slots, "16", 1, 4096, "sequences that run at once"),
+		intKey("queue", &w.Queue, "64", 0, 1<<20, "requests that may wait"),
+		intKey("memory", &w.Memory, "100000", 16, 1<<30, "tokens of keys and values"),
+		intKey("block", &w.Block, "16", 1, 4096, "tokens in a block"),
+		intKey("chunk", &w.Chunk, "512", 1, 1<<20, "prompt tokens read in a step"),
+		fractionalMicrosKey("base", &w.Base, "8ms", "of a step"),
+		fractionalMicrosKey("per-sequence", &w.PerSequence, "150us", "of a step, for each sequence that produces a token"),
+		fractionalMicrosKey("per-context", &w.PerContext, "40us", "of a step, for each 1,000 tokens attended to"),
+		fractionalMicrosKey("per-prompt", &w.PerPrompt, "40ms", "of a step, for each 1,000 prompt tokens read"),
+		microsKey("start", &w.Start, "5s", 0, hour, "from a start until it accepts requests"),
+		microsKey("cold", &w.ColdFor, "8s", 0, hour, "how long it is slower then"),
+		floatKey("cold-slow", &w.ColdSlow, "3", 1, 1000, "so many times at first"),
+		microsKey("connect", &w.Connect, "100us", 0, time.Second, "to open a connection"),
+	}
+}
+
+func (b *specBuilder) trafficKeys(label string) []keySpec {
+	t := &model.Stream{}
+	b.streams = append(b.streams, t)
+	return []keySpec{
+		stringKey("class", &t.Class, "", "of the requests"),
+		stringKey("tenant", &t.Tenant, label, "of the requests"),
+		floatKey("rate", &t.PerS, "10", 0, 1e7, "requests a second"),
+		floatKey("turns", &t.Turns, "1", 1, 1e4, "of a session, on average"),
+		secondsKey("think", &t.Think, "5s", "between two turns, the median"),
+		floatKey("prompt", &t.Prompt, "200", 1, 1e7, "new tokens in a turn, the median"),
+		floatKey("answer", &t.Answer, "150", 1, 1e7, "tokens, the median"),
+		floatKey("spread", &t.Spread, "0.6", 0, 3.9, "of both"),
+		intKey("most", &t.MaxOut, "600", 1, 1<<24, "tokens of an answer"),
+		intKey("prefixes", &t.Prefixes, "0", 0, 1<<20, "number of shared prefixes"),
+		intKey("shared", &t.Shared, "0", 0, 1<<24, "tokens of a shared prefix"),
+		secondsKey("patience", &t.Patience, "0s", "to the first token; 0s: the class's deadline"),
+		intKey("retries", &t.Retries, "0", 0, 100, "by clients, after a rejection"),
+		intKey("rest", &t.Rest, "0", 0, 10, "requests for the remainder of an answer that broke off (the emulator alone)"),
+	}
+}
+
+func (b *specBuilder) faultKeys(string) []keySpec {
+	f := &model.Fault{Worker: allIndices}
+	b.faults = append(b.faults, f)
+	kinds := slices.Sorted(maps.Keys(model.Faults))
+	return []keySpec{
+		microsKey("at", &f.At, "0s", 0, day, "when it begins"),
+		microsKey("for", &f.For, "0s", 0, day, "how long; 0s: to the end"),
+		enumKey("kind", &f.Kind, kinds[0], "the fault", kinds...),
+		indexKey("worker", &f.Worker, "index of a replica"),
+		stringKey("zone", &f.Zone, "", "of one zone alone"),
+		floatKey("factor", &f.Factor, "1", 0, 1e6, "see the kinds"),
+	}
+}
+
+func (b *specBuilder) contractsKeys(string) []keySpec {
+	c := &b.contracts
+	return []keySpec{
+		timeZoneKey("zone", &c.TimeZone, "UTC", "of days and quarters"),
+		durationKey("pool", &c.BorrowPool, "1s", 0, time.Minute, "how much of all rates idle teams may save up"),
+		floatKey("others", &c.UnknownTenantWeight, "0.05", -1, 1000, "priority weight of tenants without a contract"),
+	}
+}
+
+func (b *specBuilder) drillKeys(string) []keySpec {
+	d := &b.spec.Drill
+	return []keySpec{
+		boolKey("peers", &d.Peers, "on", "gateways take over each other's requests"),
+		boolKey("relays", &d.Relays, "on", "their messages can be dropped and delayed"),
+		intKey("copies", &d.Copies, "5", 1, 8, "gateways that record each request"),
+		intKey("records", &d.Records, "4096", 16, 100_000, "requests of others that a gateway records at once"),
+		intKey("sites", &d.Sites, "1", 1, 100, "zones that gateways are distributed over"),
+		intKey("memory", &d.Memory, "32", 16, 4096, "of a gateway, megabytes"),
+		intKey("files", &d.Files, "256", 64, 65536, "its file descriptors"),
+		microsKey("settle", &d.Settle, "1500ms", 0, time.Minute, "from the last gateway's start to the traffic"),
+	}
+}
+
+func (b *specBuilder) strikeKeys(string) []keySpec {
+	s := &model.Strike{}
+	b.strikes = append(b.strikes, s)
+	kinds := slices.Sorted(maps.Keys(model.Strikes))
+	return []keySpec{
+		microsKey("at", &s.At, "0s", 0, hour, "when it begins"),
+		microsKey("for", &s.For, "0s", 0, hour, "how long; 0s: to the end"),
+		enumKey("kind", &s.Kind, "kill", "what happens to the gateways", kinds...),
+		indexKey("gateway", &s.Gateway, "index of a gateway"),
+		shareKey("share", &s.Share, "0%", "of the gateways, drawn at random"),
+		indexKey("site", &s.Site, "index of a zone"),
+		enumKey("when", &s.When, "at", "at a time, or at the gateway of a request when it was sent, or its first event, half of them or the last one arrived",
+			"at", "sent", "first", "half", "last"),
+		intKey("nth", &s.Nth, "1", 1, 1<<20, "which request"),
+		floatKey("factor", &s.Factor, "1", 0, 1e6, "see the kinds"),
+	}
+}
--- a/internal/config/scale.go
+++ b/internal/config/scale.go
@@ -9,92 +9,116 @@
 	"strings"
 )
 
-// scaledKeys are the keys that grow with a fleet, by section.
-var scaledKeys = map[string]struct {
-	key   string
-	whole bool
-}{"traffic": {"rate", false}, "workers": {"count", true}, "run": {"gateways", true}}
+// scaledKey is a key that grows with a fleet.
+type scaledKey struct {
+	name  string
+	isInt bool
+}
 
-// planDefault is what a plan has where it does not say.
-func planDefault(section, name string) string {
-	label := "any"
-	if slices.Contains(unlabelledSections, section) {
-		label = ""
-	}
-	b := specBuilder{spec: defaultSpec()}
-	keys := b.sectionKeys(section, label)
-	return keys[slices.IndexFunc(keys, func(k keySpec) bool { return k.name == name })].defaultText
+// scaledKeys are the keys that grow with a fleet, by section.
+var scaledKeys = map[string]scaledKey{
+	"traffic":  {name: "rate"},
+	"workers":  {name: "count", isInt: true},
+	runSection: {name: "gateways", isInt: true},
 }
 
-// ScalePlan is a plan's text for a fleet so many times as large: more requests a
-// second, workers and gateways, with the same load for each worker. What a variant or a
-// workload sets grows too. Beginnings that are shared stay as many. With
-// keepGateways their number stays.
+// maxScale bounds the factor of ScalePlan.
+const maxScale = 1e6
+
+// ScalePlan returns a plan's text for a fleet that is so many times as large: more
+// requests a second, replicas and gateways, with the same load for each replica.
+// What a variant or a workload sets grows too. The number of shared prefixes stays,
+// and with keepGateways the number of gateways.
 func ScalePlan(text string, times float64, keepGateways bool) (string, error) {
-	if !(times > 0 && times <= 1e6) {
+	if !(times > 0 && times <= maxScale) {
 		return "", fmt.Errorf("times %v: expected above 0 and at most 1000000", times)
 	}
-	grow := func(section, value string) (string, error) {
-		if section == "run" && keepGateways {
-			return value, nil
-		}
-		v, err := strconv.ParseFloat(value, 64)
-		if err != nil {
-			return "", fmt.Errorf("%s.%s: expected a number, got %q", section, scaledKeys[section].key, value)
+	s := planScaler{times: times, keepGateways: keepGateways, seen: true}
+	for i, line := range strings.Split(strings.TrimRight(text, "\n"), "\n") {
+		code, _, _ := strings.Cut(line, "#")
+		if fields := strings.Fields(code); len(fields) > 0 && fields[0] == includeKey {
+			return "", fmt.Errorf("line %d: include: write the plan into one file first", i+1)
 		}
-		if v *= times; scaledKeys[section].whole {
-			v = math.Max(1, math.Round(v))
-		}
-		return strconv.FormatFloat(v, 'f', -1, 64), nil
+		s.line(line)
 	}
-	var out strings.Builder
-	section, seen, sawRun := "", true, false
-	var failed error
-	end := func() { // what a section leaves to its default grows all the same
-		if k, ok := scaledKeys[section]; ok && !seen {
-			v, err := grow(section, planDefault(section, k.key))
-			failed = errors.Join(failed, err)
-			fmt.Fprintf(&out, "%s %s\n", k.key, v)
-		}
+	s.endSection()
+	if !s.sawRun {
+		s.section, s.seen = runSection, false
+		s.out.WriteString("[" + runSection + "]\n")
+		s.endSection()
 	}
-	for n, line := range strings.Split(strings.TrimRight(text, "\n"), "\n") {
-		code, note, _ := strings.Cut(line, "#")
-		f := strings.Fields(code)
-		if note != "" {
-			note = " #" + note
-		}
-		put := func(words ...string) { out.WriteString(strings.Join(words, " ") + note + "\n") }
-		switch {
-		case len(f) > 0 && strings.HasPrefix(f[0], "["):
-			end()
-			section, _, _ = strings.Cut(strings.Trim(strings.TrimSpace(code), "[] "), " ")
-			seen, sawRun = false, sawRun || section == "run"
-			out.WriteString(line + "\n")
-		case len(f) >= 1 && f[0] == "include":
-			return "", fmt.Errorf("line %d: include: write the plan into one file first", n+1)
-		case len(f) == 2 && scaledKeys[section].key == f[0]:
-			v, err := grow(section, f[1])
-			failed = errors.Join(failed, err)
-			seen = true
-			put(f[0], v)
-		case len(f) == 3 && f[0] == "set":
-			parts := strings.Split(f[1], ".")
-			if k, ok := scaledKeys[parts[0]]; ok && parts[len(parts)-1] == k.key {
-				v, err := grow(parts[0], f[2])
-				failed = errors.Join(failed, err)
-				put(f[0], f[1], v)
-				break
-			}
-			out.WriteString(line + "\n")
-		default:
-			out.WriteString(line + "\n")
+	return s.out.String(), errors.Join(s.errs...)
+}
+
+// planScaler scales a plan line by line.
+type planScaler struct {
+	times        float64
+	keepGateways bool
+	out          strings.Builder
+	section      string // of the current line
+	seen         bool   // the section's scaled key was given
+	sawRun       bool
+	errs         []error
+}
+
+// line scales one line.
+func (s *planScaler) line(line string) {
+	code, comment, _ := strings.Cut(line, "#")
+	if comment != "" {
+		comment = " #" + comment
+	}
+	fields := strings.Fields(code)
+	switch {
+	case len(fields) > 0 && strings.HasPrefix(fields[0], "["):
+		s.endSection()
+		s.section, _, _ = strings.Cut(strings.Trim(strings.TrimSpace(code), "[] "), " ")
+		s.seen = false
+		s.sawRun = s.sawRun || s.section == runSection
+	case len(fields) == 2 && scaledKeys[s.section].name == fields[0]:
+		s.seen = true
+		line = fields[0] + " " + s.grow(s.section, fields[1]) + comment
+	case len(fields) == 3 && fields[0] == "set":
+		target := strings.Split(fields[1], ".")
+		if key, ok := scaledKeys[target[0]]; ok && target[len(target)-1] == key.name {
+			line = fields[0] + " " + fields[1] + " " + s.grow(target[0], fields[2]) + comment
 		}
 	}
-	end()
-	if !sawRun {
-		section, seen = "run", false
-		out.WriteString("[run]\n")
-		end()
+	s.out.WriteString(line + "\n")
+}
+
+// endSection adds the scaled key that a section left at its default.
+func (s *planScaler) endSection() {
+	key, ok := scaledKeys[s.section]
+	if ok && !s.seen {
+		s.out.WriteString(key.name + " " + s.grow(s.section, planDefault(s.section, key.name)) + "\n")
+	}
+}
+
+// grow scales the value of a section's key.
+func (s *planScaler) grow(section, value string) string {
+	if section == runSection && s.keepGateways {
+		return value
+	}
+	key := scaledKeys[section]
+	v, err := strconv.ParseFloat(value, 64)
+	if err != nil {
+		s.errs = append(s.errs, fmt.Errorf("%s.%s: expected a number, got %q", section, key.name, value))
+		return ""
+	}
+	v *= s.times
+	if key.isInt {
+		v = math.Max(1, math.Round(v))
 	}
-	return out.String(), failed
+	return strconv.FormatFloat(v, 'f', -1, 64)
+}
+
+// planDefault returns the default of a plan's key.
+func planDefault(section, name string) string {
+	label := "any"
+	if isUnlabelledSection(section) {
+		label = ""
+	}
+	b := specBuilder{spec: defaultSpec()}
+	keys := b.sectionKeys(section, label)
+	return keys[slices.IndexFunc(keys, func(k keySpec) bool { return k.name == name })].defaultText
 }
--- a/internal/config/scale_test.go
+++ b/internal/config/scale_test.go
@@ -24,8 +24,9 @@
 set traffic.t.prompt 300
 `
 
-// Ten times the fleet has ten times the requests, workers and gateways, also where the
-// plan leaves them to their defaults and in what workloads set; the rest is as it was.
+// Ten times the fleet has ten times the requests, replicas and gateways, also where the
+// plan leaves them to their defaults and where a workload sets them; nothing else
+// changes.
 func TestScaledPlan(t *testing.T) {
 	load := func(text string) *Plan {
 		t.Helper()
@@ -62,7 +63,7 @@
 			t.Fatal(err)
 		}
 		if s.Gateways != c.gateways || s.Groups[0].Count != 40 || s.Groups[1].Count != 10 || s.Streams[0].PerS != 25 || busy.Streams[0].PerS != 70 {
-			t.Errorf("%d gateways, %d and %d workers, %v and %v a second", s.Gateways, s.Groups[0].Count, s.Groups[1].Count, s.Streams[0].PerS, busy.Streams[0].PerS)
+			t.Errorf("%d gateways, %d and %d replicas, %v and %v a second", s.Gateways, s.Groups[0].Count, s.Groups[1].Count, s.Streams[0].PerS, busy.Streams[0].PerS)
 		}
 		if s.For != was.For || busy.Streams[0].Prompt != 300 || s.Groups[1].Zone != "there" || !strings.Contains(text, "# a second") {
 			t.Errorf("something else changed:\n%s", text)
--- a/internal/contract/ledger_test.go
+++ b/internal/contract/ledger_test.go
@@ -1,6 +1,7 @@
 package contract
 
 import (
+	"errors"
 	"fmt"
 	"math/rand/v2"
 	"strings"
@@ -162,7 +163,8 @@
 	} {
 		a := testTerms("a", 10)
 		change(&a)
-		if err := ValidateTerms([]Terms{a}); err == nil || !strings.Contains(err.Error(), want) {
+		var invalid *TermsError
+		if err := ValidateTerms([]Terms{a}); !errors.As(err, &invalid) || invalid.Team != a.Team || !strings.Contains(err.Error(), want) {
 			t.Errorf("%s: %v", want, err)
 		}
 	}
--- a/internal/contractsim/simulate_test.go
+++ b/internal/contractsim/simulate_test.go
@@ -1,6 +1,7 @@
 package contractsim_test
 
 import (
+	"errors"
 	"strings"
 	"testing"
 	"time"
@@ -114,7 +115,7 @@
 	if err != nil || part.Teams[0].Requests < 95 || part.Teams[0].Requests > 105 {
 		t.Errorf("%v %+v", err, part)
 	}
-	if _, err := contractsim.Run(run, contractsim.Options{Terms: []contract.Terms{a}, From: run.End() + 60_000_000}); err == nil {
+	if _, err := contractsim.Run(run, contractsim.Options{Terms: []contract.Terms{a}, From: run.End() + 60_000_000}); !errors.Is(err, contractsim.ErrEmptyInterval) {
 		t.Error("an interval without events was simulated")
 	}
 	// The page has all of it, and names from outside are escaped.
