--- a/internal/faulttest/soak_test.go
+++ b/internal/faulttest/soak_test.go
@@ -74,10 +74,10 @@
 
 var mutants = []mutant{
 	{"bans are forgotten", "drain", 2, []change{
-		{"internal/gateway/version.go", "return out || l.drainMarks[id]", "_ = out; return l.drainMarks[id]"},
-		{"internal/gateway/orders.go", "return w.Accepting() && (g.options.Orders == nil || !g.options.Orders.Ejected(id) && !g.pendingEjections.has(id))", "_ = id; return w.Accepting()"}}},
+		{"internal/gateway/endpoints.go", "return ejected || t.drainMarks[id]", "_ = ejected; return t.drainMarks[id]"},
+		{"internal/gateway/orders.go", "return replica.Accepting() && (g.options.Orders == nil || !g.options.Orders.Ejected(id) && !g.pendingEjections.has(id))", "_ = id; return replica.Accepting()"}}},
 	{"a drained gateway keeps its clients", "drained", 2, []change{
-		{"internal/gateway/service.go", "return c.drainedAt.Load() > 0 || c.shutdownAt.Load() > 0", "return c.shutdownAt.Load() > 0"}}},
+		{"internal/gateway/drain.go", "return t.drainedAt.Load() > 0 || t.shutdownAt.Load() > 0", "return t.shutdownAt.Load() > 0"}}},
 	{"SIGTERM drops what is in hand", "lost", 7, []change{
 		{"internal/gateway/gateway.go", "return g.clients.waitUntilEmpty(ctx)", "return nil"}}},
 	{"time in the system's queue does not count", "deadline", 15, []change{
--- /dev/null
+++ b/internal/gateway/accounting.go
@@ -0,0 +1,205 @@
+package gateway
+
+import (
+	"log/slog"
+
+	"archknot/balancer"
+	"archknot/internal/capture"
+	"archknot/internal/contract"
+	"archknot/internal/contract/split"
+	"archknot/internal/endpoint"
+	"archknot/internal/inflight"
+)
+
+const (
+	// quotaShareInterval is how often the gateway recomputes its shares of the contracts.
+	quotaShareInterval balancer.Micros = 1_000_000
+	// ledgerErrorInterval is how often it is logged that the ledger cannot be written.
+	ledgerErrorInterval balancer.Micros = 10_000_000
+	// minPriorityWeight stands for a priority weight of 0, which would say that there is no
+	// contract.
+	minPriorityWeight = 1e-6
+)
+
+// contractAccounting charges requests to their teams' contracts. Without contracts all
+// requests pass. The event loop owns it.
+type contractAccounting struct {
+	ledger           *contract.Ledger       // nil: no contracts
+	recorded         capture.ContractLedger // the ledger, or the recorder in front of it
+	fileContracts    *Contracts             // from the configuration file; nil: none
+	versionContracts []contract.Terms       // from a configuration version, in place of the file's; nil: none
+	shares           quotaShares
+	checkpointing    bool            // a checkpoint of balances is being written
+	errorLoggedAt    balancer.Micros // when it was last logged that this failed
+}
+
+// contracts returns the contracts to put in force: the file's, with a version's teams in
+// place of the file's if it has any.
+func (a *contractAccounting) contracts() Contracts {
+	c := Contracts{}
+	if a.fileContracts != nil {
+		c = *a.fileContracts
+	}
+	if a.versionContracts != nil {
+		c.Teams = a.versionContracts
+	}
+	return c
+}
+
+// close ends accounting: there are no contracts any more.
+func (a *contractAccounting) close() {
+	a.ledger, a.recorded, a.shares = nil, nil, quotaShares{}
+	a.checkpointing, a.errorLoggedAt = false, 0
+}
+
+// charge charges an attempt of a request with the usage that is estimated for it.
+func (a *contractAccounting) charge(now balancer.Micros, r *inflight.Request, attempt int, c *contract.Charge) contract.Verdict {
+	return a.recorded.Charge(now, &r.BalancerRequest, attempt, c)
+}
+
+// admit has the team's contract judge a request. An admitted one carries its priority;
+// otherwise answer is the rejection.
+func (a *contractAccounting) admit(now balancer.Micros, r *inflight.Request) (answer inflight.Action, admitted bool) {
+	if a.ledger == nil {
+		return inflight.Action{}, true
+	}
+	verdict := a.charge(now, r, 0, &r.Charge)
+	a.logBudgetNotices()
+	if verdict.Rejected && r.BalancerRequest.PriorAttempts > 0 {
+		// It was admitted by the gateway that lost it: it goes on, with the least priority.
+		r.BalancerRequest.PriorityFactor = minPriorityWeight
+		return inflight.Action{}, true
+	}
+	if verdict.Rejected {
+		return inflight.Action{Kind: inflight.ActionDeny, Reason: verdict.Reason, RetryAfter: verdict.RetryAfter}, false
+	}
+	r.BalancerRequest.PriorityFactor = max(minPriorityWeight, verdict.PriorityWeight)
+	r.OverRate = verdict.OverQuota
+	r.EstimatedUse = r.Charge.Estimate
+	return inflight.Action{}, true
+}
+
+// chargeAttempt gives an attempt its charge: the first one gets the request's, any other one
+// of its own. It returns false if the budget does not allow the attempt.
+func (a *contractAccounting) chargeAttempt(now balancer.Micros, attempt *inflight.Attempt) bool {
+	if a.ledger == nil {
+		return true
+	}
+	r := attempt.Request
+	if attempt.Index == 0 {
+		attempt.Charge, r.Charge = r.Charge, contract.Charge{}
+		return true
+	}
+	return !a.charge(now, r, attempt.Index, &attempt.Charge).Rejected
+}
+
+// settleAttempt replaces an attempt's estimated charge with what it used.
+func (a *contractAccounting) settleAttempt(now balancer.Micros, e *attemptEnded) {
+	if a.ledger == nil {
+		return
+	}
+	attempt, r := e.attempt, e.attempt.Request
+	usage := attempt.Charge.ActualUsage(e.status, r.BalancerRequest.PromptTokens, e.cachedTokens, e.outputTokens)
+	a.recorded.Settle(now, r.ID, attempt.Index, &attempt.Charge, usage, e.status == balancer.Served)
+	a.logBudgetNotices()
+}
+
+// recordShed notes that the module or the replicas had no capacity for a request. A request
+// that ran and failed does not count.
+func (a *contractAccounting) recordShed(now balancer.Micros, r *inflight.Request) {
+	if a.ledger == nil || r.BalancerRequest.PriorityFactor == 0 {
+		return
+	}
+	for _, attempt := range r.Attempts {
+		if !attempt.NeverRan {
+			return
+		}
+	}
+	a.recorded.RecordShed(now, &r.BalancerRequest, r.EstimatedUse, r.OverRate)
+}
+
+// releaseCharge settles a request's charge that no attempt got.
+func (a *contractAccounting) releaseCharge(now balancer.Micros, r *inflight.Request) {
+	if a.ledger != nil {
+		a.recorded.Settle(now, r.ID, 0, &r.Charge, contract.Usage{}, false)
+	}
+}
+
+// logBudgetNotices logs the budgets that have reached a half, four fifths or all.
+func (a *contractAccounting) logBudgetNotices() {
+	for _, n := range a.ledger.TakeNotices() {
+		slog.Info("contract_budget", "team", n.Team, "period", n.Period.String(), "percent", n.Percent,
+			"used", n.Used/contract.Token, "limit", n.Limit/contract.Token)
+	}
+}
+
+// checkpointWritten notes the end of a checkpoint that was handed to the store.
+func (a *contractAccounting) checkpointWritten(now balancer.Micros, checkpoint uint64, err error) {
+	a.checkpointing = false
+	if a.ledger == nil {
+		return
+	}
+	a.recorded.CheckpointDone(now, checkpoint, err == nil)
+	if err != nil && now-a.errorLoggedAt >= ledgerErrorInterval {
+		a.errorLoggedAt = now
+		slog.Error("contract_ledger_write_failed", "err", err, "unsaved_tokens", a.ledger.UnstoredUsage()/contract.Token)
+	}
+}
+
+// updateQuotaShares gives the ledger the gateway's shares of the contracts, once per
+// quotaShareInterval.
+func (a *contractAccounting) updateQuotaShares(now balancer.Micros) {
+	s := &a.shares
+	if s.splitter == nil || now-s.updatedAt < quotaShareInterval {
+		return
+	}
+	accounts := a.ledger.Accounts()
+	observed := split.Observation{Interval: now - s.updatedAt, OwnInFlight: s.own, FleetInFlight: s.all}
+	if len(s.lastCounts) != len(accounts) || s.updatedAt == 0 {
+		s.lastCounts, observed.Interval = make([]contract.Counters, len(accounts)), 0
+	}
+	for i, terms := range a.ledger.Terms() {
+		current, last := &accounts[i].Counters, &s.lastCounts[i]
+		observed.Teams = append(observed.Teams, split.TeamUsage{
+			Rate:      terms.Rate,
+			Requested: float64(current.RequestedUnits() - last.RequestedUnits()),
+			Used:      float64(current.Used - last.Used),
+		})
+		*last = *current
+	}
+	s.updatedAt, s.own, s.all = now, 0, 0
+	a.recorded.SetQuotaShares(now, s.splitter.Shares(observed))
+}
+
+// quotaShares is what the gateway's shares of the contracts are computed from: its part of
+// the replicas' work in flight.
+type quotaShares struct {
+	splitter   split.Strategy // nil: this is the only gateway
+	own, all   float64        // sums over the replicas' reports since the last update
+	updatedAt  balancer.Micros
+	lastCounts []contract.Counters
+}
+
+// reset begins a new observation with a splitter.
+func (s *quotaShares) reset(newSplitter func() split.Strategy) {
+	s.splitter = nil
+	if newSplitter != nil {
+		s.splitter = newSplitter()
+	}
+	s.updatedAt, s.own, s.all = 0, 0, 0
+}
+
+// recordReplicaLoad adds what a replica reports as in flight, and this gateway's part of it.
+func (s *quotaShares) recordReplicaLoad(replica *endpoint.Replica, report *balancer.LoadReport) {
+	if s.splitter == nil || report.Has&balancer.HasInFlight == 0 {
+		return
+	}
+	all := report.InFlight
+	if report.Has&balancer.HasQueued != 0 {
+		all += report.Queued
+	}
+	own := float64(replica.InFlight())
+	s.own += own
+	// The report may be older than this gateway's latest requests.
+	s.all += max(all, own)
+}
--- /dev/null
+++ b/internal/gateway/actions.go
@@ -0,0 +1,151 @@
+package gateway
+
+import (
+	"time"
+
+	"archknot/balancer"
+	"archknot/internal/endpoint"
+	"archknot/internal/inflight"
+)
+
+// The actions of the decision module: eventLoop is a balancer.Sink. The module calls them
+// within a turn of the loop.
+
+// Dispatch starts an attempt of a request at a replica, until timeoutAt or the request's
+// deadline, whichever is earlier; 0: until the deadline.
+func (l *eventLoop) Dispatch(id balancer.RequestID, to balancer.ReplicaID, timeoutAt balancer.Micros) {
+	r, replica := l.requests.Get(id), l.endpoints.ByID(to)
+	if r == nil || r.Finished || r.Winner != nil {
+		return
+	}
+	if timeoutAt <= 0 || timeoutAt > r.Deadline {
+		timeoutAt = r.Deadline
+	}
+	if replica == nil { // the list changed since the decision: without an address it never runs
+		replica = &endpoint.Replica{ID: to}
+	}
+	l.recordReportAge(to)
+	attempt := l.requests.StartAttempt(r, replica, l.now, timeoutAt)
+	attempt.Cause = attemptCause(r)
+	if !l.accounting.chargeAttempt(l.now, attempt) {
+		attempt.Cancel()
+		l.deferred = append(l.deferred, attemptEnded{attempt: attempt, status: balancer.NotSent})
+		return
+	}
+	r.Actions <- inflight.Action{Kind: inflight.ActionForward, Attempt: attempt}
+}
+
+// Shed answers a request with an overload reply.
+func (l *eventLoop) Shed(id balancer.RequestID, retryAfter balancer.Micros) {
+	l.sendFinalAnswer(id, inflight.Action{Kind: inflight.ActionShed, RetryAfter: retryAfter, Reason: l.shedReason(id)})
+}
+
+// Fail answers a request with a failure.
+func (l *eventLoop) Fail(id balancer.RequestID) {
+	l.sendFinalAnswer(id, inflight.Action{Kind: inflight.ActionFail})
+}
+
+// Cancel cancels an attempt, unless the client gets its stream.
+func (l *eventLoop) Cancel(id balancer.RequestID, attempt int) {
+	r := l.requests.Get(id)
+	if r == nil || attempt < 0 || attempt >= len(r.Attempts) {
+		return
+	}
+	if a := r.Attempts[attempt]; a != r.Winner {
+		a.Cancel()
+	}
+}
+
+// SetTimer has the module's TimerFired called after a delay.
+func (l *eventLoop) SetTimer(delay balancer.Micros, token uint64) {
+	l.timers.add(l.now+delay, token)
+}
+
+// HealthCheck starts a health check of a replica.
+func (l *eventLoop) HealthCheck(to balancer.ReplicaID) {
+	if replica := l.endpoints.ByID(to); replica != nil {
+		go l.gateway.runHealthCheck(replica)
+	}
+}
+
+// WatchDiscovery requests the next poll of discovery, unless one is requested already.
+func (l *eventLoop) WatchDiscovery() {
+	select {
+	case l.pollRequests <- struct{}{}:
+	default:
+	}
+}
+
+// Gossip is never called: package lifecycle configures the module for gateways that have no
+// connection to each other.
+func (l *eventLoop) Gossip([]byte) {}
+
+// sendFinalAnswer answers a request for good, unless that is done or a stream has begun.
+func (l *eventLoop) sendFinalAnswer(id balancer.RequestID, action inflight.Action) {
+	r := l.requests.Get(id)
+	if r == nil || r.Finished || r.Winner != nil {
+		return
+	}
+	r.Finished = true
+	r.Actions <- action
+	l.accounting.releaseCharge(l.now, r)
+	l.accounting.recordShed(l.now, r)
+	l.requests.RemoveIfFinished(r)
+}
+
+// Why a request was shed, for the log.
+const (
+	shedReasonDeadline       = "deadline"
+	shedReasonNoReplica      = "no_replica"
+	shedReasonAttemptsFailed = "attempts_failed"
+	shedReasonAdmission      = "admission"
+	shedReasonDraining       = "draining"
+)
+
+// nearDeadline is how long before a request's deadline its shedding is put down to that.
+const nearDeadline balancer.Micros = 20_000
+
+// shedReason returns why the module sheds a request, for the log.
+func (l *eventLoop) shedReason(id balancer.RequestID) string {
+	r := l.requests.Get(id)
+	switch {
+	case r == nil:
+		return ""
+	case l.now >= r.Deadline-nearDeadline:
+		return shedReasonDeadline
+	case l.endpoints.ReadyCount() == 0:
+		return shedReasonNoReplica
+	case len(r.Attempts) > 0:
+		return shedReasonAttemptsFailed
+	}
+	return shedReasonAdmission
+}
+
+// Why an attempt was started, for the log.
+const (
+	attemptFirst = "first"
+	attemptHedge = "hedge"
+	attemptRetry = "retry"
+)
+
+// attemptCause returns why the newest attempt of a request was started.
+func attemptCause(r *inflight.Request) string {
+	switch {
+	case len(r.Attempts) == 1:
+		return attemptFirst
+	case r.AttemptsInFlight() > 1:
+		return attemptHedge
+	}
+	return attemptRetry
+}
+
+// recordReportAge counts the age of the load report that an attempt at a replica is based on.
+func (l *eventLoop) recordReportAge(to balancer.ReplicaID) {
+	age, known := l.balancer.ReportAge(l.now, to)
+	if !known {
+		l.reports.WithoutReport++
+		return
+	}
+	l.reports.WithReport++
+	l.reports.Sum += time.Duration(age) * time.Microsecond
+}
--- a/internal/gateway/attempt.go
+++ b/internal/gateway/attempt.go
@@ -4,7 +4,6 @@
 	"bytes"
 	"context"
 	"errors"
-	"fmt"
 	"io"
 	"net"
 	"net/http"
@@ -18,170 +17,195 @@
 	"archknot/internal/inflight"
 )
 
-// runAttempt carries out one attempt from its send to its end and reports its
-// one outcome. The stream goes to d.Events as it comes.
-func (g *Gateway) runAttempt(r *http.Request, body []byte, d *inflight.Attempt, hand *requestLease) {
-	defer d.Cancel()
-	e := attemptEnded{attempt: d, status: balancer.ConnectFailed}
-	switch {
-	case !hand.mayDispatch(d):
-		e.status = balancer.NotSent
-	case d.Replica.Addr != "":
-		e.status = g.exchange(r, body, d, &e, hand)
-	}
-	d.Complete = e.status == balancer.Served
-	close(d.Events)
-	g.loop.events <- e
+const (
+	// silentReplicaAfter is how long a replica may answer nothing before its cached
+	// connections are no longer trusted.
+	silentReplicaAfter = time.Second
+	// errorReplyTimeout bounds the reading of the body of an answer that is not 200.
+	errorReplyTimeout = time.Second
+)
+
+// attemptExchange carries out one attempt: it sends the request to the replica and reads
+// the answer.
+type attemptExchange struct {
+	gateway *Gateway
+	request *http.Request
+	body    []byte
+	attempt *inflight.Attempt
+	lease   *requestLease
 }
 
-// startAttempt starts an attempt's task.
-func (g *Gateway) startAttempt(r *http.Request, body []byte, d *inflight.Attempt, hand *requestLease) {
-	if hand != nil {
-		hand.attempts.Go(func() { g.runAttempt(r, body, d, hand) })
+// start runs the attempt in a goroutine of its own.
+func (x attemptExchange) start() {
+	if x.lease != nil {
+		x.lease.attempts.Go(func() { x.run() })
 		return
 	}
-	go g.runAttempt(r, body, d, nil)
+	go x.run()
 }
 
-// silentReplicaAfter is how long a worker may say nothing before its kept connections
-// are no longer trusted.
-const silentReplicaAfter = time.Second
+// run carries out the attempt from its dispatch to its end and posts its one outcome to the
+// event loop. The stream goes to attempt.Events as it arrives.
+func (x attemptExchange) run() {
+	defer x.attempt.Cancel()
+	result := attemptEnded{attempt: x.attempt, status: balancer.ConnectFailed}
+	switch {
+	case !x.lease.mayDispatch(x.attempt):
+		result.status = balancer.NotSent
+	case x.attempt.Replica.Addr != "":
+		result.status = x.exchange(&result)
+	}
+	x.attempt.Complete = result.status == balancer.Served
+	close(x.attempt.Events)
+	x.gateway.loop.events <- result
+}
 
-func (g *Gateway) exchange(r *http.Request, body []byte, d *inflight.Attempt, e *attemptEnded, hand *requestLease) balancer.Status {
-	cutAt := g.clock.timeAt(d.TimeoutAt)
-	ctx, stop := context.WithDeadline(d.Ctx, cutAt)
+// exchange sends the request and reads the answer over one connection.
+func (x attemptExchange) exchange(result *attemptEnded) balancer.Status {
+	attempt, pool := x.attempt, x.gateway.pool
+	timeoutAt := x.gateway.clock.timeAt(attempt.TimeoutAt)
+	ctx, stop := context.WithDeadline(attempt.Ctx, timeoutAt)
 	defer stop()
-	c, err := g.pool.Get(ctx, d.Replica.ConnKey(), d.Replica.Addr)
+	conn, err := pool.Get(ctx, attempt.Replica.ConnKey(), attempt.Replica.Addr)
 	if err != nil {
-		switch {
-		case d.Ctx.Err() != nil:
-			return balancer.Cancelled
-		case errors.Is(err, connpool.ErrLocalShortage):
-			return balancer.NotSent // no replica is at fault
-		}
-		return balancer.ConnectFailed
+		return x.connectStatus(err)
 	}
-	e.reused = c.Reused
-	c.StartCall(&g.meters[controlstats.PurposeAttempt])
-	keep := false
+	result.reused = conn.Reused
+	conn.StartCall(&x.gateway.meters[controlstats.PurposeAttempt])
+	reusable := false
 	// A cancelled attempt frees its connection at once, whatever waits on it.
-	unhook := context.AfterFunc(d.Ctx, func() { c.Close() })
+	unhook := context.AfterFunc(attempt.Ctx, func() { conn.Close() })
 	defer func() {
-		if unhook() && keep {
-			g.pool.Put(c)
+		if unhook() && reusable {
+			pool.Put(conn)
 		} else {
-			g.pool.Drop(c)
+			pool.Drop(conn)
 		}
 	}()
-	// Called off while it connected, or its client gone while it waited for the core: here, and
-	// nowhere else, an attempt begins, and nothing may go out any more.
-	if !hand.isHolder() || d.Request.ClientGone() || d.Ctx.Err() != nil {
+	// The attempt may have been cancelled while it connected, or its client have gone while
+	// it waited to be scheduled. This is the only place where an attempt begins: nothing may
+	// be sent after that.
+	if !x.lease.isHolder() || attempt.Request.ClientGone() || attempt.Ctx.Err() != nil {
 		return balancer.Cancelled
 	}
-	if !g.acceptsWork(d.Replica) { // taken out since it was ordered, while the connection came up
-		keep = true
+	if !x.gateway.acceptsWork(attempt.Replica) { // ejected or draining since the dispatch
+		reusable = true
 		return balancer.NotSent
 	}
-	hand.markDispatched()
-	c.SetDeadline(cutAt)
-	if err := c.WriteBuffers(net.Buffers{httpwire.ForwardedHead(r, len(body), d.TimeoutAt-g.clock.now()), body}); err != nil {
-		// The last byte was never written, so the worker did not start.
-		return failureStatus(d, err, balancer.ConnectFailed)
+	x.lease.markDispatched()
+	conn.SetDeadline(timeoutAt)
+	if err := x.sendRequest(conn); err != nil {
+		// The last byte was never written, so the replica did not start.
+		return x.failureStatus(err, balancer.ConnectFailed)
 	}
-	sent := time.Now()
-	resp, err := readHead(c, cutAt)
+	resp, err := x.awaitHead(conn, timeoutAt)
 	if err != nil {
-		if time.Since(sent) >= silentReplicaAfter {
-			g.pool.CloseUnusedSince(d.Replica.ConnKey(), sent)
-		}
-		return failureStatus(d, err, balancer.ConnBroken)
+		return x.failureStatus(err, balancer.ConnBroken)
 	}
-	in := httpwire.NewBody(c.Reader, resp)
-	// Bytes behind an answer would be taken for the next one's.
-	whole := func() bool { return in.Delimited() && !resp.Close && c.Reader.Buffered() == 0 }
+	body := httpwire.NewBody(conn.Reader, resp)
+	var status balancer.Status
 	if resp.StatusCode != http.StatusOK {
-		e.report, e.httpStatus = httpwire.LoadReportOf(resp.Header), resp.StatusCode
-		c.SetDeadline(time.Now().Add(time.Second))
-		_, err := in.ReadAll(httpwire.MaxBodyBytes)
-		status := httpwire.StatusOf(resp)
-		// A worker that cannot use a request may close on what follows it.
-		keep = err == nil && whole() && status != balancer.Rejected
-		return status
+		status, reusable = x.readErrorReply(conn, resp, body, result)
+	} else {
+		status, reusable = x.readStream(conn, resp, body, result)
+	}
+	return status
+}
+
+// connectStatus returns the status of an attempt that got no connection.
+func (x attemptExchange) connectStatus(err error) balancer.Status {
+	switch {
+	case x.attempt.Ctx.Err() != nil:
+		return balancer.Cancelled
+	case errors.Is(err, connpool.ErrLocalShortage):
+		return balancer.NotSent // no replica is at fault
 	}
-	var notes httpwire.StreamObserver
-	var first []byte // of the first event: what breaks off before it is whole has given the client nothing
-	for begun := false; ; {
-		events, err := in.Next()
-		notes.Write(events)
-		if !begun {
-			first = append(first, events...)
+	return balancer.ConnectFailed
+}
+
+// sendRequest writes the head and the body with the time that the client has left.
+func (x attemptExchange) sendRequest(conn *connpool.Conn) error {
+	timeLeft := x.attempt.TimeoutAt - x.gateway.clock.now()
+	head := httpwire.ForwardedHead(x.request, len(x.body), timeLeft)
+	return conn.WriteBuffers(net.Buffers{head, x.body})
+}
+
+// awaitHead waits for the head of the answer. A replica that stayed silent for
+// silentReplicaAfter loses the cached connections that were unused since the sending.
+func (x attemptExchange) awaitHead(conn *connpool.Conn, timeoutAt time.Time) (*http.Response, error) {
+	sent := time.Now()
+	resp, err := readHead(conn, timeoutAt)
+	if err != nil && time.Since(sent) >= silentReplicaAfter {
+		x.gateway.pool.CloseUnusedSince(x.attempt.Replica.ConnKey(), sent)
+	}
+	return resp, err
+}
+
+// readErrorReply reads an answer that is not 200, and reports whether the connection can be
+// reused.
+func (x attemptExchange) readErrorReply(conn *connpool.Conn, resp *http.Response, body *httpwire.Body, result *attemptEnded) (status balancer.Status, reusable bool) {
+	result.report, result.httpStatus = httpwire.LoadReportOf(resp.Header), resp.StatusCode
+	conn.SetDeadline(time.Now().Add(errorReplyTimeout))
+	_, err := body.ReadAll(httpwire.MaxBodyBytes)
+	status = httpwire.StatusOf(resp)
+	// A replica that rejects a request may close on what follows it.
+	return status, err == nil && endsCleanly(conn, resp, body) && status != balancer.Rejected
+}
+
+// readStream reads the events of a 200 answer into attempt.Events, and reports whether the
+// connection can be reused.
+func (x attemptExchange) readStream(conn *connpool.Conn, resp *http.Response, body *httpwire.Body, result *attemptEnded) (status balancer.Status, reusable bool) {
+	var observer httpwire.StreamObserver
+	var firstEvent []byte // an answer that breaks within it has given the client nothing
+	for opened := false; ; {
+		events, err := body.Next()
+		ended := errors.Is(err, io.EOF)
+		observer.Write(events)
+		if !opened {
+			firstEvent = append(firstEvent, events...)
 			events = nil
-			if begun = httpwire.EndsEvent(first) || len(first) >= maxPartialEvent || err == io.EOF; begun {
-				events = first
-				g.loop.events <- streamOpened{d}
+			opened = httpwire.EndsEvent(firstEvent) || len(firstEvent) >= maxPartialEvent || ended
+			if opened {
+				events = firstEvent
+				x.gateway.loop.events <- streamOpened{x.attempt}
 			}
 		}
 		if len(events) > 0 {
 			select {
-			case d.Events <- bytes.Clone(events):
-			case <-d.Ctx.Done():
-				return balancer.Cancelled
+			case x.attempt.Events <- bytes.Clone(events):
+			case <-x.attempt.Ctx.Done():
+				return balancer.Cancelled, false
 			}
-			// From the first event on no deadline runs, but a silent machine
-			// leaves its connection open: only the clock tells.
-			c.SetDeadline(time.Now().Add(g.options.StreamIdleTimeout))
+			// From the first event on no deadline runs, but a machine that dies leaves its
+			// connection open: only a timeout shows that.
+			conn.SetDeadline(time.Now().Add(x.gateway.options.StreamIdleTimeout))
 		}
-		if err == io.EOF {
-			e.cachedTokens, e.outputTokens, e.report = notes.CachedTokens, notes.OutputTokens, notes.Report
-			if e.report.Has == 0 {
-				e.report = httpwire.LoadReportOf(resp.Header)
+		if ended {
+			result.observe(&observer, resp)
+			if !body.Delimited() {
+				return balancer.ConnBroken, false
 			}
-			if !in.Delimited() {
-				return balancer.ConnBroken
-			}
-			keep = whole()
-			return balancer.Served
+			return balancer.Served, endsCleanly(conn, resp, body)
 		}
 		if err != nil {
-			return failureStatus(d, err, balancer.ConnBroken)
+			return x.failureStatus(err, balancer.ConnBroken), false
 		}
 	}
 }
 
-// responseHeadTimeout is how long a head may take from its first byte: it comes in one
-// piece, and one that does not end would use up the request's time.
-const responseHeadTimeout = 500 * time.Millisecond
-
-// readHead waits for an answer and reads its head.
-func readHead(c *connpool.Conn, cutAt time.Time) (*http.Response, error) {
-	for infos := 0; ; infos++ {
-		if _, err := c.Reader.Peek(1); err != nil {
-			return nil, err
-		}
-		if by := time.Now().Add(responseHeadTimeout); by.Before(cutAt) {
-			c.SetDeadline(by)
-		}
-		resp, err := httpwire.ReadHead(c.Reader)
-		if errors.Is(err, os.ErrDeadlineExceeded) && time.Now().Before(cutAt) {
-			err = httpwire.ErrMalformed
-		}
-		c.SetDeadline(cutAt)
-		if err != nil || resp.StatusCode >= 200 {
-			return resp, err
-		}
-		if infos >= maxInformational {
-			return nil, fmt.Errorf("%w: over %d answers before the answer", httpwire.ErrMalformed, maxInformational)
-		}
+// observe takes over what was seen in a complete stream.
+func (e *attemptEnded) observe(observer *httpwire.StreamObserver, resp *http.Response) {
+	e.cachedTokens, e.outputTokens, e.report = observer.CachedTokens, observer.OutputTokens, observer.Report
+	if e.report.Has == 0 {
+		e.report = httpwire.LoadReportOf(resp.Header)
 	}
 }
 
-// maxInformational bounds the 1xx answers before the answer.
-const maxInformational = 8
-
-// failureStatus tells what the end of a connection means for an attempt.
-func failureStatus(d *inflight.Attempt, err error, otherwise balancer.Status) balancer.Status {
+// failureStatus returns what the failure of a connection means for the attempt; otherwise is
+// the status of a failure that is neither a cancellation, a malformed answer nor a timeout.
+func (x attemptExchange) failureStatus(err error, otherwise balancer.Status) balancer.Status {
 	switch {
-	case d.Ctx.Err() != nil:
+	case x.attempt.Ctx.Err() != nil:
 		return balancer.Cancelled
 	case errors.Is(err, httpwire.ErrMalformed):
 		return balancer.Malformed
--- a/internal/gateway/capture.go
+++ b/internal/gateway/capture.go
@@ -9,81 +9,129 @@
 	"archknot/internal/contract"
 )
 
-// Capture says how the gateway records what its module is told and orders.
+// ErrNotRecording says that there is no capture to save an incident from.
+var ErrNotRecording = errors.New("the gateway does not record (capture.record)")
+
+// Capture configures how the gateway records the decision module's inputs and actions.
 type Capture struct {
 	Writer   capture.WriterOptions
 	Recorder capture.Options
 }
 
-func (c *Capture) newWriter(seed uint64) (*capture.Writer, error) {
-	l := c.Writer
-	l.Seed = seed
-	return capture.NewWriter(l)
+// newRecording opens the writer of a recording that has not begun yet.
+func (c *Capture) newRecording(seed uint64) (*captureRecording, error) {
+	options := c.Writer
+	options.Seed = seed
+	writer, err := capture.NewWriter(options)
+	if err != nil {
+		return nil, err
+	}
+	return &captureRecording{writer: writer, options: c.Recorder}, nil
 }
 
 // captureRecording is a recorder with the writer behind it.
 type captureRecording struct {
-	recorder *capture.Recorder
+	recorder *capture.Recorder // nil: it has not begun
 	writer   *capture.Writer
 	options  capture.Options
 }
 
-// captureChange puts a recording in the place of the one before; nil ends it. Its
-// writer is handed back to be closed, which waits for the disk.
+// startCapture begins the first recording, before the loop runs.
+func (g *Gateway) startCapture() error {
+	if g.options.Capture == nil {
+		return nil
+	}
+	recording, err := g.options.Capture.newRecording(g.options.Seed)
+	if err != nil {
+		return err
+	}
+	g.loop.now = g.clock.now()
+	captureChange{next: recording}.apply(g.loop)
+	return nil
+}
+
+// SetCapture begins a recording, in place of a running one; nil ends it. It returns when the
+// old one is complete on disk. Any goroutine may call it while Serve runs.
+func (g *Gateway) SetCapture(ctx context.Context, c *Capture) error {
+	var next *captureRecording
+	if c != nil {
+		var err error
+		if next, err = c.newRecording(g.options.Seed); err != nil {
+			return err
+		}
+	}
+	previous := make(chan *capture.Writer, 1)
+	g.loop.post(ctx, captureChange{next, previous})
+	select {
+	case writer := <-previous:
+		if writer != nil {
+			writer.Close()
+		}
+		return nil
+	case <-ctx.Done():
+		return ctx.Err()
+	}
+}
+
+// captureChange replaces the recording; nil ends it. The old writer is handed back to be
+// closed, because closing waits for the disk.
 type captureChange struct {
 	next     *captureRecording
-	previous chan<- *capture.Writer
+	previous chan<- *capture.Writer // nil: nobody waits for it
 }
 
 func (e captureChange) apply(l *eventLoop) {
-	var old *capture.Writer
+	var writer *capture.Writer
 	if l.recording != nil {
 		l.recording.recorder.Close()
-		old = l.recording.writer
+		writer = l.recording.writer
 	}
 	l.recording, l.module = e.next, l.balancer
 	l.routeLedger()
-	if n := e.next; n != nil {
-		n.recorder = capture.NewRecorder(l.now, l.balancer, l.ledger, l, n.writer, capture.Host{Timers: l.pendingTimers, ReplicaName: l.replicaName, RequestName: l.requestName,
-			OpenCharges: l.openCharges}, n.options)
-		l.module = n.recorder
+	if next := e.next; next != nil {
+		next.recorder = capture.NewRecorder(l.now, l.balancer, l.accounting.ledger, l, next.writer, l.captureHost(), next.options)
+		l.module = next.recorder
 		l.routeLedger()
 	}
 	if e.previous != nil {
-		e.previous <- old
+		e.previous <- writer
 	}
 }
 
-func (l *eventLoop) pendingTimers() []capture.Timer {
-	out := make([]capture.Timer, len(l.timers))
-	for i, t := range l.timers {
-		out[i] = capture.Timer{At: t.at, Token: t.token}
+// captureHost returns what a recorder reads from the loop.
+func (l *eventLoop) captureHost() capture.Host {
+	return capture.Host{
+		Timers:      l.pendingTimers,
+		ReplicaName: l.replicaName,
+		RequestName: l.requestName,
+		OpenCharges: l.openCharges,
 	}
-	return out
 }
 
-// routeLedger has what the book is told go through the recorder, if there is one.
+// routeLedger has the calls of the ledger pass through the recorder, if there is one.
 func (l *eventLoop) routeLedger() {
+	a := &l.accounting
 	switch {
-	case l.ledger == nil:
-		l.recordedLedger = nil
+	case a.ledger == nil:
+		a.recorded = nil
 	case l.recording != nil && l.recording.recorder != nil:
-		l.recordedLedger = l.recording.recorder
+		a.recorded = l.recording.recorder
 	default:
-		l.recordedLedger = capture.UnrecordedLedger{Ledger: l.ledger}
+		a.recorded = capture.UnrecordedLedger{Ledger: a.ledger}
 	}
 }
 
-func (l *eventLoop) openCharges() (out []contract.OpenCharge) {
-	l.requests.EachOpenCharge(func(id balancer.RequestID, copy int, c *contract.Charge) {
-		out = append(out, contract.OpenCharge{Key: capture.ChargeKey(id, copy), Charge: c})
-	})
+func (l *eventLoop) pendingTimers() []capture.Timer {
+	out := make([]capture.Timer, len(l.timers))
+	for i, t := range l.timers {
+		out[i] = capture.Timer{At: t.at, Token: t.token}
+	}
 	return out
 }
 
 func (l *eventLoop) replicaName(id balancer.ReplicaID) string {
-	if w := l.endpoints.ByID(id); w != nil {
-		return w.Endpoint.ID
+	if replica := l.endpoints.ByID(id); replica != nil {
+		return replica.Endpoint.ID
 	}
 	return ""
 }
@@ -95,15 +143,32 @@
 	return ""
 }
 
-// incidentRequest keeps the last minutes of the recording as an incident.
+func (l *eventLoop) openCharges() (out []contract.OpenCharge) {
+	l.requests.EachOpenCharge(func(id balancer.RequestID, attempt int, c *contract.Charge) {
+		out = append(out, contract.OpenCharge{Key: capture.ChargeKey(id, attempt), Charge: c})
+	})
+	return out
+}
+
+// SaveIncident saves the last minutes of the capture and returns where. The error is
+// ErrNotRecording if there is no capture. Any goroutine may call it while Serve runs.
+func (g *Gateway) SaveIncident(ctx context.Context, reason string) (capture.SavedIncident, error) {
+	request := incidentRequest{reason, make(chan capture.SavedIncident, 1)}
+	g.loop.post(ctx, request)
+	select {
+	case saved := <-request.done:
+		return saved, saved.Err
+	case <-ctx.Done():
+		return capture.SavedIncident{}, ctx.Err()
+	}
+}
+
+// incidentRequest saves the last minutes of the recording as an incident.
 type incidentRequest struct {
 	reason string
 	done   chan capture.SavedIncident
 }
 
-// ErrNotRecording says that there is no capture to keep.
-var ErrNotRecording = errors.New("the gateway does not record (capture.record)")
-
 func (e incidentRequest) apply(l *eventLoop) {
 	if l.recording == nil {
 		e.done <- capture.SavedIncident{Err: ErrNotRecording}
@@ -111,39 +176,3 @@
 	}
 	l.recording.recorder.SaveIncident(l.now, e.reason, e.done)
 }
-
-// SetCapture begins a recording, in place of one that runs; nil ends it. It returns
-// when the old one is whole on disk.
-func (g *Gateway) SetCapture(ctx context.Context, c *Capture) error {
-	var next *captureRecording
-	if c != nil {
-		w, err := c.newWriter(g.options.Seed)
-		if err != nil {
-			return err
-		}
-		next = &captureRecording{writer: w, options: c.Recorder}
-	}
-	old := make(chan *capture.Writer, 1)
-	g.loop.post(ctx, captureChange{next, old})
-	select {
-	case w := <-old:
-		if w != nil {
-			w.Close()
-		}
-		return nil
-	case <-ctx.Done():
-		return ctx.Err()
-	}
-}
-
-// SaveIncident keeps the last minutes of the capture and tells where.
-func (g *Gateway) SaveIncident(ctx context.Context, reason string) (capture.SavedIncident, error) {
-	e := incidentRequest{reason, make(chan capture.SavedIncident, 1)}
-	g.loop.post(ctx, e)
-	select {
-	case s := <-e.done:
-		return s, s.Err
-	case <-ctx.Done():
-		return capture.SavedIncident{}, ctx.Err()
-	}
-}
--- a/internal/gateway/clientconn.go
+++ b/internal/gateway/clientconn.go
@@ -18,73 +18,69 @@
 	"archknot/internal/httpwire"
 )
 
-// clientConn is one connection of a client. The server's task reads and closes it; whoever else
-// wants it to end, a drain or the limit of connections, asks. Under mu the one or the other wins:
-// bytes of a request that have come, read or not, or the end. On a connection that has ended no
-// further byte is read, so that its client may send a request that crossed the end elsewhere.
+const (
+	// maxQueueTime bounds how long a request may have waited in the kernel's queue.
+	maxQueueTime balancer.Micros = 10_000_000
+	// maxMemoryRetries bounds the retries of a read that fails for want of memory, and
+	// memoryRetryPause is the pause before each.
+	maxMemoryRetries = 20
+	memoryRetryPause = time.Millisecond
+)
+
+// clientConn is one connection of a client. The HTTP server's goroutine reads and closes it;
+// a drain or the limit of connections may want it to end. Under mu one of the two wins: the
+// bytes of a request that have arrived, read or not, or the end. After the end no byte is
+// read, so that the client may send a request that crossed the end elsewhere.
 type clientConn struct {
 	net.Conn
 	raw         syscall.RawConn
 	tracker     *clientTracker
-	overLimit   bool         // accepted past the limit
-	lastWriteAt atomic.Int64 // when something was last written
+	overLimit   bool         // accepted beyond the limit: its requests are shed
+	lastWriteAt atomic.Int64 // 0: nothing was written
 	closeOnce   sync.Once
 
 	mu           sync.Mutex
-	readClosed   bool                    // no further byte is read
-	peerClosed   bool                    // the client's end has been read
+	readClosed   bool                    // no byte is read any more
+	peerClosed   bool                    // the client's end was read
 	lingering    bool                    // it is being closed, and its client may still read
 	used         bool                    // a request has been answered on it
-	requestStart balancer.Micros         // when a request's first byte was read: the server's handler starts later; 0: none is coming
-	idleSince    balancer.Micros         // since when none has been, or was before first
+	requestStart balancer.Micros         // when the first byte of a request arrived, before the server's handler starts; 0: none has
+	idleSince    balancer.Micros         // of the time before requestStart
 	answered     int                     // requests answered
 	framing      httpwire.RequestFraming // of all that was read
-	reason       closeReason             // what ended it first
-}
-
-// closeReason is why a client's connection ended.
-type closeReason uint8
-
-const (
-	closedAnswered    closeReason = iota // behind an answer that was said to be the last, or a request turned away
-	closedByClient                       // its client closed it or it broke
-	closedIdle                           // it rested, or its request did not come, for too long
-	closedForCapacity                    // another connection needed its place
-	closedForDrain                       // this gateway drains
-	closeReasonCount  int         = iota
-)
-
-func (r closeReason) String() string {
-	return [...]string{"answered", "client", "idle", "room", "drain"}[r]
+	reason       closeReason             // the first cause of its end
 }
 
-func newClientConn(nc net.Conn, c *clientTracker) (*clientConn, error) {
-	sc, ok := nc.(syscall.Conn)
+// newClientConn wraps an accepted connection. It fails if the connection has no descriptor.
+func newClientConn(conn net.Conn, tracker *clientTracker) (*clientConn, error) {
+	withDescriptor, ok := conn.(syscall.Conn)
 	if !ok {
-		return nil, fmt.Errorf("%T has no descriptor", nc)
+		return nil, fmt.Errorf("%T has no descriptor", conn)
 	}
-	raw, err := sc.SyscallConn()
-	return &clientConn{Conn: nc, raw: raw, tracker: c, idleSince: c.clock.now()}, err
+	raw, err := withDescriptor.SyscallConn()
+	return &clientConn{Conn: conn, raw: raw, tracker: tracker, idleSince: tracker.clock.now()}, err
 }
 
-// Read reads under mu: the bytes are the server's, or they stay unread.
+// Read reads under mu: the bytes belong to the server, or they stay unread.
 func (c *clientConn) Read(p []byte) (n int, err error) {
 	done := false
-	wait := c.raw.Read(func(fd uintptr) bool {
+	waitErr := c.raw.Read(func(fd uintptr) bool {
 		c.mu.Lock()
 		defer c.mu.Unlock()
-		n, err, done = c.readAvailable(int(fd), p)
+		n, done, err = c.readAvailable(int(fd), p)
 		return done
 	})
 	if done {
 		return n, err
 	}
-	// Its time is over, or it was closed.
+	// The read deadline has passed, or the connection was closed.
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	if !c.readClosed && c.requestStart == 0 && errors.Is(wait, os.ErrDeadlineExceeded) {
-		// What has come in this very moment is a request all the same.
-		if c.raw.Control(func(fd uintptr) { n, err, done = c.readAvailable(int(fd), p) }) == nil && done {
+	timedOut := errors.Is(waitErr, os.ErrDeadlineExceeded)
+	if !c.readClosed && c.requestStart == 0 && timedOut {
+		// What has arrived at this very moment is a request all the same.
+		controlErr := c.raw.Control(func(fd uintptr) { n, done, err = c.readAvailable(int(fd), p) })
+		if controlErr == nil && done {
 			return n, err
 		}
 		c.stopReading(closedIdle)
@@ -92,86 +88,75 @@
 	if c.readClosed {
 		return 0, io.EOF
 	}
-	if errors.Is(wait, os.ErrDeadlineExceeded) {
+	if timedOut {
 		c.setCloseReason(closedIdle)
 	}
-	return 0, wait
-}
-
-// stopReading has no further byte read. It is called under mu.
-func (c *clientConn) stopReading(why closeReason) {
-	c.readClosed = true
-	c.setCloseReason(why)
-}
-
-// setCloseReason keeps the first reason that the connection ends for. It is called under mu.
-func (c *clientConn) setCloseReason(why closeReason) {
-	if c.reason == closedAnswered {
-		c.reason = why
-	}
+	return 0, waitErr
 }
 
-// readAvailable reads what has come. It is called under mu; done is false where nothing has.
-func (c *clientConn) readAvailable(fd int, p []byte) (n int, err error, done bool) {
+// readAvailable reads what has arrived; done is false if nothing has. The caller holds mu.
+func (c *clientConn) readAvailable(fd int, p []byte) (n int, done bool, err error) {
 	if c.readClosed {
-		return 0, io.EOF, true
+		return 0, true, io.EOF
 	}
 	n, err = readOnce(fd, p)
 	switch {
-	case err == syscall.EAGAIN:
-		return 0, nil, false
+	case errors.Is(err, syscall.EAGAIN):
+		return 0, false, nil
 	case err != nil:
 		c.peerClosed = true
 		c.setCloseReason(closedByClient)
-		return 0, &net.OpError{Op: "read", Net: "tcp", Source: c.LocalAddr(), Addr: c.RemoteAddr(), Err: os.NewSyscallError("read", err)}, true
+		return 0, true, &net.OpError{Op: "read", Net: "tcp", Source: c.LocalAddr(), Addr: c.RemoteAddr(), Err: os.NewSyscallError("read", err)}
 	case n == 0:
 		c.peerClosed = true
 		c.setCloseReason(closedByClient)
-		return 0, io.EOF, true
-	}
-	// The server drops a Content-Length beside a Transfer-Encoding without a
-	// word: which of the two counts is in doubt, and with it where the next
-	// request begins. Only here are both seen, and before the server sees them.
-	c.framing.Write(p[:n])
-	if c.requestStart == 0 && (c.framing.Ambiguity != "" || c.framing.RequestStarted(c.answered)) { // an empty line behind a request begins none
-		c.requestStart = c.arrivalTime(fd, c.tracker.clock.now())
-		if c.used { // the time it may rest is no limit for a request that has begun
-			_ = c.Conn.SetReadDeadline(time.Now().Add(requestHeadTimeout))
-		}
+		return 0, true, io.EOF
 	}
-	return n, nil, true
+	c.recordRead(fd, p[:n])
+	return n, true, nil
 }
 
-// maxQueueTime bounds how long a request may have waited in the system's queue.
-const maxQueueTime balancer.Micros = 10_000_000
+// recordRead follows the framing of what was read. The HTTP server silently drops a
+// Content-Length beside a Transfer-Encoding: which of the two counts is in doubt, and with it
+// where the next request begins. Only here both are seen, and before the server sees them.
+// The caller holds mu.
+func (c *clientConn) recordRead(fd int, p []byte) {
+	c.framing.Write(p)
+	// An empty line after a request does not begin another one.
+	if c.requestStart != 0 || c.framing.Ambiguity == "" && !c.framing.RequestStarted(c.answered) {
+		return
+	}
+	c.requestStart = c.arrivalTime(fd, c.tracker.clock.now())
+	if c.used { // the idle timeout is no limit for a request that has begun
+		_ = c.SetReadDeadline(time.Now().Add(requestHeadTimeout))
+	}
+}
 
-// arrivalTime is when what has just been read came to this machine: it may have waited, with its connection
-// or on it, while this process was held up or short of descriptors, and its client's time runs from its
-// sending. It is called under mu.
+// arrivalTime returns when the bytes just read arrived at this machine. They may have waited,
+// with their connection or on it, while this process was held up or short of descriptors; the
+// client's deadline runs from its sending. The caller holds mu.
 func (c *clientConn) arrivalTime(fd int, now balancer.Micros) balancer.Micros {
 	info, err := unix.GetsockoptTCPInfo(fd, unix.IPPROTO_TCP, unix.TCP_INFO)
 	if err != nil {
 		return now
 	}
 	earliest := now - maxQueueTime
-	if c.used { // no sooner than the answer before
+	if c.used { // not before the previous answer
 		earliest = max(earliest, c.idleSince)
 	}
 	return max(earliest, now-balancer.Micros(info.Last_data_recv)*1000)
 }
 
-// maxMemoryRetries is how often a read is tried that fails for want of memory, and memoryRetryPause the pause.
-const maxMemoryRetries, memoryRetryPause = 20, time.Millisecond
-
-// readOnce reads what has come. A signal, or memory that the system lacks for a moment, says nothing of
-// the connection.
+// readOnce reads what has arrived. An interrupt, or memory that the system lacks for a moment,
+// says nothing about the connection: such a read is retried.
 func readOnce(fd int, p []byte) (n int, err error) {
-	for short := 0; ; {
+	for retries := 0; ; {
 		n, err = syscall.Read(fd, p)
+		outOfMemory := errors.Is(err, syscall.ENOMEM) || errors.Is(err, syscall.ENOBUFS)
 		switch {
-		case err == syscall.EINTR:
-		case (err == syscall.ENOMEM || err == syscall.ENOBUFS) && short < maxMemoryRetries:
-			short++
+		case errors.Is(err, syscall.EINTR):
+		case outOfMemory && retries < maxMemoryRetries:
+			retries++
 			time.Sleep(memoryRetryPause)
 		default:
 			return n, err
@@ -179,142 +164,49 @@
 	}
 }
 
+// Write writes a part of an answer.
 func (c *clientConn) Write(p []byte) (int, error) {
 	c.lastWriteAt.Store(c.tracker.clock.now())
 	return c.Conn.Write(p)
 }
 
-// closeIfIdle ends a connection on which nothing of a request has come, of those that were used before or
-// of those that were not, and tells whether it did. Its task then reads its end and closes it.
-func (c *clientConn) closeIfIdle(used bool) bool {
-	c.mu.Lock()
-	defer c.mu.Unlock()
-	return c.used == used && c.requestStart == 0 && c.stopUnlessPending(closedForDrain)
-}
-
-// stopUnlessPending ends the connection unless something waits to be read. It is called under mu.
-func (c *clientConn) stopUnlessPending(why closeReason) bool {
-	if c.readClosed {
-		return true
-	}
-	if connpool.HasUnreadData(c.Conn) {
-		return false
-	}
-	c.stopReading(why)
-	_ = c.Conn.SetReadDeadline(time.Unix(1, 0)) // wakes its task
-	return true
-}
-
-// evict ends the connection for another's sake, and at once: also one on which a request has
-// begun and does not go on. One that has come whole is never ended.
-func (c *clientConn) evict() bool {
-	c.mu.Lock()
-	won := c.lingering || c.framing.CompleteRequests <= c.answered && c.stopUnlessPending(closedForCapacity)
-	c.mu.Unlock()
-	if won {
-		c.tracker.remove(c)
-		c.Conn.Close()
-	}
-	return won
-}
-
 // requestAnswered notes that a request has been answered. In a drain the connection ends here.
 func (c *clientConn) requestAnswered(now balancer.Micros) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.used, c.idleSince = true, now
 	c.answered++
-	// Some of the next request may have been read with the one before.
-	if c.requestStart = 0; c.framing.RequestStarted(c.answered) {
+	c.requestStart = 0
+	if c.framing.RequestStarted(c.answered) { // part of the next one was read with it
 		c.requestStart = now
-	} else if c.tracker.draining() { // read under mu: drain asks each connection behind it
-		c.stopUnlessPending(closedForDrain)
-	}
-}
-
-// lingerTimeout is how long a closed connection's client may take to read the end of its answer, and
-// lingerFraction of all connections may be waited for so.
-const (
-	lingerTimeout  = 500 * time.Millisecond
-	lingerFraction = 4
-)
-
-// Close closes the connection. A close over unread bytes resets it, and takes what the client has
-// not got of its answer with it: where one has just been written, the sending side is ended first
-// and the client's end waited for, with nothing read.
-func (c *clientConn) Close() error {
-	var err error
-	c.closeOnce.Do(func() {
-		if c.beginLinger() {
-			c.awaitPeerClose()
-		}
-		c.tracker.remove(c)
-		c.tracker.recordClose(c)
-		err = c.Conn.Close()
-	})
-	return err
-}
-
-// beginLinger tells whether the close has to wait; from now on nothing is read.
-func (c *clientConn) beginLinger() bool {
-	cs := c.tracker
-	wrote := c.lastWriteAt.Load()
-	c.mu.Lock()
-	defer c.mu.Unlock()
-	c.readClosed = true
-	if c.peerClosed || wrote == 0 || cs.clock.now()-wrote >= lingerTimeout.Microseconds() {
-		return false
-	}
-	if cs.lingering.Add(1) > cs.maxConns.Load()/lingerFraction {
-		cs.lingering.Add(-1)
-		return false
-	}
-	c.lingering = true
-	return true
-}
-
-func (c *clientConn) awaitPeerClose() {
-	defer c.tracker.lingering.Add(-1)
-	until := time.Now().Add(lingerTimeout)
-	if c.CloseWrite() != nil || c.Conn.SetReadDeadline(until) != nil {
 		return
 	}
-	ended := false
-	err := c.raw.Read(func(fd uintptr) bool {
-		n, err := connpool.PeekDescriptor(int(fd))
-		ended = err != syscall.EAGAIN && (err != nil || n == 0)
-		return ended || n > 0
-	})
-	if err == nil && !ended { // behind unread bytes no end shows
-		time.Sleep(time.Until(until))
-	}
-}
-
-// CloseWrite ends the sending side.
-func (c *clientConn) CloseWrite() error {
-	if t, ok := c.Conn.(interface{ CloseWrite() error }); ok {
-		return t.CloseWrite()
+	// Read under mu: a drain that begins now ends each idle connection after this.
+	if c.tracker.draining() {
+		c.stopUnlessPending(closedForDrain)
 	}
-	return nil
 }
 
-// peerGone asks the system whether the client has closed the connection.
+// peerGone reports whether the client has closed the connection, by the kernel's state.
 func (c *clientConn) peerGone() bool { return connpool.PeerClosed(c.Conn) }
 
-// framingInDoubt tells whether the framing has a doubt: nothing more is taken from the connection.
+// framingInDoubt reports whether the length of a request is ambiguous: nothing more is served
+// on the connection.
 func (c *clientConn) framingInDoubt() bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return c.framing.Ambiguity != ""
 }
 
-// hasPipelined tells whether something of a further request has been read, which is owed an answer too.
+// hasPipelined reports whether part of a further request has been read, which is owed an answer
+// too.
 func (c *clientConn) hasPipelined() bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return c.framing.RequestStarted(c.answered + 1)
 }
 
+// requestSentAt returns when the current request's first byte arrived.
 func (c *clientConn) requestSentAt() balancer.Micros {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -324,7 +216,7 @@
 	return c.tracker.clock.now()
 }
 
-// readDeadlineBase is when the client connected, or when its further request began.
+// readDeadlineBase returns when the client connected, or when its further request began.
 func (c *clientConn) readDeadlineBase() time.Time {
 	at := c.requestSentAt()
 	c.mu.Lock()
@@ -334,26 +226,3 @@
 	}
 	return c.tracker.clock.timeAt(at)
 }
-
-// evictionRank tells how soon a connection may be ended, 1 the soonest, 0 never, and
-// for how long it has been so.
-func (c *clientConn) evictionRank(now balancer.Micros) (int, balancer.Micros) {
-	c.mu.Lock()
-	defer c.mu.Unlock()
-	quiet := now - c.idleSince
-	switch {
-	case c.lingering:
-		return 1, quiet
-	case c.framing.CompleteRequests > c.answered: // a request has come whole
-		return 0, 0
-	case c.requestStart > 0 && now-c.requestStart > slowRequestAfter:
-		return 4, now - c.requestStart
-	case c.requestStart > 0:
-		return 0, 0
-	case c.used:
-		return 3, quiet
-	case quiet > firstByteGrace:
-		return 2, quiet
-	}
-	return 5, quiet
-}
--- /dev/null
+++ b/internal/gateway/clock.go
@@ -0,0 +1,35 @@
+package gateway
+
+import (
+	"time"
+
+	"archknot/balancer"
+)
+
+// monotonicClock reads the monotonic clock in microseconds. It starts at the Unix time, so that
+// the start of a replica from before the gateway's own is above 0: a replica that is still
+// warming up when its gateway restarts must count as warming up.
+type monotonicClock struct {
+	start time.Time
+	base  balancer.Micros // the reading at start
+	wall  *wallClock
+}
+
+func newMonotonicClock() monotonicClock {
+	now := time.Now()
+	wall := &wallClock{read: func() balancer.Micros { return time.Now().UnixMicro() }}
+	return monotonicClock{start: now, base: now.UnixMicro(), wall: wall}
+}
+
+// now returns the current reading.
+func (c monotonicClock) now() balancer.Micros { return c.base + time.Since(c.start).Microseconds() }
+
+// timeAt returns the time of a reading.
+func (c monotonicClock) timeAt(reading balancer.Micros) time.Time {
+	return c.start.Add(time.Duration(reading-c.base) * time.Microsecond)
+}
+
+// fromUnixMillis returns the reading at a past Unix time in milliseconds.
+func (c monotonicClock) fromUnixMillis(unixMs int64) balancer.Micros {
+	return c.wall.toMonotonic(c.now(), unixMs*1000)
+}
--- a/internal/gateway/contracts.go
+++ b/internal/gateway/contracts.go
@@ -2,31 +2,37 @@
 
 import (
 	"context"
-	"encoding/json"
 	"errors"
 	"log/slog"
-	"net/http"
 	"time"
 
 	"archknot/balancer"
 	"archknot/internal/contract"
 	"archknot/internal/contract/ledger"
 	"archknot/internal/contract/split"
-	"archknot/internal/endpoint"
-	"archknot/internal/httpwire"
 	"archknot/internal/inflight"
 )
 
-// Contracts are the teams' agreements, and what holds for all of them.
+const (
+	// checkpointInterval is how often the loop looks for balances that are due to be written.
+	checkpointInterval = 250 * time.Millisecond
+	// checkpointPostTimeout bounds the wait of the store's goroutine for the event loop.
+	checkpointPostTimeout = 10 * time.Second
+)
+
+// errLoopNotAnswering says that the event loop did not answer within the call's time.
+var errLoopNotAnswering = errors.New("the gateway does not answer")
+
+// Contracts are the teams' contracts and what holds for all of them.
 type Contracts struct {
 	Settings contract.Settings
 	Teams    []contract.Terms
-	// Split makes the way in which this gateway tells its parts of them; nil: it is
-	// the only one.
+	// Split returns the strategy by which this gateway computes its shares of the contracts;
+	// nil: this is the only gateway.
 	Split func() split.Strategy
 }
 
-// openLedger puts the first contracts in force, where the kept balances end.
+// openLedger puts the first contracts in force, starting from the stored balances.
 func (g *Gateway) openLedger() error {
 	if g.options.Ledger != nil {
 		g.ledgerWriter = ledger.NewWriter(g.options.Ledger, g.onCheckpointWritten)
@@ -34,22 +40,23 @@
 	if g.options.Contracts == nil {
 		return nil
 	}
-	stored, err := g.storedBalances()
+	balances, err := g.storedBalances()
 	if err != nil {
 		return err
 	}
 	now := g.clock.now()
-	g.loop.now, g.loop.fileContracts = now, g.options.Contracts
-	if err := g.loop.applyContracts(stored); err != nil || g.ledgerWriter == nil || g.loop.ledger == nil {
+	accounting := &g.loop.accounting
+	g.loop.now, accounting.fileContracts = now, g.options.Contracts
+	if err := g.loop.applyContracts(balances); err != nil || g.ledgerWriter == nil || accounting.ledger == nil {
 		return err
 	}
-	// Written before anything is served: a strict book needs it, and a disk that
-	// cannot be written is told at once.
-	number, list := g.loop.recordedLedger.Checkpoint(now)
+	// Written before any request is served: a strict ledger needs it, and a disk that cannot
+	// be written shows at once.
+	checkpoint, list := accounting.recorded.Checkpoint(now)
 	if err := g.options.Ledger.Write(list); err != nil {
 		return err
 	}
-	g.loop.recordedLedger.CheckpointDone(now, number, true)
+	accounting.recorded.CheckpointDone(now, checkpoint, true)
 	return nil
 }
 
@@ -60,97 +67,68 @@
 	return g.options.Ledger.Load()
 }
 
-// applyContracts puts in force what the files have, with a version's contracts in place of
-// theirs if it has any. A book that begins anew goes on where stored balances end.
-func (l *eventLoop) applyContracts(stored []contract.Balance) error {
-	defer func() { l.gateway.hasContracts.Store(l.ledger != nil) }()
-	c := Contracts{}
-	if l.fileContracts != nil {
-		c = *l.fileContracts
-	}
-	if l.versionContracts != nil {
-		c.Teams = l.versionContracts
+// SetContracts puts other contracts in force; nil: none. Requests in flight are settled as
+// they were charged. Any goroutine may call it while Serve runs.
+func (g *Gateway) SetContracts(ctx context.Context, c *Contracts) error {
+	balances, err := g.storedBalances()
+	if err != nil {
+		return err
 	}
-	if len(c.Teams) == 0 {
-		if l.ledger != nil && l.recording != nil {
-			l.recording.recorder.ReplaceLedger(l.now, nil, 0, nil)
+	rejected, err := queryLoop(ctx, g.loop, func(l *eventLoop) error {
+		before := l.accounting.fileContracts
+		l.accounting.fileContracts = c
+		err := l.applyContracts(balances)
+		if err != nil {
+			l.accounting.fileContracts = before
 		}
-		// What is open is no book's any more: a later one must not settle it.
-		l.requests.EachOpenCharge(func(_ balancer.RequestID, _ int, c *contract.Charge) { *c = contract.Charge{} })
-		l.ledger, l.recordedLedger, l.quotaShares = nil, nil, quotaShares{}
+		return err
+	})
+	return errors.Join(rejected, err)
+}
+
+// CloseLedger writes all balances as they are. It is called once no request is in flight.
+func (g *Gateway) CloseLedger(ctx context.Context) error {
+	if g.ledgerWriter == nil {
 		return nil
 	}
-	if l.quotaShares.splitter = nil; c.Split != nil {
-		l.quotaShares.splitter = c.Split()
-	}
-	l.quotaShares.updatedAt, l.quotaShares.own, l.quotaShares.all = 0, 0, 0
-	if l.ledger != nil {
-		return l.recordedLedger.ApplyTerms(l.now, c.Settings, c.Teams)
-	}
-	unix := time.Now().UnixMicro()
-	book, err := contract.NewLedger(c.Settings, c.Teams, l.now, unix)
+	balances, err := queryLoop(ctx, g.loop, func(l *eventLoop) []contract.Balance {
+		if l.accounting.ledger == nil {
+			return nil
+		}
+		return l.accounting.ledger.FinalBalances()
+	})
 	if err != nil {
 		return err
 	}
-	if n := book.RestoreBalances(stored); n > 0 {
-		slog.Info("contract_ledger_resumed", "resumed", n)
-	}
-	if l.ledger = book; l.recording != nil {
-		l.recording.recorder.ReplaceLedger(l.now, book, unix, stored)
-	}
-	l.routeLedger()
-	return nil
-}
-
-// loopQuery has the loop find something out.
-type loopQuery[T any] struct {
-	run    func(*eventLoop) T
-	result chan T
-}
-
-func (e loopQuery[T]) apply(l *eventLoop) { e.result <- e.run(l) }
-
-// queryLoop has the loop answer a question between two events.
-func queryLoop[T any](ctx context.Context, l *eventLoop, f func(*eventLoop) T) (answer T, err error) {
-	e := loopQuery[T]{f, make(chan T, 1)}
-	l.post(ctx, e)
-	select {
-	case answer = <-e.result:
-		return answer, nil
-	case <-ctx.Done():
-		return answer, ctx.Err()
+	g.ledgerWriter.Close()
+	if balances == nil {
+		return nil
 	}
+	return g.options.Ledger.Write(balances)
 }
 
-// SetContracts puts other contracts in force; nil is none. What is in hand is settled as
-// it was charged.
-func (g *Gateway) SetContracts(ctx context.Context, c *Contracts) error {
-	stored, err := g.storedBalances()
-	if err != nil {
-		return err
-	}
-	refused, err := queryLoop(ctx, g.loop, func(l *eventLoop) error {
-		before := l.fileContracts
-		l.fileContracts = c
-		err := l.applyContracts(stored)
-		if err != nil {
-			l.fileContracts = before
+// Accounts returns the state of the teams' accounts; none without contracts. Any goroutine
+// may call it while Serve runs.
+func (g *Gateway) Accounts(ctx context.Context) ([]contract.AccountStatus, error) {
+	accounts, err := queryLoop(ctx, g.loop, func(l *eventLoop) []contract.AccountStatus {
+		if l.accounting.ledger == nil {
+			return nil
 		}
-		return err
+		return l.accounting.ledger.Accounts()
 	})
-	return errors.Join(refused, err)
+	if err != nil {
+		return nil, errors.Join(errLoopNotAnswering, err)
+	}
+	return accounts, nil
 }
 
-// checkpointInterval is how often balances that are due are written.
-const checkpointInterval = 250 * time.Millisecond
-
-// runLedgerTicks has the loop look after the books.
+// runLedgerTicks has the loop look after the ledger until the context ends.
 func (g *Gateway) runLedgerTicks(ctx context.Context) {
-	t := time.NewTicker(checkpointInterval)
-	defer t.Stop()
+	ticker := time.NewTicker(checkpointInterval)
+	defer ticker.Stop()
 	for {
 		select {
-		case <-t.C:
+		case <-ticker.C:
 			if g.hasContracts.Load() {
 				g.loop.post(ctx, ledgerTick{})
 			}
@@ -160,225 +138,91 @@
 	}
 }
 
+// ledgerTick: it is time to look for balances to write, and for the quota shares.
 type ledgerTick struct{}
 
 func (ledgerTick) apply(l *eventLoop) {
-	if l.ledger == nil {
+	a := &l.accounting
+	if a.ledger == nil {
 		return
 	}
-	if l.gateway.ledgerWriter != nil && l.ledger.CheckpointDue() && !l.quotaShares.checkpointing {
-		number, list := l.recordedLedger.Checkpoint(l.now)
-		if l.quotaShares.checkpointing = l.gateway.ledgerWriter.Write(number, list); !l.quotaShares.checkpointing {
-			l.recordedLedger.CheckpointDone(l.now, number, false)
+	writer := l.gateway.ledgerWriter
+	if writer != nil && a.ledger.CheckpointDue() && !a.checkpointing {
+		checkpoint, balances := a.recorded.Checkpoint(l.now)
+		a.checkpointing = writer.Write(checkpoint, balances)
+		if !a.checkpointing {
+			a.recorded.CheckpointDone(l.now, checkpoint, false)
 		}
 	}
-	l.updateQuotaParts()
+	a.updateQuotaShares(l.now)
 }
 
-// onCheckpointWritten is told by the store's task how a checkpoint went.
-func (g *Gateway) onCheckpointWritten(number uint64, err error) {
-	ctx, stop := context.WithTimeout(context.Background(), 10*time.Second)
+// onCheckpointWritten posts the end of a checkpoint. The store's goroutine calls it.
+func (g *Gateway) onCheckpointWritten(checkpoint uint64, err error) {
+	ctx, stop := context.WithTimeout(context.Background(), checkpointPostTimeout)
 	defer stop()
-	g.loop.post(ctx, checkpointWritten{number, err})
+	g.loop.post(ctx, checkpointWritten{checkpoint, err})
 }
 
+// checkpointWritten: the store has written a checkpoint, or failed to.
 type checkpointWritten struct {
 	checkpoint uint64
 	err        error
 }
 
 func (e checkpointWritten) apply(l *eventLoop) {
-	l.quotaShares.checkpointing = false
-	if l.ledger == nil {
-		return
-	}
-	l.recordedLedger.CheckpointDone(l.now, e.checkpoint, e.err == nil)
-	if e.err != nil && l.now-l.quotaShares.errorLoggedAt >= ledgerErrorInterval {
-		l.quotaShares.errorLoggedAt = l.now
-		slog.Error("contract_ledger_write_failed", "err", e.err, "unsaved_tokens", l.ledger.UnstoredUsage()/contract.Token)
-	}
+	l.accounting.checkpointWritten(l.now, e.checkpoint, e.err)
 }
 
-// ledgerErrorInterval is how often a store that cannot be written is told.
-const ledgerErrorInterval balancer.Micros = 10_000_000
-
-// CloseLedger writes all balances as they are. It is called once nothing is in hand.
-func (g *Gateway) CloseLedger(ctx context.Context) error {
-	if g.ledgerWriter == nil {
+// applyContracts puts the contracts of the file and the version in force. A new ledger
+// starts from the stored balances.
+func (l *eventLoop) applyContracts(stored []contract.Balance) error {
+	a := &l.accounting
+	defer func() { l.gateway.hasContracts.Store(a.ledger != nil) }()
+	c := a.contracts()
+	if len(c.Teams) == 0 {
+		l.removeContracts()
 		return nil
 	}
-	list, err := queryLoop(ctx, g.loop, func(l *eventLoop) []contract.Balance {
-		if l.ledger == nil {
-			return nil
-		}
-		return l.ledger.FinalBalances()
-	})
-	if err != nil {
-		return err
+	a.shares.reset(c.Split)
+	if a.ledger != nil {
+		return a.recorded.ApplyTerms(l.now, c.Settings, c.Teams)
 	}
-	if g.ledgerWriter.Close(); list == nil {
-		return nil
-	}
-	return g.options.Ledger.Write(list)
-}
-
-// Accounts are the teams' books as they stand; none without contracts.
-func (g *Gateway) Accounts(ctx context.Context) ([]contract.AccountStatus, error) {
-	list, err := queryLoop(ctx, g.loop, func(l *eventLoop) []contract.AccountStatus {
-		if l.ledger == nil {
-			return nil
-		}
-		return l.ledger.Accounts()
-	})
+	startedAt := time.Now().UnixMicro()
+	opened, err := contract.NewLedger(c.Settings, c.Teams, l.now, startedAt)
 	if err != nil {
-		return nil, errors.Join(errors.New("the gateway does not answer"), err)
+		return err
 	}
-	return list, nil
-}
-
-// quotaShares is what the gateway sees of the work in hand at the workers, of which it
-// tells its own parts of the contracts, and what else is kept beside the book.
-type quotaShares struct {
-	splitter   split.Strategy // nil: it is the only gateway
-	own, all   float64        // sums over the workers' reports since the last look
-	updatedAt  balancer.Micros
-	lastCounts []contract.Counters
-
-	checkpointing bool            // a checkpoint of balances is on its way to the disk
-	errorLoggedAt balancer.Micros // when it was last said that it failed
-}
-
-// quotaShareInterval is how often the gateway tells its parts anew.
-const quotaShareInterval balancer.Micros = 1_000_000
-
-// recordReplicaLoad notes what a worker says that it has in hand, beside what was sent there.
-func (l *eventLoop) recordReplicaLoad(w *endpoint.Replica, r *balancer.LoadReport) {
-	if l.quotaShares.splitter == nil || r.Has&balancer.HasInFlight == 0 {
-		return
+	if n := opened.RestoreBalances(stored); n > 0 {
+		slog.Info("contract_ledger_resumed", "resumed", n)
 	}
-	all := r.InFlight
-	if r.Has&balancer.HasQueued != 0 {
-		all += r.Queued
+	a.ledger = opened
+	if l.recording != nil {
+		l.recording.recorder.ReplaceLedger(l.now, opened, startedAt, stored)
 	}
-	// The report may be from before the last of this gateway's requests came.
-	l.quotaShares.own += float64(w.InFlight())
-	l.quotaShares.all += max(all, float64(w.InFlight()))
+	l.routeLedger()
+	return nil
 }
 
-// updateQuotaParts tells the book the gateway's parts of the contracts.
-func (l *eventLoop) updateQuotaParts() {
-	s := &l.quotaShares
-	if s.splitter == nil || l.now-s.updatedAt < quotaShareInterval {
-		return
-	}
-	accounts := l.ledger.Accounts()
-	seen := split.Observation{Interval: l.now - s.updatedAt, OwnInFlight: s.own, FleetInFlight: s.all}
-	if len(s.lastCounts) != len(accounts) || s.updatedAt == 0 {
-		s.lastCounts, seen.Interval = make([]contract.Counters, len(accounts)), 0
+// removeContracts ends accounting. Open charges are dropped with the ledger: a later one must
+// not settle them.
+func (l *eventLoop) removeContracts() {
+	if l.accounting.ledger != nil && l.recording != nil {
+		l.recording.recorder.ReplaceLedger(l.now, nil, 0, nil)
 	}
-	for i, t := range l.ledger.Terms() {
-		c, was := &accounts[i].Counters, &s.lastCounts[i]
-		seen.Teams = append(seen.Teams, split.TeamUsage{Rate: t.Rate, Requested: float64(c.RequestedUnits() - was.RequestedUnits()), Used: float64(c.Used - was.Used)})
-		*was = *c
-	}
-	s.updatedAt, s.own, s.all = l.now, 0, 0
-	l.recordedLedger.SetQuotaShares(l.now, s.splitter.Shares(seen))
-}
-
-// minPriorityWeight stands for a worth of nothing, for 0 says that there is no contract.
-const minPriorityWeight = 1e-6
-
-// charge charges a request, or a copy of it, what it is thought to use.
-func (l *eventLoop) charge(r *inflight.Request, copy int, c *contract.Charge) contract.Verdict {
-	return l.recordedLedger.Charge(l.now, &r.BalancerRequest, copy, c)
+	l.requests.EachOpenCharge(func(_ balancer.RequestID, _ int, c *contract.Charge) { *c = contract.Charge{} })
+	l.accounting.close()
 }
 
-// admitByContract has the team's contract judge a request before the module does. One
-// that it refuses is answered at once, and the module never hears of it.
+// admitByContract has the team's contract judge a request before the module gets it. One
+// that is rejected is answered at once.
 func (l *eventLoop) admitByContract(r *inflight.Request) bool {
-	if l.ledger == nil {
+	answer, admitted := l.accounting.admit(l.now, r)
+	if admitted {
 		return true
 	}
-	v := l.charge(r, 0, &r.Charge)
-	l.logBudgetNotices()
-	if v.Rejected && r.BalancerRequest.PriorAttempts > 0 { // admitted once, where it was lost: it goes on, for the least worth
-		r.BalancerRequest.PriorityFactor = minPriorityWeight
-		return true
-	}
-	if v.Rejected {
-		r.Finished = true
-		r.Actions <- inflight.Action{Kind: inflight.ActionDeny, Reason: v.Reason, RetryAfter: v.RetryAfter}
-		l.requests.RemoveIfFinished(r)
-		return false
-	}
-	r.BalancerRequest.PriorityFactor, r.OverRate, r.EstimatedUse = max(minPriorityWeight, v.PriorityWeight), v.OverQuota, r.Charge.Estimate
-	return true
-}
-
-// chargeAttempt gives an attempt its charge: the first has the request's, a further
-// copy one of its own. What the budget does not allow is not sent: it never ran.
-func (l *eventLoop) chargeAttempt(d *inflight.Attempt) bool {
-	if l.ledger == nil {
-		return true
-	}
-	r := d.Request
-	if d.Index == 0 {
-		d.Charge, r.Charge = r.Charge, contract.Charge{}
-		return true
-	}
-	if v := l.charge(r, d.Index, &d.Charge); v.Rejected {
-		d.Cancel()
-		l.deferred = append(l.deferred, attemptEnded{attempt: d, status: balancer.NotSent})
-		return false
-	}
-	return true
-}
-
-// settleAttempt puts what an attempt used in the place of its charge.
-func (l *eventLoop) settleAttempt(e *attemptEnded) {
-	if l.ledger == nil {
-		return
-	}
-	used := e.attempt.Charge.ActualUsage(e.status, e.attempt.Request.BalancerRequest.PromptTokens, e.cachedTokens, e.outputTokens)
-	l.recordedLedger.Settle(l.now, e.attempt.Request.ID, e.attempt.Index, &e.attempt.Charge, used, e.status == balancer.Served)
-	l.logBudgetNotices()
-}
-
-// recordShed tells the book that the module, or the workers, had no room for a
-// request. What ran and failed is no such thing.
-func (l *eventLoop) recordShed(r *inflight.Request) {
-	if l.ledger == nil || r.BalancerRequest.PriorityFactor == 0 {
-		return
-	}
-	for _, d := range r.Attempts {
-		if !d.NeverRan {
-			return
-		}
-	}
-	l.recordedLedger.RecordShed(l.now, &r.BalancerRequest, r.EstimatedUse, r.OverRate)
-}
-
-// releaseCharge settles a charge that no attempt had.
-func (l *eventLoop) releaseCharge(r *inflight.Request) {
-	if l.ledger != nil {
-		l.recordedLedger.Settle(l.now, r.ID, 0, &r.Charge, contract.Usage{}, false)
-	}
-}
-
-// logBudgetNotices logs budgets that have come to half, four fifths and all.
-func (l *eventLoop) logBudgetNotices() {
-	for _, n := range l.ledger.TakeNotices() {
-		slog.Info("contract_budget", "team", n.Team, "period", n.Period.String(), "percent", n.Percent, "used", n.Used/contract.Token,
-			"limit", n.Limit/contract.Token)
-	}
-}
-
-// writeContractRejection answers a request that its team's contract refuses.
-func writeContractRejection(w http.ResponseWriter, reason string, retryAfter balancer.Micros) {
-	if retryAfter > 0 {
-		w.Header().Set("Retry-After", httpwire.FormatRetryAfter(retryAfter))
-	}
-	w.Header().Set("Content-Type", "application/json")
-	w.WriteHeader(http.StatusTooManyRequests)
-	_ = json.NewEncoder(w).Encode(map[string]any{"error": map[string]any{"type": "contract", "code": reason, "retry_after_ms": retryAfter / 1000}})
+	r.Finished = true
+	r.Actions <- answer
+	l.requests.RemoveIfFinished(r)
+	return false
 }
--- a/internal/gateway/contracts_test.go
+++ b/internal/gateway/contracts_test.go
@@ -24,7 +24,7 @@
 	got := make(chan map[string]contract.AccountStatus, 1)
 	r.loop.post(t.Context(), inspectLoop{func(l *eventLoop) {
 		out := map[string]contract.AccountStatus{}
-		for _, a := range l.ledger.Accounts() {
+		for _, a := range l.accounting.ledger.Accounts() {
 			out[a.Team] = a
 		}
 		got <- out
--- a/internal/gateway/discovery_test.go
+++ b/internal/gateway/discovery_test.go
@@ -78,8 +78,8 @@
 	}
 	l := g.loop
 	l.now = g.clock.now()
-	l.receiveList(httpwire.EndpointList{Endpoints: []httpwire.Endpoint{{ID: "s-1", Addr: "127.0.0.1:1", Zone: "a", Kind: "k", Lifecycle: "ready"},
-		{ID: "s-2", Addr: "127.0.0.1:2", Zone: "a", Kind: "k", Lifecycle: "ready"}}}, balancer.ListCached)
+	l.loadCachedList(httpwire.EndpointList{Endpoints: []httpwire.Endpoint{{ID: "s-1", Addr: "127.0.0.1:1", Zone: "a", Kind: "k", Lifecycle: "ready"},
+		{ID: "s-2", Addr: "127.0.0.1:2", Zone: "a", Kind: "k", Lifecycle: "ready"}}})
 	ctx := t.Context()
 	r := inflight.NewRequest(ctx, "w1", balancer.Request{Class: "chat"}, l.now+4e6, 3)
 	requestArrived{r, l.gateway.config.Load(), true}.apply(l)
--- /dev/null
+++ b/internal/gateway/endpoints.go
@@ -0,0 +1,267 @@
+package gateway
+
+import (
+	"context"
+	"log/slog"
+	"time"
+
+	"archknot/balancer"
+	"archknot/internal/endpoint"
+	"archknot/internal/httpwire"
+	"archknot/internal/subset"
+)
+
+// Values of an endpoint's lifecycle in discovery's list.
+const (
+	lifecycleReady    = "ready"
+	lifecycleDraining = "draining"
+)
+
+// endpointTracker holds the endpoint list as discovery sent it, and what this gateway
+// changes about it: replicas that a configuration version drains or that operators ejected
+// get no new work, whatever the list says. The event loop owns it.
+type endpointTracker struct {
+	*endpoint.Registry
+	view         *subset.Selector             // what of the list the decision module gets
+	receivedAt   time.Time                    // when the list in force was received
+	listed       map[string]httpwire.Endpoint // discovery's own list, without marks and ejections
+	drainMarks   map[string]bool              // replicas that a configuration version drains
+	ejected      map[string]struct{}          // replicas that operators ejected
+	ejectedStart map[string]int64             // start times of these when first seen as ejected
+}
+
+func newEndpointTracker(settings subset.Settings, stats subset.PrefixStats) endpointTracker {
+	return endpointTracker{
+		Registry:     endpoint.NewRegistry(),
+		view:         subset.NewSelector(settings, stats),
+		listed:       map[string]httpwire.Endpoint{},
+		ejectedStart: map[string]int64{},
+	}
+}
+
+// fillPartialEntries completes the list's invalid entries with what was known of their
+// replicas; entries of unknown replicas are left out.
+func (t *endpointTracker) fillPartialEntries(in httpwire.EndpointList) httpwire.EndpointList {
+	if in.InvalidEntryCount == 0 {
+		return in
+	}
+	out := in
+	out.Endpoints = nil
+	for _, entry := range in.Endpoints {
+		if entry.Partial {
+			known, ok := t.listed[entry.ID]
+			if !ok {
+				continue
+			}
+			entry = entry.ApplyStateTo(known)
+		}
+		out.Endpoints = append(out.Endpoints, entry)
+	}
+	return out
+}
+
+// overlayWithheld remembers discovery's list and returns it with the withheld replicas as
+// draining.
+func (t *endpointTracker) overlayWithheld(in httpwire.EndpointList, kind balancer.ListKind) httpwire.EndpointList {
+	if kind != balancer.ListDelta {
+		clear(t.listed)
+	}
+	out := in
+	out.Endpoints = make([]httpwire.Endpoint, len(in.Endpoints))
+	for i, entry := range in.Endpoints {
+		if entry.State() == balancer.EndpointGone {
+			delete(t.listed, entry.ID)
+		} else {
+			t.listed[entry.ID] = entry
+		}
+		if t.isWithheld(entry.ID) && entry.State() == balancer.EndpointReady {
+			entry.Lifecycle = lifecycleDraining
+		}
+		out.Endpoints[i] = entry
+	}
+	return out
+}
+
+// isWithheld reports whether a replica gets no new work, whatever the list says, by the
+// version in force or by operators.
+func (t *endpointTracker) isWithheld(id string) bool {
+	_, ejected := t.ejected[id]
+	return ejected || t.drainMarks[id]
+}
+
+// setWithheld replaces the marks and ejections. It returns the entries whose state changes
+// with them.
+func (t *endpointTracker) setWithheld(marks map[string]bool, ejected map[string]struct{}) httpwire.EndpointList {
+	before := map[string]bool{}
+	for id := range t.listed {
+		before[id] = t.isWithheld(id)
+	}
+	t.drainMarks, t.ejected = marks, ejected
+	change := httpwire.EndpointList{Generation: t.Version()}
+	for id, entry := range t.listed {
+		if before[id] != t.isWithheld(id) {
+			change.Endpoints = append(change.Endpoints, entry)
+		}
+	}
+	return change
+}
+
+// assumeReinstatedStarted has replicas that are no longer ejected count as started just now.
+// An ejected replica was restarted, as a rule. Where the list does not show a new start yet,
+// it may be late, and a replica that is warming up fails under a warm one's load.
+func (t *endpointTracker) assumeReinstatedStarted(ejected map[string]struct{}, now balancer.Micros) {
+	for id := range t.ejected {
+		if _, still := ejected[id]; still {
+			continue
+		}
+		if start, seen := t.ejectedStart[id]; seen && t.listed[id].StartedAtMs == start {
+			t.AssumeStarted(id, now)
+		}
+		delete(t.ejectedStart, id)
+	}
+}
+
+// recordEjectedStarts remembers the start times of ejected replicas.
+func (t *endpointTracker) recordEjectedStarts() {
+	for id := range t.ejected {
+		if _, seen := t.ejectedStart[id]; seen {
+			continue
+		}
+		if entry, listed := t.listed[id]; listed {
+			t.ejectedStart[id] = entry.StartedAtMs
+		}
+	}
+}
+
+// hasEjectedReady reports whether a listed replica would take work if operators had not
+// ejected it. The process can serve then, even if no replica is left.
+func (t *endpointTracker) hasEjectedReady() bool {
+	for id := range t.ejected {
+		if entry, listed := t.listed[id]; listed && entry.Lifecycle == lifecycleReady {
+			return true
+		}
+	}
+	return false
+}
+
+// listReceived: discovery has sent a list or a change of it.
+type listReceived struct{ list httpwire.EndpointList }
+
+func (e listReceived) apply(l *eventLoop) {
+	kind := balancer.ListDelta
+	if e.list.Reset {
+		kind = balancer.ListFull
+	}
+	l.receiveList(e.list, kind)
+}
+
+// listPollFailed: a poll of discovery has failed.
+type listPollFailed struct {
+	err         error
+	unreachable bool          // nobody listens at discovery's address
+	handled     chan struct{} // closed once the event is applied
+}
+
+func (e listPollFailed) apply(l *eventLoop) {
+	slog.Info("discovery_failed", "err", e.err)
+	kind := balancer.ListFailed
+	if e.unreachable {
+		kind = balancer.ListUnreachable
+	}
+	select { // a poll requested while the call ran is answered by its failure
+	case <-l.pollRequests:
+	default:
+	}
+	l.module.ListChanged(l.now, balancer.EndpointList{Kind: kind})
+	close(e.handled)
+}
+
+// loadCachedList applies the list from the configuration, before discovery has answered.
+func (l *eventLoop) loadCachedList(list httpwire.EndpointList) {
+	l.applyList(list, balancer.ListCached)
+	l.updateReady()
+}
+
+// receiveList applies a list or a change from discovery itself.
+func (l *eventLoop) receiveList(list httpwire.EndpointList, kind balancer.ListKind) {
+	l.applyList(list, kind)
+	if !l.discoveryAnswered {
+		l.discoveryAnswered = true
+		l.gateway.discoveryAnswered.Store(true)
+		if l.gateway.options.Orders != nil {
+			go l.gateway.confirmEjections(context.Background())
+		}
+	}
+	l.updateReady()
+}
+
+// setWithheld puts other marks and ejections in force. The module gets the changed replicas
+// as discovery would announce them: a draining one gets no new work from this moment on.
+func (l *eventLoop) setWithheld(marks map[string]bool, ejected map[string]struct{}) {
+	change := l.endpoints.setWithheld(marks, ejected)
+	if len(change.Endpoints) > 0 {
+		l.applyList(change, balancer.ListOverride)
+	}
+}
+
+// applyList applies a list, or a ListOverride: what this gateway's own marks and ejections
+// change about it.
+func (l *eventLoop) applyList(list httpwire.EndpointList, kind balancer.ListKind) {
+	source := kind
+	if kind == balancer.ListOverride {
+		source = balancer.ListDelta
+	}
+	list = l.endpoints.fillPartialEntries(list)
+	l.recordListed(list)
+	list = l.endpoints.overlayWithheld(list, source)
+	change, removed := l.endpoints.Apply(list, source, l.gateway.clock.fromUnixMillis)
+	if kind == balancer.ListOverride {
+		change.Kind = balancer.ListOverride
+	}
+	for _, connKey := range removed {
+		l.gateway.pool.CloseIdle(connKey)
+	}
+	l.module.ListChanged(l.now, l.endpoints.view.Apply(l.now, change))
+	l.endpoints.receivedAt = l.gateway.clock.timeAt(l.now)
+	if len(list.Endpoints) > 0 {
+		l.logList(list, source)
+	}
+}
+
+// listKindNames are the values of kind in the log line of a list.
+var listKindNames = map[balancer.ListKind]string{
+	balancer.ListDelta:  "delta",
+	balancer.ListFull:   "full",
+	balancer.ListCached: "saved",
+}
+
+func (l *eventLoop) logList(list httpwire.EndpointList, kind balancer.ListKind) {
+	stats := l.endpoints.view.Stats()
+	slog.Info("endpoint_list", "kind", listKindNames[kind], "version", list.Generation, "entries", len(list.Endpoints),
+		"ready", l.endpoints.ReadyCount(), "subset", stats.Subset, "joined", stats.Joined, "left", stats.Left)
+}
+
+// recordListed remembers the ids of a list, for the operators' orders.
+func (l *eventLoop) recordListed(list httpwire.EndpointList) {
+	if l.gateway.options.Orders == nil {
+		return
+	}
+	for i := range list.Endpoints {
+		l.gateway.recentReplicas.add(list.Endpoints[i].ID)
+	}
+	if len(l.endpoints.ejectedStart) < len(l.endpoints.ejected) {
+		l.endpoints.recordEjectedStarts()
+	}
+}
+
+// updateReady makes the gateway ready once a replica can take work. The cached list is
+// enough: when all gateways restart at once, discovery does not get to some of them for
+// seconds.
+func (l *eventLoop) updateReady() {
+	if l.endpoints.ReadyCount() == 0 && !l.endpoints.hasEjectedReady() {
+		return
+	}
+	if !l.gateway.ready.Swap(true) {
+		slog.Info("ready", "replicas", l.endpoints.ReadyCount(), "from_discovery", l.discoveryAnswered)
+	}
+}
--- a/internal/gateway/gateway_test.go
+++ b/internal/gateway/gateway_test.go
@@ -110,7 +110,7 @@
 	}
 	l := g.loop
 	l.now = g.clock.now()
-	l.receiveList(httpwire.EndpointList{Endpoints: []httpwire.Endpoint{{ID: "s-1", Addr: "127.0.0.1:1", Zone: "a", Kind: "k", Lifecycle: "ready"}}}, balancer.ListCached)
+	l.loadCachedList(httpwire.EndpointList{Endpoints: []httpwire.Endpoint{{ID: "s-1", Addr: "127.0.0.1:1", Zone: "a", Kind: "k", Lifecycle: "ready"}}})
 	r := inflight.NewRequest(context.Background(), "l1", balancer.Request{Class: "chat"}, l.now+1e6, 3)
 	requestArrived{r, l.gateway.config.Load(), true}.apply(l)
 	if len(r.Actions) != 1 {
@@ -245,7 +245,7 @@
 			}()
 			in, _ := http.NewRequest("POST", "/v1/chat/completions", nil)
 			in.RequestURI = "/v1/chat/completions"
-			go g.runAttempt(in, []byte("{}"), d, nil)
+			go attemptExchange{gateway: g, request: in, body: []byte("{}"), attempt: d}.run()
 			for {
 				e, ok := (<-g.loop.events).(attemptEnded)
 				if !ok {
--- a/internal/gateway/healthcheck.go
+++ b/internal/gateway/healthcheck.go
@@ -15,39 +15,42 @@
 	"archknot/internal/httpwire"
 )
 
-// Probes of replicas.
-
-// runHealthCheck asks a worker for its state, and for its load where there are reports.
-func (g *Gateway) runHealthCheck(w *endpoint.Replica) {
+// runHealthCheck checks a replica's state, and its load where there are load reports. It posts
+// the outcome to the event loop.
+func (g *Gateway) runHealthCheck(replica *endpoint.Replica) {
 	path := httpwire.LivePath
 	if g.options.Settings.ReportSource != balancer.ReportNone {
 		path = httpwire.StatsPath
 	}
-	start, begin := g.clock.now(), time.Now()
-	e := healthCheckEnded{replica: w, status: balancer.Served}
-	err := pooledClient{g.pool, &g.meters[controlstats.PurposeHealthCheck]}.get(context.Background(), w.ConnKey(), w.Addr, path, g.options.HealthCheckTimeout, func(resp *http.Response, body io.Reader) error {
-		text, err := io.ReadAll(io.LimitReader(body, maxShortBody))
-		if err != nil {
-			return err
-		}
-		if resp.StatusCode != http.StatusOK {
-			e.status = balancer.Errored
-			return nil
-		}
-		if e.report = httpwire.LoadReportOf(resp.Header); e.report.Has == 0 {
-			e.report = httpwire.ParseLoadReport(strings.TrimSpace(string(text)))
-		}
-		return nil
-	})
+	start, startTime := g.clock.now(), time.Now()
+	result := healthCheckEnded{replica: replica, status: balancer.Served}
+	client := pooledClient{g.pool, &g.meters[controlstats.PurposeHealthCheck]}
+	err := client.get(context.Background(), replica.ConnKey(), replica.Addr, path, g.options.HealthCheckTimeout, result.read)
 	switch {
 	case errors.Is(err, connpool.ErrLocalShortage):
-		e.status = balancer.NotSent // it was not asked
+		result.status = balancer.NotSent // the replica did not get it
 	case errors.Is(err, errNotConnected):
-		e.status = balancer.ConnectFailed
+		result.status = balancer.ConnectFailed
 	case err != nil:
-		e.status, e.report = balancer.TimedOut, balancer.LoadReport{}
-		g.pool.CloseUnusedSince(w.ConnKey(), begin)
+		result.status, result.report = balancer.TimedOut, balancer.LoadReport{}
+		g.pool.CloseUnusedSince(replica.ConnKey(), startTime)
+	}
+	result.elapsed = g.clock.now() - start
+	g.loop.events <- result
+}
+
+// read takes over a replica's answer. A report in the header goes before one in the body.
+func (e *healthCheckEnded) read(status int, header http.Header, body io.Reader) error {
+	text, err := io.ReadAll(io.LimitReader(body, maxShortBody))
+	if err != nil {
+		return err
+	}
+	if status != http.StatusOK {
+		e.status = balancer.Errored
+		return nil
+	}
+	if e.report = httpwire.LoadReportOf(header); e.report.Has == 0 {
+		e.report = httpwire.ParseLoadReport(strings.TrimSpace(string(text)))
 	}
-	e.elapsed = g.clock.now() - start
-	g.loop.events <- e
+	return nil
 }
--- /dev/null
+++ b/internal/gateway/outcome.go
@@ -0,0 +1,50 @@
+package gateway
+
+import (
+	"context"
+	"fmt"
+	"log/slog"
+
+	"archknot/balancer"
+	"archknot/internal/httpwire"
+)
+
+// outcome is how a client's request ended, as the log names it.
+type outcome string
+
+const (
+	outcomeServed           outcome = "served"            // the stream was relayed to its end
+	outcomeStreamBroken     outcome = "stream_broken"     // it broke after its first event
+	outcomeShed             outcome = "shed"              // 503, it never ran
+	outcomeContractRejected outcome = "contract_rejected" // 429, the team's contract does not allow it
+	outcomeRejected         outcome = "rejected"          // 4xx
+	outcomeFailed           outcome = "failed"            // 502
+	outcomeClientGone       outcome = "client_gone"       // the client closed its connection first
+	outcomeTakenOver        outcome = "taken_over"        // another gateway goes on with it
+)
+
+// requestResult describes the end of a request for the log.
+type requestResult struct {
+	outcome    outcome
+	reason     string // of a request that was not served
+	replica    string // whose stream the client got
+	attempts   int
+	firstToken balancer.Micros // after the client's sending; 0: there was none
+	retryAfter balancer.Micros // the advice to the client; 0: none
+}
+
+// log writes the line of a request that has ended.
+func (r *requestResult) log(ctx context.Context, request *httpwire.ClientRequest, elapsed balancer.Micros) {
+	slog.LogAttrs(ctx, slog.LevelInfo, "request",
+		slog.String("id", request.ID),
+		slog.String("class", request.Request.Class),
+		slog.String("session", fmt.Sprintf("%016x", request.Request.Session)),
+		slog.String("outcome", string(r.outcome)),
+		slog.String("reason", r.reason),
+		slog.Int("attempts", r.attempts),
+		slog.String("replica", r.replica),
+		slog.Int64("timeout_ms", request.Timeout/1000),
+		slog.Int64("first_token_ms", r.firstToken/1000),
+		slog.Int64("total_ms", elapsed/1000),
+		slog.Int64("retry_after_ms", r.retryAfter/1000))
+}
--- a/internal/gateway/pooledclient.go
+++ b/internal/gateway/pooledclient.go
@@ -13,34 +13,41 @@
 	"archknot/internal/httpwire"
 )
 
-// Short calls without a body: to discovery, and probes.
+// maxShortBody bounds the answer to a health check, and what is read of an unused rest of an
+// answer so that its connection can be reused.
+const maxShortBody = 64 << 10
+
+var (
+	// errNotConnected marks a call that never reached the other side.
+	errNotConnected = errors.New("connect")
+	// errAnswerCutOff says that an answer did not end, or not within maxShortBody of what was
+	// read of it.
+	errAnswerCutOff = errors.New("answer cut off or too long")
+)
 
-// errNotConnected marks a call that never reached the other side.
-var errNotConnected = errors.New("connect")
+// answerReader reads the body of an answer.
+type answerReader func(status int, header http.Header, body io.Reader) error
 
-// pooledClient makes short calls without a body over kept connections.
+// pooledClient makes GET calls over cached connections: to discovery, and health checks.
 type pooledClient struct {
 	pool  *connpool.Pool
 	meter *controlstats.Meter
 }
 
-// maxShortBody bounds the answer to a probe, and what is read of one that is of no use so that its
-// connection can serve again.
-const maxShortBody = 64 << 10
-
-// get fetches a path and has the answer's body read; the whole call takes no longer than the limit.
-func (c pooledClient) get(ctx context.Context, key, addr, path string, limit time.Duration, read func(*http.Response, io.Reader) error) error {
-	ctx, stop := context.WithTimeout(ctx, limit)
+// get fetches a path from an address and has the answer read. key names the address's
+// connections in the pool. The whole call ends within the timeout.
+func (c pooledClient) get(ctx context.Context, key, addr, path string, timeout time.Duration, read answerReader) error {
+	ctx, stop := context.WithTimeout(ctx, timeout)
 	defer stop()
 	conn, err := c.pool.Get(ctx, key, addr)
 	if err != nil {
 		return fmt.Errorf("%w: %w", errNotConnected, err)
 	}
 	conn.StartCall(c.meter)
-	keep := false
+	reusable := false
 	unhook := context.AfterFunc(ctx, func() { conn.Close() })
 	defer func() {
-		if unhook() && keep {
+		if unhook() && reusable {
 			c.pool.Put(conn)
 		} else {
 			c.pool.Drop(conn)
@@ -49,26 +56,31 @@
 	if _, err := fmt.Fprintf(conn, "GET %s HTTP/1.1\r\nHost: %s\r\n\r\n", path, addr); err != nil {
 		return fmt.Errorf("write: %w", err)
 	}
-	deadline, _ := ctx.Deadline()
+	deadline, _ := ctx.Deadline() // it has one
 	conn.SetDeadline(deadline)
+	reusable, err = readAnswer(conn, deadline, read)
+	return err
+}
+
+// readAnswer has one answer read, and reports whether its connection can be reused.
+func readAnswer(conn *connpool.Conn, deadline time.Time, read answerReader) (reusable bool, err error) {
 	resp, err := readHead(conn, deadline)
 	if err != nil {
-		return fmt.Errorf("no answer: %w", err)
+		return false, fmt.Errorf("no answer: %w", err)
 	}
-	in := httpwire.NewBody(conn.Reader, resp)
-	body := in.Reader()
-	failed := read(resp, body)
-	whole := drainBody(body)
-	keep = whole && in.Delimited() && !resp.Close && conn.Reader.Buffered() == 0
-	if failed == nil && !whole {
-		failed = errors.New("answer cut off or too long")
+	body := httpwire.NewBody(conn.Reader, resp)
+	content := body.Reader()
+	err = read(resp.StatusCode, resp.Header, content)
+	complete := drainBody(content)
+	if err == nil && !complete {
+		err = errAnswerCutOff
 	}
-	return failed
+	return complete && endsCleanly(conn, resp, body), err
 }
 
-// drainBody reads the rest of a body, and tells whether it met its end.
+// drainBody reads the rest of a body, and reports whether its end was reached.
 func drainBody(body io.Reader) bool {
-	rest := io.LimitedReader{R: body, N: maxShortBody}
-	_, err := io.Copy(io.Discard, &rest)
-	return err == nil && rest.N > 0
+	limited := io.LimitedReader{R: body, N: maxShortBody}
+	_, err := io.Copy(io.Discard, &limited)
+	return err == nil && limited.N > 0
 }
--- /dev/null
+++ b/internal/gateway/readhead.go
@@ -0,0 +1,49 @@
+package gateway
+
+import (
+	"errors"
+	"fmt"
+	"net/http"
+	"os"
+	"time"
+
+	"archknot/internal/connpool"
+	"archknot/internal/httpwire"
+)
+
+const (
+	// responseHeadTimeout is how long an answer's head may take from its first byte: it is
+	// sent in one piece, and one that does not end would use up the request's time.
+	responseHeadTimeout = 500 * time.Millisecond
+	// maxInformational bounds the 1xx answers before the final answer.
+	maxInformational = 8
+)
+
+// readHead waits for an answer and reads its head, past 1xx answers.
+func readHead(conn *connpool.Conn, timeoutAt time.Time) (*http.Response, error) {
+	for informational := 0; ; informational++ {
+		if _, err := conn.Reader.Peek(1); err != nil {
+			return nil, err
+		}
+		if headBy := time.Now().Add(responseHeadTimeout); headBy.Before(timeoutAt) {
+			conn.SetDeadline(headBy)
+		}
+		resp, err := httpwire.ReadHead(conn.Reader)
+		if errors.Is(err, os.ErrDeadlineExceeded) && time.Now().Before(timeoutAt) {
+			err = httpwire.ErrMalformed
+		}
+		conn.SetDeadline(timeoutAt)
+		if err != nil || resp.StatusCode >= http.StatusOK {
+			return resp, err
+		}
+		if informational >= maxInformational {
+			return nil, fmt.Errorf("%w: over %d answers before the answer", httpwire.ErrMalformed, maxInformational)
+		}
+	}
+}
+
+// endsCleanly reports whether a connection can carry another request after this answer.
+// Bytes behind an answer would be taken for the answer to the next request.
+func endsCleanly(conn *connpool.Conn, resp *http.Response, body *httpwire.Body) bool {
+	return body.Delimited() && !resp.Close && conn.Reader.Buffered() == 0
+}
--- /dev/null
+++ b/internal/gateway/relay.go
@@ -0,0 +1,64 @@
+package gateway
+
+import (
+	"net/http"
+	"time"
+
+	"archknot/internal/httpwire"
+	"archknot/internal/inflight"
+)
+
+const (
+	// partialEventWait is how long an incomplete event waits for its remainder.
+	partialEventWait = 50 * time.Millisecond
+	// maxPartialEvent bounds the size of an event that is held back until it is complete.
+	maxPartialEvent = 64 << 10
+	// clientWriteTimeout is how long a client may read nothing of what is sent to it; after
+	// that it counts as gone.
+	clientWriteTimeout = 5 * time.Second
+)
+
+// relayStream writes an attempt's events to the client as they arrive, and reports whether
+// the stream was relayed to its end. A replica may send one event in several chunks, which
+// are of no use to the client alone: they are written together, or after partialEventWait
+// as far as they have arrived.
+func relayStream(w http.ResponseWriter, attempt *inflight.Attempt, lease *requestLease) bool {
+	defer attempt.Cancel()
+	controller := http.NewResponseController(w)
+	w.Header().Set("Content-Type", "text/event-stream")
+	w.Header().Set("Cache-Control", "no-store")
+	var pending []byte
+	flush := time.NewTimer(0)
+	defer flush.Stop()
+	for open := true; open; {
+		select {
+		case events, ok := <-attempt.Events:
+			open = ok
+			if !ok {
+				break
+			}
+			events, ok = lease.skipDelivered(events)
+			if !ok || !lease.isHolder() {
+				return false
+			}
+			if len(pending) == 0 {
+				flush.Reset(partialEventWait)
+			}
+			pending = append(pending, events...)
+			if !httpwire.EndsEvent(pending) && len(pending) < maxPartialEvent {
+				continue
+			}
+		case <-flush.C:
+		}
+		if len(pending) == 0 {
+			continue
+		}
+		_ = controller.SetWriteDeadline(time.Now().Add(clientWriteTimeout))
+		if _, err := w.Write(pending); err != nil || controller.Flush() != nil {
+			return false
+		}
+		pending = pending[:0]
+	}
+	_ = controller.SetWriteDeadline(time.Now().Add(clientWriteTimeout))
+	return attempt.Complete && lease.prefixDelivered()
+}
--- /dev/null
+++ b/internal/gateway/request.go
@@ -0,0 +1,217 @@
+package gateway
+
+import (
+	"cmp"
+	"context"
+	"net/http"
+
+	"archknot/balancer"
+	"archknot/internal/httpwire"
+	"archknot/internal/inflight"
+)
+
+// requestHandler serves one client request. The goroutine of the client's connection owns it.
+type requestHandler struct {
+	gateway     *Gateway
+	conn        *clientConn
+	config      *liveConfig // one version for the whole request
+	sentAt      balancer.Micros
+	request     httpwire.ClientRequest
+	hasDeadline bool // the client set its own deadline
+	body        []byte
+	lease       *requestLease
+	inFlight    *inflight.Request
+	result      requestResult
+}
+
+// serve handles one request, from its head to the last byte of its answer.
+func (g *Gateway) serve(w http.ResponseWriter, r *http.Request) {
+	conn := g.clients.connOf(r.Context())
+	config := g.config.Load()
+	h := requestHandler{gateway: g, conn: conn, config: config, sentAt: conn.requestSentAt()}
+	if rejected := h.parseHead(r); rejected != nil {
+		g.reject(w, rejected)
+		return
+	}
+	if !h.readBody(w, r) {
+		return
+	}
+	defer g.clients.releaseBytes(int64(len(h.body)))
+	if !h.admit(w) {
+		return
+	}
+	defer g.clients.endRequest(h.request.ID)
+	ctx, rejected := h.acquireLease(r.Context(), r)
+	if rejected != nil {
+		g.reject(w, rejected)
+		return
+	}
+	defer h.lease.release()
+	ctx, cancel := context.WithCancel(ctx)
+	defer cancel()
+	h.enterFlight(ctx, cancel)
+	defer h.recordResult(ctx)
+	g.loop.events <- requestArrived{h.inFlight, h.config, h.hasDeadline}
+	h.carryOutActions(ctx, w, r)
+}
+
+// parseHead reads the request's head. All that it tells is checked before the body is
+// read: a request that cannot be served takes up neither memory nor a replica. A replica
+// would reject it with an error, and errors count against the replica.
+func (h *requestHandler) parseHead(r *http.Request) *rejection {
+	request, err := httpwire.ParseRequest(r.Header)
+	h.hasDeadline = request.Timeout > 0
+	if err == nil {
+		err = h.config.checkClass(&request)
+	}
+	h.request = request
+	if err != nil {
+		return badRequest(err.Error())
+	}
+	return nil
+}
+
+// checkClass rejects a class that the configuration does not have, and sets the class's
+// timeout on a request that has none of its own.
+func (c *liveConfig) checkClass(request *httpwire.ClientRequest) error {
+	class, err := c.class(request.Request.Class)
+	request.Timeout = cmp.Or(request.Timeout, class.Deadline)
+	return err
+}
+
+// readBody reads the request's body. If it returns false, the client has been answered and
+// no body memory is reserved.
+func (h *requestHandler) readBody(w http.ResponseWriter, r *http.Request) bool {
+	body, rejected := h.gateway.readBody(w, r)
+	switch {
+	case rejected == bodyMemoryExhausted:
+		h.gateway.capacityLog.log("body_memory_exhausted", "bytes", h.gateway.clients.bodyBytes.Load())
+		writeAtCapacity(w, h.config)
+		return false
+	case rejected != nil:
+		h.gateway.reject(w, rejected)
+		return false
+	}
+	h.body = body
+	return true
+}
+
+// admit enters the request among those in flight, within the gateway's own limits. If it
+// returns false, the client has been answered.
+func (h *requestHandler) admit(w http.ResponseWriter) bool {
+	g := h.gateway
+	if h.conn.framingInDoubt() { // seen in what arrived after the head
+		g.reject(w, rejectAmbiguousFraming)
+		return false
+	}
+	h.request.EstimatePrompt(len(h.body))
+	if g.clients.shedsNewRequests() {
+		shedDraining(w, &h.request, h.config)
+		return false
+	}
+	if !h.conn.overLimit && g.clients.beginRequest(h.request.ID, h.config.maxInFlight) {
+		return true
+	}
+	if g.clients.inFlight(h.request.ID) {
+		g.reject(w, rejectDuplicateID)
+		return false
+	}
+	g.capacityLog.log("at_capacity", "id", h.request.ID, "in_flight", g.clients.inFlightCount())
+	writeAtCapacity(w, h.config)
+	return false
+}
+
+// enterFlight creates the record that the event loop and the attempts share.
+func (h *requestHandler) enterFlight(ctx context.Context, cancel context.CancelFunc) {
+	maxAttempts := max(protocolMaxAttempts, h.gateway.options.Settings.MaxAttempts)
+	h.inFlight = inflight.NewRequest(ctx, h.request.ID, h.request.Request, h.sentAt+h.request.Timeout, maxAttempts)
+	h.inFlight.ClientClosed = h.conn.peerGone
+	h.inFlight.Cancel = cancel
+	h.result.outcome = outcomeClientGone
+}
+
+// recordResult reports and logs how the request ended.
+func (h *requestHandler) recordResult(ctx context.Context) {
+	g := h.gateway
+	if g.options.RequestEnded != nil {
+		g.options.RequestEnded(h.config.missedObjective(&h.request, h.result.outcome, h.result.firstToken))
+	}
+	h.result.log(ctx, &h.request, g.clock.now()-h.sentAt)
+}
+
+// carryOutActions carries out the event loop's actions until the request is answered or its
+// context ends.
+func (h *requestHandler) carryOutActions(ctx context.Context, w http.ResponseWriter, r *http.Request) {
+	for {
+		select {
+		case action := <-h.inFlight.Actions:
+			switch action.Kind {
+			case inflight.ActionForward:
+				h.result.attempts++
+				attemptExchange{h.gateway, r, h.body, action.Attempt, h.lease}.start()
+			case inflight.ActionStream:
+				h.stream(ctx, w, action.Attempt)
+				return
+			default:
+				h.answer(w, action)
+				return
+			}
+		case <-ctx.Done(): // the attempts end with it
+			h.abandon()
+			return
+		}
+	}
+}
+
+// stream relays an attempt's stream to the client.
+func (h *requestHandler) stream(ctx context.Context, w http.ResponseWriter, attempt *inflight.Attempt) {
+	h.result.replica = attempt.Replica.Endpoint.ID
+	h.result.firstToken = h.gateway.clock.now() - h.sentAt
+	complete := relayStream(w, attempt, h.lease)
+	switch {
+	case ctx.Err() != nil || h.lease.lost():
+		h.gateway.loop.events <- clientGone{h.inFlight}
+	case complete:
+		h.result.outcome = outcomeServed
+	default:
+		h.result.outcome = outcomeStreamBroken
+	}
+	if !complete {
+		// Closes the connection without the last chunk: the client sees that the stream
+		// broke, and may resume it.
+		panic(http.ErrAbortHandler)
+	}
+}
+
+// answer sends a final answer that has no stream.
+func (h *requestHandler) answer(w http.ResponseWriter, action inflight.Action) {
+	switch action.Kind {
+	case inflight.ActionShed:
+		h.setAnswer(outcomeShed, action)
+		writeOverload(w, action.RetryAfter)
+	case inflight.ActionDeny:
+		h.setAnswer(outcomeContractRejected, action)
+		writeContractRejection(w, action.Reason, action.RetryAfter)
+	case inflight.ActionReject:
+		h.setAnswer(outcomeRejected, action)
+		h.gateway.reject(w, badRequest(action.Reason))
+	case inflight.ActionFail:
+		h.setAnswer(outcomeFailed, action)
+		http.Error(w, "the request failed", http.StatusBadGateway)
+	}
+}
+
+func (h *requestHandler) setAnswer(o outcome, action inflight.Action) {
+	h.result.outcome = o
+	h.result.reason = action.Reason
+	h.result.retryAfter = action.RetryAfter
+}
+
+// abandon ends a request whose client has gone or which another gateway has taken over.
+func (h *requestHandler) abandon() {
+	h.gateway.loop.events <- clientGone{h.inFlight}
+	if h.lease.lost() {
+		h.result.outcome = outcomeTakenOver
+		panic(http.ErrAbortHandler)
+	}
+}
--- a/internal/gateway/takeover.go
+++ b/internal/gateway/takeover.go
@@ -17,139 +17,168 @@
 	"archknot/internal/takeover"
 )
 
-// requestLease is a request that this gateway holds where gateways go on with each other's work;
-// nil: they do not, and everything about it is allowed.
+// requestLease is this gateway's lease on a request, where gateways take over each other's
+// requests. A nil lease is valid: there are no take-overs, and everything is allowed.
 type requestLease struct {
-	lease      *peers.Lease
-	ctx        context.Context
-	cancel     context.CancelFunc
-	hasPermit  bool // the first attempt here has its permit
-	resume     httpwire.ResumeRequest
-	offset     int64 // of the answer, in bytes, with what the client had
-	checksum   hash.Hash32
-	attempts   sync.WaitGroup // attempts
+	lease    *peers.Lease
+	ctx      context.Context // the request's; it also ends when the lease is lost
+	cancel   context.CancelFunc
+	attempts sync.WaitGroup
+
+	// What the client of a resumed request had received elsewhere. The goroutine of the
+	// client's connection owns it.
+	resume   httpwire.ResumeRequest
+	offset   int64 // bytes of this answer that were compared with what the client has
+	checksum hash.Hash32
+
 	mu         sync.Mutex
-	dispatched bool // one may have run
+	dispatched bool // an attempt may have run
 }
 
-// takeoverTerms tells what a class allows a second run.
-func (g *Gateway) takeoverTerms(class string, v *liveConfig) takeover.RetryPolicy {
-	c, err := v.class(class)
-	safe := err == nil && c.Idempotency == balancer.Idempotent
-	return takeover.RetryPolicy{Idempotent: safe, Hedgeable: safe && g.options.Settings.MayHedge}
+// takeoverTerms returns what a class allows after a first run.
+func (g *Gateway) takeoverTerms(class string, config *liveConfig) takeover.RetryPolicy {
+	c, err := config.class(class)
+	idempotent := err == nil && c.Idempotency == balancer.Idempotent
+	return takeover.RetryPolicy{Idempotent: idempotent, Hedgeable: idempotent && g.options.Settings.MayHedge}
 }
 
-// acquireLease holds a request, or goes on with one that another gateway had. requestSentAt is the
-// client's sending. A problem is the answer to a request that cannot be gone on with.
-func (g *Gateway) acquireLease(r *http.Request, job *httpwire.ClientRequest, sentAt balancer.Micros, v *liveConfig) (*requestLease, *rejection) {
-	if g.options.Peers == nil {
-		return nil, nil
+// acquireLease leases a new request, or claims one that another gateway had. It returns the
+// context in which the request is served.
+func (h *requestHandler) acquireLease(ctx context.Context, r *http.Request) (context.Context, *rejection) {
+	if h.gateway.options.Peers == nil {
+		return ctx, nil
 	}
-	rest, asked, err := httpwire.ParseResume(r.Header)
+	resume, resumes, err := httpwire.ParseResume(r.Header)
 	if err != nil {
-		return nil, &rejection{http.StatusBadRequest, err.Error()}
-	}
-	h := &requestLease{}
-	h.ctx, h.cancel = context.WithCancel(r.Context())
-	if !asked {
-		left := time.Duration(sentAt+job.Timeout-g.clock.now()) * time.Microsecond
-		if h.lease = g.options.Peers.Acquire(job.ID, g.takeoverTerms(job.Request.Class, v), max(0, left), h.cancel); h.lease == nil {
-			h.cancel()
-			return nil, rejectDuplicateID
-		}
-		return h, nil
+		return nil, badRequest(err.Error())
+	}
+	ctx, cancel := context.WithCancel(ctx)
+	lease := &requestLease{ctx: ctx, cancel: cancel}
+	var rejected *rejection
+	if resumes {
+		rejected = h.claimLease(ctx, lease, resume)
+	} else {
+		rejected = h.acquireNewLease(lease)
 	}
-	ctx, stop := context.WithDeadline(h.ctx, g.clock.timeAt(sentAt+job.Timeout))
+	if rejected != nil {
+		cancel()
+		return nil, rejected
+	}
+	h.lease = lease
+	return ctx, nil
+}
+
+// acquireNewLease leases a request that no gateway has.
+func (h *requestHandler) acquireNewLease(lease *requestLease) *rejection {
+	g := h.gateway
+	timeLeft := time.Duration(h.sentAt+h.request.Timeout-g.clock.now()) * time.Microsecond
+	terms := g.takeoverTerms(h.request.Request.Class, h.config)
+	lease.lease = g.options.Peers.Acquire(h.request.ID, terms, max(0, timeLeft), lease.cancel)
+	if lease.lease == nil {
+		return rejectDuplicateID
+	}
+	return nil
+}
+
+// claimLease claims a request that another gateway had, and sets what its attempts there
+// have used up.
+func (h *requestHandler) claimLease(ctx context.Context, lease *requestLease, resume httpwire.ResumeRequest) *rejection {
+	g := h.gateway
+	ctx, stop := context.WithDeadline(ctx, g.clock.timeAt(h.sentAt+h.request.Timeout))
 	defer stop()
-	held, grant, err := g.options.Peers.Claim(ctx, rest.ID, rest.Sequence, h.cancel)
-	slog.Info("takeover", "id", job.ID, "of", rest.ID, "claim", rest.Sequence, "received_bytes", rest.ReceivedBytes, "attempts", grant.AttemptsMade, "remaining_ms", grant.TimeLeft.Milliseconds(), "err", err)
+	claimed, grant, err := g.options.Peers.Claim(ctx, resume.ID, resume.Sequence, lease.cancel)
+	slog.Info("takeover", "id", h.request.ID, "of", resume.ID, "claim", resume.Sequence,
+		"received_bytes", resume.ReceivedBytes, "attempts", grant.AttemptsMade,
+		"remaining_ms", grant.TimeLeft.Milliseconds(), "err", err)
 	if err != nil {
-		h.cancel()
-		var no peers.RefusalError
-		switch errors.As(err, &no); no.Reason {
-		case takeover.ReasonAlreadyClaimed:
-			return nil, &rejection{http.StatusConflict, "Req-Rest: asked for elsewhere"}
-		case takeover.ReasonUnknown: // the client may send it as a new request
-			return nil, &rejection{http.StatusNotFound, "Req-Rest: not known"}
-		}
-		return nil, &rejection{http.StatusBadGateway, "Req-Rest: " + err.Error()}
+		return rejectClaim(err)
 	}
-	h.lease, h.hasPermit, h.resume, h.checksum = held, true, rest, crc32.NewIEEE()
-	job.Request.PriorAttempts = grant.AttemptsMade
-	if rest.ReceivedBytes == 0 { // no first token yet: the first try's wait goes on
-		job.Timeout = min(job.Timeout, g.clock.now()-sentAt+grant.TimeLeft.Microseconds())
+	lease.lease, lease.resume, lease.checksum = claimed, resume, crc32.NewIEEE()
+	h.request.Request.PriorAttempts = grant.AttemptsMade
+	if resume.ReceivedBytes == 0 { // no first token yet: the first attempt's deadline still runs
+		h.request.Timeout = min(h.request.Timeout, g.clock.now()-h.sentAt+grant.TimeLeft.Microseconds())
 	}
-	return h, nil
+	return nil
 }
 
-// lost tells whether another gateway goes on with the request.
-func (h *requestLease) lost() bool { return h != nil && h.lease.Lost.Load() }
-
-// context is the request's, which also ends when it is lost.
-func (h *requestLease) context(r *http.Request) context.Context {
-	if h == nil {
-		return r.Context()
+// rejectClaim returns the answer to a claim that failed.
+func rejectClaim(err error) *rejection {
+	var refused peers.RefusalError
+	if errors.As(err, &refused) {
+		switch refused.Reason {
+		case takeover.ReasonAlreadyClaimed:
+			return &rejection{http.StatusConflict, "Req-Rest: asked for elsewhere"}
+		case takeover.ReasonUnknown: // the client may send it as a new request
+			return &rejection{http.StatusNotFound, "Req-Rest: not known"}
+		}
 	}
-	return h.ctx
+	return &rejection{http.StatusBadGateway, "Req-Rest: " + err.Error()}
 }
 
-// release ends the hold once nothing of the request runs here any more.
-func (h *requestLease) release() {
-	if h == nil {
+// lost reports whether another gateway has taken over the request.
+func (l *requestLease) lost() bool { return l != nil && l.lease.Lost.Load() }
+
+// release ends the lease once no attempt of the request runs here any more. A cancelled
+// attempt takes a moment to close its connection, so that is waited for in the background.
+func (l *requestLease) release() {
+	if l == nil {
 		return
 	}
-	h.cancel()
-	go func() { // an attempt that is called off takes a moment to close its connection
-		h.attempts.Wait()
-		h.mu.Lock()
-		ran := h.dispatched
-		h.mu.Unlock()
-		h.lease.Release(ran)
+	l.cancel()
+	go func() {
+		l.attempts.Wait()
+		l.mu.Lock()
+		dispatched := l.dispatched
+		l.mu.Unlock()
+		l.lease.Release(dispatched)
 	}()
 }
 
-// mayDispatch tells whether an attempt may go out: the first of a hold is its own, any other
-// needs a permit.
-func (h *requestLease) mayDispatch(d *inflight.Attempt) bool {
-	if h == nil {
+// mayDispatch reports whether an attempt may be sent: the first one needs a valid lease, any
+// other a permit.
+func (l *requestLease) mayDispatch(attempt *inflight.Attempt) bool {
+	if l == nil {
 		return true
 	}
-	if d.Index == 0 {
-		return h.lease.Valid(d.Ctx)
+	if attempt.Index == 0 {
+		return l.lease.Valid(attempt.Ctx)
 	}
-	return h.lease.AcquirePermit(d.Ctx)
+	return l.lease.AcquirePermit(attempt.Ctx)
 }
 
-// isHolder tells whether the request is still this gateway's.
-func (h *requestLease) isHolder() bool { return h == nil || h.lease.Valid(h.ctx) }
+// isHolder reports whether this gateway still holds the lease.
+func (l *requestLease) isHolder() bool { return l == nil || l.lease.Valid(l.ctx) }
 
-// markDispatched notes that an attempt goes out now.
-func (h *requestLease) markDispatched() {
-	if h != nil {
-		h.mu.Lock()
-		h.dispatched = true
-		h.mu.Unlock()
+// markDispatched notes that an attempt is about to be sent.
+func (l *requestLease) markDispatched() {
+	if l == nil {
+		return
 	}
+	l.mu.Lock()
+	l.dispatched = true
+	l.mu.Unlock()
 }
 
-// skipDelivered is what of an answer's next events the client does not have. It tells whether
-// what the client has is how this answer begins.
-func (h *requestLease) skipDelivered(events []byte) ([]byte, bool) {
-	if h == nil || h.offset >= h.resume.ReceivedBytes {
+// skipDelivered returns the part of the next events that the client does not have yet. It
+// returns false if this answer does not begin with what the client has.
+func (l *requestLease) skipDelivered(events []byte) ([]byte, bool) {
+	if l == nil || l.offset >= l.resume.ReceivedBytes {
 		return events, true
 	}
-	n := min(int64(len(events)), h.resume.ReceivedBytes-h.offset)
-	h.checksum.Write(events[:n])
-	if h.offset += n; h.offset == h.resume.ReceivedBytes && h.checksum.Sum32() != h.resume.Checksum {
+	n := min(int64(len(events)), l.resume.ReceivedBytes-l.offset)
+	l.checksum.Write(events[:n])
+	l.offset += n
+	if l.offset == l.resume.ReceivedBytes && l.checksum.Sum32() != l.resume.Checksum {
 		return nil, false
 	}
 	return events[n:], true
 }
 
-// prefixDelivered tells whether all that the client had has come again.
-func (h *requestLease) prefixDelivered() bool { return h == nil || h.offset >= h.resume.ReceivedBytes }
+// prefixDelivered reports whether all that the client had has been read again.
+func (l *requestLease) prefixDelivered() bool { return l == nil || l.offset >= l.resume.ReceivedBytes }
 
-// handOverRequests gives what still is in hand some time after SIGTERM to other gateways.
+// handOverRequests hands the requests that are still in flight some time after SIGTERM over
+// to other gateways.
 func (g *Gateway) handOverRequests(ctx context.Context) {
 	if g.options.Peers == nil {
 		return
--- a/internal/gateway/version.go
+++ b/internal/gateway/version.go
@@ -2,213 +2,179 @@
 
 import (
 	"context"
-	"fmt"
 	"log/slog"
 	"time"
 
 	"archknot/balancer"
 	"archknot/internal/configversion"
 	"archknot/internal/contract"
-	"archknot/internal/httpwire"
 )
 
-// protocolMaxAttempts is the protocol's bound, whatever a version says.
-const protocolMaxAttempts = 3
-
-// liveConfig is what versions may change and tasks other than the loop need. It is
-// replaced whole.
-type liveConfig struct {
-	classes                     []balancer.Class
-	maxInFlight                 int
-	maxRetryAfter               balancer.Micros
-	watchWait, discoveryTimeout time.Duration
-}
-
-// class is the class of a name.
-func (v *liveConfig) class(name string) (balancer.Class, error) {
-	for _, c := range v.classes {
-		if c.Name == name {
-			return c, nil
-		}
+// ApplyVersion applies a configuration version; nil: back to the platform's configuration. It
+// is applied completely, between two events of the loop, or not at all: then the rejections
+// say why. Any goroutine may call it while Serve runs.
+func (g *Gateway) ApplyVersion(ctx context.Context, c *configversion.Config, limits configversion.Limits) configversion.Rejections {
+	balances, err := g.storedBalances()
+	if err != nil {
+		return configversion.Rejections{{Type: configversion.TypeContract, Reason: err.Error()}}
 	}
-	return balancer.Class{}, fmt.Errorf("Req-Kind: no class %.40q", name)
-}
-
-// missedObjective tells whether a request came late or was not served.
-func (v *liveConfig) missedObjective(job *httpwire.ClientRequest, answer string, first balancer.Micros) bool {
-	if answer != "served" && answer != "stream_broken" {
-		return true
+	change := versionChange{g.completeVersion(c), balances, limits, make(chan configversion.Rejections, 1)}
+	g.loop.post(ctx, change)
+	select {
+	case rejections := <-change.result:
+		return rejections
+	case <-ctx.Done():
+		return configversion.Rejections{{Type: configversion.TypeVersion, Reason: "the gateway ends"}}
 	}
-	c, err := v.class(job.Request.Class)
-	return err == nil && first > c.LatencyObjective+c.ObjectivePer1000Tokens*int64(job.Request.PromptTokens)/1000
 }
 
-// Files are what holds where a version says nothing: the platform's
+// baseConfig returns what is in force where a version has nothing: the platform's
 // configuration.
 func (g *Gateway) baseConfig() *configversion.Config {
 	o := &g.options
-	c := &configversion.Config{HasClasses: true, HasTenants: true, HasReplicaMarks: true, Classes: o.Settings.Classes,
-		Attempts:    &configversion.Attempts{Max: o.Settings.MaxAttempts, MayHedge: o.Settings.MayHedge},
-		Admission:   &configversion.Admission{MaxInFlight: o.MaxInFlight, OverQuotaWeight: o.Settings.OverQuotaWeight, MaxRetryAfter: o.Settings.MaxRetryAfter},
-		Connections: &configversion.Connections{Clients: o.MaxClientConns, Replicas: o.MaxReplicaConns, IdleTimeout: o.Settings.ConnIdleTimeout, ConnectTimeout: o.ConnectTimeout.Microseconds()},
-		Watch:       &configversion.Watch{Wait: o.WatchWait.Microseconds(), CallTimeout: o.DiscoveryTimeout.Microseconds()}}
-	for _, t := range o.Settings.Tenants {
-		c.Tenants = append(c.Tenants, configversion.Tenant{Name: t.Name, QuotaPerS: t.QuotaPerS})
+	c := &configversion.Config{
+		HasClasses:      true,
+		HasTenants:      true,
+		HasReplicaMarks: true,
+		Classes:         o.Settings.Classes,
+		Attempts:        &configversion.Attempts{Max: o.Settings.MaxAttempts, MayHedge: o.Settings.MayHedge},
+		Admission: &configversion.Admission{
+			MaxInFlight:     o.MaxInFlight,
+			OverQuotaWeight: o.Settings.OverQuotaWeight,
+			MaxRetryAfter:   o.Settings.MaxRetryAfter,
+		},
+		Connections: &configversion.Connections{
+			Clients:        o.MaxClientConns,
+			Replicas:       o.MaxReplicaConns,
+			IdleTimeout:    o.Settings.ConnIdleTimeout,
+			ConnectTimeout: o.ConnectTimeout.Microseconds(),
+		},
+		Watch: &configversion.Watch{
+			Wait:        o.WatchWait.Microseconds(),
+			CallTimeout: o.DiscoveryTimeout.Microseconds(),
+		},
+	}
+	for _, tenant := range o.Settings.Tenants {
+		c.Tenants = append(c.Tenants, configversion.Tenant{Name: tenant.Name, QuotaPerS: tenant.QuotaPerS})
 	}
 	return c
 }
 
-// completeVersion is a version with the files' parts where it has none of its own.
-func (g *Gateway) completeVersion(c *configversion.Config) *configversion.Config {
-	f := g.baseConfig()
-	if c == nil {
-		return f
+// completeVersion returns a version with the platform's parts where it has none of its own.
+func (g *Gateway) completeVersion(version *configversion.Config) *configversion.Config {
+	base := g.baseConfig()
+	if version == nil {
+		return base
 	}
-	w := *c
-	if !w.HasClasses {
-		w.HasClasses, w.Classes = true, f.Classes
+	c := *version
+	if !c.HasClasses {
+		c.HasClasses, c.Classes = true, base.Classes
 	}
-	if !w.HasTenants {
-		w.HasTenants, w.Tenants = true, f.Tenants
+	if !c.HasTenants {
+		c.HasTenants, c.Tenants = true, base.Tenants
 	}
-	w.HasReplicaMarks = true // none of its own: no marks
-	if w.Attempts == nil {
-		w.Attempts = f.Attempts
+	c.HasReplicaMarks = true // a version without marks removes them all
+	if c.Attempts == nil {
+		c.Attempts = base.Attempts
 	}
-	if w.Admission == nil {
-		w.Admission = f.Admission
+	if c.Admission == nil {
+		c.Admission = base.Admission
 	}
-	if w.Connections == nil {
-		w.Connections = f.Connections
+	if c.Connections == nil {
+		c.Connections = base.Connections
 	}
-	if w.Watch == nil {
-		w.Watch = f.Watch
-	}
-	return &w
-}
-
-// ApplyVersion takes a version, or with nil goes back to the files. It is taken
-// whole, between two events of the loop, or not at all: the refusals say why.
-func (g *Gateway) ApplyVersion(ctx context.Context, c *configversion.Config, limits configversion.Limits) configversion.Rejections {
-	stored, err := g.storedBalances()
-	if err != nil {
-		return configversion.Rejections{{Type: configversion.TypeContract, Reason: err.Error()}}
-	}
-	e := versionChange{g.completeVersion(c), stored, limits, make(chan configversion.Rejections, 1)}
-	g.loop.post(ctx, e)
-	select {
-	case r := <-e.result:
-		return r
-	case <-ctx.Done():
-		return configversion.Rejections{{Type: configversion.TypeVersion, Reason: "the gateway ends"}}
+	if c.Watch == nil {
+		c.Watch = base.Watch
 	}
+	return &c
 }
 
+// versionChange applies a complete version.
 type versionChange struct {
 	config   *configversion.Config
-	balances []contract.Balance
+	balances []contract.Balance // stored, for a ledger that starts with the version
 	limits   configversion.Limits
 	result   chan configversion.Rejections
 }
 
 func (e versionChange) apply(l *eventLoop) {
-	if r := configversion.ValidateTransition(e.config, e.limits, l.currentState()); len(r) > 0 {
-		e.result <- r
+	if rejections := configversion.ValidateTransition(e.config, e.limits, l.currentState()); len(rejections) > 0 {
+		e.result <- rejections
 		return
 	}
-	g := l.gateway
-	s := e.config.Overlay(g.options.Settings)
-	if err := l.module.Reconfigure(l.now, s); err != nil {
+	settings := e.config.Overlay(l.gateway.options.Settings)
+	if err := l.module.Reconfigure(l.now, settings); err != nil {
 		e.result <- configversion.Rejections{{Type: configversion.TypeVersion, Reason: err.Error()}}
 		return
 	}
 	// From here on nothing can fail.
-	us := func(v balancer.Micros) time.Duration { return time.Duration(v) * time.Microsecond }
-	g.config.Store(&liveConfig{classes: s.Classes, maxInFlight: min(e.config.Admission.MaxInFlight, e.config.Connections.Clients), maxRetryAfter: s.MaxRetryAfter,
-		watchWait: us(e.config.Watch.Wait), discoveryTimeout: us(e.config.Watch.CallTimeout)})
-	g.clients.maxConns.Store(int64(e.config.Connections.Clients))
-	// Well below the workers' own limit, as for the files' figure.
-	g.pool.SetLimits(e.config.Connections.Replicas, us(s.ConnIdleTimeout)*3/4, us(e.config.Connections.ConnectTimeout))
-	l.setWithheld(e.config.DrainedReplicas(), l.ejected)
-	if had := l.versionContracts != nil; had || e.config.HasContracts {
-		if l.versionContracts = nil; e.config.HasContracts {
-			l.versionContracts = append([]contract.Terms{}, e.config.Contracts...)
-		}
-		if err := l.applyContracts(e.balances); err != nil {
-			slog.Error("contracts_failed", "err", err) // they were checked: not to be seen
-		}
-	}
+	l.gateway.applyLimits(e.config, &settings)
+	l.setWithheld(e.config.DrainedReplicas(), l.endpoints.ejected)
+	l.applyVersionContracts(e.config, e.balances)
 	e.result <- nil
 }
 
-// currentState is the gateway as a step must fit it.
-func (l *eventLoop) currentState() *configversion.GatewayState {
-	classes, tenants, emptying := l.balancer.InFlight()
-	p := &configversion.GatewayState{Settings: l.balancer.Settings(), Clients: l.gateway.clients.connCount(), InFlight: l.gateway.clients.inFlightCount(),
-		InFlightByClass: map[string]configversion.InFlight{}, InFlightByTenant: map[string]int{}, Replicas: map[string]configversion.ReplicaState{}}
-	for name, in := range classes {
-		p.InFlightByClass[name] = configversion.InFlight{Requests: in.Requests, LongestDeadline: in.LongestTimeout}
-	}
-	for name, in := range tenants {
-		p.InFlightByTenant[name] = in.Requests
-	}
-	if l.ledger != nil {
-		p.Accounts = l.ledger.Accounts()
-	}
-	for name, i := range l.listed {
-		s := configversion.ReplicaState{Discovered: i.State(), Marked: l.drainMarks[name]}
-		if w := l.endpoints.ByName(name); w != nil {
-			s.AttemptsInFlight = emptying[w.ID]
-		}
-		p.Replicas[name] = s
-	}
-	return p
-}
+// An idle connection to a replica is closed after this part of the replicas' own idle
+// timeout, as in the platform's configuration.
+const idleTimeoutNumerator, idleTimeoutDenominator = 3, 4
 
-// overlayWithheld puts the marks of the version in force on a list, and remembers what the
-// registry itself said.
-func (l *eventLoop) overlayWithheld(in httpwire.EndpointList, kind balancer.ListKind) httpwire.EndpointList {
-	if kind != balancer.ListDelta {
-		clear(l.listed)
-	}
-	out := in
-	out.Endpoints = make([]httpwire.Endpoint, len(in.Endpoints))
-	for i, w := range in.Endpoints {
-		if w.State() == balancer.EndpointGone {
-			delete(l.listed, w.ID)
-		} else {
-			l.listed[w.ID] = w
-		}
-		if l.isWithheld(w.ID) && w.State() == balancer.EndpointReady {
-			w.Lifecycle = "draining"
-		}
-		out.Endpoints[i] = w
-	}
-	return out
+// applyLimits puts a version's limits in force that are not the decision module's.
+func (g *Gateway) applyLimits(c *configversion.Config, settings *balancer.Settings) {
+	g.config.Store(&liveConfig{
+		classes:          settings.Classes,
+		maxInFlight:      min(c.Admission.MaxInFlight, c.Connections.Clients),
+		maxRetryAfter:    settings.MaxRetryAfter,
+		watchWait:        duration(c.Watch.Wait),
+		discoveryTimeout: duration(c.Watch.CallTimeout),
+	})
+	g.clients.maxConns.Store(int64(c.Connections.Clients))
+	idle := duration(settings.ConnIdleTimeout) * idleTimeoutNumerator / idleTimeoutDenominator
+	g.pool.SetLimits(c.Connections.Replicas, idle, duration(c.Connections.ConnectTimeout))
 }
 
-// isWithheld tells whether a replica is to get nothing new whatever the list says, by the version in
-// force or by operators.
-func (l *eventLoop) isWithheld(id string) bool {
-	_, out := l.ejected[id]
-	return out || l.drainMarks[id]
+func duration(us balancer.Micros) time.Duration { return time.Duration(us) * time.Microsecond }
+
+// applyVersionContracts puts a version's contracts in force, or removes the last version's.
+func (l *eventLoop) applyVersionContracts(c *configversion.Config, stored []contract.Balance) {
+	a := &l.accounting
+	if a.versionContracts == nil && !c.HasContracts {
+		return
+	}
+	a.versionContracts = nil
+	if c.HasContracts {
+		a.versionContracts = append([]contract.Terms{}, c.Contracts...)
+	}
+	if err := l.applyContracts(stored); err != nil {
+		slog.Error("contracts_failed", "err", err) // not expected: they were validated
+	}
 }
 
-// setWithheld puts other marks and orders in force. The workers that they change are told to the
-// module as the registry would: what drains gets nothing new from this moment on.
-func (l *eventLoop) setWithheld(marks map[string]bool, out map[string]struct{}) {
-	was := map[string]bool{}
-	for name := range l.listed {
-		was[name] = l.isWithheld(name)
-	}
-	l.drainMarks, l.ejected = marks, out
-	change := httpwire.EndpointList{Generation: l.endpoints.Version()}
-	for name, i := range l.listed {
-		if was[name] != l.isWithheld(name) {
-			change.Endpoints = append(change.Endpoints, i)
+// currentState returns the gateway's state, against which a version is validated.
+func (l *eventLoop) currentState() *configversion.GatewayState {
+	classes, tenants, replicas := l.balancer.InFlight()
+	state := &configversion.GatewayState{
+		Settings:         l.balancer.Settings(),
+		Clients:          l.gateway.clients.connCount(),
+		InFlight:         l.gateway.clients.inFlightCount(),
+		InFlightByClass:  map[string]configversion.InFlight{},
+		InFlightByTenant: map[string]int{},
+		Replicas:         map[string]configversion.ReplicaState{},
+	}
+	for name, c := range classes {
+		state.InFlightByClass[name] = configversion.InFlight{Requests: c.Requests, LongestDeadline: c.LongestTimeout}
+	}
+	for name, t := range tenants {
+		state.InFlightByTenant[name] = t.Requests
+	}
+	if l.accounting.ledger != nil {
+		state.Accounts = l.accounting.ledger.Accounts()
+	}
+	for name, entry := range l.endpoints.listed {
+		r := configversion.ReplicaState{Discovered: entry.State(), Marked: l.endpoints.drainMarks[name]}
+		if replica := l.endpoints.ByName(name); replica != nil {
+			r.AttemptsInFlight = replicas[replica.ID]
 		}
+		state.Replicas[name] = r
 	}
-	if len(change.Endpoints) > 0 {
-		l.applyList(change, balancer.ListDelta, true)
-	}
+	return state
 }
--- a/internal/gateway/version_test.go
+++ b/internal/gateway/version_test.go
@@ -213,7 +213,7 @@
 	waitUntil(t, "the registry's word", func() bool {
 		for _, g := range all {
 			found := make(chan bool, 1)
-			g.loop.post(ctx, inspectLoop{func(l *eventLoop) { found <- l.listed["s-3"].Lifecycle == "draining" }})
+			g.loop.post(ctx, inspectLoop{func(l *eventLoop) { found <- l.endpoints.listed["s-3"].Lifecycle == "draining" }})
 			if !<-found {
 				return false
 			}
@@ -301,7 +301,7 @@
 	for i := range 1000 {
 		list.Endpoints = append(list.Endpoints, httpwire.Endpoint{ID: fmt.Sprint("s-", i), Addr: "127.0.0.1:1", Zone: "a", Kind: "k", Lifecycle: "ready"})
 	}
-	l.receiveList(list, balancer.ListCached)
+	l.loadCachedList(list)
 	for i := range 10_000 {
 		r := inflight.NewRequest(context.Background(), fmt.Sprint(i), balancer.Request{Class: "chat", PromptTokens: 10}, l.now+60e6, 3)
 		requestArrived{r, l.gateway.config.Load(), true}.apply(l)
--- a/internal/gateway/wallclock.go
+++ b/internal/gateway/wallclock.go
@@ -8,28 +8,29 @@
 	"archknot/balancer"
 )
 
-// wallClock converts times of the machines' wall clock, which may be stepped by an hour at any moment,
-// to the gateway's own, which runs on. A time may have been taken before a step or after it: it is
-// converted by each offset that was seen, and the latest time that is not to come counts. So a replica
-// that has just started never seems old, and one that is old seems young only where the clock was
-// stepped back by just its age.
+// wallClock converts times of the machines' wall clock to the gateway's monotonic clock. The
+// wall clock may be stepped by any amount at any moment, and a time may have been taken before
+// a step or after it. So a time is converted by each offset that was observed, and the latest
+// result that is not in the future counts. A replica that has just started never seems old,
+// and an old one seems young only where the clock was stepped back by just its age.
 type wallClock struct {
-	read    func() balancer.Micros // the wall clock
+	read    func() balancer.Micros // the wall clock, Unix time
 	mu      sync.Mutex
-	offsets []balancer.Micros // wall clock less own clock, the newest last
+	offsets []balancer.Micros // wall clock less monotonic clock, the newest last
 }
 
 const (
-	// minClockStep is the change of the offset that counts as a step: below it a clock is slewed, or this task
-	// was held up between its looks at the two clocks.
+	// minClockStep is the change of the offset that counts as a step. Below it the clock is
+	// slewed, or the goroutine was held up between reading the two clocks.
 	minClockStep balancer.Micros = 100_000
 	// maxClockOffsets bounds the offsets that are remembered.
 	maxClockOffsets = 8
-	// maxClockSkew is how far in the future a start may lie by clocks that are not set alike.
+	// maxClockSkew is how far in the future a start may lie because the machines' clocks
+	// differ.
 	maxClockSkew balancer.Micros = 100_000
 )
 
-// observe notes the offset as of now. It is called each second, so that no step is missed.
+// observe notes the current offset. It is called each second, so that no step is missed.
 func (w *wallClock) observe(now balancer.Micros) {
 	offset := w.read() - now
 	w.mu.Lock()
@@ -52,7 +53,7 @@
 	}
 }
 
-// toMonotonic is a time of the wall clock on the gateway's own, from 1 up to now.
+// toMonotonic returns the monotonic time of a start at a wall clock time, from 1 to now.
 func (w *wallClock) toMonotonic(now, wall balancer.Micros) balancer.Micros {
 	w.observe(now)
 	w.mu.Lock()
@@ -63,7 +64,7 @@
 			latest, found = at, true
 		}
 	}
-	if !found { // to come by any offset: it has started, and cannot be colder than just now
+	if !found { // in the future by any offset: it has started, at the latest just now
 		latest = now
 	}
 	return max(1, min(now, latest))
