--- a/internal/gateway/attempt.go
+++ b/internal/gateway/attempt.go
@@ -35,15 +35,6 @@
 	lease   *requestLease
 }
 
-// start runs the attempt in a goroutine of its own.
-func (x attemptExchange) start() {
-	if x.lease != nil {
-		x.lease.attempts.Go(func() { x.run() })
-		return
-	}
-	go x.run()
-}
-
 // run carries out the attempt from its dispatch to its end and posts its one outcome to the
 // event loop. The stream goes to attempt.Events as it arrives.
 func (x attemptExchange) run() {
@@ -98,16 +89,16 @@
 		// The last byte was never written, so the replica did not start.
 		return x.failureStatus(err, balancer.ConnectFailed)
 	}
-	resp, err := x.awaitHead(conn, timeoutAt)
+	head, err := x.awaitHead(conn, timeoutAt)
 	if err != nil {
 		return x.failureStatus(err, balancer.ConnBroken)
 	}
-	body := httpwire.NewBody(conn.Reader, resp)
+	body := httpwire.NewBody(conn.Reader, head.Response)
 	var status balancer.Status
-	if resp.StatusCode != http.StatusOK {
-		status, reusable = x.readErrorReply(conn, resp, body, result)
+	if head.StatusCode != http.StatusOK {
+		status, reusable = x.readErrorReply(conn, head, body, result)
 	} else {
-		status, reusable = x.readStream(conn, resp, body, result)
+		status, reusable = x.readStream(conn, head, body, result)
 	}
 	return status
 }
@@ -132,29 +123,29 @@
 
 // awaitHead waits for the head of the answer. A replica that stayed silent for
 // silentReplicaAfter loses the cached connections that were unused since the sending.
-func (x attemptExchange) awaitHead(conn *connpool.Conn, timeoutAt time.Time) (*http.Response, error) {
+func (x attemptExchange) awaitHead(conn *connpool.Conn, timeoutAt time.Time) (replyHead, error) {
 	sent := time.Now()
-	resp, err := readHead(conn, timeoutAt)
+	head, err := readHead(conn, timeoutAt)
 	if err != nil && time.Since(sent) >= silentReplicaAfter {
 		x.gateway.pool.CloseUnusedSince(x.attempt.Replica.ConnKey(), sent)
 	}
-	return resp, err
+	return head, err
 }
 
 // readErrorReply reads an answer that is not 200, and reports whether the connection can be
 // reused.
-func (x attemptExchange) readErrorReply(conn *connpool.Conn, resp *http.Response, body *httpwire.Body, result *attemptEnded) (status balancer.Status, reusable bool) {
-	result.report, result.httpStatus = httpwire.LoadReportOf(resp.Header), resp.StatusCode
+func (x attemptExchange) readErrorReply(conn *connpool.Conn, head replyHead, body *httpwire.Body, result *attemptEnded) (status balancer.Status, reusable bool) {
+	result.report, result.httpStatus = httpwire.LoadReportOf(head.Header), head.StatusCode
 	conn.SetDeadline(time.Now().Add(errorReplyTimeout))
 	_, err := body.ReadAll(httpwire.MaxBodyBytes)
-	status = httpwire.StatusOf(resp)
+	status = httpwire.StatusOf(head.Response)
 	// A replica that rejects a request may close on what follows it.
-	return status, err == nil && endsCleanly(conn, resp, body) && status != balancer.Rejected
+	return status, err == nil && endsCleanly(conn, head, body) && status != balancer.Rejected
 }
 
 // readStream reads the events of a 200 answer into attempt.Events, and reports whether the
 // connection can be reused.
-func (x attemptExchange) readStream(conn *connpool.Conn, resp *http.Response, body *httpwire.Body, result *attemptEnded) (status balancer.Status, reusable bool) {
+func (x attemptExchange) readStream(conn *connpool.Conn, head replyHead, body *httpwire.Body, result *attemptEnded) (status balancer.Status, reusable bool) {
 	var observer httpwire.StreamObserver
 	var firstEvent []byte // an answer that breaks within it has given the client nothing
 	for opened := false; ; {
@@ -181,11 +172,11 @@
 			conn.SetDeadline(time.Now().Add(x.gateway.options.StreamIdleTimeout))
 		}
 		if ended {
-			result.observe(&observer, resp)
+			result.observe(&observer, head.Header)
 			if !body.Delimited() {
 				return balancer.ConnBroken, false
 			}
-			return balancer.Served, endsCleanly(conn, resp, body)
+			return balancer.Served, endsCleanly(conn, head, body)
 		}
 		if err != nil {
 			return x.failureStatus(err, balancer.ConnBroken), false
@@ -194,10 +185,10 @@
 }
 
 // observe takes over what was seen in a complete stream.
-func (e *attemptEnded) observe(observer *httpwire.StreamObserver, resp *http.Response) {
+func (e *attemptEnded) observe(observer *httpwire.StreamObserver, header http.Header) {
 	e.cachedTokens, e.outputTokens, e.report = observer.CachedTokens, observer.OutputTokens, observer.Report
 	if e.report.Has == 0 {
-		e.report = httpwire.LoadReportOf(resp.Header)
+		e.report = httpwire.LoadReportOf(header)
 	}
 }
 
--- a/internal/gateway/capture_test.go
+++ b/internal/gateway/capture_test.go
@@ -2,6 +2,7 @@
 
 import (
 	"context"
+	"errors"
 	"net/http"
 	"path/filepath"
 	"strings"
@@ -70,7 +71,7 @@
 	if err := g.SetCapture(ctx, nil); err != nil {
 		t.Fatal(err)
 	}
-	if _, err := g.SaveIncident(ctx, "x"); err != ErrNotRecording {
+	if _, err := g.SaveIncident(ctx, "x"); !errors.Is(err, ErrNotRecording) {
 		t.Errorf("saved without a recording: %v", err)
 	}
 	c := dial(t, g.addr)
--- a/internal/gateway/clients_test.go
+++ b/internal/gateway/clients_test.go
@@ -2,6 +2,7 @@
 
 import (
 	"context"
+	"errors"
 	"fmt"
 	"io"
 	"net"
@@ -51,6 +52,7 @@
 	}
 	for name, play := range map[string]func(t *testing.T, conn *clientConn, c *testClient){
 		"bytes unread, then the end": func(t *testing.T, conn *clientConn, c *testClient) {
+			t.Helper()
 			c.raw(requestFirstHalf)
 			waiting(t, conn)
 			if conn.closeIfIdle(true) || conn.evict() {
@@ -61,6 +63,7 @@
 			}
 		},
 		"bytes read, then the end": func(t *testing.T, conn *clientConn, c *testClient) {
+			t.Helper()
 			c.raw(requestFirstHalf)
 			if got, err := read(conn); got != requestFirstHalf || err != nil {
 				t.Errorf("read %q, %v", got, err)
@@ -70,17 +73,19 @@
 			}
 		},
 		"the end, then bytes": func(t *testing.T, conn *clientConn, c *testClient) {
+			t.Helper()
 			if !conn.closeIfIdle(true) {
 				t.Error("a resting connection does not end")
 			}
 			c.raw(requestFirstHalf + requestSecondHalf)
 			waiting(t, conn)
-			if got, err := read(conn); got != "" || err != io.EOF {
+			if got, err := read(conn); got != "" || !errors.Is(err, io.EOF) {
 				t.Errorf("read %q, %v", got, err)
 			}
 			waiting(t, conn) // still: nobody has read them
 		},
 		"half a request, no longer waited for": func(t *testing.T, conn *clientConn, c *testClient) {
+			t.Helper()
 			c.raw(requestFirstHalf)
 			read(conn)
 			if !conn.evict() {
@@ -91,6 +96,7 @@
 			}
 		},
 		"a whole request that is not served yet": func(t *testing.T, conn *clientConn, c *testClient) {
+			t.Helper()
 			c.raw(requestFirstHalf + requestSecondHalf)
 			read(conn)
 			if rank, _ := conn.evictionRank(conn.tracker.clock.now() + 10*slowRequestAfter); rank != 0 || conn.evict() {
@@ -98,6 +104,7 @@
 			}
 		},
 		"its idle time ends over bytes that have come": func(t *testing.T, conn *clientConn, c *testClient) {
+			t.Helper()
 			c.raw(requestFirstHalf)
 			waiting(t, conn)
 			conn.SetReadDeadline(time.Unix(1, 0))
@@ -111,6 +118,7 @@
 			}
 		},
 		"its idle time ends, then bytes": func(t *testing.T, conn *clientConn, c *testClient) {
+			t.Helper()
 			conn.SetReadDeadline(time.Unix(1, 0))
 			if got, err := read(conn); got != "" || err == nil {
 				t.Errorf("read %q, %v", got, err)
@@ -118,11 +126,12 @@
 			c.raw(requestFirstHalf)
 			waiting(t, conn)
 			conn.SetReadDeadline(time.Time{})
-			if got, err := read(conn); got != "" || err != io.EOF {
+			if got, err := read(conn); got != "" || !errors.Is(err, io.EOF) {
 				t.Errorf("read %q, %v", got, err)
 			}
 		},
 		"answered with some of the next request read, in a drain": func(t *testing.T, conn *clientConn, c *testClient) {
+			t.Helper()
 			c.raw(requestFirstHalf + requestSecondHalf + "P")
 			read(conn)
 			conn.tracker.beginShutdown()
@@ -132,6 +141,7 @@
 			}
 		},
 		"an empty line behind a request, in pieces": func(t *testing.T, conn *clientConn, c *testClient) {
+			t.Helper()
 			c.raw(requestFirstHalf + requestSecondHalf + "\r")
 			read(conn)
 			conn.requestAnswered(conn.tracker.clock.now())
@@ -142,6 +152,7 @@
 			}
 		},
 		"answered while a drain begins": func(t *testing.T, conn *clientConn, c *testClient) {
+			t.Helper()
 			conn.used = false
 			c.raw(requestFirstHalf + requestSecondHalf)
 			read(conn)
@@ -175,6 +186,7 @@
 	type meeting func(t *testing.T, c *testClient, conn *syncpoint.Conn, drain func()) (sends int)
 	read := func(n int) meeting { // so many bytes of it were, and nothing done with them yet
 		return func(t *testing.T, c *testClient, conn *syncpoint.Conn, drain func()) int {
+			t.Helper()
 			behind := syncpoint.NewPoint(t)
 			conn.StopAfterRead(behind)
 			c.raw(ask("b")[:n])
@@ -189,6 +201,7 @@
 		"its first bytes were read": read(7),
 		"all of it was read":        read(len(ask("b"))),
 		"all of it has come and none was read": func(t *testing.T, c *testClient, conn *syncpoint.Conn, drain func()) int {
+			t.Helper()
 			before := syncpoint.NewPoint(t)
 			conn.StopBeforeRead(before)
 			c.raw(ask("b"))
@@ -198,8 +211,9 @@
 			return 2
 		},
 		"it comes behind the end": func(t *testing.T, c *testClient, conn *syncpoint.Conn, drain func()) int {
+			t.Helper()
 			drain()
-			if _, err := c.in.ReadByte(); err != io.EOF {
+			if _, err := c.in.ReadByte(); !errors.Is(err, io.EOF) {
 				t.Errorf("the resting connection: %v, want a clean end", err)
 			}
 			io.WriteString(c, ask("b")) // may fail: the other side has closed
@@ -220,12 +234,12 @@
 			other.answer()
 			first, second := l.NextConn(t), l.NextConn(t)
 			if first.RemoteAddr().String() != c.LocalAddr().String() {
-				first, second = second, first
+				first = second
 			}
 			waitUntil(t, "rest", func() bool { return g.idleConnCount() == 2 })
 			sends := play(t, c, first, func() {
 				go func() { drained <- g.Drain(context.Background()) }()
-				if _, err := other.in.ReadByte(); err != io.EOF {
+				if _, err := other.in.ReadByte(); !errors.Is(err, io.EOF) {
 					t.Errorf("the other connection: %v", err)
 				}
 			})
@@ -279,7 +293,7 @@
 	waitUntil(t, "half a request", func() bool { return g.begunRequestCount() == 2 })
 	drained := make(chan error, 1)
 	go func() { drained <- g.Drain(context.Background()) }()
-	if _, err := unused.in.ReadByte(); err != io.EOF { // the last step of the drain but for waiting
+	if _, err := unused.in.ReadByte(); !errors.Is(err, io.EOF) { // the last step of the drain but for waiting
 		t.Errorf("the unused connection: %v", err)
 	}
 	close(more)
@@ -354,7 +368,7 @@
 					t.Errorf("status %d, close %t", resp.StatusCode, resp.Close)
 				}
 			}
-			if _, err := c.in.ReadByte(); err != io.EOF {
+			if _, err := c.in.ReadByte(); !errors.Is(err, io.EOF) {
 				t.Errorf("at the end: %v", err)
 			}
 			if err := <-drained; err != nil {
@@ -383,7 +397,7 @@
 	c.raw("POST /v1/chat/completions HTTP/1.1\r\nHost: a\r\n") // ahead, and left unread
 	waitUntil(t, "the close", func() bool { return g.clients.lingering.Load() == 1 })
 	got, err := io.ReadAll(c.head().Body)
-	if err != io.ErrUnexpectedEOF || string(got) != events {
+	if !errors.Is(err, io.ErrUnexpectedEOF) || string(got) != events {
 		t.Errorf("%d of %d bytes, %v", len(got), len(events), err)
 	}
 	waitUntil(t, "the connection's end", func() bool { return g.clients.connCount() == 0 && g.clients.lingering.Load() == 0 })
--- a/internal/gateway/events_test.go
+++ b/internal/gateway/events_test.go
@@ -1,6 +1,7 @@
 package gateway
 
 import (
+	"errors"
 	"io"
 	"net"
 	"net/http"
@@ -95,7 +96,7 @@
 	c := dial(t, g.addr)
 	c.ask("e2", "4000m")
 	got, err := io.ReadAll(c.head().Body)
-	if err != io.ErrUnexpectedEOF || string(got) != event1+event2[:9] {
+	if !errors.Is(err, io.ErrUnexpectedEOF) || string(got) != event1+event2[:9] {
 		t.Errorf("read %q, %v", got, err)
 	}
 }
--- a/internal/gateway/gateway_test.go
+++ b/internal/gateway/gateway_test.go
@@ -68,7 +68,7 @@
 		c := dial(t, g.addr)
 		c.ask("b1", "4000m")
 		got, err := io.ReadAll(c.head().Body)
-		if err != io.ErrUnexpectedEOF || string(got) != event1 {
+		if !errors.Is(err, io.ErrUnexpectedEOF) || string(got) != event1 {
 			t.Errorf("%s: read %q, %v", name, got, err)
 		}
 		_, n := w.seen()
@@ -285,7 +285,7 @@
 		client := dial(t, g.addr)
 		client.ask("s1", "4000m")
 		body, err := io.ReadAll(client.head().Body)
-		if c.late && (err != io.ErrUnexpectedEOF || string(body) != event1 || sends.Load() != 1) {
+		if c.late && (!errors.Is(err, io.ErrUnexpectedEOF) || string(body) != event1 || sends.Load() != 1) {
 			t.Errorf("%s: %q, %v, %d sends", name, body, err, sends.Load())
 		}
 		if !c.late && (err != nil || string(body) != event1+event2+loadReportLine || sends.Load() != 2) {
@@ -482,7 +482,7 @@
 	resp := slow.head()
 	drained := make(chan error, 1)
 	go func() { drained <- g.Drain(context.Background()) }()
-	if _, err := idle.in.ReadByte(); err != io.EOF {
+	if _, err := idle.in.ReadByte(); !errors.Is(err, io.EOF) {
 		t.Errorf("the idle connection: %v, want a clean end", err)
 	}
 	late := dial(t, g.addr)
@@ -490,7 +490,7 @@
 	if resp, _ := late.answer(); resp.StatusCode != 200 || !resp.Close {
 		t.Errorf("in the drain: status %d, close %t", resp.StatusCode, resp.Close)
 	}
-	if _, err := unused.in.ReadByte(); err != io.EOF {
+	if _, err := unused.in.ReadByte(); !errors.Is(err, io.EOF) {
 		t.Errorf("the unused connection: %v, want a clean end", err)
 	}
 	close(more)
@@ -632,7 +632,7 @@
 			t.Errorf("%s: status %d", id, resp.StatusCode)
 		}
 	}
-	if _, err := idle.in.ReadByte(); err != io.EOF {
+	if _, err := idle.in.ReadByte(); !errors.Is(err, io.EOF) {
 		t.Errorf("the idle connection: %v, want its end", err)
 	}
 	c := dial(t, g.addr)
--- a/internal/gateway/pooledclient.go
+++ b/internal/gateway/pooledclient.go
@@ -64,18 +64,18 @@
 
 // readAnswer has one answer read, and reports whether its connection can be reused.
 func readAnswer(conn *connpool.Conn, deadline time.Time, read answerReader) (reusable bool, err error) {
-	resp, err := readHead(conn, deadline)
+	head, err := readHead(conn, deadline)
 	if err != nil {
 		return false, fmt.Errorf("no answer: %w", err)
 	}
-	body := httpwire.NewBody(conn.Reader, resp)
+	body := httpwire.NewBody(conn.Reader, head.Response)
 	content := body.Reader()
-	err = read(resp.StatusCode, resp.Header, content)
+	err = read(head.StatusCode, head.Header, content)
 	complete := drainBody(content)
 	if err == nil && !complete {
 		err = errAnswerCutOff
 	}
-	return complete && endsCleanly(conn, resp, body), err
+	return complete && endsCleanly(conn, head, body), err
 }
 
 // drainBody reads the rest of a body, and reports whether its end was reached.
--- a/internal/gateway/readhead.go
+++ b/internal/gateway/readhead.go
@@ -19,31 +19,35 @@
 	maxInformational = 8
 )
 
+// replyHead is the head of an answer. The body is not read by way of its Body, but by an
+// httpwire.Body on the connection.
+type replyHead struct{ *http.Response }
+
 // readHead waits for an answer and reads its head, past 1xx answers.
-func readHead(conn *connpool.Conn, timeoutAt time.Time) (*http.Response, error) {
+func readHead(conn *connpool.Conn, timeoutAt time.Time) (head replyHead, err error) {
 	for informational := 0; ; informational++ {
 		if _, err := conn.Reader.Peek(1); err != nil {
-			return nil, err
+			return replyHead{}, err
 		}
 		if headBy := time.Now().Add(responseHeadTimeout); headBy.Before(timeoutAt) {
 			conn.SetDeadline(headBy)
 		}
-		resp, err := httpwire.ReadHead(conn.Reader)
+		head.Response, err = httpwire.ReadHead(conn.Reader)
 		if errors.Is(err, os.ErrDeadlineExceeded) && time.Now().Before(timeoutAt) {
 			err = httpwire.ErrMalformed
 		}
 		conn.SetDeadline(timeoutAt)
-		if err != nil || resp.StatusCode >= http.StatusOK {
-			return resp, err
+		if err != nil || head.StatusCode >= http.StatusOK {
+			return head, err
 		}
 		if informational >= maxInformational {
-			return nil, fmt.Errorf("%w: over %d answers before the answer", httpwire.ErrMalformed, maxInformational)
+			return replyHead{}, fmt.Errorf("%w: over %d answers before the answer", httpwire.ErrMalformed, maxInformational)
 		}
 	}
 }
 
 // endsCleanly reports whether a connection can carry another request after this answer.
 // Bytes behind an answer would be taken for the answer to the next request.
-func endsCleanly(conn *connpool.Conn, resp *http.Response, body *httpwire.Body) bool {
-	return body.Delimited() && !resp.Close && conn.Reader.Buffered() == 0
+func endsCleanly(conn *connpool.Conn, head replyHead, body *httpwire.Body) bool {
+	return body.Delimited() && !head.Close && conn.Reader.Buffered() == 0
 }
--- a/internal/gateway/request.go
+++ b/internal/gateway/request.go
@@ -148,7 +148,8 @@
 			switch action.Kind {
 			case inflight.ActionForward:
 				h.result.attempts++
-				attemptExchange{h.gateway, r, h.body, action.Attempt, h.lease}.start()
+				exchange := attemptExchange{h.gateway, r, h.body, action.Attempt, h.lease}
+				h.lease.startAttempt(exchange.run)
 			case inflight.ActionStream:
 				h.stream(ctx, w, action.Attempt)
 				return
--- a/internal/gateway/takeover.go
+++ b/internal/gateway/takeover.go
@@ -134,6 +134,15 @@
 	}()
 }
 
+// startAttempt runs an attempt in a goroutine, for which release waits.
+func (l *requestLease) startAttempt(run func()) {
+	if l == nil {
+		go run()
+		return
+	}
+	l.attempts.Go(run)
+}
+
 // mayDispatch reports whether an attempt may be sent: the first one needs a valid lease, any
 // other a permit.
 func (l *requestLease) mayDispatch(attempt *inflight.Attempt) bool {
