--- a/internal/gateway/capture_test.go
+++ b/internal/gateway/capture_test.go
@@ -40,8 +40,8 @@
 	return events, len(found)
 }
 
-// What a gateway on sockets records replays alike: answers of every kind, a
-// worker that drains, a client that leaves, and a registry that moves.
+// What a gateway on sockets records replays identically: answers of every kind, a replica that
+// drains, a client that disconnects, and discovery that moves.
 func TestGatewayRecords(t *testing.T) {
 	dir := t.TempDir()
 	good := newFakeReplica(t, "s-1", answerCompletely)
@@ -49,12 +49,12 @@
 	g := startGateway(t, func(o *Options) { o.Capture = captureTo(dir) }, good, bad)
 	for i := range 30 {
 		c := dial(t, g.addr)
-		c.ask(strings.Repeat("x", i+1), "4000m")
-		if resp, _ := c.answer(); resp.StatusCode != http.StatusOK {
+		c.sendRequest(strings.Repeat("x", i+1), "4000m")
+		if resp, _ := c.readAnswer(); resp.StatusCode != http.StatusOK {
 			t.Fatal(resp.Status)
 		}
 	}
-	g.discoveryServer.change(instance(bad, "draining"))
+	g.discoveryServer.change(listEntry(bad, "draining"))
 	next := newFakeDiscovery(t, g.discoveryServer.list)
 	g.MoveDiscovery(next.addr)
 	waitUntil(t, "the move", func() bool { return next.callCount() > 0 })
@@ -75,13 +75,13 @@
 		t.Errorf("saved without a recording: %v", err)
 	}
 	c := dial(t, g.addr)
-	c.ask("unrecorded", "4000m")
-	c.answer()
+	c.sendRequest("unrecorded", "4000m")
+	c.readAnswer()
 	if err := g.SetCapture(ctx, captureTo(dir)); err != nil {
 		t.Fatal(err)
 	}
-	c.ask("again", "4000m")
-	c.answer()
+	c.sendRequest("again", "4000m")
+	c.readAnswer()
 	waitUntil(t, "its end", func() bool { return g.clients.inFlightCount() == 0 })
 	if err := g.SetCapture(ctx, nil); err != nil {
 		t.Fatal(err)
--- a/internal/gateway/clients_test.go
+++ b/internal/gateway/clientconn_test.go
@@ -23,23 +23,23 @@
 	l := syncpoint.NewListener(t)
 	defer l.Close()
 	c := dial(t, l.Addr().String())
-	nc, err := l.Accept()
+	accepted, err := l.Accept()
 	if err != nil {
 		t.Fatal(err)
 	}
-	conn, err := newClientConn(nc, newClientTracker(8, 1, newMonotonicClock()))
+	conn, err := newClientConn(accepted, newClientTracker(8, 1, newMonotonicClock()))
 	if err != nil {
 		t.Fatal(err)
 	}
-	t.Cleanup(func() { nc.Close() })
+	t.Cleanup(func() { accepted.Close() })
 	conn.used = true
 	return conn, c
 }
 
 const requestFirstHalf, requestSecondHalf = "POST /v1/chat/completions HTTP/1.1\r\nHost: a\r\nReq-Id: x\r\n", "Req-Kind: chat\r\nContent-Length: 0\r\n\r\n"
 
-// A connection's end and the bytes of a request: one of them wins, in either order, and on one that
-// has ended no byte is read.
+// Either the end of a connection wins or the bytes of a request, in either order, and after the
+// end no byte is read.
 func TestConnectionCloseVersusRequestStart(t *testing.T) {
 	read := func(c *clientConn) (string, error) {
 		b := make([]byte, 512)
@@ -53,10 +53,10 @@
 	for name, play := range map[string]func(t *testing.T, conn *clientConn, c *testClient){
 		"bytes unread, then the end": func(t *testing.T, conn *clientConn, c *testClient) {
 			t.Helper()
-			c.raw(requestFirstHalf)
+			c.sendRaw(requestFirstHalf)
 			waiting(t, conn)
 			if conn.closeIfIdle(true) || conn.evict() {
-				t.Error("ended over bytes that had come")
+				t.Error("ended over bytes that had arrived")
 			}
 			if got, err := read(conn); got != requestFirstHalf || err != nil {
 				t.Errorf("read %q, %v", got, err)
@@ -64,7 +64,7 @@
 		},
 		"bytes read, then the end": func(t *testing.T, conn *clientConn, c *testClient) {
 			t.Helper()
-			c.raw(requestFirstHalf)
+			c.sendRaw(requestFirstHalf)
 			if got, err := read(conn); got != requestFirstHalf || err != nil {
 				t.Errorf("read %q, %v", got, err)
 			}
@@ -75,55 +75,55 @@
 		"the end, then bytes": func(t *testing.T, conn *clientConn, c *testClient) {
 			t.Helper()
 			if !conn.closeIfIdle(true) {
-				t.Error("a resting connection does not end")
+				t.Error("an idle connection does not end")
 			}
-			c.raw(requestFirstHalf + requestSecondHalf)
+			c.sendRaw(requestFirstHalf + requestSecondHalf)
 			waiting(t, conn)
 			if got, err := read(conn); got != "" || !errors.Is(err, io.EOF) {
 				t.Errorf("read %q, %v", got, err)
 			}
 			waiting(t, conn) // still: nobody has read them
 		},
-		"half a request, no longer waited for": func(t *testing.T, conn *clientConn, c *testClient) {
+		"a partial request, no longer waited for": func(t *testing.T, conn *clientConn, c *testClient) {
 			t.Helper()
-			c.raw(requestFirstHalf)
+			c.sendRaw(requestFirstHalf)
 			read(conn)
 			if !conn.evict() {
-				t.Error("half a request keeps its place")
+				t.Error("a partial request is not evicted")
 			}
 			if got, err := read(conn); got != "" || err == nil {
 				t.Errorf("read %q, %v", got, err)
 			}
 		},
-		"a whole request that is not served yet": func(t *testing.T, conn *clientConn, c *testClient) {
+		"a complete request that is not served yet": func(t *testing.T, conn *clientConn, c *testClient) {
 			t.Helper()
-			c.raw(requestFirstHalf + requestSecondHalf)
+			c.sendRaw(requestFirstHalf + requestSecondHalf)
 			read(conn)
 			if rank, _ := conn.evictionRank(conn.tracker.clock.now() + 10*slowRequestAfter); rank != 0 || conn.evict() {
 				t.Errorf("rank %d, or ended", rank)
 			}
 		},
-		"its idle time ends over bytes that have come": func(t *testing.T, conn *clientConn, c *testClient) {
+		"its idle timeout ends over bytes that have arrived": func(t *testing.T, conn *clientConn, c *testClient) {
 			t.Helper()
-			c.raw(requestFirstHalf)
+			c.sendRaw(requestFirstHalf)
 			waiting(t, conn)
 			conn.SetReadDeadline(time.Unix(1, 0))
 			if got, err := read(conn); got != requestFirstHalf || err != nil {
 				t.Errorf("read %q, %v", got, err)
 			}
 			// A request that has begun has a time of its own.
-			c.raw(requestSecondHalf)
+			c.sendRaw(requestSecondHalf)
 			if got, err := read(conn); got != requestSecondHalf || err != nil {
 				t.Errorf("read %q, %v", got, err)
 			}
 		},
-		"its idle time ends, then bytes": func(t *testing.T, conn *clientConn, c *testClient) {
+		"its idle timeout ends, then bytes": func(t *testing.T, conn *clientConn, c *testClient) {
 			t.Helper()
 			conn.SetReadDeadline(time.Unix(1, 0))
 			if got, err := read(conn); got != "" || err == nil {
 				t.Errorf("read %q, %v", got, err)
 			}
-			c.raw(requestFirstHalf)
+			c.sendRaw(requestFirstHalf)
 			waiting(t, conn)
 			conn.SetReadDeadline(time.Time{})
 			if got, err := read(conn); got != "" || !errors.Is(err, io.EOF) {
@@ -132,7 +132,7 @@
 		},
 		"answered with some of the next request read, in a drain": func(t *testing.T, conn *clientConn, c *testClient) {
 			t.Helper()
-			c.raw(requestFirstHalf + requestSecondHalf + "P")
+			c.sendRaw(requestFirstHalf + requestSecondHalf + "P")
 			read(conn)
 			conn.tracker.beginShutdown()
 			conn.requestAnswered(conn.tracker.clock.now())
@@ -140,12 +140,12 @@
 				t.Error("ended under a request that had begun")
 			}
 		},
-		"an empty line behind a request, in pieces": func(t *testing.T, conn *clientConn, c *testClient) {
+		"an empty line after a request, in pieces": func(t *testing.T, conn *clientConn, c *testClient) {
 			t.Helper()
-			c.raw(requestFirstHalf + requestSecondHalf + "\r")
+			c.sendRaw(requestFirstHalf + requestSecondHalf + "\r")
 			read(conn)
 			conn.requestAnswered(conn.tracker.clock.now())
-			c.raw("\n")
+			c.sendRaw("\n")
 			read(conn)
 			if conn.requestStart != 0 || !conn.closeIfIdle(true) {
 				t.Error("an empty line is taken for a request")
@@ -154,12 +154,12 @@
 		"answered while a drain begins": func(t *testing.T, conn *clientConn, c *testClient) {
 			t.Helper()
 			conn.used = false
-			c.raw(requestFirstHalf + requestSecondHalf)
+			c.sendRaw(requestFirstHalf + requestSecondHalf)
 			read(conn)
-			conn.tracker.beginShutdown() // has asked this one already
+			conn.tracker.beginShutdown() // has been at this one already
 			conn.requestAnswered(conn.tracker.clock.now())
 			if !conn.readClosed {
-				t.Error("rests on in the drain")
+				t.Error("stays open in the drain")
 			}
 		},
 	} {
@@ -170,53 +170,54 @@
 	}
 }
 
-// startGatewayHeld is start on a listener whose connections can be held.
-func startGatewayHeld(t *testing.T, tweak func(*Options), workers ...*fakeReplica) (*testGateway, *syncpoint.Listener) {
+// startGatewayHeld is startGateway on a listener whose connections can be stopped.
+func startGatewayHeld(t *testing.T, tweak func(*Options), replicas ...*fakeReplica) (*testGateway, *syncpoint.Listener) {
 	t.Helper()
 	l := syncpoint.NewListener(t)
-	return startGatewayOn(t, l, tweak, workers...), l
+	return startGatewayOn(t, l, tweak, replicas...), l
 }
 
-// A drain begins at each point of a request's coming: what has come, read or not, is answered on its
-// connection, which ends then; what comes later is not read, and nothing of it reaches a replica.
+// A drain begins at each point of a request's arrival: what has arrived, read or not, is
+// answered on its connection, which ends then; what arrives later is not read, and nothing of
+// it reaches a replica.
 func TestDrainWhileRequestArrives(t *testing.T) {
-	ask := func(id string) string {
+	request := func(id string) string {
 		return strings.Replace(requestFirstHalf, "Req-Id: x", "Req-Id: "+id, 1) + requestSecondHalf
 	}
-	type meeting func(t *testing.T, c *testClient, conn *syncpoint.Conn, drain func()) (sends int)
-	read := func(n int) meeting { // so many bytes of it were, and nothing done with them yet
+	type scenario func(t *testing.T, c *testClient, conn *syncpoint.Conn, drain func()) (attempts int)
+	read := func(n int) scenario { // so many bytes of it were read, and not processed yet
 		return func(t *testing.T, c *testClient, conn *syncpoint.Conn, drain func()) int {
 			t.Helper()
-			behind := syncpoint.NewPoint(t)
-			conn.StopAfterRead(behind)
-			c.raw(ask("b")[:n])
-			behind.WaitReached(t)
+			afterRead := syncpoint.NewPoint(t)
+			conn.StopAfterRead(afterRead)
+			c.sendRaw(request("b")[:n])
+			afterRead.WaitReached(t)
 			drain()
-			behind.Release()
-			c.raw(ask("b")[n:])
+			afterRead.Release()
+			c.sendRaw(request("b")[n:])
 			return 2
 		}
 	}
-	for name, play := range map[string]meeting{
+	for name, play := range map[string]scenario{
 		"its first bytes were read": read(7),
-		"all of it was read":        read(len(ask("b"))),
-		"all of it has come and none was read": func(t *testing.T, c *testClient, conn *syncpoint.Conn, drain func()) int {
+		"all of it was read":        read(len(request("b"))),
+		"all of it has arrived and none was read": func(t *testing.T, c *testClient, conn *syncpoint.Conn, drain func()) int {
 			t.Helper()
-			before := syncpoint.NewPoint(t)
-			conn.StopBeforeRead(before)
-			c.raw(ask("b"))
-			before.WaitReached(t)
+			beforeRead := syncpoint.NewPoint(t)
+			conn.StopBeforeRead(beforeRead)
+			c.sendRaw(request("b"))
+			beforeRead.WaitReached(t)
 			drain()
-			before.Release()
+			beforeRead.Release()
 			return 2
 		},
-		"it comes behind the end": func(t *testing.T, c *testClient, conn *syncpoint.Conn, drain func()) int {
+		"it arrives after the end": func(t *testing.T, c *testClient, conn *syncpoint.Conn, drain func()) int {
 			t.Helper()
 			drain()
-			if _, err := c.in.ReadByte(); !errors.Is(err, io.EOF) {
-				t.Errorf("the resting connection: %v, want a clean end", err)
+			if _, err := c.reader.ReadByte(); !errors.Is(err, io.EOF) {
+				t.Errorf("the idle connection: %v, want a clean end", err)
 			}
-			io.WriteString(c, ask("b")) // may fail: the other side has closed
+			io.WriteString(c, request("b")) // may fail: the other side has closed
 			return 1
 		},
 	} {
@@ -224,44 +225,44 @@
 			w := newFakeReplica(t, "s-1", answerCompletely)
 			g, l := startGatewayHeld(t, func(o *Options) { o.DrainAcceptPeriod = 100 * time.Millisecond }, w)
 			c := dial(t, g.addr)
-			c.raw(ask("a"))
-			if resp, _ := c.answer(); resp.StatusCode != 200 || resp.Close {
+			c.sendRaw(request("a"))
+			if resp, _ := c.readAnswer(); resp.StatusCode != 200 || resp.Close {
 				t.Fatalf("status %d, close %t", resp.StatusCode, resp.Close)
 			}
 			drained := make(chan error, 1)
-			other := dial(t, g.addr) // a sign that the drain has asked all
-			other.raw(ask("other"))
-			other.answer()
+			other := dial(t, g.addr) // shows that the drain has been at all connections
+			other.sendRaw(request("other"))
+			other.readAnswer()
 			first, second := l.NextConn(t), l.NextConn(t)
 			if first.RemoteAddr().String() != c.LocalAddr().String() {
 				first = second
 			}
-			waitUntil(t, "rest", func() bool { return g.idleConnCount() == 2 })
-			sends := play(t, c, first, func() {
+			waitUntil(t, "idle connections", func() bool { return g.idleConnCount() == 2 })
+			attempts := play(t, c, first, func() {
 				go func() { drained <- g.Drain(context.Background()) }()
-				if _, err := other.in.ReadByte(); !errors.Is(err, io.EOF) {
+				if _, err := other.reader.ReadByte(); !errors.Is(err, io.EOF) {
 					t.Errorf("the other connection: %v", err)
 				}
 			})
-			if sends == 2 {
-				if resp, _ := c.answer(); resp.StatusCode != 200 || !resp.Close {
+			if attempts == 2 {
+				if resp, _ := c.readAnswer(); resp.StatusCode != 200 || !resp.Close {
 					t.Errorf("status %d, close %t", resp.StatusCode, resp.Close)
 				}
 			}
-			if _, err := c.in.ReadByte(); err == nil {
+			if _, err := c.reader.ReadByte(); err == nil {
 				t.Error("the connection goes on")
 			}
 			if err := <-drained; err != nil {
 				t.Error(err)
 			}
-			if _, n := w.seen(); n != sends+1 {
-				t.Errorf("%d requests reached the replica, want %d", n, sends+1)
+			if _, n := w.counts(); n != attempts+1 {
+				t.Errorf("%d requests reached the replica, want %d", n, attempts+1)
 			}
 		})
 	}
 }
 
-// idleConnCount counts the connections on which a request was answered and none has come since.
+// idleConnCount counts the connections on which a request was answered and none has arrived since.
 func (r *testGateway) idleConnCount() (n int) {
 	for _, conn := range r.clients.connections() {
 		conn.mu.Lock()
@@ -273,8 +274,9 @@
 	return n
 }
 
-// Requests sent ahead of their answers are answered in a drain too, each by its own settings, and only
-// the last answer ends the connection; so is one whose connection came as the listener closed.
+// Pipelined requests are answered in a drain too, each by its own settings, and only the last
+// answer ends the connection; so is a request on a connection that was accepted as the listener
+// closed.
 func TestDrainAnswersPipelinedRequests(t *testing.T) {
 	more := make(chan struct{})
 	w := newFakeReplica(t, "s-1", func(c net.Conn, r *http.Request) bool {
@@ -286,24 +288,24 @@
 	g := startGateway(t, func(o *Options) { o.DrainAcceptPeriod = 50 * time.Millisecond }, w)
 	c, late, unused := dial(t, g.addr), dial(t, g.addr), dial(t, g.addr)
 	for i, id := range []string{"first", "second", "third"} {
-		c.raw(fmt.Sprintf("POST /v1/chat/completions HTTP/1.1\r\nHost: a\r\nReq-Id: %s\r\nReq-Kind: chat\r\nReq-Owner: t%d\r\nContent-Length: 0\r\n\r\n", id, i))
+		c.sendRaw(fmt.Sprintf("POST /v1/chat/completions HTTP/1.1\r\nHost: a\r\nReq-Id: %s\r\nReq-Kind: chat\r\nReq-Owner: t%d\r\nContent-Length: 0\r\n\r\n", id, i))
 	}
-	late.raw(requestFirstHalf[:9])
-	waitUntil(t, "the first send", func() bool { _, n := w.seen(); return n == 1 })
-	waitUntil(t, "half a request", func() bool { return g.begunRequestCount() == 2 })
+	late.sendRaw(requestFirstHalf[:9])
+	waitUntil(t, "the first attempt", func() bool { _, n := w.counts(); return n == 1 })
+	waitUntil(t, "a partial request", func() bool { return g.begunRequestCount() == 2 })
 	drained := make(chan error, 1)
 	go func() { drained <- g.Drain(context.Background()) }()
-	if _, err := unused.in.ReadByte(); !errors.Is(err, io.EOF) { // the last step of the drain but for waiting
+	if _, err := unused.reader.ReadByte(); !errors.Is(err, io.EOF) { // the last step of the drain before it waits
 		t.Errorf("the unused connection: %v", err)
 	}
 	close(more)
-	late.raw(requestFirstHalf[9:] + requestSecondHalf)
+	late.sendRaw(requestFirstHalf[9:] + requestSecondHalf)
 	for i, last := range []bool{false, false, true} {
-		if resp, body := c.answer(); resp.StatusCode != 200 || !strings.Contains(body, "[DONE]") || resp.Close != last {
+		if resp, body := c.readAnswer(); resp.StatusCode != 200 || !strings.Contains(body, "[DONE]") || resp.Close != last {
 			t.Errorf("answer %d: status %d, close %t", i, resp.StatusCode, resp.Close)
 		}
 	}
-	if resp, _ := late.answer(); resp.StatusCode != 200 || !resp.Close {
+	if resp, _ := late.readAnswer(); resp.StatusCode != 200 || !resp.Close {
 		t.Errorf("status %d, close %t", resp.StatusCode, resp.Close)
 	}
 	if err := <-drained; err != nil {
@@ -316,7 +318,7 @@
 		owners[r.Header.Get("Req-Id")] = r.Header.Get("Req-Owner")
 	}
 	if len(w.requests) != 4 || owners["first"] != "t0" || owners["second"] != "t1" || owners["third"] != "t2" {
-		t.Errorf("%d sends: %v", len(w.requests), owners)
+		t.Errorf("%d attempts: %v", len(w.requests), owners)
 	}
 }
 
@@ -331,10 +333,10 @@
 	return n
 }
 
-// A stream whose head went out before the drain did not tell its client of the end. A request that
-// has come by the stream's end is answered; one that comes later is not read.
+// A stream whose head was written before the drain did not announce the end to its client. A
+// request that has arrived by the stream's end is answered; one that arrives later is not read.
 func TestDrainAfterStream(t *testing.T) {
-	for name, comes := range map[string]bool{"a request has come": true, "none has": false} {
+	for name, arrives := range map[string]bool{"a request has arrived": true, "none has": false} {
 		t.Run(name, func(t *testing.T) {
 			more := make(chan struct{})
 			w := newFakeReplica(t, "s-1", func(c net.Conn, r *http.Request) bool {
@@ -348,27 +350,27 @@
 			})
 			g := startGateway(t, func(o *Options) { o.DrainAcceptPeriod = 20 * time.Millisecond }, w)
 			c := dial(t, g.addr)
-			c.ask("stream", "4000m")
-			resp := c.head()
+			c.sendRequest("stream", "4000m")
+			resp := c.readHead()
 			if _, err := io.ReadFull(resp.Body, make([]byte, len(event1))); err != nil || resp.Close {
 				t.Fatalf("%v, close %t", err, resp.Close)
 			}
 			drained := make(chan error, 1)
 			go func() { drained <- g.Drain(context.Background()) }()
 			<-g.acceptDone
-			if comes {
-				c.ask("next", "4000m")
+			if arrives {
+				c.sendRequest("next", "4000m")
 			}
 			close(more)
 			if got, err := io.ReadAll(resp.Body); err != nil || len(got) != 0 {
 				t.Errorf("the stream ended with %q, %v", got, err)
 			}
-			if comes {
-				if resp, _ := c.answer(); resp.StatusCode != 200 || !resp.Close {
+			if arrives {
+				if resp, _ := c.readAnswer(); resp.StatusCode != 200 || !resp.Close {
 					t.Errorf("status %d, close %t", resp.StatusCode, resp.Close)
 				}
 			}
-			if _, err := c.in.ReadByte(); !errors.Is(err, io.EOF) {
+			if _, err := c.reader.ReadByte(); !errors.Is(err, io.EOF) {
 				t.Errorf("at the end: %v", err)
 			}
 			if err := <-drained; err != nil {
@@ -378,8 +380,8 @@
 	}
 }
 
-// A connection that is closed over bytes that its client had sent leaves the client all that was
-// written before: a reset would take it along. Who does not read is not waited for.
+// A connection that is closed over unread bytes still delivers all that was written before: a
+// reset would drop it. A client that does not read is not waited for.
 func TestCloseDeliversTheAnswer(t *testing.T) {
 	events := strings.Repeat(event1, 2000)
 	w := newFakeReplica(t, "s-1", func(c net.Conn, r *http.Request) bool {
@@ -392,83 +394,83 @@
 	g := startGateway(t, nil, w)
 	c := dial(t, g.addr)
 	c.Conn.(*net.TCPConn).SetReadBuffer(32 << 10)
-	c.ask("l1", "4000m")
-	waitUntil(t, "the send", func() bool { _, n := w.seen(); return n == 1 })
-	c.raw("POST /v1/chat/completions HTTP/1.1\r\nHost: a\r\n") // ahead, and left unread
+	c.sendRequest("l1", "4000m")
+	waitUntil(t, "the attempt", func() bool { _, n := w.counts(); return n == 1 })
+	c.sendRaw("POST /v1/chat/completions HTTP/1.1\r\nHost: a\r\n") // pipelined, and left unread
 	waitUntil(t, "the close", func() bool { return g.clients.lingering.Load() == 1 })
-	got, err := io.ReadAll(c.head().Body)
+	got, err := io.ReadAll(c.readHead().Body)
 	if !errors.Is(err, io.ErrUnexpectedEOF) || string(got) != events {
 		t.Errorf("%d of %d bytes, %v", len(got), len(events), err)
 	}
 	waitUntil(t, "the connection's end", func() bool { return g.clients.connCount() == 0 && g.clients.lingering.Load() == 0 })
 }
 
-// Connections that are being closed hold no place that another wants.
+// A connection that is being closed gives way to another one.
 func TestLingeringConnectionIsEvicted(t *testing.T) {
 	conn, c := acceptedConn(t)
-	cs := conn.tracker
-	cs.conns[conn] = struct{}{}
-	c.raw(requestFirstHalf + requestSecondHalf + "x") // the last one is left unread: its close waits for its time
+	tracker := conn.tracker
+	tracker.conns[conn] = struct{}{}
+	c.sendRaw(requestFirstHalf + requestSecondHalf + "x") // the last byte is left unread: the close lingers
 	if _, err := io.ReadFull(conn, make([]byte, len(requestFirstHalf+requestSecondHalf))); err != nil {
 		t.Fatal(err)
 	}
 	waitUntil(t, "a byte", func() bool { return connpool.HasUnreadData(conn.Conn) })
 	conn.Write([]byte("answer"))
 	go conn.Close()
-	waitUntil(t, "the close", func() bool { return cs.lingering.Load() == 1 })
-	if !cs.evictOne() || cs.connCount() != 0 {
-		t.Error("a lingering connection keeps its place")
+	waitUntil(t, "the close", func() bool { return tracker.lingering.Load() == 1 })
+	if !tracker.evictOne() || tracker.connCount() != 0 {
+		t.Error("a lingering connection is not evicted")
 	}
 }
 
-// Odd clients, all at once: each is answered or cut off, others notice nothing, no replica is held to
-// blame, and connections, bodies and tasks are back to where they were.
+// Many misbehaving clients at once: each is answered or cut off, others notice nothing, no
+// replica is blamed, and connections, body memory and goroutines are back to where they were.
 func TestMisbehavingClientsLeakNothing(t *testing.T) {
 	w := newFakeReplica(t, "s-1", answerCompletely)
 	g := startGateway(t, nil, w)
 	c := dial(t, g.addr)
-	c.ask("before", "4000m")
-	c.answer()
-	waitUntil(t, "rest", func() bool { return g.idleConnCount() == 1 })
-	tasks := runtime.NumGoroutine()
+	c.sendRequest("before", "4000m")
+	c.readAnswer()
+	waitUntil(t, "idle connections", func() bool { return g.idleConnCount() == 1 })
+	goroutines := runtime.NumGoroutine()
 	var group sync.WaitGroup
 	for name, text := range map[string]string{
-		"half a head":        requestFirstHalf,
-		"half a body":        requestFirstHalf + "Req-Kind: chat\r\nContent-Length: 9\r\n\r\nab",
+		"a partial head":     requestFirstHalf,
+		"a partial body":     requestFirstHalf + "Req-Kind: chat\r\nContent-Length: 9\r\n\r\nab",
 		"an endless head":    requestFirstHalf + "X: " + strings.Repeat("x", 1<<20),
 		"an endless body":    requestFirstHalf + "Req-Kind: chat\r\nTransfer-Encoding: chunked\r\n\r\n" + strings.Repeat(chunk(strings.Repeat("y", 1000)), 1000),
 		"two lengths":        requestFirstHalf + "Req-Kind: chat\r\nContent-Length: 2\r\nContent-Length: 3\r\n\r\nabc",
-		"a spoilt chunk":     requestFirstHalf + "Req-Kind: chat\r\nTransfer-Encoding: chunked\r\n\r\nzz\r\nabc",
+		"a malformed chunk":  requestFirstHalf + "Req-Kind: chat\r\nTransfer-Encoding: chunked\r\n\r\nzz\r\nabc",
 		"noise":              "\x00\x01\x02\xff\n\n\n\n",
 		"two at once, gone":  strings.Repeat(requestFirstHalf+"Req-Kind: none\r\nContent-Length: 0\r\n\r\n", 2),
-		"whole, in 1 byte's": requestFirstHalf + requestSecondHalf,
+		"complete, bytewise": requestFirstHalf + requestSecondHalf,
 	} {
-		odd := dial(t, g.addr)
+		bad := dial(t, g.addr)
 		group.Go(func() {
-			if strings.HasPrefix(name, "whole") {
+			if strings.HasPrefix(name, "complete") {
 				for i := range len(text) {
-					io.WriteString(odd, text[i:i+1])
+					io.WriteString(bad, text[i:i+1])
 				}
-				if resp, err := http.ReadResponse(odd.in, nil); err != nil || resp.StatusCode != 200 {
+				if resp, err := http.ReadResponse(bad.reader, nil); err != nil || resp.StatusCode != 200 {
 					t.Errorf("%s: %v, %v", name, resp, err)
 				}
 			} else {
-				io.WriteString(odd, text) // may be cut off
+				io.WriteString(bad, text) // may be cut off
 			}
-			odd.Close()
+			bad.Close()
 		})
 	}
 	for i := range 20 {
-		c.ask(fmt.Sprint("good", i), "4000m")
-		if resp, _ := c.answer(); resp.StatusCode != 200 {
+		c.sendRequest(fmt.Sprint("good", i), "4000m")
+		if resp, _ := c.readAnswer(); resp.StatusCode != 200 {
 			t.Errorf("a good client's: status %d", resp.StatusCode)
 		}
 	}
 	group.Wait()
 	waitUntil(t, "all back", func() bool {
-		return g.clients.connCount() == 1 && g.clients.bodyBytes.Load() == 0 && g.clients.inFlightCount() == 0 && runtime.NumGoroutine() <= tasks+2
+		return g.clients.connCount() == 1 && g.clients.bodyBytes.Load() == 0 && g.clients.inFlightCount() == 0 && runtime.NumGoroutine() <= goroutines+2
 	})
-	if _, n := w.seen(); n != 22 {
+	if _, n := w.counts(); n != 22 {
 		t.Errorf("%d requests reached the replica, want the 22 good ones", n)
 	}
 }
--- a/internal/gateway/clientgone_test.go
+++ b/internal/gateway/clientgone_test.go
@@ -17,9 +17,9 @@
 	"archknot/internal/inflight"
 )
 
-// A client that has closed its connection, wholly or its own half, or has reset it, is gone:
-// no attempt begins from then on, also where the server has not noticed. The system is asked
-// at the one place where an attempt is written.
+// A client that has closed its connection, completely or its own half, or has reset it, is
+// gone: no attempt begins from then on, even if the HTTP server has not noticed. The kernel's
+// state is read where an attempt is sent.
 func TestClientGoneByKernelState(t *testing.T) {
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -30,12 +30,12 @@
 		end  func(*net.TCPConn)
 		gone bool
 	}{
-		"stays":             {func(c *net.TCPConn) {}, false},
-		"sends more, stays": {func(c *net.TCPConn) { io.WriteString(c, "GET /") }, false},
-		"closes":            {func(c *net.TCPConn) { c.Close() }, true},
-		"closes its half":   {func(c *net.TCPConn) { c.CloseWrite() }, true},
-		"resets":            {func(c *net.TCPConn) { c.SetLinger(0); c.Close() }, true},
-		"sends more, goes":  {func(c *net.TCPConn) { io.WriteString(c, "GET /"); c.Close() }, true},
+		"stays":              {func(c *net.TCPConn) {}, false},
+		"sends more, stays":  {func(c *net.TCPConn) { io.WriteString(c, "GET /") }, false},
+		"closes":             {func(c *net.TCPConn) { c.Close() }, true},
+		"closes its half":    {func(c *net.TCPConn) { c.CloseWrite() }, true},
+		"resets":             {func(c *net.TCPConn) { c.SetLinger(0); c.Close() }, true},
+		"sends more, closes": {func(c *net.TCPConn) { io.WriteString(c, "GET /"); c.Close() }, true},
 	} {
 		there, err := net.Dial("tcp", l.Addr().String())
 		if err != nil {
@@ -56,11 +56,11 @@
 	}
 }
 
-// A client leaves at each point at which its request waits, alone or with all others at once,
-// also behind bytes that it sent past its request, which keep the server from hearing of it. No
-// attempt begins from 0.1 s after that on.
+// A client disconnects at each point at which its request waits, alone or with all others at
+// once, also after bytes beyond its request, which keep the server from noticing. No attempt
+// begins from 0.1 s after that on.
 func TestNoAttemptStartsForGoneClient(t *testing.T) {
-	for name, more := range map[string]string{"plain": "", "more behind": "GET /health/ready HTTP/1.1\r\n"} {
+	for name, more := range map[string]string{"plain": "", "more after it": "GET /health/ready HTTP/1.1\r\n"} {
 		t.Run(name, func(t *testing.T) {
 			var begun, late atomic.Int32
 			var goneAt atomic.Int64
@@ -70,7 +70,7 @@
 					late.Add(1)
 				}
 				begun.Add(1)
-				<-hold // the first attempt: declined after its client has gone, which asks for another
+				<-hold // the first attempt: shed after its client has gone, which calls for a retry
 				io.WriteString(c, shedReply)
 				return true
 			})
@@ -79,20 +79,20 @@
 			var all []*testClient
 			for i := range 20 {
 				c := dial(t, g.addr)
-				c.ask("gone"+name[:1]+string(rune('a'+i)), "4000m")
+				c.sendRequest("gone"+name[:1]+string(rune('a'+i)), "4000m")
 				all = append(all, c)
 			}
 			waitUntil(t, "attempts", func() bool { return begun.Load() == 20 })
 			for _, c := range all {
 				if more != "" {
-					c.raw(more)
+					c.sendRaw(more)
 				}
 				c.Close()
 			}
 			goneAt.Store(time.Now().UnixNano())
 			time.Sleep(150 * time.Millisecond) // the clock of the rule: what begins now is late
 			close(hold)
-			waitUntil(t, "nothing in hand", func() bool { return g.clients.inFlightCount() == 0 && len(g.loop.events) == 0 || late.Load() > 0 })
+			waitUntil(t, "nothing in flight", func() bool { return g.clients.inFlightCount() == 0 && len(g.loop.events) == 0 || late.Load() > 0 })
 			if n := late.Load(); n > 0 {
 				t.Errorf("%d attempts begun for clients that had gone", n)
 			}
@@ -100,22 +100,22 @@
 	}
 }
 
-// The same for a client that goes while its attempt waits for a connection that comes up late:
-// nothing is written to it.
+// The same for a client that disconnects while its attempt waits for a slow connect: nothing is
+// written to the connection.
 func TestNothingIsWrittenAfterLateConnect(t *testing.T) {
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
 	defer l.Close()
-	g, err := New(options())
+	g, err := New(testOptions())
 	if err != nil {
 		t.Fatal(err)
 	}
 	store := inflight.NewTable()
 	ctx, end := context.WithCancel(t.Context())
 	r := inflight.NewRequest(ctx, "late", balancer.Request{}, 0, 3)
-	r.ClientClosed, r.Cancel = func() bool { return true }, end // the system knows, the server does not
+	r.ClientClosed, r.Cancel = func() bool { return true }, end // the kernel knows, the HTTP server does not
 	store.Add(r)
 	now := g.clock.now()
 	d := store.StartAttempt(r, &endpoint.Replica{}, now, now+1e6)
--- a/internal/gateway/contracts_test.go
+++ b/internal/gateway/contracts_test.go
@@ -12,10 +12,10 @@
 	"archknot/internal/contract"
 )
 
-func (c *testClient) askAs(id, tenant string) {
+func (c *testClient) sendRequestFor(id, tenant string) {
 	c.t.Helper()
 	const body = `{"model":"chat","stream":true}`
-	c.raw(fmt.Sprintf("POST /v1/chat/completions HTTP/1.1\r\nHost: app.svc\r\nReq-Id: %s\r\nReq-Kind: chat\r\nReq-Owner: %s\r\nReq-Deadline: 4000m\r\n"+
+	c.sendRaw(fmt.Sprintf("POST /v1/chat/completions HTTP/1.1\r\nHost: app.svc\r\nReq-Id: %s\r\nReq-Kind: chat\r\nReq-Owner: %s\r\nReq-Deadline: 4000m\r\n"+
 		"Req-Extra: prompt_len=5120,max_out=400\r\nContent-Length: %d\r\n\r\n%s", id, tenant, len(body), body))
 }
 
@@ -38,19 +38,19 @@
 		{Team: "b", Tenants: []string{"b"}, Rate: 1e9, Burst: 1e9}}}
 }
 
-// A budget that is spent is refused at once: 429, when to come back, and a reason
-// for machines; no worker hears of it, and other teams are served. What was used
-// is what the worker told, not what was estimated.
+// A budget that is spent has requests rejected at once: 429, Retry-After, and a reason for
+// machines; no replica gets them, and other teams are served. What counts as used is what the
+// replica reported, not the estimate.
 func TestBudgetIsEnforced(t *testing.T) {
-	w := newFakeReplica(t, "s-1", answerCompletely) // tells 200 tokens made, 4096 of the prompt kept
+	w := newFakeReplica(t, "s-1", answerCompletely) // reports 200 output tokens, and 4096 of the prompt cached
 	g := startGateway(t, func(o *Options) { o.Contracts = testContracts(10_000) }, w)
 	c := dial(t, g.addr)
 	served := 0
 	var last *http.Response
 	var text string
 	for i := range 20 {
-		c.askAs(fmt.Sprint("r", i), "a")
-		if last, text = c.answer(); last.StatusCode != http.StatusOK {
+		c.sendRequestFor(fmt.Sprint("r", i), "a")
+		if last, text = c.readAnswer(); last.StatusCode != http.StatusOK {
 			break
 		}
 		served++
@@ -63,25 +63,25 @@
 	if a := g.accounts(t)["a"]; a.Used[contract.Quarter] != 4*1224*contract.Token {
 		t.Errorf("used %d", a.Used[contract.Quarter]/contract.Token)
 	}
-	if _, n := w.seen(); n != served {
-		t.Errorf("%d requests at the worker", n)
+	if _, n := w.counts(); n != served {
+		t.Errorf("%d requests at the replica", n)
 	}
-	c.askAs("other", "b")
-	if resp, _ := c.answer(); resp.StatusCode != http.StatusOK {
+	c.sendRequestFor("other", "b")
+	if resp, _ := c.readAnswer(); resp.StatusCode != http.StatusOK {
 		t.Error(resp.Status)
 	}
-	// The contract changes: the next is served, what was used goes on.
+	// The contract changes: the next is served, what was used still counts.
 	if err := g.SetContracts(t.Context(), testContracts(100_000)); err != nil {
 		t.Fatal(err)
 	}
-	c.askAs("more", "a")
-	if resp, _ := c.answer(); resp.StatusCode != http.StatusOK {
+	c.sendRequestFor("more", "a")
+	if resp, _ := c.readAnswer(); resp.StatusCode != http.StatusOK {
 		t.Error(resp.Status)
 	}
 	waitUntil(t, "settled", func() bool { return g.accounts(t)["a"].Used[contract.Quarter] == 5*1224*contract.Token })
 }
 
-// Each copy is charged to whom it is sent for: one that never ran costs nothing,
+// Each attempt is charged to the team that it is sent for: one that never ran costs nothing,
 // one that may have run its estimate; one that the budget does not allow is not sent.
 func TestAttemptsAreCharged(t *testing.T) {
 	bad := func(c net.Conn, r *http.Request) bool {
@@ -94,16 +94,16 @@
 		attempts int
 	}{{100_000, 3}, {9_000, 1}} {
 		g := startGateway(t, func(o *Options) { o.Contracts = testContracts(c.budget) }, w1, w2)
-		_, before1 := w1.seen()
-		_, before2 := w2.seen()
+		_, before1 := w1.counts()
+		_, before2 := w2.counts()
 		cl := dial(t, g.addr)
-		cl.askAs("x", "a")
-		if resp, _ := cl.answer(); resp.StatusCode != http.StatusServiceUnavailable {
+		cl.sendRequestFor("x", "a")
+		if resp, _ := cl.readAnswer(); resp.StatusCode != http.StatusServiceUnavailable {
 			t.Error(resp.Status)
 		}
 		waitUntil(t, "settled", func() bool { return g.accounts(t)["a"].Open == 0 })
-		_, n1 := w1.seen()
-		_, n2 := w2.seen()
+		_, n1 := w1.counts()
+		_, n2 := w2.counts()
 		if got := n1 + n2 - before1 - before2; got != c.attempts {
 			t.Errorf("budget %d: %d attempts", c.budget, got)
 		}
@@ -115,8 +115,8 @@
 	declines := newFakeReplica(t, "s-3", replyWith(shedReply, true))
 	g := startGateway(t, func(o *Options) { o.Contracts = testContracts(100_000) }, declines)
 	cl := dial(t, g.addr)
-	cl.askAs("y", "a")
-	cl.answer()
+	cl.sendRequestFor("y", "a")
+	cl.readAnswer()
 	waitUntil(t, "settled", func() bool { return g.accounts(t)["a"].Open == 0 })
 	if a := g.accounts(t)["a"]; a.Used[contract.Quarter] != 0 {
 		t.Errorf("what never ran cost %d", a.Used[contract.Quarter])
--- a/internal/gateway/deadline_test.go
+++ b/internal/gateway/deadline_test.go
@@ -13,9 +13,10 @@
 	"archknot/balancer"
 )
 
-// The time that each attempt tells its replica is what the client has left when it is written, first
-// attempt or further one, and no more than 0.15 s above it. The first replica holds the request for a
-// while and turns it away; told the whole time again, the next one would work past the client's end.
+// The time that each attempt announces to its replica is what the client has left when it is
+// written, first attempt or retry, and no more than 0.15 s above it. The first replica holds
+// the request for a while and sheds it; given the whole time again, the next one would work
+// past the client's deadline.
 func TestRetriesCarryRemainingDeadline(t *testing.T) {
 	const (
 		wait  = 2 * time.Second
@@ -23,30 +24,30 @@
 		slack = 150 * time.Millisecond
 	)
 	type attempt struct {
-		told time.Duration
-		at   time.Time
+		announced time.Duration
+		at        time.Time
 	}
 	var mu sync.Mutex
 	var attempts []attempt
 	script := func(c net.Conn, r *http.Request) bool {
-		var told balancer.Micros
-		fmt.Sscanf(r.Header.Get("Req-Deadline"), "%du", &told)
+		var announced balancer.Micros
+		fmt.Sscanf(r.Header.Get("Req-Deadline"), "%du", &announced)
 		mu.Lock()
-		attempts = append(attempts, attempt{time.Duration(told) * time.Microsecond, time.Now()})
+		attempts = append(attempts, attempt{time.Duration(announced) * time.Microsecond, time.Now()})
 		first := len(attempts) == 1
 		mu.Unlock()
 		if !first {
 			return answerCompletely(c, r)
 		}
-		<-time.After(holds) // what a slow refusal takes
+		<-time.After(holds) // what a slow shedding takes
 		io.WriteString(c, shedReply)
 		return true
 	}
 	g := startGateway(t, nil, newFakeReplica(t, "s-1", script), newFakeReplica(t, "s-2", script))
 	c := dial(t, g.addr)
 	sent := time.Now()
-	c.ask("d1", "2000m")
-	if resp, _ := c.answer(); resp.StatusCode != 200 {
+	c.sendRequest("d1", "2000m")
+	if resp, _ := c.readAnswer(); resp.StatusCode != 200 {
 		t.Fatalf("status %d", resp.StatusCode)
 	}
 	mu.Lock()
@@ -55,14 +56,14 @@
 		t.Fatalf("%d attempts", len(attempts))
 	}
 	for i, a := range attempts {
-		if left := wait - a.at.Sub(sent); a.told > left+slack || a.told < left/2 {
-			t.Errorf("attempt %d was told %v, the client has %v left", i+1, a.told, left)
+		if left := wait - a.at.Sub(sent); a.announced > left+slack || a.announced < left/2 {
+			t.Errorf("attempt %d announced %v, the client has %v left", i+1, a.announced, left)
 		}
 	}
 }
 
-// Whatever replicas do, and whatever other clients do meanwhile, each request that was read gets one
-// final answer by its time: the term's half second past it is not needed.
+// Whatever replicas do, and whatever other clients do meanwhile, each request that was read
+// gets one final answer by its deadline: the protocol's half second past it is not needed.
 func TestFaultsLeaveNoRequestUnanswered(t *testing.T) {
 	const (
 		requests = 40
@@ -70,19 +71,19 @@
 		late     = 500 * time.Millisecond
 	)
 	var turn atomic.Int64
-	troubles := []func(net.Conn, *http.Request) bool{replyWith("", false), neverAnswer, replyWith("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\nzz\r\n", true),
+	faults := []func(net.Conn, *http.Request) bool{replyWith("", false), neverAnswer, replyWith("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\nzz\r\n", true),
 		replyWith("HTTP/1.1 500 Oops\r\nContent-Length: 0\r\n\r\n", true), replyWith(shedReply, true), replyWith("HTTP/1.1 200 OK\r\nConte", false)}
-	trouble := func(c net.Conn, r *http.Request) bool {
-		return troubles[int(turn.Add(1))%len(troubles)](c, r)
+	fault := func(c net.Conn, r *http.Request) bool {
+		return faults[int(turn.Add(1))%len(faults)](c, r)
 	}
-	var workers []*fakeReplica
+	var replicas []*fakeReplica
 	for i := range 6 {
-		workers = append(workers, newFakeReplica(t, fmt.Sprint("s-", i), trouble))
+		replicas = append(replicas, newFakeReplica(t, fmt.Sprint("s-", i), fault))
 	}
-	g := startGateway(t, func(o *Options) { o.MaxClientConns = 400 }, workers...) // the limit of connections is another test's
+	g := startGateway(t, func(o *Options) { o.MaxClientConns = 400 }, replicas...) // the limit of connections has its own test
 	stop := make(chan struct{})
 	var others sync.WaitGroup
-	for i := range 4 { // other clients: half requests, noise, sent and gone
+	for i := range 4 { // other clients: partial requests, noise, sent and gone
 		others.Go(func() {
 			for n := 0; ; n++ {
 				select {
@@ -104,8 +105,8 @@
 		all.Go(func() {
 			c := dial(t, g.addr)
 			begun := time.Now()
-			c.ask(fmt.Sprint("t", i), "1000m")
-			resp, err := http.ReadResponse(c.in, nil)
+			c.sendRequest(fmt.Sprint("t", i), "1000m")
+			resp, err := http.ReadResponse(c.reader, nil)
 			if err != nil {
 				t.Errorf("request %d: no answer: %v after %v", i, err, time.Since(begun))
 				return
@@ -119,5 +120,5 @@
 	all.Wait()
 	close(stop)
 	others.Wait()
-	waitUntil(t, "nothing is in hand", func() bool { return g.clients.inFlightCount() == 0 })
+	waitUntil(t, "nothing in flight", func() bool { return g.clients.inFlightCount() == 0 })
 }
--- a/internal/gateway/discovery_test.go
+++ b/internal/gateway/discovery_test.go
@@ -16,39 +16,40 @@
 	"archknot/internal/inflight"
 )
 
-// pollingModule is a module that orders a watch in the very moment in which it hears of a failed call.
+// pollingModule is a module that requests a poll at the moment of a failed one.
 type pollingModule struct {
 	capture.Module
-	l   *eventLoop
-	off bool
+	loop     *eventLoop
+	disabled bool
 }
 
 func (o *pollingModule) ListChanged(_ balancer.Micros, l balancer.EndpointList) {
-	if l.Kind.Failed() && !o.off {
-		o.l.WatchDiscovery()
+	if l.Kind.Failed() && !o.disabled {
+		o.loop.WatchDiscovery()
 	}
 }
 
-// An order to ask discovery that was given while a call ran is answered by the call's failure; one
-// given from the failure on counts, however soon: swallowed, discovery was not asked for 5 s.
+// A poll that was requested while a call ran is answered by the call's failure; one requested
+// from the failure on counts, however soon: when it was swallowed, discovery was not polled for
+// 5 s.
 func TestPollRequestDuringFailedPoll(t *testing.T) {
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
 	defer l.Close()
-	o := options()
+	o := testOptions()
 	o.Discovery = l.Addr().String()
 	g, err := New(o)
 	if err != nil {
 		t.Fatal(err)
 	}
-	m := &pollingModule{Module: g.loop.module, l: g.loop}
+	m := &pollingModule{Module: g.loop.module, loop: g.loop}
 	g.loop.module = m
 	l.(*net.TCPListener).SetDeadline(time.Now().Add(5 * time.Second))
-	go g.watchDiscovery(t.Context()) // the test stands for the loop
+	go g.watchDiscovery(t.Context()) // the test takes the place of the loop
 	g.loop.WatchDiscovery()
-	for i := range 3 { // no more calls than were ordered, nor fewer
+	for i := range 3 { // exactly as many calls as were requested
 		c, err := l.Accept()
 		if err != nil {
 			t.Fatal(err)
@@ -57,22 +58,22 @@
 		c.Close()
 		e := (<-g.loop.events).(listPollFailed)
 		if i == 2 {
-			m.off, e.handled = true, make(chan struct{}) // nobody goes on behind it
+			m.disabled, e.handled = true, make(chan struct{}) // nobody waits for it
 		}
 		if len(g.loop.pollRequests) != 1 || len(g.loop.events) != 0 {
-			t.Errorf("call %d: the failure's order was taken up before it was heard", i)
+			t.Errorf("call %d: the poll requested by the failure was started before it was handled", i)
 		}
 		e.apply(g.loop)
 	}
 	if len(g.loop.pollRequests) != 0 {
-		t.Error("an order from before the failure stands")
+		t.Error("a poll requested before the failure stands")
 	}
 }
 
-// The first event that a client gets is behind the end of all other attempts of its request: when
-// the order to pass the stream on stands, the others are called off.
+// The client gets its first event only after all other attempts of its request have ended: when
+// the action to relay the stream is posted, the others are cancelled.
 func TestHedgedAttemptStreamsFirst(t *testing.T) {
-	g, err := New(options())
+	g, err := New(testOptions())
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -87,7 +88,7 @@
 	second := l.requests.StartAttempt(r, l.endpoints.ByName("s-2"), l.now, l.now+4e6)
 	l.module = cancelObserver{l.module, func() {
 		if len(r.Actions) != 0 {
-			t.Error("the stream is passed on before the others are called off")
+			t.Error("the stream is relayed before the others are cancelled")
 		}
 		second.Cancel()
 	}}
@@ -95,50 +96,50 @@
 	if a := <-r.Actions; a.Kind != inflight.ActionStream || second.Ctx.Err() == nil {
 		t.Errorf("action %v, the twin's end %v", a.Kind, second.Ctx.Err())
 	}
-	// The other order: what begins to answer once another's stream is the client's ends at once.
+	// The other order: a stream that begins after another one has won ends at once.
 	third := l.requests.StartAttempt(r, l.endpoints.ByName("s-2"), l.now, l.now+4e6)
 	streamOpened{third}.apply(l)
 	if third.Ctx.Err() == nil || len(r.Actions) != 0 {
-		t.Error("a second stream goes on")
+		t.Error("a second stream is not cancelled")
 	}
 }
 
 type cancelObserver struct {
 	capture.Module
-	off func()
+	onFirstToken func()
 }
 
 func (c cancelObserver) FirstToken(now balancer.Micros, o balancer.Outcome) {
-	c.off()
+	c.onFirstToken()
 	c.Module.FirstToken(now, o)
 }
 
-// What discovery answers oddly is a failed call: no list, no connection kept, and no longer than the
-// call's time, however it trickles. A good list comes whole, also indented; a second one behind it
-// is nobody's.
+// A malformed answer of discovery is a failed call: no list, no connection kept for reuse, and
+// no longer than the call's timeout, however slowly it arrives. A valid list is applied
+// completely, also an indented one; a second one after it is discarded.
 func TestMalformedLists(t *testing.T) {
 	const list = "{\n \"generation\": 7,\n \"reset\": true,\n \"instances\": [\n  {\"instanceId\": \"s-1\", \"hostPort\": \"127.0.0.1:1\", \"lifecycle\": \"ready\"}]}"
-	whole := fmt.Sprintf("HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n%s", len(list), list)
+	complete := fmt.Sprintf("HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n%s", len(list), list)
 	for name, c := range map[string]struct {
-		text  string
-		hangs bool // the connection stays open behind it
-		good  bool
-		kept  int
+		text   string
+		hangs  bool // the connection stays open after it
+		good   bool
+		cached int
 	}{
-		"whole, indented": {whole, true, true, 1},
-		"in chunks":       {"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n" + chunk(list[:9]) + chunk(list[9:]) + lastChunk, true, true, 1},
-		"doubled":         {whole + whole, true, true, 0},
-		"then closed":     {"HTTP/1.1 200 OK\r\nConnection: close\r\n\r\n" + list, false, true, 0},
-		"cut":             {whole[:len(whole)-5], false, false, 0},
-		"half, then mute": {whole[:len(whole)-5], true, false, 0},
-		"mute":            {"", true, false, 0},
-		"half a head":     {"HTTP/1.1 200 OK\r\nContent-Len", true, false, 0},
-		"an endless head": {"HTTP/1.1 200 OK\r\nX: " + strings.Repeat("x", 1<<20), true, false, 0},
-		"an endless body": {"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n" + strings.Repeat(chunk(strings.Repeat(" ", 60_000)), 40), true, false, 0},
-		"a spoilt chunk":  {"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\nzz\r\n", true, false, 0},
-		"spoilt within":   {strings.Replace(whole, "\"reset\"", "\"re}et,", 1), true, false, 1},
-		"noise":           {"\x00\x01\x02\x03\x04\x05\x06\x07\n\n", true, false, 0},
-		"refused":         {"HTTP/1.1 503 Busy\r\nContent-Length: 0\r\n\r\n", true, false, 1},
+		"complete, indented": {complete, true, true, 1},
+		"in chunks":          {"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n" + chunk(list[:9]) + chunk(list[9:]) + lastChunk, true, true, 1},
+		"doubled":            {complete + complete, true, true, 0},
+		"then closed":        {"HTTP/1.1 200 OK\r\nConnection: close\r\n\r\n" + list, false, true, 0},
+		"cut":                {complete[:len(complete)-5], false, false, 0},
+		"half, then silent":  {complete[:len(complete)-5], true, false, 0},
+		"silent":             {"", true, false, 0},
+		"half a head":        {"HTTP/1.1 200 OK\r\nContent-Len", true, false, 0},
+		"an endless head":    {"HTTP/1.1 200 OK\r\nX: " + strings.Repeat("x", 1<<20), true, false, 0},
+		"an endless body":    {"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n" + strings.Repeat(chunk(strings.Repeat(" ", 60_000)), 40), true, false, 0},
+		"a malformed chunk":  {"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\nzz\r\n", true, false, 0},
+		"malformed within":   {strings.Replace(complete, "\"reset\"", "\"re}et,", 1), true, false, 1},
+		"noise":              {"\x00\x01\x02\x03\x04\x05\x06\x07\n\n", true, false, 0},
+		"refused":            {"HTTP/1.1 503 Busy\r\nContent-Length: 0\r\n\r\n", true, false, 1},
 	} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
@@ -161,7 +162,7 @@
 					io.Copy(io.Discard, conn)
 				}
 			}()
-			g, err := New(options())
+			g, err := New(testOptions())
 			if err != nil {
 				t.Fatal(err)
 			}
@@ -173,15 +174,16 @@
 			if d := time.Since(begun); d > 2*time.Second {
 				t.Errorf("after %v", d)
 			}
-			if n := g.discovery.pool.OpenCount(); n != c.kept {
-				t.Errorf("%d connections kept, want %d", n, c.kept)
+			if n := g.discovery.pool.OpenCount(); n != c.cached {
+				t.Errorf("%d connections cached, want %d", n, c.cached)
 			}
 		})
 	}
 }
 
-// Lists of thousands of entries make a gateway ready in any framing: one chunk of over 64 KiB was
-// refused, and it never was. A list that is refused is counted, and the last good one stays.
+// Lists of thousands of entries make a gateway ready in any framing: one chunk of over 64 KiB
+// was rejected, and the gateway never became ready. A rejected list is counted, and the last
+// valid one stays in force.
 func TestLongLists(t *testing.T) {
 	entry := func(i int) string {
 		return fmt.Sprintf(`{"instanceId":"s-%d","hostPort":"127.0.0.1:1","zone":"a","machineType":"k","lifecycle":"ready"}`, i)
@@ -191,7 +193,7 @@
 		entries[i] = entry(i)
 	}
 	list := `{"generation":7,"reset":true,"instances":[` + strings.Join(entries, ",\n  ") + `]}`
-	twice := `{"generation":8,"generation":9,"reset":true,"instances":[` + entry(1) + `]}` // refused whole: which of the two counts?
+	twice := `{"generation":8,"generation":9,"reset":true,"instances":[` + entry(1) + `]}` // rejected: which of the two counts?
 	const head = "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n"
 	many := strings.Builder{}
 	for part := list; part != ""; part = part[min(5000, len(part)):] {
@@ -206,7 +208,7 @@
 				t.Fatal(err)
 			}
 			defer l.Close()
-			g, err := New(options())
+			g, err := New(testOptions())
 			if err != nil {
 				t.Fatal(err)
 			}
@@ -234,10 +236,10 @@
 				t.Errorf("ready %t with %d", g.ready.Load(), g.loop.endpoints.ReadyCount())
 			}
 			if _, err := g.requestList(t.Context(), l.Addr().String(), httpwire.ListPath, 5*time.Second); err == nil || g.rejectedLists.Load() != 1 {
-				t.Errorf("%v, %d lists refused", err, g.rejectedLists.Load())
+				t.Errorf("%v, %d lists rejected", err, g.rejectedLists.Load())
 			}
 			if g.discovery.pool.OpenCount() != 1 {
-				t.Errorf("%d connections kept, want the one on which both came", g.discovery.pool.OpenCount())
+				t.Errorf("%d connections cached, want the one that carried both", g.discovery.pool.OpenCount())
 			}
 		})
 	}
--- a/internal/gateway/events_test.go
+++ b/internal/gateway/events_test.go
@@ -11,26 +11,26 @@
 	"testing"
 )
 
-// nextChunk reads one chunk as the gateway wrote it.
-func (c *testClient) nextChunk() string {
+// readChunk reads one chunk as the gateway wrote it.
+func (c *testClient) readChunk() string {
 	c.t.Helper()
-	line, err := c.in.ReadString('\n')
+	line, err := c.reader.ReadString('\n')
 	n, bad := strconv.ParseUint(strings.TrimSpace(line), 16, 31)
 	if err != nil || bad != nil {
 		c.t.Fatalf("chunk length %q, %v", line, err)
 	}
 	b := make([]byte, n+2)
-	if _, err := io.ReadFull(c.in, b); err != nil {
+	if _, err := io.ReadFull(c.reader, b); err != nil {
 		c.t.Fatal(err)
 	}
 	return string(b[:n])
 }
 
-// An event that its replica sends in several chunks goes on in one write: on a slow way each write
-// has its price, and the parts pile up behind each other. A tiny event does not wait for the next
-// one, and a part whose rest does not come goes on alone.
+// An event that its replica sends in several chunks is relayed in one write: on a slow link
+// each write costs, and the parts queue up behind each other. A tiny event does not wait for
+// the next one, and a part whose remainder does not arrive is relayed alone.
 func TestEventIsRelayedComplete(t *testing.T) {
-	const tiny, odd = "data: x\n\n", "data: y\r\n\r\n"
+	const tiny, crlf = "data: x\n\n", "data: y\r\n\r\n"
 	got := make(chan struct{})
 	w := newFakeReplica(t, "s-1", func(c net.Conn, _ *http.Request) bool {
 		io.WriteString(c, streamHead)
@@ -42,7 +42,7 @@
 			io.WriteString(c, chunk(tiny))
 			<-got
 		}
-		io.WriteString(c, chunk(odd))
+		io.WriteString(c, chunk(crlf))
 		<-got
 		io.WriteString(c, chunk(event2[:9])) // and nothing more until it has arrived
 		<-got
@@ -51,28 +51,29 @@
 	})
 	g := startGateway(t, nil, w)
 	c := dial(t, g.addr)
-	c.ask("e1", "4000m")
-	c.head()
-	for _, want := range []string{event1, tiny, tiny, tiny, odd, event2[:9]} {
-		if chunk := c.nextChunk(); chunk != want {
+	c.sendRequest("e1", "4000m")
+	c.readHead()
+	for _, want := range []string{event1, tiny, tiny, tiny, crlf, event2[:9]} {
+		if chunk := c.readChunk(); chunk != want {
 			t.Errorf("a chunk %q, want %q", chunk, want)
 		}
 		got <- struct{}{}
 	}
-	if chunk := c.nextChunk(); chunk != event2[9:] {
+	if chunk := c.readChunk(); chunk != event2[9:] {
 		t.Errorf("a chunk %q", chunk)
 	}
-	if last := c.nextChunk(); last != "" {
-		t.Errorf("behind it %q", last)
+	if last := c.readChunk(); last != "" {
+		t.Errorf("after it %q", last)
 	}
 }
 
-// A stream that breaks within its first event has given the client nothing, also where some of it had
-// come: the request goes to another replica, and the client gets that one's answer alone.
+// A stream that breaks within its first event has given the client nothing, even if part of the
+// event had arrived: the request is retried at another replica, and the client gets that one's
+// answer alone.
 func TestStreamBreaksWithinFirstEvent(t *testing.T) {
-	var sends atomic.Int32
+	var dispatches atomic.Int32
 	script := func(c net.Conn, r *http.Request) bool {
-		if sends.Add(1) == 1 {
+		if dispatches.Add(1) == 1 {
 			io.WriteString(c, streamHead+chunk(event1[:9])+chunk(event1[9:20]))
 			return false
 		}
@@ -80,22 +81,22 @@
 	}
 	g := startGateway(t, nil, newFakeReplica(t, "s-1", script), newFakeReplica(t, "s-2", script))
 	c := dial(t, g.addr)
-	c.ask("e3", "4000m")
-	if resp, body := c.answer(); resp.StatusCode != 200 || body != strings.TrimSpace(event1+event2+loadReportLine) {
+	c.sendRequest("e3", "4000m")
+	if resp, body := c.readAnswer(); resp.StatusCode != 200 || body != strings.TrimSpace(event1+event2+loadReportLine) {
 		t.Errorf("status %d, %q", resp.StatusCode, body)
 	}
-	if n := sends.Load(); n != 2 {
-		t.Errorf("%d sends", n)
+	if n := dispatches.Load(); n != 2 {
+		t.Errorf("%d attempts", n)
 	}
 }
 
-// A stream that breaks within an event has its bytes passed on and no last chunk.
+// A stream that breaks within an event has its bytes relayed, and no last chunk.
 func TestStreamBreaksWithinEvent(t *testing.T) {
 	w := newFakeReplica(t, "s-1", replyWith(streamHead+chunk(event1)+chunk(event2[:9]), false))
 	g := startGateway(t, nil, w)
 	c := dial(t, g.addr)
-	c.ask("e2", "4000m")
-	got, err := io.ReadAll(c.head().Body)
+	c.sendRequest("e2", "4000m")
+	got, err := io.ReadAll(c.readHead().Body)
 	if !errors.Is(err, io.ErrUnexpectedEOF) || string(got) != event1+event2[:9] {
 		t.Errorf("read %q, %v", got, err)
 	}
--- a/internal/gateway/fakes_test.go
+++ b/internal/gateway/fakes_test.go
@@ -17,7 +17,7 @@
 	"archknot/internal/httpwire"
 )
 
-// The scripted peers: workers and a registry on loopback sockets.
+// Scripted replicas and a scripted discovery on loopback sockets.
 
 // fakeReplica answers each request as its script says; the script returns false to
 // end the connection.
@@ -27,8 +27,8 @@
 	mu           sync.Mutex
 	conns        int
 	requests     []*http.Request
-	closedByPeer chan struct{} // a connection that the other side ended
-	connEnded    chan struct{} // one that the worker ended
+	closedByPeer chan struct{} // a connection that the gateway ended
+	connEnded    chan struct{} // one that the replica ended
 	script       func(c net.Conn, r *http.Request) bool
 }
 
@@ -77,8 +77,8 @@
 	}
 }
 
-// seen tells how many connections and requests came.
-func (w *fakeReplica) seen() (conns, requests int) {
+// counts returns the number of connections and requests so far.
+func (w *fakeReplica) counts() (conns, requests int) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	return w.conns, len(w.requests)
@@ -96,17 +96,17 @@
 
 func chunk(s string) string { return fmt.Sprintf("%x\r\n%s\r\n", len(s), s) }
 
-// answerCompletely answers with a whole stream.
+// answerCompletely answers with a complete stream.
 func answerCompletely(c net.Conn, _ *http.Request) bool {
 	_, err := io.WriteString(c, streamHead+chunk(event1)+chunk(event2)+chunk(loadReportLine)+lastChunk)
 	return err == nil
 }
 
-// replyWith answers with the text and ends the connection if told to.
-func replyWith(text string, goOn bool) func(net.Conn, *http.Request) bool {
+// replyWith answers with the text and then keeps the connection open or ends it.
+func replyWith(text string, keepOpen bool) func(net.Conn, *http.Request) bool {
 	return func(c net.Conn, _ *http.Request) bool {
 		io.WriteString(c, text)
-		return goOn
+		return keepOpen
 	}
 }
 
@@ -126,8 +126,8 @@
 	delta    []httpwire.Endpoint
 	changed  chan struct{}
 	calls    []string
-	fail     int // so many calls fail
-	mute     int // so many calls are never answered
+	fail     int // calls that will fail
+	mute     int // calls that will never be answered
 }
 
 func newFakeDiscovery(t *testing.T, list httpwire.EndpointList) *fakeDiscovery {
@@ -136,40 +136,41 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	g := &fakeDiscovery{addr: l.Addr().String(), list: list, changed: make(chan struct{}, 16)}
-	g.serve(l)
-	t.Cleanup(func() { g.server.Close() })
-	return g
+	d := &fakeDiscovery{addr: l.Addr().String(), list: list, changed: make(chan struct{}, 16)}
+	d.serve(l)
+	t.Cleanup(func() { d.server.Close() })
+	return d
 }
 
-func (g *fakeDiscovery) serve(l net.Listener) {
-	g.listener, g.server = l, &http.Server{Handler: g}
-	go g.server.Serve(l)
+func (d *fakeDiscovery) serve(l net.Listener) {
+	d.listener, d.server = l, &http.Server{Handler: d}
+	go d.server.Serve(l)
 }
 
-// restart has a registry that was closed serve again at its address.
-func (g *fakeDiscovery) restart(t *testing.T) {
+// restart has a closed discovery serve again at its address.
+func (d *fakeDiscovery) restart(t *testing.T) {
 	t.Helper()
-	l, err := net.Listen("tcp", g.addr)
+	l, err := net.Listen("tcp", d.addr)
 	if err != nil {
 		t.Fatal(err)
 	}
-	g.serve(l)
+	d.serve(l)
 }
 
-func (g *fakeDiscovery) ServeHTTP(w http.ResponseWriter, r *http.Request) {
-	g.mu.Lock()
-	g.calls = append(g.calls, r.URL.String())
-	fail := g.fail > 0
+// ServeHTTP answers a poll; a watch waits for a change.
+func (d *fakeDiscovery) ServeHTTP(w http.ResponseWriter, r *http.Request) {
+	d.mu.Lock()
+	d.calls = append(d.calls, r.URL.String())
+	fail := d.fail > 0
 	if fail {
-		g.fail--
+		d.fail--
 	}
-	mute := g.mute > 0
+	mute := d.mute > 0
 	if mute {
-		g.mute--
+		d.mute--
 	}
-	version := g.list.Generation
-	g.mu.Unlock()
+	version := d.list.Generation
+	d.mu.Unlock()
 	if mute {
 		<-r.Context().Done()
 		return
@@ -183,42 +184,43 @@
 	fmt.Sscan(r.FormValue("timeout_ms"), &wait)
 	if since == version {
 		select {
-		case <-g.changed:
+		case <-d.changed:
 		case <-time.After(time.Duration(wait) * time.Millisecond):
 		case <-r.Context().Done():
 		}
 	}
-	g.mu.Lock()
-	defer g.mu.Unlock()
-	out := httpwire.EndpointList{Generation: g.list.Generation, Reset: true, Endpoints: g.list.Endpoints}
+	d.mu.Lock()
+	defer d.mu.Unlock()
+	out := httpwire.EndpointList{Generation: d.list.Generation, Reset: true, Endpoints: d.list.Endpoints}
 	if since >= 0 {
 		out.Reset, out.Endpoints = false, nil
-		if since < g.list.Generation {
-			out.Endpoints = g.delta
+		if since < d.list.Generation {
+			out.Endpoints = d.delta
 		}
 	}
 	json.NewEncoder(w).Encode(out)
 }
 
-func (g *fakeDiscovery) change(i ...httpwire.Endpoint) {
-	g.mu.Lock()
-	g.list.Generation++
-	g.delta = i
-	g.mu.Unlock()
-	g.changed <- struct{}{}
+// change publishes changed entries as the next generation.
+func (d *fakeDiscovery) change(entries ...httpwire.Endpoint) {
+	d.mu.Lock()
+	d.list.Generation++
+	d.delta = entries
+	d.mu.Unlock()
+	d.changed <- struct{}{}
 }
 
-func (g *fakeDiscovery) callCount() int {
-	g.mu.Lock()
-	defer g.mu.Unlock()
-	return len(g.calls)
+func (d *fakeDiscovery) callCount() int {
+	d.mu.Lock()
+	defer d.mu.Unlock()
+	return len(d.calls)
 }
 
-func instance(w *fakeReplica, lifecycle string) httpwire.Endpoint {
+func listEntry(w *fakeReplica, lifecycle string) httpwire.Endpoint {
 	return httpwire.Endpoint{ID: w.id, Addr: w.addr, Zone: "a", Kind: "k", Lifecycle: lifecycle, Weight: 1}
 }
 
-func options() Options {
+func testOptions() Options {
 	return Options{Name: "t", Seed: 7, CachedList: httpwire.EndpointList{Generation: httpwire.NoGeneration},
 		Settings: balancer.Settings{Gateways: 1, Zone: "a", Zones: []string{"a"}, Kinds: []string{"k"},
 			Classes: []balancer.Class{{Name: "chat", LatencyObjective: 1e6, TokenObjective: 50_000, Deadline: 4e6, PriorityWeight: 1, Streaming: true}},
@@ -238,43 +240,43 @@
 	served          chan error
 }
 
-// startGateway runs a gateway before the workers and waits until it is ready.
-func startGateway(t *testing.T, tweak func(*Options), workers ...*fakeReplica) *testGateway {
+// startGateway runs a gateway in front of replicas and waits until it is ready.
+func startGateway(t *testing.T, tweak func(*Options), replicas ...*fakeReplica) *testGateway {
 	t.Helper()
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
-	return startGatewayOn(t, l, tweak, workers...)
+	return startGatewayOn(t, l, tweak, replicas...)
 }
 
-func startGatewayOn(t *testing.T, l net.Listener, tweak func(*Options), workers ...*fakeReplica) *testGateway {
+func startGatewayOn(t *testing.T, l net.Listener, tweak func(*Options), replicas ...*fakeReplica) *testGateway {
 	t.Helper()
-	o := options()
+	o := testOptions()
 	if tweak != nil {
 		tweak(&o)
 	}
 	list := httpwire.EndpointList{Generation: 0}
-	for _, w := range workers {
-		list.Endpoints = append(list.Endpoints, instance(w, "ready"))
+	for _, w := range replicas {
+		list.Endpoints = append(list.Endpoints, listEntry(w, "ready"))
 	}
-	reg := newFakeDiscovery(t, list)
-	o.Discovery = reg.addr
+	discovery := newFakeDiscovery(t, list)
+	o.Discovery = discovery.addr
 	g, err := New(o)
 	if err != nil {
 		t.Fatal(err)
 	}
 	ctx, stop := context.WithCancel(context.Background())
-	r := &testGateway{Gateway: g, addr: l.Addr().String(), discoveryServer: reg, served: make(chan error, 1)}
+	r := &testGateway{Gateway: g, addr: l.Addr().String(), discoveryServer: discovery, served: make(chan error, 1)}
 	go func() { r.served <- g.Serve(ctx, l) }()
 	t.Cleanup(func() { g.server.Close(); stop() })
-	if len(workers) > 0 {
+	if len(replicas) > 0 {
 		waitUntil(t, "ready", func() bool { return g.ready.Load() })
 	}
 	return r
 }
 
-// waitUntil waits for a condition that another task brings about.
+// waitUntil waits for a condition that another goroutine brings about.
 func waitUntil(t *testing.T, what string, done func() bool) {
 	t.Helper()
 	for end := time.Now().Add(5 * time.Second); !done(); time.Sleep(time.Millisecond) {
@@ -284,11 +286,11 @@
 	}
 }
 
-// testClient is one client connection, written and read by hand.
+// testClient is one client connection, written and read explicitly.
 type testClient struct {
 	net.Conn
-	in *bufio.Reader
-	t  *testing.T
+	reader *bufio.Reader
+	t      *testing.T
 }
 
 func dial(t *testing.T, addr string) *testClient {
@@ -302,34 +304,34 @@
 	return &testClient{c, bufio.NewReader(c), t}
 }
 
-// ask sends a request with this id and deadline.
-func (c *testClient) ask(id, wait string) {
+// sendRequest sends a request with an id and a timeout.
+func (c *testClient) sendRequest(id, wait string) {
 	c.t.Helper()
 	const body = `{"model":"chat","stream":true}`
-	c.raw(fmt.Sprintf("POST /v1/chat/completions?x=1 HTTP/1.1\r\nHost: app.svc\r\nReq-Id: %s\r\nReq-Kind: chat\r\n"+
+	c.sendRaw(fmt.Sprintf("POST /v1/chat/completions?x=1 HTTP/1.1\r\nHost: app.svc\r\nReq-Id: %s\r\nReq-Kind: chat\r\n"+
 		"Req-Deadline: %s\r\nContent-Length: %d\r\n\r\n%s", id, wait, len(body), body))
 }
 
-func (c *testClient) raw(text string) {
+func (c *testClient) sendRaw(text string) {
 	c.t.Helper()
 	if _, err := io.WriteString(c, text); err != nil {
 		c.t.Fatal(err)
 	}
 }
 
-func (c *testClient) head() *http.Response {
+func (c *testClient) readHead() *http.Response {
 	c.t.Helper()
-	resp, err := http.ReadResponse(c.in, nil)
+	resp, err := http.ReadResponse(c.reader, nil)
 	if err != nil {
 		c.t.Fatal(err)
 	}
 	return resp
 }
 
-// answer reads a whole answer.
-func (c *testClient) answer() (*http.Response, string) {
+// readAnswer reads a complete answer.
+func (c *testClient) readAnswer() (*http.Response, string) {
 	c.t.Helper()
-	resp := c.head()
+	resp := c.readHead()
 	body, err := io.ReadAll(resp.Body)
 	if err != nil {
 		c.t.Fatal(err)
--- a/internal/gateway/ledger_test.go
+++ b/internal/gateway/ledger_test.go
@@ -25,9 +25,9 @@
 	"archknot/internal/replay"
 )
 
-// What the books were told stands in captures: verdicts, copies, settlements,
-// contracts that change in flight, parts and checkpoints replay alike, from the
-// beginning and from each checkpoint; a verdict that was another is found.
+// The ledger's calls stand in captures: verdicts, attempts, settlements, contracts that change
+// in flight, quota shares and checkpoints replay identically, from the beginning and from each
+// checkpoint; a verdict that was another is found.
 func TestLedgerIsRecorded(t *testing.T) {
 	dir := t.TempDir()
 	var flaky atomic.Int64
@@ -50,14 +50,14 @@
 	g := startGateway(t, func(o *Options) {
 		o.Capture, o.Contracts, o.Ledger = captureTo(dir), c, store
 		o.Capture.Recorder.CheckpointInterval = 3 * time.Millisecond
-		o.Capture.Writer.BlockWhenFull = true // a busy machine loses nothing of it
+		o.Capture.Writer.BlockWhenFull = true // nothing is lost on a busy machine
 	}, w1, w2)
-	refused := 0
+	rejected := 0
 	for i := range 120 {
 		cl := dial(t, g.addr)
-		cl.askAs(fmt.Sprint("r", i), []string{"a", "b", "nobody"}[i%3])
-		if resp, _ := cl.answer(); resp.StatusCode == http.StatusTooManyRequests {
-			refused++
+		cl.sendRequestFor(fmt.Sprint("r", i), []string{"a", "b", "nobody"}[i%3])
+		if resp, _ := cl.readAnswer(); resp.StatusCode == http.StatusTooManyRequests {
+			rejected++
 		}
 		switch i {
 		case 60:
@@ -66,7 +66,7 @@
 			if err := g.SetContracts(t.Context(), next); err != nil {
 				t.Fatal(err)
 			}
-		case 80: // none at all, with what is in hand, and anew
+		case 80: // none at all, with requests in flight
 			if err := g.SetContracts(t.Context(), nil); err != nil {
 				t.Fatal(err)
 			}
@@ -76,8 +76,8 @@
 			}
 		}
 	}
-	if refused == 0 {
-		t.Error("nothing was refused")
+	if rejected == 0 {
+		t.Error("nothing was rejected")
 	}
 	waitUntil(t, "settled", func() bool { return g.accounts(t)["a"].Open == 0 })
 	ctx, stop := context.WithTimeout(t.Context(), 5*time.Second)
@@ -98,7 +98,7 @@
 			t.Errorf("restart %v: %s verdicts=%d checkpoints=%d %v", restart, res.Line(), res.Verdicts, res.Checkpoints, res.ByKind)
 		}
 	}
-	// Told otherwise, the record is found to differ.
+	// A changed verdict is found to differ.
 	r, err := capture.NewReader(found[0], found[0].Begin())
 	if err != nil {
 		t.Fatal(err)
@@ -125,14 +125,14 @@
 	}
 }
 
-// A gateway that is killed counts afterwards at least what was used; one that ends
-// in order, exactly that.
+// After a kill, a gateway counts at least what was used; after a graceful shutdown, exactly
+// that.
 func TestBalancesSurviveRestart(t *testing.T) {
 	path := filepath.Join(t.TempDir(), "b.db")
 	w := newFakeReplica(t, "s-1", answerCompletely)
 	for _, clean := range []bool{true, false} {
 		var used, before contract.Units
-		for life := range 2 {
+		for run := range 2 {
 			store, _, err := ledger.Open(path)
 			if err != nil {
 				t.Fatal(err)
@@ -140,7 +140,7 @@
 			c := testContracts(1_000_000)
 			c.Settings.ReserveFraction, c.Settings.Strict = 0.01, true
 			g := startGateway(t, func(o *Options) { o.Contracts, o.Ledger = c, store }, w)
-			if before = g.accounts(t)["a"].Used[contract.Quarter]; life == 1 {
+			if before = g.accounts(t)["a"].Used[contract.Quarter]; run == 1 {
 				switch {
 				case clean && before != used, before < used, before > used+10_000*contract.Token+5320*contract.Token:
 					t.Errorf("clean %v: %d counts as used, %d was", clean, before/contract.Token, used/contract.Token)
@@ -148,8 +148,8 @@
 			}
 			cl := dial(t, g.addr)
 			for i := range 5 {
-				cl.askAs(fmt.Sprintf("r%d-%d", life, i), "a")
-				if resp, text := cl.answer(); resp.StatusCode == http.StatusTooManyRequests && !strings.Contains(text, "balance_not_kept") {
+				cl.sendRequestFor(fmt.Sprintf("r%d-%d", run, i), "a")
+				if resp, text := cl.readAnswer(); resp.StatusCode == http.StatusTooManyRequests && !strings.Contains(text, "balance_not_kept") {
 					t.Error(text)
 				}
 				waitUntil(t, "settled", func() bool { return g.accounts(t)["a"].Open == 0 })
@@ -160,12 +160,12 @@
 					t.Error(err)
 				}
 			}
-			store.Close() // a kill: what was handed over and not written is lost
+			store.Close() // a kill: what was queued and not written is lost
 		}
 	}
 }
 
-// refusalReported tells whether the service was told of a refusal in such words.
+// refusalReported reports whether a gateway has rejected a version in such words.
 func refusalReported(s *controlservice.Service, words string) bool {
 	for _, a := range s.Acks() {
 		if strings.Contains(a.Error, words) {
@@ -175,8 +175,8 @@
 	return false
 }
 
-// A version of the streamed configuration brings contracts, in the place of the
-// files'; one that would refuse all that a team sends is turned down.
+// A version of the streamed configuration brings contracts in place of the file's; one that
+// would reject all that a team sends is rejected.
 func TestContractsAreStreamed(t *testing.T) {
 	w := newFakeReplica(t, "s-1", answerCompletely)
 	s, err := controlservice.Start("127.0.0.1:0", nil)
@@ -187,7 +187,7 @@
 	g := startGateway(t, func(o *Options) { o.Contracts = testContracts(1_000_000) }, w)
 	v := follow(t, "n0", s.Addr(), g)
 	cl := dial(t, g.addr)
-	send := func(n uint64, teams ...contract.Terms) {
+	publish := func(n uint64, teams ...contract.Terms) {
 		version := chatVersion(n)
 		version.Resources[configversion.TypeContract] = []proto.Message{}
 		for i := range teams {
@@ -195,39 +195,39 @@
 		}
 		s.Publish(version)
 	}
-	ask := func(id string, want int) {
+	expect := func(id string, want int) {
 		t.Helper()
-		cl.askAs(id, "a")
-		if resp, text := cl.answer(); resp.StatusCode != want {
+		cl.sendRequestFor(id, "a")
+		if resp, text := cl.readAnswer(); resp.StatusCode != want {
 			t.Errorf("%s: %s %s", id, resp.Status, text)
 		}
 		waitUntil(t, "settled", func() bool { return g.accounts(t)["a"].Open == 0 })
 	}
-	ask("files", http.StatusOK)
+	expect("files", http.StatusOK)
 	tight := testContracts(7_000).Teams
-	send(1, tight...)
+	publish(1, tight...)
 	waitUntil(t, "version 1", func() bool { return v.versionInForce() == 1 })
-	ask("streamed", http.StatusOK) // 1224 used, 1224 more
-	ask("spent", http.StatusTooManyRequests)
+	expect("streamed", http.StatusOK) // 1224 used, 1224 more
+	expect("spent", http.StatusTooManyRequests)
 	// Valid alone, but not as a step: below what is used.
-	send(2, testContracts(500).Teams...)
-	waitUntil(t, "version 2 turned down", func() bool { return v.versionInForce() == 1 && refusalReported(s, "below the") })
+	publish(2, testContracts(500).Teams...)
+	waitUntil(t, "version 2 rejected", func() bool { return v.versionInForce() == 1 && refusalReported(s, "below the") })
 	bad := testContracts(7_000).Teams
 	bad[0].Rate = -1
-	send(3, bad...)
-	waitUntil(t, "version 3 turned down", func() bool { return v.versionInForce() == 1 && refusalReported(s, "rate") })
-	send(4, testContracts(9_000).Teams...)
+	publish(3, bad...)
+	waitUntil(t, "version 3 rejected", func() bool { return v.versionInForce() == 1 && refusalReported(s, "rate") })
+	publish(4, testContracts(9_000).Teams...)
 	waitUntil(t, "version 4", func() bool { return v.versionInForce() == 4 })
-	ask("more", http.StatusOK)
-	s.Publish(chatVersion(5)) // without contracts: the files' again, and what was used goes on
+	expect("more", http.StatusOK)
+	s.Publish(chatVersion(5)) // without contracts: the file's again, and what was used still counts
 	waitUntil(t, "version 5", func() bool { return v.versionInForce() == 5 })
-	ask("files-again", http.StatusOK)
+	expect("files-again", http.StatusOK)
 	if used := g.accounts(t)["a"].Used[contract.Quarter]; used != 4*1224*contract.Token {
 		t.Errorf("used %d", used/contract.Token)
 	}
 }
 
-// What was in hand when the contracts went is not settled on the books of later ones.
+// Requests in flight when the contracts are removed are not settled in a later ledger.
 func TestLedgerRenewedWithRequestsInFlight(t *testing.T) {
 	dir, release := t.TempDir(), make(chan struct{})
 	w := newFakeReplica(t, "s-1", func(c net.Conn, r *http.Request) bool {
@@ -236,7 +236,7 @@
 	})
 	g := startGateway(t, func(o *Options) { o.Capture, o.Contracts = captureTo(dir), testContracts(100_000) }, w)
 	cl := dial(t, g.addr)
-	cl.askAs("held", "a")
+	cl.sendRequestFor("in-flight", "a")
 	waitUntil(t, "it is charged", func() bool { return g.accounts(t)["a"].Open == 1 })
 	for _, c := range []*Contracts{nil, testContracts(100_000)} {
 		if err := g.SetContracts(t.Context(), c); err != nil {
@@ -244,7 +244,7 @@
 		}
 	}
 	close(release)
-	cl.answer()
+	cl.readAnswer()
 	waitUntil(t, "its end", func() bool { return g.clients.inFlightCount() == 0 })
 	if err := g.SetCapture(t.Context(), nil); err != nil {
 		t.Fatal(err)
--- a/internal/gateway/takeover_test.go
+++ b/internal/gateway/takeover_test.go
@@ -7,8 +7,8 @@
 	"archknot/internal/httpwire"
 )
 
-// What the client has is passed over, however the events are cut up, and an answer that
-// begins otherwise is not joined to it.
+// What the client has is skipped, however the events are cut up, and an answer that begins
+// differently is not joined to it.
 func TestResumedStreamIsJoinedByteForByte(t *testing.T) {
 	answer := event1 + event2
 	for had := range len(answer) + 1 {
@@ -33,6 +33,6 @@
 	}
 	h = &requestLease{resume: httpwire.ResumeRequest{ReceivedBytes: int64(len(answer) + 1)}, checksum: crc32.NewIEEE()}
 	if h.skipDelivered([]byte(answer)); h.prefixDelivered() {
-		t.Error("a shorter answer counts as whole")
+		t.Error("a shorter answer counts as complete")
 	}
 }
--- a/internal/gateway/version_test.go
+++ b/internal/gateway/version_test.go
@@ -26,7 +26,7 @@
 // streamedGateway is a gateway that follows a control service.
 type streamedGateway struct {
 	*testGateway
-	c *xdsclient.Client
+	client *xdsclient.Client
 }
 
 func (v *streamedGateway) Apply(ctx context.Context, c *configversion.Config) configversion.Rejections {
@@ -35,7 +35,7 @@
 }
 
 func (v *streamedGateway) versionInForce() uint64 {
-	if c := v.c.InForce(); c != nil {
+	if c := v.client.InForce(); c != nil {
 		return uint64(c.Number)
 	}
 	return 0
@@ -48,13 +48,13 @@
 	o.Machine.InitialBackoff, o.Machine.MaxBackoff, o.Machine.MinInterval = 20_000, 200_000, 20_000
 	o.Log = func(msg string, args ...any) { t.Log(append([]any{name, msg}, args...)...) }
 	var err error
-	if v.c, err = xdsclient.New(o, v); err != nil {
+	if v.client, err = xdsclient.New(o, v); err != nil {
 		t.Fatal(err)
 	}
 	ctx, stop := context.WithCancel(context.Background())
 	done := make(chan struct{})
 	go func() {
-		v.c.Run(ctx)
+		v.client.Run(ctx)
 		close(done)
 	}()
 	t.Cleanup(func() { stop(); <-done })
@@ -68,9 +68,9 @@
 	}}
 }
 
-// Three gateways under load take versions, good and bad, whole or not at all: no
-// request is lost, a worker that a version drains gets nothing more, and what was
-// recorded over all the versions replays alike.
+// Three gateways under load apply versions, valid and invalid, completely or not at all: no
+// request is lost, a replica that a version drains gets no new request, and what was recorded
+// over all the versions replays identically.
 func TestVersionsUnderLoad(t *testing.T) {
 	release := make(chan struct{})
 	answer := func(c net.Conn, r *http.Request) bool {
@@ -105,7 +105,7 @@
 			return true
 		}
 	}
-	// The load: each client asks again and again, and every answer is a whole one.
+	// The load: each client sends request after request, and every answer is complete.
 	ctx, stop := context.WithCancel(t.Context())
 	var clients sync.WaitGroup
 	var served, wrong atomic.Int64
@@ -138,35 +138,35 @@
 		}
 	}
 	waitUntil(t, "load", func() bool { return served.Load() > 50 })
-	// One that waits for its first token all the while, at each gateway.
+	// One request waits for its first token all the time, at each gateway.
 	for i, g := range all {
 		c := dial(t, g.addr)
-		c.ask(fmt.Sprint("hold", i), "60000m")
+		c.sendRequest(fmt.Sprint("hold", i), "60000m")
 		clients.Add(1)
 		go func() {
 			defer clients.Done()
 			c.SetDeadline(time.Now().Add(time.Minute))
-			if resp, err := http.ReadResponse(c.in, nil); err != nil || resp.StatusCode != http.StatusOK {
+			if resp, err := http.ReadResponse(c.reader, nil); err != nil || resp.StatusCode != http.StatusOK {
 				wrong.Add(1)
 			}
 		}()
 	}
-	waitUntil(t, "the held ones", func() bool {
-		held := map[string]bool{}
+	waitUntil(t, "the long requests", func() bool {
+		started := map[string]bool{}
 		for _, w := range []*fakeReplica{w1, w2, w3} {
 			w.mu.Lock()
 			for _, r := range w.requests {
 				if id := r.Header.Get("Req-Id"); strings.HasPrefix(id, "hold") {
-					held[id] = true
+					started[id] = true
 				}
 			}
 			w.mu.Unlock()
 		}
-		return len(held) == 3
+		return len(started) == 3
 	})
 	s.Publish(chatVersion(1))
 	waitUntil(t, "version 1", on(1))
-	refused := func(want string) {
+	expectRejected := func(want string) {
 		t.Helper()
 		ctx, stop := context.WithTimeout(t.Context(), 5*time.Second)
 		defer stop()
@@ -180,37 +180,37 @@
 			return len(who) == 3
 		})
 		if err != nil {
-			t.Fatalf("not refused: %s", want)
+			t.Fatalf("not rejected: %s", want)
 		}
 	}
-	// Valid alone, not as a step: requests of the class are in hand all the time.
+	// Valid alone, not as a transition: requests of the class are in flight all the time.
 	out := chatVersion(2)
 	out.Resources[configversion.TypeClass] = []proto.Message{&pb.Class{Name: "docs", AimUs: 1, DeadlineUs: 4_000_000}}
 	s.Publish(out)
-	refused("version 2: Class chat: taken out with")
+	expectRejected("version 2: Class chat: taken out with")
 	short := chatVersion(3)
 	short.Resources[configversion.TypeClass][0].(*pb.Class).DeadlineUs = 2_000_000
 	s.Publish(short)
-	refused("version 3: Class chat: deadline_us: shortened")
+	expectRejected("version 3: Class chat: deadline_us: shortened")
 	if !on(1)() {
 		t.Fatal("not on version 1")
 	}
-	// A version drains a worker: nothing new goes there once it is in force.
+	// A version drains a replica: no new request goes there once it is in force.
 	drain := chatVersion(4)
 	drain.Resources[configversion.TypeReplica] = []proto.Message{&pb.Worker{Name: "s-2", Mark: pb.Worker_DRAIN}}
 	s.Publish(drain)
 	waitUntil(t, "version 4", on(4))
-	_, before := w2.seen()
+	_, before := w2.counts()
 	had := served.Load()
 	waitUntil(t, "more load", func() bool { return served.Load() > had+100 })
-	if _, after := w2.seen(); after > before+9 { // what was on its way when it came into force
-		t.Errorf("%d requests went to the drained worker", after-before)
+	if _, after := w2.counts(); after > before+9 { // what was on its way when it came into force
+		t.Errorf("%d requests went to the drained replica", after-before)
 	}
-	// The drain rule: a draining worker is not brought back against the registry.
+	// The drain rule: a replica that discovery drains is not reinstated.
 	for _, g := range all {
-		g.discoveryServer.change(instance(w3, "draining"))
+		g.discoveryServer.change(listEntry(w3, "draining"))
 	}
-	waitUntil(t, "the registry's word", func() bool {
+	waitUntil(t, "discovery's state", func() bool {
 		for _, g := range all {
 			found := make(chan bool, 1)
 			g.loop.post(ctx, inspectLoop{func(l *eventLoop) { found <- l.endpoints.listed["s-3"].Lifecycle == "draining" }})
@@ -223,8 +223,8 @@
 	back := chatVersion(5)
 	back.Resources[configversion.TypeReplica] = []proto.Message{&pb.Worker{Name: "s-3", Mark: pb.Worker_SERVE}}
 	s.Publish(back)
-	refused("version 5: Worker s-3: mark: brought back, but the registry says that it drains")
-	// Whole again, by way of a service that vanishes.
+	expectRejected("version 5: Worker s-3: mark: brought back, but the registry says that it drains")
+	// Applied completely, although the service vanishes.
 	half := chatVersion(6)
 	half.CloseAfter = 1
 	s.Publish(half)
@@ -240,13 +240,13 @@
 	bad := chatVersion(13)
 	bad.Resources[configversion.TypeAttempts] = []proto.Message{&pb.Attempts{Most: 4}}
 	s.Publish(bad)
-	refused("version 13: Attempts: most: expected 1 to 3, got 4")
+	expectRejected("version 13: Attempts: most: expected 1 to 3, got 4")
 	cut := chatVersion(14)
 	cut.Truncate = configversion.TypeClass
 	s.Publish(cut)
-	refused("resource 0: proto:")
+	expectRejected("resource 0: proto:")
 	s.Publish(chatVersion(3))
-	refused("version 3 is older than 12")
+	expectRejected("version 3 is older than 12")
 	if !on(12)() {
 		t.Fatal("not on version 12")
 	}
@@ -257,11 +257,11 @@
 	for n := uint64(20); n < 70; n++ {
 		s.Publish(chatVersion(n))
 	}
-	if took := sinceUntil(t, "the flood's last", on(69)); took > 2*time.Second {
+	if took := timeUntil(t, "the flood's last", on(69)); took > 2*time.Second {
 		t.Errorf("the flood's last took %v", took)
 	}
-	_, before = w2.seen()
-	waitUntil(t, "the drained worker back in use", func() bool { _, n := w2.seen(); return n > before })
+	_, before = w2.counts()
+	waitUntil(t, "the drained replica in use again", func() bool { _, n := w2.counts(); return n > before })
 	close(release)
 	stop()
 	clients.Wait()
@@ -269,7 +269,7 @@
 		t.Errorf("%d served, %d not", served.Load(), wrong.Load())
 	}
 	for i, g := range all {
-		waitUntil(t, "nothing in hand", func() bool { return g.clients.inFlightCount() == 0 })
+		waitUntil(t, "nothing in flight", func() bool { return g.clients.inFlightCount() == 0 })
 		ctx, stop := context.WithTimeout(t.Context(), 5*time.Second)
 		if err := g.SetCapture(ctx, nil); err != nil {
 			t.Fatal(err)
@@ -281,17 +281,17 @@
 	}
 }
 
-func sinceUntil(t *testing.T, what string, done func() bool) time.Duration {
+func timeUntil(t *testing.T, what string, done func() bool) time.Duration {
 	t.Helper()
 	begin := time.Now()
 	waitUntil(t, what, done)
 	return time.Since(begin)
 }
 
-// BenchmarkApplyVersion is what applying a version takes of the loop, with 1,000
-// workers and 10,000 requests in hand.
+// BenchmarkApplyVersion measures the loop's time for a version, with 1,000 replicas and
+// 10,000 requests in flight.
 func BenchmarkApplyVersion(b *testing.B) {
-	g, err := New(options())
+	g, err := New(testOptions())
 	if err != nil {
 		b.Fatal(err)
 	}
@@ -322,22 +322,23 @@
 	}
 }
 
-// inspectLoop lets a test look into the loop.
+// inspectLoop runs a test's function between two events.
 type inspectLoop struct{ f func(*eventLoop) }
 
 func (e inspectLoop) apply(l *eventLoop) { e.f(l) }
 
-// A version comes in force between the head of a request and its last byte: the request is taken by it
-// whole, or turned away where its class is gone. Nothing of two versions meets in one request.
+// A version comes into force between the head of a request and its last byte: the request is
+// served under the new version completely, or rejected if its class is gone. No request is
+// served by parts of two versions.
 func TestVersionDuringRequest(t *testing.T) {
 	version := func(name string, deadline uint64) *configversion.Config {
 		c := balancer.Class{Name: name, LatencyObjective: 1_000_000, Deadline: balancer.Micros(deadline), PriorityWeight: 1, Streaming: true}
 		return &configversion.Config{HasClasses: true, Classes: []balancer.Class{c}}
 	}
 	for name, c := range map[string]struct {
-		next   *configversion.Config
-		status int
-		told   balancer.Micros // that the replica is told of its time, at most and at least a tenth of it
+		next      *configversion.Config
+		status    int
+		announced balancer.Micros // to the replica, at most and at least a tenth of it
 	}{
 		"its class is gone":           {version("other", 4_000_000), 400, 0},
 		"its class has another time":  {version("chat", 60_000_000), 200, 60_000_000},
@@ -346,25 +347,25 @@
 		t.Run(name, func(t *testing.T) {
 			w := newFakeReplica(t, "s-1", answerCompletely)
 			g := startGateway(t, nil, w)
-			cl := dial(t, g.addr)
-			cl.raw("POST /v1/chat/completions HTTP/1.1\r\nHost: a\r\nReq-Id: v\r\nReq-Kind: chat\r\nContent-Length: 5\r\n\r\nab")
+			client := dial(t, g.addr)
+			client.sendRaw("POST /v1/chat/completions HTTP/1.1\r\nHost: a\r\nReq-Id: v\r\nReq-Kind: chat\r\nContent-Length: 5\r\n\r\nab")
 			waitUntil(t, "its head was read", func() bool { return g.clients.bodyBytes.Load() > 0 })
 			if r := g.ApplyVersion(t.Context(), c.next, configversion.DefaultLimits); len(r) > 0 {
 				t.Fatal(r)
 			}
-			cl.raw("cde")
-			if resp, body := cl.answer(); resp.StatusCode != c.status {
+			client.sendRaw("cde")
+			if resp, body := client.readAnswer(); resp.StatusCode != c.status {
 				t.Errorf("status %d %q", resp.StatusCode, body)
 			}
-			_, n := w.seen()
+			_, n := w.counts()
 			if sent := c.status == 200; sent != (n == 1) {
-				t.Fatalf("%d requests sent on", n)
+				t.Fatalf("%d requests forwarded", n)
 			}
-			if c.told > 0 {
+			if c.announced > 0 {
 				var us balancer.Micros
 				fmt.Sscanf(w.requests[0].Header.Get("Req-Deadline"), "%du", &us)
-				if us > c.told || us < c.told/10 {
-					t.Errorf("the replica was told %d us", us)
+				if us > c.announced || us < c.announced/10 {
+					t.Errorf("%d us were announced to the replica", us)
 				}
 			}
 		})
--- a/internal/gateway/wallclock_test.go
+++ b/internal/gateway/wallclock_test.go
@@ -14,9 +14,9 @@
 	hourUs                   = 3600 * secondUs
 )
 
-// A replica's start comes out right over steps of the wall clock, forth and back, by seconds or an
-// hour, whether it was taken down before the step or after it: a cold replica never seems old, nor an
-// old one to come.
+// A replica's start is converted correctly across steps of the wall clock, forward and back, by
+// seconds or an hour, whether it was taken before the step or after it: a replica that is
+// warming up never seems old, nor an old one to start in the future.
 func TestReplicaStartsAcrossClockSteps(t *testing.T) {
 	const began = 1_700_000_000 * secondUs
 	for _, step := range []balancer.Micros{hourUs, -hourUs, 5 * secondUs, -5 * secondUs, 400_000, -400_000} {
@@ -28,29 +28,29 @@
 		dated := before
 		stepped = step
 		own += 2 * secondUs
-		younger := balancer.Micros(0) // a step by less than the replica's age leaves in doubt which side of it the start was
+		younger := balancer.Micros(0) // a step by less than the replica's age leaves open on which side of it the start was
 		if -step > 0 && -step <= own-before+maxClockSkew {
 			younger = -step
 		}
 		if got := w.toMonotonic(own, dated); got < before || got > before+younger {
-			t.Errorf("step %d ms: a start before it comes out %d ms off", step/1000, (got-before)/1000)
+			t.Errorf("step %d ms: a start before it is converted %d ms off", step/1000, (got-before)/1000)
 		}
-		after := own - secondUs // started behind the step, and dated by the new time
+		after := own - secondUs // started after the step, and dated by the new time
 		if younger = 0; step > 0 && step <= own-after+maxClockSkew {
 			younger = step
 		}
 		if got := w.toMonotonic(own, after+stepped); got < after || got > after+younger {
-			t.Errorf("step %d ms: a start behind it comes out %d ms off", step/1000, (got-after)/1000)
+			t.Errorf("step %d ms: a start after it is converted %d ms off", step/1000, (got-after)/1000)
 		}
 		if got := w.toMonotonic(own, own+stepped+10*hourUs); got != own {
-			t.Errorf("a start that is to come: %d ms off", (got-own)/1000)
+			t.Errorf("a start in the future: %d ms off", (got-own)/1000)
 		}
 	}
 }
 
-// Whatever steps the clock takes, while the gateway follows it each second, a replica that has just
-// started comes out as old as it is or younger, and never to come.
-func TestNoColdReplicaSeemsOld(t *testing.T) {
+// Whatever steps the clock takes, while the gateway observes it each second, a replica that has
+// just started seems as old as it is or younger, and never to start in the future.
+func TestWarmingUpReplicaNeverSeemsOld(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		own, stepped := 1_700_000_000*secondUs, balancer.Micros(0)
 		w := &wallClock{read: func() balancer.Micros { return own + stepped }}
@@ -62,15 +62,15 @@
 			w.observe(own)
 			own += rapid.Int64Range(0, 5).Draw(t, "told after") * secondUs
 			if got := w.toMonotonic(own, dated); got < started-minClockStep || got > own {
-				t.Fatalf("started %d ms ago, taken for %d", (own-started)/1000, (own-got)/1000)
+				t.Fatalf("started %d ms ago, seems %d", (own-started)/1000, (own-got)/1000)
 			}
 		}
 	})
 }
 
-// A step changes nothing about replicas that are known: each start is converted once.
+// A step changes nothing about known replicas: each start is converted once.
 func TestKnownReplicaStartIsStable(t *testing.T) {
-	g, err := New(options())
+	g, err := New(testOptions())
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/internal/gateway/withdrawn_test.go
+++ b/internal/gateway/withdrawn_test.go
@@ -10,8 +10,8 @@
 	"archknot/internal/inflight"
 )
 
-// An attempt that was ordered before its replica was drained, restarted, moved or lost, and comes to be
-// written after that, as where its connection comes up late, is not written: it never ran.
+// An attempt that was dispatched before its replica was drained, restarted, moved or removed,
+// and is about to be written after that, as after a slow connect, is not written: it never ran.
 func TestWithdrawnAttemptIsNotWritten(t *testing.T) {
 	for name, change := range map[string]func(*httpwire.Endpoint){
 		"drained": func(i *httpwire.Endpoint) { i.Lifecycle = "draining" }, "gone": func(i *httpwire.Endpoint) { i.Lifecycle = "gone" },
@@ -20,7 +20,7 @@
 	} {
 		for _, kind := range []balancer.ListKind{balancer.ListDelta, balancer.ListFull} {
 			w := newFakeReplica(t, "s-1", answerCompletely)
-			g, err := New(options())
+			g, err := New(testOptions())
 			if err != nil {
 				t.Fatal(err)
 			}
@@ -46,9 +46,9 @@
 			for ok := false; !ok; {
 				got, ok = (<-g.loop.events).(attemptEnded)
 			}
-			_, sends := w.seen()
-			if name == "still there" && (got.status != balancer.Served || sends != 1) || name != "still there" && (got.status != balancer.NotSent || sends != 0) {
-				t.Errorf("%s, list %d: status %d, %d sends", name, kind, got.status, sends)
+			_, attempts := w.counts()
+			if name == "still there" && (got.status != balancer.Served || attempts != 1) || name != "still there" && (got.status != balancer.NotSent || attempts != 0) {
+				t.Errorf("%s, list %d: status %d, %d attempts", name, kind, got.status, attempts)
 			}
 		}
 	}
