--- a/internal/gateway/capture.go
+++ b/internal/gateway/capture.go
@@ -29,7 +29,7 @@
 	return &captureRecording{writer: writer, options: c.Recorder}, nil
 }
 
-// captureRecording is a recorder with the writer behind it.
+// captureRecording is a recorder with its writer.
 type captureRecording struct {
 	recorder *capture.Recorder // nil: it has not begun
 	writer   *capture.Writer
--- a/internal/gateway/clientconn.go
+++ b/internal/gateway/clientconn.go
@@ -117,7 +117,7 @@
 }
 
 // recordRead follows the framing of what was read. The HTTP server silently drops a
-// Content-Length beside a Transfer-Encoding: which of the two counts is in doubt, and with it
+// Content-Length beside a Transfer-Encoding: which of the two counts is ambiguous, and with it
 // where the next request begins. Only here both are seen, and before the server sees them.
 // The caller holds mu.
 func (c *clientConn) recordRead(fd int, p []byte) {
@@ -133,7 +133,7 @@
 }
 
 // arrivalTime returns when the bytes just read arrived at this machine. They may have waited,
-// with their connection or on it, while this process was held up or short of descriptors; the
+// with their connection or on it, while this process was stalled or short of descriptors; the
 // client's deadline runs from its sending. The caller holds mu.
 func (c *clientConn) arrivalTime(fd int, now balancer.Micros) balancer.Micros {
 	info, err := unix.GetsockoptTCPInfo(fd, unix.IPPROTO_TCP, unix.TCP_INFO)
--- a/internal/gateway/connclose.go
+++ b/internal/gateway/connclose.go
@@ -81,7 +81,7 @@
 // Clients that do not behave as usual are evicted first.
 const (
 	firstByteGrace   balancer.Micros = 100_000 // the usual client sends something so soon after connecting
-	slowRequestAfter balancer.Micros = 500_000 // and its whole request so soon after that
+	slowRequestAfter balancer.Micros = 500_000 // and its complete request so soon after that
 )
 
 // evictionRank is how soon a connection may be evicted, the lowest rank first.
--- a/internal/gateway/controlstats.go
+++ b/internal/gateway/controlstats.go
@@ -6,7 +6,7 @@
 	"archknot/internal/controlstats"
 )
 
-// controlQuery asks the loop for its part of the control statistics.
+// controlQuery queries the loop for its part of the control statistics.
 type controlQuery struct{ result chan controlstats.Stats }
 
 func (e controlQuery) apply(l *eventLoop) {
--- a/internal/gateway/discovery.go
+++ b/internal/gateway/discovery.go
@@ -19,7 +19,7 @@
 type discoveryWatch struct {
 	gateway    *Gateway
 	addr       string
-	generation int64 // of the list in force; httpwire.NoGeneration: the next call gets the whole list
+	generation int64 // of the list in force; httpwire.NoGeneration: the next call gets the full list
 }
 
 // watchDiscovery follows discovery whenever the module requests it, until a poll fails: then
@@ -55,7 +55,7 @@
 			continue
 		}
 		if err != nil && !silent && !errors.Is(err, errNotConnected) && time.Since(begun) >= timeout {
-			// Discovery accepted the call and did not answer in its whole time. What the
+			// Discovery accepted the call and did not answer within the timeout. What the
 			// gateway missed counts as notified by now, so it polls again at once, but only
 			// once. The gateways' calls stay as far apart as their watches were begun.
 			silent = true
@@ -74,7 +74,7 @@
 // reportFailure posts a failed poll, and waits until the loop has applied it: polls requested
 // before that are void, those requested from then on count.
 func (w *discoveryWatch) reportFailure(ctx context.Context, err error, took time.Duration) {
-	// Where nobody listens, that shows at once; whoever accepted the call or kept it waiting
+	// Where nobody listens, that shows at once; a service that accepted the call or let it wait
 	// may have had changes.
 	unreachable := errors.Is(err, errNotConnected) && took < connectRefusedWithin
 	failed := listPollFailed{err, unreachable, make(chan struct{})}
@@ -86,7 +86,7 @@
 }
 
 // moveTo leaves discovery's old address. Another discovery's generations mean nothing there:
-// the next call gets the whole list.
+// the next call gets the full list.
 func (w *discoveryWatch) moveTo(addr string) {
 	w.gateway.discovery.pool.CloseIdle(w.addr)
 	slog.Info("discovery_moved", "from", w.addr, "to", addr)
--- a/internal/gateway/doc.go
+++ b/internal/gateway/doc.go
@@ -6,7 +6,7 @@
 //     request, posts it to the event loop and carries out the actions that come
 //     back: dispatch an attempt, relay its stream or send the final answer.
 //   - The event loop owns the decision module (package balancer) and all state
-//     kept beside it: requests in flight, endpoints and contract accounting.
+//     stored with it: requests in flight, endpoints and contract accounting.
 //   - Each attempt, health check and discovery poll runs in a goroutine of its
 //     own and reports its one outcome to the loop as an event.
 //
--- a/internal/gateway/loop.go
+++ b/internal/gateway/loop.go
@@ -17,7 +17,7 @@
 // event is something that happened. The event loop applies it between two others.
 type event interface{ apply(l *eventLoop) }
 
-// eventLoop owns the decision module and all state that is kept beside it. Other goroutines
+// eventLoop owns the decision module and all state that goes with it. Other goroutines
 // post events; the module's actions reach them through channels with enough capacity, so
 // that no connection ever blocks the loop.
 type eventLoop struct {
--- a/internal/gateway/pooledclient.go
+++ b/internal/gateway/pooledclient.go
@@ -13,8 +13,8 @@
 	"archknot/internal/httpwire"
 )
 
-// maxShortBody bounds the answer to a health check, and what is read of an unused rest of an
-// answer so that its connection can be reused.
+// maxShortBody bounds the answer to a health check, and what is read of an unused
+// remainder of an answer so that its connection can be reused.
 const maxShortBody = 64 << 10
 
 var (
@@ -35,7 +35,7 @@
 }
 
 // get fetches a path from an address and has the answer read. key names the address's
-// connections in the pool. The whole call ends within the timeout.
+// connections in the pool. The call ends within the timeout.
 func (c pooledClient) get(ctx context.Context, key, addr, path string, timeout time.Duration, read answerReader) error {
 	ctx, stop := context.WithTimeout(ctx, timeout)
 	defer stop()
@@ -78,7 +78,7 @@
 	return complete && endsCleanly(conn, head, body), err
 }
 
-// drainBody reads the rest of a body, and reports whether its end was reached.
+// drainBody reads the remainder of a body, and reports whether its end was reached.
 func drainBody(body io.Reader) bool {
 	limited := io.LimitedReader{R: body, N: maxShortBody}
 	_, err := io.Copy(io.Discard, &limited)
--- a/internal/gateway/relay.go
+++ b/internal/gateway/relay.go
@@ -11,7 +11,7 @@
 const (
 	// partialEventWait is how long an incomplete event waits for its remainder.
 	partialEventWait = 50 * time.Millisecond
-	// maxPartialEvent bounds the size of an event that is held back until it is complete.
+	// maxPartialEvent bounds the size of an event that is buffered until it is complete.
 	maxPartialEvent = 64 << 10
 	// clientWriteTimeout is how long a client may read nothing of what is sent to it; after
 	// that it counts as gone.
--- a/internal/gateway/request.go
+++ b/internal/gateway/request.go
@@ -14,7 +14,7 @@
 type requestHandler struct {
 	gateway     *Gateway
 	conn        *clientConn
-	config      *liveConfig // one version for the whole request
+	config      *liveConfig // one version throughout the request
 	sentAt      balancer.Micros
 	request     httpwire.ClientRequest
 	hasDeadline bool // the client set its own deadline
@@ -55,7 +55,7 @@
 	h.carryOutActions(ctx, w, r)
 }
 
-// parseHead reads the request's head. All that it tells is checked before the body is
+// parseHead reads the request's head. All that it contains is checked before the body is
 // read: a request that cannot be served takes up neither memory nor a replica. A replica
 // would reject it with an error, and errors count against the replica.
 func (h *requestHandler) parseHead(r *http.Request) *rejection {
--- a/internal/gateway/server.go
+++ b/internal/gateway/server.go
@@ -38,7 +38,7 @@
 func (g *Gateway) handle(w http.ResponseWriter, r *http.Request) {
 	conn := g.clients.connOf(r.Context())
 	w = &drainAwareWriter{ResponseWriter: w, conn: conn}
-	// The deadline stands until the whole request has arrived: after a rejection the
+	// The deadline stands until the complete request has arrived: after a rejection the
 	// server reads on for a while, and without a deadline it would wait forever.
 	_ = http.NewResponseController(w).SetReadDeadline(conn.readDeadlineBase().Add(requestTimeout))
 	isPost := r.Method == http.MethodPost
--- a/internal/gateway/wallclock.go
+++ b/internal/gateway/wallclock.go
@@ -21,7 +21,7 @@
 
 const (
 	// minClockStep is the change of the offset that counts as a step. Below it the clock is
-	// slewed, or the goroutine was held up between reading the two clocks.
+	// slewed, or the goroutine was delayed between reading the two clocks.
 	minClockStep balancer.Micros = 100_000
 	// maxClockOffsets bounds the offsets that are remembered.
 	maxClockOffsets = 8
