--- a/internal/ci/docs_test.go
+++ b/internal/ci/docs_test.go
@@ -19,6 +19,8 @@
 	qualified    = regexp.MustCompile(`^([a-z]\w*)\.([A-Z]\w*)$`)
 	methodOrTest = regexp.MustCompile(`^(?:([A-Z]\w*)\.([A-Za-z]\w*)|(Test[A-Z]\w*|Benchmark[A-Z]\w*))$`)
 	goFile       = regexp.MustCompile(`^\w+\.go$`)
+	anyGoFile    = regexp.MustCompile(`[\w./-]*\w\.go\b`)
+	codeEntry    = regexp.MustCompile(`^(\w+)(?:: ((?:\w+, )*\w+))?(?: \([^|]*\))?$`)
 	camelCase    = regexp.MustCompile(`^[a-z]+[a-z0-9]*[A-Z]\w*$`)
 	testName     = regexp.MustCompile(`\b(?:Test|Benchmark)[A-Z]\w*\b`)
 	link         = regexp.MustCompile(`\]\(([^)#:\s]+)(?:#[^)]*)?\)`)
@@ -29,7 +31,8 @@
 type declared struct {
 	inPackage map[string]map[string]bool // top-level names by package name
 	members   map[string]map[string]bool // methods and fields by type name
-	files     map[string]bool            // base names of Go files
+	methods   map[string]map[string]bool // methods by package name
+	files     map[string]bool            // base names of Go files and their paths from the root
 	idents    map[string]bool            // all identifiers
 	literals  map[string]bool            // string literals
 	text      strings.Builder            // all of them
@@ -37,8 +40,8 @@
 
 func declarations(t *testing.T) *declared {
 	t.Helper()
-	d := &declared{inPackage: map[string]map[string]bool{}, members: map[string]map[string]bool{}, files: map[string]bool{},
-		idents: map[string]bool{}, literals: map[string]bool{}}
+	d := &declared{inPackage: map[string]map[string]bool{}, members: map[string]map[string]bool{},
+		methods: map[string]map[string]bool{}, files: map[string]bool{}, idents: map[string]bool{}, literals: map[string]bool{}}
 	for _, root := range []string{"balancer", "internal", "cmd", "example"} {
 		err := filepath.WalkDir(filepath.Join("../..", root), func(path string, entry fs.DirEntry, err error) error {
 			if err != nil || entry.IsDir() || !strings.HasSuffix(path, ".go") {
@@ -49,6 +52,7 @@
 				return err
 			}
 			d.files[entry.Name()] = true
+			d.files[strings.TrimPrefix(path, "../../")] = true
 			d.addFile(file)
 			return nil
 		})
@@ -68,6 +72,7 @@
 				add(d.inPackage, pkg, n.Name.Name)
 			} else {
 				add(d.members, receiver(n), n.Name.Name)
+				add(d.methods, pkg, n.Name.Name)
 			}
 		case *ast.TypeSpec:
 			add(d.inPackage, pkg, n.Name.Name)
@@ -165,6 +170,43 @@
 	return ""
 }
 
+// missingFiles returns the Go files that a text names, in code spans or not, and that are not in the tree. A path
+// may begin below internal.
+func (d *declared) missingFiles(text string) (missing []string) {
+	for _, name := range anyGoFile.FindAllString(text, -1) {
+		if !d.files[name] && !d.files["internal/"+name] {
+			missing = append(missing, name)
+		}
+	}
+	return missing
+}
+
+// missingCode returns what of a cell of the code column in docs/conformance.md is not in the tree. A cell has entries
+// such as "gateway: serve, relayStream (remark); balancer: mayShed", a path in backticks or "not served: why".
+func (d *declared) missingCode(cell string) (missing []string) {
+	if strings.HasPrefix(cell, "not served") || codeSpan.MatchString(cell) && codeSpan.FindString(cell) == cell {
+		return nil
+	}
+	for entry := range strings.SplitSeq(cell, "; ") {
+		m := codeEntry.FindStringSubmatch(entry)
+		if m == nil || d.inPackage[m[1]] == nil {
+			missing = append(missing, entry)
+			continue
+		}
+		for name := range strings.SplitSeq(m[2], ", ") {
+			if name != "" && !d.inPackage[m[1]][name] && !d.methods[m[1]][name] {
+				missing = append(missing, m[1]+": "+name)
+			}
+		}
+	}
+	return missing
+}
+
+// isRecord reports whether a page is a record, which keeps the names of its time.
+func isRecord(page string) bool {
+	return strings.Contains(page, "docs/measurements/") || strings.Contains(page, "docs/incidents/")
+}
+
 func pages(t *testing.T) (out []string) {
 	t.Helper()
 	err := filepath.WalkDir("../../docs", func(path string, entry fs.DirEntry, err error) error {
@@ -197,6 +239,11 @@
 				t.Errorf("%s: %s: %s", page, name, why)
 			}
 		}
+		if !isRecord(page) {
+			for _, name := range d.missingFiles(string(text)) {
+				t.Errorf("%s: %s: there is no such file", page, name)
+			}
+		}
 		for _, m := range link.FindAllStringSubmatch(string(text), -1) {
 			if _, err := os.Stat(filepath.Join(filepath.Dir(page), m[1])); err != nil {
 				t.Errorf("%s: link to %s: %v", page, m[1], err)
@@ -205,6 +252,29 @@
 	}
 }
 
+// TestConformanceNamesCode holds the code column of docs/conformance.md against the tree.
+func TestConformanceNamesCode(t *testing.T) {
+	d := declarations(t)
+	text, err := os.ReadFile("../../docs/conformance.md")
+	if err != nil {
+		t.Fatal(err)
+	}
+	rows := 0
+	for line := range strings.Lines(string(text)) {
+		cells := strings.Split(line, " | ")
+		if !strings.HasPrefix(line, "| ") || len(cells) < 3 || cells[1] == "code" || cells[1] == "---" {
+			continue
+		}
+		rows++
+		for _, name := range d.missingCode(cells[1]) {
+			t.Errorf("%s: %q: there is no such package or name", cells[0], name)
+		}
+	}
+	if rows < 40 {
+		t.Errorf("%d rows of duties were read", rows)
+	}
+}
+
 // TestDocsNameLogLines holds the first column of the tables of log lines against the program's text.
 func TestDocsNameLogLines(t *testing.T) {
 	d := declarations(t)
@@ -258,6 +328,19 @@
 			t.Errorf("`%s`: %q", span, why)
 		}
 	}
+	for text, bad := range map[string]bool{"see ci/docs_test.go, docs_test.go.": false, "internal/ci/docs_test.go": false,
+		"see ci/none.go": true, "(none.go)": true, "wire/docs_test.go": true} {
+		if names := d.missingFiles(text); (len(names) > 0) != bad {
+			t.Errorf("%q: missing %q", text, names)
+		}
+	}
+	for cell, bad := range map[string]bool{"ci: TestLayers, missingCode (a remark); balancer: mayShed": false, "boltfile; ledger": false,
+		"not served: nothing": false, "`deploy/balancer.toml`": false, "ci: TestLayers, none": true, "none: TestLayers": true,
+		"ci: TestLayers; none": true, "ci/docs_test.go missing": true} {
+		if names := d.missingCode(cell); (len(names) > 0) != bad {
+			t.Errorf("%q: missing %q", cell, names)
+		}
+	}
 	if !slices.Contains(pages(t), "../../docs/on-call.md") {
 		t.Error("docs/on-call.md is not read")
 	}
