--- a/internal/simwire/wire_test.go
+++ b/internal/simwire/decoder_test.go
@@ -2,16 +2,17 @@
 
 import (
 	"bytes"
+	"errors"
 	"io"
 	"strings"
 	"testing"
 
-	"archknot/balancer"
-
 	"github.com/google/go-cmp/cmp"
+
+	"archknot/balancer"
 )
 
-// setupText is a small settings object with keys that are not known.
+// setupText is a small settings object with unknown keys.
 const setupText = `{"nInstances":2,"selfIndex":1,"zone":"a","zones":["a","b"],"kinds":["k"],"discovery":"pushed",` +
 	`"weights":"live","futureKey":{"x":[1]},"feedback":{"via":"inline","names":["x0"]},` +
 	`"limits":{"maxAttempts":3,"multiplex":1,"connIdleUs":5000000,"cancelling":true},"tickUs":4000,` +
@@ -30,7 +31,7 @@
 	var out []Event
 	for {
 		ev, err := d.Next()
-		if err == io.EOF {
+		if errors.Is(err, io.EOF) {
 			return out
 		}
 		if err != nil {
@@ -126,7 +127,7 @@
 		for err == nil {
 			_, err = d.Next()
 		}
-		if err == io.EOF || !strings.Contains(err.Error(), want) {
+		if errors.Is(err, io.EOF) || !strings.Contains(err.Error(), want) {
 			t.Errorf("%q: got %v, want %q", text, err, want)
 		}
 	}
@@ -174,7 +175,7 @@
 	})
 }
 
-// What is written is read as it was.
+// Settings that are marshalled parse to the same settings.
 func TestSettingsRoundTrip(t *testing.T) {
 	in := balancer.Settings{Self: 2, Gateways: 5, Zone: "a", Zones: []string{"a", "b"}, Kinds: []string{"k"}, OverQuotaWeight: 0.05, Tick: 2000, ReportSource: balancer.ReportInline,
 		WeightKind: balancer.WeightNominal, PollDiscovery: true, MayHealthCheck: true, MayCancel: true, MayHedge: true, RetryAfter: true, MaxAttempts: 3, MaxRetryAfter: 2_000_000,
--- /dev/null
+++ b/internal/simwire/encoder.go
@@ -0,0 +1,90 @@
+package simwire
+
+import (
+	"encoding/base64"
+	"io"
+	"strconv"
+
+	"archknot/balancer"
+)
+
+// Encoder collects the reply to a batch. It must not be used by several goroutines at once.
+type Encoder struct {
+	out          io.Writer
+	buf          []byte
+	gateway      int
+	gatewayNamed bool // a FOR line of this reply has named gateway
+}
+
+// NewEncoder returns an Encoder that writes to w.
+func NewEncoder(w io.Writer) *Encoder { return &Encoder{out: w} }
+
+// Flush ends the reply and writes it out.
+func (e *Encoder) Flush() error {
+	e.buf = append(e.buf, "DONE\n"...)
+	_, err := e.out.Write(e.buf)
+	e.buf, e.gatewayNamed = e.buf[:0], false
+	return err
+}
+
+// Sink returns the sink of one gateway's actions, which go into the reply in the order in which they are taken.
+func (e *Encoder) Sink(gateway int) balancer.Sink { return &sink{encoder: e, gateway: gateway} }
+
+type sink struct {
+	encoder *Encoder
+	gateway int
+}
+
+// writeLine adds an action, after a FOR line where the action before it was another gateway's.
+func (s *sink) writeLine(name string, values ...int64) {
+	e := s.encoder
+	if !e.gatewayNamed || e.gateway != s.gateway {
+		e.gatewayNamed, e.gateway = true, s.gateway
+		e.buf = append(e.buf, "FOR\t"...)
+		e.buf = strconv.AppendInt(e.buf, int64(s.gateway), 10)
+		e.buf = append(e.buf, '\n')
+	}
+	e.buf = append(e.buf, name...)
+	for _, v := range values {
+		e.buf = append(e.buf, '\t')
+		e.buf = strconv.AppendInt(e.buf, v, 10)
+	}
+	e.buf = append(e.buf, '\n')
+}
+
+func (s *sink) Dispatch(id balancer.RequestID, to balancer.ReplicaID, timeoutAt balancer.Micros) {
+	s.writeLine("SUBMIT_TO", int64(id), int64(to), timeoutAt)
+}
+
+func (s *sink) Shed(id balancer.RequestID, retryAfter balancer.Micros) {
+	s.writeLine("BUSY", int64(id), retryAfter)
+}
+
+func (s *sink) Fail(id balancer.RequestID) {
+	s.writeLine("FAIL", int64(id))
+}
+
+func (s *sink) Cancel(id balancer.RequestID, attempt int) {
+	s.writeLine("DROP_ATTEMPT", int64(id), int64(attempt))
+}
+
+func (s *sink) HealthCheck(to balancer.ReplicaID) {
+	s.writeLine("HEALTH_CHECK", int64(to))
+}
+
+func (s *sink) WatchDiscovery() {
+	s.writeLine("TRACK", 1)
+}
+
+func (s *sink) SetTimer(delay balancer.Micros, token uint64) {
+	s.writeLine("SET_ALARM", delay, int64(token))
+}
+
+// Gossip writes a POST line to all peers (-1) with the body in base64.
+func (s *sink) Gossip(body []byte) {
+	s.writeLine("POST", -1)
+	e := s.encoder
+	e.buf = append(e.buf[:len(e.buf)-1], '\t') // in place of the line end
+	e.buf = base64.StdEncoding.AppendEncode(e.buf, body)
+	e.buf = append(e.buf, '\n')
+}
--- a/internal/simwire/settings.go
+++ b/internal/simwire/settings.go
@@ -10,7 +10,8 @@
 	"archknot/balancer"
 )
 
-// setup is the settings object of BORN. Keys it does not name are skipped here; package lifecycle tells them.
+// setup is the settings object of a BORN line, and of NODE_CONFIG. Keys that it does not name are ignored here;
+// package lifecycle reports them.
 type setup struct {
 	SelfIndex      int     `json:"selfIndex"`
 	NInstances     int     `json:"nInstances"`
@@ -55,6 +56,7 @@
 	} `json:"penalties"`
 }
 
+// requestClass is one of the settings' requestClasses.
 type requestClass struct {
 	Name         string  `json:"name"`
 	TargetUs     int64   `json:"targetUs"`
@@ -67,12 +69,13 @@
 	Streamed     bool    `json:"streamed"`
 }
 
+// tenant is one of the settings' tenants.
 type tenant struct {
 	Name          string  `json:"name"`
 	AllowancePerS float64 `json:"allowancePerS"`
 }
 
-// lookUpWord maps a word to its value, or tells what was expected.
+// lookUpWord returns the value of a word. The error names the field and the word.
 func lookUpWord[T any](field, word string, known map[string]T) (T, error) {
 	v, ok := known[word]
 	if !ok {
@@ -81,6 +84,7 @@
 	return v, nil
 }
 
+// The words of the settings and their values. An empty word stands for a key that is missing.
 var (
 	idempotencyWords = map[string]balancer.Idempotency{
 		"repeatable": balancer.Idempotent, "by_key": balancer.IdempotentWithKey, "once": balancer.NonIdempotent}
@@ -95,28 +99,16 @@
 	pollDiscoveryWords = map[string]bool{"": false, "pushed": false, "on_request": true}
 )
 
-// SettingsType is the form of the settings object, for whoever checks its keys.
+// SettingsType returns the Go type of the settings object, for callers that check the keys of one.
 func SettingsType() reflect.Type { return reflect.TypeFor[setup]() }
 
-// ParseSettings reads the settings object of BORN.
+// ParseSettings parses a settings object. The error names the field at fault.
 func ParseSettings(text []byte) (balancer.Settings, error) {
 	var in setup
-	var s balancer.Settings
 	if err := json.Unmarshal(text, &in); err != nil {
-		return s, fmt.Errorf("settings: not the expected JSON object: %v", err)
-	}
-	s = balancer.Settings{
-		Self: in.SelfIndex, Gateways: in.NInstances, Zone: in.Zone, Zones: in.Zones, Kinds: in.Kinds,
-		OverQuotaWeight: in.OverShareWorth, Tick: in.TickUs,
-		MayHealthCheck: in.Limits.MayProbe, MayGossip: in.Limits.Peers, MayCancel: in.Limits.Cancelling,
-		MayHedge: in.Limits.SecondCopies, RetryAfter: in.Limits.RetryAfter,
-		MaxAttempts: in.Limits.MaxAttempts, MaxRetryAfter: in.Limits.MaxRetryAfterUs,
-		InitialCapacity: in.Rules.StartCapacity, OverloadMultiple: in.Rules.FallMultiple,
-		SlowStartFor: in.Rules.ColdUs, OverloadWindow: in.Rules.TipAfterUs,
-		CrossZoneCost: in.Penalties.CrossZone, HealthCheckCost: in.Penalties.Probe,
-		HandshakeCost:  in.Penalties.Handshake,
-		StreamsPerConn: in.Limits.Multiplex, ConnIdleTimeout: in.Limits.ConnIdleUs,
+		return balancer.Settings{}, fmt.Errorf("settings: not the expected JSON object: %w", err)
 	}
+	s := in.plainSettings()
 	var err error
 	if s.ReportSource, err = lookUpWord("feedback.via", in.Feedback.Via, reportSourceWords); err != nil {
 		return s, err
@@ -128,22 +120,12 @@
 		return s, err
 	}
 	s.LocalDiscovery = in.Discovery == "pushed"
-	for i, c := range in.RequestClasses {
-		out := balancer.Class{Name: c.Name, LatencyObjective: c.TargetUs, Deadline: c.DeadlineUs, PriorityWeight: c.Points,
-			LateWeightShare: c.LateShare, DedupWindow: c.MemorySpanUs, Streaming: c.Streamed}
-		if out.Idempotency, err = lookUpWord("requestClasses.effect", c.Effect, idempotencyWords); err != nil {
+	for i := range in.RequestClasses {
+		class, err := in.class(i)
+		if err != nil {
 			return s, err
 		}
-		if out.DedupScope, err = lookUpWord("requestClasses.group", c.Group, dedupScopeWords); err != nil {
-			return s, err
-		}
-		if i < len(in.Extra.AimUsPer1000) {
-			out.ObjectivePer1000Tokens = int64(in.Extra.AimUsPer1000[i])
-		}
-		if i < len(in.Extra.TokenAimUs) {
-			out.TokenObjective = int64(in.Extra.TokenAimUs[i])
-		}
-		s.Classes = append(s.Classes, out)
+		s.Classes = append(s.Classes, class)
 	}
 	for _, t := range in.Tenants {
 		s.Tenants = append(s.Tenants, balancer.Tenant{Name: t.Name, QuotaPerS: t.AllowancePerS})
@@ -151,24 +133,111 @@
 	return s, nil
 }
 
-// MarshalSettings is the settings object that ParseSettings reads as these settings: for
-// those who start gateways.
+// plainSettings are the settings that are taken as they stand.
+func (in *setup) plainSettings() balancer.Settings {
+	return balancer.Settings{
+		Self:             in.SelfIndex,
+		Gateways:         in.NInstances,
+		Zone:             in.Zone,
+		Zones:            in.Zones,
+		Kinds:            in.Kinds,
+		OverQuotaWeight:  in.OverShareWorth,
+		Tick:             in.TickUs,
+		MayHealthCheck:   in.Limits.MayProbe,
+		MayGossip:        in.Limits.Peers,
+		MayCancel:        in.Limits.Cancelling,
+		MayHedge:         in.Limits.SecondCopies,
+		RetryAfter:       in.Limits.RetryAfter,
+		MaxAttempts:      in.Limits.MaxAttempts,
+		MaxRetryAfter:    in.Limits.MaxRetryAfterUs,
+		InitialCapacity:  in.Rules.StartCapacity,
+		OverloadMultiple: in.Rules.FallMultiple,
+		SlowStartFor:     in.Rules.ColdUs,
+		OverloadWindow:   in.Rules.TipAfterUs,
+		CrossZoneCost:    in.Penalties.CrossZone,
+		HealthCheckCost:  in.Penalties.Probe,
+		HandshakeCost:    in.Penalties.Handshake,
+		StreamsPerConn:   in.Limits.Multiplex,
+		ConnIdleTimeout:  in.Limits.ConnIdleUs,
+	}
+}
+
+// class is the i-th request class, whose objectives per token stand in lists of their own.
+func (in *setup) class(i int) (balancer.Class, error) {
+	c := in.RequestClasses[i]
+	class := balancer.Class{
+		Name:             c.Name,
+		LatencyObjective: c.TargetUs,
+		Deadline:         c.DeadlineUs,
+		PriorityWeight:   c.Points,
+		LateWeightShare:  c.LateShare,
+		DedupWindow:      c.MemorySpanUs,
+		Streaming:        c.Streamed,
+	}
+	var err error
+	if class.Idempotency, err = lookUpWord("requestClasses.effect", c.Effect, idempotencyWords); err != nil {
+		return class, err
+	}
+	if class.DedupScope, err = lookUpWord("requestClasses.group", c.Group, dedupScopeWords); err != nil {
+		return class, err
+	}
+	if i < len(in.Extra.AimUsPer1000) {
+		class.ObjectivePer1000Tokens = int64(in.Extra.AimUsPer1000[i])
+	}
+	if i < len(in.Extra.TokenAimUs) {
+		class.TokenObjective = int64(in.Extra.TokenAimUs[i])
+	}
+	return class, nil
+}
+
+// MarshalSettings returns the settings object that ParseSettings reads as these settings, for callers that start
+// gateways.
 func MarshalSettings(s balancer.Settings) ([]byte, error) {
 	var out setup
-	out.SelfIndex, out.NInstances, out.Zone, out.Zones, out.Kinds = s.Self, s.Gateways, s.Zone, s.Zones, s.Kinds
-	out.OverShareWorth, out.TickUs = s.OverQuotaWeight, s.Tick
-	l := &out.Limits
-	l.MayProbe, l.Peers, l.Cancelling, l.SecondCopies, l.RetryAfter = s.MayHealthCheck, s.MayGossip, s.MayCancel, s.MayHedge, s.RetryAfter
-	l.MaxAttempts, l.MaxRetryAfterUs, l.Multiplex, l.ConnIdleUs = s.MaxAttempts, s.MaxRetryAfter, s.StreamsPerConn, s.ConnIdleTimeout
-	r := &out.Rules
-	r.StartCapacity, r.ColdUs, r.FallMultiple, r.TipAfterUs = s.InitialCapacity, s.SlowStartFor, s.OverloadMultiple, s.OverloadWindow
-	out.Penalties.CrossZone, out.Penalties.Probe, out.Penalties.Handshake = s.CrossZoneCost, s.HealthCheckCost, s.HandshakeCost
-	out.Feedback.Via, out.Weights, out.Discovery = wordFor(reportSourceWords, s.ReportSource), wordFor(weightKindWords, s.WeightKind), wordFor(pollDiscoveryWords, s.PollDiscovery)
+	out.SelfIndex = s.Self
+	out.NInstances = s.Gateways
+	out.Zone = s.Zone
+	out.Zones = s.Zones
+	out.Kinds = s.Kinds
+	out.OverShareWorth = s.OverQuotaWeight
+	out.TickUs = s.Tick
+
+	out.Limits.MayProbe = s.MayHealthCheck
+	out.Limits.Peers = s.MayGossip
+	out.Limits.Cancelling = s.MayCancel
+	out.Limits.SecondCopies = s.MayHedge
+	out.Limits.RetryAfter = s.RetryAfter
+	out.Limits.MaxAttempts = s.MaxAttempts
+	out.Limits.MaxRetryAfterUs = s.MaxRetryAfter
+	out.Limits.Multiplex = s.StreamsPerConn
+	out.Limits.ConnIdleUs = s.ConnIdleTimeout
+
+	out.Rules.StartCapacity = s.InitialCapacity
+	out.Rules.ColdUs = s.SlowStartFor
+	out.Rules.FallMultiple = s.OverloadMultiple
+	out.Rules.TipAfterUs = s.OverloadWindow
+
+	out.Penalties.CrossZone = s.CrossZoneCost
+	out.Penalties.Probe = s.HealthCheckCost
+	out.Penalties.Handshake = s.HandshakeCost
+
+	out.Feedback.Via = wordFor(reportSourceWords, s.ReportSource)
+	out.Weights = wordFor(weightKindWords, s.WeightKind)
+	out.Discovery = wordFor(pollDiscoveryWords, s.PollDiscovery)
 	for _, c := range s.Classes {
 		out.Extra.AimUsPer1000 = append(out.Extra.AimUsPer1000, float64(c.ObjectivePer1000Tokens))
 		out.Extra.TokenAimUs = append(out.Extra.TokenAimUs, float64(c.TokenObjective))
-		out.RequestClasses = append(out.RequestClasses, requestClass{c.Name, c.LatencyObjective, c.Deadline, c.PriorityWeight, c.LateWeightShare, wordFor(idempotencyWords, c.Idempotency),
-			wordFor(dedupScopeWords, c.DedupScope), c.DedupWindow, c.Streaming})
+		out.RequestClasses = append(out.RequestClasses, requestClass{
+			Name:         c.Name,
+			TargetUs:     c.LatencyObjective,
+			DeadlineUs:   c.Deadline,
+			Points:       c.PriorityWeight,
+			LateShare:    c.LateWeightShare,
+			Effect:       wordFor(idempotencyWords, c.Idempotency),
+			Group:        wordFor(dedupScopeWords, c.DedupScope),
+			MemorySpanUs: c.DedupWindow,
+			Streamed:     c.Streaming,
+		})
 	}
 	for _, t := range s.Tenants {
 		out.Tenants = append(out.Tenants, tenant{t.Name, t.QuotaPerS})
@@ -176,7 +245,7 @@
 	return json.Marshal(out)
 }
 
-// wordFor is the first of the words, in their order, that stands for a value.
+// wordFor returns the first word, in alphabetical order, that stands for a value.
 func wordFor[T comparable](known map[string]T, v T) string {
 	for _, word := range slices.Sorted(maps.Keys(known)) {
 		if known[word] == v && word != "" {
