--- a/cmd/adapter/main.go
+++ b/cmd/adapter/main.go
@@ -1,9 +1,9 @@
-// Adapter hosts many instances of the decision module on the simulator's wire:
-// batches of events on standard input, replies on standard output. With -capture
-// it records each instance in a folder of its own.
+// Adapter runs many instances of the decision module for the simulator, which sends batches of events on standard
+// input and reads the replies on standard output. With -capture each instance is recorded in a folder of its own.
 package main
 
 import (
+	"errors"
 	"flag"
 	"fmt"
 	"io"
@@ -21,61 +21,77 @@
 
 func main() {
 	dir := flag.String("capture", "", "record each instance in a folder below this one")
-	books := flag.Bool("contracts", false, "have the deployment's shares kept by contracts in place of the module's own quotas")
+	contracts := flag.Bool("contracts", false, "have the deployment's shares kept by contracts in place of the module's own quotas")
 	flag.Parse()
-	if err := run(os.Stdin, os.Stdout, *dir, *books); err != nil {
+	if err := run(os.Stdin, os.Stdout, *dir, *contracts); err != nil {
 		fmt.Fprintln(os.Stderr, "adapter:", err)
 		os.Exit(1)
 	}
 }
 
-// host holds the instances of one process.
+// How captures of the simulator's runs are written: nothing is lost to a full queue or deleted, and a batch of a
+// minute's virtual time may be in memory.
+const (
+	captureQueue       = 8
+	checkpointInterval = 5 * time.Second
+	blockSize          = 64 << 10
+	flushInterval      = time.Minute
+	segmentSize        = 64 << 20
+	segmentAge         = time.Hour
+)
+
+// host runs the gateway instances of one process.
 type host struct {
-	enc     *simwire.Encoder
-	capture string // folder of captures; "": none
-	books   bool   // shares are kept by contracts
-	nodes   map[int]*node
-	born    int
+	encoder    *simwire.Encoder
+	captureDir string // directory of captures; "": none
+	contracts  bool   // quotas are enforced by contracts
+	instances  map[int]*instance
+	started    int // instances so far: each has a capture of its own
 }
 
-// node is one instance: its module, or the recorder before it.
-type node struct {
+// instance is one gateway: its decision module, or the recorder before it.
+type instance struct {
 	capture.Module
 	recorder *capture.Recorder
 	writer   *capture.Writer
 	timers   *timers
-	book     *contract.Ledger // nil: the module's own quotas
+	ledger   *contract.Ledger // nil: the module's own quotas
 }
 
-// run serves batches until the input ends. An error names the line.
-func run(in io.Reader, out io.Writer, dir string, books bool) (err error) {
-	dec := simwire.NewDecoder(in)
-	h := &host{enc: simwire.NewEncoder(out), capture: dir, books: books, nodes: map[int]*node{}}
+// run serves batches until the input ends. The error names the line.
+func run(in io.Reader, out io.Writer, captureDir string, contracts bool) error {
+	decoder := simwire.NewDecoder(in)
+	h := &host{
+		encoder:    simwire.NewEncoder(out),
+		captureDir: captureDir,
+		contracts:  contracts,
+		instances:  map[int]*instance{},
+	}
 	defer func() {
-		for _, n := range h.nodes {
+		for _, n := range h.instances {
 			n.close()
 		}
 	}()
 	for {
-		ev, err := dec.Next()
-		if err == io.EOF {
+		ev, err := decoder.Next()
+		if errors.Is(err, io.EOF) {
 			return nil
 		}
 		if err == nil {
 			err = h.apply(ev)
 		}
 		if err != nil {
-			return fmt.Errorf("line %d: %w", dec.Line(), err)
+			return fmt.Errorf("line %d: %w", decoder.Line(), err)
 		}
 	}
 }
 
-// bear makes a new instance.
-func (h *host) bear(ev *simwire.Event) (*node, error) {
-	sink := h.enc.Sink(ev.Gateway)
-	n := &node{}
-	if h.capture != "" {
-		n.timers = &timers{Sink: sink, set: capture.Timers{}}
+// start makes the instance that an InstanceStarted event describes.
+func (h *host) start(ev *simwire.Event) (*instance, error) {
+	sink := h.encoder.Sink(ev.Gateway)
+	n := &instance{}
+	if h.captureDir != "" {
+		n.timers = &timers{Sink: sink, pending: capture.Timers{}}
 		sink = n.timers
 	}
 	b, err := balancer.New(ev.Settings, ev.Seed, sink)
@@ -83,70 +99,90 @@
 		return nil, err
 	}
 	n.Module = b
-	if h.books {
-		if n.book, err = shares(ev); err != nil {
+	if h.contracts {
+		if n.ledger, err = newLedger(ev); err != nil {
 			return nil, err
 		}
 	}
-	if h.capture == "" {
-		return n, nil
+	if h.captureDir != "" {
+		err = h.record(n, ev, b, sink)
 	}
-	h.born++
-	name := fmt.Sprintf("instance%d_%d", ev.Gateway, h.born)
-	n.writer, err = capture.NewWriter(capture.WriterOptions{Directory: filepath.Join(h.capture, name), Gateway: name, Build: buildinfo.Version(),
-		Seed: ev.Seed, QueueLength: 8, BlockWhenFull: true, MaxBytes: math.MaxInt64, MaxAge: math.MaxInt64})
+	return n, err
+}
+
+// record puts a recorder before an instance's module.
+func (h *host) record(n *instance, ev *simwire.Event, b *balancer.Balancer, sink balancer.Sink) error {
+	h.started++
+	name := fmt.Sprintf("instance%d_%d", ev.Gateway, h.started)
+	writer, err := capture.NewWriter(capture.WriterOptions{
+		Directory:     filepath.Join(h.captureDir, name),
+		Gateway:       name,
+		Build:         buildinfo.Version(),
+		Seed:          ev.Seed,
+		QueueLength:   captureQueue,
+		BlockWhenFull: true,
+		MaxBytes:      math.MaxInt64,
+		MaxAge:        math.MaxInt64,
+	})
 	if err != nil {
-		return nil, err
+		return err
 	}
-	n.recorder = capture.NewRecorder(ev.Now, b, nil, sink, n.writer, capture.Host{Timers: n.timers.set.Pending},
-		capture.Options{CheckpointInterval: 5 * time.Second, BlockSize: 64 << 10, FlushInterval: time.Minute, SegmentSize: 64 << 20, SegmentAge: time.Hour})
+	n.writer = writer
+	n.recorder = capture.NewRecorder(ev.Now, b, nil, sink, writer, capture.Host{Timers: n.timers.pending.Pending}, capture.Options{
+		CheckpointInterval: checkpointInterval,
+		BlockSize:          blockSize,
+		FlushInterval:      flushInterval,
+		SegmentSize:        segmentSize,
+		SegmentAge:         segmentAge,
+	})
 	n.Module = n.recorder
-	return n, nil
+	return nil
 }
 
-func (n *node) close() {
+// close ends the instance's capture, if it has one.
+func (n *instance) close() {
 	if n.recorder != nil {
 		n.recorder.Close()
 		n.writer.Close()
 	}
 }
 
-// apply hands one event to its instance.
+// apply passes one event to its instance.
 func (h *host) apply(ev *simwire.Event) error {
 	switch ev.Kind {
 	case simwire.BatchEnd:
-		return h.enc.Flush()
+		return h.encoder.Flush()
 	case simwire.InstanceStarted:
-		n, err := h.bear(ev)
+		n, err := h.start(ev)
 		if err != nil {
 			return fmt.Errorf("BORN: %w", err)
 		}
-		h.nodes[ev.Gateway] = n
-		n.now(ev.Now)
+		h.instances[ev.Gateway] = n
+		n.setClock(ev.Now)
 		n.Start(ev.Now)
 		return nil
 	}
-	n := h.nodes[ev.Gateway]
+	n := h.instances[ev.Gateway]
 	if n == nil {
 		return fmt.Errorf("instance %d was never born or is dead", ev.Gateway)
 	}
-	n.now(ev.Now)
+	n.setClock(ev.Now)
 	switch ev.Kind {
 	case simwire.InstanceKilled:
 		n.close()
-		delete(h.nodes, ev.Gateway)
+		delete(h.instances, ev.Gateway)
 	case simwire.EndpointList:
 		n.ListChanged(ev.Now, ev.Endpoints)
 	case simwire.RequestArrived:
-		n.agreed(ev)
+		n.chargeRequest(ev)
 		n.RequestArrived(ev.Now, ev.Request)
 	case simwire.TimerFired:
 		if n.timers != nil {
-			n.timers.set.Remove(ev.Token)
+			n.timers.pending.Remove(ev.Token)
 		}
 		n.TimerFired(ev.Now, ev.Token)
-		if n.book != nil && ev.Token == 0 { // the module's tick, at which it averages too
-			n.book.UpdateDemand(ev.Now)
+		if n.ledger != nil && ev.Token == 0 { // the module's tick, at which it updates its averages too
+			n.ledger.UpdateDemand(ev.Now)
 		}
 	case simwire.HealthCheckEnded:
 		n.HealthCheckEnded(ev.Now, ev.Outcome)
@@ -162,55 +198,71 @@
 	return nil
 }
 
-// shares are the deployment's quotas as contracts: a request counts as one. As the
-// module's own rule has it, a tenant that lately asked for a quarter more than its
-// quota is beyond it with all it sends. Each instance holds an equal part.
-func shares(ev *simwire.Event) (*contract.Ledger, error) {
+// demandHeadroom is how far above its quota a tenant's recent demand may be before all that it sends is over quota,
+// as the module's own rule has it.
+const demandHeadroom = 1.25
+
+// newLedger returns the deployment's quotas as contracts, in which a request counts as one token. Each instance has
+// an equal share of them.
+func newLedger(ev *simwire.Event) (*contract.Ledger, error) {
 	s := &ev.Settings
 	var terms []contract.Terms
-	var parts []float64
+	var quotaShares []float64
 	for _, t := range s.Tenants {
-		if t.QuotaPerS > 0 {
-			rate := 1.25 * t.QuotaPerS * float64(contract.Token)
-			// Only what it asks for lately counts: the burst is never used up.
-			terms = append(terms, contract.Terms{Team: t.Name, Tenants: []string{t.Name}, Rate: rate, Burst: contract.Units(max(1, 1e5*rate)),
-				OverQuotaWeight: s.OverQuotaWeight, Surge: 1})
-			parts = append(parts, 1/float64(max(1, s.Gateways)))
+		if t.QuotaPerS <= 0 {
+			continue
 		}
+		rate := demandHeadroom * t.QuotaPerS * float64(contract.Token)
+		terms = append(terms, contract.Terms{
+			Team:    t.Name,
+			Tenants: []string{t.Name},
+			Rate:    rate,
+			// Only recent demand counts: the burst is never used up.
+			Burst:           contract.Units(max(1, 1e5*rate)),
+			OverQuotaWeight: s.OverQuotaWeight,
+			Surge:           1,
+		})
+		quotaShares = append(quotaShares, 1/float64(max(1, s.Gateways)))
 	}
-	b, err := contract.NewLedger(contract.Settings{UnknownTenantWeight: 1}, terms, ev.Now, 0)
-	if err == nil {
-		b.SetQuotaShares(ev.Now, parts)
+	l, err := contract.NewLedger(contract.Settings{UnknownTenantWeight: 1}, terms, ev.Now, 0)
+	if err != nil {
+		return nil, err
 	}
-	return b, err
+	l.SetQuotaShares(ev.Now, quotaShares)
+	return l, nil
 }
 
-// agreed has the contract tell the worth that a request competes with.
-func (n *node) agreed(ev *simwire.Event) {
-	if n.book == nil {
+// chargeRequest sets the priority factor of an arriving request by its tenant's contract.
+func (n *instance) chargeRequest(ev *simwire.Event) {
+	if n.ledger == nil {
 		return
 	}
 	var c contract.Charge
-	v := n.book.Charge(ev.Now, ev.Request.Tenant, ev.Request.Class, contract.Usage{OutputTokens: 1}, &c)
-	n.book.Settle(ev.Now, &c, contract.Usage{OutputTokens: 1}, false)
-	ev.Request.PriorityFactor = max(1e-6, v.PriorityWeight)
+	usage := contract.Usage{OutputTokens: 1}
+	v := n.ledger.Charge(ev.Now, ev.Request.Tenant, ev.Request.Class, usage, &c)
+	n.ledger.Settle(ev.Now, &c, usage, false)
+	ev.Request.PriorityFactor = max(minPriorityFactor, v.PriorityWeight)
 }
 
-func (n *node) now(now balancer.Micros) {
+// minPriorityFactor stands for no priority: a factor of 0 would mean that none is set.
+const minPriorityFactor = 1e-6
+
+// setClock tells the instance's timers the time of the event to come.
+func (n *instance) setClock(now balancer.Micros) {
 	if n.timers != nil {
 		n.timers.now = now
 	}
 }
 
-// timers remembers those that are set: the simulator holds them, and a capture
-// needs them in its checkpoints.
+// timers tracks the timers that a module has set: the simulator holds them, and checkpoints of a capture need them.
 type timers struct {
 	balancer.Sink
-	now balancer.Micros
-	set capture.Timers
+	now     balancer.Micros
+	pending capture.Timers
 }
 
+// SetTimer tracks the timer and forwards the action to the simulator.
 func (t *timers) SetTimer(delay balancer.Micros, token uint64) {
-	t.set.Add(t.now+delay, token)
+	t.pending.Add(t.now+delay, token)
 	t.Sink.SetTimer(delay, token)
 }
--- a/cmd/adapter/main_test.go
+++ b/cmd/adapter/main_test.go
@@ -47,7 +47,7 @@
 	return s.String()
 }
 
-// actions plays a script and returns each instance's actions.
+// actions runs a script and returns each instance's actions.
 func actions(t *testing.T, in string) map[string]string {
 	t.Helper()
 	var out bytes.Buffer
@@ -72,7 +72,7 @@
 	return all
 }
 
-// Instances share nothing: in one process and in three they act alike.
+// Instances share nothing: in one process and in three they take the same actions.
 func TestOneProcessOrThree(t *testing.T) {
 	together := actions(t, script(0, 1, 2))
 	if !strings.Contains(together["1"], "SUBMIT_TO") || !strings.Contains(together["1"], "TRACK\t1") {
@@ -81,7 +81,7 @@
 	for i := range 3 {
 		who := fmt.Sprint(i)
 		if alone := actions(t, script(i)); alone[who] != together[who] {
-			t.Errorf("instance %d acts otherwise when alone", i)
+			t.Errorf("instance %d acts differently when alone", i)
 		}
 	}
 }
@@ -101,7 +101,7 @@
 	}
 }
 
-func TestBadInputEndsPlainly(t *testing.T) {
+func TestInvalidInputErrors(t *testing.T) {
 	good, _, _ := strings.Cut(script(0), "JOB_IN")
 	good = good[:strings.LastIndex(good, "TURN")]
 	for in, want := range map[string]string{
@@ -118,7 +118,7 @@
 	}
 }
 
-// With -capture each instance is recorded, and replays alike.
+// With -capture each instance is recorded, and a replay of the recording makes the same decisions.
 func TestCapture(t *testing.T) {
 	in := []byte(script(0, 1, 2))
 	dir := t.TempDir()
--- a/internal/buildinfo/buildinfo.go
+++ b/internal/buildinfo/buildinfo.go
@@ -1,26 +1,32 @@
-// Package build tells which build of the program this is.
+// Package buildinfo identifies the build of the running program.
 package buildinfo
 
 import "runtime/debug"
 
-// Version is the commit that the program was built from, with "+" where there
-// were changes since, or "devel" where that is not known.
+// unknownVersion is the version of a build without version control information, such as a test.
+const unknownVersion = "devel"
+
+// revisionDigits is how much of the commit's hash a version has.
+const revisionDigits = 12
+
+// Version returns the commit that the program was built from, in 12 digits, with "+" if the tree had changes that
+// were not committed; "devel" where the build does not know its commit.
 func Version() string {
 	info, ok := debug.ReadBuildInfo()
 	if !ok {
-		return "devel"
+		return unknownVersion
 	}
-	rev, dirty := "", ""
+	revision, dirty := "", ""
 	for _, s := range info.Settings {
 		switch {
 		case s.Key == "vcs.revision":
-			rev = s.Value[:min(12, len(s.Value))]
+			revision = s.Value[:min(revisionDigits, len(s.Value))]
 		case s.Key == "vcs.modified" && s.Value == "true":
 			dirty = "+"
 		}
 	}
-	if rev == "" {
-		return "devel"
+	if revision == "" {
+		return unknownVersion
 	}
-	return rev + dirty
+	return revision + dirty
 }
--- a/internal/publicnames/publicnames.go
+++ b/internal/publicnames/publicnames.go
@@ -43,17 +43,19 @@
 	}
 }
 
-// JSONFields are the paths of all fields that package encoding/json gives to a value of the type, each below root.
-// Elements of slices, arrays and maps have the step "[]".
+// JSONFields returns the paths of all fields that package encoding/json gives to a value of the type, each below root.
+// Elements of slices, arrays and maps have the step "[]". An omitempty option is part of its field's name.
 func JSONFields(root string, of reflect.Type) []string {
 	return jsonFields(root, of, nil)
 }
 
+// Types that implement one of these have no fields in JSON.
 var (
 	jsonMarshaler = reflect.TypeFor[json.Marshaler]()
 	textMarshaler = reflect.TypeFor[encoding.TextMarshaler]()
 )
 
+// jsonFields is JSONFields below a path; above are the types that contain the field.
 func jsonFields(path string, of reflect.Type, above []reflect.Type) (names []string) {
 	if of.Implements(jsonMarshaler) || of.Implements(textMarshaler) || slices.Contains(above, of) {
 		return []string{path}
--- a/internal/publicnames/publicnames_test.go
+++ b/internal/publicnames/publicnames_test.go
@@ -37,7 +37,7 @@
 	"archknot/internal/xdsclient"
 )
 
-// figuresSource has one figure of each kind.
+// figuresSource has one metric of each kind.
 type figuresSource struct{}
 
 func (figuresSource) Accounts(context.Context) ([]contract.AccountStatus, error) {
@@ -49,7 +49,10 @@
 }
 
 func (figuresSource) Control(context.Context) (controlstats.Stats, error) {
-	return controlstats.Stats{ClosedConnections: map[string]int64{"idle": 1}, OperatorCalls: []controlstats.OperatorCallCount{{Call: "ready", Accepted: true}, {Call: "ready"}}}, nil
+	return controlstats.Stats{
+		ClosedConnections: map[string]int64{"idle": 1},
+		OperatorCalls:     []controlstats.OperatorCallCount{{Call: "ready", Accepted: true}, {Call: "ready"}},
+	}, nil
 }
 
 // Metrics keep their names, labels and the labels' values.
@@ -74,9 +77,10 @@
 	publicnames.Compare(t, "metrics", names)
 }
 
+// noSuchKey resembles no key, so that the error for it lists all known keys and suggests none.
 const noSuchKey = "~~~~~~~~~~~~~~~~~~~~~~~~~~~~~~~~~~~~~~~~~~~~~~~~"
 
-// knownKeys are the keys that an error for an unknown one names.
+// knownKeys returns the keys that the error for an unknown key lists.
 func knownKeys(t *testing.T, load func(file string) error, text string) []string {
 	t.Helper()
 	file := filepath.Join(t.TempDir(), "f")
@@ -212,6 +216,7 @@
 	publicnames.Compare(t, "stores", names)
 }
 
+// storedNames returns the buckets of a store's file, and their keys.
 func storedNames(t *testing.T, dir, file string) (names []string) {
 	t.Helper()
 	db, err := bbolt.Open(filepath.Join(dir, file), 0o600, &bbolt.Options{ReadOnly: true})
@@ -237,20 +242,18 @@
 // onTheWire finds headers, paths, environment variables and orders to the control socket in string literals.
 var onTheWire = regexp.MustCompile(`\b(NODE|ARCHKNOT)_[A-Z_]+\b|\b[A-Z][a-z]+(-[A-Z][a-z]+)+\b|^([A-Z]+ )?/[A-Za-z0-9/_-]*$|^(capture|config|contracts)/[a-z]+$`)
 
-// notServed are parts of the tree with the other ends of the wire, such as emulated replicas.
-var notServed = []string{"standin", "fakes", "drill", "faulttest", "scaletest", "fleet", "experiment", "publicnames"}
+// otherEnds are directories with the other ends of the connections, such as emulated replicas.
+var otherEnds = []string{"fakes", "faulttest", "scaletest", "fleet", "experiment", "publicnames"}
 
 // Headers, paths and environment variables that the program has as string literals stay.
 func TestWireLiterals(t *testing.T) {
 	var names []string
-	for _, dir := range []string{"../../cmd/archknot", "..", "../../balancer"} {
+	for _, dir := range []string{"../../cmd/archknot", "../../internal", "../../balancer"} {
 		err := filepath.WalkDir(dir, func(path string, entry fs.DirEntry, err error) error {
 			switch {
-			case os.IsNotExist(err):
-				return nil
 			case err != nil:
 				return err
-			case entry.IsDir() && slices.Contains(notServed, entry.Name()):
+			case entry.IsDir() && slices.Contains(otherEnds, entry.Name()):
 				return fs.SkipDir
 			case !strings.HasSuffix(path, ".go") || strings.HasSuffix(path, "_test.go") || strings.HasSuffix(path, ".pb.go"):
 				return nil
@@ -269,6 +272,7 @@
 	publicnames.Compare(t, "wire", names)
 }
 
+// literals returns what onTheWire finds in a file.
 func literals(file *ast.File) (names []string) {
 	ast.Inspect(file, func(n ast.Node) bool {
 		switch n := n.(type) {
--- a/internal/syncpoint/syncpoint.go
+++ b/internal/syncpoint/syncpoint.go
@@ -1,9 +1,10 @@
-// Package hold forces the order of two events in tests: whoever comes to a Point stops there until
-// the test lets it go on. Connections accepted through a Listener, or wrapped, stop at reads.
+// Package syncpoint forces the order of two events in tests: the first goroutine that reaches a Point blocks there
+// until the test releases it. Connections that a Listener has accepted can block before or after a read.
 // Only tests import it.
 package syncpoint
 
 import (
+	"fmt"
 	"net"
 	"sync"
 	"sync/atomic"
@@ -14,24 +15,25 @@
 	"archknot/internal/connpool"
 )
 
-// maxWait bounds each wait of a test.
+// maxWait bounds each wait of a test, so that one whose event does not happen fails.
 const maxWait = 5 * time.Second
 
-// Point stops the first who comes to it.
+// Point blocks the first goroutine that reaches it until it is released.
 type Point struct {
 	stopOnce          sync.Once
 	reached, released chan struct{}
 	releaseOnce       sync.Once
 }
 
-// NewPoint returns a point that lets go at the end of the test at the latest.
+// NewPoint returns a Point that is released at the end of the test at the latest.
 func NewPoint(t *testing.T) *Point {
+	t.Helper()
 	p := &Point{reached: make(chan struct{}), released: make(chan struct{})}
 	t.Cleanup(p.Release)
 	return p
 }
 
-// Stop is called by who is to stop; only the first one does.
+// Stop blocks the first caller until Release. Callers in the meantime wait with it; later ones return at once.
 func (p *Point) Stop() {
 	p.stopOnce.Do(func() {
 		close(p.reached)
@@ -39,26 +41,26 @@
 	})
 }
 
-// WaitReached waits until somebody stands there.
+// WaitReached waits until a caller of Stop blocks, and fails the test after maxWait.
 func (p *Point) WaitReached(t *testing.T) {
 	t.Helper()
 	select {
 	case <-p.reached:
 	case <-time.After(maxWait):
-		t.Fatal("nobody came to the point")
+		t.Fatal("the point was not reached")
 	}
 }
 
-// Release lets it go on.
+// Release lets the blocked caller go on. It may be called several times.
 func (p *Point) Release() { p.releaseOnce.Do(func() { close(p.released) }) }
 
-// Listener wraps what it accepts.
+// Listener wraps the connections that it accepts.
 type Listener struct {
 	net.Listener
 	accepted chan *Conn
 }
 
-// NewListener listens on loopback.
+// NewListener listens on a free port of the loopback address.
 func NewListener(t *testing.T) *Listener {
 	t.Helper()
 	l, err := net.Listen("tcp", "127.0.0.1:0")
@@ -68,17 +70,22 @@
 	return &Listener{l, make(chan *Conn, 256)}
 }
 
+// Accept returns the next connection as a *Conn, which NextConn returns too.
 func (l *Listener) Accept() (net.Conn, error) {
-	nc, err := l.Listener.Accept()
+	conn, err := l.Listener.Accept()
 	if err != nil {
 		return nil, err
 	}
-	c := &Conn{TCPConn: nc.(*net.TCPConn)}
-	l.accepted <- c
-	return c, nil
+	tcp, ok := conn.(*net.TCPConn)
+	if !ok {
+		return nil, fmt.Errorf("accepted a %T, not a TCP connection", conn)
+	}
+	wrapped := &Conn{TCPConn: tcp}
+	l.accepted <- wrapped
+	return wrapped, nil
 }
 
-// NextConn is the connection accepted next.
+// NextConn waits for the next accepted connection, and fails the test after maxWait.
 func (l *Listener) NextConn(t *testing.T) *Conn {
 	t.Helper()
 	select {
@@ -90,20 +97,19 @@
 	}
 }
 
-// Conn is an accepted connection whose reader can be stopped, before bytes that have come are
-// read or behind that.
+// Conn is an accepted connection whose reader can be blocked: before it reads bytes that have arrived, or after.
 type Conn struct {
 	*net.TCPConn
 	beforeRead, afterRead atomic.Pointer[Point]
 }
 
-// StopBeforeRead has the reader stop when bytes have come, with them unread.
+// StopBeforeRead makes the reader stop at the point when bytes have arrived, before it reads them.
 func (c *Conn) StopBeforeRead(p *Point) { c.beforeRead.Store(p) }
 
-// StopAfterRead has the reader stop when it has read bytes, before it does anything with them.
+// StopAfterRead makes the reader stop at the point when it has read bytes, before it uses them.
 func (c *Conn) StopAfterRead(p *Point) { c.afterRead.Store(p) }
 
-// SyscallConn is how the program's connections are read.
+// SyscallConn returns the raw connection, through which the program reads, with the points in its Read.
 func (c *Conn) SyscallConn() (syscall.RawConn, error) {
 	raw, err := c.TCPConn.SyscallConn()
 	return &rawConn{raw, c}, err
@@ -114,24 +120,25 @@
 	conn *Conn
 }
 
+// Read stops at the connection's points before and after a read of bytes that have arrived.
 func (r *rawConn) Read(f func(uintptr) bool) error {
-	behind := false
+	bytesRead := false
 	err := r.RawConn.Read(func(fd uintptr) bool {
 		if p := r.conn.beforeRead.Load(); p != nil && hasUnreadBytes(fd) {
 			p.Stop()
 		}
-		come := hasUnreadBytes(fd)
+		arrived := hasUnreadBytes(fd)
 		done := f(fd)
-		behind = done && come
+		bytesRead = done && arrived
 		return done
 	})
-	if p := r.conn.afterRead.Load(); p != nil && behind {
+	if p := r.conn.afterRead.Load(); p != nil && bytesRead {
 		p.Stop()
 	}
 	return err
 }
 
-// hasUnreadBytes tells whether bytes have come that were not read.
+// hasUnreadBytes reports whether the descriptor has bytes to read.
 func hasUnreadBytes(fd uintptr) bool {
 	n, err := connpool.PeekDescriptor(int(fd))
 	return err == nil && n > 0
