--- a/internal/httpwire/endpointlist.go
+++ b/internal/httpwire/endpointlist.go
@@ -6,17 +6,17 @@
 	"archknot/balancer"
 )
 
-// EndpointList is the registry's answer, and the saved list of the configuration.
+// EndpointList is discovery's answer, and the initial list of the configuration.
 type EndpointList struct {
 	Generation int64      `json:"generation"`
-	Reset      bool       `json:"reset"` // the whole list, not changes
+	Reset      bool       `json:"reset"` // the list is complete, not a list of changes
 	Endpoints  []Endpoint `json:"instances"`
 
-	InvalidEntries    []InvalidEntry `json:"-"` // the first of its odd entries
-	InvalidEntryCount int            `json:"-"` // and how many there are
+	InvalidEntries    []InvalidEntry `json:"-"` // the first of them, at most maxReportedEntries
+	InvalidEntryCount int            `json:"-"`
 }
 
-// Endpoint is one worker as the registry names it.
+// Endpoint is one replica as discovery lists it.
 type Endpoint struct {
 	ID          string  `json:"instanceId"`
 	Addr        string  `json:"hostPort"`
@@ -25,22 +25,22 @@
 	Cell        int64   `json:"cell"`
 	Lifecycle   string  `json:"lifecycle"`
 	Weight      float64 `json:"weight"`
-	StartedAtMs int64   `json:"startedAtMs"` // Unix time; 0: long ago
+	StartedAtMs int64   `json:"startedAtMs"` // Unix time; 0: not known, long ago
 
-	// Partial says that of an odd entry only the id and the state could be read.
+	// Partial says that only the id and the state of an invalid entry can be used.
 	Partial bool `json:"-"`
 }
 
-// Words of an entry's state.
+// Values of Endpoint.Lifecycle with a meaning of their own.
 const (
 	lifecycleReady = "ready"
 	lifecycleGone  = "gone"
 )
 
-// State is the worker's state. A word that is not known gets nothing new, as
-// one that drains: sending would be the graver mistake.
-func (i Endpoint) State() balancer.EndpointState {
-	switch i.Lifecycle {
+// State returns the replica's state. A replica with an unknown lifecycle is taken for draining and gets no new
+// requests: sending it one would be the graver mistake.
+func (e Endpoint) State() balancer.EndpointState {
+	switch e.Lifecycle {
 	case lifecycleReady:
 		return balancer.EndpointReady
 	case lifecycleGone:
@@ -49,12 +49,12 @@
 	return balancer.EndpointDraining
 }
 
-// NoGeneration stands for having no list yet. A version of 0 is a list: taken for
-// none, each watch call was answered at once with the whole list.
+// NoGeneration stands for having no list yet. Generation 0 is a list: when it was taken for none, each watch call
+// was answered at once with the complete list.
 const NoGeneration = -1
 
-// ListQuery asks for the whole list, or with a version for what has changed
-// since, waiting so many milliseconds for it.
+// ListQuery returns the path and query of a call that asks for the complete list, or given a generation, for the
+// changes since; discovery may hold the call for waitMs milliseconds until there are any.
 func ListQuery(since, waitMs int64) string {
 	if since < 0 {
 		return ListPath
@@ -62,11 +62,11 @@
 	return fmt.Sprintf("%s?since=%d&timeout_ms=%d", ListPath, since, waitMs)
 }
 
-// ApplyStateTo is what an odd entry makes of the one that was known before: its state holds, unless it says
-// nothing worse of the replica than what was known.
-func (i Endpoint) ApplyStateTo(known Endpoint) Endpoint {
-	if i.Lifecycle != "" && i.Lifecycle != lifecycleReady {
-		known.Lifecycle = i.Lifecycle
+// ApplyStateTo returns the endpoint that was known before with the state of this partial entry, unless that says
+// the replica is ready: an invalid entry may only take a replica out of use.
+func (e Endpoint) ApplyStateTo(known Endpoint) Endpoint {
+	if e.Lifecycle != "" && e.Lifecycle != lifecycleReady {
+		known.Lifecycle = e.Lifecycle
 	}
 	return known
 }
--- a/internal/httpwire/framing.go
+++ b/internal/httpwire/framing.go
@@ -6,77 +6,72 @@
 	"strings"
 )
 
-// RequestFraming follows the bytes of a client's connection from request to request
-// and tells where it is in doubt how long one is: there another request may be
-// hidden in its body. It keeps a few bytes and copies none.
+// RequestFraming follows the bytes of a client's connection from request to request, and detects a request whose
+// length is ambiguous: another request may be hidden in its body (request smuggling). It buffers at most
+// maxFramingLine bytes. The zero value is ready to use.
 type RequestFraming struct {
-	Ambiguity        string // what is in doubt; from then on nothing is followed
-	CompleteHeads    int    // whole heads that have come
-	CompleteRequests int    // whole requests
+	Ambiguity        string // what is ambiguous, "" if nothing is; from then on the bytes are not followed
+	CompleteHeads    int    // heads that have arrived
+	CompleteRequests int    // requests that have arrived with their bodies
 
 	state                 framingState
-	line                  []byte // the line so far, no more than maxFramingLine bytes of it
-	lineTruncated         bool   // it is longer
-	requestLineSeen       bool   // the request line has been read
-	http10                bool   // HTTP/1.0
+	line                  []byte // the current line, up to maxFramingLine bytes of it
+	lineTruncated         bool   // the line is longer
+	requestLineSeen       bool
+	http10                bool // or something else than HTTP/1.1
 	contentLength         string
 	contentLengthCount    int
 	transferEncodingCount int
-	remaining             int64 // bytes of the body or chunk still to come
+	remaining             int64 // bytes of the body or chunk that have not arrived
 }
 
-// framingState is where in a request the next byte belongs.
+// framingState is the part of a request that the next byte belongs to.
 type framingState uint8
 
 const (
-	inHead framingState = iota
+	inHead framingState = iota // the lines up to the empty one
 	inBody
 	inChunkSize // the line of a chunk's length
 	inChunk
-	inChunkEnd // the line end behind a chunk
+	inChunkEnd // the line end after a chunk
 	inTrailer
 )
 
-// maxFramingLine is as much of a line as is looked at: a longer one is none of those
-// that say how long a body is.
+// maxFramingLine is how much of a line is inspected. No well-formed line that gives a body's length is longer.
 const maxFramingLine = 256
 
-// Write takes the next bytes of the connection.
+// Write follows the next bytes of the connection.
 func (f *RequestFraming) Write(p []byte) {
 	for len(p) > 0 && f.Ambiguity == "" {
 		if f.state == inBody || f.state == inChunk {
 			n := min(f.remaining, int64(len(p)))
 			p = p[n:]
-			if f.remaining -= n; f.remaining == 0 {
+			f.remaining -= n
+			if f.remaining == 0 {
 				f.endSection()
 			}
 			continue
 		}
-		i := bytes.IndexByte(p, '\n')
-		some := p
-		if i >= 0 {
-			some = p[:i]
-		}
-		if f.lineTruncated = f.lineTruncated || len(f.line)+len(some) > maxFramingLine; !f.lineTruncated {
-			f.line = append(f.line, some...)
-		} else if room := maxFramingLine - len(f.line); room > 0 {
-			f.line = append(f.line, some[:min(room, len(some))]...)
-		}
-		if i < 0 {
+		part, rest, lineEnds := bytes.Cut(p, []byte{'\n'})
+		f.lineTruncated = f.lineTruncated || len(f.line)+len(part) > maxFramingLine
+		room := maxFramingLine - len(f.line)
+		f.line = append(f.line, part[:min(room, len(part))]...)
+		if !lineEnds {
 			return
 		}
-		p = p[i+1:]
+		p = rest
 		f.handleLine(strings.TrimSuffix(string(f.line), "\r"))
 		f.line, f.lineTruncated = f.line[:0], false
 	}
 }
 
-// RequestStarted tells whether anything has come of a further request than so many. An empty line is none of it.
+// RequestStarted reports whether anything has arrived of a further request after so many. An empty line before a
+// request is not part of it.
 func (f *RequestFraming) RequestStarted(requests int) bool {
 	return f.CompleteHeads > requests || f.state == inHead && (f.requestLineSeen || len(f.line) > 0 && string(f.line) != "\r")
 }
 
-// endSection goes on behind a body or a chunk.
+// endSection goes on after a chunk, or after the end of a request.
 func (f *RequestFraming) endSection() {
 	if f.state == inChunk {
 		f.state = inChunkEnd
@@ -85,32 +80,16 @@
 	*f = RequestFraming{line: f.line[:0], CompleteHeads: f.CompleteHeads, CompleteRequests: f.CompleteRequests + 1}
 }
 
-// handleLine takes a whole line.
+// handleLine advances the state by a complete line.
 func (f *RequestFraming) handleLine(line string) {
 	switch f.state {
 	case inHead:
-		switch {
-		case line == "" && !f.requestLineSeen: // an empty line before a request
-		case line == "":
-			f.endHead()
-		case !f.requestLineSeen:
-			f.requestLineSeen, f.http10 = true, f.lineTruncated || !strings.HasSuffix(line, " HTTP/1.1")
-		default:
-			f.handleHeader(line)
-		}
+		f.handleHeadLine(line)
 	case inChunkSize:
-		size, _, _ := strings.Cut(line, ";")
-		n, err := strconv.ParseUint(strings.TrimSpace(size), 16, 62)
-		switch {
-		case err != nil || f.lineTruncated:
-			f.Ambiguity = "chunk length"
-		case n == 0:
-			f.state = inTrailer
-		default:
-			f.state, f.remaining = inChunk, int64(n)
-		}
+		f.handleChunkSize(line)
 	case inChunkEnd:
-		if f.state = inChunkSize; line != "" {
+		f.state = inChunkSize
+		if line != "" {
 			f.Ambiguity = "chunk longer than its length"
 		}
 	case inTrailer:
@@ -120,8 +99,37 @@
 	}
 }
 
+// handleHeadLine takes the request line, a header, or the empty line that ends a head.
+func (f *RequestFraming) handleHeadLine(line string) {
+	switch {
+	case line == "" && !f.requestLineSeen: // an empty line before a request
+	case line == "":
+		f.endHead()
+	case !f.requestLineSeen:
+		f.requestLineSeen = true
+		f.http10 = f.lineTruncated || !strings.HasSuffix(line, " HTTP/1.1")
+	default:
+		f.handleHeader(line)
+	}
+}
+
+// handleChunkSize takes the line with a chunk's length.
+func (f *RequestFraming) handleChunkSize(line string) {
+	digits, _, _ := strings.Cut(line, ";") // an extension may follow
+	n, err := strconv.ParseUint(strings.TrimSpace(digits), 16, 62)
+	switch {
+	case err != nil || f.lineTruncated:
+		f.Ambiguity = "chunk length"
+	case n == 0:
+		f.state = inTrailer
+	default:
+		f.state, f.remaining = inChunk, int64(n)
+	}
+}
+
+// handleHeader notes the headers that give the body's length.
 func (f *RequestFraming) handleHeader(line string) {
-	if line[0] == ' ' || line[0] == '\t' { // folded: part of the line before
+	if line[0] == ' ' || line[0] == '\t' { // a continuation of the line before
 		f.Ambiguity = "folded header"
 		return
 	}
@@ -142,7 +150,7 @@
 	}
 }
 
-// endHead finds out what follows a head.
+// endHead determines what follows a head.
 func (f *RequestFraming) endHead() {
 	f.CompleteHeads++
 	switch {
@@ -153,13 +161,21 @@
 	case f.transferEncodingCount == 1:
 		f.state = inChunkSize
 	case f.contentLengthCount == 1:
-		n, err := strconv.ParseUint(f.contentLength, 10, 62)
-		if err != nil {
-			f.Ambiguity = "Content-Length"
-		} else if f.state, f.remaining = inBody, int64(n); n == 0 {
-			f.endSection()
-		}
+		f.beginBody()
 	default:
 		f.endSection()
 	}
 }
+
+// beginBody begins a body of the length that Content-Length gives.
+func (f *RequestFraming) beginBody() {
+	n, err := strconv.ParseUint(f.contentLength, 10, 62)
+	if err != nil {
+		f.Ambiguity = "Content-Length"
+		return
+	}
+	f.state, f.remaining = inBody, int64(n)
+	if n == 0 {
+		f.endSection()
+	}
+}
--- a/internal/httpwire/httpwire_test.go
+++ b/internal/httpwire/httpwire_test.go
@@ -5,15 +5,15 @@
 	"strings"
 	"testing"
 
-	"archknot/balancer"
-
 	"github.com/google/go-cmp/cmp"
+
+	"archknot/balancer"
 )
 
 func TestListQuery(t *testing.T) {
 	for since, want := range map[int64]string{
 		NoGeneration: "/registry/instances",
-		// Version 0 is a list like any other: without 'since' the watch spun.
+		// Generation 0 is a list like any other: without 'since' the watch spun.
 		0:  "/registry/instances?since=0&timeout_ms=8000",
 		41: "/registry/instances?since=41&timeout_ms=8000",
 	} {
@@ -37,7 +37,7 @@
 		want ClientRequest
 		err  string
 	}{
-		"whole": {h: header("Req-Id", "9b1f", "Req-Kind", "chat", "Req-Owner", "acme", "Req-Key", "7f3a9c21e0b4d655",
+		"all headers": {h: header("Req-Id", "9b1f", "Req-Kind", "chat", "Req-Owner", "acme", "Req-Key", "7f3a9c21e0b4d655",
 			"Req-Deadline", "4800m", "Req-Extra", "prefix=5c0f6e1a2b3d4c59,prompt_len=5120,prefix_len=2048,max_out=800"),
 			want: ClientRequest{ID: "9b1f", Timeout: 4_800_000, Request: balancer.Request{Class: "chat", Tenant: "acme",
 				Session: 0x7f3a9c21e0b4d655, Prefix: 0x5c0f6e1a2b3d4c59, PromptTokens: 5120, PrefixTokens: 2048, MaxTokens: 800}}},
@@ -47,8 +47,8 @@
 		"no unit":      {h: header("Req-Id", "1", "Req-Deadline", "250"), err: "Req-Deadline"},
 		"not a number": {h: header("Req-Id", "1", "Req-Deadline", "NaNm"), err: "Req-Deadline"},
 		"no time":      {h: header("Req-Id", "1", "Req-Deadline", "0m"), err: "Req-Deadline"},
-		"odd number":   {h: header("Req-Id", "1", "Req-Deadline", "0x10m"), err: "Req-Deadline"},
-		"odd id":       {h: header("Req-Id", "a b"), err: "Req-Id"},
+		"hexadecimal":  {h: header("Req-Id", "1", "Req-Deadline", "0x10m"), err: "Req-Deadline"},
+		"space in id":  {h: header("Req-Id", "a b"), err: "Req-Id"},
 		"long id":      {h: header("Req-Id", strings.Repeat("1", 129)), err: "Req-Id"},
 		"two ids":      {h: http.Header{"Req-Id": {"1", "2"}}, err: "Req-Id"},
 		"huge length":  {h: header("Req-Id", "1", "Req-Extra", "max_out=2000000000"), err: "Req-Extra: max_out"},
@@ -66,13 +66,13 @@
 	}
 }
 
-// Where a request's length is in doubt, another may hide in its body. What
-// comes in one piece or byte by byte is judged alike.
+// Where a request's length is ambiguous, another may hide in its body. Bytes that arrive in one piece or one by one
+// are judged the same.
 func TestFraming(t *testing.T) {
 	const head = "POST / HTTP/1.1\r\nHost: a\r\n"
 	plain := head + "Content-Length: 5\r\n\r\nhello"
 	chunked := head + "Transfer-Encoding: chunked\r\n\r\n5;x=y\r\nhello\r\n0\r\nA: b\r\n\r\n"
-	for text, doubt := range map[string]bool{
+	for text, ambiguous := range map[string]bool{
 		plain + chunked + head + "\r\n" + plain:                                                                            false,
 		head + "X: " + strings.Repeat("Content-Length: 1 ", 40) + "\r\nContent-Length: 0\r\n\r\n" + plain:                  false,
 		plain + head + "content-length: 5\r\nTRANSFER-ENCODING:chunked\r\n\r\n":                                            true,
@@ -89,13 +89,13 @@
 		head + "Transfer-Encoding: chunked\r\n\r\n" + strings.Repeat("0", 300) + "\r\n":                                    true,
 		chunked + head + "Content-Length: 3\r\n\r\nabc" + head + "Transfer-Encoding: chunked\r\nContent-Length: 1\r\n\r\n": true,
 	} {
-		var whole, bytewise RequestFraming
-		whole.Write([]byte(text))
+		var atOnce, bytewise RequestFraming
+		atOnce.Write([]byte(text))
 		for i := range len(text) {
 			bytewise.Write([]byte(text[i : i+1]))
 		}
-		if (whole.Ambiguity != "") != doubt || bytewise.Ambiguity != whole.Ambiguity {
-			t.Errorf("%q: %q, byte by byte %q, want a doubt: %t", text, whole.Ambiguity, bytewise.Ambiguity, doubt)
+		if (atOnce.Ambiguity != "") != ambiguous || bytewise.Ambiguity != atOnce.Ambiguity {
+			t.Errorf("%q: %q, byte by byte %q, want ambiguous: %t", text, atOnce.Ambiguity, bytewise.Ambiguity, ambiguous)
 		}
 	}
 }
--- a/internal/httpwire/listparser.go
+++ b/internal/httpwire/listparser.go
@@ -10,41 +10,49 @@
 	"strings"
 )
 
-// ListLimits bounds what a list may take up.
+// ListLimits bounds the memory that a list may take.
 type ListLimits struct {
-	Endpoints int      // entries
-	Zones     []string // that entries may name; empty: any
+	Endpoints int      // most entries; 0: any number
+	Zones     []string // zones of the settings; empty: entries may name any
 }
 
-// Bounds on a single entry and on its figures.
+// Bounds of a list.
 const (
 	maxEntryBytes = 64 << 10
 	maxWeight     = 1e6
+	// maxTrackedKeys bounds the keys that are remembered, so that one that is given again is an error.
+	maxTrackedKeys = 64
+	// maxReportedEntries bounds the invalid entries that are reported one by one.
+	maxReportedEntries = 8
+	// maxExtraZones and maxZoneLength bound the zones that entries may name beside those of the settings.
+	maxExtraZones = 32
+	maxZoneLength = 128
 )
 
-// InvalidListError says that a list was read whole, or far enough to see that it is not to be used: the list
-// held before it stays in force.
+// InvalidListError says that a list could be read but must not be used: the list before it stays in force.
 type InvalidListError struct{ Reason string }
 
+// Error returns the reason.
 func (e *InvalidListError) Error() string { return "list refused: " + e.Reason }
 
 func invalidList(format string, args ...any) error {
 	return &InvalidListError{fmt.Sprintf(format, args...)}
 }
 
-// ParseList reads a list that stands in memory, within no limits but those of each entry.
+// ParseList parses a list that is in memory, with no limits but those of each entry.
 func ParseList(text []byte) (EndpointList, error) {
 	return ReadList(bytes.NewReader(text), ListLimits{})
 }
 
-// ReadList reads a list entry by entry, to the end of the text. It never holds more of the text than
-// an entry, so the limits bound its memory whatever the text's length and framing.
+// ReadList reads a list entry by entry, to the end of the text. It buffers one entry of the text at a time, so the
+// limits bound its memory whatever the text's length and framing. The error is an InvalidListError where the list
+// could be read but must not be used.
 func ReadList(r io.Reader, limits ListLimits) (EndpointList, error) {
 	p := &listParser{limits: limits, input: &boundedReader{reader: r}}
 	p.decoder = json.NewDecoder(p.input)
 	err := p.parseObject()
-	var refused *InvalidListError
-	if err != nil && !errors.As(err, &refused) {
+	var invalid *InvalidListError
+	if err != nil && !errors.As(err, &invalid) {
 		err = fmt.Errorf("list: %w", err)
 	}
 	return p.list, err
@@ -56,13 +64,13 @@
 	input      *boundedReader
 	decoder    *json.Decoder
 	list       EndpointList
-	seenKeys   map[string]bool // the keys that have come
-	index      int             // of the entry that comes
+	seenKeys   map[string]bool // keys of the object so far, in lower case
+	index      int             // of the entry that is parsed next
 	entryText  json.RawMessage // its text
-	extraZones map[string]bool // that entries name and the settings don't
+	extraZones map[string]bool // zones that entries name and the settings do not
 }
 
-// parseObject reads the list's object and makes sure that nothing follows it.
+// parseObject parses the list's object and checks that nothing follows it.
 func (p *listParser) parseObject() error {
 	if err := p.expectDelimiter('{'); err != nil {
 		return err
@@ -80,23 +88,28 @@
 		p.mergeDuplicates()
 	}
 	p.input.reset()
-	if _, err := p.decoder.Token(); err != io.EOF {
-		if err == nil {
-			err = errors.New("text behind the end")
-		}
-		return err
+	_, err := p.decoder.Token()
+	if errors.Is(err, io.EOF) {
+		return nil
 	}
-	return nil
+	if err == nil {
+		err = errors.New("text behind the end")
+	}
+	return err
 }
 
-// parseMember reads one key of the list and its value.
+// parseMember parses one key of the object and its value. Unknown keys are ignored.
 func (p *listParser) parseMember() error {
 	p.input.reset()
 	token, err := p.decoder.Token()
 	if err != nil {
 		return err
 	}
-	key := strings.ToLower(token.(string)) // a key is a string, or Token fails
+	name, ok := token.(string)
+	if !ok {
+		return fmt.Errorf("expected a key, got %v", token)
+	}
+	key := strings.ToLower(name) // as encoding/json matches keys
 	if p.seenKeys[key] {
 		return invalidList("%.40q stands twice", key)
 	}
@@ -114,31 +127,31 @@
 	return p.decoder.Decode(new(json.RawMessage))
 }
 
-// maxTrackedKeys bounds the keys that are remembered, to be refused where they come again.
-const maxTrackedKeys = 64
-
-// InvalidEntry is an entry of a list that could not be taken as it stands. It costs that entry alone: what
-// of it can be used is taken, and the other entries hold.
+// InvalidEntry reports an entry of a list that cannot be used as it is. Only that entry suffers: what can be used of
+// it is, and the other entries are not affected.
 type InvalidEntry struct {
-	Index  int // in the list
+	Index  int // in the list, from 0
 	ID     string
 	Reason string
 }
 
-// maxReportedEntries bounds the odd entries that are told one by one.
-const maxReportedEntries = 8
-
-// reportInvalid notes an odd entry.
+// reportInvalid adds an entry to the list's invalid ones.
 func (p *listParser) reportInvalid(entry *Endpoint, format string, args ...any) {
-	if p.list.InvalidEntryCount++; len(p.list.InvalidEntries) < maxReportedEntries {
-		p.list.InvalidEntries = append(p.list.InvalidEntries, InvalidEntry{p.index, fmt.Sprintf("%.60s", entry.ID), fmt.Sprintf(format, args...)})
+	p.list.InvalidEntryCount++
+	if len(p.list.InvalidEntries) >= maxReportedEntries {
+		return
 	}
+	p.list.InvalidEntries = append(p.list.InvalidEntries, InvalidEntry{
+		Index:  p.index,
+		ID:     fmt.Sprintf("%.60s", entry.ID),
+		Reason: fmt.Sprintf(format, args...),
+	})
 }
 
-// parseEndpoints reads the array of entries.
+// parseEndpoints parses the array of entries.
 func (p *listParser) parseEndpoints() error {
 	token, err := p.decoder.Token()
-	if err != nil || token == nil { // null: none
+	if err != nil || token == nil { // null stands for no entries
 		return err
 	}
 	if token != json.Delim('[') {
@@ -151,8 +164,8 @@
 		}
 		entry, usable := p.parseEntry()
 		if usable {
-			if most := p.limits.Endpoints; most > 0 && len(p.list.Endpoints) >= most {
-				return invalidList("over %d entries, which the memory limit allows", most)
+			if limit := p.limits.Endpoints; limit > 0 && len(p.list.Endpoints) >= limit {
+				return invalidList("over %d entries, which the memory limit allows", limit)
 			}
 			p.list.Endpoints = append(p.list.Endpoints, entry)
 		}
@@ -161,8 +174,7 @@
 	return p.expectDelimiter(']')
 }
 
-// parseEntry reads the entry whose text has come. One that is odd is told, and usable where its id and the
-// state of its replica can be read.
+// parseEntry parses entryText. An invalid entry is reported, and usable if its id can be parsed.
 func (p *listParser) parseEntry() (entry Endpoint, usable bool) {
 	if err := json.Unmarshal(p.entryText, &entry); err != nil {
 		entry = recoverEntry(p.entryText)
@@ -188,8 +200,8 @@
 	return entry, true
 }
 
-// recoverEntry reads the id and the state of an entry of which more cannot be read. Without an id it is of
-// no use.
+// recoverEntry returns the id and the state of an entry that cannot be parsed as a whole. The id is empty if not
+// even that can be parsed.
 func recoverEntry(text []byte) (entry Endpoint) {
 	var fields map[string]json.RawMessage
 	if json.Unmarshal(text, &fields) != nil {
@@ -198,7 +210,7 @@
 	for name, value := range fields {
 		switch strings.ToLower(name) {
 		case "instanceid":
-			_ = json.Unmarshal(value, &entry.ID) // "" where it is no string
+			_ = json.Unmarshal(value, &entry.ID) // stays empty if it is no string
 		case "lifecycle":
 			_ = json.Unmarshal(value, &entry.Lifecycle)
 		}
@@ -207,10 +219,8 @@
 	return entry
 }
 
-// maxExtraZones and maxZoneLength bound the zones that entries may name beside those of the settings.
-const maxExtraZones, maxZoneLength = 32, 128
-
-// admitExtraZone tells whether one more zone can be served.
+// admitExtraZone reports whether replicas of a zone that the settings do not name can be used, which is bounded by
+// the number of such zones.
 func (p *listParser) admitExtraZone(zone string) bool {
 	if p.extraZones[zone] {
 		return true
@@ -225,8 +235,8 @@
 	return true
 }
 
-// hasKnownZone tells whether the entry's zone is one that the settings name. An entry that only says
-// that its replica has gone needs none.
+// hasKnownZone reports whether the entry's zone is one that the settings name. An entry that only says that its
+// replica is gone needs none.
 func (p *listParser) hasKnownZone(entry *Endpoint) bool {
 	if len(p.limits.Zones) == 0 || entry.Zone == "" || entry.Lifecycle == lifecycleGone {
 		return true
@@ -234,27 +244,28 @@
 	return slices.Contains(p.limits.Zones, entry.Zone)
 }
 
-// mergeDuplicates leaves one entry of each id in a whole list. The last one counts, as among changes, but
-// where any of them says that its replica takes no new work, that holds.
+// mergeDuplicates leaves one entry of each id in a complete list. The last one counts, as among changes, but if any
+// of them says that its replica takes no new requests, that state counts.
 func (p *listParser) mergeDuplicates() {
-	at := make(map[string]int, len(p.list.Endpoints))
-	kept := p.list.Endpoints[:0]
+	indexOf := make(map[string]int, len(p.list.Endpoints))
+	merged := p.list.Endpoints[:0]
 	for _, entry := range p.list.Endpoints {
-		i, again := at[entry.ID]
-		if !again {
-			at[entry.ID] = len(kept)
-			kept = append(kept, entry)
+		i, duplicate := indexOf[entry.ID]
+		if !duplicate {
+			indexOf[entry.ID] = len(merged)
+			merged = append(merged, entry)
 			continue
 		}
 		p.reportInvalid(&entry, "named twice")
-		if kept[i].Lifecycle != lifecycleReady {
-			entry.Lifecycle = kept[i].Lifecycle
+		if merged[i].Lifecycle != lifecycleReady {
+			entry.Lifecycle = merged[i].Lifecycle
 		}
-		kept[i] = entry
+		merged[i] = entry
 	}
-	p.list.Endpoints = kept
+	p.list.Endpoints = merged
 }
 
+// expectDelimiter reads the next token and checks that it is a delimiter.
 func (p *listParser) expectDelimiter(want json.Delim) error {
 	p.input.reset()
 	token, err := p.decoder.Token()
@@ -267,20 +278,21 @@
 	return nil
 }
 
-// boundedReader is a reader of which only so much may be read until it is renewed: a decoder that holds
-// the text of one value cannot grow beyond it.
+// boundedReader is a reader of which maxEntryBytes can be read until it is reset: the buffer of a decoder that reads
+// one value cannot grow beyond them.
 type boundedReader struct {
 	reader io.Reader
 	used   int
 }
 
-func (a *boundedReader) reset() { a.used = 0 }
+func (b *boundedReader) reset() { b.used = 0 }
 
-func (a *boundedReader) Read(p []byte) (int, error) {
-	if a.used >= maxEntryBytes {
+// Read fails with an InvalidListError at the bound.
+func (b *boundedReader) Read(p []byte) (int, error) {
+	if b.used >= maxEntryBytes {
 		return 0, invalidList("a value of over %d bytes", maxEntryBytes)
 	}
-	n, err := a.reader.Read(p[:min(len(p), maxEntryBytes-a.used)])
-	a.used += n
+	n, err := b.reader.Read(p[:min(len(p), maxEntryBytes-b.used)])
+	b.used += n
 	return n, err
 }
--- a/internal/httpwire/listparser_test.go
+++ b/internal/httpwire/listparser_test.go
@@ -14,7 +14,7 @@
 	"github.com/google/go-cmp/cmp"
 )
 
-// entriesText is the text of so many entries.
+// entriesText returns the text of so many entries.
 func entriesText(n int) string {
 	out := make([]string, n)
 	for i := range out {
@@ -23,8 +23,7 @@
 	return strings.Join(out, ",")
 }
 
-// A list that is not to be used is refused with what is wrong with it, and is told from text that
-// cannot be read.
+// A list that must not be used is rejected with the reason. It is distinguished from text that cannot be parsed.
 func TestInvalidListsAreRejected(t *testing.T) {
 	limits := ListLimits{Endpoints: 3, Zones: []string{"a", "b"}}
 	list := func(instances string) string { return `{"generation":1,"reset":true,"instances":[` + instances + `]}` }
@@ -39,34 +38,34 @@
 		entry(`"zone":"a","x":` + longString(70000)): "a value of over",
 	} {
 		got, err := ReadList(strings.NewReader(text), limits)
-		var bad *InvalidListError
+		var invalid *InvalidListError
 		switch {
 		case want == "" && err != nil:
 			t.Errorf("%.80s: %v", text, err)
-		case want != "" && (!errors.As(err, &bad) || !strings.Contains(bad.Reason, want)):
+		case want != "" && (!errors.As(err, &invalid) || !strings.Contains(invalid.Reason, want)):
 			t.Errorf("%.80s: %d entries, error %v, want %s", text, len(got.Endpoints), err, want)
 		}
 	}
-	// Changes may name a replica twice, and one that has gone needs no place.
+	// Changes may name a replica twice, and one that is gone needs no known zone.
 	changes := `{"generation":2,"instances":[{"instanceId":"s-1","hostPort":"h:1","lifecycle":"draining"},{"instanceId":"s-1","lifecycle":"gone","zone":"z"}]}`
 	if got, err := ReadList(strings.NewReader(changes), limits); err != nil || len(got.Endpoints) != 2 {
 		t.Errorf("changes: %+v, %v", got, err)
 	}
 	for _, text := range []string{"", "[]", `{"generation":1`, `{"generation":1}x`, `{"generation":"1"}`, `{"instances":{}}`, `{"instances":[{"instanceId":`} {
-		var bad *InvalidListError
-		if _, err := ReadList(strings.NewReader(text), limits); err == nil || errors.As(err, &bad) {
+		var invalid *InvalidListError
+		if _, err := ReadList(strings.NewReader(text), limits); err == nil || errors.As(err, &invalid) {
 			t.Errorf("%q: %v, want an error of the text", text, err)
 		}
 	}
 }
 
-// An odd entry costs itself alone: it is told, what of it can be used is taken, and the entries before
-// and behind it are as they stand.
+// An invalid entry affects itself alone: it is reported, what can be used of it is, and the entries before and after
+// it are unchanged.
 func TestInvalidEntries(t *testing.T) {
 	limits := ListLimits{Endpoints: 4, Zones: []string{"a", "b"}}
-	before, behind := `{"instanceId":"s-a","hostPort":"h:1","zone":"a","lifecycle":"draining","weight":2}`, `{"instanceId":"s-z","hostPort":"h:2","zone":"b","lifecycle":"ready","weight":3}`
-	for odd, want := range map[string]struct {
-		entry  Endpoint // as it is taken; without an id: not at all
+	before, after := `{"instanceId":"s-a","hostPort":"h:1","zone":"a","lifecycle":"draining","weight":2}`, `{"instanceId":"s-z","hostPort":"h:2","zone":"b","lifecycle":"ready","weight":3}`
+	for invalid, want := range map[string]struct {
+		entry  Endpoint // as it is used; without an id: not at all
 		reason string
 	}{
 		`7`:                      {reason: "cannot unmarshal number"},
@@ -83,7 +82,7 @@
 		`{"instanceId":"s-a","hostPort":"h:9","zone":"a","lifecycle":"ready"}`:                     {Endpoint{ID: "s-a", Addr: "h:9", Zone: "a", Lifecycle: "draining"}, "named twice"},
 		`{"instanceId":"s-1","hostPort":"h:3","zone":` + longString(200) + `,"lifecycle":"ready"}`: {Endpoint{ID: "s-1", Addr: "h:3", Zone: strings.Repeat("x", 200), Lifecycle: "ready", Partial: true}, "zone"},
 	} {
-		text := `{"generation":1,"reset":true,"instances":[` + before + "," + odd + "," + behind + `]}`
+		text := `{"generation":1,"reset":true,"instances":[` + before + "," + invalid + "," + after + `]}`
 		got, err := ReadList(strings.NewReader(text), limits)
 		wanted := []Endpoint{{ID: "s-a", Addr: "h:1", Zone: "a", Lifecycle: "draining", Weight: 2}}
 		if want.entry.ID == "s-a" {
@@ -94,33 +93,33 @@
 		}
 		wanted = append(wanted, Endpoint{ID: "s-z", Addr: "h:2", Zone: "b", Lifecycle: "ready", Weight: 3})
 		if diff := cmp.Diff(wanted, got.Endpoints); err != nil || diff != "" {
-			t.Errorf("%.90s: %v\n%s", odd, err, diff)
+			t.Errorf("%.90s: %v\n%s", invalid, err, diff)
 		}
 		if got.InvalidEntryCount != 1 || len(got.InvalidEntries) != 1 || !strings.Contains(got.InvalidEntries[0].Reason, want.reason) {
-			t.Errorf("%.90s: told %+v, want %s", odd, got.InvalidEntries, want.reason)
+			t.Errorf("%.90s: reported %+v, want %s", invalid, got.InvalidEntries, want.reason)
 		}
 	}
-	// However many are odd, so many are told; and zones that nobody knows take up so much.
+	// However many are invalid, the reported ones are bounded, and so are the zones that the settings do not name.
 	var all []string
 	for i := range 100 {
 		all = append(all, fmt.Sprintf(`{"instanceId":"s-%d","hostPort":"h:1","zone":"z%d","lifecycle":"ready"}`, i, i))
 	}
 	got, err := ReadList(strings.NewReader(`{"instances":[`+strings.Join(all, ",")+`]}`), ListLimits{Zones: []string{"a"}})
-	whole := 0
-	for _, i := range got.Endpoints {
-		if !i.Partial {
-			whole++
+	usable := 0
+	for _, endpoint := range got.Endpoints {
+		if !endpoint.Partial {
+			usable++
 		}
 	}
-	if err != nil || got.InvalidEntryCount != 100 || len(got.InvalidEntries) != maxReportedEntries || whole != maxExtraZones {
-		t.Errorf("%v: %d odd, %d told, %d whole", err, got.InvalidEntryCount, len(got.InvalidEntries), whole)
+	if err != nil || got.InvalidEntryCount != 100 || len(got.InvalidEntries) != maxReportedEntries || usable != maxExtraZones {
+		t.Errorf("%v: %d invalid, %d reported, %d usable", err, got.InvalidEntryCount, len(got.InvalidEntries), usable)
 	}
 }
 
 func longString(n int) string { return `"` + strings.Repeat("x", n) + `"` }
 
-// A list is the same in any framing and indentation, whatever the size of a chunk and however it
-// comes; the reader ends where the body does.
+// A list is the same in any framing and indentation, whatever the size of a chunk and however it arrives. The reader
+// ends where the body does.
 func TestListInEveryFraming(t *testing.T) {
 	const n = 6000
 	text := `{"generation":7,"reset":true,"instances":[` + entriesText(n) + `]}`
@@ -140,12 +139,12 @@
 		}
 		return out.String() + "0\r\nX: y\r\n\r\n"
 	}
-	whole := func(text string) string {
+	withLength := func(text string) string {
 		return fmt.Sprintf("HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n%s", len(text), text)
 	}
 	for name, answer := range map[string]string{
-		"length": whole(text), "one chunk": chunked(text, len(text)), "many chunks": chunked(text, 1000), "chunks of one byte": chunked(text, 1),
-		"indented": whole(string(indented)), "indented, one chunk": chunked(string(indented), len(indented)),
+		"length": withLength(text), "one chunk": chunked(text, len(text)), "many chunks": chunked(text, 1000), "chunks of one byte": chunked(text, 1),
+		"indented": withLength(string(indented)), "indented, one chunk": chunked(string(indented), len(indented)),
 		"to the connection's end": "HTTP/1.1 200 OK\r\n\r\n" + text,
 	} {
 		for _, reader := range []io.Reader{strings.NewReader(answer), iotest.HalfReader(strings.NewReader(answer)), iotest.DataErrReader(strings.NewReader(answer))} {
@@ -163,11 +162,11 @@
 			}
 		}
 	}
-	// What is cut or does not fit its chunks is no list.
+	// Text that is truncated or does not fit its chunks is no list.
 	one := chunked(text, len(text))
 	for name, answer := range map[string]string{
-		"cut": one[:len(one)-40], "no last chunk": strings.TrimSuffix(one, "0\r\nX: y\r\n\r\n"), "an odd length": strings.Replace(one, ";x=y", "zz", 1),
-		"longer than its chunk": strings.Replace(one, "]}\r\n0", "]} \r\n0", 1), "cut length": whole(text)[:5000],
+		"truncated": one[:len(one)-40], "no last chunk": strings.TrimSuffix(one, "0\r\nX: y\r\n\r\n"), "an invalid length": strings.Replace(one, ";x=y", "zz", 1),
+		"longer than its chunk": strings.Replace(one, "]}\r\n0", "]} \r\n0", 1), "truncated length": withLength(text)[:5000],
 	} {
 		in := bufio.NewReader(strings.NewReader(answer))
 		resp, err := ReadHead(in)
@@ -175,12 +174,12 @@
 			t.Fatal(err)
 		}
 		if _, err := ReadList(NewBody(in, resp).Reader(), ListLimits{}); err == nil {
-			t.Errorf("%s: taken for a list", name)
+			t.Errorf("%s: accepted as a list", name)
 		}
 	}
 }
 
-// What a list takes to read follows its entries, not its text: the text is never held whole.
+// The memory for reading a list depends on its entries, not on its text, which is never buffered as a whole.
 func TestListTextIsNotBuffered(t *testing.T) {
 	spaces := strings.Repeat(" ", 40<<10)
 	text := `{"generation":1,"reset":true,"instances":[` + strings.ReplaceAll(entriesText(200), "},", "}"+spaces+",") + `]}`
--- /dev/null
+++ b/internal/httpwire/streamobserver.go
@@ -0,0 +1,71 @@
+package httpwire
+
+import (
+	"bytes"
+	"encoding/json"
+
+	"archknot/balancer"
+)
+
+// EndsEvent reports whether bytes of a stream end with the end of an event: an empty line.
+func EndsEvent(b []byte) bool {
+	return bytes.HasSuffix(b, []byte("\n\n")) || bytes.HasSuffix(b, []byte("\n\r\n")) || bytes.HasSuffix(b, []byte("\r\r"))
+}
+
+// maxObservedLine bounds the line that a StreamObserver buffers. The two kinds of lines that it looks for are short.
+const maxObservedLine = 4096
+
+// StreamObserver watches a stream of events as it passes, for what the replica says of itself: the usage of the
+// request and the load report. The zero value is ready to use.
+type StreamObserver struct {
+	CachedTokens int // prompt tokens that the replica had cached
+	OutputTokens int
+	Report       balancer.LoadReport
+
+	line     []byte
+	skipLine bool // the line is longer than maxObservedLine
+}
+
+// Write observes the next bytes of the stream.
+func (o *StreamObserver) Write(p []byte) {
+	for len(p) > 0 {
+		part, rest, lineEnds := bytes.Cut(p, []byte{'\n'})
+		o.skipLine = o.skipLine || len(o.line)+len(part) > maxObservedLine
+		if !o.skipLine {
+			o.line = append(o.line, part...)
+		}
+		if !lineEnds {
+			return
+		}
+		if !o.skipLine {
+			o.observeLine(bytes.TrimSuffix(o.line, []byte("\r")))
+		}
+		o.line, o.skipLine = o.line[:0], false
+		p = rest
+	}
+}
+
+// observeLine takes the load report from a comment line, or the usage from a data line.
+func (o *StreamObserver) observeLine(line []byte) {
+	if report, ok := bytes.CutPrefix(line, []byte(": "+headerLoadReport+":")); ok {
+		o.Report = ParseLoadReport(string(report))
+		return
+	}
+	data, ok := bytes.CutPrefix(line, []byte("data:"))
+	if !ok || !bytes.Contains(data, []byte(`"cached_tokens"`)) {
+		return
+	}
+	var event struct {
+		Usage struct {
+			CompletionTokens    int `json:"completion_tokens"`
+			PromptTokensDetails struct {
+				CachedTokens int `json:"cached_tokens"`
+			} `json:"prompt_tokens_details"`
+		} `json:"usage"`
+	}
+	if json.Unmarshal(data, &event) != nil {
+		return // not the usage: the events are the client's and are not checked
+	}
+	o.CachedTokens = max(0, event.Usage.PromptTokensDetails.CachedTokens)
+	o.OutputTokens = max(0, event.Usage.CompletionTokens)
+}
--- a/internal/simwire/decoder.go
+++ b/internal/simwire/decoder.go
@@ -264,7 +264,7 @@
 	return true, d.decodeEvent(name, p)
 }
 
-// openBatch begins a batch at the clock that TURN tells.
+// openBatch begins a batch at the clock of the TURN line.
 func (d *Decoder) openBatch(p *fieldParser) error {
 	if d.inBatch {
 		return errBatchOpen
