--- a/internal/capture/convert.go
+++ b/internal/capture/convert.go
@@ -10,72 +10,146 @@
 	pb "archknot/internal/capture/capturepb"
 )
 
-// The module's words in the capture's form, and back.
+// maxNameBytes bounds a name in a capture.
+const maxNameBytes = 256
 
-func reportToProto(to *pb.Report, r *balancer.LoadReport) *pb.Report {
-	if r.Has == 0 {
+// reportToProto fills in the stored form of a load report; nil if the report is empty.
+func reportToProto(to *pb.Report, report *balancer.LoadReport) *pb.Report {
+	if report.Has == 0 {
 		return nil
 	}
-	to.Has, to.MemoryShare, to.UnreadK, to.InFlight = uint32(r.Has), r.MemoryShare, r.PrefillBacklogK, r.InFlight
-	to.Queued, to.ServiceMs, to.Util = r.Queued, r.ServiceMs, r.Utilization
+	to.Has = uint32(report.Has)
+	to.MemoryShare = report.MemoryShare
+	to.UnreadK = report.PrefillBacklogK
+	to.InFlight = report.InFlight
+	to.Queued = report.Queued
+	to.ServiceMs = report.ServiceMs
+	to.Util = report.Utilization
 	return to
 }
 
-// ReportFromProto is the module's form of a report; nil is none.
+// ReportFromProto returns the load report of its stored form; an empty one of nil.
 func ReportFromProto(r *pb.Report) balancer.LoadReport {
 	if r == nil {
 		return balancer.LoadReport{}
 	}
-	return balancer.LoadReport{Has: uint8(r.Has), MemoryShare: r.MemoryShare, PrefillBacklogK: r.UnreadK, InFlight: r.InFlight,
-		Queued: r.Queued, ServiceMs: r.ServiceMs, Utilization: r.Util}
+	return balancer.LoadReport{
+		Has:             uint8(r.Has),
+		MemoryShare:     r.MemoryShare,
+		PrefillBacklogK: r.UnreadK,
+		InFlight:        r.InFlight,
+		Queued:          r.Queued,
+		ServiceMs:       r.ServiceMs,
+		Utilization:     r.Util,
+	}
 }
 
+// outcomeToProto fills in the stored form of an outcome, and that of its load report in report.
 func outcomeToProto(to *pb.Outcome, report *pb.Report, o *balancer.Outcome) *pb.Outcome {
-	to.Attempt, to.Worker, to.Status, to.ElapsedUs = int64(o.Attempt), uint32(o.Replica), uint32(o.Status), o.Elapsed
-	to.Final, to.Kept, to.Tokens, to.Report = o.Final, int64(o.CachedTokens), int64(o.OutputTokens), reportToProto(report, &o.Report)
+	to.Attempt = int64(o.Attempt)
+	to.Worker = uint32(o.Replica)
+	to.Status = uint32(o.Status)
+	to.ElapsedUs = o.Elapsed
+	to.Final = o.Final
+	to.Kept = int64(o.CachedTokens)
+	to.Tokens = int64(o.OutputTokens)
+	to.Report = reportToProto(report, &o.Report)
 	return to
 }
 
 func outcomeFromProto(id balancer.RequestID, o *pb.Outcome) balancer.Outcome {
-	return balancer.Outcome{ID: id, Attempt: int(o.GetAttempt()), Replica: balancer.ReplicaID(o.GetWorker()),
-		Status: balancer.Status(o.GetStatus()), Elapsed: o.GetElapsedUs(), Final: o.GetFinal(), CachedTokens: int(o.GetKept()),
-		OutputTokens: int(o.GetTokens()), Report: ReportFromProto(o.GetReport())}
+	return balancer.Outcome{
+		ID:           id,
+		Attempt:      int(o.GetAttempt()),
+		Replica:      balancer.ReplicaID(o.GetWorker()),
+		Status:       balancer.Status(o.GetStatus()),
+		Elapsed:      o.GetElapsedUs(),
+		Final:        o.GetFinal(),
+		CachedTokens: int(o.GetKept()),
+		OutputTokens: int(o.GetTokens()),
+		Report:       ReportFromProto(o.GetReport()),
+	}
 }
 
+// arrivalToProto fills in the stored form of a request, with the client's id as its name.
 func arrivalToProto(to *pb.Arrival, in *balancer.Request, name string) *pb.Arrival {
-	to.Class, to.Tenant, to.TimeLeftUs, to.Name = append(to.Class[:0], in.Class...), append(to.Tenant[:0], in.Tenant...), in.TimeLeft, sanitizeName(name)
-	to.PromptTokens, to.PrefixTokens, to.MaxTokens = int64(in.PromptTokens), int64(in.PrefixTokens), int64(in.MaxTokens)
-	to.Session, to.Prefix, to.Factor, to.Spent = in.Session, in.Prefix, in.PriorityFactor, int64(in.PriorAttempts)
+	to.Class = append(to.Class[:0], in.Class...)
+	to.Tenant = append(to.Tenant[:0], in.Tenant...)
+	to.TimeLeftUs = in.TimeLeft
+	to.Name = sanitizeName(name)
+	to.PromptTokens = int64(in.PromptTokens)
+	to.PrefixTokens = int64(in.PrefixTokens)
+	to.MaxTokens = int64(in.MaxTokens)
+	to.Session = in.Session
+	to.Prefix = in.Prefix
+	to.Factor = in.PriorityFactor
+	to.Spent = int64(in.PriorAttempts)
 	to.Home = uint32(in.HomeReplica)
 	return to
 }
 
 func arrivalFromProto(id balancer.RequestID, a *pb.Arrival) balancer.Request {
-	return balancer.Request{ID: id, Class: string(a.GetClass()), Tenant: string(a.GetTenant()), TimeLeft: a.GetTimeLeftUs(),
-		PromptTokens: int(a.GetPromptTokens()), PrefixTokens: int(a.GetPrefixTokens()), MaxTokens: int(a.GetMaxTokens()),
-		Session: a.GetSession(), Prefix: a.GetPrefix(), PriorityFactor: a.GetFactor(), PriorAttempts: int(a.GetSpent()), HomeReplica: balancer.ReplicaID(a.GetHome())}
+	return balancer.Request{
+		ID:             id,
+		Class:          string(a.GetClass()),
+		Tenant:         string(a.GetTenant()),
+		TimeLeft:       a.GetTimeLeftUs(),
+		PromptTokens:   int(a.GetPromptTokens()),
+		PrefixTokens:   int(a.GetPrefixTokens()),
+		MaxTokens:      int(a.GetMaxTokens()),
+		Session:        a.GetSession(),
+		Prefix:         a.GetPrefix(),
+		PriorityFactor: a.GetFactor(),
+		PriorAttempts:  int(a.GetSpent()),
+		HomeReplica:    balancer.ReplicaID(a.GetHome()),
+	}
 }
 
+// endpointListToProto returns the stored form of a list, with the names of its replicas.
 func endpointListToProto(l *balancer.EndpointList, name func(balancer.ReplicaID) string) *pb.List {
-	out := &pb.List{Kind: uint32(l.Kind), Version: l.Version, Fleet: int64(l.FleetSize), Members: make([]*pb.Member, len(l.Endpoints))}
-	for i, m := range l.Endpoints {
-		out.Members[i] = &pb.Member{Worker: uint32(m.Replica), State: uint32(m.State), Weight: m.Weight, Cell: m.Cell,
-			Kind: []byte(m.Kind), Zone: []byte(m.Zone), SinceUs: m.StartedAt, Name: sanitizeName(name(m.Replica))}
+	out := &pb.List{
+		Kind:    uint32(l.Kind),
+		Version: l.Version,
+		Fleet:   int64(l.FleetSize),
+		Members: make([]*pb.Member, len(l.Endpoints)),
+	}
+	for i, e := range l.Endpoints {
+		out.Members[i] = &pb.Member{
+			Worker:  uint32(e.Replica),
+			State:   uint32(e.State),
+			Weight:  e.Weight,
+			Cell:    e.Cell,
+			Kind:    []byte(e.Kind),
+			Zone:    []byte(e.Zone),
+			SinceUs: e.StartedAt,
+			Name:    sanitizeName(name(e.Replica)),
+		}
 	}
 	return out
 }
 
 func endpointListFromProto(l *pb.List) balancer.EndpointList {
-	out := balancer.EndpointList{Kind: balancer.ListKind(l.GetKind()), Version: l.GetVersion(), FleetSize: int(l.GetFleet())}
+	out := balancer.EndpointList{
+		Kind:      balancer.ListKind(l.GetKind()),
+		Version:   l.GetVersion(),
+		FleetSize: int(l.GetFleet()),
+	}
 	for _, m := range l.GetMembers() {
-		out.Endpoints = append(out.Endpoints, balancer.Endpoint{Replica: balancer.ReplicaID(m.Worker), State: balancer.EndpointState(m.State),
-			Weight: m.Weight, Cell: m.Cell, Kind: string(m.Kind), Zone: string(m.Zone), StartedAt: m.SinceUs})
+		out.Endpoints = append(out.Endpoints, balancer.Endpoint{
+			Replica:   balancer.ReplicaID(m.Worker),
+			State:     balancer.EndpointState(m.State),
+			Weight:    m.Weight,
+			Cell:      m.Cell,
+			Kind:      string(m.Kind),
+			Zone:      string(m.Zone),
+			StartedAt: m.SinceUs,
+		})
 	}
 	return out
 }
 
-// sanitizeName makes a peer's name fit for a capture, where strings are UTF-8 and names
-// bounded. It is for people to read; what the module decides by is kept as it came.
+// sanitizeName returns a name as captures can hold it, where strings are UTF-8 and bounded. Names are for people to
+// read; what the module decides by is recorded unchanged.
 func sanitizeName(s string) string {
 	if len(s) > maxNameBytes {
 		s = s[:maxNameBytes]
@@ -83,10 +157,7 @@
 	return strings.ToValidUTF8(s, "\ufffd")
 }
 
-const maxNameBytes = 256
-
-// Apply tells the module what a record says; a checkpoint, a gap
-// and what is the contracts' book's tell nothing.
+// Apply repeats a recorded call of the module. Checkpoints, gaps and calls of the ledger are none.
 func Apply(m Module, now balancer.Micros, r *pb.Record) error {
 	id := balancer.RequestID(r.Request)
 	switch r.Kind {
@@ -113,31 +184,31 @@
 		if err != nil {
 			return err
 		}
-		_ = m.Reconfigure(now, s) // refused then as now: that changed nothing
-	case pb.Kind_KIND_CHECKPOINT, pb.Kind_KIND_GAP, pb.Kind_KIND_AGREED, pb.Kind_KIND_CHARGED, pb.Kind_KIND_SETTLED, pb.Kind_KIND_PARTS, pb.Kind_KIND_KEPT,
-		pb.Kind_KIND_TURNED:
-		// the contracts' part is no word to the module
+		_ = m.Reconfigure(now, s) // rejected now as it was then: that has no effect
+	case pb.Kind_KIND_CHECKPOINT, pb.Kind_KIND_GAP, pb.Kind_KIND_AGREED, pb.Kind_KIND_CHARGED, pb.Kind_KIND_SETTLED,
+		pb.Kind_KIND_PARTS, pb.Kind_KIND_KEPT, pb.Kind_KIND_TURNED:
+		// not calls of the module
 	default:
 		return fmt.Errorf("a record of kind %d, which this build does not know", r.Kind)
 	}
 	return nil
 }
 
-// marshalSettings writes the module's settings as JSON under the names of its
-// fields: complete by construction.
+// marshalSettings returns the module's settings as JSON with all fields.
 func marshalSettings(s *balancer.Settings) []byte {
 	text, err := json.Marshal(s)
 	if err != nil {
-		panic(err) // plain data: it cannot fail but for a NaN, which no check lets in
+		panic(err) // plain data: only a NaN could fail, which the settings' validation rejects
 	}
 	return text
 }
 
-// UnmarshalSettings reads settings as a capture has them.
+// UnmarshalSettings parses the settings of a capture. An unknown field is an error: a setting that this build does not
+// know would make it decide differently.
 func UnmarshalSettings(text []byte) (balancer.Settings, error) {
 	var s balancer.Settings
 	d := json.NewDecoder(bytes.NewReader(text))
-	d.DisallowUnknownFields() // a setting that is not understood would decide otherwise
+	d.DisallowUnknownFields()
 	if err := d.Decode(&s); err != nil {
 		return s, fmt.Errorf("settings: %w", err)
 	}
--- /dev/null
+++ b/internal/capture/incident.go
@@ -0,0 +1,185 @@
+package capture
+
+import (
+	"cmp"
+	"encoding/json"
+	"errors"
+	"io/fs"
+	"os"
+	"path/filepath"
+	"slices"
+	"strings"
+	"time"
+
+	"github.com/google/renameio/v2"
+)
+
+// ManifestName is the name of the manifest in an incident's directory.
+const ManifestName = "incident.json"
+
+// Manifest describes an incident, in the file ManifestName of its directory.
+type Manifest struct {
+	Reason   string    `json:"reason"`
+	Gateway  string    `json:"gateway"`
+	Build    string    `json:"build"`
+	At       time.Time `json:"at"`
+	Ordered  bool      `json:"ordered"` // by a person, not by a condition
+	Segments []string  `json:"segments"`
+	Bytes    int64     `json:"bytes"`
+}
+
+// SavedIncident is the result of saving an incident.
+type SavedIncident struct {
+	Path     string // its directory
+	Segments int
+	Bytes    int64
+	Err      error
+}
+
+// Reasons for not saving an incident.
+var (
+	errNoIncidents     = errors.New("no incidents are kept here")
+	errIncidentTooSoon = errors.New("too soon after the last")
+)
+
+// saveIncident saves the closed segments of the last IncidentWindow in a directory of their own. Incidents that nobody
+// ordered are limited to one in an IncidentInterval.
+func (w *Writer) saveIncident(reason string, ordered bool) SavedIncident {
+	if w.options.MaxIncidents <= 0 {
+		return SavedIncident{Err: errNoIncidents}
+	}
+	now := time.Now()
+	if !ordered && now.Sub(w.lastAutomaticIncident) < w.options.IncidentInterval {
+		return SavedIncident{Err: errIncidentTooSoon}
+	}
+	if !ordered {
+		w.lastAutomaticIncident = now
+	}
+	saved, err := w.linkSegments(reason, ordered, now)
+	if err != nil {
+		w.options.Log("incident_failed", "err", err.Error(), "reason", reason)
+		return SavedIncident{Err: err}
+	}
+	w.options.Log("incident", "reason", reason, "ordered", ordered, "path", saved.Path, "segments", saved.Segments, "bytes", saved.Bytes)
+	return saved
+}
+
+// linkSegments makes the incident's directory, with links to the segments and a manifest.
+func (w *Writer) linkSegments(reason string, ordered bool, now time.Time) (SavedIncident, error) {
+	if err := os.MkdirAll(w.options.IncidentDirectory, directoryMode); err != nil {
+		return SavedIncident{}, err
+	}
+	if err := w.deleteOldIncidents(); err != nil {
+		return SavedIncident{}, err
+	}
+	dir := filepath.Join(w.options.IncidentDirectory, w.options.Gateway+"-"+now.UTC().Format(timestampFormat))
+	if err := os.Mkdir(dir, directoryMode); err != nil {
+		return SavedIncident{}, err
+	}
+	m := Manifest{Reason: reason, Gateway: w.options.Gateway, Build: w.options.Build, At: now.UTC(), Ordered: ordered}
+	for _, s := range listSegments(w.options.Directory, w.options.Gateway) {
+		isOpen := s.path == w.path && w.file != nil
+		if now.Sub(s.modifiedAt) > w.options.IncidentWindow || isOpen {
+			continue
+		}
+		name := filepath.Base(s.path)
+		err := os.Link(s.path, filepath.Join(dir, name))
+		if errors.Is(err, fs.ErrNotExist) {
+			continue // deleted meanwhile
+		}
+		if err != nil { // the directories may be on different file systems
+			err = copyFile(s.path, filepath.Join(dir, name))
+		}
+		if err != nil {
+			return SavedIncident{}, err
+		}
+		m.Segments = append(m.Segments, name)
+		m.Bytes += s.size
+	}
+	err := writeManifest(dir, &m)
+	return SavedIncident{Path: dir, Segments: len(m.Segments), Bytes: m.Bytes}, err
+}
+
+func copyFile(from, to string) error {
+	text, err := os.ReadFile(from)
+	if err != nil {
+		return err
+	}
+	return os.WriteFile(to, text, fileMode)
+}
+
+func writeManifest(dir string, m *Manifest) error {
+	text, err := json.MarshalIndent(m, "", "  ")
+	if err != nil {
+		return err
+	}
+	return renameio.WriteFile(filepath.Join(dir, ManifestName), append(text, '\n'), fileMode)
+}
+
+// deleteOldIncidents deletes the oldest incidents of this gateway, until there is room for one more.
+func (w *Writer) deleteOldIncidents() error {
+	entries, err := os.ReadDir(w.options.IncidentDirectory)
+	if err != nil {
+		return err
+	}
+	var own []string
+	for _, e := range entries {
+		if e.IsDir() && strings.HasPrefix(e.Name(), w.options.Gateway+"-") {
+			own = append(own, filepath.Join(w.options.IncidentDirectory, e.Name()))
+		}
+	}
+	slices.Sort(own) // their names begin with their times
+	for len(own) >= w.options.MaxIncidents {
+		if err := os.RemoveAll(own[0]); err != nil {
+			return err
+		}
+		own = own[1:]
+	}
+	return nil
+}
+
+// segmentFile is a segment in a directory.
+type segmentFile struct {
+	path       string
+	size       int64
+	modifiedAt time.Time
+}
+
+// listSegments returns the segments of a gateway in a directory, the oldest first; none if it cannot be read.
+func listSegments(dir, gateway string) []segmentFile {
+	entries, err := os.ReadDir(dir)
+	if err != nil {
+		return nil
+	}
+	var out []segmentFile
+	for _, e := range entries {
+		if e.IsDir() || !strings.HasPrefix(e.Name(), gateway+"-") || !strings.HasSuffix(e.Name(), Suffix) {
+			continue
+		}
+		if info, err := e.Info(); err == nil {
+			out = append(out, segmentFile{filepath.Join(dir, e.Name()), info.Size(), info.ModTime()})
+		}
+	}
+	slices.SortFunc(out, func(a, b segmentFile) int { return cmp.Compare(a.path, b.path) })
+	return out
+}
+
+// deleteOldSegments deletes the oldest segments of this gateway past MaxBytes and MaxAge.
+func (w *Writer) deleteOldSegments() {
+	all := listSegments(w.options.Directory, w.options.Gateway)
+	var total int64
+	for _, s := range all {
+		total += s.size
+	}
+	for _, s := range all {
+		if total <= w.options.MaxBytes && time.Since(s.modifiedAt) <= w.options.MaxAge {
+			break
+		}
+		if err := os.Remove(s.path); err != nil && !errors.Is(err, fs.ErrNotExist) {
+			w.logFailure(err.Error(), s.path)
+			return
+		}
+		total -= s.size
+		w.Stats.Dropped.Add(1)
+	}
+}
--- a/internal/capture/recorder.go
+++ b/internal/capture/recorder.go
@@ -1,13 +1,7 @@
-// Package capture records everything that a decision module is told and orders,
-// and reads such records back. The recorder stands between whoever owns the
-// module and the module itself; a writer of its own puts blocks of records into
-// segments on disk. Neither holds the owner up nor grows: what cannot be handed
-// over is a gap, told in the capture and ended by a checkpoint.
 package capture
 
 import (
 	"encoding/binary"
-	"sync/atomic"
 	"time"
 
 	"google.golang.org/protobuf/proto"
@@ -18,106 +12,55 @@
 	"archknot/internal/contract"
 )
 
-// Module is what the owner of a decision module calls: choice.Balancer itself,
-// or a Recorder before it.
-type Module interface {
-	Start(now balancer.Micros)
-	ListChanged(now balancer.Micros, l balancer.EndpointList)
-	RequestArrived(now balancer.Micros, in balancer.Request)
-	FirstToken(now balancer.Micros, o balancer.Outcome)
-	AttemptEnded(now balancer.Micros, o balancer.Outcome)
-	ClientGone(now balancer.Micros, id balancer.RequestID)
-	TimerFired(now balancer.Micros, token uint64)
-	HealthCheckEnded(now balancer.Micros, o balancer.Outcome)
-	PeerMessage(now balancer.Micros, from int, body []byte)
-	Reconfigure(now balancer.Micros, s balancer.Settings) error
-}
-
-// Timer is one that the module has set and that has not fired.
-type Timer struct {
-	At    balancer.Micros
-	Token uint64
-}
-
-// Timers remembers those that are set, for a host that does not hold them itself:
-// by token, in the order they were set.
-type Timers map[uint64][]balancer.Micros
-
-// Add enters one.
-func (t Timers) Add(at balancer.Micros, token uint64) { t[token] = append(t[token], at) }
-
-// Remove takes out the one of a token that was set first.
-func (t Timers) Remove(token uint64) {
-	if list := t[token]; len(list) > 1 {
-		t[token] = list[1:]
-	} else {
-		delete(t, token)
-	}
-}
-
-// Pending lists them.
-func (t Timers) Pending() (out []Timer) {
-	for token, list := range t {
-		for _, at := range list {
-			out = append(out, Timer{At: at, Token: token})
-		}
-	}
-	return out
-}
-
-// Host tells what only the owner of the module knows. The recorder asks within
-// the calls of the owner.
-type Host struct {
-	Timers      func() []Timer
-	ReplicaName func(balancer.ReplicaID) string // "" if it has none
-	RequestName func(balancer.RequestID) string
-	OpenCharges func() []contract.OpenCharge // that are not settled
-}
-
-// Options of a recording.
+// Options of a Recorder.
 type Options struct {
-	CheckpointInterval time.Duration
-	BlockSize          int
-	FlushInterval      time.Duration
-	SegmentSize        int64
-	SegmentAge         time.Duration
+	CheckpointInterval time.Duration // at most, between two checkpoints
+	BlockSize          int           // bytes of records that fill a block
+	FlushInterval      time.Duration // how long a record may wait for its block to fill
+	SegmentSize        int64         // bytes at which a new segment begins
+	SegmentAge         time.Duration // at which a new segment begins
 	Incident           capturetrigger.Settings
-	IncidentInterval   time.Duration // least time between two incidents that the recorder orders
+	IncidentInterval   time.Duration // at least, between two incidents that the recorder saves by itself
 }
 
-// Recorder records one module. It belongs to the module's owner.
+// Recorder records one module, and the ledger of contracts beside it. Like the module it belongs to one goroutine.
 type Recorder struct {
 	balancer *balancer.Balancer
-	sink     balancer.Sink // where the module's orders go
+	sink     balancer.Sink // where the module's actions go
 	writer   *Writer
 	host     Host
 	options  Options
 
-	now              balancer.Micros
-	lastEvent        uint64 // number of the last event
-	blockBuffer      []byte // the block being filled
-	blockFirstEvent  uint64 // number of its first event
-	blockEvents      uint32
-	blockStartedAt   balancer.Micros // when the block was begun
+	now       balancer.Micros
+	lastEvent uint64 // number of the last event
+
+	// The block that is being filled.
+	blockBuffer     []byte // nil: none
+	blockFirstEvent uint64 // number of its first event
+	blockEvents     uint32
+	blockStartedAt  balancer.Micros
+	blockFlags      uint8
+
 	lastRecordAt     balancer.Micros
-	blockFlags       uint8
-	checkpointedAt   balancer.Micros // when the last checkpoint was made
+	checkpointedAt   balancer.Micros
 	segmentStartedAt balancer.Micros
-	gap              *gap // records are being lost
-	incidentWatch    *capturetrigger.Detector
-	pendingIncident  string          // an incident to keep once the call is recorded
-	settingsChanged  bool            // the settings in force are not those that the run began with
-	incidentSavedAt  balancer.Micros // when that was last ordered by itself
-	firingTimer      *Timer          // the one that is about to be told: it is not pending with the host any more
-
-	current       pb.Record
+	gap              *gap // not nil: records are being lost
+
+	incidentWatch   *capturetrigger.Detector // nil: incidents are not detected
+	pendingIncident string                   // why one is to be saved once the call is recorded; "": none is
+	incidentSavedAt balancer.Micros          // when the recorder last saved one by itself
+
+	settingsChanged bool   // the settings in force are not those that the run began with
+	firingTimer     *Timer // the timer that is firing: it is no longer pending with the host
+
+	current       pb.Record // of the call, reused from call to call
 	arrival       pb.Arrival
 	outcome       pb.Outcome
 	report        pb.Report
-	actions       []*pb.Action // those of rec are the first of these
+	actions       []*pb.Action // those of current are the first of these
 	recording     bool         // a call is being recorded
-	inCall        bool         // a call is going on, recorded or not
-	nestedRecords []*pb.Record // of the book, within the module's call
+	inCall        bool         // a call is in progress, recorded or not
+	nestedRecords []*pb.Record // calls of the ledger within the module's call
 
 	ledger         *contract.Ledger    // nil: no contracts
 	agreement      []byte              // the contracts in force, for checkpoints
@@ -125,6 +68,7 @@
 	marshalOptions proto.MarshalOptions
 }
 
+// gap is a span of time in which records are lost.
 type gap struct {
 	reason    string
 	startedAt balancer.Micros
@@ -133,15 +77,35 @@
 	actions   uint64
 }
 
-// diskRetryInterval is how long a recorder waits before it tries a failed disk again.
-const diskRetryInterval balancer.Micros = 1_000_000
+const (
+	// diskRetryInterval is how long a recorder waits before it tries a failed disk again.
+	diskRetryInterval balancer.Micros = 1_000_000
+	// maxReusedActions bounds the actions of one call that are reused by the next.
+	maxReusedActions = 4096
+	// recordLengthBytes is the size of a record's length before the record.
+	recordLengthBytes = 4
+)
+
+// Reasons of gaps, as captures and the log have them.
+const (
+	reasonQueueFull = "the queue to the disk is full"
+	reasonMarshal   = "a record cannot be put into form: "
+)
 
-// NewRecorder puts a recorder before a module whose orders go to a sink; the owner
-// calls the recorder from here on in place of the module. The first thing in the
-// capture is a checkpoint.
-func NewRecorder(now balancer.Micros, b *balancer.Balancer, book *contract.Ledger, out balancer.Sink, to *Writer, host Host, o Options) *Recorder {
-	r := &Recorder{balancer: b, sink: out, writer: to, host: host, options: o, now: now, segmentStartedAt: now}
-	r.setLedger(book)
+// NewRecorder puts a recorder before a module whose actions go to a sink. From then on the owner calls the recorder
+// instead of the module, and the recorder instead of the ledger; a nil ledger stands for no contracts. The capture
+// begins with a checkpoint.
+func NewRecorder(now balancer.Micros, b *balancer.Balancer, ledger *contract.Ledger, sink balancer.Sink, w *Writer, host Host, o Options) *Recorder {
+	r := &Recorder{
+		balancer:         b,
+		sink:             sink,
+		writer:           w,
+		host:             host,
+		options:          o,
+		now:              now,
+		segmentStartedAt: now,
+	}
+	r.setLedger(ledger)
 	if host.ReplicaName == nil {
 		r.host.ReplicaName = func(balancer.ReplicaID) string { return "" }
 	}
@@ -156,19 +120,19 @@
 	return r
 }
 
-// Close ends the recording and gives the module back its sink. The writer must
-// be closed after it.
+// Close ends the recording and gives the module its sink back. The writer must be closed afterwards.
 func (r *Recorder) Close() {
 	r.flush()
 	r.balancer.SetSink(r.sink)
 }
 
-// SaveIncident orders that the last minutes be kept as an incident. The writer answers
-// on done, which must have room.
+// SaveIncident has the writer save the last minutes as an incident. The result is sent on done, which must have room
+// or be nil.
 func (r *Recorder) SaveIncident(now balancer.Micros, reason string, done chan<- SavedIncident) {
 	r.now = max(r.now, now)
-	// A new segment, so that the old one is whole and closed.
-	if r.flush(); r.gap == nil {
+	// Begin a new segment, so that the current one is complete and closed.
+	r.flush()
+	if r.gap == nil {
 		r.writeCheckpoint(true, nil)
 	}
 	if !r.writer.enqueue(writerTask{incidentReason: reason, done: done}) && done != nil {
@@ -176,27 +140,19 @@
 	}
 }
 
-// beginRecord readies the record of one call and tells whether it is recorded.
+// beginRecord prepares the record of a call, and reports whether the call is recorded.
 func (r *Recorder) beginRecord(now balancer.Micros, kind pb.Kind) bool {
 	r.now = now
 	r.lastEvent++
 	r.inCall = true
-	if why := r.writer.failureReason(); why != "" && r.gap == nil {
-		r.startGap(why)
+	if reason := r.writer.failureReason(); reason != "" && r.gap == nil {
+		r.startGap(reason)
 	}
 	if r.gap != nil && !r.tryEndGap() {
 		r.gap.events++
 		return false
 	}
-	micros := func(d time.Duration) balancer.Micros { return d.Microseconds() }
-	switch {
-	case now-r.segmentStartedAt >= micros(r.options.SegmentAge) || r.writer.segmentSize() >= r.options.SegmentSize:
-		r.writeCheckpoint(true, nil)
-	case now-r.checkpointedAt >= micros(r.options.CheckpointInterval):
-		r.writeCheckpoint(false, nil)
-	case len(r.blockBuffer) > 0 && now-r.blockStartedAt >= micros(r.options.FlushInterval):
-		r.flush()
-	}
+	r.writeIfDue()
 	if r.gap != nil {
 		r.gap.events++
 		return false
@@ -206,70 +162,92 @@
 	return true
 }
 
-// resetRecord empties the record, which is used again and again, for another of a kind.
-func (r *Recorder) resetRecord(kind pb.Kind) {
-	r.current.Kind = kind
-	r.current.Request, r.current.Token, r.current.Peer = 0, 0, 0
-	r.current.Arrival, r.current.Outcome, r.current.List, r.current.Body, r.current.Settings = nil, nil, nil, nil, nil
-	r.current.Checkpoint, r.current.Gap = nil, nil
-	r.current.Agreed, r.current.Charged, r.current.Settled, r.current.Parts, r.current.Kept, r.current.Turned = nil, nil, nil, nil, nil, nil
-	r.current.Actions = r.actions[:0]
+// writeIfDue writes a checkpoint or hands over the block if it is time to.
+func (r *Recorder) writeIfDue() {
+	o := &r.options
+	segmentAge := r.now - r.segmentStartedAt
+	switch {
+	case segmentAge >= o.SegmentAge.Microseconds() || r.writer.segmentSize() >= o.SegmentSize:
+		r.writeCheckpoint(true, nil)
+	case r.now-r.checkpointedAt >= o.CheckpointInterval.Microseconds():
+		r.writeCheckpoint(false, nil)
+	case len(r.blockBuffer) > 0 && r.now-r.blockStartedAt >= o.FlushInterval.Microseconds():
+		r.flush()
+	}
 }
 
-// endRecord puts the record of a call into the block, if it is recorded.
-func (r *Recorder) endRecord(rec bool) {
-	if r.inCall = false; rec {
+// resetRecord empties the current record for a call of another kind.
+func (r *Recorder) resetRecord(kind pb.Kind) {
+	c := &r.current
+	c.Kind = kind
+	c.Request, c.Token, c.Peer = 0, 0, 0
+	c.Arrival, c.Outcome, c.List, c.Body, c.Settings = nil, nil, nil, nil, nil
+	c.Checkpoint, c.Gap = nil, nil
+	c.Agreed, c.Charged, c.Settled, c.Parts, c.Kept, c.Turned = nil, nil, nil, nil, nil, nil
+	c.Actions = r.actions[:0]
+}
+
+// endRecord ends a call, and writes its record if the call is recorded.
+func (r *Recorder) endRecord(recorded bool) {
+	r.inCall = false
+	if recorded {
 		r.commit()
 	}
 }
 
-// commit puts the record into the block, and those of what happened within its
-// call after it.
+// commit adds the current record to the block, and then the records nested in its call.
 func (r *Recorder) commit() {
 	r.recording = false
 	r.addRecord(&r.current)
-	for i, n := range r.nestedRecords {
+	for i, nested := range r.nestedRecords {
 		r.lastEvent++
 		if r.gap != nil {
 			r.gap.events++
 		} else {
-			r.addRecord(n)
+			r.addRecord(nested)
 		}
 		r.nestedRecords[i] = nil
 	}
-	if r.nestedRecords = r.nestedRecords[:0]; r.gap != nil {
+	r.nestedRecords = r.nestedRecords[:0]
+	if r.gap != nil {
 		return
 	}
 	if len(r.current.Actions) > maxReusedActions {
 		r.actions = nil
 	}
-	if r.pendingIncident != "" {
-		reason := r.pendingIncident
-		r.pendingIncident = ""
-		// Each begins a new segment: not more often than they are kept.
-		if r.incidentSavedAt == 0 || r.now-r.incidentSavedAt >= r.options.IncidentInterval.Microseconds() {
-			r.incidentSavedAt = r.now
-			r.SaveIncident(r.now, reason, nil)
-		}
-	}
+	r.savePendingIncident()
 }
 
-// maxReusedActions is how many actions of one call are kept for reuse.
-const maxReusedActions = 4096
+// savePendingIncident saves the incident that was detected in the call. Each one begins a new segment: they are not
+// saved more often than the writer would keep them.
+func (r *Recorder) savePendingIncident() {
+	reason := r.pendingIncident
+	if reason == "" {
+		return
+	}
+	r.pendingIncident = ""
+	if r.incidentSavedAt == 0 || r.now-r.incidentSavedAt >= r.options.IncidentInterval.Microseconds() {
+		r.incidentSavedAt = r.now
+		r.SaveIncident(r.now, reason, nil)
+	}
+}
 
-// addRecord adds one record to the block and hands a full one over.
+// addRecord adds the record of an event to the block and hands over a full block.
 func (r *Recorder) addRecord(rec *pb.Record) {
-	if r.encodeRecord(rec); r.gap != nil {
+	r.encodeRecord(rec)
+	if r.gap != nil {
 		return
 	}
 	if r.blockEvents == 0 {
 		r.blockFirstEvent = r.lastEvent
 	}
-	if r.blockEvents++; len(r.blockBuffer) >= r.options.BlockSize {
+	r.blockEvents++
+	if len(r.blockBuffer) >= r.options.BlockSize {
 		r.flush()
 	}
 }
 
+// encodeRecord appends a record, after its length, to the block's buffer.
 func (r *Recorder) encodeRecord(rec *pb.Record) {
 	if len(r.blockBuffer) == 0 {
 		if r.blockBuffer == nil {
@@ -279,35 +257,46 @@
 	}
 	rec.AfterUs = r.now - r.lastRecordAt
 	r.lastRecordAt = r.now
-	at := len(r.blockBuffer)
+	start := len(r.blockBuffer)
 	r.blockBuffer = append(r.blockBuffer, 0, 0, 0, 0)
 	var err error
 	if r.blockBuffer, err = r.marshalOptions.MarshalAppend(r.blockBuffer, rec); err != nil {
-		r.blockBuffer = r.blockBuffer[:at]
-		r.startGap("a record cannot be put into form: " + err.Error())
+		r.blockBuffer = r.blockBuffer[:start]
+		r.startGap(reasonMarshal + err.Error())
 		return
 	}
-	binary.LittleEndian.PutUint32(r.blockBuffer[at:], uint32(len(r.blockBuffer)-at-4))
+	binary.LittleEndian.PutUint32(r.blockBuffer[start:], uint32(len(r.blockBuffer)-start-recordLengthBytes))
 }
 
-// flush hands the block over.
+// flush hands the block to the writer.
 func (r *Recorder) flush() {
 	if len(r.blockBuffer) == 0 {
 		return
 	}
-	b := block{kind: blockRecords, flags: r.blockFlags, recordCount: r.blockEvents, rawLength: uint32(len(r.blockBuffer)), firstRecord: r.blockFirstEvent, at: r.blockStartedAt, payload: r.blockBuffer}
-	lost := r.blockEvents
+	b := block{
+		kind:        blockRecords,
+		flags:       r.blockFlags,
+		recordCount: r.blockEvents,
+		rawLength:   uint32(len(r.blockBuffer)),
+		firstRecord: r.blockFirstEvent,
+		at:          r.blockStartedAt,
+		payload:     r.blockBuffer,
+	}
 	r.blockBuffer, r.blockEvents, r.blockFlags = nil, 0, 0
 	if !r.writer.enqueue(writerTask{block: b}) && r.gap == nil {
-		r.startGap("the queue to the disk is full")
-		r.gap.events += uint64(lost)
+		r.startGap(reasonQueueFull)
+		r.gap.events += uint64(b.recordCount)
 	}
 }
 
-// startGap begins a gap: what is in the block goes with it, for a replay could not
-// reach it.
+// startGap begins a gap. The records of the block are lost too: a replay could not reach them.
 func (r *Recorder) startGap(reason string) {
-	r.gap = &gap{reason: reason, startedAt: r.now, retryAt: r.now + diskRetryInterval, events: uint64(r.blockEvents)}
+	r.gap = &gap{
+		reason:    reason,
+		startedAt: r.now,
+		retryAt:   r.now + diskRetryInterval,
+		events:    uint64(r.blockEvents),
+	}
 	if r.blockBuffer != nil {
 		r.writer.returnBuffer(r.blockBuffer)
 	}
@@ -315,25 +304,26 @@
 	r.writer.logGap(reason)
 }
 
-// tryEndGap tries to end a gap, at most once in a while.
+// tryEndGap tries to end the gap with a checkpoint, at most once each diskRetryInterval.
 func (r *Recorder) tryEndGap() bool {
 	if r.now < r.gap.retryAt || !r.writer.hasRoom() {
 		return false
 	}
-	g := r.gap
+	ended := r.gap
 	r.gap = nil
 	r.writer.clearFailure()
-	if r.writeCheckpoint(true, g); r.gap != nil { // no better: the same gap goes on
-		g.retryAt = r.gap.retryAt
-		r.gap = g
+	r.writeCheckpoint(true, ended)
+	if r.gap != nil { // it failed again: the same gap goes on
+		ended.retryAt = r.gap.retryAt
+		r.gap = ended
 		return false
 	}
-	r.writer.logResumed(g.events)
+	r.writer.logResumed(ended.events)
 	return true
 }
 
-// writeCheckpoint puts the module's whole state into a block of its own beginning, in
-// a new segment or the one at hand; before it, if there was one, word of a gap.
+// writeCheckpoint begins a block, in a new segment if wanted, with the module's complete state. The record of the
+// gap before it, if there was one, comes first. The block is handed over with the records that follow.
 func (r *Recorder) writeCheckpoint(newSegment bool, after *gap) {
 	r.flush()
 	if r.gap != nil {
@@ -341,7 +331,7 @@
 	}
 	if newSegment {
 		if !r.writer.enqueue(writerTask{header: r.newHeader()}) {
-			r.startGap("the queue to the disk is full")
+			r.startGap(reasonQueueFull)
 			return
 		}
 		r.segmentStartedAt = r.now
@@ -353,6 +343,17 @@
 		r.current.Gap = &pb.Gap{Events: after.events, Actions: after.actions, FromUs: after.startedAt, Reason: after.reason}
 		r.encodeRecord(&r.current)
 	}
+	checkpoint := r.newCheckpoint()
+	r.resetRecord(pb.Kind_KIND_CHECKPOINT)
+	r.current.Checkpoint = checkpoint
+	r.encodeRecord(&r.current)
+	r.current.Checkpoint = nil // so that its memory is free before the next one
+	r.checkpointedAt = r.now
+}
+
+// newCheckpoint returns the state of the module and the ledger, with the pending timers, and the names that records
+// refer to by number.
+func (r *Recorder) newCheckpoint() *pb.Checkpoint {
 	c := &pb.Checkpoint{State: r.balancer.Snapshot()}
 	if r.settingsChanged {
 		s := r.balancer.Settings()
@@ -366,9 +367,9 @@
 	if t := r.firingTimer; t != nil {
 		c.Timers = append(c.Timers, &pb.Timer{AtUs: t.At, Token: t.Token})
 	}
-	for _, w := range r.balancer.Endpoints() {
-		if name := sanitizeName(r.host.ReplicaName(w.Replica)); name != "" {
-			c.Workers = append(c.Workers, &pb.Name{Id: uint32(w.Replica), Name: name})
+	for _, endpoint := range r.balancer.Endpoints() {
+		if name := sanitizeName(r.host.ReplicaName(endpoint.Replica)); name != "" {
+			c.Workers = append(c.Workers, &pb.Name{Id: uint32(endpoint.Replica), Name: name})
 		}
 	}
 	for _, id := range r.balancer.InFlightRequests() {
@@ -377,223 +378,17 @@
 		}
 	}
 	r.addLedgerState(c)
-	r.resetRecord(pb.Kind_KIND_CHECKPOINT)
-	r.current.Checkpoint = c
-	r.encodeRecord(&r.current)
-	r.current.Checkpoint = nil // its state need not be held till the next record
-	r.checkpointedAt = r.now
-	// Handed over with the records that follow it, or by itself.
+	return c
 }
 
+// newHeader returns the header of a new segment; the writer fills in the rest.
 func (r *Recorder) newHeader() *pb.Header {
 	s := r.balancer.Settings()
-	return &pb.Header{Major: FormatMajor, Minor: FormatMinor, Settings: marshalSettings(&s), ClockUs: r.now, WallUs: time.Now().UnixMicro()}
-}
-
-// The calls.
-
-func (r *Recorder) Start(now balancer.Micros) {
-	rec := r.beginRecord(now, pb.Kind_KIND_START)
-	r.balancer.Start(now)
-	r.endRecord(rec)
-}
-
-func (r *Recorder) ListChanged(now balancer.Micros, l balancer.EndpointList) {
-	rec := r.beginRecord(now, pb.Kind_KIND_LIST)
-	if rec {
-		r.current.List = endpointListToProto(&l, r.host.ReplicaName)
-	}
-	if r.incidentWatch != nil {
-		r.incidentWatch.ListChanged(now, l)
-	}
-	r.balancer.ListChanged(now, l)
-	r.endRecord(rec)
-}
-
-func (r *Recorder) RequestArrived(now balancer.Micros, in balancer.Request) {
-	rec := r.beginRecord(now, pb.Kind_KIND_ARRIVED)
-	if rec {
-		r.current.Request = uint32(in.ID)
-		r.current.Arrival = arrivalToProto(&r.arrival, &in, r.host.RequestName(in.ID))
-	}
-	if r.incidentWatch != nil {
-		r.incidentWatch.RequestArrived(now, in)
+	return &pb.Header{
+		Major:    FormatMajor,
+		Minor:    FormatMinor,
+		Settings: marshalSettings(&s),
+		ClockUs:  r.now,
+		WallUs:   time.Now().UnixMicro(),
 	}
-	r.balancer.RequestArrived(now, in)
-	r.endRecord(rec)
-}
-
-func (r *Recorder) FirstToken(now balancer.Micros, o balancer.Outcome) {
-	rec := r.beginRecord(now, pb.Kind_KIND_FIRST)
-	if rec {
-		r.current.Request, r.current.Outcome = uint32(o.ID), outcomeToProto(&r.outcome, &r.report, &o)
-	}
-	if r.incidentWatch != nil {
-		r.noteIncident(r.incidentWatch.FirstToken(now, o))
-	}
-	r.balancer.FirstToken(now, o)
-	r.endRecord(rec)
-}
-
-func (r *Recorder) AttemptEnded(now balancer.Micros, o balancer.Outcome) {
-	rec := r.beginRecord(now, pb.Kind_KIND_ENDED)
-	if rec {
-		r.current.Request, r.current.Outcome = uint32(o.ID), outcomeToProto(&r.outcome, &r.report, &o)
-	}
-	if r.incidentWatch != nil {
-		r.noteIncident(r.incidentWatch.AttemptEnded(now, o))
-	}
-	r.balancer.AttemptEnded(now, o)
-	r.endRecord(rec)
-}
-
-func (r *Recorder) ClientGone(now balancer.Micros, id balancer.RequestID) {
-	rec := r.beginRecord(now, pb.Kind_KIND_LEFT)
-	if rec {
-		r.current.Request = uint32(id)
-	}
-	if r.incidentWatch != nil {
-		r.noteIncident(r.incidentWatch.ClientGone(now, id))
-	}
-	r.balancer.ClientGone(now, id)
-	r.endRecord(rec)
-}
-
-func (r *Recorder) TimerFired(now balancer.Micros, token uint64) {
-	r.firingTimer = &Timer{now, token}
-	rec := r.beginRecord(now, pb.Kind_KIND_TIMER)
-	r.firingTimer = nil
-	if rec {
-		r.current.Token = token
-	}
-	r.balancer.TimerFired(now, token)
-	r.endRecord(rec)
-}
-
-func (r *Recorder) HealthCheckEnded(now balancer.Micros, o balancer.Outcome) {
-	rec := r.beginRecord(now, pb.Kind_KIND_PROBED)
-	if rec {
-		r.current.Outcome = outcomeToProto(&r.outcome, &r.report, &o)
-	}
-	r.balancer.HealthCheckEnded(now, o)
-	r.endRecord(rec)
-}
-
-func (r *Recorder) PeerMessage(now balancer.Micros, from int, body []byte) {
-	rec := r.beginRecord(now, pb.Kind_KIND_MESSAGE)
-	if rec {
-		r.current.Peer, r.current.Body = uint32(from), body
-	}
-	r.balancer.PeerMessage(now, from, body)
-	r.endRecord(rec)
-}
-
-func (r *Recorder) Reconfigure(now balancer.Micros, s balancer.Settings) error {
-	rec := r.beginRecord(now, pb.Kind_KIND_RECONFIGURE)
-	if rec {
-		r.current.Settings = marshalSettings(&s)
-	}
-	err := r.balancer.Reconfigure(now, s)
-	if err == nil {
-		r.settingsChanged = true
-		if r.incidentWatch != nil {
-			r.incidentWatch.Reconfigured(s)
-		}
-	}
-	r.endRecord(rec)
-	return err
-}
-
-// noteIncident keeps the reason of an incident until the call is recorded whole.
-func (r *Recorder) noteIncident(reason string) {
-	if reason != "" && r.pendingIncident == "" && r.gap == nil {
-		r.pendingIncident = reason
-	}
-}
-
-// The orders: choice.Sink.
-
-func (r *Recorder) addAction(kind pb.Action_Kind) *pb.Action {
-	if !r.recording {
-		if r.gap != nil {
-			r.gap.actions++
-		}
-		return nil
-	}
-	n := len(r.current.Actions)
-	if n == len(r.actions) {
-		r.actions = append(r.actions, &pb.Action{})
-	}
-	a := r.actions[n]
-	r.current.Actions = r.actions[:n+1]
-	a.Kind, a.Request, a.Worker, a.AtUs, a.Attempt, a.Token, a.Body = kind, 0, 0, 0, 0, 0, nil
-	return a
-}
-
-func (r *Recorder) Dispatch(id balancer.RequestID, to balancer.ReplicaID, cutAt balancer.Micros) {
-	if a := r.addAction(pb.Action_DISPATCH); a != nil {
-		a.Request, a.Worker, a.AtUs = uint32(id), uint32(to), cutAt
-	}
-	if r.incidentWatch != nil {
-		r.noteIncident(r.incidentWatch.Dispatched(r.now, id, to))
-	}
-	r.sink.Dispatch(id, to, cutAt)
-}
-
-func (r *Recorder) Shed(id balancer.RequestID, retryAfter balancer.Micros) {
-	if a := r.addAction(pb.Action_REFUSE); a != nil {
-		a.Request, a.AtUs = uint32(id), retryAfter
-	}
-	if r.incidentWatch != nil {
-		r.noteIncident(r.incidentWatch.RequestFailed(r.now, id))
-	}
-	r.sink.Shed(id, retryAfter)
-}
-
-func (r *Recorder) Fail(id balancer.RequestID) {
-	if a := r.addAction(pb.Action_FAIL); a != nil {
-		a.Request = uint32(id)
-	}
-	if r.incidentWatch != nil {
-		r.noteIncident(r.incidentWatch.RequestFailed(r.now, id))
-	}
-	r.sink.Fail(id)
-}
-
-func (r *Recorder) Cancel(id balancer.RequestID, attempt int) {
-	if a := r.addAction(pb.Action_CANCEL); a != nil {
-		a.Request, a.Attempt = uint32(id), uint32(attempt)
-	}
-	r.sink.Cancel(id, attempt)
-}
-
-func (r *Recorder) SetTimer(delay balancer.Micros, token uint64) {
-	if a := r.addAction(pb.Action_SET_TIMER); a != nil {
-		a.AtUs, a.Token = delay, token
-	}
-	r.sink.SetTimer(delay, token)
-}
-
-func (r *Recorder) HealthCheck(to balancer.ReplicaID) {
-	if a := r.addAction(pb.Action_PROBE); a != nil {
-		a.Worker = uint32(to)
-	}
-	r.sink.HealthCheck(to)
-}
-
-func (r *Recorder) Gossip(body []byte) {
-	if a := r.addAction(pb.Action_TELL_PEERS); a != nil {
-		a.Body = body
-	}
-	r.sink.Gossip(body)
-}
-
-func (r *Recorder) WatchDiscovery() {
-	r.addAction(pb.Action_WATCH_REGISTRY)
-	r.sink.WatchDiscovery()
-}
-
-// Stats of a recording, for the log and for tests.
-type Stats struct {
-	Blocks, Bytes, Records, Lost, Gaps, Segments, Dropped atomic.Int64
 }
--- a/internal/capture/recorder_test.go
+++ b/internal/capture/recorder_test.go
@@ -8,6 +8,7 @@
 	"archknot/internal/capturetrigger"
 )
 
+// discardSink ignores a module's actions but for counting timers.
 type discardSink struct{ timers int }
 
 func (n *discardSink) Dispatch(balancer.RequestID, balancer.ReplicaID, balancer.Micros) {}
@@ -19,7 +20,9 @@
 func (n *discardSink) Gossip([]byte)                                                    {}
 func (n *discardSink) WatchDiscovery()                                                  {}
 
+// newTestBalancer returns a started module with 14 replicas.
 func newTestBalancer(tb testing.TB) *balancer.Balancer {
+	tb.Helper()
 	b, err := balancer.New(balancer.Settings{Gateways: 3, Zone: "a", MaxAttempts: 3, Tick: 2000, MayCancel: true, MayHedge: true,
 		ReportSource: balancer.ReportInline, StreamsPerConn: 1, ConnIdleTimeout: 60e6,
 		Classes: []balancer.Class{{Name: "chat", LatencyObjective: 1e6, TokenObjective: 50_000, Deadline: 4e6, PriorityWeight: 1, Streaming: true}}}, 3, &discardSink{})
@@ -35,8 +38,8 @@
 	return b
 }
 
-// driveRequest tells a module one request's four events: arrival, first token, end, and
-// a timer that comes too late to matter.
+// driveRequest passes the four events of one request to a module: arrival, first token, end, and a timer that fires
+// too late to matter.
 func driveRequest(m Module, i int, now balancer.Micros) {
 	id := balancer.RequestID(i)
 	m.RequestArrived(now, balancer.Request{ID: id, Class: "chat", Tenant: "island-tax", TimeLeft: 4e6, PromptTokens: 900 + i%300, MaxTokens: 200,
@@ -49,8 +52,8 @@
 	m.TimerFired(now+1_000_000, 1|uint64(id)<<2)
 }
 
-// BenchmarkModule and BenchmarkRecorded tell what recording adds to an event, on
-// the loop's side: the difference, by four events each.
+// BenchmarkModule and BenchmarkRecorded measure what recording adds to an event in the owner's goroutine: their
+// difference, over four events each.
 func BenchmarkModule(b *testing.B) {
 	m := newTestBalancer(b)
 	i := 0
--- /dev/null
+++ b/internal/capture/rewrite.go
@@ -0,0 +1,161 @@
+package capture
+
+import (
+	"bytes"
+	"fmt"
+	"io"
+	"os"
+
+	"google.golang.org/protobuf/proto"
+
+	"archknot/balancer"
+	pb "archknot/internal/capture/capturepb"
+)
+
+// CopySpan copies a span of time into a new segment: complete blocks, from the last checkpoint before the span on. It
+// returns the number of events. On an error no file is left.
+func CopySpan(run *Run, from, to balancer.Micros, path string) (events uint64, err error) {
+	start, err := NewReader(run, from)
+	if err != nil {
+		return 0, err
+	}
+	defer start.Close()
+	out, err := os.OpenFile(path, os.O_WRONLY|os.O_CREATE|os.O_EXCL, fileMode)
+	if err != nil {
+		return 0, err
+	}
+	defer func() {
+		if closeErr := out.Close(); err == nil {
+			err = closeErr
+		}
+		if err != nil {
+			os.Remove(path)
+		}
+	}()
+	c := spanCopier{out: out, to: to}
+	if err := c.writeHeader(run.Segments[start.segmentPos], start.blockPos); err != nil {
+		return 0, err
+	}
+	firstBlock := start.blockPos
+	for _, s := range run.Segments[start.segmentPos:] {
+		if err := c.copySegment(s, firstBlock); err != nil {
+			return 0, err
+		}
+		firstBlock = 0
+	}
+	return c.index.Records, c.writeIndex()
+}
+
+// spanCopier writes the new segment of CopySpan.
+type spanCopier struct {
+	out    io.Writer
+	to     balancer.Micros
+	offset int64
+	index  pb.Index
+}
+
+func (c *spanCopier) writeBlock(b block) error {
+	text := b.appendTo(nil)
+	_, err := c.out.Write(text)
+	c.offset += int64(len(text))
+	return err
+}
+
+// writeHeader writes the header of the segment with the span's first block, under another name: the new segment must
+// not be taken for one of the run.
+func (c *spanCopier) writeHeader(s *Segment, firstBlock int) error {
+	header := &pb.Header{}
+	proto.Merge(header, s.Header)
+	header.Segment = 1
+	header.Run += fmt.Sprintf("-cut%d", s.Blocks[firstBlock].FirstEvent)
+	b, err := messageBlock(blockHeader, header.ClockUs, header)
+	if err != nil {
+		return err
+	}
+	return c.writeBlock(b)
+}
+
+// copySegment copies the blocks of a segment that begin within the span.
+func (c *spanCopier) copySegment(s *Segment, firstBlock int) error {
+	f, err := os.Open(s.Path)
+	if err != nil {
+		return err
+	}
+	defer f.Close()
+	for _, b := range s.Blocks[firstBlock:] {
+		if b.At > c.to {
+			continue
+		}
+		copied, err := readBlock(f, b.Offset)
+		if err != nil {
+			return fmt.Errorf("%s: the block at %d: %w", s.Path, b.Offset, err)
+		}
+		c.index.Blocks = append(c.index.Blocks, &pb.Index_Block{
+			Offset:     uint64(c.offset),
+			First:      b.FirstEvent,
+			AtUs:       b.At,
+			Checkpoint: b.Checkpoint,
+			Records:    b.Records,
+		})
+		c.index.LastUs = b.At
+		c.index.Records += uint64(b.Records)
+		if err := c.writeBlock(copied); err != nil {
+			return err
+		}
+	}
+	return nil
+}
+
+// writeIndex closes the new segment.
+func (c *spanCopier) writeIndex() error {
+	indexOffset := c.offset
+	b, err := messageBlock(blockIndex, c.index.LastUs, &c.index)
+	if err != nil {
+		return err
+	}
+	if err := c.writeBlock(b); err != nil {
+		return err
+	}
+	_, err = c.out.Write(appendTrailer(nil, indexOffset))
+	return err
+}
+
+// RewriteHeader writes a copy of a segment with its header changed: for captures that get another name, and for tests
+// of other versions.
+func RewriteHeader(path, out string, change func(*pb.Header)) error {
+	text, err := os.ReadFile(path)
+	if err != nil {
+		return err
+	}
+	head, err := readBlock(bytes.NewReader(text), 0)
+	var h pb.Header
+	if err == nil {
+		err = proto.Unmarshal(head.payload, &h)
+	}
+	if err != nil {
+		return fmt.Errorf("%s: %w", path, err)
+	}
+	rest := text[blockHeadSize+len(head.payload):]
+	change(&h)
+	if head, err = messageBlock(blockHeader, head.at, &h); err != nil {
+		return err
+	}
+	// The index is left out, whose offsets are no longer right: a reader finds the blocks without it.
+	if at := bytes.LastIndex(rest, []byte(blockMarker)); at >= 0 && bytes.HasSuffix(rest, []byte(indexMarker)) {
+		rest = rest[:at]
+	}
+	return os.WriteFile(out, append(head.appendTo(nil), rest...), fileMode)
+}
+
+// ChangeSettings returns a change of a header for RewriteHeader that changes the settings, as a module with other
+// constants would be.
+func ChangeSettings(change func(*balancer.Settings)) func(*pb.Header) {
+	return func(h *pb.Header) {
+		s, err := UnmarshalSettings(h.Settings)
+		if err != nil {
+			panic(err) // it was opened with these settings
+		}
+		change(&s)
+		h.Settings = marshalSettings(&s)
+	}
+}
--- a/internal/capture/segment.go
+++ b/internal/capture/segment.go
@@ -13,30 +13,33 @@
 	"archknot/balancer"
 )
 
-// A segment is a file of blocks. Each block has a head of fixed size with a
-// checksum of its own, so that a reader can step over a block whose contents are
-// damaged, and a marker, so that it can find the next one where heads are.
+// A segment is a file of blocks. Each block has a head of fixed size with a checksum of its own, so that a reader can
+// skip a block whose payload is corrupt, and a marker, so that it can find the next block where a head is corrupt.
 //
 //	marker 8 | kind 1 | flags 1 | zero 2 | stored length 4 | raw length 4 |
 //	records 4 | first record's number 8 | time 8 | payload CRC 4 | head CRC 4
 //
-// Numbers are little-endian, checksums CRC-32C. Records stand in a block each
-// behind its length (4 bytes). A segment that was closed in order ends with an
-// index block and a trailer: the index block's offset (8) and a marker (8).
+// Numbers are little-endian, checksums CRC-32C. Each record in a block follows its length (4 bytes). A segment that
+// was closed ends with an index block and a trailer: the index block's offset (8) and a marker (8).
 const (
 	blockMarker   = "\x89AKCAP\r\n"
 	indexMarker   = "AKINDEX1"
 	blockHeadSize = 48
 	trailerSize   = 16
 
-	// FormatMajor is refused if it is another; minor versions add fields.
-	FormatMajor, FormatMinor = 1, 6
+	// FormatMajor is the major version of the format. A capture of another one is not read.
+	FormatMajor = 1
+	// FormatMinor is the minor version of the format: each adds fields.
+	FormatMinor = 6
 
-	// Suffix ends a segment's file name.
+	// Suffix is the suffix of a segment's file name.
 	Suffix = ".akcap"
 
-	// maxBlockBytes bounds what a block may claim to hold.
+	// maxBlockBytes bounds the lengths that a block may claim.
 	maxBlockBytes = 64 << 20
+
+	// searchBytes is how much of a segment is searched for a marker at once.
+	searchBytes = 64 << 10
 )
 
 type blockKind uint8
@@ -48,11 +51,11 @@
 )
 
 const (
-	flagCheckpoint = 1 << iota // begins with a checkpoint
-	flagZstd
+	flagCheckpoint = 1 << iota // the block begins with a checkpoint
+	flagZstd                   // the payload is compressed
 )
 
-// block is one block, or its head alone.
+// block is a block, or the head of one without its payload.
 type block struct {
 	kind         blockKind
 	flags        uint8
@@ -69,7 +72,7 @@
 
 func (b *block) startsWithCheckpoint() bool { return b.flags&flagCheckpoint != 0 }
 
-// appendTo writes the block, with the sums of what it holds.
+// appendTo appends the block to out, with its checksums.
 func (b *block) appendTo(out []byte) []byte {
 	b.storedLength, b.checksum = uint32(len(b.payload)), crc32.Checksum(b.payload, castagnoli)
 	at := len(out)
@@ -85,13 +88,13 @@
 	return append(out, b.payload...)
 }
 
-// messageBlock is one that holds a message as it is.
+// messageBlock returns a block with one message that is not compressed.
 func messageBlock(kind blockKind, at balancer.Micros, m proto.Message) (block, error) {
 	text, err := proto.Marshal(m)
 	return block{kind: kind, rawLength: uint32(len(text)), at: at, payload: text}, err
 }
 
-// readTrailer reads the offset of the index block where a trailer stands there.
+// readTrailer returns the offset of the index block if there is a trailer at an offset.
 func readTrailer(r io.ReaderAt, at int64) (index int64, ok bool) {
 	var trail [trailerSize]byte
 	if n, _ := r.ReadAt(trail[:], at); n < trailerSize || string(trail[8:]) != indexMarker {
@@ -102,12 +105,12 @@
 
 var errCorrupt = errors.New("damaged")
 
-// readBlockHead reads the head at an offset.
+// readBlockHead reads the head of the block at an offset. Its payload is not read.
 func readBlockHead(r io.ReaderAt, offset int64) (block, error) {
 	var buf [blockHeadSize]byte
 	n, err := r.ReadAt(buf[:], offset)
 	if n < blockHeadSize {
-		if n > 0 && err == io.EOF {
+		if n > 0 && errors.Is(err, io.EOF) {
 			err = io.ErrUnexpectedEOF
 		}
 		return block{}, err
@@ -124,12 +127,11 @@
 	return b, nil
 }
 
-// readPayload reads and checks the contents of the block whose head is at the
-// offset.
+// readPayload reads and verifies the payload of the block whose head is at an offset.
 func readPayload(r io.ReaderAt, offset int64, b *block) error {
 	b.payload = make([]byte, b.storedLength)
 	if n, err := r.ReadAt(b.payload, offset+blockHeadSize); n < len(b.payload) {
-		if err == io.EOF {
+		if errors.Is(err, io.EOF) {
 			return io.ErrUnexpectedEOF
 		}
 		return err
@@ -140,10 +142,19 @@
 	return nil
 }
 
-// findBlockHead looks from an offset on for the next head; io.EOF says that there is
-// none.
+// readBlock reads the block at an offset, with its payload as stored.
+func readBlock(r io.ReaderAt, offset int64) (block, error) {
+	b, err := readBlockHead(r, offset)
+	if err != nil {
+		return b, err
+	}
+	err = readPayload(r, offset, &b)
+	return b, err
+}
+
+// findBlockHead returns the offset of the next valid head, from an offset on; the error is io.EOF if there is none.
 func findBlockHead(r io.ReaderAt, from int64) (int64, error) {
-	buf := make([]byte, 64<<10)
+	buf := make([]byte, searchBytes)
 	for {
 		n, err := r.ReadAt(buf, from)
 		for i := 0; ; {
@@ -163,18 +174,20 @@
 	}
 }
 
-// nextRecord cuts the first record off a block's contents.
+// nextRecord cuts the first record off the decompressed payload of a block.
 func nextRecord(in []byte) (rec, rest []byte, err error) {
-	if len(in) < 4 {
+	if len(in) < recordLengthBytes {
 		return nil, nil, fmt.Errorf("%w: a record's length is cut off", errCorrupt)
 	}
 	n := binary.LittleEndian.Uint32(in)
-	if uint64(n) > uint64(len(in)-4) {
+	if uint64(n) > uint64(len(in)-recordLengthBytes) {
 		return nil, nil, fmt.Errorf("%w: a record is longer than its block", errCorrupt)
 	}
-	return in[4 : 4+n], in[4+n:], nil
+	end := recordLengthBytes + int(n)
+	return in[recordLengthBytes:end], in[end:], nil
 }
 
+// appendTrailer appends a segment's trailer.
 func appendTrailer(out []byte, index int64) []byte {
 	return append(binary.LittleEndian.AppendUint64(out, uint64(index)), indexMarker...)
 }
--- a/internal/capture/stored_test.go
+++ b/internal/capture/stored_test.go
@@ -17,7 +17,7 @@
 	"archknot/internal/contract/contractpb"
 )
 
-// What stands in the stored file alone.
+// Values that are in the stored file alone.
 const (
 	storedRunName     = "20261202T150710.125Z-9586"
 	storedWallUs      = 1796224030125732
@@ -41,7 +41,7 @@
 	}
 }
 
-// storedSettingsJSON is how they stand in the file.
+// storedSettingsJSON is the settings as the file has them.
 const storedSettingsJSON = `{"Self":1,"Gateways":3,"Zone":"a","Zones":["a","b"],"Kinds":["k","l"],"Classes":[` +
 	`{"Name":"chat","Aim":500000,"AimPer1000":60000,"TokenAim":50000,"Deadline":3000000,"Worth":2,"LateWorth":0.25,"Effect":0,"Scope":0,"RepeatsKept":0,"Stream":true},` +
 	`{"Name":"order","Aim":1000000,"AimPer1000":0,"TokenAim":0,"Deadline":4000000,"Worth":3,"LateWorth":0.5,"Effect":1,"Scope":1,"RepeatsKept":30000000,"Stream":false}],` +
@@ -109,7 +109,7 @@
 }
 
 // storedRecords are the records of the stored capture, without settings, contracts and
-// the states in checkpoints, which TestStoredSettingsAndStates looks at.
+// the states in checkpoints, which TestStoredSettingsAndStates checks.
 var storedRecords = []struct {
 	number uint64
 	at     balancer.Micros
@@ -168,7 +168,7 @@
 	With any
 }
 
-// calls notes the calls of a decision module.
+// calls records the calls of a decision module.
 type calls struct{ list []call }
 
 func (c *calls) note(name string, at balancer.Micros, with any) {
@@ -197,7 +197,7 @@
 	return nil
 }
 
-// The decision module gets from the stored capture what it got when it was recorded.
+// The stored capture makes the calls of the decision module that were made when it was recorded.
 func TestStoredCalls(t *testing.T) {
 	var got calls
 	for _, e := range storedEntries(t, storedRun(t)) {
@@ -237,7 +237,7 @@
 	}
 }
 
-// discard takes a decision module's orders and does nothing.
+// discard ignores a decision module's actions.
 type discard struct{}
 
 func (discard) Dispatch(balancer.RequestID, balancer.ReplicaID, balancer.Micros) {}
@@ -314,7 +314,7 @@
 	}
 }
 
-// checkBook compares the state of a book of contracts to JSON.
+// checkBook compares the state of a ledger of contracts to JSON.
 func checkBook(t *testing.T, want string, text []byte) {
 	t.Helper()
 	var got, expected contractpb.Book
--- a/internal/capture/writer.go
+++ b/internal/capture/writer.go
@@ -2,42 +2,38 @@
 
 import (
 	"cmp"
-	"encoding/json"
 	"errors"
 	"fmt"
-	"io/fs"
 	"os"
 	"path/filepath"
-	"slices"
 	"strings"
 	"sync/atomic"
 	"time"
 
-	"github.com/google/renameio/v2"
 	"github.com/klauspost/compress/zstd"
 
 	pb "archknot/internal/capture/capturepb"
 )
 
-// WriterOptions bound what a writer keeps on disk.
+// WriterOptions are where a Writer writes, and the bounds of what it keeps on disk.
 type WriterOptions struct {
 	Directory     string
-	Gateway       string // begins the segments' names
+	Gateway       string // prefix of the segments' file names
 	Build         string
 	Seed          uint64
-	QueueLength   int  // blocks that may wait
-	BlockWhenFull bool // for hosts that may be held up: nothing is lost to a full queue
+	QueueLength   int  // blocks that may wait for the disk
+	BlockWhenFull bool // block the recorder rather than lose records to a full queue
 	MaxBytes      int64
 	MaxAge        time.Duration
 
-	IncidentDirectory string // directory of incidents
-	MaxIncidents      int
-	IncidentWindow    time.Duration // how much of the capture an incident keeps
-	IncidentInterval  time.Duration // least time between two that the recorder orders
+	IncidentDirectory string
+	MaxIncidents      int           // 0: none are saved
+	IncidentWindow    time.Duration // how much of the capture an incident has
+	IncidentInterval  time.Duration // at least, between two that the recorder saves by itself
 
-	// Log is told what operators should know: a gap, an incident, a failure.
+	// Log is called with what operators should know: a gap, an incident, a failure. It may be nil.
 	Log func(msg string, args ...any)
-	// CreateFile makes a segment's file; os.OpenFile if nil. Tests put a full disk here.
+	// CreateFile creates a segment's file; nil: on the file system. Tests inject disk faults here.
 	CreateFile func(path string) (File, error)
 }
 
@@ -47,118 +43,158 @@
 	Close() error
 }
 
-// Writer puts blocks into segments, in a task of its own.
+// Stats counts what a Writer has done. It may be read at any time.
+type Stats struct {
+	Blocks   atomic.Int64 // written
+	Bytes    atomic.Int64 // written
+	Records  atomic.Int64 // written
+	Lost     atomic.Int64 // records in gaps
+	Gaps     atomic.Int64
+	Segments atomic.Int64 // begun
+	Dropped  atomic.Int64 // segments deleted for their size or age
+}
+
+// Writer writes blocks into segments, in a goroutine of its own.
 type Writer struct {
 	options     WriterOptions
 	runName     string
 	queue       chan writerTask
 	freeBuffers chan []byte
 	done        chan struct{}
-	failure     atomic.Pointer[string] // why nothing can be written now
-	currentSize atomic.Int64           // of the segment at hand
+	failure     atomic.Pointer[string] // why nothing can be written; nil: it can
+	currentSize atomic.Int64           // of the segment that is being written
 	Stats       Stats
 
-	// The task's own.
+	// Used by the writer's goroutine alone.
 	encoder               *zstd.Encoder
 	encoded               []byte
-	file                  File
+	file                  File // nil: no segment is being written
 	path                  string
 	offset                int64
 	index                 pb.Index
 	segmentNumber         uint64
-	skipBlocks            bool // blocks before the next segment are of no use
+	skipBlocks            bool // until the next segment begins, blocks are of no use
 	lastAutomaticIncident time.Time
 	segmentRecords        uint64
 }
 
-// writerTask is what the recorder hands over: a block, the header of a new segment,
-// or an incident to keep.
+// writerTask is what a recorder hands over: a block, the header of a new segment, or an incident to be saved.
 type writerTask struct {
 	block          block
-	header         *pb.Header
-	incidentReason string
+	header         *pb.Header // not nil: begin a segment
+	incidentReason string     // not "": save an incident
 	done           chan<- SavedIncident
 }
 
-// SavedIncident is what became of an incident.
-type SavedIncident struct {
-	Path     string
-	Segments int
-	Bytes    int64
-	Err      error
-}
+const (
+	// minQueueLength is the least length of a writer's queue.
+	minQueueLength = 2
+	// maxReusedBuffer bounds the buffers that are reused: those of checkpoints may be far larger.
+	maxReusedBuffer = 256 << 10
+	// compressionWindow is the window of the blocks' compression, in bytes.
+	compressionWindow = 64 << 10
+
+	directoryMode = 0o700
+	fileMode      = 0o600
+
+	// timestampFormat is that of the names of runs and incidents.
+	timestampFormat = "20060102T150405.000Z"
+	// defaultGatewayName is used for a gateway without a name.
+	defaultGatewayName = "gateway"
+)
 
-var errQueueFull = errors.New("the queue to the disk is full")
+var errQueueFull = errors.New(reasonQueueFull)
 
-// NewWriter makes the directory and starts the task.
-func NewWriter(l WriterOptions) (*Writer, error) {
-	l.QueueLength = max(2, l.QueueLength)
-	if l.Log == nil {
-		l.Log = func(string, ...any) {}
+// NewWriter creates the directory and starts the writer's goroutine.
+func NewWriter(o WriterOptions) (*Writer, error) {
+	o.QueueLength = max(minQueueLength, o.QueueLength)
+	o.Gateway = cmp.Or(strings.Map(fileNameRune, o.Gateway), defaultGatewayName)
+	if o.Log == nil {
+		o.Log = func(string, ...any) {}
 	}
-	if l.CreateFile == nil {
-		l.CreateFile = func(path string) (File, error) {
-			return os.OpenFile(path, os.O_WRONLY|os.O_CREATE|os.O_EXCL, 0o600)
-		}
+	if o.CreateFile == nil {
+		o.CreateFile = createFile
 	}
-	if l.MaxIncidents > 0 && l.IncidentDirectory == "" {
-		l.IncidentDirectory = filepath.Join(l.Directory, "incidents")
+	if o.MaxIncidents > 0 && o.IncidentDirectory == "" {
+		o.IncidentDirectory = filepath.Join(o.Directory, "incidents")
 	}
-	if err := os.MkdirAll(l.Directory, 0o700); err != nil {
+	if err := os.MkdirAll(o.Directory, directoryMode); err != nil {
 		return nil, fmt.Errorf("capture.directory: %w", err)
 	}
-	l.Gateway = cmp.Or(strings.Map(func(c rune) rune {
-		if c >= 'a' && c <= 'z' || c >= 'A' && c <= 'Z' || c >= '0' && c <= '9' || c == '_' {
-			return c
-		}
-		return '_'
-	}, l.Gateway), "gateway")
-	enc, err := zstd.NewWriter(nil, zstd.WithEncoderLevel(zstd.SpeedFastest), zstd.WithEncoderConcurrency(1),
-		zstd.WithWindowSize(64<<10), zstd.WithLowerEncoderMem(true), zstd.WithEncoderCRC(false))
+	encoder, err := zstd.NewWriter(nil, zstd.WithEncoderLevel(zstd.SpeedFastest), zstd.WithEncoderConcurrency(1),
+		zstd.WithWindowSize(compressionWindow), zstd.WithLowerEncoderMem(true), zstd.WithEncoderCRC(false))
 	if err != nil {
 		return nil, err
 	}
-	w := &Writer{options: l, runName: fmt.Sprintf("%s-%d", time.Now().UTC().Format("20060102T150405.000Z"), os.Getpid()), encoder: enc, skipBlocks: true,
-		queue: make(chan writerTask, l.QueueLength), freeBuffers: make(chan []byte, l.QueueLength+2), done: make(chan struct{})}
+	w := &Writer{
+		options:     o,
+		runName:     fmt.Sprintf("%s-%d", time.Now().UTC().Format(timestampFormat), os.Getpid()),
+		encoder:     encoder,
+		skipBlocks:  true,
+		queue:       make(chan writerTask, o.QueueLength),
+		freeBuffers: make(chan []byte, o.QueueLength+2),
+		done:        make(chan struct{}),
+	}
 	go w.loop()
 	return w, nil
 }
 
-// Close writes what waits and ends the segment. It waits for the task.
+// fileNameRune replaces characters that a file name should not have.
+func fileNameRune(c rune) rune {
+	if c >= 'a' && c <= 'z' || c >= 'A' && c <= 'Z' || c >= '0' && c <= '9' || c == '_' {
+		return c
+	}
+	return '_'
+}
+
+func createFile(path string) (File, error) {
+	return os.OpenFile(path, os.O_WRONLY|os.O_CREATE|os.O_EXCL, fileMode)
+}
+
+// Close writes what is queued, closes the segment, and waits for the writer's goroutine. The recorder must be closed
+// before.
 func (w *Writer) Close() {
 	close(w.queue)
 	<-w.done
 }
 
-// The recorder's side.
+// QueuedTasks returns the number of blocks and other tasks that wait for the disk.
+func (w *Writer) QueuedTasks() int { return len(w.queue) }
+
+// The following methods are called by the recorder.
 
-func (w *Writer) enqueue(o writerTask) bool {
+// enqueue hands a task over. It reports false if the queue is full, unless the options say to wait.
+func (w *Writer) enqueue(task writerTask) bool {
 	if w.options.BlockWhenFull {
-		w.queue <- o
+		w.queue <- task
 		return true
 	}
 	select {
-	case w.queue <- o:
+	case w.queue <- task:
 		return true
 	default:
 		return false
 	}
 }
 
-// hasRoom tells whether enough of the queue is free to end a gap.
+// hasRoom reports whether enough of the queue is free to end a gap.
 func (w *Writer) hasRoom() bool { return len(w.queue) <= cap(w.queue)/2 }
 
+// failureReason returns why nothing can be written; "" if it can.
 func (w *Writer) failureReason() string {
-	if why := w.failure.Load(); why != nil {
-		return *why
+	if reason := w.failure.Load(); reason != nil {
+		return *reason
 	}
 	return ""
 }
 
-// clearFailure lets the task try the disk again.
-func (w *Writer) clearFailure()      { w.failure.Store(nil) }
+// clearFailure lets the writer try the disk again.
+func (w *Writer) clearFailure() { w.failure.Store(nil) }
+
+// segmentSize returns the bytes of the segment that is being written.
 func (w *Writer) segmentSize() int64 { return w.currentSize.Load() }
 
+// takeBuffer returns an empty buffer for a block of n bytes.
 func (w *Writer) takeBuffer(n int) []byte {
 	select {
 	case b := <-w.freeBuffers:
@@ -168,9 +204,10 @@
 	}
 }
 
+// returnBuffer makes a buffer available for reuse.
 func (w *Writer) returnBuffer(b []byte) {
 	if cap(b) > maxReusedBuffer {
-		return // a checkpoint's: not kept
+		return
 	}
 	select {
 	case w.freeBuffers <- b:
@@ -178,8 +215,6 @@
 	}
 }
 
-const maxReusedBuffer = 256 << 10
-
 func (w *Writer) logGap(reason string) {
 	w.Stats.Gaps.Add(1)
 	w.options.Log("capture_gap", "reason", reason)
@@ -190,45 +225,51 @@
 	w.options.Log("capture_resumed", "lost", lost)
 }
 
-// The task.
+func (w *Writer) logFailure(reason, path string) {
+	w.options.Log("capture_failed", "err", reason, "path", path)
+}
+
+// The following methods are called by the writer's goroutine.
 
 func (w *Writer) loop() {
 	defer close(w.done)
-	for o := range w.queue {
+	for task := range w.queue {
 		switch {
-		case o.header != nil:
-			w.openSegment(o.header)
-		case o.incidentReason != "":
-			s := w.saveIncident(o.incidentReason, o.done != nil)
-			if o.done != nil {
-				o.done <- s
+		case task.header != nil:
+			w.openSegment(task.header)
+		case task.incidentReason != "":
+			saved := w.saveIncident(task.incidentReason, task.done != nil)
+			if task.done != nil {
+				task.done <- saved
 			}
 		default:
-			w.writeRecords(o.block)
-			w.returnBuffer(o.block.payload)
+			w.writeRecords(task.block)
+			w.returnBuffer(task.block.payload)
 		}
 	}
 	w.closeSegment()
 	w.encoder.Close()
 }
 
-// failSegment gives the segment up; the recorder sees it at its next call, and what
-// waits in the queue until then is of no use.
+// failSegment abandons the segment. The recorder sees the failure at its next call; blocks that are queued until then
+// are of no use.
 func (w *Writer) failSegment(err error) {
-	why := err.Error()
-	w.options.Log("capture_failed", "err", why, "path", w.path)
+	reason := err.Error()
+	w.logFailure(reason, w.path)
 	if w.file != nil {
 		w.file.Close()
 		w.file = nil
 	}
 	w.skipBlocks = true
-	w.failure.Store(&why)
+	w.failure.Store(&reason)
 }
 
+// openSegment closes the current segment and begins the next, whose header it completes.
 func (w *Writer) openSegment(h *pb.Header) {
 	w.closeSegment()
 	w.segmentNumber++
-	h.Build, h.Gateway, h.Run, h.Segment, h.Seed = w.options.Build, w.options.Gateway, w.runName, w.segmentNumber, w.options.Seed
+	h.Build, h.Gateway, h.Seed = w.options.Build, w.options.Gateway, w.options.Seed
+	h.Run, h.Segment = w.runName, w.segmentNumber
 	w.path = filepath.Join(w.options.Directory, fmt.Sprintf("%s-%s-%06d%s", w.options.Gateway, w.runName, w.segmentNumber, Suffix))
 	w.deleteOldSegments()
 	file, err := w.options.CreateFile(w.path)
@@ -247,7 +288,7 @@
 	w.Stats.Segments.Add(1)
 }
 
-// writeBlock writes one block and tells whether that went well.
+// writeBlock writes one block and reports whether it succeeded.
 func (w *Writer) writeBlock(b block) bool {
 	w.encoded = b.appendTo(w.encoded[:0])
 	if _, err := w.file.Write(w.encoded); err != nil {
@@ -263,14 +304,14 @@
 	return true
 }
 
+// writeRecords compresses and writes a block of records.
 func (w *Writer) writeRecords(b block) {
 	if w.skipBlocks || w.file == nil {
 		w.Stats.Lost.Add(int64(b.recordCount))
 		return
 	}
-	at := w.offset
-	raw := b.payload
-	b.payload = w.encoder.EncodeAll(raw, nil)
+	start := w.offset
+	b.payload = w.encoder.EncodeAll(b.payload, nil)
 	b.flags |= flagZstd
 	if !w.writeBlock(b) {
 		w.Stats.Lost.Add(int64(b.recordCount))
@@ -278,18 +319,23 @@
 	}
 	w.Stats.Blocks.Add(1)
 	w.Stats.Records.Add(int64(b.recordCount))
-	w.index.Blocks = append(w.index.Blocks, &pb.Index_Block{Offset: uint64(at), First: b.firstRecord, AtUs: b.at,
-		Checkpoint: b.startsWithCheckpoint(), Records: b.recordCount})
+	w.index.Blocks = append(w.index.Blocks, &pb.Index_Block{
+		Offset:     uint64(start),
+		First:      b.firstRecord,
+		AtUs:       b.at,
+		Checkpoint: b.startsWithCheckpoint(),
+		Records:    b.recordCount,
+	})
 	w.segmentRecords += uint64(b.recordCount)
 	w.index.LastUs = b.at
 }
 
-// closeSegment closes the segment at hand, with its index.
+// closeSegment closes the current segment, if there is one, with its index.
 func (w *Writer) closeSegment() {
 	if w.file == nil {
 		return
 	}
-	at := w.offset
+	indexOffset := w.offset
 	w.index.Records = w.segmentRecords
 	b, err := messageBlock(blockIndex, w.index.LastUs, &w.index)
 	if err != nil {
@@ -299,157 +345,14 @@
 	if !w.writeBlock(b) {
 		return
 	}
-	trail := appendTrailer(nil, at)
-	if _, err := w.file.Write(trail); err != nil {
+	if _, err := w.file.Write(appendTrailer(nil, indexOffset)); err != nil {
 		w.failSegment(err)
 		return
 	}
 	err = w.file.Close()
 	w.file = nil
-	if w.currentSize.Store(0); err != nil {
-		w.failSegment(err)
-	}
-}
-
-type segmentFile struct {
-	path       string
-	size       int64
-	modifiedAt time.Time
-}
-
-// listSegments lists the gateway's own in a directory, the oldest first.
-func listSegments(dir, gateway string) []segmentFile {
-	entries, err := os.ReadDir(dir)
-	if err != nil {
-		return nil
-	}
-	var out []segmentFile
-	for _, e := range entries {
-		if e.IsDir() || !strings.HasPrefix(e.Name(), gateway+"-") || !strings.HasSuffix(e.Name(), Suffix) {
-			continue
-		}
-		if info, err := e.Info(); err == nil {
-			out = append(out, segmentFile{filepath.Join(dir, e.Name()), info.Size(), info.ModTime()})
-		}
-	}
-	slices.SortFunc(out, func(a, b segmentFile) int { return cmp.Compare(a.path, b.path) })
-	return out
-}
-
-// deleteOldSegments drops the oldest segments past the bounds, with room for one more.
-func (w *Writer) deleteOldSegments() {
-	all := listSegments(w.options.Directory, w.options.Gateway)
-	var total int64
-	for _, s := range all {
-		total += s.size
-	}
-	for _, s := range all {
-		if total <= w.options.MaxBytes && time.Since(s.modifiedAt) <= w.options.MaxAge {
-			break
-		}
-		if err := os.Remove(s.path); err != nil && !errors.Is(err, fs.ErrNotExist) {
-			w.options.Log("capture_failed", "err", err.Error(), "path", s.path)
-			return
-		}
-		total -= s.size
-		w.Stats.Dropped.Add(1)
-	}
-}
-
-// Manifest tells of an incident, in its directory's incident.json.
-type Manifest struct {
-	Reason   string    `json:"reason"`
-	Gateway  string    `json:"gateway"`
-	Build    string    `json:"build"`
-	At       time.Time `json:"at"`
-	Ordered  bool      `json:"ordered"` // by a person, not by a condition
-	Segments []string  `json:"segments"`
-	Bytes    int64     `json:"bytes"`
-}
-
-// saveIncident links the closed segments of the window into a directory of their own.
-func (w *Writer) saveIncident(reason string, ordered bool) SavedIncident {
-	if w.options.MaxIncidents <= 0 {
-		return SavedIncident{Err: errors.New("no incidents are kept here")}
-	}
-	now := time.Now()
-	if !ordered && now.Sub(w.lastAutomaticIncident) < w.options.IncidentInterval {
-		return SavedIncident{Err: errors.New("too soon after the last")}
-	}
-	if !ordered {
-		w.lastAutomaticIncident = now
-	}
-	s, err := w.linkSegments(reason, ordered, now)
+	w.currentSize.Store(0)
 	if err != nil {
-		w.options.Log("incident_failed", "err", err.Error(), "reason", reason)
-		return SavedIncident{Err: err}
-	}
-	w.options.Log("incident", "reason", reason, "ordered", ordered, "path", s.Path, "segments", s.Segments, "bytes", s.Bytes)
-	return s
-}
-
-func (w *Writer) linkSegments(reason string, ordered bool, now time.Time) (SavedIncident, error) {
-	if err := os.MkdirAll(w.options.IncidentDirectory, 0o700); err != nil {
-		return SavedIncident{}, err
-	}
-	if err := w.deleteOldIncidents(); err != nil {
-		return SavedIncident{}, err
-	}
-	dir := filepath.Join(w.options.IncidentDirectory, w.options.Gateway+"-"+now.UTC().Format("20060102T150405.000Z"))
-	if err := os.Mkdir(dir, 0o700); err != nil {
-		return SavedIncident{}, err
-	}
-	m := Manifest{Reason: reason, Gateway: w.options.Gateway, Build: w.options.Build, At: now.UTC(), Ordered: ordered}
-	for _, s := range listSegments(w.options.Directory, w.options.Gateway) {
-		if now.Sub(s.modifiedAt) > w.options.IncidentWindow || s.path == w.path && w.file != nil {
-			continue
-		}
-		name := filepath.Base(s.path)
-		if err := os.Link(s.path, filepath.Join(dir, name)); errors.Is(err, fs.ErrNotExist) {
-			continue
-		} else if err != nil { // another file system
-			text, err := os.ReadFile(s.path)
-			if err == nil {
-				err = os.WriteFile(filepath.Join(dir, name), text, 0o600)
-			}
-			if err != nil {
-				return SavedIncident{}, err
-			}
-		}
-		m.Segments = append(m.Segments, name)
-		m.Bytes += s.size
-	}
-	text, err := json.MarshalIndent(m, "", "  ")
-	if err == nil {
-		err = renameio.WriteFile(filepath.Join(dir, ManifestName), append(text, '\n'), 0o600)
-	}
-	return SavedIncident{Path: dir, Segments: len(m.Segments), Bytes: m.Bytes}, err
-}
-
-// ManifestName is the file in an incident's directory that tells of it.
-const ManifestName = "incident.json"
-
-// deleteOldIncidents makes room for one more.
-func (w *Writer) deleteOldIncidents() error {
-	entries, err := os.ReadDir(w.options.IncidentDirectory)
-	if err != nil {
-		return err
-	}
-	var own []string
-	for _, e := range entries {
-		if e.IsDir() && strings.HasPrefix(e.Name(), w.options.Gateway+"-") {
-			own = append(own, filepath.Join(w.options.IncidentDirectory, e.Name()))
-		}
-	}
-	slices.Sort(own)
-	for len(own) >= w.options.MaxIncidents {
-		if err := os.RemoveAll(own[0]); err != nil {
-			return err
-		}
-		own = own[1:]
+		w.failSegment(err)
 	}
-	return nil
 }
-
-// QueuedTasks is the number of blocks and orders that wait for the disk.
-func (w *Writer) QueuedTasks() int { return len(w.queue) }
