--- a/internal/replay/compare.go
+++ b/internal/replay/compare.go
@@ -12,38 +12,61 @@
 	"archknot/internal/capture"
 )
 
-// Emit writes one line for each event of a run: its number, its time since the
-// run began, its request's class, what was told and what this build decides,
-// set apart by tabs. Two builds' lines are compared by Against.
+// Fields of a line that Emit writes.
+const (
+	emittedNumber = iota
+	emittedAt
+	emittedClass
+	emittedEvent
+	emittedDecisions
+	emittedFields
+)
+
+const (
+	emitBufferSize = 64 << 10
+	// maxEmittedLine bounds a line of another build, in bytes.
+	maxEmittedLine = 16 << 20
+)
+
+// Emit writes one line for each event of a run: its number, its time since the run began, its request's class, the
+// event, and what this build decides, separated by tabs. CompareBuilds compares the lines of two builds.
 func Emit(run *capture.Run, o Options, out io.Writer) (*Result, error) {
-	w := bufio.NewWriterSize(out, 64<<10)
-	var failed error
+	w := bufio.NewWriterSize(out, emitBufferSize)
+	var writeErr error
 	o.OnStep = func(s *Step) {
-		class := ""
-		if id := (&filterSubject{names: s.Names, record: s.Record}).request(); s.Names.requests[id] != nil {
-			class = s.Names.Class(id)
-		}
-		fmt.Fprintf(w, "%d\t%d\t%s\t%s\t", s.Number, s.At-run.Begin(), class, stripSeparators(s.Names.DescribeEvent(s.Record)))
-		for i, a := range s.Actions {
-			if i > 0 {
-				w.WriteString("; ")
-			}
-			w.WriteString(stripSeparators(s.Names.DescribeAction(a)))
-		}
-		for _, d := range s.Differences {
-			fmt.Fprintf(w, "; by itself (%s): %s", d.Kind, stripSeparators(d.Own))
-		}
-		if err := w.WriteByte('\n'); err != nil && failed == nil {
-			failed = err
+		if err := emitStep(w, run, s); err != nil && writeErr == nil {
+			writeErr = err
 		}
 	}
-	res, err := Replay(run, o)
+	result, err := Replay(run, o)
 	if err == nil {
-		err = errors.Join(failed, w.Flush())
+		err = errors.Join(writeErr, w.Flush())
+	}
+	return result, err
+}
+
+// emitStep writes the line of one event. The writer's errors are sticky: the last write returns them.
+func emitStep(w *bufio.Writer, run *capture.Run, s *Step) error {
+	class := ""
+	subject := filterSubject{names: s.Names, record: s.Record}
+	if id := subject.request(); s.Names.requests[id] != nil {
+		class = s.Names.Class(id)
 	}
-	return res, err
+	fmt.Fprintf(w, "%d\t%d\t%s\t%s\t", s.Number, s.At-run.Begin(), class, stripSeparators(s.Names.DescribeEvent(s.Record)))
+	for i, a := range s.Actions {
+		separator := "; "
+		if i == 0 {
+			separator = ""
+		}
+		fmt.Fprint(w, separator, stripSeparators(s.Names.DescribeAction(a)))
+	}
+	for _, d := range s.Differences {
+		fmt.Fprintf(w, "; by itself (%s): %s", d.Kind, stripSeparators(d.Own))
+	}
+	return w.WriteByte('\n')
 }
 
+// stripSeparators replaces the characters that separate fields and lines by spaces.
 func stripSeparators(s string) string {
 	return strings.Map(func(c rune) rune {
 		if c == '\t' || c == '\n' {
@@ -53,91 +76,118 @@
 	}, s)
 }
 
-// BuildComparison compares two builds on one capture.
+// BuildComparison is the result of CompareBuilds.
 type BuildComparison struct {
 	Events    uint64            `json:"events"`
 	Differing uint64            `json:"differ"`
-	ByClass   map[string]uint64 `json:"by_class,omitempty"`
-	ByEvent   map[string]uint64 `json:"by_event,omitempty"`
+	ByClass   map[string]uint64 `json:"by_class,omitempty"` // of requests
+	ByEvent   map[string]uint64 `json:"by_event,omitempty"` // by kind
 	First     *BuildDifference  `json:"first,omitempty"`
 }
 
-// BuildDifference is one event at which two builds decide otherwise.
+// BuildDifference is one event at which two builds decide differently.
 type BuildDifference struct {
-	Event string `json:"event"`
+	Event string `json:"event"` // its number
 	At    string `json:"at"`
 	Input string `json:"told"`
-	One   string `json:"one"`
-	Other string `json:"other"`
+	One   string `json:"one"`   // decisions of the first build
+	Other string `json:"other"` // decisions of the second
 }
 
-// Line sums it up.
-func (r *BuildComparison) Line() string {
-	return fmt.Sprintf("events=%d differ=%d", r.Events, r.Differing)
+// Line summarizes the comparison in one line.
+func (c *BuildComparison) Line() string {
+	return fmt.Sprintf("events=%d differ=%d", c.Events, c.Differing)
 }
 
-// CompareBuilds runs two programs' `replay --emit` on the same arguments at once, each
-// in a process of its own, and compares what they decide.
-func CompareBuilds(ctx context.Context, one, other string, args []string, errOut io.Writer) (*BuildComparison, error) {
-	ctx, stop := context.WithCancel(ctx)
-	defer stop()
-	type child struct {
-		cmd *exec.Cmd
-		in  *bufio.Scanner
+// add counts the decisions of both builds for one event.
+func (c *BuildComparison) add(one, other []string) {
+	c.Events++
+	if one[emittedDecisions] == other[emittedDecisions] {
+		return
 	}
-	begin := func(program string) (*child, error) {
-		c := exec.CommandContext(ctx, program, append([]string{"replay", "--emit"}, args...)...)
-		c.Stderr = errOut
-		out, err := c.StdoutPipe()
-		if err == nil {
-			err = c.Start()
-		}
-		if err != nil {
-			return nil, fmt.Errorf("%s: %w", program, err)
+	c.Differing++
+	if class := one[emittedClass]; class != "" {
+		c.ByClass[class]++
+	}
+	kind, _, _ := strings.Cut(one[emittedEvent], " ")
+	c.ByEvent[kind]++
+	if c.First == nil {
+		c.First = &BuildDifference{
+			Event: one[emittedNumber],
+			At:    one[emittedAt],
+			Input: one[emittedEvent],
+			One:   one[emittedDecisions],
+			Other: other[emittedDecisions],
 		}
-		in := bufio.NewScanner(out)
-		in.Buffer(make([]byte, 64<<10), 16<<20)
-		return &child{c, in}, nil
 	}
-	a, err := begin(one)
+}
+
+// CompareBuilds runs `replay --emit` of two programs at once on the same arguments, each in a process of its own, and
+// compares their decisions.
+func CompareBuilds(ctx context.Context, one, other string, args []string, errOut io.Writer) (*BuildComparison, error) {
+	ctx, stop := context.WithCancel(ctx)
+	defer stop()
+	a, err := startEmitter(ctx, one, args, errOut)
 	if err != nil {
 		return nil, err
 	}
-	b, err := begin(other)
+	b, err := startEmitter(ctx, other, args, errOut)
 	if err != nil {
 		return nil, err
 	}
-	r := &BuildComparison{ByClass: map[string]uint64{}, ByEvent: map[string]uint64{}}
+	c := &BuildComparison{ByClass: map[string]uint64{}, ByEvent: map[string]uint64{}}
 	for {
-		more, moreOther := a.in.Scan(), b.in.Scan()
+		more, moreOther := a.lines.Scan(), b.lines.Scan()
 		if !more && !moreOther {
 			break
 		}
-		x, y := strings.SplitN(a.in.Text(), "\t", 5), strings.SplitN(b.in.Text(), "\t", 5)
-		if more != moreOther || len(x) != 5 || len(y) != 5 || x[0] != y[0] {
-			stop()
-			return nil, fmt.Errorf("the two builds do not read the same events: %q and %q", a.in.Text(), b.in.Text())
-		}
-		if r.Events++; x[4] == y[4] {
-			continue
-		}
-		r.Differing++
-		if x[2] != "" {
-			r.ByClass[x[2]]++
-		}
-		told, _, _ := strings.Cut(x[3], " ")
-		r.ByEvent[told]++
-		if r.First == nil {
-			r.First = &BuildDifference{x[0], x[1], x[3], x[4], y[4]}
+		x, y := a.fields(), b.fields()
+		sameEvent := len(x) == emittedFields && len(y) == emittedFields && x[emittedNumber] == y[emittedNumber]
+		if more != moreOther || !sameEvent {
+			return nil, fmt.Errorf("the two builds do not read the same events: %q and %q", a.lines.Text(), b.lines.Text())
 		}
+		c.add(x, y)
 	}
-	// Exit code 1 says that a build differs from the record: that is no fault here.
-	for _, c := range []*child{a, b} {
-		err := c.cmd.Wait()
-		var exit *exec.ExitError
-		if err != nil && !(errors.As(err, &exit) && exit.ExitCode() == 1) {
-			return nil, fmt.Errorf("%s: %w", c.cmd.Path, err)
+	for _, e := range []*emitter{a, b} {
+		if err := e.wait(); err != nil {
+			return nil, err
 		}
 	}
-	return r, nil
+	return c, nil
+}
+
+// emitter is a process that runs `replay --emit`.
+type emitter struct {
+	cmd   *exec.Cmd
+	lines *bufio.Scanner
+}
+
+func startEmitter(ctx context.Context, program string, args []string, errOut io.Writer) (*emitter, error) {
+	cmd := exec.CommandContext(ctx, program, append([]string{"replay", "--emit"}, args...)...)
+	cmd.Stderr = errOut
+	out, err := cmd.StdoutPipe()
+	if err == nil {
+		err = cmd.Start()
+	}
+	if err != nil {
+		return nil, fmt.Errorf("%s: %w", program, err)
+	}
+	lines := bufio.NewScanner(out)
+	lines.Buffer(make([]byte, emitBufferSize), maxEmittedLine)
+	return &emitter{cmd, lines}, nil
+}
+
+// fields returns the fields of the current line.
+func (e *emitter) fields() []string {
+	return strings.SplitN(e.lines.Text(), "\t", emittedFields)
+}
+
+// wait waits for the process. Exit code 1 says that the build differs from the recording, which is no error here.
+func (e *emitter) wait() error {
+	err := e.cmd.Wait()
+	var exit *exec.ExitError
+	if err == nil || errors.As(err, &exit) && exit.ExitCode() == 1 {
+		return nil
+	}
+	return fmt.Errorf("%s: %w", e.cmd.Path, err)
 }
--- a/internal/replay/explain.go
+++ b/internal/replay/explain.go
@@ -6,101 +6,168 @@
 	"io"
 	"slices"
 	"strconv"
+	"strings"
 
 	"archknot/balancer"
 	"archknot/internal/capture"
 	pb "archknot/internal/capture/capturepb"
 )
 
-func sortedByScore(t []balancer.ScoreBreakdown) []balancer.ScoreBreakdown {
-	out := slices.Clone(t)
-	slices.SortStableFunc(out, func(a, b balancer.ScoreBreakdown) int { return cmp.Compare(a.Score, b.Score) })
-	return out
+// Explain describes the life of one request: the events of the module, its actions, and why each replica was chosen.
+// The request is named by its client's id, or by the module's number for it. It reports whether the request was found.
+func Explain(run *capture.Run, request string, out io.Writer) (found bool, err error) {
+	x := newExplainer(run, request, out)
+	_, err = Replay(run, Options{Explain: x.concernsEvent, OnStep: x.explainStep})
+	return x.found, err
 }
 
-// Explain tells the life of one request in plain lines: what the module was
-// told, what it ordered, and why it chose each worker. The request is named as
-// its client did, or by the module's number. It tells whether it was found.
-func Explain(run *capture.Run, request string, out io.Writer) (found bool, err error) {
+// explainer writes the explanation of one request.
+type explainer struct {
+	run      *capture.Run
+	request  string // as given
+	number   uint32 // the request's number, if it was given
+	isNumber bool
+	out      io.Writer
+	found    bool
+}
+
+func newExplainer(run *capture.Run, request string, out io.Writer) *explainer {
 	number, err := strconv.ParseUint(request, 10, 32)
-	isNumber := err == nil
-	meant := func(n *Names, id uint32) bool {
-		a := n.requests[id]
-		return a != nil && a.Name == request || isNumber && id == uint32(number) && (a == nil || a.Name == "")
+	return &explainer{run: run, request: request, number: uint32(number), isNumber: err == nil, out: out}
+}
+
+// isRequest reports whether a number is that of the request. A request whose client's id is known is not found by its
+// number.
+func (x *explainer) isRequest(n *Names, id uint32) bool {
+	a := n.requests[id]
+	return a != nil && a.Name == x.request || x.isNumber && id == x.number && (a == nil || a.Name == "")
+}
+
+// concernsEvent reports whether an event is of the request.
+func (x *explainer) concernsEvent(n *Names, r *pb.Record) bool {
+	s := filterSubject{names: n, record: r}
+	return x.isRequest(n, s.request())
+}
+
+// concernsAction reports whether an action is of the request.
+func (x *explainer) concernsAction(n *Names, a *pb.Action) bool {
+	switch a.Kind {
+	case pb.Action_SET_TIMER, pb.Action_PROBE, pb.Action_TELL_PEERS, pb.Action_WATCH_REGISTRY:
+		return false
 	}
-	about := func(n *Names, r *pb.Record) bool {
-		s := filterSubject{names: n, record: r}
-		return meant(n, s.request())
+	return x.isRequest(n, a.Request)
+}
+
+// explainStep explains an event of the request, or with an action for it.
+func (x *explainer) explainStep(s *Step) {
+	hasAction := slices.ContainsFunc(s.Record.Actions, func(a *pb.Action) bool { return x.concernsAction(s.Names, a) })
+	if !x.concernsEvent(s.Names, s.Record) && !hasAction {
+		return
 	}
-	_, err = Replay(run, Options{Explain: about, OnStep: func(s *Step) {
-		ordered := slices.ContainsFunc(s.Record.Actions, func(a *pb.Action) bool {
-			return a.Kind != pb.Action_SET_TIMER && a.Kind != pb.Action_PROBE && a.Kind != pb.Action_TELL_PEERS &&
-				a.Kind != pb.Action_WATCH_REGISTRY && meant(s.Names, a.Request)
-		})
-		if !about(s.Names, s.Record) && !ordered {
-			return
-		}
-		found = true
-		f := s.Balancer.Stats()
-		fmt.Fprintf(out, "%s %s event %d: %s\n", FormatOffset(run, s.At), run.WallTime(s.At).Format("15:04:05.000000"), s.Number, s.Names.DescribeEvent(s.Record))
-		if s.Record.Kind == pb.Kind_KIND_ARRIVED {
-			limit := "none"
-			if f.TokenLimit > 0 {
-				limit = fmt.Sprintf("%.0f", f.TokenLimit)
-			}
-			fmt.Fprintf(out, "  in hand: %d requests, %.0f tokens open, limit %s, late share %.3f\n", f.Requests, f.InFlightTokens, limit, f.LateShare)
-		}
-		for _, k := range s.Picks {
-			writePick(s.Names, &k, out)
-		}
-		for _, a := range s.Record.Actions {
-			fmt.Fprintf(out, "  ordered: %s\n", s.Names.DescribeAction(a))
-		}
-		for _, d := range s.Differences {
-			fmt.Fprintf(out, "  this build differs (%s): %s, recorded %s\n", d.Kind, d.Own, d.Recorded)
-		}
-	}})
-	return found, err
+	x.found = true
+	fmt.Fprintf(x.out, "%s %s event %d: %s\n", FormatOffset(x.run, s.At), x.run.WallTime(s.At).Format("15:04:05.000000"), s.Number, s.Names.DescribeEvent(s.Record))
+	if s.Record.Kind == pb.Kind_KIND_ARRIVED {
+		x.explainLoad(s.Balancer.Stats())
+	}
+	for i := range s.Picks {
+		explainPick(s.Names, &s.Picks[i], x.out)
+	}
+	for _, a := range s.Record.Actions {
+		fmt.Fprintf(x.out, "  ordered: %s\n", s.Names.DescribeAction(a))
+	}
+	for _, d := range s.Differences {
+		fmt.Fprintf(x.out, "  this build differs (%s): %s, recorded %s\n", d.Kind, d.Own, d.Recorded)
+	}
+}
+
+func (x *explainer) explainLoad(stats balancer.Stats) {
+	limit := "none"
+	if stats.TokenLimit > 0 {
+		limit = fmt.Sprintf("%.0f", stats.TokenLimit)
+	}
+	fmt.Fprintf(x.out, "  in hand: %d requests, %.0f tokens open, limit %s, late share %.3f\n", stats.Requests, stats.InFlightTokens, limit, stats.LateShare)
 }
 
-// writePick tells a choice, its runner-up, and every term.
-func writePick(n *Names, k *Pick, out io.Writer) {
-	terms := sortedByScore(k.Scores)
+// explainPick writes a choice, the next best one, and the table of all scores.
+func explainPick(n *Names, pick *Pick, out io.Writer) {
+	scores := sortedByScore(pick.Scores)
 	switch {
-	case !k.Found && len(terms) == 0:
+	case !pick.Found && len(scores) == 0:
 		fmt.Fprintf(out, "  no worker may take it\n")
-	case len(terms) == 1:
-		fmt.Fprintf(out, "  chose %s: the only one that may take it\n", n.Replica(uint32(k.Chosen)))
-	case len(terms) > 1:
-		a, b := terms[0], terms[1]
-		fmt.Fprintf(out, "  chose %s, predicted %.1f; next is %s with %.1f (%.1f%% more): %s\n", n.Replica(uint32(a.Replica)), a.Score,
-			n.Replica(uint32(b.Replica)), b.Score, 100*(b.Score/a.Score-1), mainReason(a, b))
+	case len(scores) == 1:
+		fmt.Fprintf(out, "  chose %s: the only one that may take it\n", n.Replica(uint32(pick.Chosen)))
+	case len(scores) > 1:
+		best, next := scores[0], scores[1]
+		fmt.Fprintf(out, "  chose %s, predicted %.1f; next is %s with %.1f (%.1f%% more): %s\n", n.Replica(uint32(best.Replica)), best.Score,
+			n.Replica(uint32(next.Replica)), next.Score, 100*(next.Score/best.Score-1), mainReason(best, next))
 	}
-	io.WriteString(out, k.FormatTable(n))
+	fmt.Fprint(out, pick.FormatTable(n))
 }
 
-// mainReason names the term that sets the chosen worker apart from the next most.
-func mainReason(a, b balancer.ScoreBreakdown) string {
-	held := func(t balancer.ScoreBreakdown) float64 {
-		return (1-t.ReportWeight)*(t.PeerLoad+t.LedgerLoad) + t.ReportWeight*(t.Reported+t.Unreported) + t.Noise
-	}
-	read := func(t balancer.ScoreBreakdown) float64 { return t.PrefillCost * (t.PromptTokens - t.CachedTokens) }
-	best, gain := "", 0.0
-	for _, c := range []struct {
-		what string
-		gain float64
+// sortedByScore returns the scores in order, the best (lowest) first.
+func sortedByScore(scores []balancer.ScoreBreakdown) []balancer.ScoreBreakdown {
+	out := slices.Clone(scores)
+	slices.SortStableFunc(out, func(a, b balancer.ScoreBreakdown) int { return cmp.Compare(a.Score, b.Score) })
+	return out
+}
+
+// loadOf returns the tokens that a replica is thought to have in flight.
+func loadOf(s balancer.ScoreBreakdown) float64 {
+	return (1-s.ReportWeight)*(s.PeerLoad+s.LedgerLoad) + s.ReportWeight*(s.Reported+s.Unreported) + s.Noise
+}
+
+// prefillOf returns the cost of the prompt tokens that a replica has not cached.
+func prefillOf(s balancer.ScoreBreakdown) float64 {
+	return s.PrefillCost * (s.PromptTokens - s.CachedTokens)
+}
+
+// mainReason describes the term that contributes most to the chosen replica's lead over the next.
+func mainReason(best, next balancer.ScoreBreakdown) string {
+	morePrefill := prefillOf(next) - prefillOf(best)
+	moreLoad := loadOf(next) - loadOf(best)
+	bestLoad := loadOf(best) + best.RequestTokens
+	reason, lead := "", 0.0
+	for _, term := range []struct {
+		reason string
+		lead   float64
 	}{
-		{fmt.Sprintf("it has %.0f prompt tokens less to read", (read(b)-read(a))/a.PrefillCost), (read(b) - read(a)) * b.Penalty},
-		{fmt.Sprintf("it holds %.0f tokens less", held(b)-held(a)), b.Slowness * (held(b) - held(a)) * b.Penalty},
-		{fmt.Sprintf("it is faster (%.2f against %.2f)", a.Slowness, b.Slowness), (b.Slowness - a.Slowness) * (held(a) + a.RequestTokens) * b.Penalty},
-		{fmt.Sprintf("less stands against it (guard %.3f against %.3f)", a.Penalty, b.Penalty), (b.Penalty - a.Penalty) * (a.Slowness*(held(a)+a.RequestTokens) + read(a))},
+		{fmt.Sprintf("it has %.0f prompt tokens less to read", morePrefill/best.PrefillCost), morePrefill * next.Penalty},
+		{fmt.Sprintf("it holds %.0f tokens less", moreLoad), next.Slowness * moreLoad * next.Penalty},
+		{fmt.Sprintf("it is faster (%.2f against %.2f)", best.Slowness, next.Slowness), (next.Slowness - best.Slowness) * bestLoad * next.Penalty},
+		{fmt.Sprintf("less stands against it (guard %.3f against %.3f)", best.Penalty, next.Penalty),
+			(next.Penalty - best.Penalty) * (best.Slowness*bestLoad + prefillOf(best))},
 	} {
-		if c.gain > gain {
-			best, gain = c.what, c.gain
+		if term.lead > lead {
+			reason, lead = term.reason, term.lead
 		}
 	}
-	if best == "" {
+	if reason == "" {
 		return "by less than any one term"
 	}
-	return best
+	return reason
+}
+
+// FormatTable formats the scores of a pick as a table, the best first, and why the other replicas were excluded.
+func (k *Pick) FormatTable(n *Names) string {
+	var b strings.Builder
+	fmt.Fprintf(&b, "  %-16s %12s %9s %9s %9s %9s %9s %9s %6s %8s %8s %8s %6s\n", "worker", "score", "reported", "unseen", "peers",
+		"own", "noise", "fresh", "slow", "hold", "prompt", "kept", "guard")
+	for _, s := range sortedByScore(k.Scores) {
+		mark := ""
+		if k.Found && s.Replica == k.Chosen {
+			mark = " <- chosen"
+		}
+		if s.ServedSession {
+			mark += " (had the session)"
+		}
+		if s.HomeReplica {
+			mark += " (home)"
+		}
+		fmt.Fprintf(&b, "  %-16s %12.1f %9.1f %9.1f %9.1f %9.1f %9.1f %9.4f %6.2f %8.1f %8.0f %8.1f %6.3f%s\n", n.Replica(uint32(s.Replica)), s.Score,
+			s.Reported, s.Unreported, s.PeerLoad, s.LedgerLoad, s.Noise, s.ReportWeight, s.Slowness, s.RequestTokens, s.PromptTokens, s.CachedTokens, s.Penalty, mark)
+	}
+	for _, e := range k.Excluded {
+		fmt.Fprintf(&b, "  %-16s not weighed: %s\n", n.Replica(uint32(e.Replica)), e.Reason)
+	}
+	return b.String()
 }
--- a/internal/replay/filter.go
+++ b/internal/replay/filter.go
@@ -3,6 +3,7 @@
 import (
 	"fmt"
 	"regexp"
+	"slices"
 	"strconv"
 	"strings"
 	"sync"
@@ -15,15 +16,17 @@
 	pb "archknot/internal/capture/capturepb"
 )
 
-// Filter picks events by a condition such as
+// Filter selects events by a condition such as
 //
 //	class == "agent" and worker == "s-5be2a07c" and elapsed > 2s
 //
-// Fields are those of FilterFields. A field that an event has several of (the
-// workers of its orders) matches if one of them does; one that it lacks never
-// matches. Times are durations, or plain numbers of microseconds.
+// FilterFields describes the fields. A field with several values (the replicas of an event's actions) matches if one
+// of them does; a field that an event does not have never matches. Times are durations, or plain numbers of
+// microseconds.
 type Filter struct{ match func(*filterSubject) bool }
 
+// The grammar of conditions. The types' names are part of the parser's messages.
+
 type filterOr struct {
 	Left *filterAnd   `parser:"@@"`
 	More []*filterAnd `parser:"( 'or' @@ )*"`
@@ -54,7 +57,7 @@
 	Text *string `parser:"| @(String | Word)"`
 }
 
-// filterParser is built at the first use: a gateway never needs it.
+// filterParser is built at the first use: a gateway never uses it.
 var filterParser = sync.OnceValue(func() *participle.Parser[filterOr] {
 	return participle.MustBuild[filterOr](
 		participle.Lexer(lexer.MustSimple([]lexer.SimpleRule{
@@ -68,13 +71,14 @@
 		})), participle.Unquote("String"), participle.Elide("space"))
 })
 
-// filterSubject is an event under test.
+// filterSubject is an event that a filter is applied to.
 type filterSubject struct {
 	names  *Names
 	record *pb.Record
 	at     balancer.Micros // since the run began
 }
 
+// fieldType is what the values of a field are.
 type fieldType uint8
 
 const (
@@ -84,6 +88,7 @@
 	boolField
 )
 
+// filterField is a field of events: text returns its values if it is a textField, number its value otherwise.
 type filterField struct {
 	name   string
 	kind   fieldType
@@ -103,7 +108,7 @@
 	}
 }
 
-// arrival is that of the event's request, where the capture told it.
+// arrival returns the arrival of the event's request; nil if the capture does not have it.
 func (s *filterSubject) arrival() *pb.Arrival {
 	if s.record.Kind == pb.Kind_KIND_TIMER {
 		if _, id := balancer.TimerPurpose(s.record.Token); id != 0 {
@@ -114,6 +119,10 @@
 	return s.names.requests[s.request()]
 }
 
+// noRequest is the number of no request.
+const noRequest = 1<<32 - 1
+
+// request returns the number of the event's request.
 func (s *filterSubject) request() uint32 {
 	switch s.record.Kind {
 	case pb.Kind_KIND_ARRIVED, pb.Kind_KIND_FIRST, pb.Kind_KIND_ENDED, pb.Kind_KIND_LEFT, pb.Kind_KIND_CHARGED, pb.Kind_KIND_SETTLED, pb.Kind_KIND_TURNED:
@@ -122,9 +131,10 @@
 		_, id := balancer.TimerPurpose(s.record.Token)
 		return uint32(id)
 	}
-	return 1<<32 - 1
+	return noRequest
 }
 
+// replicas returns the names of the replicas that the event or its actions name.
 func (s *filterSubject) replicas() (out []string) {
 	if s.record.Outcome != nil {
 		out = append(out, s.names.Replica(s.record.Outcome.Worker))
@@ -199,7 +209,7 @@
 	{name: "at", kind: timeField, doc: "since the run began", number: func(s *filterSubject) (float64, bool) { return float64(s.at), true }},
 }
 
-// FilterFields tells the fields that a filter may name, a line each.
+// FilterFields describes the fields that a filter may name, a line each.
 func FilterFields() string {
 	var b strings.Builder
 	for _, f := range filterFields {
@@ -208,7 +218,7 @@
 	return b.String()
 }
 
-// ParseFilter reads a condition.
+// ParseFilter parses a condition.
 func ParseFilter(text string) (*Filter, error) {
 	tree, err := filterParser().ParseString("", text)
 	if err != nil {
@@ -221,11 +231,12 @@
 	return &Filter{m}, nil
 }
 
-// Match tells whether an event is meant; at is the time since the run began.
+// Match reports whether an event matches; at is the time since the run began. A nil Filter matches all events.
 func (f *Filter) Match(n *Names, r *pb.Record, at balancer.Micros) bool {
 	return f == nil || f.match(&filterSubject{n, r, at})
 }
 
+// matcher reports whether an event matches.
 type matcher = func(*filterSubject) bool
 
 func (e *filterOr) compile() (matcher, error) {
@@ -284,45 +295,47 @@
 	return nil, fmt.Errorf("%d: no field %q; fields are\n%s", e.Pos.Column, e.Field, strings.TrimRight(FilterFields(), "\n"))
 }
 
+// text compiles a test of a text field.
 func (e *filterTest) text(f filterField) (matcher, error) {
 	if e.Op == "" {
 		return func(s *filterSubject) bool { return len(f.text(s)) > 0 }, nil
 	}
-	if e.Value.Text == nil && e.Value.Num == nil {
-		return nil, fmt.Errorf("%d: %s is compared with text", e.Value.Pos.Column, f.name)
-	}
 	var want string
-	if e.Value.Text != nil {
+	switch {
+	case e.Value.Text != nil:
 		want = *e.Value.Text
-	} else {
+	case e.Value.Num != nil:
 		want = *e.Value.Num
+	default:
+		return nil, fmt.Errorf("%d: %s is compared with text", e.Value.Pos.Column, f.name)
 	}
-	any := func(test func(string) bool) matcher {
-		return func(s *filterSubject) bool {
-			for _, v := range f.text(s) {
-				if test(v) {
-					return true
-				}
-			}
-			return false
-		}
-	}
+	equals := func(v string) bool { return v == want }
 	switch e.Op {
 	case "==":
-		return any(func(v string) bool { return v == want }), nil
+		return func(s *filterSubject) bool { return slices.ContainsFunc(f.text(s), equals) }, nil
 	case "!=":
-		equal := any(func(v string) bool { return v == want })
-		return func(s *filterSubject) bool { return len(f.text(s)) > 0 && !equal(s) }, nil
+		return func(s *filterSubject) bool { return len(f.text(s)) > 0 && !slices.ContainsFunc(f.text(s), equals) }, nil
 	case "=~":
 		re, err := regexp.Compile(want)
 		if err != nil {
 			return nil, fmt.Errorf("%d: %w", e.Value.Pos.Column, err)
 		}
-		return any(re.MatchString), nil
+		return func(s *filterSubject) bool { return slices.ContainsFunc(f.text(s), re.MatchString) }, nil
 	}
 	return nil, fmt.Errorf("%d: %s is text: it may be compared by ==, != and =~", e.Pos.Column, f.name)
 }
 
+// comparisons are the operators of numbers, times and flags.
+var comparisons = map[string]func(a, b float64) bool{
+	"==": func(a, b float64) bool { return a == b },
+	"!=": func(a, b float64) bool { return a != b },
+	"<":  func(a, b float64) bool { return a < b },
+	"<=": func(a, b float64) bool { return a <= b },
+	">":  func(a, b float64) bool { return a > b },
+	">=": func(a, b float64) bool { return a >= b },
+}
+
+// number compiles a test of any other field.
 func (e *filterTest) number(f filterField) (matcher, error) {
 	if e.Op == "" {
 		return func(s *filterSubject) bool {
@@ -330,37 +343,40 @@
 			return ok && (f.kind != boolField || v != 0)
 		}, nil
 	}
-	var want float64
-	v := e.Value
+	want, err := e.Value.numberFor(f)
+	if err != nil {
+		return nil, err
+	}
+	compare, ok := comparisons[e.Op]
+	if !ok {
+		return nil, fmt.Errorf("%d: %s is no text: =~ cannot be used", e.Pos.Column, f.name)
+	}
+	return func(s *filterSubject) bool {
+		v, ok := f.number(s)
+		return ok && compare(v, want)
+	}, nil
+}
+
+// numberFor returns the value as a number that the field is compared with: microseconds for a time, 1 or 0 for a flag.
+func (v *filterValue) numberFor(f filterField) (float64, error) {
 	switch {
 	case v.Time != nil && f.kind == timeField:
 		d, err := time.ParseDuration(*v.Time)
 		if err != nil {
-			return nil, fmt.Errorf("%d: %w", v.Pos.Column, err)
+			return 0, fmt.Errorf("%d: %w", v.Pos.Column, err)
 		}
-		want = float64(d.Microseconds())
+		return float64(d.Microseconds()), nil
 	case v.Num != nil && f.kind != boolField:
-		var err error
-		if want, err = strconv.ParseFloat(*v.Num, 64); err != nil {
-			return nil, fmt.Errorf("%d: %w", v.Pos.Column, err)
-		}
-	case f.kind == boolField && v.Text != nil && (*v.Text == "true" || *v.Text == "false"):
-		if *v.Text == "true" {
-			want = 1
+		n, err := strconv.ParseFloat(*v.Num, 64)
+		if err != nil {
+			return 0, fmt.Errorf("%d: %w", v.Pos.Column, err)
 		}
-	default:
-		kind := [...]string{numberField: "a number", timeField: "a time such as 2s or 150ms", boolField: "true or false"}[f.kind]
-		return nil, fmt.Errorf("%d: %s is compared with %s", v.Pos.Column, f.name, kind)
-	}
-	test, ok := map[string]func(a, b float64) bool{
-		"==": func(a, b float64) bool { return a == b }, "!=": func(a, b float64) bool { return a != b },
-		"<": func(a, b float64) bool { return a < b }, "<=": func(a, b float64) bool { return a <= b },
-		">": func(a, b float64) bool { return a > b }, ">=": func(a, b float64) bool { return a >= b }}[e.Op]
-	if !ok {
-		return nil, fmt.Errorf("%d: %s is no text: =~ cannot be used", e.Pos.Column, f.name)
+		return n, nil
+	case f.kind == boolField && v.Text != nil && *v.Text == "true":
+		return 1, nil
+	case f.kind == boolField && v.Text != nil && *v.Text == "false":
+		return 0, nil
 	}
-	return func(s *filterSubject) bool {
-		v, ok := f.number(s)
-		return ok && test(v, want)
-	}, nil
+	expected := [...]string{numberField: "a number", timeField: "a time such as 2s or 150ms", boolField: "true or false"}[f.kind]
+	return 0, fmt.Errorf("%d: %s is compared with %s", v.Pos.Column, f.name, expected)
 }
--- a/internal/replay/host_test.go
+++ b/internal/replay/host_test.go
@@ -1,7 +1,6 @@
 package replay
 
 import (
-	"container/heap"
 	"fmt"
 	"math/rand/v2"
 	"testing"
@@ -26,17 +25,14 @@
 	}
 }
 
-// testHost owns a module as a gateway does: it has timers, answers orders with
-// drawn outcomes, and tells the module in the order of time. It knows no more
-// of captures than that the module may be a recorder.
+// testHost owns a module as a gateway does: it has timers, answers actions with random outcomes, and passes the events
+// to the module in the order of time. All that it knows of captures is that the module may be a recorder.
 type testHost struct {
+	scheduler
 	t        *testing.T
 	rng      *rand.Rand
 	module   capture.Module
 	balancer *balancer.Balancer
-	now      balancer.Micros
-	pending  taskQueue
-	seq      uint64
 	timers   map[uint64]capture.Timer // by sequence
 	requests map[balancer.RequestID]*hostedRequest
 	slowness float64
@@ -52,7 +48,15 @@
 }
 
 func newHost(t *testing.T, seed uint64, clock balancer.Micros) *testHost {
-	h := &testHost{t: t, rng: rand.New(rand.NewPCG(seed, 7)), now: clock, timers: map[uint64]capture.Timer{}, requests: map[balancer.RequestID]*hostedRequest{}, slowness: 1}
+	t.Helper()
+	h := &testHost{
+		scheduler: scheduler{now: clock},
+		t:         t,
+		rng:       rand.New(rand.NewPCG(seed, 7)),
+		timers:    map[uint64]capture.Timer{},
+		requests:  map[balancer.RequestID]*hostedRequest{},
+		slowness:  1,
+	}
 	b, err := balancer.New(testSettings(), seed, h)
 	if err != nil {
 		t.Fatal(err)
@@ -81,27 +85,23 @@
 	return r
 }
 
-func (h *testHost) after(d balancer.Micros, do func()) {
-	h.seq++
-	heap.Push(&h.pending, scheduledTask{h.now + max(1, d), h.seq, do})
-}
-
 func (h *testHost) countEvent() {
-	if h.events++; h.onEvent != nil {
+	h.events++
+	if h.onEvent != nil {
 		h.onEvent()
 	}
 }
 
 // begin starts the module with a fleet.
-func (h *testHost) begin(workers int) {
+func (h *testHost) begin(replicas int) {
 	h.module.Start(h.now)
 	var all []balancer.Endpoint
-	for i := range workers {
+	for i := range replicas {
 		all = append(all, testEndpoint(i, balancer.EndpointReady, 0))
 	}
 	h.module.ListChanged(h.now, balancer.EndpointList{Kind: balancer.ListCached, Endpoints: all})
 	h.module.ListChanged(h.now, balancer.EndpointList{Kind: balancer.ListFull, Version: 1, Endpoints: all})
-	h.after(second/2, h.churn(workers))
+	h.after(second/2, h.churn(replicas))
 }
 
 func testEndpoint(i int, state balancer.EndpointState, since balancer.Micros) balancer.Endpoint {
@@ -109,11 +109,11 @@
 		Cell: int64(i), StartedAt: since}
 }
 
-// churn drains, replaces and fails to hear of workers.
-func (h *testHost) churn(workers int) func() {
+// churn drains and replaces replicas, and has discovery fail.
+func (h *testHost) churn(replicas int) func() {
 	var next func()
 	next = func() {
-		i := h.rng.IntN(workers)
+		i := h.rng.IntN(replicas)
 		switch h.rng.IntN(5) {
 		case 0:
 			h.module.ListChanged(h.now, balancer.EndpointList{Kind: balancer.ListDelta, Endpoints: []balancer.Endpoint{testEndpoint(i, balancer.EndpointDraining, 0)}})
@@ -131,7 +131,7 @@
 	return next
 }
 
-// reconfigure puts other settings in force, in the midst of what is in hand.
+// reconfigure puts other settings in force while requests are in flight.
 func (h *testHost) reconfigure() {
 	s := testSettings()
 	h.versions++
@@ -147,7 +147,7 @@
 	h.countEvent()
 }
 
-// run tells the module seconds of requests at a rate.
+// run has requests arrive for some seconds, so many in each.
 func (h *testHost) run(seconds float64, rate float64) {
 	end := h.now + balancer.Micros(seconds*1e6)
 	id := balancer.RequestID(h.seq)
@@ -170,10 +170,12 @@
 		h.after(balancer.Micros(h.rng.ExpFloat64()*1e6/rate), arrive)
 	}
 	arrive()
-	for len(h.pending) > 0 && h.pending[0].at <= end {
-		t := heap.Pop(&h.pending).(scheduledTask)
-		h.now = t.at
-		t.run()
+	for {
+		run, ok := h.next(end)
+		if !ok {
+			break
+		}
+		run()
 	}
 	h.now = end
 }
@@ -191,11 +193,11 @@
 		ServiceMs: 50 + 200*h.rng.Float64()}
 }
 
-func (h *testHost) Dispatch(id balancer.RequestID, to balancer.ReplicaID, cutAt balancer.Micros) {
+func (h *testHost) Dispatch(id balancer.RequestID, to balancer.ReplicaID, timeoutAt balancer.Micros) {
 	r, sent := h.requests[id], h.now
 	n := len(r.ended)
 	r.ended = append(r.ended, false)
-	end := func(status balancer.Status, report balancer.LoadReport, kept int) {
+	end := func(status balancer.Status, report balancer.LoadReport, cached int) {
 		if r.ended[n] {
 			return
 		}
@@ -205,7 +207,7 @@
 		} else if r.streamingAttempt >= 0 {
 			status = balancer.Cancelled
 		}
-		h.module.AttemptEnded(h.now, balancer.Outcome{ID: id, Attempt: n, Replica: to, Status: status, Elapsed: h.now - sent, Final: r.done, CachedTokens: kept,
+		h.module.AttemptEnded(h.now, balancer.Outcome{ID: id, Attempt: n, Replica: to, Status: status, Elapsed: h.now - sent, Final: r.done, CachedTokens: cached,
 			OutputTokens: 40, Report: report})
 		h.countEvent()
 	}
@@ -215,10 +217,10 @@
 		status := balancer.Status(h.rng.IntN(10))
 		h.after(first, func() { end(status, balancer.LoadReport{}, 0) })
 	case 1:
-		h.after(cutAt-h.now, func() { end(balancer.TimedOut, balancer.LoadReport{}, 0) })
+		h.after(timeoutAt-h.now, func() { end(balancer.TimedOut, balancer.LoadReport{}, 0) })
 	default:
 		h.after(first, func() {
-			if r.ended[n] || r.done || r.streamingAttempt >= 0 || h.now > cutAt {
+			if r.ended[n] || r.done || r.streamingAttempt >= 0 || h.now > timeoutAt {
 				return
 			}
 			r.streamingAttempt = n
@@ -284,7 +286,7 @@
 	return capture.Options{CheckpointInterval: 3 * time.Second, BlockSize: 4 << 10, FlushInterval: 500 * time.Millisecond, SegmentSize: 1 << 30, SegmentAge: 10 * time.Second}
 }
 
-// recordRun makes a capture of a host's run and opens it.
+// recordRun records a host's run and opens the capture.
 func recordRun(t *testing.T, seed uint64, clock balancer.Micros, seconds float64) (*capture.Run, *testHost, string) {
 	t.Helper()
 	dir := t.TempDir()
--- a/internal/replay/names.go
+++ b/internal/replay/names.go
@@ -11,23 +11,23 @@
 	"archknot/internal/contract"
 )
 
-// Names remembers who workers and requests are, as a capture tells it.
+// Names are the names of replicas and requests, as far as a capture has them.
 type Names struct {
 	replicas    map[uint32]string
 	requests    map[uint32]*pb.Arrival
-	arrivalRing []uint32 // the requests in the order of their arrival
-	ringNext    int
+	arrivalRing []uint32 // requests in the order of their arrival, the oldest overwritten
+	ringNext    int      // of a full ring, the oldest
 }
 
-// maxNames bounds the requests remembered; the module's own bound is lower.
+// maxNames bounds the remembered requests. The module's own bound is lower.
 const maxNames = 1 << 16
 
-// NewNames returns names that know nobody yet.
+// NewNames returns Names without any.
 func NewNames() *Names {
 	return &Names{replicas: map[uint32]string{}, requests: map[uint32]*pb.Arrival{}}
 }
 
-// Learn takes what a record tells.
+// Learn takes the names from a record.
 func (n *Names) Learn(r *pb.Record) {
 	switch r.Kind {
 	case pb.Kind_KIND_LIST:
@@ -50,20 +50,21 @@
 	}
 }
 
+// addRequest remembers a request, and forgets the oldest if there are maxNames.
 func (n *Names) addRequest(id uint32, a *pb.Arrival) {
+	n.requests[id] = a
 	if len(n.arrivalRing) < maxNames {
 		n.arrivalRing = append(n.arrivalRing, id)
-	} else {
-		if old := n.arrivalRing[n.ringNext]; old != id {
-			delete(n.requests, old)
-		}
-		n.arrivalRing[n.ringNext] = id
-		n.ringNext = (n.ringNext + 1) % maxNames
+		return
 	}
-	n.requests[id] = a
+	if oldest := n.arrivalRing[n.ringNext]; oldest != id {
+		delete(n.requests, oldest)
+	}
+	n.arrivalRing[n.ringNext] = id
+	n.ringNext = (n.ringNext + 1) % maxNames
 }
 
-// Replica is the registry's name of a worker, or its number.
+// Replica returns discovery's id of a replica, or its number if that is not known.
 func (n *Names) Replica(id uint32) string {
 	if name := n.replicas[id]; name != "" {
 		return name
@@ -71,7 +72,7 @@
 	return fmt.Sprint("w", id)
 }
 
-// Request is the client's name of a request, or its number.
+// Request returns the client's id of a request, or its number if that is not known.
 func (n *Names) Request(id uint32) string {
 	if a := n.requests[id]; a != nil && a.Name != "" {
 		return a.Name
@@ -79,12 +80,22 @@
 	return fmt.Sprint("#", id)
 }
 
-// Class is that of a request, "" if it is not known.
+// Class returns the class of a request; "" if it is not known.
 func (n *Names) Class(id uint32) string { return string(n.requests[id].GetClass()) }
 
-var statusNames = [...]string{balancer.Served: "served", balancer.Errored: "error", balancer.Shed: "declined", balancer.TimedOut: "timeout",
-	balancer.ConnectFailed: "connect_failed", balancer.ConnBroken: "reset", balancer.Cancelled: "cancelled", balancer.NotSent: "not_sent",
-	balancer.Malformed: "spoilt", balancer.Rejected: "rejected"}
+// statusNames are the names of statuses in the output and in filters.
+var statusNames = [...]string{
+	balancer.Served:        "served",
+	balancer.Errored:       "error",
+	balancer.Shed:          "declined",
+	balancer.TimedOut:      "timeout",
+	balancer.ConnectFailed: "connect_failed",
+	balancer.ConnBroken:    "reset",
+	balancer.Cancelled:     "cancelled",
+	balancer.NotSent:       "not_sent",
+	balancer.Malformed:     "spoilt",
+	balancer.Rejected:      "rejected",
+}
 
 func statusName(s uint32) string {
 	if int(s) < len(statusNames) {
@@ -99,77 +110,106 @@
 
 func toDuration(us int64) time.Duration { return time.Duration(us) * time.Microsecond }
 
-// DescribeEvent tells a record in one line.
+// maxListed bounds the replicas that the description of a list names.
+const maxListed = 8
+
+// description builds the one-line description of an event.
+type description struct{ strings.Builder }
+
+// add adds a part, after a space.
+func (d *description) add(format string, args ...any) { fmt.Fprintf(d, " "+format, args...) }
+
+// DescribeEvent describes a record in one line.
 func (n *Names) DescribeEvent(r *pb.Record) string {
-	var b strings.Builder
-	b.WriteString(eventKindName(r.Kind))
-	put := func(format string, args ...any) { fmt.Fprintf(&b, " "+format, args...) }
+	var d description
+	d.WriteString(eventKindName(r.Kind))
+	if capture.IsLedgerRecord(r.Kind) {
+		n.describeLedgerEvent(&d, r)
+	} else {
+		n.describeModuleEvent(&d, r)
+	}
+	return d.String()
+}
+
+// describeModuleEvent describes a call of the module, a checkpoint or a gap.
+func (n *Names) describeModuleEvent(d *description, r *pb.Record) {
 	switch r.Kind {
 	case pb.Kind_KIND_ARRIVED:
 		a := r.Arrival
-		put("request=%s class=%s tenant=%s wait=%v prompt=%d prefix=%d max=%d session=%016x", n.Request(r.Request), a.GetClass(),
+		d.add("request=%s class=%s tenant=%s wait=%v prompt=%d prefix=%d max=%d session=%016x", n.Request(r.Request), a.GetClass(),
 			a.GetTenant(), toDuration(a.GetTimeLeftUs()), a.GetPromptTokens(), a.GetPrefixTokens(), a.GetMaxTokens(), a.GetSession())
 	case pb.Kind_KIND_FIRST, pb.Kind_KIND_ENDED:
 		o := r.Outcome
-		put("request=%s attempt=%d worker=%s elapsed=%v", n.Request(r.Request), o.GetAttempt(), n.Replica(o.GetWorker()), toDuration(o.GetElapsedUs()))
+		d.add("request=%s attempt=%d worker=%s elapsed=%v", n.Request(r.Request), o.GetAttempt(), n.Replica(o.GetWorker()), toDuration(o.GetElapsedUs()))
 		if r.Kind == pb.Kind_KIND_ENDED {
-			put("status=%s final=%t kept=%d tokens=%d", statusName(o.GetStatus()), o.GetFinal(), o.GetKept(), o.GetTokens())
+			d.add("status=%s final=%t kept=%d tokens=%d", statusName(o.GetStatus()), o.GetFinal(), o.GetKept(), o.GetTokens())
 		}
-		b.WriteString(describeReport(o.GetReport()))
+		d.WriteString(describeReport(o.GetReport()))
 	case pb.Kind_KIND_PROBED:
 		o := r.Outcome
-		put("worker=%s status=%s elapsed=%v", n.Replica(o.GetWorker()), statusName(o.GetStatus()), toDuration(o.GetElapsedUs()))
-		b.WriteString(describeReport(o.GetReport()))
+		d.add("worker=%s status=%s elapsed=%v", n.Replica(o.GetWorker()), statusName(o.GetStatus()), toDuration(o.GetElapsedUs()))
+		d.WriteString(describeReport(o.GetReport()))
 	case pb.Kind_KIND_LEFT:
-		put("request=%s", n.Request(r.Request))
+		d.add("request=%s", n.Request(r.Request))
 	case pb.Kind_KIND_TIMER:
-		put("%s", n.describeTimer(r.Token))
+		d.add("%s", n.describeTimer(r.Token))
 	case pb.Kind_KIND_LIST:
-		put("kind=%s version=%d entries=%d", listKindName(r.List.GetKind()), r.List.GetVersion(), len(r.List.GetMembers()))
-		for i, m := range r.List.GetMembers() {
-			if i == 8 {
-				put("...")
-				break
-			}
-			put("%s=%s", n.Replica(m.Worker), endpointStateName(m.State))
-		}
+		n.describeList(d, r.List)
 	case pb.Kind_KIND_MESSAGE:
-		put("peer=%d bytes=%d", r.Peer, len(r.Body))
+		d.add("peer=%d bytes=%d", r.Peer, len(r.Body))
 	case pb.Kind_KIND_RECONFIGURE:
 		if s, err := capture.UnmarshalSettings(r.Settings); err == nil {
-			put("classes=%d tenants=%d attempts=%d", len(s.Classes), len(s.Tenants), s.MaxAttempts)
+			d.add("classes=%d tenants=%d attempts=%d", len(s.Classes), len(s.Tenants), s.MaxAttempts)
 		}
+	case pb.Kind_KIND_CHECKPOINT:
+		c := r.Checkpoint
+		d.add("bytes=%d timers=%d", len(c.GetState()), len(c.GetTimers()))
+	case pb.Kind_KIND_GAP:
+		d.add("events=%d from=%d reason=%q", r.Gap.GetEvents(), r.Gap.GetFromUs(), r.Gap.GetReason())
+	}
+}
+
+func (n *Names) describeList(d *description, l *pb.List) {
+	d.add("kind=%s version=%d entries=%d", listKindName(l.GetKind()), l.GetVersion(), len(l.GetMembers()))
+	for i, m := range l.GetMembers() {
+		if i == maxListed {
+			d.add("...")
+			break
+		}
+		d.add("%s=%s", n.Replica(m.Worker), endpointStateName(m.State))
+	}
+}
+
+// describeLedgerEvent describes a call of the ledger.
+func (n *Names) describeLedgerEvent(d *description, r *pb.Record) {
+	switch r.Kind {
 	case pb.Kind_KIND_AGREED:
 		if a, err := contract.UnmarshalAgreement(r.Agreed); err == nil && len(r.Agreed) > 0 {
-			put("contracts=%d fresh=%t", len(a.Terms), a.NewLedger)
+			d.add("contracts=%d fresh=%t", len(a.Terms), a.NewLedger)
 		} else {
-			put("contracts=0")
+			d.add("contracts=0")
 		}
 	case pb.Kind_KIND_CHARGED:
 		c := r.Charged
-		put("request=%s copy=%d tenant=%s class=%s prompt=%d made=%d", n.Request(r.Request), c.GetCopy(), c.GetTenant(), c.GetClass(), c.GetPromptTokens(), c.GetMade())
+		d.add("request=%s copy=%d tenant=%s class=%s prompt=%d made=%d", n.Request(r.Request), c.GetCopy(), c.GetTenant(), c.GetClass(), c.GetPromptTokens(), c.GetMade())
 		if c.GetRefuse() {
-			put("refuse=%s retry_after=%v", c.GetReason(), toDuration(c.GetRetryAfterUs()))
+			d.add("refuse=%s retry_after=%v", c.GetReason(), toDuration(c.GetRetryAfterUs()))
 		} else {
-			put("worth=%v", c.GetWorth())
+			d.add("worth=%v", c.GetWorth())
 		}
 	case pb.Kind_KIND_SETTLED:
-		put("request=%s copy=%d read=%d made=%d served=%t", n.Request(r.Request), r.Settled.GetCopy(), r.Settled.GetRead(), r.Settled.GetMade(), r.Settled.GetServed())
+		c := r.Settled
+		d.add("request=%s copy=%d read=%d made=%d served=%t", n.Request(r.Request), c.GetCopy(), c.GetRead(), c.GetMade(), c.GetServed())
 	case pb.Kind_KIND_TURNED:
-		put("request=%s tenant=%s over=%t", n.Request(r.Request), r.Turned.GetTenant(), r.Turned.GetOver())
+		d.add("request=%s tenant=%s over=%t", n.Request(r.Request), r.Turned.GetTenant(), r.Turned.GetOver())
 	case pb.Kind_KIND_PARTS:
-		put("parts=%.4g", r.Parts)
+		d.add("parts=%.4g", r.Parts)
 	case pb.Kind_KIND_KEPT:
-		put("checkpoint=%d %s", r.Kept.GetNumber(), [...]string{"handed over", "written", "failed"}[min(r.Kept.GetStage(), 2)])
-	case pb.Kind_KIND_CHECKPOINT:
-		c := r.Checkpoint
-		put("bytes=%d timers=%d", len(c.GetState()), len(c.GetTimers()))
-	case pb.Kind_KIND_GAP:
-		put("events=%d from=%d reason=%q", r.Gap.GetEvents(), r.Gap.GetFromUs(), r.Gap.GetReason())
+		d.add("checkpoint=%d %s", r.Kept.GetNumber(), [...]string{"handed over", "written", "failed"}[min(r.Kept.GetStage(), 2)])
 	}
-	return b.String()
 }
 
+// describeReport describes a load report; "" if there is none.
 func describeReport(r *pb.Report) string {
 	if r == nil {
 		return ""
@@ -181,8 +221,14 @@
 		bit  uint8
 		name string
 		v    float64
-	}{{balancer.HasMemory, "memory", r.MemoryShare}, {balancer.HasPrefillBacklog, "unread_k", r.UnreadK}, {balancer.HasInFlight, "in_flight", r.InFlight},
-		{balancer.HasQueued, "queued", r.Queued}, {balancer.HasService, "service_ms", r.ServiceMs}, {balancer.HasUtilization, "util", r.Util}} {
+	}{
+		{balancer.HasMemory, "memory", r.MemoryShare},
+		{balancer.HasPrefillBacklog, "unread_k", r.UnreadK},
+		{balancer.HasInFlight, "in_flight", r.InFlight},
+		{balancer.HasQueued, "queued", r.Queued},
+		{balancer.HasService, "service_ms", r.ServiceMs},
+		{balancer.HasUtilization, "util", r.Util},
+	} {
 		if uint8(r.Has)&f.bit != 0 {
 			fmt.Fprintf(&b, "%s%s=%.4g", sep, f.name, f.v)
 			sep = ","
@@ -199,7 +245,7 @@
 	return [...]string{"ready", "draining", "gone", "unknown"}[min(s, 3)]
 }
 
-// describeTimer names the purpose of a timer's token, as choice sets them.
+// describeTimer describes the purpose of a timer by its token.
 func (n *Names) describeTimer(token uint64) string {
 	purpose, id := balancer.TimerPurpose(token)
 	if purpose == "tick" {
@@ -208,7 +254,7 @@
 	return fmt.Sprintf("%s request=%s", purpose, n.Request(uint32(id)))
 }
 
-// DescribeAction tells an action in one line.
+// DescribeAction describes an action in one line.
 func (n *Names) DescribeAction(a *pb.Action) string {
 	switch a.Kind {
 	case pb.Action_DISPATCH:
@@ -231,7 +277,7 @@
 	return "unknown order"
 }
 
-// FormatOffset says a moment as the time since the run began.
+// FormatOffset formats a time as the time since the run began.
 func FormatOffset(run *capture.Run, at balancer.Micros) string {
 	return fmt.Sprintf("%+.6fs", float64(at-run.Begin())/1e6)
 }
--- a/internal/replay/replay_test.go
+++ b/internal/replay/replay_test.go
@@ -19,8 +19,8 @@
 	pb "archknot/internal/capture/capturepb"
 )
 
-// A capture replayed twice gives the same decisions as were recorded, from the
-// start and from each checkpoint, whatever the clock begins at.
+// A capture that is replayed twice gives the decisions that were recorded, from the start and from each checkpoint,
+// whatever the clock begins at.
 func TestReplayReproducesDecisions(t *testing.T) {
 	for _, clock := range []balancer.Micros{0, 1, 1_780_000_000_000_000} {
 		run, h, _ := recordRun(t, uint64(clock)+3, clock, 30)
@@ -33,61 +33,60 @@
 		if a.Events < 5000 || a.Checkpoints < 10 || a.Decisions < 1000 || int(a.Events) < h.events || h.versions < 3 {
 			t.Fatalf("clock %d: a poor run: %+v of %d events, %d versions", clock, a, h.events, h.versions)
 		}
-		// From each checkpoint on: what is left is decided as from the start.
-		var left uint64
+		// From each checkpoint on, the remainder is decided as from the start.
+		var remaining uint64
 		for at := clock; at < run.End(); at += 3 * second {
 			c := mustReplay(t, run, Options{From: max(1, at)})
-			if c.Differing != 0 || c.Gaps != 0 || left != 0 && c.Events > left {
+			if c.Differing != 0 || c.Gaps != 0 || remaining != 0 && c.Events > remaining {
 				t.Fatalf("clock %d: from %d: %s", clock, at, c.Line())
 			}
-			left = c.Events
+			remaining = c.Events
 		}
-		if left == 0 || left >= a.Events/2 {
-			t.Fatalf("the last checkpoint leads to %d of %d events", left, a.Events)
+		if remaining == 0 || remaining >= a.Events/2 {
+			t.Fatalf("the last checkpoint leads to %d of %d events", remaining, a.Events)
 		}
 	}
 }
 
-// Recording changes nothing: the same host decides the same without it.
+// Recording changes nothing: a host makes the same decisions without it.
 func TestRecordingChangesNothing(t *testing.T) {
 	_, h, _ := recordRun(t, 5, 77, 12)
 	bare := newHost(t, 5, 77)
 	bare.begin(10)
 	bare.run(12, 60)
 	if !bytes.Equal(bare.balancer.Snapshot(), h.balancer.Snapshot()) || bare.events != h.events {
-		t.Fatalf("the module's state is another; %d and %d events", bare.events, h.events)
+		t.Fatalf("the module's states differ; %d and %d events", bare.events, h.events)
 	}
 }
 
-// A module that decides otherwise is flagged at its first difference, with the
-// workers as it weighed them, and kept in step: requests of the record that it
-// would have sent elsewhere do not lead it astray.
+// A module that decides differently is flagged at its first difference, with the scores of the replicas, and kept in
+// step: recorded requests that it would have sent elsewhere do not make later decisions differ.
 func TestChangedModuleIsFlagged(t *testing.T) {
 	run, _, _ := recordRun(t, 8, 0, 20)
 	changed := map[string]func(*balancer.Settings){
 		"price":    func(s *balancer.Settings) { s.CrossZoneCost = 0.5 },
 		"attempts": func(s *balancer.Settings) { s.MaxAttempts = 1 },
-		"copies":   func(s *balancer.Settings) { s.MayHedge = false },
-		"worth":    func(s *balancer.Settings) { s.OverQuotaWeight = 1 },
-		"advice":   func(s *balancer.Settings) { s.MaxRetryAfter = 1000 },
-		"aim": func(s *balancer.Settings) {
+		"hedges":   func(s *balancer.Settings) { s.MayHedge = false },
+		"weight":   func(s *balancer.Settings) { s.OverQuotaWeight = 1 },
+		"retry":    func(s *balancer.Settings) { s.MaxRetryAfter = 1000 },
+		"objective": func(s *balancer.Settings) {
 			s.Classes = append([]balancer.Class(nil), s.Classes...)
 			s.Classes[0].LatencyObjective = second / 4
 		},
 	}
-	want := map[string]string{"price": KindPick, "attempts": KindPick, "copies": KindPick, "advice": KindRetryAfter, "aim": KindTimer}
+	want := map[string]string{"price": KindPick, "attempts": KindPick, "hedges": KindPick, "retry": KindRetryAfter, "objective": KindTimer}
 	for name, change := range changed {
 		other := *run
 		change(&other.Settings)
 		var first *Difference
-		var terms string
+		var scores string
 		names := NewNames()
 		res := mustReplay(t, &other, Options{OnStep: func(s *Step) { names = s.Names }, OnDifference: func(d *Difference) {
 			if first == nil {
 				first = d
 			}
 			if d.Pick != nil {
-				terms = d.Pick.FormatTable(names)
+				scores = d.Pick.FormatTable(names)
 			}
 		}})
 		if kind := want[name]; kind != "" && res.ByKind[kind] == 0 {
@@ -96,8 +95,8 @@
 		if res.Differing > 0 && (first.Own == first.Recorded || first.Event == "") {
 			t.Errorf("%s: %+v", name, first)
 		}
-		if name == "price" && (!strings.Contains(terms, "s-1017") || !strings.Contains(terms, "<- chosen") || res.ByClass["chat"] == 0 || len(res.ByReplica) < 3) {
-			t.Errorf("%s: %s\n%s\n%v", name, res.Line(), terms, res.ByReplica)
+		if name == "price" && (!strings.Contains(scores, "s-1017") || !strings.Contains(scores, "<- chosen") || res.ByClass["chat"] == 0 || len(res.ByReplica) < 3) {
+			t.Errorf("%s: %s\n%s\n%v", name, res.Line(), scores, res.ByReplica)
 		}
 		if name == "price" && res.Differing > res.Decisions/2 {
 			t.Errorf("%s: %d of %d decisions: it was not kept in step", name, res.Differing, res.Decisions)
@@ -107,7 +106,7 @@
 			t.Errorf("%s: two replays differ", name)
 		}
 	}
-	// Only what the filter lets through counts.
+	// Only differences that match the filter count.
 	other := *run
 	other.Settings.CrossZoneCost = 0.5
 	f, err := ParseFilter("class == agent")
@@ -119,7 +118,7 @@
 	}
 }
 
-// whole is the number of events in blocks that can be read.
+// countEvents returns the number of events in blocks that can be read.
 func countEvents(run *capture.Run) (events uint64) {
 	for _, s := range run.Segments {
 		for _, b := range s.Blocks {
@@ -129,7 +128,7 @@
 	return events
 }
 
-// A crash in the middle of a block costs that block and no more.
+// A crash in the middle of a block loses that block and no more.
 func TestTruncatedSegment(t *testing.T) {
 	run, _, dir := recordRun(t, 9, 0, 8)
 	path := run.Segments[0].Path
@@ -151,7 +150,7 @@
 				end = int(all[i+1].Offset)
 			}
 			if i+1 == len(all) {
-				end = int(b.Offset) + 61 // the index behind it does not matter
+				end = int(b.Offset) + 61 // the index after it does not matter
 			}
 			if cut >= end {
 				want += uint64(b.Records)
@@ -165,12 +164,12 @@
 			t.Errorf("cut at %d: %d of %d events can be read, replayed %s", cut, n, want, res.Line())
 		}
 		if lost := cut < int(all[len(all)-1].Offset)+100; lost && res.Gaps == 0 {
-			t.Errorf("cut at %d: not told: %s", cut, res.Line())
+			t.Errorf("cut at %d: not reported: %s", cut, res.Line())
 		}
 	}
 }
 
-// Damage in the middle costs what no later checkpoint leads to, and is told.
+// Corruption in the middle loses what no later checkpoint leads to, and is reported.
 func TestDamageInTheMiddle(t *testing.T) {
 	run, _, dir := recordRun(t, 10, 0, 9)
 	s := run.Segments[0]
@@ -179,13 +178,13 @@
 		t.Fatal(err)
 	}
 	at := s.Blocks[3].Offset
-	for name, spoil := range map[string]func([]byte) []byte{
+	for name, corrupt := range map[string]func([]byte) []byte{
 		"contents": func(b []byte) []byte { b[at+60] ^= 1; return b },
 		"head":     func(b []byte) []byte { b[at+20] ^= 1; return b },
 		"index":    func(b []byte) []byte { b[len(b)-40] ^= 1; b[at+60] ^= 1; return b },
 		"cut out":  func(b []byte) []byte { return append(b[:at+5:at+5], b[at+33:]...) },
 	} {
-		if err := os.WriteFile(s.Path, spoil(bytes.Clone(text)), 0o600); err != nil {
+		if err := os.WriteFile(s.Path, corrupt(bytes.Clone(text)), 0o600); err != nil {
 			t.Fatal(err)
 		}
 		res := mustReplay(t, openRun(t, dir), Options{})
@@ -198,7 +197,7 @@
 	}
 }
 
-// faultyDisk fails or waits when told to.
+// faultyDisk fails or blocks on request.
 type faultyDisk struct {
 	mu        sync.Mutex
 	full      bool
@@ -238,14 +237,20 @@
 	return f.File.Write(p)
 }
 
+// waitForDisk waits until the writer's queue is empty, at most for a limit.
+func waitForDisk(w *capture.Writer, limit time.Duration) {
+	for end := time.Now().Add(limit); w.QueuedTasks() > 0 && time.Now().Before(end); time.Sleep(100 * time.Microsecond) {
+	}
+}
+
 // A full disk is a gap: recorded, counted, and ended by a checkpoint.
 func TestDiskFull(t *testing.T) {
 	dir, disk := t.TempDir(), &faultyDisk{}
 	l := testWriterOptions(dir)
 	l.CreateFile = disk.create
 	var mu sync.Mutex
-	told := map[string]int{}
-	l.Log = func(msg string, _ ...any) { mu.Lock(); told[msg]++; mu.Unlock() }
+	logged := map[string]int{}
+	l.Log = func(msg string, _ ...any) { mu.Lock(); logged[msg]++; mu.Unlock() }
 	w, err := capture.NewWriter(l)
 	if err != nil {
 		t.Fatal(err)
@@ -253,13 +258,12 @@
 	h := newHost(t, 12, 50)
 	r := h.record(w, testRecorderOptions())
 	h.begin(10)
-	// The host makes seconds of events in milliseconds: what it has made goes to the disk before
-	// more comes, or a busy machine's full queue would be gaps that this test is not about.
+	// The host generates seconds of events in milliseconds. They are written before more are generated: a busy
+	// machine's full queue would cause gaps that this test is not about.
 	run := func(seconds int) {
 		for range 2 * seconds {
 			h.run(0.5, 60)
-			for end := time.Now().Add(5 * time.Second); w.QueuedTasks() > 0 && time.Now().Before(end); time.Sleep(time.Millisecond) {
-			}
+			waitForDisk(w, 5*time.Second)
 		}
 	}
 	run(5)
@@ -269,20 +273,19 @@
 	run(6)
 	r.Close()
 	w.Close()
-	kept := openRun(t, dir)
-	res := mustReplay(t, kept, Options{})
+	res := mustReplay(t, openRun(t, dir), Options{})
 	if res.Differing != 0 || res.Gaps == 0 || res.Missing < 500 || res.Events < 2000 {
 		t.Errorf("%s missing=%d skipped=%d", res.Line(), res.Missing, res.Skipped)
 	}
 	if n := int(res.Events + res.Missing + res.Skipped); n < h.events || n > h.events+10 {
-		t.Errorf("%d events are told of, %d were", n, h.events)
+		t.Errorf("%d events are accounted for, there were %d", n, h.events)
 	}
-	if told["capture_gap"] == 0 || told["capture_failed"] == 0 || told["capture_resumed"] == 0 {
-		t.Errorf("logged: %v", told)
+	if logged["capture_gap"] == 0 || logged["capture_failed"] == 0 || logged["capture_resumed"] == 0 {
+		t.Errorf("logged: %v", logged)
 	}
 }
 
-// Where the disk stands still, the host does not, and nothing grows.
+// A disk that blocks does not block the host, and nothing grows.
 func TestQueueOverflow(t *testing.T) {
 	dir, disk := t.TempDir(), &faultyDisk{writeGate: make(chan struct{})}
 	l := testWriterOptions(dir)
@@ -301,12 +304,10 @@
 	}
 	close(disk.writeGate)
 	// The queue empties by itself; then the recording resumes.
-	for end := time.Now().Add(5 * time.Second); w.QueuedTasks() > 0 && time.Now().Before(end); time.Sleep(time.Millisecond) {
-	}
+	waitForDisk(w, 5*time.Second)
 	for range 40 { // the host may run ahead of the disk again: what counts is that it resumes
 		h.run(0.5, 60)
-		for end := time.Now().Add(time.Second); w.QueuedTasks() > 0 && time.Now().Before(end); time.Sleep(100 * time.Microsecond) {
-		}
+		waitForDisk(w, time.Second)
 	}
 	r.Close()
 	w.Close()
@@ -316,14 +317,14 @@
 	}
 }
 
-// A second recording begins while requests and second copies are open.
+// A recording begins while requests and hedges are in flight.
 func TestRecordingStartedMidRun(t *testing.T) {
 	dir := t.TempDir()
 	h := newHost(t, 13, 1000)
 	h.begin(10)
 	h.run(5, 80)
 	if h.balancer.Stats().LedgerEntries < 5 {
-		t.Fatal("nothing is open")
+		t.Fatal("nothing is in flight")
 	}
 	w, err := capture.NewWriter(testWriterOptions(dir))
 	if err != nil {
@@ -363,7 +364,7 @@
 	w.Close()
 	run := openRun(t, dir)
 	if n := run.Bytes(); n > l.MaxBytes+200<<10 || w.Stats.Dropped.Load() == 0 {
-		t.Errorf("%d bytes kept, %d segments dropped", n, w.Stats.Dropped.Load())
+		t.Errorf("%d bytes on disk, %d segments deleted", n, w.Stats.Dropped.Load())
 	}
 	if res := mustReplay(t, run, Options{}); res.Differing != 0 || res.Gaps != 0 || res.Events == 0 {
 		t.Error(res.Line())
@@ -373,15 +374,15 @@
 			t.Errorf("%+v", s)
 		}
 	}
-	kept, _ := filepath.Glob(filepath.Join(dir, "incidents", "*", "incident.json"))
-	if len(kept) != 3 {
-		t.Errorf("incidents kept: %v", kept)
+	manifests, _ := filepath.Glob(filepath.Join(dir, "incidents", "*", "incident.json"))
+	if len(manifests) != 3 {
+		t.Errorf("saved incidents: %v", manifests)
 	}
-	for _, k := range kept {
-		if res := mustReplay(t, openRun(t, filepath.Dir(k)), Options{}); res.Differing != 0 || res.Events == 0 {
+	for _, manifest := range manifests {
+		if res := mustReplay(t, openRun(t, filepath.Dir(manifest)), Options{}); res.Differing != 0 || res.Events == 0 {
 			t.Error(res.Line())
 		}
-		info, err := os.Stat(filepath.Join(filepath.Dir(k), "incident.json"))
+		info, err := os.Stat(filepath.Join(filepath.Dir(manifest), "incident.json"))
 		if err != nil || info.Mode().Perm() != 0o600 {
 			t.Errorf("%v %v", info.Mode(), err)
 		}
@@ -393,7 +394,7 @@
 	}
 }
 
-// withRewrittenHeader writes a segment anew with another header.
+// withRewrittenHeader writes a copy of a segment with another header and returns its path.
 func withRewrittenHeader(t *testing.T, path string, change func(*pb.Header)) string {
 	t.Helper()
 	out := filepath.Join(t.TempDir(), filepath.Base(path))
@@ -410,7 +411,7 @@
 	if !errors.Is(err, capture.ErrUnsupportedVersion) || !strings.Contains(err.Error(), "version 9.6") {
 		t.Errorf("another major version: %v", err)
 	}
-	// A later minor version: fields that this build does not know are no harm.
+	// A later minor version: fields that this build does not know are ignored.
 	later := withRewrittenHeader(t, path, func(h *pb.Header) {
 		h.Minor = 7
 		h.ProtoReflect().SetUnknown(protowire.AppendVarint(protowire.AppendTag(nil, 999, protowire.VarintType), 5))
@@ -419,15 +420,15 @@
 		t.Error(res.Line())
 	}
 	if _, err := capture.FindRuns(withRewrittenHeader(t, path, func(h *pb.Header) { h.Settings = []byte(`{"NoSuchSetting":1}`) })); err == nil || !strings.Contains(err.Error(), "NoSuchSetting") {
-		t.Errorf("a setting that is not known: %v", err)
+		t.Errorf("an unknown setting: %v", err)
 	}
 	rec := &pb.Record{Kind: 99}
 	if err := capture.Apply(nil, 0, rec); err == nil {
-		t.Error("a kind that is not known was taken")
+		t.Error("an unknown kind was accepted")
 	}
 }
 
-// The state as the module writes it is the message State, no field more.
+// The state as the module writes it is the message State, without other fields.
 func TestSnapshotMatchesStateMessage(t *testing.T) {
 	_, h, _ := recordRun(t, 16, 0, 6)
 	var st pb.State
@@ -461,7 +462,7 @@
 	}
 	again, err := proto.MarshalOptions{Deterministic: true}.Marshal(&st)
 	if err != nil || !bytes.Equal(again, text) {
-		t.Error("the message is written otherwise than the module writes it")
+		t.Error("the message is marshalled differently than the module writes it")
 	}
 	if len(st.Rows) < 5 || len(st.Requests) == 0 || len(st.Ledgers) == 0 || len(st.Table.Sessions) == 0 {
 		t.Error("a poor state")
@@ -512,8 +513,8 @@
 	}
 }
 
-// Whatever comes, late or twice or not at all: one answer each, within the
-// attempts allowed, and a state that stays bounded.
+// Whatever arrives late, twice or not at all, each request gets one answer within the allowed attempts, and the state
+// stays bounded.
 func TestPerturb(t *testing.T) {
 	run, _, _ := recordRun(t, 19, 1_780_000_000_000_000, 20)
 	for _, kinds := range []string{"late", "void", "duplicate", "delay", "lost", "all"} {
@@ -540,7 +541,7 @@
 		}
 	}
 	if _, err := ParsePerturbations("late,odd"); err == nil {
-		t.Error("an unknown kind was taken")
+		t.Error("an unknown perturbation was accepted")
 	}
 }
 
@@ -589,13 +590,13 @@
 	}
 }
 
-// The kept incidents: each is a past failure, replayed from then on.
+// The saved incidents are past failures: each is replayed from then on.
 func TestSavedIncidents(t *testing.T) {
-	kept, err := filepath.Glob("../../testdata/incidents/*.akcap")
-	if err != nil || len(kept) == 0 {
-		t.Fatal("none are kept", err)
+	paths, err := filepath.Glob("../../testdata/incidents/*.akcap")
+	if err != nil || len(paths) == 0 {
+		t.Fatal("there are none", err)
 	}
-	for _, path := range kept {
+	for _, path := range paths {
 		run := openRun(t, path)
 		res := mustReplay(t, run, Options{})
 		want := ""
--- /dev/null
+++ b/internal/replay/scheduler.go
@@ -0,0 +1,61 @@
+package replay
+
+import (
+	"container/heap"
+
+	"archknot/balancer"
+)
+
+// scheduler runs tasks in virtual time. Tasks of the same time run in the order in which they were scheduled.
+type scheduler struct {
+	now     balancer.Micros
+	pending taskQueue
+	seq     uint64 // of the task that was scheduled last
+}
+
+// after schedules a task for a time from now, of at least a microsecond.
+func (s *scheduler) after(delay balancer.Micros, run func()) {
+	s.seq++
+	heap.Push(&s.pending, scheduledTask{s.now + max(1, delay), s.seq, run})
+}
+
+// next removes the next task that is due by a time, and advances the time to the task's. It reports false if there is
+// none.
+func (s *scheduler) next(by balancer.Micros) (run func(), ok bool) {
+	if len(s.pending) == 0 || s.pending[0].at > by {
+		return nil, false
+	}
+	task, ok := heap.Pop(&s.pending).(scheduledTask)
+	s.now = task.at
+	return task.run, ok
+}
+
+type scheduledTask struct {
+	at  balancer.Micros
+	seq uint64
+	run func()
+}
+
+// taskQueue is the heap.Interface of a scheduler's tasks.
+type taskQueue []scheduledTask
+
+func (q taskQueue) Len() int { return len(q) }
+
+func (q taskQueue) Less(i, j int) bool {
+	return q[i].at < q[j].at || q[i].at == q[j].at && q[i].seq < q[j].seq
+}
+
+func (q taskQueue) Swap(i, j int) { q[i], q[j] = q[j], q[i] }
+
+func (q *taskQueue) Push(x any) {
+	if task, ok := x.(scheduledTask); ok { // nothing else is pushed
+		*q = append(*q, task)
+	}
+}
+
+func (q *taskQueue) Pop() any {
+	last := len(*q) - 1
+	task := (*q)[last]
+	*q = (*q)[:last]
+	return task
+}
