--- a/internal/capture/stored_test.go
+++ b/internal/capture/stored_test.go
@@ -250,11 +250,11 @@
 func (discard) WatchDiscovery()                                                  {}
 
 // Settings, contracts and the states in checkpoints of the stored capture are read; the
-// states come out again byte for byte. A later build may add a field to a state: then
+// states are marshalled again to the same bytes. A later build may add a field to a state: then
 // the bytes of a snapshot grow, and the comparison is to be made without that field.
 func TestStoredSettingsAndStates(t *testing.T) {
 	run := storedRun(t)
-	wantBooks := []string{
+	wantLedgers := []string{
 		`{"atUs":"1000","unixUs":"1796131234567890","sweptUs":"1000","latestUs":"1796131234567890","accounts":[{"atUs":"1000","level":9000000,"floors":[{"class":"chat","level":1000}],"spans":[{"begunUs":"1796130000000000","endsUs":"1796133600000000"},{"begunUs":"1796083200000000","endsUs":"1796169600000000"},{"begunUs":"1790812800000000","endsUs":"1798761600000000"}],"part":1,"waits":true,"askedUs":"1000"}],"gate":{}}`,
 		`{"pool":6695000,"atUs":"1600000","unixUs":"1796131236166890","sweptUs":"1600000","latestUs":"1796131236166890","means":[{"class":"Y2hhdA==","made":90}],"accounts":[{"atUs":"1600000","level":5734961.030678928,"floors":[{"class":"chat"}],"spans":[{"used":"1765000","begunUs":"1796130000000000","endsUs":"1796133600000000"},{"used":"1765000","begunUs":"1796083200000000","endsUs":"1796169600000000","mark":"250000000","kept":"250000000"},{"used":"1765000","begunUs":"1790812800000000","endsUs":"1798761600000000"}],"open":"1","mayBorrow":125,"part":0.5,"taken":"2","takenUnits":"1180000","used":"505000","asking":68750,"askedUs":"1600000","asked":630000}],"open":[{"key":"769","class":"Y2hhdA==","read":"900","made":"90","priceRead":0.5,"priceMade":2,"units":"630000","periodsUs":["1796130000000000","1796083200000000","1790812800000000"],"part":0.5}],"written":"1","gate":{"atUs":"1600000"}}`,
 	}
@@ -286,7 +286,7 @@
 			t.Fatal(err)
 		}
 		if !cmp.Equal(b.Snapshot(), c.State) {
-			t.Errorf("checkpoint %d: another state comes out", checkpoints)
+			t.Errorf("checkpoint %d: the state is marshalled differently", checkpoints)
 		}
 		wantSettings, wantInHand, wantWorkers := storedSettings(), []balancer.RequestID(nil), 0
 		if checkpoints == 1 {
@@ -304,9 +304,9 @@
 			t.Fatal(err)
 		}
 		if !cmp.Equal(l.Snapshot(), c.Book) {
-			t.Errorf("checkpoint %d: another book comes out", checkpoints)
+			t.Errorf("checkpoint %d: the ledger is marshalled differently", checkpoints)
 		}
-		checkBook(t, wantBooks[checkpoints], c.Book)
+		checkLedger(t, wantLedgers[checkpoints], c.Book)
 		checkpoints++
 	}
 	if checkpoints != 2 {
@@ -314,8 +314,8 @@
 	}
 }
 
-// checkBook compares the state of a ledger of contracts to JSON.
-func checkBook(t *testing.T, want string, text []byte) {
+// checkLedger compares the state of a ledger of contracts to JSON.
+func checkLedger(t *testing.T, want string, text []byte) {
 	t.Helper()
 	var got, expected contractpb.Book
 	if err := proto.Unmarshal(text, &got); err != nil {
@@ -325,6 +325,6 @@
 		t.Fatal(err)
 	}
 	if !proto.Equal(&expected, &got) {
-		t.Errorf("book %v, expected %v", &got, &expected)
+		t.Errorf("ledger %v, expected %v", &got, &expected)
 	}
 }
