--- a/balancer/ledger.go
+++ b/balancer/ledger.go
@@ -1,81 +1,38 @@
 package balancer
 
-// The rows as reports and own dispatches fill them. No decision stands here.
-
 import "math"
 
-// applyReport takes a replica's own account of its load.
-func (b *Balancer) applyReport(now Micros, w *replicaRow, in LoadReport) {
-	if in.Has == 0 {
-		return
-	}
-	tokens := 0.0
-	hasShare := in.Has&HasMemory != 0
-	share := in.MemoryShare
-	if !hasShare && in.Has&HasUtilization != 0 {
-		hasShare, share = true, in.Utilization
-	}
-	if hasShare {
-		b.fitMemoryRatio(w, share, in)
-		if w.memoryPerToken > 0 {
-			tokens = share / w.memoryPerToken
-		}
-	}
-	if in.Has&HasUtilization != 0 && in.Has&HasInFlight != 0 && in.InFlight >= 1 && in.Utilization > 0 {
-		updateMean(&b.meanSlotShare, in.Utilization/in.InFlight)
-	}
-	if in.Has&HasUtilization != 0 && now >= w.warmingUntil {
-		b.warmUtilization += (math.Max(0, math.Min(1, in.Utilization)) - b.warmUtilization) / 8
-	}
-	// What waits is held soon: prompts still to be read, requests in the queue.
-	switch {
-	case in.Has&HasPrefillBacklog != 0:
-		tokens += prefillCost * 1000 * in.PrefillBacklogK
-	case in.Has&HasQueued != 0:
-		tokens += in.Queued * b.meanCharge
-	case in.Has&HasInFlight != 0:
-		tokens = math.Max(tokens, in.InFlight*b.meanHeldTokens)
-	}
-	if in.Has&HasService != 0 && in.ServiceMs > 0 {
-		b.recordServiceTime(now, w, in.ServiceMs)
-	}
-	if w.liveLoad > 0 && hasShare {
-		s := tokens / w.liveLoad
-		if b.tokensPerLiveLoad == 0 {
-			b.tokensPerLiveLoad = s
-		}
-		b.tokensPerLiveLoad += learnRate * (s - b.tokensPerLiveLoad)
-	}
-	b.setReportedLoad(now, w, tokens)
-}
+// The ledger of own dispatches: each attempt is charged to its replica's row from
+// its dispatch to its end, first with its prefill and what it holds, after the first
+// token with what it holds.
 
-// applyLiveWeight takes a registry weight as a dated report of requests held.
-func (b *Balancer) applyLiveWeight(now Micros, w *replicaRow, weight float64) {
-	k := &b.kinds[w.kind]
-	k.idleWeight = math.Max(k.idleWeight, weight)
-	load := k.idleWeight/weight - 1
-	if b.tokensPerLiveLoad > 0 {
-		b.setReportedLoad(now, w, load*b.tokensPerLiveLoad)
-	}
-	w.liveLoad = load
-}
+const (
+	// prefillCost is the charge of a prompt token that needs prefill, in held tokens:
+	// prefill takes a replica's whole step, holding a part of it.
+	prefillCost = 4.0
+	// reportLag is how long before its arrival a report may have been taken: charges
+	// younger than that are not in it. Reports are refreshed about once a second.
+	reportLag Micros = 1_000_000
+)
 
-// setReportedLoad dates a report and finds the charges that are too young for it.
-func (b *Balancer) setReportedLoad(now Micros, w *replicaRow, tokens float64) {
-	w.reportedTokens, w.reportedAt, w.unreported = tokens, now, 0
-	for _, a := range w.ledger {
-		if a.sentAt > now-reportLag {
-			w.unreported += a.charge()
-		}
+// expectedHeldTokens is what a request will hold while it runs: its prompt and its answer.
+func (b *Balancer) expectedHeldTokens(req *request) float64 {
+	answer := float64(req.MaxTokens) / 4 // limits are seldom reached
+	objective := b.classOf(req).TokenObjective
+	if stats := &b.stats[req.classIndex]; stats.streamTime > 0 && objective > 0 {
+		// Healthy streams take about half of the token objective.
+		answer = math.Min(float64(req.MaxTokens), 2*stats.streamTime/float64(objective))
 	}
+	return float64(req.PromptTokens) + answer
 }
 
-// beginSlowStart marks w as freshly started.
-func (b *Balancer) beginSlowStart(w *replicaRow, at Micros) {
-	w.warmingSince, w.warmingUntil = at, at+b.settings.SlowStartFor
-	w.consecutiveFailures, w.errorRate, w.backoffUntil = 0, 0, 0
+// workTokens is what a request takes of a replica that has nothing of it cached, in
+// held tokens.
+func (b *Balancer) workTokens(req *request) float64 {
+	return prefillCost*float64(req.PromptTokens) + b.expectedHeldTokens(req)
 }
 
+// charge is what the ledger has for an attempt, in held tokens.
 func (a *attempt) charge() float64 {
 	if a.timeToFirstToken > 0 {
 		return a.heldTokens
@@ -83,36 +40,78 @@
 	return a.prefillCharge + a.heldTokens
 }
 
-// releaseCharge takes the reading part, or with all the whole charge, off the ledger.
-func (b *Balancer) releaseCharge(w *replicaRow, a *attempt, all bool) {
-	if !all {
-		w.charge -= a.prefillCharge
-		w.unreported = math.Max(0, w.unreported-a.prefillCharge)
-		return
+// chargeLedger enters a dispatch in the ledger.
+func (b *Balancer) chargeLedger(now Micros, row *replicaRow, a *attempt) {
+	a.newConn = b.needsConnection(now, row)
+	if a.newConn {
+		row.openConns = len(row.ledger)/max(1, b.settings.StreamsPerConn) + 1
+	}
+	row.lastUsedAt = now
+	row.ledger = append(row.ledger, a)
+	charge := a.charge()
+	row.charge += charge
+	row.unreported += charge
+	b.inFlightTokens += a.heldTokens
+	updateMean(&b.meanHeldTokens, a.heldTokens)
+	updateMean(&b.meanCharge, charge)
+	b.dispatchesSinceTick++
+	b.zones.TakeTrial(now, row.zone, 0.5) // without health checks this dispatch is the trial of an unavailable zone
+}
+
+// needsConnection reports whether a dispatch to a replica needs a new connection.
+func (b *Balancer) needsConnection(now Micros, row *replicaRow) bool {
+	if len(row.ledger) == 0 && now-row.lastUsedAt > b.settings.ConnIdleTimeout {
+		return true
 	}
-	for i, o := range w.ledger {
-		if o == a {
-			w.ledger = append(w.ledger[:i], w.ledger[i+1:]...)
+	return len(row.ledger) >= row.openConns*max(1, b.settings.StreamsPerConn)
+}
+
+// releasePrefill takes an attempt's prefill off the ledger, at its first token.
+func (b *Balancer) releasePrefill(a *attempt) {
+	row := a.row
+	row.charge -= a.prefillCharge
+	row.unreported = math.Max(0, row.unreported-a.prefillCharge)
+}
+
+// releaseCharge takes an attempt off the ledger, at its end.
+func (b *Balancer) releaseCharge(a *attempt) {
+	row := a.row
+	for i, entry := range row.ledger {
+		if entry == a {
+			row.ledger = append(row.ledger[:i], row.ledger[i+1:]...)
 			break
 		}
 	}
-	c := a.charge()
-	w.charge -= c
-	w.unreported = math.Max(0, w.unreported-c)
+	charge := a.charge()
+	row.charge -= charge
+	row.unreported = math.Max(0, row.unreported-charge)
 	b.inFlightTokens -= a.heldTokens
-	if len(w.ledger) == 0 {
-		w.charge, w.unreported = 0, 0
+	if len(row.ledger) == 0 {
+		row.charge, row.unreported = 0, 0 // no rounding errors stay
 	}
 }
 
-// addToShortlist enters a candidate in the short list, least score first.
-func (b *Balancer) addToShortlist(c candidate) {
-	for i := range b.shortlist {
-		if o := b.shortlist[i]; o.row == nil || c.score < o.score {
-			b.shortlist[i], c = c, o
-			if c.row == nil {
-				return
-			}
-		}
+// closeLedgerEntry takes an attempt that has ended off the ledger, and its end into
+// the replica's health.
+func (b *Balancer) closeLedgerEntry(now Micros, a *attempt, status Status) {
+	row := a.row
+	b.releaseCharge(a)
+	b.recordAnswer(now, row, status, false)
+	row.lastUsedAt = now
+	if status == ConnectFailed || status == ConnBroken {
+		row.openConns = 0
+	}
+	switch status {
+	case Served:
+		row.clearFailures()
+		row.errorRate *= errorRateDecay
+	case Errored, ConnectFailed, ConnBroken:
+		b.recordFailure(now, row, status)
+	case Malformed: // a healthy replica may send one too: it counts, but without backoff
+		row.countError()
+	case Shed:
+		// The replica is full, so its last report is wrong. Until a newer one comes it
+		// counts as loaded as twice the fleet.
+		b.setReportedLoad(now, row, math.Max(row.reportedTokens, 2*b.meanLoad/row.slowness))
 	}
 }
--- a/balancer/request.go
+++ b/balancer/request.go
@@ -1,201 +1,186 @@
-// Package choice decides where a gateway sends its requests.
-//
-// Its interface (Settings, events, actions) stands in api.go. This file holds
-// the life of requests and attempts; table.go the report rows, the ledger of
-// own dispatches, the prediction and the pick; guard.go health, cold starts,
-// refusals and the server list.
-//
-// The mechanism is the enhanced table-based service-location manager of Roy
-// et al., "A System Architecture for Managing Mobile Streaming Media
-// Services": dated load reports, corrected by the budgets of the gateway's
-// own recent dispatches, and a full scan for the least predicted load.
 package balancer
 
 import (
-	"errors"
 	"math"
 	"slices"
 )
 
-// Balancer makes the decisions of one gateway. It is single-threaded,
-// deterministic and reads no clock: each event brings its time.
-type Balancer struct {
-	settings    Settings
-	sink        Sink
-	rng         uint64
-	seed        uint64
-	classIndex  map[string]int
-	tenantIndex map[string]int
-	policies    []*requestPolicy // by class; the last are for classes on no list
-
-	requests      map[RequestID]*request
-	stats         []classStats     // by class
-	firstTokenFit linearFit        // first-token time over unread prompt tokens
-	interceptor   Interceptor      // nil in service
-	breakdowns    []ScoreBreakdown // for the judge
-
-	loadTable
-	guard
+// requestPolicy is what a request was accepted under. It holds for the request to
+// its end, also after a Reconfigure.
+type requestPolicy struct {
+	Class
+	maxAttempts int
+	mayHedge    bool
 }
 
-// Timer tokens: the low bits tell the purpose, the rest names the request.
-const (
-	timerTick uint64 = iota
-	timerDeadline
-	timerHedge
-	timerObjective
-	timerBits = 2
-	// timerPoll, above the name, ends a request's wait for reports. The wire of the
-	// simulator has tokens below 1<<63.
-	timerPoll uint64 = 1 << 62
-)
-
-// learnRate is the weight of a new sample in slow averages (about 30 samples).
-const learnRate = 1.0 / 32
+// withPriorAttempts is the policy for a request of which another gateway has made
+// some attempts.
+func (p *requestPolicy) withPriorAttempts(attempts int) *requestPolicy {
+	if attempts <= 0 {
+		return p
+	}
+	remaining := *p
+	remaining.maxAttempts = max(0, p.maxAttempts-attempts)
+	return &remaining
+}
 
-// New returns a Balancer for the settings, or tells why they cannot be served.
-func New(s Settings, seed uint64, out Sink) (*Balancer, error) {
-	if out == nil {
-		return nil, errors.New("balancer: no sink")
-	}
-	if err := s.validate(); err != nil {
-		return nil, err
-	}
-	b := &Balancer{settings: s, sink: out, seed: seed, rng: splitmix(seed) | 1,
-		classIndex: map[string]int{}, tenantIndex: map[string]int{},
-		requests: map[RequestID]*request{}, stats: make([]classStats, len(s.Classes)+1)}
-	b.setPolicies()
-	b.initTable()
-	b.initGuard()
-	return b, nil
+// request is a request from its arrival until its last attempt has ended.
+type request struct {
+	Request
+	policy      *requestPolicy
+	classIndex  int
+	tenantIndex int // -1: none
+	arrivedAt   Micros
+	deadline    Micros
+	attempts    []*attempt
+	inFlight    int  // attempts that have not ended
+	streaming   bool // the first token has gone to the client
+	ended       bool // it has its final answer: nothing more is sent for it
+	hedged      bool
+	late        bool // its latency objective has passed without a first token
+	avoidZone   int  // zone of a failed connect; -1: none
 }
 
-// Start is called once, before all other events.
-func (b *Balancer) Start(now Micros) {
-	b.lastTickAt, b.lastHeardAt = now, now
-	if b.settings.PollDiscovery {
-		b.nextPollAt = now + b.pollSpread()*int64(b.settings.Self)/int64(b.settings.Gateways) // each in its turn
-		if b.nextPollAt == now {
-			b.watch(now)
-		}
-	}
-	b.sink.SetTimer(1+int64(b.random()*float64(tickEvery)), timerTick)
+// attempt is one dispatch of a request: an entry of a row's ledger until it ends.
+type attempt struct {
+	row              *replicaRow
+	sentAt           Micros
+	prefillTokens    float64 // prompt tokens expected not to be in the replica's cache
+	prefillCharge    float64 // charged until the first token
+	heldTokens       float64 // charged until the end
+	status           Status
+	ended            bool
+	newConn          bool   // it needed a new connection
+	timeToFirstToken Micros // 0: no first token yet
 }
 
-// RequestArrived takes a request on: from here it is owed one final answer.
+// RequestArrived accepts a request: from here it is owed one final answer.
 func (b *Balancer) RequestArrived(now Micros, in Request) {
 	if b.requests[in.ID] != nil {
-		return // ids never repeat; a second arrival is not ours to answer twice
-	}
-	r := &request{Request: in, arrivedAt: now, deadline: now + in.TimeLeft, tenantIndex: -1, avoidZone: -1}
-	var ok bool
-	if r.classIndex, ok = b.classIndex[in.Class]; !ok {
-		r.classIndex = len(b.policies) - 1
+		return // IDs never repeat; a second arrival is not ours to answer twice
 	}
-	r.policy = b.policies[r.classIndex].withPriorAttempts(in.PriorAttempts)
-	if t, ok := b.tenantIndex[in.Tenant]; ok {
-		r.tenantIndex = t
-	}
-	b.requests[in.ID] = r
-	b.countArrival(r)
+	req := b.newRequest(now, in)
+	b.requests[in.ID] = req
+	b.countArrival(req)
 	// Rule 1: the answer is given two ticks before the client leaves, whatever
 	// else happens; without this timer a request whose replicas all vanish is lost.
-	b.sink.SetTimer(max(1, in.TimeLeft-2*b.settings.Tick), timerDeadline|uint64(in.ID)<<timerBits)
-	if !b.interceptAdmit(r, b.admit(r)) {
-		b.shedOrFail(r)
+	b.sink.SetTimer(max(1, in.TimeLeft-2*b.settings.Tick), timerToken(timerDeadline, in.ID))
+	if !b.interceptAdmit(req, b.admit(req)) {
+		b.shedOrFail(req)
 		return
 	}
-	b.dispatch(now, r)
-	if !r.ended && len(r.attempts) == 0 { // it waits for reports, but not for long
-		b.sink.SetTimer(pollTimeout, timerPoll|uint64(in.ID)<<timerBits)
+	b.dispatch(now, req)
+	if !req.ended && len(req.attempts) == 0 { // it waits for load reports, but not for long
+		b.sink.SetTimer(pollTimeout, timerToken(timerPoll, in.ID))
 	}
-	if !r.ended {
-		b.sink.SetTimer(max(1, b.latencyObjective(r)), timerObjective|uint64(in.ID)<<timerBits)
+	if !req.ended {
+		b.sink.SetTimer(max(1, b.latencyObjective(req)), timerToken(timerObjective, in.ID))
 	}
 }
 
-// classOf is the class of r, as it was when r was taken on.
-func (b *Balancer) classOf(r *request) *Class { return &r.policy.Class }
+// newRequest resolves the names in a request that has arrived.
+func (b *Balancer) newRequest(now Micros, in Request) *request {
+	req := &request{
+		Request:     in,
+		arrivedAt:   now,
+		deadline:    now + in.TimeLeft,
+		classIndex:  indexOr(b.classIndex, in.Class, len(b.policies)-1),
+		tenantIndex: indexOr(b.tenantIndex, in.Tenant, -1),
+		avoidZone:   -1,
+	}
+	req.policy = b.policies[req.classIndex].withPriorAttempts(in.PriorAttempts)
+	return req
+}
+
+// classOf is the class of a request, as it was at the request's arrival.
+func (b *Balancer) classOf(req *request) *Class { return &req.policy.Class }
 
-// latencyObjective is when the first token of r is wanted, after its arrival.
-func (b *Balancer) latencyObjective(r *request) Micros {
-	c := b.classOf(r)
-	return c.LatencyObjective + c.ObjectivePer1000Tokens*int64(r.PromptTokens)/1000
+// latencyObjective is the time from a request's arrival to its first token that its
+// class asks for.
+func (b *Balancer) latencyObjective(req *request) Micros {
+	class := b.classOf(req)
+	return class.LatencyObjective + class.ObjectivePer1000Tokens*int64(req.PromptTokens)/1000
 }
 
-// dispatch sends an attempt of r to the best replica that the rules allow, or
-// ends r if there is none and nothing is out.
-func (b *Balancer) dispatch(now Micros, r *request) bool {
-	if r.ended || len(r.attempts) >= r.policy.maxAttempts || now >= r.deadline-2*b.settings.Tick {
-		b.finishIfIdle(r)
+// dispatch sends an attempt of a request to the best replica that the rules allow, and
+// reports whether it did. If there is none and no attempt is in flight, the request ends.
+func (b *Balancer) dispatch(now Micros, req *request) bool {
+	if req.ended || len(req.attempts) >= req.policy.maxAttempts || now >= req.deadline-2*b.settings.Tick {
+		b.finishIfIdle(req)
 		return false
 	}
-	w, kept, wait := b.pick(now, r)
+	row, cachedTokens, wait := b.pick(now, req)
 	if wait {
 		return false
 	}
-	if w == nil {
-		b.finishIfIdle(r)
+	if row == nil {
+		b.finishIfIdle(req)
 		return false
 	}
-	unread := math.Max(0, float64(r.PromptTokens)-kept)
-	a := &attempt{row: w, sentAt: now, prefillTokens: unread, prefillCharge: prefillCost * unread, heldTokens: b.expectedHeldTokens(r)}
-	r.attempts = append(r.attempts, a)
-	r.inFlight++
-	b.chargeLedger(now, w, a)
-	b.sink.Dispatch(r.ID, w.id, r.deadline)
-	if d := b.hedgeDelay(r, a); d > 0 {
-		b.sink.SetTimer(d, timerHedge|uint64(r.ID)<<timerBits)
+	prefillTokens := math.Max(0, float64(req.PromptTokens)-cachedTokens)
+	a := &attempt{
+		row:           row,
+		sentAt:        now,
+		prefillTokens: prefillTokens,
+		prefillCharge: prefillCost * prefillTokens,
+		heldTokens:    b.expectedHeldTokens(req),
+	}
+	req.attempts = append(req.attempts, a)
+	req.inFlight++
+	b.chargeLedger(now, row, a)
+	b.sink.Dispatch(req.ID, row.id, req.deadline)
+	if delay := b.hedgeDelay(req, a); delay > 0 {
+		b.sink.SetTimer(delay, timerToken(timerHedge, req.ID))
 	}
 	return true
 }
 
-// resumeWaiting takes up the requests that wait for reports: those with nothing sent.
+// resumeWaiting dispatches the requests that wait for load reports and need not wait longer.
 func (b *Balancer) resumeWaiting(now Micros) {
 	var ids []RequestID
-	for id, r := range b.requests {
-		if len(r.attempts) == 0 && !r.ended {
+	for id, req := range b.requests {
+		if len(req.attempts) == 0 && !req.ended {
 			ids = append(ids, id)
 		}
 	}
 	slices.Sort(ids)
 	for _, id := range ids {
-		// One that goes on waiting is not weighed anew: with many of them each answer would cost
-		// as many scans, and an overloaded gateway fell ever further behind.
-		if r := b.requests[id]; !b.awaitsReports(now, r) {
-			b.dispatch(now, r)
+		// One that still waits is not scored again: with many of them each answer would
+		// cost as many scans, and an overloaded gateway fell ever further behind.
+		if req := b.requests[id]; !b.awaitsReports(now, req) {
+			b.dispatch(now, req)
 		}
 	}
 }
 
-// finishIfIdle ends r if no attempt is out.
-func (b *Balancer) finishIfIdle(r *request) {
-	if r.ended || r.inFlight > 0 || r.streaming {
+// finishIfIdle ends a request that has no attempt in flight.
+func (b *Balancer) finishIfIdle(req *request) {
+	if req.ended || req.inFlight > 0 || req.streaming {
 		return
 	}
-	b.shedOrFail(r)
+	b.shedOrFail(req)
 }
 
-// shedOrFail ends r with a refusal where rule 2 allows one, else with a failure.
-func (b *Balancer) shedOrFail(r *request) {
-	if r.ended {
+// shedOrFail ends a request with an overload reply if rule 2 allows one, else with a failure.
+func (b *Balancer) shedOrFail(req *request) {
+	if req.ended {
 		return
 	}
-	if b.mayShed(r) {
-		b.sink.Shed(r.ID, b.retryAfter(r))
+	if b.mayShed(req) {
+		b.sink.Shed(req.ID, b.retryAfter(req))
 	} else {
-		b.sink.Fail(r.ID)
+		b.sink.Fail(req.ID)
 	}
-	b.finish(r)
+	b.finish(req)
 }
 
-// mayShed is rule 2 for refusals: they say that a repeat is harmless.
-func (b *Balancer) mayShed(r *request) bool {
-	c := b.classOf(r)
-	if c.Idempotency == Idempotent || (c.Idempotency == IdempotentWithKey && c.DedupScope == DedupAll) {
+// mayShed applies rule 2 to overload replies: they tell the client that a repeat is harmless.
+func (b *Balancer) mayShed(req *request) bool {
+	class := b.classOf(req)
+	if class.Idempotency == Idempotent || (class.Idempotency == IdempotentWithKey && class.DedupScope == DedupAll) {
 		return true
 	}
-	for _, a := range r.attempts {
+	for _, a := range req.attempts {
 		if !a.ended || !a.status.NeverRan() {
 			return false
 		}
@@ -203,181 +188,138 @@
 	return true
 }
 
-// idempotencyAllows is rule 2 for a further attempt of r on w.
-func (b *Balancer) idempotencyAllows(now Micros, r *request, w *replicaRow) bool {
-	c := b.classOf(r)
-	for _, a := range r.attempts {
-		if !a.ended && !r.policy.mayHedge {
+// idempotencyAllows applies rule 2 to a further attempt of a request at a replica.
+func (b *Balancer) idempotencyAllows(now Micros, req *request, row *replicaRow) bool {
+	class := b.classOf(req)
+	for _, a := range req.attempts {
+		if !a.ended && !req.policy.mayHedge {
 			return false
 		}
-		if c.Idempotency == Idempotent || (a.ended && a.status.NeverRan()) {
+		if class.Idempotency == Idempotent || (a.ended && a.status.NeverRan()) {
 			continue
 		}
-		if c.Idempotency == NonIdempotent || now-a.sentAt >= c.DedupWindow-2*b.settings.Tick ||
-			(c.DedupScope == DedupZone && w.zone != a.row.zone) ||
-			(c.DedupScope == DedupCell && w.cell != a.row.cell) {
+		if class.Idempotency == NonIdempotent || now-a.sentAt >= class.DedupWindow-2*b.settings.Tick ||
+			(class.DedupScope == DedupZone && row.zone != a.row.zone) ||
+			(class.DedupScope == DedupCell && row.cell != a.row.cell) {
 			return false
 		}
 	}
 	return true
 }
 
-// finish marks r as answered and calls off what is still out, except a stream
-// that is the client's already.
-func (b *Balancer) finish(r *request) {
-	r.ended = true
-	b.cancelOthers(r, nil)
-	b.dropIfDone(r)
+// finish marks a request as answered and cancels its attempts in flight, except one
+// that streams to the client.
+func (b *Balancer) finish(req *request) {
+	req.ended = true
+	b.cancelOthers(req, nil)
+	b.dropIfDone(req)
 }
 
-// cancelOthers cancels the attempts of r that are out and not begun, but for keep.
-func (b *Balancer) cancelOthers(r *request, keep *attempt) {
-	for i, a := range r.attempts {
+// cancelOthers cancels the attempts of a request that are in flight without a first
+// token, except keep.
+func (b *Balancer) cancelOthers(req *request, keep *attempt) {
+	for i, a := range req.attempts {
 		if b.settings.MayCancel && !a.ended && a.timeToFirstToken == 0 && a != keep {
-			b.sink.Cancel(r.ID, i)
+			b.sink.Cancel(req.ID, i)
 		}
 	}
 }
 
-// dropIfDone drops an ended request once its last attempt is accounted for.
-func (b *Balancer) dropIfDone(r *request) {
-	if r.ended && r.inFlight == 0 {
-		delete(b.requests, r.ID)
+// dropIfDone forgets a request that has its answer once its last attempt has ended.
+func (b *Balancer) dropIfDone(req *request) {
+	if req.ended && req.inFlight == 0 {
+		delete(b.requests, req.ID)
 	}
 }
 
-// FirstToken tells that a stream has begun: the client has it from here on.
-func (b *Balancer) FirstToken(now Micros, o Outcome) {
-	r := b.requests[o.ID]
-	if r == nil || o.Attempt < 0 || o.Attempt >= len(r.attempts) {
-		return
-	}
-	a := r.attempts[o.Attempt]
-	if a.ended || a.timeToFirstToken > 0 {
+// attemptOf finds the request and the attempt that an outcome is about, nil if there
+// is none or the attempt has ended.
+func (b *Balancer) attemptOf(outcome Outcome) (*request, *attempt) {
+	req := b.requests[outcome.ID]
+	if req == nil || outcome.Attempt < 0 || outcome.Attempt >= len(req.attempts) {
+		return nil, nil
+	}
+	a := req.attempts[outcome.Attempt]
+	if a.ended {
+		return nil, nil
+	}
+	return req, a
+}
+
+// FirstToken handles the first token of an attempt: the stream belongs to the client
+// from here on.
+func (b *Balancer) FirstToken(now Micros, outcome Outcome) {
+	req, a := b.attemptOf(outcome)
+	if a == nil || a.timeToFirstToken > 0 {
 		return
 	}
-	a.timeToFirstToken = max(1, o.Elapsed)
-	b.releaseCharge(a.row, a, false)
+	a.timeToFirstToken = max(1, outcome.Elapsed)
+	b.releasePrefill(a)
 	b.recordAnswer(now, a.row, Served, false)
 	a.row.confirmedReadyAt = max(a.row.confirmedReadyAt, a.sentAt)
 	b.learnFirstToken(now, a)
-	if !r.streaming && !r.ended {
-		r.streaming = true
-		b.recordFirstToken(r, b.streamsTooSlow(r, a))
-		b.cancelOthers(r, a)
+	if !req.streaming && !req.ended {
+		req.streaming = true
+		b.recordFirstToken(req, b.streamsTooSlow(req, a))
+		b.cancelOthers(req, a)
 	}
 }
 
-// AttemptEnded takes the one outcome of an attempt.
-func (b *Balancer) AttemptEnded(now Micros, o Outcome) {
-	r := b.requests[o.ID]
-	if r == nil || o.Attempt < 0 || o.Attempt >= len(r.attempts) || r.attempts[o.Attempt].ended {
-		return
-	}
-	a := r.attempts[o.Attempt]
-	a.ended, a.status = true, o.Status
-	r.inFlight--
-	b.dischargeLedger(now, a, o)
-	b.applyReport(now, a.row, o.Report)
-	if o.Status == Served {
-		b.learnFromSuccess(r, a, o)
-	}
-	if o.Final {
-		if !r.ended {
-			if !r.streaming && o.Status == Served {
-				b.recordFirstToken(r, false) // a class that is not streamed: its answer is its first token
-			}
-			b.cancelOthers(r, a)
-		}
-		r.ended = true
-		b.dropIfDone(r)
-		return
-	}
-	if r.ended || r.streaming || r.inFlight > 0 {
-		b.dropIfDone(r)
+// AttemptEnded handles the end of an attempt, of which there is exactly one.
+func (b *Balancer) AttemptEnded(now Micros, outcome Outcome) {
+	req, a := b.attemptOf(outcome)
+	if a == nil {
 		return
 	}
-	if o.Status == ConnectFailed {
-		r.avoidZone = a.row.zone
+	a.ended, a.status = true, outcome.Status
+	req.inFlight--
+	b.closeLedgerEntry(now, a, outcome.Status)
+	b.applyReport(now, a.row, outcome.Report)
+	if outcome.Status == Served {
+		b.learnFromSuccess(req, a, outcome)
 	}
 	switch {
-	case o.Status == Rejected: // no worker is at fault, and none would take it
-		b.sink.Fail(r.ID)
-		b.finish(r)
-	case o.Status != TimedOut && b.interceptRetry(r, b.takeRetry(o.Status)):
-		b.dispatch(now, r)
+	case outcome.Final:
+		b.finishFinal(req, a)
+	case req.ended || req.streaming || req.inFlight > 0:
+		b.dropIfDone(req)
 	default:
-		b.finishIfIdle(r)
+		b.retryOrFinish(now, req, a)
 	}
 }
 
-// ClientGone tells that the client of a request left; nothing is owed.
-func (b *Balancer) ClientGone(now Micros, id RequestID) {
-	if r := b.requests[id]; r != nil && !r.ended {
-		b.finish(r)
+// finishFinal ends a request whose client has its answer, by attempt a or before.
+func (b *Balancer) finishFinal(req *request, a *attempt) {
+	if !req.ended {
+		if !req.streaming && a.status == Served {
+			b.recordFirstToken(req, false) // a class that does not stream: its answer is its first token
+		}
+		b.cancelOthers(req, a)
 	}
+	req.ended = true
+	b.dropIfDone(req)
 }
 
-// TimerFired takes a timer that was set. Those of ended requests do nothing.
-func (b *Balancer) TimerFired(now Micros, token uint64) {
-	if token == timerTick {
-		b.tick(now)
-		b.sink.SetTimer(int64(tickEvery), timerTick)
-		return
-	}
-	r := b.requests[RequestID(token>>timerBits)]
-	if r == nil || r.ended || r.streaming {
-		return
+// retryOrFinish goes on with a request whose last attempt in flight, a, has ended
+// without an answer.
+func (b *Balancer) retryOrFinish(now Micros, req *request, a *attempt) {
+	if a.status == ConnectFailed {
+		req.avoidZone = a.row.zone
 	}
-	switch token & (1<<timerBits - 1 | timerPoll) {
-	case timerPoll:
-		if len(r.attempts) == 0 {
-			b.recordSilence(now, r)
-			b.dispatch(now, r)
-		}
-	case timerDeadline:
-		b.shedOrFail(r)
-	case timerHedge:
-		b.hedge(now, r)
-	case timerObjective:
-		r.late = true
-		b.recordLateness(1)
-		b.recordOverdue(now, r)
+	switch {
+	case a.status == Rejected: // not the replica's fault, and none would accept it
+		b.sink.Fail(req.ID)
+		b.finish(req)
+	case a.status != TimedOut && b.interceptRetry(req, b.takeRetry(a.status)):
+		b.dispatch(now, req)
+	default:
+		b.finishIfIdle(req)
 	}
 }
 
-// hedgeDelay is how long an attempt may go without a first token before a
-// second copy is considered; 0: never.
-func (b *Balancer) hedgeDelay(r *request, a *attempt) Micros {
-	if !b.mayHedge(r) {
-		return 0
-	}
-	// Long past what is usual for so many tokens, and late enough in the aim
-	// that waiting is likely to lose the worth.
-	return max(int64(3*b.firstTokenFit.predict(a.prefillTokens)), b.latencyObjective(r)/2)
-}
-
-// mayHedge tells whether r's class and settings let a copy run beside an attempt.
-func (b *Balancer) mayHedge(r *request) bool {
-	c := b.classOf(r)
-	return r.policy.mayHedge && c.Idempotency == Idempotent && c.Streaming && len(r.attempts) < r.policy.maxAttempts
-}
-
-// hedge sends a second copy of r if the budget for them allows.
-func (b *Balancer) hedge(now Micros, r *request) {
-	if r.hedged || r.inFlight != 1 {
-		return
-	}
-	for _, a := range r.attempts {
-		if !a.ended { // what has not come yet is at least so slow
-			b.recordSlowness(now, a.row, float64(now-a.sentAt)/math.Max(1, b.firstTokenFit.predict(a.prefillTokens)))
-		}
-	}
-	if !b.interceptRetry(r, b.hedgeBudget >= 1) {
-		return
-	}
-	r.hedged = true
-	if b.dispatch(now, r) {
-		b.hedgeBudget--
+// ClientGone handles a client that has left: its request is owed no answer.
+func (b *Balancer) ClientGone(now Micros, id RequestID) {
+	if req := b.requests[id]; req != nil && !req.ended {
+		b.finish(req)
 	}
 }
