--- a/example/load/main.go
+++ b/example/load/main.go
@@ -1,11 +1,12 @@
-// Load sends a gateway on this machine a bounded stream of requests, in the
-// platform's form, and tells how they ended.
+// Command load sends requests in the platform's form to a gateway on this machine, at a rate and with a
+// bounded number at once, and prints how they ended.
 package main
 
 import (
 	"context"
 	"fmt"
 	"io"
+	"maps"
 	"math/rand/v2"
 	"net"
 	"net/http"
@@ -31,19 +32,20 @@
 	Seed     uint64        `default:"1" help:"For the draws."`
 }
 
-// tally is how requests ended.
+// tally counts how requests ended.
 type tally struct {
-	mu    sync.Mutex
-	ends  map[string]int
-	first *hdrhistogram.Histogram // microseconds
+	mu         sync.Mutex
+	ends       map[string]int
+	firstEvent *hdrhistogram.Histogram // microseconds
 }
 
-func (t *tally) note(end string, first time.Duration) {
+// count counts the end of a request; firstEvent is the time to its first event, 0: none.
+func (t *tally) count(end string, firstEvent time.Duration) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	t.ends[end]++
-	if first > 0 {
-		_ = t.first.RecordValue(first.Microseconds())
+	if firstEvent > 0 {
+		_ = t.firstEvent.RecordValue(firstEvent.Microseconds()) // larger values are left out
 	}
 }
 
@@ -54,51 +56,56 @@
 		fmt.Fprintln(os.Stderr, "load: --addr: expected a loopback address and port, such as 127.0.0.1:8080")
 		os.Exit(2)
 	}
-	t := &tally{ends: map[string]int{}, first: hdrhistogram.New(1, 60_000_000, 3)}
+	t := &tally{ends: map[string]int{}, firstEvent: hdrhistogram.New(1, 60_000_000, 3)}
 	client := &http.Client{Transport: &http.Transport{MaxIdleConnsPerHost: args.Most, DisableCompression: true}}
+	begin := time.Now()
+	sendAll(t, client)
+	fmt.Printf("seconds=%.1f", time.Since(begin).Seconds())
+	t.print()
+}
+
+// sendAll sends requests for the time of --for and waits until all have ended.
+func sendAll(t *tally, client *http.Client) {
 	rng := rand.New(rand.NewPCG(args.Seed, 0))
 	slots := make(chan struct{}, args.Most)
-	var all sync.WaitGroup
+	var inFlight sync.WaitGroup
+	defer inFlight.Wait()
 	begin := time.Now()
 	next := begin
 	for n := 0; ; n++ {
 		next = next.Add(time.Duration(rng.ExpFloat64() / args.Rate * 1e9))
 		if next.Sub(begin) > args.For {
-			break
+			return
 		}
 		time.Sleep(time.Until(next))
-		req := request(rng, n)
+		req := newRequest(rng, n)
 		select {
 		case slots <- struct{}{}:
 		default:
-			t.note("left out", 0)
+			t.count("left out", 0)
 			continue
 		}
-		all.Add(1)
-		go func() {
-			defer all.Done()
-			end, first := send(client, req)
-			t.note(end, first)
+		inFlight.Go(func() {
+			end, firstEvent := send(client, req)
+			t.count(end, firstEvent)
 			<-slots
-		}()
+		})
 	}
-	all.Wait()
-	fmt.Printf("seconds=%.1f", time.Since(begin).Seconds())
-	var ends []string
-	for end := range t.ends {
-		ends = append(ends, end)
-	}
-	slices.Sort(ends)
-	for _, end := range ends {
+}
+
+// print prints the counts and percentiles on one line.
+func (t *tally) print() {
+	for _, end := range slices.Sorted(maps.Keys(t.ends)) {
 		fmt.Printf(" %s=%d", strings.ReplaceAll(end, " ", "_"), t.ends[end])
 	}
-	fmt.Printf(" first_ms: p50=%.1f p90=%.1f p99=%.1f max=%.1f\n", ms(t.first.ValueAtQuantile(50)), ms(t.first.ValueAtQuantile(90)),
-		ms(t.first.ValueAtQuantile(99)), ms(t.first.Max()))
+	fmt.Printf(" first_ms: p50=%.1f p90=%.1f p99=%.1f max=%.1f\n", ms(t.firstEvent.ValueAtQuantile(50)), ms(t.firstEvent.ValueAtQuantile(90)),
+		ms(t.firstEvent.ValueAtQuantile(99)), ms(t.firstEvent.Max()))
 }
 
 func ms(us int64) float64 { return float64(us) / 1000 }
 
-func request(rng *rand.Rand, n int) *http.Request {
+// newRequest returns a request with random class, tenant, session, prefix and length.
+func newRequest(rng *rand.Rand, n int) *http.Request {
 	text := strings.Repeat("word ", 20+rng.IntN(200))
 	body := fmt.Sprintf(`{"model":"chat","stream":true,"max_tokens":100,"messages":[{"role":"user","content":%q}]}`, text)
 	req, err := http.NewRequest(http.MethodPost, "http://"+args.Addr+"/v1/chat/completions", strings.NewReader(body))
@@ -115,8 +122,8 @@
 	return req
 }
 
-// send sends one request and tells how it ended and when its first event came.
-func send(client *http.Client, req *http.Request) (string, time.Duration) {
+// send sends a request and returns how it ended, and the time to its first event.
+func send(client *http.Client, req *http.Request) (end string, firstEvent time.Duration) {
 	ctx, stop := context.WithTimeout(context.Background(), time.Minute)
 	defer stop()
 	begin := time.Now()
@@ -126,16 +133,16 @@
 	}
 	defer resp.Body.Close()
 	if resp.StatusCode != http.StatusOK {
-		io.Copy(io.Discard, resp.Body)
+		_, _ = io.Copy(io.Discard, resp.Body) // so that the connection can be reused
 		return fmt.Sprint("status ", resp.StatusCode), 0
 	}
-	var one [1]byte
-	if _, err := io.ReadFull(resp.Body, one[:]); err != nil {
+	var firstByte [1]byte
+	if _, err := io.ReadFull(resp.Body, firstByte[:]); err != nil {
 		return "broken", 0
 	}
-	first := time.Since(begin)
+	firstEvent = time.Since(begin)
 	if _, err := io.Copy(io.Discard, resp.Body); err != nil {
-		return "broken", first
+		return "broken", firstEvent
 	}
-	return "served", first
+	return "served", firstEvent
 }
--- a/example/teams/main.go
+++ b/example/teams/main.go
@@ -1,7 +1,7 @@
-// Teams measures contracts on sockets: three teams with contracts, a fleet of
-// stand-in workers with room for what the contracts sum to, and a gateway of this
-// process, all on loopback. One team surges to ten times its rate. It tells each
-// team's share by windows, and what became of `agent` requests of another team.
+// Command teams measures contracts on sockets: three teams with contracts, a fleet of fake replicas with the
+// capacity that the contracts sum to, and a gateway in this process, all on loopback. One team surges to ten
+// times its rate. The command prints each team's share by windows, and how the `agent` requests of the other
+// teams ended.
 package main
 
 import (
@@ -46,101 +46,131 @@
 	Deadline time.Duration `default:"2s" help:"What clients wait for the first token."`
 }
 
-// parts are the teams' shares of the fleet.
-var parts = []float64{0.4, 0.3, 0.3}
+// quotaShares are the teams' shares of the fleet.
+var quotaShares = []float64{0.4, 0.3, 0.3}
 
-var names = []string{"a", "b", "c"}
+// teamNames are the teams, each with a tenant of its name.
+var teamNames = []string{"a", "b", "c"}
 
-const made = 100 // tokens a request
-
-// fleet is a registry and workers with so many places each, at loopback addresses.
-type fleet struct {
-	list  httpwire.EndpointList
-	slots int64
-}
+const (
+	outputTokens   = 100 // of each answer
+	tokenEvents    = 2   // of each answer
+	warmUpSeconds  = 5   // of each phase, not counted in the results
+	windowSeconds  = 10  // length of the windows of the results
+	requestTimeout = 10 * time.Second
+)
 
-func listen() (net.Listener, string) {
-	l, err := net.Listen("tcp", "127.0.0.1:0")
+// exitOn ends the program if there is an error.
+func exitOn(err error) {
 	if err != nil {
 		fmt.Fprintln(os.Stderr, "teams:", err)
 		os.Exit(2)
 	}
+}
+
+func listen() (net.Listener, string) {
+	l, err := net.Listen("tcp", "127.0.0.1:0")
+	exitOn(err)
 	return l, l.Addr().String()
 }
 
-func (f *fleet) worker(name string) {
+// serve serves until the program ends.
+func serve(l net.Listener, handler http.Handler) {
+	go func() { _ = http.Serve(l, handler) }()
+}
+
+// fleet is discovery and replicas with a number of slots each, at loopback addresses.
+type fleet struct {
+	list  httpwire.EndpointList
+	slots int64
+}
+
+// replica is a fake replica that takes the same time for every request.
+type replica struct {
+	slots    int64
+	inFlight atomic.Int64
+	running  chan struct{} // has an element for each request in a slot
+}
+
+// addReplica starts a replica and adds it to the list.
+func (f *fleet) addReplica(name string) {
 	l, addr := listen()
 	f.list.Endpoints = append(f.list.Endpoints, httpwire.Endpoint{ID: name, Addr: addr, Zone: "here", Kind: "toy", Lifecycle: "ready", Weight: 1})
-	var in atomic.Int64
-	places := make(chan struct{}, f.slots)
-	go http.Serve(l, http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
-		load := func() string {
-			return fmt.Sprintf("busy_reqs=%d,x0=%.3f", in.Load(), float64(in.Load())/float64(f.slots))
-		}
-		switch r.URL.Path {
-		case httpwire.LivePath:
-			return
-		case httpwire.StatsPath:
-			fmt.Fprint(w, load())
-			return
-		case httpwire.CompletionsPath:
-		default:
-			http.NotFound(w, r)
-			return
-		}
-		io.Copy(io.Discard, r.Body)
-		defer in.Add(-1)
-		if in.Add(1) > f.slots+int64(args.Queue) {
-			w.Header().Set("Srv-Declined", "1")
-			w.Header().Set("Srv-Load", load())
-			w.WriteHeader(http.StatusServiceUnavailable)
-			return
-		}
-		select {
-		case places <- struct{}{}:
-			defer func() { <-places }()
-		case <-r.Context().Done():
-			return
-		}
-		w.Header().Set("Content-Type", "text/event-stream")
-		flush := http.NewResponseController(w)
-		for i := range 2 {
-			time.Sleep(args.Service / 2)
-			fmt.Fprintf(w, "data: {\"choices\":[{\"index\":0,\"delta\":{\"content\":\"word %d\"},\"finish_reason\":null}]}\n\n", i)
-			flush.Flush()
-		}
-		fmt.Fprintf(w, "data: {\"choices\":[],\"usage\":{\"prompt_tokens\":0,\"completion_tokens\":%d,\"prompt_tokens_details\":{\"cached_tokens\":0}}}\n\n"+
-			"data: [DONE]\n\n: Srv-Load: %s\n\n", made, load())
-	}))
+	serve(l, &replica{slots: f.slots, running: make(chan struct{}, f.slots)})
 }
 
-func (f *fleet) registry() string {
+func (r *replica) loadReport() string {
+	return fmt.Sprintf("busy_reqs=%d,x0=%.3f", r.inFlight.Load(), float64(r.inFlight.Load())/float64(r.slots))
+}
+
+// ServeHTTP implements http.Handler with the platform's protocol.
+func (r *replica) ServeHTTP(w http.ResponseWriter, req *http.Request) {
+	switch req.URL.Path {
+	case httpwire.LivePath:
+	case httpwire.StatsPath:
+		fmt.Fprint(w, r.loadReport())
+	case httpwire.CompletionsPath:
+		r.serveCompletion(w, req)
+	default:
+		http.NotFound(w, req)
+	}
+}
+
+func (r *replica) serveCompletion(w http.ResponseWriter, req *http.Request) {
+	_, _ = io.Copy(io.Discard, req.Body) // so that the end of the connection is noticed
+	defer r.inFlight.Add(-1)
+	if r.inFlight.Add(1) > r.slots+int64(args.Queue) {
+		w.Header().Set("Srv-Declined", "1")
+		w.Header().Set("Srv-Load", r.loadReport())
+		w.WriteHeader(http.StatusServiceUnavailable)
+		return
+	}
+	select {
+	case r.running <- struct{}{}:
+		defer func() { <-r.running }()
+	case <-req.Context().Done():
+		return
+	}
+	w.Header().Set("Content-Type", "text/event-stream")
+	control := http.NewResponseController(w)
+	for i := range tokenEvents {
+		time.Sleep(args.Service / tokenEvents)
+		fmt.Fprintf(w, "data: {\"choices\":[{\"index\":0,\"delta\":{\"content\":\"word %d\"},\"finish_reason\":null}]}\n\n", i)
+		_ = control.Flush() // a client that is gone needs no answer
+	}
+	fmt.Fprintf(w, "data: {\"choices\":[],\"usage\":{\"prompt_tokens\":0,\"completion_tokens\":%d,\"prompt_tokens_details\":{\"cached_tokens\":0}}}\n\n"+
+		"data: [DONE]\n\n: Srv-Load: %s\n\n", outputTokens, r.loadReport())
+}
+
+// serveDiscovery serves the list, which does not change, and returns its address.
+func (f *fleet) serveDiscovery() string {
 	l, addr := listen()
-	go http.Serve(l, http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
+	serve(l, http.HandlerFunc(func(w http.ResponseWriter, req *http.Request) {
 		out := f.list
-		if r.FormValue("since") == strconv.FormatInt(f.list.Generation, 10) {
-			wait, _ := strconv.Atoi(r.FormValue("timeout_ms"))
+		if req.FormValue("since") == strconv.FormatInt(f.list.Generation, 10) {
+			waitMs, _ := strconv.Atoi(req.FormValue("timeout_ms")) // missing or malformed: 0
 			select {
-			case <-time.After(time.Duration(wait) * time.Millisecond):
-			case <-r.Context().Done():
+			case <-time.After(time.Duration(waitMs) * time.Millisecond):
+			case <-req.Context().Done():
 			}
 			out.Reset, out.Endpoints = false, nil
 		}
-		json.NewEncoder(w).Encode(out)
+		_ = json.NewEncoder(w).Encode(out) // a client that is gone needs no answer
 	}))
 	return addr
 }
 
-func start() (addr string, g *gateway.Gateway, stop func()) {
+// startGateway starts the fleet and a gateway before it.
+func startGateway() (addr string, g *gateway.Gateway, stop func()) {
 	f := &fleet{slots: int64(math.Ceil(args.Rate*args.Service.Seconds()/float64(args.Workers) - 0.05))}
 	f.list.Generation, f.list.Reset = 1, true
 	for i := range args.Workers {
-		f.worker(fmt.Sprint("w-", i+1))
+		f.addReplica(fmt.Sprint("w-", i+1))
 	}
 	classes := []balancer.Class{
 		{Name: "agent", LatencyObjective: 1_000_000, TokenObjective: 300_000, Deadline: args.Deadline.Microseconds(), PriorityWeight: 2, LateWeightShare: 0.3, Streaming: true},
 		{Name: "bulk", LatencyObjective: 1_000_000, TokenObjective: 300_000, Deadline: args.Deadline.Microseconds(), PriorityWeight: 2, LateWeightShare: 0.3, Streaming: true}}
-	o := gateway.Options{Name: "teams", Discovery: f.registry(), Seed: args.Seed, CachedList: httpwire.EndpointList{Generation: httpwire.NoGeneration}, MaxInFlight: 4000, MaxClientConns: 4000, OverflowConns: 16, MaxReplicaConns: 2000,
+	o := gateway.Options{Name: "teams", Discovery: f.serveDiscovery(), Seed: args.Seed, CachedList: httpwire.EndpointList{Generation: httpwire.NoGeneration}, MaxInFlight: 4000, MaxClientConns: 4000, OverflowConns: 16, MaxReplicaConns: 2000,
 		MaxBodyBytes: 1 << 20, ConnectTimeout: time.Second, ReplicaConnIdle: 30 * time.Second, ClientConnIdle: 30 * time.Second, StreamIdleTimeout: 5 * time.Second,
 		HealthCheckTimeout: time.Second, PollWithin: 10 * time.Second, WatchWait: 2 * time.Second, DiscoveryTimeout: time.Second,
 		DrainAcceptPeriod: 100 * time.Millisecond,
@@ -150,34 +180,43 @@
 	o.Settings.InitialCapacity, o.Settings.OverloadMultiple, o.Settings.SlowStartFor, o.Settings.OverloadWindow = 0.3, 3, 8e6, 1.5e6
 	o.Settings.StreamsPerConn, o.Settings.ConnIdleTimeout = 1, 60e6
 	if !args.Off {
-		c := &gateway.Contracts{Settings: contract.Settings{Location: time.UTC, BorrowPoolSeconds: 1, UnknownTenantWeight: 0.05}}
-		for i, name := range names {
-			rate := parts[i] * args.Rate * made * float64(contract.Token)
-			c.Teams = append(c.Teams, contract.Terms{Team: name, Tenants: []string{name}, Rate: rate, Burst: contract.Units(rate), OverQuotaWeight: 0.001,
-				Prices: map[string]contract.Price{"agent": {OutputToken: 1}, "bulk": {OutputToken: 1}}})
-		}
-		o.Contracts = c
+		o.Contracts = contracts()
 	}
 	g, err := gateway.New(o)
-	if err != nil {
-		fmt.Fprintln(os.Stderr, "teams:", err)
-		os.Exit(2)
-	}
+	exitOn(err)
 	l, addr := listen()
 	ctx, cancel := context.WithCancel(context.Background())
-	go g.Serve(ctx, l)
+	go func() { _ = g.Serve(ctx, l) }() // it ends with the program
 	return addr, g, cancel
 }
 
-// tally is what became of one team's requests.
+// contracts returns the teams' contracts, which sum to the fleet's capacity.
+func contracts() *gateway.Contracts {
+	c := &gateway.Contracts{Settings: contract.Settings{Location: time.UTC, BorrowPoolSeconds: 1, UnknownTenantWeight: 0.05}}
+	for i, name := range teamNames {
+		rate := quotaShares[i] * args.Rate * outputTokens * float64(contract.Token)
+		c.Teams = append(c.Teams, contract.Terms{
+			Team:            name,
+			Tenants:         []string{name},
+			Rate:            rate,
+			Burst:           contract.Units(rate),
+			OverQuotaWeight: 0.001,
+			Prices:          map[string]contract.Price{"agent": {OutputToken: 1}, "bulk": {OutputToken: 1}},
+		})
+	}
+	return c
+}
+
+// tally counts how one team's requests ended.
 type tally struct {
-	mu     sync.Mutex
-	sent   []int // by second
-	served []int
-	agent  [2]int // sent and served
+	mu                     sync.Mutex
+	sent                   []int // by second
+	served                 []int // by second
+	agentSent, agentServed int
 }
 
-func (t *tally) note(second int, agent, served bool) {
+// count counts the end of a request that was sent in a second.
+func (t *tally) count(second int, agent, served bool) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	for len(t.sent) <= second {
@@ -185,58 +224,54 @@
 	}
 	t.sent[second]++
 	if agent {
-		t.agent[0]++
+		t.agentSent++
 	}
 	if served {
 		t.served[second]++
 		if agent {
-			t.agent[1]++
+			t.agentServed++
 		}
 	}
 }
 
-// phase sends for a while at each team's rate, in requests a second.
-func phase(client *http.Client, addr string, rates []float64, n int) []*tally {
-	var out []*tally
-	var all sync.WaitGroup
+// runPhase sends requests at each team's rate per second for the time of --for, and waits for their ends.
+func runPhase(client *http.Client, addr string, rates []float64, number int) []*tally {
+	var tallies []*tally
+	var tasks sync.WaitGroup
 	begin := time.Now()
-	for i := range names {
+	for team := range teamNames {
 		t := &tally{}
-		out = append(out, t)
-		all.Add(1)
-		go func() {
-			defer all.Done()
-			rng := rand.New(rand.NewPCG(args.Seed, uint64(n*10+i)))
+		tallies = append(tallies, t)
+		if rates[team] <= 0 {
+			continue
+		}
+		tasks.Go(func() {
+			rng := rand.New(rand.NewPCG(args.Seed, uint64(number*10+team)))
 			next := begin
-			for k := 0; ; k++ {
-				if rates[i] <= 0 {
-					return
-				}
+			for n := 0; ; n++ {
 				gap := 1.0
 				if args.Random {
 					gap = rng.ExpFloat64()
 				}
-				next = next.Add(time.Duration(gap / rates[i] * 1e9))
+				next = next.Add(time.Duration(gap / rates[team] * 1e9))
 				at := next.Sub(begin)
 				if at > args.For {
 					return
 				}
 				time.Sleep(time.Until(next))
-				agent := i > 0 && k%3 == 0
-				all.Add(1)
-				go func() {
-					defer all.Done()
-					t.note(int(at/time.Second), agent, send(client, addr, i, agent, fmt.Sprintf("p%d-%d-%d", n, i, k)))
-				}()
+				agent := team > 0 && n%3 == 0
+				id := fmt.Sprintf("p%d-%d-%d", number, team, n)
+				tasks.Go(func() { t.count(int(at/time.Second), agent, send(client, addr, team, agent, id)) })
 			}
-		}()
+		})
 	}
-	all.Wait()
-	return out
+	tasks.Wait()
+	return tallies
 }
 
+// send sends a request and returns true if it was served.
 func send(client *http.Client, addr string, team int, agent bool, id string) bool {
-	ctx, stop := context.WithTimeout(context.Background(), 10*time.Second)
+	ctx, stop := context.WithTimeout(context.Background(), requestTimeout)
 	defer stop()
 	req, err := http.NewRequestWithContext(ctx, http.MethodPost, "http://"+addr+"/v1/chat/completions", strings.NewReader(`{"model":"chat","stream":true}`))
 	if err != nil {
@@ -246,8 +281,8 @@
 	if agent {
 		class = "agent"
 	}
-	for key, v := range map[string]string{"Req-Id": id, "Req-Kind": class, "Req-Owner": names[team], "Req-Deadline": fmt.Sprintf("%dm", args.Deadline.Milliseconds()),
-		"Req-Extra": fmt.Sprintf("prompt_len=100,max_out=%d", made)} {
+	for key, v := range map[string]string{"Req-Id": id, "Req-Kind": class, "Req-Owner": teamNames[team], "Req-Deadline": fmt.Sprintf("%dm", args.Deadline.Milliseconds()),
+		"Req-Extra": fmt.Sprintf("prompt_len=100,max_out=%d", outputTokens)} {
 		req.Header.Set(key, v)
 	}
 	resp, err := client.Do(req)
@@ -259,78 +294,82 @@
 	return err == nil && resp.StatusCode == http.StatusOK
 }
 
-// result is one phase's.
+// result is a team's result in a phase.
 type result struct {
 	Phase   string    `json:"phase"`
 	Team    string    `json:"team"`
 	Sent    float64   `json:"sent_per_s"`
 	Served  float64   `json:"served_per_s"`
-	Share   float64   `json:"share"` // of all served, from the fifth second on
+	Share   float64   `json:"share"` // of all served requests
 	Worst   float64   `json:"worst_window"`
 	Agent   float64   `json:"agent_served"`
-	Windows []float64 `json:"windows"` // served in each 10 s, in parts of what is due: the contract, or what was sent if less
+	Windows []float64 `json:"windows"` // served in each window over what the contract allows, or over what was sent if that is less
 }
 
-func results(phase string, list []*tally) (out []result) {
+// results returns each team's result in a phase.
+func results(phase string, tallies []*tally) (list []result) {
 	seconds := int(args.For / time.Second)
-	all := 0
-	for _, t := range list {
-		for s := 5; s < min(seconds, len(t.served)); s++ {
-			all += t.served[s]
-		}
+	totalServed := 0
+	for _, t := range tallies {
+		totalServed += sum(t.served, warmUpSeconds, seconds)
 	}
-	for i, t := range list {
-		r := result{Phase: phase, Team: names[i]}
-		sent, served := 0, 0
-		for s := 5; s < min(seconds, len(t.sent)); s++ {
-			sent += t.sent[s]
-			served += t.served[s]
+	for team, t := range tallies {
+		served := sum(t.served, warmUpSeconds, seconds)
+		r := result{
+			Phase:  phase,
+			Team:   teamNames[team],
+			Sent:   float64(sum(t.sent, warmUpSeconds, seconds)) / float64(seconds-warmUpSeconds),
+			Served: float64(served) / float64(seconds-warmUpSeconds),
+			Share:  float64(served) / math.Max(1, float64(totalServed)),
 		}
-		r.Sent, r.Served = float64(sent)/float64(seconds-5), float64(served)/float64(seconds-5)
-		r.Share = float64(served) / math.Max(1, float64(all))
-		for from := 5; from+10 <= min(seconds, len(t.sent)); from++ {
-			due, got := 0, 0
-			for s := from; s < from+10; s++ {
-				due += t.sent[s]
-				got += t.served[s]
-			}
-			if due == 0 {
+		for from := warmUpSeconds; from+windowSeconds <= min(seconds, len(t.sent)); from++ {
+			sent := sum(t.sent, from, from+windowSeconds)
+			if sent == 0 {
 				continue
 			}
-			v := float64(got) / math.Min(float64(due), 10*parts[i]*args.Rate)
-			r.Windows = append(r.Windows, v)
-			r.Worst = math.Max(r.Worst, math.Abs(v-1))
+			due := math.Min(float64(sent), windowSeconds*quotaShares[team]*args.Rate)
+			share := float64(sum(t.served, from, from+windowSeconds)) / due
+			r.Windows = append(r.Windows, share)
+			r.Worst = math.Max(r.Worst, math.Abs(share-1))
 		}
-		if t.agent[0] > 0 {
-			r.Agent = float64(t.agent[1]) / float64(t.agent[0])
+		if t.agentSent > 0 {
+			r.Agent = float64(t.agentServed) / float64(t.agentSent)
 		}
-		out = append(out, r)
+		list = append(list, r)
+	}
+	return list
+}
+
+// sum sums up the counts of the seconds from one to before another.
+func sum(counts []int, from, to int) (total int) {
+	for second := from; second < min(to, len(counts)); second++ {
+		total += counts[second]
 	}
-	return out
+	return total
 }
 
 func main() {
 	kong.Parse(&args, kong.Description("Measures contracts of three teams on loopback.\n\nExample:\n  teams --for 40s --surge 10"))
 	slog.SetDefault(slog.New(slog.DiscardHandler))
-	addr, g, stop := start()
+	addr, g, stop := startGateway()
 	defer stop()
 	client := &http.Client{Transport: &http.Transport{MaxIdleConnsPerHost: 1000, DisableCompression: true}}
 	calm, surge := make([]float64, 3), make([]float64, 3)
-	for i, p := range parts {
+	for i, p := range quotaShares {
 		calm[i] = args.Calm * p * args.Rate
 		surge[i] = calm[i]
 	}
-	surge[0] = args.Surge * parts[0] * args.Rate
+	surge[0] = args.Surge * quotaShares[0] * args.Rate
 	if args.Alone {
 		calm[1], calm[2], surge[1], surge[2] = 0, 0, 0, 0
 	}
 	var list []result
-	list = append(list, results("calm", phase(client, addr, calm, 1))...)
-	list = append(list, results("surge", phase(client, addr, surge, 2))...)
+	list = append(list, results("calm", runPhase(client, addr, calm, 1))...)
+	list = append(list, results("surge", runPhase(client, addr, surge, 2))...)
 	if args.JSON {
-		e := json.NewEncoder(os.Stdout)
-		e.SetIndent("", "  ")
-		e.Encode(list)
+		encoder := json.NewEncoder(os.Stdout)
+		encoder.SetIndent("", "  ")
+		exitOn(encoder.Encode(list))
 		return
 	}
 	w := tabwriter.NewWriter(os.Stdout, 0, 4, 2, ' ', tabwriter.AlignRight)
@@ -339,7 +378,7 @@
 		fmt.Fprintf(w, "%s\t%s\t%.1f\t%.1f\t%.1f%%\t%.1f%%\t%.2f%%\t\n", r.Phase, r.Team, r.Sent, r.Served, 100*r.Share, 100*r.Worst, 100*r.Agent)
 	}
 	w.Flush()
-	accounts, _ := g.Accounts(context.Background())
+	accounts, _ := g.Accounts(context.Background()) // none without contracts
 	for _, a := range accounts {
 		fmt.Printf("%s: taken %d, over %d, refused %d\n", a.Team, a.Counters.Admitted, a.Counters.OverQuota, a.Counters.Rejected)
 	}
--- a/example/toy/main.go
+++ b/example/toy/main.go
@@ -1,7 +1,6 @@
-// Toy is a fleet to try the gateway with: a registry on 127.0.0.1:8500 and some
-// workers that answer every chat with a few words, one event each. On standard
-// input, an enter drains the first worker, or readies it again; a number makes
-// all workers so many times slower.
+// Command toy is a fleet to try the gateway with: discovery on 127.0.0.1:8500 and some replicas that answer
+// every chat with a few words, one event each. On standard input, an empty line drains the first replica or
+// makes it ready again; a number makes all replicas so many times slower.
 package main
 
 import (
@@ -21,139 +20,158 @@
 	"archknot/internal/httpwire"
 )
 
-const registryAddr = "127.0.0.1:8500"
+const (
+	discoveryAddr    = "127.0.0.1:8500"
+	firstReplicaPort = 9001
+)
 
 var (
-	workers = flag.Int("workers", 3, "how many, at 127.0.0.1:9001 and on")
-	pause   = flag.Duration("pause", 150*time.Millisecond, "between two events")
-	slots   = flag.Int("slots", 20, "requests at once; beyond them a worker declines")
-	factor  atomic.Int64 // how many times slower, in hundredths
+	replicas = flag.Int("workers", 3, "how many, at 127.0.0.1:9001 and on")
+	pause    = flag.Duration("pause", 150*time.Millisecond, "between two events")
+	slots    = flag.Int("slots", 20, "requests at once; beyond them a worker declines")
+	slowdown atomic.Int64 // factor on the pause, in hundredths
 )
 
 func main() {
 	flag.Parse()
-	factor.Store(100)
-	reg := &registry{news: make(chan struct{})}
-	reg.list.Generation = 1
-	for i := range *workers {
-		addr := fmt.Sprintf("127.0.0.1:%d", 9001+i)
+	slowdown.Store(100)
+	d := &discovery{changed: make(chan struct{})}
+	d.list.Generation = 1
+	for i := range *replicas {
+		addr := fmt.Sprintf("127.0.0.1:%d", firstReplicaPort+i)
 		name := fmt.Sprintf("toy-%d", i+1)
-		reg.list.Endpoints = append(reg.list.Endpoints, httpwire.Endpoint{ID: name, Addr: addr, Zone: "here", Kind: "toy",
+		d.list.Endpoints = append(d.list.Endpoints, httpwire.Endpoint{ID: name, Addr: addr, Zone: "here", Kind: "toy",
 			Lifecycle: "ready", Weight: 1})
-		go serve(addr, &worker{name: name})
+		go serve(addr, &replica{name: name})
 	}
-	go reg.switchFirst()
-	serve(registryAddr, reg)
+	go d.readCommands()
+	serve(discoveryAddr, d)
 }
 
+// serve serves until it fails, which ends the program.
 func serve(addr string, h http.Handler) {
 	log.Printf("msg=listening addr=%s", addr)
 	log.Fatal(http.ListenAndServe(addr, h))
 }
 
-// worker streams a short answer.
-type worker struct {
-	name  string
-	in    atomic.Int64
-	count atomic.Int64
+// replica streams short answers.
+type replica struct {
+	name     string
+	inFlight atomic.Int64
+	answers  atomic.Int64
 }
 
-func (w *worker) ServeHTTP(out http.ResponseWriter, r *http.Request) {
-	load := fmt.Sprintf("busy_reqs=%d,x0=%.2f", w.in.Load(), float64(w.in.Load())/float64(*slots))
+// ServeHTTP implements http.Handler with the platform's protocol.
+func (r *replica) ServeHTTP(w http.ResponseWriter, req *http.Request) {
+	load := fmt.Sprintf("busy_reqs=%d,x0=%.2f", r.inFlight.Load(), float64(r.inFlight.Load())/float64(*slots))
 	switch {
-	case r.URL.Path == httpwire.LivePath:
+	case req.URL.Path == httpwire.LivePath:
 		return
-	case r.URL.Path == httpwire.StatsPath:
-		fmt.Fprint(out, load)
+	case req.URL.Path == httpwire.StatsPath:
+		fmt.Fprint(w, load)
 		return
-	case r.URL.Path != httpwire.CompletionsPath || r.Header.Get("Req-Id") == "":
-		http.NotFound(out, r)
+	case req.URL.Path != httpwire.CompletionsPath || req.Header.Get("Req-Id") == "":
+		http.NotFound(w, req)
 		return
 	}
-	defer w.in.Add(-1)
-	if w.in.Add(1) > int64(*slots) {
-		out.Header().Set("Srv-Declined", "1")
-		out.Header().Set("Srv-Load", load)
-		out.WriteHeader(http.StatusServiceUnavailable)
+	defer r.inFlight.Add(-1)
+	if r.inFlight.Add(1) > int64(*slots) {
+		w.Header().Set("Srv-Declined", "1")
+		w.Header().Set("Srv-Load", load)
+		w.WriteHeader(http.StatusServiceUnavailable)
 		return
 	}
-	if *workers <= 3 {
-		log.Printf("msg=request worker=%s id=%q", w.name, r.Header.Get("Req-Id"))
-	}
-	// A step takes longer the more requests run, as a batch's does.
-	wait := func() {
-		time.Sleep(time.Duration(float64(*pause) * float64(factor.Load()) / 100 * (1 + float64(w.in.Load())/10)))
+	if *replicas <= 3 {
+		log.Printf("msg=request worker=%s id=%q", r.name, req.Header.Get("Req-Id"))
 	}
-	wait()
-	out.Header().Set("Content-Type", "text/event-stream")
-	flush := http.NewResponseController(out)
-	words := strings.Fields(fmt.Sprintf("Hello from %s, this is my answer number %d.", w.name, w.count.Add(1)))
+	r.streamAnswer(w, load)
+}
+
+// streamAnswer streams an answer, one event a word.
+func (r *replica) streamAnswer(w http.ResponseWriter, load string) {
+	r.pauseStep()
+	w.Header().Set("Content-Type", "text/event-stream")
+	control := http.NewResponseController(w)
+	words := strings.Fields(fmt.Sprintf("Hello from %s, this is my answer number %d.", r.name, r.answers.Add(1)))
 	for _, word := range words {
-		text, _ := json.Marshal(word + " ")
-		fmt.Fprintf(out, "data: {\"choices\":[{\"index\":0,\"delta\":{\"content\":%s},\"finish_reason\":null}]}\n\n", text)
-		if flush.Flush() != nil {
+		text, _ := json.Marshal(word + " ") // a string can always be encoded
+		fmt.Fprintf(w, "data: {\"choices\":[{\"index\":0,\"delta\":{\"content\":%s},\"finish_reason\":null}]}\n\n", text)
+		if control.Flush() != nil {
 			return
 		}
-		wait()
+		r.pauseStep()
 	}
-	fmt.Fprintf(out, "data: {\"choices\":[],\"usage\":{\"prompt_tokens\":0,\"completion_tokens\":%d,"+
+	fmt.Fprintf(w, "data: {\"choices\":[],\"usage\":{\"prompt_tokens\":0,\"completion_tokens\":%d,"+
 		"\"prompt_tokens_details\":{\"cached_tokens\":0}}}\n\ndata: [DONE]\n\n: Srv-Load: %s\n\n", len(words), load)
 }
 
-// registry tells the list, and waits for changes where it is asked to.
-type registry struct {
-	mu   sync.Mutex
-	list httpwire.EndpointList
-	news chan struct{} // closed at the next change
+// pauseStep waits for a step of the batch, which takes longer the more requests run.
+func (r *replica) pauseStep() {
+	time.Sleep(time.Duration(float64(*pause) * float64(slowdown.Load()) / 100 * (1 + float64(r.inFlight.Load())/10)))
 }
 
-func (g *registry) ServeHTTP(w http.ResponseWriter, r *http.Request) {
+// discovery serves the endpoint list, and long polls for its changes.
+type discovery struct {
+	mu      sync.Mutex
+	list    httpwire.EndpointList
+	changed chan struct{} // closed at the next change
+}
+
+// ServeHTTP answers a poll. One with the current generation waits for a change.
+func (d *discovery) ServeHTTP(w http.ResponseWriter, r *http.Request) {
 	if r.URL.Path != httpwire.ListPath {
 		http.NotFound(w, r)
 		return
 	}
 	since, err := strconv.ParseInt(r.FormValue("since"), 10, 64)
-	wait, _ := strconv.Atoi(r.FormValue("timeout_ms"))
-	g.mu.Lock()
-	version, news := g.list.Generation, g.news
-	g.mu.Unlock()
-	if err == nil && since == version {
+	hasSince := err == nil
+	waitMs, _ := strconv.Atoi(r.FormValue("timeout_ms")) // missing or malformed: 0
+	d.mu.Lock()
+	generation, changed := d.list.Generation, d.changed
+	d.mu.Unlock()
+	if hasSince && since == generation {
 		select {
-		case <-news:
-		case <-time.After(time.Duration(wait) * time.Millisecond):
+		case <-changed:
+		case <-time.After(time.Duration(waitMs) * time.Millisecond):
 		case <-r.Context().Done():
 		}
 	}
-	g.mu.Lock()
-	defer g.mu.Unlock()
-	out := httpwire.EndpointList{Generation: g.list.Generation, Reset: true, Endpoints: g.list.Endpoints}
-	if err == nil && since == out.Generation {
+	d.mu.Lock()
+	defer d.mu.Unlock()
+	out := httpwire.EndpointList{Generation: d.list.Generation, Reset: true, Endpoints: d.list.Endpoints}
+	if hasSince && since == out.Generation {
 		out.Reset, out.Endpoints = false, nil
 	}
-	json.NewEncoder(w).Encode(out)
+	_ = json.NewEncoder(w).Encode(out) // a client that is gone needs no answer
 }
 
-// switchFirst drains and readies the first worker by turns.
-func (g *registry) switchFirst() {
+// readCommands reads commands from standard input.
+func (d *discovery) readCommands() {
 	for in := bufio.NewScanner(os.Stdin); in.Scan(); {
-		if text := strings.TrimSpace(in.Text()); text != "" {
-			if v, err := strconv.ParseFloat(text, 64); err == nil && v >= 0.01 && v <= 100 {
-				factor.Store(int64(v * 100))
-				log.Printf("msg=slow factor=%g", v)
-			}
+		text := strings.TrimSpace(in.Text())
+		if text == "" {
+			d.toggleFirst()
 			continue
 		}
-		g.mu.Lock()
-		first := &g.list.Endpoints[0]
-		if first.Lifecycle == "ready" {
-			first.Lifecycle = "draining"
-		} else {
-			first.Lifecycle = "ready"
+		if v, err := strconv.ParseFloat(text, 64); err == nil && v >= 0.01 && v <= 100 {
+			slowdown.Store(int64(v * 100))
+			log.Printf("msg=slow factor=%g", v)
 		}
-		log.Printf("msg=list worker=%s state=%s", first.ID, first.Lifecycle)
-		g.list.Generation++
-		close(g.news)
-		g.news = make(chan struct{})
-		g.mu.Unlock()
 	}
 }
+
+// toggleFirst drains the first replica, or makes it ready again.
+func (d *discovery) toggleFirst() {
+	d.mu.Lock()
+	defer d.mu.Unlock()
+	first := &d.list.Endpoints[0]
+	if first.Lifecycle == "ready" {
+		first.Lifecycle = "draining"
+	} else {
+		first.Lifecycle = "ready"
+	}
+	log.Printf("msg=list worker=%s state=%s", first.ID, first.Lifecycle)
+	d.list.Generation++
+	close(d.changed)
+	d.changed = make(chan struct{})
+}
