--- a/internal/cli/cli_test.go
+++ b/internal/cli/cli_test.go
@@ -13,13 +13,14 @@
 	"archknot/internal/capture"
 )
 
-// runCommand runs a command and returns its exit code and what it printed.
+// runCommand runs a command and returns its exit code and output.
 func runCommand(args ...string) (code int, out, errOut string) {
 	var a, b bytes.Buffer
 	code = Main(args, &a, &b, func(string) string { return "" })
 	return code, a.String(), b.String()
 }
 
+// discardSink ignores the balancer's actions.
 type discardSink struct{}
 
 func (discardSink) Dispatch(balancer.RequestID, balancer.ReplicaID, balancer.Micros) {}
@@ -31,7 +32,7 @@
 func (discardSink) Gossip([]byte)                                                    {}
 func (discardSink) WatchDiscovery()                                                  {}
 
-// writeSmallCapture makes a capture of a hundred requests.
+// writeSmallCapture writes a capture of a hundred requests and returns its directory.
 func writeSmallCapture(t *testing.T) string {
 	t.Helper()
 	dir := t.TempDir()
@@ -59,6 +60,7 @@
 	return dir
 }
 
+// Each command has the exit code and prints the text that it should.
 func TestExitCodesAndOutput(t *testing.T) {
 	dir := writeSmallCapture(t)
 	good, bad := filepath.Join(t.TempDir(), "good.conf"), filepath.Join(t.TempDir(), "bad.conf")
@@ -164,7 +166,7 @@
 	}
 }
 
-// Differences that are meant are accepted by a command, and others are not.
+// Differences are accepted by a command; other ones later are not.
 func TestAcceptedDifferences(t *testing.T) {
 	dir := writeSmallCapture(t)
 	files, _ := filepath.Glob(filepath.Join(dir, "*.akcap"))
--- a/internal/cli/contracts.go
+++ b/internal/cli/contracts.go
@@ -1,6 +1,7 @@
 package cli
 
 import (
+	"cmp"
 	"errors"
 	"fmt"
 	"io"
@@ -27,7 +28,7 @@
 	Report   reportCmd        `cmd:"" help:"Write the same as an HTML page with a chart and a table."`
 }
 
-// loadAccounts are the books of a running gateway.
+// loadAccounts returns the ledger accounts of a running gateway.
 func (f *socketFlags) loadAccounts(s *streams) (list []contract.AccountStatus, err error) {
 	err = f.call(s, "contracts/accounts", struct{}{}, &list)
 	return list, err
@@ -43,6 +44,7 @@
 	return "Examples:\n  archknot contracts list deploy/archknot.conf\n  archknot contracts list --socket /run/archknot.sock"
 }
 
+// formatTokens formats units as tokens with separators of thousands.
 func formatTokens(u contract.Units) string { return humanize.Comma(u / contract.Token) }
 
 func (c *listContractsCmd) Run(s *streams) error {
@@ -70,16 +72,14 @@
 		for _, g := range t.Budgets {
 			budgets = append(budgets, fmt.Sprintf("%s %s/%s", g.Period, formatTokens(g.Soft), formatTokens(g.Hard)))
 		}
-		worth := t.PriorityWeight
-		if worth == 0 {
-			worth = 1
-		}
-		fmt.Fprintf(w, "%s\t%s\t%s\t%g\t%g\t%v\t%d\t%s\t%s\t%s\t\n", t.Team, formatTokens(contract.Units(t.Rate)), formatTokens(t.Burst), worth, t.OverQuotaWeight, t.Hard,
+		weight := cmp.Or(t.PriorityWeight, 1)
+		fmt.Fprintf(w, "%s\t%s\t%s\t%g\t%g\t%v\t%d\t%s\t%s\t%s\t\n", t.Team, formatTokens(contract.Units(t.Rate)), formatTokens(t.Burst), weight, t.OverQuotaWeight, t.Hard,
 			len(t.Tenants), strings.Join(budgets, ", "), formatDay(t.From), formatDay(t.Until))
 	}
 	return w.Flush()
 }
 
+// formatDay formats the day of a Unix time in microseconds; 0 is "-".
 func formatDay(unix balancer.Micros) string {
 	if unix == 0 {
 		return "-"
@@ -87,6 +87,7 @@
 	return time.UnixMicro(unix).UTC().Format(time.DateOnly)
 }
 
+// printAccounts prints ledger accounts as a table.
 func (s *streams) printAccounts(list []contract.AccountStatus) error {
 	w := tabwriter.NewWriter(s.out, 0, 4, 2, ' ', tabwriter.AlignRight)
 	fmt.Fprintln(w, "team\tvalid\tpart\tlevel\topen\ttaken\tover\trefused\tused\tborrowed\tbudgets\t")
@@ -116,7 +117,7 @@
 }
 
 func (c *showContractCmd) Run(s *streams) error {
-	none := func() error {
+	notFound := func() error {
 		fmt.Fprintf(s.err, "archknot: no contract %q\n", c.Team)
 		return errNegative
 	}
@@ -128,7 +129,7 @@
 		i := slices.IndexFunc(list, func(a contract.AccountStatus) bool { return a.Team == c.Team })
 		switch {
 		case i < 0:
-			return none()
+			return notFound()
 		case c.JSON:
 			return s.printJSON(list[i])
 		}
@@ -141,7 +142,7 @@
 	i := slices.IndexFunc(got.Contracts.Teams, func(t contract.Terms) bool { return t.Team == c.Team })
 	switch {
 	case i < 0:
-		return none()
+		return notFound()
 	case c.JSON:
 		return s.printJSON(got.Contracts.Teams[i])
 	}
@@ -149,13 +150,14 @@
 	return nil
 }
 
-// simulationFlags are what a trial of contracts needs.
+// simulationFlags are the flags of a simulation of contracts.
 type simulationFlags struct {
 	timeSpan
 	Paths  []string `arg:"" help:"Segments of a capture, or folders of them."`
 	Config string   `required:"" env:"ARCHKNOT_CONF" placeholder:"FILE" help:"The settings with the contracts."`
 }
 
+// simulate simulates the contracts on each run, with so many points of the time series.
 func (f *simulationFlags) simulate(s *streams, points int) ([]*contractsim.Result, error) {
 	got, err := config.Load(f.Config)
 	if err != nil {
@@ -175,7 +177,7 @@
 			return nil, err
 		}
 		o := contractsim.Options{Settings: got.Contracts.LedgerSettings(), Terms: got.Contracts.Teams, From: from, To: to, SeriesPoints: points, Progress: replayProgress(s, r)}
-		o.Settings.ReserveFraction, o.Settings.Strict = 0, false // there is no store
+		o.Settings.ReserveFraction, o.Settings.Strict = 0, false // a simulation has no store
 		res, err := contractsim.Run(r, o)
 		if err != nil {
 			return nil, fmt.Errorf("%s: %w", r.Name, err)
@@ -234,6 +236,7 @@
 	return nil
 }
 
+// formatReasons formats counts by reason.
 func formatReasons(m map[string]int64) string {
 	if len(m) == 0 {
 		return "0"
--- a/internal/cli/experiment.go
+++ b/internal/cli/experiment.go
@@ -46,13 +46,13 @@
 	if err != nil {
 		return err
 	}
-	store, aside, err := experiment.OpenStore(c.Out, text)
+	store, setAside, err := experiment.OpenStore(c.Out, text)
 	if err != nil {
 		return fmt.Errorf("%s: %w", c.Out, err)
 	}
 	defer store.Close()
-	if aside != "" {
-		fmt.Fprintf(s.err, "archknot: the results were damaged and are set aside: %s\n", aside)
+	if setAside != "" {
+		fmt.Fprintf(s.err, "archknot: the results were damaged and are set aside: %s\n", setAside)
 	}
 	ctx, stop := signal.NotifyContext(context.Background(), os.Interrupt, syscall.SIGTERM)
 	defer stop()
@@ -70,7 +70,7 @@
 	return nil
 }
 
-// runsProgress shows how many runs are done, and the time that is left, on a terminal.
+// runsProgress returns a function that shows how many runs are done on a terminal, and nil elsewhere.
 func (s *streams) runsProgress() func(done, all int) {
 	f, ok := s.err.(*os.File)
 	if !ok || !term.IsTerminal(int(f.Fd())) {
@@ -86,6 +86,7 @@
 	}
 }
 
+// loadSummary summarizes the results in a directory.
 func loadSummary(dir, base string) (*experiment.Summary, error) {
 	if _, err := os.Stat(filepath.Join(dir, experiment.FileName)); err != nil {
 		return nil, err
@@ -159,20 +160,20 @@
 	if err != nil {
 		return err
 	}
-	bad, err := sum.Gate(c.Figure, c.Bound)
+	failed, err := sum.Gate(c.Figure, c.Bound)
 	if err != nil {
 		return err
 	}
 	if c.JSON {
-		if err := s.printJSON(map[string]any{"good": len(bad) == 0, "bad": bad}); err != nil {
+		if err := s.printJSON(map[string]any{"good": len(failed) == 0, "bad": failed}); err != nil {
 			return err
 		}
 	} else {
-		for _, r := range bad {
+		for _, r := range failed {
 			fmt.Fprintf(s.out, "%s on %s: %s: may be worse by more than %g: %s\n", r.Variant, r.Workload, r.Metric, c.Bound, r.Difference.Describe())
 		}
 	}
-	if len(bad) > 0 {
+	if len(failed) > 0 {
 		return errNegative
 	}
 	if !c.JSON {
@@ -211,19 +212,21 @@
 	return err
 }
 
-// loadPlan reads a plan, and which variant and workload of it are meant.
-func loadPlan(file, variant, workload string) (p *config.Plan, v, w config.Variant, err error) {
-	if p, err = config.LoadPlan(file); err != nil {
-		return
+// loadPlan reads a plan and returns it with the named variant and workload.
+func loadPlan(file, variantName, workloadName string) (plan *config.Plan, variant, workload config.Variant, err error) {
+	if plan, err = config.LoadPlan(file); err != nil {
+		return nil, variant, workload, err
 	}
-	if v, err = pickVariant(p.Variants, variant); err != nil {
-		return
+	if variant, err = pickVariant(plan.Variants, variantName); err != nil {
+		return nil, variant, workload, err
 	}
-	w, err = pickVariant(p.Workloads, workload)
-	return
+	if workload, err = pickVariant(plan.Workloads, workloadName); err != nil {
+		return nil, variant, workload, err
+	}
+	return plan, variant, workload, nil
 }
 
-// pickVariant finds a variant, or a workload, by its name; "" is the first.
+// pickVariant returns the variant or workload of the name; "" is the first one.
 func pickVariant(list []config.Variant, name string) (config.Variant, error) {
 	if name == "" {
 		return list[0], nil
--- a/internal/cli/fleet.go
+++ b/internal/cli/fleet.go
@@ -71,12 +71,12 @@
 	case <-ctx.Done():
 		return ctx.Err()
 	}
-	res, left, err := emulate.Play(ctx, f, spec, c.Gateway)
+	res, skipped, err := emulate.Play(ctx, f, spec, c.Gateway)
 	if err != nil {
 		return err
 	}
-	if left > 0 {
-		fmt.Fprintf(s.err, "archknot: %d sessions were left out: too many at once\n", left)
+	if skipped > 0 {
+		fmt.Fprintf(s.err, "archknot: %d sessions were left out: too many at once\n", skipped)
 	}
 	fmt.Fprintf(s.out, "%s\n", res.JSON())
 	if res.All.Ends["served"] == 0 {
@@ -102,22 +102,22 @@
 	if err != nil {
 		return err
 	}
-	r, err := fit.Read(runs)
+	recording, err := fit.Read(runs)
 	if err != nil {
 		return err
 	}
-	got := fit.Streams(r.Turns, r.From, r.To)
+	got := fit.Streams(recording.Turns, recording.From, recording.To)
 	switch {
 	case c.JSON:
 		err = s.printJSON(struct {
 			Seconds float64      `json:"seconds"`
 			Gaps    int          `json:"gaps"`
 			Streams []fit.Stream `json:"streams"`
-		}{float64(r.To-r.From) / 1e6, r.Gaps, got})
+		}{float64(recording.To-recording.From) / 1e6, recording.Gaps, got})
 	case c.Plan:
 		_, err = fmt.Fprint(s.out, fit.Plan(got))
 	default:
-		err = c.printTable(s, r, got)
+		err = c.printTable(s, recording, got)
 	}
 	if err != nil {
 		return err
@@ -128,6 +128,7 @@
 	return nil
 }
 
+// printTable prints the estimates of each stream as a table.
 func (c *fitCmd) printTable(s *streams, r *fit.Recording, got []fit.Stream) error {
 	fmt.Fprintf(s.out, "seconds=%.0f requests=%d gaps=%d\n", float64(r.To-r.From)/1e6, len(r.Turns), r.Gaps)
 	for _, t := range got {
--- a/internal/cli/version.go
+++ b/internal/cli/version.go
@@ -12,14 +12,15 @@
 	"archknot/internal/xdsclient"
 )
 
-// socketFlags find a running gateway's control socket.
+// socketFlags name a running gateway's control socket.
 type socketFlags struct {
 	Socket string `placeholder:"PATH" help:"The gateway's control socket, if not that of the settings."`
 	Config string `env:"ARCHKNOT_CONF" placeholder:"FILE" help:"The gateway's settings, for the socket's path."`
 }
 
-// call gives the gateway an order. An answer that is no is told and returned as no.
-func (f *socketFlags) call(s *streams, name string, order, answer any) error {
+// call sends a command to the gateway and decodes its response. If the gateway cannot carry it out, call prints
+// why and returns errNegative.
+func (f *socketFlags) call(s *streams, name string, request, response any) error {
 	path := f.Socket
 	if path == "" {
 		got, err := config.Load(f.Config)
@@ -30,10 +31,10 @@
 			return errors.New("no socket: name it by --socket, or by control.socket in the settings")
 		}
 	}
-	err := controlsocket.Call(context.Background(), path, name, order, answer)
-	var refused controlsocket.CommandError
-	if errors.As(err, &refused) {
-		fmt.Fprintf(s.err, "archknot: the gateway cannot: %v\n", refused)
+	err := controlsocket.Call(context.Background(), path, name, request, response)
+	var commandErr controlsocket.CommandError
+	if errors.As(err, &commandErr) {
+		fmt.Fprintf(s.err, "archknot: the gateway cannot: %v\n", commandErr)
 		return errNegative
 	}
 	if err != nil {
@@ -59,8 +60,9 @@
 	return s.printStatus(a, c.JSON)
 }
 
-func (s *streams) printStatus(a lifecycle.ConfigStatus, json bool) error {
-	if json {
+// printStatus prints the status of the streamed configuration.
+func (s *streams) printStatus(a lifecycle.ConfigStatus, asJSON bool) error {
+	if asJSON {
 		return s.printJSON(a)
 	}
 	from := fmt.Sprint("version ", a.Version)
@@ -116,6 +118,13 @@
 	return s.printStatus(a, c.JSON)
 }
 
+// settingDifference is a setting that differs between two files.
+type settingDifference struct {
+	Key   string `json:"key"`
+	One   string `json:"one"`
+	Other string `json:"other"`
+}
+
 type diffCmd struct {
 	One   string `arg:"" help:"A file of settings."`
 	Other string `arg:"" optional:"" help:"Another; without it, the defaults."`
@@ -127,36 +136,31 @@
 }
 
 func (c *diffCmd) Run(s *streams) error {
-	one, err := config.Load(c.One)
+	first, err := config.Load(c.One)
 	if err != nil {
 		return err
 	}
-	other, err := config.Load(c.Other)
+	second, err := config.Load(c.Other)
 	if err != nil {
 		return err
 	}
-	type line struct {
-		Key   string `json:"key"`
-		One   string `json:"one"`
-		Other string `json:"other"`
-	}
-	differ := []line{}
-	b := other.Settings()
-	for i, a := range one.Settings() {
-		if a.Value != b[i].Value {
-			differ = append(differ, line{a.Section + "." + a.Key, a.Value, b[i].Value})
+	differences := []settingDifference{}
+	secondSettings := second.Settings()
+	for i, setting := range first.Settings() {
+		if other := secondSettings[i]; setting.Value != other.Value {
+			differences = append(differences, settingDifference{setting.Section + "." + setting.Key, setting.Value, other.Value})
 		}
 	}
 	if c.JSON {
-		if err := s.printJSON(differ); err != nil {
+		if err := s.printJSON(differences); err != nil {
 			return err
 		}
 	} else {
-		for _, d := range differ {
+		for _, d := range differences {
 			fmt.Fprintf(s.out, "%s: %q, %q\n", d.Key, d.One, d.Other)
 		}
 	}
-	if len(differ) > 0 {
+	if len(differences) > 0 {
 		return errNegative
 	}
 	return nil
--- a/internal/experiment/run.go
+++ b/internal/experiment/run.go
@@ -45,9 +45,9 @@
 		jobs = runtime.GOMAXPROCS(0)
 	}
 	queue := make(chan plannedRun)
-	var workers sync.WaitGroup
+	var tasks sync.WaitGroup
 	for range min(jobs, max(1, len(missing))) {
-		workers.Go(func() {
+		tasks.Go(func() {
 			for planned := range queue {
 				r.run(ctx, planned)
 			}
@@ -55,7 +55,7 @@
 	}
 	enqueue(ctx, queue, missing)
 	close(queue)
-	workers.Wait()
+	tasks.Wait()
 	if r.firstErr != nil {
 		return r.firstErr
 	}
