--- a/internal/takeover/backup.go
+++ b/internal/takeover/backup.go
@@ -2,269 +2,393 @@
 
 import "slices"
 
-// The keeper's part.
+// This file is the backup's part: it stores records of other gateways' requests and grants
+// the permits of the chains that it heads.
 
-// handleReplicate notes a request. A permit is there only where its first holder says so for
-// the first time: who has forgotten what it gave away has nothing to give.
+// requestRecord is a backup's record of a request.
+type requestRecord struct {
+	holder        Member
+	epoch         uint32
+	resumeSeq     uint32
+	policy        RetryPolicy
+	deadline      Micros // of the client's first request
+	backups       []Member
+	permitGranted bool // the permit of this backup's chain
+	expiresAt     Micros
+	decision      *pendingDecision // nil: none is pending
+	lastReply     Message          // the result of the last decision
+	lastRequester Member           // the receiver of lastReply
+}
+
+// pendingDecision is a backup's decision on a claim or a permit query. It first waits for the
+// holder of a claimed request to stop, then for the chain to record the grant.
+type pendingDecision struct {
+	request      Message
+	requester    Member
+	startedAt    Micros
+	awaitingAcks []Member // members of the chain that have not recorded the grant; nil: not asked yet
+	retransmit   Message  // to awaitingAcks, or to the holder
+	lastSentAt   Micros
+}
+
+// handleReplicate stores or renews a record. Only the first message of the first holder
+// brings a permit: a backup that has lost its record cannot know what it has granted.
 func (n *Node) handleReplicate(now Micros, from Member, m Message) {
-	r := n.records[m.RequestID]
-	if r == nil {
-		if r = n.addRecord(m); r == nil {
+	record := n.records[m.RequestID]
+	if record == nil {
+		record = n.addRecord(m)
+		if record == nil {
 			return
 		}
-		r.permitGranted = !m.Initial
+		record.permitGranted = !m.Initial
 	}
 	if from == m.Holder {
-		n.mergeHolder(r, m)
+		n.mergeHolder(record, m)
 	}
-	if r.holder == from {
-		r.expiresAt = now + n.settings.RecordTTL
-		r.deadline = now + m.TimeLeft
+	if record.holder == from {
+		record.expiresAt = now + n.settings.RecordTTL
+		record.deadline = now + m.TimeLeft
 	}
 }
 
-// addRecord makes a record, if there is room. The newest is turned away where there is
-// none: to drop an older one would be to forget what was given away.
+// addRecord creates a record, or returns nil if there are too many. The newest is rejected
+// because dropping an older one would forget a granted permit.
 func (n *Node) addRecord(m Message) *requestRecord {
 	if len(n.records) >= n.settings.MaxRecords || n.recordsByHolder[m.Holder.Name] >= n.settings.MaxRecordsPerHolder {
 		n.rejectedRecords++
 		return nil
 	}
-	r := &requestRecord{holder: m.Holder, epoch: m.Epoch, resumeSeq: m.ResumeSeq, policy: m.Policy, backups: m.Backups, permitGranted: true}
-	n.records[m.RequestID] = r
+	record := &requestRecord{
+		holder:        m.Holder,
+		epoch:         m.Epoch,
+		resumeSeq:     m.ResumeSeq,
+		policy:        m.Policy,
+		backups:       m.Backups,
+		permitGranted: true,
+	}
+	n.records[m.RequestID] = record
 	n.recordsByHolder[m.Holder.Name]++
-	return r
+	return record
 }
 
 func (n *Node) removeRecord(id string) {
-	r := n.records[id]
-	n.setHolder(r, Member{})
+	n.setHolder(n.records[id], Member{})
 	delete(n.records, id)
 }
 
-func (n *Node) setHolder(r *requestRecord, to Member) {
-	if n.recordsByHolder[r.holder.Name]--; n.recordsByHolder[r.holder.Name] <= 0 {
-		delete(n.recordsByHolder, r.holder.Name)
+// setHolder changes a record's holder and the counts of records by holder. The zero Member
+// means none.
+func (n *Node) setHolder(record *requestRecord, holder Member) {
+	n.recordsByHolder[record.holder.Name]--
+	if n.recordsByHolder[record.holder.Name] <= 0 {
+		delete(n.recordsByHolder, record.holder.Name)
 	}
-	if r.holder = to; to.Name != "" {
-		n.recordsByHolder[to.Name]++
+	record.holder = holder
+	if holder.Name != "" {
+		n.recordsByHolder[holder.Name]++
 	}
 }
 
-// mergeHolder takes over what a message knows of the holder, if it knows more, and tells
-// whether the record agrees with it then.
-func (n *Node) mergeHolder(r *requestRecord, m Message) bool {
-	if m.Epoch > r.epoch {
-		n.setHolder(r, m.Holder)
-		r.epoch, r.resumeSeq = m.Epoch, max(r.resumeSeq, m.ResumeSeq)
-	}
-	return r.epoch == m.Epoch && r.holder == m.Holder
+// mergeHolder updates a record to the holder in a message if that has a greater epoch, and
+// reports whether the record and the message then agree on the holder.
+func (n *Node) mergeHolder(record *requestRecord, m Message) bool {
+	if m.Epoch > record.epoch {
+		n.setHolder(record, m.Holder)
+		record.epoch = m.Epoch
+		record.resumeSeq = max(record.resumeSeq, m.ResumeSeq)
+	}
+	return record.epoch == m.Epoch && record.holder == m.Holder
 }
 
+// handleLookup replies whether this gateway has a record of a request, and with the record.
 func (n *Node) handleLookup(now Micros, from Member, m Message) {
-	a := Message{Kind: MsgLookupReply, RequestID: m.RequestID, QueryID: m.QueryID}
-	if r := n.records[m.RequestID]; r != nil {
-		a.OK, a.Holder, a.Epoch, a.ResumeSeq, a.Policy, a.Backups = true, r.holder, r.epoch, r.resumeSeq, r.policy, r.backups
-		a.TimeLeft, a.ProvenDead = max(0, r.deadline-now), n.provenDead(r.backups)
+	reply := Message{Kind: MsgLookupReply, RequestID: m.RequestID, QueryID: m.QueryID}
+	if record := n.records[m.RequestID]; record != nil {
+		reply.OK = true
+		reply.Holder = record.holder
+		reply.Epoch = record.epoch
+		reply.ResumeSeq = record.resumeSeq
+		reply.Policy = record.policy
+		reply.Backups = record.backups
+		reply.TimeLeft = max(0, record.deadline-now)
+		reply.ProvenDead = n.provenDead(record.backups)
 	}
-	n.send(from, a)
+	n.send(from, reply)
 }
 
-// handleGrantRequest begins a decision on a claim or a wish.
+// handleGrantRequest begins the decision on a claim or a permit query, unless it can be
+// rejected at once.
 func (n *Node) handleGrantRequest(now Micros, from Member, m Message) {
-	r := n.records[m.RequestID]
-	no := func(why Reason) {
-		a := Message{Kind: replyKind(m.Kind), RequestID: m.RequestID, QueryID: m.QueryID, Reason: why}
-		if r != nil {
-			a.Holder, a.Epoch, a.ResumeSeq = r.holder, r.epoch, r.resumeSeq
-		}
-		n.send(from, a)
-	}
-	if r == nil {
-		no(ReasonUnknown)
+	record := n.records[m.RequestID]
+	if record == nil {
+		n.rejectGrant(from, m, nil, ReasonUnknown)
 		return
 	}
-	if r.decision != nil {
-		if r.decision.requester != from || r.decision.request.QueryID != m.QueryID {
-			no(ReasonAlreadyClaimed) // the one that asked first is being answered
+	if decision := record.decision; decision != nil {
+		if decision.requester != from || decision.request.QueryID != m.QueryID {
+			n.rejectGrant(from, m, record, ReasonAlreadyClaimed) // the first requester has precedence
 		}
 		return
 	}
-	if r.lastReply.QueryID == m.QueryID && r.lastRequester == from { // a question that came twice has one answer
-		n.send(from, r.lastReply)
+	if record.lastReply.QueryID == m.QueryID && record.lastRequester == from {
+		n.send(from, record.lastReply) // a duplicate gets the same reply
 		return
 	}
-	agrees := n.mergeHolder(r, m)
+	if reason := n.rejectionReason(record, m); reason != ReasonNone {
+		n.rejectGrant(from, m, record, reason)
+		return
+	}
+	n.beginDecision(now, from, m, record)
+}
+
+// rejectionReason updates a record to the holder in a claim or a permit query, and returns why
+// the message has to be rejected at once, or ReasonNone.
+func (n *Node) rejectionReason(record *requestRecord, m Message) Reason {
+	holderAgrees := n.mergeHolder(record, m)
 	switch {
-	case m.Kind == MsgPermit && !agrees && !n.disableFencing:
-		no(ReasonSuperseded)
-	case m.Kind == MsgClaim && m.NextResumeSeq <= r.resumeSeq:
-		no(ReasonAlreadyClaimed)
-	case r.permitGranted:
-		no(ReasonAttemptsExhausted)
-	case !n.isChainHead(r, m.Chain):
-		no(ReasonNoProof)
+	case m.Kind == MsgPermit && !holderAgrees && !n.disableFencing:
+		return ReasonSuperseded
+	case m.Kind == MsgClaim && m.NextResumeSeq <= record.resumeSeq:
+		return ReasonAlreadyClaimed
+	case record.permitGranted:
+		return ReasonAttemptsExhausted
+	case !n.isChainHead(record, m.Chain):
+		return ReasonNoProof
 	default:
-		n.undecided[m.RequestID] = true
-		r.decision = &pendingDecision{request: m, requester: from, startedAt: now, lastSentAt: now}
-		if m.Kind == MsgClaim {
-			r.decision.retransmit = Message{Kind: MsgRelease, RequestID: m.RequestID, QueryID: m.QueryID, Epoch: r.epoch}
-			n.send(r.holder, r.decision.retransmit)
-			if !n.isDead(r.holder) {
-				n.probe(r.holder)
-			}
-			n.advanceDecision(now, m.RequestID, r)
-		} else {
-			n.beginGrant(now, m.RequestID, r)
-		}
+		return ReasonNone
+	}
+}
+
+// rejectGrant rejects a claim or a permit query. The record may be nil.
+func (n *Node) rejectGrant(to Member, m Message, record *requestRecord, reason Reason) {
+	reply := Message{Kind: replyKind(m.Kind), RequestID: m.RequestID, QueryID: m.QueryID, Reason: reason}
+	if record != nil {
+		reply.Holder = record.holder
+		reply.Epoch = record.epoch
+		reply.ResumeSeq = record.resumeSeq
+	}
+	n.send(to, reply)
+}
+
+// beginDecision grants a permit to the holder, or asks the holder of a claimed request to stop.
+func (n *Node) beginDecision(now Micros, from Member, m Message, record *requestRecord) {
+	n.undecided[m.RequestID] = true
+	decision := &pendingDecision{request: m, requester: from, startedAt: now, lastSentAt: now}
+	record.decision = decision
+	if m.Kind == MsgPermit {
+		n.beginGrant(now, m.RequestID, record)
+		return
+	}
+	decision.retransmit = Message{Kind: MsgRelease, RequestID: m.RequestID, QueryID: m.QueryID, Epoch: record.epoch}
+	n.send(record.holder, decision.retransmit)
+	if !n.isDead(record.holder) {
+		n.probe(record.holder)
 	}
+	n.advanceDecision(now, m.RequestID, record)
 }
 
-func replyKind(k MessageKind) MessageKind {
-	if k == MsgClaim {
+// replyKind returns the kind of the reply to a claim or a permit query.
+func replyKind(request MessageKind) MessageKind {
+	if request == MsgClaim {
 		return MsgClaimReply
 	}
 	return MsgPermitReply
 }
 
-// isChainHead tells whether this gateway is the first of a chain that is not proven dead.
-func (n *Node) isChainHead(r *requestRecord, chain int) bool {
-	m, ok := n.chainHead(n.chainMembers(r.backups, chain))
-	return ok && m == n.self
+// isChainHead reports whether this gateway is the head of one of a record's chains.
+func (n *Node) isChainHead(record *requestRecord, chain int) bool {
+	head, ok := n.chainHead(n.chainMembers(record.backups, chain))
+	return ok && head == n.self
 }
 
-// handleReleaseReply is the holder's word that nothing of it runs there any more.
+// handleReleaseReply handles the holder's confirmation that nothing of a request runs there.
 func (n *Node) handleReleaseReply(now Micros, from Member, m Message) {
-	r := n.records[m.RequestID]
-	if r == nil || r.decision == nil || r.decision.request.Kind != MsgClaim || r.holder != from || r.decision.request.QueryID != m.QueryID || len(r.decision.awaitingAcks) > 0 {
+	record := n.records[m.RequestID]
+	if record == nil || record.decision == nil || record.holder != from {
 		return
 	}
-	if m.MayHaveRun && !r.policy.Idempotent {
-		n.finishDecision(now, m.RequestID, r, ReasonMayHaveRun)
+	decision := record.decision
+	if decision.request.Kind != MsgClaim || decision.request.QueryID != m.QueryID || len(decision.awaitingAcks) > 0 {
 		return
 	}
-	n.beginGrant(now, m.RequestID, r)
+	if m.MayHaveRun && !record.policy.Idempotent {
+		n.finishDecision(now, m.RequestID, record, ReasonMayHaveRun)
+		return
+	}
+	n.beginGrant(now, m.RequestID, record)
 }
 
-// advanceDecision takes a decision a step on, where a proof or the time allows.
-func (n *Node) advanceDecision(now Micros, id string, r *requestRecord) {
-	d := r.decision
-	late := now-d.startedAt >= n.settings.ReplyTimeout
-	if d.awaitingAcks != nil {
-		waiting := slices.DeleteFunc(slices.Clone(d.awaitingAcks), n.isDead)
-		switch {
-		case len(waiting) == 0:
-			n.finishDecision(now, id, r, ReasonNone)
-		case late: // who stands behind may give it away again: it does not go out
-			n.finishDecision(now, id, r, ReasonNoProof)
-		case n.retransmitDue(now, &d.lastSentAt):
-			for _, m := range waiting {
-				n.send(m, d.retransmit)
-				n.probe(m)
-			}
-		}
+// advanceDecision continues a decision where a proof of death or a timeout allows it.
+func (n *Node) advanceDecision(now Micros, id string, record *requestRecord) {
+	timedOut := now-record.decision.startedAt >= n.settings.ReplyTimeout
+	if record.decision.awaitingAcks != nil {
+		n.awaitChain(now, id, record, timedOut)
 		return
 	}
-	if n.retransmitDue(now, &d.lastSentAt) && !n.isDead(r.holder) {
-		n.send(r.holder, d.retransmit)
-		n.probe(r.holder) // again: a process that dies closes its port last of all
+	n.awaitHolder(now, id, record, timedOut)
+}
+
+// awaitChain finishes a decision once all live members of the chain have recorded the grant.
+func (n *Node) awaitChain(now Micros, id string, record *requestRecord, timedOut bool) {
+	decision := record.decision
+	waiting := slices.DeleteFunc(slices.Clone(decision.awaitingAcks), n.isDead)
+	switch {
+	case len(waiting) == 0:
+		n.finishDecision(now, id, record, ReasonNone)
+	case timedOut: // a member behind may grant the permit again: it must not be used
+		n.finishDecision(now, id, record, ReasonNoProof)
+	case n.retransmitDue(now, &decision.lastSentAt):
+		for _, member := range waiting {
+			n.send(member, decision.retransmit)
+			n.probe(member)
+		}
 	}
-	ended := n.isDead(r.holder)
+}
+
+// awaitHolder decides on a claim whose holder has not confirmed that it has stopped.
+func (n *Node) awaitHolder(now Micros, id string, record *requestRecord, timedOut bool) {
+	decision := record.decision
+	if n.retransmitDue(now, &decision.lastSentAt) && !n.isDead(record.holder) {
+		n.send(record.holder, decision.retransmit)
+		n.probe(record.holder) // again: a dying process closes its port last of all
+	}
+	dead := n.isDead(record.holder)
 	switch {
-	case ended && !r.policy.Idempotent:
-		n.finishDecision(now, id, r, ReasonMayHaveRun)
-	case ended, n.disableDeathProof:
-		n.beginGrant(now, id, r)
-	case late && r.policy.Hedgeable:
-		n.beginGrant(now, id, r)
-	case late:
-		n.finishDecision(now, id, r, ReasonNoProof)
+	case dead && !record.policy.Idempotent:
+		n.finishDecision(now, id, record, ReasonMayHaveRun)
+	case dead, n.disableDeathProof:
+		n.beginGrant(now, id, record)
+	case timedOut && record.policy.Hedgeable:
+		n.beginGrant(now, id, record)
+	case timedOut:
+		n.finishDecision(now, id, record, ReasonNoProof)
 	}
 }
 
-// beginGrant has those behind in the chain note that the permit is given away, and then
-// gives it.
-func (n *Node) beginGrant(now Micros, id string, r *requestRecord) {
-	d := r.decision
-	r.permitGranted = true
-	d.startedAt, d.lastSentAt, d.awaitingAcks = now, now, []Member{}
-	note := n.decidedUpdate(r)
-	note.RequestID = id
-	d.retransmit = note
-	for _, m := range n.chainMembers(r.backups, d.request.Chain) {
-		if m != n.self && !n.isDead(m) {
-			d.awaitingAcks = append(d.awaitingAcks, m)
-			n.send(m, note)
+// beginGrant has the live members behind this one in the chain record that the permit is
+// granted. The requester gets it once they have.
+func (n *Node) beginGrant(now Micros, id string, record *requestRecord) {
+	decision := record.decision
+	record.permitGranted = true
+	decision.startedAt = now
+	decision.lastSentAt = now
+	decision.awaitingAcks = []Member{}
+	decision.retransmit = n.decidedUpdate(record)
+	decision.retransmit.RequestID = id
+	for _, member := range n.chainMembers(record.backups, decision.request.Chain) {
+		if member != n.self && !n.isDead(member) {
+			decision.awaitingAcks = append(decision.awaitingAcks, member)
+			n.send(member, decision.retransmit)
 		}
 	}
-	n.advanceDecision(now, id, r)
+	n.advanceDecision(now, id, record)
 }
 
-// decidedUpdate is the record as it will be once the decision stands.
-func (n *Node) decidedUpdate(r *requestRecord) Message {
-	m := Message{Kind: MsgUpdate, QueryID: r.decision.request.QueryID, Holder: r.holder, Epoch: r.epoch, ResumeSeq: r.resumeSeq, Policy: r.policy, Backups: r.backups, PermitGranted: true, Chain: r.decision.request.Chain}
-	if r.decision.request.Kind == MsgClaim {
-		m.Holder, m.Epoch, m.ResumeSeq = r.decision.requester, r.epoch+1, r.decision.request.NextResumeSeq
+// decidedUpdate returns the record as it will be once the pending decision has been granted.
+func (n *Node) decidedUpdate(record *requestRecord) Message {
+	request := record.decision.request
+	update := Message{
+		Kind:          MsgUpdate,
+		QueryID:       request.QueryID,
+		Holder:        record.holder,
+		Epoch:         record.epoch,
+		ResumeSeq:     record.resumeSeq,
+		Policy:        record.policy,
+		Backups:       record.backups,
+		PermitGranted: true,
+		Chain:         request.Chain,
+	}
+	if request.Kind == MsgClaim {
+		update.Holder = record.decision.requester
+		update.Epoch = record.epoch + 1
+		update.ResumeSeq = request.NextResumeSeq
 	}
-	return m
+	return update
 }
 
-// finishDecision ends a decision.
-func (n *Node) finishDecision(now Micros, id string, r *requestRecord, why Reason) {
-	d, m := r.decision, n.decidedUpdate(r)
-	if r.decision = nil; why == ReasonNone {
-		n.mergeHolder(r, m)
-		r.expiresAt = now + n.settings.RecordTTL
-	}
-	r.lastRequester = d.requester
-	r.lastReply = Message{Kind: replyKind(d.request.Kind), RequestID: id, QueryID: d.request.QueryID, OK: why == ReasonNone, Reason: why, Holder: r.holder, Epoch: r.epoch,
-		ResumeSeq: r.resumeSeq, Policy: r.policy, TimeLeft: max(0, r.deadline-now)}
-	n.send(d.requester, r.lastReply)
+// finishDecision sends the result of a decision: granted for ReasonNone, else rejected.
+func (n *Node) finishDecision(now Micros, id string, record *requestRecord, reason Reason) {
+	decision := record.decision
+	update := n.decidedUpdate(record)
+	record.decision = nil
+	if reason == ReasonNone {
+		n.mergeHolder(record, update)
+		record.expiresAt = now + n.settings.RecordTTL
+	}
+	record.lastRequester = decision.requester
+	record.lastReply = Message{
+		Kind:      replyKind(decision.request.Kind),
+		RequestID: id,
+		QueryID:   decision.request.QueryID,
+		OK:        reason == ReasonNone,
+		Reason:    reason,
+		Holder:    record.holder,
+		Epoch:     record.epoch,
+		ResumeSeq: record.resumeSeq,
+		Policy:    record.policy,
+		TimeLeft:  max(0, record.deadline-now),
+	}
+	n.send(decision.requester, record.lastReply)
 }
 
-// handleUpdate notes the newest holder, and whether the permit is given away.
+// handleUpdate records a new holder, and whether the permit is granted.
 func (n *Node) handleUpdate(now Micros, from Member, m Message) {
-	r := n.records[m.RequestID]
-	if r == nil {
-		if r = n.addRecord(m); r == nil { // the note may come before what it is about
-			n.send(from, Message{Kind: MsgUpdateReply, RequestID: m.RequestID, QueryID: m.QueryID})
+	reply := Message{Kind: MsgUpdateReply, RequestID: m.RequestID, QueryID: m.QueryID}
+	record := n.records[m.RequestID]
+	if record == nil { // the update may arrive before the record itself
+		record = n.addRecord(m)
+		if record == nil {
+			n.send(from, reply)
 			return
 		}
-		r.deadline = now + m.TimeLeft
+		record.deadline = now + m.TimeLeft
 	}
-	ok := n.mergeHolder(r, m)
-	r.permitGranted = r.permitGranted || m.PermitGranted
-	r.expiresAt = now + n.settings.RecordTTL
-	n.send(from, Message{Kind: MsgUpdateReply, RequestID: m.RequestID, QueryID: m.QueryID, OK: ok})
+	reply.OK = n.mergeHolder(record, m)
+	record.permitGranted = record.permitGranted || m.PermitGranted
+	record.expiresAt = now + n.settings.RecordTTL
+	n.send(from, reply)
 }
 
-// handleUpdateReply is the answer to a note: of a chain's keeper, or of a claim's.
+// handleUpdateReply handles the reply to an update of a decision, or of a claim.
 func (n *Node) handleUpdateReply(now Micros, from Member, m Message) {
-	if r := n.records[m.RequestID]; r != nil && r.decision != nil && r.decision.request.QueryID == m.QueryID && slices.Contains(r.decision.awaitingAcks, from) {
-		r.decision.awaitingAcks = without(r.decision.awaitingAcks, from)
-		if !m.OK {
-			n.finishDecision(now, m.RequestID, r, ReasonAlreadyClaimed)
-			return
-		}
-		n.advanceDecision(now, m.RequestID, r)
+	record := n.records[m.RequestID]
+	if record == nil || !record.awaitsAck(from, m.QueryID) {
+		n.handleReply(now, from, m)
+		return
+	}
+	record.decision.awaitingAcks = without(record.decision.awaitingAcks, from)
+	if !m.OK {
+		n.finishDecision(now, m.RequestID, record, ReasonAlreadyClaimed)
 		return
 	}
-	n.handleReply(now, from, m)
+	n.advanceDecision(now, m.RequestID, record)
+}
+
+// awaitsAck reports whether the pending decision on a query waits for a member of the chain.
+func (r *requestRecord) awaitsAck(from Member, queryID uint32) bool {
+	return r.decision != nil && r.decision.request.QueryID == queryID && slices.Contains(r.decision.awaitingAcks, from)
 }
 
-// handlePermitReturn takes back a permit that was granted and not used: the module that it was
-// for turned the request away. Those behind in the chain go on taking it for given.
-func (n *Node) handlePermitReturn(_ Micros, from Member, m Message) {
-	if r := n.records[m.RequestID]; r != nil && r.decision == nil && r.holder == from && r.epoch == m.Epoch && n.isChainHead(r, m.Chain) {
-		r.permitGranted = false
+// handlePermitReturn makes a permit available again that was granted and not used, because
+// the request was rejected at its new holder. The members behind in the chain still count it as
+// granted.
+func (n *Node) handlePermitReturn(from Member, m Message) {
+	record := n.records[m.RequestID]
+	if record == nil || record.decision != nil {
+		return
+	}
+	if record.holder == from && record.epoch == m.Epoch && n.isChainHead(record, m.Chain) {
+		record.permitGranted = false
 	}
 }
 
-// handleLeaseCheck tells a holder whether a request is still its own.
-func (n *Node) handleLeaseCheck(_ Micros, from Member, m Message) {
-	ok := true
-	if r := n.records[m.RequestID]; r != nil {
-		ok = n.mergeHolder(r, m) && (r.decision == nil || r.decision.request.Kind != MsgClaim) || n.disableFencing
+// handleLeaseCheck replies whether a holder still has its lease, as far as is known here.
+func (n *Node) handleLeaseCheck(from Member, m Message) {
+	valid := true
+	if record := n.records[m.RequestID]; record != nil {
+		holderAgrees := n.mergeHolder(record, m)
+		claimPending := record.decision != nil && record.decision.request.Kind == MsgClaim
+		valid = holderAgrees && !claimPending || n.disableFencing
 	}
-	n.send(from, Message{Kind: MsgLeaseCheckReply, RequestID: m.RequestID, QueryID: m.QueryID, OK: ok})
+	n.send(from, Message{Kind: MsgLeaseCheckReply, RequestID: m.RequestID, QueryID: m.QueryID, OK: valid})
 }
--- /dev/null
+++ b/internal/takeover/claim.go
@@ -0,0 +1,219 @@
+package takeover
+
+// This file is the claimant's part.
+
+// claimReplyTimeouts is how many reply timeouts a claimant waits for a chain: its head waits
+// for the holder, then for the members behind it.
+const claimReplyTimeouts = 3
+
+// claimState is a claim of this gateway's whose result is pending.
+type claimState struct {
+	pendingQuery
+	resumeSeq uint32
+	phase     claimPhase
+	found     bool
+	latest    Message // the newest record that was received
+	grantor   Member
+	deadline  Micros
+}
+
+type claimPhase uint8
+
+const (
+	phaseLookup    claimPhase = iota // looking for a gateway that has the record
+	phaseClaim                       // waiting for a chain's head to grant the claim
+	phaseReplicate                   // waiting for the backups to record the new holder
+)
+
+// Claim asks for the lease of a request that a client wants the remainder of. resumeSeq
+// counts the client's resume requests, from 1. The candidates may be the request's backups, by
+// this gateway's view of the members. The result is an ActionClaimResult.
+func (n *Node) Claim(now Micros, id string, resumeSeq uint32, candidates []Member) {
+	if n.claims[id] != nil || resumeSeq == 0 {
+		n.emit(Output{Action: ActionClaimResult, RequestID: id, ResumeSeq: resumeSeq, Reason: ReasonAlreadyClaimed})
+		return
+	}
+	claim := &claimState{resumeSeq: resumeSeq, pendingQuery: pendingQuery{chain: -1}}
+	n.claims[id] = claim
+	n.startQuery(now, &claim.pendingQuery, candidates, Message{Kind: MsgLookup, RequestID: id})
+	n.advanceClaim(now, id, claim)
+}
+
+// AbandonClaim ends a claim whose client has gone. It has no result.
+func (n *Node) AbandonClaim(id string) { delete(n.claims, id) }
+
+func (n *Node) rejectClaim(id string, claim *claimState, reason Reason) {
+	delete(n.claims, id)
+	n.emit(Output{Action: ActionClaimResult, RequestID: id, ResumeSeq: claim.resumeSeq, Reason: reason})
+}
+
+// advanceClaim continues a claim where replies, a proof of death or a timeout allow it.
+func (n *Node) advanceClaim(now Micros, id string, claim *claimState) {
+	elapsed := n.refreshQuery(now, &claim.pendingQuery)
+	switch claim.phase {
+	case phaseLookup:
+		n.advanceLookup(now, id, claim, elapsed)
+	case phaseClaim:
+		n.advanceChainClaim(now, id, claim, elapsed)
+	case phaseReplicate:
+		if len(claim.unanswered) == 0 {
+			n.completeClaim(now, id, claim)
+		} else if elapsed >= n.settings.ReplyTimeout {
+			n.rejectClaim(id, claim, ReasonNoProof)
+		}
+	}
+}
+
+func (n *Node) advanceLookup(now Micros, id string, claim *claimState, elapsed Micros) {
+	switch {
+	case claim.found: // one record is enough: it lists all backups
+		n.claimNextChain(now, id, claim)
+	case len(claim.unanswered) == 0 || elapsed >= n.settings.ReplyTimeout:
+		n.rejectClaim(id, claim, ReasonUnknown)
+	}
+}
+
+func (n *Node) advanceChainClaim(now Micros, id string, claim *claimState, elapsed Micros) {
+	switch {
+	case n.isDead(claim.to):
+		claim.chain-- // the same chain again: it has a new head
+		n.claimNextChain(now, id, claim)
+	case elapsed < claimReplyTimeouts*n.settings.ReplyTimeout:
+		return
+	case !claim.latest.Policy.Hedgeable:
+		n.rejectClaim(id, claim, ReasonNoProof)
+	default:
+		n.claimNextChain(now, id, claim)
+	}
+}
+
+// claimNextChain sends the claim to the head of the next chain that has one.
+func (n *Node) claimNextChain(now Micros, id string, claim *claimState) {
+	claim.phase = phaseClaim
+	claim.unanswered = nil
+	for claim.chain++; claim.chain < n.chainCount(claim.latest.Backups); claim.chain++ {
+		members := n.chainMembers(claim.latest.Backups, claim.chain)
+		head, ok := n.chainHead(members)
+		if !ok {
+			continue
+		}
+		claim.to = head
+		n.startQuery(now, &claim.pendingQuery, []Member{head}, Message{
+			Kind:          MsgClaim,
+			RequestID:     id,
+			Holder:        claim.latest.Holder,
+			Epoch:         claim.latest.Epoch,
+			ResumeSeq:     claim.latest.ResumeSeq,
+			NextResumeSeq: claim.resumeSeq,
+			Chain:         claim.chain,
+			ProvenDead:    n.provenDead(members),
+		})
+		return
+	}
+	n.rejectClaim(id, claim, ReasonAttemptsExhausted)
+}
+
+// handleReply handles the reply to a query of this gateway's.
+func (n *Node) handleReply(now Micros, from Member, m Message) {
+	if lease := n.leases[m.RequestID]; lease != nil && (m.Kind == MsgPermitReply || m.Kind == MsgLeaseCheckReply) {
+		n.handleHolderReply(now, from, m, lease)
+		return
+	}
+	claim := n.claims[m.RequestID]
+	if claim == nil || claim.id != m.QueryID {
+		return
+	}
+	switch {
+	case m.Kind == MsgLookupReply && claim.phase == phaseLookup:
+		n.handleLookupReply(now, from, m, claim)
+	case m.Kind == MsgClaimReply && claim.phase == phaseClaim && from == claim.to:
+		n.handleClaimReply(now, from, m, claim)
+	case m.Kind == MsgUpdateReply && claim.phase == phaseReplicate:
+		claim.unanswered = without(claim.unanswered, from)
+		if !m.OK {
+			n.rejectClaim(m.RequestID, claim, ReasonAlreadyClaimed)
+			return
+		}
+		n.advanceClaim(now, m.RequestID, claim)
+	}
+}
+
+func (n *Node) handleLookupReply(now Micros, from Member, m Message, claim *claimState) {
+	claim.unanswered = without(claim.unanswered, from)
+	if m.OK {
+		claim.found = true
+		claim.latest = m
+		claim.deadline = now + m.TimeLeft
+	}
+	n.advanceClaim(now, m.RequestID, claim)
+}
+
+func (n *Node) handleClaimReply(now Micros, from Member, m Message, claim *claimState) {
+	if m.Epoch > claim.latest.Epoch {
+		claim.latest.Holder = m.Holder
+		claim.latest.Epoch = m.Epoch
+		claim.latest.ResumeSeq = m.ResumeSeq
+	}
+	switch {
+	case m.OK:
+		claim.grantor = from
+		n.replicateClaim(now, m.RequestID, claim)
+	case m.Reason == ReasonAttemptsExhausted || m.Reason == ReasonUnknown:
+		n.claimNextChain(now, m.RequestID, claim)
+	default:
+		n.rejectClaim(m.RequestID, claim, m.Reason)
+	}
+}
+
+// replicateClaim sends all other backups the new holder. If no attempt may run beside the one
+// that is taken over, all have to record it, or be proven dead, before the takeover is complete.
+func (n *Node) replicateClaim(now Micros, id string, claim *claimState) {
+	claim.phase = phaseReplicate
+	others := without(claim.latest.Backups, claim.to)
+	n.startQuery(now, &claim.pendingQuery, others, Message{
+		Kind:      MsgUpdate,
+		RequestID: id,
+		Holder:    n.self,
+		Epoch:     claim.latest.Epoch,
+		ResumeSeq: claim.resumeSeq,
+		Policy:    claim.latest.Policy,
+		Backups:   claim.latest.Backups,
+		TimeLeft:  max(0, claim.deadline-now),
+	})
+	if claim.latest.Policy.Hedgeable {
+		n.completeClaim(now, id, claim)
+		return
+	}
+	n.advanceClaim(now, id, claim)
+}
+
+// completeClaim makes this gateway the lease holder of a request that it claimed.
+func (n *Node) completeClaim(now Micros, id string, claim *claimState) {
+	delete(n.claims, id)
+	lease := &leaseState{
+		epoch:            claim.latest.Epoch,
+		resumeSeq:        claim.resumeSeq,
+		policy:           claim.latest.Policy,
+		deadline:         claim.deadline,
+		backups:          claim.latest.Backups,
+		lastReplicatedAt: now,
+		exhausted:        make([]bool, n.settings.Permits),
+		grantor:          claim.grantor,
+		grantorChain:     claim.chain,
+	}
+	for chain := range claim.chain + 1 {
+		lease.exhausted[chain] = true
+	}
+	if earlier := n.leases[id]; earlier != nil { // an earlier lease of this gateway's, which was stopped
+		n.replyToReleases(id, earlier, true)
+	}
+	n.leases[id] = lease
+	n.emit(Output{
+		Action:       ActionClaimResult,
+		RequestID:    id,
+		ResumeSeq:    claim.resumeSeq,
+		OK:           true,
+		TimeLeft:     max(0, claim.deadline-now),
+		AttemptsMade: claim.chain + 1,
+	})
+}
