--- a/internal/takeover/doc.go
+++ b/internal/takeover/doc.go
@@ -11,7 +11,7 @@
 //
 // A permit belongs to a chain of backups. The chain's head, its first member that is not
 // proven dead, grants the permit once, after the members behind it have recorded the
-// grant. A gateway that a client asks for the remainder of a broken answer claims the
+// grant. A gateway that a client asks to resume a broken answer claims the
 // request at the first chain, then at the next. A backup grants a claim when the holder's
 // attempt is proven to have ended (its process is dead, or reports that it has stopped), or
 // when the request's class allows a second attempt beside the first. Each granted claim
