--- a/internal/membership/membership_test.go
+++ b/internal/membership/membership_test.go
@@ -9,9 +9,8 @@
 	"archknot/internal/takeover"
 )
 
-// testNetwork is members that talk with a delay of a millisecond, in virtual time.
+// testNetwork is a network of members with a latency of a millisecond, in virtual time.
 type testNetwork struct {
-	t           *testing.T
 	tables      map[string]*Table // by address
 	frozen      map[string]bool
 	down        map[string]bool
@@ -27,161 +26,182 @@
 }
 
 func newTestNetwork(t *testing.T, n int) *testNetwork {
-	w := &testNetwork{t: t, tables: map[string]*Table{}, frozen: map[string]bool{}, down: map[string]bool{}, partitioned: func(a, b string) bool { return false }}
+	t.Helper()
+	network := &testNetwork{
+		tables:      map[string]*Table{},
+		frozen:      map[string]bool{},
+		down:        map[string]bool{},
+		partitioned: func(a, b string) bool { return false },
+	}
 	for i := range n {
-		w.start(i, 1)
+		network.start(i, 1)
 	}
-	return w
+	return network
 }
 
 func testAddr(i int) string { return fmt.Sprintf("a%03d", i) }
 
-func (w *testNetwork) start(i int, life uint64) {
-	me := MemberInfo{Member: takeover.Member{Name: fmt.Sprintf("g%03d", i), Incarnation: life}, Addr: testAddr(i), Zone: fmt.Sprint(i % 3)}
-	w.tables[testAddr(i)] = New(me, []string{testAddr(0), testAddr(1)}, DefaultSettings(), uint64(i+1)*7919)
-	delete(w.down, testAddr(i))
+func testName(i int) string { return fmt.Sprintf("g%03d", i) }
+
+func (n *testNetwork) start(i int, incarnation uint64) {
+	self := MemberInfo{Member: takeover.Member{Name: testName(i), Incarnation: incarnation}, Addr: testAddr(i), Zone: fmt.Sprint(i % 3)}
+	n.tables[testAddr(i)] = New(self, []string{testAddr(0), testAddr(1)}, DefaultSettings(), uint64(i+1)*7919)
+	delete(n.down, testAddr(i))
 }
 
-// run lets time pass in steps of a millisecond.
-func (w *testNetwork) run(d Micros) {
-	for end := w.now + d; w.now < end; {
-		w.now += 1000
-		queue := w.queue
-		w.queue = nil
-		for _, s := range queue {
-			t := w.tables[s.to]
-			if t == nil || w.down[s.to] || w.partitioned(s.from, s.to) {
-				continue
+// run advances the virtual time in steps of a millisecond.
+func (n *testNetwork) run(duration Micros) {
+	for end := n.now + duration; n.now < end; {
+		n.now += 1000
+		n.deliverAll()
+		for i := range len(n.tables) {
+			addr := testAddr(i)
+			ticks := n.now/1000%20 == int64(i%20) // every 20 ms, and whenever it has outputs
+			if (ticks || len(n.tables[addr].outputs) > 0) && !n.down[addr] && !n.frozen[addr] {
+				n.tables[addr].Tick(n.now)
+				n.runOutputs(addr)
 			}
-			if w.frozen[s.to] {
-				w.queue = append(w.queue, s)
-				continue
-			}
-			w.packets++
-			t.Receive(w.now, w.tables[s.from].self.Member, s.message)
 		}
-		for i := range len(w.tables) {
-			if a := testAddr(i); w.now/1000%20 != int64(i%20) && len(w.tables[a].outputs) == 0 {
-				continue // it looks at its clock every 20 ms, at its mail at once
-			}
-			a := testAddr(i)
-			if t := w.tables[a]; !w.down[a] && !w.frozen[a] {
-				t.Tick(w.now)
-				for _, o := range t.Outputs() {
-					if p := o.Probe; p == nil {
-						w.queue = append(w.queue, queuedMessage{a, o.To, o.Message})
-					} else if other := w.tables[p.Addr]; w.down[p.Addr] || other.self.Incarnation != p.Incarnation {
-						t.ConfirmDead(w.now, p.Member)
-					} else if !w.frozen[p.Addr] && !w.partitioned(a, p.Addr) {
-						t.ConfirmAlive(w.now, p.Member)
-					}
-				}
-			}
+	}
+}
+
+// deliverAll delivers the messages that were sent in the last step. Those to a frozen member stay
+// in the queue.
+func (n *testNetwork) deliverAll() {
+	queue := n.queue
+	n.queue = nil
+	for _, m := range queue {
+		receiver := n.tables[m.to]
+		if receiver == nil || n.down[m.to] || n.partitioned(m.from, m.to) {
+			continue
+		}
+		if n.frozen[m.to] {
+			n.queue = append(n.queue, m)
+			continue
+		}
+		n.packets++
+		receiver.Receive(n.now, n.tables[m.from].self.Member, m.message)
+	}
+}
+
+func (n *testNetwork) runOutputs(addr string) {
+	table := n.tables[addr]
+	for _, o := range table.Outputs() {
+		if o.Probe == nil {
+			n.queue = append(n.queue, queuedMessage{addr, o.To, o.Message})
+			continue
+		}
+		probed := o.Probe.Addr
+		if n.down[probed] || n.tables[probed].self.Incarnation != o.Probe.Incarnation {
+			table.ConfirmDead(n.now, o.Probe.Member)
+		} else if !n.frozen[probed] && !n.partitioned(addr, probed) {
+			table.ConfirmAlive(n.now, o.Probe.Member)
 		}
 	}
 }
 
-// countState is how many of those that run believe so of a member.
-func (w *testNetwork) countState(name string, s State) (n int) {
-	for a, t := range w.tables {
-		if m, ok := t.Member(name); ok && !w.down[a] && m.State == s {
-			n++
+// countState returns how many running members have a member in a state.
+func (n *testNetwork) countState(name string, state State) (count int) {
+	for addr, table := range n.tables {
+		if m, ok := table.Member(name); ok && !n.down[addr] && m.State == state {
+			count++
 		}
 	}
-	return n
+	return count
 }
 
-// A hundred find each other; three in ten of them die at once and all know it
-// within seconds; those that start again are back. MEMBERS=300 does it with more.
+// A hundred members find each other. Three in ten of them die at once, which all others know
+// within seconds, and are alive to all after a restart. MEMBERS=300 does it with more.
 func TestMassDeath(t *testing.T) {
 	n := 100
 	if v, err := strconv.Atoi(os.Getenv("MEMBERS")); err == nil {
 		n = v
 	}
-	few := n * 3 / 10
-	w := newTestNetwork(t, n)
-	w.run(12_000_000)
+	dying := n * 3 / 10
+	network := newTestNetwork(t, n)
+	network.run(12_000_000)
 	for i := range n {
-		if got := len(w.tables[testAddr(i)].Members()); got != n-1 {
+		if got := len(network.tables[testAddr(i)].Members()); got != n-1 {
 			t.Fatalf("%s knows %d", testAddr(i), got)
 		}
 	}
-	for i := 10; i < 10+few; i++ {
-		w.down[testAddr(i)] = true
+	for i := 10; i < 10+dying; i++ {
+		network.down[testAddr(i)] = true
 	}
-	before := w.packets
-	known := -1
-	for s := 1; s <= 20 && known < 0; s++ {
-		w.run(500_000)
-		all := true
-		for i := 10; i < 10+few; i++ {
-			all = all && w.countState(fmt.Sprintf("g%03d", i), Dead) == n-few
+	before := network.packets
+	knownAfter := -1 // in milliseconds
+	for s := 1; s <= 20 && knownAfter < 0; s++ {
+		network.run(500_000)
+		allKnow := true
+		for i := 10; i < 10+dying; i++ {
+			allKnow = allKnow && network.countState(testName(i), Dead) == n-dying
 		}
-		if all {
-			known = s * 500
+		if allKnow {
+			knownAfter = s * 500
 		}
 	}
-	t.Logf("%d of %d dead: all knew of all after %d ms, %.1f messages a member and second", few, n, known, float64(w.packets-before)/float64(n-few)/(float64(known)/1000))
-	if known < 0 {
-		t.Error("some did not hear of the dead in 10 s")
+	rate := float64(network.packets-before) / float64(n-dying) / (float64(knownAfter) / 1000)
+	t.Logf("%d of %d dead: known to all after %d ms, %.1f messages a member and second", dying, n, knownAfter, rate)
+	if knownAfter < 0 {
+		t.Error("some do not know of the deaths after 10 s")
 	}
-	for i := 10; i < 10+few; i++ {
-		w.start(i, 2)
+	for i := 10; i < 10+dying; i++ {
+		network.start(i, 2)
 	}
-	w.run(12_000_000)
-	for i := 10; i < 10+few; i++ {
-		if got := w.countState(fmt.Sprintf("g%03d", i), Alive); got != n {
-			t.Fatalf("g%03d is alive to %d of %d", i, got, n)
+	network.run(12_000_000)
+	for i := 10; i < 10+dying; i++ {
+		if got := network.countState(testName(i), Alive); got != n {
+			t.Fatalf("%s is alive to %d of %d", testName(i), got, n)
 		}
 	}
 }
 
-// A frozen member is never dead: doubted, away, and back with its first answer.
+// A frozen member is never dead: it is suspect, unreachable, and alive with its first answer.
 func TestFrozenMemberIsNotDead(t *testing.T) {
-	w := newTestNetwork(t, 30)
-	w.run(5_000_000)
-	w.frozen[testAddr(7)] = true
-	w.run(10_000_000)
-	if n := w.countState("g007", Dead); n > 0 {
+	network := newTestNetwork(t, 30)
+	network.run(5_000_000)
+	network.frozen[testAddr(7)] = true
+	network.run(10_000_000)
+	if n := network.countState("g007", Dead); n > 0 {
 		t.Errorf("dead to %d", n)
 	}
-	if n := w.countState("g007", Unreachable); n < 25 {
-		t.Errorf("away to %d only", n)
+	if n := network.countState("g007", Unreachable); n < 25 {
+		t.Errorf("unreachable to %d only", n)
 	}
-	delete(w.frozen, testAddr(7))
-	w.run(5_000_000)
-	if n := w.countState("g007", Alive); n != 30 {
+	delete(network.frozen, testAddr(7))
+	network.run(5_000_000)
+	if n := network.countState("g007", Alive); n != 30 {
 		t.Errorf("alive to %d of 30", n)
 	}
 }
 
-// Two halves that were cut off from each other find together again.
+// Two halves of a network that was partitioned find each other again.
 func TestPartitionHeals(t *testing.T) {
-	w := newTestNetwork(t, 20)
-	w.run(5_000_000)
-	w.partitioned = func(a, b string) bool { return (a < testAddr(10)) != (b < testAddr(10)) }
-	w.run(15_000_000)
-	if n := w.countState("g015", Dead); n > 0 {
+	network := newTestNetwork(t, 20)
+	network.run(5_000_000)
+	network.partitioned = func(a, b string) bool { return (a < testAddr(10)) != (b < testAddr(10)) }
+	network.run(15_000_000)
+	if n := network.countState("g015", Dead); n > 0 {
 		t.Errorf("dead to %d", n)
 	}
-	w.partitioned = func(a, b string) bool { return false }
-	w.run(15_000_000)
+	network.partitioned = func(a, b string) bool { return false }
+	network.run(15_000_000)
 	for i := range 20 {
-		if n := w.countState(fmt.Sprintf("g%03d", i), Alive); n != 20 {
-			t.Errorf("g%03d is alive to %d of 20", i, n)
+		if n := network.countState(testName(i), Alive); n != 20 {
+			t.Errorf("%s is alive to %d of 20", testName(i), n)
 		}
 	}
 }
 
-// What is known stays within its bound.
+// The table never has more than MaxMembers.
 func TestMemberLimit(t *testing.T) {
-	s := DefaultSettings()
-	s.MaxMembers = 10
-	v := New(MemberInfo{Member: takeover.Member{Name: "me"}}, nil, s, 1)
+	settings := DefaultSettings()
+	settings.MaxMembers = 10
+	table := New(MemberInfo{Member: takeover.Member{Name: "self"}}, nil, settings, 1)
 	for i := range 100 {
-		v.Merge(0, []MemberInfo{{Member: takeover.Member{Name: fmt.Sprint(i)}}})
+		table.Merge(0, []MemberInfo{{Member: takeover.Member{Name: fmt.Sprint(i)}}})
 	}
-	if len(v.Members()) != 10 || v.Rejected() != 90 {
-		t.Errorf("%d known, %d refused", len(v.Members()), v.Rejected())
+	if len(table.Members()) != 10 || table.Rejected() != 90 {
+		t.Errorf("%d members, %d rejected", len(table.Members()), table.Rejected())
 	}
 }
