--- a/internal/peers/codec.go
+++ b/internal/peers/codec.go
@@ -2,6 +2,7 @@
 
 import (
 	"errors"
+	"fmt"
 
 	"google.golang.org/protobuf/proto"
 
@@ -10,88 +11,170 @@
 	"archknot/internal/takeover"
 )
 
-// datagram is what one gateway sends another at once.
-type datagram struct {
-	from     takeover.Member
-	gossip   membership.Message
-	messages []takeover.Message
-}
-
-// Bounds on what a datagram may hold: what is longer comes from no gateway.
+// Limits on a datagram. One that exceeds them comes from no gateway.
 const (
 	maxDatagramSize    = 60 << 10
-	targetDatagramSize = 1200 // words are put together up to here
+	targetDatagramSize = 1200 // estimated size from which a batch is sent at once
 	maxNameLength      = 64
 	maxIDLength        = 128
 	maxBackups         = 16
 	maxMessages        = 256
 )
 
+// errInvalidDatagram is the error for what a gateway does not send.
 var errInvalidDatagram = errors.New("not a gateway's datagram")
 
+// datagram is the content of one UDP datagram between gateways.
+type datagram struct {
+	from     takeover.Member
+	gossip   membership.Message
+	messages []takeover.Message
+}
+
+// encode returns the datagram in its wire format.
+func (d *datagram) encode() ([]byte, error) {
+	encoded := &peerpb.Datagram{From: memberToProto(d.from), Kind: uint32(d.gossip.Kind), Seq: d.gossip.Seq}
+	for i := range d.gossip.Updates {
+		encoded.News = append(encoded.News, memberInfoToProto(&d.gossip.Updates[i]))
+	}
+	for i := range d.messages {
+		encoded.Words = append(encoded.Words, messageToProto(&d.messages[i]))
+	}
+	return proto.Marshal(encoded)
+}
+
+// decodeDatagram parses the wire format, and rejects what exceeds the limits.
+func decodeDatagram(wire []byte) (datagram, error) {
+	var encoded peerpb.Datagram
+	if err := proto.Unmarshal(wire, &encoded); err != nil {
+		return datagram{}, fmt.Errorf("decode datagram: %w", err)
+	}
+	d := datagram{
+		from:   memberFromProto(encoded.From),
+		gossip: membership.Message{Kind: membership.MessageKind(encoded.Kind), Seq: encoded.Seq},
+	}
+	if !validName(d.from) || len(encoded.Words) > maxMessages {
+		return datagram{}, errInvalidDatagram
+	}
+	for _, update := range encoded.News {
+		if !validMemberInfo(update) {
+			return datagram{}, errInvalidDatagram
+		}
+		d.gossip.Updates = append(d.gossip.Updates, memberInfoFromProto(update))
+	}
+	for _, word := range encoded.Words {
+		if !validMessage(word) {
+			return datagram{}, errInvalidDatagram
+		}
+		d.messages = append(d.messages, messageFromProto(word))
+	}
+	return d, nil
+}
+
+func validName(m takeover.Member) bool { return m.Name != "" && len(m.Name) <= maxNameLength }
+
+func validMemberInfo(info *peerpb.Info) bool {
+	return validName(memberFromProto(info.Member)) &&
+		len(info.Addr) <= maxNameLength &&
+		len(info.Site) <= maxNameLength &&
+		info.State <= uint32(membership.Dead)
+}
+
+func validMessage(word *peerpb.Word) bool {
+	return word.Id != "" &&
+		len(word.Id) <= maxIDLength &&
+		len(word.Keepers) <= maxBackups &&
+		len(word.Dead) <= maxBackups &&
+		word.Chain >= 0 && word.Chain <= maxBackups &&
+		word.LeftUs >= 0 &&
+		word.Reason <= uint32(takeover.ReasonSuperseded)
+}
+
 func memberToProto(m takeover.Member) *peerpb.Member {
 	return &peerpb.Member{Name: m.Name, Life: m.Incarnation}
 }
 
-func membersToProto(list []takeover.Member) (out []*peerpb.Member) {
-	for _, m := range list {
-		out = append(out, memberToProto(m))
+func membersToProto(members []takeover.Member) (encoded []*peerpb.Member) {
+	for _, m := range members {
+		encoded = append(encoded, memberToProto(m))
 	}
-	return out
+	return encoded
 }
 
 func memberFromProto(m *peerpb.Member) takeover.Member {
 	return takeover.Member{Name: m.GetName(), Incarnation: m.GetLife()}
 }
 
-func membersFromProto(list []*peerpb.Member) (out []takeover.Member) {
-	for _, m := range list {
-		out = append(out, memberFromProto(m))
+func membersFromProto(encoded []*peerpb.Member) (members []takeover.Member) {
+	for _, m := range encoded {
+		members = append(members, memberFromProto(m))
 	}
-	return out
+	return members
 }
 
-func (d *datagram) encode() ([]byte, error) {
-	p := &peerpb.Datagram{From: memberToProto(d.from), Kind: uint32(d.gossip.Kind), Seq: d.gossip.Seq}
-	for _, in := range d.gossip.Updates {
-		p.News = append(p.News, &peerpb.Info{Member: memberToProto(in.Member), Addr: in.Addr, Site: in.Zone, State: uint32(in.State), Round: in.Refutations})
+func memberInfoToProto(info *membership.MemberInfo) *peerpb.Info {
+	return &peerpb.Info{
+		Member: memberToProto(info.Member),
+		Addr:   info.Addr,
+		Site:   info.Zone,
+		State:  uint32(info.State),
+		Round:  info.Refutations,
 	}
-	for i := range d.messages {
-		m := &d.messages[i]
-		p.Words = append(p.Words, &peerpb.Word{Kind: uint32(m.Kind), To: m.ToIncarnation, Id: m.RequestID, Op: m.QueryID, Holder: memberToProto(m.Holder), Epoch: m.Epoch,
-			Ask: m.ResumeSeq, Next: m.NextResumeSeq, Repeat: m.Policy.Idempotent, Beside: m.Policy.Hedgeable, LeftUs: m.TimeLeft, Keepers: membersToProto(m.Backups),
-			Chain: int32(m.Chain), Given: m.PermitGranted, Fresh: m.Initial, Ok: m.OK, Ran: m.MayHaveRun, Reason: uint32(m.Reason), Dead: membersToProto(m.ProvenDead)})
-	}
-	return proto.Marshal(p)
 }
 
-func decodeDatagram(b []byte) (d datagram, err error) {
-	var p peerpb.Datagram
-	if err := proto.Unmarshal(b, &p); err != nil {
-		return d, err
-	}
-	if d.from = memberFromProto(p.From); !validName(d.from) || len(p.Words) > maxMessages {
-		return d, errInvalidDatagram
-	}
-	d.gossip = membership.Message{Kind: membership.MessageKind(p.Kind), Seq: p.Seq}
-	for _, in := range p.News {
-		info := membership.MemberInfo{Member: memberFromProto(in.Member), Addr: in.Addr, Zone: in.Site, State: membership.State(in.State), Refutations: in.Round}
-		if !validName(info.Member) || len(info.Addr) > maxNameLength || len(info.Zone) > maxNameLength || in.State > uint32(membership.Dead) {
-			return d, errInvalidDatagram
-		}
-		d.gossip.Updates = append(d.gossip.Updates, info)
+func memberInfoFromProto(info *peerpb.Info) membership.MemberInfo {
+	return membership.MemberInfo{
+		Member:      memberFromProto(info.Member),
+		Addr:        info.Addr,
+		Zone:        info.Site,
+		State:       membership.State(info.State),
+		Refutations: info.Round,
 	}
-	for _, w := range p.Words {
-		m := takeover.Message{Kind: takeover.MessageKind(w.Kind), ToIncarnation: w.To, RequestID: w.Id, QueryID: w.Op, Holder: memberFromProto(w.Holder), Epoch: w.Epoch, ResumeSeq: w.Ask,
-			NextResumeSeq: w.Next, Policy: takeover.RetryPolicy{Idempotent: w.Repeat, Hedgeable: w.Beside}, TimeLeft: w.LeftUs, Backups: membersFromProto(w.Keepers), Chain: int(w.Chain),
-			PermitGranted: w.Given, Initial: w.Fresh, OK: w.Ok, MayHaveRun: w.Ran, Reason: takeover.Reason(w.Reason), ProvenDead: membersFromProto(w.Dead)}
-		if w.Id == "" || len(w.Id) > maxIDLength || len(w.Keepers) > maxBackups || len(w.Dead) > maxBackups || w.Chain < 0 || w.Chain > maxBackups ||
-			m.TimeLeft < 0 || w.Reason > uint32(takeover.ReasonSuperseded) {
-			return d, errInvalidDatagram
-		}
-		d.messages = append(d.messages, m)
+}
+
+func messageToProto(m *takeover.Message) *peerpb.Word {
+	return &peerpb.Word{
+		Kind:    uint32(m.Kind),
+		To:      m.ToIncarnation,
+		Id:      m.RequestID,
+		Op:      m.QueryID,
+		Holder:  memberToProto(m.Holder),
+		Epoch:   m.Epoch,
+		Ask:     m.ResumeSeq,
+		Next:    m.NextResumeSeq,
+		Repeat:  m.Policy.Idempotent,
+		Beside:  m.Policy.Hedgeable,
+		LeftUs:  m.TimeLeft,
+		Keepers: membersToProto(m.Backups),
+		Chain:   int32(m.Chain),
+		Given:   m.PermitGranted,
+		Fresh:   m.Initial,
+		Ok:      m.OK,
+		Ran:     m.MayHaveRun,
+		Reason:  uint32(m.Reason),
+		Dead:    membersToProto(m.ProvenDead),
 	}
-	return d, nil
 }
 
-func validName(m takeover.Member) bool { return m.Name != "" && len(m.Name) <= maxNameLength }
+func messageFromProto(word *peerpb.Word) takeover.Message {
+	return takeover.Message{
+		Kind:          takeover.MessageKind(word.Kind),
+		ToIncarnation: word.To,
+		RequestID:     word.Id,
+		QueryID:       word.Op,
+		Holder:        memberFromProto(word.Holder),
+		Epoch:         word.Epoch,
+		ResumeSeq:     word.Ask,
+		NextResumeSeq: word.Next,
+		Policy:        takeover.RetryPolicy{Idempotent: word.Repeat, Hedgeable: word.Beside},
+		TimeLeft:      word.LeftUs,
+		Backups:       membersFromProto(word.Keepers),
+		Chain:         int(word.Chain),
+		PermitGranted: word.Given,
+		Initial:       word.Fresh,
+		OK:            word.Ok,
+		MayHaveRun:    word.Ran,
+		Reason:        takeover.Reason(word.Reason),
+		ProvenDead:    membersFromProto(word.Dead),
+	}
+}
--- a/internal/peers/lease.go
+++ b/internal/peers/lease.go
@@ -9,46 +9,25 @@
 	"archknot/internal/takeover"
 )
 
-// Lease is a request that this gateway holds, under its first try's id.
+// Lease is this gateway's right to send and answer a request. It is acquired by Service.Acquire
+// or Service.Claim and ends with Release. Its methods may be called from any goroutine.
 type Lease struct {
+	// Lost is true once another gateway may continue the request.
+	Lost atomic.Bool
+
 	service        *Service
 	id             string
-	cancel         func() // ends its attempts and its client's connection; may be called twice
-	Lost           atomic.Bool
-	checkedFreezes atomic.Int64 // freezes after which it was still this gateway's
-	queryMu        sync.Mutex   // one question at a time
+	cancel         func()       // ends the attempts and the client's connection; may be called twice
+	checkedFreezes atomic.Int64 // the process's freezes after which the lease was still valid
+	queryMu        sync.Mutex   // one query at a time
 	replies        chan takeover.Output
 }
 
-// Grant is a request that was given to this gateway to go on with.
-type Grant struct {
-	AttemptsMade int           // attempts counted as made
-	TimeLeft     time.Duration // of the first try's wait
-}
-
-// RefusalError says why a request cannot be gone on with.
-type RefusalError struct{ Reason takeover.Reason }
-
-func (r RefusalError) Error() string { return r.Reason.String() }
-
-// deliver hands a waiting task its answer. The lock is held.
-func (h *Lease) deliver(o takeover.Output) {
-	select {
-	case h.replies <- o:
-	default: // nobody waits any more
-	}
-}
-
-func (s *Service) addLease(id string, stop func()) *Lease {
-	h := &Lease{service: s, id: id, cancel: stop, replies: make(chan takeover.Output, 1)}
-	h.checkedFreezes.Store(s.freezes.Load())
-	s.leases[id] = h
-	return h
-}
-
-// Acquire takes a request into this gateway's hands and has its keepers told. Nothing is
-// waited for. It ends with Done.
-func (s *Service) Acquire(id string, terms takeover.RetryPolicy, left time.Duration, stop func()) *Lease {
+// Acquire makes this gateway the first holder of a request's lease and has the record
+// replicated, without waiting for that. It returns nil if this gateway has the lease already.
+// The function cancel ends the request's attempts and its client's connection once the lease is
+// lost; it may be called twice.
+func (s *Service) Acquire(id string, policy takeover.RetryPolicy, timeLeft time.Duration, cancel func()) *Lease {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if s.leases[id] != nil {
@@ -56,121 +35,112 @@
 	}
 	now := s.now()
 	s.syncMembers(now)
-	h := s.addLease(id, stop)
-	s.node.Acquire(now, id, terms, left.Microseconds(), s.selectBackups(id, s.options.Backups))
+	lease := s.addLease(id, cancel)
+	s.node.Acquire(now, id, policy, timeLeft.Microseconds(), s.selectBackups(id, s.options.Backups))
 	if len(s.backupCandidates) == 0 {
 		s.unreplicated[id] = true
 	}
 	s.runOutputs(now)
-	return h
+	return lease
 }
 
-func (s *Service) selectBackups(id string, most int) []takeover.Member {
-	return takeover.SelectBackups(id, s.self, func(m takeover.Member) string { return s.zones[m.Name] }, s.backupCandidates, most)
+// addLease creates a lease. The caller holds the lock.
+func (s *Service) addLease(id string, cancel func()) *Lease {
+	lease := &Lease{service: s, id: id, cancel: cancel, replies: make(chan takeover.Output, 1)}
+	lease.checkedFreezes.Store(s.freezes.Load())
+	s.leases[id] = lease
+	return lease
 }
 
-// Claim asks the others for a request that a client wants the rest of. An error is a
-// Refusal, or the context's.
-func (s *Service) Claim(ctx context.Context, id string, ask uint32, stop func()) (*Lease, Grant, error) {
-	c := &pendingClaim{result: make(chan takeover.Output, 1), cancel: stop}
-	s.mu.Lock()
-	now := s.now()
-	if s.claims[id] != nil {
-		s.mu.Unlock()
-		return nil, Grant{}, RefusalError{takeover.ReasonAlreadyClaimed}
-	}
-	s.syncMembers(now)
-	s.claims[id] = c
-	// Some ranks more than there are keepers: the holder may have known others, and
-	// this gateway itself may be one.
-	s.node.Claim(now, id, ask, append(s.selectBackups(id, s.options.Backups+3), s.self))
-	s.runOutputs(now)
-	s.mu.Unlock()
-	select {
-	case o := <-c.result:
-		if !o.OK {
-			return nil, Grant{}, RefusalError{o.Reason}
-		}
-		return c.lease, Grant{AttemptsMade: o.AttemptsMade, TimeLeft: time.Duration(o.TimeLeft) * time.Microsecond}, nil
-	case <-ctx.Done():
-	}
-	s.mu.Lock()
-	if s.claims[id] == c {
-		delete(s.claims, id)
-		s.node.AbandonClaim(id)
-	}
-	s.mu.Unlock()
-	if c.lease != nil { // granted in this very moment
-		c.lease.Release(false)
-	}
-	return nil, Grant{}, ctx.Err()
+func (s *Service) selectBackups(id string, limit int) []takeover.Member {
+	zoneOf := func(m takeover.Member) string { return s.zones[m.Name] }
+	return takeover.SelectBackups(id, s.self, zoneOf, s.backupCandidates, limit)
+}
+
+// lose marks the lease as lost and ends what runs of the request.
+func (l *Lease) lose() {
+	l.Lost.Store(true)
+	go l.cancel()
 }
 
-// query puts one to the keepers and waits for the answer.
-func (h *Lease) query(ctx context.Context, put func(now int64)) bool {
-	h.queryMu.Lock()
-	defer h.queryMu.Unlock()
-	h.service.mu.Lock()
+// deliver passes the result of a query to the goroutine that waits for it. The caller holds
+// the service's lock.
+func (l *Lease) deliver(o takeover.Output) {
 	select {
-	case <-h.replies: // of a question that was given up
-	default:
+	case l.replies <- o:
+	default: // no goroutine waits any more
 	}
-	now := h.service.now()
-	put(now)
-	h.service.runOutputs(now)
-	h.service.mu.Unlock()
+}
+
+// query starts a query to the backups and waits for its result, which is false if the context
+// ends first.
+func (l *Lease) query(ctx context.Context, start func(now int64)) bool {
+	l.queryMu.Lock()
+	defer l.queryMu.Unlock()
+	l.startQuery(start)
 	select {
-	case o := <-h.replies:
+	case o := <-l.replies:
 		return o.OK
 	case <-ctx.Done():
 		return false
 	}
 }
 
-// AcquirePermit asks for a further attempt: false is no.
-func (h *Lease) AcquirePermit(ctx context.Context) bool {
-	return !h.Lost.Load() && h.query(ctx, func(now int64) { h.service.node.RequestPermit(now, h.id) })
+func (l *Lease) startQuery(start func(now int64)) {
+	l.service.mu.Lock()
+	defer l.service.mu.Unlock()
+	select {
+	case <-l.replies: // the result of a query that was given up
+	default:
+	}
+	now := l.service.now()
+	start(now)
+	l.service.runOutputs(now)
+}
+
+// AcquirePermit asks for a permit to make another attempt, and reports whether it was granted.
+func (l *Lease) AcquirePermit(ctx context.Context) bool {
+	return !l.Lost.Load() && l.query(ctx, func(now int64) { l.service.node.RequestPermit(now, l.id) })
 }
 
-// Valid tells whether the request is still this gateway's: asked before anything of it is
-// sent or passed on. It costs a look at the clock, but after a freeze of the process an
-// exchange with the keepers.
-func (h *Lease) Valid(ctx context.Context) bool {
-	if h.Lost.Load() {
+// Valid reports whether this gateway still has the lease. It is to be called before anything of
+// the request is sent or relayed. It costs a look at the clock, and after a freeze of the process
+// an exchange with the backups.
+func (l *Lease) Valid(ctx context.Context) bool {
+	if l.Lost.Load() {
 		return false
 	}
-	s := h.service
+	s := l.service
 	if s.now()-s.lastHeartbeat.Load() >= s.options.FreezeThreshold.Microseconds() {
 		s.recordHeartbeat()
 	}
-	n := s.freezes.Load()
-	if h.checkedFreezes.Load() == n {
+	freezes := s.freezes.Load()
+	if l.checkedFreezes.Load() == freezes {
 		return true
 	}
-	if !h.query(ctx, func(now int64) { s.node.CheckLease(now, h.id) }) {
+	if !l.query(ctx, func(now int64) { s.node.CheckLease(now, l.id) }) {
 		return false
 	}
-	h.checkedFreezes.Store(n)
+	l.checkedFreezes.Store(freezes)
 	return true
 }
 
-// Release ends the hold: nothing of it runs here any more. ran tells whether an attempt may
-// have run.
-func (h *Lease) Release(ran bool) {
-	s := h.service
+// Release ends the lease: nothing of the request runs here any more. mayHaveRun says whether an
+// attempt may have run.
+func (l *Lease) Release(mayHaveRun bool) {
+	s := l.service
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if s.leases[h.id] == h {
-		delete(s.leases, h.id)
-		delete(s.unreplicated, h.id)
-	} else {
-		return // a later hold of the same request has the name
+	if s.leases[l.id] != l {
+		return // the id belongs to a later lease of the same request
 	}
+	delete(s.leases, l.id)
+	delete(s.unreplicated, l.id)
 	now := s.now()
-	if h.Lost.Load() {
-		s.node.Stopped(now, h.id, ran)
+	if l.Lost.Load() {
+		s.node.Stopped(now, l.id, mayHaveRun)
 	} else {
-		s.node.Release(now, h.id, ran)
+		s.node.Release(now, l.id, mayHaveRun)
 	}
 	s.runOutputs(now)
 }
--- a/internal/peers/peers_test.go
+++ b/internal/peers/peers_test.go
@@ -15,84 +15,109 @@
 )
 
 func TestDatagramRoundTrip(t *testing.T) {
-	m := func(name string) takeover.Member { return takeover.Member{Name: name, Incarnation: 7} }
-	in := datagram{from: m("a"), gossip: membership.Message{Kind: membership.MsgPing, Seq: 3, Updates: []membership.MemberInfo{{Member: m("b"), Addr: "127.0.0.1:1", Zone: "s", State: membership.Unreachable, Refutations: 2}}},
-		messages: []takeover.Message{{Kind: takeover.MsgClaim, ToIncarnation: 9, RequestID: "r", QueryID: 1, Holder: m("c"), Epoch: 2, ResumeSeq: 3, NextResumeSeq: 4, Policy: takeover.RetryPolicy{Idempotent: true, Hedgeable: true}, TimeLeft: 5,
-			Backups: []takeover.Member{m("d")}, Chain: 1, PermitGranted: true, Initial: true, OK: true, MayHaveRun: true, Reason: takeover.ReasonAttemptsExhausted, ProvenDead: []takeover.Member{m("e")}}}}
-	b, err := in.encode()
+	member := func(name string) takeover.Member { return takeover.Member{Name: name, Incarnation: 7} }
+	in := datagram{
+		from: member("a"),
+		gossip: membership.Message{
+			Kind:    membership.MsgPing,
+			Seq:     3,
+			Updates: []membership.MemberInfo{{Member: member("b"), Addr: "127.0.0.1:1", Zone: "s", State: membership.Unreachable, Refutations: 2}},
+		},
+		messages: []takeover.Message{{
+			Kind:          takeover.MsgClaim,
+			ToIncarnation: 9,
+			RequestID:     "r",
+			QueryID:       1,
+			Holder:        member("c"),
+			Epoch:         2,
+			ResumeSeq:     3,
+			NextResumeSeq: 4,
+			Policy:        takeover.RetryPolicy{Idempotent: true, Hedgeable: true},
+			TimeLeft:      5,
+			Backups:       []takeover.Member{member("d")},
+			Chain:         1,
+			PermitGranted: true,
+			Initial:       true,
+			OK:            true,
+			MayHaveRun:    true,
+			Reason:        takeover.ReasonAttemptsExhausted,
+			ProvenDead:    []takeover.Member{member("e")},
+		}},
+	}
+	encoded, err := in.encode()
 	if err != nil {
 		t.Fatal(err)
 	}
-	out, err := decodeDatagram(b)
+	out, err := decodeDatagram(encoded)
 	if diff := cmp.Diff(in, out, cmp.AllowUnexported(datagram{})); err != nil || diff != "" {
 		t.Error(err, diff)
 	}
-	for n := range b { // cut short, it is refused or means less, and nothing panics
-		_, _ = decodeDatagram(b[:n])
+	for n := range encoded { // a truncated datagram is rejected or has fewer fields, and nothing panics
+		_, _ = decodeDatagram(encoded[:n])
 	}
 	if _, err := decodeDatagram([]byte("noise that no gateway sent")); err == nil {
-		t.Error("noise is taken")
+		t.Error("noise is accepted")
 	}
 }
 
-// Three links in one process: one holds a request and ends, another goes on with it,
-// once; the claim of a third is refused.
+// Of four gateways in one process, one holds a request's lease and ends. Another continues the
+// request, once: the claim of a third is rejected.
 func TestClaimOverSockets(t *testing.T) {
 	ctx, stop := context.WithCancel(t.Context())
 	defer stop()
 	var all []*Service
 	var stops []context.CancelFunc
 	for i := range 4 {
-		o := Options{Name: fmt.Sprint("g", i), ListenAddr: "127.0.0.1:0", Backups: 3, Permits: 2, ReplyTimeout: 300 * time.Millisecond, RecordTTL: 30 * time.Second,
+		options := Options{Name: fmt.Sprint("g", i), ListenAddr: "127.0.0.1:0", Backups: 3, Permits: 2, ReplyTimeout: 300 * time.Millisecond, RecordTTL: 30 * time.Second,
 			FreezeThreshold: 10 * time.Second, MaxRecords: 100, MaxRecordsPerHolder: 100, RandomSeed: uint64(i + 1)}
 		if i > 0 {
-			o.Seeds = []string{all[0].Addr()}
+			options.Seeds = []string{all[0].Addr()}
 		}
-		s, err := Start(o)
+		service, err := Start(options)
 		if err != nil {
 			t.Fatal(err)
 		}
-		own, end := context.WithCancel(ctx)
-		go s.Run(own)
-		all, stops = append(all, s), append(stops, end)
+		runCtx, end := context.WithCancel(ctx)
+		go service.Run(runCtx)
+		all, stops = append(all, service), append(stops, end)
 	}
-	until := func(what string, ok func() bool) {
+	until := func(failure string, ok func() bool) {
 		t.Helper()
 		for end := time.Now().Add(10 * time.Second); !ok(); time.Sleep(5 * time.Millisecond) {
 			if time.Now().After(end) {
-				t.Fatal(what)
+				t.Fatal(failure)
 			}
 		}
 	}
-	for _, s := range all {
-		until("they do not find each other", func() bool { return s.Stats().Members == 3 })
+	for _, service := range all {
+		until("they do not find each other", func() bool { return service.Stats().Members == 3 })
 	}
 	var stopped atomic.Bool
-	h := all[0].Acquire("r1", takeover.RetryPolicy{Idempotent: true}, time.Second*4, func() { stopped.Store(true) })
-	until("not kept", func() bool {
+	first := all[0].Acquire("r1", takeover.RetryPolicy{Idempotent: true}, time.Second*4, func() { stopped.Store(true) })
+	until("not replicated", func() bool {
 		n := 0
-		for _, s := range all[1:] {
-			n += s.Stats().Records
+		for _, service := range all[1:] {
+			n += service.Stats().Records
 		}
 		return n == 3
 	})
-	if !h.Valid(ctx) || !h.AcquirePermit(ctx) {
-		t.Error("the holder has nothing")
+	if !first.Valid(ctx) || !first.AcquirePermit(ctx) {
+		t.Error("the holder has no valid lease or no permit")
 	}
-	stops[0]() // its port is closed now, as that of a process that ended
-	got, grant, err := all[1].Claim(ctx, "r1", 1, func() {})
-	if err != nil || grant.AttemptsMade != 2 || grant.TimeLeft <= 0 || !got.Valid(ctx) {
+	stops[0]() // closes its port, as the end of its process would
+	second, grant, err := all[1].Claim(ctx, "r1", 1, func() {})
+	if err != nil || grant.AttemptsMade != 2 || grant.TimeLeft <= 0 || !second.Valid(ctx) {
 		t.Fatalf("%v, %+v", err, grant)
 	}
-	var no RefusalError
-	if _, _, err := all[2].Claim(ctx, "r1", 1, func() {}); !errors.As(err, &no) {
+	var refusal RefusalError
+	if _, _, err := all[2].Claim(ctx, "r1", 1, func() {}); !errors.As(err, &refusal) {
 		t.Errorf("a second claim: %v", err)
 	}
-	if got.AcquirePermit(ctx) {
+	if second.AcquirePermit(ctx) {
 		t.Error("a fourth attempt")
 	}
-	if _, _, err := all[2].Claim(ctx, "r2", 1, func() {}); !errors.As(err, &no) || no.Reason != takeover.ReasonUnknown {
-		t.Errorf("one that nobody holds: %v", err)
+	if _, _, err := all[2].Claim(ctx, "r2", 1, func() {}); !errors.As(err, &refusal) || refusal.Reason != takeover.ReasonUnknown {
+		t.Errorf("a request without a holder: %v", err)
 	}
-	got.Release(true)
+	second.Release(true)
 }
--- /dev/null
+++ b/internal/peers/probe.go
@@ -0,0 +1,101 @@
+package peers
+
+import (
+	"bufio"
+	"errors"
+	"fmt"
+	"io"
+	"log/slog"
+	"net"
+	"strconv"
+	"strings"
+	"syscall"
+	"time"
+
+	"archknot/internal/takeover"
+)
+
+const (
+	// maxConcurrentProbes bounds the probes that are answered at once, and those under way.
+	maxConcurrentProbes = 16
+	// probeAnswerTimeout bounds how long a connection of a probe stays open.
+	probeAnswerTimeout = time.Second
+	// maxProbeLine is the most bytes that are read from the other end of a probe.
+	maxProbeLine = 256
+)
+
+// serveProbes answers each connection with this gateway's name and incarnation, until the
+// listener is closed.
+func (s *Service) serveProbes() {
+	slots := make(chan struct{}, maxConcurrentProbes)
+	for {
+		conn, err := s.tcp.Accept()
+		if err != nil {
+			return
+		}
+		slots <- struct{}{}
+		go func() {
+			defer func() { <-slots }()
+			s.answerProbe(conn)
+		}()
+	}
+}
+
+func (s *Service) answerProbe(conn net.Conn) {
+	defer conn.Close()
+	_ = conn.SetDeadline(time.Now().Add(probeAnswerTimeout))
+	fmt.Fprintf(conn, "%s %d\n", s.self.Name, s.self.Incarnation)
+	// A close with unread data would reset the connection, and the answer might be lost.
+	_, _ = io.Copy(io.Discard, io.LimitReader(conn, maxProbeLine))
+}
+
+// probeMember dials a member's port in a goroutine of its own. A refused connection, or the
+// answer of a later incarnation, proves that the process has ended. No answer proves nothing. The
+// caller holds the lock.
+func (s *Service) probeMember(who takeover.Member, addr string) {
+	if s.probing[who.Name] || len(s.probing) >= maxConcurrentProbes {
+		return
+	}
+	s.probing[who.Name] = true
+	go func() {
+		incarnation, err := dialIncarnation(addr, s.self.Name, who.Name, s.options.ReplyTimeout)
+		s.finishProbe(who, incarnation, err)
+	}()
+}
+
+// finishProbe reports the result of a probe.
+func (s *Service) finishProbe(who takeover.Member, incarnation uint64, err error) {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	delete(s.probing, who.Name)
+	now := s.now()
+	switch {
+	case errors.Is(err, syscall.ECONNREFUSED) || err == nil && incarnation > who.Incarnation:
+		slog.Info("peer_dead", "peer", who.Name, "incarnation", who.Incarnation, "answered_by", incarnation)
+		s.table.ConfirmDead(now, who)
+		s.node.ConfirmDead(now, who)
+	case err == nil && incarnation == who.Incarnation:
+		s.table.ConfirmAlive(now, who)
+	}
+	s.runOutputs(now)
+}
+
+// dialIncarnation returns the incarnation of the gateway of a name that answers at an address.
+func dialIncarnation(addr, self, name string, timeout time.Duration) (incarnation uint64, err error) {
+	conn, err := net.DialTimeout("tcp", addr, timeout)
+	if err != nil {
+		return 0, err
+	}
+	defer conn.Close()
+	_ = conn.SetDeadline(time.Now().Add(timeout))
+	fmt.Fprintf(conn, "%s 0\n", self)
+	line, err := bufio.NewReader(io.LimitReader(conn, maxProbeLine)).ReadString('\n')
+	if err != nil {
+		return 0, fmt.Errorf("%s: read the answer to a probe: %w", addr, err)
+	}
+	answering, text, _ := strings.Cut(strings.TrimSpace(line), " ")
+	if answering != name {
+		return 0, fmt.Errorf("%s: %.64q answers in the place of %s", addr, answering, name)
+	}
+	return strconv.ParseUint(text, 10, 64)
+}
