--- a/internal/cli/drill.go
+++ b/internal/cli/drill.go
@@ -76,20 +76,20 @@
 		"Exit code 1: a rule was broken.\n\nExample:\n  archknot drill run deploy/take-over.plan --seeds 10 --jobs 3"
 }
 
-// drilled is what several drills come to.
-type drilled struct {
-	Drills  int                 `json:"drills"`
-	Sent    int                 `json:"sent"`
-	Caught  int                 `json:"caught"`
-	Saved   int                 `json:"saved"`
-	Breaks  int                 `json:"breaks"`
-	Crashes int                 `json:"crashes"`
-	Served  experiment.Interval `json:"worth_served"` // share of what was asked for
-	Lost    experiment.Interval `json:"worth_lost_10s"`
-	First   experiment.Interval `json:"first_p50_ms"`
-	CPU     experiment.Interval `json:"cpu_ms_request"`
-	Memory  float64             `json:"memory_mb"`
-	Files   int                 `json:"files"`
+// runSummary is what several drills come to.
+type runSummary struct {
+	Drills          int                 `json:"drills"`
+	Sent            int                 `json:"sent"`
+	Interrupted     int                 `json:"caught"`
+	Recovered       int                 `json:"saved"`
+	Violations      int                 `json:"breaks"`
+	Crashes         int                 `json:"crashes"`
+	WeightServed    experiment.Interval `json:"worth_served"` // share of what was asked for
+	WeightLost      experiment.Interval `json:"worth_lost_10s"`
+	FirstTokenMs    experiment.Interval `json:"first_p50_ms"`
+	CPUMsPerRequest experiment.Interval `json:"cpu_ms_request"`
+	MemoryMB        float64             `json:"memory_mb"`
+	OpenFiles       int                 `json:"files"`
 }
 
 func (c *drillRunCmd) Run(s *streams) error {
@@ -116,33 +116,33 @@
 			_ = bar.Add(1)
 		}
 		all = append(all, r)
-		return c.tell(s, r)
+		return c.printResult(s, r)
 	})
 	if err != nil {
 		return err
 	}
-	sum := c.sum(all)
+	sum := c.summarize(all)
 	if c.JSON {
 		if err := json.NewEncoder(s.out).Encode(sum); err != nil {
 			return err
 		}
 	} else {
 		t := tabwriter.NewWriter(s.out, 0, 0, 2, ' ', 0)
-		fmt.Fprintf(t, "drills\t%d\nrequests\t%d\nin hand at a lost gateway\t%d\n  of them whole and in time\t%d (%.2f%%)\n", sum.Drills, sum.Sent, sum.Caught, sum.Saved, 100*float64(sum.Saved)/max(1, float64(sum.Caught)))
-		fmt.Fprintf(t, "worth served\t%s\nworth lost in 10 s\t%s\nfirst token, median ms\t%s\ncpu a request, ms\t%s\n", sum.Served, sum.Lost, sum.First, sum.CPU)
-		fmt.Fprintf(t, "most memory, MB\t%.1f\nmost descriptors\t%d\nrules broken\t%d\nprocesses that ended\t%d\n", sum.Memory, sum.Files, sum.Breaks, sum.Crashes)
+		fmt.Fprintf(t, "drills\t%d\nrequests\t%d\nin hand at a lost gateway\t%d\n  of them whole and in time\t%d (%.2f%%)\n", sum.Drills, sum.Sent, sum.Interrupted, sum.Recovered, 100*float64(sum.Recovered)/max(1, float64(sum.Interrupted)))
+		fmt.Fprintf(t, "worth served\t%s\nworth lost in 10 s\t%s\nfirst token, median ms\t%s\ncpu a request, ms\t%s\n", sum.WeightServed, sum.WeightLost, sum.FirstTokenMs, sum.CPUMsPerRequest)
+		fmt.Fprintf(t, "most memory, MB\t%.1f\nmost descriptors\t%d\nrules broken\t%d\nprocesses that ended\t%d\n", sum.MemoryMB, sum.OpenFiles, sum.Violations, sum.Crashes)
 		if err := t.Flush(); err != nil {
 			return err
 		}
 	}
-	if sum.Breaks+sum.Crashes > 0 {
+	if sum.Violations+sum.Crashes > 0 {
 		return errNo
 	}
 	return nil
 }
 
-// tell prints one drill as it ends.
-func (c *drillRunCmd) tell(s *streams, r *faulttest.Result) error {
+// printResult prints one drill as it ends.
+func (c *drillRunCmd) printResult(s *streams, r *faulttest.Result) error {
 	if c.JSON {
 		return json.NewEncoder(s.out).Encode(r)
 	}
@@ -154,12 +154,12 @@
 	}
 	fmt.Fprintf(s.out, "seed=%d sent=%d %s worth=%.4f caught=%d saved=%d lost_10s=%.1f p50_ms=%.1f breaks=%d crashes=%d\n", r.Seed, r.Sent, strings.Join(ends, " "),
 		r.Worth/max(1e-9, r.Asked), r.Caught, r.Saved, r.LostIn, r.FirstMs["p50"], len(r.Breaks), len(r.Crashes))
-	tellBroken(s.out, r)
+	printViolations(s.out, r)
 	return nil
 }
 
-// tellBroken prints the rules that a drill saw broken and the processes that ended.
-func tellBroken(out io.Writer, r *faulttest.Result) {
+// printViolations prints the rules that a drill saw broken and the processes that ended.
+func printViolations(out io.Writer, r *faulttest.Result) {
 	for _, b := range r.Breaks {
 		fmt.Fprintf(out, "  rule=%s request=%s %s\n", b.Rule, b.Root, b.What)
 	}
@@ -168,17 +168,17 @@
 	}
 }
 
-func (c *drillRunCmd) sum(all []*faulttest.Result) (out drilled) {
+func (c *drillRunCmd) summarize(all []*faulttest.Result) (out runSummary) {
 	var served, lost, first, cpu []float64
 	for _, r := range all {
 		out.Drills++
-		out.Sent, out.Caught, out.Saved = out.Sent+r.Sent, out.Caught+r.Caught, out.Saved+r.Saved
-		out.Breaks, out.Crashes = out.Breaks+len(r.Breaks), out.Crashes+len(r.Crashes)
-		out.Memory, out.Files = max(out.Memory, r.MemoryMB), max(out.Files, r.Files)
+		out.Sent, out.Interrupted, out.Recovered = out.Sent+r.Sent, out.Interrupted+r.Caught, out.Recovered+r.Saved
+		out.Violations, out.Crashes = out.Violations+len(r.Breaks), out.Crashes+len(r.Crashes)
+		out.MemoryMB, out.OpenFiles = max(out.MemoryMB, r.MemoryMB), max(out.OpenFiles, r.Files)
 		served, lost = append(served, r.Worth/max(1e-9, r.Asked)), append(lost, r.LostIn)
 		first, cpu = append(first, r.FirstMs["p50"]), append(cpu, r.CPUMs)
 	}
-	out.Served, out.Lost = experiment.MeanInterval(served), experiment.MeanInterval(lost)
-	out.First, out.CPU = experiment.MeanInterval(first), experiment.MeanInterval(cpu)
+	out.WeightServed, out.WeightLost = experiment.MeanInterval(served), experiment.MeanInterval(lost)
+	out.FirstTokenMs, out.CPUMsPerRequest = experiment.MeanInterval(first), experiment.MeanInterval(cpu)
 	return out
 }
--- a/internal/cli/scale.go
+++ b/internal/cli/scale.go
@@ -34,8 +34,8 @@
 	}
 	ctx, stop := signal.NotifyContext(context.Background(), os.Interrupt, syscall.SIGTERM)
 	defer stop()
-	bar := countBar(s, len(scaletest.Steps(p)))
-	res, err := scaletest.Run(ctx, p, scaletest.Options{Program: c.Program, Progress: func(done, _ int, what string) {
+	bar := countBar(s, len(scaletest.PlannedPoints(p)))
+	res, err := scaletest.Run(ctx, p, scaletest.Options{Program: c.Program, OnProgress: func(done, _ int, what string) {
 		if bar != nil {
 			bar.Describe(what)
 			_ = bar.Set(done)
@@ -52,7 +52,7 @@
 	if c.JSON {
 		return s.print(res)
 	}
-	res.Table(s.out)
+	res.WriteTables(s.out)
 	return nil
 }
 
--- a/internal/cli/site.go
+++ b/internal/cli/site.go
@@ -248,7 +248,7 @@
 			fmt.Fprintf(s.out, " %s=%.3f", name, d.Classes[name])
 		}
 		fmt.Fprintln(s.out)
-		tellBroken(s.out, r)
+		printViolations(s.out, r)
 	}
 	if !c.JSON {
 		fmt.Fprintf(s.out, "worth served %s; forecast %s; %d of %d within; attempts at the lost site later than 1.5 s: %s of all\n",
--- a/internal/cli/soak.go
+++ b/internal/cli/soak.go
@@ -44,7 +44,7 @@
 		mu.Lock()
 		defer mu.Unlock()
 		broken += len(r.Breaks) + len(r.Crashes)
-		return c.tell(s, r)
+		return c.printResult(s, r)
 	})
 	if err != nil {
 		return err
@@ -55,8 +55,8 @@
 	return nil
 }
 
-// tell prints one soak as it ends.
-func (c *drillSoakCmd) tell(s *streams, r *faulttest.SoakResult) error {
+// printResult prints one soak as it ends.
+func (c *drillSoakCmd) printResult(s *streams, r *faulttest.SoakResult) error {
 	if c.JSON {
 		return json.NewEncoder(s.out).Encode(r)
 	}
@@ -64,6 +64,6 @@
 	if c.Timeline || len(r.Breaks)+len(r.Crashes) > 0 {
 		fmt.Fprintf(s.out, "  %s\n", strings.Join(r.Events, "\n  "))
 	}
-	tellBroken(s.out, &faulttest.Result{Breaks: r.Breaks, Crashes: r.Crashes})
+	printViolations(s.out, &faulttest.Result{Breaks: r.Breaks, Crashes: r.Crashes})
 	return nil
 }
--- a/internal/scaletest/discovery.go
+++ b/internal/scaletest/discovery.go
@@ -19,34 +19,34 @@
 
 // DiscoverySpec is what the stand-in for discovery starts with.
 type DiscoverySpec struct {
-	Instances []httpwire.Endpoint `json:"instances"`
+	Endpoints []httpwire.Endpoint `json:"instances"`
 	Framing   string              `json:"framing"`
 }
 
 // discovery is a stand-in for discovery: whole lists, changes since a version, and watches, in any
 // legal framing. While it is out it accepts nothing.
 type discovery struct {
-	framing string
-	server  *http.Server
-	meter   connMeter
-	lists   atomic.Int64
-
-	mu        sync.Mutex
-	version   int64
-	instances []httpwire.Endpoint
-	changed   []int64       // the version of each instance's last change
-	news      chan struct{} // closed at the next change
+	framing   string
+	server    *http.Server
+	meter     connMeter
+	listCalls atomic.Int64
+
+	mu         sync.Mutex
+	version    int64
+	endpoints  []httpwire.Endpoint
+	changedIn  []int64       // the version of each instance's last change
+	nextChange chan struct{} // closed at the next change
 }
 
-func startDiscovery(spec DiscoverySpec) (*discovery, Hello, error) {
-	d := &discovery{framing: spec.Framing, version: 1, instances: spec.Instances, changed: make([]int64, len(spec.Instances)), news: make(chan struct{})}
+func startDiscovery(spec DiscoverySpec) (*discovery, Greeting, error) {
+	d := &discovery{framing: spec.Framing, version: 1, endpoints: spec.Endpoints, changedIn: make([]int64, len(spec.Endpoints)), nextChange: make(chan struct{})}
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
-		return nil, Hello{}, err
+		return nil, Greeting{}, err
 	}
 	d.server = &http.Server{Handler: d}
 	go d.server.Serve(countedListener{l, &d.meter})
-	return d, Hello{Address: l.Addr().String()}, nil
+	return d, Greeting{Address: l.Addr().String()}, nil
 }
 
 func (d *discovery) ServeHTTP(w http.ResponseWriter, r *http.Request) {
@@ -54,22 +54,22 @@
 		http.NotFound(w, r)
 		return
 	}
-	d.lists.Add(1)
+	d.listCalls.Add(1)
 	since, err := strconv.ParseInt(r.FormValue("since"), 10, 64)
 	if err != nil {
 		since = httpwire.NoGeneration
 	}
 	wait, _ := strconv.Atoi(r.FormValue("timeout_ms"))
-	if !d.waitForNews(r.Context(), since, time.Duration(min(wait, 60_000))*time.Millisecond) {
+	if !d.waitForChange(r.Context(), since, time.Duration(min(wait, 60_000))*time.Millisecond) {
 		return
 	}
-	d.write(w, d.listSince(since))
+	d.writeList(w, d.listSince(since))
 }
 
-// waitForNews waits until there is a later version, or for as long as the caller allows.
-func (d *discovery) waitForNews(ctx context.Context, since int64, wait time.Duration) bool {
+// waitForChange waits until there is a later version, or for as long as the caller allows.
+func (d *discovery) waitForChange(ctx context.Context, since int64, wait time.Duration) bool {
 	d.mu.Lock()
-	version, news := d.version, d.news
+	version, news := d.version, d.nextChange
 	d.mu.Unlock()
 	if since != version {
 		return true
@@ -90,8 +90,8 @@
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	list := httpwire.EndpointList{Generation: d.version, Reset: since < 0 || since > d.version}
-	for i, instance := range d.instances {
-		if list.Reset || d.changed[i] > since {
+	for i, instance := range d.endpoints {
+		if list.Reset || d.changedIn[i] > since {
 			list.Endpoints = append(list.Endpoints, instance)
 		}
 	}
@@ -101,8 +101,8 @@
 // chunkSize is that of a list in many chunks.
 const chunkSize = 4096
 
-// write writes a list in the framing that was asked for.
-func (d *discovery) write(w http.ResponseWriter, list httpwire.EndpointList) {
+// writeList writes a list in the framing that was asked for.
+func (d *discovery) writeList(w http.ResponseWriter, list httpwire.EndpointList) {
 	if list.Endpoints == nil {
 		list.Endpoints = []httpwire.Endpoint{}
 	}
@@ -119,7 +119,7 @@
 		writeOneChunk(w, text)
 	case config.FramingChunks:
 		flush := http.NewResponseController(w)
-		for part := range slicesOf(text, chunkSize) {
+		for part := range chunksOf(text, chunkSize) {
 			w.Write(part)
 			_ = flush.Flush()
 		}
@@ -129,8 +129,8 @@
 	}
 }
 
-// slicesOf yields a text in pieces.
-func slicesOf(text []byte, size int) func(yield func([]byte) bool) {
+// chunksOf yields a text in pieces.
+func chunksOf(text []byte, size int) func(yield func([]byte) bool) {
 	return func(yield func([]byte) bool) {
 		for len(text) > 0 {
 			n := min(size, len(text))
@@ -154,32 +154,32 @@
 	_, _ = io.Copy(c, &b)
 }
 
-// Answer tells figures, or changes one replica: it begins to drain, or takes work again.
-func (d *discovery) Answer(_ context.Context, o Order) Answer {
+// Handle tells figures, or changes one replica: it begins to drain, or takes work again.
+func (d *discovery) Handle(_ context.Context, o Command) Reply {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	switch o.Do {
-	case OrderLook:
-	case OrderChange:
-		d.change()
+	switch o.Name {
+	case CommandMeasure:
+	case CommandChangeList:
+		d.changeNext()
 	default:
-		return Answer{Error: "discovery: unknown order " + o.Do}
+		return Reply{Error: "discovery: unknown order " + o.Name}
 	}
-	return Answer{Version: d.version, At: time.Now(), Usage: usage(),
-		Calls: Calls{Lists: d.lists.Load(), BytesIn: d.meter.in.Load(), BytesOut: d.meter.out.Load()}}
+	return Reply{Version: d.version, At: time.Now(), Usage: ownUsage(),
+		Calls: Calls{Lists: d.listCalls.Load(), BytesIn: d.meter.in.Load(), BytesOut: d.meter.out.Load()}}
 }
 
-func (d *discovery) change() {
+func (d *discovery) changeNext() {
 	d.version++
-	i := int(d.version/2) % len(d.instances) // each changes twice in a row
-	if next := &d.instances[i]; next.Lifecycle == "ready" {
+	i := int(d.version/2) % len(d.endpoints) // each changes twice in a row
+	if next := &d.endpoints[i]; next.Lifecycle == "ready" {
 		next.Lifecycle = "draining"
 	} else {
 		next.Lifecycle = "ready"
 	}
-	d.changed[i] = d.version
-	close(d.news)
-	d.news = make(chan struct{})
+	d.changedIn[i] = d.version
+	close(d.nextChange)
+	d.nextChange = make(chan struct{})
 }
 
 // Close ends the stand-in.
--- a/internal/scaletest/driver.go
+++ b/internal/scaletest/driver.go
@@ -16,50 +16,50 @@
 	"archknot/internal/httpwire"
 )
 
-// driver sends drawn requests to gateways.
-type driver struct {
-	rate     float64 // a second, at each gateway
-	seed     uint64
-	count    atomic.Uint64
-	ctx      context.Context
-	stop     context.CancelFunc
-	tasks    sync.WaitGroup
-	served   atomic.Int64
-	unserved atomic.Int64
+// loadGenerator sends drawn requests to gateways.
+type loadGenerator struct {
+	rate         float64 // a second, at each gateway
+	seed         uint64
+	gatewayCount atomic.Uint64
+	ctx          context.Context
+	stop         context.CancelFunc
+	tasks        sync.WaitGroup
+	served       atomic.Int64
+	unserved     atomic.Int64
 }
 
-func newDriver(rate float64, seed uint64) *driver {
+func newLoadGenerator(rate float64, seed uint64) *loadGenerator {
 	ctx, stop := context.WithCancel(context.Background())
-	return &driver{rate: rate, seed: seed, ctx: ctx, stop: stop}
+	return &loadGenerator{rate: rate, seed: seed, ctx: ctx, stop: stop}
 }
 
-func (d *driver) close() {
+func (d *loadGenerator) close() {
 	d.stop()
 	d.tasks.Wait()
 }
 
-// atOnce bounds the requests that a gateway's clients have out.
-const atOnce = 400
+// maxConcurrent bounds the requests that a gateway's clients have out.
+const maxConcurrent = 400
 
-// drive begins to send to a gateway, over TCP or as dial does.
-func (d *driver) drive(address string, dial func(context.Context) (net.Conn, error)) {
+// startTraffic begins to send to a gateway, over TCP or as dial does.
+func (d *loadGenerator) startTraffic(address string, dial func(context.Context) (net.Conn, error)) {
 	if d.rate <= 0 {
 		return
 	}
-	transport := &http.Transport{MaxIdleConnsPerHost: atOnce, MaxConnsPerHost: atOnce, DisableCompression: true, IdleConnTimeout: 10 * time.Second}
+	transport := &http.Transport{MaxIdleConnsPerHost: maxConcurrent, MaxConnsPerHost: maxConcurrent, DisableCompression: true, IdleConnTimeout: 10 * time.Second}
 	if dial != nil {
 		transport.DialContext = func(ctx context.Context, _, _ string) (net.Conn, error) { return dial(ctx) }
 	}
-	gateway := d.count.Add(1)
+	gateway := d.gatewayCount.Add(1)
 	rng := rand.New(rand.NewPCG(d.seed, gateway))
-	slots := make(chan struct{}, atOnce)
+	slots := make(chan struct{}, maxConcurrent)
 	d.tasks.Go(func() {
 		client := &http.Client{Transport: transport}
 		defer transport.CloseIdleConnections()
 		var sends sync.WaitGroup
 		defer sends.Wait()
 		for n := 0; pause(d.ctx, time.Duration(rng.ExpFloat64()/d.rate*float64(time.Second))); n++ {
-			head := drawHead(rng, fmt.Sprintf("s%x-%d-%d", d.seed, gateway, n))
+			head := randomHeaders(rng, fmt.Sprintf("s%x-%d-%d", d.seed, gateway, n))
 			select {
 			case slots <- struct{}{}:
 			default:
@@ -76,26 +76,26 @@
 
 // Draws of the traffic: as many sessions and shared prefixes as one gateway sees of a large fleet's.
 const (
-	sessionsDrawn = 100_000
-	prefixesDrawn = 20_000
-	promptMedian  = 300
+	sessionCount = 100_000
+	prefixCount  = 20_000
+	promptMedian = 300
 )
 
-// drawHead draws a request's headers.
-func drawHead(rng *rand.Rand, id string) http.Header {
+// randomHeaders draws a request's headers.
+func randomHeaders(rng *rand.Rand, id string) http.Header {
 	prompt := max(20, int(promptMedian*math.Exp(0.7*rng.NormFloat64())))
 	h := http.Header{}
 	h.Set("Req-Id", id)
 	h.Set("Req-Kind", "chat")
 	h.Set("Req-Owner", "chats")
-	h.Set("Req-Key", fmt.Sprintf("%016x", 1+rng.Uint64N(sessionsDrawn)))
+	h.Set("Req-Key", fmt.Sprintf("%016x", 1+rng.Uint64N(sessionCount)))
 	h.Set("Req-Deadline", "10000m")
-	h.Set("Req-Extra", fmt.Sprintf("prefix=%016x,prompt_len=%d,prefix_len=%d,max_out=100", 1+rng.Uint64N(prefixesDrawn), prompt, prompt/3))
+	h.Set("Req-Extra", fmt.Sprintf("prefix=%016x,prompt_len=%d,prefix_len=%d,max_out=100", 1+rng.Uint64N(prefixCount), prompt, prompt/3))
 	return h
 }
 
 // send sends one request and reads its answer to the end.
-func (d *driver) send(client *http.Client, address string, head http.Header) {
+func (d *loadGenerator) send(client *http.Client, address string, head http.Header) {
 	ctx, stop := context.WithTimeout(d.ctx, 10*time.Second)
 	defer stop()
 	body := bytes.NewReader([]byte(`{"model":"m","stream":true,"messages":[{"role":"user","content":"` + string(bytes.Repeat([]byte("word "), 60)) + `"}]}`))
@@ -106,15 +106,15 @@
 	r.Header = head
 	resp, err := client.Do(r)
 	if err != nil {
-		d.note(false)
+		d.count(false)
 		return
 	}
 	defer resp.Body.Close()
 	_, err = io.Copy(io.Discard, resp.Body)
-	d.note(err == nil && resp.StatusCode == http.StatusOK)
+	d.count(err == nil && resp.StatusCode == http.StatusOK)
 }
 
-func (d *driver) note(served bool) {
+func (d *loadGenerator) count(served bool) {
 	switch {
 	case served:
 		d.served.Add(1)
--- a/internal/scaletest/gateways.go
+++ b/internal/scaletest/gateways.go
@@ -19,15 +19,15 @@
 
 // GatewaysSpec is what gateways are made by, hollow ones and processes alike.
 type GatewaysSpec struct {
-	First     int     `json:"first"` // index of the first
-	Count     int     `json:"count"`
-	Of        int     `json:"of"` // how many each is told there are
-	Discovery string  `json:"discovery"`
-	Zones     int     `json:"zones"`
-	Subset    int     `json:"subset"`
-	Probe     bool    `json:"probe"`
-	Rate      float64 `json:"rate"`
-	Seed      uint64  `json:"seed"`
+	First       int     `json:"first"` // index of the first
+	Count       int     `json:"count"`
+	FleetSize   int     `json:"of"` // how many each is told there are
+	Discovery   string  `json:"discovery"`
+	Zones       int     `json:"zones"`
+	SubsetSize  int     `json:"subset"`
+	HealthCheck bool    `json:"probe"`
+	Rate        float64 `json:"rate"`
+	Seed        uint64  `json:"seed"`
 }
 
 // The limits that gateways are told.
@@ -39,10 +39,10 @@
 // config is the platform's configuration of one gateway.
 func (s *GatewaysSpec) config(index int, listen string) ([]byte, error) {
 	const second = 1_000_000
-	settings := balancer.Settings{Self: index, Gateways: s.Of, Zone: zoneName(index % s.Zones), Kinds: []string{"kind-0", "kind-1"},
+	settings := balancer.Settings{Self: index, Gateways: s.FleetSize, Zone: zoneName(index % s.Zones), Kinds: []string{"kind-0", "kind-1"},
 		Classes:      []balancer.Class{{Name: "chat", LatencyObjective: second, ObjectivePer1000Tokens: second / 10, TokenObjective: second, Deadline: 10 * second, PriorityWeight: 1, Streaming: true}},
 		Tenants:      []balancer.Tenant{{Name: "chats", QuotaPerS: 1e6}},
-		ReportSource: balancer.ReportInline, WeightKind: balancer.WeightNone, PollDiscovery: true, Tick: 2000, MayHealthCheck: s.Probe, MayCancel: true,
+		ReportSource: balancer.ReportInline, WeightKind: balancer.WeightNone, PollDiscovery: true, Tick: 2000, MayHealthCheck: s.HealthCheck, MayCancel: true,
 		MaxAttempts: 3, MaxRetryAfter: second, InitialCapacity: 0.3, OverloadMultiple: 3, SlowStartFor: 9 * second, OverloadWindow: 3 * second / 2,
 		StreamsPerConn: 1, ConnIdleTimeout: 45 * second, CrossZoneCost: 0.02, HandshakeCost: 0.02, HealthCheckCost: 0.002}
 	for i := range s.Zones {
@@ -72,64 +72,64 @@
 	Sockets  float64 `json:"sockets"`
 }
 
-// gateways are hollow gateways of one process: the program's own, with clients in the same process.
-type gateways struct {
-	list   []*gateway.Gateway
-	client *driver
-	stop   context.CancelFunc
+// hollowGateways are hollow gateways of one process: the program's own, with clients in the same process.
+type hollowGateways struct {
+	list    []*gateway.Gateway
+	traffic *loadGenerator
+	stop    context.CancelFunc
 }
 
-func startGateways(ctx context.Context, spec GatewaysSpec) (*gateways, Hello, error) {
+func startHollowGateways(ctx context.Context, spec GatewaysSpec) (*hollowGateways, Greeting, error) {
 	ctx, stop := context.WithCancel(ctx)
-	p := &gateways{client: newDriver(spec.Rate, spec.Seed), stop: stop}
+	p := &hollowGateways{traffic: newLoadGenerator(spec.Rate, spec.Seed), stop: stop}
 	own := config.Default()
-	own.Subset.MaxReplicas = spec.Subset
+	own.Subset.MaxReplicas = spec.SubsetSize
 	for i := range spec.Count {
 		text, err := spec.config(spec.First+i, "127.0.0.1:1")
 		if err != nil {
-			return nil, Hello{}, err
+			return nil, Greeting{}, err
 		}
 		options, err := lifecycle.GatewayOptions(text, own)
 		if err != nil {
-			return nil, Hello{}, err
+			return nil, Greeting{}, err
 		}
 		g, err := gateway.New(options)
 		if err != nil {
-			return nil, Hello{}, err
+			return nil, Greeting{}, err
 		}
 		p.list = append(p.list, g)
 		l := newMemoryListener()
 		go g.Serve(ctx, l)
-		p.client.drive("hollow", l.dial)
+		p.traffic.startTraffic("hollow", l.dial)
 	}
-	return p, Hello{}, nil
+	return p, Greeting{}, nil
 }
 
-// lookWithin bounds the time in which a gateway tells its figures.
-const lookWithin = 10 * time.Second
+// measureTimeout bounds the time in which a gateway tells its figures.
+const measureTimeout = 10 * time.Second
 
-// Answer tells figures.
-func (p *gateways) Answer(ctx context.Context, o Order) Answer {
-	if o.Do != OrderLook {
-		return Answer{Error: "gateways: unknown order " + o.Do}
+// Handle tells figures.
+func (p *hollowGateways) Handle(ctx context.Context, o Command) Reply {
+	if o.Name != CommandMeasure {
+		return Reply{Error: "gateways: unknown order " + o.Name}
 	}
-	a := Answer{At: time.Now(), Usage: usage()}
-	ctx, stop := context.WithTimeout(ctx, lookWithin)
+	a := Reply{At: time.Now(), Usage: ownUsage()}
+	ctx, stop := context.WithTimeout(ctx, measureTimeout)
 	defer stop()
 	for _, g := range p.list {
 		c, err := g.Control(ctx)
 		if err != nil {
-			return Answer{Error: err.Error()}
+			return Reply{Error: err.Error()}
 		}
 		a.Gateways = append(a.Gateways, c)
 	}
-	a.Served, a.Unserved = p.client.served.Load(), p.client.unserved.Load()
+	a.Served, a.Unserved = p.traffic.served.Load(), p.traffic.unserved.Load()
 	return a
 }
 
 // Close ends all gateways.
-func (p *gateways) Close() {
-	p.client.close()
+func (p *hollowGateways) Close() {
+	p.traffic.close()
 	p.stop()
 }
 
@@ -137,11 +137,11 @@
 // descriptors, for the gateway asks the system about its clients' connections.
 type memoryListener struct {
 	accept chan net.Conn
-	ended  chan struct{}
+	closed chan struct{}
 }
 
 func newMemoryListener() *memoryListener {
-	return &memoryListener{accept: make(chan net.Conn), ended: make(chan struct{})}
+	return &memoryListener{accept: make(chan net.Conn), closed: make(chan struct{})}
 }
 
 func (l *memoryListener) dial(ctx context.Context) (net.Conn, error) {
@@ -152,7 +152,7 @@
 	select {
 	case l.accept <- there:
 		return here, nil
-	case <-l.ended:
+	case <-l.closed:
 		err = net.ErrClosed
 	case <-ctx.Done():
 		err = ctx.Err()
@@ -168,18 +168,18 @@
 	if err != nil {
 		return nil, nil, err
 	}
-	if a, err = descriptorConn(ends[0]); err != nil {
+	if a, err = connOfDescriptor(ends[0]); err != nil {
 		unix.Close(ends[1])
 		return nil, nil, err
 	}
-	if b, err = descriptorConn(ends[1]); err != nil {
+	if b, err = connOfDescriptor(ends[1]); err != nil {
 		a.Close()
 		return nil, nil, err
 	}
 	return a, b, nil
 }
 
-func descriptorConn(fd int) (net.Conn, error) {
+func connOfDescriptor(fd int) (net.Conn, error) {
 	f := os.NewFile(uintptr(fd), "pair")
 	defer f.Close() // the connection has a copy
 	return net.FileConn(f)
@@ -189,13 +189,13 @@
 	select {
 	case c := <-l.accept:
 		return c, nil
-	case <-l.ended:
+	case <-l.closed:
 		return nil, net.ErrClosed
 	}
 }
 
 func (l *memoryListener) Close() error {
-	close(l.ended)
+	close(l.closed)
 	return nil
 }
 
--- a/internal/scaletest/processes.go
+++ b/internal/scaletest/processes.go
@@ -17,19 +17,19 @@
 	"archknot/internal/procstat"
 )
 
-// processes are gateways that run as `archknot serve`.
-type processes struct{ list []*process }
+// gatewayProcesses are gateways that run as `archknot serve`.
+type gatewayProcesses struct{ list []*gatewayProcess }
 
-type process struct {
-	address string
-	control string
-	log     *os.File
-	cmd     *exec.Cmd
+type gatewayProcess struct {
+	address     string
+	controlPath string
+	log         *os.File
+	cmd         *exec.Cmd
 }
 
 // startProcesses starts gateways with the indexes behind the hollow ones'.
-func startProcesses(program, dir string, spec GatewaysSpec, n int) (*processes, error) {
-	all := &processes{}
+func startProcesses(program, dir string, spec GatewaysSpec, n int) (*gatewayProcesses, error) {
+	all := &gatewayProcesses{}
 	for i := range n {
 		p, err := startProcess(program, dir, spec, spec.First+i)
 		if err != nil {
@@ -41,7 +41,7 @@
 	return all, nil
 }
 
-func startProcess(program, dir string, spec GatewaysSpec, index int) (*process, error) {
+func startProcess(program, dir string, spec GatewaysSpec, index int) (*gatewayProcess, error) {
 	address, err := freeAddress()
 	if err != nil {
 		return nil, err
@@ -54,8 +54,8 @@
 	if err := os.WriteFile(path("json"), text, 0o600); err != nil {
 		return nil, err
 	}
-	p := &process{address: address, control: path("socket")}
-	own := fmt.Sprintf("[log]\nlevel warn\n[control]\nsocket %s\n[subset]\nmost %d\n", p.control, spec.Subset)
+	p := &gatewayProcess{address: address, controlPath: path("socket")}
+	own := fmt.Sprintf("[log]\nlevel warn\n[control]\nsocket %s\n[subset]\nmost %d\n", p.controlPath, spec.SubsetSize)
 	if err := os.WriteFile(path("conf"), []byte(own), 0o600); err != nil {
 		return nil, err
 	}
@@ -79,8 +79,8 @@
 	return l.Addr().String(), nil
 }
 
-// ready waits until all take clients.
-func (all *processes) ready(ctx context.Context) error {
+// waitUntilReady waits until all take clients.
+func (all *gatewayProcesses) waitUntilReady(ctx context.Context) error {
 	client := &http.Client{Timeout: time.Second}
 	for _, p := range all.list {
 		for {
@@ -99,16 +99,16 @@
 	return nil
 }
 
-// look asks a process for its figures.
-func (p *process) look(ctx context.Context) (c controlstats.Stats, u Usage, err error) {
-	if err := controlsocket.Call(ctx, p.control, "figures", struct{}{}, &c); err != nil {
+// measure asks a process for its figures.
+func (p *gatewayProcess) measure(ctx context.Context) (c controlstats.Stats, u Usage, err error) {
+	if err := controlsocket.Call(ctx, p.controlPath, "figures", struct{}{}, &c); err != nil {
 		return c, u, err
 	}
 	pid := p.cmd.Process.Pid
 	return c, Usage{CPU: procstat.CPUTime(pid), ResidentMB: procstat.ResidentMB(pid)}, nil
 }
 
-func (all *processes) close() {
+func (all *gatewayProcesses) close() {
 	if all == nil {
 		return
 	}
--- a/internal/scaletest/replicas.go
+++ b/internal/scaletest/replicas.go
@@ -25,20 +25,20 @@
 	Gap        time.Duration `json:"gap"` // between two events
 }
 
-// replicas are hollow replicas of one process: each has an address, id, zone, kind and start of its
+// hollowReplicas are hollow replicas of one process: each has an address, id, zone, kind and start of its
 // own, answers attempts, probes and load reports after a drawn time, and does no work.
-type replicas struct {
-	spec   ReplicasSpec
-	server *http.Server
-	states map[string]*replicaState // by address
-	order  []*replicaState
-	meter  connMeter
-	calls  [2]atomic.Int64 // attempts, probes
+type hollowReplicas struct {
+	spec      ReplicasSpec
+	server    *http.Server
+	byAddress map[string]*replicaState // by address
+	byNumber  []*replicaState
+	meter     connMeter
+	calls     [2]atomic.Int64 // attempts, probes
 }
 
 type replicaState struct {
-	running atomic.Int64
-	conns   atomic.Int64
+	running     atomic.Int64
+	connections atomic.Int64
 }
 
 // replicaPort is the port of every hollow replica; their addresses differ.
@@ -49,11 +49,11 @@
 	return fmt.Sprintf("127.%d.%d.%d:%d", 64+n/62_500, n/250%250, 1+n%250, replicaPort)
 }
 
-func startReplicas(spec ReplicasSpec) (*replicas, Hello, error) {
-	p := &replicas{spec: spec, states: map[string]*replicaState{}}
-	p.server = &http.Server{Handler: p, IdleTimeout: time.Minute, ConnState: p.follow}
+func startHollowReplicas(spec ReplicasSpec) (*hollowReplicas, Greeting, error) {
+	p := &hollowReplicas{spec: spec, byAddress: map[string]*replicaState{}}
+	p.server = &http.Server{Handler: p, IdleTimeout: time.Minute, ConnState: p.trackConn}
 	rng := rand.New(rand.NewPCG(spec.Seed, 3))
-	var hello Hello
+	var hello Greeting
 	for i := range spec.Count {
 		n := spec.First + i
 		addr := replicaAddress(n)
@@ -63,11 +63,11 @@
 			return nil, hello, err
 		}
 		state := &replicaState{}
-		p.states[addr] = state
-		p.order = append(p.order, state)
+		p.byAddress[addr] = state
+		p.byNumber = append(p.byNumber, state)
 		go p.server.Serve(countedListener{l, &p.meter})
 		up := time.Duration(float64(time.Hour) * (1 + 99*rng.Float64()))
-		hello.Instances = append(hello.Instances, httpwire.Endpoint{ID: fmt.Sprintf("replica-%05d", n), Addr: addr, Zone: zoneName(n % spec.Zones),
+		hello.Endpoints = append(hello.Endpoints, httpwire.Endpoint{ID: fmt.Sprintf("replica-%05d", n), Addr: addr, Zone: zoneName(n % spec.Zones),
 			Kind: fmt.Sprintf("kind-%d", n%2), Lifecycle: "ready", Weight: 1, StartedAtMs: time.Now().Add(-up).UnixMilli()})
 	}
 	return p, hello, nil
@@ -75,42 +75,42 @@
 
 func zoneName(n int) string { return fmt.Sprintf("zone-%d", n) }
 
-// follow counts the connections of each replica.
-func (p *replicas) follow(c net.Conn, s http.ConnState) {
-	state := p.states[c.LocalAddr().String()]
+// trackConn counts the connections of each replica.
+func (p *hollowReplicas) trackConn(c net.Conn, s http.ConnState) {
+	state := p.byAddress[c.LocalAddr().String()]
 	switch s {
 	case http.StateNew:
-		state.conns.Add(1)
+		state.connections.Add(1)
 	case http.StateClosed, http.StateHijacked:
-		state.conns.Add(-1)
+		state.connections.Add(-1)
 	}
 }
 
-func (p *replicas) ServeHTTP(w http.ResponseWriter, r *http.Request) {
-	state := p.states[r.Context().Value(http.LocalAddrContextKey).(net.Addr).String()]
+func (p *hollowReplicas) ServeHTTP(w http.ResponseWriter, r *http.Request) {
+	state := p.byAddress[r.Context().Value(http.LocalAddrContextKey).(net.Addr).String()]
 	switch r.URL.Path {
 	case httpwire.StatsPath:
 		p.calls[1].Add(1)
-		io.WriteString(w, state.load())
+		io.WriteString(w, state.loadReport())
 	case httpwire.LivePath:
 		p.calls[1].Add(1)
 	case httpwire.CompletionsPath:
 		p.calls[0].Add(1)
-		p.attempt(w, r, state)
+		p.serveAttempt(w, r, state)
 	default:
 		http.NotFound(w, r)
 	}
 }
 
-// load is the report of a replica that can run slots attempts at once.
-func (s *replicaState) load() string {
+// loadReport is the report of a replica that can run slots attempts at once.
+func (s *replicaState) loadReport() string {
 	const slots = 16
 	running := s.running.Load()
 	return fmt.Sprintf("busy_reqs=%d,pending=0,x0=%.4f", running, min(1, float64(running)/slots))
 }
 
-// attempt answers one attempt: its first event after a drawn time, the others each after the gap.
-func (p *replicas) attempt(w http.ResponseWriter, r *http.Request, state *replicaState) {
+// serveAttempt answers one attempt: its first event after a drawn time, the others each after the gap.
+func (p *hollowReplicas) serveAttempt(w http.ResponseWriter, r *http.Request, state *replicaState) {
 	state.running.Add(1)
 	defer state.running.Add(-1)
 	if _, err := io.Copy(io.Discard, http.MaxBytesReader(w, r.Body, httpwire.MaxBodyBytes)); err != nil {
@@ -133,7 +133,7 @@
 		}
 	}
 	fmt.Fprintf(w, "data: {\"choices\":[],\"usage\":{\"prompt_tokens\":100,\"completion_tokens\":%d,\"prompt_tokens_details\":{\"cached_tokens\":0}}}\n\n"+
-		"data: [DONE]\n\n: Srv-Load: %s\n\n", p.spec.Events, state.load())
+		"data: [DONE]\n\n: Srv-Load: %s\n\n", p.spec.Events, state.loadReport())
 }
 
 func pause(ctx context.Context, d time.Duration) bool {
@@ -147,21 +147,21 @@
 	}
 }
 
-// Answer tells figures.
-func (p *replicas) Answer(_ context.Context, o Order) Answer {
-	if o.Do != OrderLook {
-		return Answer{Error: "replicas: unknown order " + o.Do}
+// Handle tells figures.
+func (p *hollowReplicas) Handle(_ context.Context, o Command) Reply {
+	if o.Name != CommandMeasure {
+		return Reply{Error: "replicas: unknown order " + o.Name}
 	}
-	a := Answer{At: time.Now(), Usage: usage(), Calls: Calls{Attempts: p.calls[0].Load(), Probes: p.calls[1].Load()}}
+	a := Reply{At: time.Now(), Usage: ownUsage(), Calls: Calls{Attempts: p.calls[0].Load(), Probes: p.calls[1].Load()}}
 	a.Calls.BytesIn, a.Calls.BytesOut = p.meter.in.Load(), p.meter.out.Load()
-	for _, s := range p.order {
-		a.Conns = append(a.Conns, int(s.conns.Load()))
+	for _, s := range p.byNumber {
+		a.ReplicaConns = append(a.ReplicaConns, int(s.connections.Load()))
 	}
 	return a
 }
 
 // Close ends all replicas.
-func (p *replicas) Close() { p.server.Close() }
+func (p *hollowReplicas) Close() { p.server.Close() }
 
 // connMeter counts the bytes of connections.
 type connMeter struct{ in, out atomic.Int64 }
--- a/internal/scaletest/report.go
+++ b/internal/scaletest/report.go
@@ -17,87 +17,87 @@
 
 // Names of figures. Those of gateways stand once for hollow ones and once, behind Real, for processes.
 const (
-	GatewayCPU       = "gateway.cpu_share"       // of a core, all that it does
-	GatewayBusy      = "gateway.decide_share"    // of a core, in the task that decides
-	GatewayResident  = "gateway.resident_mb"     // of hollow ones: the process's by their number
-	GatewayHeap      = "gateway.heap_mb"         // hollow ones alone
-	GatewayConns     = "gateway.connections"     // to replicas
-	GatewayAttempts  = "gateway.attempts_per_s"  //
-	GatewayOpened    = "gateway.opened_per_s"    // connections for attempts
-	GatewayProbes    = "gateway.probes_per_s"    //
-	GatewayProbe     = "gateway.probe_b_per_s"   // both ways
-	GatewayDiscovery = "gateway.list_b_per_s"    // both ways
-	GatewayLists     = "gateway.lists_per_s"     //
-	GatewayAge       = "gateway.report_age_ms"   // of reports that attempts went by
-	GatewayUnknown   = "gateway.report_unknown"  // share of attempts without one
-	GatewaySubset    = "gateway.subset"          // replicas
-	GatewayUnserved  = "gateway.unserved_share"  // of requests
-	ReplicaCPU       = "replica.cpu_share"       //
-	ReplicaProbes    = "replica.probes_per_s"    //
-	ReplicaConns     = "replica.connections"     // mean
-	ReplicaConnsMost = "replica.conns_most_mean" // largest over mean
-	DiscoveryCPU     = "discovery.cpu_share"     //
-	DiscoveryBytes   = "discovery.b_per_s"       // both ways
-	DiscoveryCalls   = "discovery.lists_per_s"   //
-	ChangeInForce    = "change.in_force_ms"      // at the last gateway
+	GatewayCPU              = "gateway.cpu_share"       // of a core, all that it does
+	GatewayBusy             = "gateway.decide_share"    // of a core, in the task that decides
+	GatewayResident         = "gateway.resident_mb"     // of hollow ones: the process's by their number
+	GatewayHeap             = "gateway.heap_mb"         // hollow ones alone
+	GatewayConns            = "gateway.connections"     // to replicas
+	GatewayAttempts         = "gateway.attempts_per_s"  //
+	GatewayConnsOpened      = "gateway.opened_per_s"    // connections for attempts
+	GatewayProbes           = "gateway.probes_per_s"    //
+	GatewayProbeBytes       = "gateway.probe_b_per_s"   // both ways
+	GatewayListBytes        = "gateway.list_b_per_s"    // both ways
+	GatewayLists            = "gateway.lists_per_s"     //
+	GatewayReportAge        = "gateway.report_age_ms"   // of reports that attempts went by
+	GatewayReportUnknown    = "gateway.report_unknown"  // share of attempts without one
+	GatewaySubset           = "gateway.subset"          // replicas
+	GatewayUnserved         = "gateway.unserved_share"  // of requests
+	ReplicaCPU              = "replica.cpu_share"       //
+	ReplicaProbes           = "replica.probes_per_s"    //
+	ReplicaConns            = "replica.connections"     // mean
+	ReplicaConnsMaxOverMean = "replica.conns_most_mean" // largest over mean
+	DiscoveryCPU            = "discovery.cpu_share"     //
+	DiscoveryBytes          = "discovery.b_per_s"       // both ways
+	DiscoveryCalls          = "discovery.lists_per_s"   //
+	ChangePropagation       = "change.in_force_ms"      // at the last gateway
 )
 
-// Real is before the names of figures of gateways that are processes.
-const Real = "real."
+// RealPrefix is before the names of figures of gateways that are processes.
+const RealPrefix = "real."
 
-// view is what all processes told at one moment.
-type view struct {
-	at         time.Time
-	replicas   []Answer
-	discovery  Answer
-	hollow     Answer // of all processes together
-	real       []controlstats.Stats
-	realUsage  []Usage
-	realServed [2]int64
-	oldest     int64     // the oldest version of the list that a gateway has
-	inForce    time.Time // since when the last gateway has its own
+// measurement is what all processes told at one moment.
+type measurement struct {
+	at              time.Time
+	replicas        []Reply
+	discovery       Reply
+	hollow          Reply // of all processes together
+	real            []controlstats.Stats
+	realUsage       []Usage
+	realServed      [2]int64
+	oldestList      int64     // the oldest version of the list that a gateway has
+	newestListSince time.Time // since when the last gateway has its own
 }
 
-// look asks all processes for their figures.
-func (f *fleet) look(ctx context.Context) (v view, err error) {
+// measure asks all processes for their figures.
+func (f *testFleet) measure(ctx context.Context) (v measurement, err error) {
 	v.at = time.Now()
 	for _, r := range f.replicas {
-		a, err := r.ask(ctx, Order{Do: OrderLook})
+		a, err := r.command(ctx, Command{Name: CommandMeasure})
 		if err != nil {
 			return v, err
 		}
 		v.replicas = append(v.replicas, a)
 	}
-	if v.discovery, err = f.discovery.ask(ctx, Order{Do: OrderLook}); err != nil {
+	if v.discovery, err = f.discovery.command(ctx, Command{Name: CommandMeasure}); err != nil {
 		return v, err
 	}
-	for _, r := range f.hollow {
-		a, err := r.ask(ctx, Order{Do: OrderLook})
+	for _, r := range f.hollowGateways {
+		a, err := r.command(ctx, Command{Name: CommandMeasure})
 		if err != nil {
 			return v, err
 		}
 		v.hollow.add(a)
 	}
-	for _, p := range f.real.list {
-		c, u, err := p.look(ctx)
+	for _, p := range f.realGateways.list {
+		c, u, err := p.measure(ctx)
 		if err != nil {
 			return v, err
 		}
 		v.real, v.realUsage = append(v.real, c), append(v.realUsage, u)
 	}
-	v.realServed = [2]int64{f.client.served.Load(), f.client.unserved.Load()}
-	v.oldest = math.MaxInt64
+	v.realServed = [2]int64{f.traffic.served.Load(), f.traffic.unserved.Load()}
+	v.oldestList = math.MaxInt64
 	for _, c := range slices.Concat(v.hollow.Gateways, v.real) {
-		v.oldest = min(v.oldest, c.ListVersion)
-		if c.ListSince.After(v.inForce) {
-			v.inForce = c.ListSince
+		v.oldestList = min(v.oldestList, c.ListVersion)
+		if c.ListSince.After(v.newestListSince) {
+			v.newestListSince = c.ListSince
 		}
 	}
 	return v, nil
 }
 
 // add enters another process's answer.
-func (a *Answer) add(b Answer) {
+func (a *Reply) add(b Reply) {
 	a.Usage.CPU += b.Usage.CPU
 	a.Usage.ResidentMB += b.Usage.ResidentMB
 	a.Usage.HeapMB += b.Usage.HeapMB
@@ -105,26 +105,26 @@
 	a.Gateways = append(a.Gateways, b.Gateways...)
 }
 
-// figuresOf are the figures of the time between two looks.
-func figuresOf(a, b view, size Size) map[string]float64 {
+// figuresBetween are the figures of the time between two looks.
+func figuresBetween(a, b measurement, size Size) map[string]float64 {
 	out := map[string]float64{}
 	seconds := b.at.Sub(a.at).Seconds()
 	n := float64(size.Gateways)
-	gatewayFigures(out, "", a.hollow.Gateways, b.hollow.Gateways, seconds)
+	addGatewayFigures(out, "", a.hollow.Gateways, b.hollow.Gateways, seconds)
 	out[GatewayCPU] = (b.hollow.Usage.CPU - a.hollow.Usage.CPU).Seconds() / seconds / n
 	out[GatewayResident], out[GatewayHeap] = b.hollow.Usage.ResidentMB/n, b.hollow.Usage.HeapMB/n
-	out[GatewayUnserved] = part(b.hollow.Unserved-a.hollow.Unserved, b.hollow.Served-a.hollow.Served)
+	out[GatewayUnserved] = share(b.hollow.Unserved-a.hollow.Unserved, b.hollow.Served-a.hollow.Served)
 	if len(b.real) > 0 {
-		gatewayFigures(out, Real, a.real, b.real, seconds)
+		addGatewayFigures(out, RealPrefix, a.real, b.real, seconds)
 		cpu, resident := 0.0, 0.0
 		for i := range b.real {
 			cpu += (b.realUsage[i].CPU - a.realUsage[i].CPU).Seconds() / seconds
 			resident += b.realUsage[i].ResidentMB
 		}
-		out[Real+GatewayCPU], out[Real+GatewayResident] = cpu/float64(len(b.real)), resident/float64(len(b.real))
-		out[Real+GatewayUnserved] = part(b.realServed[1]-a.realServed[1], b.realServed[0]-a.realServed[0])
+		out[RealPrefix+GatewayCPU], out[RealPrefix+GatewayResident] = cpu/float64(len(b.real)), resident/float64(len(b.real))
+		out[RealPrefix+GatewayUnserved] = share(b.realServed[1]-a.realServed[1], b.realServed[0]-a.realServed[0])
 	}
-	replicaFigures(out, a, b, seconds, float64(size.Replicas))
+	addReplicaFigures(out, a, b, seconds, float64(size.Replicas))
 	calls, before := b.discovery.Calls, a.discovery.Calls
 	out[DiscoveryCPU] = (b.discovery.Usage.CPU - a.discovery.Usage.CPU).Seconds() / seconds
 	out[DiscoveryBytes] = float64(calls.BytesIn+calls.BytesOut-before.BytesIn-before.BytesOut) / seconds
@@ -132,16 +132,16 @@
 	return out
 }
 
-// part is a as a share of a and b together.
-func part(a, b int64) float64 {
+// share is a as a share of a and b together.
+func share(a, b int64) float64 {
 	if a+b == 0 {
 		return 0
 	}
 	return float64(a) / float64(a+b)
 }
 
-// gatewayFigures are the means over gateways.
-func gatewayFigures(out map[string]float64, prefix string, a, b []controlstats.Stats, seconds float64) {
+// addGatewayFigures are the means over gateways.
+func addGatewayFigures(out map[string]float64, prefix string, a, b []controlstats.Stats, seconds float64) {
 	n := float64(len(b))
 	add := func(name string, v float64) { out[prefix+name] += v / n }
 	var known, unknown int64
@@ -158,55 +158,55 @@
 		}
 		calls, opened, _ := traffic(controlstats.PurposeAttempt)
 		add(GatewayAttempts, calls)
-		add(GatewayOpened, opened)
+		add(GatewayConnsOpened, opened)
 		calls, _, bytes := traffic(controlstats.PurposeHealthCheck)
 		add(GatewayProbes, calls)
-		add(GatewayProbe, bytes)
+		add(GatewayProbeBytes, bytes)
 		calls, _, bytes = traffic(controlstats.PurposeDiscovery)
 		add(GatewayLists, calls)
-		add(GatewayDiscovery, bytes)
+		add(GatewayListBytes, bytes)
 		known, unknown = known+is.Reports.WithReport-was.Reports.WithReport, unknown+is.Reports.WithoutReport-was.Reports.WithoutReport
 		age += is.Reports.Sum - was.Reports.Sum
 	}
 	if known > 0 {
-		out[prefix+GatewayAge] = age.Seconds() * 1000 / float64(known)
+		out[prefix+GatewayReportAge] = age.Seconds() * 1000 / float64(known)
 	}
-	out[prefix+GatewayUnknown] = part(unknown, known)
+	out[prefix+GatewayReportUnknown] = share(unknown, known)
 }
 
-func replicaFigures(out map[string]float64, a, b view, seconds, n float64) {
+func addReplicaFigures(out map[string]float64, a, b measurement, seconds, n float64) {
 	conns, most := 0, 0
 	for i := range b.replicas {
 		is, was := b.replicas[i], a.replicas[i]
 		out[ReplicaCPU] += (is.Usage.CPU - was.Usage.CPU).Seconds() / seconds / n
 		out[ReplicaProbes] += float64(is.Calls.Probes-was.Calls.Probes) / seconds / n
-		for _, open := range is.Conns {
+		for _, open := range is.ReplicaConns {
 			conns, most = conns+open, max(most, open)
 		}
 	}
 	out[ReplicaConns] = float64(conns) / n
 	if conns > 0 {
-		out[ReplicaConnsMost] = float64(most) / out[ReplicaConns]
+		out[ReplicaConnsMaxOverMean] = float64(most) / out[ReplicaConns]
 	}
 }
 
 // Slope is how a figure grows with what was varied, by least squares.
 type Slope struct {
-	Figure    string     `json:"figure"`
-	Varied    string     `json:"varied"`
-	Points    int        `json:"points"`
-	At0       float64    `json:"at_0"`
-	Slope     float64    `json:"slope"`
-	Interval  [2]float64 `json:"interval"` // 95%, of the slope
-	Straight  bool       `json:"straight"` // each size's mean lies within a fifth of the line
-	WorstMiss float64    `json:"worst_miss"`
+	Figure       string     `json:"figure"`
+	Varied       string     `json:"varied"`
+	Points       int        `json:"points"`
+	At0          float64    `json:"at_0"`
+	Slope        float64    `json:"slope"`
+	Interval     [2]float64 `json:"interval"` // 95%, of the slope
+	Linear       bool       `json:"straight"` // each size's mean lies within a fifth of the line
+	MaxDeviation float64    `json:"worst_miss"`
 }
 
-// straightWithin is how far from the line a size's mean may lie, as a share of the line's value.
-const straightWithin = 0.2
+// linearTolerance is how far from the line a size's mean may lie, as a share of the line's value.
+const linearTolerance = 0.2
 
-// Slopes fits a line to each figure by what was varied.
-func Slopes(points []Point) (out []Slope) {
+// FitSlopes fits a line to each figure by what was varied.
+func FitSlopes(points []Point) (out []Slope) {
 	for _, varied := range []string{"replicas", "gateways"} {
 		var x []float64
 		y := map[string][]float64{}
@@ -225,7 +225,7 @@
 		}
 		slices.Sort(names)
 		for _, name := range names {
-			if s, ok := fit(x, y[name]); ok {
+			if s, ok := fitLine(x, y[name]); ok {
 				s.Figure, s.Varied = name, varied
 				out = append(out, s)
 			}
@@ -241,8 +241,8 @@
 	return float64(p.Gateways)
 }
 
-// fit is the least-squares line with Student's interval; it takes three points and two sizes.
-func fit(x, y []float64) (s Slope, ok bool) {
+// fitLine is the least-squares line with Student's interval; it takes three points and two sizes.
+func fitLine(x, y []float64) (s Slope, ok bool) {
 	n := len(x)
 	if n < 3 || len(y) != n || slices.Min(x) == slices.Max(x) {
 		return s, false
@@ -264,10 +264,10 @@
 	for size, sum := range sums {
 		line, seen := s.At0+s.Slope*size, sum/counts[size]
 		if scale := max(math.Abs(line), math.Abs(seen)); scale > 0 {
-			s.WorstMiss = max(s.WorstMiss, math.Abs(line-seen)/scale)
+			s.MaxDeviation = max(s.MaxDeviation, math.Abs(line-seen)/scale)
 		}
 	}
-	s.Straight = s.WorstMiss <= straightWithin
+	s.Linear = s.MaxDeviation <= linearTolerance
 	return s, true
 }
 
@@ -277,18 +277,18 @@
 	Hollow float64 `json:"hollow"`
 	Real   float64 `json:"real"`
 	Ratio  float64 `json:"ratio"` // the largest off 1 of any size's mean
-	Counts bool    `json:"counts"`
+	Agrees bool    `json:"counts"`
 }
 
-// countsWithin is how far a hollow figure may be from the real one and still count.
-const countsWithin = 0.2
+// agreementTolerance is how far a hollow figure may be from the real one and still count.
+const agreementTolerance = 0.2
 
 // Compare sets hollow figures beside real ones, size by size.
 func Compare(points []Point) (out []Comparison) {
 	names := map[string]bool{}
 	for _, p := range points {
 		for name := range p.Figures {
-			if real, ok := strings.CutPrefix(name, Real); ok {
+			if real, ok := strings.CutPrefix(name, RealPrefix); ok {
 				names[real] = true
 			}
 		}
@@ -302,8 +302,8 @@
 				sizes[p.Size] = &sums{}
 			}
 			s := sizes[p.Size]
-			s.hollow, s.real = s.hollow+p.Figures[name], s.real+p.Figures[Real+name]
-			c.Hollow, c.Real = c.Hollow+p.Figures[name]/float64(len(points)), c.Real+p.Figures[Real+name]/float64(len(points))
+			s.hollow, s.real = s.hollow+p.Figures[name], s.real+p.Figures[RealPrefix+name]
+			c.Hollow, c.Real = c.Hollow+p.Figures[name]/float64(len(points)), c.Real+p.Figures[RealPrefix+name]/float64(len(points))
 		}
 		for _, s := range sizes {
 			if s.hollow == 0 && s.real == 0 {
@@ -316,7 +316,7 @@
 		if math.IsInf(c.Ratio, 0) || math.IsNaN(c.Ratio) {
 			c.Ratio = 0
 		}
-		c.Counts = math.Abs(c.Ratio-1) <= countsWithin
+		c.Agrees = math.Abs(c.Ratio-1) <= agreementTolerance
 		out = append(out, c)
 	}
 	return out
@@ -330,30 +330,30 @@
 	return out
 }
 
-// Table writes the result as Markdown: what was measured, the slopes, and hollow beside real.
-func (r *Result) Table(w io.Writer) {
+// WriteTables writes the result as Markdown: what was measured, the slopes, and hollow beside real.
+func (r *Result) WriteTables(w io.Writer) {
 	fmt.Fprintf(w, "Build %s, seed %d, %d runs of each size, %s measured of each.\n\n", r.Build, r.Plan.Seed, r.Plan.Repeat, r.Plan.Duration)
 	fmt.Fprint(w, "| figure | varied | at 0 | slope | 95% of the slope | a line fits |\n| --- | --- | --- | --- | --- | --- |\n")
 	for _, s := range r.Slopes {
 		fits := "yes"
-		if !s.Straight {
-			fits = fmt.Sprintf("no: off by %.0f%%", 100*s.WorstMiss)
+		if !s.Linear {
+			fits = fmt.Sprintf("no: off by %.0f%%", 100*s.MaxDeviation)
 		}
 		fmt.Fprintf(w, "| %s | %s | %.4g | %.4g | %.4g to %.4g | %s |\n", s.Figure, s.Varied, s.At0, s.Slope, s.Interval[0], s.Interval[1], fits)
 	}
 	fmt.Fprint(w, "\n| hollow beside real | hollow | real | hollow over real, worst size | counts |\n| --- | --- | --- | --- | --- |\n")
-	for _, c := range r.Pairs {
+	for _, c := range r.Comparisons {
 		counts := "yes"
-		if !c.Counts {
+		if !c.Agrees {
 			counts = "no"
 		}
 		fmt.Fprintf(w, "| %s | %.4g | %.4g | %.2f | %s |\n", c.Figure, c.Hollow, c.Real, c.Ratio, counts)
 	}
-	r.sizes(w)
+	r.writeMeans(w)
 }
 
-// sizes writes each size's means.
-func (r *Result) sizes(w io.Writer) {
+// writeMeans writes each size's means.
+func (r *Result) writeMeans(w io.Writer) {
 	var order []Size
 	sums, counts := map[Size]map[string]float64{}, map[Size]float64{}
 	names := map[string]bool{}
--- a/internal/scaletest/role.go
+++ b/internal/scaletest/role.go
@@ -29,34 +29,34 @@
 
 // Orders to a role.
 const (
-	OrderLook   = "look"   // tell figures
-	OrderChange = "change" // change the list
+	CommandMeasure    = "look"   // tell figures
+	CommandChangeList = "change" // change the list
 )
 
-// Order is one line to a role.
-type Order struct {
-	Do string `json:"do"`
+// Command is one line to a role.
+type Command struct {
+	Name string `json:"do"`
 }
 
-// Hello is a role's first line: it is ready.
-type Hello struct {
+// Greeting is a role's first line: it is ready.
+type Greeting struct {
 	Address   string              `json:"address,omitempty"`
-	Instances []httpwire.Endpoint `json:"instances,omitempty"`
+	Endpoints []httpwire.Endpoint `json:"instances,omitempty"`
 	Error     string              `json:"error,omitempty"`
 }
 
-// Answer is a role's answer to an order.
-type Answer struct {
+// Reply is a role's answer to an order.
+type Reply struct {
 	Version int64     `json:"version,omitempty"` // of the list, after a change
 	At      time.Time `json:"at"`
 	Usage   Usage     `json:"usage"`
 	Calls   Calls     `json:"calls"`
-	// Conns are the connections open at each hollow replica.
-	Conns    []int                `json:"conns,omitempty"`
-	Gateways []controlstats.Stats `json:"gateways,omitempty"`
-	Served   int64                `json:"served,omitempty"`
-	Unserved int64                `json:"unserved,omitempty"`
-	Error    string               `json:"error,omitempty"`
+	// ReplicaConns are the connections open at each hollow replica.
+	ReplicaConns []int                `json:"conns,omitempty"`
+	Gateways     []controlstats.Stats `json:"gateways,omitempty"`
+	Served       int64                `json:"served,omitempty"`
+	Unserved     int64                `json:"unserved,omitempty"`
+	Error        string               `json:"error,omitempty"`
 }
 
 // Calls is what a role was asked, by kind, and the bytes of its connections.
@@ -75,8 +75,8 @@
 	HeapMB     float64       `json:"heap_mb"`
 }
 
-// usage is this process's.
-func usage() Usage {
+// ownUsage is this process's.
+func ownUsage() Usage {
 	var r syscall.Rusage
 	_ = syscall.Getrusage(syscall.RUSAGE_SELF, &r)
 	var m runtime.MemStats
@@ -84,18 +84,18 @@
 	return Usage{CPU: time.Duration(r.Utime.Nano() + r.Stime.Nano()), ResidentMB: procstat.ResidentMB(os.Getpid()), HeapMB: float64(m.HeapAlloc) / (1 << 20)}
 }
 
-// role is a process that was started in a role.
-type role struct {
-	cmd   *exec.Cmd
-	in    io.WriteCloser
-	out   *bufio.Reader
-	mu    sync.Mutex
-	hello Hello
+// roleProcess is a process that was started in a role.
+type roleProcess struct {
+	cmd      *exec.Cmd
+	in       io.WriteCloser
+	out      *bufio.Reader
+	mu       sync.Mutex
+	greeting Greeting
 }
 
 // startRole starts a role and waits until it is ready.
-func startRole(ctx context.Context, program, name string, spec any) (*role, error) {
-	r := &role{cmd: exec.Command(program, "drill", "scale-role", name)}
+func startRole(ctx context.Context, program, name string, spec any) (*roleProcess, error) {
+	r := &roleProcess{cmd: exec.Command(program, "drill", "scale-role", name)}
 	r.cmd.Stderr = os.Stderr
 	r.cmd.SysProcAttr = &syscall.SysProcAttr{Setpgid: true} // ^C ends the run, and the run its roles
 	var err error
@@ -110,19 +110,19 @@
 	if err := r.cmd.Start(); err != nil {
 		return nil, err
 	}
-	if err := r.exchange(ctx, spec, &r.hello); err != nil {
+	if err := r.exchange(ctx, spec, &r.greeting); err != nil {
 		r.close()
 		return nil, fmt.Errorf("%s: %w", name, err)
 	}
-	if r.hello.Error != "" {
+	if r.greeting.Error != "" {
 		r.close()
-		return nil, fmt.Errorf("%s: %s", name, r.hello.Error)
+		return nil, fmt.Errorf("%s: %s", name, r.greeting.Error)
 	}
 	return r, nil
 }
 
 // exchange writes one line and reads one.
-func (r *role) exchange(ctx context.Context, order, answer any) error {
+func (r *roleProcess) exchange(ctx context.Context, order, answer any) error {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	text, err := json.Marshal(order)
@@ -150,8 +150,8 @@
 	}
 }
 
-func (r *role) ask(ctx context.Context, o Order) (Answer, error) {
-	var a Answer
+func (r *roleProcess) command(ctx context.Context, o Command) (Reply, error) {
+	var a Reply
 	if err := r.exchange(ctx, o, &a); err != nil {
 		return a, err
 	}
@@ -161,7 +161,7 @@
 	return a, nil
 }
 
-func (r *role) pid() int {
+func (r *roleProcess) pid() int {
 	if r == nil || r.cmd.Process == nil {
 		return 0
 	}
@@ -169,7 +169,7 @@
 }
 
 // close ends the process.
-func (r *role) close() {
+func (r *roleProcess) close() {
 	if r == nil {
 		return
 	}
@@ -178,9 +178,9 @@
 	_ = r.cmd.Wait()
 }
 
-// Player is a role's work in its own process.
-type Player interface {
-	Answer(ctx context.Context, o Order) Answer
+// RoleServer is a role's work in its own process.
+type RoleServer interface {
+	Handle(ctx context.Context, o Command) Reply
 	Close()
 }
 
@@ -193,7 +193,7 @@
 	}
 	ctx, stop := context.WithCancel(ctx)
 	defer stop()
-	player, hello, err := play(ctx, name, first)
+	player, hello, err := startServer(ctx, name, first)
 	if err != nil {
 		hello.Error = err.Error()
 	}
@@ -210,33 +210,33 @@
 		if err != nil {
 			return err
 		}
-		var o Order
+		var o Command
 		if err := json.Unmarshal(line, &o); err != nil {
 			return err
 		}
-		if err := answers.Encode(player.Answer(ctx, o)); err != nil {
+		if err := answers.Encode(player.Handle(ctx, o)); err != nil {
 			return err
 		}
 	}
 }
 
-// play begins a role by its specification.
-func play(ctx context.Context, name string, text []byte) (Player, Hello, error) {
+// startServer begins a role by its specification.
+func startServer(ctx context.Context, name string, text []byte) (RoleServer, Greeting, error) {
 	switch name {
 	case RoleReplicas:
-		return begin(text, func(s ReplicasSpec) (Player, Hello, error) { return startReplicas(s) })
+		return startWithSpec(text, func(s ReplicasSpec) (RoleServer, Greeting, error) { return startHollowReplicas(s) })
 	case RoleDiscovery:
-		return begin(text, func(s DiscoverySpec) (Player, Hello, error) { return startDiscovery(s) })
+		return startWithSpec(text, func(s DiscoverySpec) (RoleServer, Greeting, error) { return startDiscovery(s) })
 	case RoleGateways:
-		return begin(text, func(s GatewaysSpec) (Player, Hello, error) { return startGateways(ctx, s) })
+		return startWithSpec(text, func(s GatewaysSpec) (RoleServer, Greeting, error) { return startHollowGateways(ctx, s) })
 	}
-	return nil, Hello{}, fmt.Errorf("role %q: expected %s, %s or %s", name, RoleReplicas, RoleDiscovery, RoleGateways)
+	return nil, Greeting{}, fmt.Errorf("role %q: expected %s, %s or %s", name, RoleReplicas, RoleDiscovery, RoleGateways)
 }
 
-func begin[S any](text []byte, start func(S) (Player, Hello, error)) (Player, Hello, error) {
+func startWithSpec[S any](text []byte, start func(S) (RoleServer, Greeting, error)) (RoleServer, Greeting, error) {
 	var spec S
 	if err := json.Unmarshal(text, &spec); err != nil {
-		return nil, Hello{}, err
+		return nil, Greeting{}, err
 	}
 	return start(spec)
 }
--- a/internal/scaletest/scale.go
+++ b/internal/scaletest/scale.go
@@ -23,8 +23,8 @@
 
 // Options are where a run finds its program and leaves its files.
 type Options struct {
-	Program  string // that roles and gateways are started from; "": this one
-	Progress func(done, of int, what string)
+	Program    string // that roles and gateways are started from; "": this one
+	OnProgress func(done, of int, what string)
 }
 
 // Size is a fleet's.
@@ -43,15 +43,15 @@
 
 // Result is a whole run.
 type Result struct {
-	Build  string           `json:"build"`
-	Plan   *config.ScaleRun `json:"plan"`
-	Points []Point          `json:"points"`
-	Slopes []Slope          `json:"slopes"`
-	Pairs  []Comparison     `json:"hollow_beside_real"`
+	Build       string           `json:"build"`
+	Plan        *config.ScaleRun `json:"plan"`
+	Points      []Point          `json:"points"`
+	Slopes      []Slope          `json:"slopes"`
+	Comparisons []Comparison     `json:"hollow_beside_real"`
 }
 
-// Steps are the sizes that a plan measures, in order.
-func Steps(p *config.ScaleRun) (out []Point) {
+// PlannedPoints are the sizes that a plan measures, in order.
+func PlannedPoints(p *config.ScaleRun) (out []Point) {
 	for repeat := range p.Repeat {
 		for _, n := range p.Replicas {
 			out = append(out, Point{Size: Size{n, p.BaseGateways}, Varied: "replicas", Repeat: repeat})
@@ -72,23 +72,23 @@
 		}
 		o.Program = self
 	}
-	res := &Result{Build: buildinfo.Version(), Plan: p, Points: Steps(p)}
+	res := &Result{Build: buildinfo.Version(), Plan: p, Points: PlannedPoints(p)}
 	for i := range res.Points {
 		point := &res.Points[i]
-		if o.Progress != nil {
-			o.Progress(i, len(res.Points), fmt.Sprintf("%d replicas, %d gateways", point.Replicas, point.Gateways))
+		if o.OnProgress != nil {
+			o.OnProgress(i, len(res.Points), fmt.Sprintf("%d replicas, %d gateways", point.Replicas, point.Gateways))
 		}
-		if err := measure(ctx, p, o.Program, point, uint64(p.Seed+i)); err != nil {
+		if err := measurePoint(ctx, p, o.Program, point, uint64(p.Seed+i)); err != nil {
 			return nil, fmt.Errorf("%d replicas, %d gateways: %w", point.Replicas, point.Gateways, err)
 		}
 	}
-	res.Slopes = Slopes(res.Points)
-	res.Pairs = Compare(res.Points)
+	res.Slopes = FitSlopes(res.Points)
+	res.Comparisons = Compare(res.Points)
 	return res, nil
 }
 
-// measure plays one size from the first process's start to the last one's end.
-func measure(ctx context.Context, p *config.ScaleRun, program string, point *Point, seed uint64) error {
+// measurePoint plays one size from the first process's start to the last one's end.
+func measurePoint(ctx context.Context, p *config.ScaleRun, program string, point *Point, seed uint64) error {
 	limit := p.SettleTime + p.Duration + 3*time.Minute
 	ctx, stop := context.WithTimeout(ctx, limit)
 	defer stop()
@@ -97,7 +97,7 @@
 		return err
 	}
 	defer os.RemoveAll(dir)
-	f := &fleet{plan: p, program: program, dir: dir, size: point.Size, rng: rand.New(rand.NewPCG(seed, 7))}
+	f := &testFleet{plan: p, program: program, dir: dir, size: point.Size, rng: rand.New(rand.NewPCG(seed, 7))}
 	defer f.close()
 	if err := f.start(ctx); err != nil {
 		return err
@@ -105,66 +105,66 @@
 	if err := f.wait(ctx, p.SettleTime); err != nil {
 		return err
 	}
-	before, err := f.look(ctx)
+	before, err := f.measure(ctx)
 	if err != nil {
 		return err
 	}
-	if err := f.run(ctx); err != nil {
+	if err := f.runTraffic(ctx); err != nil {
 		return err
 	}
-	after, err := f.look(ctx)
+	after, err := f.measure(ctx)
 	if err != nil {
 		return err
 	}
-	point.Figures = figuresOf(before, after, point.Size)
-	inForce, err := f.timeToForce(ctx)
+	point.Figures = figuresBetween(before, after, point.Size)
+	inForce, err := f.propagationTime(ctx)
 	if err != nil {
 		return err
 	}
-	point.Figures[ChangeInForce] = inForce.Seconds() * 1000
+	point.Figures[ChangePropagation] = inForce.Seconds() * 1000
 	return nil
 }
 
-// fleet is the processes of one size.
-type fleet struct {
-	plan      *config.ScaleRun
-	program   string
-	dir       string
-	size      Size
-	rng       *rand.Rand
-	replicas  []*role
-	discovery *role
-	hollow    []*role
-	real      *processes
-	instances []httpwire.Endpoint
-	client    *driver // of the real gateways
+// testFleet is the processes of one size.
+type testFleet struct {
+	plan           *config.ScaleRun
+	program        string
+	dir            string
+	size           Size
+	rng            *rand.Rand
+	replicas       []*roleProcess
+	discovery      *roleProcess
+	hollowGateways []*roleProcess
+	realGateways   *gatewayProcesses
+	endpoints      []httpwire.Endpoint
+	traffic        *loadGenerator // of the real gateways
 }
 
-// perProcess and gatewaysPerProcess are how many hollow replicas and gateways one process has:
+// replicasPerProcess and gatewaysPerProcess are how many hollow replicas and gateways one process has:
 // within the usual limit on descriptors, with a listener and connections for each.
 const (
-	perProcess         = 2500
+	replicasPerProcess = 2500
 	gatewaysPerProcess = 25
 )
 
-func (f *fleet) start(ctx context.Context) error {
-	for first := 0; first < f.size.Replicas; first += perProcess {
-		spec := ReplicasSpec{First: first, Count: min(perProcess, f.size.Replicas-first), Zones: f.plan.Zones, Seed: f.rng.Uint64(),
+func (f *testFleet) start(ctx context.Context) error {
+	for first := 0; first < f.size.Replicas; first += replicasPerProcess {
+		spec := ReplicasSpec{First: first, Count: min(replicasPerProcess, f.size.Replicas-first), Zones: f.plan.Zones, Seed: f.rng.Uint64(),
 			FirstEvent: f.plan.FirstEventDelay, Events: f.plan.Events, Gap: f.plan.EventGap}
 		r, err := startRole(ctx, f.program, RoleReplicas, spec)
 		if err != nil {
 			return err
 		}
 		f.replicas = append(f.replicas, r)
-		f.instances = append(f.instances, r.hello.Instances...)
+		f.endpoints = append(f.endpoints, r.greeting.Endpoints...)
 	}
 	var err error
-	if f.discovery, err = startRole(ctx, f.program, RoleDiscovery, DiscoverySpec{Instances: f.instances, Framing: f.plan.Framing}); err != nil {
+	if f.discovery, err = startRole(ctx, f.program, RoleDiscovery, DiscoverySpec{Endpoints: f.endpoints, Framing: f.plan.Framing}); err != nil {
 		return err
 	}
-	gateways := GatewaysSpec{First: f.size.Gateways, Of: max(f.plan.FleetGateways, f.size.Gateways+f.plan.Processes), Discovery: f.discovery.hello.Address, Zones: f.plan.Zones,
-		Subset: f.plan.Subset, Probe: f.plan.Probe, Rate: f.plan.Rate, Seed: f.rng.Uint64()}
-	if f.real, err = startProcesses(f.program, f.dir, gateways, f.plan.Processes); err != nil {
+	gateways := GatewaysSpec{First: f.size.Gateways, FleetSize: max(f.plan.FleetGateways, f.size.Gateways+f.plan.Processes), Discovery: f.discovery.greeting.Address, Zones: f.plan.Zones,
+		SubsetSize: f.plan.Subset, HealthCheck: f.plan.Probe, Rate: f.plan.Rate, Seed: f.rng.Uint64()}
+	if f.realGateways, err = startProcesses(f.program, f.dir, gateways, f.plan.Processes); err != nil {
 		return err
 	}
 	for first := 0; first < f.size.Gateways; first += gatewaysPerProcess {
@@ -173,31 +173,31 @@
 		if err != nil {
 			return err
 		}
-		f.hollow = append(f.hollow, r)
+		f.hollowGateways = append(f.hollowGateways, r)
 	}
-	if err := f.real.ready(ctx); err != nil {
+	if err := f.realGateways.waitUntilReady(ctx); err != nil {
 		return err
 	}
-	f.client = newDriver(f.plan.Rate, f.rng.Uint64())
-	for _, g := range f.real.list {
-		f.client.drive(g.address, nil)
+	f.traffic = newLoadGenerator(f.plan.Rate, f.rng.Uint64())
+	for _, g := range f.realGateways.list {
+		f.traffic.startTraffic(g.address, nil)
 	}
 	return nil
 }
 
-func (f *fleet) close() {
-	if f.client != nil {
-		f.client.close()
+func (f *testFleet) close() {
+	if f.traffic != nil {
+		f.traffic.close()
 	}
 	for _, r := range f.roles() {
 		r.close()
 	}
-	f.real.close()
+	f.realGateways.close()
 }
 
 // roles are all processes but the real gateways.
-func (f *fleet) roles() []*role {
-	out := slices.Concat(f.hollow, f.replicas)
+func (f *testFleet) roles() []*roleProcess {
+	out := slices.Concat(f.hollowGateways, f.replicas)
 	if f.discovery != nil {
 		out = append(out, f.discovery)
 	}
@@ -205,7 +205,7 @@
 }
 
 // wait lets time pass, and looks after the memory that the processes take.
-func (f *fleet) wait(ctx context.Context, d time.Duration) error {
+func (f *testFleet) wait(ctx context.Context, d time.Duration) error {
 	const each = 500 * time.Millisecond
 	for end := time.Now().Add(d); time.Now().Before(end); {
 		select {
@@ -213,27 +213,27 @@
 		case <-ctx.Done():
 			return ctx.Err()
 		}
-		if mb := f.memory(); mb > float64(f.plan.MemoryMB) {
+		if mb := f.residentMB(); mb > float64(f.plan.MemoryMB) {
 			return fmt.Errorf("all processes take %.0f MB, scale.memory allows %d", mb, f.plan.MemoryMB)
 		}
 	}
 	return nil
 }
 
-// memory is what all processes take; megabytes.
-func (f *fleet) memory() float64 {
+// residentMB is what all processes take; megabytes.
+func (f *testFleet) residentMB() float64 {
 	sum := procstat.ResidentMB(os.Getpid())
 	for _, r := range f.roles() {
 		sum += procstat.ResidentMB(r.pid())
 	}
-	for _, g := range f.real.list {
+	for _, g := range f.realGateways.list {
 		sum += procstat.ResidentMB(g.cmd.Process.Pid)
 	}
 	return sum
 }
 
-// run lets the measured time pass, with changes of the list.
-func (f *fleet) run(ctx context.Context) error {
+// runTraffic lets the measured time pass, with changes of the list.
+func (f *testFleet) runTraffic(ctx context.Context) error {
 	for end := time.Now().Add(f.plan.Duration); ; {
 		if err := f.wait(ctx, min(f.plan.ChangeInterval, time.Until(end))); err != nil {
 			return err
@@ -241,51 +241,51 @@
 		if !time.Now().Before(end) {
 			return nil
 		}
-		if _, err := f.discovery.ask(ctx, Order{Do: OrderChange}); err != nil {
+		if _, err := f.discovery.command(ctx, Command{Name: CommandChangeList}); err != nil {
 			return err
 		}
 	}
 }
 
-// changesTimed is how many changes of the list are followed until they are in force everywhere, and
-// inForceWithin how long each is waited for.
+// timedChanges is how many changes of the list are followed until they are in force everywhere, and
+// propagationTimeout how long each is waited for.
 const (
-	changesTimed  = 3
-	inForceWithin = 6 * time.Second
+	timedChanges       = 3
+	propagationTimeout = 6 * time.Second
 )
 
-// timeToForce is the mean time from a change of the list until the last gateway has it.
-func (f *fleet) timeToForce(ctx context.Context) (time.Duration, error) {
+// propagationTime is the mean time from a change of the list until the last gateway has it.
+func (f *testFleet) propagationTime(ctx context.Context) (time.Duration, error) {
 	sum := time.Duration(0)
-	for range changesTimed {
-		answer, err := f.discovery.ask(ctx, Order{Do: OrderChange})
+	for range timedChanges {
+		answer, err := f.discovery.command(ctx, Command{Name: CommandChangeList})
 		if err != nil {
 			return 0, err
 		}
-		last, err := f.lastInForce(ctx, answer.Version, answer.At)
+		last, err := f.waitForPropagation(ctx, answer.Version, answer.At)
 		if err != nil {
 			return 0, err
 		}
 		sum += last.Sub(answer.At)
 	}
-	return sum / changesTimed, nil
+	return sum / timedChanges, nil
 }
 
-// errBehind says that some gateway has not followed a change.
-var errBehind = errors.New("a change was not in force at all gateways in time")
+// errNotPropagated says that some gateway has not followed a change.
+var errNotPropagated = errors.New("a change was not in force at all gateways in time")
 
-func (f *fleet) lastInForce(ctx context.Context, version int64, since time.Time) (last time.Time, err error) {
-	for time.Since(since) < inForceWithin {
+func (f *testFleet) waitForPropagation(ctx context.Context, version int64, since time.Time) (last time.Time, err error) {
+	for time.Since(since) < propagationTimeout {
 		if err := f.wait(ctx, 200*time.Millisecond); err != nil {
 			return last, err
 		}
-		now, err := f.look(ctx)
+		now, err := f.measure(ctx)
 		if err != nil {
 			return last, err
 		}
-		if now.oldest >= version {
-			return now.inForce, nil
+		if now.oldestList >= version {
+			return now.newestListSince, nil
 		}
 	}
-	return last, errBehind
+	return last, errNotPropagated
 }
--- a/internal/scaletest/scale_test.go
+++ b/internal/scaletest/scale_test.go
@@ -44,23 +44,23 @@
 	}
 	for _, point := range res.Points {
 		f := point.Figures
-		for _, prefix := range []string{"", scaletest.Real} {
+		for _, prefix := range []string{"", scaletest.RealPrefix} {
 			if got := f[prefix+scaletest.GatewayAttempts]; got < 5 || got > 45 { // beyond a Poisson count of 20 by chance once in 10,000
 				t.Errorf("%+v %s: %.1f attempts a second, 20 are drawn", point.Size, prefix, got)
 			}
 			if got := f[prefix+scaletest.GatewaySubset]; got > 32 || got < 12 {
 				t.Errorf("%+v %s: a subset of %.1f", point.Size, prefix, got)
 			}
-			if f[prefix+scaletest.GatewayUnserved] > 0.5 || f[prefix+scaletest.GatewayBusy] <= 0 || f[prefix+scaletest.GatewayConns] <= 0 || f[prefix+scaletest.GatewayDiscovery] <= 0 {
+			if f[prefix+scaletest.GatewayUnserved] > 0.5 || f[prefix+scaletest.GatewayBusy] <= 0 || f[prefix+scaletest.GatewayConns] <= 0 || f[prefix+scaletest.GatewayListBytes] <= 0 {
 				t.Errorf("%+v %s: %v", point.Size, prefix, f)
 			}
 		}
-		if f[scaletest.ChangeInForce] <= 0 || f[scaletest.ChangeInForce] > 4000 || f[scaletest.DiscoveryCalls] <= 0 || f[scaletest.ReplicaConns] <= 0 {
+		if f[scaletest.ChangePropagation] <= 0 || f[scaletest.ChangePropagation] > 4000 || f[scaletest.DiscoveryCalls] <= 0 || f[scaletest.ReplicaConns] <= 0 {
 			t.Errorf("%+v: %v", point.Size, f)
 		}
 	}
 	var out bytes.Buffer
-	res.Table(&out)
+	res.WriteTables(&out)
 	for _, want := range []string{"gateway.attempts_per_s", "| figure | 40 x 3 | 80 x 3 | 80 x 2 | 80 x 4 |", "hollow beside real"} {
 		if !strings.Contains(out.String(), want) {
 			t.Errorf("no %q in the table:\n%s", want, out.String())
@@ -69,28 +69,28 @@
 }
 
 // A line is found with its interval, and a bend is told.
-func TestSlopes(t *testing.T) {
+func TestFitSlopes(t *testing.T) {
 	points := func(f func(n float64) float64) (out []scaletest.Point) {
 		for _, n := range []int{100, 1000, 3000, 6000} {
 			for repeat := range 2 {
 				noise := 1 + 0.01*float64(2*repeat-1)
 				out = append(out, scaletest.Point{Size: scaletest.Size{Replicas: n, Gateways: 20}, Varied: "replicas", Repeat: repeat,
-					Figures: map[string]float64{"x": f(float64(n)) * noise, scaletest.Real + "x": f(float64(n)) * 1.5}})
+					Figures: map[string]float64{"x": f(float64(n)) * noise, scaletest.RealPrefix + "x": f(float64(n)) * 1.5}})
 			}
 		}
 		return out
 	}
-	straight := scaletest.Slopes(points(func(n float64) float64 { return 50 + 0.25*n }))
+	straight := scaletest.FitSlopes(points(func(n float64) float64 { return 50 + 0.25*n }))
 	if len(straight) != 2 || straight[1].Figure != "x" {
 		t.Fatalf("%+v", straight)
 	}
-	if s := straight[1]; math.Abs(s.Slope-0.25) > 0.005 || s.Interval[0] > 0.25 || s.Interval[1] < 0.25 || !s.Straight || s.Points != 8 {
+	if s := straight[1]; math.Abs(s.Slope-0.25) > 0.005 || s.Interval[0] > 0.25 || s.Interval[1] < 0.25 || !s.Linear || s.Points != 8 {
 		t.Errorf("%+v", s)
 	}
-	if s := scaletest.Slopes(points(func(n float64) float64 { return n * n }))[1]; s.Straight {
+	if s := scaletest.FitSlopes(points(func(n float64) float64 { return n * n }))[1]; s.Linear {
 		t.Errorf("a square is taken for a line: %+v", s)
 	}
-	if c := scaletest.Compare(points(func(n float64) float64 { return n })); len(c) != 1 || c[0].Counts || math.Abs(c[0].Ratio-2/3.0) > 0.01 {
+	if c := scaletest.Compare(points(func(n float64) float64 { return n })); len(c) != 1 || c[0].Agrees || math.Abs(c[0].Ratio-2/3.0) > 0.01 {
 		t.Errorf("hollow beside real: %+v", c)
 	}
 }
