--- a/internal/cli/experiment.go
+++ b/internal/cli/experiment.go
@@ -56,7 +56,7 @@
 	}
 	ctx, stop := signal.NotifyContext(context.Background(), os.Interrupt, syscall.SIGTERM)
 	defer stop()
-	if err := experiment.All(ctx, p, store, experiment.Options{Jobs: c.Jobs, Progress: s.runs()}); err != nil {
+	if err := experiment.RunPlan(ctx, p, store, experiment.Options{Jobs: c.Jobs, Progress: s.runs()}); err != nil {
 		return err
 	}
 	records, err := store.Records()
@@ -122,7 +122,7 @@
 	for _, f := range []struct {
 		path  string
 		write func(io.Writer) error
-	}{{c.HTML, sum.HTML}, {c.CSV, sum.CSV}} {
+	}{{c.HTML, sum.WriteHTML}, {c.CSV, sum.WriteCSV}} {
 		if f.path == "" {
 			continue
 		}
@@ -131,7 +131,7 @@
 		}
 	}
 	if c.JSON {
-		return sum.JSON(s.out)
+		return sum.WriteJSON(s.out)
 	}
 	w := tabwriter.NewWriter(s.out, 0, 4, 2, ' ', 0)
 	fmt.Fprintf(w, "workload\tvariant\tfigure\t%s\tvariant's\tverdict\n", sum.Base)
@@ -207,7 +207,7 @@
 	if err != nil {
 		return err
 	}
-	_, err = fmt.Fprintf(s.out, "%s\n", res.Text())
+	_, err = fmt.Fprintf(s.out, "%s\n", res.JSON())
 	return err
 }
 
--- a/internal/cli/fleet.go
+++ b/internal/cli/fleet.go
@@ -62,7 +62,7 @@
 	ctx, stop := signal.NotifyContext(context.Background(), os.Interrupt, syscall.SIGTERM)
 	defer stop()
 	if len(c.Gateway) == 0 {
-		fmt.Fprintf(s.out, "registry=%s workers=%d\n", f.Registry, len(f.Workers))
+		fmt.Fprintf(s.out, "registry=%s workers=%d\n", f.DiscoveryAddr, len(f.Replicas))
 		<-ctx.Done()
 		return nil
 	}
@@ -78,7 +78,7 @@
 	if left > 0 {
 		fmt.Fprintf(s.err, "archknot: %d sessions were left out: too many at once\n", left)
 	}
-	fmt.Fprintf(s.out, "%s\n", res.Text())
+	fmt.Fprintf(s.out, "%s\n", res.JSON())
 	if res.All.Ends["served"] == 0 {
 		return errNo
 	}
@@ -128,7 +128,7 @@
 	return nil
 }
 
-func (c *fitCmd) table(s *streams, r *fit.Recorded, got []fit.Stream) error {
+func (c *fitCmd) table(s *streams, r *fit.Recording, got []fit.Stream) error {
 	fmt.Fprintf(s.out, "seconds=%.0f requests=%d gaps=%d\n", float64(r.To-r.From)/1e6, len(r.Turns), r.Gaps)
 	for _, t := range got {
 		fmt.Fprintf(s.out, "\nclass=%s tenant=%s requests=%d\n", t.Class, t.Tenant, t.Requests)
@@ -143,7 +143,7 @@
 		if err := w.Flush(); err != nil {
 			return err
 		}
-		for _, u := range t.Untold {
+		for _, u := range t.Unknown {
 			fmt.Fprintf(s.out, "  not told: %s\n", u)
 		}
 	}
--- a/internal/cli/site.go
+++ b/internal/cli/site.go
@@ -63,11 +63,11 @@
 		return nil, nil, err
 	}
 	spec := func(seed uint64) (*model.Spec, error) { return p.Spec(v, w, seed) }
-	o := siteforecast.Options{Seeds: c.Played, First: c.Seed}
+	o := siteforecast.Options{Seeds: c.Played, FirstSeed: c.Seed}
 	if bar := countBar(s, 2*c.Played); bar != nil {
-		o.Done = func() { _ = bar.Add(1) }
+		o.OnRunDone = func() { _ = bar.Add(1) }
 	}
-	f, err := siteforecast.Make(ctx, spec, l, o)
+	f, err := siteforecast.Run(ctx, spec, l, o)
 	return f, spec, err
 }
 
@@ -115,25 +115,25 @@
 	for _, x := range f.Sites {
 		after := "lost"
 		if x.Name != f.Lost.Site {
-			after = fmt.Sprintf("%.2f", x.After)
+			after = fmt.Sprintf("%.2f", x.LoadAfterLoss)
 		}
-		fmt.Fprintf(t, "%s\t%d\t%.2f\t%s\n", x.Name, x.Workers, x.Before, after)
+		fmt.Fprintf(t, "%s\t%d\t%.2f\t%s\n", x.Name, x.Replicas, x.Load, after)
 	}
 	fmt.Fprintf(t, "\nrefused first to last\trequests/s\twork ms\tworth/s of work\tserved, calm\tserved, loss\trefused\tlate\n")
-	for _, x := range f.Order {
-		fmt.Fprintf(t, "%s\t%.1f\t%.0f\t%.1f\t%.3f\t%s\t%s\t%.3f\n", x.Name, x.PerS, x.Work, x.PerWork, x.Calm, x.Served, x.Refused, x.Late)
+	for _, x := range f.Classes {
+		fmt.Fprintf(t, "%s\t%.1f\t%.0f\t%.1f\t%.3f\t%s\t%s\t%.3f\n", x.Name, x.RequestsPerSecond, x.WorkMs, x.WeightPerWork, x.Baseline, x.Served, x.Shed, x.Late)
 	}
-	back, spare := fmt.Sprintf("%.0f s", f.Back), fmt.Sprintf("%.2f times", f.Spare)
-	if f.Back < 0 {
+	back, spare := fmt.Sprintf("%.0f s", f.RecoverySeconds), fmt.Sprintf("%.2f times", f.SpareFactor)
+	if f.RecoverySeconds < 0 {
 		back = "longer than was watched"
 	}
-	switch f.Spare {
+	switch f.SpareFactor {
 	case 0:
 		spare = "over 3 times"
 	case 1:
 		spare = "none: what there is keeps all"
 	}
-	fmt.Fprintf(t, "\nworth served with the loss\t%s\nwithout\t%s\nan oracle's bound, of a fluid\t%.3f\nas without the loss, after the return\t%s\nworkers elsewhere that would keep all\t%s\n", f.Served, f.Calm, f.Fluid, back, spare)
+	fmt.Fprintf(t, "\nworth served with the loss\t%s\nwithout\t%s\nan oracle's bound, of a fluid\t%.3f\nas without the loss, after the return\t%s\nworkers elsewhere that would keep all\t%s\n", f.Served, f.Baseline, f.FluidBound, back, spare)
 	return t.Flush()
 }
 
@@ -148,9 +148,9 @@
 			line.XValues, line.YValues = []float64{at, at}, []float64{0, 1}
 		} else {
 			for _, x := range f.Seconds {
-				v := x.Loss.Mean
+				v := x.WithLoss.Mean
 				if i == 1 {
-					v = x.Calm.Mean
+					v = x.Baseline.Mean
 				}
 				line.XValues, line.YValues = append(line.XValues, x.At), append(line.YValues, v)
 			}
--- a/internal/config/plan.go
+++ b/internal/config/plan.go
@@ -265,13 +265,13 @@
 	}
 	switch name {
 	case "run":
-		return []keySpec{microsKey("for", &s.For, "60s", time.Second, 24*hour, "virtual time of a run"),
-			microsKey("warm", &s.Warm, "5s", 0, hour, "what is sent before is not counted"),
-			microsKey("window", &s.Window, "10s", time.Second, hour, "the spans that are told apart"),
-			intKey("gateways", &s.Gateways, "3", 1, 10_000, "how many"), intKey("subset", &s.Subset, "0", 0, 10_000, "replicas that a gateway works with; 0: all")}
+		return []keySpec{microsKey("for", &s.Duration, "60s", time.Second, 24*hour, "virtual time of a run"),
+			microsKey("warm", &s.WarmUp, "5s", 0, hour, "what is sent before is not counted"),
+			microsKey("window", &s.WindowLength, "10s", time.Second, hour, "the spans that are told apart"),
+			intKey("gateways", &s.Gateways, "3", 1, 10_000, "how many"), intKey("subset", &s.SubsetSize, "0", 0, 10_000, "replicas that a gateway works with; 0: all")}
 	case "network":
-		return []keySpec{microsKey("near", &s.Near, "250us", 0, time.Second, "one way within a zone"),
-			microsKey("far", &s.Far, "10ms", 0, time.Second, "one way between two zones"),
+		return []keySpec{microsKey("near", &s.SameZoneDelay, "250us", 0, time.Second, "one way within a zone"),
+			microsKey("far", &s.CrossZoneDelay, "10ms", 0, time.Second, "one way between two zones"),
 			microsKey("poll", &s.PollWait, "10s", 10*time.Millisecond, hour, "what a watch of the registry waits at most")}
 	case "gateway":
 		g := &s.Settings
@@ -304,47 +304,47 @@
 		b.groups = append(b.groups, g)
 		w := &g.Params
 		return []keySpec{stringKey("zone", &g.Zone, "here", "where they are"), intKey("count", &g.Count, "1", 1, 100_000, "how many"),
-			floatKey("weight", &g.Weight, "1", 0, 1e6, "in the registry's list"), intKey("slots", &w.Slots, "16", 1, 4096, "sequences that run at once"),
-			intKey("queue", &w.Queue, "64", 0, 1<<20, "that may wait"), intKey("memory", &w.Memory, "100000", 16, 1<<30, "tokens of keys and values"),
-			intKey("block", &w.Block, "16", 1, 4096, "tokens in a block"), intKey("chunk", &w.Chunk, "512", 1, 1<<20, "prompt tokens read in a step"),
-			fractionalMicrosKey("base", &w.Base, "8ms", "a step"), fractionalMicrosKey("per-sequence", &w.PerSequence, "150us", "for each that makes a token"),
-			fractionalMicrosKey("per-context", &w.PerContext, "40us", "for each 1,000 tokens attended to"), fractionalMicrosKey("per-prompt", &w.PerPrompt, "40ms", "for each 1,000 tokens read"),
-			microsKey("start", &w.Start, "5s", 0, hour, "from a start until it takes work"), microsKey("cold", &w.ColdFor, "8s", 0, hour, "how long it is slower then"),
-			floatKey("cold-slow", &w.ColdSlow, "3", 1, 1000, "so many times at first"), microsKey("connect", &w.Connect, "100us", 0, time.Second, "to set a connection up")}
+			floatKey("weight", &g.Weight, "1", 0, 1e6, "in the registry's list"), intKey("slots", &w.MaxRunning, "16", 1, 4096, "sequences that run at once"),
+			intKey("queue", &w.MaxQueued, "64", 0, 1<<20, "that may wait"), intKey("memory", &w.MemoryTokens, "100000", 16, 1<<30, "tokens of keys and values"),
+			intKey("block", &w.BlockTokens, "16", 1, 4096, "tokens in a block"), intKey("chunk", &w.ChunkTokens, "512", 1, 1<<20, "prompt tokens read in a step"),
+			fractionalMicrosKey("base", &w.StepBase, "8ms", "a step"), fractionalMicrosKey("per-sequence", &w.StepPerSequence, "150us", "for each that makes a token"),
+			fractionalMicrosKey("per-context", &w.StepPerContext, "40us", "for each 1,000 tokens attended to"), fractionalMicrosKey("per-prompt", &w.StepPerPrompt, "40ms", "for each 1,000 tokens read"),
+			microsKey("start", &w.StartupTime, "5s", 0, hour, "from a start until it takes work"), microsKey("cold", &w.WarmUpTime, "8s", 0, hour, "how long it is slower then"),
+			floatKey("cold-slow", &w.WarmUpSlowdown, "3", 1, 1000, "so many times at first"), microsKey("connect", &w.ConnectTime, "100us", 0, time.Second, "to set a connection up")}
 	case "traffic":
 		t := &model.Stream{}
 		b.streams = append(b.streams, t)
 		return []keySpec{stringKey("class", &t.Class, "", "of its requests"), stringKey("tenant", &t.Tenant, label, "whose they are"),
-			floatKey("rate", &t.PerS, "10", 0, 1e7, "requests a second"), floatKey("turns", &t.Turns, "1", 1, 1e4, "of a session, on average"),
-			secondsKey("think", &t.Think, "5s", "between two turns, the median"), floatKey("prompt", &t.Prompt, "200", 1, 1e7, "new tokens in a turn, the median"),
-			floatKey("answer", &t.Answer, "150", 1, 1e7, "tokens, the median"), floatKey("spread", &t.Spread, "0.6", 0, 3.9, "of both"),
-			intKey("most", &t.MaxOut, "600", 1, 1<<24, "tokens of an answer"), intKey("prefixes", &t.Prefixes, "0", 0, 1<<20, "shared beginnings"),
-			intKey("shared", &t.Shared, "0", 0, 1<<24, "tokens of them"), secondsKey("patience", &t.Patience, "0s", "to the first token; 0s: the class's deadline"),
-			intKey("retries", &t.Retries, "0", 0, 100, "by clients, after a refusal"),
-			intKey("rest", &t.Rest, "0", 0, 10, "asks for the rest of an answer that broke (the emulator alone)")}
+			floatKey("rate", &t.RequestsPerSecond, "10", 0, 1e7, "requests a second"), floatKey("turns", &t.Turns, "1", 1, 1e4, "of a session, on average"),
+			secondsKey("think", &t.ThinkSeconds, "5s", "between two turns, the median"), floatKey("prompt", &t.PromptTokens, "200", 1, 1e7, "new tokens in a turn, the median"),
+			floatKey("answer", &t.AnswerTokens, "150", 1, 1e7, "tokens, the median"), floatKey("spread", &t.Spread, "0.6", 0, 3.9, "of both"),
+			intKey("most", &t.MaxOutputTokens, "600", 1, 1<<24, "tokens of an answer"), intKey("prefixes", &t.Prefixes, "0", 0, 1<<20, "shared beginnings"),
+			intKey("shared", &t.PrefixTokens, "0", 0, 1<<24, "tokens of them"), secondsKey("patience", &t.PatienceSeconds, "0s", "to the first token; 0s: the class's deadline"),
+			intKey("retries", &t.MaxRetries, "0", 0, 100, "by clients, after a refusal"),
+			intKey("rest", &t.MaxResumes, "0", 0, 10, "asks for the rest of an answer that broke (the emulator alone)")}
 	case "fault":
-		f := &model.Fault{Worker: -1}
+		f := &model.Fault{Replica: -1}
 		b.faults = append(b.faults, f)
-		kinds := make([]string, 0, len(model.Faults))
-		for k := range model.Faults {
+		kinds := make([]string, 0, len(model.FaultKinds))
+		for k := range model.FaultKinds {
 			kinds = append(kinds, k)
 		}
 		slices.Sort(kinds)
-		return []keySpec{microsKey("at", &f.At, "0s", 0, 24*hour, "when it begins"), microsKey("for", &f.For, "0s", 0, 24*hour, "how long; 0s: to the end"),
-			enumKey("kind", &f.Kind, kinds[0], "what goes wrong", kinds...), replicaIndexKey(&f.Worker), stringKey("zone", &f.Zone, "", "of one zone alone"),
+		return []keySpec{microsKey("at", &f.At, "0s", 0, 24*hour, "when it begins"), microsKey("for", &f.Duration, "0s", 0, 24*hour, "how long; 0s: to the end"),
+			enumKey("kind", &f.Kind, kinds[0], "what goes wrong", kinds...), replicaIndexKey(&f.Replica), stringKey("zone", &f.Zone, "", "of one zone alone"),
 			floatKey("factor", &f.Factor, "1", 0, 1e6, "see the kinds")}
 	case "drill":
 		d := &s.Drill
 		return []keySpec{boolKey("peers", &d.Peers, "on", "gateways go on with each other's work"), boolKey("relays", &d.Relays, "on", "what they say to each other can be cut and slowed"),
-			intKey("copies", &d.Copies, "5", 1, 8, "gateways that note each request"),
-			intKey("records", &d.Records, "4096", 16, 100_000, "requests of others that a gateway notes at once"), intKey("sites", &d.Sites, "1", 1, 100, "gateways are dealt to so many"),
-			intKey("memory", &d.Memory, "32", 16, 4096, "of a gateway, megabytes"), intKey("files", &d.Files, "256", 64, 65536, "its descriptors"),
+			intKey("copies", &d.RequestCopies, "5", 1, 8, "gateways that note each request"),
+			intKey("records", &d.MaxRecords, "4096", 16, 100_000, "requests of others that a gateway notes at once"), intKey("sites", &d.Sites, "1", 1, 100, "gateways are dealt to so many"),
+			intKey("memory", &d.MemoryMB, "32", 16, 4096, "of a gateway, megabytes"), intKey("files", &d.MaxFiles, "256", 64, 65536, "its descriptors"),
 			microsKey("settle", &d.Settle, "1500ms", 0, time.Minute, "from the last gateway's start to the traffic")}
 	case "strike":
 		x := &model.Strike{}
 		b.strikes = append(b.strikes, x)
-		return []keySpec{microsKey("at", &x.At, "0s", 0, hour, "when"), microsKey("for", &x.For, "0s", 0, hour, "how long; 0s: to the end"),
-			enumKey("kind", &x.Kind, "kill", "what happens to the gateways", slices.Sorted(maps.Keys(model.Strikes))...),
+		return []keySpec{microsKey("at", &x.At, "0s", 0, hour, "when"), microsKey("for", &x.Duration, "0s", 0, hour, "how long; 0s: to the end"),
+			enumKey("kind", &x.Kind, "kill", "what happens to the gateways", slices.Sorted(maps.Keys(model.StrikeKinds))...),
 			indexKey("gateway", &x.Gateway, "one of them, by its place"), shareKey("share", &x.Share, "0%", "so many of them, by chance"),
 			indexKey("site", &x.Site, "of one site, by its place"),
 			enumKey("when", &x.When, "at", "at a time, or when a request's first event, half or last event has come, or it was sent: at the gateway that serves it", "at", "sent", "first", "half", "last"),
@@ -414,5 +414,5 @@
 	if err := contract.ValidateTerms(s.Contracts); err != nil {
 		b.reader.addProblem(b.seen["run.for"].file, noPosition, "", "%v", err)
 	}
-	s.Book = b.contracts.LedgerSettings()
+	s.LedgerSettings = b.contracts.LedgerSettings()
 }
--- a/internal/config/scale_test.go
+++ b/internal/config/scale_test.go
@@ -61,10 +61,10 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		if s.Gateways != c.gateways || s.Groups[0].Count != 40 || s.Groups[1].Count != 10 || s.Streams[0].PerS != 25 || busy.Streams[0].PerS != 70 {
-			t.Errorf("%d gateways, %d and %d workers, %v and %v a second", s.Gateways, s.Groups[0].Count, s.Groups[1].Count, s.Streams[0].PerS, busy.Streams[0].PerS)
+		if s.Gateways != c.gateways || s.Groups[0].Count != 40 || s.Groups[1].Count != 10 || s.Streams[0].RequestsPerSecond != 25 || busy.Streams[0].RequestsPerSecond != 70 {
+			t.Errorf("%d gateways, %d and %d workers, %v and %v a second", s.Gateways, s.Groups[0].Count, s.Groups[1].Count, s.Streams[0].RequestsPerSecond, busy.Streams[0].RequestsPerSecond)
 		}
-		if s.For != was.For || busy.Streams[0].Prompt != 300 || s.Groups[1].Zone != "there" || !strings.Contains(text, "# a second") {
+		if s.Duration != was.Duration || busy.Streams[0].PromptTokens != 300 || s.Groups[1].Zone != "there" || !strings.Contains(text, "# a second") {
 			t.Errorf("something else changed:\n%s", text)
 		}
 	}
--- a/internal/experiment/digest_test.go
+++ b/internal/experiment/digest_test.go
@@ -42,7 +42,7 @@
 					if err != nil {
 						t.Fatal(err)
 					}
-					fmt.Fprintf(&got, "%x  %s %s %s %d\n", sha256.Sum256(result.Text()), name, variant.Name, workload.Name, seed)
+					fmt.Fprintf(&got, "%x  %s %s %s %d\n", sha256.Sum256(result.JSON()), name, variant.Name, workload.Name, seed)
 				}
 			}
 		}
--- a/internal/experiment/experiment_test.go
+++ b/internal/experiment/experiment_test.go
@@ -35,7 +35,7 @@
 			apart, found := 0, 0
 			for i := range 300 {
 				a, b := draw(n, 0, skewed)
-				if Compare(a, b, true, uint64(i)).Verdict != CannotTell {
+				if Compare(a, b, true, uint64(i)).Verdict != Inconclusive {
 					apart++
 				}
 				a, b = draw(n, 1, skewed)
@@ -49,7 +49,7 @@
 		}
 	}
 	d := Compare([]float64{1, 2, 3}, []float64{2, 3, 4}, true, 1)
-	if d.Verdict != CannotTell || !strings.Contains(d.Words(), "at least") {
+	if d.Verdict != Inconclusive || !strings.Contains(d.Words(), "at least") {
 		t.Error(d.Words())
 	}
 	if d := Compare([]float64{5, 6, 7, 8}, []float64{1, 2, 3, 4}, false, 1); d.Verdict != Better {
@@ -109,7 +109,7 @@
 		t.Fatal(err)
 	}
 	ctx, stop := context.WithCancel(t.Context())
-	err = All(ctx, p, s, Options{Jobs: 2, Progress: func(done, all int) {
+	err = RunPlan(ctx, p, s, Options{Jobs: 2, Progress: func(done, all int) {
 		if all != 18 {
 			t.Errorf("%d runs", all)
 		}
@@ -129,7 +129,7 @@
 	}
 	defer s.Close()
 	began := -1
-	if err := All(t.Context(), p, s, Options{Progress: func(done, _ int) {
+	if err := RunPlan(t.Context(), p, s, Options{Progress: func(done, _ int) {
 		if began < 0 {
 			began = done
 		}
@@ -149,7 +149,7 @@
 	}
 	for _, r := range sum.Rows {
 		switch d := r.Difference; {
-		case r.Variant == "same" && (d.Mean != 0 || d.Verdict != CannotTell):
+		case r.Variant == "same" && (d.Mean != 0 || d.Verdict != Inconclusive):
 			t.Errorf("%s: %s", r.Figure, d.Words())
 		case r.Variant == "planted" && r.Figure == "worth_in_time" && d.Verdict != Worse:
 			t.Errorf("%s: %s", r.Figure, d.Words())
@@ -165,7 +165,7 @@
 		t.Error(err)
 	}
 	var page, csv, js bytes.Buffer
-	if err := errors.Join(sum.HTML(&page), sum.CSV(&csv), sum.JSON(&js)); err != nil {
+	if err := errors.Join(sum.WriteHTML(&page), sum.WriteCSV(&csv), sum.WriteJSON(&js)); err != nil {
 		t.Fatal(err)
 	}
 	if strings.Count(csv.String(), "\n") != 19 || !strings.Contains(page.String(), "<svg") || !strings.Contains(page.String(), `class="worse"`) || !strings.Contains(js.String(), `"worse"`) {
--- a/internal/experiment/report.go
+++ b/internal/experiment/report.go
@@ -19,43 +19,45 @@
 	"archknot/internal/fleet/model"
 )
 
-// Figure is one that variants are compared by.
-type Figure struct {
-	Name string
-	More bool // higher is better
-	of   func(*model.Result) float64
+// Metric is one that variants are compared by.
+type Metric struct {
+	Name           string
+	HigherIsBetter bool // higher is better
+	value          func(*model.Result) float64
 }
 
-// Figures are all of them; the first is what a gate looks at if not told otherwise.
-var Figures = []Figure{
-	{"worth_in_time", true, func(r *model.Result) float64 { return r.All.WorthInTime() }},
+// Metrics are all of them; the first is what a gate looks at if not told otherwise.
+var Metrics = []Metric{
+	{"worth_in_time", true, func(r *model.Result) float64 { return r.All.WeightedGoodput() }},
 	{"worst_class", true, func(r *model.Result) float64 { return worst(r.Classes) }},
 	{"worst_tenant", true, func(r *model.Result) float64 { return worst(r.Tenants) }},
 	{"worst_window", true, func(r *model.Result) float64 {
 		v := 1.0
 		for _, w := range r.Windows {
-			if w.Most > 0 {
-				v = min(v, w.Points/w.Most)
+			if w.WeightOffered > 0 {
+				v = min(v, w.WeightServed/w.WeightOffered)
 			}
 		}
 		return v
 	}},
-	{"first_p50_ms", false, func(r *model.Result) float64 { return r.All.FirstMs["p50"] }},
-	{"first_p95_ms", false, func(r *model.Result) float64 { return r.All.FirstMs["p95"] }},
-	{"first_p99_ms", false, func(r *model.Result) float64 { return r.All.FirstMs["p99"] }},
-	{"whole_p95_ms", false, func(r *model.Result) float64 { return r.All.WholeMs["p95"] }},
+	{"first_p50_ms", false, func(r *model.Result) float64 { return r.All.FirstTokenMs["p50"] }},
+	{"first_p95_ms", false, func(r *model.Result) float64 { return r.All.FirstTokenMs["p95"] }},
+	{"first_p99_ms", false, func(r *model.Result) float64 { return r.All.FirstTokenMs["p99"] }},
+	{"whole_p95_ms", false, func(r *model.Result) float64 { return r.All.ResponseMs["p95"] }},
 	{"refused_share", false, func(r *model.Result) float64 { return share(r.All, "refused", "failed", "contract") }},
 	{"late_share", false, func(r *model.Result) float64 { return share(r.All, "late", "broken") }},
 	{"attempts_a_request", false, func(r *model.Result) float64 { return float64(r.Attempts) / float64(max(1, r.All.Sent)) }},
 	{"wasted_a_request", false, func(r *model.Result) float64 { return float64(r.Wasted) / float64(max(1, r.All.Sent)) }},
-	{"read_anew", false, func(r *model.Result) float64 { return float64(r.Read) / float64(max(1, r.Read+r.Reused)) }},
+	{"read_anew", false, func(r *model.Result) float64 {
+		return float64(r.PromptTokensRead) / float64(max(1, r.PromptTokensRead+r.PromptTokensReused))
+	}},
 }
 
 func worst(m map[string]*model.Count) float64 {
 	v := 1.0
 	for _, c := range m {
-		if c.Most > 0 {
-			v = min(v, c.WorthInTime())
+		if c.WeightOffered > 0 {
+			v = min(v, c.WeightedGoodput())
 		}
 	}
 	return v
@@ -123,14 +125,14 @@
 				continue
 			}
 			a, b := values[w+"/"+s.Base], values[w+"/"+v]
-			for _, f := range Figures {
+			for _, f := range Metrics {
 				var x, y []float64
 				for _, seed := range slices.Sorted(maps.Keys(a)) {
 					if b[seed] != nil {
-						x, y = append(x, f.of(a[seed])), append(y, f.of(b[seed]))
+						x, y = append(x, f.value(a[seed])), append(y, f.value(b[seed]))
 					}
 				}
-				s.Rows = append(s.Rows, Row{w, v, f.Name, Compare(x, y, f.More, 1)})
+				s.Rows = append(s.Rows, Row{w, v, f.Name, Compare(x, y, f.HigherIsBetter, 1)})
 			}
 		}
 	}
@@ -140,7 +142,7 @@
 // Gate tells the rows by a figure in which a variant is, or may be, worse than the
 // base by more than a bound.
 func (s *Summary) Gate(figure string, bound float64) (bad []Row, err error) {
-	i := slices.IndexFunc(Figures, func(f Figure) bool { return f.Name == figure })
+	i := slices.IndexFunc(Metrics, func(f Metric) bool { return f.Name == figure })
 	if i < 0 {
 		return nil, fmt.Errorf("no figure %q", figure)
 	}
@@ -151,7 +153,7 @@
 		}
 		seen = true
 		low, high := r.Difference.Interval[0], r.Difference.Interval[1]
-		if r.Difference.Pairs < leastPairs || Figures[i].More && low < -bound || !Figures[i].More && high > bound {
+		if r.Difference.Pairs < minPairs || Metrics[i].HigherIsBetter && low < -bound || !Metrics[i].HigherIsBetter && high > bound {
 			bad = append(bad, r)
 		}
 	}
@@ -161,18 +163,18 @@
 	return bad, nil
 }
 
-// JSON writes the summary.
-func (s *Summary) JSON(w io.Writer) error {
+// WriteJSON writes the summary.
+func (s *Summary) WriteJSON(w io.Writer) error {
 	e := json.NewEncoder(w)
 	e.SetIndent("", "  ")
 	return e.Encode(s)
 }
 
-// CSV writes a line a run with all figures.
-func (s *Summary) CSV(w io.Writer) error {
+// WriteCSV writes a line a run with all figures.
+func (s *Summary) WriteCSV(w io.Writer) error {
 	c := csv.NewWriter(w)
 	head := []string{"variant", "workload", "seed", "sent", "served"}
-	for _, f := range Figures {
+	for _, f := range Metrics {
 		head = append(head, f.Name)
 	}
 	if err := c.Write(head); err != nil {
@@ -180,8 +182,8 @@
 	}
 	for _, r := range s.records {
 		line := []string{r.Variant, r.Workload, strconv.FormatUint(r.Seed, 10), strconv.FormatInt(r.Result.All.Sent, 10), strconv.FormatInt(r.Result.All.Ends["served"], 10)}
-		for _, f := range Figures {
-			line = append(line, strconv.FormatFloat(f.of(r.Result), 'g', 8, 64))
+		for _, f := range Metrics {
+			line = append(line, strconv.FormatFloat(f.value(r.Result), 'g', 8, 64))
 		}
 		if err := c.Write(line); err != nil {
 			return err
@@ -194,8 +196,8 @@
 //go:embed page.html
 var page string
 
-// HTML writes a page that stands by itself.
-func (s *Summary) HTML(w io.Writer) error {
+// WriteHTML writes a page that stands by itself.
+func (s *Summary) WriteHTML(w io.Writer) error {
 	t, err := template.New("page").Funcs(template.FuncMap{
 		"num":   func(v float64) string { return strconv.FormatFloat(v, 'g', 5, 64) },
 		"chart": func(workload string) (template.HTML, error) { return s.chart(workload) },
@@ -226,8 +228,8 @@
 				continue
 			}
 			for _, w := range r.Result.Windows {
-				if w.Most > 0 {
-					sum[w.At] += w.Points / w.Most
+				if w.WeightOffered > 0 {
+					sum[w.At] += w.WeightServed / w.WeightOffered
 					n[w.At]++
 				}
 			}
--- a/internal/experiment/run.go
+++ b/internal/experiment/run.go
@@ -120,8 +120,8 @@
 	Progress func(done, all int)
 }
 
-// All runs what a plan asks for and the store does not have yet.
-func All(ctx context.Context, p *config.Plan, s *Store, o Options) error {
+// RunPlan runs what a plan asks for and the store does not have yet.
+func RunPlan(ctx context.Context, p *config.Plan, s *Store, o Options) error {
 	var todo []func() (Record, error)
 	all := 0
 	for seed := uint64(1); seed <= uint64(p.Seeds); seed++ { // pairs first, so that an early look can compare
@@ -133,7 +133,7 @@
 					continue
 				}
 				todo = append(todo, func() (Record, error) {
-					res, err := one(ctx, p, v, w, seed)
+					res, err := runOnce(ctx, p, v, w, seed)
 					return Record{run, res}, err
 				})
 			}
@@ -191,8 +191,8 @@
 	return ctx.Err()
 }
 
-// one runs one variant, here or by another build's program.
-func one(ctx context.Context, p *config.Plan, v, w config.Variant, seed uint64) (*model.Result, error) {
+// runOnce runs one variant, here or by another build's program.
+func runOnce(ctx context.Context, p *config.Plan, v, w config.Variant, seed uint64) (*model.Result, error) {
 	if v.Program == "" {
 		spec, err := p.Spec(v, w, seed)
 		if err != nil {
--- a/internal/experiment/stats.go
+++ b/internal/experiment/stats.go
@@ -15,7 +15,7 @@
 type Verdict uint8
 
 const (
-	CannotTell Verdict = iota
+	Inconclusive Verdict = iota
 	Better
 	Worse
 )
@@ -34,30 +34,30 @@
 	Mean     float64    `json:"difference"`
 	Interval [2]float64 `json:"interval"` // 95%
 	Verdict  Verdict    `json:"verdict"`
-	// More is how many pairs in all would likely tell a difference as large as was
+	// PairsNeeded is how many pairs in all would likely tell a difference as large as was
 	// seen; 0: this many did, or none was seen.
-	More int `json:"pairs_needed,omitempty"`
+	PairsNeeded int `json:"pairs_needed,omitempty"`
 }
 
 // Words says it plainly.
 func (d *Difference) Words() string {
 	switch {
-	case d.Verdict != CannotTell:
+	case d.Verdict != Inconclusive:
 		low, high := math.Abs(d.Interval[0]), math.Abs(d.Interval[1])
 		return fmt.Sprintf("%s by %.4g (%.4g to %.4g)", d.Verdict, math.Abs(d.Mean), min(low, high), max(low, high))
-	case d.Pairs < leastPairs:
-		return fmt.Sprintf("cannot tell with %d runs: at least %d are needed", d.Pairs, leastPairs)
-	case d.More > 0:
-		return fmt.Sprintf("cannot tell with %d runs; about %d would tell a difference of %.4g", d.Pairs, d.More, math.Abs(d.Mean))
+	case d.Pairs < minPairs:
+		return fmt.Sprintf("cannot tell with %d runs: at least %d are needed", d.Pairs, minPairs)
+	case d.PairsNeeded > 0:
+		return fmt.Sprintf("cannot tell with %d runs; about %d would tell a difference of %.4g", d.Pairs, d.PairsNeeded, math.Abs(d.Mean))
 	}
 	return fmt.Sprintf("cannot tell with %d runs: no difference was seen", d.Pairs)
 }
 
-// leastPairs is how many pairs a verdict needs.
-const leastPairs = 4
+// minPairs is how many pairs a verdict needs.
+const minPairs = 4
 
-// draws is how many resamples an interval is made of.
-const draws = 2000
+// resamples is how many resamples an interval is made of.
+const resamples = 2000
 
 // Compare tells how a variant differs from the base, pair by pair. more says that a
 // higher figure is better. The interval is the studentized bootstrap's (Efron and
@@ -80,11 +80,11 @@
 	if n > 1 {
 		sd = stat.StdDev(diff, nil)
 	}
-	if sd > 0 && n >= leastPairs {
+	if sd > 0 && n >= minPairs {
 		low, high = interval(diff, d.Mean, sd/math.Sqrt(float64(n)), seed)
 	}
 	d.Interval = [2]float64{low, high}
-	if n < leastPairs {
+	if n < minPairs {
 		return d
 	}
 	switch {
@@ -95,7 +95,7 @@
 	case d.Mean != 0:
 		// A normal test of that size with four chances in five to tell it.
 		const z = 1.96 + 0.84
-		d.More = max(n+1, int(math.Ceil(z*z*sd*sd/(d.Mean*d.Mean))))
+		d.PairsNeeded = max(n+1, int(math.Ceil(z*z*sd*sd/(d.Mean*d.Mean))))
 	}
 	return d
 }
@@ -103,9 +103,9 @@
 func interval(diff []float64, mean, se float64, seed uint64) (low, high float64) {
 	rng := rand.New(rand.NewPCG(seed, uint64(len(diff))))
 	n := len(diff)
-	ts := make([]float64, 0, draws)
+	ts := make([]float64, 0, resamples)
 	sample := make([]float64, n)
-	for range draws {
+	for range resamples {
 		for i := range sample {
 			sample[i] = diff[rng.IntN(n)]
 		}
@@ -114,7 +114,7 @@
 			ts = append(ts, (m-mean)/(s/math.Sqrt(float64(n))))
 		}
 	}
-	if len(ts) < draws/2 {
+	if len(ts) < resamples/2 {
 		return mean - 4*se, mean + 4*se // nearly all resamples are of one value: a wide one
 	}
 	slices.SortFunc(ts, cmp.Compare)
--- a/internal/experiment/stored_test.go
+++ b/internal/experiment/stored_test.go
@@ -37,16 +37,16 @@
 		t.Fatal(err)
 	}
 	count := func(sent, served, inTime, made int64, points, most float64) *model.Count {
-		return &model.Count{Sent: sent, Ends: map[string]int64{"served": served, "late": 3, "refused": 1}, InTime: inTime, Points: points, Most: most, Retried: 2, Made: made,
-			FirstMs: map[string]float64{"p50": 210.5, "p99": 1900.25}, WholeMs: map[string]float64{"p50": 1210.5, "max": 4100}}
+		return &model.Count{Sent: sent, Ends: map[string]int64{"served": served, "late": 3, "refused": 1}, InTime: inTime, WeightServed: points, WeightOffered: most, Retried: 2, OutputTokens: made,
+			FirstTokenMs: map[string]float64{"p50": 210.5, "p99": 1900.25}, ResponseMs: map[string]float64{"p50": 1210.5, "max": 4100}}
 	}
 	result := func(busy float64) *model.Result {
 		return &model.Result{
 			All:      count(60, 56, 54, 6000, 55.5, 60),
 			Classes:  map[string]*model.Count{"chat": count(40, 36, 34, 4000, 35.5, 40)},
 			Tenants:  map[string]*model.Count{"quay": count(20, 16, 14, 2000, 15.5, 20)},
-			Windows:  []model.Window{{At: 0, Sent: 30, Served: 28, InTime: 27, Points: 27.5, Most: 30}, {At: 10.5, Sent: 31, Served: 29, InTime: 26, Points: 26.25, Most: 32}},
-			Attempts: 71, Wasted: 5, Events: 1234, AsksFailed: 6, Steps: 789, Made: 6000, Read: 7000, Reused: 800, Preempt: 9, Declined: 10, Probes: 11, Busy: busy,
+			Windows:  []model.Window{{At: 0, Sent: 30, Served: 28, InTime: 27, WeightServed: 27.5, WeightOffered: 30}, {At: 10.5, Sent: 31, Served: 29, InTime: 26, WeightServed: 26.25, WeightOffered: 32}},
+			Attempts: 71, Wasted: 5, Events: 1234, DiscoveryCallsFailed: 6, Steps: 789, OutputTokens: 6000, PromptTokensRead: 7000, PromptTokensReused: 800, Preempted: 9, Declined: 10, HealthChecks: 11, BusyShare: busy,
 		}
 	}
 	want := []experiment.Record{
--- a/internal/faulttest/audit.go
+++ b/internal/faulttest/audit.go
@@ -26,17 +26,17 @@
 }
 
 // Audit checks what workers and clients saw.
-func Audit(r Rules, tries []emulate.Try, attempts []emulate.Attempt) (out []Break) {
+func Audit(r Rules, tries []emulate.ClientAttempt, attempts []emulate.ReplicaAttempt) (out []Break) {
 	bad := func(rule, root, format string, args ...any) {
 		out = append(out, Break{rule, root, fmt.Sprintf(format, args...)})
 	}
-	byRoot := map[string][]emulate.Attempt{}
+	byRoot := map[string][]emulate.ReplicaAttempt{}
 	for _, a := range attempts {
-		byRoot[a.Root] = append(byRoot[a.Root], a)
+		byRoot[a.RootID] = append(byRoot[a.RootID], a)
 	}
 	for _, root := range sortedKeys(byRoot) {
 		list := byRoot[root]
-		slices.SortFunc(list, func(a, b emulate.Attempt) int { return a.From.Compare(b.From) })
+		slices.SortFunc(list, func(a, b emulate.ReplicaAttempt) int { return a.ReceivedAt.Compare(b.ReceivedAt) })
 		if len(list) > r.Attempts {
 			bad("attempts", root, "%d attempts, %d are allowed", len(list), r.Attempts)
 		}
@@ -47,36 +47,36 @@
 			}
 			ran++
 			for _, b := range list[:i] {
-				if !b.Declined && !r.Beside && b.To.Sub(a.From) > r.Slack {
-					bad("at_once", root, "an attempt at %s began %v before that at %s ended", a.Worker, b.To.Sub(a.From), b.Worker)
+				if !b.Declined && !r.Beside && b.EndedAt.Sub(a.ReceivedAt) > r.Slack {
+					bad("at_once", root, "an attempt at %s began %v before that at %s ended", a.Replica, b.EndedAt.Sub(a.ReceivedAt), b.Replica)
 				}
 			}
-			if late := a.From.Sub(a.Until); late > r.Slack {
-				bad("deadline", root, "an attempt at %s began %v after its deadline", a.Worker, late)
+			if late := a.ReceivedAt.Sub(a.FirstTokenBy); late > r.Slack {
+				bad("deadline", root, "an attempt at %s began %v after its deadline", a.Replica, late)
 			}
-			if at, ok := r.Drains[a.Worker]; ok && a.From.Sub(at) > r.Slack {
-				bad("drain", root, "an attempt came to %s %v too late", a.Worker, a.From.Sub(at))
+			if at, ok := r.Drains[a.Replica]; ok && a.ReceivedAt.Sub(at) > r.Slack {
+				bad("drain", root, "an attempt came to %s %v too late", a.Replica, a.ReceivedAt.Sub(at))
 			}
 		}
 		if ran > 1 && r.Once[list[0].Class] {
 			bad("once", root, "ran %d times", ran)
 		}
 	}
-	byTry := map[string][]emulate.Try{}
+	byTry := map[string][]emulate.ClientAttempt{}
 	for _, t := range tries {
-		byTry[t.Root] = append(byTry[t.Root], t)
+		byTry[t.RootID] = append(byTry[t.RootID], t)
 	}
 	for _, root := range sortedKeys(byTry) {
 		list := byTry[root]
-		slices.SortFunc(list, func(a, b emulate.Try) int { return cmp.Compare(a.Ask, b.Ask) })
+		slices.SortFunc(list, func(a, b emulate.ClientAttempt) int { return cmp.Compare(a.ResumeIndex, b.ResumeIndex) })
 		whole, ended := 0, map[string]int{}
 		for _, t := range list {
-			if t.Whole {
+			if t.Complete {
 				whole++
 			}
 			ended[t.ID]++
-			if t.FirstAt == 0 && t.Status != 0 && t.At-t.SentAt > t.Patience+r.Slack.Microseconds() {
-				bad("late_answer", root, "%s was answered %d ms after its deadline", t.ID, (t.At-t.SentAt-t.Patience)/1000)
+			if t.FirstTokenAt == 0 && t.Status != 0 && t.EndedAt-t.SentAt > t.FirstTokenTimeout+r.Slack.Microseconds() {
+				bad("late_answer", root, "%s was answered %d ms after its deadline", t.ID, (t.EndedAt-t.SentAt-t.FirstTokenTimeout)/1000)
 			}
 		}
 		if whole > 1 {
--- a/internal/faulttest/cluster.go
+++ b/internal/faulttest/cluster.go
@@ -91,7 +91,7 @@
 	}
 	for _, n := range c.nodes {
 		err := c.write(n)
-		if err == nil && spec.Drill.Handed {
+		if err == nil && spec.Drill.SharedListener {
 			err = n.hold()
 		}
 		if err != nil {
@@ -152,13 +152,13 @@
 		return err
 	}
 	config, err := json.Marshal(map[string]any{"name": n.name, "listen": n.addr, "discovery": c.registry, "seed": fmt.Sprintf("%x", c.spec.Seed*1000+uint64(n.n)+1),
-		"limits": map[string]any{"cores": 1, "memory_mb": c.spec.Drill.Memory, "sockets": c.spec.Drill.Files}, "settings": json.RawMessage(settings)})
+		"limits": map[string]any{"cores": 1, "memory_mb": c.spec.Drill.MemoryMB, "sockets": c.spec.Drill.MaxFiles}, "settings": json.RawMessage(settings)})
 	if err != nil {
 		return err
 	}
 	own := "[log]\nlevel info\n"
 	if d := c.spec.Drill; d.Peers {
-		own += fmt.Sprintf("[peers]\nlisten %s\nsite s%d\ncopies %d\nrecords %d\nrecords-each %d\n", n.link, n.site, d.Copies, d.Records, d.Records)
+		own += fmt.Sprintf("[peers]\nlisten %s\nsite s%d\ncopies %d\nrecords %d\nrecords-each %d\n", n.link, n.site, d.RequestCopies, d.MaxRecords, d.MaxRecords)
 		if n.relay != nil {
 			own += "advertise " + n.relay.addr + "\n"
 		}
--- a/internal/faulttest/drill.go
+++ b/internal/faulttest/drill.go
@@ -55,8 +55,8 @@
 // watch gathers what clients and workers see.
 type watch struct {
 	mu       sync.Mutex
-	tries    []emulate.Try
-	attempts []emulate.Attempt
+	tries    []emulate.ClientAttempt
+	attempts []emulate.ReplicaAttempt
 	strikes  map[string][]*armed
 	c        *cluster
 	fire     func(x *model.Strike, serving int)
@@ -68,11 +68,11 @@
 	seen int
 }
 
-func (w *watch) state(t *emulate.Try, state string) {
+func (w *watch) state(t *emulate.ClientAttempt, state string) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	for _, a := range w.strikes[state] {
-		if t.Ask > 0 {
+		if t.ResumeIndex > 0 {
 			continue
 		}
 		if a.seen++; a.seen == a.x.Nth {
@@ -95,12 +95,12 @@
 	}
 	defer f.Close()
 	w := &watch{strikes: map[string][]*armed{}}
-	f.Worked = func(a emulate.Attempt) {
+	f.OnAttemptEnd = func(a emulate.ReplicaAttempt) {
 		w.mu.Lock()
 		defer w.mu.Unlock()
 		w.attempts = append(w.attempts, a)
 	}
-	c, err := newCluster(spec, o.Program, o.Dir, f.Registry)
+	c, err := newCluster(spec, o.Program, o.Dir, f.DiscoveryAddr)
 	if err != nil {
 		return nil, err
 	}
@@ -118,7 +118,7 @@
 			return nil, ctx.Err()
 		}
 	}
-	ctx, stop = context.WithTimeout(ctx, time.Duration(spec.For)*time.Microsecond+time.Minute)
+	ctx, stop = context.WithTimeout(ctx, time.Duration(spec.Duration)*time.Microsecond+time.Minute)
 	defer stop()
 	before := c.usage()
 	s := &striker{c: c, spec: spec, rng: rand.New(rand.NewPCG(spec.Seed, 41)), began: time.Now()}
@@ -143,7 +143,7 @@
 		addrs = append(addrs, n.addr)
 	}
 	drains := drained(spec, s.began)
-	_, left, err := emulate.PlayWatched(ctx, f, spec, addrs, emulate.Watch{State: w.state, Offered: c.offered, Ended: func(t *emulate.Try) {
+	_, left, err := emulate.PlayObserved(ctx, f, spec, addrs, emulate.Observer{OnState: w.state, IsOffered: c.offered, OnEnd: func(t *emulate.ClientAttempt) {
 		w.mu.Lock()
 		defer w.mu.Unlock()
 		w.tries = append(w.tries, *t)
@@ -189,7 +189,7 @@
 	for _, g := range spec.Groups {
 		for range g.Count {
 			for _, x := range spec.Faults {
-				if x.Kind == "drain" && x.For == 0 && (x.Worker == i || x.Worker < 0) {
+				if x.Kind == "drain" && x.Duration == 0 && (x.Replica == i || x.Replica < 0) {
 					out[fmt.Sprintf("%s-%d", g.Name, i+1)] = began.Add(time.Duration(x.At)*time.Microsecond + drainLimit)
 				}
 			}
@@ -214,11 +214,11 @@
 		if x.Kind != "lose" {
 			continue
 		}
-		from, to := began.Add(time.Duration(x.At)*time.Microsecond+1500*time.Millisecond), began.Add(time.Duration(x.At+x.For)*time.Microsecond)
+		from, to := began.Add(time.Duration(x.At)*time.Microsecond+1500*time.Millisecond), began.Add(time.Duration(x.At+x.Duration)*time.Microsecond)
 		for _, a := range w.attempts {
-			if a.From.After(from) && a.From.Before(to) {
+			if a.ReceivedAt.After(from) && a.ReceivedAt.Before(to) {
 				all++
-				if zones[a.Worker] == x.Zone {
+				if zones[a.Replica] == x.Zone {
 					wrong++
 				}
 			}
@@ -294,11 +294,11 @@
 		}
 	}
 	s.link(x, list, true)
-	if x.For <= 0 {
+	if x.Duration <= 0 {
 		return
 	}
 	select {
-	case <-time.After(time.Duration(x.For) * time.Microsecond):
+	case <-time.After(time.Duration(x.Duration) * time.Microsecond):
 	case <-ctx.Done():
 		return
 	}
@@ -429,45 +429,45 @@
 func (res *Result) measure(spec *model.Spec, w *watch, s *striker) {
 	res.Ends, res.Classes = map[string]int{}, map[string]*Class{}
 	type request struct {
-		first, last emulate.Try
+		first, last emulate.ClientAttempt
 	}
 	// A client whose request nobody had heard of sends it under a new id: the story
 	// goes on under the first one.
 	byRoot := map[string]*request{}
 	for _, t := range w.tries {
-		r := byRoot[t.Root]
+		r := byRoot[t.RootID]
 		if r == nil {
 			r = &request{first: t, last: t}
-			byRoot[t.Root] = r
+			byRoot[t.RootID] = r
 		}
-		if t.Ask <= r.first.Ask {
+		if t.ResumeIndex <= r.first.ResumeIndex {
 			r.first = t
 		}
-		if t.Ask >= r.last.Ask {
+		if t.ResumeIndex >= r.last.ResumeIndex {
 			r.last = t
 		}
 	}
 	var firsts []float64
 	for _, root := range sortedKeys(byRoot) {
 		r := byRoot[root]
-		if !r.last.Last || r.first.Born < spec.Warm {
+		if !r.last.Last || r.first.RequestedAt < spec.WarmUp {
 			continue // sent again as a new one, which is counted; or before what counts
 		}
 		res.Sent++
-		res.Ends[r.last.How]++
+		res.Ends[r.last.Outcome]++
 		k := r.first.Class
-		firstAt := r.first.FirstAt
+		firstAt := r.first.FirstTokenAt
 		if firstAt == 0 {
-			firstAt = r.last.FirstAt
+			firstAt = r.last.FirstTokenAt
 		}
-		whole := r.last.How == "served"
-		inTime := whole && firstAt > 0 && firstAt-r.first.Born <= r.first.Patience
+		whole := r.last.Outcome == "served"
+		inTime := whole && firstAt > 0 && firstAt-r.first.RequestedAt <= r.first.FirstTokenTimeout
 		worth := 0.0
 		if inTime {
-			if worth = k.PriorityWeight; firstAt-r.first.Born > k.LatencyObjective+k.ObjectivePer1000Tokens {
+			if worth = k.PriorityWeight; firstAt-r.first.RequestedAt > k.LatencyObjective+k.ObjectivePer1000Tokens {
 				worth *= k.LateWeightShare
 			}
-			firsts = append(firsts, float64(firstAt-r.first.Born)/1000)
+			firsts = append(firsts, float64(firstAt-r.first.RequestedAt)/1000)
 		}
 		res.Asked += k.PriorityWeight
 		res.Worth += worth
@@ -479,14 +479,14 @@
 		of.Sent++
 		of.Asked, of.Worth = of.Asked+k.PriorityWeight, of.Worth+worth
 		of.InTime += one(worth >= k.PriorityWeight && k.PriorityWeight > 0)
-		of.Refused += one(r.last.How == "refused")
+		of.Refused += one(r.last.Outcome == "refused")
 		struck := s.first.Sub(s.began).Microseconds()
-		if !s.first.IsZero() && r.last.At >= struck && r.first.Born < struck+10_000_000 {
+		if !s.first.IsZero() && r.last.EndedAt >= struck && r.first.RequestedAt < struck+10_000_000 {
 			res.LostIn += k.PriorityWeight - worth
 		}
 		for _, at := range s.ended[r.first.Gateway] {
 			died := at.Sub(s.began).Microseconds()
-			if k.Idempotency != balancer.NonIdempotent && r.first.SentAt <= died-50_000 && r.first.At >= died {
+			if k.Idempotency != balancer.NonIdempotent && r.first.SentAt <= died-50_000 && r.first.EndedAt >= died {
 				res.Caught++
 				if inTime {
 					res.Saved++
--- a/internal/faulttest/drill_test.go
+++ b/internal/faulttest/drill_test.go
@@ -96,34 +96,34 @@
 func TestAuditorFindsPlantedBreaks(t *testing.T) {
 	began := time.Now()
 	at := func(ms int) time.Time { return began.Add(time.Duration(ms) * time.Millisecond) }
-	attempt := func(root string, from, to int, change func(*emulate.Attempt)) emulate.Attempt {
-		a := emulate.Attempt{Root: root, ID: root, Worker: "k-1", Class: "chat", From: at(from), To: at(to), Until: at(4000)}
+	attempt := func(root string, from, to int, change func(*emulate.ReplicaAttempt)) emulate.ReplicaAttempt {
+		a := emulate.ReplicaAttempt{RootID: root, ID: root, Replica: "k-1", Class: "chat", ReceivedAt: at(from), EndedAt: at(to), FirstTokenBy: at(4000)}
 		if change != nil {
 			change(&a)
 		}
 		return a
 	}
 	class := &balancer.Class{Name: "chat"}
-	try := func(id string, ask int, whole bool) emulate.Try {
-		return emulate.Try{Root: "a", ID: id, Ask: ask, Class: class, Patience: 4_000_000, FirstAt: 1, At: 100_000, Status: 200, Whole: whole}
+	try := func(id string, ask int, whole bool) emulate.ClientAttempt {
+		return emulate.ClientAttempt{RootID: "a", ID: id, ResumeIndex: ask, Class: class, FirstTokenTimeout: 4_000_000, FirstTokenAt: 1, EndedAt: 100_000, Status: 200, Complete: whole}
 	}
 	rules := faulttest.Rules{Attempts: 3, Once: map[string]bool{"once": true}, Slack: 50 * time.Millisecond, Drains: map[string]time.Time{"k-9": at(1000)}}
-	once := func(a *emulate.Attempt) { a.Class = "once" }
+	once := func(a *emulate.ReplicaAttempt) { a.Class = "once" }
 	for _, c := range []struct {
 		rule     string // "": none is broken
-		tries    []emulate.Try
-		attempts []emulate.Attempt
+		tries    []emulate.ClientAttempt
+		attempts []emulate.ReplicaAttempt
 	}{
-		{"", []emulate.Try{try("a", 0, false), try("b", 1, true)}, []emulate.Attempt{attempt("a", 0, 100, nil), attempt("a", 140, 300, nil)}},
-		{"attempts", nil, []emulate.Attempt{attempt("a", 0, 1, nil), attempt("a", 100, 101, nil), attempt("a", 200, 201, nil), attempt("a", 300, 301, nil)}},
-		{"at_once", nil, []emulate.Attempt{attempt("a", 0, 200, nil), attempt("a", 100, 300, nil)}},
-		{"once", nil, []emulate.Attempt{attempt("a", 0, 10, once), attempt("a", 100, 110, once)}},
-		{"", nil, []emulate.Attempt{attempt("a", 0, 10, func(a *emulate.Attempt) { a.Class, a.Declined = "once", true }), attempt("a", 100, 110, once)}},
-		{"deadline", nil, []emulate.Attempt{attempt("a", 4100, 4200, nil)}},
-		{"drain", nil, []emulate.Attempt{attempt("a", 1100, 1200, func(a *emulate.Attempt) { a.Worker = "k-9" })}},
-		{"answers", []emulate.Try{try("a", 0, true), try("b", 1, true)}, nil},
-		{"answers", []emulate.Try{try("a", 0, false), try("a", 0, false)}, nil},
-		{"late_answer", []emulate.Try{{Root: "a", ID: "a", Class: class, Patience: 1_000_000, At: 1_100_000, Status: 503}}, nil},
+		{"", []emulate.ClientAttempt{try("a", 0, false), try("b", 1, true)}, []emulate.ReplicaAttempt{attempt("a", 0, 100, nil), attempt("a", 140, 300, nil)}},
+		{"attempts", nil, []emulate.ReplicaAttempt{attempt("a", 0, 1, nil), attempt("a", 100, 101, nil), attempt("a", 200, 201, nil), attempt("a", 300, 301, nil)}},
+		{"at_once", nil, []emulate.ReplicaAttempt{attempt("a", 0, 200, nil), attempt("a", 100, 300, nil)}},
+		{"once", nil, []emulate.ReplicaAttempt{attempt("a", 0, 10, once), attempt("a", 100, 110, once)}},
+		{"", nil, []emulate.ReplicaAttempt{attempt("a", 0, 10, func(a *emulate.ReplicaAttempt) { a.Class, a.Declined = "once", true }), attempt("a", 100, 110, once)}},
+		{"deadline", nil, []emulate.ReplicaAttempt{attempt("a", 4100, 4200, nil)}},
+		{"drain", nil, []emulate.ReplicaAttempt{attempt("a", 1100, 1200, func(a *emulate.ReplicaAttempt) { a.Replica = "k-9" })}},
+		{"answers", []emulate.ClientAttempt{try("a", 0, true), try("b", 1, true)}, nil},
+		{"answers", []emulate.ClientAttempt{try("a", 0, false), try("a", 0, false)}, nil},
+		{"late_answer", []emulate.ClientAttempt{{RootID: "a", ID: "a", Class: class, FirstTokenTimeout: 1_000_000, EndedAt: 1_100_000, Status: 503}}, nil},
 	} {
 		got := faulttest.Audit(rules, c.tries, c.attempts)
 		switch {
@@ -143,7 +143,7 @@
 		t.Skip("it starts processes")
 	}
 	second := balancer.Micros(1_000_000)
-	again := model.Fault{At: 5 * second, For: 2 * second, Kind: "lose", Worker: -1, Zone: "south", Factor: 9}
+	again := model.Fault{At: 5 * second, Duration: 2 * second, Kind: "lose", Replica: -1, Zone: "south", Factor: 9}
 	for name, c := range map[string]struct {
 		away   balancer.Micros
 		more   []model.Fault
@@ -152,7 +152,7 @@
 	}{
 		"lost":     {3 * second, nil, 0.9, 0.01},
 		"flapping": {2 * second, []model.Fault{again}, 0.85, 0.05}, // two gaps: their first 1.5 s are not counted
-		"slow":     {0, []model.Fault{{At: 2 * second, For: 4 * second, Kind: "slow", Worker: -1, Zone: "south", Factor: 3}}, 0.85, 0},
+		"slow":     {0, []model.Fault{{At: 2 * second, Duration: 4 * second, Kind: "slow", Replica: -1, Zone: "south", Factor: 3}}, 0.85, 0},
 	} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
--- a/internal/faulttest/soak.go
+++ b/internal/faulttest/soak.go
@@ -68,7 +68,7 @@
 	mu       sync.Mutex
 	events   []string
 	breaks   []Break
-	attempts []emulate.Attempt
+	attempts []emulate.ReplicaAttempt
 	spans    spans
 	banned   map[int]bool // replicas that operators have out, or are about to put back
 }
@@ -119,12 +119,12 @@
 	}
 	defer fleet.Close()
 	s := &soak{spec: spec, fleet: fleet, banned: map[int]bool{}}
-	fleet.Worked = s.worked
-	if s.proxy, err = newProxy(fleet.Registry); err != nil {
+	fleet.OnAttemptEnd = s.worked
+	if s.proxy, err = newProxy(fleet.DiscoveryAddr); err != nil {
 		return nil, err
 	}
 	defer s.proxy.close()
-	spec.Drill.Operators, spec.Drill.Handed = true, spec.Seed%2 == 1
+	spec.Drill.Operators, spec.Drill.SharedListener = true, spec.Seed%2 == 1
 	if s.c, err = newCluster(spec, o.Program, o.Dir, s.proxy.addr); err != nil {
 		return nil, err
 	}
@@ -156,7 +156,7 @@
 	if s.spec.Seed%3 == 0 {
 		senders.Go(func() { s.clients.crowd(traffic, int(s.spec.Seed)%len(s.c.nodes), soakCrowd) })
 	}
-	eventful, endEvents := context.WithTimeout(ctx, time.Duration(s.spec.For)*time.Microsecond)
+	eventful, endEvents := context.WithTimeout(ctx, time.Duration(s.spec.Duration)*time.Microsecond)
 	for i, n := range s.c.nodes {
 		events.Go(func() { s.gatewayEvents(eventful, n, s.random(uint64(i)+10)) })
 	}
@@ -190,7 +190,7 @@
 	s.breaks = append(s.breaks, Break{rule, request, fmt.Sprintf(format, args...)})
 }
 
-func (s *soak) worked(a emulate.Attempt) {
+func (s *soak) worked(a emulate.ReplicaAttempt) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.attempts = append(s.attempts, a)
--- a/internal/faulttest/soak_test.go
+++ b/internal/faulttest/soak_test.go
@@ -26,7 +26,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	spec.For = lasts.Microseconds()
+	spec.Duration = lasts.Microseconds()
 	ctx, stop := context.WithTimeout(t.Context(), time.Minute)
 	defer stop()
 	r, err := faulttest.Soak(ctx, spec, faulttest.Options{Dir: t.TempDir(), Program: program})
--- a/internal/faulttest/soakaudit.go
+++ b/internal/faulttest/soakaudit.go
@@ -22,8 +22,8 @@
 )
 
 // newSoakAuditor returns an auditor of what both ends have recorded, and of the times of events.
-func newSoakAuditor(s spans, tries []*soakTry, attempts []emulate.Attempt) *soakAuditor {
-	a := &soakAuditor{list: tries, spans: s, tries: map[string]*soakTry{}, attempts: map[string][]emulate.Attempt{}}
+func newSoakAuditor(s spans, tries []*soakTry, attempts []emulate.ReplicaAttempt) *soakAuditor {
+	a := &soakAuditor{list: tries, spans: s, tries: map[string]*soakTry{}, attempts: map[string][]emulate.ReplicaAttempt{}}
 	for _, t := range tries {
 		a.tries[t.id] = t
 	}
@@ -45,7 +45,7 @@
 }
 
 // judge looks at each attempt and each request.
-func (a *soakAuditor) judge(attempts []emulate.Attempt) (out []Break) {
+func (a *soakAuditor) judge(attempts []emulate.ReplicaAttempt) (out []Break) {
 	for _, at := range attempts {
 		if t := a.tries[at.ID]; t != nil {
 			out = append(out, a.attempt(t, at)...)
@@ -61,26 +61,26 @@
 	spans
 	list     []*soakTry
 	tries    map[string]*soakTry
-	attempts map[string][]emulate.Attempt
+	attempts map[string][]emulate.ReplicaAttempt
 }
 
 // attempt judges one attempt.
-func (a *soakAuditor) attempt(t *soakTry, at emulate.Attempt) (out []Break) {
+func (a *soakAuditor) attempt(t *soakTry, at emulate.ReplicaAttempt) (out []Break) {
 	for _, b := range a.bans {
-		if b.gateway == t.gateway && b.replica == at.Worker && at.From.After(b.from.Add(banGrace+auditSlack)) && at.From.Before(b.to) {
-			out = append(out, brokenBy("drain", t, "came to %s %v after operators had taken it out", at.Worker, at.From.Sub(b.from)))
+		if b.gateway == t.gateway && b.replica == at.Replica && at.ReceivedAt.After(b.from.Add(banGrace+auditSlack)) && at.ReceivedAt.Before(b.to) {
+			out = append(out, brokenBy("drain", t, "came to %s %v after operators had taken it out", at.Replica, at.ReceivedAt.Sub(b.from)))
 		}
 	}
 	for _, d := range a.drains {
-		if told := a.told(d); d.replica == at.Worker && at.From.After(told.Add(banGrace+auditSlack)) && at.From.Before(d.to) {
-			out = append(out, brokenBy("drain", t, "came to %s %v after its drain counted as told", at.Worker, at.From.Sub(told)))
+		if told := a.told(d); d.replica == at.Replica && at.ReceivedAt.After(told.Add(banGrace+auditSlack)) && at.ReceivedAt.Before(d.to) {
+			out = append(out, brokenBy("drain", t, "came to %s %v after its drain counted as told", at.Replica, at.ReceivedAt.Sub(told)))
 		}
 	}
-	if t.how == endLeft && at.From.After(t.endAt.Add(goneWithin+auditSlack)) {
-		out = append(out, brokenBy("lost", t, "an attempt at %s began %v after the client had left", at.Worker, at.From.Sub(t.endAt)))
+	if t.how == endLeft && at.ReceivedAt.After(t.endAt.Add(goneWithin+auditSlack)) {
+		out = append(out, brokenBy("lost", t, "an attempt at %s began %v after the client had left", at.Replica, at.ReceivedAt.Sub(t.endAt)))
 	}
-	if over := at.Until.Sub(t.sentAt.Add(t.wait)); !at.Until.IsZero() && !t.sentAt.IsZero() && over > toldOver+auditSlack {
-		out = append(out, brokenBy("deadline", t, "the attempt at %s was told %v more than is left", at.Worker, over))
+	if over := at.FirstTokenBy.Sub(t.sentAt.Add(t.wait)); !at.FirstTokenBy.IsZero() && !t.sentAt.IsZero() && over > toldOver+auditSlack {
+		out = append(out, brokenBy("deadline", t, "the attempt at %s was told %v more than is left", at.Replica, over))
 	}
 	return out
 }
@@ -105,14 +105,14 @@
 		}
 	case endBroken:
 		for _, at := range a.attempts[t.id] {
-			if at.Whole && !a.excused(t) {
-				out = append(out, brokenBy("lost", t, "was cut off, though %s had answered to the end", at.Worker))
+			if at.Complete && !a.excused(t) {
+				out = append(out, brokenBy("lost", t, "was cut off, though %s had answered to the end", at.Replica))
 			}
 		}
 	}
 	for _, at := range a.attempts[t.id] {
-		if !t.again.IsZero() && at.From.Before(t.again) && !a.killed(t.gateway, t.again) {
-			out = append(out, brokenBy("lost", t, "was sent on to %s, and its connection closed without an answer", at.Worker))
+		if !t.again.IsZero() && at.ReceivedAt.Before(t.again) && !a.killed(t.gateway, t.again) {
+			out = append(out, brokenBy("lost", t, "was sent on to %s, and its connection closed without an answer", at.Replica))
 		}
 	}
 	return out
--- a/internal/faulttest/soakclient.go
+++ b/internal/faulttest/soakclient.go
@@ -141,7 +141,7 @@
 // request sends one request and waits for its end.
 func (s *soakClients) request(rng *rand.Rand, stream *model.Stream, gateway int) {
 	class := s.spec.ClassOf(stream)
-	t := &soakTry{gateway: gateway, class: class.Name, wait: time.Duration(stream.PatienceOf(class)) * time.Microsecond}
+	t := &soakTry{gateway: gateway, class: class.Name, wait: time.Duration(stream.FirstTokenTimeout(class)) * time.Microsecond}
 	s.mu.Lock()
 	s.next++
 	t.id = fmt.Sprintf("s%08x%08x", s.seed, s.next)
@@ -181,7 +181,7 @@
 	const body = `{"model":"chat","stream":true}`
 	return fmt.Sprintf("POST %s HTTP/1.1\r\nHost: app.svc\r\nReq-Id: %s\r\nReq-Kind: %s\r\nReq-Owner: %s\r\nReq-Key: %016x\r\nReq-Deadline: %dm\r\n"+
 		"Req-Extra: prompt_len=%d,max_out=%d\r\nX-Emulate-Out: %d\r\nContent-Length: %d\r\n\r\n%s", httpwire.CompletionsPath, t.id, class.Name, stream.Tenant, rng.Uint64(),
-		t.wait.Milliseconds(), int(stream.Prompt), stream.MaxOut, max(1, int(stream.Answer)), len(body), body)
+		t.wait.Milliseconds(), int(stream.PromptTokens), stream.MaxOutputTokens, max(1, int(stream.AnswerTokens)), len(body), body)
 }
 
 // exchange sends a request on a connection and reads its answer; again says that nothing came of it on a
--- a/internal/faulttest/soakevents.go
+++ b/internal/faulttest/soakevents.go
@@ -18,7 +18,7 @@
 func (s *soak) gatewayEvents(ctx context.Context, n *node, rng *rand.Rand) {
 	kinds := []func(context.Context, *node, *rand.Rand){s.hangups, s.freeze, s.kill, s.end, s.drainClients, s.shortOf(unix.RLIMIT_NOFILE, "descriptors"),
 		s.shortOf(unix.RLIMIT_FSIZE, "disk")}
-	if s.spec.Drill.Handed {
+	if s.spec.Drill.SharedListener {
 		kinds = append(kinds, s.upgrade, s.upgrade)
 	}
 	for pause(ctx, between(rng, 200*time.Millisecond, 1500*time.Millisecond)); ctx.Err() == nil; pause(ctx, between(rng, 200*time.Millisecond, 1500*time.Millisecond)) {
@@ -223,7 +223,7 @@
 		if at < 0 {
 			continue
 		}
-		w := s.fleet.Workers[at]
+		w := s.fleet.Replicas[at]
 		s.tell("operators take %s out", w.Name)
 		out := make([]time.Time, len(s.c.nodes))
 		for i, n := range s.c.nodes {
@@ -232,9 +232,9 @@
 		pause(ctx, banGrace)
 		if rng.IntN(2) == 0 {
 			s.tell("%s is restarted", w.Name)
-			s.fleet.Fault(model.Fault{Kind: "kill", Worker: at})
+			s.fleet.StartFault(model.Fault{Kind: "kill", Replica: at})
 			time.Sleep(between(rng, 200*time.Millisecond, time.Second))
-			s.fleet.End(model.Fault{Kind: "kill", Worker: at})
+			s.fleet.EndFault(model.Fault{Kind: "kill", Replica: at})
 		}
 		pause(ctx, between(rng, time.Second, 3*time.Second))
 		for i, n := range s.c.nodes {
@@ -274,11 +274,11 @@
 func (s *soak) reserve(rng *rand.Rand) int {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if len(s.banned)*2 >= len(s.fleet.Workers) {
+	if len(s.banned)*2 >= len(s.fleet.Replicas) {
 		return -1
 	}
 	for {
-		if at := rng.IntN(len(s.fleet.Workers)); !s.banned[at] {
+		if at := rng.IntN(len(s.fleet.Replicas)); !s.banned[at] {
 			s.banned[at] = true
 			return at
 		}
@@ -299,20 +299,20 @@
 		if at < 0 {
 			continue
 		}
-		x := model.Fault{Kind: kinds[rng.IntN(len(kinds))], Worker: at, Factor: 1}
+		x := model.Fault{Kind: kinds[rng.IntN(len(kinds))], Replica: at, Factor: 1}
 		if x.Kind == "slow" {
 			x.Factor = 3
 		}
-		w, from := s.fleet.Workers[at], time.Now()
+		w, from := s.fleet.Replicas[at], time.Now()
 		s.tell("%s: %s", w.Name, x.Kind)
-		s.fleet.Fault(x)
+		s.fleet.StartFault(x)
 		pause(ctx, between(rng, 1500*time.Millisecond, 5*time.Second))
 		if x.Kind == "drain" {
 			s.mu.Lock()
 			s.spans.drains = append(s.spans.drains, drainSpan{w.Name, span{from, time.Now()}})
 			s.mu.Unlock()
 		}
-		s.fleet.End(x)
+		s.fleet.EndFault(x)
 		s.tell("%s: the end of %s", w.Name, x.Kind)
 		s.release(at)
 	}
--- a/internal/fleet/emulate/clients.go
+++ b/internal/fleet/emulate/clients.go
@@ -13,28 +13,28 @@
 	"archknot/internal/fleet/model"
 )
 
-// mostAtOnce bounds the sessions of a run that are open at once; what comes due
+// maxSessions bounds the sessions of a run that are open at once; what comes due
 // beyond them is told as left out.
-const mostAtOnce = 4000
+const maxSessions = 4000
 
 // Play sends a specification's traffic to gateways for its time, with its faults at
 // the fleet, and tells how it ended. The gateways' addresses are on loopback.
 func Play(ctx context.Context, f *Fleet, spec *model.Spec, gateways []string) (res *model.Result, leftOut int, err error) {
-	return PlayWatched(ctx, f, spec, gateways, Watch{State: func(*Try, string) {}, Ended: func(*Try) {}})
+	return PlayObserved(ctx, f, spec, gateways, Observer{OnState: func(*ClientAttempt, string) {}, OnEnd: func(*ClientAttempt) {}})
 }
 
-// PlayWatched is Play with somebody who is told of each try as it goes, by both of its
+// PlayObserved is Play with somebody who is told of each try as it goes, by both of its
 // functions.
-func PlayWatched(ctx context.Context, f *Fleet, spec *model.Spec, gateways []string, watch Watch) (res *model.Result, leftOut int, err error) {
+func PlayObserved(ctx context.Context, f *Fleet, spec *model.Spec, gateways []string, watch Observer) (res *model.Result, leftOut int, err error) {
 	for _, g := range gateways {
 		host, _, err := net.SplitHostPort(g)
 		if ip := net.ParseIP(host); err != nil || ip == nil || !ip.IsLoopback() {
-			return nil, 0, fmt.Errorf("%s: %w", g, errAddr)
+			return nil, 0, fmt.Errorf("%s: %w", g, errNotLoopback)
 		}
 	}
-	p := &player{spec: spec, watch: watch, gateways: gateways, began: time.Now(), res: model.NewResult(spec), slots: make(chan struct{}, mostAtOnce),
+	p := &player{spec: spec, observer: watch, gateways: gateways, startedAt: time.Now(), result: model.NewResult(spec), slots: make(chan struct{}, maxSessions),
 		client: &http.Client{Transport: &http.Transport{MaxIdleConnsPerHost: 1000, DisableCompression: true, IdleConnTimeout: 5 * time.Second}}}
-	ctx, stop := context.WithTimeout(ctx, time.Duration(spec.For)*time.Microsecond)
+	ctx, stop := context.WithTimeout(ctx, time.Duration(spec.Duration)*time.Microsecond)
 	defer stop()
 	for _, x := range spec.Faults {
 		switch x.Kind {
@@ -42,43 +42,43 @@
 			p.faults = append(p.faults, x) // the clients' own
 			continue
 		}
-		p.all.Add(1)
+		p.tasks.Add(1)
 		go func() {
-			defer p.all.Done()
-			p.fault(ctx, f, x)
+			defer p.tasks.Done()
+			p.runFault(ctx, f, x)
 		}()
 	}
 	for i := range spec.Streams {
-		p.all.Add(1)
+		p.tasks.Add(1)
 		go func() {
-			defer p.all.Done()
-			p.stream(ctx, i)
+			defer p.tasks.Done()
+			p.runStream(ctx, i)
 		}()
 	}
-	p.all.Wait()
+	p.tasks.Wait()
 	p.client.CloseIdleConnections()
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	p.res.Finish()
-	return p.res, p.left, nil
+	p.result.Finish()
+	return p.result, p.skippedSessions, nil
 }
 
 type player struct {
-	spec     *model.Spec
-	watch    Watch
-	gateways []string
-	faults   []model.Fault
-	began    time.Time
-	client   *http.Client
-	slots    chan struct{}
-	all      sync.WaitGroup
-	mu       sync.Mutex
-	res      *model.Result
-	left     int
-	ids      int
+	spec            *model.Spec
+	observer        Observer
+	gateways        []string
+	faults          []model.Fault
+	startedAt       time.Time
+	client          *http.Client
+	slots           chan struct{}
+	tasks           sync.WaitGroup
+	mu              sync.Mutex
+	result          *model.Result
+	skippedSessions int
+	lastID          int
 }
 
-func (p *player) now() balancer.Micros { return time.Since(p.began).Microseconds() }
+func (p *player) now() balancer.Micros { return time.Since(p.startedAt).Microseconds() }
 
 func sleep(ctx context.Context, d balancer.Micros) bool {
 	if d <= 0 {
@@ -94,30 +94,30 @@
 	}
 }
 
-func (p *player) fault(ctx context.Context, f *Fleet, x model.Fault) {
+func (p *player) runFault(ctx context.Context, f *Fleet, x model.Fault) {
 	if f == nil || !sleep(ctx, x.At) {
 		return
 	}
-	f.Fault(x)
-	if x.For > 0 {
-		sleep(ctx, x.For)
-		f.End(x)
+	f.StartFault(x)
+	if x.Duration > 0 {
+		sleep(ctx, x.Duration)
+		f.EndFault(x)
 	}
 }
 
-// factor is what a fault of the clients' own makes of now.
-func (p *player) factor(kind string, otherwise float64) float64 {
+// faultFactor is what a fault of the clients' own makes of now.
+func (p *player) faultFactor(kind string, otherwise float64) float64 {
 	now := p.now()
 	for _, x := range p.faults {
-		if x.Kind == kind && now >= x.At && (x.For == 0 || now < x.At+x.For) {
+		if x.Kind == kind && now >= x.At && (x.Duration == 0 || now < x.At+x.Duration) {
 			return x.Factor
 		}
 	}
 	return otherwise
 }
 
-// stream begins a stream's sessions.
-func (p *player) stream(ctx context.Context, i int) {
+// runStream begins a stream's sessions.
+func (p *player) runStream(ctx context.Context, i int) {
 	s := &p.spec.Streams[i]
 	class := p.spec.ClassOf(s)
 	arrivals := model.NewSource(s, rand.New(rand.NewPCG(p.spec.Seed, uint64(i)*2)))
@@ -131,54 +131,54 @@
 		case p.slots <- struct{}{}:
 		default:
 			p.mu.Lock()
-			p.left++
+			p.skippedSessions++
 			p.mu.Unlock()
 			return
 		}
-		p.all.Add(1)
+		p.tasks.Add(1)
 		go func() {
-			defer func() { <-p.slots; p.all.Done() }()
+			defer func() { <-p.slots; p.tasks.Done() }()
 			if sleep(ctx, after) {
-				p.session(ctx, s, class, from, session, front)
+				p.runSession(ctx, s, class, from, session, front)
 			}
 		}()
 	}
-	list, in := arrivals.UnderWay()
+	list, in := arrivals.SessionsInProgress()
 	for i, session := range list {
 		begin(session, in[i])
 	}
 	for next := p.now(); ; {
-		next += arrivals.Gap(p.factor("burst", 1))
+		next += arrivals.NextArrival(p.faultFactor("burst", 1))
 		if !sleep(ctx, next-p.now()) {
 			return
 		}
-		begin(arrivals.Session(p.factor("hot", 0)), 0)
+		begin(arrivals.NewSession(p.faultFactor("hot", 0)), 0)
 	}
 }
 
-// session is one client's turns.
-func (p *player) session(ctx context.Context, s *model.Stream, class *balancer.Class, from *model.Source, n *model.Session, rng *rand.Rand) {
+// runSession is one client's turns.
+func (p *player) runSession(ctx context.Context, s *model.Stream, class *balancer.Class, from *model.Source, n *model.Session, rng *rand.Rand) {
 	for {
-		in, out := from.Turn(n)
+		in, out := from.NextTurn(n)
 		how := ""
 		for try := 0; ; try++ {
-			e := p.request(s, class, &in, out, rng)
-			how = e.How
-			if (how == "refused" || how == "contract") && try < s.Retries {
+			e := p.sendRequest(s, class, &in, out, rng)
+			how = e.Outcome
+			if (how == "refused" || how == "contract") && try < s.MaxRetries {
 				p.mu.Lock()
-				p.res.Retried(e.SentAt, &in)
+				p.result.CountRetry(e.SentAt, &in)
 				p.mu.Unlock()
-				if sleep(ctx, e.after+from.Again()) {
+				if sleep(ctx, e.retryAfter+from.RetryDelay()) {
 					continue
 				}
 			}
 			p.mu.Lock()
-			p.res.Note(e.Ended)
+			p.result.CountEnd(e.RequestEnd)
 			p.mu.Unlock()
 			break
 		}
-		n.Answered(&in, out)
-		if how != "served" || n.Left == 0 || !sleep(ctx, from.Think()) {
+		n.AddTurn(&in, out)
+		if how != "served" || n.TurnsLeft == 0 || !sleep(ctx, from.ThinkTime()) {
 			return
 		}
 	}
--- a/internal/fleet/emulate/emulate.go
+++ b/internal/fleet/emulate/emulate.go
@@ -25,45 +25,45 @@
 
 // Fleet is a registry and workers that run until Close.
 type Fleet struct {
-	Registry string // its address
-	Workers  []*Worker
-	registry *registry
-	spec     *model.Spec
-	began    time.Time
+	DiscoveryAddr string // its address
+	Replicas      []*Replica
+	discovery     *discoveryServer
+	spec          *model.Spec
+	startedAt     time.Time
 
-	// Worked, if set before any request comes, is told of each attempt that ends at a
+	// OnAttemptEnd, if set before any request comes, is told of each attempt that ends at a
 	// worker, by many tasks at once.
-	Worked func(Attempt)
+	OnAttemptEnd func(ReplicaAttempt)
 }
 
-// Attempt is a request as a worker met it. Times are the machine's.
-type Attempt struct {
-	Root, ID, Worker string
-	Class            string
-	From, To         time.Time // from its last byte until nothing of it runs there
-	Until            time.Time // that the gateway said it would wait for the first token
-	Declined         bool      // it never ran
-	Whole            bool      // the answer was written to its end
+// ReplicaAttempt is a request as a worker met it. Times are the machine's.
+type ReplicaAttempt struct {
+	RootID, ID, Replica string
+	Class               string
+	ReceivedAt, EndedAt time.Time // from its last byte until nothing of it runs there
+	FirstTokenBy        time.Time // that the gateway said it would wait for the first token
+	Declined            bool      // it never ran
+	Complete            bool      // the answer was written to its end
 }
 
-// Worker is one on a socket.
-type Worker struct {
-	Name, Addr string
-	group      *model.Group
-	mu         sync.Mutex
-	w          *replica.Worker // nil: killed
-	jobs       map[uint64]*job
-	nextJob    uint64
-	silent     bool
-	spoil      bool // answers are not to be read
-	reset      bool // connections break in mid-answer
-	life       context.Context
-	kill       context.CancelFunc
-	server     *http.Server
-	clock      func() balancer.Micros
-	wake       chan struct{}
-	fleet      *Fleet
-	place      int
+// Replica is one on a socket.
+type Replica struct {
+	Name, Addr     string
+	group          *model.Group
+	mu             sync.Mutex
+	simulator      *replica.Simulator // nil: killed
+	jobs           map[uint64]*job
+	nextJob        uint64
+	silent         bool
+	malformed      bool // answers are not to be read
+	resetMidAnswer bool // connections break in mid-answer
+	ctx            context.Context
+	cancel         context.CancelFunc
+	server         *http.Server
+	clock          func() balancer.Micros
+	wake           chan struct{}
+	fleet          *Fleet
+	index          int
 }
 
 // job is a request that a worker has.
@@ -75,65 +75,65 @@
 // Start opens a fleet's sockets. The registry listens at an address, such as
 // 127.0.0.1:8500 or one with port 0.
 func Start(spec *model.Spec, registryAddr string) (*Fleet, error) {
-	f := &Fleet{spec: spec, began: time.Now(), registry: &registry{news: make(chan struct{})}}
-	f.registry.list.Generation = 1
+	f := &Fleet{spec: spec, startedAt: time.Now(), discovery: &discoveryServer{changed: make(chan struct{})}}
+	f.discovery.list.Generation = 1
 	for i := range spec.Groups {
 		g := &spec.Groups[i]
 		for range g.Count {
-			w := &Worker{Name: fmt.Sprintf("%s-%d", g.Name, len(f.Workers)+1), Addr: "127.0.0.1:0", group: g, clock: f.now, fleet: f, place: len(f.Workers)}
+			w := &Replica{Name: fmt.Sprintf("%s-%d", g.Name, len(f.Replicas)+1), Addr: "127.0.0.1:0", group: g, clock: f.now, fleet: f, index: len(f.Replicas)}
 			if err := w.start(-3600_000_000); err != nil {
 				f.Close()
 				return nil, err
 			}
-			f.Workers = append(f.Workers, w)
-			f.registry.list.Endpoints = append(f.registry.list.Endpoints, w.instance("ready", 0))
+			f.Replicas = append(f.Replicas, w)
+			f.discovery.list.Endpoints = append(f.discovery.list.Endpoints, w.listEntry("ready", 0))
 		}
 	}
-	l, err := loopback(registryAddr)
+	l, err := listenLoopback(registryAddr)
 	if err != nil {
 		f.Close()
 		return nil, err
 	}
-	f.Registry = l.Addr().String()
-	f.registry.server = &http.Server{Handler: f.registry, ReadHeaderTimeout: 5 * time.Second}
-	go f.registry.server.Serve(l)
+	f.DiscoveryAddr = l.Addr().String()
+	f.discovery.server = &http.Server{Handler: f.discovery, ReadHeaderTimeout: 5 * time.Second}
+	go f.discovery.server.Serve(l)
 	return f, nil
 }
 
-// errAddr says that an address is not of this machine alone.
-var errAddr = errors.New("expected a loopback address and port, such as 127.0.0.1:8500")
+// errNotLoopback says that an address is not of this machine alone.
+var errNotLoopback = errors.New("expected a loopback address and port, such as 127.0.0.1:8500")
 
-func loopback(addr string) (net.Listener, error) {
+func listenLoopback(addr string) (net.Listener, error) {
 	host, _, err := net.SplitHostPort(addr)
 	if ip := net.ParseIP(host); err != nil || ip == nil || !ip.IsLoopback() {
-		return nil, fmt.Errorf("%s: %w", addr, errAddr)
+		return nil, fmt.Errorf("%s: %w", addr, errNotLoopback)
 	}
 	return net.Listen("tcp", addr)
 }
 
-func (f *Fleet) now() balancer.Micros { return time.Since(f.began).Microseconds() }
+func (f *Fleet) now() balancer.Micros { return time.Since(f.startedAt).Microseconds() }
 
 // Close ends all.
 func (f *Fleet) Close() {
-	for _, w := range f.Workers {
+	for _, w := range f.Replicas {
 		w.stop()
 	}
-	if f.registry.server != nil {
-		f.registry.server.Close()
+	if f.discovery.server != nil {
+		f.discovery.server.Close()
 	}
 }
 
-func (w *Worker) instance(state string, startedMs int64) httpwire.Endpoint {
+func (w *Replica) listEntry(state string, startedMs int64) httpwire.Endpoint {
 	return httpwire.Endpoint{ID: w.Name, Addr: w.Addr, Zone: w.group.Zone, Kind: w.group.Name, Lifecycle: state, Weight: w.group.Weight, StartedAtMs: startedMs}
 }
 
 // start brings the worker up, at its address of before if it had one.
-func (w *Worker) start(takesWork balancer.Micros) error {
+func (w *Replica) start(takesWork balancer.Micros) error {
 	var l net.Listener
 	var err error
 	// The port may be some other connection's for a moment.
 	for end := time.Now().Add(2 * time.Second); ; time.Sleep(5 * time.Millisecond) {
-		if l, err = loopback(w.Addr); err == nil || time.Now().After(end) {
+		if l, err = listenLoopback(w.Addr); err == nil || time.Now().After(end) {
 			break
 		}
 	}
@@ -143,19 +143,19 @@
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	w.Addr = l.Addr().String()
-	w.w, w.jobs, w.wake = replica.New(w.group.Params, takesWork), map[uint64]*job{}, make(chan struct{}, 1)
-	w.w.Each = true
-	w.life, w.kill = context.WithCancel(context.Background())
-	w.server = &http.Server{Handler: w, ReadHeaderTimeout: 5 * time.Second, BaseContext: func(net.Listener) context.Context { return w.life }}
+	w.simulator, w.jobs, w.wake = replica.New(w.group.Params, takesWork), map[uint64]*job{}, make(chan struct{}, 1)
+	w.simulator.EmitTokens = true
+	w.ctx, w.cancel = context.WithCancel(context.Background())
+	w.server = &http.Server{Handler: w, ReadHeaderTimeout: 5 * time.Second, BaseContext: func(net.Listener) context.Context { return w.ctx }}
 	go w.server.Serve(l)
-	go w.run(w.life, w.wake)
+	go w.runSteps(w.ctx, w.wake)
 	return nil
 }
 
-func (w *Worker) stop() {
+func (w *Replica) stop() {
 	w.mu.Lock()
-	server, kill := w.server, w.kill
-	w.w = nil
+	server, kill := w.server, w.cancel
+	w.simulator = nil
 	w.mu.Unlock()
 	if server != nil {
 		kill()
@@ -163,15 +163,15 @@
 	}
 }
 
-// run ends steps when they end.
-func (w *Worker) run(life context.Context, wake chan struct{}) {
+// runSteps ends steps when they end.
+func (w *Replica) runSteps(life context.Context, wake chan struct{}) {
 	t := time.NewTimer(time.Hour)
 	defer t.Stop()
 	for {
 		w.mu.Lock()
 		wait := time.Hour
-		for w.w != nil {
-			at := w.w.Next()
+		for w.simulator != nil {
+			at := w.simulator.StepEnd()
 			if at == 0 {
 				break
 			}
@@ -181,7 +181,7 @@
 				break
 			}
 			// Ended at its own time, not when this task was woken: the model's speed.
-			for _, e := range w.w.Advance(at) {
+			for _, e := range w.simulator.Advance(at) {
 				if j := w.jobs[e.Job]; j != nil {
 					j.events <- e
 				}
@@ -198,24 +198,24 @@
 	}
 }
 
-func (w *Worker) load() string {
-	if w.w == nil {
+func (w *Replica) loadHeader() string {
+	if w.simulator == nil {
 		return ""
 	}
-	running, waiting, memory, unread := w.w.Load()
+	running, waiting, memory, unread := w.simulator.Load()
 	return fmt.Sprintf("busy_reqs=%d,pending=%d,x0=%.4f,x1=%.3f", running+waiting, waiting, memory, float64(unread)/1000)
 }
 
-func (w *Worker) ServeHTTP(out http.ResponseWriter, r *http.Request) {
+func (w *Replica) ServeHTTP(out http.ResponseWriter, r *http.Request) {
 	w.mu.Lock()
 	silent := w.silent
-	load := w.load()
+	load := w.loadHeader()
 	w.mu.Unlock()
 	if silent {
-		if r.URL.Path == httpwire.CompletionsPath && w.fleet.Worked != nil {
+		if r.URL.Path == httpwire.CompletionsPath && w.fleet.OnAttemptEnd != nil {
 			id := r.Header.Get("Req-Id")
-			met := Attempt{ID: id, Root: rootOf(r.Header, id), Worker: w.Name, From: time.Now(), Declined: true}
-			defer func() { met.To = time.Now(); w.fleet.Worked(met) }()
+			met := ReplicaAttempt{ID: id, RootID: rootOf(r.Header, id), Replica: w.Name, ReceivedAt: time.Now(), Declined: true}
+			defer func() { met.EndedAt = time.Now(); w.fleet.OnAttemptEnd(met) }()
 			_, _ = io.Copy(io.Discard, http.MaxBytesReader(out, r.Body, httpwire.MaxBodyBytes)) // then an end of the connection is noticed
 		}
 		select { // half-open: it takes all and says nothing
@@ -229,7 +229,7 @@
 	case httpwire.StatsPath:
 		io.WriteString(out, load)
 	case httpwire.CompletionsPath:
-		w.serveJob(out, r)
+		w.serveCompletion(out, r)
 	default:
 		http.NotFound(out, r)
 	}
@@ -243,7 +243,7 @@
 	return id
 }
 
-func (w *Worker) serveJob(out http.ResponseWriter, r *http.Request) {
+func (w *Replica) serveCompletion(out http.ResponseWriter, r *http.Request) {
 	body, err := io.ReadAll(http.MaxBytesReader(out, r.Body, httpwire.MaxBodyBytes))
 	if err != nil {
 		http.Error(out, err.Error(), http.StatusBadRequest)
@@ -261,22 +261,22 @@
 	if err != nil || made < 1 || made > 1<<20 {
 		made = max(1, q.MaxTokens/4)
 	}
-	met := Attempt{ID: in.ID, Root: rootOf(r.Header, in.ID), Worker: w.Name, Class: q.Class, From: time.Now(), Until: time.Now().Add(time.Duration(in.Timeout) * time.Microsecond)}
+	met := ReplicaAttempt{ID: in.ID, RootID: rootOf(r.Header, in.ID), Replica: w.Name, Class: q.Class, ReceivedAt: time.Now(), FirstTokenBy: time.Now().Add(time.Duration(in.Timeout) * time.Microsecond)}
 	defer func() {
-		if met.To = time.Now(); w.fleet.Worked != nil {
-			w.fleet.Worked(met)
+		if met.EndedAt = time.Now(); w.fleet.OnAttemptEnd != nil {
+			w.fleet.OnAttemptEnd(met)
 		}
 	}()
 	w.mu.Lock()
-	if w.w == nil {
+	if w.simulator == nil {
 		w.mu.Unlock()
 		return
 	}
 	w.nextJob++
 	j := &job{w.nextJob, make(chan replica.Event, made+3)}
-	taken := w.w.Offer(w.clock(), replica.Job{ID: j.id, Prompt: max(1, q.PromptTokens), Out: made, Prefix: q.Prefix, Shared: min(q.PrefixTokens, q.PromptTokens), Session: q.Session})
-	load := w.load()
-	spoil, reset := w.spoil, w.reset
+	taken := w.simulator.Offer(w.clock(), replica.Job{ID: j.id, PromptTokens: max(1, q.PromptTokens), OutputTokens: made, Prefix: q.Prefix, PrefixTokens: min(q.PrefixTokens, q.PromptTokens), Session: q.Session})
+	load := w.loadHeader()
+	spoil, reset := w.malformed, w.resetMidAnswer
 	if taken {
 		w.jobs[j.id] = j
 		select {
@@ -295,17 +295,17 @@
 		w.mu.Lock()
 		if w.jobs[j.id] == j {
 			delete(w.jobs, j.id)
-			if w.w != nil {
-				w.w.Cancel(j.id)
+			if w.simulator != nil {
+				w.simulator.Cancel(j.id)
 			}
 		}
 		w.mu.Unlock()
 	}()
-	met.Whole = w.answer(out, r, j, q.PromptTokens, spoil, reset)
+	met.Complete = w.streamTokens(out, r, j, q.PromptTokens, spoil, reset)
 }
 
-// answer streams a job's tokens as they are made, and tells whether it came to the end.
-func (w *Worker) answer(out http.ResponseWriter, r *http.Request, j *job, prompt int, spoil, reset bool) (whole bool) {
+// streamTokens streams a job's tokens as they are made, and tells whether it came to the end.
+func (w *Replica) streamTokens(out http.ResponseWriter, r *http.Request, j *job, prompt int, spoil, reset bool) (whole bool) {
 	flush := http.NewResponseController(out)
 	begun, kept := false, 0
 	for {
@@ -327,10 +327,10 @@
 			out.Header().Set("Content-Type", "text/event-stream")
 		}
 		switch e.Kind {
-		case replica.First:
-			kept = e.Kept
-		case replica.Token:
-			if reset && e.Made > 2 {
+		case replica.FirstToken:
+			kept = e.CachedTokens
+		case replica.TokenMade:
+			if reset && e.OutputTokens > 2 {
 				if c, _, err := flush.Hijack(); err == nil {
 					if tcp, ok := c.(*net.TCPConn); ok {
 						tcp.SetLinger(0)
@@ -339,37 +339,37 @@
 				}
 				return false
 			}
-			if spoil && e.Made > 2 {
+			if spoil && e.OutputTokens > 2 {
 				fmt.Fprint(out, "data: {\"choices\":[{\"index\":0,\"del\n\n")
 			} else {
-				fmt.Fprintf(out, "data: {\"choices\":[{\"index\":0,\"delta\":{\"content\":\"%s \"},\"finish_reason\":null}]}\n\n", word(e.Made))
+				fmt.Fprintf(out, "data: {\"choices\":[{\"index\":0,\"delta\":{\"content\":\"%s \"},\"finish_reason\":null}]}\n\n", tokenText(e.OutputTokens))
 			}
 			if flush.Flush() != nil {
 				return false
 			}
-		case replica.Done:
+		case replica.Completed:
 			w.mu.Lock()
-			load := w.load()
+			load := w.loadHeader()
 			w.mu.Unlock()
 			fmt.Fprintf(out, "data: {\"choices\":[],\"usage\":{\"prompt_tokens\":%d,\"completion_tokens\":%d,\"prompt_tokens_details\":{\"cached_tokens\":%d}}}\n\n"+
-				"data: [DONE]\n\n: Srv-Load: %s\n\n", prompt, e.Made, kept, load)
+				"data: [DONE]\n\n: Srv-Load: %s\n\n", prompt, e.OutputTokens, kept, load)
 			return true
 		}
 	}
 }
 
-func word(n int) string { return "word" + strconv.Itoa(n) }
+func tokenText(n int) string { return "word" + strconv.Itoa(n) }
 
-// registry tells the list, and waits for changes where it is asked to.
-type registry struct {
-	mu     sync.Mutex
-	list   httpwire.EndpointList
-	news   chan struct{} // closed at the next change
-	deaf   bool
-	server *http.Server
+// discoveryServer tells the list, and waits for changes where it is asked to.
+type discoveryServer struct {
+	mu           sync.Mutex
+	list         httpwire.EndpointList
+	changed      chan struct{} // closed at the next change
+	unresponsive bool
+	server       *http.Server
 }
 
-func (g *registry) ServeHTTP(w http.ResponseWriter, r *http.Request) {
+func (g *discoveryServer) ServeHTTP(w http.ResponseWriter, r *http.Request) {
 	if r.URL.Path != httpwire.ListPath {
 		http.NotFound(w, r)
 		return
@@ -377,7 +377,7 @@
 	since, err := strconv.ParseInt(r.FormValue("since"), 10, 64)
 	wait, _ := strconv.Atoi(r.FormValue("timeout_ms"))
 	g.mu.Lock()
-	version, news, deaf := g.list.Generation, g.news, g.deaf
+	version, news, deaf := g.list.Generation, g.changed, g.unresponsive
 	g.mu.Unlock()
 	if deaf {
 		select {
@@ -405,7 +405,7 @@
 	w.Write(b.Bytes())
 }
 
-func (g *registry) change(do func(*httpwire.EndpointList)) {
+func (g *discoveryServer) update(do func(*httpwire.EndpointList)) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	list := g.list
@@ -413,73 +413,73 @@
 	do(&list)
 	list.Generation++
 	g.list = list
-	close(g.news)
-	g.news = make(chan struct{})
+	close(g.changed)
+	g.changed = make(chan struct{})
 }
 
-// Fault begins one now, and End ends it.
-func (f *Fleet) Fault(x model.Fault) { f.set(x, true) }
+// StartFault begins one now, and End ends it.
+func (f *Fleet) StartFault(x model.Fault) { f.setFault(x, true) }
 
-// End ends a fault.
-func (f *Fleet) End(x model.Fault) { f.set(x, false) }
+// EndFault ends a fault.
+func (f *Fleet) EndFault(x model.Fault) { f.setFault(x, false) }
 
-func (f *Fleet) set(x model.Fault, on bool) {
+func (f *Fleet) setFault(x model.Fault, on bool) {
 	if x.Kind == "registry" {
-		f.registry.mu.Lock()
-		f.registry.deaf = on
-		f.registry.mu.Unlock()
+		f.discovery.mu.Lock()
+		f.discovery.unresponsive = on
+		f.discovery.mu.Unlock()
 		return
 	}
-	for i, w := range f.Workers {
-		if x.Worker >= 0 && x.Worker != i || x.Zone != "" && x.Zone != w.group.Zone {
+	for i, w := range f.Replicas {
+		if x.Replica >= 0 && x.Replica != i || x.Zone != "" && x.Zone != w.group.Zone {
 			continue
 		}
 		switch x.Kind {
 		case "kill":
-			f.killed(w, on)
+			f.killOrRestart(w, on)
 			continue
 		case "lose":
-			f.lost(w, on, time.Duration(x.Factor*float64(time.Second)))
+			f.loseMachine(w, on, time.Duration(x.Factor*float64(time.Second)))
 			continue
 		case "drain":
 			state := "ready"
 			if on {
 				state = "draining"
 			}
-			f.registry.change(func(l *httpwire.EndpointList) { l.Endpoints[i].Lifecycle = state })
+			f.discovery.update(func(l *httpwire.EndpointList) { l.Endpoints[i].Lifecycle = state })
 			continue
 		}
 		w.mu.Lock()
 		switch x.Kind {
 		case "slow":
-			if w.w != nil {
-				w.w.Slow(map[bool]float64{true: x.Factor, false: 1}[on])
+			if w.simulator != nil {
+				w.simulator.SetSlowdown(map[bool]float64{true: x.Factor, false: 1}[on])
 			}
 		case "silent":
 			w.silent = on
 		case "flush":
-			if on && w.w != nil {
-				w.w.Flush()
+			if on && w.simulator != nil {
+				w.simulator.FlushCache()
 			}
 		case "spoil":
-			w.spoil = on
+			w.malformed = on
 		case "reset":
-			w.reset = on
+			w.resetMidAnswer = on
 		}
 		w.mu.Unlock()
 	}
 }
 
-// lost takes a worker's machine away without a word, or brings it back cold with what was
+// loseMachine takes a worker's machine away without a word, or brings it back cold with what was
 // open to it reset. A connection is taken on still, for a loopback address cannot be
 // silent before that.
-func (f *Fleet) lost(w *Worker, on bool, told time.Duration) {
+func (f *Fleet) loseMachine(w *Replica, on bool, told time.Duration) {
 	w.mu.Lock()
 	w.silent = on
 	w.mu.Unlock()
 	if !on {
 		w.stop()
-		f.killed(w, false)
+		f.killOrRestart(w, false)
 		return
 	}
 	time.AfterFunc(told, func() {
@@ -487,31 +487,31 @@
 		still := w.silent
 		w.mu.Unlock()
 		if still {
-			f.registry.change(func(l *httpwire.EndpointList) { l.Endpoints[w.place].Lifecycle = "gone" })
+			f.discovery.update(func(l *httpwire.EndpointList) { l.Endpoints[w.index].Lifecycle = "gone" })
 		}
 	})
 }
 
-// killed ends a worker at once, or brings it back cold at the same address.
-func (f *Fleet) killed(w *Worker, on bool) {
-	i := w.place
+// killOrRestart ends a worker at once, or brings it back cold at the same address.
+func (f *Fleet) killOrRestart(w *Replica, on bool) {
+	i := w.index
 	if on {
 		w.stop()
 		time.AfterFunc(500*time.Millisecond, func() { // the registry learns of it a little later
 			w.mu.Lock()
-			gone := w.w == nil
+			gone := w.simulator == nil
 			w.mu.Unlock()
 			if gone {
-				f.registry.change(func(l *httpwire.EndpointList) { l.Endpoints[i].Lifecycle = "gone" })
+				f.discovery.update(func(l *httpwire.EndpointList) { l.Endpoints[i].Lifecycle = "gone" })
 			}
 		})
 		return
 	}
-	if err := w.start(f.now() + w.group.Params.Start); err != nil {
+	if err := w.start(f.now() + w.group.Params.StartupTime); err != nil {
 		return // its port was taken: it stays gone
 	}
 	began := time.Now().UnixMilli()
-	time.AfterFunc(time.Duration(w.group.Params.Start)*time.Microsecond, func() {
-		f.registry.change(func(l *httpwire.EndpointList) { l.Endpoints[i] = w.instance("ready", began) })
+	time.AfterFunc(time.Duration(w.group.Params.StartupTime)*time.Microsecond, func() {
+		f.discovery.update(func(l *httpwire.EndpointList) { l.Endpoints[i] = w.listEntry("ready", began) })
 	})
 }
--- a/internal/fleet/emulate/emulate_test.go
+++ b/internal/fleet/emulate/emulate_test.go
@@ -16,14 +16,14 @@
 )
 
 func spec() *model.Spec {
-	p := replica.Params{Slots: 8, Queue: 32, Memory: 50_000, Block: 16, Chunk: 512, Base: 4000, PerSequence: 100, PerContext: 20, PerPrompt: 20_000,
-		Start: 300_000, ColdFor: 1_000_000, ColdSlow: 2}
-	return &model.Spec{Seed: 3, For: 4_000_000, Warm: 500_000, Gateways: 1, Near: 100, Far: 100, PollWait: 1_000_000, Window: 1_000_000,
+	p := replica.Params{MaxRunning: 8, MaxQueued: 32, MemoryTokens: 50_000, BlockTokens: 16, ChunkTokens: 512, StepBase: 4000, StepPerSequence: 100, StepPerContext: 20, StepPerPrompt: 20_000,
+		StartupTime: 300_000, WarmUpTime: 1_000_000, WarmUpSlowdown: 2}
+	return &model.Spec{Seed: 3, Duration: 4_000_000, WarmUp: 500_000, Gateways: 1, SameZoneDelay: 100, CrossZoneDelay: 100, PollWait: 1_000_000, WindowLength: 1_000_000,
 		Settings: balancer.Settings{MaxAttempts: 3, Tick: 2000, MayCancel: true, MayHedge: true, PollDiscovery: true, ReportSource: balancer.ReportInline,
 			InitialCapacity: 0.3, OverloadMultiple: 3, SlowStartFor: 1_000_000, OverloadWindow: 1_500_000, StreamsPerConn: 1, ConnIdleTimeout: 60_000_000,
 			Classes: []balancer.Class{{Name: "chat", LatencyObjective: 600_000, TokenObjective: 50_000, Deadline: 2_000_000, PriorityWeight: 1, LateWeightShare: 0.3, Streaming: true}}},
 		Groups:  []model.Group{{Name: "k", Zone: "a", Count: 4, Weight: 1, Params: p}},
-		Streams: []model.Stream{{Class: "chat", Tenant: "t", PerS: 40, Turns: 3, Think: 0.3, Prompt: 100, Answer: 20, Spread: 0.4, MaxOut: 60, Prefixes: 3, Shared: 128}}}
+		Streams: []model.Stream{{Class: "chat", Tenant: "t", RequestsPerSecond: 40, Turns: 3, ThinkSeconds: 0.3, PromptTokens: 100, AnswerTokens: 20, Spread: 0.4, MaxOutputTokens: 60, Prefixes: 3, PrefixTokens: 128}}}
 }
 
 // serve runs a gateway of this process before the fleet.
@@ -59,17 +59,17 @@
 		name   string
 		least  float64
 		faults []model.Fault
-	}{{"calm", 0.97, nil}, {"faults", 0.6, []model.Fault{{At: 700_000, For: 1_000_000, Kind: "kill", Worker: 0}, {At: 1_000_000, For: 800_000, Kind: "drain", Worker: 1},
-		{At: 1_200_000, For: 800_000, Kind: "slow", Worker: 2, Factor: 4}, {At: 2_000_000, For: 400_000, Kind: "reset", Worker: 3}, {At: 2_400_000, For: 300_000, Kind: "spoil", Worker: 3},
-		{At: 2_700_000, For: 600_000, Kind: "silent", Worker: 1}, {At: 2_000_000, For: 1_000_000, Kind: "registry", Worker: -1}, {At: 3_000_000, Kind: "flush", Worker: -1},
-		{At: 3_200_000, For: 500_000, Kind: "burst", Factor: 2}, {At: 3_000_000, Kind: "hot", Factor: 0.5}}}} {
+	}{{"calm", 0.97, nil}, {"faults", 0.6, []model.Fault{{At: 700_000, Duration: 1_000_000, Kind: "kill", Replica: 0}, {At: 1_000_000, Duration: 800_000, Kind: "drain", Replica: 1},
+		{At: 1_200_000, Duration: 800_000, Kind: "slow", Replica: 2, Factor: 4}, {At: 2_000_000, Duration: 400_000, Kind: "reset", Replica: 3}, {At: 2_400_000, Duration: 300_000, Kind: "spoil", Replica: 3},
+		{At: 2_700_000, Duration: 600_000, Kind: "silent", Replica: 1}, {At: 2_000_000, Duration: 1_000_000, Kind: "registry", Replica: -1}, {At: 3_000_000, Kind: "flush", Replica: -1},
+		{At: 3_200_000, Duration: 500_000, Kind: "burst", Factor: 2}, {At: 3_000_000, Kind: "hot", Factor: 0.5}}}} {
 		s := spec()
 		s.Faults = x.faults
 		f, err := Start(s, "127.0.0.1:0")
 		if err != nil {
 			t.Fatal(err)
 		}
-		res, left, err := Play(t.Context(), f, s, []string{serve(t, s, f.Registry)})
+		res, left, err := Play(t.Context(), f, s, []string{serve(t, s, f.DiscoveryAddr)})
 		f.Close()
 		if err != nil {
 			t.Fatal(err)
@@ -85,8 +85,8 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		t.Logf("%s: the model: sent %d: %v, first token p95 %.0f ms", x.name, m.All.Sent, m.All.Ends, m.All.FirstMs["p95"])
-		t.Logf("%s: sent %d: %v, first token p95 %.0f ms", x.name, res.All.Sent, res.All.Ends, res.All.FirstMs["p95"])
+		t.Logf("%s: the model: sent %d: %v, first token p95 %.0f ms", x.name, m.All.Sent, m.All.Ends, m.All.FirstTokenMs["p95"])
+		t.Logf("%s: sent %d: %v, first token p95 %.0f ms", x.name, res.All.Sent, res.All.Ends, res.All.FirstTokenMs["p95"])
 	}
 	if _, err := Start(spec(), "0.0.0.0:0"); err == nil || !strings.Contains(err.Error(), "loopback") {
 		t.Error(err)
--- a/internal/fleet/engine/engine.go
+++ b/internal/fleet/engine/engine.go
@@ -13,17 +13,17 @@
 // Engine runs what is due in virtual time. What is due at one moment runs in the
 // order in which it was asked for.
 type Engine struct {
-	now  balancer.Micros
-	seq  uint64
-	heap []item
-	seed uint64
-	Done uint64 // events run
+	now       balancer.Micros
+	lastSeq   uint64
+	queue     []scheduledEvent
+	seed      uint64
+	Processed uint64 // events run
 }
 
-type item struct {
+type scheduledEvent struct {
 	at  balancer.Micros
 	seq uint64
-	do  func(now balancer.Micros)
+	run func(now balancer.Micros)
 }
 
 // New is an engine at a moment.
@@ -33,7 +33,7 @@
 func (e *Engine) Now() balancer.Micros { return e.now }
 
 // Pending is how many events are yet to come.
-func (e *Engine) Pending() int { return len(e.heap) }
+func (e *Engine) Pending() int { return len(e.queue) }
 
 // Rand is a stream of random numbers of its own for each name: what one part draws
 // changes nothing for another.
@@ -45,28 +45,28 @@
 
 // At has something done at a moment, or now if that has passed.
 func (e *Engine) At(at balancer.Micros, do func(now balancer.Micros)) {
-	e.seq++
-	e.push(item{max(at, e.now), e.seq, do})
+	e.lastSeq++
+	e.push(scheduledEvent{max(at, e.now), e.lastSeq, do})
 }
 
 // After has something done after a while.
 func (e *Engine) After(d balancer.Micros, do func(now balancer.Micros)) { e.At(e.now+d, do) }
 
-// Run does what is due until a moment, which it then is.
-func (e *Engine) Run(until balancer.Micros) {
-	for len(e.heap) > 0 && e.heap[0].at <= until {
+// RunUntil does what is due until a moment, which it then is.
+func (e *Engine) RunUntil(until balancer.Micros) {
+	for len(e.queue) > 0 && e.queue[0].at <= until {
 		i := e.pop()
 		e.now = i.at
-		e.Done++
-		i.do(i.at)
+		e.Processed++
+		i.run(i.at)
 	}
 	e.now = max(e.now, until)
 }
 
-func less(a, b *item) bool { return a.at < b.at || a.at == b.at && a.seq < b.seq }
+func less(a, b *scheduledEvent) bool { return a.at < b.at || a.at == b.at && a.seq < b.seq }
 
-func (e *Engine) push(i item) {
-	h := append(e.heap, i)
+func (e *Engine) push(i scheduledEvent) {
+	h := append(e.queue, i)
 	n := len(h) - 1
 	for n > 0 {
 		up := (n - 1) / 4
@@ -77,15 +77,15 @@
 		n = up
 	}
 	h[n] = i
-	e.heap = h
+	e.queue = h
 }
 
-func (e *Engine) pop() item {
-	h := e.heap
+func (e *Engine) pop() scheduledEvent {
+	h := e.queue
 	top, last := h[0], h[len(h)-1]
-	h[len(h)-1] = item{}
+	h[len(h)-1] = scheduledEvent{}
 	h = h[:len(h)-1]
-	e.heap = h
+	e.queue = h
 	if len(h) == 0 {
 		return top
 	}
@@ -107,8 +107,8 @@
 	return top
 }
 
-// Exp draws from an exponential distribution with a mean.
-func Exp(r *rand.Rand, mean float64) float64 { return r.ExpFloat64() * mean }
+// Exponential draws from an exponential distribution with a mean.
+func Exponential(r *rand.Rand, mean float64) float64 { return r.ExpFloat64() * mean }
 
 // LogNormal draws from a log-normal distribution with a median and a spread, the
 // standard deviation of the logarithm.
--- a/internal/fleet/fit/fit.go
+++ b/internal/fleet/fit/fit.go
@@ -17,11 +17,11 @@
 // Turn is one request as it was recorded. Times are microseconds on one clock for
 // all gateways.
 type Turn struct {
-	At, End              balancer.Micros // End: of the answer; 0: it was not served
-	Class, Tenant        string
-	Session, Prefix      uint64
-	Prompt, Shared, Most int
-	Made                 int // tokens of the answer; 0: not told
+	At, EndedAt                           balancer.Micros // End: of the answer; 0: it was not served
+	Class, Tenant                         string
+	Session, Prefix                       uint64
+	PromptTokens, PrefixTokens, MaxTokens int
+	OutputTokens                          int // tokens of the answer; 0: not told
 }
 
 // Value is an estimate with its 95% interval. N observations stand behind it.
@@ -53,15 +53,15 @@
 	Prefixes   Value    `json:"prefixes"`   // shared beginnings, those not seen among them
 	Shared     Value    `json:"shared"`     // tokens of them, the median
 	Dispersion Value    `json:"dispersion"` // of beginnings in a second: 1 as by chance, above in bursts
-	Most       int      `json:"most"`       // tokens that are asked for at most
-	Untold     []string `json:"untold"`     // what the recording does not tell
+	MaxTokens  int      `json:"most"`       // tokens that are asked for at most
+	Unknown    []string `json:"untold"`     // what the recording does not tell
 }
 
-// quiet is how long after a turn, in medians of thinking, a session counts as over.
-const quiet = 8.0
+// sessionEndThinkTimes is how long after a turn, in medians of thinking, a session counts as over.
+const sessionEndThinkTimes = 8.0
 
-// leastQuiet is that time where little thinking was seen, in microseconds.
-const leastQuiet balancer.Micros = 10_000_000
+// minSessionEndGap is that time where little thinking was seen, in microseconds.
+const minSessionEndGap balancer.Micros = 10_000_000
 
 // Streams estimates from all turns that were recorded from one time to another.
 func Streams(turns []Turn, from, to balancer.Micros) []Stream {
@@ -74,7 +74,7 @@
 	var out []Stream
 	for k, list := range by {
 		slices.SortStableFunc(list, func(a, b Turn) int { return cmp.Compare(a.At, b.At) })
-		s := stream(list, from, to)
+		s := fitStream(list, from, to)
 		s.Class, s.Tenant = k.class, k.tenant
 		out = append(out, s)
 	}
@@ -84,13 +84,13 @@
 	return out
 }
 
-func stream(turns []Turn, from, to balancer.Micros) (s Stream) {
+func fitStream(turns []Turn, from, to balancer.Micros) (s Stream) {
 	s.Requests = len(turns)
 	seconds := math.Max(1e-6, float64(to-from)/1e6)
 	sessions := map[uint64][]Turn{}
 	alone := 0
 	for _, t := range turns {
-		s.Most = max(s.Most, t.Most)
+		s.MaxTokens = max(s.MaxTokens, t.MaxTokens)
 		if t.Session == 0 {
 			alone++
 		} else {
@@ -104,7 +104,7 @@
 		for _, k := range keys {
 			list := sessions[k]
 			for i := 1; i < len(list); i++ {
-				if e := list[i-1].End; e > 0 && e <= until && list[i].At > e {
+				if e := list[i-1].EndedAt; e > 0 && e <= until && list[i].At > e {
 					gaps = append(gaps, float64(list[i].At-e)/1e6)
 				}
 			}
@@ -118,7 +118,7 @@
 	s.Rate = Value{rate, math.Max(0, rate-1.96*se), rate + 1.96*se, len(turns)}
 	// Only a turn that is long over by the end tells whether its session went on, and
 	// after what time: of later ones, those that went on soon would count alone.
-	over := max(leastQuiet, balancer.Micros(quiet*median(thinking(to)).Value*1e6))
+	over := max(minSessionEndGap, balancer.Micros(sessionEndThinkTimes*median(thinking(to)).Value*1e6))
 	over = min(over, (to-from)/2)
 	s.Think = median(thinking(to - over))
 
@@ -131,11 +131,11 @@
 		}
 	}
 	for _, t := range turns {
-		if t.Made > 0 && t.End > 0 {
-			made = append(made, float64(t.Made))
+		if t.OutputTokens > 0 && t.EndedAt > 0 {
+			made = append(made, float64(t.OutputTokens))
 		}
 		if t.Session == 0 {
-			noteNew(t.Prompt - t.Shared)
+			noteNew(t.PromptTokens - t.PrefixTokens)
 			starts[(t.At-from)/1_000_000]++
 		}
 	}
@@ -143,26 +143,26 @@
 		list := sessions[k]
 		if list[0].At >= from+over { // it cannot have begun before the recording
 			starts[(list[0].At-from)/1_000_000]++
-			noteNew(list[0].Prompt - list[0].Shared)
+			noteNew(list[0].PromptTokens - list[0].PrefixTokens)
 		}
 		for i, t := range list {
 			switch {
-			case t.End == 0:
+			case t.EndedAt == 0:
 			case i+1 < len(list):
-				if t.End+over <= to {
+				if t.EndedAt+over <= to {
 					goesOn++
 				}
-				if t.Made > 0 {
-					noteNew(list[i+1].Prompt - t.Prompt - t.Made)
+				if t.OutputTokens > 0 {
+					noteNew(list[i+1].PromptTokens - t.PromptTokens - t.OutputTokens)
 				}
-			case t.End+over <= to:
+			case t.EndedAt+over <= to:
 				ends++
 			default:
 				cut++
 			}
 		}
 	}
-	s.Turns = turnsOf(goesOn, ends)
+	s.Turns = meanTurns(goesOn, ends)
 	s.Prompt, s.Answer = median(fresh), median(made)
 	for _, list := range [][]float64{fresh, made} {
 		m := median(list).Value
@@ -171,23 +171,23 @@
 		}
 	}
 	s.Spread = deviation(logs)
-	s.Prefixes, s.Shared = prefixes(turns)
+	s.Prefixes, s.Shared = fitPrefixes(turns)
 	first := int64(0)
 	if len(sessions) > 0 {
 		first = over/1_000_000 + 1
 	}
 	s.Dispersion = dispersion(starts, first, (to-from)/1_000_000)
-	s.untold(turns, cut)
+	s.noteUnknown(turns, cut)
 	return s
 }
 
-func (s *Stream) untold(turns []Turn, cut int) {
-	say := func(format string, args ...any) { s.Untold = append(s.Untold, fmt.Sprintf(format, args...)) }
+func (s *Stream) noteUnknown(turns []Turn, cut int) {
+	say := func(format string, args ...any) { s.Unknown = append(s.Unknown, fmt.Sprintf(format, args...)) }
 	lost, noTokens := 0, 0
 	for _, t := range turns {
-		if t.End == 0 {
+		if t.EndedAt == 0 {
 			lost++
-		} else if t.Made == 0 {
+		} else if t.OutputTokens == 0 {
 			noTokens++
 		}
 	}
@@ -223,9 +223,9 @@
 	return Value{mid, at(float64(n)/2 - half - 1), at(float64(n)/2 + half), n}
 }
 
-// turnsOf is the mean of a geometric number of turns: of those that could go on, so
+// meanTurns is the mean of a geometric number of turns: of those that could go on, so
 // many did. The interval is Wilson's.
-func turnsOf(on, ends int) Value {
+func meanTurns(on, ends int) Value {
 	n := float64(on + ends)
 	if n == 0 {
 		return Value{}
@@ -253,9 +253,9 @@
 	return Value{sd, math.Max(0, sd-half), sd + half, len(list)}
 }
 
-// prefixes are the shared beginnings: those seen, and by Chao's estimator those not
+// fitPrefixes are the shared beginnings: those seen, and by Chao's estimator those not
 // seen yet.
-func prefixes(turns []Turn) (n, shared Value) {
+func fitPrefixes(turns []Turn) (n, shared Value) {
 	sights := map[uint64]int{}
 	begun := map[[2]uint64]bool{} // a session's turns are one sight
 	var lengths []float64
@@ -265,7 +265,7 @@
 		}
 		begun[[2]uint64{t.Session, t.Prefix}] = true
 		sights[t.Prefix]++
-		lengths = append(lengths, float64(t.Shared))
+		lengths = append(lengths, float64(t.PrefixTokens))
 	}
 	once, twice := 0.0, 0.0
 	for _, c := range sights {
@@ -315,7 +315,7 @@
 func Plan(streams []Stream) string {
 	var b strings.Builder
 	for i, s := range streams {
-		fmt.Fprintf(&b, "[traffic %s-%d]\n", plain(s.Class), i+1)
+		fmt.Fprintf(&b, "[traffic %s-%d]\n", sectionName(s.Class), i+1)
 		line := func(key, format string, v Value) {
 			if v.N > 0 {
 				fmt.Fprintf(&b, "%s "+format+"\n", key, v.Value)
@@ -331,8 +331,8 @@
 		line("prompt", "%.0f", atLeast(s.Prompt, 1))
 		line("answer", "%.0f", atLeast(s.Answer, 1))
 		line("spread", "%.3f", s.Spread)
-		if s.Most > 0 {
-			fmt.Fprintf(&b, "most %d\n", s.Most)
+		if s.MaxTokens > 0 {
+			fmt.Fprintf(&b, "most %d\n", s.MaxTokens)
 		}
 		line("prefixes", "%.0f", s.Prefixes)
 		line("shared", "%.0f", s.Shared)
@@ -346,8 +346,8 @@
 	return v
 }
 
-// plain is a name that a section may have.
-func plain(name string) string {
+// sectionName is a name that a section may have.
+func sectionName(name string) string {
 	return cmp.Or(strings.Map(func(r rune) rune {
 		if r == '-' || r == '_' || r >= 'a' && r <= 'z' || r >= 'A' && r <= 'Z' || r >= '0' && r <= '9' {
 			return r
--- a/internal/fleet/fit/fit_test.go
+++ b/internal/fleet/fit/fit_test.go
@@ -13,18 +13,18 @@
 )
 
 // recorded plays a fleet with known traffic and reads what its gateways recorded.
-func recorded(t *testing.T, seed uint64, think float64) (*Recorded, []model.Stream) {
+func recorded(t *testing.T, seed uint64, think float64) (*Recording, []model.Stream) {
 	t.Helper()
-	p := replica.Params{Slots: 64, Queue: 64, Memory: 400_000, Block: 16, Chunk: 2048, Base: 4000, PerSequence: 50, PerContext: 10, PerPrompt: 10_000,
-		Start: 1_000_000, ColdFor: 1_000_000, ColdSlow: 2, Connect: 100}
-	s := &model.Spec{Seed: seed, For: 120_000_000, Warm: 5_000_000, Gateways: 3, Near: 250, Far: 10_000, PollWait: 10_000_000, Capture: t.TempDir(),
+	p := replica.Params{MaxRunning: 64, MaxQueued: 64, MemoryTokens: 400_000, BlockTokens: 16, ChunkTokens: 2048, StepBase: 4000, StepPerSequence: 50, StepPerContext: 10, StepPerPrompt: 10_000,
+		StartupTime: 1_000_000, WarmUpTime: 1_000_000, WarmUpSlowdown: 2, ConnectTime: 100}
+	s := &model.Spec{Seed: seed, Duration: 120_000_000, WarmUp: 5_000_000, Gateways: 3, SameZoneDelay: 250, CrossZoneDelay: 10_000, PollWait: 10_000_000, Capture: t.TempDir(),
 		Settings: balancer.Settings{MaxAttempts: 3, Tick: 2000, MayCancel: true, PollDiscovery: true, ReportSource: balancer.ReportInline, InitialCapacity: 0.3,
 			OverloadMultiple: 3, SlowStartFor: 1_000_000, OverloadWindow: 1_500_000, StreamsPerConn: 1, ConnIdleTimeout: 60_000_000,
 			Classes: []balancer.Class{{Name: "bulk", LatencyObjective: 4_000_000, TokenObjective: 300_000, Deadline: 10_000_000, PriorityWeight: 1, Streaming: true},
 				{Name: "chat", LatencyObjective: 4_000_000, TokenObjective: 300_000, Deadline: 10_000_000, PriorityWeight: 2, Streaming: true}}},
 		Groups: []model.Group{{Name: "k", Zone: "a", Count: 8, Weight: 1, Params: p}},
-		Streams: []model.Stream{{Class: "chat", Tenant: "t", PerS: 12, Turns: 3, Think: think, Prompt: 200, Answer: 60, Spread: 0.5, MaxOut: 600, Prefixes: 12, Shared: 512},
-			{Class: "bulk", Tenant: "u", PerS: 4, Turns: 1, Prompt: 900, Answer: 40, Spread: 0.5, MaxOut: 800}}}
+		Streams: []model.Stream{{Class: "chat", Tenant: "t", RequestsPerSecond: 12, Turns: 3, ThinkSeconds: think, PromptTokens: 200, AnswerTokens: 60, Spread: 0.5, MaxOutputTokens: 600, Prefixes: 12, PrefixTokens: 512},
+			{Class: "bulk", Tenant: "u", RequestsPerSecond: 4, Turns: 1, PromptTokens: 900, AnswerTokens: 40, Spread: 0.5, MaxOutputTokens: 800}}}
 	if _, err := model.Run(s); err != nil {
 		t.Fatal(err)
 	}
@@ -62,8 +62,8 @@
 			for name, c := range map[string]struct {
 				got  Value
 				want float64
-			}{"rate": {s.Rate, w.PerS}, "turns": {s.Turns, w.Turns}, "think": {s.Think, w.Think}, "prompt": {s.Prompt, w.Prompt}, "answer": {s.Answer, w.Answer},
-				"spread": {s.Spread, w.Spread}, "prefixes": {s.Prefixes, float64(w.Prefixes)}, "shared": {s.Shared, float64(w.Shared)}, "dispersion": {s.Dispersion, 1}} {
+			}{"rate": {s.Rate, w.RequestsPerSecond}, "turns": {s.Turns, w.Turns}, "think": {s.Think, w.ThinkSeconds}, "prompt": {s.Prompt, w.PromptTokens}, "answer": {s.Answer, w.AnswerTokens},
+				"spread": {s.Spread, w.Spread}, "prefixes": {s.Prefixes, float64(w.Prefixes)}, "shared": {s.Shared, float64(w.PrefixTokens)}, "dispersion": {s.Dispersion, 1}} {
 				if c.want == 0 || c.got.N == 0 {
 					if c.got.N > 0 {
 						t.Errorf("%s of %s: %v where there is none", name, s.Class, c.got)
@@ -95,10 +95,10 @@
 	var turns []Turn
 	for s := range 200 {
 		at := balancer.Micros(s/20) * 10_000_000 // twenty at once, each ten seconds
-		turns = append(turns, Turn{At: at + balancer.Micros(rng.IntN(1000)), End: at + 500_000, Class: "c", Prompt: 100, Made: 10})
+		turns = append(turns, Turn{At: at + balancer.Micros(rng.IntN(1000)), EndedAt: at + 500_000, Class: "c", PromptTokens: 100, OutputTokens: 10})
 	}
-	turns = append(turns, Turn{At: 85_000_000, End: 86_000_000, Class: "c", Session: 7, Prompt: 100, Made: 10},
-		Turn{At: 87_000_000, Class: "c", Session: 7, Prompt: 220})
+	turns = append(turns, Turn{At: 85_000_000, EndedAt: 86_000_000, Class: "c", Session: 7, PromptTokens: 100, OutputTokens: 10},
+		Turn{At: 87_000_000, Class: "c", Session: 7, PromptTokens: 220})
 	s := Streams(turns, 0, 100_000_000)[0]
 	if s.Dispersion.Low < 2 {
 		t.Errorf("bursts of twenty: dispersion %v", s.Dispersion)
@@ -106,7 +106,7 @@
 	if s.Turns.N != 201 || s.Turns.Value > 1.01 {
 		t.Errorf("turns %v: one session went on, and is then not served", s.Turns)
 	}
-	if said := strings.Join(s.Untold, "\n"); !strings.Contains(said, "1 of 202 requests") {
+	if said := strings.Join(s.Unknown, "\n"); !strings.Contains(said, "1 of 202 requests") {
 		t.Errorf("not told: %s", said)
 	}
 }
--- a/internal/fleet/fit/read.go
+++ b/internal/fleet/fit/read.go
@@ -10,8 +10,8 @@
 	pb "archknot/internal/capture/capturepb"
 )
 
-// Recorded is what recordings of one fleet's gateways hold.
-type Recorded struct {
+// Recording is what recordings of one fleet's gateways hold.
+type Recording struct {
 	Turns    []Turn
 	From, To balancer.Micros // in Unix time: when all gateways were recorded
 	Gaps     int             // places at which records are missing
@@ -19,11 +19,11 @@
 
 // Read takes the turns out of recordings, one for each gateway. What was recorded
 // while another was not yet, or no more, is left out: sessions go from one to another.
-func Read(runs []*capture.Run) (*Recorded, error) {
+func Read(runs []*capture.Run) (*Recording, error) {
 	if len(runs) == 0 {
 		return nil, errors.New("no recording")
 	}
-	out := &Recorded{}
+	out := &Recording{}
 	for i, run := range runs {
 		from := run.WallTime(run.Begin()).UnixMicro()
 		to, err := out.read(run)
@@ -48,7 +48,7 @@
 	return out, nil
 }
 
-func (o *Recorded) read(run *capture.Run) (last balancer.Micros, err error) {
+func (o *Recording) read(run *capture.Run) (last balancer.Micros, err error) {
 	r, err := capture.NewReader(run, run.Begin())
 	if err != nil {
 		return 0, err
@@ -75,11 +75,11 @@
 			a := rec.Arrival
 			open[rec.Request] = len(o.Turns)
 			o.Turns = append(o.Turns, Turn{At: at, Class: string(a.GetClass()), Tenant: string(a.GetTenant()), Session: a.GetSession(),
-				Prefix: a.GetPrefix(), Prompt: int(a.GetPromptTokens()), Shared: int(a.GetPrefixTokens()), Most: int(a.GetMaxTokens())})
+				Prefix: a.GetPrefix(), PromptTokens: int(a.GetPromptTokens()), PrefixTokens: int(a.GetPrefixTokens()), MaxTokens: int(a.GetMaxTokens())})
 		case pb.Kind_KIND_ENDED:
 			if i, ok := open[rec.Request]; ok && rec.Outcome.GetFinal() {
 				if balancer.Status(rec.Outcome.GetStatus()) == balancer.Served {
-					o.Turns[i].End, o.Turns[i].Made = at, int(rec.Outcome.GetTokens())
+					o.Turns[i].EndedAt, o.Turns[i].OutputTokens = at, int(rec.Outcome.GetTokens())
 				}
 				delete(open, rec.Request)
 			}
--- a/internal/fleet/model/attempt.go
+++ b/internal/fleet/model/attempt.go
@@ -9,84 +9,84 @@
 
 // attempt is one attempt at a worker.
 type attempt struct {
-	g     *gateway
-	r     *request
-	n     int
-	h     *host
-	id    uint64
-	life  int
-	sent  balancer.Micros
-	over  bool // its outcome was told
-	kept  int
-	made  int
-	first bool
+	gateway        *gateway
+	request        *request
+	index          int
+	host           *host
+	jobID          uint64
+	incarnation    int
+	sentAt         balancer.Micros
+	ended          bool // its outcome was told
+	cachedTokens   int
+	outputTokens   int
+	firstTokenSeen bool
 	// When the news of its first token comes: what follows does not overtake it.
-	firstComes balancer.Micros
+	firstTokenArrival balancer.Micros
 }
 
-// report is the worker's load as it stands.
-func (h *host) report() balancer.LoadReport {
-	if h.w == nil {
+// loadReport is the worker's load as it stands.
+func (h *host) loadReport() balancer.LoadReport {
+	if h.simulator == nil {
 		return balancer.LoadReport{}
 	}
-	running, waiting, memory, unread := h.w.Load()
+	running, waiting, memory, unread := h.simulator.Load()
 	return balancer.LoadReport{Has: balancer.HasInFlight | balancer.HasQueued | balancer.HasMemory | balancer.HasPrefillBacklog, InFlight: float64(running + waiting),
 		Queued: float64(waiting), MemoryShare: memory, PrefillBacklogK: float64(unread) / 1000}
 }
 
 // arrive is the request at the worker.
 func (a *attempt) arrive(now balancer.Micros) {
-	h := a.h
-	a.life = h.life
+	h := a.host
+	a.incarnation = h.incarnation
 	if h.silent {
 		return
 	}
-	if h.w == nil {
-		a.tell(balancer.ConnectFailed, balancer.LoadReport{})
+	if h.simulator == nil {
+		a.notifyGateway(balancer.ConnectFailed, balancer.LoadReport{})
 		return
 	}
-	r := a.r
-	out := r.out
-	if !h.w.Offer(now, replica.Job{ID: a.id, Prompt: r.in.PromptTokens, Out: out, Prefix: r.in.Prefix, Shared: r.in.PrefixTokens, Session: r.in.Session}) {
-		a.tell(balancer.Shed, h.report())
+	r := a.request
+	out := r.outputTokens
+	if !h.simulator.Offer(now, replica.Job{ID: a.jobID, PromptTokens: r.balancerRequest.PromptTokens, OutputTokens: out, Prefix: r.balancerRequest.Prefix, PrefixTokens: r.balancerRequest.PrefixTokens, Session: r.balancerRequest.Session}) {
+		a.notifyGateway(balancer.Shed, h.loadReport())
 		return
 	}
-	h.jobs[a.id] = a
-	a.g.x.drive(h)
+	h.jobs[a.jobID] = a
+	a.gateway.sim.scheduleStep(h)
 }
 
-// happened is news of the worker.
-func (a *attempt) happened(ev replica.Event) {
+// handleEvent is news of the worker.
+func (a *attempt) handleEvent(ev replica.Event) {
 	switch ev.Kind {
-	case replica.First:
-		a.kept = ev.Kept
-		x := a.g.x
-		a.firstComes = x.e.Now() + x.way(a.h.zone, a.g.zone)
-		x.e.At(a.firstComes, func(now balancer.Micros) { a.g.opened(now, a) })
-	case replica.Done:
-		a.made = ev.Made
-		delete(a.h.jobs, a.id)
-		a.tell(balancer.Served, a.h.report())
+	case replica.FirstToken:
+		a.cachedTokens = ev.CachedTokens
+		x := a.gateway.sim
+		a.firstTokenArrival = x.engine.Now() + x.networkDelay(a.host.zone, a.gateway.zone)
+		x.engine.At(a.firstTokenArrival, func(now balancer.Micros) { a.gateway.firstToken(now, a) })
+	case replica.Completed:
+		a.outputTokens = ev.OutputTokens
+		delete(a.host.jobs, a.jobID)
+		a.notifyGateway(balancer.Served, a.host.loadReport())
 	}
 }
 
-// reset is the end of the worker.
-func (a *attempt) reset() { a.tell(balancer.ConnBroken, balancer.LoadReport{}) }
+// breakConnection is the end of the worker.
+func (a *attempt) breakConnection() { a.notifyGateway(balancer.ConnBroken, balancer.LoadReport{}) }
 
-// tell has the gateway learn the outcome, one way later.
-func (a *attempt) tell(status balancer.Status, rep balancer.LoadReport) {
-	x := a.g.x
-	at := max(x.e.Now()+x.way(a.h.zone, a.g.zone), a.firstComes)
-	x.e.At(at, func(now balancer.Micros) { a.g.ended(now, a, status, rep) })
+// notifyGateway has the gateway learn the outcome, one way later.
+func (a *attempt) notifyGateway(status balancer.Status, rep balancer.LoadReport) {
+	x := a.gateway.sim
+	at := max(x.engine.Now()+x.networkDelay(a.host.zone, a.gateway.zone), a.firstTokenArrival)
+	x.engine.At(at, func(now balancer.Micros) { a.gateway.attemptEnded(now, a, status, rep) })
 }
 
 // cancel leaves the worker: it learns of it one way later.
 func (a *attempt) cancel() {
-	x, h := a.g.x, a.h
-	x.e.After(x.way(a.h.zone, a.g.zone), func(now balancer.Micros) {
-		if h.w != nil && h.life == a.life && h.jobs[a.id] == a {
-			delete(h.jobs, a.id)
-			h.w.Cancel(a.id)
+	x, h := a.gateway.sim, a.host
+	x.engine.After(x.networkDelay(a.host.zone, a.gateway.zone), func(now balancer.Micros) {
+		if h.simulator != nil && h.incarnation == a.incarnation && h.jobs[a.jobID] == a {
+			delete(h.jobs, a.jobID)
+			h.simulator.Cancel(a.jobID)
 		}
 	})
 }
--- a/internal/fleet/model/faults.go
+++ b/internal/fleet/model/faults.go
@@ -7,138 +7,138 @@
 
 // What goes wrong with replicas and gateways, and comes back.
 
-func (x *sim) fault(f Fault) {
+func (x *sim) scheduleFault(f Fault) {
 	var hosts []*host
-	for _, h := range x.workers {
-		if (f.Worker < 0 || f.Worker == h.no) && (f.Zone == "" || f.Zone == h.zone) {
+	for _, h := range x.hosts {
+		if (f.Replica < 0 || f.Replica == h.index) && (f.Zone == "" || f.Zone == h.zone) {
 			hosts = append(hosts, h)
 		}
 	}
 	begin := func(balancer.Micros) {
 		switch f.Kind {
 		case "registry":
-			x.deaf = true
+			x.discoveryDown = true
 		case "restart":
 			for i := range x.gateways {
 				if float64(i%100) < 100*f.Factor || f.Factor >= 1 {
-					x.gateways[i].kill(f.For)
+					x.gateways[i].kill(f.Duration)
 				}
 			}
 		case "lose":
 			for _, g := range x.gateways {
-				if f.Zone != "" && g.zone == f.Zone && f.Worker < 0 {
-					g.kill(f.For)
+				if f.Zone != "" && g.zone == f.Zone && f.Replica < 0 {
+					g.kill(f.Duration)
 				}
 			}
 		case "burst":
-			x.burst = f.Factor
+			x.arrivalFactor = f.Factor
 		case "hot":
-			x.hot = f.Factor
+			x.hotPrefixShare = f.Factor
 		}
 		for _, h := range hosts {
 			switch f.Kind {
 			case "slow":
-				h.w.Slow(f.Factor)
+				h.simulator.SetSlowdown(f.Factor)
 			case "kill":
 				x.kill(h)
 			case "lose":
-				x.lose(h, balancer.Micros(f.Factor*1e6))
+				x.loseMachine(h, balancer.Micros(f.Factor*1e6))
 			case "drain":
-				x.tell(h, balancer.EndpointDraining)
+				x.publish(h, balancer.EndpointDraining)
 			case "silent":
 				h.silent = true
 			case "flush":
-				h.w.Flush()
+				h.simulator.FlushCache()
 			}
 		}
 	}
 	end := func(now balancer.Micros) {
 		switch f.Kind {
 		case "registry":
-			x.deaf = false
+			x.discoveryDown = false
 			for _, g := range x.gateways {
-				g.changed()
+				g.listChanged()
 			}
 		case "burst":
-			x.burst = 1
+			x.arrivalFactor = 1
 		case "hot":
-			x.hot = 0
+			x.hotPrefixShare = 0
 		}
 		for _, h := range hosts {
 			switch f.Kind {
 			case "slow":
-				h.w.Slow(1)
+				h.simulator.SetSlowdown(1)
 			case "kill":
-				x.revive(now, h)
+				x.restart(now, h)
 			case "lose":
-				x.hangUp(h)
+				x.resetHung(h)
 				h.silent = false
-				x.revive(now, h)
+				x.restart(now, h)
 			case "drain":
-				x.tell(h, balancer.EndpointReady)
+				x.publish(h, balancer.EndpointReady)
 			case "silent":
 				h.silent = false
 			}
 		}
 	}
-	x.e.At(start+f.At, begin)
-	if f.For > 0 {
-		x.e.At(start+f.At+f.For, end)
+	x.engine.At(startTime+f.At, begin)
+	if f.Duration > 0 {
+		x.engine.At(startTime+f.At+f.Duration, end)
 	}
 }
 
 // kill ends a worker: its connections break, and the registry learns of it a little
 // later.
 func (x *sim) kill(h *host) {
-	h.life++
-	for _, id := range sorted(h.jobs) {
-		h.jobs[id].reset()
+	h.incarnation++
+	for _, id := range sortedKeys(h.jobs) {
+		h.jobs[id].breakConnection()
 	}
 	clear(h.jobs)
-	h.w, h.wake = nil, 0
-	life := h.life
-	x.e.After(500_000, func(balancer.Micros) {
-		if h.life == life && h.w == nil {
-			x.tell(h, balancer.EndpointGone)
+	h.simulator, h.stepScheduledAt = nil, 0
+	life := h.incarnation
+	x.engine.After(500_000, func(balancer.Micros) {
+		if h.incarnation == life && h.simulator == nil {
+			x.publish(h, balancer.EndpointGone)
 		}
 	})
 }
 
-// lose takes a worker's machine away: what it had stays open and silent until the gateways
+// loseMachine takes a worker's machine away: what it had stays open and silent until the gateways
 // give it up, or the machine is back.
-func (x *sim) lose(h *host, told balancer.Micros) {
-	h.life++
-	for _, id := range sorted(h.jobs) {
+func (x *sim) loseMachine(h *host, told balancer.Micros) {
+	h.incarnation++
+	for _, id := range sortedKeys(h.jobs) {
 		h.hung = append(h.hung, h.jobs[id])
 	}
 	clear(h.jobs)
-	h.w, h.wake, h.silent = nil, 0, true
-	life := h.life
-	x.e.After(told, func(balancer.Micros) {
-		if h.life == life {
-			x.tell(h, balancer.EndpointGone)
+	h.simulator, h.stepScheduledAt, h.silent = nil, 0, true
+	life := h.incarnation
+	x.engine.After(told, func(balancer.Micros) {
+		if h.incarnation == life {
+			x.publish(h, balancer.EndpointGone)
 		}
 	})
-	x.e.After(stall, func(balancer.Micros) {
-		if h.life == life {
-			x.hangUp(h)
+	x.engine.After(streamIdleTimeout, func(balancer.Micros) {
+		if h.incarnation == life {
+			x.resetHung(h)
 		}
 	})
 }
 
-// stall is how long a gateway waits for the next event of a stream.
-const stall balancer.Micros = 4_000_000
+// streamIdleTimeout is how long a gateway waits for the next event of a stream.
+const streamIdleTimeout balancer.Micros = 4_000_000
 
-func (x *sim) hangUp(h *host) {
+func (x *sim) resetHung(h *host) {
 	for _, a := range h.hung {
-		a.reset()
+		a.breakConnection()
 	}
 	h.hung = nil
 }
 
-func (x *sim) revive(now balancer.Micros, h *host) {
-	h.life++
-	h.since = now
-	h.w = replica.New(h.group.Params, now+h.group.Params.Start)
-	x.e.After(h.group.Params.Start, func(balancer.Micros) { x.tell(h, balancer.EndpointReady) })
+func (x *sim) restart(now balancer.Micros, h *host) {
+	h.incarnation++
+	h.startedAt = now
+	h.simulator = replica.New(h.group.Params, now+h.group.Params.StartupTime)
+	x.engine.After(h.group.Params.StartupTime, func(balancer.Micros) { x.publish(h, balancer.EndpointReady) })
 }
--- a/internal/fleet/model/model.go
+++ b/internal/fleet/model/model.go
@@ -20,55 +20,55 @@
 
 // sim is one run.
 type sim struct {
-	s        *Spec
-	e        *engine.Engine
-	gateways []*gateway
-	workers  []*host
-	version  int64
-	changed  []change        // the registry's log
-	deaf     bool            // the registry does not answer
-	askFree  balancer.Micros // when it has worked off the calls that came
-	net      *rand.Rand
-	traffic  []*traffic
-	zones    []string
-	kinds    []string
-	burst    float64
-	hot      float64
-	jobs     uint64
-	res      *Result
+	spec            *Spec
+	engine          *engine.Engine
+	gateways        []*gateway
+	hosts           []*host
+	version         int64
+	changeLog       []listChange    // the registry's log
+	discoveryDown   bool            // the registry does not answer
+	discoveryFreeAt balancer.Micros // when it has worked off the calls that came
+	networkRand     *rand.Rand
+	traffic         []*traffic
+	zones           []string
+	kinds           []string
+	arrivalFactor   float64
+	hotPrefixShare  float64
+	lastJobID       uint64
+	result          *Result
 }
 
-type change struct {
-	version int64
-	member  balancer.Endpoint
+type listChange struct {
+	version  int64
+	endpoint balancer.Endpoint
 }
 
 // host is a worker at an address.
 type host struct {
-	no     int
-	group  *Group
-	w      *replica.Worker
-	state  balancer.EndpointState
-	since  balancer.Micros
-	life   int // counts its starts
-	silent bool
-	hung   []*attempt // what it had when its machine vanished
-	slow   float64
-	jobs   map[uint64]*attempt
-	wake   balancer.Micros
-	zone   string
+	index           int
+	group           *Group
+	simulator       *replica.Simulator
+	state           balancer.EndpointState
+	startedAt       balancer.Micros
+	incarnation     int // counts its starts
+	silent          bool
+	hung            []*attempt // what it had when its machine vanished
+	slow            float64
+	jobs            map[uint64]*attempt
+	stepScheduledAt balancer.Micros
+	zone            string
 }
 
-// start is when virtual time begins: above 0, for 0 says 'long ago'.
-const start balancer.Micros = 1_000_000_000
+// startTime is when virtual time begins: above 0, for 0 says 'long ago'.
+const startTime balancer.Micros = 1_000_000_000
 
 // Run plays a run to its end.
 func Run(s *Spec) (*Result, error) {
 	if err := s.Check(); err != nil {
 		return nil, err
 	}
-	x := &sim{s: s, e: engine.New(s.Seed, start), burst: 1, res: NewResult(s)}
-	x.net = x.e.Rand("net")
+	x := &sim{spec: s, engine: engine.New(s.Seed, startTime), arrivalFactor: 1, result: NewResult(s)}
+	x.networkRand = x.engine.Rand("net")
 	zones, kinds := []string{}, []string{}
 	for i := range s.Groups {
 		g := &s.Groups[i]
@@ -79,9 +79,9 @@
 			kinds = append(kinds, g.Name)
 		}
 		for range g.Count {
-			h := &host{no: len(x.workers), group: g, slow: 1, zone: g.Zone, jobs: map[uint64]*attempt{}}
-			h.w = replica.New(g.Params, start-3600_000_000)
-			x.workers = append(x.workers, h)
+			h := &host{index: len(x.hosts), group: g, slow: 1, zone: g.Zone, jobs: map[uint64]*attempt{}}
+			h.simulator = replica.New(g.Params, startTime-3600_000_000)
+			x.hosts = append(x.hosts, h)
 		}
 	}
 	x.version, x.zones, x.kinds = 1, zones, kinds
@@ -96,70 +96,70 @@
 		g.start()
 	}
 	for i := range s.Streams {
-		x.begin(i)
+		x.startTraffic(i)
 	}
 	for _, f := range s.Faults {
-		x.fault(f)
+		x.scheduleFault(f)
 	}
-	x.e.Run(start + s.For)
-	x.res.Events = x.e.Done
-	for _, h := range x.workers {
-		x.res.addWorker(h.w)
+	x.engine.RunUntil(startTime + s.Duration)
+	x.result.Events = x.engine.Processed
+	for _, h := range x.hosts {
+		x.result.addReplica(h.simulator)
 	}
 	for _, g := range x.gateways {
 		if err := g.close(); err != nil {
 			return nil, err
 		}
 	}
-	x.res.Finish()
-	return x.res, nil
+	x.result.Finish()
+	return x.result, nil
 }
 
-// way is how long a message takes between two zones.
-func (x *sim) way(a, b string) balancer.Micros {
-	d := x.s.Near
+// networkDelay is how long a message takes between two zones.
+func (x *sim) networkDelay(a, b string) balancer.Micros {
+	d := x.spec.SameZoneDelay
 	if a != b {
-		d = x.s.Far
+		d = x.spec.CrossZoneDelay
 	}
-	return balancer.Micros(float64(d) * (0.8 + 0.4*x.net.Float64()))
+	return balancer.Micros(float64(d) * (0.8 + 0.4*x.networkRand.Float64()))
 }
 
 // The registry.
 
-func (x *sim) tell(h *host, state balancer.EndpointState) {
+func (x *sim) publish(h *host, state balancer.EndpointState) {
 	h.state = state
 	x.version++
-	x.changed = append(x.changed, change{x.version, x.member(h)})
+	x.changeLog = append(x.changeLog, listChange{x.version, x.endpoint(h)})
 	for _, g := range x.gateways {
-		g.changed()
+		g.listChanged()
 	}
 }
 
-func (x *sim) member(h *host) balancer.Endpoint {
-	return balancer.Endpoint{Replica: balancer.ReplicaID(h.no + 1), State: h.state, Weight: h.group.Weight, Kind: h.group.Name, Zone: h.zone, StartedAt: h.since}
+func (x *sim) endpoint(h *host) balancer.Endpoint {
+	return balancer.Endpoint{Replica: balancer.ReplicaID(h.index + 1), State: h.state, Weight: h.group.Weight, Kind: h.group.Name, Zone: h.zone, StartedAt: h.startedAt}
 }
 
-// sorted are a map's keys in their order, that each run goes by them alike.
-func sorted[K cmp.Ordered, V any](m map[K]V) []K { return slices.Sorted(maps.Keys(m)) }
+// sortedKeys are a map's keys in their order, that each run goes by them alike.
+func sortedKeys[K cmp.Ordered, V any](m map[K]V) []K { return slices.Sorted(maps.Keys(m)) }
 
-// drive has the worker's next step end when it does.
-func (x *sim) drive(h *host) {
-	at := h.w.Next()
-	if at == 0 || at == h.wake {
+// scheduleStep has the worker's next step end when it does.
+func (x *sim) scheduleStep(h *host) {
+	at := h.simulator.StepEnd()
+	if at == 0 || at == h.stepScheduledAt {
 		return
 	}
-	h.wake = at
-	life := h.life
-	x.e.At(at, func(now balancer.Micros) {
-		if h.life != life || h.wake != at {
+	h.stepScheduledAt = at
+	life := h.incarnation
+	x.engine.At(at, func(now balancer.Micros) {
+		if h.incarnation != life || h.stepScheduledAt != at {
 			return
 		}
-		h.wake = 0
-		for _, ev := range h.w.Advance(now) {
+		h.stepScheduledAt = 0
+		for _, ev := range h.simulator.Advance(now) {
 			if a := h.jobs[ev.Job]; a != nil {
-				a.happened(ev)
+				a.handleEvent(ev)
 			}
 		}
-		x.drive(h)
+		x.scheduleStep(h)
 	})
 }
--- a/internal/fleet/model/model_test.go
+++ b/internal/fleet/model/model_test.go
@@ -15,16 +15,16 @@
 )
 
 func spec() *Spec {
-	p := replica.Params{Slots: 16, Queue: 64, Memory: 100_000, Block: 16, Chunk: 512, Base: 8000, PerSequence: 150, PerContext: 40, PerPrompt: 40_000,
-		Start: 5_000_000, ColdFor: 8_000_000, ColdSlow: 3, Connect: 100}
-	return &Spec{Seed: 1, For: 40_000_000, Warm: 5_000_000, Gateways: 3, Near: 250, Far: 10_000, PollWait: 10_000_000,
+	p := replica.Params{MaxRunning: 16, MaxQueued: 64, MemoryTokens: 100_000, BlockTokens: 16, ChunkTokens: 512, StepBase: 8000, StepPerSequence: 150, StepPerContext: 40, StepPerPrompt: 40_000,
+		StartupTime: 5_000_000, WarmUpTime: 8_000_000, WarmUpSlowdown: 3, ConnectTime: 100}
+	return &Spec{Seed: 1, Duration: 40_000_000, WarmUp: 5_000_000, Gateways: 3, SameZoneDelay: 250, CrossZoneDelay: 10_000, PollWait: 10_000_000,
 		Settings: balancer.Settings{MaxAttempts: 3, Tick: 2000, MayCancel: true, MayHedge: true, RetryAfter: true, MaxRetryAfter: 2_000_000, PollDiscovery: true,
 			ReportSource: balancer.ReportInline, InitialCapacity: 0.3, OverloadMultiple: 3, SlowStartFor: 8_000_000, OverloadWindow: 1_500_000, StreamsPerConn: 1, ConnIdleTimeout: 60_000_000,
 			Classes: []balancer.Class{{Name: "bulk", LatencyObjective: 4_000_000, TokenObjective: 300_000, Deadline: 10_000_000, PriorityWeight: 1, LateWeightShare: 0.3, Streaming: true},
 				{Name: "chat", LatencyObjective: 1_000_000, TokenObjective: 300_000, Deadline: 5_000_000, PriorityWeight: 2, LateWeightShare: 0.3, Streaming: true}}},
 		Groups: []Group{{Name: "k", Zone: "a", Count: 8, Weight: 1, Params: p}, {Name: "k", Zone: "b", Count: 6, Weight: 1, Params: p}},
-		Streams: []Stream{{Class: "chat", Tenant: "t", PerS: 18, Turns: 4, Think: 3, Prompt: 200, Answer: 120, Spread: 0.6, MaxOut: 600, Prefixes: 12, Shared: 512, Retries: 1},
-			{Class: "bulk", Tenant: "u", PerS: 5, Turns: 1, Prompt: 1000, Answer: 200, Spread: 0.5, MaxOut: 800}}}
+		Streams: []Stream{{Class: "chat", Tenant: "t", RequestsPerSecond: 18, Turns: 4, ThinkSeconds: 3, PromptTokens: 200, AnswerTokens: 120, Spread: 0.6, MaxOutputTokens: 600, Prefixes: 12, PrefixTokens: 512, MaxRetries: 1},
+			{Class: "bulk", Tenant: "u", RequestsPerSecond: 5, Turns: 1, PromptTokens: 1000, AnswerTokens: 200, Spread: 0.5, MaxOutputTokens: 800}}}
 }
 
 func play(t testing.TB, s *Spec) *Result {
@@ -36,9 +36,9 @@
 	return r
 }
 
-var troubles = []Fault{{At: 8e6, For: 6e6, Kind: "slow", Worker: 2, Factor: 5}, {At: 10e6, For: 5e6, Kind: "kill", Worker: 4}, {At: 12e6, For: 5e6, Kind: "drain", Worker: 5},
-	{At: 14e6, For: 4e6, Kind: "silent", Worker: 6}, {At: 16e6, For: 5e6, Kind: "registry", Worker: -1}, {At: 18e6, Kind: "flush", Worker: -1},
-	{At: 20e6, For: 5e6, Kind: "burst", Worker: -1, Factor: 3}, {At: 26e6, For: 5e6, Kind: "hot", Worker: -1, Factor: 0.8}, {At: 31e6, For: 3e6, Kind: "slow", Worker: -1, Factor: 4}}
+var troubles = []Fault{{At: 8e6, Duration: 6e6, Kind: "slow", Replica: 2, Factor: 5}, {At: 10e6, Duration: 5e6, Kind: "kill", Replica: 4}, {At: 12e6, Duration: 5e6, Kind: "drain", Replica: 5},
+	{At: 14e6, Duration: 4e6, Kind: "silent", Replica: 6}, {At: 16e6, Duration: 5e6, Kind: "registry", Replica: -1}, {At: 18e6, Kind: "flush", Replica: -1},
+	{At: 20e6, Duration: 5e6, Kind: "burst", Replica: -1, Factor: 3}, {At: 26e6, Duration: 5e6, Kind: "hot", Replica: -1, Factor: 0.8}, {At: 31e6, Duration: 3e6, Kind: "slow", Replica: -1, Factor: 4}}
 
 // The same seed gives the same result, byte for byte, on one core and on four; and
 // another seed another one.
@@ -46,15 +46,15 @@
 	s := spec()
 	s.Faults = troubles
 	was := runtime.GOMAXPROCS(1)
-	one := play(t, s).Text()
+	one := play(t, s).JSON()
 	runtime.GOMAXPROCS(4)
-	four := play(t, s).Text()
+	four := play(t, s).JSON()
 	runtime.GOMAXPROCS(was)
 	if !bytes.Equal(one, four) {
 		t.Error("one core and four tell other results")
 	}
 	s.Seed = 2
-	if bytes.Equal(one, play(t, s).Text()) {
+	if bytes.Equal(one, play(t, s).JSON()) {
 		t.Error("another seed tells the same")
 	}
 }
@@ -62,11 +62,11 @@
 // vast is a day of many gateways before sixty workers at a high load.
 func vast(gateways int, faults ...Fault) *Spec {
 	s := spec()
-	s.Gateways, s.For, s.Faults = gateways, 25_000_000, faults
+	s.Gateways, s.Duration, s.Faults = gateways, 25_000_000, faults
 	s.Settings.HealthCheckCost = 0.002
 	s.Groups[0].Count, s.Groups[1].Count = 40, 20
 	for i := range s.Streams {
-		s.Streams[i].PerS *= 15
+		s.Streams[i].RequestsPerSecond *= 15
 	}
 	return s
 }
@@ -75,14 +75,14 @@
 // back cold; replaced, six in ten that are replaced within seven seconds.
 func zoneLost() (f []Fault) {
 	for w := range 20 {
-		f = append(f, Fault{At: 8e6, For: 4e6, Kind: "kill", Worker: 40 + w})
+		f = append(f, Fault{At: 8e6, Duration: 4e6, Kind: "kill", Replica: 40 + w})
 	}
 	return f
 }
 
 func replaced() (f []Fault) {
 	for w := range 36 {
-		f = append(f, Fault{At: 8e6 + int64(w/12)*3e6, For: 1e6, Kind: "kill", Worker: w})
+		f = append(f, Fault{At: 8e6 + int64(w/12)*3e6, Duration: 1e6, Kind: "kill", Replica: w})
 	}
 	return f
 }
@@ -92,9 +92,9 @@
 func TestEightyGatewaysSeeTheLoad(t *testing.T) {
 	for name, faults := range map[string][]Fault{"zone lost": zoneLost(), "replaced": replaced()} {
 		s := vast(80, faults...)
-		blind := play(t, s).All.WorthInTime()
+		blind := play(t, s).All.WeightedGoodput()
 		s.Settings.MayHealthCheck = true
-		asked := play(t, s).All.WorthInTime()
+		asked := play(t, s).All.WeightedGoodput()
 		t.Logf("%s: in time %.3f without asking, %.3f with", name, blind, asked)
 		if asked < blind+0.05 {
 			t.Errorf("%s: in time %.3f without asking, %.3f with", name, blind, asked)
@@ -106,14 +106,14 @@
 // every small difference in load, 0.33 of the prompts' tokens were found in place of 0.39.
 func TestCalmGatewaysKeepPrompts(t *testing.T) {
 	s := spec()
-	s.Gateways, s.For, s.Settings.MayHealthCheck, s.Settings.HealthCheckCost = 30, 20_000_000, true, 0.002
+	s.Gateways, s.Duration, s.Settings.MayHealthCheck, s.Settings.HealthCheckCost = 30, 20_000_000, true, 0.002
 	s.Groups[0].Count, s.Groups[1].Count = 80, 60
 	for i := range s.Streams {
-		s.Streams[i].PerS *= 20
+		s.Streams[i].RequestsPerSecond *= 20
 	}
 	r := play(t, s)
-	if kept := float64(r.Reused) / float64(r.Reused+r.Read); kept < 0.36 || r.All.WorthInTime() < 0.99 {
-		t.Errorf("%.3f of the prompts' tokens were found kept, %.3f answered in time", kept, r.All.WorthInTime())
+	if kept := float64(r.PromptTokensReused) / float64(r.PromptTokensReused+r.PromptTokensRead); kept < 0.36 || r.All.WeightedGoodput() < 0.99 {
+		t.Errorf("%.3f of the prompts' tokens were found kept, %.3f answered in time", kept, r.All.WeightedGoodput())
 	} else {
 		t.Logf("kept %.3f", kept)
 	}
@@ -124,14 +124,14 @@
 // next to no call failed; all at once, some hundreds fail and most never hear of the
 // workers that come back.
 func TestMassKillDoesNotStallTheRegistry(t *testing.T) {
-	s := vast(80, append(zoneLost(), Fault{At: 9e6, For: 1_600_000, Kind: "restart", Worker: -1, Factor: 0.7})...)
-	s.Settings.MayHealthCheck, s.AskEach = true, 100_000
+	s := vast(80, append(zoneLost(), Fault{At: 9e6, Duration: 1_600_000, Kind: "restart", Replica: -1, Factor: 0.7})...)
+	s.Settings.MayHealthCheck, s.DiscoveryServiceTime = true, 100_000
 	r := play(t, s)
-	t.Logf("%d calls failed, %.3f in time, %v", r.AsksFailed, r.All.WorthInTime(), r.All.Ends)
-	if r.AsksFailed > 8 {
-		t.Errorf("%d calls of the registry failed", r.AsksFailed)
+	t.Logf("%d calls failed, %.3f in time, %v", r.DiscoveryCallsFailed, r.All.WeightedGoodput(), r.All.Ends)
+	if r.DiscoveryCallsFailed > 8 {
+		t.Errorf("%d calls of the registry failed", r.DiscoveryCallsFailed)
 	}
-	if w := r.All.WorthInTime(); w < 0.7 {
+	if w := r.All.WeightedGoodput(); w < 0.7 {
 		t.Errorf("%.3f in time", w)
 	}
 	if n := r.All.Ends["broken"]; n == 0 {
@@ -147,8 +147,8 @@
 				for range b.N {
 					zone, join := vast(n, zoneLost()...), vast(n, replaced()...)
 					zone.Settings.MayHealthCheck, join.Settings.MayHealthCheck = ask, ask
-					b.ReportMetric(play(b, zone).All.WorthInTime(), "zone-lost")
-					b.ReportMetric(play(b, join).All.WorthInTime(), "replaced")
+					b.ReportMetric(play(b, zone).All.WeightedGoodput(), "zone-lost")
+					b.ReportMetric(play(b, join).All.WeightedGoodput(), "replaced")
 				}
 			})
 		}
@@ -161,7 +161,7 @@
 	s := spec()
 	s.Faults = troubles
 	s.Contracts = []contract.Terms{{Team: "t", Tenants: []string{"t"}, Rate: 12_000_000, Burst: 20_000_000, OverQuotaWeight: 0.1}}
-	s.Book = contract.Settings{BorrowPoolSeconds: 1, UnknownTenantWeight: 1}
+	s.LedgerSettings = contract.Settings{BorrowPoolSeconds: 1, UnknownTenantWeight: 1}
 	r := play(t, s)
 	var classes, tenants, windows, ends int64
 	for _, c := range r.Classes {
@@ -179,17 +179,17 @@
 	if r.All.Sent < 600 || classes != r.All.Sent || tenants != r.All.Sent || windows != r.All.Sent || ends != r.All.Sent {
 		t.Errorf("sent %d; classes %d, tenants %d, windows %d, ends %d", r.All.Sent, classes, tenants, windows, ends)
 	}
-	if r.All.Ends["served"] < r.All.Sent*6/10 || r.All.Made > r.Made {
-		t.Errorf("%+v; made %d of which clients have %d", r.All.Ends, r.Made, r.All.Made)
+	if r.All.Ends["served"] < r.All.Sent*6/10 || r.All.OutputTokens > r.OutputTokens {
+		t.Errorf("%+v; made %d of which clients have %d", r.All.Ends, r.OutputTokens, r.All.OutputTokens)
 	}
 }
 
 // A simulated run is a capture: it replays without a difference, books and all.
 func TestRunsAreCaptures(t *testing.T) {
 	s := spec()
-	s.For, s.Faults = 15_000_000, troubles[:3]
+	s.Duration, s.Faults = 15_000_000, troubles[:3]
 	s.Contracts = []contract.Terms{{Team: "t", Tenants: []string{"t"}, Rate: 3_000_000, Burst: 3_000_000, OverQuotaWeight: 0.1}}
-	s.Book = contract.Settings{BorrowPoolSeconds: 1, UnknownTenantWeight: 1}
+	s.LedgerSettings = contract.Settings{BorrowPoolSeconds: 1, UnknownTenantWeight: 1}
 	s.Capture = t.TempDir()
 	play(t, s)
 	runs, err := capture.FindRuns(s.Capture+"/gateway0", s.Capture+"/gateway1", s.Capture+"/gateway2")
@@ -207,11 +207,11 @@
 // More load is served worse, and a slow worker is routed round.
 func TestPlausible(t *testing.T) {
 	calm, busy, slow := spec(), spec(), spec()
-	busy.Streams[0].PerS, busy.Streams[1].PerS = 150, 40
-	slow.Faults = []Fault{{At: 5e6, Kind: "slow", Worker: 0, Factor: 20}}
+	busy.Streams[0].RequestsPerSecond, busy.Streams[1].RequestsPerSecond = 150, 40
+	slow.Faults = []Fault{{At: 5e6, Kind: "slow", Replica: 0, Factor: 20}}
 	a, b, c := play(t, calm), play(t, busy), play(t, slow)
-	if a.All.WorthInTime() < 0.97 || b.All.WorthInTime() > a.All.WorthInTime()-0.1 || c.All.WorthInTime() < 0.9 {
-		t.Errorf("worth in time: calm %.3f, busy %.3f, one slow %.3f", a.All.WorthInTime(), b.All.WorthInTime(), c.All.WorthInTime())
+	if a.All.WeightedGoodput() < 0.97 || b.All.WeightedGoodput() > a.All.WeightedGoodput()-0.1 || c.All.WeightedGoodput() < 0.9 {
+		t.Errorf("worth in time: calm %.3f, busy %.3f, one slow %.3f", a.All.WeightedGoodput(), b.All.WeightedGoodput(), c.All.WeightedGoodput())
 	}
 	bad := spec()
 	bad.Streams[0].Class = "none"
@@ -224,7 +224,7 @@
 func BenchmarkTenMinutes(b *testing.B) {
 	for b.Loop() {
 		s := spec()
-		s.For = 600_000_000
+		s.Duration = 600_000_000
 		begin := time.Now()
 		r := play(b, s)
 		b.ReportMetric(float64(r.Events)/time.Since(begin).Seconds(), "events/s")
--- a/internal/fleet/model/result.go
+++ b/internal/fleet/model/result.go
@@ -14,17 +14,17 @@
 
 // Count is how requests of one kind ended.
 type Count struct {
-	Sent    int64            `json:"sent"`
-	Ends    map[string]int64 `json:"ends"`    // served, broken, refused, failed, late (before a first token), contract
-	InTime  int64            `json:"in_time"` // served, with the first token within the aim
-	Points  float64          `json:"points"`  // worth answered
-	Most    float64          `json:"most"`    // worth asked for
-	Retried int64            `json:"retried"` // by clients, after a refusal
-	Made    int64            `json:"made"`    // tokens
-	first   *hdrhistogram.Histogram
-	whole   *hdrhistogram.Histogram
-	FirstMs map[string]float64 `json:"first_ms"` // percentiles of the first token
-	WholeMs map[string]float64 `json:"whole_ms"` // and of the whole answer
+	Sent          int64            `json:"sent"`
+	Ends          map[string]int64 `json:"ends"`    // served, broken, refused, failed, late (before a first token), contract
+	InTime        int64            `json:"in_time"` // served, with the first token within the aim
+	WeightServed  float64          `json:"points"`  // worth answered
+	WeightOffered float64          `json:"most"`    // worth asked for
+	Retried       int64            `json:"retried"` // by clients, after a refusal
+	OutputTokens  int64            `json:"made"`    // tokens
+	firstToken    *hdrhistogram.Histogram
+	response      *hdrhistogram.Histogram
+	FirstTokenMs  map[string]float64 `json:"first_ms"` // percentiles of the first token
+	ResponseMs    map[string]float64 `json:"whole_ms"` // and of the whole answer
 }
 
 // Result of a run.
@@ -36,47 +36,47 @@
 	Attempts int64             `json:"attempts"`
 	Wasted   int64             `json:"wasted"` // attempts that may have run and served nobody
 	Events   uint64            `json:"events"`
-	// AsksFailed counts calls of the registry that waited for too long.
-	AsksFailed int     `json:"asks_failed"`
-	Steps      int64   `json:"steps"`
-	Made       int64   `json:"made"` // tokens, by all workers
-	Read       int64   `json:"read"`
-	Reused     int64   `json:"reused"` // tokens that were kept and not read again
-	Preempt    int64   `json:"preempted"`
-	Declined   int64   `json:"declined"`
-	Probes     int64   `json:"probes"`
-	Busy       float64 `json:"busy"` // of the workers' time
-	s          *Spec
-	workers    int
+	// DiscoveryCallsFailed counts calls of the registry that waited for too long.
+	DiscoveryCallsFailed int     `json:"asks_failed"`
+	Steps                int64   `json:"steps"`
+	OutputTokens         int64   `json:"made"` // tokens, by all workers
+	PromptTokensRead     int64   `json:"read"`
+	PromptTokensReused   int64   `json:"reused"` // tokens that were kept and not read again
+	Preempted            int64   `json:"preempted"`
+	Declined             int64   `json:"declined"`
+	HealthChecks         int64   `json:"probes"`
+	BusyShare            float64 `json:"busy"` // of the workers' time
+	spec                 *Spec
+	replicaCount         int
 }
 
 // Window is what ended of what was sent within a span.
 type Window struct {
-	At     float64 `json:"at_s"`
-	Sent   int64   `json:"sent"`
-	Served int64   `json:"served"`
-	InTime int64   `json:"in_time"`
-	Points float64 `json:"points"`
-	Most   float64 `json:"most"`
+	At            float64 `json:"at_s"`
+	Sent          int64   `json:"sent"`
+	Served        int64   `json:"served"`
+	InTime        int64   `json:"in_time"`
+	WeightServed  float64 `json:"points"`
+	WeightOffered float64 `json:"most"`
 }
 
-// WorthInTime is what was answered in worth, of what was asked for.
-func (c *Count) WorthInTime() float64 {
-	if c.Most == 0 {
+// WeightedGoodput is what was answered in worth, of what was asked for.
+func (c *Count) WeightedGoodput() float64 {
+	if c.WeightOffered == 0 {
 		return 0
 	}
-	return c.Points / c.Most
+	return c.WeightServed / c.WeightOffered
 }
 
 func newCount() *Count {
-	return &Count{Ends: map[string]int64{}, first: hdrhistogram.New(1, 600_000_000, 3), whole: hdrhistogram.New(1, 600_000_000, 3)}
+	return &Count{Ends: map[string]int64{}, firstToken: hdrhistogram.New(1, 600_000_000, 3), response: hdrhistogram.New(1, 600_000_000, 3)}
 }
 
 // NewResult is one with nothing in it.
 func NewResult(s *Spec) *Result {
-	r := &Result{All: newCount(), Classes: map[string]*Count{}, Tenants: map[string]*Count{}, s: s}
-	window := cmp.Or(s.Window, 10_000_000)
-	for at := balancer.Micros(0); at < s.For; at += window {
+	r := &Result{All: newCount(), Classes: map[string]*Count{}, Tenants: map[string]*Count{}, spec: s}
+	window := cmp.Or(s.WindowLength, 10_000_000)
+	for at := balancer.Micros(0); at < s.Duration; at += window {
 		r.Windows = append(r.Windows, Window{At: float64(at) / 1e6})
 	}
 	return r
@@ -92,9 +92,9 @@
 	return []*Count{res.All, res.Classes[in.Class], res.Tenants[in.Tenant]}
 }
 
-// Retried counts a client that comes back after a refusal.
-func (res *Result) Retried(sentAt balancer.Micros, in *balancer.Request) {
-	if sentAt < res.s.Warm {
+// CountRetry counts a client that comes back after a refusal.
+func (res *Result) CountRetry(sentAt balancer.Micros, in *balancer.Request) {
+	if sentAt < res.spec.WarmUp {
 		return
 	}
 	for _, c := range res.counts(in) {
@@ -102,51 +102,51 @@
 	}
 }
 
-// Ended is a request that has ended; times are since the run began.
-type Ended struct {
-	Class               *balancer.Class
-	In                  *balancer.Request
-	Out                 int // tokens
-	SentAt, FirstAt, At balancer.Micros
-	How                 string // served, broken, refused, failed, late or contract
-	Attempts, Wasted    int
+// RequestEnd is a request that has ended; times are since the run began.
+type RequestEnd struct {
+	Class                         *balancer.Class
+	Request                       *balancer.Request
+	OutputTokens                  int // tokens
+	SentAt, FirstTokenAt, EndedAt balancer.Micros
+	Outcome                       string // served, broken, refused, failed, late or contract
+	Attempts, Wasted              int
 }
 
-// Note counts a request's end.
-func (res *Result) Note(e Ended) {
-	if e.SentAt < res.s.Warm {
+// CountEnd counts a request's end.
+func (res *Result) CountEnd(e RequestEnd) {
+	if e.SentAt < res.spec.WarmUp {
 		return
 	}
 	res.Attempts += int64(e.Attempts)
 	res.Wasted += int64(e.Wasted)
-	aim := e.Class.LatencyObjective + e.Class.ObjectivePer1000Tokens*int64(e.In.PromptTokens)/1000
-	first := e.FirstAt - e.SentAt
-	inTime := e.How == "served" && first <= aim
+	aim := e.Class.LatencyObjective + e.Class.ObjectivePer1000Tokens*int64(e.Request.PromptTokens)/1000
+	first := e.FirstTokenAt - e.SentAt
+	inTime := e.Outcome == "served" && first <= aim
 	points := 0.0
-	if e.How == "served" {
+	if e.Outcome == "served" {
 		if points = e.Class.PriorityWeight; !inTime {
 			points *= e.Class.LateWeightShare
 		}
 	}
-	for _, c := range res.counts(e.In) {
+	for _, c := range res.counts(e.Request) {
 		c.Sent++
-		c.Ends[e.How]++
-		c.Most += e.Class.PriorityWeight
-		c.Points += points
-		if e.How == "served" {
-			c.Made += int64(e.Out)
-			_ = c.first.RecordValue(max(1, first))
-			_ = c.whole.RecordValue(max(1, e.At-e.SentAt))
+		c.Ends[e.Outcome]++
+		c.WeightOffered += e.Class.PriorityWeight
+		c.WeightServed += points
+		if e.Outcome == "served" {
+			c.OutputTokens += int64(e.OutputTokens)
+			_ = c.firstToken.RecordValue(max(1, first))
+			_ = c.response.RecordValue(max(1, e.EndedAt-e.SentAt))
 		}
 		if inTime {
 			c.InTime++
 		}
 	}
-	w := &res.Windows[min(len(res.Windows)-1, int(e.SentAt/cmp.Or(res.s.Window, 10_000_000)))]
+	w := &res.Windows[min(len(res.Windows)-1, int(e.SentAt/cmp.Or(res.spec.WindowLength, 10_000_000)))]
 	w.Sent++
-	w.Most += e.Class.PriorityWeight
-	w.Points += points
-	if e.How == "served" {
+	w.WeightOffered += e.Class.PriorityWeight
+	w.WeightServed += points
+	if e.Outcome == "served" {
 		w.Served++
 	}
 	if inTime {
@@ -154,37 +154,37 @@
 	}
 }
 
-func (res *Result) addWorker(w *replica.Worker) {
-	res.workers++
+func (res *Result) addReplica(w *replica.Simulator) {
+	res.replicaCount++
 	if w == nil {
 		return
 	}
 	res.Steps += w.Steps
-	res.Made += w.Made
-	res.Read += w.Read
-	res.Reused += w.Reused
-	res.Preempt += w.Preempted
+	res.OutputTokens += w.OutputTokens
+	res.PromptTokensRead += w.PromptTokensRead
+	res.PromptTokensReused += w.PromptTokensReused
+	res.Preempted += w.Preempted
 	res.Declined += w.Declined
-	res.Busy += float64(w.Busy)
+	res.BusyShare += float64(w.BusyTime)
 }
 
 // Finish sums it up.
 func (res *Result) Finish() {
-	res.Busy /= float64(res.s.For) * float64(max(1, res.workers))
+	res.BusyShare /= float64(res.spec.Duration) * float64(max(1, res.replicaCount))
 	for _, c := range slices.Concat([]*Count{res.All}, slices.Collect(maps.Values(res.Classes)), slices.Collect(maps.Values(res.Tenants))) {
-		c.FirstMs, c.WholeMs = map[string]float64{}, map[string]float64{}
+		c.FirstTokenMs, c.ResponseMs = map[string]float64{}, map[string]float64{}
 		for _, p := range []struct {
 			name string
 			q    float64
 		}{{"p50", 50}, {"p90", 90}, {"p95", 95}, {"p99", 99}, {"max", 100}} {
-			c.FirstMs[p.name] = float64(c.first.ValueAtQuantile(p.q)) / 1000
-			c.WholeMs[p.name] = float64(c.whole.ValueAtQuantile(p.q)) / 1000
+			c.FirstTokenMs[p.name] = float64(c.firstToken.ValueAtQuantile(p.q)) / 1000
+			c.ResponseMs[p.name] = float64(c.response.ValueAtQuantile(p.q)) / 1000
 		}
 	}
 }
 
-// Text is the result as JSON: the same bytes for the same run.
-func (res *Result) Text() []byte {
+// JSON is the result as JSON: the same bytes for the same run.
+func (res *Result) JSON() []byte {
 	text, err := json.MarshalIndent(res, "", "  ")
 	if err != nil {
 		panic(err) // numbers and words alone
--- a/internal/fleet/model/spec.go
+++ b/internal/fleet/model/spec.go
@@ -21,32 +21,32 @@
 
 // Stream is a kind of traffic: sessions of one class and tenant.
 type Stream struct {
-	Class, Tenant string
-	PerS          float64 // requests a second, over all gateways
-	Turns         float64 // of a session, on average
-	Think         float64 // seconds between two turns, the median
-	Prompt        float64 // new tokens in a turn, the median
-	Answer        float64 // tokens made, the median
-	Spread        float64 // of both, as the deviation of the logarithm
-	MaxOut        int
-	Prefixes      int     // shared beginnings, of which the first are the most popular
-	Shared        int     // tokens of them
-	Patience      float64 // seconds to the first token; 0: the class's deadline
-	Retries       int     // by clients, after a refusal
-	Rest          int     // asks for the rest of an answer that broke (the emulator alone)
+	Class, Tenant     string
+	RequestsPerSecond float64 // requests a second, over all gateways
+	Turns             float64 // of a session, on average
+	ThinkSeconds      float64 // seconds between two turns, the median
+	PromptTokens      float64 // new tokens in a turn, the median
+	AnswerTokens      float64 // tokens made, the median
+	Spread            float64 // of both, as the deviation of the logarithm
+	MaxOutputTokens   int
+	Prefixes          int     // shared beginnings, of which the first are the most popular
+	PrefixTokens      int     // tokens of them
+	PatienceSeconds   float64 // seconds to the first token; 0: the class's deadline
+	MaxRetries        int     // by clients, after a refusal
+	MaxResumes        int     // asks for the rest of an answer that broke (the emulator alone)
 }
 
 // Fault is something that goes wrong for a while.
 type Fault struct {
-	At, For balancer.Micros // For 0: till the end
-	Kind    string          // one of Faults
-	Worker  int             // -1: all
-	Zone    string          // "": of any
-	Factor  float64
+	At, Duration balancer.Micros // For 0: till the end
+	Kind         string          // one of Faults
+	Replica      int             // -1: all
+	Zone         string          // "": of any
+	Factor       float64
 }
 
-// Faults are the kinds: what they do, and what Factor is.
-var Faults = map[string]string{
+// FaultKinds are the kinds: what they do, and what Factor is.
+var FaultKinds = map[string]string{
 	"slow":     "steps take Factor times as long",
 	"kill":     "the worker is gone at once, and comes back cold after For",
 	"drain":    "the worker drains, and is ready again after For",
@@ -63,55 +63,55 @@
 
 // Spec is all that a run depends on.
 type Spec struct {
-	Seed      uint64
-	For       balancer.Micros
-	Warm      balancer.Micros // what came before is not counted
-	Gateways  int
-	Settings  balancer.Settings // Self, Gateways, zones and kinds are filled in
-	Groups    []Group
-	Streams   []Stream
-	Faults    []Fault
-	Near, Far balancer.Micros // one way within a zone, and between two; a fifth more or less
-	PollWait  balancer.Micros // what a watch of the registry waits at most
-	AskEach   balancer.Micros // the registry's time for a call that begins a watch; 0: none
-	Contracts []contract.Terms
-	Book      contract.Settings
-	Capture   string // folder of captures; "": none
-	Window    balancer.Micros
-	Subset    int // replicas that a gateway works with; 0: all
-	Drill     Drill
-	Strikes   []Strike // at gateways, by drills with processes alone
+	Seed                          uint64
+	Duration                      balancer.Micros
+	WarmUp                        balancer.Micros // what came before is not counted
+	Gateways                      int
+	Settings                      balancer.Settings // Self, Gateways, zones and kinds are filled in
+	Groups                        []Group
+	Streams                       []Stream
+	Faults                        []Fault
+	SameZoneDelay, CrossZoneDelay balancer.Micros // one way within a zone, and between two; a fifth more or less
+	PollWait                      balancer.Micros // what a watch of the registry waits at most
+	DiscoveryServiceTime          balancer.Micros // the registry's time for a call that begins a watch; 0: none
+	Contracts                     []contract.Terms
+	LedgerSettings                contract.Settings
+	Capture                       string // folder of captures; "": none
+	WindowLength                  balancer.Micros
+	SubsetSize                    int // replicas that a gateway works with; 0: all
+	Drill                         Drill
+	Strikes                       []Strike // at gateways, by drills with processes alone
 }
 
 // Drill is what a drill with processes needs besides.
 type Drill struct {
-	Peers   bool            // gateways go on with each other's work
-	Relays  bool            // what they say to each other goes through relays, which strikes need
-	Copies  int             // keepers of each request
-	Records int             // of others' requests that a gateway keeps
-	Sites   int             // gateways are dealt to so many
-	Memory  int             // of a gateway, megabytes
-	Files   int             // descriptors
-	Settle  balancer.Micros // from the last gateway's start to the traffic
+	Peers         bool            // gateways go on with each other's work
+	Relays        bool            // what they say to each other goes through relays, which strikes need
+	RequestCopies int             // keepers of each request
+	MaxRecords    int             // of others' requests that a gateway keeps
+	Sites         int             // gateways are dealt to so many
+	MemoryMB      int             // of a gateway, megabytes
+	MaxFiles      int             // descriptors
+	Settle        balancer.Micros // from the last gateway's start to the traffic
 
-	Operators bool // gateways have an address for operators, and a folder that lasts
-	Handed    bool // the lives of a gateway share the clients' listening socket
+	Operators      bool // gateways have an address for operators, and a folder that lasts
+	SharedListener bool // the lives of a gateway share the clients' listening socket
 }
 
 // Strike is something that happens to gateways.
 type Strike struct {
-	At, For balancer.Micros // For 0: till the end
-	Kind    string          // one of Strikes
-	Gateway int             // -1: by share or site, or that which serves
-	Share   float64
-	Site    int    // -1: any
-	When    string // "": at a time; else when a request is in this state, at the gateway that serves it
-	Nth     int    // which request
-	Factor  float64
+	At, Duration balancer.Micros // For 0: till the end
+	Kind         string          // one of Strikes
+	Gateway      int             // -1: by share or site, or that which serves
+	Share        float64
+	Site         int    // -1: any
+	When         string // "": at a time; else when a request is in this state, at the gateway that serves it
+	Nth          int    // which request
+	Factor       float64
 }
 
-// Strikes are the kinds: what they do.
-var Strikes = map[string]string{
+// StrikeKinds are the kinds: what they do.
+var StrikeKinds = map[string]string{
 	"kill":   "SIGKILL; started again after For",
 	"term":   "SIGTERM; started again after For",
 	"freeze": "SIGSTOP, and SIGCONT after For",
@@ -132,13 +132,13 @@
 		workers += s.Groups[i].Count
 	}
 	switch {
-	case s.For <= 0 || s.Warm < 0 || s.Warm >= s.For:
-		return fmt.Errorf("for %d us, warm %d us: expected some time, and less to warm up", s.For, s.Warm)
+	case s.Duration <= 0 || s.WarmUp < 0 || s.WarmUp >= s.Duration:
+		return fmt.Errorf("for %d us, warm %d us: expected some time, and less to warm up", s.Duration, s.WarmUp)
 	case s.Gateways < 1 || s.Gateways > 10_000 || workers < 1 || workers > 100_000:
 		return fmt.Errorf("%d gateways, %d workers: expected 1 or more, and not too many", s.Gateways, workers)
 	case len(s.Streams) == 0:
 		return fmt.Errorf("no traffic")
-	case s.Near < 0 || s.Far < 0 || s.PollWait <= 0:
+	case s.SameZoneDelay < 0 || s.CrossZoneDelay < 0 || s.PollWait <= 0:
 		return fmt.Errorf("times on the way, of a poll: expected 0 or more, and above 0")
 	}
 	classes := map[string]bool{}
@@ -149,15 +149,15 @@
 		switch {
 		case !classes[t.Class]:
 			return fmt.Errorf("traffic of class %q, which the settings do not have", t.Class)
-		case !(t.PerS > 0 && t.PerS < 1e7 && t.Turns >= 1 && t.Think >= 0 && t.Prompt >= 1 && t.Answer >= 1 && t.Spread >= 0 && t.Spread < 4) || t.MaxOut < 1:
+		case !(t.RequestsPerSecond > 0 && t.RequestsPerSecond < 1e7 && t.Turns >= 1 && t.ThinkSeconds >= 0 && t.PromptTokens >= 1 && t.AnswerTokens >= 1 && t.Spread >= 0 && t.Spread < 4) || t.MaxOutputTokens < 1:
 			return fmt.Errorf("traffic of %q: rates, turns, lengths: expected above 0", t.Class)
 		}
 	}
 	for _, f := range s.Faults {
-		if _, ok := Faults[f.Kind]; !ok {
+		if _, ok := FaultKinds[f.Kind]; !ok {
 			return fmt.Errorf("fault %q: not known", f.Kind)
 		}
-		if f.At < 0 || f.For < 0 || f.Worker >= workers {
+		if f.At < 0 || f.Duration < 0 || f.Replica >= workers {
 			return fmt.Errorf("fault %q: its time or its worker does not exist", f.Kind)
 		}
 	}
--- a/internal/siteforecast/forecast.go
+++ b/internal/siteforecast/forecast.go
@@ -39,9 +39,9 @@
 	if l.At <= 0 || l.For <= 0 || l.Watch <= 0 || l.Told < 0 {
 		return nil, fmt.Errorf("the loss: expected its time, how long it is and what is watched above 0")
 	}
-	out.Warm, out.For, out.Window = l.At, l.At+l.Watch, 1_000_000
-	out.Faults = append(slices.Clone(s.Faults), model.Fault{At: l.At, For: l.For, Kind: "lose", Worker: -1, Zone: l.Site, Factor: float64(l.Told) / 1e6})
-	out.Strikes = append(slices.Clone(s.Strikes), model.Strike{At: l.At, For: l.For, Kind: "kill", Gateway: -1, Site: slices.Index(zones, l.Site)})
+	out.WarmUp, out.Duration, out.WindowLength = l.At, l.At+l.Watch, 1_000_000
+	out.Faults = append(slices.Clone(s.Faults), model.Fault{At: l.At, Duration: l.For, Kind: "lose", Replica: -1, Zone: l.Site, Factor: float64(l.Told) / 1e6})
+	out.Strikes = append(slices.Clone(s.Strikes), model.Strike{At: l.At, Duration: l.For, Kind: "kill", Gateway: -1, Site: slices.Index(zones, l.Site)})
 	out.Drill.Sites = len(zones)
 	return &out, nil
 }
@@ -74,7 +74,7 @@
 // (docs/measurements/site.md).
 const modelError = 0.03
 
-func ranged(list []float64) Range {
+func newRange(list []float64) Range {
 	n := float64(len(list))
 	r := Range{Mean: stat.Mean(list, nil)}
 	half := modelError
@@ -87,60 +87,60 @@
 
 // Class is a class's part of a forecast.
 type Class struct {
-	Name    string  `json:"name"`
-	PerS    float64 `json:"per_s"`      // requests a second
-	Work    float64 `json:"work_ms"`    // of a worker's time for one, at a full batch
-	PerWork float64 `json:"per_work"`   // worth for a second of it: the order in which it is refused
-	Calm    float64 `json:"calm"`       // share of worth served without the loss
-	Served  Range   `json:"served"`     // and with it
-	Refused Range   `json:"refused"`    // share of requests refused
-	Late    float64 `json:"late_share"` // served after the aim
+	Name              string  `json:"name"`
+	RequestsPerSecond float64 `json:"per_s"`      // requests a second
+	WorkMs            float64 `json:"work_ms"`    // of a worker's time for one, at a full batch
+	WeightPerWork     float64 `json:"per_work"`   // worth for a second of it: the order in which it is refused
+	Baseline          float64 `json:"calm"`       // share of worth served without the loss
+	Served            Range   `json:"served"`     // and with it
+	Shed              Range   `json:"refused"`    // share of requests refused
+	Late              float64 `json:"late_share"` // served after the aim
 }
 
 // Site is one site's part of the fleet.
 type Site struct {
-	Name     string  `json:"name"`
-	Workers  int     `json:"workers"`
-	Capacity float64 `json:"capacity"`   // seconds of work a second, at a full batch
-	Before   float64 `json:"load"`       // work that comes over capacity, with all sites
-	After    float64 `json:"load_after"` // and without the lost one; its own: 0
+	Name          string  `json:"name"`
+	Replicas      int     `json:"workers"`
+	Capacity      float64 `json:"capacity"`   // seconds of work a second, at a full batch
+	Load          float64 `json:"load"`       // work that comes over capacity, with all sites
+	LoadAfterLoss float64 `json:"load_after"` // and without the lost one; its own: 0
 }
 
 // Second is a second of the run, from the loss on.
 type Second struct {
-	At   float64 `json:"at_s"`
-	Loss Range   `json:"loss"` // worth served, as a share
-	Calm Range   `json:"calm"`
+	At       float64 `json:"at_s"`
+	WithLoss Range   `json:"loss"` // worth served, as a share
+	Baseline Range   `json:"calm"`
 }
 
 // Forecast is what is to be expected.
 type Forecast struct {
-	Lost    Loss      `json:"lost"`
-	Seeds   int       `json:"seeds"`
-	Sites   []Site    `json:"sites"`
-	Order   []Class   `json:"classes"` // what is refused first stands first
-	Served  Range     `json:"served"`  // worth, as a share of what was asked for
-	Calm    Range     `json:"calm"`
-	Fluid   float64   `json:"fluid"`  // what an oracle with the true capacities could serve, of a fluid
-	Back    float64   `json:"back_s"` // from the return until as much is served as without a loss; -1: not in what was watched
-	Spare   float64   `json:"spare"`  // times as many workers elsewhere that would keep all; 0: three times would not
-	Seconds []Second  `json:"seconds"`
-	Figures []float64 `json:"-"` // worth served, by seed
+	Lost            Loss      `json:"lost"`
+	Seeds           int       `json:"seeds"`
+	Sites           []Site    `json:"sites"`
+	Classes         []Class   `json:"classes"` // what is refused first stands first
+	Served          Range     `json:"served"`  // worth, as a share of what was asked for
+	Baseline        Range     `json:"calm"`
+	FluidBound      float64   `json:"fluid"`  // what an oracle with the true capacities could serve, of a fluid
+	RecoverySeconds float64   `json:"back_s"` // from the return until as much is served as without a loss; -1: not in what was watched
+	SpareFactor     float64   `json:"spare"`  // times as many workers elsewhere that would keep all; 0: three times would not
+	Seconds         []Second  `json:"seconds"`
+	ServedBySeed    []float64 `json:"-"` // worth served, by seed
 }
 
 // Options of a forecast.
 type Options struct {
-	Seeds int
-	First uint64
-	Done  func() // called after each run
+	Seeds     int
+	FirstSeed uint64
+	OnRunDone func() // called after each run
 }
 
-// keeps is the part of what is served in calm from which a site's loss counts as kept.
-const keeps = 0.98
+// keptThreshold is the part of what is served in calm from which a site's loss counts as kept.
+const keptThreshold = 0.98
 
-// Make plays a plan with and without a loss. The spec of a seed comes from spec.
-func Make(ctx context.Context, spec func(seed uint64) (*model.Spec, error), l Loss, o Options) (*Forecast, error) {
-	base, err := spec(o.First)
+// Run plays a plan with and without a loss. The spec of a seed comes from spec.
+func Run(ctx context.Context, spec func(seed uint64) (*model.Spec, error), l Loss, o Options) (*Forecast, error) {
+	base, err := spec(o.FirstSeed)
 	if err != nil {
 		return nil, err
 	}
@@ -148,8 +148,8 @@
 		return nil, err
 	}
 	lost, calm := make([]*model.Result, o.Seeds), make([]*model.Result, o.Seeds)
-	if err := each(ctx, o.Seeds*2, func(i int) error {
-		s, err := spec(o.First + uint64(i/2))
+	if err := runParallel(ctx, o.Seeds*2, func(i int) error {
+		s, err := spec(o.FirstSeed + uint64(i/2))
 		if err != nil {
 			return err
 		}
@@ -162,22 +162,22 @@
 			to, s.Faults = calm, s.Faults[:len(s.Faults)-1]
 		}
 		to[i/2], err = model.Run(s)
-		if o.Done != nil {
-			o.Done()
+		if o.OnRunDone != nil {
+			o.OnRunDone()
 		}
 		return err
 	}); err != nil {
 		return nil, err
 	}
-	f := &Forecast{Lost: l, Seeds: o.Seeds, Sites: sites(base, l.Site), Back: -1}
-	f.Figures = shares(lost, "")
-	f.Served, f.Calm, f.Fluid = ranged(f.Figures), ranged(shares(calm, "")), fluid(base, l)
+	f := &Forecast{Lost: l, Seeds: o.Seeds, Sites: siteLoads(base, l.Site), RecoverySeconds: -1}
+	f.ServedBySeed = goodputs(lost, "")
+	f.Served, f.Baseline, f.FluidBound = newRange(f.ServedBySeed), newRange(goodputs(calm, "")), fluidBound(base, l)
 	for i := range base.Settings.Classes {
 		c := &base.Settings.Classes[i]
 		work, per := 0.0, 0.0
 		for _, t := range base.Streams {
 			if t.Class == c.Name {
-				work, per = work+t.PerS*workOf(base, &t), per+t.PerS
+				work, per = work+t.RequestsPerSecond*workSeconds(base, &t), per+t.RequestsPerSecond
 			}
 		}
 		if per == 0 {
@@ -193,15 +193,15 @@
 		if len(refused) == 0 {
 			continue
 		}
-		f.Order = append(f.Order, Class{Name: c.Name, PerS: per, Work: 1000 * work / per, PerWork: c.PriorityWeight / (work / per), Calm: ranged(shares(calm, c.Name)).Mean,
-			Served: ranged(shares(lost, c.Name)), Refused: ranged(refused), Late: ranged(late).Mean})
+		f.Classes = append(f.Classes, Class{Name: c.Name, RequestsPerSecond: per, WorkMs: 1000 * work / per, WeightPerWork: c.PriorityWeight / (work / per), Baseline: newRange(goodputs(calm, c.Name)).Mean,
+			Served: newRange(goodputs(lost, c.Name)), Shed: newRange(refused), Late: newRange(late).Mean})
 	}
-	slices.SortFunc(f.Order, func(a, b Class) int { return cmp.Compare(a.PerWork, b.PerWork) })
-	f.seconds(lost, calm)
-	return f, f.spare(ctx, spec, o)
+	slices.SortFunc(f.Classes, func(a, b Class) int { return cmp.Compare(a.WeightPerWork, b.WeightPerWork) })
+	f.compareSeconds(lost, calm)
+	return f, f.findSpareFactor(ctx, spec, o)
 }
 
-func each(ctx context.Context, n int, do func(i int) error) error {
+func runParallel(ctx context.Context, n int, do func(i int) error) error {
 	g, ctx := errgroup.WithContext(ctx)
 	g.SetLimit(runtime.GOMAXPROCS(0))
 	for i := range n {
@@ -215,36 +215,36 @@
 	return g.Wait()
 }
 
-// shares are what was served in worth, by run; class "": of all.
-func shares(list []*model.Result, class string) (out []float64) {
+// goodputs are what was served in worth, by run; class "": of all.
+func goodputs(list []*model.Result, class string) (out []float64) {
 	for _, r := range list {
 		c := r.All
 		if class != "" {
 			c = r.Classes[class]
 		}
-		if c != nil && c.Most > 0 {
-			out = append(out, c.WorthInTime())
+		if c != nil && c.WeightOffered > 0 {
+			out = append(out, c.WeightedGoodput())
 		}
 	}
 	return out
 }
 
-// workOf is a worker's time for a request of a stream, in seconds, in a full batch: its
+// workSeconds is a worker's time for a request of a stream, in seconds, in a full batch: its
 // part of the steps that make its tokens, and the reading of its prompt. The medians of a
 // log-normal draw are taken to their means.
-func workOf(s *model.Spec, t *model.Stream) float64 {
+func workSeconds(s *model.Spec, t *model.Stream) float64 {
 	g := &s.Groups[0].Params
 	mean := math.Exp(t.Spread * t.Spread / 2)
-	prompt, answer := t.Prompt*mean, min(t.Answer*mean, float64(t.MaxOut))
-	step := (g.Base + float64(g.Slots)*(g.PerSequence+g.PerContext*(prompt+answer/2)/1000)) / float64(g.Slots)
-	return (answer*step + prompt/1000*g.PerPrompt) / 1e6
+	prompt, answer := t.PromptTokens*mean, min(t.AnswerTokens*mean, float64(t.MaxOutputTokens))
+	step := (g.StepBase + float64(g.MaxRunning)*(g.StepPerSequence+g.StepPerContext*(prompt+answer/2)/1000)) / float64(g.MaxRunning)
+	return (answer*step + prompt/1000*g.StepPerPrompt) / 1e6
 }
 
 // capacity is what a group's workers do, in seconds of work a second of the first group's.
 func capacity(s *model.Spec, g *model.Group) float64 {
 	a, b := &s.Groups[0].Params, &g.Params
 	rate := func(p *batch) float64 { return float64(p.slots) / (p.base + float64(p.slots)*p.each) }
-	return float64(g.Count) * rate(&batch{b.Slots, b.Base, b.PerSequence}) / rate(&batch{a.Slots, a.Base, a.PerSequence})
+	return float64(g.Count) * rate(&batch{b.MaxRunning, b.StepBase, b.StepPerSequence}) / rate(&batch{a.MaxRunning, a.StepBase, a.StepPerSequence})
 }
 
 // batch is what sets the pace of a full batch.
@@ -253,17 +253,17 @@
 	base, each float64
 }
 
-// sites tells what each site bears, with all and without one.
-func sites(s *model.Spec, lost string) (out []Site) {
+// siteLoads tells what each site bears, with all and without one.
+func siteLoads(s *model.Spec, lost string) (out []Site) {
 	work, all, left := 0.0, 0.0, 0.0
 	for i := range s.Streams {
-		work += s.Streams[i].PerS * workOf(s, &s.Streams[i])
+		work += s.Streams[i].RequestsPerSecond * workSeconds(s, &s.Streams[i])
 	}
 	for _, z := range Zones(s) {
 		n := Site{Name: z}
 		for i := range s.Groups {
 			if g := &s.Groups[i]; g.Zone == z {
-				n.Workers += g.Count
+				n.Replicas += g.Count
 				n.Capacity += capacity(s, g)
 			}
 		}
@@ -273,17 +273,17 @@
 		out = append(out, n)
 	}
 	for i := range out { // by headroom: alike in each
-		if out[i].Before = work / all; out[i].Name != lost && left > 0 {
-			out[i].After = work / left
+		if out[i].Load = work / all; out[i].Name != lost && left > 0 {
+			out[i].LoadAfterLoss = work / left
 		}
 	}
 	return out
 }
 
-// fluid is the share of worth that an oracle could serve: what comes in the time that is
+// fluidBound is the share of worth that an oracle could serve: what comes in the time that is
 // watched is a fluid, and what is worth most for its work goes first. Of the time away
 // capacity is without the site; what is cold after it counts as warm, so it is a bound.
-func fluid(s *model.Spec, l Loss) float64 {
+func fluidBound(s *model.Spec, l Loss) float64 {
 	type part struct{ worth, work float64 }
 	var parts []part
 	worth := map[string]float64{}
@@ -293,8 +293,8 @@
 	asked, served := 0.0, 0.0
 	for i := range s.Streams {
 		t := &s.Streams[i]
-		parts = append(parts, part{t.PerS * worth[t.Class], t.PerS * workOf(s, t)})
-		asked += t.PerS * worth[t.Class]
+		parts = append(parts, part{t.RequestsPerSecond * worth[t.Class], t.RequestsPerSecond * workSeconds(s, t)})
+		asked += t.RequestsPerSecond * worth[t.Class]
 	}
 	slices.SortFunc(parts, func(a, b part) int { return cmp.Compare(b.worth/b.work, a.worth/a.work) })
 	away := min(1, float64(l.For)/float64(l.Watch))
@@ -316,13 +316,13 @@
 	return served / asked
 }
 
-// seconds tells how what came second by second was served, and when the return is over.
-func (f *Forecast) seconds(lost, calm []*model.Result) {
+// compareSeconds tells how what came second by second was served, and when the return is over.
+func (f *Forecast) compareSeconds(lost, calm []*model.Result) {
 	first := int(f.Lost.At / 1_000_000)
 	worth := func(list []*model.Result, i int) (out []float64) {
 		for _, r := range list {
-			if w := r.Windows[i]; w.Most > 0 {
-				out = append(out, w.Points/w.Most)
+			if w := r.Windows[i]; w.WeightOffered > 0 {
+				out = append(out, w.WeightServed/w.WeightOffered)
 			}
 		}
 		return out
@@ -334,26 +334,26 @@
 			continue
 		}
 		at := lost[0].Windows[i].At
-		f.Seconds = append(f.Seconds, Second{at - float64(f.Lost.At)/1e6, ranged(a), ranged(b)})
+		f.Seconds = append(f.Seconds, Second{at - float64(f.Lost.At)/1e6, newRange(a), newRange(b)})
 	}
 	// Over from the first second after the last that fell short.
 	for i := len(f.Seconds) - 1; i >= 0; i-- {
 		x := f.Seconds[i]
 		if at := x.At + float64(f.Lost.At)/1e6; at < back {
-			f.Back = max(0, f.Back)
+			f.RecoverySeconds = max(0, f.RecoverySeconds)
 			break
-		} else if x.Loss.Mean < 0.95*x.Calm.Mean {
+		} else if x.WithLoss.Mean < 0.95*x.Baseline.Mean {
 			break
 		} else {
-			f.Back = max(0, at-back)
+			f.RecoverySeconds = max(0, at-back)
 		}
 	}
 }
 
-// spare finds how many times as many workers elsewhere keep what is served.
-func (f *Forecast) spare(ctx context.Context, spec func(uint64) (*model.Spec, error), o Options) error {
-	if f.Served.Mean >= keeps*f.Calm.Mean {
-		f.Spare = 1
+// findSpareFactor finds how many times as many workers elsewhere keep what is served.
+func (f *Forecast) findSpareFactor(ctx context.Context, spec func(uint64) (*model.Spec, error), o Options) error {
+	if f.Served.Mean >= keptThreshold*f.Baseline.Mean {
+		f.SpareFactor = 1
 		return nil
 	}
 	factors := []float64{1.1, 1.2, 1.3, 1.5, 1.75, 2, 2.5, 3}
@@ -362,8 +362,8 @@
 	for i := range got {
 		got[i] = make([]float64, seeds)
 	}
-	if err := each(ctx, len(factors)*seeds, func(i int) error {
-		s, err := spec(o.First + uint64(i%seeds))
+	if err := runParallel(ctx, len(factors)*seeds, func(i int) error {
+		s, err := spec(o.FirstSeed + uint64(i%seeds))
 		if err != nil {
 			return err
 		}
@@ -378,15 +378,15 @@
 		}
 		r, err := model.Run(s)
 		if err == nil {
-			got[i/seeds][i%seeds] = r.All.WorthInTime()
+			got[i/seeds][i%seeds] = r.All.WeightedGoodput()
 		}
 		return err
 	}); err != nil {
 		return err
 	}
 	for i, list := range got {
-		if stat.Mean(list, nil) >= keeps*f.Calm.Mean {
-			f.Spare = factors[i]
+		if stat.Mean(list, nil) >= keptThreshold*f.Baseline.Mean {
+			f.SpareFactor = factors[i]
 			return nil
 		}
 	}
@@ -396,7 +396,7 @@
 // ByClass are a forecast's classes by name.
 func (f *Forecast) ByClass() map[string]Class {
 	out := map[string]Class{}
-	for _, c := range f.Order {
+	for _, c := range f.Classes {
 		out[c.Name] = c
 	}
 	return out
--- a/internal/siteforecast/forecast_test.go
+++ b/internal/siteforecast/forecast_test.go
@@ -29,7 +29,7 @@
 func TestForecast(t *testing.T) {
 	l := Loss{Site: "south", At: 4 * sec, For: 5 * sec, Told: 6 * sec, Watch: 15 * sec}
 	make := func(variant string) *Forecast {
-		f, err := Make(context.Background(), plan(t, variant), l, Options{Seeds: 4, First: 1})
+		f, err := Run(context.Background(), plan(t, variant), l, Options{Seeds: 4, FirstSeed: 1})
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -39,19 +39,19 @@
 	if !reflect.DeepEqual(usual, make("usual")) {
 		t.Error("two forecasts of one plan differ")
 	}
-	if usual.Served.Mean < full.Served.Mean || full.Fluid >= usual.Fluid || full.Sites[0].After <= 1 || usual.Sites[0].After >= 1 {
+	if usual.Served.Mean < full.Served.Mean || full.FluidBound >= usual.FluidBound || full.Sites[0].LoadAfterLoss <= 1 || usual.Sites[0].LoadAfterLoss >= 1 {
 		t.Errorf("more traffic is no worse: %+v and %+v", usual.Sites, full.Sites)
 	}
-	if full.Served.Mean > full.Fluid+0.03 {
-		t.Errorf("served %.3f, above the oracle's bound %.3f", full.Served.Mean, full.Fluid)
+	if full.Served.Mean > full.FluidBound+0.03 {
+		t.Errorf("served %.3f, above the oracle's bound %.3f", full.Served.Mean, full.FluidBound)
 	}
-	for i := 1; i < len(full.Order); i++ {
-		if full.Order[i].PerWork < full.Order[i-1].PerWork {
-			t.Errorf("the order of refusals: %+v", full.Order)
+	for i := 1; i < len(full.Classes); i++ {
+		if full.Classes[i].WeightPerWork < full.Classes[i-1].WeightPerWork {
+			t.Errorf("the order of refusals: %+v", full.Classes)
 		}
 	}
-	if len(full.Seconds) < 14 || full.Spare < 1.1 || usual.Spare != 1 {
-		t.Errorf("%d seconds, spare %.2f and %.2f", len(full.Seconds), full.Spare, usual.Spare)
+	if len(full.Seconds) < 14 || full.SpareFactor < 1.1 || usual.SpareFactor != 1 {
+		t.Errorf("%d seconds, spare %.2f and %.2f", len(full.Seconds), full.SpareFactor, usual.SpareFactor)
 	}
 }
 
