--- a/internal/cli/drill.go
+++ b/internal/cli/drill.go
@@ -146,22 +146,22 @@
 	if c.JSON {
 		return json.NewEncoder(s.out).Encode(r)
 	}
-	ends := make([]string, 0, len(r.Ends))
+	ends := make([]string, 0, len(r.Outcomes))
 	for _, k := range []string{"served", "broken", "refused", "failed", "late", "contract"} {
-		if n := r.Ends[k]; n > 0 {
+		if n := r.Outcomes[k]; n > 0 {
 			ends = append(ends, fmt.Sprintf("%s=%d", k, n))
 		}
 	}
 	fmt.Fprintf(s.out, "seed=%d sent=%d %s worth=%.4f caught=%d saved=%d lost_10s=%.1f p50_ms=%.1f breaks=%d crashes=%d\n", r.Seed, r.Sent, strings.Join(ends, " "),
-		r.Worth/max(1e-9, r.Asked), r.Caught, r.Saved, r.LostIn, r.FirstMs["p50"], len(r.Breaks), len(r.Crashes))
+		r.WeightServed/max(1e-9, r.WeightOffered), r.Interrupted, r.Recovered, r.WeightLost, r.FirstTokenMs["p50"], len(r.Violations), len(r.Crashes))
 	printViolations(s.out, r)
 	return nil
 }
 
 // printViolations prints the rules that a drill saw broken and the processes that ended.
 func printViolations(out io.Writer, r *faulttest.Result) {
-	for _, b := range r.Breaks {
-		fmt.Fprintf(out, "  rule=%s request=%s %s\n", b.Rule, b.Root, b.What)
+	for _, b := range r.Violations {
+		fmt.Fprintf(out, "  rule=%s request=%s %s\n", b.Rule, b.RequestID, b.Details)
 	}
 	for _, text := range r.Crashes {
 		fmt.Fprintf(out, "  %s\n", strings.ReplaceAll(text, "\n", "\n    "))
@@ -172,11 +172,11 @@
 	var served, lost, first, cpu []float64
 	for _, r := range all {
 		out.Drills++
-		out.Sent, out.Interrupted, out.Recovered = out.Sent+r.Sent, out.Interrupted+r.Caught, out.Recovered+r.Saved
-		out.Violations, out.Crashes = out.Violations+len(r.Breaks), out.Crashes+len(r.Crashes)
-		out.MemoryMB, out.OpenFiles = max(out.MemoryMB, r.MemoryMB), max(out.OpenFiles, r.Files)
-		served, lost = append(served, r.Worth/max(1e-9, r.Asked)), append(lost, r.LostIn)
-		first, cpu = append(first, r.FirstMs["p50"]), append(cpu, r.CPUMs)
+		out.Sent, out.Interrupted, out.Recovered = out.Sent+r.Sent, out.Interrupted+r.Interrupted, out.Recovered+r.Recovered
+		out.Violations, out.Crashes = out.Violations+len(r.Violations), out.Crashes+len(r.Crashes)
+		out.MemoryMB, out.OpenFiles = max(out.MemoryMB, r.MemoryMB), max(out.OpenFiles, r.OpenFiles)
+		served, lost = append(served, r.WeightServed/max(1e-9, r.WeightOffered)), append(lost, r.WeightLost)
+		first, cpu = append(first, r.FirstTokenMs["p50"]), append(cpu, r.CPUMsPerRequest)
 	}
 	out.WeightServed, out.WeightLost = experiment.MeanInterval(served), experiment.MeanInterval(lost)
 	out.FirstTokenMs, out.CPUMsPerRequest = experiment.MeanInterval(first), experiment.MeanInterval(cpu)
--- a/internal/cli/site.go
+++ b/internal/cli/site.go
@@ -227,10 +227,10 @@
 		if err != nil {
 			return fmt.Errorf("seed %d: %w", one.Seed, err)
 		}
-		d := siteDrilled{Seed: one.Seed, Served: r.Worth / max(1e-9, r.Asked), Classes: map[string]float64{}, Breaks: len(r.Breaks), Crashes: len(r.Crashes), ToLost: r.ToLost}
+		d := siteDrilled{Seed: one.Seed, Served: r.WeightServed / max(1e-9, r.WeightOffered), Classes: map[string]float64{}, Breaks: len(r.Violations), Crashes: len(r.Crashes), ToLost: r.ToVanishedShare}
 		d.Within, d.Forecast = f.Served.Within(d.Served), &f.Served
 		for name, k := range r.Classes {
-			d.Classes[name] = k.Worth / max(1e-9, k.Asked)
+			d.Classes[name] = k.WeightServed / max(1e-9, k.WeightOffered)
 		}
 		served, toLost = append(served, d.Served), append(toLost, d.ToLost)
 		if !d.Within {
--- a/internal/cli/soak.go
+++ b/internal/cli/soak.go
@@ -43,7 +43,7 @@
 		}
 		mu.Lock()
 		defer mu.Unlock()
-		broken += len(r.Breaks) + len(r.Crashes)
+		broken += len(r.Violations) + len(r.Crashes)
 		return c.printResult(s, r)
 	})
 	if err != nil {
@@ -60,10 +60,10 @@
 	if c.JSON {
 		return json.NewEncoder(s.out).Encode(r)
 	}
-	fmt.Fprintf(s.out, "seed=%d sent=%d attempts=%d %s breaks=%d crashes=%d\n", r.Seed, r.Sent, r.Attempts, r.Ends, len(r.Breaks), len(r.Crashes))
-	if c.Timeline || len(r.Breaks)+len(r.Crashes) > 0 {
+	fmt.Fprintf(s.out, "seed=%d sent=%d attempts=%d %s breaks=%d crashes=%d\n", r.Seed, r.Sent, r.Attempts, r.Outcomes, len(r.Violations), len(r.Crashes))
+	if c.Timeline || len(r.Violations)+len(r.Crashes) > 0 {
 		fmt.Fprintf(s.out, "  %s\n", strings.Join(r.Events, "\n  "))
 	}
-	printViolations(s.out, &faulttest.Result{Breaks: r.Breaks, Crashes: r.Crashes})
+	printViolations(s.out, &faulttest.Result{Violations: r.Violations, Crashes: r.Crashes})
 	return nil
 }
--- a/internal/faulttest/audit.go
+++ b/internal/faulttest/audit.go
@@ -11,24 +11,24 @@
 
 // Rules are what a run is checked against.
 type Rules struct {
-	Attempts int             // of a request, over all gateways
-	Beside   bool            // second copies are allowed
-	Once     map[string]bool // classes that must not run twice
-	Slack    time.Duration
-	Drains   map[string]time.Time // workers, and from when on nothing new may come
+	MaxAttempts   int             // of a request, over all gateways
+	MayHedge      bool            // second copies are allowed
+	NonIdempotent map[string]bool // classes that must not run twice
+	Tolerance     time.Duration
+	DrainedBy     map[string]time.Time // workers, and from when on nothing new may come
 }
 
-// Break is a rule that did not hold.
-type Break struct {
-	Rule string `json:"rule"`
-	Root string `json:"request"`
-	What string `json:"what"`
+// Violation is a rule that did not hold.
+type Violation struct {
+	Rule      string `json:"rule"`
+	RequestID string `json:"request"`
+	Details   string `json:"what"`
 }
 
 // Audit checks what workers and clients saw.
-func Audit(r Rules, tries []emulate.ClientAttempt, attempts []emulate.ReplicaAttempt) (out []Break) {
+func Audit(r Rules, tries []emulate.ClientAttempt, attempts []emulate.ReplicaAttempt) (out []Violation) {
 	bad := func(rule, root, format string, args ...any) {
-		out = append(out, Break{rule, root, fmt.Sprintf(format, args...)})
+		out = append(out, Violation{rule, root, fmt.Sprintf(format, args...)})
 	}
 	byRoot := map[string][]emulate.ReplicaAttempt{}
 	for _, a := range attempts {
@@ -37,8 +37,8 @@
 	for _, root := range sortedKeys(byRoot) {
 		list := byRoot[root]
 		slices.SortFunc(list, func(a, b emulate.ReplicaAttempt) int { return a.ReceivedAt.Compare(b.ReceivedAt) })
-		if len(list) > r.Attempts {
-			bad("attempts", root, "%d attempts, %d are allowed", len(list), r.Attempts)
+		if len(list) > r.MaxAttempts {
+			bad("attempts", root, "%d attempts, %d are allowed", len(list), r.MaxAttempts)
 		}
 		ran := 0
 		for i, a := range list {
@@ -47,18 +47,18 @@
 			}
 			ran++
 			for _, b := range list[:i] {
-				if !b.Declined && !r.Beside && b.EndedAt.Sub(a.ReceivedAt) > r.Slack {
+				if !b.Declined && !r.MayHedge && b.EndedAt.Sub(a.ReceivedAt) > r.Tolerance {
 					bad("at_once", root, "an attempt at %s began %v before that at %s ended", a.Replica, b.EndedAt.Sub(a.ReceivedAt), b.Replica)
 				}
 			}
-			if late := a.ReceivedAt.Sub(a.FirstTokenBy); late > r.Slack {
+			if late := a.ReceivedAt.Sub(a.FirstTokenBy); late > r.Tolerance {
 				bad("deadline", root, "an attempt at %s began %v after its deadline", a.Replica, late)
 			}
-			if at, ok := r.Drains[a.Replica]; ok && a.ReceivedAt.Sub(at) > r.Slack {
+			if at, ok := r.DrainedBy[a.Replica]; ok && a.ReceivedAt.Sub(at) > r.Tolerance {
 				bad("drain", root, "an attempt came to %s %v too late", a.Replica, a.ReceivedAt.Sub(at))
 			}
 		}
-		if ran > 1 && r.Once[list[0].Class] {
+		if ran > 1 && r.NonIdempotent[list[0].Class] {
 			bad("once", root, "ran %d times", ran)
 		}
 	}
@@ -75,7 +75,7 @@
 				whole++
 			}
 			ended[t.ID]++
-			if t.FirstTokenAt == 0 && t.Status != 0 && t.EndedAt-t.SentAt > t.FirstTokenTimeout+r.Slack.Microseconds() {
+			if t.FirstTokenAt == 0 && t.Status != 0 && t.EndedAt-t.SentAt > t.FirstTokenTimeout+r.Tolerance.Microseconds() {
 				bad("late_answer", root, "%s was answered %d ms after its deadline", t.ID, (t.EndedAt-t.SentAt-t.FirstTokenTimeout)/1000)
 			}
 		}
--- a/internal/faulttest/cluster.go
+++ b/internal/faulttest/cluster.go
@@ -25,62 +25,62 @@
 
 // cluster is the gateways' processes.
 type cluster struct {
-	spec     *model.Spec
-	program  string
-	dir      string
-	registry string
-	relays   *relays
-	nodes    []*node
-	orders   chan func() // processes are started by one thread: they end with it
-	client   *http.Client
+	spec          *model.Spec
+	program       string
+	dir           string
+	discoveryAddr string
+	relays        *relayNetwork
+	nodes         []*node
+	starts        chan func() // processes are started by one thread: they end with it
+	client        *http.Client
 }
 
 // node is one gateway, over all its lives.
 type node struct {
-	n        int
-	name     string
-	addr     string // for clients
-	link     string // the process's own
-	relay    *relay
-	site     int
-	socket   *os.File // the clients' listening socket, which its lives share; nil: each binds its own
-	mu       sync.Mutex
-	life     *life // nil: it does not run
-	starting bool  // again, and not ready yet: the front does not offer it
-	crashes  []string
+	index        int
+	name         string
+	addr         string // for clients
+	peerAddr     string // the process's own
+	relay        *relay
+	zone         int
+	listenSocket *os.File // the clients' listening socket, which its lives share; nil: each binds its own
+	mu           sync.Mutex
+	process      *gatewayProcess // nil: it does not run
+	starting     bool            // again, and not ready yet: the front does not offer it
+	crashes      []string
 }
 
-// life is one process of a gateway.
-type life struct {
-	cmd      *exec.Cmd
-	admin    string // where operators call it
-	exited   chan struct{}
-	expected bool // to end
-	frozen   bool
+// gatewayProcess is one process of a gateway.
+type gatewayProcess struct {
+	cmd         *exec.Cmd
+	adminAddr   string // where operators call it
+	exited      chan struct{}
+	endExpected bool // to end
+	frozen      bool
 }
 
 func newCluster(spec *model.Spec, program, dir, registry string) (*cluster, error) {
-	c := &cluster{spec: spec, program: program, dir: dir, registry: registry, orders: make(chan func()),
+	c := &cluster{spec: spec, program: program, dir: dir, discoveryAddr: registry, starts: make(chan func()),
 		client: &http.Client{Timeout: time.Second, Transport: &http.Transport{DisableKeepAlives: true}}}
 	go func() {
 		runtime.LockOSThread() // Pdeathsig comes when the thread ends
-		for do := range c.orders {
+		for do := range c.starts {
 			do()
 		}
 	}()
 	if spec.Drill.Peers && spec.Drill.Relays {
-		c.relays = newRelays(spec.Seed)
+		c.relays = newRelayNetwork(spec.Seed)
 	}
 	for i := range spec.Gateways {
-		n := &node{n: i, name: fmt.Sprintf("g%d", i+1), site: i % max(1, spec.Drill.Sites)}
+		n := &node{index: i, name: fmt.Sprintf("g%d", i+1), zone: i % max(1, spec.Drill.Sites)}
 		var err error
-		if n.addr, err = c.free(); err == nil {
-			n.link, err = c.free()
+		if n.addr, err = c.freeAddr(); err == nil {
+			n.peerAddr, err = c.freeAddr()
 		}
 		if err == nil && c.relays != nil {
 			var at string
-			if at, err = c.free(); err == nil {
-				n.relay, err = c.relays.add(n.name, n.link, at)
+			if at, err = c.freeAddr(); err == nil {
+				n.relay, err = c.relays.add(n.name, n.peerAddr, at)
 			}
 		}
 		if err != nil {
@@ -90,9 +90,9 @@
 		c.nodes = append(c.nodes, n)
 	}
 	for _, n := range c.nodes {
-		err := c.write(n)
+		err := c.writeConfig(n)
 		if err == nil && spec.Drill.SharedListener {
-			err = n.hold()
+			err = n.openListenSocket()
 		}
 		if err != nil {
 			c.close()
@@ -106,15 +106,15 @@
 	return c, nil
 }
 
-// dealt are the addresses that drills of this process have looked at.
-var dealt sync.Map
+// triedAddrs are the addresses that drills of this process have looked at.
+var triedAddrs sync.Map
 
-// free finds a port that nothing uses, below those that the system deals out itself.
-func (c *cluster) free() (string, error) {
+// freeAddr finds a port that nothing uses, below those that the system deals out itself.
+func (c *cluster) freeAddr() (string, error) {
 	for range 200 {
 		addr := fmt.Sprintf("127.0.0.1:%d", 10_000+rand.IntN(20_000))
 		// Looked at only by one drill of this process: a look takes the port for a moment.
-		if _, taken := dealt.LoadOrStore(addr, true); taken {
+		if _, taken := triedAddrs.LoadOrStore(addr, true); taken {
 			continue
 		}
 		l, err := net.Listen("tcp", addr)
@@ -132,10 +132,10 @@
 	return "", errors.New("no free port found")
 }
 
-// write makes a gateway's two configurations.
-func (c *cluster) write(n *node) error {
+// writeConfig makes a gateway's two configurations.
+func (c *cluster) writeConfig(n *node) error {
 	s := c.spec.Settings
-	s.Self, s.Gateways = n.n, c.spec.Gateways
+	s.Self, s.Gateways = n.index, c.spec.Gateways
 	zones, kinds := map[string]bool{}, map[string]bool{}
 	for _, g := range c.spec.Groups {
 		if !zones[g.Zone] {
@@ -146,25 +146,25 @@
 		}
 		zones[g.Zone], kinds[g.Name] = true, true
 	}
-	s.Zone = s.Zones[n.site%len(s.Zones)]
+	s.Zone = s.Zones[n.zone%len(s.Zones)]
 	settings, err := simwire.MarshalSettings(s)
 	if err != nil {
 		return err
 	}
-	config, err := json.Marshal(map[string]any{"name": n.name, "listen": n.addr, "discovery": c.registry, "seed": fmt.Sprintf("%x", c.spec.Seed*1000+uint64(n.n)+1),
+	config, err := json.Marshal(map[string]any{"name": n.name, "listen": n.addr, "discovery": c.discoveryAddr, "seed": fmt.Sprintf("%x", c.spec.Seed*1000+uint64(n.index)+1),
 		"limits": map[string]any{"cores": 1, "memory_mb": c.spec.Drill.MemoryMB, "sockets": c.spec.Drill.MaxFiles}, "settings": json.RawMessage(settings)})
 	if err != nil {
 		return err
 	}
 	own := "[log]\nlevel info\n"
 	if d := c.spec.Drill; d.Peers {
-		own += fmt.Sprintf("[peers]\nlisten %s\nsite s%d\ncopies %d\nrecords %d\nrecords-each %d\n", n.link, n.site, d.RequestCopies, d.MaxRecords, d.MaxRecords)
+		own += fmt.Sprintf("[peers]\nlisten %s\nsite s%d\ncopies %d\nrecords %d\nrecords-each %d\n", n.peerAddr, n.zone, d.RequestCopies, d.MaxRecords, d.MaxRecords)
 		if n.relay != nil {
 			own += "advertise " + n.relay.addr + "\n"
 		}
 		var join []string
 		for _, o := range c.nodes[:min(3, len(c.nodes))] {
-			join = append(join, c.reach(o))
+			join = append(join, c.advertisedAddr(o))
 		}
 		own += "join " + strings.Join(join, ",") + "\n"
 	}
@@ -177,11 +177,11 @@
 	return os.WriteFile(c.path(n, "conf"), []byte(own), 0o600)
 }
 
-func (c *cluster) reach(n *node) string {
+func (c *cluster) advertisedAddr(n *node) string {
 	if n.relay != nil {
 		return n.relay.addr
 	}
-	return n.link
+	return n.peerAddr
 }
 
 func (c *cluster) path(n *node, ending string) string {
@@ -192,7 +192,7 @@
 func (c *cluster) start(n *node) error {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	if n.life != nil {
+	if n.process != nil {
 		return nil
 	}
 	log, err := os.OpenFile(c.path(n, "log"), os.O_CREATE|os.O_APPEND|os.O_WRONLY, 0o600)
@@ -201,27 +201,27 @@
 	}
 	cmd := exec.Command(c.program, "serve", "--config", c.path(n, "conf"))
 	cmd.Env = append(os.Environ(), "NODE_CONFIG="+c.path(n, "json"), "NODE_NAME=", "NODE_LISTEN=", "NODE_DISCOVERY=", "NODE_SOCKET_FD=", "ARCHKNOT_CONF=")
-	born := &life{cmd: cmd, exited: make(chan struct{})}
+	born := &gatewayProcess{cmd: cmd, exited: make(chan struct{})}
 	if c.spec.Drill.Operators {
-		if born.admin, err = c.free(); err != nil {
+		if born.adminAddr, err = c.freeAddr(); err != nil {
 			log.Close()
 			return err
 		}
-		cmd.Env = append(cmd.Env, "NODE_ADMIN="+born.admin, "TMPDIR="+c.path(n, "tmp"))
+		cmd.Env = append(cmd.Env, "NODE_ADMIN="+born.adminAddr, "TMPDIR="+c.path(n, "tmp"))
 	}
-	if n.socket != nil {
-		cmd.ExtraFiles = []*os.File{n.socket}
+	if n.listenSocket != nil {
+		cmd.ExtraFiles = []*os.File{n.listenSocket}
 		cmd.Env = append(cmd.Env, "NODE_SOCKET_FD=3")
 	}
 	cmd.Stdout, cmd.Stderr = log, log
 	cmd.SysProcAttr = &syscall.SysProcAttr{Pdeathsig: syscall.SIGKILL}
 	started := make(chan error, 1)
-	c.orders <- func() { started <- cmd.Start() }
+	c.starts <- func() { started <- cmd.Start() }
 	if err := <-started; err != nil {
 		log.Close()
 		return err
 	}
-	n.life = born
+	n.process = born
 	go func() {
 		err := cmd.Wait()
 		log.Close()
@@ -230,11 +230,11 @@
 		if n.relay != nil {
 			n.relay.down()
 		}
-		if !born.expected {
-			n.crashes = append(n.crashes, fmt.Sprintf("%s ended by itself: %v\n%s", n.name, err, c.tail(n)))
+		if !born.endExpected {
+			n.crashes = append(n.crashes, fmt.Sprintf("%s ended by itself: %v\n%s", n.name, err, c.logTail(n)))
 		}
-		if n.life == born {
-			n.life = nil
+		if n.process == born {
+			n.process = nil
 		}
 		close(born.exited)
 	}()
@@ -244,8 +244,8 @@
 	return nil
 }
 
-// tail is the end of a gateway's log.
-func (c *cluster) tail(n *node) string {
+// logTail is the end of a gateway's log.
+func (c *cluster) logTail(n *node) string {
 	text, _ := os.ReadFile(c.path(n, "log"))
 	lines := bytes.Split(bytes.TrimSpace(text), []byte("\n"))
 	return string(bytes.Join(lines[max(0, len(lines)-8):], []byte("\n")))
@@ -255,18 +255,18 @@
 func (n *node) signal(s syscall.Signal) (exited <-chan struct{}) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	if n.life == nil {
+	if n.process == nil {
 		return nil
 	}
-	return n.life.signal(s)
+	return n.process.signal(s)
 }
 
 // exited is closed once the gateway's process has ended.
 func (n *node) exited() <-chan struct{} {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	if n.life != nil {
-		return n.life.exited
+	if n.process != nil {
+		return n.process.exited
 	}
 	none := make(chan struct{})
 	close(none)
@@ -274,10 +274,10 @@
 }
 
 // signal sends a signal to a process. It is called under its gateway's mu.
-func (l *life) signal(s syscall.Signal) (exited <-chan struct{}) {
+func (l *gatewayProcess) signal(s syscall.Signal) (exited <-chan struct{}) {
 	switch s {
 	case syscall.SIGKILL, syscall.SIGTERM:
-		l.expected = true
+		l.endExpected = true
 	case syscall.SIGSTOP, syscall.SIGCONT:
 		l.frozen = s == syscall.SIGSTOP
 	}
@@ -285,23 +285,23 @@
 	return l.exited
 }
 
-// ready waits until all gateways take clients.
-func (c *cluster) ready(ctx context.Context) error {
+// waitUntilReady waits until all gateways take clients.
+func (c *cluster) waitUntilReady(ctx context.Context) error {
 	for _, n := range c.nodes {
-		if err := c.readyOne(ctx, n); err != nil {
+		if err := c.waitUntilNodeReady(ctx, n); err != nil {
 			return err
 		}
 	}
 	return nil
 }
 
-func (c *cluster) readyOne(ctx context.Context, n *node) error {
+func (c *cluster) waitUntilNodeReady(ctx context.Context, n *node) error {
 	for {
 		n.mu.Lock()
-		running := n.life != nil
+		running := n.process != nil
 		n.mu.Unlock()
 		if !running {
-			return fmt.Errorf("%s does not run: %s", n.name, c.tail(n))
+			return fmt.Errorf("%s does not run: %s", n.name, c.logTail(n))
 		}
 		req, err := http.NewRequestWithContext(ctx, http.MethodGet, "http://"+n.addr+httpwire.ReadyPath, nil)
 		if err != nil {
@@ -316,7 +316,7 @@
 		select {
 		case <-time.After(10 * time.Millisecond):
 		case <-ctx.Done():
-			return fmt.Errorf("%s is not ready: %s", n.name, c.tail(n))
+			return fmt.Errorf("%s is not ready: %s", n.name, c.logTail(n))
 		}
 	}
 }
@@ -343,12 +343,12 @@
 		}
 	}
 	for _, n := range c.nodes {
-		if n.socket != nil {
-			n.socket.Close()
+		if n.listenSocket != nil {
+			n.listenSocket.Close()
 		}
 	}
 	if c.relays != nil {
 		c.relays.close()
 	}
-	close(c.orders)
+	close(c.starts)
 }
--- a/internal/faulttest/drill.go
+++ b/internal/faulttest/drill.go
@@ -24,67 +24,67 @@
 
 // Result is what a drill saw.
 type Result struct {
-	Seed     uint64             `json:"seed"`
-	Sent     int                `json:"sent"`
-	Ends     map[string]int     `json:"ends"` // of requests, by how they ended for the client
-	Worth    float64            `json:"worth"`
-	Asked    float64            `json:"worth_asked"`
-	Caught   int                `json:"caught"`         // in hand for over 50 ms at a gateway that was killed or ended, of classes that may run again
-	Saved    int                `json:"saved"`          // of those, answered whole and in time
-	LostIn   float64            `json:"worth_lost_10s"` // of what was in hand at the first strike or came within 10 s of it
-	FirstMs  map[string]float64 `json:"first_ms"`
-	CPUMs    float64            `json:"cpu_ms_request"` // of the gateways' processes that ran to the end
-	MemoryMB float64            `json:"memory_mb"`      // the most resident memory of one of them at the end
-	Files    int                `json:"files"`          // the most descriptors open at the end
-	Classes  map[string]*Class  `json:"classes"`
-	ToLost   float64            `json:"to_lost"` // of the attempts, those sent to workers that were away, later than 1.5 s after they vanished
-	Breaks   []Break            `json:"breaks"`
-	Crashes  []string           `json:"crashes"`
-	LeftOut  int                `json:"left_out"`
+	Seed            uint64                  `json:"seed"`
+	Sent            int                     `json:"sent"`
+	Outcomes        map[string]int          `json:"ends"` // of requests, by how they ended for the client
+	WeightServed    float64                 `json:"worth"`
+	WeightOffered   float64                 `json:"worth_asked"`
+	Interrupted     int                     `json:"caught"`         // in hand for over 50 ms at a gateway that was killed or ended, of classes that may run again
+	Recovered       int                     `json:"saved"`          // of those, answered whole and in time
+	WeightLost      float64                 `json:"worth_lost_10s"` // of what was in hand at the first strike or came within 10 s of it
+	FirstTokenMs    map[string]float64      `json:"first_ms"`
+	CPUMsPerRequest float64                 `json:"cpu_ms_request"` // of the gateways' processes that ran to the end
+	MemoryMB        float64                 `json:"memory_mb"`      // the most resident memory of one of them at the end
+	OpenFiles       int                     `json:"files"`          // the most descriptors open at the end
+	Classes         map[string]*ClassResult `json:"classes"`
+	ToVanishedShare float64                 `json:"to_lost"` // of the attempts, those sent to workers that were away, later than 1.5 s after they vanished
+	Violations      []Violation             `json:"breaks"`
+	Crashes         []string                `json:"crashes"`
+	Skipped         int                     `json:"left_out"`
 }
 
-// Class is what became of one class's requests.
-type Class struct {
-	Sent    int     `json:"sent"`
-	InTime  int     `json:"in_time"` // with the first token within the aim
-	Refused int     `json:"refused"`
-	Worth   float64 `json:"worth"`
-	Asked   float64 `json:"worth_asked"`
+// ClassResult is what became of one class's requests.
+type ClassResult struct {
+	Sent          int     `json:"sent"`
+	InTime        int     `json:"in_time"` // with the first token within the aim
+	Shed          int     `json:"refused"`
+	WeightServed  float64 `json:"worth"`
+	WeightOffered float64 `json:"worth_asked"`
 }
 
-// watch gathers what clients and workers see.
-type watch struct {
-	mu       sync.Mutex
-	tries    []emulate.ClientAttempt
-	attempts []emulate.ReplicaAttempt
-	strikes  map[string][]*armed
-	c        *cluster
-	fire     func(x *model.Strike, serving int)
+// recorder gathers what clients and workers see.
+type recorder struct {
+	mu           sync.Mutex
+	requests     []emulate.ClientAttempt
+	attempts     []emulate.ReplicaAttempt
+	stateStrikes map[string][]*stateStrike
+	cluster      *cluster
+	fire         func(x *model.Strike, serving int)
 }
 
-// armed is a strike that waits for a request's state.
-type armed struct {
-	x    *model.Strike
-	seen int
+// stateStrike is a strike that waits for a request's state.
+type stateStrike struct {
+	strike *model.Strike
+	seen   int
 }
 
-func (w *watch) state(t *emulate.ClientAttempt, state string) {
+func (w *recorder) onState(t *emulate.ClientAttempt, state string) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	for _, a := range w.strikes[state] {
+	for _, a := range w.stateStrikes[state] {
 		if t.ResumeIndex > 0 {
 			continue
 		}
-		if a.seen++; a.seen == a.x.Nth {
-			serving := slices.IndexFunc(w.c.nodes, func(n *node) bool { return n.addr == t.Gateway })
-			go w.fire(a.x, serving)
+		if a.seen++; a.seen == a.strike.Nth {
+			serving := slices.IndexFunc(w.cluster.nodes, func(n *node) bool { return n.addr == t.Gateway })
+			go w.fire(a.strike, serving)
 		}
 	}
 }
 
 // Run carries out one drill.
 func Run(ctx context.Context, spec *model.Spec, o Options) (*Result, error) {
-	o, remove, err := o.complete()
+	o, remove, err := o.withDefaults()
 	if err != nil {
 		return nil, err
 	}
@@ -94,7 +94,7 @@
 		return nil, err
 	}
 	defer f.Close()
-	w := &watch{strikes: map[string][]*armed{}}
+	w := &recorder{stateStrikes: map[string][]*stateStrike{}}
 	f.OnAttemptEnd = func(a emulate.ReplicaAttempt) {
 		w.mu.Lock()
 		defer w.mu.Unlock()
@@ -106,7 +106,7 @@
 	}
 	defer c.close()
 	starting, stop := context.WithTimeout(ctx, 30*time.Second+time.Duration(spec.Gateways)*200*time.Millisecond)
-	err = c.ready(starting)
+	err = c.waitUntilReady(starting)
 	stop()
 	if err != nil {
 		return nil, err
@@ -120,19 +120,19 @@
 	}
 	ctx, stop = context.WithTimeout(ctx, time.Duration(spec.Duration)*time.Microsecond+time.Minute)
 	defer stop()
-	before := c.usage()
-	s := &striker{c: c, spec: spec, rng: rand.New(rand.NewPCG(spec.Seed, 41)), began: time.Now()}
-	w.c = c
+	before := c.processUsage()
+	s := &striker{cluster: c, spec: spec, random: rand.New(rand.NewPCG(spec.Seed, 41)), startedAt: time.Now()}
+	w.cluster = c
 	w.fire = func(x *model.Strike, serving int) { s.strike(ctx, x, serving) }
 	for i := range spec.Strikes {
 		x := &spec.Strikes[i]
 		if x.When != "" && x.When != "at" {
-			w.strikes[x.When] = append(w.strikes[x.When], &armed{x: x})
+			w.stateStrikes[x.When] = append(w.stateStrikes[x.When], &stateStrike{strike: x})
 			continue
 		}
-		s.all.Go(func() {
+		s.tasks.Go(func() {
 			select {
-			case <-time.After(time.Until(s.began.Add(time.Duration(x.At) * time.Microsecond))):
+			case <-time.After(time.Until(s.startedAt.Add(time.Duration(x.At) * time.Microsecond))):
 				s.strike(ctx, x, -1)
 			case <-ctx.Done():
 			}
@@ -142,35 +142,35 @@
 	for _, n := range c.nodes {
 		addrs = append(addrs, n.addr)
 	}
-	drains := drained(spec, s.began)
-	_, left, err := emulate.PlayObserved(ctx, f, spec, addrs, emulate.Observer{OnState: w.state, IsOffered: c.offered, OnEnd: func(t *emulate.ClientAttempt) {
+	drains := drainDeadlines(spec, s.startedAt)
+	_, left, err := emulate.PlayObserved(ctx, f, spec, addrs, emulate.Observer{OnState: w.onState, IsOffered: c.offered, OnEnd: func(t *emulate.ClientAttempt) {
 		w.mu.Lock()
 		defer w.mu.Unlock()
-		w.tries = append(w.tries, *t)
+		w.requests = append(w.requests, *t)
 	}})
 	if err != nil {
 		return nil, err
 	}
 	stop()
-	s.all.Wait()
+	s.tasks.Wait()
 	for _, n := range c.nodes {
 		n.signal(syscall.SIGCONT)
 	}
-	res := &Result{Seed: spec.Seed, LeftOut: left, Crashes: c.crashes()}
-	c.spent(before, res)
-	w.quiet()
+	res := &Result{Seed: spec.Seed, Skipped: left, Crashes: c.crashes()}
+	c.addUsage(before, res)
+	w.waitForAttempts()
 	res.measure(spec, w, s)
-	res.ToLost = toLost(spec, w, s.began)
-	rules := Rules{Attempts: spec.Settings.MaxAttempts, Beside: spec.Settings.MayHedge, Once: map[string]bool{}, Slack: 50 * time.Millisecond, Drains: drains}
+	res.ToVanishedShare = vanishedShare(spec, w, s.startedAt)
+	rules := Rules{MaxAttempts: spec.Settings.MaxAttempts, MayHedge: spec.Settings.MayHedge, NonIdempotent: map[string]bool{}, Tolerance: 50 * time.Millisecond, DrainedBy: drains}
 	for _, k := range spec.Settings.Classes {
-		rules.Once[k.Name] = k.Idempotency == balancer.NonIdempotent
+		rules.NonIdempotent[k.Name] = k.Idempotency == balancer.NonIdempotent
 	}
-	res.Breaks = Audit(rules, w.tries, w.attempts)
+	res.Violations = Audit(rules, w.requests, w.attempts)
 	return res, nil
 }
 
-// quiet waits until the workers have nothing more to tell.
-func (w *watch) quiet() {
+// waitForAttempts waits until the workers have nothing more to tell.
+func (w *recorder) waitForAttempts() {
 	for last, end := -1, time.Now().Add(time.Second); time.Now().Before(end); time.Sleep(20 * time.Millisecond) {
 		w.mu.Lock()
 		n := len(w.attempts)
@@ -182,8 +182,8 @@
 	}
 }
 
-// drained is when workers that drain must get nothing new any more.
-func drained(spec *model.Spec, began time.Time) map[string]time.Time {
+// drainDeadlines is when workers that drain must get nothing new any more.
+func drainDeadlines(spec *model.Spec, began time.Time) map[string]time.Time {
 	out := map[string]time.Time{}
 	i := 0
 	for _, g := range spec.Groups {
@@ -199,9 +199,9 @@
 	return out
 }
 
-// toLost is the share of attempts that went to machines that had vanished, later than a
+// vanishedShare is the share of attempts that went to machines that had vanished, later than a
 // second and a half after, of all that were made in that time.
-func toLost(spec *model.Spec, w *watch, began time.Time) float64 {
+func vanishedShare(spec *model.Spec, w *recorder, began time.Time) float64 {
 	zones, all, wrong := map[string]string{}, 0, 0
 	n := 0
 	for _, g := range spec.Groups {
@@ -232,32 +232,32 @@
 
 // striker carries out strikes.
 type striker struct {
-	c     *cluster
-	spec  *model.Spec
-	rng   *rand.Rand
-	began time.Time
-	all   sync.WaitGroup
-	mu    sync.Mutex
-	first time.Time              // the first strike's
-	ended map[string][]time.Time // by a gateway's address: when its process was told to end
+	cluster       *cluster
+	spec          *model.Spec
+	random        *rand.Rand
+	startedAt     time.Time
+	tasks         sync.WaitGroup
+	mu            sync.Mutex
+	firstStrikeAt time.Time              // the first strike's
+	endedAt       map[string][]time.Time // by a gateway's address: when its process was told to end
 }
 
-// struck chooses whom a strike is for.
-func (s *striker) struck(x *model.Strike, serving int) (out []*node) {
+// targets chooses whom a strike is for.
+func (s *striker) targets(x *model.Strike, serving int) (out []*node) {
 	if serving >= 0 {
-		return []*node{s.c.nodes[serving]}
+		return []*node{s.cluster.nodes[serving]}
 	}
 	if x.Gateway >= 0 {
-		return []*node{s.c.nodes[x.Gateway%len(s.c.nodes)]}
+		return []*node{s.cluster.nodes[x.Gateway%len(s.cluster.nodes)]}
 	}
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	for _, i := range s.rng.Perm(len(s.c.nodes)) {
-		n := s.c.nodes[i]
-		if x.Site >= 0 && n.site != x.Site {
+	for _, i := range s.random.Perm(len(s.cluster.nodes)) {
+		n := s.cluster.nodes[i]
+		if x.Site >= 0 && n.zone != x.Site {
 			continue
 		}
-		if x.Share > 0 && float64(len(out)) >= x.Share*float64(len(s.c.nodes))-0.5 {
+		if x.Share > 0 && float64(len(out)) >= x.Share*float64(len(s.cluster.nodes))-0.5 {
 			break
 		}
 		out = append(out, n)
@@ -267,17 +267,17 @@
 
 // strike begins a strike now, and ends it after its time or with the drill.
 func (s *striker) strike(ctx context.Context, x *model.Strike, serving int) {
-	list := s.struck(x, serving)
+	list := s.targets(x, serving)
 	s.mu.Lock()
-	if s.first.IsZero() {
-		s.first = time.Now()
+	if s.firstStrikeAt.IsZero() {
+		s.firstStrikeAt = time.Now()
 	}
-	if s.ended == nil {
-		s.ended = map[string][]time.Time{}
+	if s.endedAt == nil {
+		s.endedAt = map[string][]time.Time{}
 	}
 	if x.Kind == "kill" || x.Kind == "term" {
 		for _, n := range list {
-			s.ended[n.addr] = append(s.ended[n.addr], time.Now())
+			s.endedAt[n.addr] = append(s.endedAt[n.addr], time.Now())
 		}
 	}
 	s.mu.Unlock()
@@ -293,7 +293,7 @@
 			n.signal(syscall.SIGSTOP)
 		}
 	}
-	s.link(x, list, true)
+	s.setLinks(x, list, true)
 	if x.Duration <= 0 {
 		return
 	}
@@ -302,7 +302,7 @@
 	case <-ctx.Done():
 		return
 	}
-	s.link(x, list, false)
+	s.setLinks(x, list, false)
 	for _, n := range list {
 		switch x.Kind {
 		case "term":
@@ -316,7 +316,7 @@
 			fallthrough
 		case "kill":
 			if ctx.Err() == nil {
-				s.again(ctx, n)
+				s.restart(ctx, n)
 			}
 		case "freeze":
 			n.signal(syscall.SIGCONT)
@@ -324,17 +324,17 @@
 	}
 }
 
-// again starts a gateway once more, and has the front offer it when it is ready.
-func (s *striker) again(ctx context.Context, n *node) {
-	n.offer(false)
-	_ = s.c.start(n) // one that cannot start is seen as a crash
-	s.all.Go(func() {
-		defer n.offer(true)
-		_ = s.c.readyOne(ctx, n) // it ends with the drill at the latest
+// restart starts a gateway once more, and has the front offer it when it is ready.
+func (s *striker) restart(ctx context.Context, n *node) {
+	n.setOffered(false)
+	_ = s.cluster.start(n) // one that cannot start is seen as a crash
+	s.tasks.Go(func() {
+		defer n.setOffered(true)
+		_ = s.cluster.waitUntilNodeReady(ctx, n) // it ends with the drill at the latest
 	})
 }
 
-func (n *node) offer(on bool) {
+func (n *node) setOffered(on bool) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	n.starting = !on
@@ -352,73 +352,73 @@
 	return true
 }
 
-// link begins or ends what a strike does to the links.
-func (s *striker) link(x *model.Strike, list []*node, on bool) {
-	rs := s.c.relays
+// setLinks begins or ends what a strike does to the links.
+func (s *striker) setLinks(x *model.Strike, list []*node, on bool) {
+	rs := s.cluster.relays
 	if rs == nil {
 		return
 	}
 	switch x.Kind {
 	case "cut", "mute", "deaf":
 		for _, n := range list {
-			for _, o := range s.c.nodes {
+			for _, o := range s.cluster.nodes {
 				if slices.Contains(list, o) {
 					continue
 				}
 				if x.Kind != "deaf" {
-					rs.set(n.n, o.n, on)
+					rs.setPartition(n.index, o.index, on)
 				}
 				if x.Kind != "mute" {
-					rs.set(o.n, n.n, on)
+					rs.setPartition(o.index, n.index, on)
 				}
 			}
 		}
 	case "lose", "slow":
 		rs.mu.Lock()
 		defer rs.mu.Unlock()
-		if rs.lose, rs.slow = 0, 0; on && x.Kind == "lose" {
-			rs.lose = x.Factor
+		if rs.lossRate, rs.maxDelay = 0, 0; on && x.Kind == "lose" {
+			rs.lossRate = x.Factor
 		} else if on {
-			rs.slow = time.Duration(x.Factor * float64(time.Millisecond))
+			rs.maxDelay = time.Duration(x.Factor * float64(time.Millisecond))
 		}
 	}
 }
 
-// use is what a process has taken up.
-type use struct {
-	pid  int
-	time time.Duration
+// processUsage is what a process has taken up.
+type processUsage struct {
+	pid     int
+	cpuTime time.Duration
 }
 
-// usage is what the processes have used of the processors.
-func (c *cluster) usage() []use {
-	out := make([]use, len(c.nodes))
+// processUsage is what the processes have used of the processors.
+func (c *cluster) processUsage() []processUsage {
+	out := make([]processUsage, len(c.nodes))
 	for i, n := range c.nodes {
 		n.mu.Lock()
-		if n.life != nil {
-			out[i] = use{n.life.cmd.Process.Pid, procstat.CPUTime(n.life.cmd.Process.Pid)}
+		if n.process != nil {
+			out[i] = processUsage{n.process.cmd.Process.Pid, procstat.CPUTime(n.process.cmd.Process.Pid)}
 		}
 		n.mu.Unlock()
 	}
 	return out
 }
 
-// spent enters what the processes that ran all the time used.
-func (c *cluster) spent(before []use, res *Result) {
+// addUsage enters what the processes that ran all the time used.
+func (c *cluster) addUsage(before []processUsage, res *Result) {
 	total := time.Duration(0)
-	for i, now := range c.usage() {
+	for i, now := range c.processUsage() {
 		if now.pid == 0 || now.pid != before[i].pid {
 			continue
 		}
-		total += now.time - before[i].time
+		total += now.cpuTime - before[i].cpuTime
 		res.MemoryMB = max(res.MemoryMB, procstat.ResidentMB(now.pid))
 		files, _ := filepath.Glob(fmt.Sprintf("/proc/%d/fd/*", now.pid))
-		res.Files = max(res.Files, len(files))
+		res.OpenFiles = max(res.OpenFiles, len(files))
 	}
-	res.CPUMs = total.Seconds() * 1000
+	res.CPUMsPerRequest = total.Seconds() * 1000
 }
 
-func one(v bool) int {
+func boolToInt(v bool) int {
 	if v {
 		return 1
 	}
@@ -426,15 +426,15 @@
 }
 
 // measure tells how the requests ended.
-func (res *Result) measure(spec *model.Spec, w *watch, s *striker) {
-	res.Ends, res.Classes = map[string]int{}, map[string]*Class{}
+func (res *Result) measure(spec *model.Spec, w *recorder, s *striker) {
+	res.Outcomes, res.Classes = map[string]int{}, map[string]*ClassResult{}
 	type request struct {
 		first, last emulate.ClientAttempt
 	}
 	// A client whose request nobody had heard of sends it under a new id: the story
 	// goes on under the first one.
 	byRoot := map[string]*request{}
-	for _, t := range w.tries {
+	for _, t := range w.requests {
 		r := byRoot[t.RootID]
 		if r == nil {
 			r = &request{first: t, last: t}
@@ -454,7 +454,7 @@
 			continue // sent again as a new one, which is counted; or before what counts
 		}
 		res.Sent++
-		res.Ends[r.last.Outcome]++
+		res.Outcomes[r.last.Outcome]++
 		k := r.first.Class
 		firstAt := r.first.FirstTokenAt
 		if firstAt == 0 {
@@ -469,39 +469,39 @@
 			}
 			firsts = append(firsts, float64(firstAt-r.first.RequestedAt)/1000)
 		}
-		res.Asked += k.PriorityWeight
-		res.Worth += worth
+		res.WeightOffered += k.PriorityWeight
+		res.WeightServed += worth
 		of := res.Classes[k.Name]
 		if of == nil {
-			of = &Class{}
+			of = &ClassResult{}
 			res.Classes[k.Name] = of
 		}
 		of.Sent++
-		of.Asked, of.Worth = of.Asked+k.PriorityWeight, of.Worth+worth
-		of.InTime += one(worth >= k.PriorityWeight && k.PriorityWeight > 0)
-		of.Refused += one(r.last.Outcome == "refused")
-		struck := s.first.Sub(s.began).Microseconds()
-		if !s.first.IsZero() && r.last.EndedAt >= struck && r.first.RequestedAt < struck+10_000_000 {
-			res.LostIn += k.PriorityWeight - worth
+		of.WeightOffered, of.WeightServed = of.WeightOffered+k.PriorityWeight, of.WeightServed+worth
+		of.InTime += boolToInt(worth >= k.PriorityWeight && k.PriorityWeight > 0)
+		of.Shed += boolToInt(r.last.Outcome == "refused")
+		struck := s.firstStrikeAt.Sub(s.startedAt).Microseconds()
+		if !s.firstStrikeAt.IsZero() && r.last.EndedAt >= struck && r.first.RequestedAt < struck+10_000_000 {
+			res.WeightLost += k.PriorityWeight - worth
 		}
-		for _, at := range s.ended[r.first.Gateway] {
-			died := at.Sub(s.began).Microseconds()
+		for _, at := range s.endedAt[r.first.Gateway] {
+			died := at.Sub(s.startedAt).Microseconds()
 			if k.Idempotency != balancer.NonIdempotent && r.first.SentAt <= died-50_000 && r.first.EndedAt >= died {
-				res.Caught++
+				res.Interrupted++
 				if inTime {
-					res.Saved++
+					res.Recovered++
 				}
 			}
 		}
 	}
 	slices.Sort(firsts)
-	res.FirstMs = map[string]float64{}
+	res.FirstTokenMs = map[string]float64{}
 	for name, q := range map[string]float64{"p50": 0.5, "p95": 0.95, "p99": 0.99} {
 		if len(firsts) > 0 {
-			res.FirstMs[name] = firsts[min(len(firsts)-1, int(q*float64(len(firsts))))]
+			res.FirstTokenMs[name] = firsts[min(len(firsts)-1, int(q*float64(len(firsts))))]
 		}
 	}
 	if res.Sent > 0 {
-		res.CPUMs /= float64(res.Sent)
+		res.CPUMsPerRequest /= float64(res.Sent)
 	}
 }
--- a/internal/faulttest/drill_test.go
+++ b/internal/faulttest/drill_test.go
@@ -39,30 +39,30 @@
 		t.Run(c.plan+"/"+c.variant, func(t *testing.T) {
 			t.Parallel()
 			r := run(t, "testdata/"+c.plan+".plan", c.variant)
-			for _, b := range r.Breaks {
-				t.Errorf("rule %s, request %s: %s", b.Rule, b.Root, b.What)
+			for _, b := range r.Violations {
+				t.Errorf("rule %s, request %s: %s", b.Rule, b.RequestID, b.Details)
 			}
 			for _, text := range r.Crashes {
 				t.Error(text)
 			}
-			if r.Sent < 100 || r.Ends["served"] < r.Sent/2 {
-				t.Errorf("of %d requests: %v", r.Sent, r.Ends)
+			if r.Sent < 100 || r.Outcomes["served"] < r.Sent/2 {
+				t.Errorf("of %d requests: %v", r.Sent, r.Outcomes)
 			}
-			if r.Caught >= 5 && float64(r.Saved) < c.least*float64(r.Caught) {
-				t.Errorf("in hand at lost gateways: %d, answered whole: %d", r.Caught, r.Saved)
+			if r.Interrupted >= 5 && float64(r.Recovered) < c.least*float64(r.Interrupted) {
+				t.Errorf("in hand at lost gateways: %d, answered whole: %d", r.Interrupted, r.Recovered)
 			}
 		})
 	}
 }
 
 // Without the link what is begun at a lost gateway is lost: the drill sees it.
-func TestDrillSeesLoss(t *testing.T) {
+func TestDrillDetectsLoss(t *testing.T) {
 	if testing.Short() {
 		t.Skip("it starts processes")
 	}
 	t.Parallel()
-	if r := run(t, "testdata/many.plan", "off"); r.Caught < 5 || r.Saved*2 > r.Caught {
-		t.Errorf("in hand at lost gateways: %d, answered whole: %d", r.Caught, r.Saved)
+	if r := run(t, "testdata/many.plan", "off"); r.Interrupted < 5 || r.Recovered*2 > r.Interrupted {
+		t.Errorf("in hand at lost gateways: %d, answered whole: %d", r.Interrupted, r.Recovered)
 	}
 }
 
@@ -84,7 +84,7 @@
 			if err != nil {
 				t.Fatal(err)
 			}
-			t.Logf("sent=%d %v caught=%d saved=%d", r.Sent, r.Ends, r.Caught, r.Saved)
+			t.Logf("sent=%d %v caught=%d saved=%d", r.Sent, r.Outcomes, r.Interrupted, r.Recovered)
 			return r
 		}
 	}
@@ -93,7 +93,7 @@
 }
 
 // The auditor finds each planted break, and nothing where there is none.
-func TestAuditorFindsPlantedBreaks(t *testing.T) {
+func TestAuditFindsViolations(t *testing.T) {
 	began := time.Now()
 	at := func(ms int) time.Time { return began.Add(time.Duration(ms) * time.Millisecond) }
 	attempt := func(root string, from, to int, change func(*emulate.ReplicaAttempt)) emulate.ReplicaAttempt {
@@ -107,7 +107,7 @@
 	try := func(id string, ask int, whole bool) emulate.ClientAttempt {
 		return emulate.ClientAttempt{RootID: "a", ID: id, ResumeIndex: ask, Class: class, FirstTokenTimeout: 4_000_000, FirstTokenAt: 1, EndedAt: 100_000, Status: 200, Complete: whole}
 	}
-	rules := faulttest.Rules{Attempts: 3, Once: map[string]bool{"once": true}, Slack: 50 * time.Millisecond, Drains: map[string]time.Time{"k-9": at(1000)}}
+	rules := faulttest.Rules{MaxAttempts: 3, NonIdempotent: map[string]bool{"once": true}, Tolerance: 50 * time.Millisecond, DrainedBy: map[string]time.Time{"k-9": at(1000)}}
 	once := func(a *emulate.ReplicaAttempt) { a.Class = "once" }
 	for _, c := range []struct {
 		rule     string // "": none is broken
@@ -178,15 +178,15 @@
 			if err != nil {
 				t.Fatal(err)
 			}
-			for _, b := range r.Breaks {
-				t.Errorf("rule %s, request %s: %s", b.Rule, b.Root, b.What)
+			for _, b := range r.Violations {
+				t.Errorf("rule %s, request %s: %s", b.Rule, b.RequestID, b.Details)
 			}
 			for _, text := range r.Crashes {
 				t.Error(text)
 			}
-			t.Logf("%d requests, %.3f of the worth served, %.4f of the attempts to the lost site", r.Sent, r.Worth/r.Asked, r.ToLost)
-			if served := r.Worth / r.Asked; r.Sent < 150 || served < c.least || r.ToLost > c.toLost {
-				t.Errorf("of %d requests %.3f of the worth served, %.3f of the attempts to the lost site", r.Sent, served, r.ToLost)
+			t.Logf("%d requests, %.3f of the worth served, %.4f of the attempts to the lost site", r.Sent, r.WeightServed/r.WeightOffered, r.ToVanishedShare)
+			if served := r.WeightServed / r.WeightOffered; r.Sent < 150 || served < c.least || r.ToVanishedShare > c.toLost {
+				t.Errorf("of %d requests %.3f of the worth served, %.3f of the attempts to the lost site", r.Sent, served, r.ToVanishedShare)
 			}
 		})
 	}
--- a/internal/faulttest/proxy.go
+++ b/internal/faulttest/proxy.go
@@ -12,12 +12,12 @@
 type proxyMode uint8
 
 const (
-	proxyPasses  proxyMode = iota
-	proxySilent            // takes connections, and passes nothing on
-	proxyRefuses           // ends each connection at once
-	proxySlow              // passes on late
-	proxyPieces            // passes on byte by byte
-	proxyModes   int       = iota
+	proxyForward    proxyMode = iota
+	proxySilent               // takes connections, and passes nothing on
+	proxyRefuse               // ends each connection at once
+	proxyDelay                // passes on late
+	proxyByteByByte           // passes on byte by byte
+	proxyModeCount  int       = iota
 )
 
 func (m proxyMode) String() string {
@@ -25,75 +25,75 @@
 }
 
 const (
-	// proxyLate is how late a slow proxy passes on what came.
-	proxyLate = 300 * time.Millisecond
-	// proxyEach is what a proxy passes on at once at most.
-	proxyEach = 16 << 10
+	// proxyDelayTime is how late a slow proxy passes on what came.
+	proxyDelayTime = 300 * time.Millisecond
+	// proxyBufferSize is what a proxy passes on at once at most.
+	proxyBufferSize = 16 << 10
 )
 
-// proxy stands before a server and does it harm, for all who connect alike.
-type proxy struct {
-	addr string
-	to   string
-	l    net.Listener
-	mu   sync.Mutex
-	mode proxyMode
-	news chan struct{} // closed at the next change of mode
-	all  sync.WaitGroup
-	ctx  context.Context
-	stop context.CancelFunc
+// faultProxy stands before a server and does it harm, for all who connect alike.
+type faultProxy struct {
+	addr        string
+	target      string
+	listener    net.Listener
+	mu          sync.Mutex
+	mode        proxyMode
+	modeChanged chan struct{} // closed at the next change of mode
+	connections sync.WaitGroup
+	ctx         context.Context
+	stop        context.CancelFunc
 }
 
-func newProxy(to string) (*proxy, error) {
+func newProxy(to string) (*faultProxy, error) {
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		return nil, err
 	}
-	p := &proxy{addr: l.Addr().String(), to: to, l: l, news: make(chan struct{})}
+	p := &faultProxy{addr: l.Addr().String(), target: to, listener: l, modeChanged: make(chan struct{})}
 	p.ctx, p.stop = context.WithCancel(context.Background())
 	go p.accept()
 	return p, nil
 }
 
-// set changes what happens from now on, to open connections too.
-func (p *proxy) set(mode proxyMode) {
+// setMode changes what happens from now on, to open connections too.
+func (p *faultProxy) setMode(mode proxyMode) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.mode = mode
-	close(p.news)
-	p.news = make(chan struct{})
+	close(p.modeChanged)
+	p.modeChanged = make(chan struct{})
 }
 
-func (p *proxy) now() (proxyMode, <-chan struct{}) {
+func (p *faultProxy) currentMode() (proxyMode, <-chan struct{}) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	return p.mode, p.news
+	return p.mode, p.modeChanged
 }
 
-func (p *proxy) close() {
+func (p *faultProxy) close() {
 	p.stop()
-	p.l.Close()
-	p.all.Wait()
+	p.listener.Close()
+	p.connections.Wait()
 }
 
-func (p *proxy) accept() {
+func (p *faultProxy) accept() {
 	for {
-		c, err := p.l.Accept()
+		c, err := p.listener.Accept()
 		if err != nil {
 			return
 		}
-		if mode, _ := p.now(); mode == proxyRefuses {
+		if mode, _ := p.currentMode(); mode == proxyRefuse {
 			c.Close()
 			continue
 		}
-		p.all.Go(func() { p.connection(c) })
+		p.connections.Go(func() { p.forwardConn(c) })
 	}
 }
 
-// connection passes on both ways until one side ends.
-func (p *proxy) connection(c net.Conn) {
+// forwardConn passes on both ways until one side ends.
+func (p *faultProxy) forwardConn(c net.Conn) {
 	defer c.Close()
-	to, err := net.Dial("tcp", p.to)
+	to, err := net.Dial("tcp", p.target)
 	if err != nil {
 		return
 	}
@@ -101,14 +101,14 @@
 	end := context.AfterFunc(p.ctx, func() { c.Close(); to.Close() })
 	defer end()
 	var both sync.WaitGroup
-	both.Go(func() { p.pass(to, c); to.Close(); c.Close() })
-	both.Go(func() { p.pass(c, to); to.Close(); c.Close() })
+	both.Go(func() { p.forward(to, c); to.Close(); c.Close() })
+	both.Go(func() { p.forward(c, to); to.Close(); c.Close() })
 	both.Wait()
 }
 
-// pass passes one way on.
-func (p *proxy) pass(out io.Writer, in io.Reader) {
-	buf := make([]byte, proxyEach)
+// forward passes one way on.
+func (p *faultProxy) forward(out io.Writer, in io.Reader) {
+	buf := make([]byte, proxyBufferSize)
 	for {
 		n, err := in.Read(buf)
 		if n > 0 && !p.write(out, buf[:n]) || err != nil {
@@ -118,11 +118,11 @@
 }
 
 // write passes a piece on as the mode has it, and tells whether the connection goes on.
-func (p *proxy) write(out io.Writer, text []byte) bool {
+func (p *faultProxy) write(out io.Writer, text []byte) bool {
 	for {
-		mode, news := p.now()
+		mode, news := p.currentMode()
 		switch mode {
-		case proxyRefuses:
+		case proxyRefuse:
 			return false
 		case proxySilent:
 			select {
@@ -131,9 +131,9 @@
 			case <-p.ctx.Done():
 				return false
 			}
-		case proxySlow:
-			time.Sleep(proxyLate)
-		case proxyPieces:
+		case proxyDelay:
+			time.Sleep(proxyDelayTime)
+		case proxyByteByByte:
 			for i := range text {
 				if _, err := out.Write(text[i : i+1]); err != nil {
 					return false
--- a/internal/faulttest/relay.go
+++ b/internal/faulttest/relay.go
@@ -15,35 +15,35 @@
 	"time"
 )
 
-// relays stand before the gateways' links to each other: who speaks to gateway j speaks
+// relayNetwork stand before the gateways' links to each other: who speaks to gateway j speaks
 // to relay j.
-type relays struct {
-	mu     sync.Mutex
-	rng    *rand.Rand
-	lose   float64
-	slow   time.Duration
-	cut    map[[2]int]bool // from, to
-	byPort map[uint16]int  // the gateways' own ports
-	byName map[string]int
-	list   []*relay
+type relayNetwork struct {
+	mu         sync.Mutex
+	rng        *rand.Rand
+	lossRate   float64
+	maxDelay   time.Duration
+	partitions map[[2]int]bool // from, to
+	byPort     map[uint16]int  // the gateways' own ports
+	byName     map[string]int
+	list       []*relay
 }
 
 type relay struct {
-	all  *relays
-	n    int
-	addr string // where it listens
-	real netip.AddrPort
-	udp  *net.UDPConn
-	mu   sync.Mutex
-	tcp  net.Listener // nil while the gateway's process is dead: a dial is refused then
+	network *relayNetwork
+	index   int
+	addr    string // where it listens
+	target  netip.AddrPort
+	udp     *net.UDPConn
+	mu      sync.Mutex
+	tcp     net.Listener // nil while the gateway's process is dead: a dial is refused then
 }
 
-func newRelays(seed uint64) *relays {
-	return &relays{rng: rand.New(rand.NewPCG(seed, 99)), cut: map[[2]int]bool{}, byPort: map[uint16]int{}, byName: map[string]int{}}
+func newRelayNetwork(seed uint64) *relayNetwork {
+	return &relayNetwork{rng: rand.New(rand.NewPCG(seed, 99)), partitions: map[[2]int]bool{}, byPort: map[uint16]int{}, byName: map[string]int{}}
 }
 
 // add opens the relay before a gateway's link.
-func (rs *relays) add(name, real, addr string) (*relay, error) {
+func (rs *relayNetwork) add(name, real, addr string) (*relay, error) {
 	to, err := netip.ParseAddrPort(real)
 	if err != nil {
 		return nil, err
@@ -52,34 +52,34 @@
 	if err != nil {
 		return nil, err
 	}
-	udp, err := soon(func() (*net.UDPConn, error) { return net.ListenUDP("udp", net.UDPAddrFromAddrPort(at)) })
+	udp, err := retryListen(func() (*net.UDPConn, error) { return net.ListenUDP("udp", net.UDPAddrFromAddrPort(at)) })
 	if err != nil {
 		return nil, err
 	}
 	_ = udp.SetReadBuffer(1 << 20)
-	r := &relay{all: rs, n: len(rs.list), real: to, udp: udp, addr: addr}
+	r := &relay{network: rs, index: len(rs.list), target: to, udp: udp, addr: addr}
 	rs.mu.Lock()
 	rs.list = append(rs.list, r)
-	rs.byPort[to.Port()], rs.byName[name] = r.n, r.n
+	rs.byPort[to.Port()], rs.byName[name] = r.index, r.index
 	rs.mu.Unlock()
 	if err := r.up(); err != nil {
 		udp.Close()
 		return nil, err
 	}
-	go r.datagrams()
+	go r.forwardDatagrams()
 	return r, nil
 }
 
-func (rs *relays) close() {
+func (rs *relayNetwork) close() {
 	for _, r := range rs.list {
 		r.udp.Close()
 		r.down()
 	}
 }
 
-// soon tries for a moment to listen: a process that is just being started by another
+// retryListen tries for a moment to listen: a process that is just being started by another
 // drill has copies of all sockets of this one until it runs its own program.
-func soon[T any](listen func() (T, error)) (got T, err error) {
+func retryListen[T any](listen func() (T, error)) (got T, err error) {
 	for end := time.Now().Add(2 * time.Second); ; time.Sleep(5 * time.Millisecond) {
 		if got, err = listen(); err == nil || time.Now().After(end) {
 			return got, err
@@ -94,7 +94,7 @@
 	if r.tcp != nil {
 		return nil
 	}
-	l, err := soon(func() (net.Listener, error) { return net.Listen("tcp", r.addr) })
+	l, err := retryListen(func() (net.Listener, error) { return net.Listen("tcp", r.addr) })
 	if err != nil {
 		return err
 	}
@@ -105,7 +105,7 @@
 			if err != nil {
 				return
 			}
-			go r.dialled(c)
+			go r.forwardProbe(c)
 		}
 	}()
 	return nil
@@ -121,31 +121,31 @@
 	}
 }
 
-// set cuts or heals the way from one gateway to another.
-func (rs *relays) set(from, to int, cut bool) {
+// setPartition cuts or heals the way from one gateway to another.
+func (rs *relayNetwork) setPartition(from, to int, cut bool) {
 	rs.mu.Lock()
 	defer rs.mu.Unlock()
 	if cut {
-		rs.cut[[2]int{from, to}] = true
+		rs.partitions[[2]int{from, to}] = true
 	} else {
-		delete(rs.cut, [2]int{from, to})
+		delete(rs.partitions, [2]int{from, to})
 	}
 }
 
-// passes tells whether, and when, something goes through.
-func (rs *relays) passes(from, to int, datagram bool) (bool, time.Duration) {
+// transmit tells whether, and when, something goes through.
+func (rs *relayNetwork) transmit(from, to int, datagram bool) (bool, time.Duration) {
 	rs.mu.Lock()
 	defer rs.mu.Unlock()
-	if rs.cut[[2]int{from, to}] || datagram && rs.lose > 0 && rs.rng.Float64() < rs.lose {
+	if rs.partitions[[2]int{from, to}] || datagram && rs.lossRate > 0 && rs.rng.Float64() < rs.lossRate {
 		return false, 0
 	}
-	if datagram && rs.slow > 0 {
-		return true, time.Duration(rs.rng.Float64() * float64(rs.slow))
+	if datagram && rs.maxDelay > 0 {
+		return true, time.Duration(rs.rng.Float64() * float64(rs.maxDelay))
 	}
 	return true, 0
 }
 
-func (r *relay) datagrams() {
+func (r *relay) forwardDatagrams() {
 	b := make([]byte, 64<<10)
 	for {
 		n, from, err := r.udp.ReadFromUDPAddrPort(b)
@@ -155,24 +155,24 @@
 			}
 			continue // told that the gateway's port is closed
 		}
-		r.all.mu.Lock()
-		i, ok := r.all.byPort[from.Port()]
-		r.all.mu.Unlock()
+		r.network.mu.Lock()
+		i, ok := r.network.byPort[from.Port()]
+		r.network.mu.Unlock()
 		if !ok {
 			continue
 		}
-		if pass, late := r.all.passes(i, r.n, true); pass && late > 0 {
+		if pass, late := r.network.transmit(i, r.index, true); pass && late > 0 {
 			text := append([]byte(nil), b[:n]...)
-			time.AfterFunc(late, func() { r.udp.WriteToUDPAddrPort(text, r.real) })
+			time.AfterFunc(late, func() { r.udp.WriteToUDPAddrPort(text, r.target) })
 		} else if pass {
-			r.udp.WriteToUDPAddrPort(b[:n], r.real)
+			r.udp.WriteToUDPAddrPort(b[:n], r.target)
 		}
 	}
 }
 
-// dialled passes on a probe, which begins with who asks. One that may not pass is left
+// forwardProbe passes on a probe, which begins with who asks. One that may not pass is left
 // without an answer, as on a network that is cut.
-func (r *relay) dialled(c net.Conn) {
+func (r *relay) forwardProbe(c net.Conn) {
 	defer c.Close()
 	_ = c.SetDeadline(time.Now().Add(10 * time.Second))
 	line, err := bufio.NewReader(io.LimitReader(c, 256)).ReadString('\n')
@@ -180,16 +180,16 @@
 		return
 	}
 	who, _, _ := strings.Cut(line, " ")
-	r.all.mu.Lock()
-	i, ok := r.all.byName[who]
-	r.all.mu.Unlock()
-	there, _ := r.all.passes(i, r.n, false)
-	back, _ := r.all.passes(r.n, i, false)
+	r.network.mu.Lock()
+	i, ok := r.network.byName[who]
+	r.network.mu.Unlock()
+	there, _ := r.network.transmit(i, r.index, false)
+	back, _ := r.network.transmit(r.index, i, false)
 	if !ok || !there || !back {
 		io.Copy(io.Discard, c) // until the other side has waited long enough
 		return
 	}
-	to, err := net.DialTimeout("tcp", r.real.String(), time.Second)
+	to, err := net.DialTimeout("tcp", r.target.String(), time.Second)
 	if err != nil {
 		return
 	}
--- a/internal/faulttest/soak.go
+++ b/internal/faulttest/soak.go
@@ -23,91 +23,91 @@
 
 // SoakResult is what a soak saw.
 type SoakResult struct {
-	Seed     uint64        `json:"seed"`
-	Sent     int           `json:"sent"`
-	Ends     string        `json:"ends"`
-	Attempts int           `json:"attempts"`
-	Events   []string      `json:"events"` // the timeline
-	Breaks   []Break       `json:"breaks"`
-	Crashes  []string      `json:"crashes"`
-	Took     time.Duration `json:"took_ns"`
+	Seed       uint64        `json:"seed"`
+	Sent       int           `json:"sent"`
+	Outcomes   string        `json:"ends"`
+	Attempts   int           `json:"attempts"`
+	Events     []string      `json:"events"` // the timeline
+	Violations []Violation   `json:"breaks"`
+	Crashes    []string      `json:"crashes"`
+	Duration   time.Duration `json:"took_ns"`
 }
 
 const (
-	// soakClientsEach is how many clients there are for each gateway, and soakThink what each waits
+	// clientsPerGateway is how many clients there are for each gateway, and meanThinkTime what each waits
 	// between two requests in the mean.
-	soakClientsEach = 10
-	soakThink       = 120 * time.Millisecond
-	// soakCrowd is the crowd of idle clients that some seeds have.
-	soakCrowd = 60
-	// earliestKill is how long behind the longest deadline SIGKILL may follow SIGTERM; deadlines count as
+	clientsPerGateway = 10
+	meanThinkTime     = 120 * time.Millisecond
+	// idleClientCount is the crowd of idle clients that some seeds have.
+	idleClientCount = 60
+	// killDelay is how long behind the longest deadline SIGKILL may follow SIGTERM; deadlines count as
 	// 3 s where they are longer.
-	earliestKill, longestDeadline = 700 * time.Millisecond, 3 * time.Second
-	// freezeMost is how long a process may be held up.
-	freezeMost = 150 * time.Millisecond
-	// drainedFor is when a drained gateway must hold no client any more.
-	drainedFor = 4 * time.Second
-	// answerOperators bounds a call of operators.
-	answerOperators = time.Second
-	// banGrace is how long after an operator's yes or a list's drain new work may still come.
-	banGrace = 1500 * time.Millisecond
-	// readyWithin is how long a gateway that was started may take to serve.
-	readyWithin = 10 * time.Second
+	killDelay, longestDeadline = 700 * time.Millisecond, 3 * time.Second
+	// maxFreeze is how long a process may be held up.
+	maxFreeze = 150 * time.Millisecond
+	// drainCheckDelay is when a drained gateway must hold no client any more.
+	drainCheckDelay = 4 * time.Second
+	// adminTimeout bounds a call of operators.
+	adminTimeout = time.Second
+	// drainGrace is how long after an operator's yes or a list's drain new work may still come.
+	drainGrace = 1500 * time.Millisecond
+	// readyTimeout is how long a gateway that was started may take to serve.
+	readyTimeout = 10 * time.Second
 )
 
-// soak is one that runs.
-type soak struct {
-	spec     *model.Spec
-	c        *cluster
-	fleet    *emulate.Fleet
-	proxy    *proxy
-	clients  *soakClients
-	began    time.Time
-	deadline time.Duration // the longest, as it counts at a shutdown
-
-	mu       sync.Mutex
-	events   []string
-	breaks   []Break
-	attempts []emulate.ReplicaAttempt
-	spans    spans
-	banned   map[int]bool // replicas that operators have out, or are about to put back
-}
-
-// spans are the times that the auditor judges by.
-type spans struct {
-	bans    []banSpan
-	drains  []drainSpan
-	outages []span // of discovery, by the proxy
-	ends    []endSpan
+// soakRun is one that runs.
+type soakRun struct {
+	spec      *model.Spec
+	cluster   *cluster
+	fleet     *emulate.Fleet
+	proxy     *faultProxy
+	clients   *soakClients
+	startedAt time.Time
+	deadline  time.Duration // the longest, as it counts at a shutdown
+
+	mu         sync.Mutex
+	events     []string
+	violations []Violation
+	attempts   []emulate.ReplicaAttempt
+	intervals  faultIntervals
+	reserved   map[int]bool // replicas that operators have out, or are about to put back
+}
+
+// faultIntervals are the times that the auditor judges by.
+type faultIntervals struct {
+	ejections []ejectionInterval
+	drains    []drainInterval
+	outages   []interval // of discovery, by the proxy
+	shutdowns []shutdownInterval
 
 	deadline time.Duration // the longest, as it counts at a shutdown
 }
 
-type span struct{ from, to time.Time }
+type interval struct{ from, to time.Time }
 
-// banSpan is a time in which a gateway must send a replica nothing.
-type banSpan struct {
+// ejectionInterval is a time in which a gateway must send a replica nothing.
+type ejectionInterval struct {
 	gateway int
 	replica string
-	span
+	interval
 }
 
-// drainSpan is a time in which discovery lists a replica as draining.
-type drainSpan struct {
+// drainInterval is a time in which discovery lists a replica as draining.
+type drainInterval struct {
 	replica string
-	span
+	interval
 }
 
-// endSpan is the end of a gateway's process: told at from by SIGTERM, if it was, and over at to.
-type endSpan struct {
-	gateway int
-	told    bool
-	span
+// shutdownInterval is the end of a gateway's process: told at from by SIGTERM, if it was, and over at to.
+type shutdownInterval struct {
+	gateway  int
+	graceful bool
+	interval
 }
 
 // Soak runs a specification's fleet and gateways for its time under events drawn by its seed.
 func Soak(ctx context.Context, spec *model.Spec, o Options) (*SoakResult, error) {
-	o, remove, err := o.complete()
+	o, remove, err := o.withDefaults()
 	if err != nil {
 		return nil, err
 	}
@@ -118,19 +118,19 @@
 		return nil, err
 	}
 	defer fleet.Close()
-	s := &soak{spec: spec, fleet: fleet, banned: map[int]bool{}}
-	fleet.OnAttemptEnd = s.worked
+	s := &soakRun{spec: spec, fleet: fleet, reserved: map[int]bool{}}
+	fleet.OnAttemptEnd = s.recordAttempt
 	if s.proxy, err = newProxy(fleet.DiscoveryAddr); err != nil {
 		return nil, err
 	}
 	defer s.proxy.close()
 	spec.Drill.Operators, spec.Drill.SharedListener = true, spec.Seed%2 == 1
-	if s.c, err = newCluster(spec, o.Program, o.Dir, s.proxy.addr); err != nil {
+	if s.cluster, err = newCluster(spec, o.Program, o.Dir, s.proxy.addr); err != nil {
 		return nil, err
 	}
-	defer s.c.close()
+	defer s.cluster.close()
 	starting, stop := context.WithTimeout(ctx, 30*time.Second)
-	err = s.c.ready(starting)
+	err = s.cluster.waitUntilReady(starting)
 	stop()
 	if err != nil {
 		return nil, err
@@ -140,77 +140,77 @@
 }
 
 // run lets traffic and events happen for the specification's time.
-func (s *soak) run(ctx context.Context) {
-	s.began = time.Now()
+func (s *soakRun) run(ctx context.Context) {
+	s.startedAt = time.Now()
 	for _, k := range s.spec.Settings.Classes {
 		s.deadline = max(s.deadline, time.Duration(k.Deadline)*time.Microsecond)
 	}
 	s.deadline = min(s.deadline, longestDeadline)
-	s.clients = newSoakClients(s.spec, s.c.nodes)
+	s.clients = newSoakClients(s.spec, s.cluster.nodes)
 	traffic, endTraffic := context.WithCancel(ctx)
 	var senders, events sync.WaitGroup
-	senders.Go(func() { s.clients.front(traffic) })
-	for i := range soakClientsEach * len(s.c.nodes) {
-		senders.Go(func() { s.clients.client(traffic, i, soakThink) })
+	senders.Go(func() { s.clients.checkReadiness(traffic) })
+	for i := range clientsPerGateway * len(s.cluster.nodes) {
+		senders.Go(func() { s.clients.runClient(traffic, i, meanThinkTime) })
 	}
 	if s.spec.Seed%3 == 0 {
-		senders.Go(func() { s.clients.crowd(traffic, int(s.spec.Seed)%len(s.c.nodes), soakCrowd) })
+		senders.Go(func() { s.clients.openIdleConns(traffic, int(s.spec.Seed)%len(s.cluster.nodes), idleClientCount) })
 	}
 	eventful, endEvents := context.WithTimeout(ctx, time.Duration(s.spec.Duration)*time.Microsecond)
-	for i, n := range s.c.nodes {
-		events.Go(func() { s.gatewayEvents(eventful, n, s.random(uint64(i)+10)) })
+	for i, n := range s.cluster.nodes {
+		events.Go(func() { s.gatewayEvents(eventful, n, s.newRandom(uint64(i)+10)) })
 	}
-	events.Go(func() { s.operators(eventful, s.random(1)) })
-	events.Go(func() { s.replicas(eventful, s.random(2)) })
-	events.Go(func() { s.discovery(eventful, s.random(3)) })
+	events.Go(func() { s.operatorEvents(eventful, s.newRandom(1)) })
+	events.Go(func() { s.replicaEvents(eventful, s.newRandom(2)) })
+	events.Go(func() { s.discoveryEvents(eventful, s.newRandom(3)) })
 	events.Wait()
 	endEvents()
 	endTraffic()
 	senders.Wait()
 }
 
-func (s *soak) random(of uint64) *rand.Rand { return rand.New(rand.NewPCG(s.spec.Seed, of)) }
+func (s *soakRun) newRandom(of uint64) *rand.Rand { return rand.New(rand.NewPCG(s.spec.Seed, of)) }
 
 // between draws a time.
 func between(rng *rand.Rand, least, most time.Duration) time.Duration {
 	return least + time.Duration(rng.Float64()*float64(most-least))
 }
 
-// tell enters an event in the timeline.
-func (s *soak) tell(format string, args ...any) {
+// logEvent enters an event in the timeline.
+func (s *soakRun) logEvent(format string, args ...any) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.events = append(s.events, fmt.Sprintf("%7.3f ", time.Since(s.began).Seconds())+fmt.Sprintf(format, args...))
+	s.events = append(s.events, fmt.Sprintf("%7.3f ", time.Since(s.startedAt).Seconds())+fmt.Sprintf(format, args...))
 }
 
-// broke enters a broken rule.
-func (s *soak) broke(rule, request, format string, args ...any) {
+// addViolation enters a broken rule.
+func (s *soakRun) addViolation(rule, request, format string, args ...any) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.breaks = append(s.breaks, Break{rule, request, fmt.Sprintf(format, args...)})
+	s.violations = append(s.violations, Violation{rule, request, fmt.Sprintf(format, args...)})
 }
 
-func (s *soak) worked(a emulate.ReplicaAttempt) {
+func (s *soakRun) recordAttempt(a emulate.ReplicaAttempt) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.attempts = append(s.attempts, a)
 }
 
 // result judges what was seen.
-func (s *soak) result(took time.Duration) *SoakResult {
+func (s *soakRun) result(took time.Duration) *SoakResult {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	r := &SoakResult{Seed: s.spec.Seed, Sent: len(s.clients.tries), Attempts: len(s.attempts), Events: s.events, Crashes: s.c.crashes(), Took: took}
-	r.Ends = s.clients.counts()
-	rules := Rules{Attempts: s.spec.Settings.MaxAttempts, Beside: s.spec.Settings.MayHedge, Once: map[string]bool{}, Slack: 100 * time.Millisecond}
+	r := &SoakResult{Seed: s.spec.Seed, Sent: len(s.clients.requests), Attempts: len(s.attempts), Events: s.events, Crashes: s.cluster.crashes(), Duration: took}
+	r.Outcomes = s.clients.outcomeCounts()
+	rules := Rules{MaxAttempts: s.spec.Settings.MaxAttempts, MayHedge: s.spec.Settings.MayHedge, NonIdempotent: map[string]bool{}, Tolerance: 100 * time.Millisecond}
 	for _, k := range s.spec.Settings.Classes {
-		rules.Once[k.Name] = k.Idempotency == balancer.NonIdempotent
+		rules.NonIdempotent[k.Name] = k.Idempotency == balancer.NonIdempotent
 	}
-	s.spans.deadline = s.deadline
-	a := newSoakAuditor(s.spans, s.clients.tries, s.attempts)
-	r.Breaks = append(s.breaks, a.unlessSentAgain(Audit(rules, nil, s.attempts))...)
-	r.Breaks = append(r.Breaks, a.judge(s.attempts)...)
-	slices.SortStableFunc(r.Breaks, func(a, b Break) int { return strings.Compare(a.Rule, b.Rule) })
+	s.intervals.deadline = s.deadline
+	a := newSoakAuditor(s.intervals, s.clients.requests, s.attempts)
+	r.Violations = append(s.violations, a.withoutClientRetries(Audit(rules, nil, s.attempts))...)
+	r.Violations = append(r.Violations, a.audit(s.attempts)...)
+	slices.SortStableFunc(r.Violations, func(a, b Violation) int { return strings.Compare(a.Rule, b.Rule) })
 	return r
 }
 
@@ -224,19 +224,19 @@
 	return resp.StatusCode == http.StatusOK
 }
 
-// hold opens the clients' listening socket that a gateway's lives share.
-func (n *node) hold() error {
-	l, err := soon(func() (net.Listener, error) { return net.Listen("tcp", n.addr) })
+// openListenSocket opens the clients' listening socket that a gateway's lives share.
+func (n *node) openListenSocket() error {
+	l, err := retryListen(func() (net.Listener, error) { return net.Listen("tcp", n.addr) })
 	if err != nil {
 		return err
 	}
 	defer l.Close()
-	n.socket, err = l.(*net.TCPListener).File()
+	n.listenSocket, err = l.(*net.TCPListener).File()
 	return err
 }
 
-// complete fills in what is not set; remove takes away what was made for it.
-func (o Options) complete() (full Options, remove func(), err error) {
+// withDefaults fills in what is not set; remove takes away what was made for it.
+func (o Options) withDefaults() (full Options, remove func(), err error) {
 	remove = func() {}
 	if o.Program == "" {
 		if o.Program, err = os.Executable(); err != nil {
--- a/internal/faulttest/soak_test.go
+++ b/internal/faulttest/soak_test.go
@@ -15,8 +15,8 @@
 	"archknot/internal/faulttest"
 )
 
-// soak runs the soak of deploy/soak.plan with a seed, before a build or this one.
-func soak(t *testing.T, seed uint64, program string, lasts time.Duration) *faulttest.SoakResult {
+// soakRun runs the soak of deploy/soak.plan with a seed, before a build or this one.
+func soakRun(t *testing.T, seed uint64, program string, lasts time.Duration) *faulttest.SoakResult {
 	t.Helper()
 	p, err := config.LoadPlan("../../deploy/soak.plan")
 	if err != nil {
@@ -33,7 +33,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	t.Logf("seed %d: %d requests, %s, %d attempts, %d breaks", r.Seed, r.Sent, r.Ends, r.Attempts, len(r.Breaks))
+	t.Logf("seed %d: %d requests, %s, %d attempts, %d breaks", r.Seed, r.Sent, r.Outcomes, r.Attempts, len(r.Violations))
 	return r
 }
 
@@ -46,9 +46,9 @@
 	for _, seed := range []uint64{3, 4, 5} { // with the clients' socket handed on and without, and with a crowd
 		t.Run(fmt.Sprint(seed), func(t *testing.T) {
 			t.Parallel()
-			r := soak(t, seed, "", 10*time.Second)
-			for _, b := range r.Breaks {
-				t.Errorf("rule %s, request %s: %s", b.Rule, b.Root, b.What)
+			r := soakRun(t, seed, "", 10*time.Second)
+			for _, b := range r.Violations {
+				t.Errorf("rule %s, request %s: %s", b.Rule, b.RequestID, b.Details)
 			}
 			for _, text := range r.Crashes {
 				t.Error(text)
@@ -132,13 +132,13 @@
 	for _, m := range mutants {
 		t.Run(m.name, func(t *testing.T) {
 			t.Parallel()
-			r := soak(t, m.seed, m.build(t), 12*time.Second)
-			for _, b := range r.Breaks {
+			r := soakRun(t, m.seed, m.build(t), 12*time.Second)
+			for _, b := range r.Violations {
 				if b.Rule == m.rule {
 					return
 				}
 			}
-			t.Errorf("rule %s: not seen to break; seen: %v\n%s", m.rule, r.Breaks, strings.Join(r.Events, "\n"))
+			t.Errorf("rule %s: not seen to break; seen: %v\n%s", m.rule, r.Violations, strings.Join(r.Events, "\n"))
 		})
 	}
 }
--- a/internal/faulttest/soakclient.go
+++ b/internal/faulttest/soakclient.go
@@ -22,71 +22,71 @@
 
 // How a request of a soak ended for its client.
 const (
-	endServed  = "served"
-	endRefused = "refused" // 429 or 503
-	endFailed  = "failed"  // any other answer
-	endBroken  = "broken"  // the stream broke off behind its first event
-	endClosed  = "closed"  // the connection ended without an answer
-	endLate    = "late"    // no answer half a second behind its time
-	endLeft    = "left"    // the client closed its connection first
-	endUnsent  = "unsent"  // no connection came up
+	outcomeServed   = "served"
+	outcomeShed     = "refused" // 429 or 503
+	outcomeFailed   = "failed"  // any other answer
+	outcomeBroken   = "broken"  // the stream broke off behind its first event
+	outcomeClosed   = "closed"  // the connection ended without an answer
+	outcomeTimedOut = "late"    // no answer half a second behind its time
+	outcomeCanceled = "left"    // the client closed its connection first
+	outcomeUnsent   = "unsent"  // no connection came up
 )
 
-// soakTry is one request as its client saw it.
-type soakTry struct {
-	id      string
-	gateway int
-	class   string
-	wait    time.Duration
-	begunAt time.Time // its client looked for a connection
-	sentAt  time.Time // its last byte was written
-	endAt   time.Time
-	how     string
-	again   time.Time // when it was sent once more, since the close of a kept connection crossed it
+// soakRequest is one request as its client saw it.
+type soakRequest struct {
+	id        string
+	gateway   int
+	class     string
+	timeout   time.Duration
+	startedAt time.Time // its client looked for a connection
+	sentAt    time.Time // its last byte was written
+	endedAt   time.Time
+	outcome   string
+	resentAt  time.Time // when it was sent once more, since the close of a kept connection crossed it
 }
 
 // soakClients send requests to gateways as clients and a front do, and remember what became of them.
 type soakClients struct {
-	spec  *model.Spec
-	nodes []*node
-	seed  uint64
-	began time.Time
-	mu    sync.Mutex
-	tries []*soakTry
-	next  int
-	ready []bool                   // what the front knows of the gateways
-	idle  []map[*soakConn]struct{} // connections at rest, by gateway
-	open  map[*soakTry]struct{}    // requests under way
+	spec      *model.Spec
+	nodes     []*node
+	seed      uint64
+	startedAt time.Time
+	mu        sync.Mutex
+	requests  []*soakRequest
+	lastID    int
+	ready     []bool                    // what the front knows of the gateways
+	idle      []map[*soakConn]struct{}  // connections at rest, by gateway
+	inFlight  map[*soakRequest]struct{} // requests under way
 }
 
 type soakConn struct {
 	net.Conn
-	in   *bufio.Reader
-	kept bool
+	reader *bufio.Reader
+	reused bool
 }
 
 const (
-	// frontEach is how often the front asks gateways whether they are ready.
-	frontEach = 100 * time.Millisecond
-	// answerSlack is how long past its time an answer is waited for: half a second is the protocol's, and
+	// readinessInterval is how often the front asks gateways whether they are ready.
+	readinessInterval = 100 * time.Millisecond
+	// answerTolerance is how long past its time an answer is waited for: half a second is the protocol's, and
 	// as much is for a busy machine.
-	answerSlack = time.Second
-	// streamMost bounds a whole answer.
-	streamMost = 20 * time.Second
+	answerTolerance = time.Second
+	// streamTimeout bounds a whole answer.
+	streamTimeout = 20 * time.Second
 	// Of the requests, so many are left by their clients early, and are sent in pieces.
-	leaveShare, piecesShare = 0.08, 0.06
+	cancelShare, slowWriteShare = 0.08, 0.06
 )
 
 func newSoakClients(spec *model.Spec, nodes []*node) *soakClients {
-	s := &soakClients{spec: spec, nodes: nodes, seed: spec.Seed, began: time.Now(), ready: make([]bool, len(nodes)), open: map[*soakTry]struct{}{}}
+	s := &soakClients{spec: spec, nodes: nodes, seed: spec.Seed, startedAt: time.Now(), ready: make([]bool, len(nodes)), inFlight: map[*soakRequest]struct{}{}}
 	for range nodes {
 		s.idle = append(s.idle, map[*soakConn]struct{}{})
 	}
 	return s
 }
 
-// front asks the gateways whether they are ready until the context ends.
-func (s *soakClients) front(ctx context.Context) {
+// checkReadiness asks the gateways whether they are ready until the context ends.
+func (s *soakClients) checkReadiness(ctx context.Context) {
 	var all sync.WaitGroup
 	for i, n := range s.nodes {
 		all.Go(func() {
@@ -100,7 +100,7 @@
 				s.mu.Lock()
 				s.ready[i] = ready
 				s.mu.Unlock()
-				pause(ctx, frontEach)
+				pause(ctx, readinessInterval)
 			}
 		})
 	}
@@ -114,8 +114,8 @@
 	}
 }
 
-// choose is the gateway that the front deals a client to.
-func (s *soakClients) choose(rng *rand.Rand) int {
+// chooseGateway is the gateway that the front deals a client to.
+func (s *soakClients) chooseGateway(rng *rand.Rand) int {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	at := rng.IntN(len(s.nodes))
@@ -128,109 +128,109 @@
 	return at
 }
 
-// client is one client, which sends one request after another until the context ends.
-func (s *soakClients) client(ctx context.Context, n int, think time.Duration) {
+// runClient is one client, which sends one request after another until the context ends.
+func (s *soakClients) runClient(ctx context.Context, n int, think time.Duration) {
 	rng := rand.New(rand.NewPCG(s.seed, uint64(n)+1000))
 	for ctx.Err() == nil {
 		stream := &s.spec.Streams[rng.IntN(len(s.spec.Streams))]
-		s.request(rng, stream, s.choose(rng))
+		s.sendRequest(rng, stream, s.chooseGateway(rng))
 		pause(ctx, time.Duration(rng.ExpFloat64()*float64(think)))
 	}
 }
 
-// request sends one request and waits for its end.
-func (s *soakClients) request(rng *rand.Rand, stream *model.Stream, gateway int) {
+// sendRequest sends one request and waits for its end.
+func (s *soakClients) sendRequest(rng *rand.Rand, stream *model.Stream, gateway int) {
 	class := s.spec.ClassOf(stream)
-	t := &soakTry{gateway: gateway, class: class.Name, wait: time.Duration(stream.FirstTokenTimeout(class)) * time.Microsecond}
+	t := &soakRequest{gateway: gateway, class: class.Name, timeout: time.Duration(stream.FirstTokenTimeout(class)) * time.Microsecond}
 	s.mu.Lock()
-	s.next++
-	t.id = fmt.Sprintf("s%08x%08x", s.seed, s.next)
-	s.tries = append(s.tries, t)
+	s.lastID++
+	t.id = fmt.Sprintf("s%08x%08x", s.seed, s.lastID)
+	s.requests = append(s.requests, t)
 	s.mu.Unlock()
-	text := s.text(rng, t, stream, class)
+	text := s.requestText(rng, t, stream, class)
 	leave := time.Duration(0)
-	if rng.Float64() < leaveShare {
+	if rng.Float64() < cancelShare {
 		leave = time.Duration(rng.ExpFloat64() * float64(100*time.Millisecond))
 	}
-	pieces := rng.Float64() < piecesShare
-	t.begunAt = time.Now()
-	c := s.take(gateway)
+	pieces := rng.Float64() < slowWriteShare
+	t.startedAt = time.Now()
+	c := s.takeIdleConn(gateway)
 	for {
 		if c == nil {
 			conn, err := net.DialTimeout("tcp", s.nodes[gateway].addr, time.Second)
 			if err != nil {
-				t.endAt, t.how = time.Now(), endUnsent
+				t.endedAt, t.outcome = time.Now(), outcomeUnsent
 				return
 			}
-			c = &soakConn{Conn: conn, in: bufio.NewReader(conn)}
+			c = &soakConn{Conn: conn, reader: bufio.NewReader(conn)}
 		}
 		how, again := s.exchange(t, c, text, pieces, leave)
-		if again && t.again.IsZero() { // the close of a connection at rest crossed it
+		if again && t.resentAt.IsZero() { // the close of a connection at rest crossed it
 			c.Close()
-			c, t.again = nil, time.Now()
-			t.begunAt = t.again
+			c, t.resentAt = nil, time.Now()
+			t.startedAt = t.resentAt
 			continue
 		}
-		t.how = how
+		t.outcome = how
 		return
 	}
 }
 
-// text is a request in the platform's form.
-func (s *soakClients) text(rng *rand.Rand, t *soakTry, stream *model.Stream, class *balancer.Class) string {
+// requestText is a request in the platform's form.
+func (s *soakClients) requestText(rng *rand.Rand, t *soakRequest, stream *model.Stream, class *balancer.Class) string {
 	const body = `{"model":"chat","stream":true}`
 	return fmt.Sprintf("POST %s HTTP/1.1\r\nHost: app.svc\r\nReq-Id: %s\r\nReq-Kind: %s\r\nReq-Owner: %s\r\nReq-Key: %016x\r\nReq-Deadline: %dm\r\n"+
 		"Req-Extra: prompt_len=%d,max_out=%d\r\nX-Emulate-Out: %d\r\nContent-Length: %d\r\n\r\n%s", httpwire.CompletionsPath, t.id, class.Name, stream.Tenant, rng.Uint64(),
-		t.wait.Milliseconds(), int(stream.PromptTokens), stream.MaxOutputTokens, max(1, int(stream.AnswerTokens)), len(body), body)
+		t.timeout.Milliseconds(), int(stream.PromptTokens), stream.MaxOutputTokens, max(1, int(stream.AnswerTokens)), len(body), body)
 }
 
 // exchange sends a request on a connection and reads its answer; again says that nothing came of it on a
 // connection that was kept, and that it may be sent once more.
-func (s *soakClients) exchange(t *soakTry, c *soakConn, text string, pieces bool, leave time.Duration) (how string, again bool) {
-	if err := writeText(c, text, pieces); err != nil {
-		return s.done(t, c, endClosed, false), c.kept
+func (s *soakClients) exchange(t *soakRequest, c *soakConn, text string, pieces bool, leave time.Duration) (how string, again bool) {
+	if err := writeRequest(c, text, pieces); err != nil {
+		return s.finish(t, c, outcomeClosed, false), c.reused
 	}
 	t.sentAt = time.Now()
-	s.under(t, true)
-	defer s.under(t, false)
+	s.setInFlight(t, true)
+	defer s.setInFlight(t, false)
 	if leave > 0 {
 		c.SetReadDeadline(t.sentAt.Add(leave))
 	} else {
-		c.SetReadDeadline(t.sentAt.Add(t.wait + answerSlack))
+		c.SetReadDeadline(t.sentAt.Add(t.timeout + answerTolerance))
 	}
-	resp, err := http.ReadResponse(c.in, nil)
+	resp, err := http.ReadResponse(c.reader, nil)
 	if err != nil {
-		return s.unanswered(t, c, err, leave > 0)
+		return s.finishUnanswered(t, c, err, leave > 0)
 	}
 	if resp.StatusCode != http.StatusOK {
 		io.Copy(io.Discard, resp.Body)
-		how = endFailed
+		how = outcomeFailed
 		if resp.StatusCode == http.StatusServiceUnavailable || resp.StatusCode == http.StatusTooManyRequests {
-			how = endRefused
+			how = outcomeShed
 		}
-		return s.done(t, c, how, !resp.Close), false
+		return s.finish(t, c, how, !resp.Close), false
 	}
 	if leave == 0 {
-		c.SetReadDeadline(time.Now().Add(streamMost))
+		c.SetReadDeadline(time.Now().Add(streamTimeout))
 	}
 	if _, err := io.Copy(io.Discard, resp.Body); err != nil {
 		if leave > 0 && isTimeout(err) {
-			return s.done(t, c, endLeft, false), false
+			return s.finish(t, c, outcomeCanceled, false), false
 		}
-		return s.done(t, c, endBroken, false), false
+		return s.finish(t, c, outcomeBroken, false), false
 	}
-	return s.done(t, c, endServed, !resp.Close), false
+	return s.finish(t, c, outcomeServed, !resp.Close), false
 }
 
-// unanswered tells what the lack of an answer is.
-func (s *soakClients) unanswered(t *soakTry, c *soakConn, err error, leaves bool) (how string, again bool) {
+// finishUnanswered tells what the lack of an answer is.
+func (s *soakClients) finishUnanswered(t *soakRequest, c *soakConn, err error, leaves bool) (how string, again bool) {
 	switch {
 	case isTimeout(err) && leaves:
-		return s.done(t, c, endLeft, false), false
+		return s.finish(t, c, outcomeCanceled, false), false
 	case isTimeout(err):
-		return s.done(t, c, endLate, false), false
+		return s.finish(t, c, outcomeTimedOut, false), false
 	}
-	return s.done(t, c, endClosed, false), c.kept
+	return s.finish(t, c, outcomeClosed, false), c.reused
 }
 
 func isTimeout(err error) bool {
@@ -238,8 +238,8 @@
 	return errors.As(err, &timeout) && timeout.Timeout()
 }
 
-// writeText writes a request, at once or in pieces.
-func writeText(c *soakConn, text string, pieces bool) error {
+// writeRequest writes a request, at once or in pieces.
+func writeRequest(c *soakConn, text string, pieces bool) error {
 	c.SetWriteDeadline(time.Now().Add(2 * time.Second))
 	if !pieces {
 		_, err := io.WriteString(c, text)
@@ -256,14 +256,14 @@
 	return nil
 }
 
-// done notes a request's end, and keeps or closes its connection.
-func (s *soakClients) done(t *soakTry, c *soakConn, how string, keep bool) string {
-	t.endAt = time.Now()
+// finish notes a request's end, and keeps or closes its connection.
+func (s *soakClients) finish(t *soakRequest, c *soakConn, how string, keep bool) string {
+	t.endedAt = time.Now()
 	if !keep {
 		c.Close()
 		return how
 	}
-	c.kept = true
+	c.reused = true
 	c.SetDeadline(time.Time{})
 	s.mu.Lock()
 	s.idle[t.gateway][c] = struct{}{}
@@ -271,19 +271,19 @@
 	return how
 }
 
-// under notes which requests are under way.
-func (s *soakClients) under(t *soakTry, way bool) {
+// setInFlight notes which requests are under way.
+func (s *soakClients) setInFlight(t *soakRequest, way bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if way {
-		s.open[t] = struct{}{}
+		s.inFlight[t] = struct{}{}
 	} else {
-		delete(s.open, t)
+		delete(s.inFlight, t)
 	}
 }
 
-// take is a connection at rest, nil if there is none that is open.
-func (s *soakClients) take(gateway int) *soakConn {
+// takeIdleConn is a connection at rest, nil if there is none that is open.
+func (s *soakClients) takeIdleConn(gateway int) *soakConn {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	for c := range s.idle[gateway] {
@@ -296,10 +296,10 @@
 	return nil
 }
 
-// stillHeld lists what a gateway that was drained 4 s ago should not hold: connections at rest, and
+// remainingAt lists what a gateway that was drained 4 s ago should not hold: connections at rest, and
 // requests that came in the last 2 s, but for those that have come just now and are being refused.
-func (s *soakClients) stillHeld(gateway int, from time.Time) (out []string) {
-	justNow := time.Now().Add(-auditSlack)
+func (s *soakClients) remainingAt(gateway int, from time.Time) (out []string) {
+	justNow := time.Now().Add(-auditTolerance)
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	for c := range s.idle[gateway] {
@@ -307,7 +307,7 @@
 			out = append(out, "a connection at rest from "+c.LocalAddr().String())
 		}
 	}
-	for t := range s.open {
+	for t := range s.inFlight {
 		if t.gateway == gateway && t.sentAt.After(from) && t.sentAt.Before(justNow) {
 			out = append(out, "request "+t.id)
 		}
@@ -315,8 +315,8 @@
 	return out
 }
 
-// crowd opens connections that send nothing, until the context ends.
-func (s *soakClients) crowd(ctx context.Context, gateway, n int) {
+// openIdleConns opens connections that send nothing, until the context ends.
+func (s *soakClients) openIdleConns(ctx context.Context, gateway, n int) {
 	var open []net.Conn
 	for range n {
 		if c, err := net.DialTimeout("tcp", s.nodes[gateway].addr, time.Second); err == nil {
@@ -331,13 +331,13 @@
 	}
 }
 
-// counts tells how the requests ended.
-func (s *soakClients) counts() string {
+// outcomeCounts tells how the requests ended.
+func (s *soakClients) outcomeCounts() string {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	n := map[string]int{}
-	for _, t := range s.tries {
-		n[t.how]++
+	for _, t := range s.requests {
+		n[t.outcome]++
 	}
 	var out []string
 	for _, how := range sortedKeys(n) {
