--- a/internal/scaletest/discovery.go
+++ b/internal/scaletest/discovery.go
@@ -8,6 +8,7 @@
 	"io"
 	"net"
 	"net/http"
+	"slices"
 	"strconv"
 	"sync"
 	"sync/atomic"
@@ -17,14 +18,14 @@
 	"archknot/internal/httpwire"
 )
 
-// DiscoverySpec is what the stand-in for discovery starts with.
+// DiscoverySpec is the specification of the role RoleDiscovery.
 type DiscoverySpec struct {
 	Endpoints []httpwire.Endpoint `json:"instances"`
 	Framing   string              `json:"framing"`
 }
 
-// discovery is a stand-in for discovery: whole lists, changes since a version, and watches, in any
-// legal framing. While it is out it accepts nothing.
+// discovery is a fake discovery service. It serves complete lists, changes since a version, and long
+// polls, in any framing that the protocol allows.
 type discovery struct {
 	framing   string
 	server    *http.Server
@@ -34,21 +35,28 @@
 	mu         sync.Mutex
 	version    int64
 	endpoints  []httpwire.Endpoint
-	changedIn  []int64       // the version of each instance's last change
-	nextChange chan struct{} // closed at the next change
+	changedIn  []int64       // the version of each endpoint's last change
+	nextChange chan struct{} // closed with the next change of the list
 }
 
 func startDiscovery(spec DiscoverySpec) (*discovery, Greeting, error) {
-	d := &discovery{framing: spec.Framing, version: 1, endpoints: spec.Endpoints, changedIn: make([]int64, len(spec.Endpoints)), nextChange: make(chan struct{})}
+	d := &discovery{
+		framing:    spec.Framing,
+		version:    1,
+		endpoints:  spec.Endpoints,
+		changedIn:  make([]int64, len(spec.Endpoints)),
+		nextChange: make(chan struct{}),
+	}
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		return nil, Greeting{}, err
 	}
 	d.server = &http.Server{Handler: d}
-	go d.server.Serve(countedListener{l, &d.meter})
+	serveInBackground(d.server, countedListener{l, &d.meter})
 	return d, Greeting{Address: l.Addr().String()}, nil
 }
 
+// ServeHTTP serves the endpoint list.
 func (d *discovery) ServeHTTP(w http.ResponseWriter, r *http.Request) {
 	if r.URL.Path != httpwire.ListPath {
 		http.NotFound(w, r)
@@ -66,42 +74,50 @@
 	d.writeList(w, d.listSince(since))
 }
 
-// waitForChange waits until there is a later version, or for as long as the caller allows.
+// waitForChange waits until the list has another version than since, for at most wait. It reports
+// whether the caller still waits for an answer.
 func (d *discovery) waitForChange(ctx context.Context, since int64, wait time.Duration) bool {
 	d.mu.Lock()
-	version, news := d.version, d.nextChange
+	version, nextChange := d.version, d.nextChange
 	d.mu.Unlock()
 	if since != version {
 		return true
 	}
-	t := time.NewTimer(wait)
-	defer t.Stop()
+	timer := time.NewTimer(wait)
+	defer timer.Stop()
 	select {
-	case <-news:
-	case <-t.C:
+	case <-nextChange:
+	case <-timer.C:
 	case <-ctx.Done():
 		return false
 	}
 	return true
 }
 
-// listSince is the whole list, or what has changed since a version.
+// listSince returns the changes since a version, or the complete list if that version is unknown.
 func (d *discovery) listSince(since int64) httpwire.EndpointList {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	list := httpwire.EndpointList{Generation: d.version, Reset: since < 0 || since > d.version}
-	for i, instance := range d.endpoints {
+	for i, endpoint := range d.endpoints {
 		if list.Reset || d.changedIn[i] > since {
-			list.Endpoints = append(list.Endpoints, instance)
+			list.Endpoints = append(list.Endpoints, endpoint)
 		}
 	}
 	return list
 }
 
-// chunkSize is that of a list in many chunks.
+// chunkSize is the size in bytes of a chunk in FramingChunks.
 const chunkSize = 4096
 
-// writeList writes a list in the framing that was asked for.
+// The lifecycles of an endpoint in the list.
+const (
+	lifecycleReady    = "ready"
+	lifecycleDraining = "draining"
+)
+
+// writeList writes a list in the configured framing. A failed write means that the gateway has closed
+// the connection.
 func (d *discovery) writeList(w http.ResponseWriter, list httpwire.EndpointList) {
 	if list.Endpoints == nil {
 		list.Endpoints = []httpwire.Endpoint{}
@@ -119,68 +135,62 @@
 		writeOneChunk(w, text)
 	case config.FramingChunks:
 		flush := http.NewResponseController(w)
-		for part := range chunksOf(text, chunkSize) {
-			w.Write(part)
+		for part := range slices.Chunk(text, chunkSize) {
+			_, _ = w.Write(part)
 			_ = flush.Flush()
 		}
 	default:
 		w.Header().Set("Content-Length", strconv.Itoa(len(text)))
-		w.Write(text)
-	}
-}
-
-// chunksOf yields a text in pieces.
-func chunksOf(text []byte, size int) func(yield func([]byte) bool) {
-	return func(yield func([]byte) bool) {
-		for len(text) > 0 {
-			n := min(size, len(text))
-			if !yield(text[:n]) {
-				return
-			}
-			text = text[n:]
-		}
+		_, _ = w.Write(text)
 	}
 }
 
-// writeOneChunk writes a body as one chunk, which net/http does not by itself, and closes.
+// writeOneChunk writes a body as one chunk and closes the connection. net/http itself never writes a
+// body that way.
 func writeOneChunk(w http.ResponseWriter, text []byte) {
-	c, _, err := http.NewResponseController(w).Hijack()
+	conn, _, err := http.NewResponseController(w).Hijack()
 	if err != nil {
 		return
 	}
-	defer c.Close()
-	var b bytes.Buffer
-	fmt.Fprintf(&b, "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\nConnection: close\r\n\r\n%x\r\n%s\r\n0\r\n\r\n", len(text), text)
-	_, _ = io.Copy(c, &b)
+	defer conn.Close()
+	var response bytes.Buffer
+	fmt.Fprintf(&response, "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\nConnection: close\r\n\r\n%x\r\n%s\r\n0\r\n\r\n", len(text), text)
+	_, _ = io.Copy(conn, &response)
 }
 
-// Handle tells figures, or changes one replica: it begins to drain, or takes work again.
-func (d *discovery) Handle(_ context.Context, o Command) Reply {
+// Handle measures the service or changes the list.
+func (d *discovery) Handle(_ context.Context, command Command) Reply {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	switch o.Name {
+	switch command.Name {
 	case CommandMeasure:
 	case CommandChangeList:
 		d.changeNext()
 	default:
-		return Reply{Error: "discovery: unknown order " + o.Name}
+		return Reply{Error: "discovery: unknown command " + command.Name}
+	}
+	return Reply{
+		Version: d.version,
+		At:      time.Now(),
+		Usage:   ownUsage(),
+		Calls:   Calls{Lists: d.listCalls.Load(), BytesIn: d.meter.in.Load(), BytesOut: d.meter.out.Load()},
 	}
-	return Reply{Version: d.version, At: time.Now(), Usage: ownUsage(),
-		Calls: Calls{Lists: d.listCalls.Load(), BytesIn: d.meter.in.Load(), BytesOut: d.meter.out.Load()}}
 }
 
+// changeNext has one replica drain, or one that drains become ready again. Each replica changes twice
+// in a row.
 func (d *discovery) changeNext() {
 	d.version++
-	i := int(d.version/2) % len(d.endpoints) // each changes twice in a row
-	if next := &d.endpoints[i]; next.Lifecycle == "ready" {
-		next.Lifecycle = "draining"
+	i := int(d.version/2) % len(d.endpoints)
+	if endpoint := &d.endpoints[i]; endpoint.Lifecycle == lifecycleReady {
+		endpoint.Lifecycle = lifecycleDraining
 	} else {
-		next.Lifecycle = "ready"
+		endpoint.Lifecycle = lifecycleReady
 	}
 	d.changedIn[i] = d.version
 	close(d.nextChange)
 	d.nextChange = make(chan struct{})
 }
 
-// Close ends the stand-in.
+// Close ends the service.
 func (d *discovery) Close() { d.server.Close() }
--- a/internal/scaletest/driver.go
+++ b/internal/scaletest/driver.go
@@ -16,9 +16,9 @@
 	"archknot/internal/httpwire"
 )
 
-// loadGenerator sends drawn requests to gateways.
+// loadGenerator sends random requests to gateways.
 type loadGenerator struct {
-	rate         float64 // a second, at each gateway
+	rate         float64 // requests a second, for each gateway
 	seed         uint64
 	gatewayCount atomic.Uint64
 	ctx          context.Context
@@ -28,97 +28,108 @@
 	unserved     atomic.Int64
 }
 
-func newLoadGenerator(rate float64, seed uint64) *loadGenerator {
-	ctx, stop := context.WithCancel(context.Background())
+// newLoadGenerator returns a generator whose traffic ends with the context or with close.
+func newLoadGenerator(ctx context.Context, rate float64, seed uint64) *loadGenerator {
+	ctx, stop := context.WithCancel(ctx)
 	return &loadGenerator{rate: rate, seed: seed, ctx: ctx, stop: stop}
 }
 
-func (d *loadGenerator) close() {
-	d.stop()
-	d.tasks.Wait()
+// close stops all traffic and waits for the requests in flight.
+func (g *loadGenerator) close() {
+	g.stop()
+	g.tasks.Wait()
 }
 
-// maxConcurrent bounds the requests that a gateway's clients have out.
+// maxConcurrent bounds the requests in flight at one gateway.
 const maxConcurrent = 400
 
-// startTraffic begins to send to a gateway, over TCP or as dial does.
-func (d *loadGenerator) startTraffic(address string, dial func(context.Context) (net.Conn, error)) {
-	if d.rate <= 0 {
+// requestTimeout bounds a request and its whole response.
+const requestTimeout = 10 * time.Second
+
+// startTraffic starts to send requests to a gateway, over TCP or over the connections of dial.
+func (g *loadGenerator) startTraffic(address string, dial func(context.Context) (net.Conn, error)) {
+	if g.rate <= 0 {
 		return
 	}
-	transport := &http.Transport{MaxIdleConnsPerHost: maxConcurrent, MaxConnsPerHost: maxConcurrent, DisableCompression: true, IdleConnTimeout: 10 * time.Second}
+	transport := &http.Transport{
+		MaxIdleConnsPerHost: maxConcurrent,
+		MaxConnsPerHost:     maxConcurrent,
+		DisableCompression:  true,
+		IdleConnTimeout:     10 * time.Second,
+	}
 	if dial != nil {
 		transport.DialContext = func(ctx context.Context, _, _ string) (net.Conn, error) { return dial(ctx) }
 	}
-	gateway := d.gatewayCount.Add(1)
-	rng := rand.New(rand.NewPCG(d.seed, gateway))
+	gateway := g.gatewayCount.Add(1)
+	rng := rand.New(rand.NewPCG(g.seed, gateway))
 	slots := make(chan struct{}, maxConcurrent)
-	d.tasks.Go(func() {
+	g.tasks.Go(func() {
 		client := &http.Client{Transport: transport}
 		defer transport.CloseIdleConnections()
 		var sends sync.WaitGroup
 		defer sends.Wait()
-		for n := 0; pause(d.ctx, time.Duration(rng.ExpFloat64()/d.rate*float64(time.Second))); n++ {
-			head := randomHeaders(rng, fmt.Sprintf("s%x-%d-%d", d.seed, gateway, n))
+		for n := 0; pause(g.ctx, time.Duration(rng.ExpFloat64()/g.rate*float64(time.Second))); n++ {
+			headers := randomHeaders(rng, fmt.Sprintf("s%x-%d-%d", g.seed, gateway, n))
 			select {
 			case slots <- struct{}{}:
 			default:
-				d.unserved.Add(1)
+				g.unserved.Add(1)
 				continue
 			}
 			sends.Go(func() {
 				defer func() { <-slots }()
-				d.send(client, address, head)
+				g.send(g.ctx, client, address, headers)
 			})
 		}
 	})
 }
 
-// Draws of the traffic: as many sessions and shared prefixes as one gateway sees of a large fleet's.
+// The numbers of different sessions and shared prefixes are those that one gateway of a large fleet sees.
 const (
 	sessionCount = 100_000
 	prefixCount  = 20_000
-	promptMedian = 300
+	promptMedian = 300 // tokens
 )
 
-// randomHeaders draws a request's headers.
+// randomHeaders returns the headers of a random request.
 func randomHeaders(rng *rand.Rand, id string) http.Header {
-	prompt := max(20, int(promptMedian*math.Exp(0.7*rng.NormFloat64())))
+	promptTokens := max(20, int(promptMedian*math.Exp(0.7*rng.NormFloat64())))
 	h := http.Header{}
 	h.Set("Req-Id", id)
 	h.Set("Req-Kind", "chat")
 	h.Set("Req-Owner", "chats")
 	h.Set("Req-Key", fmt.Sprintf("%016x", 1+rng.Uint64N(sessionCount)))
 	h.Set("Req-Deadline", "10000m")
-	h.Set("Req-Extra", fmt.Sprintf("prefix=%016x,prompt_len=%d,prefix_len=%d,max_out=100", 1+rng.Uint64N(prefixCount), prompt, prompt/3))
+	h.Set("Req-Extra", fmt.Sprintf("prefix=%016x,prompt_len=%d,prefix_len=%d,max_out=100", 1+rng.Uint64N(prefixCount), promptTokens, promptTokens/3))
 	return h
 }
 
-// send sends one request and reads its answer to the end.
-func (d *loadGenerator) send(client *http.Client, address string, head http.Header) {
-	ctx, stop := context.WithTimeout(d.ctx, 10*time.Second)
+// send sends one request and reads its response to the end.
+func (g *loadGenerator) send(ctx context.Context, client *http.Client, address string, headers http.Header) {
+	ctx, stop := context.WithTimeout(ctx, requestTimeout)
 	defer stop()
 	body := bytes.NewReader([]byte(`{"model":"m","stream":true,"messages":[{"role":"user","content":"` + string(bytes.Repeat([]byte("word "), 60)) + `"}]}`))
-	r, err := http.NewRequestWithContext(ctx, http.MethodPost, "http://"+address+httpwire.CompletionsPath, body)
+	req, err := http.NewRequestWithContext(ctx, http.MethodPost, "http://"+address+httpwire.CompletionsPath, body)
 	if err != nil {
-		panic(err) // its parts are constants and an address of our own
+		panic(err) // all parts are constants but the address, which is one of our own
 	}
-	r.Header = head
-	resp, err := client.Do(r)
+	req.Header = headers
+	resp, err := client.Do(req)
 	if err != nil {
-		d.count(false)
+		g.count(false)
 		return
 	}
 	defer resp.Body.Close()
 	_, err = io.Copy(io.Discard, resp.Body)
-	d.count(err == nil && resp.StatusCode == http.StatusOK)
+	g.count(err == nil && resp.StatusCode == http.StatusOK)
 }
 
-func (d *loadGenerator) count(served bool) {
+// count counts a request. One that the end of the run has cancelled does not count.
+func (g *loadGenerator) count(served bool) {
 	switch {
 	case served:
-		d.served.Add(1)
-	case d.ctx.Err() == nil: // not cut off by the end of the run
-		d.unserved.Add(1)
+		g.served.Add(1)
+	case g.ctx.Err() == nil:
+		g.unserved.Add(1)
 	}
 }
--- a/internal/scaletest/gateways.go
+++ b/internal/scaletest/gateways.go
@@ -17,11 +17,11 @@
 	"archknot/internal/simwire"
 )
 
-// GatewaysSpec is what gateways are made by, hollow ones and processes alike.
+// GatewaysSpec describes gateways, both hollow ones and processes.
 type GatewaysSpec struct {
 	First       int     `json:"first"` // index of the first
 	Count       int     `json:"count"`
-	FleetSize   int     `json:"of"` // how many each is told there are
+	FleetSize   int     `json:"of"` // the number of gateways in each one's configuration
 	Discovery   string  `json:"discovery"`
 	Zones       int     `json:"zones"`
 	SubsetSize  int     `json:"subset"`
@@ -30,33 +30,66 @@
 	Seed        uint64  `json:"seed"`
 }
 
-// The limits that gateways are told.
+// The limits in the configuration of each gateway.
 const (
 	gatewayMemoryMB = 128
 	gatewaySockets  = 1024
 )
 
-// config is the platform's configuration of one gateway.
+// config returns the platform's configuration of one gateway.
 func (s *GatewaysSpec) config(index int, listen string) ([]byte, error) {
 	const second = 1_000_000
-	settings := balancer.Settings{Self: index, Gateways: s.FleetSize, Zone: zoneName(index % s.Zones), Kinds: []string{"kind-0", "kind-1"},
-		Classes:      []balancer.Class{{Name: "chat", LatencyObjective: second, ObjectivePer1000Tokens: second / 10, TokenObjective: second, Deadline: 10 * second, PriorityWeight: 1, Streaming: true}},
-		Tenants:      []balancer.Tenant{{Name: "chats", QuotaPerS: 1e6}},
-		ReportSource: balancer.ReportInline, WeightKind: balancer.WeightNone, PollDiscovery: true, Tick: 2000, MayHealthCheck: s.HealthCheck, MayCancel: true,
-		MaxAttempts: 3, MaxRetryAfter: second, InitialCapacity: 0.3, OverloadMultiple: 3, SlowStartFor: 9 * second, OverloadWindow: 3 * second / 2,
-		StreamsPerConn: 1, ConnIdleTimeout: 45 * second, CrossZoneCost: 0.02, HandshakeCost: 0.02, HealthCheckCost: 0.002}
+	settings := balancer.Settings{
+		Self:     index,
+		Gateways: s.FleetSize,
+		Zone:     zoneName(index % s.Zones),
+		Kinds:    []string{"kind-0", "kind-1"},
+		Classes: []balancer.Class{{
+			Name:                   "chat",
+			LatencyObjective:       second,
+			ObjectivePer1000Tokens: second / 10,
+			TokenObjective:         second,
+			Deadline:               10 * second,
+			PriorityWeight:         1,
+			Streaming:              true,
+		}},
+		Tenants:          []balancer.Tenant{{Name: "chats", QuotaPerS: 1e6}},
+		ReportSource:     balancer.ReportInline,
+		WeightKind:       balancer.WeightNone,
+		PollDiscovery:    true,
+		Tick:             2000,
+		MayHealthCheck:   s.HealthCheck,
+		MayCancel:        true,
+		MaxAttempts:      3,
+		MaxRetryAfter:    second,
+		InitialCapacity:  0.3,
+		OverloadMultiple: 3,
+		SlowStartFor:     9 * second,
+		OverloadWindow:   3 * second / 2,
+		StreamsPerConn:   1,
+		ConnIdleTimeout:  45 * second,
+		CrossZoneCost:    0.02,
+		HandshakeCost:    0.02,
+		HealthCheckCost:  0.002,
+	}
 	for i := range s.Zones {
 		settings.Zones = append(settings.Zones, zoneName(i))
 	}
-	text, err := simwire.MarshalSettings(settings)
+	encoded, err := simwire.MarshalSettings(settings)
 	if err != nil {
 		return nil, err
 	}
-	return json.Marshal(platformConfig{Name: fmt.Sprintf("g%d", index), Listen: listen, Discovery: s.Discovery, Seed: fmt.Sprintf("%x", s.Seed+uint64(index)),
-		Limits: platformLimits{Cores: 1, MemoryMB: gatewayMemoryMB, Sockets: gatewaySockets}, Settings: text})
+	return json.Marshal(platformConfig{
+		Name:      fmt.Sprintf("g%d", index),
+		Listen:    listen,
+		Discovery: s.Discovery,
+		Seed:      fmt.Sprintf("%x", s.Seed+uint64(index)),
+		Limits:    platformLimits{Cores: 1, MemoryMB: gatewayMemoryMB, Sockets: gatewaySockets},
+		Settings:  encoded,
+	})
 }
 
-// platformConfig is the file that NODE_CONFIG names.
+// platformConfig is the content of the file that NODE_CONFIG names.
 type platformConfig struct {
 	Name      string          `json:"name"`
 	Listen    string          `json:"listen"`
@@ -72,59 +105,68 @@
 	Sockets  float64 `json:"sockets"`
 }
 
-// hollowGateways are hollow gateways of one process: the program's own, with clients in the same process.
+// hollowGateways are the hollow gateways of one process. They run the program's own code; their clients
+// are in the same process.
 type hollowGateways struct {
 	list    []*gateway.Gateway
 	traffic *loadGenerator
 	stop    context.CancelFunc
 }
 
-func startHollowGateways(ctx context.Context, spec GatewaysSpec) (*hollowGateways, Greeting, error) {
+// startHollowGateways starts the gateways and their traffic. They end with the context or with Close.
+func startHollowGateways(ctx context.Context, spec GatewaysSpec) (*hollowGateways, error) {
 	ctx, stop := context.WithCancel(ctx)
-	p := &hollowGateways{traffic: newLoadGenerator(spec.Rate, spec.Seed), stop: stop}
-	own := config.Default()
-	own.Subset.MaxReplicas = spec.SubsetSize
+	p := &hollowGateways{traffic: newLoadGenerator(ctx, spec.Rate, spec.Seed), stop: stop}
+	ownConfig := config.Default()
+	ownConfig.Subset.MaxReplicas = spec.SubsetSize
 	for i := range spec.Count {
-		text, err := spec.config(spec.First+i, "127.0.0.1:1")
+		platform, err := spec.config(spec.First+i, unusedAddress)
 		if err != nil {
-			return nil, Greeting{}, err
+			stop()
+			return nil, err
 		}
-		options, err := lifecycle.GatewayOptions(text, own)
+		options, err := lifecycle.GatewayOptions(platform, ownConfig)
 		if err != nil {
-			return nil, Greeting{}, err
+			stop()
+			return nil, err
 		}
 		g, err := gateway.New(options)
 		if err != nil {
-			return nil, Greeting{}, err
+			stop()
+			return nil, err
 		}
 		p.list = append(p.list, g)
-		l := newMemoryListener()
-		go g.Serve(ctx, l)
-		p.traffic.startTraffic("hollow", l.dial)
+		listener := newMemoryListener()
+		go func() { _ = g.Serve(ctx, listener) }() // it ends with the context
+		p.traffic.startTraffic("hollow", listener.dial)
 	}
-	return p, Greeting{}, nil
+	return p, nil
 }
 
-// measureTimeout bounds the time in which a gateway tells its figures.
+// unusedAddress is the listen address in the configuration of a hollow gateway, which never listens there.
+const unusedAddress = "127.0.0.1:1"
+
+// measureTimeout bounds the time that all gateways of a process take to return their statistics.
 const measureTimeout = 10 * time.Second
 
-// Handle tells figures.
-func (p *hollowGateways) Handle(ctx context.Context, o Command) Reply {
-	if o.Name != CommandMeasure {
-		return Reply{Error: "gateways: unknown order " + o.Name}
+// Handle measures the gateways.
+func (p *hollowGateways) Handle(ctx context.Context, command Command) Reply {
+	if command.Name != CommandMeasure {
+		return Reply{Error: "gateways: unknown command " + command.Name}
 	}
-	a := Reply{At: time.Now(), Usage: ownUsage()}
+	reply := Reply{At: time.Now(), Usage: ownUsage()}
 	ctx, stop := context.WithTimeout(ctx, measureTimeout)
 	defer stop()
 	for _, g := range p.list {
-		c, err := g.Control(ctx)
+		stats, err := g.Control(ctx)
 		if err != nil {
 			return Reply{Error: err.Error()}
 		}
-		a.Gateways = append(a.Gateways, c)
+		reply.Gateways = append(reply.Gateways, stats)
 	}
-	a.Served, a.Unserved = p.traffic.served.Load(), p.traffic.unserved.Load()
-	return a
+	reply.Served = p.traffic.served.Load()
+	reply.Unserved = p.traffic.unserved.Load()
+	return reply
 }
 
 // Close ends all gateways.
@@ -133,8 +175,8 @@
 	p.stop()
 }
 
-// memoryListener hands connections to a server that stay in this process: pairs of connected
-// descriptors, for the gateway asks the system about its clients' connections.
+// memoryListener accepts connections from within this process. They are pairs of connected descriptors,
+// because the gateway queries the system for the state of its clients' connections.
 type memoryListener struct {
 	accept chan net.Conn
 	closed chan struct{}
@@ -144,25 +186,26 @@
 	return &memoryListener{accept: make(chan net.Conn), closed: make(chan struct{})}
 }
 
+// dial returns one end of a new connection once the other is accepted.
 func (l *memoryListener) dial(ctx context.Context) (net.Conn, error) {
-	here, there, err := connPair()
+	clientEnd, serverEnd, err := connPair()
 	if err != nil {
 		return nil, err
 	}
 	select {
-	case l.accept <- there:
-		return here, nil
+	case l.accept <- serverEnd:
+		return clientEnd, nil
 	case <-l.closed:
 		err = net.ErrClosed
 	case <-ctx.Done():
 		err = ctx.Err()
 	}
-	here.Close()
-	there.Close()
+	clientEnd.Close()
+	serverEnd.Close()
 	return nil, err
 }
 
-// connPair is two ends of one connection.
+// connPair returns the two ends of a connection.
 func connPair() (a, b net.Conn, err error) {
 	ends, err := unix.Socketpair(unix.AF_UNIX, unix.SOCK_STREAM|unix.SOCK_CLOEXEC|unix.SOCK_NONBLOCK, 0)
 	if err != nil {
@@ -179,24 +222,28 @@
 	return a, b, nil
 }
 
+// connOfDescriptor returns the connection of a descriptor, which it closes.
 func connOfDescriptor(fd int) (net.Conn, error) {
 	f := os.NewFile(uintptr(fd), "pair")
-	defer f.Close() // the connection has a copy
+	defer f.Close() // the connection has a duplicate
 	return net.FileConn(f)
 }
 
+// Accept implements net.Listener.
 func (l *memoryListener) Accept() (net.Conn, error) {
 	select {
-	case c := <-l.accept:
-		return c, nil
+	case conn := <-l.accept:
+		return conn, nil
 	case <-l.closed:
 		return nil, net.ErrClosed
 	}
 }
 
+// Close implements net.Listener. It may be called once.
 func (l *memoryListener) Close() error {
 	close(l.closed)
 	return nil
 }
 
+// Addr implements net.Listener. It returns a loopback address without a port.
 func (l *memoryListener) Addr() net.Addr { return &net.TCPAddr{IP: net.IPv4(127, 0, 0, 1)} }
--- a/internal/scaletest/processes.go
+++ b/internal/scaletest/processes.go
@@ -17,9 +17,10 @@
 	"archknot/internal/procstat"
 )
 
-// gatewayProcesses are gateways that run as `archknot serve`.
+// gatewayProcesses are gateways that run `archknot serve` in processes of their own.
 type gatewayProcesses struct{ list []*gatewayProcess }
 
+// gatewayProcess is one such process.
 type gatewayProcess struct {
 	address     string
 	controlPath string
@@ -27,7 +28,7 @@
 	cmd         *exec.Cmd
 }
 
-// startProcesses starts gateways with the indexes behind the hollow ones'.
+// startProcesses starts n gateways whose indexes begin at spec.First.
 func startProcesses(program, dir string, spec GatewaysSpec, n int) (*gatewayProcesses, error) {
 	all := &gatewayProcesses{}
 	for i := range n {
@@ -41,22 +42,23 @@
 	return all, nil
 }
 
+// startProcess writes the configuration of a gateway into dir and starts its process.
 func startProcess(program, dir string, spec GatewaysSpec, index int) (*gatewayProcess, error) {
 	address, err := freeAddress()
 	if err != nil {
 		return nil, err
 	}
-	path := func(ending string) string { return filepath.Join(dir, fmt.Sprintf("g%d.%s", index, ending)) }
-	text, err := spec.config(index, address)
+	path := func(extension string) string { return filepath.Join(dir, fmt.Sprintf("g%d.%s", index, extension)) }
+	platform, err := spec.config(index, address)
 	if err != nil {
 		return nil, err
 	}
-	if err := os.WriteFile(path("json"), text, 0o600); err != nil {
+	if err := os.WriteFile(path("json"), platform, 0o600); err != nil {
 		return nil, err
 	}
 	p := &gatewayProcess{address: address, controlPath: path("socket")}
-	own := fmt.Sprintf("[log]\nlevel warn\n[control]\nsocket %s\n[subset]\nmost %d\n", p.controlPath, spec.SubsetSize)
-	if err := os.WriteFile(path("conf"), []byte(own), 0o600); err != nil {
+	ownConfig := fmt.Sprintf("[log]\nlevel warn\n[control]\nsocket %s\n[subset]\nmost %d\n", p.controlPath, spec.SubsetSize)
+	if err := os.WriteFile(path("conf"), []byte(ownConfig), 0o600); err != nil {
 		return nil, err
 	}
 	if p.log, err = os.Create(path("log")); err != nil {
@@ -69,17 +71,17 @@
 	return p, p.cmd.Start()
 }
 
-// freeAddress is a loopback address that nothing listens at.
+// freeAddress returns a loopback address that no socket listens on.
 func freeAddress() (string, error) {
-	l, err := net.Listen("tcp", "127.0.0.1:0")
+	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		return "", err
 	}
-	defer l.Close()
-	return l.Addr().String(), nil
+	defer listener.Close()
+	return listener.Addr().String(), nil
 }
 
-// waitUntilReady waits until all take clients.
+// waitUntilReady waits until all gateways are ready for clients.
 func (all *gatewayProcesses) waitUntilReady(ctx context.Context) error {
 	client := &http.Client{Timeout: time.Second}
 	for _, p := range all.list {
@@ -99,15 +101,16 @@
 	return nil
 }
 
-// measure asks a process for its figures.
-func (p *gatewayProcess) measure(ctx context.Context) (c controlstats.Stats, u Usage, err error) {
-	if err := controlsocket.Call(ctx, p.controlPath, "figures", struct{}{}, &c); err != nil {
-		return c, u, err
+// measure returns the statistics of a gateway and the usage of its process.
+func (p *gatewayProcess) measure(ctx context.Context) (stats controlstats.Stats, usage Usage, err error) {
+	if err := controlsocket.Call(ctx, p.controlPath, "figures", struct{}{}, &stats); err != nil {
+		return stats, usage, fmt.Errorf("statistics of %s: %w", p.address, err)
 	}
 	pid := p.cmd.Process.Pid
-	return c, Usage{CPU: procstat.CPUTime(pid), ResidentMB: procstat.ResidentMB(pid)}, nil
+	return stats, Usage{CPU: procstat.CPUTime(pid), ResidentMB: procstat.ResidentMB(pid)}, nil
 }
 
+// close kills all processes and waits for them.
 func (all *gatewayProcesses) close() {
 	if all == nil {
 		return
--- a/internal/scaletest/replicas.go
+++ b/internal/scaletest/replicas.go
@@ -14,26 +14,28 @@
 	"archknot/internal/httpwire"
 )
 
-// ReplicasSpec is what hollow replicas are made by.
+// ReplicasSpec is the specification of the role RoleReplicas.
 type ReplicasSpec struct {
-	First      int           `json:"first"` // number of the first
+	First      int           `json:"first"` // the number of the first replica
 	Count      int           `json:"count"`
 	Zones      int           `json:"zones"`
 	Seed       uint64        `json:"seed"`
-	FirstEvent time.Duration `json:"first_event"` // median time to it
+	FirstEvent time.Duration `json:"first_event"` // the median time to the first event of a stream
 	Events     int           `json:"events"`
-	Gap        time.Duration `json:"gap"` // between two events
+	Gap        time.Duration `json:"gap"` // between two events of a stream
 }
 
-// hollowReplicas are hollow replicas of one process: each has an address, id, zone, kind and start of its
-// own, answers attempts, probes and load reports after a drawn time, and does no work.
+// hollowReplicas are the hollow replicas of one process. Each has its own address, id, zone, kind and
+// start time. They answer attempts after a random time, and health checks and load reports at once, and
+// do no work.
 type hollowReplicas struct {
-	spec      ReplicasSpec
-	server    *http.Server
-	byAddress map[string]*replicaState // by address
-	byNumber  []*replicaState
-	meter     connMeter
-	calls     [2]atomic.Int64 // attempts, probes
+	spec         ReplicasSpec
+	server       *http.Server
+	byAddress    map[string]*replicaState // by address
+	byNumber     []*replicaState
+	meter        connMeter
+	attempts     atomic.Int64
+	healthChecks atomic.Int64
 }
 
 type replicaState struct {
@@ -41,44 +43,57 @@
 	connections atomic.Int64
 }
 
-// replicaPort is the port of every hollow replica; their addresses differ.
+// replicaPort is the port of all hollow replicas. Their IP addresses differ.
 const replicaPort = 18081
 
-// replicaAddress is the loopback address of a replica by its number.
+// replicaAddress returns the loopback address of a replica.
 func replicaAddress(n int) string {
 	return fmt.Sprintf("127.%d.%d.%d:%d", 64+n/62_500, n/250%250, 1+n%250, replicaPort)
 }
 
+// startHollowReplicas starts the replicas. The Greeting lists their endpoints.
 func startHollowReplicas(spec ReplicasSpec) (*hollowReplicas, Greeting, error) {
 	p := &hollowReplicas{spec: spec, byAddress: map[string]*replicaState{}}
 	p.server = &http.Server{Handler: p, IdleTimeout: time.Minute, ConnState: p.trackConn}
 	rng := rand.New(rand.NewPCG(spec.Seed, 3))
-	var hello Greeting
+	var greeting Greeting
 	for i := range spec.Count {
 		n := spec.First + i
 		addr := replicaAddress(n)
-		l, err := net.Listen("tcp", addr)
+		listener, err := net.Listen("tcp", addr)
 		if err != nil {
 			p.Close()
-			return nil, hello, err
+			return nil, greeting, err
 		}
 		state := &replicaState{}
 		p.byAddress[addr] = state
 		p.byNumber = append(p.byNumber, state)
-		go p.server.Serve(countedListener{l, &p.meter})
-		up := time.Duration(float64(time.Hour) * (1 + 99*rng.Float64()))
-		hello.Endpoints = append(hello.Endpoints, httpwire.Endpoint{ID: fmt.Sprintf("replica-%05d", n), Addr: addr, Zone: zoneName(n % spec.Zones),
-			Kind: fmt.Sprintf("kind-%d", n%2), Lifecycle: "ready", Weight: 1, StartedAtMs: time.Now().Add(-up).UnixMilli()})
+		serveInBackground(p.server, countedListener{listener, &p.meter})
+		uptime := time.Duration(float64(time.Hour) * (1 + 99*rng.Float64()))
+		greeting.Endpoints = append(greeting.Endpoints, httpwire.Endpoint{
+			ID:          fmt.Sprintf("replica-%05d", n),
+			Addr:        addr,
+			Zone:        zoneName(n % spec.Zones),
+			Kind:        fmt.Sprintf("kind-%d", n%2),
+			Lifecycle:   lifecycleReady,
+			Weight:      1,
+			StartedAtMs: time.Now().Add(-uptime).UnixMilli(),
+		})
 	}
-	return p, hello, nil
+	return p, greeting, nil
 }
 
 func zoneName(n int) string { return fmt.Sprintf("zone-%d", n) }
 
-// trackConn counts the connections of each replica.
-func (p *hollowReplicas) trackConn(c net.Conn, s http.ConnState) {
-	state := p.byAddress[c.LocalAddr().String()]
-	switch s {
+// serveInBackground serves a listener until the server is closed.
+func serveInBackground(server *http.Server, listener net.Listener) {
+	go func() { _ = server.Serve(listener) }() // always returns an error, http.ErrServerClosed at the end
+}
+
+// trackConn counts the open connections of each replica.
+func (p *hollowReplicas) trackConn(conn net.Conn, connState http.ConnState) {
+	state := p.byAddress[conn.LocalAddr().String()]
+	switch connState {
 	case http.StateNew:
 		state.connections.Add(1)
 	case http.StateClosed, http.StateHijacked:
@@ -86,30 +101,37 @@
 	}
 }
 
+// ServeHTTP serves the replica whose address the connection was made to.
 func (p *hollowReplicas) ServeHTTP(w http.ResponseWriter, r *http.Request) {
-	state := p.byAddress[r.Context().Value(http.LocalAddrContextKey).(net.Addr).String()]
+	localAddr, ok := r.Context().Value(http.LocalAddrContextKey).(net.Addr)
+	if !ok {
+		http.Error(w, "request without a local address", http.StatusInternalServerError)
+		return
+	}
+	state := p.byAddress[localAddr.String()]
 	switch r.URL.Path {
 	case httpwire.StatsPath:
-		p.calls[1].Add(1)
-		io.WriteString(w, state.loadReport())
+		p.healthChecks.Add(1)
+		_, _ = io.WriteString(w, state.loadReport())
 	case httpwire.LivePath:
-		p.calls[1].Add(1)
+		p.healthChecks.Add(1)
 	case httpwire.CompletionsPath:
-		p.calls[0].Add(1)
+		p.attempts.Add(1)
 		p.serveAttempt(w, r, state)
 	default:
 		http.NotFound(w, r)
 	}
 }
 
-// loadReport is the report of a replica that can run slots attempts at once.
+// loadReport returns the load report of a replica that can run slots attempts at once.
 func (s *replicaState) loadReport() string {
 	const slots = 16
 	running := s.running.Load()
 	return fmt.Sprintf("busy_reqs=%d,pending=0,x0=%.4f", running, min(1, float64(running)/slots))
 }
 
-// serveAttempt answers one attempt: its first event after a drawn time, the others each after the gap.
+// serveAttempt answers an attempt with a stream of events: the first after a random time, the others
+// each after ReplicasSpec.Gap.
 func (p *hollowReplicas) serveAttempt(w http.ResponseWriter, r *http.Request, state *replicaState) {
 	state.running.Add(1)
 	defer state.running.Add(-1)
@@ -136,28 +158,37 @@
 		"data: [DONE]\n\n: Srv-Load: %s\n\n", p.spec.Events, state.loadReport())
 }
 
+// pause waits for a duration, and reports false if the context ends first.
 func pause(ctx context.Context, d time.Duration) bool {
-	t := time.NewTimer(d)
-	defer t.Stop()
+	timer := time.NewTimer(d)
+	defer timer.Stop()
 	select {
-	case <-t.C:
+	case <-timer.C:
 		return true
 	case <-ctx.Done():
 		return false
 	}
 }
 
-// Handle tells figures.
-func (p *hollowReplicas) Handle(_ context.Context, o Command) Reply {
-	if o.Name != CommandMeasure {
-		return Reply{Error: "replicas: unknown order " + o.Name}
+// Handle measures the replicas.
+func (p *hollowReplicas) Handle(_ context.Context, command Command) Reply {
+	if command.Name != CommandMeasure {
+		return Reply{Error: "replicas: unknown command " + command.Name}
+	}
+	reply := Reply{
+		At:    time.Now(),
+		Usage: ownUsage(),
+		Calls: Calls{
+			Attempts: p.attempts.Load(),
+			Probes:   p.healthChecks.Load(),
+			BytesIn:  p.meter.in.Load(),
+			BytesOut: p.meter.out.Load(),
+		},
 	}
-	a := Reply{At: time.Now(), Usage: ownUsage(), Calls: Calls{Attempts: p.calls[0].Load(), Probes: p.calls[1].Load()}}
-	a.Calls.BytesIn, a.Calls.BytesOut = p.meter.in.Load(), p.meter.out.Load()
-	for _, s := range p.byNumber {
-		a.ReplicaConns = append(a.ReplicaConns, int(s.connections.Load()))
+	for _, state := range p.byNumber {
+		reply.ReplicaConns = append(reply.ReplicaConns, int(state.connections.Load()))
 	}
-	return a
+	return reply
 }
 
 // Close ends all replicas.
@@ -172,6 +203,7 @@
 	meter *connMeter
 }
 
+// Accept implements net.Listener.
 func (l countedListener) Accept() (net.Conn, error) {
 	c, err := l.Listener.Accept()
 	if err != nil {
@@ -180,17 +212,20 @@
 	return &countedConn{Conn: c, meter: l.meter}, nil
 }
 
+// countedConn counts its bytes in a meter.
 type countedConn struct {
 	net.Conn
 	meter *connMeter
 }
 
+// Read implements net.Conn.
 func (c *countedConn) Read(p []byte) (int, error) {
 	n, err := c.Conn.Read(p)
 	c.meter.in.Add(int64(n))
 	return n, err
 }
 
+// Write implements net.Conn.
 func (c *countedConn) Write(p []byte) (int, error) {
 	n, err := c.Conn.Write(p)
 	c.meter.out.Add(int64(n))
--- a/internal/scaletest/role.go
+++ b/internal/scaletest/role.go
@@ -19,39 +19,39 @@
 	"archknot/internal/procstat"
 )
 
-// The roles that a scale run starts as processes: `archknot drill scale-role ROLE`, which reads its
-// specification and then orders from its standard input, and ends when that does.
+// The roles that a scale run starts as processes: `archknot drill scale-role ROLE`. Such a process reads
+// its specification and then commands from its standard input, one line of JSON each, and ends with it.
 const (
 	RoleReplicas  = "replicas"
 	RoleDiscovery = "discovery"
 	RoleGateways  = "gateways"
 )
 
-// Orders to a role.
+// The commands of a role.
 const (
-	CommandMeasure    = "look"   // tell figures
-	CommandChangeList = "change" // change the list
+	CommandMeasure    = "look"   // reply with measurements
+	CommandChangeList = "change" // change the endpoint list
 )
 
-// Command is one line to a role.
+// Command is a line that a role reads.
 type Command struct {
 	Name string `json:"do"`
 }
 
-// Greeting is a role's first line: it is ready.
+// Greeting is the first line that a role writes, once it is ready.
 type Greeting struct {
 	Address   string              `json:"address,omitempty"`
 	Endpoints []httpwire.Endpoint `json:"instances,omitempty"`
 	Error     string              `json:"error,omitempty"`
 }
 
-// Reply is a role's answer to an order.
+// Reply is the line that a role writes for a command.
 type Reply struct {
-	Version int64     `json:"version,omitempty"` // of the list, after a change
+	Version int64     `json:"version,omitempty"` // of the endpoint list
 	At      time.Time `json:"at"`
 	Usage   Usage     `json:"usage"`
 	Calls   Calls     `json:"calls"`
-	// ReplicaConns are the connections open at each hollow replica.
+	// ReplicaConns are the open connections of each hollow replica.
 	ReplicaConns []int                `json:"conns,omitempty"`
 	Gateways     []controlstats.Stats `json:"gateways,omitempty"`
 	Served       int64                `json:"served,omitempty"`
@@ -59,7 +59,7 @@
 	Error        string               `json:"error,omitempty"`
 }
 
-// Calls is what a role was asked, by kind, and the bytes of its connections.
+// Calls counts the requests that a role has served, by kind, and the bytes of its connections.
 type Calls struct {
 	Attempts int64 `json:"attempts"`
 	Probes   int64 `json:"probes"`
@@ -68,23 +68,27 @@
 	BytesOut int64 `json:"bytes_out"`
 }
 
-// Usage is what a process has used.
+// Usage is what a process has used of the machine.
 type Usage struct {
 	CPU        time.Duration `json:"cpu_ns"`
 	ResidentMB float64       `json:"resident_mb"`
 	HeapMB     float64       `json:"heap_mb"`
 }
 
-// ownUsage is this process's.
+// ownUsage returns the usage of this process.
 func ownUsage() Usage {
-	var r syscall.Rusage
-	_ = syscall.Getrusage(syscall.RUSAGE_SELF, &r)
-	var m runtime.MemStats
-	runtime.ReadMemStats(&m)
-	return Usage{CPU: time.Duration(r.Utime.Nano() + r.Stime.Nano()), ResidentMB: procstat.ResidentMB(os.Getpid()), HeapMB: float64(m.HeapAlloc) / (1 << 20)}
+	var resources syscall.Rusage
+	_ = syscall.Getrusage(syscall.RUSAGE_SELF, &resources) // cannot fail for this process
+	var memory runtime.MemStats
+	runtime.ReadMemStats(&memory)
+	return Usage{
+		CPU:        time.Duration(resources.Utime.Nano() + resources.Stime.Nano()),
+		ResidentMB: procstat.ResidentMB(os.Getpid()),
+		HeapMB:     float64(memory.HeapAlloc) / (1 << 20),
+	}
 }
 
-// roleProcess is a process that was started in a role.
+// roleProcess is a process that was started with a role.
 type roleProcess struct {
 	cmd      *exec.Cmd
 	in       io.WriteCloser
@@ -93,11 +97,11 @@
 	greeting Greeting
 }
 
-// startRole starts a role and waits until it is ready.
+// startRole starts a process with a role and waits until it is ready.
 func startRole(ctx context.Context, program, name string, spec any) (*roleProcess, error) {
 	r := &roleProcess{cmd: exec.Command(program, "drill", "scale-role", name)}
 	r.cmd.Stderr = os.Stderr
-	r.cmd.SysProcAttr = &syscall.SysProcAttr{Setpgid: true} // ^C ends the run, and the run its roles
+	r.cmd.SysProcAttr = &syscall.SysProcAttr{Setpgid: true} // an interrupt ends the run, which ends its roles
 	var err error
 	if r.in, err = r.cmd.StdinPipe(); err != nil {
 		return nil, err
@@ -121,17 +125,17 @@
 	return r, nil
 }
 
-// exchange writes one line and reads one.
-func (r *roleProcess) exchange(ctx context.Context, order, answer any) error {
+// exchange writes a line and reads the reply to it.
+func (r *roleProcess) exchange(ctx context.Context, request, reply any) error {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	text, err := json.Marshal(order)
+	encoded, err := json.Marshal(request)
 	if err != nil {
 		return err
 	}
 	done := make(chan error, 1)
 	go func() {
-		if _, err := r.in.Write(append(text, '\n')); err != nil {
+		if _, err := r.in.Write(append(encoded, '\n')); err != nil {
 			done <- err
 			return
 		}
@@ -140,7 +144,7 @@
 			done <- fmt.Errorf("ended by itself: %w", err)
 			return
 		}
-		done <- json.Unmarshal(line, answer)
+		done <- json.Unmarshal(line, reply)
 	}()
 	select {
 	case err := <-done:
@@ -150,17 +154,19 @@
 	}
 }
 
-func (r *roleProcess) command(ctx context.Context, o Command) (Reply, error) {
-	var a Reply
-	if err := r.exchange(ctx, o, &a); err != nil {
-		return a, err
+// command has a role carry out a command.
+func (r *roleProcess) command(ctx context.Context, command Command) (Reply, error) {
+	var reply Reply
+	if err := r.exchange(ctx, command, &reply); err != nil {
+		return reply, err
 	}
-	if a.Error != "" {
-		return a, errors.New(a.Error)
+	if reply.Error != "" {
+		return reply, errors.New(reply.Error)
 	}
-	return a, nil
+	return reply, nil
 }
 
+// pid returns the id of the process, 0 if there is none.
 func (r *roleProcess) pid() int {
 	if r == nil || r.cmd.Process == nil {
 		return 0
@@ -168,7 +174,7 @@
 	return r.cmd.Process.Pid
 }
 
-// close ends the process.
+// close kills the process and waits for it.
 func (r *roleProcess) close() {
 	if r == nil {
 		return
@@ -178,65 +184,71 @@
 	_ = r.cmd.Wait()
 }
 
-// RoleServer is a role's work in its own process.
+// RoleServer does the work of a role in the role's process.
 type RoleServer interface {
-	Handle(ctx context.Context, o Command) Reply
+	// Handle carries out a command.
+	Handle(ctx context.Context, command Command) Reply
+	// Close ends the work.
 	Close()
 }
 
-// Serve is the life of a role's process.
+// Serve runs a role until its input ends.
 func Serve(ctx context.Context, name string, in io.Reader, out io.Writer) error {
 	lines := bufio.NewReaderSize(in, 1<<16)
-	first, err := lines.ReadBytes('\n')
+	spec, err := lines.ReadBytes('\n')
 	if err != nil {
 		return fmt.Errorf("scale-role: no specification: %w", err)
 	}
 	ctx, stop := context.WithCancel(ctx)
 	defer stop()
-	player, hello, err := startServer(ctx, name, first)
+	server, greeting, err := startServer(ctx, name, spec)
 	if err != nil {
-		hello.Error = err.Error()
+		greeting.Error = err.Error()
 	}
-	answers := json.NewEncoder(out)
-	if err := answers.Encode(hello); err != nil || hello.Error != "" {
+	replies := json.NewEncoder(out)
+	if err := replies.Encode(greeting); err != nil || greeting.Error != "" {
 		return err
 	}
-	defer player.Close()
+	defer server.Close()
 	for {
 		line, err := lines.ReadBytes('\n')
-		if err == io.EOF {
+		if errors.Is(err, io.EOF) {
 			return nil
 		}
 		if err != nil {
 			return err
 		}
-		var o Command
-		if err := json.Unmarshal(line, &o); err != nil {
-			return err
+		var command Command
+		if err := json.Unmarshal(line, &command); err != nil {
+			return fmt.Errorf("scale-role: command: %w", err)
 		}
-		if err := answers.Encode(player.Handle(ctx, o)); err != nil {
+		if err := replies.Encode(server.Handle(ctx, command)); err != nil {
 			return err
 		}
 	}
 }
 
-// startServer begins a role by its specification.
-func startServer(ctx context.Context, name string, text []byte) (RoleServer, Greeting, error) {
+// startServer starts a role with its specification.
+func startServer(ctx context.Context, name string, spec []byte) (RoleServer, Greeting, error) {
 	switch name {
 	case RoleReplicas:
-		return startWithSpec(text, func(s ReplicasSpec) (RoleServer, Greeting, error) { return startHollowReplicas(s) })
+		return startWithSpec(spec, func(s ReplicasSpec) (RoleServer, Greeting, error) { return startHollowReplicas(s) })
 	case RoleDiscovery:
-		return startWithSpec(text, func(s DiscoverySpec) (RoleServer, Greeting, error) { return startDiscovery(s) })
+		return startWithSpec(spec, func(s DiscoverySpec) (RoleServer, Greeting, error) { return startDiscovery(s) })
 	case RoleGateways:
-		return startWithSpec(text, func(s GatewaysSpec) (RoleServer, Greeting, error) { return startHollowGateways(ctx, s) })
+		return startWithSpec(spec, func(s GatewaysSpec) (RoleServer, Greeting, error) {
+			server, err := startHollowGateways(ctx, s)
+			return server, Greeting{}, err
+		})
 	}
 	return nil, Greeting{}, fmt.Errorf("role %q: expected %s, %s or %s", name, RoleReplicas, RoleDiscovery, RoleGateways)
 }
 
-func startWithSpec[S any](text []byte, start func(S) (RoleServer, Greeting, error)) (RoleServer, Greeting, error) {
+// startWithSpec parses a specification and starts a server with it.
+func startWithSpec[S any](encoded []byte, start func(S) (RoleServer, Greeting, error)) (RoleServer, Greeting, error) {
 	var spec S
-	if err := json.Unmarshal(text, &spec); err != nil {
-		return nil, Greeting{}, err
+	if err := json.Unmarshal(encoded, &spec); err != nil {
+		return nil, Greeting{}, fmt.Errorf("specification: %w", err)
 	}
 	return start(spec)
 }
--- a/internal/scaletest/scale.go
+++ b/internal/scaletest/scale.go
@@ -1,7 +1,7 @@
-// Package scale measures what a gateway, a replica and discovery cost as a fleet grows. Replicas and
+// Package scaletest measures what a gateway, a replica and discovery cost as a fleet grows. Replicas and
 // most gateways are hollow: thousands of replicas that do no work, and many gateways, in a few
 // processes. Hollow gateways run the program's own code, with their clients in the same process. A few
-// gateways are processes of their own, for hollow figures to be compared with.
+// gateways are processes of their own, with which the figures of the hollow ones are compared.
 //
 // Everything is on loopback addresses, and each process is ended by its id.
 package scaletest
@@ -21,27 +21,27 @@
 	"archknot/internal/procstat"
 )
 
-// Options are where a run finds its program and leaves its files.
+// Options are the parameters of a run besides its plan.
 type Options struct {
-	Program    string // that roles and gateways are started from; "": this one
-	OnProgress func(done, of int, what string)
+	Program    string                                    // file of the program for roles and gateways; empty: this process's
+	OnProgress func(done, total int, description string) // before each point; may be nil
 }
 
-// Size is a fleet's.
+// Size is the size of a fleet.
 type Size struct {
 	Replicas int `json:"replicas"`
 	Gateways int `json:"gateways"` // hollow ones
 }
 
-// Point is what was measured at one size.
+// Point is a measurement at one size.
 type Point struct {
 	Size
-	Varied  string             `json:"varied"` // "replicas" or "gateways"
+	Varied  string             `json:"varied"` // variedReplicas or variedGateways
 	Repeat  int                `json:"repeat"`
-	Figures map[string]float64 `json:"figures"` // by name, as in Names
+	Figures map[string]float64 `json:"figures"` // by name, see GatewayCPU and the following
 }
 
-// Result is a whole run.
+// Result is the result of a run.
 type Result struct {
 	Build       string           `json:"build"`
 	Plan        *config.ScaleRun `json:"plan"`
@@ -50,20 +50,26 @@
 	Comparisons []Comparison     `json:"hollow_beside_real"`
 }
 
-// PlannedPoints are the sizes that a plan measures, in order.
+// The values of Point.Varied.
+const (
+	variedReplicas = "replicas"
+	variedGateways = "gateways"
+)
+
+// PlannedPoints returns the points that a plan measures, in order, without their figures.
 func PlannedPoints(p *config.ScaleRun) (out []Point) {
 	for repeat := range p.Repeat {
 		for _, n := range p.Replicas {
-			out = append(out, Point{Size: Size{n, p.BaseGateways}, Varied: "replicas", Repeat: repeat})
+			out = append(out, Point{Size: Size{n, p.BaseGateways}, Varied: variedReplicas, Repeat: repeat})
 		}
 		for _, n := range p.Gateways {
-			out = append(out, Point{Size: Size{p.BaseReplicas, n}, Varied: "gateways", Repeat: repeat})
+			out = append(out, Point{Size: Size{p.BaseReplicas, n}, Varied: variedGateways, Repeat: repeat})
 		}
 	}
 	return out
 }
 
-// Run measures all sizes of a plan.
+// Run measures all points of a plan.
 func Run(ctx context.Context, p *config.ScaleRun, o Options) (*Result, error) {
 	if o.Program == "" {
 		self, err := os.Executable()
@@ -72,25 +78,27 @@
 		}
 		o.Program = self
 	}
-	res := &Result{Build: buildinfo.Version(), Plan: p, Points: PlannedPoints(p)}
-	for i := range res.Points {
-		point := &res.Points[i]
+	result := &Result{Build: buildinfo.Version(), Plan: p, Points: PlannedPoints(p)}
+	for i := range result.Points {
+		point := &result.Points[i]
 		if o.OnProgress != nil {
-			o.OnProgress(i, len(res.Points), fmt.Sprintf("%d replicas, %d gateways", point.Replicas, point.Gateways))
+			o.OnProgress(i, len(result.Points), fmt.Sprintf("%d replicas, %d gateways", point.Replicas, point.Gateways))
 		}
 		if err := measurePoint(ctx, p, o.Program, point, uint64(p.Seed+i)); err != nil {
 			return nil, fmt.Errorf("%d replicas, %d gateways: %w", point.Replicas, point.Gateways, err)
 		}
 	}
-	res.Slopes = FitSlopes(res.Points)
-	res.Comparisons = Compare(res.Points)
-	return res, nil
+	result.Slopes = FitSlopes(result.Points)
+	result.Comparisons = Compare(result.Points)
+	return result, nil
 }
 
-// measurePoint plays one size from the first process's start to the last one's end.
+// startAndStopTime is how long a fleet may take besides settling and being measured.
+const startAndStopTime = 3 * time.Minute
+
+// measurePoint starts a fleet of one size, measures its figures and ends all its processes.
 func measurePoint(ctx context.Context, p *config.ScaleRun, program string, point *Point, seed uint64) error {
-	limit := p.SettleTime + p.Duration + 3*time.Minute
-	ctx, stop := context.WithTimeout(ctx, limit)
+	ctx, stop := context.WithTimeout(ctx, p.SettleTime+p.Duration+startAndStopTime)
 	defer stop()
 	dir, err := os.MkdirTemp("", "archknot-scale-")
 	if err != nil {
@@ -117,15 +125,15 @@
 		return err
 	}
 	point.Figures = figuresBetween(before, after, point.Size)
-	inForce, err := f.propagationTime(ctx)
+	propagation, err := f.propagationTime(ctx)
 	if err != nil {
 		return err
 	}
-	point.Figures[ChangePropagation] = inForce.Seconds() * 1000
+	point.Figures[ChangePropagation] = propagation.Seconds() * 1000
 	return nil
 }
 
-// testFleet is the processes of one size.
+// testFleet is the processes of one point.
 type testFleet struct {
 	plan           *config.ScaleRun
 	program        string
@@ -137,11 +145,11 @@
 	hollowGateways []*roleProcess
 	realGateways   *gatewayProcesses
 	endpoints      []httpwire.Endpoint
-	traffic        *loadGenerator // of the real gateways
+	traffic        *loadGenerator // to the real gateways
 }
 
-// replicasPerProcess and gatewaysPerProcess are how many hollow replicas and gateways one process has:
-// within the usual limit on descriptors, with a listener and connections for each.
+// The hollow replicas and gateways of one process stay within the usual limit on descriptors, with a
+// listener and connections for each.
 const (
 	replicasPerProcess = 2500
 	gatewaysPerProcess = 25
@@ -178,13 +186,14 @@
 	if err := f.realGateways.waitUntilReady(ctx); err != nil {
 		return err
 	}
-	f.traffic = newLoadGenerator(f.plan.Rate, f.rng.Uint64())
+	f.traffic = newLoadGenerator(ctx, f.plan.Rate, f.rng.Uint64())
 	for _, g := range f.realGateways.list {
 		f.traffic.startTraffic(g.address, nil)
 	}
 	return nil
 }
 
+// close ends the traffic, then all processes.
 func (f *testFleet) close() {
 	if f.traffic != nil {
 		f.traffic.close()
@@ -195,7 +204,7 @@
 	f.realGateways.close()
 }
 
-// roles are all processes but the real gateways.
+// roles returns all processes but the real gateways.
 func (f *testFleet) roles() []*roleProcess {
 	out := slices.Concat(f.hollowGateways, f.replicas)
 	if f.discovery != nil {
@@ -204,12 +213,12 @@
 	return out
 }
 
-// wait lets time pass, and looks after the memory that the processes take.
+// wait waits for a duration. It returns an error once the processes use more memory than the plan allows.
 func (f *testFleet) wait(ctx context.Context, d time.Duration) error {
-	const each = 500 * time.Millisecond
+	const checkInterval = 500 * time.Millisecond
 	for end := time.Now().Add(d); time.Now().Before(end); {
 		select {
-		case <-time.After(min(each, time.Until(end))):
+		case <-time.After(min(checkInterval, time.Until(end))):
 		case <-ctx.Done():
 			return ctx.Err()
 		}
@@ -220,7 +229,7 @@
 	return nil
 }
 
-// residentMB is what all processes take; megabytes.
+// residentMB returns the resident memory of all processes in megabytes.
 func (f *testFleet) residentMB() float64 {
 	sum := procstat.ResidentMB(os.Getpid())
 	for _, r := range f.roles() {
@@ -232,7 +241,7 @@
 	return sum
 }
 
-// runTraffic lets the measured time pass, with changes of the list.
+// runTraffic lets the measured time pass, and changes the endpoint list at the plan's interval.
 func (f *testFleet) runTraffic(ctx context.Context) error {
 	for end := time.Now().Add(f.plan.Duration); ; {
 		if err := f.wait(ctx, min(f.plan.ChangeInterval, time.Until(end))); err != nil {
@@ -247,33 +256,34 @@
 	}
 }
 
-// timedChanges is how many changes of the list are followed until they are in force everywhere, and
-// propagationTimeout how long each is waited for.
+// timedChanges is how many changes of the endpoint list are timed until all gateways have them, and
+// propagationTimeout how long each may take.
 const (
 	timedChanges       = 3
 	propagationTimeout = 6 * time.Second
 )
 
-// propagationTime is the mean time from a change of the list until the last gateway has it.
+// propagationTime returns the mean time from a change of the endpoint list until the last gateway has it.
 func (f *testFleet) propagationTime(ctx context.Context) (time.Duration, error) {
 	sum := time.Duration(0)
 	for range timedChanges {
-		answer, err := f.discovery.command(ctx, Command{Name: CommandChangeList})
+		change, err := f.discovery.command(ctx, Command{Name: CommandChangeList})
 		if err != nil {
 			return 0, err
 		}
-		last, err := f.waitForPropagation(ctx, answer.Version, answer.At)
+		last, err := f.waitForPropagation(ctx, change.Version, change.At)
 		if err != nil {
 			return 0, err
 		}
-		sum += last.Sub(answer.At)
+		sum += last.Sub(change.At)
 	}
 	return sum / timedChanges, nil
 }
 
-// errNotPropagated says that some gateway has not followed a change.
+// errNotPropagated is the error for a change of the endpoint list that some gateway did not get in time.
 var errNotPropagated = errors.New("a change was not in force at all gateways in time")
 
+// waitForPropagation returns when the last gateway got a version of the endpoint list.
 func (f *testFleet) waitForPropagation(ctx context.Context, version int64, since time.Time) (last time.Time, err error) {
 	for time.Since(since) < propagationTimeout {
 		if err := f.wait(ctx, 200*time.Millisecond); err != nil {
--- a/internal/scaletest/scale_test.go
+++ b/internal/scaletest/scale_test.go
@@ -15,7 +15,7 @@
 	"archknot/internal/scaletest"
 )
 
-// The gateways and roles of a run are processes of this very program.
+// The gateways and roles of a run are processes of the test binary.
 func TestMain(m *testing.M) {
 	if len(os.Args) > 1 && (os.Args[1] == "serve" || os.Args[1] == "drill") {
 		cli.Exec()
@@ -23,8 +23,8 @@
 	os.Exit(m.Run())
 }
 
-// A small run measures what it says: gateways follow a list that comes in one chunk and its changes,
-// keep to their subsets, ask and send, hollow ones as real ones, and each figure is there at each size.
+// A small run has all figures at each size: hollow and real gateways follow an endpoint list that comes in
+// one chunk and its changes, use only their subsets, poll discovery and send requests.
 func TestSmallRun(t *testing.T) {
 	if testing.Short() {
 		t.Skip("it starts processes")
@@ -68,7 +68,7 @@
 	}
 }
 
-// A line is found with its interval, and a bend is told.
+// FitSlopes finds a line with its interval, and reports a curve as not linear.
 func TestFitSlopes(t *testing.T) {
 	points := func(f func(n float64) float64) (out []scaletest.Point) {
 		for _, n := range []int{100, 1000, 3000, 6000} {
@@ -95,7 +95,7 @@
 	}
 }
 
-// What is wrong with a plan is told by key and place.
+// An error in a plan names its key.
 func TestPlansAreChecked(t *testing.T) {
 	for text, want := range map[string]string{
 		"[scale]\nreplicas 100 20\n":        "scale.replicas: expected 1 to 20 numbers, each larger",
