--- a/internal/faulttest/audit.go
+++ b/internal/faulttest/audit.go
@@ -6,95 +6,154 @@
 	"slices"
 	"time"
 
+	"archknot/balancer"
 	"archknot/internal/fleet/emulate"
+	"archknot/internal/fleet/model"
 )
 
-// Rules are what a run is checked against.
+// The rules that Audit checks, as Violation.Rule.
+const (
+	ruleAttempts   = "attempts"    // not more attempts than allowed
+	ruleConcurrent = "at_once"     // no two attempts at once, unless hedging is allowed
+	ruleDeadline   = "deadline"    // no attempt after the deadline
+	ruleDrain      = "drain"       // no attempt at a replica that drains
+	ruleOnce       = "once"        // a request that is not idempotent runs once
+	ruleAnswers    = "answers"     // one complete response
+	ruleLateAnswer = "late_answer" // no response without a token after the deadline
+)
+
+// Rules are the parameters of an audit.
 type Rules struct {
-	MaxAttempts   int             // of a request, over all gateways
-	MayHedge      bool            // second copies are allowed
-	NonIdempotent map[string]bool // classes that must not run twice
-	Tolerance     time.Duration
-	DrainedBy     map[string]time.Time // workers, and from when on nothing new may come
+	MaxAttempts   int                  // of a request, over all gateways
+	MayHedge      bool                 // two attempts may run at once
+	NonIdempotent map[string]bool      // by class
+	Tolerance     time.Duration        // of all times
+	DrainedBy     map[string]time.Time // by replica: no attempt may reach it later
+}
+
+// newRules returns the rules of a specification, without DrainedBy.
+func newRules(spec *model.Spec, tolerance time.Duration) Rules {
+	rules := Rules{
+		MaxAttempts:   spec.Settings.MaxAttempts,
+		MayHedge:      spec.Settings.MayHedge,
+		NonIdempotent: map[string]bool{},
+		Tolerance:     tolerance,
+	}
+	for _, class := range spec.Settings.Classes {
+		rules.NonIdempotent[class.Name] = class.Idempotency == balancer.NonIdempotent
+	}
+	return rules
 }
 
-// Violation is a rule that did not hold.
+// Violation is a rule that did not hold for a request.
 type Violation struct {
 	Rule      string `json:"rule"`
 	RequestID string `json:"request"`
 	Details   string `json:"what"`
 }
 
-// Audit checks what workers and clients saw.
-func Audit(r Rules, tries []emulate.ClientAttempt, attempts []emulate.ReplicaAttempt) (out []Violation) {
-	bad := func(rule, root, format string, args ...any) {
-		out = append(out, Violation{rule, root, fmt.Sprintf(format, args...)})
-	}
-	byRoot := map[string][]emulate.ReplicaAttempt{}
-	for _, a := range attempts {
-		byRoot[a.RootID] = append(byRoot[a.RootID], a)
-	}
-	for _, root := range sortedKeys(byRoot) {
-		list := byRoot[root]
-		slices.SortFunc(list, func(a, b emulate.ReplicaAttempt) int { return a.ReceivedAt.Compare(b.ReceivedAt) })
-		if len(list) > r.MaxAttempts {
-			bad("attempts", root, "%d attempts, %d are allowed", len(list), r.MaxAttempts)
-		}
-		ran := 0
-		for i, a := range list {
-			if a.Declined {
-				continue
-			}
-			ran++
-			for _, b := range list[:i] {
-				if !b.Declined && !r.MayHedge && b.EndedAt.Sub(a.ReceivedAt) > r.Tolerance {
-					bad("at_once", root, "an attempt at %s began %v before that at %s ended", a.Replica, b.EndedAt.Sub(a.ReceivedAt), b.Replica)
-				}
-			}
-			if late := a.ReceivedAt.Sub(a.FirstTokenBy); late > r.Tolerance {
-				bad("deadline", root, "an attempt at %s began %v after its deadline", a.Replica, late)
-			}
-			if at, ok := r.DrainedBy[a.Replica]; ok && a.ReceivedAt.Sub(at) > r.Tolerance {
-				bad("drain", root, "an attempt came to %s %v too late", a.Replica, a.ReceivedAt.Sub(at))
-			}
+// Audit checks what clients and replicas recorded. The result is sorted by request, the replicas' part
+// first.
+func Audit(rules Rules, requests []emulate.ClientAttempt, attempts []emulate.ReplicaAttempt) []Violation {
+	a := &audit{rules: rules}
+	attemptsByRoot := map[string][]emulate.ReplicaAttempt{}
+	for _, attempt := range attempts {
+		attemptsByRoot[attempt.RootID] = append(attemptsByRoot[attempt.RootID], attempt)
+	}
+	for _, root := range sortedKeys(attemptsByRoot) {
+		a.checkAttempts(root, attemptsByRoot[root])
+	}
+	requestsByRoot := map[string][]emulate.ClientAttempt{}
+	for _, request := range requests {
+		requestsByRoot[request.RootID] = append(requestsByRoot[request.RootID], request)
+	}
+	for _, root := range sortedKeys(requestsByRoot) {
+		a.checkResponses(root, requestsByRoot[root])
+	}
+	return a.violations
+}
+
+// audit is an audit under way.
+type audit struct {
+	rules      Rules
+	violations []Violation
+}
+
+func (a *audit) add(rule, root, format string, args ...any) {
+	a.violations = append(a.violations, Violation{rule, root, fmt.Sprintf(format, args...)})
+}
+
+// checkAttempts checks all attempts of one request.
+func (a *audit) checkAttempts(root string, attempts []emulate.ReplicaAttempt) {
+	slices.SortFunc(attempts, func(a, b emulate.ReplicaAttempt) int { return a.ReceivedAt.Compare(b.ReceivedAt) })
+	if len(attempts) > a.rules.MaxAttempts {
+		a.add(ruleAttempts, root, "%d attempts, %d are allowed", len(attempts), a.rules.MaxAttempts)
+	}
+	ran := 0
+	for i, attempt := range attempts {
+		if attempt.Declined {
+			continue
 		}
-		if ran > 1 && r.NonIdempotent[list[0].Class] {
-			bad("once", root, "ran %d times", ran)
+		ran++
+		a.checkConcurrency(root, attempt, attempts[:i])
+		a.checkTimes(root, attempt)
+	}
+	if ran > 1 && a.rules.NonIdempotent[attempts[0].Class] {
+		a.add(ruleOnce, root, "ran %d times", ran)
+	}
+}
+
+func (a *audit) checkConcurrency(root string, attempt emulate.ReplicaAttempt, earlier []emulate.ReplicaAttempt) {
+	if a.rules.MayHedge {
+		return
+	}
+	for _, other := range earlier {
+		if overlap := other.EndedAt.Sub(attempt.ReceivedAt); !other.Declined && overlap > a.rules.Tolerance {
+			a.add(ruleConcurrent, root, "an attempt at %s began %v before that at %s ended", attempt.Replica, overlap, other.Replica)
 		}
 	}
-	byTry := map[string][]emulate.ClientAttempt{}
-	for _, t := range tries {
-		byTry[t.RootID] = append(byTry[t.RootID], t)
-	}
-	for _, root := range sortedKeys(byTry) {
-		list := byTry[root]
-		slices.SortFunc(list, func(a, b emulate.ClientAttempt) int { return cmp.Compare(a.ResumeIndex, b.ResumeIndex) })
-		whole, ended := 0, map[string]int{}
-		for _, t := range list {
-			if t.Complete {
-				whole++
-			}
-			ended[t.ID]++
-			if t.FirstTokenAt == 0 && t.Status != 0 && t.EndedAt-t.SentAt > t.FirstTokenTimeout+r.Tolerance.Microseconds() {
-				bad("late_answer", root, "%s was answered %d ms after its deadline", t.ID, (t.EndedAt-t.SentAt-t.FirstTokenTimeout)/1000)
-			}
+}
+
+func (a *audit) checkTimes(root string, attempt emulate.ReplicaAttempt) {
+	if late := attempt.ReceivedAt.Sub(attempt.FirstTokenBy); late > a.rules.Tolerance {
+		a.add(ruleDeadline, root, "an attempt at %s began %v after its deadline", attempt.Replica, late)
+	}
+	drainedBy, drains := a.rules.DrainedBy[attempt.Replica]
+	if late := attempt.ReceivedAt.Sub(drainedBy); drains && late > a.rules.Tolerance {
+		a.add(ruleDrain, root, "an attempt came to %s %v too late", attempt.Replica, late)
+	}
+}
+
+// checkResponses checks the responses to one request and its resume requests.
+func (a *audit) checkResponses(root string, requests []emulate.ClientAttempt) {
+	slices.SortFunc(requests, func(a, b emulate.ClientAttempt) int { return cmp.Compare(a.ResumeIndex, b.ResumeIndex) })
+	complete := 0
+	ends := map[string]int{}
+	for _, request := range requests {
+		if request.Complete {
+			complete++
 		}
-		if whole > 1 {
-			bad("answers", root, "%d whole answers", whole)
+		ends[request.ID]++
+		answered := request.Status != 0
+		late := request.EndedAt - request.SentAt - request.FirstTokenTimeout
+		if request.FirstTokenAt == 0 && answered && late > a.rules.Tolerance.Microseconds() {
+			a.add(ruleLateAnswer, root, "%s was answered %d ms after its deadline", request.ID, late/1000)
 		}
-		for id, n := range ended {
-			if n > 1 {
-				bad("answers", root, "%s ended %d times", id, n)
-			}
+	}
+	if complete > 1 {
+		a.add(ruleAnswers, root, "%d complete responses", complete)
+	}
+	for id, n := range ends {
+		if n > 1 {
+			a.add(ruleAnswers, root, "%s ended %d times", id, n)
 		}
 	}
-	return out
 }
 
 func sortedKeys[T any](m map[string]T) []string {
 	keys := make([]string, 0, len(m))
-	for k := range m {
-		keys = append(keys, k)
+	for key := range m {
+		keys = append(keys, key)
 	}
 	slices.Sort(keys)
 	return keys
--- a/internal/faulttest/cluster.go
+++ b/internal/faulttest/cluster.go
@@ -3,180 +3,148 @@
 import (
 	"bytes"
 	"context"
-	"encoding/json"
 	"errors"
 	"fmt"
 	"math/rand/v2"
 	"net"
 	"net/http"
 	"os"
-	"os/exec"
 	"path/filepath"
 	"runtime"
-	"strings"
 	"sync"
 	"syscall"
 	"time"
 
 	"archknot/internal/fleet/model"
 	"archknot/internal/httpwire"
-	"archknot/internal/simwire"
 )
 
-// cluster is the gateways' processes.
+const (
+	// freeAddrTries is how many ports are tried before there counts as none free.
+	freeAddrTries = 200
+	// The range of the gateways' ports lies below those that the system assigns itself.
+	firstPort, portCount = 10_000, 20_000
+	// readyPollInterval is the time between two requests whether a gateway is ready.
+	readyPollInterval = 10 * time.Millisecond
+	// logTailLines is how many lines of a log an error quotes.
+	logTailLines = 8
+)
+
+// cluster is the gateways of a drill or soak, each a process.
 type cluster struct {
 	spec          *model.Spec
 	program       string
 	dir           string
 	discoveryAddr string
-	relays        *relayNetwork
+	relays        *relayNetwork // nil: the gateways reach each other directly
 	nodes         []*node
-	starts        chan func() // processes are started by one thread: they end with it
+	starts        chan func() // run by one thread, with which the processes end
 	client        *http.Client
 }
 
-// node is one gateway, over all its lives.
-type node struct {
-	index        int
-	name         string
-	addr         string // for clients
-	peerAddr     string // the process's own
-	relay        *relay
-	zone         int
-	listenSocket *os.File // the clients' listening socket, which its lives share; nil: each binds its own
-	mu           sync.Mutex
-	process      *gatewayProcess // nil: it does not run
-	starting     bool            // again, and not ready yet: the front does not offer it
-	crashes      []string
+// newCluster starts the gateways of a specification. Their configurations and logs are in dir.
+func newCluster(spec *model.Spec, program, dir, discoveryAddr string) (*cluster, error) {
+	c := &cluster{
+		spec:          spec,
+		program:       program,
+		dir:           dir,
+		discoveryAddr: discoveryAddr,
+		starts:        make(chan func()),
+		client:        &http.Client{Timeout: time.Second, Transport: &http.Transport{DisableKeepAlives: true}},
+	}
+	go c.runStarts()
+	if err := c.startAll(); err != nil {
+		c.close()
+		return nil, err
+	}
+	return c, nil
 }
 
-// gatewayProcess is one process of a gateway.
-type gatewayProcess struct {
-	cmd         *exec.Cmd
-	adminAddr   string // where operators call it
-	exited      chan struct{}
-	endExpected bool // to end
-	frozen      bool
+// runStarts starts processes. It has a thread of its own because Pdeathsig is sent when the thread that
+// started a process ends.
+func (c *cluster) runStarts() {
+	runtime.LockOSThread()
+	for start := range c.starts {
+		start()
+	}
 }
 
-func newCluster(spec *model.Spec, program, dir, registry string) (*cluster, error) {
-	c := &cluster{spec: spec, program: program, dir: dir, discoveryAddr: registry, starts: make(chan func()),
-		client: &http.Client{Timeout: time.Second, Transport: &http.Transport{DisableKeepAlives: true}}}
-	go func() {
-		runtime.LockOSThread() // Pdeathsig comes when the thread ends
-		for do := range c.starts {
-			do()
-		}
-	}()
-	if spec.Drill.Peers && spec.Drill.Relays {
-		c.relays = newRelayNetwork(spec.Seed)
+// startAll creates all nodes, so that each knows the addresses of the others, and starts their processes.
+func (c *cluster) startAll() error {
+	if c.spec.Drill.Peers && c.spec.Drill.Relays {
+		c.relays = newRelayNetwork(c.spec.Seed)
 	}
-	for i := range spec.Gateways {
-		n := &node{index: i, name: fmt.Sprintf("g%d", i+1), zone: i % max(1, spec.Drill.Sites)}
-		var err error
-		if n.addr, err = c.freeAddr(); err == nil {
-			n.peerAddr, err = c.freeAddr()
-		}
-		if err == nil && c.relays != nil {
-			var at string
-			if at, err = c.freeAddr(); err == nil {
-				n.relay, err = c.relays.add(n.name, n.peerAddr, at)
-			}
-		}
+	for i := range c.spec.Gateways {
+		n, err := c.newNode(i)
 		if err != nil {
-			c.close()
-			return nil, err
+			return err
 		}
 		c.nodes = append(c.nodes, n)
 	}
 	for _, n := range c.nodes {
-		err := c.writeConfig(n)
-		if err == nil && spec.Drill.SharedListener {
-			err = n.openListenSocket()
+		if err := c.writeConfig(n); err != nil {
+			return err
 		}
-		if err != nil {
-			c.close()
-			return nil, err
+		if c.spec.Drill.SharedListener {
+			if err := n.openListenSocket(); err != nil {
+				return err
+			}
 		}
 		if err := c.start(n); err != nil {
-			c.close()
-			return nil, err
+			return err
 		}
 	}
-	return c, nil
+	return nil
 }
 
-// triedAddrs are the addresses that drills of this process have looked at.
+// newNode assigns a gateway its addresses, and opens its relay if there is one.
+func (c *cluster) newNode(index int) (*node, error) {
+	n := &node{index: index, name: fmt.Sprintf("g%d", index+1), zone: index % max(1, c.spec.Drill.Sites)}
+	var err error
+	if n.addr, err = c.freeAddr(); err != nil {
+		return nil, err
+	}
+	if n.peerAddr, err = c.freeAddr(); err != nil {
+		return nil, err
+	}
+	if c.relays == nil {
+		return n, nil
+	}
+	relayAddr, err := c.freeAddr()
+	if err != nil {
+		return nil, err
+	}
+	n.relay, err = c.relays.add(n.name, n.peerAddr, relayAddr)
+	return n, err
+}
+
+// triedAddrs are the addresses that drills of this process have tried.
 var triedAddrs sync.Map
 
-// freeAddr finds a port that nothing uses, below those that the system deals out itself.
+// freeAddr returns a loopback address whose port no socket uses, neither TCP nor UDP.
 func (c *cluster) freeAddr() (string, error) {
-	for range 200 {
-		addr := fmt.Sprintf("127.0.0.1:%d", 10_000+rand.IntN(20_000))
-		// Looked at only by one drill of this process: a look takes the port for a moment.
-		if _, taken := triedAddrs.LoadOrStore(addr, true); taken {
+	for range freeAddrTries {
+		addr := fmt.Sprintf("127.0.0.1:%d", firstPort+rand.IntN(portCount))
+		// Only one drill of this process tries an address: to try it takes the port for a moment.
+		if _, tried := triedAddrs.LoadOrStore(addr, true); tried {
 			continue
 		}
-		l, err := net.Listen("tcp", addr)
+		listener, err := net.Listen("tcp", addr)
 		if err != nil {
 			continue
 		}
-		u, err := net.ListenPacket("udp", addr)
-		l.Close()
+		packetConn, err := net.ListenPacket("udp", addr)
+		listener.Close()
 		if err != nil {
 			continue
 		}
-		u.Close()
+		packetConn.Close()
 		return addr, nil
 	}
 	return "", errors.New("no free port found")
 }
 
-// writeConfig makes a gateway's two configurations.
-func (c *cluster) writeConfig(n *node) error {
-	s := c.spec.Settings
-	s.Self, s.Gateways = n.index, c.spec.Gateways
-	zones, kinds := map[string]bool{}, map[string]bool{}
-	for _, g := range c.spec.Groups {
-		if !zones[g.Zone] {
-			s.Zones = append(s.Zones, g.Zone)
-		}
-		if !kinds[g.Name] {
-			s.Kinds = append(s.Kinds, g.Name)
-		}
-		zones[g.Zone], kinds[g.Name] = true, true
-	}
-	s.Zone = s.Zones[n.zone%len(s.Zones)]
-	settings, err := simwire.MarshalSettings(s)
-	if err != nil {
-		return err
-	}
-	config, err := json.Marshal(map[string]any{"name": n.name, "listen": n.addr, "discovery": c.discoveryAddr, "seed": fmt.Sprintf("%x", c.spec.Seed*1000+uint64(n.index)+1),
-		"limits": map[string]any{"cores": 1, "memory_mb": c.spec.Drill.MemoryMB, "sockets": c.spec.Drill.MaxFiles}, "settings": json.RawMessage(settings)})
-	if err != nil {
-		return err
-	}
-	own := "[log]\nlevel info\n"
-	if d := c.spec.Drill; d.Peers {
-		own += fmt.Sprintf("[peers]\nlisten %s\nsite s%d\ncopies %d\nrecords %d\nrecords-each %d\n", n.peerAddr, n.zone, d.RequestCopies, d.MaxRecords, d.MaxRecords)
-		if n.relay != nil {
-			own += "advertise " + n.relay.addr + "\n"
-		}
-		var join []string
-		for _, o := range c.nodes[:min(3, len(c.nodes))] {
-			join = append(join, c.advertisedAddr(o))
-		}
-		own += "join " + strings.Join(join, ",") + "\n"
-	}
-	if err := os.WriteFile(c.path(n, "json"), config, 0o600); err != nil {
-		return err
-	}
-	if err := os.MkdirAll(c.path(n, "tmp"), 0o700); err != nil {
-		return err
-	}
-	return os.WriteFile(c.path(n, "conf"), []byte(own), 0o600)
-}
-
+// advertisedAddr returns where the other gateways reach a gateway.
 func (c *cluster) advertisedAddr(n *node) string {
 	if n.relay != nil {
 		return n.relay.addr
@@ -184,108 +152,19 @@
 	return n.peerAddr
 }
 
-func (c *cluster) path(n *node, ending string) string {
-	return filepath.Join(c.dir, n.name+"."+ending)
-}
-
-// start starts a gateway's next life.
-func (c *cluster) start(n *node) error {
-	n.mu.Lock()
-	defer n.mu.Unlock()
-	if n.process != nil {
-		return nil
-	}
-	log, err := os.OpenFile(c.path(n, "log"), os.O_CREATE|os.O_APPEND|os.O_WRONLY, 0o600)
-	if err != nil {
-		return err
-	}
-	cmd := exec.Command(c.program, "serve", "--config", c.path(n, "conf"))
-	cmd.Env = append(os.Environ(), "NODE_CONFIG="+c.path(n, "json"), "NODE_NAME=", "NODE_LISTEN=", "NODE_DISCOVERY=", "NODE_SOCKET_FD=", "ARCHKNOT_CONF=")
-	born := &gatewayProcess{cmd: cmd, exited: make(chan struct{})}
-	if c.spec.Drill.Operators {
-		if born.adminAddr, err = c.freeAddr(); err != nil {
-			log.Close()
-			return err
-		}
-		cmd.Env = append(cmd.Env, "NODE_ADMIN="+born.adminAddr, "TMPDIR="+c.path(n, "tmp"))
-	}
-	if n.listenSocket != nil {
-		cmd.ExtraFiles = []*os.File{n.listenSocket}
-		cmd.Env = append(cmd.Env, "NODE_SOCKET_FD=3")
-	}
-	cmd.Stdout, cmd.Stderr = log, log
-	cmd.SysProcAttr = &syscall.SysProcAttr{Pdeathsig: syscall.SIGKILL}
-	started := make(chan error, 1)
-	c.starts <- func() { started <- cmd.Start() }
-	if err := <-started; err != nil {
-		log.Close()
-		return err
-	}
-	n.process = born
-	go func() {
-		err := cmd.Wait()
-		log.Close()
-		n.mu.Lock()
-		defer n.mu.Unlock()
-		if n.relay != nil {
-			n.relay.down()
-		}
-		if !born.endExpected {
-			n.crashes = append(n.crashes, fmt.Sprintf("%s ended by itself: %v\n%s", n.name, err, c.logTail(n)))
-		}
-		if n.process == born {
-			n.process = nil
-		}
-		close(born.exited)
-	}()
-	if n.relay != nil {
-		return n.relay.up()
-	}
-	return nil
+// path returns the path of a gateway's file.
+func (c *cluster) path(n *node, extension string) string {
+	return filepath.Join(c.dir, n.name+"."+extension)
 }
 
-// logTail is the end of a gateway's log.
+// logTail returns the end of a gateway's log.
 func (c *cluster) logTail(n *node) string {
-	text, _ := os.ReadFile(c.path(n, "log"))
+	text, _ := os.ReadFile(c.path(n, "log")) // without a log there is nothing to quote
 	lines := bytes.Split(bytes.TrimSpace(text), []byte("\n"))
-	return string(bytes.Join(lines[max(0, len(lines)-8):], []byte("\n")))
-}
-
-// signal sends a signal to a gateway's process, by its id, if it runs.
-func (n *node) signal(s syscall.Signal) (exited <-chan struct{}) {
-	n.mu.Lock()
-	defer n.mu.Unlock()
-	if n.process == nil {
-		return nil
-	}
-	return n.process.signal(s)
+	return string(bytes.Join(lines[max(0, len(lines)-logTailLines):], []byte("\n")))
 }
 
-// exited is closed once the gateway's process has ended.
-func (n *node) exited() <-chan struct{} {
-	n.mu.Lock()
-	defer n.mu.Unlock()
-	if n.process != nil {
-		return n.process.exited
-	}
-	none := make(chan struct{})
-	close(none)
-	return none
-}
-
-// signal sends a signal to a process. It is called under its gateway's mu.
-func (l *gatewayProcess) signal(s syscall.Signal) (exited <-chan struct{}) {
-	switch s {
-	case syscall.SIGKILL, syscall.SIGTERM:
-		l.endExpected = true
-	case syscall.SIGSTOP, syscall.SIGCONT:
-		l.frozen = s == syscall.SIGSTOP
-	}
-	_ = l.cmd.Process.Signal(s)
-	return l.exited
-}
-
-// waitUntilReady waits until all gateways take clients.
+// waitUntilReady waits until all gateways are ready for clients.
 func (c *cluster) waitUntilReady(ctx context.Context) error {
 	for _, n := range c.nodes {
 		if err := c.waitUntilNodeReady(ctx, n); err != nil {
@@ -295,33 +174,54 @@
 	return nil
 }
 
+// waitUntilNodeReady waits until a gateway is ready for clients.
 func (c *cluster) waitUntilNodeReady(ctx context.Context, n *node) error {
 	for {
-		n.mu.Lock()
-		running := n.process != nil
-		n.mu.Unlock()
-		if !running {
+		if n.pid() == 0 {
 			return fmt.Errorf("%s does not run: %s", n.name, c.logTail(n))
 		}
-		req, err := http.NewRequestWithContext(ctx, http.MethodGet, "http://"+n.addr+httpwire.ReadyPath, nil)
-		if err != nil {
-			return err
-		}
-		if resp, err := c.client.Do(req); err == nil {
-			resp.Body.Close()
-			if resp.StatusCode == http.StatusOK {
-				return nil
-			}
+		if c.isReady(ctx, n) {
+			return nil
 		}
 		select {
-		case <-time.After(10 * time.Millisecond):
+		case <-time.After(readyPollInterval):
 		case <-ctx.Done():
 			return fmt.Errorf("%s is not ready: %s", n.name, c.logTail(n))
 		}
 	}
 }
 
-// crashes are the processes that ended and were not to.
+// isReady reports whether a gateway answers that it is ready for clients.
+func (c *cluster) isReady(ctx context.Context, n *node) bool {
+	req, err := http.NewRequestWithContext(ctx, http.MethodGet, "http://"+n.addr+httpwire.ReadyPath, nil)
+	if err != nil {
+		return false
+	}
+	resp, err := c.client.Do(req)
+	if err != nil {
+		return false
+	}
+	resp.Body.Close()
+	return resp.StatusCode == http.StatusOK
+}
+
+// indexOf returns the index of the gateway at an address for clients, -1 if there is none.
+func (c *cluster) indexOf(addr string) int {
+	for i, n := range c.nodes {
+		if n.addr == addr {
+			return i
+		}
+	}
+	return -1
+}
+
+// offered reports whether clients are directed to the gateway at an address.
+func (c *cluster) offered(addr string) bool {
+	i := c.indexOf(addr)
+	return i < 0 || c.nodes[i].isOffered()
+}
+
+// crashes returns a description of each process that ended unexpectedly.
 func (c *cluster) crashes() (out []string) {
 	for _, n := range c.nodes {
 		n.mu.Lock()
@@ -331,15 +231,15 @@
 	return out
 }
 
-// close ends every process, by its id, and waits for it.
+// close kills all processes, by their ids, and waits for them.
 func (c *cluster) close() {
-	var ends []<-chan struct{}
+	var exits []<-chan struct{}
 	for _, n := range c.nodes {
-		ends = append(ends, n.signal(syscall.SIGKILL)) // also one that is stopped
+		exits = append(exits, n.signal(syscall.SIGKILL)) // this ends a stopped process as well
 	}
-	for _, e := range ends {
-		if e != nil {
-			<-e // SIGKILL is obeyed
+	for _, exited := range exits {
+		if exited != nil {
+			<-exited
 		}
 	}
 	for _, n := range c.nodes {
--- a/internal/faulttest/drill.go
+++ b/internal/faulttest/drill.go
@@ -4,504 +4,293 @@
 	"context"
 	"fmt"
 	"math/rand/v2"
+	"os"
 	"path/filepath"
-	"slices"
 	"sync"
 	"syscall"
 	"time"
 
-	"archknot/balancer"
 	"archknot/internal/fleet/emulate"
 	"archknot/internal/fleet/model"
 	"archknot/internal/procstat"
 )
 
-// Options of a drill.
-type Options struct {
-	Program string // what is started; "": this one
-	Dir     string // for configurations and logs; "": a folder that is removed at the end
-}
-
-// Result is what a drill saw.
-type Result struct {
-	Seed            uint64                  `json:"seed"`
-	Sent            int                     `json:"sent"`
-	Outcomes        map[string]int          `json:"ends"` // of requests, by how they ended for the client
-	WeightServed    float64                 `json:"worth"`
-	WeightOffered   float64                 `json:"worth_asked"`
-	Interrupted     int                     `json:"caught"`         // in hand for over 50 ms at a gateway that was killed or ended, of classes that may run again
-	Recovered       int                     `json:"saved"`          // of those, answered whole and in time
-	WeightLost      float64                 `json:"worth_lost_10s"` // of what was in hand at the first strike or came within 10 s of it
-	FirstTokenMs    map[string]float64      `json:"first_ms"`
-	CPUMsPerRequest float64                 `json:"cpu_ms_request"` // of the gateways' processes that ran to the end
-	MemoryMB        float64                 `json:"memory_mb"`      // the most resident memory of one of them at the end
-	OpenFiles       int                     `json:"files"`          // the most descriptors open at the end
-	Classes         map[string]*ClassResult `json:"classes"`
-	ToVanishedShare float64                 `json:"to_lost"` // of the attempts, those sent to workers that were away, later than 1.5 s after they vanished
-	Violations      []Violation             `json:"breaks"`
-	Crashes         []string                `json:"crashes"`
-	Skipped         int                     `json:"left_out"`
-}
-
-// ClassResult is what became of one class's requests.
-type ClassResult struct {
-	Sent          int     `json:"sent"`
-	InTime        int     `json:"in_time"` // with the first token within the aim
-	Shed          int     `json:"refused"`
-	WeightServed  float64 `json:"worth"`
-	WeightOffered float64 `json:"worth_asked"`
-}
-
-// recorder gathers what clients and workers see.
-type recorder struct {
-	mu           sync.Mutex
-	requests     []emulate.ClientAttempt
-	attempts     []emulate.ReplicaAttempt
-	stateStrikes map[string][]*stateStrike
-	cluster      *cluster
-	fire         func(x *model.Strike, serving int)
-}
+const (
+	// startTimeout and startTimeoutPerGateway bound the start of a drill's gateways.
+	startTimeout           = 30 * time.Second
+	startTimeoutPerGateway = 200 * time.Millisecond
+	// endTimeout bounds how long a drill may take beyond its specification's duration.
+	endTimeout = time.Minute
+	// drillTolerance is the tolerance of a drill's audit.
+	drillTolerance = 50 * time.Millisecond
+	// drainLimit is how long after the start of a drain attempts may still reach the replica.
+	drainLimit = 2500 * time.Millisecond
+	// strikeStream selects the random numbers of strikes among those of a seed.
+	strikeStream = 41
+)
 
-// stateStrike is a strike that waits for a request's state.
-type stateStrike struct {
-	strike *model.Strike
-	seen   int
+// Options are the parameters of a drill or soak besides its specification.
+type Options struct {
+	Program string // file of the gateways' program; empty: this process's
+	Dir     string // for configurations and logs; empty: a temporary one, removed at the end
 }
 
-func (w *recorder) onState(t *emulate.ClientAttempt, state string) {
-	w.mu.Lock()
-	defer w.mu.Unlock()
-	for _, a := range w.stateStrikes[state] {
-		if t.ResumeIndex > 0 {
-			continue
-		}
-		if a.seen++; a.seen == a.strike.Nth {
-			serving := slices.IndexFunc(w.cluster.nodes, func(n *node) bool { return n.addr == t.Gateway })
-			go w.fire(a.strike, serving)
+// withDefaults returns the options with their defaults. The function remove deletes what was created
+// for them.
+func (o Options) withDefaults() (complete Options, remove func(), err error) {
+	remove = func() {}
+	if o.Program == "" {
+		if o.Program, err = os.Executable(); err != nil {
+			return o, remove, err
 		}
 	}
+	if o.Dir != "" {
+		return o, remove, os.MkdirAll(o.Dir, 0o755)
+	}
+	if o.Dir, err = os.MkdirTemp("", "archknot-drill-"); err != nil {
+		return o, remove, err
+	}
+	return o, func() { os.RemoveAll(o.Dir) }, nil
+}
+
+// drill is a drill under way.
+type drill struct {
+	spec     *model.Spec
+	fleet    *emulate.Fleet
+	cluster  *cluster
+	recorder *recorder
+	striker  *striker
 }
 
-// Run carries out one drill.
-func Run(ctx context.Context, spec *model.Spec, o Options) (*Result, error) {
-	o, remove, err := o.withDefaults()
+// Run carries out a drill: it starts the gateways of a specification in front of an emulated fleet,
+// plays its clients and strikes, and audits what clients and replicas recorded.
+func Run(ctx context.Context, spec *model.Spec, options Options) (*Result, error) {
+	options, remove, err := options.withDefaults()
 	if err != nil {
 		return nil, err
 	}
 	defer remove()
-	f, err := emulate.Start(spec, "127.0.0.1:0")
+	fleet, err := emulate.Start(spec, "127.0.0.1:0")
 	if err != nil {
 		return nil, err
 	}
-	defer f.Close()
-	w := &recorder{stateStrikes: map[string][]*stateStrike{}}
-	f.OnAttemptEnd = func(a emulate.ReplicaAttempt) {
-		w.mu.Lock()
-		defer w.mu.Unlock()
-		w.attempts = append(w.attempts, a)
-	}
-	c, err := newCluster(spec, o.Program, o.Dir, f.DiscoveryAddr)
+	defer fleet.Close()
+	d := &drill{spec: spec, fleet: fleet, recorder: newRecorder()}
+	fleet.OnAttemptEnd = d.recorder.recordAttempt
+	d.cluster, err = newCluster(spec, options.Program, options.Dir, fleet.DiscoveryAddr)
 	if err != nil {
 		return nil, err
 	}
-	defer c.close()
-	starting, stop := context.WithTimeout(ctx, 30*time.Second+time.Duration(spec.Gateways)*200*time.Millisecond)
-	err = c.waitUntilReady(starting)
-	stop()
-	if err != nil {
+	defer d.cluster.close()
+	if err := d.waitUntilStarted(ctx); err != nil {
 		return nil, err
 	}
-	if spec.Drill.Peers { // how long they take to find each other is not theirs to tell
-		select {
-		case <-time.After(time.Duration(spec.Drill.Settle) * time.Microsecond):
-		case <-ctx.Done():
-			return nil, ctx.Err()
-		}
-	}
-	ctx, stop = context.WithTimeout(ctx, time.Duration(spec.Duration)*time.Microsecond+time.Minute)
+	return d.run(ctx)
+}
+
+// waitUntilStarted waits until the gateways are ready and, if they are connected, for the time that
+// they have to find each other.
+func (d *drill) waitUntilStarted(ctx context.Context) error {
+	startCtx, stop := context.WithTimeout(ctx, startTimeout+time.Duration(d.spec.Gateways)*startTimeoutPerGateway)
 	defer stop()
-	before := c.processUsage()
-	s := &striker{cluster: c, spec: spec, random: rand.New(rand.NewPCG(spec.Seed, 41)), startedAt: time.Now()}
-	w.cluster = c
-	w.fire = func(x *model.Strike, serving int) { s.strike(ctx, x, serving) }
-	for i := range spec.Strikes {
-		x := &spec.Strikes[i]
-		if x.When != "" && x.When != "at" {
-			w.stateStrikes[x.When] = append(w.stateStrikes[x.When], &stateStrike{strike: x})
-			continue
-		}
-		s.tasks.Go(func() {
-			select {
-			case <-time.After(time.Until(s.startedAt.Add(time.Duration(x.At) * time.Microsecond))):
-				s.strike(ctx, x, -1)
-			case <-ctx.Done():
-			}
-		})
+	if err := d.cluster.waitUntilReady(startCtx); err != nil {
+		return err
+	}
+	if !d.spec.Drill.Peers {
+		return nil
 	}
+	select {
+	case <-time.After(time.Duration(d.spec.Drill.Settle) * time.Microsecond):
+		return nil
+	case <-ctx.Done():
+		return ctx.Err()
+	}
+}
+
+// run plays clients and strikes, and returns the result.
+func (d *drill) run(ctx context.Context) (*Result, error) {
+	ctx, stop := context.WithTimeout(ctx, time.Duration(d.spec.Duration)*time.Microsecond+endTimeout)
+	defer stop()
+	usageBefore := d.cluster.processUsage()
+	d.striker = &striker{
+		cluster:   d.cluster,
+		spec:      d.spec,
+		random:    rand.New(rand.NewPCG(d.spec.Seed, strikeStream)),
+		startedAt: time.Now(),
+		endedAt:   map[string][]time.Time{},
+	}
+	d.scheduleStrikes(ctx)
 	var addrs []string
-	for _, n := range c.nodes {
+	for _, n := range d.cluster.nodes {
 		addrs = append(addrs, n.addr)
 	}
-	drains := drainDeadlines(spec, s.startedAt)
-	_, left, err := emulate.PlayObserved(ctx, f, spec, addrs, emulate.Observer{OnState: w.onState, IsOffered: c.offered, OnEnd: func(t *emulate.ClientAttempt) {
-		w.mu.Lock()
-		defer w.mu.Unlock()
-		w.requests = append(w.requests, *t)
-	}})
+	drainedBy := drainDeadlines(d.spec, d.striker.startedAt)
+	observer := emulate.Observer{OnState: d.recorder.onState, IsOffered: d.cluster.offered, OnEnd: d.recorder.recordRequest}
+	_, skipped, err := emulate.PlayObserved(ctx, d.fleet, d.spec, addrs, observer)
 	if err != nil {
 		return nil, err
 	}
 	stop()
-	s.tasks.Wait()
-	for _, n := range c.nodes {
+	d.striker.tasks.Wait()
+	for _, n := range d.cluster.nodes {
 		n.signal(syscall.SIGCONT)
 	}
-	res := &Result{Seed: spec.Seed, Skipped: left, Crashes: c.crashes()}
-	c.addUsage(before, res)
-	w.waitForAttempts()
-	res.measure(spec, w, s)
-	res.ToVanishedShare = vanishedShare(spec, w, s.startedAt)
-	rules := Rules{MaxAttempts: spec.Settings.MaxAttempts, MayHedge: spec.Settings.MayHedge, NonIdempotent: map[string]bool{}, Tolerance: 50 * time.Millisecond, DrainedBy: drains}
-	for _, k := range spec.Settings.Classes {
-		rules.NonIdempotent[k.Name] = k.Idempotency == balancer.NonIdempotent
-	}
-	res.Violations = Audit(rules, w.requests, w.attempts)
-	return res, nil
+	result := &Result{Seed: d.spec.Seed, Skipped: skipped, Crashes: d.cluster.crashes()}
+	d.cluster.addUsage(usageBefore, result)
+	d.recorder.waitForAttempts()
+	result.measure(d.spec, d.recorder, d.striker)
+	result.ToVanishedShare = vanishedShare(d.spec, d.recorder, d.striker.startedAt)
+	rules := newRules(d.spec, drillTolerance)
+	rules.DrainedBy = drainedBy
+	result.Violations = Audit(rules, d.recorder.requests, d.recorder.attempts)
+	return result, nil
 }
 
-// waitForAttempts waits until the workers have nothing more to tell.
-func (w *recorder) waitForAttempts() {
-	for last, end := -1, time.Now().Add(time.Second); time.Now().Before(end); time.Sleep(20 * time.Millisecond) {
-		w.mu.Lock()
-		n := len(w.attempts)
-		w.mu.Unlock()
-		if n == last {
-			return
+// scheduleStrikes starts a task for each strike at a time, and has the recorder fire those at a state of a
+// request.
+func (d *drill) scheduleStrikes(ctx context.Context) {
+	strikes := map[string][]*stateStrike{}
+	for i := range d.spec.Strikes {
+		strike := &d.spec.Strikes[i]
+		if strike.When != "" && strike.When != "at" {
+			strikes[strike.When] = append(strikes[strike.When], &stateStrike{strike: strike})
+			continue
 		}
-		last = n
+		d.striker.tasks.Go(func() {
+			select {
+			case <-time.After(time.Until(d.striker.startedAt.Add(time.Duration(strike.At) * time.Microsecond))):
+				d.striker.strike(ctx, strike, -1)
+			case <-ctx.Done():
+			}
+		})
 	}
+	d.recorder.setStrikes(d.cluster, strikes, func(strike *model.Strike, serving int) { d.striker.strike(ctx, strike, serving) })
 }
 
-// drainDeadlines is when workers that drain must get nothing new any more.
-func drainDeadlines(spec *model.Spec, began time.Time) map[string]time.Time {
-	out := map[string]time.Time{}
-	i := 0
-	for _, g := range spec.Groups {
-		for range g.Count {
-			for _, x := range spec.Faults {
-				if x.Kind == "drain" && x.Duration == 0 && (x.Replica == i || x.Replica < 0) {
-					out[fmt.Sprintf("%s-%d", g.Name, i+1)] = began.Add(time.Duration(x.At)*time.Microsecond + drainLimit)
-				}
+// drainDeadlines returns, by replica that drains for good, when the last attempt may reach it.
+func drainDeadlines(spec *model.Spec, startedAt time.Time) map[string]time.Time {
+	deadlines := map[string]time.Time{}
+	for i, replica := range replicasOf(spec) {
+		for _, fault := range spec.Faults {
+			if fault.Kind == "drain" && fault.Duration == 0 && (fault.Replica == i || fault.Replica < 0) {
+				deadlines[replica.name] = startedAt.Add(time.Duration(fault.At)*time.Microsecond + drainLimit)
 			}
-			i++
 		}
 	}
-	return out
+	return deadlines
 }
 
-// vanishedShare is the share of attempts that went to machines that had vanished, later than a
-// second and a half after, of all that were made in that time.
-func vanishedShare(spec *model.Spec, w *recorder, began time.Time) float64 {
-	zones, all, wrong := map[string]string{}, 0, 0
-	n := 0
-	for _, g := range spec.Groups {
-		for range g.Count {
-			n++
-			zones[fmt.Sprintf("%s-%d", g.Name, n)] = g.Zone
-		}
-	}
-	for _, x := range spec.Faults {
-		if x.Kind != "lose" {
-			continue
-		}
-		from, to := began.Add(time.Duration(x.At)*time.Microsecond+1500*time.Millisecond), began.Add(time.Duration(x.At+x.Duration)*time.Microsecond)
-		for _, a := range w.attempts {
-			if a.ReceivedAt.After(from) && a.ReceivedAt.Before(to) {
-				all++
-				if zones[a.Replica] == x.Zone {
-					wrong++
-				}
-			}
+// specReplica is a replica of a specification.
+type specReplica struct{ name, zone string }
+
+// replicasOf returns the replicas of a specification in the order of their indexes.
+func replicasOf(spec *model.Spec) (replicas []specReplica) {
+	for _, group := range spec.Groups {
+		for range group.Count {
+			name := fmt.Sprintf("%s-%d", group.Name, len(replicas)+1)
+			replicas = append(replicas, specReplica{name, group.Zone})
 		}
 	}
-	return float64(wrong) / float64(max(1, all))
+	return replicas
 }
 
-// drainLimit is how long after a drain was told new work may still come.
-const drainLimit = 2500 * time.Millisecond
+// recorder records what clients and replicas see, and fires strikes at states of requests.
+type recorder struct {
+	mu       sync.Mutex
+	requests []emulate.ClientAttempt
+	attempts []emulate.ReplicaAttempt
 
-// striker carries out strikes.
-type striker struct {
-	cluster       *cluster
-	spec          *model.Spec
-	random        *rand.Rand
-	startedAt     time.Time
-	tasks         sync.WaitGroup
-	mu            sync.Mutex
-	firstStrikeAt time.Time              // the first strike's
-	endedAt       map[string][]time.Time // by a gateway's address: when its process was told to end
+	strikes map[string][]*stateStrike // by state
+	cluster *cluster
+	fire    func(strike *model.Strike, serving int)
 }
 
-// targets chooses whom a strike is for.
-func (s *striker) targets(x *model.Strike, serving int) (out []*node) {
-	if serving >= 0 {
-		return []*node{s.cluster.nodes[serving]}
-	}
-	if x.Gateway >= 0 {
-		return []*node{s.cluster.nodes[x.Gateway%len(s.cluster.nodes)]}
-	}
-	s.mu.Lock()
-	defer s.mu.Unlock()
-	for _, i := range s.random.Perm(len(s.cluster.nodes)) {
-		n := s.cluster.nodes[i]
-		if x.Site >= 0 && n.zone != x.Site {
-			continue
-		}
-		if x.Share > 0 && float64(len(out)) >= x.Share*float64(len(s.cluster.nodes))-0.5 {
-			break
-		}
-		out = append(out, n)
-	}
-	return out
+// stateStrike is a strike at the nth request that reaches a state.
+type stateStrike struct {
+	strike *model.Strike
+	seen   int // requests that have reached the state
 }
 
-// strike begins a strike now, and ends it after its time or with the drill.
-func (s *striker) strike(ctx context.Context, x *model.Strike, serving int) {
-	list := s.targets(x, serving)
-	s.mu.Lock()
-	if s.firstStrikeAt.IsZero() {
-		s.firstStrikeAt = time.Now()
-	}
-	if s.endedAt == nil {
-		s.endedAt = map[string][]time.Time{}
-	}
-	if x.Kind == "kill" || x.Kind == "term" {
-		for _, n := range list {
-			s.endedAt[n.addr] = append(s.endedAt[n.addr], time.Now())
-		}
-	}
-	s.mu.Unlock()
-	for _, n := range list {
-		switch x.Kind {
-		case "kill":
-			if exited := n.signal(syscall.SIGKILL); exited != nil {
-				<-exited
-			}
-		case "term":
-			n.signal(syscall.SIGTERM)
-		case "freeze":
-			n.signal(syscall.SIGSTOP)
-		}
-	}
-	s.setLinks(x, list, true)
-	if x.Duration <= 0 {
-		return
-	}
-	select {
-	case <-time.After(time.Duration(x.Duration) * time.Microsecond):
-	case <-ctx.Done():
-		return
-	}
-	s.setLinks(x, list, false)
-	for _, n := range list {
-		switch x.Kind {
-		case "term":
-			exited := n.exited()
-			select {
-			case <-exited:
-			case <-time.After(2 * time.Second):
-				n.signal(syscall.SIGKILL)
-				<-exited
-			}
-			fallthrough
-		case "kill":
-			if ctx.Err() == nil {
-				s.restart(ctx, n)
-			}
-		case "freeze":
-			n.signal(syscall.SIGCONT)
-		}
-	}
-}
+func newRecorder() *recorder { return &recorder{} }
 
-// restart starts a gateway once more, and has the front offer it when it is ready.
-func (s *striker) restart(ctx context.Context, n *node) {
-	n.setOffered(false)
-	_ = s.cluster.start(n) // one that cannot start is seen as a crash
-	s.tasks.Go(func() {
-		defer n.setOffered(true)
-		_ = s.cluster.waitUntilNodeReady(ctx, n) // it ends with the drill at the latest
-	})
+// setStrikes sets the strikes at states of requests. fire gets the index of the gateway that serves the
+// request.
+func (r *recorder) setStrikes(c *cluster, strikes map[string][]*stateStrike, fire func(strike *model.Strike, serving int)) {
+	r.mu.Lock()
+	defer r.mu.Unlock()
+	r.cluster = c
+	r.strikes = strikes
+	r.fire = fire
 }
 
-func (n *node) setOffered(on bool) {
-	n.mu.Lock()
-	defer n.mu.Unlock()
-	n.starting = !on
+func (r *recorder) recordAttempt(attempt emulate.ReplicaAttempt) {
+	r.mu.Lock()
+	defer r.mu.Unlock()
+	r.attempts = append(r.attempts, attempt)
 }
 
-// offered tells whether the front offers a gateway.
-func (c *cluster) offered(addr string) bool {
-	for _, n := range c.nodes {
-		if n.addr == addr {
-			n.mu.Lock()
-			defer n.mu.Unlock()
-			return !n.starting
-		}
-	}
-	return true
+func (r *recorder) recordRequest(request *emulate.ClientAttempt) {
+	r.mu.Lock()
+	defer r.mu.Unlock()
+	r.requests = append(r.requests, *request)
 }
 
-// setLinks begins or ends what a strike does to the links.
-func (s *striker) setLinks(x *model.Strike, list []*node, on bool) {
-	rs := s.cluster.relays
-	if rs == nil {
+// onState fires the strikes that wait for a request in a state. Resume requests do not count.
+func (r *recorder) onState(request *emulate.ClientAttempt, state string) {
+	r.mu.Lock()
+	defer r.mu.Unlock()
+	if request.ResumeIndex > 0 {
 		return
 	}
-	switch x.Kind {
-	case "cut", "mute", "deaf":
-		for _, n := range list {
-			for _, o := range s.cluster.nodes {
-				if slices.Contains(list, o) {
-					continue
-				}
-				if x.Kind != "deaf" {
-					rs.setPartition(n.index, o.index, on)
-				}
-				if x.Kind != "mute" {
-					rs.setPartition(o.index, n.index, on)
-				}
-			}
+	for _, waiting := range r.strikes[state] {
+		waiting.seen++
+		if waiting.seen == waiting.strike.Nth {
+			go r.fire(waiting.strike, r.cluster.indexOf(request.Gateway))
 		}
-	case "lose", "slow":
-		rs.mu.Lock()
-		defer rs.mu.Unlock()
-		if rs.lossRate, rs.maxDelay = 0, 0; on && x.Kind == "lose" {
-			rs.lossRate = x.Factor
-		} else if on {
-			rs.maxDelay = time.Duration(x.Factor * float64(time.Millisecond))
+	}
+}
+
+// waitForAttempts waits until the replicas report no more attempts, for at most a second.
+func (r *recorder) waitForAttempts() {
+	for last, end := -1, time.Now().Add(time.Second); time.Now().Before(end); time.Sleep(20 * time.Millisecond) {
+		r.mu.Lock()
+		n := len(r.attempts)
+		r.mu.Unlock()
+		if n == last {
+			return
 		}
+		last = n
 	}
 }
 
-// processUsage is what a process has taken up.
+// processUsage is what a process has used.
 type processUsage struct {
-	pid     int
+	pid     int // 0: the gateway does not run
 	cpuTime time.Duration
 }
 
-// processUsage is what the processes have used of the processors.
+// processUsage returns the usage of each gateway's process.
 func (c *cluster) processUsage() []processUsage {
-	out := make([]processUsage, len(c.nodes))
+	usage := make([]processUsage, len(c.nodes))
 	for i, n := range c.nodes {
-		n.mu.Lock()
-		if n.process != nil {
-			out[i] = processUsage{n.process.cmd.Process.Pid, procstat.CPUTime(n.process.cmd.Process.Pid)}
+		if pid := n.pid(); pid != 0 {
+			usage[i] = processUsage{pid, procstat.CPUTime(pid)}
 		}
-		n.mu.Unlock()
 	}
-	return out
+	return usage
 }
 
-// addUsage enters what the processes that ran all the time used.
-func (c *cluster) addUsage(before []processUsage, res *Result) {
+// addUsage enters into a result what the processes used that ran all the time.
+func (c *cluster) addUsage(before []processUsage, result *Result) {
 	total := time.Duration(0)
 	for i, now := range c.processUsage() {
 		if now.pid == 0 || now.pid != before[i].pid {
 			continue
 		}
 		total += now.cpuTime - before[i].cpuTime
-		res.MemoryMB = max(res.MemoryMB, procstat.ResidentMB(now.pid))
-		files, _ := filepath.Glob(fmt.Sprintf("/proc/%d/fd/*", now.pid))
-		res.OpenFiles = max(res.OpenFiles, len(files))
-	}
-	res.CPUMsPerRequest = total.Seconds() * 1000
-}
-
-func boolToInt(v bool) int {
-	if v {
-		return 1
-	}
-	return 0
-}
-
-// measure tells how the requests ended.
-func (res *Result) measure(spec *model.Spec, w *recorder, s *striker) {
-	res.Outcomes, res.Classes = map[string]int{}, map[string]*ClassResult{}
-	type request struct {
-		first, last emulate.ClientAttempt
-	}
-	// A client whose request nobody had heard of sends it under a new id: the story
-	// goes on under the first one.
-	byRoot := map[string]*request{}
-	for _, t := range w.requests {
-		r := byRoot[t.RootID]
-		if r == nil {
-			r = &request{first: t, last: t}
-			byRoot[t.RootID] = r
-		}
-		if t.ResumeIndex <= r.first.ResumeIndex {
-			r.first = t
-		}
-		if t.ResumeIndex >= r.last.ResumeIndex {
-			r.last = t
-		}
-	}
-	var firsts []float64
-	for _, root := range sortedKeys(byRoot) {
-		r := byRoot[root]
-		if !r.last.Last || r.first.RequestedAt < spec.WarmUp {
-			continue // sent again as a new one, which is counted; or before what counts
-		}
-		res.Sent++
-		res.Outcomes[r.last.Outcome]++
-		k := r.first.Class
-		firstAt := r.first.FirstTokenAt
-		if firstAt == 0 {
-			firstAt = r.last.FirstTokenAt
-		}
-		whole := r.last.Outcome == "served"
-		inTime := whole && firstAt > 0 && firstAt-r.first.RequestedAt <= r.first.FirstTokenTimeout
-		worth := 0.0
-		if inTime {
-			if worth = k.PriorityWeight; firstAt-r.first.RequestedAt > k.LatencyObjective+k.ObjectivePer1000Tokens {
-				worth *= k.LateWeightShare
-			}
-			firsts = append(firsts, float64(firstAt-r.first.RequestedAt)/1000)
-		}
-		res.WeightOffered += k.PriorityWeight
-		res.WeightServed += worth
-		of := res.Classes[k.Name]
-		if of == nil {
-			of = &ClassResult{}
-			res.Classes[k.Name] = of
-		}
-		of.Sent++
-		of.WeightOffered, of.WeightServed = of.WeightOffered+k.PriorityWeight, of.WeightServed+worth
-		of.InTime += boolToInt(worth >= k.PriorityWeight && k.PriorityWeight > 0)
-		of.Shed += boolToInt(r.last.Outcome == "refused")
-		struck := s.firstStrikeAt.Sub(s.startedAt).Microseconds()
-		if !s.firstStrikeAt.IsZero() && r.last.EndedAt >= struck && r.first.RequestedAt < struck+10_000_000 {
-			res.WeightLost += k.PriorityWeight - worth
-		}
-		for _, at := range s.endedAt[r.first.Gateway] {
-			died := at.Sub(s.startedAt).Microseconds()
-			if k.Idempotency != balancer.NonIdempotent && r.first.SentAt <= died-50_000 && r.first.EndedAt >= died {
-				res.Interrupted++
-				if inTime {
-					res.Recovered++
-				}
-			}
-		}
-	}
-	slices.Sort(firsts)
-	res.FirstTokenMs = map[string]float64{}
-	for name, q := range map[string]float64{"p50": 0.5, "p95": 0.95, "p99": 0.99} {
-		if len(firsts) > 0 {
-			res.FirstTokenMs[name] = firsts[min(len(firsts)-1, int(q*float64(len(firsts))))]
-		}
-	}
-	if res.Sent > 0 {
-		res.CPUMsPerRequest /= float64(res.Sent)
+		result.MemoryMB = max(result.MemoryMB, procstat.ResidentMB(now.pid))
+		files, _ := filepath.Glob(fmt.Sprintf("/proc/%d/fd/*", now.pid)) // the pattern is valid
+		result.OpenFiles = max(result.OpenFiles, len(files))
 	}
+	result.CPUMsPerRequest = total.Seconds() * 1000
 }
--- a/internal/faulttest/drill_test.go
+++ b/internal/faulttest/drill_test.go
@@ -15,7 +15,7 @@
 	"archknot/internal/siteforecast"
 )
 
-// The gateways of a drill are processes of this very program.
+// The gateways of a drill are processes of the test binary.
 func TestMain(m *testing.M) {
 	if len(os.Args) > 1 && os.Args[1] == "serve" {
 		cli.Exec()
@@ -23,15 +23,15 @@
 	os.Exit(m.Run())
 }
 
-// Processes are killed, frozen, cut off and restarted: no rule breaks, none ends by
-// itself, and most of what was in hand at those that were lost is answered whole.
+// Gateways are killed, frozen, partitioned and restarted. No rule is violated, no process ends by itself,
+// and most requests in flight at lost gateways are completely served.
 func TestDrills(t *testing.T) {
 	if testing.Short() {
 		t.Skip("it starts processes")
 	}
 	for _, c := range []struct {
 		plan, variant string
-		least         float64 // part of what was in hand that is answered whole and in time
+		minRecovered  float64 // share of the interrupted requests that are completely served in time
 	}{
 		{"states", "strict", 0.7}, {"many", "beside", 0.7}, {"frozen", "strict", 0}, {"cut", "strict", 0}, {"cut", "beside", 0},
 		{"rolling", "strict", 0.8}, {"full", "strict", 0},
@@ -48,21 +48,21 @@
 			if r.Sent < 100 || r.Outcomes["served"] < r.Sent/2 {
 				t.Errorf("of %d requests: %v", r.Sent, r.Outcomes)
 			}
-			if r.Interrupted >= 5 && float64(r.Recovered) < c.least*float64(r.Interrupted) {
-				t.Errorf("in hand at lost gateways: %d, answered whole: %d", r.Interrupted, r.Recovered)
+			if r.Interrupted >= 5 && float64(r.Recovered) < c.minRecovered*float64(r.Interrupted) {
+				t.Errorf("in flight at lost gateways: %d, completely served: %d", r.Interrupted, r.Recovered)
 			}
 		})
 	}
 }
 
-// Without the link what is begun at a lost gateway is lost: the drill sees it.
+// Without a connection between gateways the requests at a lost gateway are lost, which the drill reports.
 func TestDrillDetectsLoss(t *testing.T) {
 	if testing.Short() {
 		t.Skip("it starts processes")
 	}
 	t.Parallel()
 	if r := run(t, "testdata/many.plan", "off"); r.Interrupted < 5 || r.Recovered*2 > r.Interrupted {
-		t.Errorf("in hand at lost gateways: %d, answered whole: %d", r.Interrupted, r.Recovered)
+		t.Errorf("in flight at lost gateways: %d, completely served: %d", r.Interrupted, r.Recovered)
 	}
 }
 
@@ -84,7 +84,7 @@
 			if err != nil {
 				t.Fatal(err)
 			}
-			t.Logf("sent=%d %v caught=%d saved=%d", r.Sent, r.Outcomes, r.Interrupted, r.Recovered)
+			t.Logf("sent=%d %v interrupted=%d recovered=%d", r.Sent, r.Outcomes, r.Interrupted, r.Recovered)
 			return r
 		}
 	}
@@ -92,7 +92,7 @@
 	return nil
 }
 
-// The auditor finds each planted break, and nothing where there is none.
+// The audit finds each violation, and nothing where there is none.
 func TestAuditFindsViolations(t *testing.T) {
 	began := time.Now()
 	at := func(ms int) time.Time { return began.Add(time.Duration(ms) * time.Millisecond) }
@@ -104,40 +104,40 @@
 		return a
 	}
 	class := &balancer.Class{Name: "chat"}
-	try := func(id string, ask int, whole bool) emulate.ClientAttempt {
-		return emulate.ClientAttempt{RootID: "a", ID: id, ResumeIndex: ask, Class: class, FirstTokenTimeout: 4_000_000, FirstTokenAt: 1, EndedAt: 100_000, Status: 200, Complete: whole}
+	request := func(id string, resumeIndex int, complete bool) emulate.ClientAttempt {
+		return emulate.ClientAttempt{RootID: "a", ID: id, ResumeIndex: resumeIndex, Class: class, FirstTokenTimeout: 4_000_000, FirstTokenAt: 1, EndedAt: 100_000, Status: 200, Complete: complete}
 	}
 	rules := faulttest.Rules{MaxAttempts: 3, NonIdempotent: map[string]bool{"once": true}, Tolerance: 50 * time.Millisecond, DrainedBy: map[string]time.Time{"k-9": at(1000)}}
 	once := func(a *emulate.ReplicaAttempt) { a.Class = "once" }
 	for _, c := range []struct {
-		rule     string // "": none is broken
-		tries    []emulate.ClientAttempt
+		rule     string // "": none is violated
+		requests []emulate.ClientAttempt
 		attempts []emulate.ReplicaAttempt
 	}{
-		{"", []emulate.ClientAttempt{try("a", 0, false), try("b", 1, true)}, []emulate.ReplicaAttempt{attempt("a", 0, 100, nil), attempt("a", 140, 300, nil)}},
+		{"", []emulate.ClientAttempt{request("a", 0, false), request("b", 1, true)}, []emulate.ReplicaAttempt{attempt("a", 0, 100, nil), attempt("a", 140, 300, nil)}},
 		{"attempts", nil, []emulate.ReplicaAttempt{attempt("a", 0, 1, nil), attempt("a", 100, 101, nil), attempt("a", 200, 201, nil), attempt("a", 300, 301, nil)}},
 		{"at_once", nil, []emulate.ReplicaAttempt{attempt("a", 0, 200, nil), attempt("a", 100, 300, nil)}},
 		{"once", nil, []emulate.ReplicaAttempt{attempt("a", 0, 10, once), attempt("a", 100, 110, once)}},
 		{"", nil, []emulate.ReplicaAttempt{attempt("a", 0, 10, func(a *emulate.ReplicaAttempt) { a.Class, a.Declined = "once", true }), attempt("a", 100, 110, once)}},
 		{"deadline", nil, []emulate.ReplicaAttempt{attempt("a", 4100, 4200, nil)}},
 		{"drain", nil, []emulate.ReplicaAttempt{attempt("a", 1100, 1200, func(a *emulate.ReplicaAttempt) { a.Replica = "k-9" })}},
-		{"answers", []emulate.ClientAttempt{try("a", 0, true), try("b", 1, true)}, nil},
-		{"answers", []emulate.ClientAttempt{try("a", 0, false), try("a", 0, false)}, nil},
+		{"answers", []emulate.ClientAttempt{request("a", 0, true), request("b", 1, true)}, nil},
+		{"answers", []emulate.ClientAttempt{request("a", 0, false), request("a", 0, false)}, nil},
 		{"late_answer", []emulate.ClientAttempt{{RootID: "a", ID: "a", Class: class, FirstTokenTimeout: 1_000_000, EndedAt: 1_100_000, Status: 503}}, nil},
 	} {
-		got := faulttest.Audit(rules, c.tries, c.attempts)
+		got := faulttest.Audit(rules, c.requests, c.attempts)
 		switch {
 		case c.rule == "" && len(got) > 0:
-			t.Errorf("nothing was broken, and found was %v", got)
+			t.Errorf("nothing was violated, found: %v", got)
 		case c.rule != "" && (len(got) == 0 || got[0].Rule != c.rule):
-			t.Errorf("%s was broken, and found was %v", c.rule, got)
+			t.Errorf("%s was violated, found: %v", c.rule, got)
 		}
 	}
 }
 
-// A site is lost with its gateways and comes back cold; is lost again and again; is only
-// slow. Of three sites the others bear what comes: hardly anything goes to machines that
-// have vanished, none of the rules breaks, and what can be served is.
+// One of three zones is lost with its gateways and returns with empty caches; is lost repeatedly; or is only
+// slow. The others bear the load: hardly any attempt goes to vanished machines, no rule is violated, and what
+// can be served is served.
 func TestSiteLost(t *testing.T) {
 	if testing.Short() {
 		t.Skip("it starts processes")
@@ -145,13 +145,13 @@
 	second := balancer.Micros(1_000_000)
 	again := model.Fault{At: 5 * second, Duration: 2 * second, Kind: "lose", Replica: -1, Zone: "south", Factor: 9}
 	for name, c := range map[string]struct {
-		away   balancer.Micros
-		more   []model.Fault
-		least  float64
-		toLost float64
+		lostFor       balancer.Micros
+		moreFaults    []model.Fault
+		minServed     float64 // share of the priority weight
+		maxToVanished float64 // share of the attempts
 	}{
 		"lost":     {3 * second, nil, 0.9, 0.01},
-		"flapping": {2 * second, []model.Fault{again}, 0.85, 0.05}, // two gaps: their first 1.5 s are not counted
+		"flapping": {2 * second, []model.Fault{again}, 0.85, 0.05}, // two losses, whose first 1.5 s do not count
 		"slow":     {0, []model.Fault{{At: 2 * second, Duration: 4 * second, Kind: "slow", Replica: -1, Zone: "south", Factor: 3}}, 0.85, 0},
 	} {
 		t.Run(name, func(t *testing.T) {
@@ -164,14 +164,14 @@
 			if err != nil {
 				t.Fatal(err)
 			}
-			spec, err = siteforecast.Loss{Site: "south", At: 2 * second, For: max(1, c.away), Told: 9 * second, Watch: 7 * second}.Spec(spec)
+			spec, err = siteforecast.Loss{Site: "south", At: 2 * second, For: max(1, c.lostFor), Told: 9 * second, Watch: 7 * second}.Spec(spec)
 			if err != nil {
 				t.Fatal(err)
 			}
-			if c.away == 0 {
+			if c.lostFor == 0 {
 				spec.Faults, spec.Strikes = nil, nil
 			}
-			spec.Faults = append(spec.Faults, c.more...)
+			spec.Faults = append(spec.Faults, c.moreFaults...)
 			ctx, stop := context.WithTimeout(t.Context(), time.Minute)
 			defer stop()
 			r, err := faulttest.Run(ctx, spec, faulttest.Options{})
@@ -184,9 +184,9 @@
 			for _, text := range r.Crashes {
 				t.Error(text)
 			}
-			t.Logf("%d requests, %.3f of the worth served, %.4f of the attempts to the lost site", r.Sent, r.WeightServed/r.WeightOffered, r.ToVanishedShare)
-			if served := r.WeightServed / r.WeightOffered; r.Sent < 150 || served < c.least || r.ToVanishedShare > c.toLost {
-				t.Errorf("of %d requests %.3f of the worth served, %.3f of the attempts to the lost site", r.Sent, served, r.ToVanishedShare)
+			t.Logf("%d requests, %.3f of the priority weight served, %.4f of the attempts to the lost zone", r.Sent, r.WeightServed/r.WeightOffered, r.ToVanishedShare)
+			if served := r.WeightServed / r.WeightOffered; r.Sent < 150 || served < c.minServed || r.ToVanishedShare > c.maxToVanished {
+				t.Errorf("of %d requests %.3f of the priority weight served, %.3f of the attempts to the lost zone", r.Sent, served, r.ToVanishedShare)
 			}
 		})
 	}
--- a/internal/faulttest/proxy.go
+++ b/internal/faulttest/proxy.go
@@ -8,54 +8,58 @@
 	"time"
 )
 
-// proxyMode is what a fault proxy does to what goes through it.
+// proxyMode is what a fault proxy does to its connections.
 type proxyMode uint8
 
+// The modes of a proxy.
 const (
 	proxyForward    proxyMode = iota
-	proxySilent               // takes connections, and passes nothing on
-	proxyRefuse               // ends each connection at once
-	proxyDelay                // passes on late
-	proxyByteByByte           // passes on byte by byte
+	proxySilent               // accepts connections, and forwards nothing
+	proxyRefuse               // closes each connection at once
+	proxyDelay                // forwards with a delay
+	proxyByteByByte           // forwards each byte in a write of its own
 	proxyModeCount  int       = iota
 )
 
+// String returns the mode as it stands in a timeline.
 func (m proxyMode) String() string {
 	return [...]string{"passes", "silent", "refuses", "slow", "in pieces"}[m]
 }
 
 const (
-	// proxyDelayTime is how late a slow proxy passes on what came.
+	// proxyDelayTime is the delay of proxyDelay.
 	proxyDelayTime = 300 * time.Millisecond
-	// proxyBufferSize is what a proxy passes on at once at most.
+	// proxyBufferSize is the most bytes that a proxy forwards at once.
 	proxyBufferSize = 16 << 10
 )
 
-// faultProxy stands before a server and does it harm, for all who connect alike.
+// faultProxy forwards TCP connections to a server, with faults that are the same for all connections.
 type faultProxy struct {
 	addr        string
 	target      string
 	listener    net.Listener
-	mu          sync.Mutex
-	mode        proxyMode
-	modeChanged chan struct{} // closed at the next change of mode
 	connections sync.WaitGroup
 	ctx         context.Context
 	stop        context.CancelFunc
+
+	mu          sync.Mutex
+	mode        proxyMode
+	modeChanged chan struct{} // closed with the next change of mode
 }
 
-func newProxy(to string) (*faultProxy, error) {
-	l, err := net.Listen("tcp", "127.0.0.1:0")
+// newProxy starts a proxy to a server. It ends with close.
+func newProxy(target string) (*faultProxy, error) {
+	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		return nil, err
 	}
-	p := &faultProxy{addr: l.Addr().String(), target: to, listener: l, modeChanged: make(chan struct{})}
+	p := &faultProxy{addr: listener.Addr().String(), target: target, listener: listener, modeChanged: make(chan struct{})}
 	p.ctx, p.stop = context.WithCancel(context.Background())
 	go p.accept()
 	return p, nil
 }
 
-// setMode changes what happens from now on, to open connections too.
+// setMode changes the mode, also of open connections.
 func (p *faultProxy) setMode(mode proxyMode) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -64,12 +68,14 @@
 	p.modeChanged = make(chan struct{})
 }
 
-func (p *faultProxy) currentMode() (proxyMode, <-chan struct{}) {
+// currentMode returns the mode, and a channel that is closed when it changes.
+func (p *faultProxy) currentMode() (mode proxyMode, changed <-chan struct{}) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	return p.mode, p.modeChanged
 }
 
+// close ends the proxy with all its connections.
 func (p *faultProxy) close() {
 	p.stop()
 	p.listener.Close()
@@ -78,55 +84,59 @@
 
 func (p *faultProxy) accept() {
 	for {
-		c, err := p.listener.Accept()
+		conn, err := p.listener.Accept()
 		if err != nil {
 			return
 		}
 		if mode, _ := p.currentMode(); mode == proxyRefuse {
-			c.Close()
+			conn.Close()
 			continue
 		}
-		p.connections.Go(func() { p.forwardConn(c) })
+		p.connections.Go(func() { p.forwardConn(conn) })
 	}
 }
 
-// forwardConn passes on both ways until one side ends.
-func (p *faultProxy) forwardConn(c net.Conn) {
-	defer c.Close()
-	to, err := net.Dial("tcp", p.target)
+// forwardConn forwards in both directions until one side ends.
+func (p *faultProxy) forwardConn(client net.Conn) {
+	defer client.Close()
+	server, err := net.Dial("tcp", p.target)
 	if err != nil {
 		return
 	}
-	defer to.Close()
-	end := context.AfterFunc(p.ctx, func() { c.Close(); to.Close() })
-	defer end()
-	var both sync.WaitGroup
-	both.Go(func() { p.forward(to, c); to.Close(); c.Close() })
-	both.Go(func() { p.forward(c, to); to.Close(); c.Close() })
-	both.Wait()
+	defer server.Close()
+	closeBoth := func() {
+		server.Close()
+		client.Close()
+	}
+	cancel := context.AfterFunc(p.ctx, closeBoth)
+	defer cancel()
+	var directions sync.WaitGroup
+	directions.Go(func() { p.forward(server, client); closeBoth() })
+	directions.Go(func() { p.forward(client, server); closeBoth() })
+	directions.Wait()
 }
 
-// forward passes one way on.
+// forward forwards in one direction.
 func (p *faultProxy) forward(out io.Writer, in io.Reader) {
-	buf := make([]byte, proxyBufferSize)
+	buffer := make([]byte, proxyBufferSize)
 	for {
-		n, err := in.Read(buf)
-		if n > 0 && !p.write(out, buf[:n]) || err != nil {
+		n, err := in.Read(buffer)
+		if n > 0 && !p.write(out, buffer[:n]) || err != nil {
 			return
 		}
 	}
 }
 
-// write passes a piece on as the mode has it, and tells whether the connection goes on.
-func (p *faultProxy) write(out io.Writer, text []byte) bool {
+// write forwards data in the current mode, and reports whether the connection continues.
+func (p *faultProxy) write(out io.Writer, data []byte) bool {
 	for {
-		mode, news := p.currentMode()
+		mode, changed := p.currentMode()
 		switch mode {
 		case proxyRefuse:
 			return false
 		case proxySilent:
 			select {
-			case <-news:
+			case <-changed:
 				continue
 			case <-p.ctx.Done():
 				return false
@@ -134,14 +144,14 @@
 		case proxyDelay:
 			time.Sleep(proxyDelayTime)
 		case proxyByteByByte:
-			for i := range text {
-				if _, err := out.Write(text[i : i+1]); err != nil {
+			for i := range data {
+				if _, err := out.Write(data[i : i+1]); err != nil {
 					return false
 				}
 			}
 			return true
 		}
-		_, err := out.Write(text)
+		_, err := out.Write(data)
 		return err == nil
 	}
 }
--- a/internal/faulttest/relay.go
+++ b/internal/faulttest/relay.go
@@ -1,10 +1,8 @@
-// Package drill starts many processes of the program before an emulated fleet, lets
-// faults happen to them and between them, and checks the rules by what workers and
-// clients saw. Everything is on loopback addresses.
 package faulttest
 
 import (
 	"bufio"
+	"errors"
 	"fmt"
 	"io"
 	"math/rand/v2"
@@ -15,53 +13,72 @@
 	"time"
 )
 
-// relayNetwork stand before the gateways' links to each other: who speaks to gateway j speaks
-// to relay j.
+const (
+	// listenRetryTime and listenRetryInterval are how long and how often retryListen tries.
+	listenRetryTime     = 2 * time.Second
+	listenRetryInterval = 5 * time.Millisecond
+	// probeConnTimeout bounds a probe's connections through a relay.
+	probeConnTimeout = 10 * time.Second
+	// maxProbeLine is the most bytes of the line that a probe begins with.
+	maxProbeLine = 256
+	// relayStream selects the random numbers of relays among those of a seed.
+	relayStream = 99
+)
+
+// relayNetwork is the network between the gateways: whoever sends to gateway j sends to relay j.
 type relayNetwork struct {
 	mu         sync.Mutex
 	rng        *rand.Rand
-	lossRate   float64
+	lossRate   float64 // of datagrams
 	maxDelay   time.Duration
-	partitions map[[2]int]bool // from, to
-	byPort     map[uint16]int  // the gateways' own ports
+	partitions map[[2]int]bool // from one gateway to another
+	byPort     map[uint16]int  // the gateways by the ports of their own
 	byName     map[string]int
 	list       []*relay
 }
 
+// relay forwards the datagrams and probes for one gateway.
 type relay struct {
 	network *relayNetwork
 	index   int
-	addr    string // where it listens
-	target  netip.AddrPort
+	addr    string         // where it listens
+	target  netip.AddrPort // where the gateway listens
 	udp     *net.UDPConn
-	mu      sync.Mutex
-	tcp     net.Listener // nil while the gateway's process is dead: a dial is refused then
+
+	mu  sync.Mutex
+	tcp net.Listener // nil while the gateway's process is dead, so that probes are refused
 }
 
 func newRelayNetwork(seed uint64) *relayNetwork {
-	return &relayNetwork{rng: rand.New(rand.NewPCG(seed, 99)), partitions: map[[2]int]bool{}, byPort: map[uint16]int{}, byName: map[string]int{}}
+	return &relayNetwork{
+		rng:        rand.New(rand.NewPCG(seed, relayStream)),
+		partitions: map[[2]int]bool{},
+		byPort:     map[uint16]int{},
+		byName:     map[string]int{},
+	}
 }
 
-// add opens the relay before a gateway's link.
-func (rs *relayNetwork) add(name, real, addr string) (*relay, error) {
-	to, err := netip.ParseAddrPort(real)
+// add opens the relay for a gateway, which listens at target, on addr.
+func (n *relayNetwork) add(name, target, addr string) (*relay, error) {
+	targetAddr, err := netip.ParseAddrPort(target)
 	if err != nil {
 		return nil, err
 	}
-	at, err := netip.ParseAddrPort(addr)
+	relayAddr, err := netip.ParseAddrPort(addr)
 	if err != nil {
 		return nil, err
 	}
-	udp, err := retryListen(func() (*net.UDPConn, error) { return net.ListenUDP("udp", net.UDPAddrFromAddrPort(at)) })
+	udp, err := retryListen(func() (*net.UDPConn, error) { return net.ListenUDP("udp", net.UDPAddrFromAddrPort(relayAddr)) })
 	if err != nil {
 		return nil, err
 	}
-	_ = udp.SetReadBuffer(1 << 20)
-	r := &relay{network: rs, index: len(rs.list), target: to, udp: udp, addr: addr}
-	rs.mu.Lock()
-	rs.list = append(rs.list, r)
-	rs.byPort[to.Port()], rs.byName[name] = r.index, r.index
-	rs.mu.Unlock()
+	_ = udp.SetReadBuffer(1 << 20) // a smaller buffer works as well
+	r := &relay{network: n, index: len(n.list), target: targetAddr, udp: udp, addr: addr}
+	n.mu.Lock()
+	n.list = append(n.list, r)
+	n.byPort[targetAddr.Port()] = r.index
+	n.byName[name] = r.index
+	n.mu.Unlock()
 	if err := r.up(); err != nil {
 		udp.Close()
 		return nil, err
@@ -70,48 +87,95 @@
 	return r, nil
 }
 
-func (rs *relayNetwork) close() {
-	for _, r := range rs.list {
+func (n *relayNetwork) close() {
+	for _, r := range n.list {
 		r.udp.Close()
 		r.down()
 	}
 }
 
-// retryListen tries for a moment to listen: a process that is just being started by another
-// drill has copies of all sockets of this one until it runs its own program.
-func retryListen[T any](listen func() (T, error)) (got T, err error) {
-	for end := time.Now().Add(2 * time.Second); ; time.Sleep(5 * time.Millisecond) {
-		if got, err = listen(); err == nil || time.Now().After(end) {
-			return got, err
+// retryListen tries to listen for a moment. A process that another drill is just starting holds
+// duplicates of all sockets of this process until it executes its own program.
+func retryListen[T any](listen func() (T, error)) (listener T, err error) {
+	for end := time.Now().Add(listenRetryTime); ; time.Sleep(listenRetryInterval) {
+		if listener, err = listen(); err == nil || time.Now().After(end) {
+			return listener, err
 		}
 	}
 }
 
-// up has the relay take dials, as the gateway's port does while its process lives.
+// setPartition cuts or heals the link from one gateway to another.
+func (n *relayNetwork) setPartition(from, to int, cut bool) {
+	n.mu.Lock()
+	defer n.mu.Unlock()
+	if cut {
+		n.partitions[[2]int{from, to}] = true
+	} else {
+		delete(n.partitions, [2]int{from, to})
+	}
+}
+
+// setQuality sets the share of datagrams that are lost, and the longest delay of the others.
+func (n *relayNetwork) setQuality(lossRate float64, maxDelay time.Duration) {
+	n.mu.Lock()
+	defer n.mu.Unlock()
+	n.lossRate = lossRate
+	n.maxDelay = maxDelay
+}
+
+// transmit decides whether something gets from one gateway to another, and after what delay.
+func (n *relayNetwork) transmit(from, to int, datagram bool) (ok bool, delay time.Duration) {
+	n.mu.Lock()
+	defer n.mu.Unlock()
+	if n.partitions[[2]int{from, to}] || datagram && n.lossRate > 0 && n.rng.Float64() < n.lossRate {
+		return false, 0
+	}
+	if datagram && n.maxDelay > 0 {
+		return true, time.Duration(n.rng.Float64() * float64(n.maxDelay))
+	}
+	return true, 0
+}
+
+// senderByPort returns the gateway whose process has a port.
+func (n *relayNetwork) senderByPort(port uint16) (index int, ok bool) {
+	n.mu.Lock()
+	defer n.mu.Unlock()
+	index, ok = n.byPort[port]
+	return index, ok
+}
+
+func (n *relayNetwork) senderByName(name string) (index int, ok bool) {
+	n.mu.Lock()
+	defer n.mu.Unlock()
+	index, ok = n.byName[name]
+	return index, ok
+}
+
+// up accepts probes, as the gateway's port does while its process lives.
 func (r *relay) up() error {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	if r.tcp != nil {
 		return nil
 	}
-	l, err := retryListen(func() (net.Listener, error) { return net.Listen("tcp", r.addr) })
+	listener, err := retryListen(func() (net.Listener, error) { return net.Listen("tcp", r.addr) })
 	if err != nil {
 		return err
 	}
-	r.tcp = l
+	r.tcp = listener
 	go func() {
 		for {
-			c, err := l.Accept()
+			conn, err := listener.Accept()
 			if err != nil {
 				return
 			}
-			go r.forwardProbe(c)
+			go r.forwardProbe(conn)
 		}
 	}()
 	return nil
 }
 
-// down has dials refused: the process is dead.
+// down refuses probes: the process is dead.
 func (r *relay) down() {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -121,80 +185,62 @@
 	}
 }
 
-// setPartition cuts or heals the way from one gateway to another.
-func (rs *relayNetwork) setPartition(from, to int, cut bool) {
-	rs.mu.Lock()
-	defer rs.mu.Unlock()
-	if cut {
-		rs.partitions[[2]int{from, to}] = true
-	} else {
-		delete(rs.partitions, [2]int{from, to})
-	}
-}
-
-// transmit tells whether, and when, something goes through.
-func (rs *relayNetwork) transmit(from, to int, datagram bool) (bool, time.Duration) {
-	rs.mu.Lock()
-	defer rs.mu.Unlock()
-	if rs.partitions[[2]int{from, to}] || datagram && rs.lossRate > 0 && rs.rng.Float64() < rs.lossRate {
-		return false, 0
-	}
-	if datagram && rs.maxDelay > 0 {
-		return true, time.Duration(rs.rng.Float64() * float64(rs.maxDelay))
-	}
-	return true, 0
-}
-
+// forwardDatagrams forwards datagrams of other gateways until the socket is closed.
 func (r *relay) forwardDatagrams() {
-	b := make([]byte, 64<<10)
+	buffer := make([]byte, 64<<10)
 	for {
-		n, from, err := r.udp.ReadFromUDPAddrPort(b)
+		size, from, err := r.udp.ReadFromUDPAddrPort(buffer)
+		if errors.Is(err, net.ErrClosed) {
+			return
+		}
 		if err != nil {
-			if strings.Contains(err.Error(), "closed") {
-				return
-			}
-			continue // told that the gateway's port is closed
+			continue // the gateway's port was closed for an earlier datagram
+		}
+		sender, ok := r.network.senderByPort(from.Port())
+		if !ok {
+			continue
 		}
-		r.network.mu.Lock()
-		i, ok := r.network.byPort[from.Port()]
-		r.network.mu.Unlock()
+		ok, delay := r.network.transmit(sender, r.index, true)
 		if !ok {
 			continue
 		}
-		if pass, late := r.network.transmit(i, r.index, true); pass && late > 0 {
-			text := append([]byte(nil), b[:n]...)
-			time.AfterFunc(late, func() { r.udp.WriteToUDPAddrPort(text, r.target) })
-		} else if pass {
-			r.udp.WriteToUDPAddrPort(b[:n], r.target)
+		if delay == 0 {
+			r.writeDatagram(buffer[:size])
+			continue
 		}
+		datagram := append([]byte(nil), buffer[:size]...)
+		time.AfterFunc(delay, func() { r.writeDatagram(datagram) })
 	}
 }
 
-// forwardProbe passes on a probe, which begins with who asks. One that may not pass is left
-// without an answer, as on a network that is cut.
-func (r *relay) forwardProbe(c net.Conn) {
-	defer c.Close()
-	_ = c.SetDeadline(time.Now().Add(10 * time.Second))
-	line, err := bufio.NewReader(io.LimitReader(c, 256)).ReadString('\n')
+// writeDatagram sends a datagram to the gateway. One that cannot be sent is lost, as on any network.
+func (r *relay) writeDatagram(datagram []byte) {
+	_, _ = r.udp.WriteToUDPAddrPort(datagram, r.target)
+}
+
+// forwardProbe forwards a probe, which begins with the name of the prober. If the link is cut in either
+// direction the probe gets no answer.
+func (r *relay) forwardProbe(conn net.Conn) {
+	defer conn.Close()
+	_ = conn.SetDeadline(time.Now().Add(probeConnTimeout))
+	line, err := bufio.NewReader(io.LimitReader(conn, maxProbeLine)).ReadString('\n')
 	if err != nil {
 		return
 	}
-	who, _, _ := strings.Cut(line, " ")
-	r.network.mu.Lock()
-	i, ok := r.network.byName[who]
-	r.network.mu.Unlock()
-	there, _ := r.network.transmit(i, r.index, false)
-	back, _ := r.network.transmit(r.index, i, false)
-	if !ok || !there || !back {
-		io.Copy(io.Discard, c) // until the other side has waited long enough
+	prober, _, _ := strings.Cut(line, " ")
+	sender, known := r.network.senderByName(prober)
+	there, _ := r.network.transmit(sender, r.index, false)
+	back, _ := r.network.transmit(r.index, sender, false)
+	if !known || !there || !back {
+		_, _ = io.Copy(io.Discard, conn) // until the prober gives up
 		return
 	}
-	to, err := net.DialTimeout("tcp", r.target.String(), time.Second)
+	gateway, err := net.DialTimeout("tcp", r.target.String(), time.Second)
 	if err != nil {
 		return
 	}
-	defer to.Close()
-	_ = to.SetDeadline(time.Now().Add(10 * time.Second))
-	fmt.Fprint(to, line)
-	io.Copy(c, to)
+	defer gateway.Close()
+	_ = gateway.SetDeadline(time.Now().Add(probeConnTimeout))
+	fmt.Fprint(gateway, line)
+	_, _ = io.Copy(conn, gateway) // a broken connection is the prober's to notice
 }
--- /dev/null
+++ b/internal/faulttest/result.go
@@ -0,0 +1,219 @@
+package faulttest
+
+import (
+	"slices"
+	"time"
+
+	"archknot/balancer"
+	"archknot/internal/fleet/emulate"
+	"archknot/internal/fleet/model"
+)
+
+const (
+	// interruptedAfter is how long a request must have been in flight at a gateway that ends to count as
+	// interrupted.
+	interruptedAfter balancer.Micros = 50_000
+	// lossWindow is how long after the first strike requests count for Result.WeightLost.
+	lossWindow balancer.Micros = 10_000_000
+	// vanishGrace is how long after a machine vanished attempts to it do not count.
+	vanishGrace = 1500 * time.Millisecond
+)
+
+// The outcomes of a request that are counted apart, of model.RequestEnd.
+const (
+	requestServed = "served"
+	requestShed   = "refused"
+)
+
+// Result is the result of a drill.
+type Result struct {
+	Seed            uint64                  `json:"seed"`
+	Sent            int                     `json:"sent"`
+	Outcomes        map[string]int          `json:"ends"` // number of requests by how they ended for the client
+	WeightServed    float64                 `json:"worth"`
+	WeightOffered   float64                 `json:"worth_asked"`
+	Interrupted     int                     `json:"caught"`         // idempotent requests in flight for over 50 ms at a gateway that was killed or terminated
+	Recovered       int                     `json:"saved"`          // of those, completely served in time
+	WeightLost      float64                 `json:"worth_lost_10s"` // of requests in flight at the first strike or sent within 10 s of it
+	FirstTokenMs    map[string]float64      `json:"first_ms"`       // percentiles
+	CPUMsPerRequest float64                 `json:"cpu_ms_request"` // of the gateways' processes that ran to the end
+	MemoryMB        float64                 `json:"memory_mb"`      // the largest resident memory of one of them at the end
+	OpenFiles       int                     `json:"files"`          // the most open descriptors of one of them at the end
+	Classes         map[string]*ClassResult `json:"classes"`
+	ToVanishedShare float64                 `json:"to_lost"` // share of the attempts that went to vanished replicas, from 1.5 s after they vanished
+	Violations      []Violation             `json:"breaks"`
+	Crashes         []string                `json:"crashes"`
+	Skipped         int                     `json:"left_out"` // requests that the emulator did not send
+}
+
+// ClassResult is the part of a result for the requests of a class.
+type ClassResult struct {
+	Sent          int     `json:"sent"`
+	InTime        int     `json:"in_time"` // with the first token within the latency objective
+	Shed          int     `json:"refused"`
+	WeightServed  float64 `json:"worth"`
+	WeightOffered float64 `json:"worth_asked"`
+}
+
+// clientRequest is a client's request with all its resume requests.
+type clientRequest struct{ first, last emulate.ClientAttempt }
+
+// groupRequests returns the requests by the id of their first attempt. A client whose request no gateway
+// knows sends it again under a new id, and it still belongs to the first.
+func groupRequests(attempts []emulate.ClientAttempt) map[string]*clientRequest {
+	byRoot := map[string]*clientRequest{}
+	for _, attempt := range attempts {
+		request := byRoot[attempt.RootID]
+		if request == nil {
+			request = &clientRequest{first: attempt, last: attempt}
+			byRoot[attempt.RootID] = request
+		}
+		if attempt.ResumeIndex <= request.first.ResumeIndex {
+			request.first = attempt
+		}
+		if attempt.ResumeIndex >= request.last.ResumeIndex {
+			request.last = attempt
+		}
+	}
+	return byRoot
+}
+
+// firstTokenAt returns when the client got its first token, 0 if it got none.
+func (r *clientRequest) firstTokenAt() balancer.Micros {
+	if r.first.FirstTokenAt != 0 {
+		return r.first.FirstTokenAt
+	}
+	return r.last.FirstTokenAt
+}
+
+// firstTokenLatency returns the time from the client's request to its first token.
+func (r *clientRequest) firstTokenLatency() balancer.Micros {
+	return r.firstTokenAt() - r.first.RequestedAt
+}
+
+// inTime reports whether the request was completely served with a first token before the client's timeout.
+func (r *clientRequest) inTime() bool {
+	return r.last.Outcome == requestServed && r.firstTokenAt() > 0 && r.firstTokenLatency() <= r.first.FirstTokenTimeout
+}
+
+// weightServed returns the priority weight that the request earned.
+func (r *clientRequest) weightServed() float64 {
+	if !r.inTime() {
+		return 0
+	}
+	class := r.first.Class
+	if r.firstTokenLatency() > class.LatencyObjective+class.ObjectivePer1000Tokens {
+		return class.PriorityWeight * class.LateWeightShare
+	}
+	return class.PriorityWeight
+}
+
+// measure enters how the requests ended.
+func (r *Result) measure(spec *model.Spec, recorder *recorder, striker *striker) {
+	r.Outcomes = map[string]int{}
+	r.Classes = map[string]*ClassResult{}
+	requests := groupRequests(recorder.requests)
+	var latenciesMs []float64
+	for _, root := range sortedKeys(requests) {
+		request := requests[root]
+		if !request.last.Last || request.first.RequestedAt < spec.WarmUp {
+			continue // sent again as another request, which counts; or during the warm-up
+		}
+		r.addRequest(request)
+		r.addLosses(request, striker)
+		if request.inTime() {
+			latenciesMs = append(latenciesMs, float64(request.firstTokenLatency())/1000)
+		}
+	}
+	r.FirstTokenMs = percentiles(latenciesMs)
+	if r.Sent > 0 {
+		r.CPUMsPerRequest /= float64(r.Sent)
+	}
+}
+
+// addRequest counts a request for the fleet and for its class.
+func (r *Result) addRequest(request *clientRequest) {
+	class := request.first.Class
+	weight := request.weightServed()
+	r.Sent++
+	r.Outcomes[request.last.Outcome]++
+	r.WeightOffered += class.PriorityWeight
+	r.WeightServed += weight
+	ofClass := r.Classes[class.Name]
+	if ofClass == nil {
+		ofClass = &ClassResult{}
+		r.Classes[class.Name] = ofClass
+	}
+	ofClass.Sent++
+	ofClass.WeightOffered += class.PriorityWeight
+	ofClass.WeightServed += weight
+	if weight >= class.PriorityWeight && class.PriorityWeight > 0 {
+		ofClass.InTime++
+	}
+	if request.last.Outcome == requestShed {
+		ofClass.Shed++
+	}
+}
+
+// addLosses counts what strikes did to a request.
+func (r *Result) addLosses(request *clientRequest, striker *striker) {
+	class := request.first.Class
+	if !striker.firstStrikeAt.IsZero() {
+		firstStrike := striker.firstStrikeAt.Sub(striker.startedAt).Microseconds()
+		if request.last.EndedAt >= firstStrike && request.first.RequestedAt < firstStrike+lossWindow {
+			r.WeightLost += class.PriorityWeight - request.weightServed()
+		}
+	}
+	if class.Idempotency == balancer.NonIdempotent {
+		return
+	}
+	for _, at := range striker.endedAt[request.first.Gateway] {
+		ended := at.Sub(striker.startedAt).Microseconds()
+		if request.first.SentAt <= ended-interruptedAfter && request.first.EndedAt >= ended {
+			r.Interrupted++
+			if request.inTime() {
+				r.Recovered++
+			}
+		}
+	}
+}
+
+// percentiles returns the median, 95th and 99th percentile, and sorts the values. It is empty without
+// values.
+func percentiles(values []float64) map[string]float64 {
+	slices.Sort(values)
+	out := map[string]float64{}
+	for name, q := range map[string]float64{"p50": 0.5, "p95": 0.95, "p99": 0.99} {
+		if len(values) > 0 {
+			out[name] = values[min(len(values)-1, int(q*float64(len(values))))]
+		}
+	}
+	return out
+}
+
+// vanishedShare returns the share of attempts that went to vanished machines, of all attempts while
+// machines were gone. The first vanishGrace does not count.
+func vanishedShare(spec *model.Spec, recorder *recorder, startedAt time.Time) float64 {
+	zones := map[string]string{}
+	for _, replica := range replicasOf(spec) {
+		zones[replica.name] = replica.zone
+	}
+	all, toVanished := 0, 0
+	for _, fault := range spec.Faults {
+		if fault.Kind != "lose" {
+			continue
+		}
+		from := startedAt.Add(time.Duration(fault.At)*time.Microsecond + vanishGrace)
+		to := startedAt.Add(time.Duration(fault.At+fault.Duration) * time.Microsecond)
+		for _, attempt := range recorder.attempts {
+			if !attempt.ReceivedAt.After(from) || !attempt.ReceivedAt.Before(to) {
+				continue
+			}
+			all++
+			if zones[attempt.Replica] == fault.Zone {
+				toVanished++
+			}
+		}
+	}
+	return float64(toVanished) / float64(max(1, all))
+}
--- a/internal/faulttest/soak.go
+++ b/internal/faulttest/soak.go
@@ -4,28 +4,20 @@
 	"context"
 	"fmt"
 	"math/rand/v2"
-	"net"
-	"net/http"
-	"os"
 	"slices"
 	"strings"
 	"sync"
 	"time"
 
-	"archknot/balancer"
 	"archknot/internal/fleet/emulate"
 	"archknot/internal/fleet/model"
 )
 
-// A soak: real processes before the emulated fleet, with a fault proxy before discovery, signals in
-// series, operators' calls, replicas that fail, and system calls that do, all drawn by seed; clients keep
-// using connections that stay open. An auditor judges the rules from both ends' records.
-
-// SoakResult is what a soak saw.
+// SoakResult is the result of a soak.
 type SoakResult struct {
 	Seed       uint64        `json:"seed"`
 	Sent       int           `json:"sent"`
-	Outcomes   string        `json:"ends"`
+	Outcomes   string        `json:"ends"` // the number of requests by outcome
 	Attempts   int           `json:"attempts"`
 	Events     []string      `json:"events"` // the timeline
 	Violations []Violation   `json:"breaks"`
@@ -33,29 +25,50 @@
 	Duration   time.Duration `json:"took_ns"`
 }
 
+// The rules of a soak besides those of Audit and ruleDrain, as Violation.Rule.
+const (
+	ruleStart    = "start"    // a process starts
+	ruleReady    = "ready"    // a started gateway becomes ready in time
+	ruleOperator = "operator" // an operator's call has the expected result
+	ruleDrained  = "drained"  // a drained gateway gets rid of its clients, and takes them again when resumed
+	ruleLost     = "lost"     // a request gets a response, unless its gateway was killed
+)
+
 const (
-	// clientsPerGateway is how many clients there are for each gateway, and meanThinkTime what each waits
-	// between two requests in the mean.
+	// clientsPerGateway is the number of clients for each gateway, meanThinkTime the mean time that each
+	// waits between two requests.
 	clientsPerGateway = 10
 	meanThinkTime     = 120 * time.Millisecond
-	// idleClientCount is the crowd of idle clients that some seeds have.
+	// idleClientCount is how many clients without requests some seeds have.
 	idleClientCount = 60
-	// killDelay is how long behind the longest deadline SIGKILL may follow SIGTERM; deadlines count as
-	// 3 s where they are longer.
+	// killDelay is the time from the longest deadline after SIGTERM to the earliest SIGKILL. Deadlines over
+	// longestDeadline count as that.
 	killDelay, longestDeadline = 700 * time.Millisecond, 3 * time.Second
-	// maxFreeze is how long a process may be held up.
+	// maxFreeze is how long a process may be stopped.
 	maxFreeze = 150 * time.Millisecond
-	// drainCheckDelay is when a drained gateway must hold no client any more.
+	// drainCheckDelay is when a drained gateway must have no client any more.
 	drainCheckDelay = 4 * time.Second
-	// adminTimeout bounds a call of operators.
+	// adminTimeout bounds an operator's call.
 	adminTimeout = time.Second
-	// drainGrace is how long after an operator's yes or a list's drain new work may still come.
+	// drainGrace is how long after an accepted ejection, or a drain in the endpoint list, attempts may still
+	// reach the replica.
 	drainGrace = 1500 * time.Millisecond
-	// readyTimeout is how long a gateway that was started may take to serve.
-	readyTimeout = 10 * time.Second
+	// readyTimeout is how long a started gateway may take to become ready, outageAllowance what is added
+	// because discovery may be down.
+	readyTimeout, outageAllowance = 10 * time.Second, 6 * time.Second
+	// soakTolerance is the tolerance of a soak's audit.
+	soakTolerance = 100 * time.Millisecond
+)
+
+// The random numbers of a soak's tasks among those of a seed. Those of gateway i begin at gatewayStream.
+const (
+	operatorStream  = 1
+	replicaStream   = 2
+	discoveryStream = 3
+	gatewayStream   = 10
 )
 
-// soakRun is one that runs.
+// soakRun is a soak under way.
 type soakRun struct {
 	spec      *model.Spec
 	cluster   *cluster
@@ -63,24 +76,24 @@
 	proxy     *faultProxy
 	clients   *soakClients
 	startedAt time.Time
-	deadline  time.Duration // the longest, as it counts at a shutdown
+	deadline  time.Duration // the longest, as it counts for a shutdown
 
 	mu         sync.Mutex
 	events     []string
 	violations []Violation
 	attempts   []emulate.ReplicaAttempt
 	intervals  faultIntervals
-	reserved   map[int]bool // replicas that operators have out, or are about to put back
+	reserved   map[int]bool // replicas that an event is under way for
 }
 
-// faultIntervals are the times that the auditor judges by.
+// faultIntervals are the times of events, for the audit.
 type faultIntervals struct {
 	ejections []ejectionInterval
 	drains    []drainInterval
 	outages   []interval // of discovery, by the proxy
 	shutdowns []shutdownInterval
 
-	deadline time.Duration // the longest, as it counts at a shutdown
+	deadline time.Duration // the longest, as it counts for a shutdown
 }
 
 type interval struct{ from, to time.Time }
@@ -98,16 +111,17 @@
 	interval
 }
 
-// shutdownInterval is the end of a gateway's process: told at from by SIGTERM, if it was, and over at to.
+// shutdownInterval is the end of a gateway's process, from its first signal to its exit.
 type shutdownInterval struct {
 	gateway  int
-	graceful bool
+	graceful bool // the first signal was SIGTERM
 	interval
 }
 
-// Soak runs a specification's fleet and gateways for its time under events drawn by its seed.
-func Soak(ctx context.Context, spec *model.Spec, o Options) (*SoakResult, error) {
-	o, remove, err := o.withDefaults()
+// Soak runs a specification's fleet and gateways for its duration, with events drawn by its seed, and
+// audits what clients and replicas recorded. A fault proxy stands between the gateways and discovery.
+func Soak(ctx context.Context, spec *model.Spec, options Options) (*SoakResult, error) {
+	options, remove, err := options.withDefaults()
 	if err != nil {
 		return nil, err
 	}
@@ -124,13 +138,14 @@
 		return nil, err
 	}
 	defer s.proxy.close()
-	spec.Drill.Operators, spec.Drill.SharedListener = true, spec.Seed%2 == 1
-	if s.cluster, err = newCluster(spec, o.Program, o.Dir, s.proxy.addr); err != nil {
+	spec.Drill.Operators = true
+	spec.Drill.SharedListener = spec.Seed%2 == 1
+	if s.cluster, err = newCluster(spec, options.Program, options.Dir, s.proxy.addr); err != nil {
 		return nil, err
 	}
 	defer s.cluster.close()
-	starting, stop := context.WithTimeout(ctx, 30*time.Second)
-	err = s.cluster.waitUntilReady(starting)
+	startCtx, stop := context.WithTimeout(ctx, startTimeout)
+	err = s.cluster.waitUntilReady(startCtx)
 	stop()
 	if err != nil {
 		return nil, err
@@ -139,115 +154,95 @@
 	return s.result(time.Since(begun)), nil
 }
 
-// run lets traffic and events happen for the specification's time.
+// run plays traffic and events for the specification's duration.
 func (s *soakRun) run(ctx context.Context) {
 	s.startedAt = time.Now()
-	for _, k := range s.spec.Settings.Classes {
-		s.deadline = max(s.deadline, time.Duration(k.Deadline)*time.Microsecond)
+	for _, class := range s.spec.Settings.Classes {
+		s.deadline = max(s.deadline, time.Duration(class.Deadline)*time.Microsecond)
 	}
 	s.deadline = min(s.deadline, longestDeadline)
 	s.clients = newSoakClients(s.spec, s.cluster.nodes)
-	traffic, endTraffic := context.WithCancel(ctx)
-	var senders, events sync.WaitGroup
-	senders.Go(func() { s.clients.checkReadiness(traffic) })
-	for i := range clientsPerGateway * len(s.cluster.nodes) {
-		senders.Go(func() { s.clients.runClient(traffic, i, meanThinkTime) })
+	trafficCtx, endTraffic := context.WithCancel(ctx)
+	defer endTraffic()
+	var traffic, events sync.WaitGroup
+	s.startTraffic(trafficCtx, &traffic)
+	eventCtx, endEvents := context.WithTimeout(ctx, time.Duration(s.spec.Duration)*time.Microsecond)
+	defer endEvents()
+	s.startEvents(eventCtx, &events)
+	events.Wait()
+	endTraffic()
+	traffic.Wait()
+}
+
+// startTraffic starts the clients. Each third seed has idle ones as well.
+func (s *soakRun) startTraffic(ctx context.Context, tasks *sync.WaitGroup) {
+	nodes := len(s.cluster.nodes)
+	tasks.Go(func() { s.clients.checkReadiness(ctx) })
+	for i := range clientsPerGateway * nodes {
+		tasks.Go(func() { s.clients.runClient(ctx, i, meanThinkTime) })
 	}
 	if s.spec.Seed%3 == 0 {
-		senders.Go(func() { s.clients.openIdleConns(traffic, int(s.spec.Seed)%len(s.cluster.nodes), idleClientCount) })
+		tasks.Go(func() { s.clients.openIdleConns(ctx, int(s.spec.Seed)%nodes, idleClientCount) })
 	}
-	eventful, endEvents := context.WithTimeout(ctx, time.Duration(s.spec.Duration)*time.Microsecond)
+}
+
+// startEvents starts the tasks that draw events.
+func (s *soakRun) startEvents(ctx context.Context, tasks *sync.WaitGroup) {
 	for i, n := range s.cluster.nodes {
-		events.Go(func() { s.gatewayEvents(eventful, n, s.newRandom(uint64(i)+10)) })
+		tasks.Go(func() { s.gatewayEvents(ctx, n, s.newRandom(uint64(i)+gatewayStream)) })
 	}
-	events.Go(func() { s.operatorEvents(eventful, s.newRandom(1)) })
-	events.Go(func() { s.replicaEvents(eventful, s.newRandom(2)) })
-	events.Go(func() { s.discoveryEvents(eventful, s.newRandom(3)) })
-	events.Wait()
-	endEvents()
-	endTraffic()
-	senders.Wait()
+	tasks.Go(func() { s.operatorEvents(ctx, s.newRandom(operatorStream)) })
+	tasks.Go(func() { s.replicaEvents(ctx, s.newRandom(replicaStream)) })
+	tasks.Go(func() { s.discoveryEvents(ctx, s.newRandom(discoveryStream)) })
 }
 
-func (s *soakRun) newRandom(of uint64) *rand.Rand { return rand.New(rand.NewPCG(s.spec.Seed, of)) }
+func (s *soakRun) newRandom(stream uint64) *rand.Rand {
+	return rand.New(rand.NewPCG(s.spec.Seed, stream))
+}
 
-// between draws a time.
+// between draws a duration between two others.
 func between(rng *rand.Rand, least, most time.Duration) time.Duration {
 	return least + time.Duration(rng.Float64()*float64(most-least))
 }
 
-// logEvent enters an event in the timeline.
+// logEvent adds an event to the timeline.
 func (s *soakRun) logEvent(format string, args ...any) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.events = append(s.events, fmt.Sprintf("%7.3f ", time.Since(s.startedAt).Seconds())+fmt.Sprintf(format, args...))
 }
 
-// addViolation enters a broken rule.
-func (s *soakRun) addViolation(rule, request, format string, args ...any) {
+// addViolation adds a violation that no request belongs to.
+func (s *soakRun) addViolation(rule, format string, args ...any) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.violations = append(s.violations, Violation{rule, request, fmt.Sprintf(format, args...)})
+	s.violations = append(s.violations, Violation{Rule: rule, Details: fmt.Sprintf(format, args...)})
 }
 
-func (s *soakRun) recordAttempt(a emulate.ReplicaAttempt) {
+func (s *soakRun) recordAttempt(attempt emulate.ReplicaAttempt) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.attempts = append(s.attempts, a)
+	s.attempts = append(s.attempts, attempt)
 }
 
-// result judges what was seen.
-func (s *soakRun) result(took time.Duration) *SoakResult {
+// result audits the records and returns the result.
+func (s *soakRun) result(duration time.Duration) *SoakResult {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	r := &SoakResult{Seed: s.spec.Seed, Sent: len(s.clients.requests), Attempts: len(s.attempts), Events: s.events, Crashes: s.cluster.crashes(), Duration: took}
-	r.Outcomes = s.clients.outcomeCounts()
-	rules := Rules{MaxAttempts: s.spec.Settings.MaxAttempts, MayHedge: s.spec.Settings.MayHedge, NonIdempotent: map[string]bool{}, Tolerance: 100 * time.Millisecond}
-	for _, k := range s.spec.Settings.Classes {
-		rules.NonIdempotent[k.Name] = k.Idempotency == balancer.NonIdempotent
-	}
 	s.intervals.deadline = s.deadline
-	a := newSoakAuditor(s.intervals, s.clients.requests, s.attempts)
-	r.Violations = append(s.violations, a.withoutClientRetries(Audit(rules, nil, s.attempts))...)
-	r.Violations = append(r.Violations, a.audit(s.attempts)...)
-	slices.SortStableFunc(r.Violations, func(a, b Violation) int { return strings.Compare(a.Rule, b.Rule) })
-	return r
-}
-
-// isReady tells whether a gateway says that it takes clients.
-func (c *cluster) isReady(n *node) bool {
-	resp, err := c.client.Get("http://" + n.addr + "/health/ready")
-	if err != nil {
-		return false
-	}
-	resp.Body.Close()
-	return resp.StatusCode == http.StatusOK
-}
-
-// openListenSocket opens the clients' listening socket that a gateway's lives share.
-func (n *node) openListenSocket() error {
-	l, err := retryListen(func() (net.Listener, error) { return net.Listen("tcp", n.addr) })
-	if err != nil {
-		return err
-	}
-	defer l.Close()
-	n.listenSocket, err = l.(*net.TCPListener).File()
-	return err
-}
-
-// withDefaults fills in what is not set; remove takes away what was made for it.
-func (o Options) withDefaults() (full Options, remove func(), err error) {
-	remove = func() {}
-	if o.Program == "" {
-		if o.Program, err = os.Executable(); err != nil {
-			return o, remove, err
-		}
-	}
-	if o.Dir != "" {
-		return o, remove, os.MkdirAll(o.Dir, 0o755)
-	}
-	if o.Dir, err = os.MkdirTemp("", "archknot-drill-"); err != nil {
-		return o, remove, err
+	auditor := newSoakAuditor(s.intervals, s.clients.requests, s.attempts)
+	rules := newRules(s.spec, soakTolerance)
+	violations := append(s.violations, auditor.withoutClientRetries(Audit(rules, nil, s.attempts))...)
+	violations = append(violations, auditor.audit(s.attempts)...)
+	slices.SortStableFunc(violations, func(a, b Violation) int { return strings.Compare(a.Rule, b.Rule) })
+	return &SoakResult{
+		Seed:       s.spec.Seed,
+		Sent:       len(s.clients.requests),
+		Outcomes:   s.clients.outcomeCounts(),
+		Attempts:   len(s.attempts),
+		Events:     s.events,
+		Violations: violations,
+		Crashes:    s.cluster.crashes(),
+		Duration:   duration,
 	}
-	return o, func() { os.RemoveAll(o.Dir) }, nil
 }
--- a/internal/faulttest/soak_test.go
+++ b/internal/faulttest/soak_test.go
@@ -15,8 +15,8 @@
 	"archknot/internal/faulttest"
 )
 
-// soakRun runs the soak of deploy/soak.plan with a seed, before a build or this one.
-func soakRun(t *testing.T, seed uint64, program string, lasts time.Duration) *faulttest.SoakResult {
+// runSoak runs the soak of deploy/soak.plan with a seed, for a program or this one.
+func runSoak(t *testing.T, seed uint64, program string, lasts time.Duration) *faulttest.SoakResult {
 	t.Helper()
 	p, err := config.LoadPlan("../../deploy/soak.plan")
 	if err != nil {
@@ -33,20 +33,20 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	t.Logf("seed %d: %d requests, %s, %d attempts, %d breaks", r.Seed, r.Sent, r.Outcomes, r.Attempts, len(r.Violations))
+	t.Logf("seed %d: %d requests, %s, %d attempts, %d violations", r.Seed, r.Sent, r.Outcomes, r.Attempts, len(r.Violations))
 	return r
 }
 
-// Whatever the seeds draw, no rule breaks and no process ends by itself. More seeds run by hand:
+// No rule is violated and no process ends by itself, whatever a seed draws. More seeds are run by hand:
 // archknot drill soak deploy/soak.plan --seeds 50 --jobs 2.
 func TestSoak(t *testing.T) {
 	if testing.Short() {
 		t.Skip("it starts processes")
 	}
-	for _, seed := range []uint64{3, 4, 5} { // with the clients' socket handed on and without, and with a crowd
+	for _, seed := range []uint64{3, 4, 5} { // with and without a shared listening socket, and with idle clients
 		t.Run(fmt.Sprint(seed), func(t *testing.T) {
 			t.Parallel()
-			r := soakRun(t, seed, "", 10*time.Second)
+			r := runSoak(t, seed, "", 10*time.Second)
 			for _, b := range r.Violations {
 				t.Errorf("rule %s, request %s: %s", b.Rule, b.RequestID, b.Details)
 			}
@@ -63,7 +63,7 @@
 	}
 }
 
-// mutant is a build that breaks a rule, by changes of the program's text.
+// mutant is a build that violates a rule, by changes of the program's source.
 type mutant struct {
 	name, rule string
 	seed       uint64
@@ -84,7 +84,7 @@
 		{"internal/gateway/clientconn.go", "return max(earliest, now-balancer.Micros(info.Last_data_recv)*1000)", "_, _ = earliest, info; return now"}}},
 }
 
-// build makes the mutant's program.
+// build builds the mutant's program.
 func (m *mutant) build(t *testing.T) string {
 	t.Helper()
 	root, err := filepath.Abs("../..")
@@ -100,7 +100,7 @@
 			t.Fatal(err)
 		}
 		if strings.Count(string(text), c.from) != 1 {
-			t.Fatalf("%s: %q does not stand there once: the mutant has to follow the program", c.file, c.from)
+			t.Fatalf("%s: %q does not occur exactly once: the mutant has to follow the program", c.file, c.from)
 		}
 		replace[path] = filepath.Join(dir, fmt.Sprint(i, ".go"))
 		if err := os.WriteFile(replace[path], []byte(strings.Replace(string(text), c.from, c.to, 1)), 0o600); err != nil {
@@ -124,7 +124,7 @@
 	return program
 }
 
-// Builds that break a rule are caught.
+// The audit of a soak finds the violations of mutants.
 func TestSoakCatchesMutants(t *testing.T) {
 	if testing.Short() {
 		t.Skip("it builds programs and starts processes")
@@ -132,13 +132,13 @@
 	for _, m := range mutants {
 		t.Run(m.name, func(t *testing.T) {
 			t.Parallel()
-			r := soakRun(t, m.seed, m.build(t), 12*time.Second)
+			r := runSoak(t, m.seed, m.build(t), 12*time.Second)
 			for _, b := range r.Violations {
 				if b.Rule == m.rule {
 					return
 				}
 			}
-			t.Errorf("rule %s: not seen to break; seen: %v\n%s", m.rule, r.Violations, strings.Join(r.Events, "\n"))
+			t.Errorf("rule %s: no violation found; found: %v\n%s", m.rule, r.Violations, strings.Join(r.Events, "\n"))
 		})
 	}
 }
--- a/internal/faulttest/soakaudit.go
+++ b/internal/faulttest/soakaudit.go
@@ -10,140 +10,170 @@
 const (
 	// auditTolerance is what a busy machine may add to each time.
 	auditTolerance = 150 * time.Millisecond
-	// propagationAfterOutage is how long a change may take to count as told once discovery can be reached, and
-	// usualPropagation where it could be all the time.
+	// propagationAfterOutage is how long a change of the endpoint list may take from the end of an outage of
+	// discovery, usualPropagation how long without one.
 	propagationAfterOutage, usualPropagation = 6 * time.Second, 500 * time.Millisecond
-	// cancelDelay is how long behind a client's close an attempt for it may begin.
+	// cancelDelay is how long after its client closed the connection an attempt may begin.
 	cancelDelay = 100 * time.Millisecond
-	// maxDeadlineExcess is by how much the time that an attempt tells may be over what is left.
+	// maxDeadlineExcess is by how much an attempt's deadline may exceed the client's.
 	maxDeadlineExcess = 150 * time.Millisecond
-	// shutdownAcceptTime is how long behind SIGTERM a request may come that SIGKILL may find unanswered.
+	// shutdownAcceptTime is how long after SIGTERM a request may arrive that SIGKILL leaves unanswered.
 	shutdownAcceptTime = 700 * time.Millisecond
 )
 
-// newSoakAuditor returns an auditor of what both ends have recorded, and of the times of events.
-func newSoakAuditor(s faultIntervals, tries []*soakRequest, attempts []emulate.ReplicaAttempt) *soakAuditor {
-	a := &soakAuditor{inOrder: tries, faultIntervals: s, requests: map[string]*soakRequest{}, attempts: map[string][]emulate.ReplicaAttempt{}}
-	for _, t := range tries {
-		a.requests[t.id] = t
+// soakAuditor audits what clients and replicas recorded in a soak, by the times of its events.
+type soakAuditor struct {
+	faultIntervals
+	inOrder  []*soakRequest
+	requests map[string]*soakRequest             // by id
+	attempts map[string][]emulate.ReplicaAttempt // by request id
+}
+
+func newSoakAuditor(intervals faultIntervals, requests []*soakRequest, attempts []emulate.ReplicaAttempt) *soakAuditor {
+	a := &soakAuditor{
+		faultIntervals: intervals,
+		inOrder:        requests,
+		requests:       map[string]*soakRequest{},
+		attempts:       map[string][]emulate.ReplicaAttempt{},
 	}
-	for _, at := range attempts {
-		a.attempts[at.ID] = append(a.attempts[at.ID], at)
+	for _, request := range requests {
+		a.requests[request.id] = request
+	}
+	for _, attempt := range attempts {
+		a.attempts[attempt.ID] = append(a.attempts[attempt.ID], attempt)
 	}
 	return a
 }
 
-// withoutClientRetries leaves out what is the client's doing: it sends a request once more where its kept
-// connection was closed, and cannot know that a gateway that was killed had sent it on.
-func (a *soakAuditor) withoutClientRetries(breaks []Violation) (out []Violation) {
-	for _, b := range breaks {
-		if t := a.requests[b.RequestID]; t == nil || t.resentAt.IsZero() || !a.killed(t.gateway, t.resentAt) {
-			out = append(out, b)
+// withoutClientRetries removes the violations that a client has caused: it sends a request again when its
+// reused connection was closed, and cannot know that a killed gateway had forwarded it.
+func (a *soakAuditor) withoutClientRetries(violations []Violation) (remaining []Violation) {
+	for _, violation := range violations {
+		request := a.requests[violation.RequestID]
+		if request == nil || request.resentAt.IsZero() || !a.killed(request.gateway, request.resentAt) {
+			remaining = append(remaining, violation)
 		}
 	}
-	return out
+	return remaining
 }
 
-// audit looks at each attempt and each request.
-func (a *soakAuditor) audit(attempts []emulate.ReplicaAttempt) (out []Violation) {
-	for _, at := range attempts {
-		if t := a.requests[at.ID]; t != nil {
-			out = append(out, a.auditAttempt(t, at)...)
+// audit audits each attempt, then each request.
+func (a *soakAuditor) audit(attempts []emulate.ReplicaAttempt) (violations []Violation) {
+	for _, attempt := range attempts {
+		if request := a.requests[attempt.ID]; request != nil {
+			violations = append(violations, a.auditAttempt(request, attempt)...)
 		}
 	}
-	for _, t := range a.inOrder {
-		out = append(out, a.auditOutcome(t)...)
+	for _, request := range a.inOrder {
+		violations = append(violations, a.auditOutcome(request)...)
+		violations = append(violations, a.auditResend(request)...)
 	}
-	return out
+	return violations
 }
 
-type soakAuditor struct {
-	faultIntervals
-	inOrder  []*soakRequest
-	requests map[string]*soakRequest
-	attempts map[string][]emulate.ReplicaAttempt
-}
-
-// auditAttempt judges one attempt.
-func (a *soakAuditor) auditAttempt(t *soakRequest, at emulate.ReplicaAttempt) (out []Violation) {
-	for _, b := range a.ejections {
-		if b.gateway == t.gateway && b.replica == at.Replica && at.ReceivedAt.After(b.from.Add(drainGrace+auditTolerance)) && at.ReceivedAt.Before(b.to) {
-			out = append(out, violationOf("drain", t, "came to %s %v after operators had taken it out", at.Replica, at.ReceivedAt.Sub(b.from)))
+// auditAttempt audits one attempt.
+func (a *soakAuditor) auditAttempt(request *soakRequest, attempt emulate.ReplicaAttempt) (violations []Violation) {
+	add := func(rule, format string, args ...any) {
+		violations = append(violations, violationOf(rule, request, format, args...))
+	}
+	received := attempt.ReceivedAt
+	for _, ejection := range a.ejections {
+		applies := ejection.gateway == request.gateway && ejection.replica == attempt.Replica
+		if applies && received.After(ejection.from.Add(drainGrace+auditTolerance)) && received.Before(ejection.to) {
+			add(ruleDrain, "came to %s %v after operators had ejected it", attempt.Replica, received.Sub(ejection.from))
 		}
 	}
-	for _, d := range a.drains {
-		if told := a.propagatedAt(d); d.replica == at.Replica && at.ReceivedAt.After(told.Add(drainGrace+auditTolerance)) && at.ReceivedAt.Before(d.to) {
-			out = append(out, violationOf("drain", t, "came to %s %v after its drain counted as told", at.Replica, at.ReceivedAt.Sub(told)))
+	for _, drain := range a.drains {
+		propagated := a.propagatedAt(drain)
+		if drain.replica == attempt.Replica && received.After(propagated.Add(drainGrace+auditTolerance)) && received.Before(drain.to) {
+			add(ruleDrain, "came to %s %v after its drain counted as propagated", attempt.Replica, received.Sub(propagated))
 		}
 	}
-	if t.outcome == outcomeCanceled && at.ReceivedAt.After(t.endedAt.Add(cancelDelay+auditTolerance)) {
-		out = append(out, violationOf("lost", t, "an attempt at %s began %v after the client had left", at.Replica, at.ReceivedAt.Sub(t.endedAt)))
+	if request.outcome == outcomeCanceled && received.After(request.endedAt.Add(cancelDelay+auditTolerance)) {
+		add(ruleLost, "an attempt at %s began %v after the client had left", attempt.Replica, received.Sub(request.endedAt))
 	}
-	if over := at.FirstTokenBy.Sub(t.sentAt.Add(t.timeout)); !at.FirstTokenBy.IsZero() && !t.sentAt.IsZero() && over > maxDeadlineExcess+auditTolerance {
-		out = append(out, violationOf("deadline", t, "the attempt at %s was told %v more than is left", at.Replica, over))
+	excess := attempt.FirstTokenBy.Sub(request.sentAt.Add(request.timeout))
+	if !attempt.FirstTokenBy.IsZero() && !request.sentAt.IsZero() && excess > maxDeadlineExcess+auditTolerance {
+		add(ruleDeadline, "the attempt at %s got %v more time than was left", attempt.Replica, excess)
 	}
-	return out
+	return violations
 }
 
-// propagatedAt is when a drain counts as told at the latest.
-func (a *soakAuditor) propagatedAt(d drainInterval) time.Time {
-	told := d.from.Add(usualPropagation)
-	for _, o := range a.outages {
-		if o.from.Before(told) && o.to.After(d.from.Add(-usualPropagation)) {
-			told = o.to.Add(propagationAfterOutage)
+// propagatedAt returns when a drain must have reached all gateways.
+func (a *soakAuditor) propagatedAt(drain drainInterval) time.Time {
+	propagated := drain.from.Add(usualPropagation)
+	for _, outage := range a.outages {
+		if outage.from.Before(propagated) && outage.to.After(drain.from.Add(-usualPropagation)) {
+			propagated = outage.to.Add(propagationAfterOutage)
 		}
 	}
-	return told
+	return propagated
 }
 
-// auditOutcome judges what became of a request.
-func (a *soakAuditor) auditOutcome(t *soakRequest) (out []Violation) {
-	switch t.outcome {
+// auditOutcome audits whether a request got its response.
+func (a *soakAuditor) auditOutcome(request *soakRequest) (violations []Violation) {
+	switch request.outcome {
 	case outcomeClosed, outcomeTimedOut:
-		if !a.excused(t) && !(t.outcome == outcomeClosed && t.sentAt.IsZero()) {
-			out = append(out, violationOf("lost", t, "got no answer (%s) %v after it was sent", t.outcome, t.endedAt.Sub(t.sentAt)))
+		neverSent := request.outcome == outcomeClosed && request.sentAt.IsZero()
+		if !neverSent && !a.excused(request) {
+			violations = append(violations, violationOf(ruleLost, request, "got no answer (%s) %v after it was sent", request.outcome, request.endedAt.Sub(request.sentAt)))
 		}
 	case outcomeBroken:
-		for _, at := range a.attempts[t.id] {
-			if at.Complete && !a.excused(t) {
-				out = append(out, violationOf("lost", t, "was cut off, though %s had answered to the end", at.Replica))
+		for _, attempt := range a.attempts[request.id] {
+			if attempt.Complete && !a.excused(request) {
+				violations = append(violations, violationOf(ruleLost, request, "was cut off, though %s had answered to the end", attempt.Replica))
 			}
 		}
 	}
-	for _, at := range a.attempts[t.id] {
-		if !t.resentAt.IsZero() && at.ReceivedAt.Before(t.resentAt) && !a.killed(t.gateway, t.resentAt) {
-			out = append(out, violationOf("lost", t, "was sent on to %s, and its connection closed without an answer", at.Replica))
+	return violations
+}
+
+// auditResend audits whether a request that its client sent again had been forwarded before.
+func (a *soakAuditor) auditResend(request *soakRequest) (violations []Violation) {
+	if request.resentAt.IsZero() || a.killed(request.gateway, request.resentAt) {
+		return nil
+	}
+	for _, attempt := range a.attempts[request.id] {
+		if attempt.ReceivedAt.Before(request.resentAt) {
+			violations = append(violations, violationOf(ruleLost, request, "was forwarded to %s, and its connection closed without an answer", attempt.Replica))
 		}
 	}
-	return out
+	return violations
+}
+
+// wasKilled reports whether a process ended by SIGKILL.
+func (a *soakAuditor) wasKilled(shutdown shutdownInterval) bool {
+	return !shutdown.graceful || shutdown.to.Sub(shutdown.from) >= a.deadline+killDelay
 }
 
-// killed tells whether a gateway's process was killed about a time.
+// killed reports whether a gateway's process was killed at about a time.
 func (a *soakAuditor) killed(gateway int, at time.Time) bool {
-	for _, e := range a.shutdowns {
-		killed := !e.graceful || e.to.Sub(e.from) >= a.deadline+killDelay
-		if killed && e.gateway == gateway && at.After(e.from.Add(-auditTolerance)) && at.Before(e.to.Add(auditTolerance)) {
+	for _, shutdown := range a.shutdowns {
+		near := at.After(shutdown.from.Add(-auditTolerance)) && at.Before(shutdown.to.Add(auditTolerance))
+		if near && shutdown.gateway == gateway && a.wasKilled(shutdown) {
 			return true
 		}
 	}
 	return false
 }
 
-// excused tells whether the gateway's process was killed under the request. Behind SIGTERM only what came
-// soon may be.
-func (a *soakAuditor) excused(t *soakRequest) bool {
-	for _, e := range a.shutdowns {
-		if e.gateway != t.gateway || t.startedAt.After(e.to) || t.endedAt.Before(e.from.Add(-auditTolerance)) {
+// excused reports whether the gateway's process was killed while it had the request. After SIGTERM that
+// excuses only requests that arrived soon.
+func (a *soakAuditor) excused(request *soakRequest) bool {
+	for _, shutdown := range a.shutdowns {
+		if shutdown.gateway != request.gateway || request.startedAt.After(shutdown.to) || request.endedAt.Before(shutdown.from.Add(-auditTolerance)) {
 			continue
 		}
-		killed := !e.graceful || e.to.Sub(e.from) >= a.deadline+killDelay
-		if killed && (!e.graceful || t.sentAt.Before(e.from.Add(shutdownAcceptTime))) && t.endedAt.After(e.to.Add(-auditTolerance-maxFreeze)) {
+		accepted := !shutdown.graceful || request.sentAt.Before(shutdown.from.Add(shutdownAcceptTime))
+		if accepted && a.wasKilled(shutdown) && request.endedAt.After(shutdown.to.Add(-auditTolerance-maxFreeze)) {
 			return true
 		}
 	}
 	return false
 }
 
-func violationOf(rule string, t *soakRequest, format string, args ...any) Violation {
-	return Violation{rule, t.id, fmt.Sprintf("%s request to g%d ", t.class, t.gateway+1) + fmt.Sprintf(format, args...)}
+// violationOf returns a violation by a request.
+func violationOf(rule string, request *soakRequest, format string, args ...any) Violation {
+	details := fmt.Sprintf("%s request to g%d ", request.class, request.gateway+1) + fmt.Sprintf(format, args...)
+	return Violation{Rule: rule, RequestID: request.id, Details: details}
 }
--- a/internal/faulttest/soakclient.go
+++ b/internal/faulttest/soakclient.go
@@ -20,76 +20,85 @@
 	"archknot/internal/httpwire"
 )
 
-// How a request of a soak ended for its client.
+// The outcomes of a soak's request for its client.
 const (
 	outcomeServed   = "served"
 	outcomeShed     = "refused" // 429 or 503
-	outcomeFailed   = "failed"  // any other answer
-	outcomeBroken   = "broken"  // the stream broke off behind its first event
-	outcomeClosed   = "closed"  // the connection ended without an answer
-	outcomeTimedOut = "late"    // no answer half a second behind its time
+	outcomeFailed   = "failed"  // any other response without success
+	outcomeBroken   = "broken"  // the stream ended after its first event
+	outcomeClosed   = "closed"  // the connection was closed without a response
+	outcomeTimedOut = "late"    // no response within the timeout and answerTolerance
 	outcomeCanceled = "left"    // the client closed its connection first
-	outcomeUnsent   = "unsent"  // no connection came up
+	outcomeUnsent   = "unsent"  // no connection could be opened
 )
 
-// soakRequest is one request as its client saw it.
+// soakRequest is a request as its client saw it.
 type soakRequest struct {
 	id        string
 	gateway   int
 	class     string
 	timeout   time.Duration
-	startedAt time.Time // its client looked for a connection
-	sentAt    time.Time // its last byte was written
+	startedAt time.Time // when its client looked for a connection
+	sentAt    time.Time // when its last byte was written
 	endedAt   time.Time
 	outcome   string
-	resentAt  time.Time // when it was sent once more, since the close of a kept connection crossed it
+	resentAt  time.Time // when it was sent again because its reused connection was closed; zero: never
 }
 
-// soakClients send requests to gateways as clients and a front do, and remember what became of them.
+// soakClients sends requests to gateways as clients behind a load balancer do, and records their outcomes.
 type soakClients struct {
-	spec      *model.Spec
-	nodes     []*node
-	seed      uint64
-	startedAt time.Time
-	mu        sync.Mutex
-	requests  []*soakRequest
-	lastID    int
-	ready     []bool                    // what the front knows of the gateways
-	idle      []map[*soakConn]struct{}  // connections at rest, by gateway
-	inFlight  map[*soakRequest]struct{} // requests under way
+	spec  *model.Spec
+	nodes []*node
+	seed  uint64
+
+	mu       sync.Mutex
+	requests []*soakRequest
+	lastID   int
+	ready    []bool                   // by gateway, as the load balancer knows
+	idle     []map[*soakConn]struct{} // idle connections, by gateway
+	inFlight map[*soakRequest]struct{}
 }
 
+// soakConn is a client's connection.
 type soakConn struct {
 	net.Conn
 	reader *bufio.Reader
-	reused bool
+	reused bool // a response has been read on it
 }
 
 const (
-	// readinessInterval is how often the front asks gateways whether they are ready.
+	// readinessInterval is the time between two readiness checks of a gateway.
 	readinessInterval = 100 * time.Millisecond
-	// answerTolerance is how long past its time an answer is waited for: half a second is the protocol's, and
-	// as much is for a busy machine.
+	// answerTolerance is how long a response is waited for beyond the timeout: half a second by the protocol,
+	// and as much for a busy machine.
 	answerTolerance = time.Second
-	// streamTimeout bounds a whole answer.
+	// streamTimeout bounds a response with its body.
 	streamTimeout = 20 * time.Second
-	// Of the requests, so many are left by their clients early, and are sent in pieces.
+	// The shares of requests that their clients cancel, and that are written in pieces.
 	cancelShare, slowWriteShare = 0.08, 0.06
+	// meanCancelTime is the mean time after which a client cancels.
+	meanCancelTime = 100 * time.Millisecond
+	// Requests in pieces are written pieceSize bytes at a time, with a pause of pieceInterval.
+	pieceSize, pieceInterval = 60, 2 * time.Millisecond
+	// writeTimeout bounds the writing of a request.
+	writeTimeout = 2 * time.Second
+	// clientStream is where the random numbers of clients begin among those of a seed.
+	clientStream = 1000
 )
 
 func newSoakClients(spec *model.Spec, nodes []*node) *soakClients {
-	s := &soakClients{spec: spec, nodes: nodes, seed: spec.Seed, startedAt: time.Now(), ready: make([]bool, len(nodes)), inFlight: map[*soakRequest]struct{}{}}
+	s := &soakClients{spec: spec, nodes: nodes, seed: spec.Seed, ready: make([]bool, len(nodes)), inFlight: map[*soakRequest]struct{}{}}
 	for range nodes {
 		s.idle = append(s.idle, map[*soakConn]struct{}{})
 	}
 	return s
 }
 
-// checkReadiness asks the gateways whether they are ready until the context ends.
+// checkReadiness checks whether the gateways are ready, until the context ends.
 func (s *soakClients) checkReadiness(ctx context.Context) {
-	var all sync.WaitGroup
+	var checks sync.WaitGroup
 	for i, n := range s.nodes {
-		all.Go(func() {
+		checks.Go(func() {
 			client := &http.Client{Timeout: time.Second, Transport: &http.Transport{DisableKeepAlives: true}}
 			for ctx.Err() == nil {
 				resp, err := client.Get("http://" + n.addr + httpwire.ReadyPath)
@@ -104,9 +113,10 @@
 			}
 		})
 	}
-	all.Wait()
+	checks.Wait()
 }
 
+// pause waits for a duration, or until the context ends.
 func pause(ctx context.Context, d time.Duration) {
 	select {
 	case <-time.After(d):
@@ -114,45 +124,42 @@
 	}
 }
 
-// chooseGateway is the gateway that the front deals a client to.
+// chooseGateway returns the gateway that the load balancer directs a client to: a random one that is ready,
+// if any is.
 func (s *soakClients) chooseGateway(rng *rand.Rand) int {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	at := rng.IntN(len(s.nodes))
+	gateway := rng.IntN(len(s.nodes))
 	for range s.nodes {
-		if s.ready[at] {
-			return at
+		if s.ready[gateway] {
+			return gateway
 		}
-		at = (at + 1) % len(s.nodes)
+		gateway = (gateway + 1) % len(s.nodes)
 	}
-	return at
+	return gateway
 }
 
-// runClient is one client, which sends one request after another until the context ends.
-func (s *soakClients) runClient(ctx context.Context, n int, think time.Duration) {
-	rng := rand.New(rand.NewPCG(s.seed, uint64(n)+1000))
+// runClient sends one request after another until the context ends.
+func (s *soakClients) runClient(ctx context.Context, index int, meanThinkTime time.Duration) {
+	rng := rand.New(rand.NewPCG(s.seed, uint64(index)+clientStream))
 	for ctx.Err() == nil {
 		stream := &s.spec.Streams[rng.IntN(len(s.spec.Streams))]
 		s.sendRequest(rng, stream, s.chooseGateway(rng))
-		pause(ctx, time.Duration(rng.ExpFloat64()*float64(think)))
+		pause(ctx, time.Duration(rng.ExpFloat64()*float64(meanThinkTime)))
 	}
 }
 
-// sendRequest sends one request and waits for its end.
+// sendRequest sends one request and waits for its end. It is sent again once if a reused connection was
+// closed without a response.
 func (s *soakClients) sendRequest(rng *rand.Rand, stream *model.Stream, gateway int) {
 	class := s.spec.ClassOf(stream)
-	t := &soakRequest{gateway: gateway, class: class.Name, timeout: time.Duration(stream.FirstTokenTimeout(class)) * time.Microsecond}
-	s.mu.Lock()
-	s.lastID++
-	t.id = fmt.Sprintf("s%08x%08x", s.seed, s.lastID)
-	s.requests = append(s.requests, t)
-	s.mu.Unlock()
+	t := s.newRequest(stream, class, gateway)
 	text := s.requestText(rng, t, stream, class)
-	leave := time.Duration(0)
+	cancelAfter := time.Duration(0)
 	if rng.Float64() < cancelShare {
-		leave = time.Duration(rng.ExpFloat64() * float64(100*time.Millisecond))
+		cancelAfter = time.Duration(rng.ExpFloat64() * float64(meanCancelTime))
 	}
-	pieces := rng.Float64() < slowWriteShare
+	inPieces := rng.Float64() < slowWriteShare
 	t.startedAt = time.Now()
 	c := s.takeIdleConn(gateway)
 	for {
@@ -164,19 +171,30 @@
 			}
 			c = &soakConn{Conn: conn, reader: bufio.NewReader(conn)}
 		}
-		how, again := s.exchange(t, c, text, pieces, leave)
-		if again && t.resentAt.IsZero() { // the close of a connection at rest crossed it
-			c.Close()
-			c, t.resentAt = nil, time.Now()
-			t.startedAt = t.resentAt
-			continue
+		outcome, mayResend := s.exchange(t, c, text, inPieces, cancelAfter)
+		if !mayResend || !t.resentAt.IsZero() {
+			t.outcome = outcome
+			return
 		}
-		t.outcome = how
-		return
+		c.Close()
+		c = nil
+		t.resentAt = time.Now()
+		t.startedAt = t.resentAt
 	}
 }
 
-// requestText is a request in the platform's form.
+// newRequest records a new request.
+func (s *soakClients) newRequest(stream *model.Stream, class *balancer.Class, gateway int) *soakRequest {
+	t := &soakRequest{gateway: gateway, class: class.Name, timeout: time.Duration(stream.FirstTokenTimeout(class)) * time.Microsecond}
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	s.lastID++
+	t.id = fmt.Sprintf("s%08x%08x", s.seed, s.lastID)
+	s.requests = append(s.requests, t)
+	return t
+}
+
+// requestText returns a request in the platform's form.
 func (s *soakClients) requestText(rng *rand.Rand, t *soakRequest, stream *model.Stream, class *balancer.Class) string {
 	const body = `{"model":"chat","stream":true}`
 	return fmt.Sprintf("POST %s HTTP/1.1\r\nHost: app.svc\r\nReq-Id: %s\r\nReq-Kind: %s\r\nReq-Owner: %s\r\nReq-Key: %016x\r\nReq-Deadline: %dm\r\n"+
@@ -184,37 +202,33 @@
 		t.timeout.Milliseconds(), int(stream.PromptTokens), stream.MaxOutputTokens, max(1, int(stream.AnswerTokens)), len(body), body)
 }
 
-// exchange sends a request on a connection and reads its answer; again says that nothing came of it on a
-// connection that was kept, and that it may be sent once more.
-func (s *soakClients) exchange(t *soakRequest, c *soakConn, text string, pieces bool, leave time.Duration) (how string, again bool) {
-	if err := writeRequest(c, text, pieces); err != nil {
+// exchange sends a request on a connection and reads its response. mayResend says that a reused connection
+// was closed without a response, so that the request may be sent again.
+func (s *soakClients) exchange(t *soakRequest, c *soakConn, text string, inPieces bool, cancelAfter time.Duration) (outcome string, mayResend bool) {
+	if err := writeRequest(c, text, inPieces); err != nil {
 		return s.finish(t, c, outcomeClosed, false), c.reused
 	}
 	t.sentAt = time.Now()
 	s.setInFlight(t, true)
 	defer s.setInFlight(t, false)
-	if leave > 0 {
-		c.SetReadDeadline(t.sentAt.Add(leave))
+	if cancelAfter > 0 {
+		_ = c.SetReadDeadline(t.sentAt.Add(cancelAfter))
 	} else {
-		c.SetReadDeadline(t.sentAt.Add(t.timeout + answerTolerance))
+		_ = c.SetReadDeadline(t.sentAt.Add(t.timeout + answerTolerance))
 	}
 	resp, err := http.ReadResponse(c.reader, nil)
 	if err != nil {
-		return s.finishUnanswered(t, c, err, leave > 0)
+		return s.finishUnanswered(t, c, err, cancelAfter > 0)
 	}
 	if resp.StatusCode != http.StatusOK {
-		io.Copy(io.Discard, resp.Body)
-		how = outcomeFailed
-		if resp.StatusCode == http.StatusServiceUnavailable || resp.StatusCode == http.StatusTooManyRequests {
-			how = outcomeShed
-		}
-		return s.finish(t, c, how, !resp.Close), false
+		_ = readBody(resp) // only the status matters
+		return s.finish(t, c, outcomeOfStatus(resp.StatusCode), !resp.Close), false
 	}
-	if leave == 0 {
-		c.SetReadDeadline(time.Now().Add(streamTimeout))
+	if cancelAfter == 0 {
+		_ = c.SetReadDeadline(time.Now().Add(streamTimeout))
 	}
-	if _, err := io.Copy(io.Discard, resp.Body); err != nil {
-		if leave > 0 && isTimeout(err) {
+	if err := readBody(resp); err != nil {
+		if cancelAfter > 0 && isTimeout(err) {
 			return s.finish(t, c, outcomeCanceled, false), false
 		}
 		return s.finish(t, c, outcomeBroken, false), false
@@ -222,10 +236,25 @@
 	return s.finish(t, c, outcomeServed, !resp.Close), false
 }
 
-// finishUnanswered tells what the lack of an answer is.
-func (s *soakClients) finishUnanswered(t *soakRequest, c *soakConn, err error, leaves bool) (how string, again bool) {
+// readBody reads a response to its end.
+func readBody(resp *http.Response) error {
+	defer resp.Body.Close()
+	_, err := io.Copy(io.Discard, resp.Body)
+	return err
+}
+
+// outcomeOfStatus returns the outcome of a response without success.
+func outcomeOfStatus(status int) string {
+	if status == http.StatusServiceUnavailable || status == http.StatusTooManyRequests {
+		return outcomeShed
+	}
+	return outcomeFailed
+}
+
+// finishUnanswered records the outcome of a request without a response.
+func (s *soakClients) finishUnanswered(t *soakRequest, c *soakConn, err error, cancels bool) (outcome string, mayResend bool) {
 	switch {
-	case isTimeout(err) && leaves:
+	case isTimeout(err) && cancels:
 		return s.finish(t, c, outcomeCanceled, false), false
 	case isTimeout(err):
 		return s.finish(t, c, outcomeTimedOut, false), false
@@ -239,50 +268,50 @@
 }
 
 // writeRequest writes a request, at once or in pieces.
-func writeRequest(c *soakConn, text string, pieces bool) error {
-	c.SetWriteDeadline(time.Now().Add(2 * time.Second))
-	if !pieces {
+func writeRequest(c *soakConn, text string, inPieces bool) error {
+	_ = c.SetWriteDeadline(time.Now().Add(writeTimeout))
+	if !inPieces {
 		_, err := io.WriteString(c, text)
 		return err
 	}
 	for part := text; part != ""; {
-		n := min(len(part), 60)
+		n := min(len(part), pieceSize)
 		if _, err := io.WriteString(c, part[:n]); err != nil {
 			return err
 		}
 		part = part[n:]
-		time.Sleep(2 * time.Millisecond)
+		time.Sleep(pieceInterval)
 	}
 	return nil
 }
 
-// finish notes a request's end, and keeps or closes its connection.
-func (s *soakClients) finish(t *soakRequest, c *soakConn, how string, keep bool) string {
+// finish records the end of a request, and returns its connection to the idle ones or closes it.
+func (s *soakClients) finish(t *soakRequest, c *soakConn, outcome string, reuse bool) string {
 	t.endedAt = time.Now()
-	if !keep {
+	if !reuse {
 		c.Close()
-		return how
+		return outcome
 	}
 	c.reused = true
-	c.SetDeadline(time.Time{})
+	_ = c.SetDeadline(time.Time{})
 	s.mu.Lock()
 	s.idle[t.gateway][c] = struct{}{}
 	s.mu.Unlock()
-	return how
+	return outcome
 }
 
-// setInFlight notes which requests are under way.
-func (s *soakClients) setInFlight(t *soakRequest, way bool) {
+// setInFlight records whether a request is in flight.
+func (s *soakClients) setInFlight(t *soakRequest, inFlight bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if way {
+	if inFlight {
 		s.inFlight[t] = struct{}{}
 	} else {
 		delete(s.inFlight, t)
 	}
 }
 
-// takeIdleConn is a connection at rest, nil if there is none that is open.
+// takeIdleConn returns an idle connection that the gateway has not closed, nil if there is none.
 func (s *soakClients) takeIdleConn(gateway int) *soakConn {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -296,15 +325,15 @@
 	return nil
 }
 
-// remainingAt lists what a gateway that was drained 4 s ago should not hold: connections at rest, and
-// requests that came in the last 2 s, but for those that have come just now and are being refused.
+// remainingAt lists what a gateway should not have that was drained drainCheckDelay ago: idle connections,
+// and requests that were sent after from. Those of the last moment do not count: they are being rejected.
 func (s *soakClients) remainingAt(gateway int, from time.Time) (out []string) {
 	justNow := time.Now().Add(-auditTolerance)
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	for c := range s.idle[gateway] {
 		if !connpool.PeerClosed(c.Conn) {
-			out = append(out, "a connection at rest from "+c.LocalAddr().String())
+			out = append(out, "an idle connection from "+c.LocalAddr().String())
 		}
 	}
 	for t := range s.inFlight {
@@ -315,7 +344,7 @@
 	return out
 }
 
-// openIdleConns opens connections that send nothing, until the context ends.
+// openIdleConns opens connections without requests, and closes them when the context ends.
 func (s *soakClients) openIdleConns(ctx context.Context, gateway, n int) {
 	var open []net.Conn
 	for range n {
@@ -331,17 +360,17 @@
 	}
 }
 
-// outcomeCounts tells how the requests ended.
+// outcomeCounts returns the number of requests by outcome, as text.
 func (s *soakClients) outcomeCounts() string {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	n := map[string]int{}
-	for _, t := range s.requests {
-		n[t.outcome]++
+	counts := map[string]int{}
+	for _, request := range s.requests {
+		counts[request.outcome]++
 	}
-	var out []string
-	for _, how := range sortedKeys(n) {
-		out = append(out, fmt.Sprintf("%s=%d", how, n[how]))
+	var parts []string
+	for _, outcome := range sortedKeys(counts) {
+		parts = append(parts, fmt.Sprintf("%s=%d", outcome, counts[outcome]))
 	}
-	return strings.Join(out, " ")
+	return strings.Join(parts, " ")
 }
--- a/internal/faulttest/soakevents.go
+++ b/internal/faulttest/soakevents.go
@@ -12,17 +12,48 @@
 	"archknot/internal/fleet/model"
 )
 
-// The events of a soak, each drawn by its seed.
+// This file has the events of a soak. Each task draws its events from its own random numbers.
 
-// gatewayEvents has things happen to a gateway, one after another.
+const (
+	// pollInterval is the time between two checks for a condition that an event waits for.
+	pollInterval = 20 * time.Millisecond
+	// resumeTimeout is how long a resumed gateway is waited for, maxResumeTime how long it may take.
+	resumeTimeout, maxResumeTime = 3 * time.Second, 2 * time.Second
+	// orderTries is how often a maintenance order is given until it is accepted, at orderInterval.
+	orderTries, orderInterval = 60, 50 * time.Millisecond
+	// limitWhileShort is the limit on descriptors, or on the size of files, of a process that is short of
+	// them.
+	limitWhileShort = 5
+	// slowFactor is how much slower a replica with the fault "slow" is.
+	slowFactor = 3
+)
+
+// The maintenance orders.
+const (
+	orderDisable = "disable" // eject the replica
+	orderEnable  = "enable"  // reinstate it
+)
+
+// gatewayEvent is something that happens to a gateway.
+type gatewayEvent func(ctx context.Context, n *node, rng *rand.Rand)
+
+// gatewayEvents plays events of a gateway, one after another, until the context ends.
 func (s *soakRun) gatewayEvents(ctx context.Context, n *node, rng *rand.Rand) {
-	kinds := []func(context.Context, *node, *rand.Rand){s.sendHangups, s.freeze, s.kill, s.terminate, s.drainClients, s.limitResource(unix.RLIMIT_NOFILE, "descriptors"),
-		s.limitResource(unix.RLIMIT_FSIZE, "disk")}
+	events := []gatewayEvent{
+		s.sendHangups,
+		s.freeze,
+		s.kill,
+		s.terminate,
+		s.drainClients,
+		s.limitResource(unix.RLIMIT_NOFILE, "descriptors"),
+		s.limitResource(unix.RLIMIT_FSIZE, "disk"),
+	}
 	if s.spec.Drill.SharedListener {
-		kinds = append(kinds, s.upgrade, s.upgrade)
+		events = append(events, s.upgrade, s.upgrade)
 	}
-	for pause(ctx, between(rng, 200*time.Millisecond, 1500*time.Millisecond)); ctx.Err() == nil; pause(ctx, between(rng, 200*time.Millisecond, 1500*time.Millisecond)) {
-		kinds[rng.IntN(len(kinds))](ctx, n, rng)
+	wait := func() { pause(ctx, between(rng, 200*time.Millisecond, 1500*time.Millisecond)) }
+	for wait(); ctx.Err() == nil; wait() {
+		events[rng.IntN(len(events))](ctx, n, rng)
 	}
 }
 
@@ -35,7 +66,7 @@
 	}
 }
 
-// freeze holds the process up for a moment.
+// freeze stops the process for moments.
 func (s *soakRun) freeze(_ context.Context, n *node, rng *rand.Rand) {
 	for range 1 + rng.IntN(3) {
 		n.signal(syscall.SIGSTOP)
@@ -46,8 +77,8 @@
 	s.logEvent("%s was stopped for moments", n.name)
 }
 
-// kill ends the process at once, and starts it again.
-func (s *soakRun) kill(ctx context.Context, n *node, rng *rand.Rand) {
+// kill kills the process, and starts the next one.
+func (s *soakRun) kill(ctx context.Context, n *node, _ *rand.Rand) {
 	from := time.Now()
 	s.logEvent("%s SIGKILL", n.name)
 	if exited := n.signal(syscall.SIGKILL); exited != nil {
@@ -57,7 +88,8 @@
 	s.startNode(ctx, n)
 }
 
-// terminate tells the process to end, kills it at the earliest that the platform may, and starts it again.
+// terminate sends SIGTERM, kills the process at the earliest time that the platform may, and starts the next
+// one.
 func (s *soakRun) terminate(ctx context.Context, n *node, rng *rand.Rand) {
 	from := time.Now()
 	s.logEvent("%s SIGTERM", n.name)
@@ -73,7 +105,7 @@
 	s.startNode(ctx, n)
 }
 
-// awaitEnd waits for a process that was told to end, as long as the platform does at least.
+// awaitEnd waits for a process that got SIGTERM, as long as the platform does at least, then kills it.
 func (s *soakRun) awaitEnd(name string, exited <-chan struct{}, kill func()) {
 	select {
 	case <-exited:
@@ -84,32 +116,32 @@
 	}
 }
 
-// recordShutdown notes the end of a process.
-func (s *soakRun) recordShutdown(n *node, told bool, from time.Time) {
+// recordShutdown records the end of a process.
+func (s *soakRun) recordShutdown(n *node, graceful bool, from time.Time) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.intervals.shutdowns = append(s.intervals.shutdowns, shutdownInterval{n.index, told, interval{from, time.Now()}})
+	s.intervals.shutdowns = append(s.intervals.shutdowns, shutdownInterval{n.index, graceful, interval{from, time.Now()}})
 }
 
-// startNode starts a gateway's next life, which has to be ready in time.
+// startNode starts a gateway's next process, which has to become ready in time.
 func (s *soakRun) startNode(ctx context.Context, n *node) {
 	if err := s.cluster.start(n); err != nil {
-		s.addViolation("start", "", "%s: %v", n.name, err)
+		s.addViolation(ruleStart, "%s: %v", n.name, err)
 		return
 	}
 	begun := time.Now()
-	waiting, stop := context.WithTimeout(context.WithoutCancel(ctx), readyTimeout+6*time.Second) // discovery may be out
+	readyCtx, stop := context.WithTimeout(context.WithoutCancel(ctx), readyTimeout+outageAllowance)
 	defer stop()
-	if err := s.cluster.waitUntilNodeReady(waiting, n); err != nil {
-		s.addViolation("ready", "", "%v", err)
+	if err := s.cluster.waitUntilNodeReady(readyCtx, n); err != nil {
+		s.addViolation(ruleReady, "%v", err)
 		return
 	}
 	s.logEvent("%s ready after %d ms", n.name, time.Since(begun).Milliseconds())
 }
 
-// upgrade starts the next process beside the one that serves, and has that one end once the next can
+// upgrade starts the next process beside the one that serves, and terminates that one once the next can
 // serve.
-func (s *soakRun) upgrade(ctx context.Context, n *node, rng *rand.Rand) {
+func (s *soakRun) upgrade(ctx context.Context, n *node, _ *rand.Rand) {
 	n.mu.Lock()
 	old := n.process
 	n.process = nil
@@ -119,14 +151,14 @@
 	}
 	begun := time.Now()
 	if err := s.cluster.start(n); err != nil {
-		s.addViolation("start", "", "%s: %v", n.name, err)
+		s.addViolation(ruleStart, "%s: %v", n.name, err)
 		return
 	}
-	for !isSuccess(s.callAdmin(n, http.MethodGet, "/-/ready")) && time.Since(begun) < readyTimeout+6*time.Second {
-		time.Sleep(20 * time.Millisecond)
+	for !isSuccess(s.callAdmin(ctx, n, http.MethodGet, "/-/ready")) && time.Since(begun) < readyTimeout+outageAllowance {
+		time.Sleep(pollInterval)
 	}
-	if time.Since(begun) >= readyTimeout+6*time.Second {
-		s.addViolation("ready", "", "%s beside its predecessor", n.name)
+	if time.Since(begun) >= readyTimeout+outageAllowance {
+		s.addViolation(ruleReady, "%s beside its predecessor", n.name)
 	}
 	from := time.Now()
 	s.logEvent("%s next process ready after %d ms; SIGTERM to the one before", n.name, from.Sub(begun).Milliseconds())
@@ -141,136 +173,142 @@
 	s.recordShutdown(n, true, from)
 }
 
-// drainClients has operators drain a gateway, looks at it 4 s later, and takes it back.
-func (s *soakRun) drainClients(ctx context.Context, n *node, rng *rand.Rand) {
-	if status := s.callAdmin(n, http.MethodPut, "/-/drain"); !isSuccess(status) {
-		s.addViolation("operator", "", "%s drain: status %d", n.name, status)
+// drainClients has operators drain a gateway, checks it drainCheckDelay later, and has them resume it.
+func (s *soakRun) drainClients(ctx context.Context, n *node, _ *rand.Rand) {
+	if status := s.callAdmin(ctx, n, http.MethodPut, "/-/drain"); !isSuccess(status) {
+		s.addViolation(ruleOperator, "%s drain: status %d", n.name, status)
 		return
 	}
 	from := time.Now()
 	s.logEvent("%s drained by operators", n.name)
 	time.Sleep(drainCheckDelay)
-	if held := s.clients.remainingAt(n.index, from.Add(drainCheckDelay/2)); len(held) > 0 {
-		s.addViolation("drained", "", "%s holds %d of clients 4 s behind the call: %s", n.name, len(held), held[0])
+	if remaining := s.clients.remainingAt(n.index, from.Add(drainCheckDelay/2)); len(remaining) > 0 {
+		s.addViolation(ruleDrained, "%s has %d connections and requests of clients 4 s after the call: %s", n.name, len(remaining), remaining[0])
 	}
-	if s.cluster.isReady(n) {
-		s.addViolation("drained", "", "%s says that it is ready 4 s behind the call", n.name)
+	checkCtx := context.WithoutCancel(ctx) // a drain that has begun is completed
+	if s.cluster.isReady(checkCtx, n) {
+		s.addViolation(ruleDrained, "%s answers that it is ready 4 s after the call", n.name)
 	}
-	if status := s.callAdmin(n, http.MethodPut, "/-/resume"); !isSuccess(status) {
-		s.addViolation("operator", "", "%s resume: status %d", n.name, status)
+	if status := s.callAdmin(ctx, n, http.MethodPut, "/-/resume"); !isSuccess(status) {
+		s.addViolation(ruleOperator, "%s resume: status %d", n.name, status)
 	}
 	resumed := time.Now()
-	for !s.cluster.isReady(n) && time.Since(resumed) < 3*time.Second {
-		time.Sleep(20 * time.Millisecond)
+	for !s.cluster.isReady(checkCtx, n) && time.Since(resumed) < resumeTimeout {
+		time.Sleep(pollInterval)
 	}
-	if took := time.Since(resumed); took > 2*time.Second {
-		s.addViolation("drained", "", "%s is ready %v after the drain's end", n.name, took)
+	if took := time.Since(resumed); took > maxResumeTime {
+		s.addViolation(ruleDrained, "%s is ready %v after the drain's end", n.name, took)
 	}
 	s.logEvent("%s resumed", n.name)
 }
 
-// limitResource has the process's system calls fail for a while for want of something.
-func (s *soakRun) limitResource(resource int, name string) func(context.Context, *node, *rand.Rand) {
+// limitResource returns an event in which a process's system calls fail for a while because a resource is
+// short.
+func (s *soakRun) limitResource(resource int, name string) gatewayEvent {
 	return func(_ context.Context, n *node, rng *rand.Rand) {
-		n.mu.Lock()
-		pid := 0
-		if n.process != nil {
-			pid = n.process.cmd.Process.Pid
-		}
-		n.mu.Unlock()
-		var was unix.Rlimit
-		if pid == 0 || unix.Prlimit(pid, resource, nil, &was) != nil {
+		pid := n.pid()
+		var usual unix.Rlimit
+		if pid == 0 || unix.Prlimit(pid, resource, nil, &usual) != nil {
 			return
 		}
 		s.logEvent("%s has no %s", n.name, name)
-		_ = unix.Prlimit(pid, resource, &unix.Rlimit{Cur: min(5, was.Max), Max: was.Max}, nil)
+		// The process may end meanwhile: then there is nothing to limit.
+		_ = unix.Prlimit(pid, resource, &unix.Rlimit{Cur: min(limitWhileShort, usual.Max), Max: usual.Max}, nil)
 		time.Sleep(between(rng, 200*time.Millisecond, time.Second))
-		_ = unix.Prlimit(pid, resource, &was, nil)
+		_ = unix.Prlimit(pid, resource, &usual, nil)
 		s.logEvent("%s has %s again", n.name, name)
 	}
 }
 
-// callAdmin makes an operator's call to the process that serves now, and wants an answer in time; 0: none.
-func (s *soakRun) callAdmin(n *node, method, path string) int {
-	n.mu.Lock()
-	admin := ""
-	if n.process != nil {
-		admin = n.process.adminAddr
-	}
-	n.mu.Unlock()
-	if admin == "" {
+// callAdmin makes an operator's call to the process that serves now. It returns the status, 0 without an
+// answer in time. A call is made also once the context has ended.
+func (s *soakRun) callAdmin(ctx context.Context, n *node, method, path string) int {
+	adminAddr := n.adminAddr()
+	if adminAddr == "" {
 		return 0
 	}
 	client := http.Client{Timeout: adminTimeout + answerTolerance, Transport: &http.Transport{DisableKeepAlives: true}}
-	in, err := http.NewRequest(method, "http://"+admin+path, nil)
+	req, err := http.NewRequestWithContext(context.WithoutCancel(ctx), method, "http://"+adminAddr+path, nil)
 	if err != nil {
 		return 0
 	}
-	out, err := client.Do(in)
+	resp, err := client.Do(req)
 	if err != nil {
 		return 0
 	}
-	out.Body.Close()
-	return out.StatusCode
+	resp.Body.Close()
+	return resp.StatusCode
 }
 
+// isSuccess reports whether a status is one of success.
 func isSuccess(status int) bool { return status >= 200 && status < 300 }
 
-// operatorEvents takes replicas out at all gateways, restarts them and puts them back.
+// operatorEvents ejects replicas at all gateways, restarts some and reinstates them.
 func (s *soakRun) operatorEvents(ctx context.Context, rng *rand.Rand) {
 	for pause(ctx, between(rng, 0, time.Second)); ctx.Err() == nil; pause(ctx, between(rng, 500*time.Millisecond, time.Second)) {
-		at := s.reserve(rng)
-		if at < 0 {
+		index := s.reserve(rng)
+		if index < 0 {
 			continue
 		}
-		w := s.fleet.Replicas[at]
-		s.logEvent("operators take %s out", w.Name)
-		out := make([]time.Time, len(s.cluster.nodes))
-		for i, n := range s.cluster.nodes {
-			out[i] = s.orderUntilAccepted(ctx, n, w.Name, "disable")
-		}
-		pause(ctx, drainGrace)
-		if rng.IntN(2) == 0 {
-			s.logEvent("%s is restarted", w.Name)
-			s.fleet.StartFault(model.Fault{Kind: "kill", Replica: at})
-			time.Sleep(between(rng, 200*time.Millisecond, time.Second))
-			s.fleet.EndFault(model.Fault{Kind: "kill", Replica: at})
+		s.maintainReplica(ctx, rng, index)
+		s.release(index)
+		anyNode := s.cluster.nodes[rng.IntN(len(s.cluster.nodes))]
+		if status := s.callAdmin(ctx, anyNode, http.MethodPut, "/-/replicas/never-listed/"+orderDisable); isSuccess(status) {
+			s.addViolation(ruleOperator, "a replica that was never listed: status %d", status)
 		}
-		pause(ctx, between(rng, time.Second, 3*time.Second))
-		for i, n := range s.cluster.nodes {
-			back := time.Now()
-			if !out[i].IsZero() {
-				s.mu.Lock()
-				s.intervals.ejections = append(s.intervals.ejections, ejectionInterval{i, w.Name, interval{out[i], back}})
-				s.mu.Unlock()
-			}
-			s.orderUntilAccepted(ctx, n, w.Name, "enable")
-		}
-		s.logEvent("operators have put %s back", w.Name)
-		s.release(at)
-		if status := s.callAdmin(s.cluster.nodes[rng.IntN(len(s.cluster.nodes))], http.MethodPut, "/-/replicas/never-listed/disable"); isSuccess(status) {
-			s.addViolation("operator", "", "a replica that was never listed: status %d", status)
+	}
+}
+
+// maintainReplica ejects a replica at all gateways, restarts it at times, and reinstates it.
+func (s *soakRun) maintainReplica(ctx context.Context, rng *rand.Rand, index int) {
+	replica := s.fleet.Replicas[index].Name
+	s.logEvent("operators eject %s", replica)
+	ejectedAt := make([]time.Time, len(s.cluster.nodes))
+	for i, n := range s.cluster.nodes {
+		ejectedAt[i] = s.orderUntilAccepted(ctx, n, replica, orderDisable)
+	}
+	pause(ctx, drainGrace)
+	if rng.IntN(2) == 0 {
+		s.logEvent("%s is restarted", replica)
+		s.fleet.StartFault(model.Fault{Kind: "kill", Replica: index})
+		time.Sleep(between(rng, 200*time.Millisecond, time.Second))
+		s.fleet.EndFault(model.Fault{Kind: "kill", Replica: index})
+	}
+	pause(ctx, between(rng, time.Second, 3*time.Second))
+	for i, n := range s.cluster.nodes {
+		if !ejectedAt[i].IsZero() {
+			s.recordEjection(i, replica, ejectedAt[i])
 		}
+		s.orderUntilAccepted(ctx, n, replica, orderEnable)
 	}
+	s.logEvent("operators have reinstated %s", replica)
+}
+
+// recordEjection records an ejection that ends now.
+func (s *soakRun) recordEjection(gateway int, replica string, from time.Time) {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	s.intervals.ejections = append(s.intervals.ejections, ejectionInterval{gateway, replica, interval{from, time.Now()}})
 }
 
-// orderUntilAccepted gives an order until the gateway says yes: it may be starting, ending, or short of a disk. It
-// returns when it did, or zero.
-func (s *soakRun) orderUntilAccepted(ctx context.Context, n *node, replica, what string) time.Time {
-	for try := 0; try < 60; try++ {
-		if isSuccess(s.callAdmin(n, http.MethodPut, "/-/replicas/"+replica+"/"+what)) {
+// orderUntilAccepted gives a maintenance order until the gateway accepts it: it may be starting, ending, or
+// short of disk space. It returns when the gateway accepted it, or the zero time.
+func (s *soakRun) orderUntilAccepted(ctx context.Context, n *node, replica, order string) time.Time {
+	for range orderTries {
+		if isSuccess(s.callAdmin(ctx, n, http.MethodPut, "/-/replicas/"+replica+"/"+order)) {
 			return time.Now()
 		}
-		if what == "disable" && ctx.Err() != nil {
+		if order == orderDisable && ctx.Err() != nil {
 			break
 		}
-		time.Sleep(50 * time.Millisecond)
+		time.Sleep(orderInterval)
 	}
-	s.logEvent("%s does not say yes to %s %s", n.name, what, replica)
+	s.logEvent("%s does not accept %s %s", n.name, order, replica)
 	return time.Time{}
 }
 
-// reserve finds a replica that nothing happens to; -1: enough happens to the others.
+// reserve reserves a replica without an event under way for the next event. It returns its index, or -1 if
+// half of the replicas have one.
 func (s *soakRun) reserve(rng *rand.Rand) int {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -278,50 +316,58 @@
 		return -1
 	}
 	for {
-		if at := rng.IntN(len(s.fleet.Replicas)); !s.reserved[at] {
-			s.reserved[at] = true
-			return at
+		if index := rng.IntN(len(s.fleet.Replicas)); !s.reserved[index] {
+			s.reserved[index] = true
+			return index
 		}
 	}
 }
 
-func (s *soakRun) release(at int) {
+// release ends a reservation.
+func (s *soakRun) release(index int) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	delete(s.reserved, at)
+	delete(s.reserved, index)
 }
 
-// replicaEvents has things happen to replicas: drains by the list, and faults.
+// replicaEvents plays faults of replicas, and drains in the endpoint list.
 func (s *soakRun) replicaEvents(ctx context.Context, rng *rand.Rand) {
 	kinds := []string{"drain", "drain", "kill", "silent", "slow", "reset", "spoil", "lose"}
 	for pause(ctx, between(rng, 0, time.Second)); ctx.Err() == nil; pause(ctx, between(rng, 200*time.Millisecond, time.Second)) {
-		at := s.reserve(rng)
-		if at < 0 {
+		index := s.reserve(rng)
+		if index < 0 {
 			continue
 		}
-		x := model.Fault{Kind: kinds[rng.IntN(len(kinds))], Replica: at, Factor: 1}
-		if x.Kind == "slow" {
-			x.Factor = 3
+		fault := model.Fault{Kind: kinds[rng.IntN(len(kinds))], Replica: index, Factor: 1}
+		if fault.Kind == "slow" {
+			fault.Factor = slowFactor
 		}
-		w, from := s.fleet.Replicas[at], time.Now()
-		s.logEvent("%s: %s", w.Name, x.Kind)
-		s.fleet.StartFault(x)
-		pause(ctx, between(rng, 1500*time.Millisecond, 5*time.Second))
-		if x.Kind == "drain" {
-			s.mu.Lock()
-			s.intervals.drains = append(s.intervals.drains, drainInterval{w.Name, interval{from, time.Now()}})
-			s.mu.Unlock()
-		}
-		s.fleet.EndFault(x)
-		s.logEvent("%s: the end of %s", w.Name, x.Kind)
-		s.release(at)
+		s.playFault(ctx, fault, between(rng, 1500*time.Millisecond, 5*time.Second))
+		s.release(index)
+	}
+}
+
+// playFault plays a replica's fault for a duration.
+func (s *soakRun) playFault(ctx context.Context, fault model.Fault, duration time.Duration) {
+	replica := s.fleet.Replicas[fault.Replica].Name
+	from := time.Now()
+	s.logEvent("%s: %s", replica, fault.Kind)
+	s.fleet.StartFault(fault)
+	pause(ctx, duration)
+	if fault.Kind == "drain" {
+		s.mu.Lock()
+		s.intervals.drains = append(s.intervals.drains, drainInterval{replica, interval{from, time.Now()}})
+		s.mu.Unlock()
 	}
+	s.fleet.EndFault(fault)
+	s.logEvent("%s: the end of %s", replica, fault.Kind)
 }
 
-// discoveryEvents has the proxy before discovery do harm.
+// discoveryEvents has the proxy in front of discovery play faults.
 func (s *soakRun) discoveryEvents(ctx context.Context, rng *rand.Rand) {
 	for pause(ctx, between(rng, time.Second, 4*time.Second)); ctx.Err() == nil; pause(ctx, between(rng, 2*time.Second, 5*time.Second)) {
-		mode, from := proxyMode(1+rng.IntN(proxyModeCount-1)), time.Now()
+		mode := proxyMode(1 + rng.IntN(proxyModeCount-1))
+		from := time.Now()
 		s.logEvent("discovery %s", mode)
 		s.proxy.setMode(mode)
 		pause(ctx, between(rng, time.Second, 3*time.Second))
