--- a/internal/cli/drill.go
+++ b/internal/cli/drill.go
@@ -21,6 +21,7 @@
 	"archknot/internal/faulttest"
 )
 
+// drillCmd has the commands that run gateways under faults or load.
 type drillCmd struct {
 	Scale     drillScaleCmd `cmd:"" help:"Measure what grows with a fleet: hollow replicas and gateways, and some real ones beside them."`
 	ScaleRole scaleRoleCmd  `cmd:"" hidden:"" help:"A process of a scale run."`
@@ -28,6 +29,7 @@
 	Run       drillRunCmd   `cmd:"" help:"Start many gateways as processes before an emulated fleet, strike them as a plan says, and check the rules."`
 }
 
+// drillRunCmd runs drills.
 type drillRunCmd struct {
 	Plan     string `arg:"" help:"The plan: see deploy/take-over.plan."`
 	Program  string `placeholder:"FILE" help:"Another build that is started in the place of this one."`
@@ -37,7 +39,7 @@
 	seedFlags
 }
 
-// seedFlags say which seeds a drill is carried out with.
+// seedFlags select the seeds of drills or soaks.
 type seedFlags struct {
 	Seed  uint64 `default:"1" help:"The first seed: the same one draws the same."`
 	Seeds int    `default:"1" help:"How many drills, each with the next seed."`
@@ -45,8 +47,8 @@
 	Logs  string `placeholder:"DIR" help:"Where configurations and logs are left; without it they are removed."`
 }
 
-// each carries a drill out with each seed, so many at once, until one cannot be or the user ends it.
-func (f *seedFlags) each(do func(ctx context.Context, seed uint64, o faulttest.Options) error) error {
+// each calls run with each seed, f.Jobs at once, until one returns an error or the user interrupts it.
+func (f *seedFlags) each(run func(ctx context.Context, seed uint64, options faulttest.Options) error) error {
 	if f.Seeds < 1 || f.Jobs < 1 {
 		return errors.New("--seeds, --jobs: expected 1 or more")
 	}
@@ -57,11 +59,11 @@
 	for i := range f.Seeds {
 		group.Go(func() error {
 			seed := f.Seed + uint64(i)
-			o := faulttest.Options{}
+			options := faulttest.Options{}
 			if f.Logs != "" {
-				o.Dir = filepath.Join(f.Logs, fmt.Sprint(seed))
+				options.Dir = filepath.Join(f.Logs, fmt.Sprint(seed))
 			}
-			if err := do(ctx, seed, o); err != nil {
+			if err := run(ctx, seed, options); err != nil {
 				return fmt.Errorf("seed %d: %w", seed, err)
 			}
 			return nil
@@ -70,13 +72,14 @@
 	return group.Wait()
 }
 
+// Help implements kong.HelpProvider.
 func (drillRunCmd) Help() string {
 	return "Everything is on loopback addresses; each process is ended by its id. The rules: at most so many attempts over all gateways, never two at once\n" +
 		"unless second copies are on, nothing twice that must run once, nothing after the deadline, drains kept, one answer each, no process that ends by itself.\n" +
 		"Exit code 1: a rule was broken.\n\nExample:\n  archknot drill run deploy/take-over.plan --seeds 10 --jobs 3"
 }
 
-// runSummary is what several drills come to.
+// runSummary is the result of several drills.
 type runSummary struct {
 	Drills          int                 `json:"drills"`
 	Sent            int                 `json:"sent"`
@@ -84,7 +87,7 @@
 	Recovered       int                 `json:"saved"`
 	Violations      int                 `json:"breaks"`
 	Crashes         int                 `json:"crashes"`
-	WeightServed    experiment.Interval `json:"worth_served"` // share of what was asked for
+	WeightServed    experiment.Interval `json:"worth_served"` // share of the offered weight
 	WeightLost      experiment.Interval `json:"worth_lost_10s"`
 	FirstTokenMs    experiment.Interval `json:"first_p50_ms"`
 	CPUMsPerRequest experiment.Interval `json:"cpu_ms_request"`
@@ -92,93 +95,111 @@
 	OpenFiles       int                 `json:"files"`
 }
 
+// Run carries out the drills and prints their results. It returns errNo if a rule was violated.
 func (c *drillRunCmd) Run(s *streams) error {
-	p, v, w, err := loadPlan(c.Plan, c.Variant, c.Workload)
+	plan, variant, workload, err := loadPlan(c.Plan, c.Variant, c.Workload)
 	if err != nil {
 		return err
 	}
 	bar := countBar(s, c.Seeds)
 	var mu sync.Mutex
-	var all []*faulttest.Result
-	err = c.each(func(ctx context.Context, seed uint64, o faulttest.Options) error {
-		spec, err := p.Spec(v, w, seed)
+	var results []*faulttest.Result
+	err = c.each(func(ctx context.Context, seed uint64, options faulttest.Options) error {
+		spec, err := plan.Spec(variant, workload, seed)
 		if err != nil {
 			return err
 		}
-		o.Program = cmp.Or(c.Program, v.Program)
-		r, err := faulttest.Run(ctx, spec, o)
+		options.Program = cmp.Or(c.Program, variant.Program)
+		result, err := faulttest.Run(ctx, spec, options)
 		if err != nil {
 			return err
 		}
 		mu.Lock()
 		defer mu.Unlock()
 		if bar != nil {
-			_ = bar.Add(1)
+			_ = bar.Add(1) // a progress bar that cannot be drawn is no reason to stop
 		}
-		all = append(all, r)
-		return c.printResult(s, r)
+		results = append(results, result)
+		return c.printResult(s, result)
 	})
 	if err != nil {
 		return err
 	}
-	sum := c.summarize(all)
-	if c.JSON {
-		if err := json.NewEncoder(s.out).Encode(sum); err != nil {
-			return err
-		}
-	} else {
-		t := tabwriter.NewWriter(s.out, 0, 0, 2, ' ', 0)
-		fmt.Fprintf(t, "drills\t%d\nrequests\t%d\nin hand at a lost gateway\t%d\n  of them whole and in time\t%d (%.2f%%)\n", sum.Drills, sum.Sent, sum.Interrupted, sum.Recovered, 100*float64(sum.Recovered)/max(1, float64(sum.Interrupted)))
-		fmt.Fprintf(t, "worth served\t%s\nworth lost in 10 s\t%s\nfirst token, median ms\t%s\ncpu a request, ms\t%s\n", sum.WeightServed, sum.WeightLost, sum.FirstTokenMs, sum.CPUMsPerRequest)
-		fmt.Fprintf(t, "most memory, MB\t%.1f\nmost descriptors\t%d\nrules broken\t%d\nprocesses that ended\t%d\n", sum.MemoryMB, sum.OpenFiles, sum.Violations, sum.Crashes)
-		if err := t.Flush(); err != nil {
-			return err
-		}
+	summary := summarize(results)
+	if err := c.printSummary(s, summary); err != nil {
+		return err
 	}
-	if sum.Violations+sum.Crashes > 0 {
+	if summary.Violations+summary.Crashes > 0 {
 		return errNo
 	}
 	return nil
 }
 
-// printResult prints one drill as it ends.
+// printSummary prints the result of all drills.
+func (c *drillRunCmd) printSummary(s *streams, sum runSummary) error {
+	if c.JSON {
+		return json.NewEncoder(s.out).Encode(sum)
+	}
+	t := tabwriter.NewWriter(s.out, 0, 0, 2, ' ', 0)
+	fmt.Fprintf(t, "drills\t%d\nrequests\t%d\nin hand at a lost gateway\t%d\n  of them whole and in time\t%d (%.2f%%)\n",
+		sum.Drills, sum.Sent, sum.Interrupted, sum.Recovered, 100*float64(sum.Recovered)/max(1, float64(sum.Interrupted)))
+	fmt.Fprintf(t, "worth served\t%s\nworth lost in 10 s\t%s\nfirst token, median ms\t%s\ncpu a request, ms\t%s\n",
+		sum.WeightServed, sum.WeightLost, sum.FirstTokenMs, sum.CPUMsPerRequest)
+	fmt.Fprintf(t, "most memory, MB\t%.1f\nmost descriptors\t%d\nrules broken\t%d\nprocesses that ended\t%d\n",
+		sum.MemoryMB, sum.OpenFiles, sum.Violations, sum.Crashes)
+	return t.Flush()
+}
+
+// printResult prints the result of one drill.
 func (c *drillRunCmd) printResult(s *streams, r *faulttest.Result) error {
 	if c.JSON {
 		return json.NewEncoder(s.out).Encode(r)
 	}
-	ends := make([]string, 0, len(r.Outcomes))
-	for _, k := range []string{"served", "broken", "refused", "failed", "late", "contract"} {
-		if n := r.Outcomes[k]; n > 0 {
-			ends = append(ends, fmt.Sprintf("%s=%d", k, n))
+	outcomes := make([]string, 0, len(r.Outcomes))
+	for _, outcome := range []string{"served", "broken", "refused", "failed", "late", "contract"} {
+		if n := r.Outcomes[outcome]; n > 0 {
+			outcomes = append(outcomes, fmt.Sprintf("%s=%d", outcome, n))
 		}
 	}
-	fmt.Fprintf(s.out, "seed=%d sent=%d %s worth=%.4f caught=%d saved=%d lost_10s=%.1f p50_ms=%.1f breaks=%d crashes=%d\n", r.Seed, r.Sent, strings.Join(ends, " "),
-		r.WeightServed/max(1e-9, r.WeightOffered), r.Interrupted, r.Recovered, r.WeightLost, r.FirstTokenMs["p50"], len(r.Violations), len(r.Crashes))
+	fmt.Fprintf(s.out, "seed=%d sent=%d %s worth=%.4f caught=%d saved=%d lost_10s=%.1f p50_ms=%.1f breaks=%d crashes=%d\n", r.Seed, r.Sent, strings.Join(outcomes, " "),
+		r.WeightServed/max(minWeight, r.WeightOffered), r.Interrupted, r.Recovered, r.WeightLost, r.FirstTokenMs["p50"], len(r.Violations), len(r.Crashes))
 	printViolations(s.out, r)
 	return nil
 }
 
-// printViolations prints the rules that a drill saw broken and the processes that ended.
+// printViolations prints the violations of a drill or soak, and the processes that ended unexpectedly.
 func printViolations(out io.Writer, r *faulttest.Result) {
-	for _, b := range r.Violations {
-		fmt.Fprintf(out, "  rule=%s request=%s %s\n", b.Rule, b.RequestID, b.Details)
+	for _, violation := range r.Violations {
+		fmt.Fprintf(out, "  rule=%s request=%s %s\n", violation.Rule, violation.RequestID, violation.Details)
 	}
-	for _, text := range r.Crashes {
-		fmt.Fprintf(out, "  %s\n", strings.ReplaceAll(text, "\n", "\n    "))
+	for _, crash := range r.Crashes {
+		fmt.Fprintf(out, "  %s\n", strings.ReplaceAll(crash, "\n", "\n    "))
 	}
 }
 
-func (c *drillRunCmd) summarize(all []*faulttest.Result) (out runSummary) {
-	var served, lost, first, cpu []float64
-	for _, r := range all {
-		out.Drills++
-		out.Sent, out.Interrupted, out.Recovered = out.Sent+r.Sent, out.Interrupted+r.Interrupted, out.Recovered+r.Recovered
-		out.Violations, out.Crashes = out.Violations+len(r.Violations), out.Crashes+len(r.Crashes)
-		out.MemoryMB, out.OpenFiles = max(out.MemoryMB, r.MemoryMB), max(out.OpenFiles, r.OpenFiles)
-		served, lost = append(served, r.WeightServed/max(1e-9, r.WeightOffered)), append(lost, r.WeightLost)
-		first, cpu = append(first, r.FirstTokenMs["p50"]), append(cpu, r.CPUMsPerRequest)
+// minWeight keeps a share finite where no weight was offered.
+const minWeight = 1e-9
+
+// summarize returns the summary of several drills.
+func summarize(results []*faulttest.Result) (summary runSummary) {
+	var served, lost, firstTokenMs, cpuMs []float64
+	for _, r := range results {
+		summary.Drills++
+		summary.Sent += r.Sent
+		summary.Interrupted += r.Interrupted
+		summary.Recovered += r.Recovered
+		summary.Violations += len(r.Violations)
+		summary.Crashes += len(r.Crashes)
+		summary.MemoryMB = max(summary.MemoryMB, r.MemoryMB)
+		summary.OpenFiles = max(summary.OpenFiles, r.OpenFiles)
+		served = append(served, r.WeightServed/max(minWeight, r.WeightOffered))
+		lost = append(lost, r.WeightLost)
+		firstTokenMs = append(firstTokenMs, r.FirstTokenMs["p50"])
+		cpuMs = append(cpuMs, r.CPUMsPerRequest)
 	}
-	out.WeightServed, out.WeightLost = experiment.MeanInterval(served), experiment.MeanInterval(lost)
-	out.FirstTokenMs, out.CPUMsPerRequest = experiment.MeanInterval(first), experiment.MeanInterval(cpu)
-	return out
+	summary.WeightServed = experiment.MeanInterval(served)
+	summary.WeightLost = experiment.MeanInterval(lost)
+	summary.FirstTokenMs = experiment.MeanInterval(firstTokenMs)
+	summary.CPUMsPerRequest = experiment.MeanInterval(cpuMs)
+	return summary
 }
--- a/internal/cli/scale.go
+++ b/internal/cli/scale.go
@@ -21,46 +21,50 @@
 	JSON    bool   `name:"json" help:"Print JSON in place of tables."`
 }
 
+// Help implements kong.HelpProvider.
 func (drillScaleCmd) Help() string {
 	return "Hollow replicas and hollow gateways in a few processes, a stand-in for discovery and some gateways as processes, all on loopback addresses.\n" +
 		"Sizes are varied one at a time; a figure's slope is by least squares, with its interval. A hollow figure counts where it is within a fifth of the real one.\n" +
 		"It ends by itself, and gives up where the processes take more memory than the plan allows.\n\nExample:\n  archknot drill scale deploy/scale.plan --out scale.json"
 }
 
+// Run measures the points of the plan and prints the result.
 func (c *drillScaleCmd) Run(s *streams) error {
-	p, err := config.LoadScaleRun(c.Plan)
+	plan, err := config.LoadScaleRun(c.Plan)
 	if err != nil {
 		return err
 	}
 	ctx, stop := signal.NotifyContext(context.Background(), os.Interrupt, syscall.SIGTERM)
 	defer stop()
-	bar := countBar(s, len(scaletest.PlannedPoints(p)))
-	res, err := scaletest.Run(ctx, p, scaletest.Options{Program: c.Program, OnProgress: func(done, _ int, what string) {
+	bar := countBar(s, len(scaletest.PlannedPoints(plan)))
+	onProgress := func(done, _ int, description string) {
 		if bar != nil {
-			bar.Describe(what)
-			_ = bar.Set(done)
+			bar.Describe(description)
+			_ = bar.Set(done) // a progress bar that cannot be drawn is no reason to stop
 		}
-	}})
+	}
+	result, err := scaletest.Run(ctx, plan, scaletest.Options{Program: c.Program, OnProgress: onProgress})
 	if err != nil {
 		return err
 	}
 	if c.Out != "" {
-		if err := writeFile(c.Out, func(w io.Writer) error { return json.NewEncoder(w).Encode(res) }); err != nil {
+		if err := writeFile(c.Out, func(w io.Writer) error { return json.NewEncoder(w).Encode(result) }); err != nil {
 			return err
 		}
 	}
 	if c.JSON {
-		return s.print(res)
+		return s.print(result)
 	}
-	res.WriteTables(s.out)
+	result.WriteTables(s.out)
 	return nil
 }
 
-// scaleRoleCmd is a process of a scale run.
+// scaleRoleCmd runs a role of a scale run in this process.
 type scaleRoleCmd struct {
 	Role string `arg:"" help:"Which."`
 }
 
+// Run serves the role until standard input ends.
 func (c *scaleRoleCmd) Run(s *streams) error {
 	slog.SetDefault(slog.New(slog.NewTextHandler(os.Stderr, &slog.HandlerOptions{Level: slog.LevelError})))
 	return scaletest.Serve(context.Background(), c.Role, os.Stdin, s.out)
--- a/internal/cli/soak.go
+++ b/internal/cli/soak.go
@@ -10,6 +10,7 @@
 	"archknot/internal/faulttest"
 )
 
+// drillSoakCmd runs soaks.
 type drillSoakCmd struct {
 	Plan     string `arg:"" help:"The plan: see deploy/soak.plan."`
 	Program  string `placeholder:"FILE" help:"Another build that is started in the place of this one."`
@@ -18,44 +19,46 @@
 	seedFlags
 }
 
+// Help implements kong.HelpProvider.
 func (drillSoakCmd) Help() string {
 	return "Drawn by the seed: SIGHUP, SIGSTOP for up to 0.15 s, SIGKILL, SIGTERM with SIGKILL at the earliest, upgrades (odd seeds), operators' calls, descriptors\n" +
 		"and disks that are short, replicas that drain, fail and come back cold, discovery that is out or slow, clients that leave and send in pieces, a crowd of\n" +
 		"idle ones (each third seed). Everything is on loopback addresses. Exit code 1: a rule was broken.\n\nExample:\n  archknot drill soak deploy/soak.plan --seeds 50 --jobs 2"
 }
 
+// Run carries out the soaks and prints their results. It returns errNo if a rule was violated.
 func (c *drillSoakCmd) Run(s *streams) error {
-	p, v, w, err := loadPlan(c.Plan, "", "")
+	plan, variant, workload, err := loadPlan(c.Plan, "", "")
 	if err != nil {
 		return err
 	}
 	var mu sync.Mutex
-	broken := 0
-	err = c.each(func(ctx context.Context, seed uint64, o faulttest.Options) error {
-		spec, err := p.Spec(v, w, seed)
+	failures := 0
+	err = c.each(func(ctx context.Context, seed uint64, options faulttest.Options) error {
+		spec, err := plan.Spec(variant, workload, seed)
 		if err != nil {
 			return err
 		}
-		o.Program = c.Program
-		r, err := faulttest.Soak(ctx, spec, o)
+		options.Program = c.Program
+		result, err := faulttest.Soak(ctx, spec, options)
 		if err != nil {
 			return err
 		}
 		mu.Lock()
 		defer mu.Unlock()
-		broken += len(r.Violations) + len(r.Crashes)
-		return c.printResult(s, r)
+		failures += len(result.Violations) + len(result.Crashes)
+		return c.printResult(s, result)
 	})
 	if err != nil {
 		return err
 	}
-	if broken > 0 {
+	if failures > 0 {
 		return errNo
 	}
 	return nil
 }
 
-// printResult prints one soak as it ends.
+// printResult prints the result of one soak.
 func (c *drillSoakCmd) printResult(s *streams, r *faulttest.SoakResult) error {
 	if c.JSON {
 		return json.NewEncoder(s.out).Encode(r)
