--- a/cmd/archknot/main.go
+++ b/cmd/archknot/main.go
@@ -1,5 +1,5 @@
-// Archknot is a gateway on real sockets, and the commands round it. The bare
-// command serves; NODE_CONFIG names its configuration.
+// Archknot is a gateway in front of language-model replicas, with the commands to operate and test it.
+// Without a command it serves; NODE_CONFIG names its configuration.
 package main
 
 import "archknot/internal/cli"
--- a/cmd/archknot/main_test.go
+++ b/cmd/archknot/main_test.go
@@ -18,7 +18,8 @@
 	"time"
 )
 
-// The program itself, with signals from outside: the test binary is the program where it is told so.
+// The tests run the program as a process and send it signals: with ARCHKNOT_TEST_PROGRAM set the test binary
+// is the program.
 func TestMain(m *testing.M) {
 	if os.Getenv("ARCHKNOT_TEST_PROGRAM") != "" {
 		os.Args = os.Args[:1]
@@ -29,25 +30,25 @@
 }
 
 const (
-	most   = 10 * time.Second // bounds each wait
-	event  = "data: {\"choices\":[{\"index\":0,\"delta\":{\"content\":\"a\"},\"finish_reason\":null}]}\n\n"
-	done   = "data: [DONE]\n\n"
-	config = `{"name":"g","listen":"%s","discovery":"%s","limits":{"cores":1,"memory_mb":32,"sockets":%d},
+	waitLimit    = 10 * time.Second // of each wait
+	firstEvent   = "data: {\"choices\":[{\"index\":0,\"delta\":{\"content\":\"a\"},\"finish_reason\":null}]}\n\n"
+	lastEvent    = "data: [DONE]\n\n"
+	configFormat = `{"name":"g","listen":"%s","discovery":"%s","limits":{"cores":1,"memory_mb":32,"sockets":%d},
  %s"settings":{"nInstances":%d,"selfIndex":%d,"zone":"a","zones":["a"],"limits":{"maxAttempts":3,"connIdleUs":60000000,"connectTimeoutUs":500000,"mostHeld":2000},
   "rules":{"askWithinUs":10000000,"startCapacity":0.5},"requestClasses":[{"name":"chat","targetUs":1000000,"deadlineUs":6000000,"effect":"repeatable","streamed":true}]}}`
 )
 
-// fleet is one replica, which may be held before its last chunk, and discovery.
-type fleet struct {
-	replica, discovery string
-	sends              atomic.Int32
-	lists              atomic.Int32
-	begun              chan struct{} // a stream has begun
-	more               chan struct{} // closed: streams end
+// fakeFleet is one replica, whose streams with the key "hold" stay open, and discovery.
+type fakeFleet struct {
+	replicaAddr, discoveryAddr string
+	attempts                   atomic.Int32
+	listCalls                  atomic.Int32
+	streamStarted              chan struct{} // receives for each open stream
+	endStreams                 chan struct{} // closed: the open streams end
 }
 
-// address is one that no other process uses: on a loopback address of its own.
-func address(t *testing.T) string {
+// freeAddress returns an address that no other process uses: it has a random loopback IP address.
+func freeAddress(t *testing.T) string {
 	t.Helper()
 	l, err := net.Listen("tcp", fmt.Sprintf("127.%d.%d.%d:0", 2+rand.IntN(250), rand.IntN(250), 1+rand.IntN(250)))
 	if err != nil {
@@ -57,7 +58,7 @@
 	return l.Addr().String()
 }
 
-// serve listens at an address that was found free before: another process may have its port for a moment.
+// serve listens on an address that was free before. Another process may use its port for a moment.
 func serve(t *testing.T, addr string, h http.HandlerFunc) {
 	t.Helper()
 	l, err := net.Listen("tcp", addr)
@@ -73,33 +74,37 @@
 	t.Cleanup(func() { s.Close() })
 }
 
-func newFleet(t *testing.T) *fleet {
-	f := &fleet{replica: address(t), discovery: address(t), begun: make(chan struct{}, 64), more: make(chan struct{})}
-	serve(t, f.replica, func(w http.ResponseWriter, r *http.Request) {
+// newFleet starts the replica. Discovery is down until startDiscovery.
+func newFleet(t *testing.T) *fakeFleet {
+	t.Helper()
+	f := &fakeFleet{replicaAddr: freeAddress(t), discoveryAddr: freeAddress(t), streamStarted: make(chan struct{}, 64), endStreams: make(chan struct{})}
+	serve(t, f.replicaAddr, func(w http.ResponseWriter, r *http.Request) {
 		if r.Method != http.MethodPost {
 			return
 		}
-		f.sends.Add(1)
+		f.attempts.Add(1)
 		w.Header().Set("Content-Type", "text/event-stream")
-		io.WriteString(w, event)
+		io.WriteString(w, firstEvent)
 		w.(http.Flusher).Flush()
 		if r.Header.Get("Req-Key") == "hold" {
-			f.begun <- struct{}{}
-			<-f.more
+			f.streamStarted <- struct{}{}
+			<-f.endStreams
 		}
-		io.WriteString(w, done)
+		io.WriteString(w, lastEvent)
 	})
 	return f
 }
 
-func (f *fleet) entry(lifecycle string) string {
-	return fmt.Sprintf(`{"instanceId":"s-1","hostPort":"%s","zone":"a","machineType":"m","lifecycle":"%s","weight":1,"startedAtMs":0}`, f.replica, lifecycle)
+// endpoint returns the replica as an entry of the endpoint list.
+func (f *fakeFleet) endpoint(lifecycle string) string {
+	return fmt.Sprintf(`{"instanceId":"s-1","hostPort":"%s","zone":"a","machineType":"m","lifecycle":"%s","weight":1,"startedAtMs":0}`, f.replicaAddr, lifecycle)
 }
 
-// discover starts discovery, which tells the replica in this state to whoever asks.
-func (f *fleet) discover(t *testing.T, lifecycle string) {
-	serve(t, f.discovery, func(w http.ResponseWriter, r *http.Request) {
-		f.lists.Add(1)
+// startDiscovery starts discovery, which lists the replica with a lifecycle.
+func (f *fakeFleet) startDiscovery(t *testing.T, lifecycle string) {
+	t.Helper()
+	serve(t, f.discoveryAddr, func(w http.ResponseWriter, r *http.Request) {
+		f.listCalls.Add(1)
 		if r.URL.Query().Get("since") != "" {
 			select {
 			case <-r.Context().Done():
@@ -107,33 +112,34 @@
 			case <-time.After(200 * time.Millisecond):
 			}
 		}
-		fmt.Fprintf(w, `{"generation":1,"reset":true,"instances":[%s]}`, f.entry(lifecycle))
+		fmt.Fprintf(w, `{"generation":1,"reset":true,"instances":[%s]}`, f.endpoint(lifecycle))
 	})
 }
 
-// program is one process of archknot.
+// program is a process of archknot.
 type program struct {
 	cmd    *exec.Cmd
 	addr   string
 	exited chan error
 }
 
-// run starts the program with so many descriptors, with the list as last held or without.
-func (f *fleet) run(t *testing.T, sockets int, known bool) *program {
+// run starts the program with a limit on descriptors, with or without a known endpoint list in its
+// configuration.
+func (f *fakeFleet) run(t *testing.T, sockets int, listKnown bool) *program {
 	t.Helper()
-	return f.runOne(t, sockets, known, 0, 1)
+	return f.runOneOf(t, sockets, listKnown, 0, 1)
 }
 
-// runOne starts the self-th of so many programs.
-func (f *fleet) runOne(t *testing.T, sockets int, known bool, self, of int) *program {
+// runOneOf starts the program as one gateway of several.
+func (f *fakeFleet) runOneOf(t *testing.T, sockets int, listKnown bool, index, gateways int) *program {
 	t.Helper()
-	p := &program{addr: address(t), exited: make(chan error, 1)}
-	list := ""
-	if known {
-		list = fmt.Sprintf(`"known":{"generation":0,"reset":true,"instances":[%s]},`, f.entry("ready"))
+	p := &program{addr: freeAddress(t), exited: make(chan error, 1)}
+	knownList := ""
+	if listKnown {
+		knownList = fmt.Sprintf(`"known":{"generation":0,"reset":true,"instances":[%s]},`, f.endpoint("ready"))
 	}
 	path := filepath.Join(t.TempDir(), "config.json")
-	if err := os.WriteFile(path, fmt.Appendf(nil, config, p.addr, f.discovery, sockets, list, of, self), 0o600); err != nil {
+	if err := os.WriteFile(path, fmt.Appendf(nil, configFormat, p.addr, f.discoveryAddr, sockets, knownList, gateways, index), 0o600); err != nil {
 		t.Fatal(err)
 	}
 	p.cmd = exec.Command("/bin/sh", "-c", fmt.Sprintf("ulimit -n %d; exec %s", sockets, os.Args[0]))
@@ -153,30 +159,31 @@
 	}
 }
 
-// ends waits for the process and wants it to have ended in order.
-func (p *program) ends(t *testing.T) {
+// waitForExit waits for the process to end with success.
+func (p *program) waitForExit(t *testing.T) {
 	t.Helper()
 	select {
 	case err := <-p.exited:
 		if err != nil {
 			t.Errorf("the process ended with %v", err)
 		}
-	case <-time.After(most):
+	case <-time.After(waitLimit):
 		t.Error("the process does not end")
 	}
 }
 
-func until(t *testing.T, what string, yes func() bool) {
+// waitUntil waits until a condition holds.
+func waitUntil(t *testing.T, what string, condition func() bool) {
 	t.Helper()
-	for end := time.Now().Add(most); !yes(); time.Sleep(2 * time.Millisecond) {
+	for end := time.Now().Add(waitLimit); !condition(); time.Sleep(2 * time.Millisecond) {
 		if time.Now().After(end) {
 			t.Fatalf("not in time: %s", what)
 		}
 	}
 }
 
-// status is what the program's readiness is answered with; 0: nothing.
-func (p *program) status() int {
+// readyStatus returns the status of the readiness check for clients, 0 without an answer.
+func (p *program) readyStatus() int {
 	resp, err := (&http.Client{Transport: &http.Transport{DisableKeepAlives: true}, Timeout: time.Second}).Get("http://" + p.addr + "/health/ready")
 	if err != nil {
 		return 0
@@ -185,37 +192,41 @@
 	return resp.StatusCode
 }
 
-type client struct {
+// testClient is a client's connection.
+type testClient struct {
 	net.Conn
-	in *bufio.Reader
-	t  *testing.T
+	reader *bufio.Reader
+	t      *testing.T
 }
 
-func (p *program) dial(t *testing.T) *client {
+// dial opens a client's connection.
+func (p *program) dial(t *testing.T) *testClient {
 	t.Helper()
 	c, err := net.Dial("tcp", p.addr)
 	if err != nil {
 		t.Fatal(err)
 	}
 	t.Cleanup(func() { c.Close() })
-	c.SetDeadline(time.Now().Add(2 * most))
-	return &client{c, bufio.NewReader(c), t}
+	c.SetDeadline(time.Now().Add(2 * waitLimit))
+	return &testClient{c, bufio.NewReader(c), t}
 }
 
-func request(id, key string) string {
+// requestText returns a request. The key "hold" keeps its stream open at the replica.
+func requestText(id, key string) string {
 	return "POST /v1/chat/completions HTTP/1.1\r\nHost: a\r\nReq-Kind: chat\r\nReq-Id: " + id + "\r\nReq-Key: " + key + "\r\nContent-Length: 0\r\n\r\n"
 }
 
-func (c *client) send(text string) {
+func (c *testClient) send(text string) {
 	c.t.Helper()
 	if _, err := io.WriteString(c, text); err != nil {
 		c.t.Error(err)
 	}
 }
 
-func (c *client) answer() (status int, body string, last bool) {
+// readResponse reads a response. last says that the connection is closed after it.
+func (c *testClient) readResponse() (status int, body string, last bool) {
 	c.t.Helper()
-	resp, err := http.ReadResponse(c.in, nil)
+	resp, err := http.ReadResponse(c.reader, nil)
 	if err != nil {
 		c.t.Error(err)
 		return 0, "", false
@@ -227,156 +238,157 @@
 	return resp.StatusCode, string(b), resp.Close
 }
 
-func (c *client) served(what string) {
+// expectServed reads a response and expects it to be complete.
+func (c *testClient) expectServed(what string) {
 	c.t.Helper()
-	if status, body, _ := c.answer(); status != 200 || body != event+done {
+	if status, body, _ := c.readResponse(); status != 200 || body != firstEvent+lastEvent {
 		c.t.Errorf("%s: status %d, %q", what, status, body)
 	}
 }
 
-// SIGTERM comes at each point: twice, with and behind a SIGHUP, under half a request, right behind an
-// accept, and while a stream is before its last chunk. All that was taken is answered whole, on
-// the connection that it came on, which ends then, and the process ends in order.
+// SIGTERM arrives once, twice, before and after a SIGHUP, and at each stage of a connection: idle, within a
+// request, just accepted, and within a stream. Every accepted request gets its complete response, its
+// connection is closed after it, and the process ends with success.
 func TestTerm(t *testing.T) {
 	for name, signals := range map[string][]syscall.Signal{
 		"once": {syscall.SIGTERM}, "twice": {syscall.SIGTERM, syscall.SIGTERM},
-		"behind a SIGHUP": {syscall.SIGHUP, syscall.SIGTERM}, "before a SIGHUP": {syscall.SIGTERM, syscall.SIGHUP},
+		"after a SIGHUP": {syscall.SIGHUP, syscall.SIGTERM}, "before a SIGHUP": {syscall.SIGTERM, syscall.SIGHUP},
 	} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
 			f := newFleet(t)
-			f.discover(t, "ready")
+			f.startDiscovery(t, "ready")
 			p := f.run(t, 256, true)
-			until(t, "ready", func() bool { return p.status() == 200 })
-			resting, held, half, next := p.dial(t), p.dial(t), p.dial(t), p.dial(t)
-			resting.send(request("r", "-"))
-			resting.served("before the signal")
-			held.send(request("h", "hold"))
-			<-f.begun
-			half.send(request("p", "-")[:40])
-			next.send(request("n0", "-"))
-			next.served("the first on a connection")
-			next.send(request("n1", "-")[:40])
+			waitUntil(t, "ready", func() bool { return p.readyStatus() == 200 })
+			idle, streaming, half, next := p.dial(t), p.dial(t), p.dial(t), p.dial(t)
+			idle.send(requestText("r", "-"))
+			idle.expectServed("before the signal")
+			streaming.send(requestText("h", "hold"))
+			<-f.streamStarted
+			half.send(requestText("p", "-")[:40])
+			next.send(requestText("n0", "-"))
+			next.expectServed("the first on a connection")
+			next.send(requestText("n1", "-")[:40])
 			accepted := p.dial(t)
 			for _, s := range signals {
 				p.signal(t, s)
 			}
-			if _, err := resting.in.ReadByte(); err != io.EOF { // the drain has begun
-				t.Errorf("the resting connection: %v, want a clean end", err)
+			if _, err := idle.reader.ReadByte(); err != io.EOF { // the drain has begun
+				t.Errorf("the idle connection: %v, want a clean end", err)
 			}
-			half.send(request("p", "-")[40:])
-			half.served("half a request")
-			next.send(request("n1", "-")[40:])
-			next.served("half a further request")
-			accepted.send(request("a", "-"))
-			accepted.served("a connection just accepted")
-			close(f.more)
-			held.served("the stream")
-			for _, c := range []*client{half, next, accepted, held} {
-				if _, err := c.in.ReadByte(); err != io.EOF {
-					t.Errorf("behind the last answer: %v", err)
+			half.send(requestText("p", "-")[40:])
+			half.expectServed("half a request")
+			next.send(requestText("n1", "-")[40:])
+			next.expectServed("half a request after another")
+			accepted.send(requestText("a", "-"))
+			accepted.expectServed("a connection just accepted")
+			close(f.endStreams)
+			streaming.expectServed("the stream")
+			for _, c := range []*testClient{half, next, accepted, streaming} {
+				if _, err := c.reader.ReadByte(); err != io.EOF {
+					t.Errorf("after the last response: %v", err)
 				}
 			}
-			p.ends(t)
-			if n := f.sends.Load(); n != 6 {
+			p.waitForExit(t)
+			if n := f.attempts.Load(); n != 6 {
 				t.Errorf("%d attempts for six requests", n)
 			}
 		})
 	}
 }
 
-// SIGTERM before discovery has ever answered ends the process all the same.
+// SIGTERM ends the process also before discovery has ever answered.
 func TestTermBeforeTheFirstList(t *testing.T) {
 	f := newFleet(t)
 	p := f.run(t, 256, false)
-	until(t, "not ready", func() bool { return p.status() == 503 })
+	waitUntil(t, "not ready", func() bool { return p.readyStatus() == 503 })
 	p.signal(t, syscall.SIGTERM)
-	p.ends(t)
+	p.waitForExit(t)
 }
 
-// With as many descriptors as it is told and discovery down, idle clients fill all places: the program
-// serves new clients nonetheless, and hears of discovery's news once that is back.
+// With discovery down, idle clients use all descriptors of the limit. The program serves new clients all the
+// same, and gets the endpoint list once discovery is back.
 func TestIdleClientsFillTheDescriptors(t *testing.T) {
 	f := newFleet(t)
 	p := f.run(t, 128, true)
-	until(t, "ready", func() bool { return p.status() == 200 })
+	waitUntil(t, "ready", func() bool { return p.readyStatus() == 200 })
 	for i := range 150 {
 		c := p.dial(t)
-		if i%2 == 0 { // half of them were served once
-			c.send(request(fmt.Sprint("i", i), "-"))
-			c.served("an idle client's")
+		if i%2 == 0 { // half of them have had a response
+			c.send(requestText(fmt.Sprint("i", i), "-"))
+			c.expectServed("an idle client's")
 		}
 	}
 	for i := range 10 {
 		c := p.dial(t)
-		c.send(request(fmt.Sprint("n", i), "-"))
-		c.served("a new client's")
+		c.send(requestText(fmt.Sprint("n", i), "-"))
+		c.expectServed("a new client's")
 	}
-	f.discover(t, "draining")
+	f.startDiscovery(t, "draining")
 	back := time.Now()
-	until(t, "two calls of discovery", func() bool { return f.lists.Load() >= 2 })
+	waitUntil(t, "two calls of discovery", func() bool { return f.listCalls.Load() >= 2 })
 	if d := time.Since(back); d > 6*time.Second {
-		t.Errorf("told %v after discovery could be reached", d)
+		t.Errorf("it polled discovery only %v after that was up", d)
 	}
-	n := f.sends.Load()
+	n := f.attempts.Load()
 	c := p.dial(t)
-	c.send(request("late", "-"))
-	if status, _, _ := c.answer(); status != 503 || f.sends.Load() != n {
-		t.Errorf("status %d, %d sends to a replica that drains", status, f.sends.Load()-n)
+	c.send(requestText("late", "-"))
+	if status, _, _ := c.readResponse(); status != 503 || f.attempts.Load() != n {
+		t.Errorf("status %d, %d attempts at a replica that drains", status, f.attempts.Load()-n)
 	}
 	fds, err := os.ReadDir(fmt.Sprintf("/proc/%d/fd", p.cmd.Process.Pid))
 	if err != nil || len(fds) > 128 {
 		t.Errorf("%d descriptors, %v", len(fds), err)
 	}
 	p.signal(t, syscall.SIGTERM)
-	p.ends(t)
+	p.waitForExit(t)
 }
 
-// Twenty processes that all start anew, without a list and with discovery down, are ready, nine in
-// ten of them, within 10 s of its return; with the list as last held they are while it is down.
+// Nine in ten of twenty processes that start without an endpoint list while discovery is down are ready
+// within 10 s of its return. With a known list they are ready while it is down.
 func TestTwentyStartTogether(t *testing.T) {
-	for name, known := range map[string]bool{"with the list as last held": true, "without a list": false} {
+	for name, listKnown := range map[string]bool{"with a known list": true, "without a list": false} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
 			const all = 20
 			f := newFleet(t)
 			var programs []*program
 			for i := range all {
-				programs = append(programs, f.runOne(t, 128, known, i, all))
+				programs = append(programs, f.runOneOf(t, 128, listKnown, i, all))
 			}
 			status := func(want int) (n int) {
 				for _, p := range programs {
-					if p.status() == want {
+					if p.readyStatus() == want {
 						n++
 					}
 				}
 				return n
 			}
 			begun := time.Now()
-			if !known {
-				until(t, "all up, none ready", func() bool { return status(503) == all })
-				f.discover(t, "ready")
+			if !listKnown {
+				waitUntil(t, "all up, none ready", func() bool { return status(503) == all })
+				f.startDiscovery(t, "ready")
 				begun = time.Now()
 			}
-			until(t, "nine in ten ready", func() bool { return status(200) >= all*9/10 })
+			waitUntil(t, "nine in ten ready", func() bool { return status(200) >= all*9/10 })
 			t.Logf("nine in ten ready after %v", time.Since(begun).Round(10*time.Millisecond))
-			until(t, "all up", func() bool { return status(0) == 0 }) // before, the signal's default would end one
+			waitUntil(t, "all up", func() bool { return status(0) == 0 }) // before that SIGTERM would end a process by its default action
 			for _, p := range programs {
 				p.signal(t, syscall.SIGTERM)
 			}
 			for _, p := range programs {
-				p.ends(t)
+				p.waitForExit(t)
 			}
 		})
 	}
 }
 
-// A reload with odd settings changes nothing: the running ones go on, and the process with them.
-func TestOddReload(t *testing.T) {
+// A reload of an invalid configuration changes nothing: the process continues with its settings.
+func TestReloadOfInvalidConfig(t *testing.T) {
 	f := newFleet(t)
-	f.discover(t, "ready")
+	f.startDiscovery(t, "ready")
 	p := f.run(t, 256, true)
-	until(t, "ready", func() bool { return p.status() == 200 })
+	waitUntil(t, "ready", func() bool { return p.readyStatus() == 200 })
 	path := ""
 	for _, e := range p.cmd.Env {
 		if v, ok := strings.CutPrefix(e, "NODE_CONFIG="); ok {
@@ -388,12 +400,12 @@
 			t.Fatal(err)
 		}
 		p.signal(t, syscall.SIGHUP)
-		calls := f.lists.Load()
-		until(t, "the watch goes on", func() bool { return f.lists.Load() > calls+1 })
+		calls := f.listCalls.Load()
+		waitUntil(t, "the polling of discovery goes on", func() bool { return f.listCalls.Load() > calls+1 })
 		c := p.dial(t)
-		c.send(request(fmt.Sprint("o", i), "-"))
-		c.served("behind an odd reload")
+		c.send(requestText(fmt.Sprint("o", i), "-"))
+		c.expectServed("after an invalid reload")
 	}
 	p.signal(t, syscall.SIGTERM)
-	p.ends(t)
+	p.waitForExit(t)
 }
