--- a/internal/cli/drill.go
+++ b/internal/cli/drill.go
@@ -19,6 +19,7 @@
 
 	"archknot/internal/experiment"
 	"archknot/internal/faulttest"
+	"archknot/internal/fleet/model"
 )
 
 // drillCmd has the commands that run gateways under faults or load.
@@ -156,7 +157,8 @@
 		return json.NewEncoder(s.out).Encode(r)
 	}
 	outcomes := make([]string, 0, len(r.Outcomes))
-	for _, outcome := range []string{"served", "broken", "refused", "failed", "late", "contract"} {
+	order := []string{model.OutcomeServed, model.OutcomeBroken, model.OutcomeShed, model.OutcomeFailed, model.OutcomeLate, model.OutcomeContract}
+	for _, outcome := range order {
 		if n := r.Outcomes[outcome]; n > 0 {
 			outcomes = append(outcomes, fmt.Sprintf("%s=%d", outcome, n))
 		}
--- a/internal/faulttest/drill.go
+++ b/internal/faulttest/drill.go
@@ -172,7 +172,7 @@
 	deadlines := map[string]time.Time{}
 	for i, replica := range replicasOf(spec) {
 		for _, fault := range spec.Faults {
-			if fault.Kind == "drain" && fault.Duration == 0 && (fault.Replica == i || fault.Replica < 0) {
+			if fault.Kind == model.FaultDrain && fault.Duration == 0 && (fault.Replica == i || fault.Replica < 0) {
 				deadlines[replica.name] = startedAt.Add(time.Duration(fault.At)*time.Microsecond + drainLimit)
 			}
 		}
--- a/internal/faulttest/result.go
+++ b/internal/faulttest/result.go
@@ -19,12 +19,6 @@
 	vanishGrace = 1500 * time.Millisecond
 )
 
-// The outcomes of a request that are counted apart, of model.RequestEnd.
-const (
-	requestServed = "served"
-	requestShed   = "refused"
-)
-
 // Result is the result of a drill.
 type Result struct {
 	Seed            uint64                  `json:"seed"`
@@ -93,7 +87,7 @@
 
 // inTime reports whether the request was completely served with a first token before the client's timeout.
 func (r *clientRequest) inTime() bool {
-	return r.last.Outcome == requestServed && r.firstTokenAt() > 0 && r.firstTokenLatency() <= r.first.FirstTokenTimeout
+	return r.last.Outcome == model.OutcomeServed && r.firstTokenAt() > 0 && r.firstTokenLatency() <= r.first.FirstTokenTimeout
 }
 
 // weightServed returns the priority weight that the request earned.
@@ -150,7 +144,7 @@
 	if weight >= class.PriorityWeight && class.PriorityWeight > 0 {
 		ofClass.InTime++
 	}
-	if request.last.Outcome == requestShed {
+	if request.last.Outcome == model.OutcomeShed {
 		ofClass.Shed++
 	}
 }
@@ -200,7 +194,7 @@
 	}
 	all, toVanished := 0, 0
 	for _, fault := range spec.Faults {
-		if fault.Kind != "lose" {
+		if fault.Kind != model.FaultLoseMachine {
 			continue
 		}
 		from := startedAt.Add(time.Duration(fault.At)*time.Microsecond + vanishGrace)
--- a/internal/faulttest/soakevents.go
+++ b/internal/faulttest/soakevents.go
@@ -24,7 +24,7 @@
 	// limitWhileShort is the limit on descriptors, or on the size of files, of a process that is short of
 	// them.
 	limitWhileShort = 5
-	// slowFactor is how much slower a replica with the fault "slow" is.
+	// slowFactor is how much slower a replica with the fault model.FaultSlow is.
 	slowFactor = 3
 )
 
@@ -270,9 +270,9 @@
 	pause(ctx, drainGrace)
 	if rng.IntN(2) == 0 {
 		s.logEvent("%s is restarted", replica)
-		s.fleet.StartFault(model.Fault{Kind: "kill", Replica: index})
+		s.fleet.StartFault(model.Fault{Kind: model.FaultKill, Replica: index})
 		time.Sleep(between(rng, 200*time.Millisecond, time.Second))
-		s.fleet.EndFault(model.Fault{Kind: "kill", Replica: index})
+		s.fleet.EndFault(model.Fault{Kind: model.FaultKill, Replica: index})
 	}
 	pause(ctx, between(rng, time.Second, 3*time.Second))
 	for i, n := range s.cluster.nodes {
@@ -332,14 +332,23 @@
 
 // replicaEvents plays faults of replicas, and drains in the endpoint list.
 func (s *soakRun) replicaEvents(ctx context.Context, rng *rand.Rand) {
-	kinds := []string{"drain", "drain", "kill", "silent", "slow", "reset", "spoil", "lose"}
+	kinds := []string{
+		model.FaultDrain,
+		model.FaultDrain,
+		model.FaultKill,
+		model.FaultSilent,
+		model.FaultSlow,
+		model.FaultReset,
+		model.FaultMalformed,
+		model.FaultLoseMachine,
+	}
 	for pause(ctx, between(rng, 0, time.Second)); ctx.Err() == nil; pause(ctx, between(rng, 200*time.Millisecond, time.Second)) {
 		index := s.reserve(rng)
 		if index < 0 {
 			continue
 		}
 		fault := model.Fault{Kind: kinds[rng.IntN(len(kinds))], Replica: index, Factor: 1}
-		if fault.Kind == "slow" {
+		if fault.Kind == model.FaultSlow {
 			fault.Factor = slowFactor
 		}
 		s.playFault(ctx, fault, between(rng, 1500*time.Millisecond, 5*time.Second))
@@ -354,7 +363,7 @@
 	s.logEvent("%s: %s", replica, fault.Kind)
 	s.fleet.StartFault(fault)
 	pause(ctx, duration)
-	if fault.Kind == "drain" {
+	if fault.Kind == model.FaultDrain {
 		s.mu.Lock()
 		s.intervals.drains = append(s.intervals.drains, drainInterval{replica, interval{from, time.Now()}})
 		s.mu.Unlock()
