--- a/internal/cli/site.go
+++ b/internal/cli/site.go
@@ -249,23 +249,20 @@
 	}
 	result := &siteDrillResult{
 		Seed:     run.Seed,
-		Served:   drill.Worth / max(minWeight, drill.Asked),
+		Served:   drill.WeightServed / max(minWeight, drill.WeightOffered),
 		Classes:  map[string]float64{},
-		ToLost:   drill.ToLost,
-		Breaks:   len(drill.Breaks),
+		ToLost:   drill.ToVanishedShare,
+		Breaks:   len(drill.Violations),
 		Crashes:  len(drill.Crashes),
 		Forecast: &f.Served,
 	}
 	result.Within = f.Served.Within(result.Served)
 	for name, class := range drill.Classes {
-		result.Classes[name] = class.Worth / max(minWeight, class.Asked)
+		result.Classes[name] = class.WeightServed / max(minWeight, class.WeightOffered)
 	}
 	return result, drill, nil
 }
 
-// minWeight keeps shares of weight finite where nothing was offered.
-const minWeight = 1e-9
-
 // printResult prints the outcome of a drill in one line, and what it broke.
 func (c *siteDrillCmd) printResult(w io.Writer, result *siteDrillResult, drill *faulttest.Result) error {
 	if c.JSON {
@@ -276,6 +273,6 @@
 		fmt.Fprintf(w, " %s=%.3f", name, result.Classes[name])
 	}
 	fmt.Fprintln(w)
-	tellBroken(w, drill)
+	printViolations(w, drill)
 	return nil
 }
--- a/internal/faulttest/cluster.go
+++ b/internal/faulttest/cluster.go
@@ -3,325 +3,225 @@
 import (
 	"bytes"
 	"context"
-	"encoding/json"
 	"errors"
 	"fmt"
 	"math/rand/v2"
 	"net"
 	"net/http"
 	"os"
-	"os/exec"
 	"path/filepath"
 	"runtime"
-	"strings"
 	"sync"
 	"syscall"
 	"time"
 
 	"archknot/internal/fleet/model"
 	"archknot/internal/httpwire"
-	"archknot/internal/simwire"
 )
 
-// cluster is the gateways' processes.
-type cluster struct {
-	spec     *model.Spec
-	program  string
-	dir      string
-	registry string
-	relays   *relays
-	nodes    []*node
-	orders   chan func() // processes are started by one thread: they end with it
-	client   *http.Client
-}
+const (
+	// freeAddrTries is how many ports are tried before there counts as none free.
+	freeAddrTries = 200
+	// The range of the gateways' ports lies below those that the system assigns itself.
+	firstPort, portCount = 10_000, 20_000
+	// readyPollInterval is the time between two requests whether a gateway is ready.
+	readyPollInterval = 10 * time.Millisecond
+	// logTailLines is how many lines of a log an error quotes.
+	logTailLines = 8
+)
 
-// node is one gateway, over all its lives.
-type node struct {
-	n        int
-	name     string
-	addr     string // for clients
-	link     string // the process's own
-	relay    *relay
-	site     int
-	socket   *os.File // the clients' listening socket, which its lives share; nil: each binds its own
-	mu       sync.Mutex
-	life     *life // nil: it does not run
-	starting bool  // again, and not ready yet: the front does not offer it
-	crashes  []string
+// cluster is the gateways of a drill or soak, each a process.
+type cluster struct {
+	spec          *model.Spec
+	program       string
+	dir           string
+	discoveryAddr string
+	relays        *relayNetwork // nil: the gateways reach each other directly
+	nodes         []*node
+	starts        chan func() // run by one thread, with which the processes end
+	client        *http.Client
+}
+
+// newCluster starts the gateways of a specification. Their configurations and logs are in dir.
+func newCluster(spec *model.Spec, program, dir, discoveryAddr string) (*cluster, error) {
+	c := &cluster{
+		spec:          spec,
+		program:       program,
+		dir:           dir,
+		discoveryAddr: discoveryAddr,
+		starts:        make(chan func()),
+		client:        &http.Client{Timeout: time.Second, Transport: &http.Transport{DisableKeepAlives: true}},
+	}
+	go c.runStarts()
+	if err := c.startAll(); err != nil {
+		c.close()
+		return nil, err
+	}
+	return c, nil
 }
 
-// life is one process of a gateway.
-type life struct {
-	cmd      *exec.Cmd
-	admin    string // where operators call it
-	exited   chan struct{}
-	expected bool // to end
-	frozen   bool
+// runStarts starts processes. It has a thread of its own because Pdeathsig is sent when the thread that
+// started a process ends.
+func (c *cluster) runStarts() {
+	runtime.LockOSThread()
+	for start := range c.starts {
+		start()
+	}
 }
 
-func newCluster(spec *model.Spec, program, dir, registry string) (*cluster, error) {
-	c := &cluster{spec: spec, program: program, dir: dir, registry: registry, orders: make(chan func()),
-		client: &http.Client{Timeout: time.Second, Transport: &http.Transport{DisableKeepAlives: true}}}
-	go func() {
-		runtime.LockOSThread() // Pdeathsig comes when the thread ends
-		for do := range c.orders {
-			do()
-		}
-	}()
-	if spec.Drill.Peers && spec.Drill.Relays {
-		c.relays = newRelays(spec.Seed)
+// startAll creates all nodes, so that each knows the addresses of the others, and starts their processes.
+func (c *cluster) startAll() error {
+	if c.spec.Drill.Peers && c.spec.Drill.Relays {
+		c.relays = newRelayNetwork(c.spec.Seed)
 	}
-	for i := range spec.Gateways {
-		n := &node{n: i, name: fmt.Sprintf("g%d", i+1), site: i % max(1, spec.Drill.Sites)}
-		var err error
-		if n.addr, err = c.free(); err == nil {
-			n.link, err = c.free()
-		}
-		if err == nil && c.relays != nil {
-			var at string
-			if at, err = c.free(); err == nil {
-				n.relay, err = c.relays.add(n.name, n.link, at)
-			}
-		}
+	for i := range c.spec.Gateways {
+		n, err := c.newNode(i)
 		if err != nil {
-			c.close()
-			return nil, err
+			return err
 		}
 		c.nodes = append(c.nodes, n)
 	}
 	for _, n := range c.nodes {
-		err := c.write(n)
-		if err == nil && spec.Drill.SharedListener {
-			err = n.hold()
+		if err := c.writeConfig(n); err != nil {
+			return err
 		}
-		if err != nil {
-			c.close()
-			return nil, err
+		if c.spec.Drill.SharedListener {
+			if err := n.openListenSocket(); err != nil {
+				return err
+			}
 		}
 		if err := c.start(n); err != nil {
-			c.close()
-			return nil, err
+			return err
 		}
 	}
-	return c, nil
+	return nil
+}
+
+// newNode assigns a gateway its addresses, and opens its relay if there is one.
+func (c *cluster) newNode(index int) (*node, error) {
+	n := &node{index: index, name: fmt.Sprintf("g%d", index+1), zone: index % max(1, c.spec.Drill.Sites)}
+	var err error
+	if n.addr, err = c.freeAddr(); err != nil {
+		return nil, err
+	}
+	if n.peerAddr, err = c.freeAddr(); err != nil {
+		return nil, err
+	}
+	if c.relays == nil {
+		return n, nil
+	}
+	relayAddr, err := c.freeAddr()
+	if err != nil {
+		return nil, err
+	}
+	n.relay, err = c.relays.add(n.name, n.peerAddr, relayAddr)
+	return n, err
 }
 
-// dealt are the addresses that drills of this process have looked at.
-var dealt sync.Map
+// triedAddrs are the addresses that drills of this process have tried.
+var triedAddrs sync.Map
 
-// free finds a port that nothing uses, below those that the system deals out itself.
-func (c *cluster) free() (string, error) {
-	for range 200 {
-		addr := fmt.Sprintf("127.0.0.1:%d", 10_000+rand.IntN(20_000))
-		// Looked at only by one drill of this process: a look takes the port for a moment.
-		if _, taken := dealt.LoadOrStore(addr, true); taken {
+// freeAddr returns a loopback address whose port no socket uses, neither TCP nor UDP.
+func (c *cluster) freeAddr() (string, error) {
+	for range freeAddrTries {
+		addr := fmt.Sprintf("127.0.0.1:%d", firstPort+rand.IntN(portCount))
+		// Only one drill of this process tries an address: to try it takes the port for a moment.
+		if _, tried := triedAddrs.LoadOrStore(addr, true); tried {
 			continue
 		}
-		l, err := net.Listen("tcp", addr)
+		listener, err := net.Listen("tcp", addr)
 		if err != nil {
 			continue
 		}
-		u, err := net.ListenPacket("udp", addr)
-		l.Close()
+		packetConn, err := net.ListenPacket("udp", addr)
+		listener.Close()
 		if err != nil {
 			continue
 		}
-		u.Close()
+		packetConn.Close()
 		return addr, nil
 	}
 	return "", errors.New("no free port found")
 }
 
-// write makes a gateway's two configurations.
-func (c *cluster) write(n *node) error {
-	s := c.spec.Settings
-	s.Self, s.Gateways = n.n, c.spec.Gateways
-	zones, kinds := map[string]bool{}, map[string]bool{}
-	for _, g := range c.spec.Groups {
-		if !zones[g.Zone] {
-			s.Zones = append(s.Zones, g.Zone)
-		}
-		if !kinds[g.Name] {
-			s.Kinds = append(s.Kinds, g.Name)
-		}
-		zones[g.Zone], kinds[g.Name] = true, true
-	}
-	s.Zone = s.Zones[n.site%len(s.Zones)]
-	settings, err := simwire.MarshalSettings(s)
-	if err != nil {
-		return err
-	}
-	config, err := json.Marshal(map[string]any{"name": n.name, "listen": n.addr, "discovery": c.registry, "seed": fmt.Sprintf("%x", c.spec.Seed*1000+uint64(n.n)+1),
-		"limits": map[string]any{"cores": 1, "memory_mb": c.spec.Drill.MemoryMB, "sockets": c.spec.Drill.MaxFiles}, "settings": json.RawMessage(settings)})
-	if err != nil {
-		return err
-	}
-	own := "[log]\nlevel info\n"
-	if d := c.spec.Drill; d.Peers {
-		own += fmt.Sprintf("[peers]\nlisten %s\nsite s%d\ncopies %d\nrecords %d\nrecords-each %d\n", n.link, n.site, d.RequestCopies, d.MaxRecords, d.MaxRecords)
-		if n.relay != nil {
-			own += "advertise " + n.relay.addr + "\n"
-		}
-		var join []string
-		for _, o := range c.nodes[:min(3, len(c.nodes))] {
-			join = append(join, c.reach(o))
-		}
-		own += "join " + strings.Join(join, ",") + "\n"
-	}
-	if err := os.WriteFile(c.path(n, "json"), config, 0o600); err != nil {
-		return err
-	}
-	if err := os.MkdirAll(c.path(n, "tmp"), 0o700); err != nil {
-		return err
-	}
-	return os.WriteFile(c.path(n, "conf"), []byte(own), 0o600)
-}
-
-func (c *cluster) reach(n *node) string {
+// advertisedAddr returns where the other gateways reach a gateway.
+func (c *cluster) advertisedAddr(n *node) string {
 	if n.relay != nil {
 		return n.relay.addr
 	}
-	return n.link
+	return n.peerAddr
 }
 
-func (c *cluster) path(n *node, ending string) string {
-	return filepath.Join(c.dir, n.name+"."+ending)
+// path returns the path of a gateway's file.
+func (c *cluster) path(n *node, extension string) string {
+	return filepath.Join(c.dir, n.name+"."+extension)
 }
 
-// start starts a gateway's next life.
-func (c *cluster) start(n *node) error {
-	n.mu.Lock()
-	defer n.mu.Unlock()
-	if n.life != nil {
-		return nil
-	}
-	log, err := os.OpenFile(c.path(n, "log"), os.O_CREATE|os.O_APPEND|os.O_WRONLY, 0o600)
-	if err != nil {
-		return err
-	}
-	cmd := exec.Command(c.program, "serve", "--config", c.path(n, "conf"))
-	cmd.Env = append(os.Environ(), "NODE_CONFIG="+c.path(n, "json"), "NODE_NAME=", "NODE_LISTEN=", "NODE_DISCOVERY=", "NODE_SOCKET_FD=", "ARCHKNOT_CONF=")
-	born := &life{cmd: cmd, exited: make(chan struct{})}
-	if c.spec.Drill.Operators {
-		if born.admin, err = c.free(); err != nil {
-			log.Close()
-			return err
-		}
-		cmd.Env = append(cmd.Env, "NODE_ADMIN="+born.admin, "TMPDIR="+c.path(n, "tmp"))
-	}
-	if n.socket != nil {
-		cmd.ExtraFiles = []*os.File{n.socket}
-		cmd.Env = append(cmd.Env, "NODE_SOCKET_FD=3")
-	}
-	cmd.Stdout, cmd.Stderr = log, log
-	cmd.SysProcAttr = &syscall.SysProcAttr{Pdeathsig: syscall.SIGKILL}
-	started := make(chan error, 1)
-	c.orders <- func() { started <- cmd.Start() }
-	if err := <-started; err != nil {
-		log.Close()
-		return err
-	}
-	n.life = born
-	go func() {
-		err := cmd.Wait()
-		log.Close()
-		n.mu.Lock()
-		defer n.mu.Unlock()
-		if n.relay != nil {
-			n.relay.down()
-		}
-		if !born.expected {
-			n.crashes = append(n.crashes, fmt.Sprintf("%s ended by itself: %v\n%s", n.name, err, c.tail(n)))
-		}
-		if n.life == born {
-			n.life = nil
-		}
-		close(born.exited)
-	}()
-	if n.relay != nil {
-		return n.relay.up()
-	}
-	return nil
-}
-
-// tail is the end of a gateway's log.
-func (c *cluster) tail(n *node) string {
-	text, _ := os.ReadFile(c.path(n, "log"))
+// logTail returns the end of a gateway's log.
+func (c *cluster) logTail(n *node) string {
+	text, _ := os.ReadFile(c.path(n, "log")) // without a log there is nothing to quote
 	lines := bytes.Split(bytes.TrimSpace(text), []byte("\n"))
-	return string(bytes.Join(lines[max(0, len(lines)-8):], []byte("\n")))
-}
-
-// signal sends a signal to a gateway's process, by its id, if it runs.
-func (n *node) signal(s syscall.Signal) (exited <-chan struct{}) {
-	n.mu.Lock()
-	defer n.mu.Unlock()
-	if n.life == nil {
-		return nil
-	}
-	return n.life.signal(s)
+	return string(bytes.Join(lines[max(0, len(lines)-logTailLines):], []byte("\n")))
 }
 
-// exited is closed once the gateway's process has ended.
-func (n *node) exited() <-chan struct{} {
-	n.mu.Lock()
-	defer n.mu.Unlock()
-	if n.life != nil {
-		return n.life.exited
-	}
-	none := make(chan struct{})
-	close(none)
-	return none
-}
-
-// signal sends a signal to a process. It is called under its gateway's mu.
-func (l *life) signal(s syscall.Signal) (exited <-chan struct{}) {
-	switch s {
-	case syscall.SIGKILL, syscall.SIGTERM:
-		l.expected = true
-	case syscall.SIGSTOP, syscall.SIGCONT:
-		l.frozen = s == syscall.SIGSTOP
-	}
-	_ = l.cmd.Process.Signal(s)
-	return l.exited
-}
-
-// ready waits until all gateways take clients.
-func (c *cluster) ready(ctx context.Context) error {
+// waitUntilReady waits until all gateways are ready for clients.
+func (c *cluster) waitUntilReady(ctx context.Context) error {
 	for _, n := range c.nodes {
-		if err := c.readyOne(ctx, n); err != nil {
+		if err := c.waitUntilNodeReady(ctx, n); err != nil {
 			return err
 		}
 	}
 	return nil
 }
 
-func (c *cluster) readyOne(ctx context.Context, n *node) error {
+// waitUntilNodeReady waits until a gateway is ready for clients.
+func (c *cluster) waitUntilNodeReady(ctx context.Context, n *node) error {
 	for {
-		n.mu.Lock()
-		running := n.life != nil
-		n.mu.Unlock()
-		if !running {
-			return fmt.Errorf("%s does not run: %s", n.name, c.tail(n))
-		}
-		req, err := http.NewRequestWithContext(ctx, http.MethodGet, "http://"+n.addr+httpwire.ReadyPath, nil)
-		if err != nil {
-			return err
+		if n.pid() == 0 {
+			return fmt.Errorf("%s does not run: %s", n.name, c.logTail(n))
 		}
-		if resp, err := c.client.Do(req); err == nil {
-			resp.Body.Close()
-			if resp.StatusCode == http.StatusOK {
-				return nil
-			}
+		if c.isReady(ctx, n) {
+			return nil
 		}
 		select {
-		case <-time.After(10 * time.Millisecond):
+		case <-time.After(readyPollInterval):
 		case <-ctx.Done():
-			return fmt.Errorf("%s is not ready: %s", n.name, c.tail(n))
+			return fmt.Errorf("%s is not ready: %s", n.name, c.logTail(n))
+		}
+	}
+}
+
+// isReady reports whether a gateway answers that it is ready for clients.
+func (c *cluster) isReady(ctx context.Context, n *node) bool {
+	req, err := http.NewRequestWithContext(ctx, http.MethodGet, "http://"+n.addr+httpwire.ReadyPath, nil)
+	if err != nil {
+		return false
+	}
+	resp, err := c.client.Do(req)
+	if err != nil {
+		return false
+	}
+	resp.Body.Close()
+	return resp.StatusCode == http.StatusOK
+}
+
+// indexOf returns the index of the gateway at an address for clients, -1 if there is none.
+func (c *cluster) indexOf(addr string) int {
+	for i, n := range c.nodes {
+		if n.addr == addr {
+			return i
 		}
 	}
+	return -1
+}
+
+// offered reports whether clients are directed to the gateway at an address.
+func (c *cluster) offered(addr string) bool {
+	i := c.indexOf(addr)
+	return i < 0 || c.nodes[i].isOffered()
 }
 
-// crashes are the processes that ended and were not to.
+// crashes returns a description of each process that ended unexpectedly.
 func (c *cluster) crashes() (out []string) {
 	for _, n := range c.nodes {
 		n.mu.Lock()
@@ -331,24 +231,24 @@
 	return out
 }
 
-// close ends every process, by its id, and waits for it.
+// close kills all processes, by their ids, and waits for them.
 func (c *cluster) close() {
-	var ends []<-chan struct{}
+	var exits []<-chan struct{}
 	for _, n := range c.nodes {
-		ends = append(ends, n.signal(syscall.SIGKILL)) // also one that is stopped
+		exits = append(exits, n.signal(syscall.SIGKILL)) // this ends a stopped process as well
 	}
-	for _, e := range ends {
-		if e != nil {
-			<-e // SIGKILL is obeyed
+	for _, exited := range exits {
+		if exited != nil {
+			<-exited
 		}
 	}
 	for _, n := range c.nodes {
-		if n.socket != nil {
-			n.socket.Close()
+		if n.listenSocket != nil {
+			n.listenSocket.Close()
 		}
 	}
 	if c.relays != nil {
 		c.relays.close()
 	}
-	close(c.orders)
+	close(c.starts)
 }
--- a/internal/faulttest/proxy.go
+++ b/internal/faulttest/proxy.go
@@ -8,140 +8,150 @@
 	"time"
 )
 
-// proxyMode is what a fault proxy does to what goes through it.
+// proxyMode is what a fault proxy does to its connections.
 type proxyMode uint8
 
+// The modes of a proxy.
 const (
-	proxyPasses  proxyMode = iota
-	proxySilent            // takes connections, and passes nothing on
-	proxyRefuses           // ends each connection at once
-	proxySlow              // passes on late
-	proxyPieces            // passes on byte by byte
-	proxyModes   int       = iota
+	proxyForward    proxyMode = iota
+	proxySilent               // accepts connections, and forwards nothing
+	proxyRefuse               // closes each connection at once
+	proxyDelay                // forwards with a delay
+	proxyByteByByte           // forwards each byte in a write of its own
+	proxyModeCount  int       = iota
 )
 
+// String returns the mode as it stands in a timeline.
 func (m proxyMode) String() string {
 	return [...]string{"passes", "silent", "refuses", "slow", "in pieces"}[m]
 }
 
 const (
-	// proxyLate is how late a slow proxy passes on what came.
-	proxyLate = 300 * time.Millisecond
-	// proxyEach is what a proxy passes on at once at most.
-	proxyEach = 16 << 10
+	// proxyDelayTime is the delay of proxyDelay.
+	proxyDelayTime = 300 * time.Millisecond
+	// proxyBufferSize is the most bytes that a proxy forwards at once.
+	proxyBufferSize = 16 << 10
 )
 
-// proxy stands before a server and does it harm, for all who connect alike.
-type proxy struct {
-	addr string
-	to   string
-	l    net.Listener
-	mu   sync.Mutex
-	mode proxyMode
-	news chan struct{} // closed at the next change of mode
-	all  sync.WaitGroup
-	ctx  context.Context
-	stop context.CancelFunc
+// faultProxy forwards TCP connections to a server, with faults that are the same for all connections.
+type faultProxy struct {
+	addr        string
+	target      string
+	listener    net.Listener
+	connections sync.WaitGroup
+	ctx         context.Context
+	stop        context.CancelFunc
+
+	mu          sync.Mutex
+	mode        proxyMode
+	modeChanged chan struct{} // closed with the next change of mode
 }
 
-func newProxy(to string) (*proxy, error) {
-	l, err := net.Listen("tcp", "127.0.0.1:0")
+// newProxy starts a proxy to a server. It ends with close.
+func newProxy(target string) (*faultProxy, error) {
+	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		return nil, err
 	}
-	p := &proxy{addr: l.Addr().String(), to: to, l: l, news: make(chan struct{})}
+	p := &faultProxy{addr: listener.Addr().String(), target: target, listener: listener, modeChanged: make(chan struct{})}
 	p.ctx, p.stop = context.WithCancel(context.Background())
 	go p.accept()
 	return p, nil
 }
 
-// set changes what happens from now on, to open connections too.
-func (p *proxy) set(mode proxyMode) {
+// setMode changes the mode, also of open connections.
+func (p *faultProxy) setMode(mode proxyMode) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.mode = mode
-	close(p.news)
-	p.news = make(chan struct{})
+	close(p.modeChanged)
+	p.modeChanged = make(chan struct{})
 }
 
-func (p *proxy) now() (proxyMode, <-chan struct{}) {
+// currentMode returns the mode, and a channel that is closed when it changes.
+func (p *faultProxy) currentMode() (mode proxyMode, changed <-chan struct{}) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	return p.mode, p.news
+	return p.mode, p.modeChanged
 }
 
-func (p *proxy) close() {
+// close ends the proxy with all its connections.
+func (p *faultProxy) close() {
 	p.stop()
-	p.l.Close()
-	p.all.Wait()
+	p.listener.Close()
+	p.connections.Wait()
 }
 
-func (p *proxy) accept() {
+func (p *faultProxy) accept() {
 	for {
-		c, err := p.l.Accept()
+		conn, err := p.listener.Accept()
 		if err != nil {
 			return
 		}
-		if mode, _ := p.now(); mode == proxyRefuses {
-			c.Close()
+		if mode, _ := p.currentMode(); mode == proxyRefuse {
+			conn.Close()
 			continue
 		}
-		p.all.Go(func() { p.connection(c) })
+		p.connections.Go(func() { p.forwardConn(conn) })
 	}
 }
 
-// connection passes on both ways until one side ends.
-func (p *proxy) connection(c net.Conn) {
-	defer c.Close()
-	to, err := net.Dial("tcp", p.to)
+// forwardConn forwards in both directions until one side ends.
+func (p *faultProxy) forwardConn(client net.Conn) {
+	defer client.Close()
+	server, err := net.Dial("tcp", p.target)
 	if err != nil {
 		return
 	}
-	defer to.Close()
-	end := context.AfterFunc(p.ctx, func() { c.Close(); to.Close() })
-	defer end()
-	var both sync.WaitGroup
-	both.Go(func() { p.pass(to, c); to.Close(); c.Close() })
-	both.Go(func() { p.pass(c, to); to.Close(); c.Close() })
-	both.Wait()
+	defer server.Close()
+	closeBoth := func() {
+		server.Close()
+		client.Close()
+	}
+	cancel := context.AfterFunc(p.ctx, closeBoth)
+	defer cancel()
+	var directions sync.WaitGroup
+	directions.Go(func() { p.forward(server, client); closeBoth() })
+	directions.Go(func() { p.forward(client, server); closeBoth() })
+	directions.Wait()
 }
 
-// pass passes one way on.
-func (p *proxy) pass(out io.Writer, in io.Reader) {
-	buf := make([]byte, proxyEach)
+// forward forwards in one direction.
+func (p *faultProxy) forward(out io.Writer, in io.Reader) {
+	buffer := make([]byte, proxyBufferSize)
 	for {
-		n, err := in.Read(buf)
-		if n > 0 && !p.write(out, buf[:n]) || err != nil {
+		n, err := in.Read(buffer)
+		if n > 0 && !p.write(out, buffer[:n]) || err != nil {
 			return
 		}
 	}
 }
 
-// write passes a piece on as the mode has it, and tells whether the connection goes on.
-func (p *proxy) write(out io.Writer, text []byte) bool {
+// write forwards data in the current mode, and reports whether the connection continues.
+func (p *faultProxy) write(out io.Writer, data []byte) bool {
 	for {
-		mode, news := p.now()
+		mode, changed := p.currentMode()
 		switch mode {
-		case proxyRefuses:
+		case proxyRefuse:
 			return false
 		case proxySilent:
 			select {
-			case <-news:
+			case <-changed:
 				continue
 			case <-p.ctx.Done():
 				return false
 			}
-		case proxySlow:
-			time.Sleep(proxyLate)
-		case proxyPieces:
-			for i := range text {
-				if _, err := out.Write(text[i : i+1]); err != nil {
+		case proxyDelay:
+			time.Sleep(proxyDelayTime)
+		case proxyByteByByte:
+			for i := range data {
+				if _, err := out.Write(data[i : i+1]); err != nil {
 					return false
 				}
 			}
 			return true
 		}
-		_, err := out.Write(text)
+		_, err := out.Write(data)
 		return err == nil
 	}
 }
--- a/internal/faulttest/soakaudit.go
+++ b/internal/faulttest/soakaudit.go
@@ -8,142 +8,172 @@
 )
 
 const (
-	// auditSlack is what a busy machine may add to each time.
-	auditSlack = 150 * time.Millisecond
-	// toldWithin is how long a change may take to count as told once discovery can be reached, and
-	// toldUsually where it could be all the time.
-	toldWithin, toldUsually = 6 * time.Second, 500 * time.Millisecond
-	// goneWithin is how long behind a client's close an attempt for it may begin.
-	goneWithin = 100 * time.Millisecond
-	// toldOver is by how much the time that an attempt tells may be over what is left.
-	toldOver = 150 * time.Millisecond
-	// lateAfterTerm is how long behind SIGTERM a request may come that SIGKILL may find unanswered.
-	lateAfterTerm = 700 * time.Millisecond
+	// auditTolerance is what a busy machine may add to each time.
+	auditTolerance = 150 * time.Millisecond
+	// propagationAfterOutage is how long a change of the endpoint list may take from the end of an outage of
+	// discovery, usualPropagation how long without one.
+	propagationAfterOutage, usualPropagation = 6 * time.Second, 500 * time.Millisecond
+	// cancelDelay is how long after its client closed the connection an attempt may begin.
+	cancelDelay = 100 * time.Millisecond
+	// maxDeadlineExcess is by how much an attempt's deadline may exceed the client's.
+	maxDeadlineExcess = 150 * time.Millisecond
+	// shutdownAcceptTime is how long after SIGTERM a request may arrive that SIGKILL leaves unanswered.
+	shutdownAcceptTime = 700 * time.Millisecond
 )
 
-// newSoakAuditor returns an auditor of what both ends have recorded, and of the times of events.
-func newSoakAuditor(s spans, tries []*soakTry, attempts []emulate.ReplicaAttempt) *soakAuditor {
-	a := &soakAuditor{list: tries, spans: s, tries: map[string]*soakTry{}, attempts: map[string][]emulate.ReplicaAttempt{}}
-	for _, t := range tries {
-		a.tries[t.id] = t
+// soakAuditor audits what clients and replicas recorded in a soak, by the times of its events.
+type soakAuditor struct {
+	faultIntervals
+	inOrder  []*soakRequest
+	requests map[string]*soakRequest             // by id
+	attempts map[string][]emulate.ReplicaAttempt // by request id
+}
+
+func newSoakAuditor(intervals faultIntervals, requests []*soakRequest, attempts []emulate.ReplicaAttempt) *soakAuditor {
+	a := &soakAuditor{
+		faultIntervals: intervals,
+		inOrder:        requests,
+		requests:       map[string]*soakRequest{},
+		attempts:       map[string][]emulate.ReplicaAttempt{},
+	}
+	for _, request := range requests {
+		a.requests[request.id] = request
 	}
-	for _, at := range attempts {
-		a.attempts[at.ID] = append(a.attempts[at.ID], at)
+	for _, attempt := range attempts {
+		a.attempts[attempt.ID] = append(a.attempts[attempt.ID], attempt)
 	}
 	return a
 }
 
-// unlessSentAgain leaves out what is the client's doing: it sends a request once more where its kept
-// connection was closed, and cannot know that a gateway that was killed had sent it on.
-func (a *soakAuditor) unlessSentAgain(breaks []Break) (out []Break) {
-	for _, b := range breaks {
-		if t := a.tries[b.Root]; t == nil || t.again.IsZero() || !a.killed(t.gateway, t.again) {
-			out = append(out, b)
+// withoutClientRetries removes the violations that a client has caused: it sends a request again when its
+// reused connection was closed, and cannot know that a killed gateway had forwarded it.
+func (a *soakAuditor) withoutClientRetries(violations []Violation) (remaining []Violation) {
+	for _, violation := range violations {
+		request := a.requests[violation.RequestID]
+		if request == nil || request.resentAt.IsZero() || !a.killed(request.gateway, request.resentAt) {
+			remaining = append(remaining, violation)
 		}
 	}
-	return out
+	return remaining
 }
 
-// judge looks at each attempt and each request.
-func (a *soakAuditor) judge(attempts []emulate.ReplicaAttempt) (out []Break) {
-	for _, at := range attempts {
-		if t := a.tries[at.ID]; t != nil {
-			out = append(out, a.attempt(t, at)...)
+// audit audits each attempt, then each request.
+func (a *soakAuditor) audit(attempts []emulate.ReplicaAttempt) (violations []Violation) {
+	for _, attempt := range attempts {
+		if request := a.requests[attempt.ID]; request != nil {
+			violations = append(violations, a.auditAttempt(request, attempt)...)
 		}
 	}
-	for _, t := range a.list {
-		out = append(out, a.answer(t)...)
+	for _, request := range a.inOrder {
+		violations = append(violations, a.auditOutcome(request)...)
+		violations = append(violations, a.auditResend(request)...)
 	}
-	return out
-}
-
-type soakAuditor struct {
-	spans
-	list     []*soakTry
-	tries    map[string]*soakTry
-	attempts map[string][]emulate.ReplicaAttempt
+	return violations
 }
 
-// attempt judges one attempt.
-func (a *soakAuditor) attempt(t *soakTry, at emulate.ReplicaAttempt) (out []Break) {
-	for _, b := range a.bans {
-		if b.gateway == t.gateway && b.replica == at.Replica && at.ReceivedAt.After(b.from.Add(banGrace+auditSlack)) && at.ReceivedAt.Before(b.to) {
-			out = append(out, brokenBy("drain", t, "came to %s %v after operators had taken it out", at.Replica, at.ReceivedAt.Sub(b.from)))
+// auditAttempt audits one attempt.
+func (a *soakAuditor) auditAttempt(request *soakRequest, attempt emulate.ReplicaAttempt) (violations []Violation) {
+	add := func(rule, format string, args ...any) {
+		violations = append(violations, violationOf(rule, request, format, args...))
+	}
+	received := attempt.ReceivedAt
+	for _, ejection := range a.ejections {
+		applies := ejection.gateway == request.gateway && ejection.replica == attempt.Replica
+		if applies && received.After(ejection.from.Add(drainGrace+auditTolerance)) && received.Before(ejection.to) {
+			add(ruleDrain, "came to %s %v after operators had ejected it", attempt.Replica, received.Sub(ejection.from))
 		}
 	}
-	for _, d := range a.drains {
-		if told := a.told(d); d.replica == at.Replica && at.ReceivedAt.After(told.Add(banGrace+auditSlack)) && at.ReceivedAt.Before(d.to) {
-			out = append(out, brokenBy("drain", t, "came to %s %v after its drain counted as told", at.Replica, at.ReceivedAt.Sub(told)))
+	for _, drain := range a.drains {
+		propagated := a.propagatedAt(drain)
+		if drain.replica == attempt.Replica && received.After(propagated.Add(drainGrace+auditTolerance)) && received.Before(drain.to) {
+			add(ruleDrain, "came to %s %v after its drain counted as propagated", attempt.Replica, received.Sub(propagated))
 		}
 	}
-	if t.how == endLeft && at.ReceivedAt.After(t.endAt.Add(goneWithin+auditSlack)) {
-		out = append(out, brokenBy("lost", t, "an attempt at %s began %v after the client had left", at.Replica, at.ReceivedAt.Sub(t.endAt)))
+	if request.outcome == outcomeCanceled && received.After(request.endedAt.Add(cancelDelay+auditTolerance)) {
+		add(ruleLost, "an attempt at %s began %v after the client had left", attempt.Replica, received.Sub(request.endedAt))
 	}
-	if over := at.FirstTokenBy.Sub(t.sentAt.Add(t.wait)); !at.FirstTokenBy.IsZero() && !t.sentAt.IsZero() && over > toldOver+auditSlack {
-		out = append(out, brokenBy("deadline", t, "the attempt at %s was told %v more than is left", at.Replica, over))
+	excess := attempt.FirstTokenBy.Sub(request.sentAt.Add(request.timeout))
+	if !attempt.FirstTokenBy.IsZero() && !request.sentAt.IsZero() && excess > maxDeadlineExcess+auditTolerance {
+		add(ruleDeadline, "the attempt at %s got %v more time than was left", attempt.Replica, excess)
 	}
-	return out
+	return violations
 }
 
-// told is when a drain counts as told at the latest.
-func (a *soakAuditor) told(d drainSpan) time.Time {
-	told := d.from.Add(toldUsually)
-	for _, o := range a.outages {
-		if o.from.Before(told) && o.to.After(d.from.Add(-toldUsually)) {
-			told = o.to.Add(toldWithin)
+// propagatedAt returns when a drain must have reached all gateways.
+func (a *soakAuditor) propagatedAt(drain drainInterval) time.Time {
+	propagated := drain.from.Add(usualPropagation)
+	for _, outage := range a.outages {
+		if outage.from.Before(propagated) && outage.to.After(drain.from.Add(-usualPropagation)) {
+			propagated = outage.to.Add(propagationAfterOutage)
 		}
 	}
-	return told
+	return propagated
 }
 
-// answer judges what became of a request.
-func (a *soakAuditor) answer(t *soakTry) (out []Break) {
-	switch t.how {
-	case endClosed, endLate:
-		if !a.excused(t) && !(t.how == endClosed && t.sentAt.IsZero()) {
-			out = append(out, brokenBy("lost", t, "got no answer (%s) %v after it was sent", t.how, t.endAt.Sub(t.sentAt)))
+// auditOutcome audits whether a request got its response.
+func (a *soakAuditor) auditOutcome(request *soakRequest) (violations []Violation) {
+	switch request.outcome {
+	case outcomeClosed, outcomeTimedOut:
+		neverSent := request.outcome == outcomeClosed && request.sentAt.IsZero()
+		if !neverSent && !a.excused(request) {
+			violations = append(violations, violationOf(ruleLost, request, "got no answer (%s) %v after it was sent", request.outcome, request.endedAt.Sub(request.sentAt)))
 		}
-	case endBroken:
-		for _, at := range a.attempts[t.id] {
-			if at.Complete && !a.excused(t) {
-				out = append(out, brokenBy("lost", t, "was cut off, though %s had answered to the end", at.Replica))
+	case outcomeBroken:
+		for _, attempt := range a.attempts[request.id] {
+			if attempt.Complete && !a.excused(request) {
+				violations = append(violations, violationOf(ruleLost, request, "was cut off, though %s had answered to the end", attempt.Replica))
 			}
 		}
 	}
-	for _, at := range a.attempts[t.id] {
-		if !t.again.IsZero() && at.ReceivedAt.Before(t.again) && !a.killed(t.gateway, t.again) {
-			out = append(out, brokenBy("lost", t, "was sent on to %s, and its connection closed without an answer", at.Replica))
+	return violations
+}
+
+// auditResend audits whether a request that its client sent again had been forwarded before.
+func (a *soakAuditor) auditResend(request *soakRequest) (violations []Violation) {
+	if request.resentAt.IsZero() || a.killed(request.gateway, request.resentAt) {
+		return nil
+	}
+	for _, attempt := range a.attempts[request.id] {
+		if attempt.ReceivedAt.Before(request.resentAt) {
+			violations = append(violations, violationOf(ruleLost, request, "was forwarded to %s, and its connection closed without an answer", attempt.Replica))
 		}
 	}
-	return out
+	return violations
+}
+
+// wasKilled reports whether a process ended by SIGKILL.
+func (a *soakAuditor) wasKilled(shutdown shutdownInterval) bool {
+	return !shutdown.graceful || shutdown.to.Sub(shutdown.from) >= a.deadline+killDelay
 }
 
-// killed tells whether a gateway's process was killed about a time.
+// killed reports whether a gateway's process was killed at about a time.
 func (a *soakAuditor) killed(gateway int, at time.Time) bool {
-	for _, e := range a.ends {
-		killed := !e.told || e.to.Sub(e.from) >= a.deadline+earliestKill
-		if killed && e.gateway == gateway && at.After(e.from.Add(-auditSlack)) && at.Before(e.to.Add(auditSlack)) {
+	for _, shutdown := range a.shutdowns {
+		near := at.After(shutdown.from.Add(-auditTolerance)) && at.Before(shutdown.to.Add(auditTolerance))
+		if near && shutdown.gateway == gateway && a.wasKilled(shutdown) {
 			return true
 		}
 	}
 	return false
 }
 
-// excused tells whether the gateway's process was killed under the request. Behind SIGTERM only what came
-// soon may be.
-func (a *soakAuditor) excused(t *soakTry) bool {
-	for _, e := range a.ends {
-		if e.gateway != t.gateway || t.begunAt.After(e.to) || t.endAt.Before(e.from.Add(-auditSlack)) {
+// excused reports whether the gateway's process was killed while it had the request. After SIGTERM that
+// excuses only requests that arrived soon.
+func (a *soakAuditor) excused(request *soakRequest) bool {
+	for _, shutdown := range a.shutdowns {
+		if shutdown.gateway != request.gateway || request.startedAt.After(shutdown.to) || request.endedAt.Before(shutdown.from.Add(-auditTolerance)) {
 			continue
 		}
-		killed := !e.told || e.to.Sub(e.from) >= a.deadline+earliestKill
-		if killed && (!e.told || t.sentAt.Before(e.from.Add(lateAfterTerm))) && t.endAt.After(e.to.Add(-auditSlack-freezeMost)) {
+		accepted := !shutdown.graceful || request.sentAt.Before(shutdown.from.Add(shutdownAcceptTime))
+		if accepted && a.wasKilled(shutdown) && request.endedAt.After(shutdown.to.Add(-auditTolerance-maxFreeze)) {
 			return true
 		}
 	}
 	return false
 }
 
-func brokenBy(rule string, t *soakTry, format string, args ...any) Break {
-	return Break{rule, t.id, fmt.Sprintf("%s request to g%d ", t.class, t.gateway+1) + fmt.Sprintf(format, args...)}
+// violationOf returns a violation by a request.
+func violationOf(rule string, request *soakRequest, format string, args ...any) Violation {
+	details := fmt.Sprintf("%s request to g%d ", request.class, request.gateway+1) + fmt.Sprintf(format, args...)
+	return Violation{Rule: rule, RequestID: request.id, Details: details}
 }
--- a/internal/faulttest/soakclient.go
+++ b/internal/faulttest/soakclient.go
@@ -20,76 +20,85 @@
 	"archknot/internal/httpwire"
 )
 
-// How a request of a soak ended for its client.
+// The outcomes of a soak's request for its client.
 const (
-	endServed  = "served"
-	endRefused = "refused" // 429 or 503
-	endFailed  = "failed"  // any other answer
-	endBroken  = "broken"  // the stream broke off behind its first event
-	endClosed  = "closed"  // the connection ended without an answer
-	endLate    = "late"    // no answer half a second behind its time
-	endLeft    = "left"    // the client closed its connection first
-	endUnsent  = "unsent"  // no connection came up
+	outcomeServed   = "served"
+	outcomeShed     = "refused" // 429 or 503
+	outcomeFailed   = "failed"  // any other response without success
+	outcomeBroken   = "broken"  // the stream ended after its first event
+	outcomeClosed   = "closed"  // the connection was closed without a response
+	outcomeTimedOut = "late"    // no response within the timeout and answerTolerance
+	outcomeCanceled = "left"    // the client closed its connection first
+	outcomeUnsent   = "unsent"  // no connection could be opened
 )
 
-// soakTry is one request as its client saw it.
-type soakTry struct {
-	id      string
-	gateway int
-	class   string
-	wait    time.Duration
-	begunAt time.Time // its client looked for a connection
-	sentAt  time.Time // its last byte was written
-	endAt   time.Time
-	how     string
-	again   time.Time // when it was sent once more, since the close of a kept connection crossed it
+// soakRequest is a request as its client saw it.
+type soakRequest struct {
+	id        string
+	gateway   int
+	class     string
+	timeout   time.Duration
+	startedAt time.Time // when its client looked for a connection
+	sentAt    time.Time // when its last byte was written
+	endedAt   time.Time
+	outcome   string
+	resentAt  time.Time // when it was sent again because its reused connection was closed; zero: never
 }
 
-// soakClients send requests to gateways as clients and a front do, and remember what became of them.
+// soakClients sends requests to gateways as clients behind a load balancer do, and records their outcomes.
 type soakClients struct {
 	spec  *model.Spec
 	nodes []*node
 	seed  uint64
-	began time.Time
-	mu    sync.Mutex
-	tries []*soakTry
-	next  int
-	ready []bool                   // what the front knows of the gateways
-	idle  []map[*soakConn]struct{} // connections at rest, by gateway
-	open  map[*soakTry]struct{}    // requests under way
+
+	mu       sync.Mutex
+	requests []*soakRequest
+	lastID   int
+	ready    []bool                   // by gateway, as the load balancer knows
+	idle     []map[*soakConn]struct{} // idle connections, by gateway
+	inFlight map[*soakRequest]struct{}
 }
 
+// soakConn is a client's connection.
 type soakConn struct {
 	net.Conn
-	in   *bufio.Reader
-	kept bool
+	reader *bufio.Reader
+	reused bool // a response has been read on it
 }
 
 const (
-	// frontEach is how often the front asks gateways whether they are ready.
-	frontEach = 100 * time.Millisecond
-	// answerSlack is how long past its time an answer is waited for: half a second is the protocol's, and
-	// as much is for a busy machine.
-	answerSlack = time.Second
-	// streamMost bounds a whole answer.
-	streamMost = 20 * time.Second
-	// Of the requests, so many are left by their clients early, and are sent in pieces.
-	leaveShare, piecesShare = 0.08, 0.06
+	// readinessInterval is the time between two readiness checks of a gateway.
+	readinessInterval = 100 * time.Millisecond
+	// answerTolerance is how long a response is waited for beyond the timeout: half a second by the protocol,
+	// and as much for a busy machine.
+	answerTolerance = time.Second
+	// streamTimeout bounds a response with its body.
+	streamTimeout = 20 * time.Second
+	// The shares of requests that their clients cancel, and that are written in pieces.
+	cancelShare, slowWriteShare = 0.08, 0.06
+	// meanCancelTime is the mean time after which a client cancels.
+	meanCancelTime = 100 * time.Millisecond
+	// Requests in pieces are written pieceSize bytes at a time, with a pause of pieceInterval.
+	pieceSize, pieceInterval = 60, 2 * time.Millisecond
+	// writeTimeout bounds the writing of a request.
+	writeTimeout = 2 * time.Second
+	// clientStream is where the random numbers of clients begin among those of a seed.
+	clientStream = 1000
 )
 
 func newSoakClients(spec *model.Spec, nodes []*node) *soakClients {
-	s := &soakClients{spec: spec, nodes: nodes, seed: spec.Seed, began: time.Now(), ready: make([]bool, len(nodes)), open: map[*soakTry]struct{}{}}
+	s := &soakClients{spec: spec, nodes: nodes, seed: spec.Seed, ready: make([]bool, len(nodes)), inFlight: map[*soakRequest]struct{}{}}
 	for range nodes {
 		s.idle = append(s.idle, map[*soakConn]struct{}{})
 	}
 	return s
 }
 
-// front asks the gateways whether they are ready until the context ends.
-func (s *soakClients) front(ctx context.Context) {
-	var all sync.WaitGroup
+// checkReadiness checks whether the gateways are ready, until the context ends.
+func (s *soakClients) checkReadiness(ctx context.Context) {
+	var checks sync.WaitGroup
 	for i, n := range s.nodes {
-		all.Go(func() {
+		checks.Go(func() {
 			client := &http.Client{Timeout: time.Second, Transport: &http.Transport{DisableKeepAlives: true}}
 			for ctx.Err() == nil {
 				resp, err := client.Get("http://" + n.addr + httpwire.ReadyPath)
@@ -100,13 +109,14 @@
 				s.mu.Lock()
 				s.ready[i] = ready
 				s.mu.Unlock()
-				pause(ctx, frontEach)
+				pause(ctx, readinessInterval)
 			}
 		})
 	}
-	all.Wait()
+	checks.Wait()
 }
 
+// pause waits for a duration, or until the context ends.
 func pause(ctx context.Context, d time.Duration) {
 	select {
 	case <-time.After(d):
@@ -114,123 +124,142 @@
 	}
 }
 
-// choose is the gateway that the front deals a client to.
-func (s *soakClients) choose(rng *rand.Rand) int {
+// chooseGateway returns the gateway that the load balancer directs a client to: a random one that is ready,
+// if any is.
+func (s *soakClients) chooseGateway(rng *rand.Rand) int {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	at := rng.IntN(len(s.nodes))
+	gateway := rng.IntN(len(s.nodes))
 	for range s.nodes {
-		if s.ready[at] {
-			return at
+		if s.ready[gateway] {
+			return gateway
 		}
-		at = (at + 1) % len(s.nodes)
+		gateway = (gateway + 1) % len(s.nodes)
 	}
-	return at
+	return gateway
 }
 
-// client is one client, which sends one request after another until the context ends.
-func (s *soakClients) client(ctx context.Context, n int, think time.Duration) {
-	rng := rand.New(rand.NewPCG(s.seed, uint64(n)+1000))
+// runClient sends one request after another until the context ends.
+func (s *soakClients) runClient(ctx context.Context, index int, meanThinkTime time.Duration) {
+	rng := rand.New(rand.NewPCG(s.seed, uint64(index)+clientStream))
 	for ctx.Err() == nil {
 		stream := &s.spec.Streams[rng.IntN(len(s.spec.Streams))]
-		s.request(rng, stream, s.choose(rng))
-		pause(ctx, time.Duration(rng.ExpFloat64()*float64(think)))
+		s.sendRequest(rng, stream, s.chooseGateway(rng))
+		pause(ctx, time.Duration(rng.ExpFloat64()*float64(meanThinkTime)))
 	}
 }
 
-// request sends one request and waits for its end.
-func (s *soakClients) request(rng *rand.Rand, stream *model.Stream, gateway int) {
+// sendRequest sends one request and waits for its end. It is sent again once if a reused connection was
+// closed without a response.
+func (s *soakClients) sendRequest(rng *rand.Rand, stream *model.Stream, gateway int) {
 	class := s.spec.ClassOf(stream)
-	t := &soakTry{gateway: gateway, class: class.Name, wait: time.Duration(stream.FirstTokenTimeout(class)) * time.Microsecond}
-	s.mu.Lock()
-	s.next++
-	t.id = fmt.Sprintf("s%08x%08x", s.seed, s.next)
-	s.tries = append(s.tries, t)
-	s.mu.Unlock()
-	text := s.text(rng, t, stream, class)
-	leave := time.Duration(0)
-	if rng.Float64() < leaveShare {
-		leave = time.Duration(rng.ExpFloat64() * float64(100*time.Millisecond))
+	t := s.newRequest(stream, class, gateway)
+	text := s.requestText(rng, t, stream, class)
+	cancelAfter := time.Duration(0)
+	if rng.Float64() < cancelShare {
+		cancelAfter = time.Duration(rng.ExpFloat64() * float64(meanCancelTime))
 	}
-	pieces := rng.Float64() < piecesShare
-	t.begunAt = time.Now()
-	c := s.take(gateway)
+	inPieces := rng.Float64() < slowWriteShare
+	t.startedAt = time.Now()
+	c := s.takeIdleConn(gateway)
 	for {
 		if c == nil {
 			conn, err := net.DialTimeout("tcp", s.nodes[gateway].addr, time.Second)
 			if err != nil {
-				t.endAt, t.how = time.Now(), endUnsent
+				t.endedAt, t.outcome = time.Now(), outcomeUnsent
 				return
 			}
-			c = &soakConn{Conn: conn, in: bufio.NewReader(conn)}
+			c = &soakConn{Conn: conn, reader: bufio.NewReader(conn)}
 		}
-		how, again := s.exchange(t, c, text, pieces, leave)
-		if again && t.again.IsZero() { // the close of a connection at rest crossed it
-			c.Close()
-			c, t.again = nil, time.Now()
-			t.begunAt = t.again
-			continue
+		outcome, mayResend := s.exchange(t, c, text, inPieces, cancelAfter)
+		if !mayResend || !t.resentAt.IsZero() {
+			t.outcome = outcome
+			return
 		}
-		t.how = how
-		return
+		c.Close()
+		c = nil
+		t.resentAt = time.Now()
+		t.startedAt = t.resentAt
 	}
 }
 
-// text is a request in the platform's form.
-func (s *soakClients) text(rng *rand.Rand, t *soakTry, stream *model.Stream, class *balancer.Class) string {
+// newRequest records a new request.
+func (s *soakClients) newRequest(stream *model.Stream, class *balancer.Class, gateway int) *soakRequest {
+	t := &soakRequest{gateway: gateway, class: class.Name, timeout: time.Duration(stream.FirstTokenTimeout(class)) * time.Microsecond}
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	s.lastID++
+	t.id = fmt.Sprintf("s%08x%08x", s.seed, s.lastID)
+	s.requests = append(s.requests, t)
+	return t
+}
+
+// requestText returns a request in the platform's form.
+func (s *soakClients) requestText(rng *rand.Rand, t *soakRequest, stream *model.Stream, class *balancer.Class) string {
 	const body = `{"model":"chat","stream":true}`
 	return fmt.Sprintf("POST %s HTTP/1.1\r\nHost: app.svc\r\nReq-Id: %s\r\nReq-Kind: %s\r\nReq-Owner: %s\r\nReq-Key: %016x\r\nReq-Deadline: %dm\r\n"+
 		"Req-Extra: prompt_len=%d,max_out=%d\r\nX-Emulate-Out: %d\r\nContent-Length: %d\r\n\r\n%s", httpwire.CompletionsPath, t.id, class.Name, stream.Tenant, rng.Uint64(),
-		t.wait.Milliseconds(), int(stream.PromptTokens), stream.MaxOutputTokens, max(1, int(stream.AnswerTokens)), len(body), body)
+		t.timeout.Milliseconds(), int(stream.PromptTokens), stream.MaxOutputTokens, max(1, int(stream.AnswerTokens)), len(body), body)
 }
 
-// exchange sends a request on a connection and reads its answer; again says that nothing came of it on a
-// connection that was kept, and that it may be sent once more.
-func (s *soakClients) exchange(t *soakTry, c *soakConn, text string, pieces bool, leave time.Duration) (how string, again bool) {
-	if err := writeText(c, text, pieces); err != nil {
-		return s.done(t, c, endClosed, false), c.kept
+// exchange sends a request on a connection and reads its response. mayResend says that a reused connection
+// was closed without a response, so that the request may be sent again.
+func (s *soakClients) exchange(t *soakRequest, c *soakConn, text string, inPieces bool, cancelAfter time.Duration) (outcome string, mayResend bool) {
+	if err := writeRequest(c, text, inPieces); err != nil {
+		return s.finish(t, c, outcomeClosed, false), c.reused
 	}
 	t.sentAt = time.Now()
-	s.under(t, true)
-	defer s.under(t, false)
-	if leave > 0 {
-		c.SetReadDeadline(t.sentAt.Add(leave))
+	s.setInFlight(t, true)
+	defer s.setInFlight(t, false)
+	if cancelAfter > 0 {
+		_ = c.SetReadDeadline(t.sentAt.Add(cancelAfter))
 	} else {
-		c.SetReadDeadline(t.sentAt.Add(t.wait + answerSlack))
+		_ = c.SetReadDeadline(t.sentAt.Add(t.timeout + answerTolerance))
 	}
-	resp, err := http.ReadResponse(c.in, nil)
+	resp, err := http.ReadResponse(c.reader, nil)
 	if err != nil {
-		return s.unanswered(t, c, err, leave > 0)
+		return s.finishUnanswered(t, c, err, cancelAfter > 0)
 	}
 	if resp.StatusCode != http.StatusOK {
-		io.Copy(io.Discard, resp.Body)
-		how = endFailed
-		if resp.StatusCode == http.StatusServiceUnavailable || resp.StatusCode == http.StatusTooManyRequests {
-			how = endRefused
-		}
-		return s.done(t, c, how, !resp.Close), false
+		_ = readBody(resp) // only the status matters
+		return s.finish(t, c, outcomeOfStatus(resp.StatusCode), !resp.Close), false
 	}
-	if leave == 0 {
-		c.SetReadDeadline(time.Now().Add(streamMost))
+	if cancelAfter == 0 {
+		_ = c.SetReadDeadline(time.Now().Add(streamTimeout))
 	}
-	if _, err := io.Copy(io.Discard, resp.Body); err != nil {
-		if leave > 0 && isTimeout(err) {
-			return s.done(t, c, endLeft, false), false
+	if err := readBody(resp); err != nil {
+		if cancelAfter > 0 && isTimeout(err) {
+			return s.finish(t, c, outcomeCanceled, false), false
 		}
-		return s.done(t, c, endBroken, false), false
+		return s.finish(t, c, outcomeBroken, false), false
+	}
+	return s.finish(t, c, outcomeServed, !resp.Close), false
+}
+
+// readBody reads a response to its end.
+func readBody(resp *http.Response) error {
+	defer resp.Body.Close()
+	_, err := io.Copy(io.Discard, resp.Body)
+	return err
+}
+
+// outcomeOfStatus returns the outcome of a response without success.
+func outcomeOfStatus(status int) string {
+	if status == http.StatusServiceUnavailable || status == http.StatusTooManyRequests {
+		return outcomeShed
 	}
-	return s.done(t, c, endServed, !resp.Close), false
+	return outcomeFailed
 }
 
-// unanswered tells what the lack of an answer is.
-func (s *soakClients) unanswered(t *soakTry, c *soakConn, err error, leaves bool) (how string, again bool) {
+// finishUnanswered records the outcome of a request without a response.
+func (s *soakClients) finishUnanswered(t *soakRequest, c *soakConn, err error, cancels bool) (outcome string, mayResend bool) {
 	switch {
-	case isTimeout(err) && leaves:
-		return s.done(t, c, endLeft, false), false
+	case isTimeout(err) && cancels:
+		return s.finish(t, c, outcomeCanceled, false), false
 	case isTimeout(err):
-		return s.done(t, c, endLate, false), false
+		return s.finish(t, c, outcomeTimedOut, false), false
 	}
-	return s.done(t, c, endClosed, false), c.kept
+	return s.finish(t, c, outcomeClosed, false), c.reused
 }
 
 func isTimeout(err error) bool {
@@ -238,52 +267,52 @@
 	return errors.As(err, &timeout) && timeout.Timeout()
 }
 
-// writeText writes a request, at once or in pieces.
-func writeText(c *soakConn, text string, pieces bool) error {
-	c.SetWriteDeadline(time.Now().Add(2 * time.Second))
-	if !pieces {
+// writeRequest writes a request, at once or in pieces.
+func writeRequest(c *soakConn, text string, inPieces bool) error {
+	_ = c.SetWriteDeadline(time.Now().Add(writeTimeout))
+	if !inPieces {
 		_, err := io.WriteString(c, text)
 		return err
 	}
 	for part := text; part != ""; {
-		n := min(len(part), 60)
+		n := min(len(part), pieceSize)
 		if _, err := io.WriteString(c, part[:n]); err != nil {
 			return err
 		}
 		part = part[n:]
-		time.Sleep(2 * time.Millisecond)
+		time.Sleep(pieceInterval)
 	}
 	return nil
 }
 
-// done notes a request's end, and keeps or closes its connection.
-func (s *soakClients) done(t *soakTry, c *soakConn, how string, keep bool) string {
-	t.endAt = time.Now()
-	if !keep {
+// finish records the end of a request, and returns its connection to the idle ones or closes it.
+func (s *soakClients) finish(t *soakRequest, c *soakConn, outcome string, reuse bool) string {
+	t.endedAt = time.Now()
+	if !reuse {
 		c.Close()
-		return how
+		return outcome
 	}
-	c.kept = true
-	c.SetDeadline(time.Time{})
+	c.reused = true
+	_ = c.SetDeadline(time.Time{})
 	s.mu.Lock()
 	s.idle[t.gateway][c] = struct{}{}
 	s.mu.Unlock()
-	return how
+	return outcome
 }
 
-// under notes which requests are under way.
-func (s *soakClients) under(t *soakTry, way bool) {
+// setInFlight records whether a request is in flight.
+func (s *soakClients) setInFlight(t *soakRequest, inFlight bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if way {
-		s.open[t] = struct{}{}
+	if inFlight {
+		s.inFlight[t] = struct{}{}
 	} else {
-		delete(s.open, t)
+		delete(s.inFlight, t)
 	}
 }
 
-// take is a connection at rest, nil if there is none that is open.
-func (s *soakClients) take(gateway int) *soakConn {
+// takeIdleConn returns an idle connection that the gateway has not closed, nil if there is none.
+func (s *soakClients) takeIdleConn(gateway int) *soakConn {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	for c := range s.idle[gateway] {
@@ -296,18 +325,18 @@
 	return nil
 }
 
-// stillHeld lists what a gateway that was drained 4 s ago should not hold: connections at rest, and
-// requests that came in the last 2 s, but for those that have come just now and are being refused.
-func (s *soakClients) stillHeld(gateway int, from time.Time) (out []string) {
-	justNow := time.Now().Add(-auditSlack)
+// remainingAt lists what a gateway should not have that was drained drainCheckDelay ago: idle connections,
+// and requests that were sent after from. Those of the last moment do not count: they are being rejected.
+func (s *soakClients) remainingAt(gateway int, from time.Time) (out []string) {
+	justNow := time.Now().Add(-auditTolerance)
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	for c := range s.idle[gateway] {
 		if !connpool.PeerClosed(c.Conn) {
-			out = append(out, "a connection at rest from "+c.LocalAddr().String())
+			out = append(out, "an idle connection from "+c.LocalAddr().String())
 		}
 	}
-	for t := range s.open {
+	for t := range s.inFlight {
 		if t.gateway == gateway && t.sentAt.After(from) && t.sentAt.Before(justNow) {
 			out = append(out, "request "+t.id)
 		}
@@ -315,8 +344,8 @@
 	return out
 }
 
-// crowd opens connections that send nothing, until the context ends.
-func (s *soakClients) crowd(ctx context.Context, gateway, n int) {
+// openIdleConns opens connections without requests, and closes them when the context ends.
+func (s *soakClients) openIdleConns(ctx context.Context, gateway, n int) {
 	var open []net.Conn
 	for range n {
 		if c, err := net.DialTimeout("tcp", s.nodes[gateway].addr, time.Second); err == nil {
@@ -331,17 +360,17 @@
 	}
 }
 
-// counts tells how the requests ended.
-func (s *soakClients) counts() string {
+// outcomeCounts returns the number of requests by outcome, as text.
+func (s *soakClients) outcomeCounts() string {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	n := map[string]int{}
-	for _, t := range s.tries {
-		n[t.how]++
+	counts := map[string]int{}
+	for _, request := range s.requests {
+		counts[request.outcome]++
 	}
-	var out []string
-	for _, how := range sortedKeys(n) {
-		out = append(out, fmt.Sprintf("%s=%d", how, n[how]))
+	var parts []string
+	for _, outcome := range sortedKeys(counts) {
+		parts = append(parts, fmt.Sprintf("%s=%d", outcome, counts[outcome]))
 	}
-	return strings.Join(out, " ")
+	return strings.Join(parts, " ")
 }
--- a/internal/scaletest/processes.go
+++ b/internal/scaletest/processes.go
@@ -17,19 +17,20 @@
 	"archknot/internal/procstat"
 )
 
-// processes are gateways that run as `archknot serve`.
-type processes struct{ list []*process }
+// gatewayProcesses are gateways that run `archknot serve` in processes of their own.
+type gatewayProcesses struct{ list []*gatewayProcess }
 
-type process struct {
-	address string
-	control string
-	log     *os.File
-	cmd     *exec.Cmd
+// gatewayProcess is one such process.
+type gatewayProcess struct {
+	address     string
+	controlPath string
+	log         *os.File
+	cmd         *exec.Cmd
 }
 
-// startProcesses starts gateways with the indexes behind the hollow ones'.
-func startProcesses(program, dir string, spec GatewaysSpec, n int) (*processes, error) {
-	all := &processes{}
+// startProcesses starts n gateways whose indexes begin at spec.First.
+func startProcesses(program, dir string, spec GatewaysSpec, n int) (*gatewayProcesses, error) {
+	all := &gatewayProcesses{}
 	for i := range n {
 		p, err := startProcess(program, dir, spec, spec.First+i)
 		if err != nil {
@@ -41,22 +42,23 @@
 	return all, nil
 }
 
-func startProcess(program, dir string, spec GatewaysSpec, index int) (*process, error) {
+// startProcess writes the configuration of a gateway into dir and starts its process.
+func startProcess(program, dir string, spec GatewaysSpec, index int) (*gatewayProcess, error) {
 	address, err := freeAddress()
 	if err != nil {
 		return nil, err
 	}
-	path := func(ending string) string { return filepath.Join(dir, fmt.Sprintf("g%d.%s", index, ending)) }
-	text, err := spec.config(index, address)
+	path := func(extension string) string { return filepath.Join(dir, fmt.Sprintf("g%d.%s", index, extension)) }
+	platform, err := spec.config(index, address)
 	if err != nil {
 		return nil, err
 	}
-	if err := os.WriteFile(path("json"), text, 0o600); err != nil {
+	if err := os.WriteFile(path("json"), platform, 0o600); err != nil {
 		return nil, err
 	}
-	p := &process{address: address, control: path("socket")}
-	own := fmt.Sprintf("[log]\nlevel warn\n[control]\nsocket %s\n[subset]\nmost %d\n", p.control, spec.Subset)
-	if err := os.WriteFile(path("conf"), []byte(own), 0o600); err != nil {
+	p := &gatewayProcess{address: address, controlPath: path("socket")}
+	ownConfig := fmt.Sprintf("[log]\nlevel warn\n[control]\nsocket %s\n[subset]\nmost %d\n", p.controlPath, spec.SubsetSize)
+	if err := os.WriteFile(path("conf"), []byte(ownConfig), 0o600); err != nil {
 		return nil, err
 	}
 	if p.log, err = os.Create(path("log")); err != nil {
@@ -69,18 +71,18 @@
 	return p, p.cmd.Start()
 }
 
-// freeAddress is a loopback address that nothing listens at.
+// freeAddress returns a loopback address that no socket listens on.
 func freeAddress() (string, error) {
-	l, err := net.Listen("tcp", "127.0.0.1:0")
+	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		return "", err
 	}
-	defer l.Close()
-	return l.Addr().String(), nil
+	defer listener.Close()
+	return listener.Addr().String(), nil
 }
 
-// ready waits until all take clients.
-func (all *processes) ready(ctx context.Context) error {
+// waitUntilReady waits until all gateways are ready for clients.
+func (all *gatewayProcesses) waitUntilReady(ctx context.Context) error {
 	client := &http.Client{Timeout: time.Second}
 	for _, p := range all.list {
 		for {
@@ -99,16 +101,17 @@
 	return nil
 }
 
-// look asks a process for its figures.
-func (p *process) look(ctx context.Context) (c controlstats.Stats, u Usage, err error) {
-	if err := controlsocket.Call(ctx, p.control, "figures", struct{}{}, &c); err != nil {
-		return c, u, err
+// measure returns the statistics of a gateway and the usage of its process.
+func (p *gatewayProcess) measure(ctx context.Context) (stats controlstats.Stats, usage Usage, err error) {
+	if err := controlsocket.Call(ctx, p.controlPath, "figures", struct{}{}, &stats); err != nil {
+		return stats, usage, fmt.Errorf("statistics of %s: %w", p.address, err)
 	}
 	pid := p.cmd.Process.Pid
-	return c, Usage{CPU: procstat.CPUTime(pid), ResidentMB: procstat.ResidentMB(pid)}, nil
+	return stats, Usage{CPU: procstat.CPUTime(pid), ResidentMB: procstat.ResidentMB(pid)}, nil
 }
 
-func (all *processes) close() {
+// close kills all processes and waits for them.
+func (all *gatewayProcesses) close() {
 	if all == nil {
 		return
 	}
--- a/internal/scaletest/role.go
+++ b/internal/scaletest/role.go
@@ -19,47 +19,47 @@
 	"archknot/internal/procstat"
 )
 
-// The roles that a scale run starts as processes: `archknot drill scale-role ROLE`, which reads its
-// specification and then orders from its standard input, and ends when that does.
+// The roles that a scale run starts as processes: `archknot drill scale-role ROLE`. Such a process reads
+// its specification and then commands from its standard input, one line of JSON each, and ends with it.
 const (
 	RoleReplicas  = "replicas"
 	RoleDiscovery = "discovery"
 	RoleGateways  = "gateways"
 )
 
-// Orders to a role.
+// The commands of a role.
 const (
-	OrderLook   = "look"   // tell figures
-	OrderChange = "change" // change the list
+	CommandMeasure    = "look"   // reply with measurements
+	CommandChangeList = "change" // change the endpoint list
 )
 
-// Order is one line to a role.
-type Order struct {
-	Do string `json:"do"`
+// Command is a line that a role reads.
+type Command struct {
+	Name string `json:"do"`
 }
 
-// Hello is a role's first line: it is ready.
-type Hello struct {
+// Greeting is the first line that a role writes, once it is ready.
+type Greeting struct {
 	Address   string              `json:"address,omitempty"`
-	Instances []httpwire.Endpoint `json:"instances,omitempty"`
+	Endpoints []httpwire.Endpoint `json:"instances,omitempty"`
 	Error     string              `json:"error,omitempty"`
 }
 
-// Answer is a role's answer to an order.
-type Answer struct {
-	Version int64     `json:"version,omitempty"` // of the list, after a change
+// Reply is the line that a role writes for a command.
+type Reply struct {
+	Version int64     `json:"version,omitempty"` // of the endpoint list
 	At      time.Time `json:"at"`
 	Usage   Usage     `json:"usage"`
 	Calls   Calls     `json:"calls"`
-	// Conns are the connections open at each hollow replica.
-	Conns    []int                `json:"conns,omitempty"`
-	Gateways []controlstats.Stats `json:"gateways,omitempty"`
-	Served   int64                `json:"served,omitempty"`
-	Unserved int64                `json:"unserved,omitempty"`
-	Error    string               `json:"error,omitempty"`
+	// ReplicaConns are the open connections of each hollow replica.
+	ReplicaConns []int                `json:"conns,omitempty"`
+	Gateways     []controlstats.Stats `json:"gateways,omitempty"`
+	Served       int64                `json:"served,omitempty"`
+	Unserved     int64                `json:"unserved,omitempty"`
+	Error        string               `json:"error,omitempty"`
 }
 
-// Calls is what a role was asked, by kind, and the bytes of its connections.
+// Calls counts the requests that a role has served, by kind, and the bytes of its connections.
 type Calls struct {
 	Attempts int64 `json:"attempts"`
 	Probes   int64 `json:"probes"`
@@ -68,36 +68,40 @@
 	BytesOut int64 `json:"bytes_out"`
 }
 
-// Usage is what a process has used.
+// Usage is what a process has used of the machine.
 type Usage struct {
 	CPU        time.Duration `json:"cpu_ns"`
 	ResidentMB float64       `json:"resident_mb"`
 	HeapMB     float64       `json:"heap_mb"`
 }
 
-// usage is this process's.
-func usage() Usage {
-	var r syscall.Rusage
-	_ = syscall.Getrusage(syscall.RUSAGE_SELF, &r)
-	var m runtime.MemStats
-	runtime.ReadMemStats(&m)
-	return Usage{CPU: time.Duration(r.Utime.Nano() + r.Stime.Nano()), ResidentMB: procstat.ResidentMB(os.Getpid()), HeapMB: float64(m.HeapAlloc) / (1 << 20)}
+// ownUsage returns the usage of this process.
+func ownUsage() Usage {
+	var resources syscall.Rusage
+	_ = syscall.Getrusage(syscall.RUSAGE_SELF, &resources) // cannot fail for this process
+	var memory runtime.MemStats
+	runtime.ReadMemStats(&memory)
+	return Usage{
+		CPU:        time.Duration(resources.Utime.Nano() + resources.Stime.Nano()),
+		ResidentMB: procstat.ResidentMB(os.Getpid()),
+		HeapMB:     float64(memory.HeapAlloc) / (1 << 20),
+	}
 }
 
-// role is a process that was started in a role.
-type role struct {
-	cmd   *exec.Cmd
-	in    io.WriteCloser
-	out   *bufio.Reader
-	mu    sync.Mutex
-	hello Hello
+// roleProcess is a process that was started with a role.
+type roleProcess struct {
+	cmd      *exec.Cmd
+	in       io.WriteCloser
+	out      *bufio.Reader
+	mu       sync.Mutex
+	greeting Greeting
 }
 
-// startRole starts a role and waits until it is ready.
-func startRole(ctx context.Context, program, name string, spec any) (*role, error) {
-	r := &role{cmd: exec.Command(program, "drill", "scale-role", name)}
+// startRole starts a process with a role and waits until it is ready.
+func startRole(ctx context.Context, program, name string, spec any) (*roleProcess, error) {
+	r := &roleProcess{cmd: exec.Command(program, "drill", "scale-role", name)}
 	r.cmd.Stderr = os.Stderr
-	r.cmd.SysProcAttr = &syscall.SysProcAttr{Setpgid: true} // ^C ends the run, and the run its roles
+	r.cmd.SysProcAttr = &syscall.SysProcAttr{Setpgid: true} // an interrupt ends the run, which ends its roles
 	var err error
 	if r.in, err = r.cmd.StdinPipe(); err != nil {
 		return nil, err
@@ -110,28 +114,28 @@
 	if err := r.cmd.Start(); err != nil {
 		return nil, err
 	}
-	if err := r.exchange(ctx, spec, &r.hello); err != nil {
+	if err := r.exchange(ctx, spec, &r.greeting); err != nil {
 		r.close()
 		return nil, fmt.Errorf("%s: %w", name, err)
 	}
-	if r.hello.Error != "" {
+	if r.greeting.Error != "" {
 		r.close()
-		return nil, fmt.Errorf("%s: %s", name, r.hello.Error)
+		return nil, fmt.Errorf("%s: %s", name, r.greeting.Error)
 	}
 	return r, nil
 }
 
-// exchange writes one line and reads one.
-func (r *role) exchange(ctx context.Context, order, answer any) error {
+// exchange writes a line and reads the reply to it.
+func (r *roleProcess) exchange(ctx context.Context, request, reply any) error {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	text, err := json.Marshal(order)
+	encoded, err := json.Marshal(request)
 	if err != nil {
 		return err
 	}
 	done := make(chan error, 1)
 	go func() {
-		if _, err := r.in.Write(append(text, '\n')); err != nil {
+		if _, err := r.in.Write(append(encoded, '\n')); err != nil {
 			done <- err
 			return
 		}
@@ -140,7 +144,7 @@
 			done <- fmt.Errorf("ended by itself: %w", err)
 			return
 		}
-		done <- json.Unmarshal(line, answer)
+		done <- json.Unmarshal(line, reply)
 	}()
 	select {
 	case err := <-done:
@@ -150,26 +154,28 @@
 	}
 }
 
-func (r *role) ask(ctx context.Context, o Order) (Answer, error) {
-	var a Answer
-	if err := r.exchange(ctx, o, &a); err != nil {
-		return a, err
+// command has a role carry out a command.
+func (r *roleProcess) command(ctx context.Context, command Command) (Reply, error) {
+	var reply Reply
+	if err := r.exchange(ctx, command, &reply); err != nil {
+		return reply, err
 	}
-	if a.Error != "" {
-		return a, errors.New(a.Error)
+	if reply.Error != "" {
+		return reply, errors.New(reply.Error)
 	}
-	return a, nil
+	return reply, nil
 }
 
-func (r *role) pid() int {
+// pid returns the id of the process, 0 if there is none.
+func (r *roleProcess) pid() int {
 	if r == nil || r.cmd.Process == nil {
 		return 0
 	}
 	return r.cmd.Process.Pid
 }
 
-// close ends the process.
-func (r *role) close() {
+// close kills the process and waits for it.
+func (r *roleProcess) close() {
 	if r == nil {
 		return
 	}
@@ -178,65 +184,71 @@
 	_ = r.cmd.Wait()
 }
 
-// Player is a role's work in its own process.
-type Player interface {
-	Answer(ctx context.Context, o Order) Answer
+// RoleServer does the work of a role in the role's process.
+type RoleServer interface {
+	// Handle carries out a command.
+	Handle(ctx context.Context, command Command) Reply
+	// Close ends the work.
 	Close()
 }
 
-// Serve is the life of a role's process.
+// Serve runs a role until its input ends.
 func Serve(ctx context.Context, name string, in io.Reader, out io.Writer) error {
 	lines := bufio.NewReaderSize(in, 1<<16)
-	first, err := lines.ReadBytes('\n')
+	spec, err := lines.ReadBytes('\n')
 	if err != nil {
 		return fmt.Errorf("scale-role: no specification: %w", err)
 	}
 	ctx, stop := context.WithCancel(ctx)
 	defer stop()
-	player, hello, err := play(ctx, name, first)
+	server, greeting, err := startServer(ctx, name, spec)
 	if err != nil {
-		hello.Error = err.Error()
+		greeting.Error = err.Error()
 	}
-	answers := json.NewEncoder(out)
-	if err := answers.Encode(hello); err != nil || hello.Error != "" {
+	replies := json.NewEncoder(out)
+	if err := replies.Encode(greeting); err != nil || greeting.Error != "" {
 		return err
 	}
-	defer player.Close()
+	defer server.Close()
 	for {
 		line, err := lines.ReadBytes('\n')
-		if err == io.EOF {
+		if errors.Is(err, io.EOF) {
 			return nil
 		}
 		if err != nil {
 			return err
 		}
-		var o Order
-		if err := json.Unmarshal(line, &o); err != nil {
-			return err
+		var command Command
+		if err := json.Unmarshal(line, &command); err != nil {
+			return fmt.Errorf("scale-role: command: %w", err)
 		}
-		if err := answers.Encode(player.Answer(ctx, o)); err != nil {
+		if err := replies.Encode(server.Handle(ctx, command)); err != nil {
 			return err
 		}
 	}
 }
 
-// play begins a role by its specification.
-func play(ctx context.Context, name string, text []byte) (Player, Hello, error) {
+// startServer starts a role with its specification.
+func startServer(ctx context.Context, name string, spec []byte) (RoleServer, Greeting, error) {
 	switch name {
 	case RoleReplicas:
-		return begin(text, func(s ReplicasSpec) (Player, Hello, error) { return startReplicas(s) })
+		return startWithSpec(spec, func(s ReplicasSpec) (RoleServer, Greeting, error) { return startHollowReplicas(s) })
 	case RoleDiscovery:
-		return begin(text, func(s DiscoverySpec) (Player, Hello, error) { return startDiscovery(s) })
+		return startWithSpec(spec, func(s DiscoverySpec) (RoleServer, Greeting, error) { return startDiscovery(s) })
 	case RoleGateways:
-		return begin(text, func(s GatewaysSpec) (Player, Hello, error) { return startGateways(ctx, s) })
+		return startWithSpec(spec, func(s GatewaysSpec) (RoleServer, Greeting, error) {
+			server, err := startHollowGateways(ctx, s)
+			return server, Greeting{}, err
+		})
 	}
-	return nil, Hello{}, fmt.Errorf("role %q: expected %s, %s or %s", name, RoleReplicas, RoleDiscovery, RoleGateways)
+	return nil, Greeting{}, fmt.Errorf("role %q: expected %s, %s or %s", name, RoleReplicas, RoleDiscovery, RoleGateways)
 }
 
-func begin[S any](text []byte, start func(S) (Player, Hello, error)) (Player, Hello, error) {
+// startWithSpec parses a specification and starts a server with it.
+func startWithSpec[S any](encoded []byte, start func(S) (RoleServer, Greeting, error)) (RoleServer, Greeting, error) {
 	var spec S
-	if err := json.Unmarshal(text, &spec); err != nil {
-		return nil, Hello{}, err
+	if err := json.Unmarshal(encoded, &spec); err != nil {
+		return nil, Greeting{}, fmt.Errorf("specification: %w", err)
 	}
 	return start(spec)
 }
--- a/internal/scaletest/scale.go
+++ b/internal/scaletest/scale.go
@@ -1,7 +1,7 @@
-// Package scale measures what a gateway, a replica and discovery cost as a fleet grows. Replicas and
+// Package scaletest measures what a gateway, a replica and discovery cost as a fleet grows. Replicas and
 // most gateways are hollow: thousands of replicas that do no work, and many gateways, in a few
 // processes. Hollow gateways run the program's own code, with their clients in the same process. A few
-// gateways are processes of their own, for hollow figures to be compared with.
+// gateways are processes of their own, with which the figures of the hollow ones are compared.
 //
 // Everything is on loopback addresses, and each process is ended by its id.
 package scaletest
@@ -21,49 +21,55 @@
 	"archknot/internal/procstat"
 )
 
-// Options are where a run finds its program and leaves its files.
+// Options are the parameters of a run besides its plan.
 type Options struct {
-	Program  string // that roles and gateways are started from; "": this one
-	Progress func(done, of int, what string)
+	Program    string                                    // file of the program for roles and gateways; empty: this process's
+	OnProgress func(done, total int, description string) // before each point; may be nil
 }
 
-// Size is a fleet's.
+// Size is the size of a fleet.
 type Size struct {
 	Replicas int `json:"replicas"`
 	Gateways int `json:"gateways"` // hollow ones
 }
 
-// Point is what was measured at one size.
+// Point is a measurement at one size.
 type Point struct {
 	Size
-	Varied  string             `json:"varied"` // "replicas" or "gateways"
+	Varied  string             `json:"varied"` // variedReplicas or variedGateways
 	Repeat  int                `json:"repeat"`
-	Figures map[string]float64 `json:"figures"` // by name, as in Names
+	Figures map[string]float64 `json:"figures"` // by name, see GatewayCPU and the following
 }
 
-// Result is a whole run.
+// Result is the result of a run.
 type Result struct {
-	Build  string           `json:"build"`
-	Plan   *config.ScaleRun `json:"plan"`
-	Points []Point          `json:"points"`
-	Slopes []Slope          `json:"slopes"`
-	Pairs  []Comparison     `json:"hollow_beside_real"`
+	Build       string           `json:"build"`
+	Plan        *config.ScaleRun `json:"plan"`
+	Points      []Point          `json:"points"`
+	Slopes      []Slope          `json:"slopes"`
+	Comparisons []Comparison     `json:"hollow_beside_real"`
 }
 
-// Steps are the sizes that a plan measures, in order.
-func Steps(p *config.ScaleRun) (out []Point) {
+// The values of Point.Varied.
+const (
+	variedReplicas = "replicas"
+	variedGateways = "gateways"
+)
+
+// PlannedPoints returns the points that a plan measures, in order, without their figures.
+func PlannedPoints(p *config.ScaleRun) (out []Point) {
 	for repeat := range p.Repeat {
 		for _, n := range p.Replicas {
-			out = append(out, Point{Size: Size{n, p.BaseGateways}, Varied: "replicas", Repeat: repeat})
+			out = append(out, Point{Size: Size{n, p.BaseGateways}, Varied: variedReplicas, Repeat: repeat})
 		}
 		for _, n := range p.Gateways {
-			out = append(out, Point{Size: Size{p.BaseReplicas, n}, Varied: "gateways", Repeat: repeat})
+			out = append(out, Point{Size: Size{p.BaseReplicas, n}, Varied: variedGateways, Repeat: repeat})
 		}
 	}
 	return out
 }
 
-// Run measures all sizes of a plan.
+// Run measures all points of a plan.
 func Run(ctx context.Context, p *config.ScaleRun, o Options) (*Result, error) {
 	if o.Program == "" {
 		self, err := os.Executable()
@@ -72,32 +78,34 @@
 		}
 		o.Program = self
 	}
-	res := &Result{Build: buildinfo.Version(), Plan: p, Points: Steps(p)}
-	for i := range res.Points {
-		point := &res.Points[i]
-		if o.Progress != nil {
-			o.Progress(i, len(res.Points), fmt.Sprintf("%d replicas, %d gateways", point.Replicas, point.Gateways))
+	result := &Result{Build: buildinfo.Version(), Plan: p, Points: PlannedPoints(p)}
+	for i := range result.Points {
+		point := &result.Points[i]
+		if o.OnProgress != nil {
+			o.OnProgress(i, len(result.Points), fmt.Sprintf("%d replicas, %d gateways", point.Replicas, point.Gateways))
 		}
-		if err := measure(ctx, p, o.Program, point, uint64(p.Seed+i)); err != nil {
+		if err := measurePoint(ctx, p, o.Program, point, uint64(p.Seed+i)); err != nil {
 			return nil, fmt.Errorf("%d replicas, %d gateways: %w", point.Replicas, point.Gateways, err)
 		}
 	}
-	res.Slopes = Slopes(res.Points)
-	res.Pairs = Compare(res.Points)
-	return res, nil
+	result.Slopes = FitSlopes(result.Points)
+	result.Comparisons = Compare(result.Points)
+	return result, nil
 }
 
-// measure plays one size from the first process's start to the last one's end.
-func measure(ctx context.Context, p *config.ScaleRun, program string, point *Point, seed uint64) error {
-	limit := p.SettleTime + p.Duration + 3*time.Minute
-	ctx, stop := context.WithTimeout(ctx, limit)
+// startAndStopTime is how long a fleet may take besides settling and being measured.
+const startAndStopTime = 3 * time.Minute
+
+// measurePoint starts a fleet of one size, measures its figures and ends all its processes.
+func measurePoint(ctx context.Context, p *config.ScaleRun, program string, point *Point, seed uint64) error {
+	ctx, stop := context.WithTimeout(ctx, p.SettleTime+p.Duration+startAndStopTime)
 	defer stop()
 	dir, err := os.MkdirTemp("", "archknot-scale-")
 	if err != nil {
 		return err
 	}
 	defer os.RemoveAll(dir)
-	f := &fleet{plan: p, program: program, dir: dir, size: point.Size, rng: rand.New(rand.NewPCG(seed, 7))}
+	f := &testFleet{plan: p, program: program, dir: dir, size: point.Size, rng: rand.New(rand.NewPCG(seed, 7))}
 	defer f.close()
 	if err := f.start(ctx); err != nil {
 		return err
@@ -105,66 +113,66 @@
 	if err := f.wait(ctx, p.SettleTime); err != nil {
 		return err
 	}
-	before, err := f.look(ctx)
+	before, err := f.measure(ctx)
 	if err != nil {
 		return err
 	}
-	if err := f.run(ctx); err != nil {
+	if err := f.runTraffic(ctx); err != nil {
 		return err
 	}
-	after, err := f.look(ctx)
+	after, err := f.measure(ctx)
 	if err != nil {
 		return err
 	}
-	point.Figures = figuresOf(before, after, point.Size)
-	inForce, err := f.timeToForce(ctx)
+	point.Figures = figuresBetween(before, after, point.Size)
+	propagation, err := f.propagationTime(ctx)
 	if err != nil {
 		return err
 	}
-	point.Figures[ChangeInForce] = inForce.Seconds() * 1000
+	point.Figures[ChangePropagation] = propagation.Seconds() * 1000
 	return nil
 }
 
-// fleet is the processes of one size.
-type fleet struct {
-	plan      *config.ScaleRun
-	program   string
-	dir       string
-	size      Size
-	rng       *rand.Rand
-	replicas  []*role
-	discovery *role
-	hollow    []*role
-	real      *processes
-	instances []httpwire.Endpoint
-	client    *driver // of the real gateways
+// testFleet is the processes of one point.
+type testFleet struct {
+	plan           *config.ScaleRun
+	program        string
+	dir            string
+	size           Size
+	rng            *rand.Rand
+	replicas       []*roleProcess
+	discovery      *roleProcess
+	hollowGateways []*roleProcess
+	realGateways   *gatewayProcesses
+	endpoints      []httpwire.Endpoint
+	traffic        *loadGenerator // to the real gateways
 }
 
-// perProcess and gatewaysPerProcess are how many hollow replicas and gateways one process has:
-// within the usual limit on descriptors, with a listener and connections for each.
+// The hollow replicas and gateways of one process stay within the usual limit on descriptors, with a
+// listener and connections for each.
 const (
-	perProcess         = 2500
+	replicasPerProcess = 2500
 	gatewaysPerProcess = 25
 )
 
-func (f *fleet) start(ctx context.Context) error {
-	for first := 0; first < f.size.Replicas; first += perProcess {
-		spec := ReplicasSpec{First: first, Count: min(perProcess, f.size.Replicas-first), Zones: f.plan.Zones, Seed: f.rng.Uint64(),
+func (f *testFleet) start(ctx context.Context) error {
+	for first := 0; first < f.size.Replicas; first += replicasPerProcess {
+		spec := ReplicasSpec{First: first, Count: min(replicasPerProcess, f.size.Replicas-first), Zones: f.plan.Zones, Seed: f.rng.Uint64(),
 			FirstEvent: f.plan.FirstEventDelay, Events: f.plan.Events, Gap: f.plan.EventGap}
 		r, err := startRole(ctx, f.program, RoleReplicas, spec)
 		if err != nil {
 			return err
 		}
 		f.replicas = append(f.replicas, r)
-		f.instances = append(f.instances, r.hello.Instances...)
+		f.endpoints = append(f.endpoints, r.greeting.Endpoints...)
 	}
 	var err error
-	if f.discovery, err = startRole(ctx, f.program, RoleDiscovery, DiscoverySpec{Instances: f.instances, Framing: f.plan.Framing}); err != nil {
+	if f.discovery, err = startRole(ctx, f.program, RoleDiscovery, DiscoverySpec{Endpoints: f.endpoints, Framing: f.plan.Framing}); err != nil {
 		return err
 	}
-	gateways := GatewaysSpec{First: f.size.Gateways, Of: max(f.plan.FleetGateways, f.size.Gateways+f.plan.Processes), Discovery: f.discovery.hello.Address, Zones: f.plan.Zones,
-		Subset: f.plan.Subset, Probe: f.plan.Probe, Rate: f.plan.Rate, Seed: f.rng.Uint64()}
-	if f.real, err = startProcesses(f.program, f.dir, gateways, f.plan.Processes); err != nil {
+	gateways := GatewaysSpec{First: f.size.Gateways, FleetSize: max(f.plan.FleetGateways, f.size.Gateways+f.plan.Processes), Discovery: f.discovery.greeting.Address, Zones: f.plan.Zones,
+		SubsetSize: f.plan.Subset, HealthCheck: f.plan.Probe, Rate: f.plan.Rate, Seed: f.rng.Uint64()}
+	if f.realGateways, err = startProcesses(f.program, f.dir, gateways, f.plan.Processes); err != nil {
 		return err
 	}
 	for first := 0; first < f.size.Gateways; first += gatewaysPerProcess {
@@ -173,67 +181,68 @@
 		if err != nil {
 			return err
 		}
-		f.hollow = append(f.hollow, r)
+		f.hollowGateways = append(f.hollowGateways, r)
 	}
-	if err := f.real.ready(ctx); err != nil {
+	if err := f.realGateways.waitUntilReady(ctx); err != nil {
 		return err
 	}
-	f.client = newDriver(f.plan.Rate, f.rng.Uint64())
-	for _, g := range f.real.list {
-		f.client.drive(g.address, nil)
+	f.traffic = newLoadGenerator(ctx, f.plan.Rate, f.rng.Uint64())
+	for _, g := range f.realGateways.list {
+		f.traffic.startTraffic(g.address, nil)
 	}
 	return nil
 }
 
-func (f *fleet) close() {
-	if f.client != nil {
-		f.client.close()
+// close ends the traffic, then all processes.
+func (f *testFleet) close() {
+	if f.traffic != nil {
+		f.traffic.close()
 	}
 	for _, r := range f.roles() {
 		r.close()
 	}
-	f.real.close()
+	f.realGateways.close()
 }
 
-// roles are all processes but the real gateways.
-func (f *fleet) roles() []*role {
-	out := slices.Concat(f.hollow, f.replicas)
+// roles returns all processes but the real gateways.
+func (f *testFleet) roles() []*roleProcess {
+	out := slices.Concat(f.hollowGateways, f.replicas)
 	if f.discovery != nil {
 		out = append(out, f.discovery)
 	}
 	return out
 }
 
-// wait lets time pass, and looks after the memory that the processes take.
-func (f *fleet) wait(ctx context.Context, d time.Duration) error {
-	const each = 500 * time.Millisecond
+// wait waits for a duration. It returns an error once the processes use more memory than the plan allows.
+func (f *testFleet) wait(ctx context.Context, d time.Duration) error {
+	const checkInterval = 500 * time.Millisecond
 	for end := time.Now().Add(d); time.Now().Before(end); {
 		select {
-		case <-time.After(min(each, time.Until(end))):
+		case <-time.After(min(checkInterval, time.Until(end))):
 		case <-ctx.Done():
 			return ctx.Err()
 		}
-		if mb := f.memory(); mb > float64(f.plan.MemoryMB) {
+		if mb := f.residentMB(); mb > float64(f.plan.MemoryMB) {
 			return fmt.Errorf("all processes take %.0f MB, scale.memory allows %d", mb, f.plan.MemoryMB)
 		}
 	}
 	return nil
 }
 
-// memory is what all processes take; megabytes.
-func (f *fleet) memory() float64 {
+// residentMB returns the resident memory of all processes in megabytes.
+func (f *testFleet) residentMB() float64 {
 	sum := procstat.ResidentMB(os.Getpid())
 	for _, r := range f.roles() {
 		sum += procstat.ResidentMB(r.pid())
 	}
-	for _, g := range f.real.list {
+	for _, g := range f.realGateways.list {
 		sum += procstat.ResidentMB(g.cmd.Process.Pid)
 	}
 	return sum
 }
 
-// run lets the measured time pass, with changes of the list.
-func (f *fleet) run(ctx context.Context) error {
+// runTraffic lets the measured time pass, and changes the endpoint list at the plan's interval.
+func (f *testFleet) runTraffic(ctx context.Context) error {
 	for end := time.Now().Add(f.plan.Duration); ; {
 		if err := f.wait(ctx, min(f.plan.ChangeInterval, time.Until(end))); err != nil {
 			return err
@@ -241,51 +250,52 @@
 		if !time.Now().Before(end) {
 			return nil
 		}
-		if _, err := f.discovery.ask(ctx, Order{Do: OrderChange}); err != nil {
+		if _, err := f.discovery.command(ctx, Command{Name: CommandChangeList}); err != nil {
 			return err
 		}
 	}
 }
 
-// changesTimed is how many changes of the list are followed until they are in force everywhere, and
-// inForceWithin how long each is waited for.
+// timedChanges is how many changes of the endpoint list are timed until all gateways have them, and
+// propagationTimeout how long each may take.
 const (
-	changesTimed  = 3
-	inForceWithin = 6 * time.Second
+	timedChanges       = 3
+	propagationTimeout = 6 * time.Second
 )
 
-// timeToForce is the mean time from a change of the list until the last gateway has it.
-func (f *fleet) timeToForce(ctx context.Context) (time.Duration, error) {
+// propagationTime returns the mean time from a change of the endpoint list until the last gateway has it.
+func (f *testFleet) propagationTime(ctx context.Context) (time.Duration, error) {
 	sum := time.Duration(0)
-	for range changesTimed {
-		answer, err := f.discovery.ask(ctx, Order{Do: OrderChange})
+	for range timedChanges {
+		change, err := f.discovery.command(ctx, Command{Name: CommandChangeList})
 		if err != nil {
 			return 0, err
 		}
-		last, err := f.lastInForce(ctx, answer.Version, answer.At)
+		last, err := f.waitForPropagation(ctx, change.Version, change.At)
 		if err != nil {
 			return 0, err
 		}
-		sum += last.Sub(answer.At)
+		sum += last.Sub(change.At)
 	}
-	return sum / changesTimed, nil
+	return sum / timedChanges, nil
 }
 
-// errBehind says that some gateway has not followed a change.
-var errBehind = errors.New("a change was not in force at all gateways in time")
+// errNotPropagated is the error for a change of the endpoint list that some gateway did not get in time.
+var errNotPropagated = errors.New("a change was not in force at all gateways in time")
 
-func (f *fleet) lastInForce(ctx context.Context, version int64, since time.Time) (last time.Time, err error) {
-	for time.Since(since) < inForceWithin {
+// waitForPropagation returns when the last gateway got a version of the endpoint list.
+func (f *testFleet) waitForPropagation(ctx context.Context, version int64, since time.Time) (last time.Time, err error) {
+	for time.Since(since) < propagationTimeout {
 		if err := f.wait(ctx, 200*time.Millisecond); err != nil {
 			return last, err
 		}
-		now, err := f.look(ctx)
+		now, err := f.measure(ctx)
 		if err != nil {
 			return last, err
 		}
-		if now.oldest >= version {
-			return now.inForce, nil
+		if now.oldestList >= version {
+			return now.newestListSince, nil
 		}
 	}
-	return last, errBehind
+	return last, errNotPropagated
 }
