--- a/internal/cli/capture.go
+++ b/internal/cli/capture.go
@@ -24,18 +24,18 @@
 )
 
 type captureCmd struct {
-	Info    infoCmd    `cmd:"" help:"Tell what captures hold."`
-	Verify  verifyCmd  `cmd:"" help:"Read captures whole and tell what is damaged or missing."`
-	Dump    dumpCmd    `cmd:"" help:"Print events and orders, a line each."`
-	Cut     cutCmd     `cmd:"" help:"Make a small capture of a part of one."`
-	Explain explainCmd `cmd:"" help:"Tell why one request went where it did."`
-	Save    saveCmd    `cmd:"" help:"Have a running gateway keep its last minutes as an incident."`
+	Info    infoCmd    `cmd:"" help:"Show what captures contain."`
+	Verify  verifyCmd  `cmd:"" help:"Read captures completely and report what is damaged or missing."`
+	Dump    dumpCmd    `cmd:"" help:"Print events and actions, one line for each event."`
+	Cut     cutCmd     `cmd:"" help:"Copy a part of a capture into a small one."`
+	Explain explainCmd `cmd:"" help:"Explain why a request was sent to its replicas."`
+	Save    saveCmd    `cmd:"" help:"Have a running gateway save its last minutes as an incident."`
 }
 
 // timeSpan selects a part of a run by flags.
 type timeSpan struct {
-	From string `placeholder:"TIME" help:"Where to begin: +30s from the start, -30s from the end, or a time of day as 2026-12-01T10:00:00Z."`
-	To   string `placeholder:"TIME" help:"Where to end."`
+	From string `placeholder:"TIME" help:"Start: +30s from the start of the capture, -30s from its end, or a time such as 2026-12-01T10:00:00Z."`
+	To   string `placeholder:"TIME" help:"End, in the same forms."`
 }
 
 // within returns the span's ends on a run's clock; 0: none.
@@ -69,7 +69,7 @@
 }
 
 type infoCmd struct {
-	Paths []string `arg:"" help:"Segments, or folders of them."`
+	Paths []string `arg:"" help:"Segments, or directories of segments."`
 	JSON  bool     `name:"json" help:"Print JSON."`
 }
 
@@ -150,12 +150,12 @@
 }
 
 type verifyCmd struct {
-	Paths []string `arg:"" help:"Segments, or folders of them."`
+	Paths []string `arg:"" help:"Segments, or directories of segments."`
 	JSON  bool     `name:"json" help:"Print JSON."`
 }
 
 func (verifyCmd) Help() string {
-	return "Exit code 0: all can be read; 1: something is damaged or was not recorded.\n\nExample:\n  archknot capture verify incident/"
+	return "Exit code 0: everything can be read; 1: something is damaged or was not recorded.\n\nExample:\n  archknot capture verify incident/"
 }
 
 func (c *verifyCmd) Run(s *streams) error {
@@ -241,11 +241,11 @@
 }
 
 type dumpCmd struct {
-	Paths []string `arg:"" help:"Segments, or folders of them."`
+	Paths []string `arg:"" help:"Segments, or directories of segments."`
 	timeSpan
 	Where string `placeholder:"EXPR" help:"Only events that match; see archknot replay --help."`
-	Exact bool   `help:"No event before --from, though the checkpoint before it is read."`
-	JSON  bool   `name:"json" help:"Print JSON, an object a line, checkpoints with their whole state."`
+	Exact bool   `help:"Print no events before --from; the checkpoint before it is read nevertheless."`
+	JSON  bool   `name:"json" help:"Print JSON, one object a line, checkpoints with their complete state."`
 }
 
 func (dumpCmd) Help() string {
@@ -356,7 +356,7 @@
 }
 
 func (cutCmd) Help() string {
-	return "The part begins at the last checkpoint before --from, for nothing else can be replayed.\n\n" +
+	return "The part starts at the last checkpoint before --from, because a replay can only start at a checkpoint.\n\n" +
 		"Example:\n  archknot capture cut incident/ slow-fleet.akcap --from +60s --to +90s"
 }
 
@@ -391,8 +391,8 @@
 }
 
 type explainCmd struct {
-	ID    string   `arg:"" help:"The request: the client's id of it, or the module's number."`
-	Paths []string `arg:"" help:"Segments, or folders of them."`
+	ID    string   `arg:"" help:"The request: the client's ID of it, or the decision module's number."`
+	Paths []string `arg:"" help:"Segments, or directories of segments."`
 }
 
 func (explainCmd) Help() string {
@@ -421,12 +421,12 @@
 
 type saveCmd struct {
 	socketFlags
-	Reason string `default:"ordered" help:"Why, for the incident's manifest."`
+	Reason string `default:"ordered" help:"The reason, for the incident's manifest."`
 	JSON   bool   `name:"json" help:"Print JSON."`
 }
 
 func (saveCmd) Help() string {
-	return "Exit code 1: the gateway answered that it cannot.\n\nExample:\n  archknot capture save --config deploy/archknot.conf --reason 'chat was slow at ten'"
+	return "Exit code 1: the gateway answered that it cannot do it.\n\nExample:\n  archknot capture save --config deploy/archknot.conf --reason 'chat was slow at ten'"
 }
 
 func (c *saveCmd) Run(s *streams) error {
--- a/internal/cli/cli.go
+++ b/internal/cli/cli.go
@@ -27,16 +27,16 @@
 
 // commands is the command line as kong parses it.
 type commands struct {
-	Serve      serveCmd      `cmd:"" default:"withargs" aliases:"run" help:"Serve clients: what the bare command does."`
+	Serve      serveCmd      `cmd:"" default:"withargs" aliases:"run" help:"Serve clients; also the default without a command."`
 	Config     configCmd     `cmd:"" help:"Check and show archknot's own settings."`
-	Capture    captureCmd    `cmd:"" help:"Look into captures, cut and keep them."`
-	Contracts  contractsCmd  `cmd:"" help:"Look at teams' contracts, and try them on captures."`
-	Replay     replayCmd     `cmd:"" help:"Run captures through this build's module and compare its decisions."`
+	Capture    captureCmd    `cmd:"" help:"Inspect, cut and save captures."`
+	Contracts  contractsCmd  `cmd:"" help:"Show teams' contracts, and simulate them on captures."`
+	Replay     replayCmd     `cmd:"" help:"Replay captures with this build's decision module and compare its decisions."`
 	Experiment experimentCmd `cmd:"" help:"Compare settings or builds on a model of a fleet."`
-	Site       siteCmd       `cmd:"" help:"The loss of a whole site: forecast, and drilled with processes."`
-	Drill      drillCmd      `cmd:"" help:"Strike many gateways before an emulated fleet, and check the rules."`
-	Fleet      fleetCmd      `cmd:"" help:"Run a fleet to try gateways with."`
-	Version    versionCmd    `cmd:"" help:"Tell which build this is."`
+	Site       siteCmd       `cmd:"" help:"Forecast the loss of a whole site, and test it with processes."`
+	Drill      drillCmd      `cmd:"" help:"Test many gateways under faults in front of an emulated fleet."`
+	Fleet      fleetCmd      `cmd:"" help:"Emulate a fleet to test gateways with."`
+	Version    versionCmd    `cmd:"" help:"Print the version of this build."`
 }
 
 // streams are a command's output and environment.
@@ -57,7 +57,7 @@
 	}
 	var c commands
 	exited := -1
-	parser, err := kong.New(&c, kong.Name("archknot"), kong.Description("A gateway for a fleet of language-model workers."),
+	parser, err := kong.New(&c, kong.Name("archknot"), kong.Description("A gateway for a fleet of language-model replicas."),
 		kong.Writers(out, errOut), kong.Exit(func(code int) { exited = code }), kong.UsageOnError(),
 		kong.ConfigureHelp(kong.HelpOptions{Compact: true}), kong.Bind(s))
 	if err != nil {
@@ -135,12 +135,12 @@
 }
 
 type serveCmd struct {
-	Config string `env:"ARCHKNOT_CONF" placeholder:"FILE" help:"archknot's own settings, such as deploy/archknot.conf. Without it all have their defaults."`
+	Config string `env:"ARCHKNOT_CONF" placeholder:"FILE" help:"archknot's own settings file, such as deploy/archknot.conf. By default all settings have their defaults."`
 }
 
 func (serveCmd) Help() string {
-	return "NODE_CONFIG names the platform's configuration; NODE_NAME, NODE_LISTEN and NODE_DISCOVERY go before it.\n" +
-		"SIGHUP has both read again, SIGTERM ends service in order.\n\n" +
+	return "NODE_CONFIG names the platform's configuration; NODE_NAME, NODE_LISTEN and NODE_DISCOVERY take precedence over it.\n" +
+		"SIGHUP reloads both configurations, SIGTERM shuts down gracefully.\n\n" +
 		"Example:\n  NODE_CONFIG=example/config.json archknot serve --config deploy/archknot.conf"
 }
 
--- a/internal/cli/config.go
+++ b/internal/cli/config.go
@@ -8,13 +8,13 @@
 )
 
 type configCmd struct {
-	Check checkCmd `cmd:"" help:"Check a file of settings and tell all that is wrong with it."`
-	Show  showCmd  `cmd:"" help:"Show all settings with their values, in the form of a file."`
-	Diff  diffCmd  `cmd:"" help:"Tell where two files of settings differ."`
+	Check checkCmd `cmd:"" help:"Check a settings file and report all errors in it."`
+	Show  showCmd  `cmd:"" help:"Show all settings with their values, in the format of a settings file."`
+	Diff  diffCmd  `cmd:"" help:"Show the differences between two settings files."`
 
-	Status   statusCmd   `cmd:"" help:"Tell which streamed version a running gateway has in force."`
-	History  historyCmd  `cmd:"" help:"Tell what became of the versions that came to a running gateway."`
-	Rollback rollbackCmd `cmd:"" help:"Have a running gateway go back to the version before."`
+	Status   statusCmd   `cmd:"" help:"Show which streamed version is in force at a running gateway."`
+	History  historyCmd  `cmd:"" help:"Show the history of the streamed versions of a running gateway."`
+	Rollback rollbackCmd `cmd:"" help:"Roll a running gateway back to the previous version."`
 }
 
 type checkCmd struct {
@@ -23,7 +23,7 @@
 }
 
 func (checkCmd) Help() string {
-	return "Exit code 0: the file is good; 1: it is not.\n\nExample:\n  archknot config check deploy/archknot.conf"
+	return "Exit code 0: the file is valid; 1: it is not.\n\nExample:\n  archknot config check deploy/archknot.conf"
 }
 
 func (c *checkCmd) Run(s *streams) error {
@@ -52,8 +52,8 @@
 }
 
 type showCmd struct {
-	File string `arg:"" optional:"" help:"The file; without it, the defaults."`
-	Docs bool   `help:"With what each setting means."`
+	File string `arg:"" optional:"" help:"The file; by default the default settings."`
+	Docs bool   `help:"Include a description of each setting."`
 	JSON bool   `name:"json" help:"Print JSON."`
 }
 
--- a/internal/cli/contracts.go
+++ b/internal/cli/contracts.go
@@ -22,10 +22,10 @@
 )
 
 type contractsCmd struct {
-	List     listContractsCmd `cmd:"" help:"List the contracts of a file of settings, or of a running gateway with its books."`
-	Show     showContractCmd  `cmd:"" help:"Show one team's contract, or its books at a running gateway."`
-	Simulate simulateCmd      `cmd:"" help:"Tell what contracts would have done to a capture."`
-	Report   reportCmd        `cmd:"" help:"Write the same as an HTML page with a chart and a table."`
+	List     listContractsCmd `cmd:"" help:"List the contracts of a settings file, or those of a running gateway with its ledger."`
+	Show     showContractCmd  `cmd:"" help:"Show one team's contract, or its ledger account at a running gateway."`
+	Simulate simulateCmd      `cmd:"" help:"Simulate contracts on the requests of a capture."`
+	Report   reportCmd        `cmd:"" help:"Write the results of a simulation as an HTML page with charts and a table."`
 }
 
 // loadAccounts returns the ledger accounts of a running gateway.
@@ -36,7 +36,7 @@
 
 type listContractsCmd struct {
 	socketFlags
-	File string `arg:"" optional:"" help:"A file of settings; without it, a running gateway is asked."`
+	File string `arg:"" optional:"" help:"A settings file; by default a running gateway is asked."`
 	JSON bool   `name:"json" help:"Print JSON."`
 }
 
@@ -66,7 +66,7 @@
 		return s.printJSON(got.Contracts.Teams)
 	}
 	w := tabwriter.NewWriter(s.out, 0, 4, 2, ' ', tabwriter.AlignRight)
-	fmt.Fprintln(w, "team\trate/s\tburst\tworth\tover\thard\ttenants\tbudgets\tfrom\tuntil\t")
+	fmt.Fprintln(w, "team\trate/s\tburst\tweight\tover\thard\ttenants\tbudgets\tfrom\tuntil\t")
 	for _, t := range got.Contracts.Teams {
 		var budgets []string
 		for _, g := range t.Budgets {
@@ -90,7 +90,7 @@
 // printAccounts prints ledger accounts as a table.
 func (s *streams) printAccounts(list []contract.AccountStatus) error {
 	w := tabwriter.NewWriter(s.out, 0, 4, 2, ' ', tabwriter.AlignRight)
-	fmt.Fprintln(w, "team\tvalid\tpart\tlevel\topen\ttaken\tover\trefused\tused\tborrowed\tbudgets\t")
+	fmt.Fprintln(w, "team\tvalid\tshare\tlevel\topen\tadmitted\tover\trejected\tused\tborrowed\tbudgets\t")
 	for _, a := range list {
 		var budgets []string
 		for p, limit := range a.Limit {
@@ -107,7 +107,7 @@
 type showContractCmd struct {
 	socketFlags
 	Team string `arg:"" help:"The team."`
-	File string `arg:"" optional:"" help:"A file of settings; without it, a running gateway is asked."`
+	File string `arg:"" optional:"" help:"A settings file; by default a running gateway is asked."`
 	JSON bool   `name:"json" help:"Print JSON."`
 }
 
@@ -153,8 +153,8 @@
 // simulationFlags are the flags of a simulation of contracts.
 type simulationFlags struct {
 	timeSpan
-	Paths  []string `arg:"" help:"Segments of a capture, or folders of them."`
-	Config string   `required:"" env:"ARCHKNOT_CONF" placeholder:"FILE" help:"The settings with the contracts."`
+	Paths  []string `arg:"" help:"Segments of a capture, or directories of segments."`
+	Config string   `required:"" env:"ARCHKNOT_CONF" placeholder:"FILE" help:"The settings file with the contracts."`
 }
 
 // simulate simulates the contracts on each run, with so many points of the time series.
@@ -196,8 +196,8 @@
 }
 
 func (simulateCmd) Help() string {
-	return "Prices, rates and budgets are those of the settings; what the decision module did with the requests stays as recorded.\n" +
-		"Each recording begins with full bursts and unused budgets.\n\n" +
+	return "Prices, rates and budgets are those of the settings; the decisions about the requests stay as recorded.\n" +
+		"Each recording starts with full bursts and unused budgets.\n\n" +
 		"Example:\n  archknot contracts simulate /var/lib/archknot/capture --config new.conf --from -10m"
 }
 
@@ -219,7 +219,7 @@
 		}
 		fmt.Fprintln(s.out)
 		w := tabwriter.NewWriter(s.out, 0, 4, 2, ' ', tabwriter.AlignRight)
-		fmt.Fprintln(w, "team\trequests\ttaken\tover\trefused\tserved though refused\tasked\tused\tof the rate\tborrowed\tcopies\tnot sent\t")
+		fmt.Fprintln(w, "team\trequests\tadmitted\tover\trejected\tserved though rejected\trequested\tused\tof the rate\tborrowed\textra attempts\tnot sent\t")
 		for _, t := range r.Teams {
 			name := t.Team
 			if name == "" {
@@ -250,11 +250,11 @@
 
 type reportCmd struct {
 	simulationFlags
-	Out string `required:"" placeholder:"FILE" help:"Where the page goes."`
+	Out string `required:"" placeholder:"FILE" help:"The file of the page."`
 }
 
 func (reportCmd) Help() string {
-	return "The page stands by itself: its charts are in it.\n\n" +
+	return "The page is self-contained: it includes its charts.\n\n" +
 		"Example:\n  archknot contracts report /var/lib/archknot/capture --config deploy/archknot.conf --out contracts.html"
 }
 
--- a/internal/cli/drill.go
+++ b/internal/cli/drill.go
@@ -24,28 +24,28 @@
 
 // drillCmd has the commands that run gateways under faults or load.
 type drillCmd struct {
-	Scale     drillScaleCmd `cmd:"" help:"Measure what grows with a fleet: hollow replicas and gateways, and some real ones beside them."`
-	ScaleRole scaleRoleCmd  `cmd:"" hidden:"" help:"A process of a scale run."`
-	Soak      drillSoakCmd  `cmd:"" help:"Have gateways as processes serve an emulated fleet while faults drawn by a seed happen to all of them, and judge the rules."`
-	Run       drillRunCmd   `cmd:"" help:"Start many gateways as processes before an emulated fleet, strike them as a plan says, and check the rules."`
+	Scale     drillScaleCmd `cmd:"" help:"Measure what grows with the fleet: hollow replicas and gateways, and some real ones for comparison."`
+	ScaleRole scaleRoleCmd  `cmd:"" hidden:"" help:"Run a process of a scale run."`
+	Soak      drillSoakCmd  `cmd:"" help:"Run gateway processes in front of an emulated fleet under random faults drawn from a seed, and check the rules."`
+	Run       drillRunCmd   `cmd:"" help:"Run gateway processes in front of an emulated fleet under the faults of a plan, and check the rules."`
 }
 
 // drillRunCmd runs drills.
 type drillRunCmd struct {
 	Plan     string `arg:"" help:"The plan: see deploy/take-over.plan."`
-	Program  string `placeholder:"FILE" help:"Another build that is started in the place of this one."`
-	Variant  string `help:"Which of the plan's, if not the first."`
-	Workload string `help:"Which, if not the first."`
-	JSON     bool   `name:"json" help:"Print JSON, a line for each drill and one for all."`
+	Program  string `placeholder:"FILE" help:"The program of another build to start in place of this one."`
+	Variant  string `help:"The variant of the plan; by default the first."`
+	Workload string `help:"The workload; by default the first."`
+	JSON     bool   `name:"json" help:"Print JSON, one line for each drill and one for all."`
 	seedFlags
 }
 
 // seedFlags select the seeds of drills or soaks.
 type seedFlags struct {
-	Seed  uint64 `default:"1" help:"The first seed: the same one draws the same."`
-	Seeds int    `default:"1" help:"How many drills, each with the next seed."`
-	Jobs  int    `default:"1" help:"Drills at once."`
-	Logs  string `placeholder:"DIR" help:"Where configurations and logs are left; without it they are removed."`
+	Seed  uint64 `default:"1" help:"The first seed; the same seed gives the same random draws."`
+	Seeds int    `default:"1" help:"Number of drills, each with the next seed."`
+	Jobs  int    `default:"1" help:"Number of drills that run at the same time."`
+	Logs  string `placeholder:"DIR" help:"Directory in which configurations and logs stay; by default they are removed."`
 }
 
 // each calls run with each seed, f.Jobs at once, until one returns an error or the user interrupts it.
@@ -75,8 +75,9 @@
 
 // Help implements kong.HelpProvider.
 func (drillRunCmd) Help() string {
-	return "Everything is on loopback addresses; each process is ended by its id. The rules: at most so many attempts over all gateways, never two at once\n" +
-		"unless second copies are on, nothing twice that must run once, nothing after the deadline, drains kept, one answer each, no process that ends by itself.\n" +
+	return "Everything is on loopback addresses; each process is ended by its ID. The rules: the limit of attempts holds over all gateways, never two at once\n" +
+		"unless hedging is on, no non-idempotent request runs twice, nothing after the deadline, nothing to draining replicas, one answer each, no process\n" +
+		"ends unexpectedly.\n" +
 		"Exit code 1: a rule was broken.\n\nExample:\n  archknot drill run deploy/take-over.plan --seeds 10 --jobs 3"
 }
 
@@ -142,11 +143,11 @@
 		return json.NewEncoder(s.out).Encode(sum)
 	}
 	t := tabwriter.NewWriter(s.out, 0, 0, 2, ' ', 0)
-	fmt.Fprintf(t, "drills\t%d\nrequests\t%d\nin hand at a lost gateway\t%d\n  of them whole and in time\t%d (%.2f%%)\n",
+	fmt.Fprintf(t, "drills\t%d\nrequests\t%d\nin flight at a lost gateway\t%d\n  of them complete and in time\t%d (%.2f%%)\n",
 		sum.Drills, sum.Sent, sum.Interrupted, sum.Recovered, 100*float64(sum.Recovered)/max(1, float64(sum.Interrupted)))
-	fmt.Fprintf(t, "worth served\t%s\nworth lost in 10 s\t%s\nfirst token, median ms\t%s\ncpu a request, ms\t%s\n",
+	fmt.Fprintf(t, "weight served\t%s\nweight lost in 10 s\t%s\nfirst token, median ms\t%s\nCPU time of a request, ms\t%s\n",
 		sum.WeightServed, sum.WeightLost, sum.FirstTokenMs, sum.CPUMsPerRequest)
-	fmt.Fprintf(t, "most memory, MB\t%.1f\nmost descriptors\t%d\nrules broken\t%d\nprocesses that ended\t%d\n",
+	fmt.Fprintf(t, "maximum memory, MB\t%.1f\nmaximum file descriptors\t%d\nrule violations\t%d\nprocesses that ended unexpectedly\t%d\n",
 		sum.MemoryMB, sum.OpenFiles, sum.Violations, sum.Crashes)
 	return t.Flush()
 }
--- a/internal/cli/experiment.go
+++ b/internal/cli/experiment.go
@@ -21,20 +21,20 @@
 
 type experimentCmd struct {
 	Run    runExperimentCmd    `cmd:"" help:"Run a plan: each variant with each workload and seed, on the fleet model."`
-	Report reportExperimentCmd `cmd:"" help:"Tell how the variants differ."`
-	Gate   gateCmd             `cmd:"" help:"Fail if a variant is, or may be, worse by more than a bound."`
+	Report reportExperimentCmd `cmd:"" help:"Report how the variants differ."`
+	Gate   gateCmd             `cmd:"" help:"Fail if a variant is, or may be, worse than the base by more than a bound."`
 	One    oneCmd              `cmd:"" help:"Run one variant once, and print its result."`
 }
 
 type runExperimentCmd struct {
 	Plan string `arg:"" help:"The plan."`
-	Out  string `required:"" placeholder:"DIR" help:"Where the results go. What is there already is not run again."`
-	Jobs int    `help:"Runs at once; 0: as many as there are cores."`
+	Out  string `required:"" placeholder:"DIR" help:"Directory of the results. Runs whose results are there are not repeated."`
+	Jobs int    `help:"Number of runs at the same time; 0: the number of cores."`
 	JSON bool   `name:"json" help:"Print JSON."`
 }
 
 func (runExperimentCmd) Help() string {
-	return "Ended by SIGINT or a kill, the same command goes on where it stood.\n\nExample:\n  archknot experiment run deploy/no-hedging.plan --out results"
+	return "After SIGINT or a kill, the same command continues where it stopped.\n\nExample:\n  archknot experiment run deploy/no-hedging.plan --out results"
 }
 
 func (c *runExperimentCmd) Run(s *streams) error {
@@ -104,10 +104,10 @@
 }
 
 type reportExperimentCmd struct {
-	Dir  string `arg:"" help:"The folder of the results."`
-	Base string `help:"The variant to compare with, if not the one named base or the first."`
+	Dir  string `arg:"" help:"The directory of the results."`
+	Base string `help:"The variant to compare with; by default the one named base, or else the first."`
 	HTML string `name:"html" placeholder:"FILE" help:"Write a page with charts."`
-	CSV  string `name:"csv" placeholder:"FILE" help:"Write a line for each run."`
+	CSV  string `name:"csv" placeholder:"FILE" help:"Write one line for each run."`
 	JSON bool   `name:"json" help:"Print JSON."`
 }
 
@@ -135,7 +135,7 @@
 		return sum.WriteJSON(s.out)
 	}
 	w := tabwriter.NewWriter(s.out, 0, 4, 2, ' ', 0)
-	fmt.Fprintf(w, "workload\tvariant\tfigure\t%s\tvariant's\tverdict\n", sum.Base)
+	fmt.Fprintf(w, "workload\tvariant\tmetric\t%s\tvariant's\tverdict\n", sum.Base)
 	for _, r := range sum.Rows {
 		d := r.Difference
 		fmt.Fprintf(w, "%s\t%s\t%s\t%.5g\t%.5g\t%s\n", r.Workload, r.Variant, r.Metric, d.Base, d.Variant, d.Describe())
@@ -144,15 +144,15 @@
 }
 
 type gateCmd struct {
-	Dir    string  `arg:"" help:"The folder of the results."`
-	Base   string  `help:"The variant to compare with, if not the one named base or the first."`
-	Figure string  `default:"worth_in_time" help:"What must not be worse."`
-	Bound  float64 `default:"0.01" help:"By how much it may be, in the figure's own measure."`
+	Dir    string  `arg:"" help:"The directory of the results."`
+	Base   string  `help:"The variant to compare with; by default the one named base, or else the first."`
+	Figure string  `default:"worth_in_time" help:"The metric that must not be worse."`
+	Bound  float64 `default:"0.01" help:"How much worse the metric may be, in its own unit."`
 	JSON   bool    `name:"json" help:"Print JSON."`
 }
 
 func (gateCmd) Help() string {
-	return "A variant passes if its 95% interval keeps within the bound. Exit code 1: one does not.\n\nExample:\n  archknot experiment gate results --figure first_p95_ms --bound 50"
+	return "A variant passes if its 95% interval stays within the bound. Exit code 1: a variant does not pass.\n\nExample:\n  archknot experiment gate results --figure first_p95_ms --bound 50"
 }
 
 func (c *gateCmd) Run(s *streams) error {
@@ -184,14 +184,14 @@
 
 type oneCmd struct {
 	Plan     string `arg:"" help:"The plan."`
-	Variant  string `help:"Which, if not the first."`
-	Workload string `help:"Which, if not the first."`
-	Seed     uint64 `default:"1" help:"For all that is drawn."`
-	Capture  string `placeholder:"DIR" help:"Record each gateway in a folder below this one: replay and explain take it."`
+	Variant  string `help:"The variant; by default the first."`
+	Workload string `help:"The workload; by default the first."`
+	Seed     uint64 `default:"1" help:"The seed of all random draws."`
+	Capture  string `placeholder:"DIR" help:"Record each gateway in a subdirectory of this one, for replay and explain."`
 }
 
 func (oneCmd) Help() string {
-	return "Prints the result as JSON: the same bytes for the same plan and seed.\n\nExample:\n  archknot experiment one deploy/no-hedging.plan --seed 3 --capture /tmp/run"
+	return "Prints the result as JSON; the same plan and seed give the same bytes.\n\nExample:\n  archknot experiment one deploy/no-hedging.plan --seed 3 --capture /tmp/run"
 }
 
 func (c *oneCmd) Run(s *streams) error {
--- a/internal/cli/fleet.go
+++ b/internal/cli/fleet.go
@@ -17,22 +17,22 @@
 )
 
 type fleetCmd struct {
-	Emulate emulateCmd `cmd:"" help:"Run a plan's fleet on loopback sockets in real time, and its traffic against gateways."`
+	Emulate emulateCmd `cmd:"" help:"Emulate a plan's fleet on loopback sockets in real time, and send its traffic to gateways."`
 	Fit     fitCmd     `cmd:"" help:"Estimate a plan's traffic from recordings."`
-	Scale   scaleCmd   `cmd:"" help:"Write a plan for a fleet so many times as large."`
+	Scale   scaleCmd   `cmd:"" help:"Write a plan for a fleet that is N times as large."`
 }
 
 type emulateCmd struct {
 	Plan     string   `arg:"" help:"The plan."`
-	Registry string   `default:"127.0.0.1:8500" help:"Where the registry listens: a loopback address."`
-	Gateway  []string `placeholder:"ADDR" help:"Gateways that the plan's traffic goes to. Without any the fleet serves until it is ended."`
-	Workload string   `help:"Which, if not the first."`
-	Seed     uint64   `default:"1" help:"For all that is drawn."`
+	Registry string   `default:"127.0.0.1:8500" help:"Address of the emulated discovery: a loopback address."`
+	Gateway  []string `placeholder:"ADDR" help:"Gateways to which the plan's traffic is sent. Without any the fleet serves until it is interrupted."`
+	Workload string   `help:"The workload; by default the first."`
+	Seed     uint64   `default:"1" help:"The seed of all random draws."`
 	Settle   string   `default:"2s" help:"How long gateways have to find the fleet before the traffic begins."`
 }
 
 func (emulateCmd) Help() string {
-	return "The workers are those of the model, and the plan's faults come when it says; reset and spoil are kinds of the emulator alone.\n" +
+	return "The replicas are those of the model, and the plan's faults happen at its times; reset and spoil are kinds of the emulator alone.\n" +
 		"With gateways the result is printed as `experiment one` prints it. Exit code 1: nothing was served.\n\n" +
 		"Example:\n  archknot fleet emulate deploy/no-hedging.plan --gateway 127.0.0.1:8080"
 }
@@ -86,13 +86,13 @@
 }
 
 type fitCmd struct {
-	Paths []string `arg:"" help:"Captures of all gateways of one fleet: segments, or folders of them."`
+	Paths []string `arg:"" help:"Captures of all gateways of one fleet: segments, or directories of segments."`
 	Plan  bool     `help:"Print the [traffic] sections of a plan."`
 	JSON  bool     `name:"json" help:"Print JSON."`
 }
 
 func (fitCmd) Help() string {
-	return "Each estimate stands with its 95% interval and the number of observations; what recordings do not tell is said below.\n" +
+	return "Each estimate has its 95% interval and the number of observations; what recordings do not show is listed below.\n" +
 		"Give the recordings of all gateways: sessions go from one to another. Exit code 1: no request was recorded.\n\n" +
 		"Example:\n  archknot fleet fit /var/lib/archknot/n1 /var/lib/archknot/n2 --plan > week.plan"
 }
@@ -138,14 +138,14 @@
 			what string
 			v    fit.Value
 		}{{"rate, requests a second", t.Rate}, {"turns of a session", t.Turns}, {"think, seconds", t.Think}, {"prompt, new tokens", t.Prompt}, {"answer, tokens", t.Answer},
-			{"spread", t.Spread}, {"prefixes", t.Prefixes}, {"shared, tokens", t.Shared}, {"dispersion of beginnings", t.Dispersion}} {
+			{"spread", t.Spread}, {"prefixes", t.Prefixes}, {"shared, tokens", t.Shared}, {"dispersion of session starts", t.Dispersion}} {
 			fmt.Fprintf(w, "  %s\t%s\n", v.what, v.v)
 		}
 		if err := w.Flush(); err != nil {
 			return err
 		}
 		for _, u := range t.Unknown {
-			fmt.Fprintf(s.out, "  not told: %s\n", u)
+			fmt.Fprintf(s.out, "  unknown: %s\n", u)
 		}
 	}
 	return nil
@@ -158,7 +158,7 @@
 }
 
 func (scaleCmd) Help() string {
-	return "Rates, workers and gateways grow, so that each worker's load stays; shared beginnings stay as many. The plan goes to standard output.\n\n" +
+	return "Rates, replicas and gateways grow, so that each replica's load stays the same; the number of shared prefixes does not grow. The plan goes to standard output.\n\n" +
 		"Example:\n  archknot fleet scale week.plan --times 100 > large.plan"
 }
 
--- a/internal/cli/replay.go
+++ b/internal/cli/replay.go
@@ -24,25 +24,25 @@
 )
 
 type replayCmd struct {
-	Paths []string `arg:"" help:"Segments, or folders of them."`
+	Paths []string `arg:"" help:"Segments, or directories of segments."`
 	timeSpan
-	Where   string `placeholder:"EXPR" help:"Only differences at events that match count."`
-	Restart bool   `help:"Begin anew at each checkpoint, from its state."`
-	Show    int    `default:"1" help:"How many differences to show, the first with all workers as they were weighed."`
-	Against string `placeholder:"BINARY" help:"Compare this build with another one's archknot, not with the record."`
-	Step    string `placeholder:"ID" help:"Explain one request, as archknot capture explain does."`
-	Accept  bool   `help:"Take all differences as intended: write them beside the capture; they do not count from then on."`
-	Perturb string `placeholder:"KINDS" help:"Harm what the module is told, and check what must hold whatever comes: late, void, duplicate, delay, lost or all, set apart by commas."`
-	Seed    uint64 `default:"1" help:"For --perturb."`
+	Where   string `placeholder:"EXPR" help:"Count only differences at events that match."`
+	Restart bool   `help:"Restart at each checkpoint, from its state."`
+	Show    int    `default:"1" help:"Number of differences to show, the first with the scores of all replicas."`
+	Against string `placeholder:"BINARY" help:"Compare this build with another build's program, not with the recording."`
+	Step    string `placeholder:"ID" help:"Explain one request, like archknot capture explain."`
+	Accept  bool   `help:"Accept all differences as intended: they are stored beside the capture and no longer count."`
+	Perturb string `placeholder:"KINDS" help:"Perturb the events of the module, and check its invariants: late, void, duplicate, delay, lost or all, separated by commas."`
+	Seed    uint64 `default:"1" help:"The seed of --perturb."`
 	JSON    bool   `name:"json" help:"Print JSON."`
 	Emit    bool   `hidden:"" help:"Print each event with this build's decisions."`
 }
 
 func (replayCmd) Help() string {
-	return "Runs captures through this build's decision module and compares every order. After a difference it goes on in step with\n" +
-		"the record. Exit code 0: none differs; 1: some do; 2: a capture cannot be read.\n\n" +
-		"A condition for --where compares fields by ==, !=, <, <=, >, >= and =~ (a regular expression) and joins by and, or, not\n" +
-		"and brackets. Fields:\n" + replay.FilterFields() +
+	return "Replays captures with this build's decision module and compares every action. After a difference the replay follows\n" +
+		"the recording. Exit code 0: no action differs; 1: some differ; 2: a capture cannot be read.\n\n" +
+		"A condition for --where compares fields with ==, !=, <, <=, >, >= and =~ (a regular expression), combined with and, or, not\n" +
+		"and parentheses. Fields:\n" + replay.FilterFields() +
 		"\nExample:\n  archknot replay --where 'class == agent and elapsed > 2s' /var/lib/archknot/capture"
 }
 
--- a/internal/cli/scale.go
+++ b/internal/cli/scale.go
@@ -16,16 +16,16 @@
 // drillScaleCmd measures what grows with a fleet.
 type drillScaleCmd struct {
 	Plan    string `arg:"" help:"The plan: see deploy/scale.plan."`
-	Program string `placeholder:"FILE" help:"Another build that is started in the place of this one."`
-	Out     string `placeholder:"FILE" help:"Write the whole result there, as JSON."`
-	JSON    bool   `name:"json" help:"Print JSON in place of tables."`
+	Program string `placeholder:"FILE" help:"The program of another build to start in place of this one."`
+	Out     string `placeholder:"FILE" help:"Write the complete result to this file, as JSON."`
+	JSON    bool   `name:"json" help:"Print JSON instead of tables."`
 }
 
 // Help implements kong.HelpProvider.
 func (drillScaleCmd) Help() string {
-	return "Hollow replicas and hollow gateways in a few processes, a stand-in for discovery and some gateways as processes, all on loopback addresses.\n" +
-		"Sizes are varied one at a time; a figure's slope is by least squares, with its interval. A hollow figure counts where it is within a fifth of the real one.\n" +
-		"It ends by itself, and gives up where the processes take more memory than the plan allows.\n\nExample:\n  archknot drill scale deploy/scale.plan --out scale.json"
+	return "Hollow replicas and hollow gateways in a few processes, a fake discovery and some real gateway processes, all on loopback addresses.\n" +
+		"Sizes are varied one at a time; a metric's slope is fitted by least squares, with its interval. A hollow gateway's value counts if it is within a fifth of a real one's.\n" +
+		"The command ends by itself, and stops early if the processes take more memory than the plan allows.\n\nExample:\n  archknot drill scale deploy/scale.plan --out scale.json"
 }
 
 // Run measures the points of the plan and prints the result.
@@ -61,7 +61,7 @@
 
 // scaleRoleCmd runs a role of a scale run in this process.
 type scaleRoleCmd struct {
-	Role string `arg:"" help:"Which."`
+	Role string `arg:"" help:"The role."`
 }
 
 // Run serves the role until standard input ends.
--- a/internal/cli/site.go
+++ b/internal/cli/site.go
@@ -25,22 +25,22 @@
 )
 
 type siteCmd struct {
-	Plan  sitePlanCmd  `cmd:"" help:"Tell beforehand what the loss of a site would come to, from a plan's fleet and traffic."`
-	Drill siteDrillCmd `cmd:"" help:"Lose a site of a plan's fleet with processes, and tell what was seen beside what was forecast."`
+	Plan  sitePlanCmd  `cmd:"" help:"Forecast the effect of the loss of a site, from a plan's fleet and traffic."`
+	Drill siteDrillCmd `cmd:"" help:"Simulate the loss of a site of a plan's fleet with gateway processes, and compare the outcome with the forecast."`
 }
 
 // lossFlags are the flags of both commands.
 type lossFlags struct {
 	File     string        `arg:"" name:"plan" help:"The plan: see deploy/site-loss.plan."`
-	Lose     string        `required:"" placeholder:"SITE" help:"The site: a zone of the plan's workers."`
-	At       time.Duration `default:"4s" help:"When, from the run's start."`
-	For      time.Duration `default:"5s" help:"How long it is away."`
-	Told     time.Duration `default:"6s" help:"How long the registry goes on listing it as ready; longer than it is away: to its return."`
-	Watch    time.Duration `default:"15s" help:"Requests that come for so long from the loss on are counted."`
-	Variant  string        `help:"Which of the plan's, if not the first."`
-	Workload string        `help:"Which, if not the first."`
+	Lose     string        `required:"" placeholder:"SITE" help:"The site: a zone of the plan's replicas."`
+	At       time.Duration `default:"4s" help:"Time of the loss, from the start of the run."`
+	For      time.Duration `default:"5s" help:"How long the site is lost."`
+	Told     time.Duration `default:"6s" help:"How long discovery goes on listing its replicas as ready, at most until the site returns."`
+	Watch    time.Duration `default:"15s" help:"Requests that arrive within this time after the loss are counted."`
+	Variant  string        `help:"The variant of the plan; by default the first."`
+	Workload string        `help:"The workload; by default the first."`
 	Seed     uint64        `default:"1" help:"The first seed."`
-	Played   int           `default:"10" help:"Runs of the model, each with the next seed, with the loss and without."`
+	Played   int           `default:"10" help:"Simulated runs with the loss, and as many without, each with the next seed."`
 	JSON     bool          `name:"json" help:"Print JSON."`
 }
 
@@ -80,13 +80,13 @@
 
 type sitePlanCmd struct {
 	lossFlags
-	Chart string `placeholder:"FILE" help:"Write a chart of the seconds after the loss there, as SVG."`
+	Chart string `placeholder:"FILE" help:"Write a chart of the seconds after the loss to this file, as SVG."`
 }
 
 func (sitePlanCmd) Help() string {
-	return "The model runs the code that serves. Told are: what each site bears before and after; the classes in the order in which they are refused,\n" +
-		"the least worth for a second of a worker's time first; what of each is served; how long the return takes; how many more workers elsewhere\n" +
-		"would keep all. Ranges are where one such day lies with 19 in 20.\n\n" +
+	return "The model runs the code that serves. The forecast has: the load of each site before and after; the classes in the order in which they are shed,\n" +
+		"the lowest priority weight for a second of a replica's time first; the share of each that is served; the time of the recovery; the replicas\n" +
+		"elsewhere that would serve everything. Ranges are 95% prediction intervals of one run.\n\n" +
 		"Example:\n  archknot site plan deploy/site-loss.plan --lose south --chart loss.svg"
 }
 
@@ -111,7 +111,7 @@
 // printForecast prints a forecast as tables.
 func printForecast(out io.Writer, f *siteforecast.Forecast) error {
 	t := tabwriter.NewWriter(out, 0, 0, 2, ' ', 0)
-	fmt.Fprintf(t, "site\tworkers\tload before\tload after\n")
+	fmt.Fprintf(t, "site\treplicas\tload before\tload after\n")
 	for _, x := range f.Sites {
 		after := "lost"
 		if x.Name != f.Lost.Site {
@@ -119,21 +119,21 @@
 		}
 		fmt.Fprintf(t, "%s\t%d\t%.2f\t%s\n", x.Name, x.Replicas, x.Load, after)
 	}
-	fmt.Fprintf(t, "\nrefused first to last\trequests/s\twork ms\tworth/s of work\tserved, calm\tserved, loss\trefused\tlate\n")
+	fmt.Fprintf(t, "\nshed first to last\trequests/s\twork ms\tweight/s of work\tserved, no loss\tserved, loss\tshed\tlate\n")
 	for _, x := range f.Classes {
 		fmt.Fprintf(t, "%s\t%.1f\t%.0f\t%.1f\t%.3f\t%s\t%s\t%.3f\n", x.Name, x.RequestsPerSecond, x.WorkMs, x.WeightPerWork, x.Baseline, x.Served, x.Shed, x.Late)
 	}
 	back, spare := fmt.Sprintf("%.0f s", f.RecoverySeconds), fmt.Sprintf("%.2f times", f.SpareFactor)
 	if f.RecoverySeconds < 0 {
-		back = "longer than was watched"
+		back = "longer than was observed"
 	}
 	switch f.SpareFactor {
 	case 0:
 		spare = "over 3 times"
 	case 1:
-		spare = "none: what there is keeps all"
+		spare = "none: the present ones serve everything"
 	}
-	fmt.Fprintf(t, "\nworth served with the loss\t%s\nwithout\t%s\nan oracle's bound, of a fluid\t%.3f\nas without the loss, after the return\t%s\nworkers elsewhere that would keep all\t%s\n", f.Served, f.Baseline, f.FluidBound, back, spare)
+	fmt.Fprintf(t, "\nweight served with the loss\t%s\nwithout\t%s\nupper bound of a fluid model\t%.3f\nrecovered, after the return\t%s\nreplicas elsewhere that would serve everything\t%s\n", f.Served, f.Baseline, f.FluidBound, back, spare)
 	return t.Flush()
 }
 
@@ -144,7 +144,7 @@
 		Height:     300,
 		Background: chart.Style{Padding: chart.Box{Top: 30, Left: 10, Right: 10, Bottom: 10}},
 		XAxis:      chart.XAxis{Name: "seconds from the loss"},
-		YAxis:      chart.YAxis{Name: "worth served", Range: &chart.ContinuousRange{Min: 0, Max: 1.02}},
+		YAxis:      chart.YAxis{Name: "weight served", Range: &chart.ContinuousRange{Min: 0, Max: 1.02}},
 	}
 	withLoss, baseline := chart.ContinuousSeries{Name: "with the loss"}, chart.ContinuousSeries{Name: "without"}
 	for _, second := range f.Seconds {
@@ -152,7 +152,7 @@
 		baseline.XValues, baseline.YValues = append(baseline.XValues, second.At), append(baseline.YValues, second.Baseline.Mean)
 	}
 	returnAt := float64(f.Lost.Duration) / 1e6
-	siteReturn := chart.ContinuousSeries{Name: "back", XValues: []float64{returnAt, returnAt}, YValues: []float64{0, 1}}
+	siteReturn := chart.ContinuousSeries{Name: "return", XValues: []float64{returnAt, returnAt}, YValues: []float64{0, 1}}
 	for i, series := range []chart.ContinuousSeries{withLoss, baseline, siteReturn} {
 		series.Style = chart.Style{StrokeColor: chart.GetDefaultColor(i), StrokeWidth: 2}
 		graph.Series = append(graph.Series, series)
@@ -163,14 +163,14 @@
 
 type siteDrillCmd struct {
 	lossFlags
-	Program string `placeholder:"FILE" help:"Another build that is started in the place of this one."`
-	Seeds   int    `default:"1" help:"How many drills, each with the next seed."`
-	Logs    string `placeholder:"DIR" help:"Where configurations and logs are left; without it they are removed."`
+	Program string `placeholder:"FILE" help:"The program of another build to start in place of this one."`
+	Seeds   int    `default:"1" help:"Number of drills, each with the next seed."`
+	Logs    string `placeholder:"DIR" help:"Directory in which configurations and logs stay; by default they are removed."`
 }
 
 func (siteDrillCmd) Help() string {
-	return "Gateways are processes, workers are emulated; the site's workers fall silent and come back cold, its gateways are killed and started again.\n" +
-		"Exit code 1: a rule was broken, a process ended by itself, or more than a fifth of the drills lie outside the forecast.\n\n" +
+	return "Gateways are processes, replicas are emulated; the site's replicas stop answering and come back warming up, its gateways are killed and restarted.\n" +
+		"Exit code 1: a rule was broken, a process ended unexpectedly, or more than a fifth of the drills lie outside the forecast.\n\n" +
 		"Example:\n  archknot site drill deploy/site-loss.plan --lose south --seeds 3"
 }
 
@@ -221,7 +221,7 @@
 		}
 	}
 	if !c.JSON {
-		fmt.Fprintf(s.out, "worth served %s; forecast %s; %d of %d within; attempts at the lost site later than 1.5 s: %s of all\n",
+		fmt.Fprintf(s.out, "weight served %s; forecast %s; %d of %d within; share of attempts sent to the lost site after 1.5 s: %s\n",
 			experiment.MeanInterval(served), f.Served, c.Seeds-outside, c.Seeds, experiment.MeanInterval(toLost))
 	}
 	if broken > 0 || 5*outside > c.Seeds {
--- a/internal/cli/soak.go
+++ b/internal/cli/soak.go
@@ -13,17 +13,17 @@
 // drillSoakCmd runs soaks.
 type drillSoakCmd struct {
 	Plan     string `arg:"" help:"The plan: see deploy/soak.plan."`
-	Program  string `placeholder:"FILE" help:"Another build that is started in the place of this one."`
-	Timeline bool   `help:"Print the timeline of each soak, and not only of those that broke a rule."`
-	JSON     bool   `name:"json" help:"Print JSON, a line for each soak."`
+	Program  string `placeholder:"FILE" help:"The program of another build to start in place of this one."`
+	Timeline bool   `help:"Print the timeline of every soak, not only of those that broke a rule."`
+	JSON     bool   `name:"json" help:"Print JSON, one line for each soak."`
 	seedFlags
 }
 
 // Help implements kong.HelpProvider.
 func (drillSoakCmd) Help() string {
-	return "Drawn by the seed: SIGHUP, SIGSTOP for up to 0.15 s, SIGKILL, SIGTERM with SIGKILL at the earliest, upgrades (odd seeds), operators' calls, descriptors\n" +
-		"and disks that are short, replicas that drain, fail and come back cold, discovery that is out or slow, clients that leave and send in pieces, a crowd of\n" +
-		"idle ones (each third seed). Everything is on loopback addresses. Exit code 1: a rule was broken.\n\nExample:\n  archknot drill soak deploy/soak.plan --seeds 50 --jobs 2"
+	return "Faults drawn from the seed: SIGHUP, SIGSTOP for up to 0.15 s, SIGKILL, SIGTERM with SIGKILL at the earliest, upgrades (odd seeds), operators' calls,\n" +
+		"too few file descriptors, full disks, replicas that drain, fail and come back warming up, discovery that is down or slow, clients that disconnect\n" +
+		"or send in pieces, many idle clients (every third seed). Everything is on loopback addresses. Exit code 1: a rule was broken.\n\nExample:\n  archknot drill soak deploy/soak.plan --seeds 50 --jobs 2"
 }
 
 // Run carries out the soaks and prints their results. It returns errNo if a rule was violated.
--- a/internal/cli/version.go
+++ b/internal/cli/version.go
@@ -14,8 +14,8 @@
 
 // socketFlags name a running gateway's control socket.
 type socketFlags struct {
-	Socket string `placeholder:"PATH" help:"The gateway's control socket, if not that of the settings."`
-	Config string `env:"ARCHKNOT_CONF" placeholder:"FILE" help:"The gateway's settings, for the socket's path."`
+	Socket string `placeholder:"PATH" help:"The gateway's control socket; by default that of the settings."`
+	Config string `env:"ARCHKNOT_CONF" placeholder:"FILE" help:"The gateway's settings file, for the path of the socket."`
 }
 
 // call sends a command to the gateway and decodes its response. If the gateway cannot carry it out, call prints
@@ -79,7 +79,7 @@
 }
 
 func (historyCmd) Help() string {
-	return "What became of each version that came, the oldest first: taken, refused, waits, proved, givenback, passed.\n\n" +
+	return "The events of each version that arrived, the oldest first: taken, refused, waits, proved, givenback, passed.\n\n" +
 		"Example:\n  archknot config history --config deploy/archknot.conf"
 }
 
@@ -100,13 +100,13 @@
 
 type rollbackCmd struct {
 	socketFlags
-	Reason string `default:"ordered" help:"Why: it goes into the history and to the service."`
+	Reason string `default:"ordered" help:"The reason, for the history and the control service."`
 	JSON   bool   `name:"json" help:"Print JSON."`
 }
 
 func (rollbackCmd) Help() string {
-	return "The version in force is given back to the service as a refusal, and not taken again.\n" +
-		"Exit code 1: there is none, or what is in hand does not allow it yet.\n\n" +
+	return "The version in force is rejected to the control service, and not applied again.\n" +
+		"Exit code 1: there is none, or requests in flight do not allow it yet.\n\n" +
 		"Example:\n  archknot config rollback --config deploy/archknot.conf --reason 'chat is late since ten'"
 }
 
@@ -126,13 +126,13 @@
 }
 
 type diffCmd struct {
-	One   string `arg:"" help:"A file of settings."`
-	Other string `arg:"" optional:"" help:"Another; without it, the defaults."`
+	One   string `arg:"" help:"A settings file."`
+	Other string `arg:"" optional:"" help:"Another settings file; by default the default settings."`
 	JSON  bool   `name:"json" help:"Print JSON."`
 }
 
 func (diffCmd) Help() string {
-	return "Exit code 0: they say the same; 1: they differ.\n\nExample:\n  archknot config diff deploy/archknot.conf"
+	return "Exit code 0: the settings are the same; 1: they differ.\n\nExample:\n  archknot config diff deploy/archknot.conf"
 }
 
 func (c *diffCmd) Run(s *streams) error {
--- a/internal/fleet/model/spec.go
+++ b/internal/fleet/model/spec.go
@@ -154,13 +154,13 @@
 	}
 	switch {
 	case s.Duration <= 0 || s.WarmUp < 0 || s.WarmUp >= s.Duration:
-		return fmt.Errorf("for %d us, warm %d us: expected some time, and less to warm up", s.Duration, s.WarmUp)
+		return fmt.Errorf("for %d us, warm %d us: expected for above 0, and warm below it", s.Duration, s.WarmUp)
 	case s.Gateways < 1 || s.Gateways > maxGateways || replicas < 1 || replicas > maxReplicas:
-		return fmt.Errorf("%d gateways, %d workers: expected 1 or more, and not too many", s.Gateways, replicas)
+		return fmt.Errorf("%d gateways, %d replicas: expected 1 or more, and not too many", s.Gateways, replicas)
 	case len(s.Streams) == 0:
 		return errors.New("no traffic")
 	case s.SameZoneDelay < 0 || s.CrossZoneDelay < 0 || s.PollWait <= 0:
-		return errors.New("times on the way, of a poll: expected 0 or more, and above 0")
+		return errors.New("network delays: expected 0 or more; the wait of a poll: expected above 0")
 	}
 	for i := range s.Streams {
 		if err := s.checkStream(&s.Streams[i]); err != nil {
@@ -169,10 +169,10 @@
 	}
 	for _, f := range s.Faults {
 		if _, ok := FaultKinds[f.Kind]; !ok {
-			return fmt.Errorf("fault %q: not known", f.Kind)
+			return fmt.Errorf("fault %q: unknown kind", f.Kind)
 		}
 		if f.At < 0 || f.Duration < 0 || f.Replica >= replicas {
-			return fmt.Errorf("fault %q: its time or its worker does not exist", f.Kind)
+			return fmt.Errorf("fault %q: invalid time, or no such replica", f.Kind)
 		}
 	}
 	return nil
--- a/internal/fleet/replica/params.go
+++ b/internal/fleet/replica/params.go
@@ -35,15 +35,15 @@
 func (p *Params) Check() error {
 	switch {
 	case p.MaxRunning < 1 || p.MaxQueued < 0 || p.MaxRunning > maxRunningLimit || p.MaxQueued > maxQueuedLimit:
-		return fmt.Errorf("slots %d, queue %d: expected 1 or more, and 0 or more", p.MaxRunning, p.MaxQueued)
+		return fmt.Errorf("slots %d, queue %d: expected slots of 1 or more, and a queue of 0 or more", p.MaxRunning, p.MaxQueued)
 	case p.BlockTokens < 1 || p.MemoryTokens < p.BlockTokens || p.MemoryTokens > maxMemoryTokens:
-		return fmt.Errorf("memory %d, block %d: expected a block or more", p.MemoryTokens, p.BlockTokens)
+		return fmt.Errorf("memory %d, block %d: expected one block or more", p.MemoryTokens, p.BlockTokens)
 	case p.ChunkTokens < 1:
 		return fmt.Errorf("chunk %d: expected 1 or more", p.ChunkTokens)
 	case !(p.StepBase >= 0 && p.StepPerSequence >= 0 && p.StepPerContext >= 0 && p.StepPerPrompt >= 0 && p.StepBase+p.StepPerSequence > 0):
-		return fmt.Errorf("step times: expected 0 or more, and some time")
+		return fmt.Errorf("step times: expected 0 or more, and base or per-sequence above 0")
 	case p.StartupTime < 0 || p.WarmUpTime < 0 || p.ConnectTime < 0 || p.WarmUpTime > 0 && !(p.WarmUpSlowdown >= 1):
-		return fmt.Errorf("start, cold and connection: expected 0 or more, and a factor of 1 or more")
+		return fmt.Errorf("start, cold and connect: expected 0 or more; cold-slow: expected 1 or more")
 	}
 	return nil
 }
--- a/internal/replay/filter.go
+++ b/internal/replay/filter.go
@@ -158,14 +158,14 @@
 }
 
 var filterFields = []filterField{
-	{name: "kind", doc: "what was told: start, list, arrived, first, ended, left, timer, probed, message", text: func(s *filterSubject) []string { return oneOrNone(eventKindName(s.record.Kind)) }},
-	{name: "order", doc: "what was ordered: dispatch, refuse, fail, cancel, set_timer, probe, tell_peers, watch_registry", text: func(s *filterSubject) (out []string) {
+	{name: "kind", doc: "kind of the event: start, list, arrived, first, ended, left, timer, probed, message", text: func(s *filterSubject) []string { return oneOrNone(eventKindName(s.record.Kind)) }},
+	{name: "order", doc: "kind of an action: dispatch, refuse, fail, cancel, set_timer, probe, tell_peers, watch_registry", text: func(s *filterSubject) (out []string) {
 		for _, a := range s.record.Actions {
 			out = append(out, actionKindName(a.Kind))
 		}
 		return out
 	}},
-	{name: "request", doc: "the client's id of the request", text: func(s *filterSubject) []string {
+	{name: "request", doc: "the client's ID of the request", text: func(s *filterSubject) []string {
 		if a := s.arrival(); a != nil {
 			return oneOrNone(s.names.Request(s.request()))
 		}
@@ -179,8 +179,8 @@
 		}
 		return nil
 	}},
-	{name: "worker", doc: "any that the event or its orders name", text: (*filterSubject).replicas},
-	{name: "status", doc: "of an attempt or a probe", text: func(s *filterSubject) []string {
+	{name: "worker", doc: "any replica that the event or its actions name", text: (*filterSubject).replicas},
+	{name: "status", doc: "of an attempt or a health check", text: func(s *filterSubject) []string {
 		if s.record.Outcome == nil || s.record.Kind == pb.Kind_KIND_FIRST {
 			return nil
 		}
@@ -194,10 +194,10 @@
 		return oneOrNone(purpose)
 	}},
 	{name: "attempt", kind: numberField, doc: "its number, from 0", number: outcomeNumber(func(o *pb.Outcome) float64 { return float64(o.GetAttempt()) })},
-	{name: "elapsed", kind: timeField, doc: "of an attempt or a probe", number: outcomeNumber(func(o *pb.Outcome) float64 { return float64(o.GetElapsedUs()) })},
-	{name: "kept", kind: numberField, doc: "prompt tokens found kept", number: outcomeNumber(func(o *pb.Outcome) float64 { return float64(o.GetKept()) })},
+	{name: "elapsed", kind: timeField, doc: "of an attempt or a health check", number: outcomeNumber(func(o *pb.Outcome) float64 { return float64(o.GetElapsedUs()) })},
+	{name: "kept", kind: numberField, doc: "prompt tokens found cached", number: outcomeNumber(func(o *pb.Outcome) float64 { return float64(o.GetKept()) })},
 	{name: "tokens", kind: numberField, doc: "of the answer", number: outcomeNumber(func(o *pb.Outcome) float64 { return float64(o.GetTokens()) })},
-	{name: "final", kind: boolField, doc: "the request has ended with it", number: outcomeNumber(func(o *pb.Outcome) float64 {
+	{name: "final", kind: boolField, doc: "the request ended with the attempt", number: outcomeNumber(func(o *pb.Outcome) float64 {
 		if o.GetFinal() {
 			return 1
 		}
@@ -205,7 +205,7 @@
 	})},
 	{name: "prompt", kind: numberField, doc: "tokens of the prompt", number: arrivalNumber(func(a *pb.Arrival) float64 { return float64(a.GetPromptTokens()) })},
 	{name: "wait", kind: timeField, doc: "how long the client waits", number: arrivalNumber(func(a *pb.Arrival) float64 { return float64(a.GetTimeLeftUs()) })},
-	{name: "orders", kind: numberField, doc: "how many there are", number: func(s *filterSubject) (float64, bool) { return float64(len(s.record.Actions)), true }},
+	{name: "orders", kind: numberField, doc: "number of the event's actions", number: func(s *filterSubject) (float64, bool) { return float64(len(s.record.Actions)), true }},
 	{name: "at", kind: timeField, doc: "since the run began", number: func(s *filterSubject) (float64, bool) { return float64(s.at), true }},
 }
 
--- a/internal/siteforecast/loss.go
+++ b/internal/siteforecast/loss.go
@@ -13,7 +13,7 @@
 const windowLength balancer.Micros = 1_000_000
 
 // errInvalidLoss reports a Loss with a time that is not positive.
-var errInvalidLoss = errors.New("the loss: expected its time, how long it is and what is watched above 0")
+var errInvalidLoss = errors.New("loss of a site: expected its time, its duration and the observed time above 0")
 
 // Loss is the loss of a site for some time. Times are in microseconds from the run's start.
 type Loss struct {
@@ -29,7 +29,7 @@
 func (l Loss) Spec(s *model.Spec) (*model.Spec, error) {
 	zones := Zones(s)
 	if !slices.Contains(zones, l.Site) {
-		return nil, fmt.Errorf("no workers in site %q; there are %q", l.Site, zones)
+		return nil, fmt.Errorf("no replicas in site %q; there are %q", l.Site, zones)
 	}
 	if l.At <= 0 || l.Duration <= 0 || l.Observed <= 0 || l.NoticedAfter < 0 {
 		return nil, errInvalidLoss
