--- a/internal/config/plan_keys.go
+++ b/internal/config/plan_keys.go
@@ -92,7 +92,7 @@
 func (b *specBuilder) gatewayKeys(string) []keySpec {
 	g := &b.spec.Settings
 	return []keySpec{
-		intKey("attempts", &g.MaxAttempts, "3", 1, 3, "of a request, of any kind"),
+		intKey("attempts", &g.MaxAttempts, "3", 1, 3, "maximum attempts of a request, of any kind"),
 		boolKey("second-copies", &g.MayHedge, "on", "hedged requests"),
 		boolKey("probe", &g.MayHealthCheck, "off", "health checks that return the load"),
 		boolKey("cancel", &g.MayCancel, "on", "attempts may be cancelled"),
@@ -134,21 +134,21 @@
 	b.groups = append(b.groups, g)
 	w := &g.Params
 	return []keySpec{
-		stringKey("zone", &g.Zone, "here", "of the replicas"),
+		stringKey("zone", &g.Zone, "here", "zone of the replicas"),
 		intKey("count", &g.Count, "1", 1, 100_000, "number of replicas"),
-		floatKey("weight", &g.Weight, "1", 0, 1e6, "in the endpoint list"),
+		floatKey("weight", &g.Weight, "1", 0, 1e6, "weight in the endpoint list"),
 		intKey("slots", &w.MaxRunning, "16", 1, 4096, "sequences that run at once"),
 		intKey("queue", &w.MaxQueued, "64", 0, 1<<20, "requests that may wait"),
 		intKey("memory", &w.MemoryTokens, "100000", 16, 1<<30, "tokens of keys and values"),
 		intKey("block", &w.BlockTokens, "16", 1, 4096, "tokens in a block"),
 		intKey("chunk", &w.ChunkTokens, "512", 1, 1<<20, "prompt tokens read in a step"),
-		fractionalMicrosKey("base", &w.StepBase, "8ms", "of a step"),
-		fractionalMicrosKey("per-sequence", &w.StepPerSequence, "150us", "of a step, for each sequence that produces a token"),
-		fractionalMicrosKey("per-context", &w.StepPerContext, "40us", "of a step, for each 1,000 tokens attended to"),
-		fractionalMicrosKey("per-prompt", &w.StepPerPrompt, "40ms", "of a step, for each 1,000 prompt tokens read"),
+		fractionalMicrosKey("base", &w.StepBase, "8ms", "fixed time of a step"),
+		fractionalMicrosKey("per-sequence", &w.StepPerSequence, "150us", "time of a step for each sequence that produces a token"),
+		fractionalMicrosKey("per-context", &w.StepPerContext, "40us", "time of a step for each 1,000 tokens attended to"),
+		fractionalMicrosKey("per-prompt", &w.StepPerPrompt, "40ms", "time of a step for each 1,000 prompt tokens read"),
 		microsKey("start", &w.StartupTime, "5s", 0, hour, "from a start until it accepts requests"),
-		microsKey("cold", &w.WarmUpTime, "8s", 0, hour, "how long it is slower then"),
-		floatKey("cold-slow", &w.WarmUpSlowdown, "3", 1, 1000, "so many times at first"),
+		microsKey("cold", &w.WarmUpTime, "8s", 0, hour, "length of the warm-up after a start"),
+		floatKey("cold-slow", &w.WarmUpSlowdown, "3", 1, 1000, "slowdown factor at the begin of the warm-up"),
 		microsKey("connect", &w.ConnectTime, "100us", 0, time.Second, "to open a connection"),
 	}
 }
@@ -157,19 +157,19 @@
 	t := &model.Stream{}
 	b.streams = append(b.streams, t)
 	return []keySpec{
-		stringKey("class", &t.Class, "", "of the requests"),
-		stringKey("tenant", &t.Tenant, label, "of the requests"),
+		stringKey("class", &t.Class, "", "class of the requests"),
+		stringKey("tenant", &t.Tenant, label, "tenant of the requests"),
 		floatKey("rate", &t.RequestsPerSecond, "10", 0, 1e7, "requests a second"),
-		floatKey("turns", &t.Turns, "1", 1, 1e4, "of a session, on average"),
-		secondsKey("think", &t.ThinkSeconds, "5s", "between two turns, the median"),
-		floatKey("prompt", &t.PromptTokens, "200", 1, 1e7, "new tokens in a turn, the median"),
-		floatKey("answer", &t.AnswerTokens, "150", 1, 1e7, "tokens, the median"),
-		floatKey("spread", &t.Spread, "0.6", 0, 3.9, "of both"),
-		intKey("most", &t.MaxOutputTokens, "600", 1, 1<<24, "tokens of an answer"),
+		floatKey("turns", &t.Turns, "1", 1, 1e4, "turns of a session, on average"),
+		secondsKey("think", &t.ThinkSeconds, "5s", "median time between two turns"),
+		floatKey("prompt", &t.PromptTokens, "200", 1, 1e7, "median of the new tokens in a turn"),
+		floatKey("answer", &t.AnswerTokens, "150", 1, 1e7, "median of the output tokens"),
+		floatKey("spread", &t.Spread, "0.6", 0, 3.9, "spread of both"),
+		intKey("most", &t.MaxOutputTokens, "600", 1, 1<<24, "maximum output tokens of an answer"),
 		intKey("prefixes", &t.Prefixes, "0", 0, 1<<20, "number of shared prefixes"),
 		intKey("shared", &t.PrefixTokens, "0", 0, 1<<24, "tokens of a shared prefix"),
 		secondsKey("patience", &t.PatienceSeconds, "0s", "to the first token; 0s: the class's deadline"),
-		intKey("retries", &t.MaxRetries, "0", 0, 100, "by clients, after a rejection"),
+		intKey("retries", &t.MaxRetries, "0", 0, 100, "retries by clients, after a rejection"),
 		intKey("rest", &t.MaxResumes, "0", 0, 10, "requests for the remainder of an answer that broke off (the emulator alone)"),
 	}
 }
@@ -183,7 +183,7 @@
 		microsKey("for", &f.Duration, "0s", 0, day, "how long; 0s: to the end"),
 		enumKey("kind", &f.Kind, kinds[0], "the fault", kinds...),
 		indexKey("worker", &f.Replica, "index of a replica"),
-		stringKey("zone", &f.Zone, "", "of one zone alone"),
+		stringKey("zone", &f.Zone, "", "only replicas of this zone"),
 		floatKey("factor", &f.Factor, "1", 0, 1e6, "see the kinds"),
 	}
 }
@@ -191,8 +191,8 @@
 func (b *specBuilder) contractsKeys(string) []keySpec {
 	c := &b.contracts
 	return []keySpec{
-		timeZoneKey("zone", &c.TimeZone, "UTC", "of days and quarters"),
-		durationKey("pool", &c.BorrowPool, "1s", 0, time.Minute, "how much of all rates idle teams may save up"),
+		timeZoneKey("zone", &c.TimeZone, "UTC", "time zone of days and quarters"),
+		durationKey("pool", &c.BorrowPool, "1s", 0, time.Minute, "how much unused quota idle teams may save up, as time at the sum of all rates"),
 		floatKey("others", &c.UnknownTenantWeight, "0.05", -1, 1000, "priority weight of tenants without a contract"),
 	}
 }
@@ -205,8 +205,8 @@
 		intKey("copies", &d.RequestCopies, "5", 1, 8, "gateways that record each request"),
 		intKey("records", &d.MaxRecords, "4096", 16, 100_000, "requests of others that a gateway records at once"),
 		intKey("sites", &d.Sites, "1", 1, 100, "zones that gateways are distributed over"),
-		intKey("memory", &d.MemoryMB, "32", 16, 4096, "of a gateway, megabytes"),
-		intKey("files", &d.MaxFiles, "256", 64, 65536, "its file descriptors"),
+		intKey("memory", &d.MemoryMB, "32", 16, 4096, "memory limit of a gateway, megabytes"),
+		intKey("files", &d.MaxFiles, "256", 64, 65536, "file descriptor limit of a gateway"),
 		microsKey("settle", &d.Settle, "1500ms", 0, time.Minute, "from the last gateway's start to the traffic"),
 	}
 }
@@ -220,7 +220,7 @@
 		microsKey("for", &s.Duration, "0s", 0, hour, "how long; 0s: to the end"),
 		enumKey("kind", &s.Kind, "kill", "what happens to the gateways", kinds...),
 		indexKey("gateway", &s.Gateway, "index of a gateway"),
-		shareKey("share", &s.Share, "0%", "of the gateways, drawn at random"),
+		shareKey("share", &s.Share, "0%", "share of the gateways, drawn at random"),
 		indexKey("site", &s.Site, "index of a zone"),
 		enumKey("when", &s.When, "at", "at a time, or at the gateway of a request when it was sent, or its first event, half of them or the last one arrived",
 			"at", "sent", "first", "half", "last"),
--- a/internal/config/schema.go
+++ b/internal/config/schema.go
@@ -34,7 +34,7 @@
 		name: "log",
 		doc:  "What is written to standard error.",
 		keys: []keySpec{
-			enumKey("level", &out.Level, "info", "the least level that is logged", "debug", "info", "warn", "error"),
+			enumKey("level", &out.Level, "info", "the lowest level that is logged", "debug", "info", "warn", "error"),
 		},
 	}
 }
@@ -42,9 +42,9 @@
 func controlGroup(control *Control) keyGroup {
 	return keyGroup{
 		name: "control",
-		doc:  "The socket for orders of operators on this machine, such as `archknot capture save`.",
+		doc:  "The Unix socket for commands of operators on this machine, such as `archknot capture save`.",
 		keys: []keySpec{
-			pathKey("socket", &control.Socket, "a Unix socket, made with mode 0600; none if not given"),
+			pathKey("socket", &control.Socket, "its path, created with mode 0600; no socket if not given"),
 		},
 	}
 }
@@ -52,18 +52,18 @@
 func captureGroup(capture *Capture) keyGroup {
 	return keyGroup{
 		name: "capture",
-		doc:  "A record of all that the decision module is told and orders: see docs/operate/capture.md.",
+		doc:  "A recording of all events that the decision module gets and of its actions: see docs/operate/capture.md.",
 		keys: []keySpec{
 			boolKey("record", &capture.Record, "off", "whether to record"),
-			pathKey("directory", &capture.Directory, "where segments go; needed to record"),
-			durationKey("checkpoint", &capture.CheckpointInterval, "15s", time.Second, 10*time.Minute, "how often the module's whole state goes in: a replay can start at each"),
-			sizeKey("block", &capture.BlockSize, "32KiB", 4<<10, 1<<20, "what is compressed and checked together; damage costs no less"),
-			durationKey("flush", &capture.FlushInterval, "1s", 10*time.Millisecond, time.Minute, "how long a record may wait for its block to fill: a crash costs no more"),
-			intKey("queue", &capture.QueueBlocks, "8", 2, 1024, "blocks that may wait for the disk; past that there is a gap"),
-			sizeKey("segment-size", &capture.SegmentSize, "8MiB", 64<<10, 1<<30, "a file is closed when it is so large"),
-			durationKey("segment-age", &capture.SegmentAge, "1m", time.Second, 24*time.Hour, "or so old"),
-			sizeKey("keep-size", &capture.KeepSize, "64MiB", 256<<10, 1<<40, "the oldest files are dropped when all are larger"),
-			durationKey("keep-age", &capture.KeepAge, "15m", 10*time.Second, 366*24*time.Hour, "or older"),
+			pathKey("directory", &capture.Directory, "the directory of the segments; required to record"),
+			durationKey("checkpoint", &capture.CheckpointInterval, "15s", time.Second, 10*time.Minute, "interval of checkpoints of the module's complete state; a replay can start at each"),
+			sizeKey("block", &capture.BlockSize, "32KiB", 4<<10, 1<<20, "data that is compressed and checksummed together; damage loses a block at least"),
+			durationKey("flush", &capture.FlushInterval, "1s", 10*time.Millisecond, time.Minute, "how long a record may wait for its block to fill; a crash loses no more than that"),
+			intKey("queue", &capture.QueueBlocks, "8", 2, 1024, "blocks that may wait for the disk; beyond that records are lost, and the capture has a gap"),
+			sizeKey("segment-size", &capture.SegmentSize, "8MiB", 64<<10, 1<<30, "a segment is closed when it reaches this size"),
+			durationKey("segment-age", &capture.SegmentAge, "1m", time.Second, 24*time.Hour, "a segment is closed when it reaches this age"),
+			sizeKey("keep-size", &capture.KeepSize, "64MiB", 256<<10, 1<<40, "the oldest segments are deleted when all together are larger"),
+			durationKey("keep-age", &capture.KeepAge, "15m", 10*time.Second, 366*24*time.Hour, "segments that are older are deleted"),
 		},
 	}
 }
@@ -71,18 +71,18 @@
 func incidentGroup(incident *Incident) keyGroup {
 	return keyGroup{
 		name: "incident",
-		doc:  "When the last minutes of the capture are kept by themselves.",
+		doc:  "When the last minutes of the capture are saved automatically.",
 		keys: []keySpec{
-			pathKey("directory", &incident.Directory, "where incidents go; by default `incidents` in the capture's directory"),
-			intKey("keep", &incident.MaxIncidents, "8", 1, 1000, "incidents kept; the oldest go first"),
-			durationKey("window", &incident.Window, "5m", 5*time.Second, 24*time.Hour, "how much before the trigger is kept"),
-			durationKey("pause", &incident.MinInterval, "2m", time.Second, 24*time.Hour, "the least time between two that were not ordered"),
-			durationKey("over", &incident.EvaluationWindow, "10s", time.Second, 10*time.Minute, "the span that the shares below are taken over"),
-			intKey("least", &incident.MinRequests, "50", 1, 1_000_000, "requests in that span below which nothing triggers"),
-			shareKey("unserved", &incident.UnservedShare, "40%", "late, refused and failed requests that trigger; 0% never"),
-			floatKey("slow-factor", &incident.SlowFactor, "2", 0, 100, "a worker is slow when first tokens take so many times what they usually do there; 0 never"),
-			shareKey("slow-workers", &incident.SlowReplicas, "80%", "slow workers that trigger, among those heard of in the span"),
-			durationKey("near-deadline", &incident.NearDeadline, "500us", 0, time.Second, "a final answer later than this before the client's deadline triggers: a rule was about to break; 0s never"),
+			pathKey("directory", &incident.Directory, "the directory of the incidents; by default `incidents` in the capture's directory"),
+			intKey("keep", &incident.MaxIncidents, "8", 1, 1000, "number of incidents kept; the oldest are deleted first"),
+			durationKey("window", &incident.Window, "5m", 5*time.Second, 24*time.Hour, "how much of the capture before the trigger is saved"),
+			durationKey("pause", &incident.MinInterval, "2m", time.Second, 24*time.Hour, "minimum time between two automatic incidents"),
+			durationKey("over", &incident.EvaluationWindow, "10s", time.Second, 10*time.Minute, "the interval over which the shares below are computed"),
+			intKey("least", &incident.MinRequests, "50", 1, 1_000_000, "minimum number of requests in that interval; with fewer nothing triggers"),
+			shareKey("unserved", &incident.UnservedShare, "40%", "share of late, shed, failed and abandoned requests that triggers; 0%: never"),
+			floatKey("slow-factor", &incident.SlowFactor, "2", 0, 100, "a replica is slow when its first tokens take this many times as long as usual; 0: never"),
+			shareKey("slow-workers", &incident.SlowReplicas, "80%", "share of slow replicas that triggers, among those that answered in the interval"),
+			durationKey("near-deadline", &incident.NearDeadline, "500us", 0, time.Second, "a final answer less than this before the client's deadline triggers: the deadline was almost missed; 0s: never"),
 		},
 	}
 }
@@ -90,16 +90,16 @@
 func contractsGroup(contracts *Contracts) keyGroup {
 	return keyGroup{
 		name: "contracts",
-		doc:  "What holds for all contracts; each team's stands in a section [contract TEAM]: docs/operate/contracts.md.",
+		doc:  "Settings of all contracts; each team's contract is a section [contract TEAM]: docs/operate/contracts.md.",
 		keys: []keySpec{
-			timeZoneKey("zone", &contracts.TimeZone, "UTC", "of days and quarters, such as Australia/Hobart"),
-			durationKey("pool", &contracts.BorrowPool, "1s", 0, time.Minute, "how much of all rates together idle shares may save up for others; so long after its owner is back what was lent may still be drawn"),
-			floatKey("others", &contracts.UnknownTenantWeight, "0.05", -1, 1000, "the worth of tenants without a contract; -1 refuses them"),
-			pathKey("store", &contracts.StorePath, "where balances are kept over restarts and kills; not kept if not given"),
-			shareKey("reserve", &contracts.ReserveFraction, "1%", "part of a budget that is written as used before it is: what a kill may cost a team"),
-			boolKey("strict", &contracts.Strict, "off", "refuse what the store does not yet know as used"),
-			enumKey("split", &contracts.Split, "whole", "how this gateway tells its part of each contract: it is alone, equal parts, as the front spreads all work, or as it sees each team", "whole", "equal", "front", "alone"),
-			intKey("gateways", &contracts.Gateways, "1", 1, 10_000, "how many there are, for equal parts"),
+			timeZoneKey("zone", &contracts.TimeZone, "UTC", "time zone of days and quarters, such as Australia/Hobart"),
+			durationKey("pool", &contracts.BorrowPool, "1s", 0, time.Minute, "how much unused quota idle teams may save up for others, as time at the sum of all rates; for as long after its owner is back, lent quota may still be used"),
+			floatKey("others", &contracts.UnknownTenantWeight, "0.05", -1, 1000, "priority weight of tenants without a contract; -1 rejects them"),
+			pathKey("store", &contracts.StorePath, "the file that stores balances across restarts and kills; not stored if not given"),
+			shareKey("reserve", &contracts.ReserveFraction, "1%", "share of a budget that is stored as used in advance: the most that a kill may cost a team"),
+			boolKey("strict", &contracts.Strict, "off", "reject what the store has not yet recorded as used"),
+			enumKey("split", &contracts.Split, "whole", "how this gateway determines its share of each contract: all of it (it is the only gateway), equal shares, as the front distributes all requests, or as it sees each team's", "whole", "equal", "front", "alone"),
+			intKey("gateways", &contracts.Gateways, "1", 1, 10_000, "number of gateways, for equal shares"),
 		},
 	}
 }
@@ -107,10 +107,10 @@
 func metricsGroup(metrics *Metrics) keyGroup {
 	return keyGroup{
 		name: "metrics",
-		doc:  "The gateway's figures in the Prometheus form, over HTTP at /metrics.",
+		doc:  "The gateway's metrics in the Prometheus format, over HTTP at /metrics.",
 		keys: []keySpec{
 			pathKey("listen", &metrics.Listen, "host:port; none if not given"),
-			intKey("teams", &metrics.MaxTeams, "200", 1, 10_000, "teams with figures of their own; the others are summed up as one"),
+			intKey("teams", &metrics.MaxTeams, "200", 1, 10_000, "teams with metrics of their own; the others are summed up as one"),
 		},
 	}
 }
@@ -118,19 +118,19 @@
 func peersGroup(peers *Peers) keyGroup {
 	return keyGroup{
 		name: "peers",
-		doc:  "The link to the other gateways, which go on with what one of them loses: docs/operate/takeover.md. Off without an address.",
+		doc:  "The link to the other gateways, which take over the requests of a lost one: docs/operate/takeover.md. Off without an address.",
 		keys: []keySpec{
-			pathKey("listen", &peers.Listen, "host:port for datagrams of other gateways and for their probes; none if not given"),
-			pathKey("advertise", &peers.Advertise, "host:port where they reach it, if not there"),
-			pathKey("site", &peers.Zone, "where the gateway stands: keepers of its work are sought elsewhere first"),
-			pathKey("join", &peers.Join, "host:port of some other gateways, with commas between"),
-			intKey("copies", &peers.Keepers, "5", 1, 8, "gateways that note each request"),
-			durationKey("silence", &peers.ReplyTimeout, "150ms", 10*time.Millisecond, 5*time.Second, "how long another gateway's answer is waited for"),
-			durationKey("remember", &peers.RecordTTL, "30s", 2*time.Second, 10*time.Minute, "how long a request is noted after its gateway's last word of it"),
-			durationKey("frozen", &peers.FreezeThreshold, "500ms", 100*time.Millisecond, time.Minute, "a gap in the gateway's own time after which it asks whether its work is still its own"),
-			durationKey("hand-over", &peers.HandOverDelay, "2s", 0, time.Minute, "how long after SIGTERM work goes on here before others get it"),
-			intKey("records", &peers.MaxRecords, "4096", 16, 100_000, "requests of others that are noted at once"),
-			intKey("records-each", &peers.MaxRecordsPerGateway, "1024", 16, 100_000, "and for one gateway"),
+			pathKey("listen", &peers.Listen, "host:port for datagrams of other gateways and for their health checks; none if not given"),
+			pathKey("advertise", &peers.Advertise, "host:port at which they reach it, if it differs"),
+			pathKey("site", &peers.Zone, "the gateway's zone: keepers of its requests are chosen in other zones first"),
+			pathKey("join", &peers.Join, "host:port of some other gateways, separated by commas"),
+			intKey("copies", &peers.Keepers, "5", 1, 8, "gateways that record each request"),
+			durationKey("silence", &peers.ReplyTimeout, "150ms", 10*time.Millisecond, 5*time.Second, "timeout of another gateway's answer"),
+			durationKey("remember", &peers.RecordTTL, "30s", 2*time.Second, 10*time.Minute, "how long a request stays recorded after its gateway's last message about it"),
+			durationKey("frozen", &peers.FreezeThreshold, "500ms", 100*time.Millisecond, time.Minute, "a pause of the gateway's own process after which it checks that it still holds the leases of its requests"),
+			durationKey("hand-over", &peers.HandOverDelay, "2s", 0, time.Minute, "how long after SIGTERM requests go on here before they are handed over"),
+			intKey("records", &peers.MaxRecords, "4096", 16, 100_000, "requests of other gateways that are recorded at once"),
+			intKey("records-each", &peers.MaxRecordsPerGateway, "1024", 16, 100_000, "requests of one other gateway that are recorded at once"),
 		},
 	}
 }
@@ -138,11 +138,11 @@
 func subsetGroup(settings *Subset) keyGroup {
 	return keyGroup{
 		name: "subset",
-		doc:  "The part of a large fleet that this gateway works with: docs/operate/subsets.md.",
+		doc:  "The subset of a large fleet that this gateway uses: docs/operate/subsets.md.",
 		keys: []keySpec{
-			intKey("most", &settings.MaxReplicas, strconv.Itoa(subset.DefaultMaxReplicas), 0, 100_000, "replicas it works with, 16 or more; lists up to so many pass whole; 0: all do"),
-			shareKey("remote", &settings.RemoteShare, "25%", "the part that is drawn from all zones alike: what it goes on with if its own is lost"),
-			intKey("index", &settings.GatewayIndex, "-1", -1, 10_000_000, "its number among the gateways, or among those of its zone; -1: the platform's"),
+			intKey("most", &settings.MaxReplicas, strconv.Itoa(subset.DefaultMaxReplicas), 0, 100_000, "maximum number of replicas it uses, 16 or more; endpoint lists up to this size are used completely; 0: all lists are"),
+			shareKey("remote", &settings.RemoteShare, "25%", "share of the subset that is drawn from all zones alike: what remains if the gateway's own zone is lost"),
+			intKey("index", &settings.GatewayIndex, "-1", -1, 10_000_000, "its index among the gateways, or among those of its zone; -1: the platform's"),
 		},
 	}
 }
@@ -150,17 +150,17 @@
 func controlServiceGroup(service *ControlService) keyGroup {
 	return keyGroup{
 		name: "control-service",
-		doc:  "The control service that numbered versions of the configuration come from: docs/operate/streamed-configuration.md.",
+		doc:  "The control service that streams numbered versions of the configuration: docs/operate/streamed-configuration.md.",
 		keys: []keySpec{
-			pathKey("address", &service.Address, "host:port; none if not given, and then nothing is streamed"),
-			enumKey("form", &service.Protocol, "world", "the stream's form: all resources each time, or changes only", "world", "delta"),
-			pathKey("cert", &service.Cert, "the gateway's certificate (PEM); needed but for loopback addresses"),
-			pathKey("key", &service.Key, "and its key"),
-			pathKey("ca", &service.CA, "who may have issued the service's certificate (PEM)"),
-			pathKey("name", &service.ServerName, "that the service's certificate must be for, if not the address's host"),
-			pathKey("store", &service.StorePath, "where the last good version and the history are kept; nothing is kept if not given"),
-			durationKey("between", &service.MinInterval, "1s", 0, time.Hour, "the least time from one version taken to the next"),
-			durationKey("stall", &service.StallTimeout, "10s", time.Second, time.Hour, "how long a version may stay incomplete before the stream is dropped"),
+			pathKey("address", &service.Address, "host:port; nothing is streamed if not given"),
+			enumKey("form", &service.Protocol, "world", "the stream's protocol: all resources each time, or changes only", "world", "delta"),
+			pathKey("cert", &service.Cert, "the gateway's certificate (PEM); required except for loopback addresses"),
+			pathKey("key", &service.Key, "private key of that certificate"),
+			pathKey("ca", &service.CA, "certificate authorities that may have issued the service's certificate (PEM)"),
+			pathKey("name", &service.ServerName, "server name that the service's certificate must have, if not the address's host"),
+			pathKey("store", &service.StorePath, "where the last good version and the history are stored; nothing is stored if not given"),
+			durationKey("between", &service.MinInterval, "1s", 0, time.Hour, "minimum time from one applied version to the next"),
+			durationKey("stall", &service.StallTimeout, "10s", time.Second, time.Hour, "how long a version may stay incomplete before the stream is closed"),
 		},
 	}
 }
