--- a/internal/contractsim/report/report.go
+++ b/internal/contractsim/report/report.go
@@ -132,13 +132,13 @@
 		YAxis: chart.YAxis{Name: "tokens/s", Range: &chart.ContinuousRange{Min: 0, Max: highest * chartHeadroom}},
 		// The highest first: each lower one is drawn over it.
 		Series: []chart.Series{
-			series(team, "refused", chart.ColorRed, func(p *contractsim.SeriesPoint) float64 {
+			series(team, "rejected", chart.ColorRed, func(p *contractsim.SeriesPoint) float64 {
 				return p.FullWeight + p.OverQuota + p.Rejected
 			}),
 			series(team, "beyond the rate", chart.ColorOrange, func(p *contractsim.SeriesPoint) float64 {
 				return p.FullWeight + p.OverQuota
 			}),
-			series(team, "at full worth", chart.GetDefaultColor(0), func(p *contractsim.SeriesPoint) float64 {
+			series(team, "at full weight", chart.GetDefaultColor(0), func(p *contractsim.SeriesPoint) float64 {
 				return p.FullWeight
 			}),
 		},
