--- a/balancer/introspect.go
+++ b/balancer/introspect.go
@@ -124,10 +124,10 @@
 func (b *Balancer) ExclusionReason(now Micros, id RequestID, to ReplicaID) string {
 	row, req := b.rowByID[to], b.requests[id]
 	if row == nil {
-		return "not on the list"
+		return "not in the endpoint list"
 	}
 	if req == nil {
-		return "the request is not in hand"
+		return "the request is not in flight"
 	}
 	lastResort := b.lastResort(now, req)
 	if reason := b.rowExclusion(now, row, lastResort); reason != "" {
@@ -135,11 +135,11 @@
 	}
 	for i, a := range req.attempts {
 		if a.row == row && (!lastResort || !a.ended) {
-			return fmt.Sprintf("attempt %d went there", i)
+			return fmt.Sprintf("attempt %d was sent there", i)
 		}
 	}
 	if len(req.attempts) > 0 && !b.idempotencyAllows(now, req, row) {
-		return "the class does not allow a repeat there"
+		return "the class does not allow a retry there"
 	}
 	return ""
 }
@@ -152,16 +152,16 @@
 	case row.state != EndpointReady:
 		return "gone"
 	case !lastResort && now < row.backoffUntil:
-		return fmt.Sprintf("rests for %.3f s more after %d failures in a row", float64(row.backoffUntil-now)/microsPerSecond, row.consecutiveFailures)
+		return fmt.Sprintf("in backoff for another %.3f s after %d consecutive failures", float64(row.backoffUntil-now)/microsPerSecond, row.consecutiveFailures)
 	case !lastResort && !b.zoneOpen(now, row):
-		return "its site is lost"
+		return "its zone is lost"
 	case !lastResort && b.healthCheckOverdue(now, row):
-		return "it was asked for its load and says nothing"
+		return "a health check is overdue"
 	case b.mayBeStale(now, row) && (b.settings.MayHealthCheck || !lastResort):
 		silence := now - max(b.lastHeardAt, row.confirmedReadyAt)
-		return fmt.Sprintf("no word of discovery for %.3f s, nor sign of it", float64(silence)/microsPerSecond)
+		return fmt.Sprintf("no answer of discovery for %.3f s, and no sign of life from the replica", float64(silence)/microsPerSecond)
 	case !lastResort && row.onTrial():
-		return "on trial after a failure, with one attempt out"
+		return "on trial after a failure, with one attempt in flight"
 	}
 	return ""
 }
