--- a/example/toy/main.go
+++ b/example/toy/main.go
@@ -26,9 +26,9 @@
 )
 
 var (
-	replicas = flag.Int("workers", 3, "how many, at 127.0.0.1:9001 and on")
+	replicas = flag.Int("workers", 3, "number of replicas, at 127.0.0.1:9001 and the following ports")
 	pause    = flag.Duration("pause", 150*time.Millisecond, "between two events")
-	slots    = flag.Int("slots", 20, "requests at once; beyond them a worker declines")
+	slots    = flag.Int("slots", 20, "requests at once; beyond them a replica sheds requests")
 	slowdown atomic.Int64 // factor on the pause, in hundredths
 )
 
@@ -82,7 +82,7 @@
 		return
 	}
 	if *replicas <= 3 {
-		log.Printf("msg=request worker=%s id=%q", r.name, req.Header.Get("Req-Id"))
+		log.Printf("msg=request replica=%s id=%q", r.name, req.Header.Get("Req-Id"))
 	}
 	r.streamAnswer(w, load)
 }
@@ -170,7 +170,7 @@
 	} else {
 		first.Lifecycle = "ready"
 	}
-	log.Printf("msg=list worker=%s state=%s", first.ID, first.Lifecycle)
+	log.Printf("msg=list replica=%s state=%s", first.ID, first.Lifecycle)
 	d.list.Generation++
 	close(d.changed)
 	d.changed = make(chan struct{})
