--- a/balancer/affinity.go
+++ b/balancer/affinity.go
@@ -12,9 +12,9 @@
 	maxPrefixes = 1024
 	// maxPrefixTotal bounds the sum of the prefix counts, so that they decay.
 	maxPrefixTotal = 1 << 14
-	// homeSpread is how many times its share of the traffic a prefix's set of home
-	// replicas is larger than needed, so that an overloaded one can be avoided.
-	homeSpread = 3.0
+	// targetHeadroom is the factor by which a prefix has more affinity targets than its
+	// share of the traffic needs, so that an overloaded one can be avoided.
+	targetHeadroom = 3.0
 )
 
 // promptCache remembers where the prompts of sessions and prefixes are cached.
@@ -79,17 +79,17 @@
 
 // affinity is where a request's prompt is likely to be cached.
 type affinity struct {
-	home   *replicaRow // all gateways take it for the session's home
-	second *replicaRow // and this one for its second home
+	target *replicaRow // the session's affinity target, the same at all gateways
+	second *replicaRow // its second target, likewise the same
 	// holder has served the session, as this gateway knows, with a prompt of holderTokens.
 	holder       *replicaRow
 	holderTokens float64
 }
 
-// affinityOf finds the replicas that have cached a request's session or prefix. Homes
-// come from weighted rendezvous hashing within the homes of the prefix, so that all
-// gateways agree. Weights are by kind, in coarse steps: weighted by what each has
-// learned of a replica, gateways disagreed.
+// affinityOf finds the replicas that have cached a request's session or prefix.
+// Affinity targets come from weighted rendezvous hashing within the targets of the
+// prefix, so that all gateways agree. Weights are by kind, in coarse steps: weighted by
+// what each has learned of a replica, gateways disagreed.
 func (b *Balancer) affinityOf(req *request) affinity {
 	var found affinity
 	if s, ok := b.sessions[req.Session]; ok && req.Session != 0 {
@@ -97,8 +97,8 @@
 			found.holder, found.holderTokens = row, float64(s.tokens)
 		}
 	}
-	if req.HomeReplica != 0 {
-		found.home = b.readyRow(req.HomeReplica)
+	if req.AffinityTarget != 0 {
+		found.target = b.readyRow(req.AffinityTarget)
 		return found
 	}
 	key := req.Session
@@ -106,86 +106,86 @@
 		key = req.Prefix
 	}
 	if key != 0 {
-		found.home, found.second = b.rendezvous(key, req)
+		found.target, found.second = b.rendezvous(key, req)
 	}
 	return found
 }
 
-// rendezvous finds the first and the second home of a key among the homes of a
-// request's prefix.
-func (b *Balancer) rendezvous(key uint64, req *request) (home, second *replicaRow) {
+// rendezvous finds the first and the second affinity target of a key among the targets
+// of a request's prefix.
+func (b *Balancer) rendezvous(key uint64, req *request) (target, second *replicaRow) {
 	keyHash, prefixHash := splitmix(key), splitmix(req.Prefix)
-	homeShare := b.prefixHomeShare(req)
+	targetShare := b.prefixTargetShare(req)
 	best, next := math.Inf(1), math.Inf(1)
-	homeByKind := b.resetHomeByKind()
+	targetByKind := b.resetTargetByKind()
 	enter := func(row *replicaRow, penalty float64) {
 		score := -math.Log(unitFloat(splitmix(keyHash^row.hash))+1e-18)*b.kinds[row.kind].slownessStep + penalty
 		if score < best {
-			second, next = home, best
-			best, home = score, row
+			second, next = target, best
+			best, target = score, row
 		} else if score < next {
 			second, next = row, score
 		}
-		if score < homeByKind[row.kind].score {
-			homeByKind[row.kind] = candidate{row: row, score: score}
+		if score < targetByKind[row.kind].score {
+			targetByKind[row.kind] = candidate{row: row, score: score}
 		}
 	}
 	for i, hash := range b.hashes {
-		if homeShare >= 1 || unitFloat(splitmix(prefixHash^hash)) < homeShare {
+		if targetShare >= 1 || unitFloat(splitmix(prefixHash^hash)) < targetShare {
 			if row := b.rows[i]; row.state == EndpointReady {
 				enter(row, 0)
 			}
 		}
 	}
 	if second != nil {
-		return home, b.secondHome(home, second)
+		return target, b.secondTarget(target, second)
 	}
-	// Fewer than two homes of the prefix are ready: take the others, in the order in
+	// Fewer than two targets of the prefix are ready: take the others, in the order in
 	// which a larger share would include them.
 	for _, row := range b.rows {
-		if u := unitFloat(splitmix(prefixHash ^ row.hash)); row.state == EndpointReady && homeShare < 1 && u >= homeShare {
+		if u := unitFloat(splitmix(prefixHash ^ row.hash)); row.state == EndpointReady && targetShare < 1 && u >= targetShare {
 			enter(row, 1e6*(1+u))
 		}
 	}
-	return home, b.secondHome(home, second)
+	return target, b.secondTarget(target, second)
 }
 
-// resetHomeByKind empties the best home by kind of machine.
-func (b *Balancer) resetHomeByKind() []candidate {
-	b.homeByKind = b.homeByKind[:0]
+// resetTargetByKind empties the best target by kind of machine.
+func (b *Balancer) resetTargetByKind() []candidate {
+	b.targetByKind = b.targetByKind[:0]
 	for range b.kinds {
-		b.homeByKind = append(b.homeByKind, candidate{score: math.Inf(1)})
+		b.targetByKind = append(b.targetByKind, candidate{score: math.Inf(1)})
 	}
-	return b.homeByKind
+	return b.targetByKind
 }
 
-// secondHome is the second home: the best one on another kind of machine than home's, if
-// there is one. Requests leave their home most often for machines that prefill faster or
-// are less loaded as a kind, at all gateways; when each turn of a session went to another
-// one of these, nothing was cached there.
-func (b *Balancer) secondHome(home, second *replicaRow) *replicaRow {
+// secondTarget is the second affinity target: the best one on another kind of machine than
+// the first target's, if there is one. Requests leave their target most often for machines
+// that prefill faster or are less loaded as a kind, at all gateways; when each turn of a
+// session went to another one of these, nothing was cached there.
+func (b *Balancer) secondTarget(target, second *replicaRow) *replicaRow {
 	best := math.Inf(1)
-	for _, other := range b.homeByKind {
-		if other.row != nil && other.row.kind != home.kind && other.score < best {
+	for _, other := range b.targetByKind {
+		if other.row != nil && other.row.kind != target.kind && other.score < best {
 			best, second = other.score, other.row
 		}
 	}
 	return second
 }
 
-// prefixHomeShare is the share of replicas that are home to a request's prefix: as much
-// as its share of the traffic needs, and some to spare. The one added count keeps
-// gateways that have seen little near to all replicas, and so near to each other: on a
-// few counts, homes moved about with them. One of many gateways counts too little to tell
-// a share: what the others have seen stands beside it as counts of other prefixes, half
-// as many as there are gateways. There a prefix has more homes the longer the prompt is:
-// a few would save the prefix and crowd all the rest.
-func (b *Balancer) prefixHomeShare(req *request) float64 {
+// prefixTargetShare is the share of replicas that are affinity targets of a request's
+// prefix: as much as its share of the traffic needs, and some to spare. The one added
+// count keeps gateways that have seen little near to all replicas, and so near to each
+// other: on a few counts, targets moved about with them. One of many gateways counts too
+// little to estimate a share: what the others have seen stands beside it as counts of
+// other prefixes, half as many as there are gateways. There a prefix has more targets the
+// longer the prompt is: a few would save the prefix and crowd all the rest.
+func (b *Balancer) prefixTargetShare(req *request) float64 {
 	if req.Prefix == 0 || b.prefixTotal <= 0 || b.readyCount == 0 {
 		return 1
 	}
 	unseen := math.Max(1, b.gatewaysPerReplica()/2-1)
-	spread := homeSpread
+	spread := targetHeadroom
 	if b.largeFleet() {
 		spread *= math.Max(1, float64(req.PromptTokens)/math.Max(1, float64(req.PrefixTokens)))
 	}
--- a/balancer/affinity_test.go
+++ b/balancer/affinity_test.go
@@ -4,30 +4,30 @@
 	"testing"
 )
 
-// homesOf returns the first and the second home of a request.
-func homesOf(b *Balancer, req *request) (home, second *replicaRow) {
+// affinityTargetsOf returns the first and the second affinity target of a request.
+func affinityTargetsOf(b *Balancer, req *request) (target, second *replicaRow) {
 	found := b.affinityOf(req)
-	return found.home, found.second
+	return found.target, found.second
 }
 
-// A session's turns find its home by hashing, also at gateways that never saw the session, and
-// load can outweigh that.
-func TestSessionHome(t *testing.T) {
+// A session's turns find its affinity target by hashing, also at gateways that never saw the
+// session, and load can outweigh that.
+func TestSessionAffinityTarget(t *testing.T) {
 	r := testRequest(1)
 	r.Session, r.PromptTokens = 0xabcdef, 6000
-	var home ReplicaID
+	var target ReplicaID
 	for self := range 3 {
 		s := settings()
 		s.Self, s.Gateways = self, 3
 		b, _ := startBalancer(t, s, fleet(8)...)
 		row, cached, _ := b.pick(101*second, &request{Request: r, policy: b.policies[0], tenantIndex: -1, avoidZone: -1})
-		if home != 0 && row.id != home || cached <= 0 {
-			t.Fatalf("gateway %d picked %d (cached %v), another %d", self, row.id, cached, home)
+		if target != 0 && row.id != target || cached <= 0 {
+			t.Fatalf("gateway %d picked %d (cached %v), another %d", self, row.id, cached, target)
 		}
-		home = row.id
+		target = row.id
 		row.charge, row.unreported = 1e6, 1e6
-		if w2, _, _ := b.pick(101*second, &request{Request: r, policy: b.policies[0], tenantIndex: -1, avoidZone: -1}); w2.id == home {
-			t.Fatal("an overloaded home is still picked")
+		if w2, _, _ := b.pick(101*second, &request{Request: r, policy: b.policies[0], tenantIndex: -1, avoidZone: -1}); w2.id == target {
+			t.Fatal("an overloaded target is still picked")
 		}
 	}
 }
@@ -47,8 +47,8 @@
 	}
 }
 
-// A session whose home is full goes to the same second home from all gateways.
-func TestEightyAgreeOnTheSecondHome(t *testing.T) {
+// A session whose affinity target is full goes to the same second target from all gateways.
+func TestEightyAgreeOnTheSecondTarget(t *testing.T) {
 	agreed := 0
 	for session := range uint64(50) {
 		var first ReplicaID
@@ -61,17 +61,17 @@
 			in.Session, in.Prefix, in.PrefixTokens, in.PromptTokens = 1000+session, 7, 500, 6000
 			now := 101 * second
 			b.RequestArrived(now, in)
-			home, second := homesOf(b, b.requests[1])
+			target, second := affinityTargetsOf(b, b.requests[1])
 			for _, id := range healthChecked(rec) {
 				n := 4.0
-				if id == home.id {
+				if id == target.id {
 					n = 60
 				}
 				b.HealthCheckEnded(now+2000, Outcome{Replica: id, Status: Served, Report: reportInFlight(n)})
 			}
 			to := b.requests[1].attempts[0].row.id
-			if to == home.id {
-				t.Fatalf("sent to the full home")
+			if to == target.id {
+				t.Fatalf("sent to the full target")
 			}
 			if self == 0 {
 				first = to
@@ -81,13 +81,13 @@
 		}
 	}
 	if agreed < 40 {
-		t.Errorf("%d of 50 sessions went to one second home", agreed)
+		t.Errorf("%d of 50 sessions went to one second target", agreed)
 	}
 }
 
 // Eighty gateways, each of which has seen a few requests, agree on where a session's prompt is
-// cached: with a share counted from so few, homes were anywhere.
-func TestEightyAgreeOnHomes(t *testing.T) {
+// cached: with a share counted from so few, affinity targets were anywhere.
+func TestEightyAgreeOnAffinityTargets(t *testing.T) {
 	var all []*Balancer
 	for self := range 40 {
 		s := eightyGateways()
@@ -105,8 +105,8 @@
 			in := testRequest(1)
 			in.Session, in.Prefix, in.PrefixTokens = 1000+session, 100+session%25, 800
 			req := &request{Request: in, policy: b.policies[0]}
-			home, _ := homesOf(b, req)
-			count[home.id]++
+			target, _ := affinityTargetsOf(b, req)
+			count[target.id]++
 			n++
 		}
 		most := 0
@@ -116,17 +116,17 @@
 		agreed += most
 	}
 	if share := float64(agreed) / float64(n); share < 0.7 {
-		t.Errorf("%.0f%% of gateways agree on a session's home", 100*share)
+		t.Errorf("%.0f%% of gateways agree on a session's affinity target", 100*share)
 	}
 }
 
-// Many sessions that share a short prefix of long prompts have homes all over the fleet. Seen:
-// a prefix of 500 tokens of prompts of 12,000, with a quarter of all traffic, had four homes of
-// a hundred, for each of 300 gateways had seen little of it.
+// Many sessions that share a short prefix of long prompts have affinity targets all over the
+// fleet. Seen: a prefix of 500 tokens of prompts of 12,000, with a quarter of all traffic, had four
+// targets of a hundred, for each of 300 gateways had seen little of it.
 func TestShortPrefixesSpreadLongPrompts(t *testing.T) {
 	s := eightyGateways()
 	s.Gateways = 300
-	homes := func(prefix, prompt int) int {
+	targetCount := func(prefix, prompt int) int {
 		seen := map[ReplicaID]bool{}
 		b, _ := startBalancer(t, s, fleet(100)...)
 		for i := range RequestID(200) {
@@ -136,22 +136,22 @@
 			if i < 5 { // what a gateway has seen of it
 				b.countPrefix(req)
 			}
-			home, _ := homesOf(b, req)
-			seen[home.id] = true
+			target, _ := affinityTargetsOf(b, req)
+			seen[target.id] = true
 		}
 		return len(seen)
 	}
-	if n := homes(500, 12_000); n < 70 {
-		t.Errorf("200 sessions of 12,000 tokens that share 500 have %d homes of 100", n)
+	if n := targetCount(500, 12_000); n < 70 {
+		t.Errorf("200 sessions of 12,000 tokens that share 500 have %d affinity targets of 100", n)
 	}
-	if n := homes(10_000, 12_000); n > 40 {
-		t.Errorf("200 sessions of 12,000 tokens that share 10,000 have %d homes of 100", n)
+	if n := targetCount(10_000, 12_000); n > 40 {
+		t.Errorf("200 sessions of 12,000 tokens that share 10,000 have %d affinity targets of 100", n)
 	}
 }
 
-// Requests that leave a session's home for machines of another kind go to one and the same of
-// them from all gateways: when each turn went to another one, nothing was cached there.
-func TestSecondHomeIsOfAnotherKind(t *testing.T) {
+// Requests that leave a session's affinity target for machines of another kind go to one and the
+// same of them from all gateways: when each turn went to another one, nothing was cached there.
+func TestSecondTargetIsOfAnotherKind(t *testing.T) {
 	endpoints := fleet(40)
 	for i := range endpoints {
 		if i%4 == 0 {
@@ -169,13 +169,13 @@
 	for session := range uint64(400) {
 		req := &request{Request: testRequest(1)}
 		req.Session = session + 1
-		home, second := homesOf(all[0], req)
-		if home.kind == second.kind {
-			t.Fatalf("session %d: both homes are of one kind", session)
+		target, second := affinityTargetsOf(all[0], req)
+		if target.kind == second.kind {
+			t.Fatalf("session %d: both targets are of one kind", session)
 		}
 		for _, b := range all[1:] {
-			if h, s := homesOf(b, req); h.id != home.id || s.id != second.id {
-				t.Fatalf("session %d: homes %d and %d, elsewhere %d and %d", session, home.id, second.id, h.id, s.id)
+			if first, next := affinityTargetsOf(b, req); first.id != target.id || next.id != second.id {
+				t.Fatalf("session %d: targets %d and %d, elsewhere %d and %d", session, target.id, second.id, first.id, next.id)
 			}
 		}
 		if second.id%4 == 1 {
@@ -184,25 +184,26 @@
 	}
 	for id, n := range spread { // about 300 sessions over the ten fast ones
 		if n > 60 {
-			t.Errorf("%d sessions have their second home at %d", n, id)
+			t.Errorf("%d sessions have their second target at %d", n, id)
 		}
 	}
 	if len(spread) != 10 {
-		t.Errorf("%d of ten fast replicas are second homes", len(spread))
+		t.Errorf("%d of ten fast replicas are second targets", len(spread))
 	}
 }
 
-// A home named by the request comes before what the module would find, and it alone has the prefix.
-func TestRequestedHomeReplica(t *testing.T) {
+// An affinity target named by the request comes before what the module would find, and it alone has
+// the prefix.
+func TestRequestedAffinityTarget(t *testing.T) {
 	b, _ := startBalancer(t, eightyGateways(), fleet(40)...)
 	b.fleetSize = 400
 	req := &request{Request: testRequest(1), policy: b.policies[0], tenantIndex: -1, avoidZone: -1}
-	req.Session, req.Prefix, req.PrefixTokens, req.HomeReplica = 77, 5, 500, 31
-	if home, second := homesOf(b, req); home != b.rowByID[31] || second != nil {
-		t.Errorf("home %v, second %v", home, second)
+	req.Session, req.Prefix, req.PrefixTokens, req.AffinityTarget = 77, 5, 500, 31
+	if target, second := affinityTargetsOf(b, req); target != b.rowByID[31] || second != nil {
+		t.Errorf("target %v, second %v", target, second)
 	}
 	b.rowByID[31].state = EndpointDraining
-	if home, _ := homesOf(b, req); home != nil {
-		t.Errorf("a draining home: %v", home)
+	if target, _ := affinityTargetsOf(b, req); target != nil {
+		t.Errorf("a draining target: %v", target)
 	}
 }
--- a/balancer/events.go
+++ b/balancer/events.go
@@ -65,9 +65,9 @@
 	TimeLeft                              Micros // until the client gives up
 	PromptTokens, PrefixTokens, MaxTokens int
 	Session, Prefix                       uint64 // hashes; 0: none
-	// HomeReplica is the replica that keeps the cache of the request's session or prefix,
-	// by agreement of all gateways; 0: it is found among the listed replicas.
-	HomeReplica ReplicaID
+	// AffinityTarget is the replica that is expected to have cached the request's session or
+	// prefix, by agreement of all gateways; 0: it is found among the listed replicas.
+	AffinityTarget ReplicaID
 	// PriorityFactor multiplies the class's priority weight by contract; 0: there is no
 	// contract, and the tenant's quota counts.
 	PriorityFactor float64
--- a/balancer/interceptor.go
+++ b/balancer/interceptor.go
@@ -26,22 +26,22 @@
 // The least score wins. A replica in another zone has the cost of the crossing added, and
 // its prefill is multiplied by the ratio of its kind; neither is shown apart.
 type ScoreBreakdown struct {
-	Replica       ReplicaID
-	Score         float64
-	ReportWeight  float64 // weight of the report, by its age and the number of gateways
-	Reported      float64 // held by the last report, as far as that is believed
-	Unreported    float64 // own charges too young for that report
-	PeerLoad      float64 // what other gateways are taken to have in flight there
-	LedgerLoad    float64 // own charges in flight
-	Noise         float64 // for dispatches of peers that the report cannot show
-	Slowness      float64 // against the fleet's mean
-	RequestTokens float64 // what the request itself would hold
-	PrefillCost   float64 // weight of a prompt token that needs prefill
-	PromptTokens  float64
-	CachedTokens  float64 // prompt tokens expected to be cached there
-	Penalty       float64 // for errors, slow start, zone and connection
-	ServedSession bool    // this gateway knows it to have served the session
-	HomeReplica   bool    // all gateways take it for the session's home
+	Replica        ReplicaID
+	Score          float64
+	ReportWeight   float64 // weight of the report, by its age and the number of gateways
+	Reported       float64 // held by the last report, as far as that is believed
+	Unreported     float64 // own charges too young for that report
+	PeerLoad       float64 // what other gateways are taken to have in flight there
+	LedgerLoad     float64 // own charges in flight
+	Noise          float64 // for dispatches of peers that the report cannot show
+	Slowness       float64 // against the fleet's mean
+	RequestTokens  float64 // what the request itself would hold
+	PrefillCost    float64 // weight of a prompt token that needs prefill
+	PromptTokens   float64
+	CachedTokens   float64 // prompt tokens expected to be cached there
+	Penalty        float64 // for errors, slow start, zone and connection
+	ServedSession  bool    // this gateway knows it to have served the session
+	AffinityTarget bool    // it is the session's affinity target, the same at all gateways
 }
 
 // interceptPick passes a pick through the interceptor.
--- a/balancer/pick.go
+++ b/balancer/pick.go
@@ -3,7 +3,7 @@
 // pickState is the state of one pick.
 type pickState struct {
 	shortlist      [shortlistSize]candidate // by least score
-	homeByKind     []candidate              // best home of a key on each kind of machine
+	targetByKind   []candidate              // best affinity target of a key on each kind of machine
 	mayPoll        bool                     // load reports may be polled before the dispatch
 	offeredWarming *replicaRow              // the one warming replica that the attempt may go to
 }
--- a/balancer/predict.go
+++ b/balancer/predict.go
@@ -28,8 +28,8 @@
 	promptTokens float64
 	prefixTokens float64
 	prefixHash   uint64
-	homeShare    float64 // share of replicas that are home to the prefix
-	prefixRate   float64 // requests a second with this prefix at each of its homes
+	targetShare  float64 // share of replicas that are affinity targets of the prefix
+	prefixRate   float64 // requests a second with this prefix at each of its targets
 	replicaRate  float64 // requests a second at each replica, of all gateways
 	peerLoad     float64 // load of a replica that comes from other gateways, in the mean
 	invLifetime  float64
@@ -50,7 +50,7 @@
 		heldTokens:   b.expectedHeldTokens(req),
 		promptTokens: float64(req.PromptTokens),
 		prefixHash:   splitmix(req.Prefix),
-		homeShare:    b.prefixHomeShare(req),
+		targetShare:  b.prefixTargetShare(req),
 		peerLoad:     (gateways - 1) / gateways * b.meanLoad,
 		invLifetime:  1 / math.Max(1, b.meanLifetime),
 		reportUsers:  gateways,
@@ -63,7 +63,7 @@
 	if b.readyCount > 0 {
 		p.replicaRate = b.dispatchRate * gateways / float64(b.readyCount)
 	}
-	p.prefixRate = (b.prefixCounts[req.Prefix] / math.Max(1, b.prefixTotal)) * p.replicaRate / math.Min(1, p.homeShare)
+	p.prefixRate = (b.prefixCounts[req.Prefix] / math.Max(1, b.prefixTotal)) * p.replicaRate / math.Min(1, p.targetShare)
 	if p.largeFleet {
 		// A report that reaches all gateways alike is shared among them. Where each polls
 		// for its own as it needs them, no two have the same; and moved for every small
@@ -106,7 +106,7 @@
 	}
 	held += noise
 	// A replica's own slowness weighs what is held; weighing the prefill by it would make
-	// gateways leave homes for whatever replica seemed fast just then. Its kind's stays.
+	// gateways leave affinity targets for whatever replica seemed fast just then. Its kind's stays.
 	penalty := b.penaltyFactor(p.now, row, p.req)
 	score := (row.slowness*(held+p.heldTokens) + prefill) * penalty
 	if row.zone != b.ownZone {
@@ -114,22 +114,22 @@
 	}
 	if b.interceptor != nil {
 		b.breakdowns = append(b.breakdowns, ScoreBreakdown{
-			Replica:       row.id,
-			Score:         score,
-			ReportWeight:  reportWeight,
-			Reported:      reported,
-			Unreported:    row.unreported,
-			PeerLoad:      peerLoad,
-			LedgerLoad:    row.charge,
-			Noise:         noise,
-			Slowness:      row.slowness,
-			RequestTokens: p.heldTokens,
-			PrefillCost:   p.prefillCost,
-			PromptTokens:  p.promptTokens,
-			CachedTokens:  cached,
-			Penalty:       penalty,
-			ServedSession: row == p.affinity.holder,
-			HomeReplica:   row == p.affinity.home,
+			Replica:        row.id,
+			Score:          score,
+			ReportWeight:   reportWeight,
+			Reported:       reported,
+			Unreported:     row.unreported,
+			PeerLoad:       peerLoad,
+			LedgerLoad:     row.charge,
+			Noise:          noise,
+			Slowness:       row.slowness,
+			RequestTokens:  p.heldTokens,
+			PrefillCost:    p.prefillCost,
+			PromptTokens:   p.promptTokens,
+			CachedTokens:   cached,
+			Penalty:        penalty,
+			ServedSession:  row == p.affinity.holder,
+			AffinityTarget: row == p.affinity.target,
 		})
 	}
 	b.addToShortlist(candidate{row, score, cached})
@@ -138,26 +138,26 @@
 // cachedTokens is how many tokens of the prompt a replica is expected to have cached.
 func (p *prediction) cachedTokens(row *replicaRow) float64 {
 	cached := 0.0
-	if p.isPrefixHome(row) {
+	if p.isPrefixTarget(row) {
 		cached = p.prefixTokens * row.prefixCachedChance(p.now, p.prefixRate)
 	}
 	switch {
 	case row == p.affinity.holder:
 		cached = math.Min(p.promptTokens, p.affinity.holderTokens)
 	case p.affinity.holder != nil || p.req.Session == 0:
-	case row == p.affinity.home, p.largeFleet && row == p.affinity.second:
+	case row == p.affinity.target, p.largeFleet && row == p.affinity.second:
 		cached = p.prefixTokens + (p.promptTokens-p.prefixTokens)/2
 	}
 	return cached * p.cacheTrust
 }
 
-// isPrefixHome reports whether a replica is home to the request's prefix.
-func (p *prediction) isPrefixHome(row *replicaRow) bool {
+// isPrefixTarget reports whether a replica is an affinity target of the request's prefix.
+func (p *prediction) isPrefixTarget(row *replicaRow) bool {
 	if p.req.Prefix == 0 {
 		return false
 	}
-	return row == p.affinity.home ||
-		p.req.HomeReplica == 0 && (p.homeShare >= 1 || unitFloat(splitmix(p.prefixHash^row.hash)) < p.homeShare)
+	return row == p.affinity.target ||
+		p.req.AffinityTarget == 0 && (p.targetShare >= 1 || unitFloat(splitmix(p.prefixHash^row.hash)) < p.targetShare)
 }
 
 // reportWeight is the weight of a row's report against the mean of the fleet, and how
--- a/balancer/predict_test.go
+++ b/balancer/predict_test.go
@@ -60,7 +60,7 @@
 	hits := 0
 	for i := range 40 {
 		r := testRequest(RequestID(i + 1))
-		r.Session = splitmix(uint64(i)) // sessions with homes of their own
+		r.Session = splitmix(uint64(i)) // sessions with affinity targets of their own
 		row, _, _ := b.pick(now, &request{Request: r, policy: b.policies[0], tenantIndex: -1, avoidZone: -1})
 		if row.id == 4 {
 			hits++
@@ -139,16 +139,16 @@
 }
 
 // A crossing costs a share of the request's weight, which is lost only once the first token is
-// late: a little more load at home does not pay for it, much more does.
+// late: a little more load in the own zone does not pay for it, much more does.
 func TestCrossZoneCostFollowsTheLatencyObjective(t *testing.T) {
 	for _, c := range []struct {
 		name       string
-		home, away float64 // held load by report
+		own, other float64 // held load by report, in the own zone and in the other
 		learned    bool    // first-token times are known
 		want       ReplicaID
 	}{
-		{"a little more at home stays home", 5600, 5000, true, 1},
-		{"far more at home goes away", 20000, 5000, true, 2},
+		{"a little more in the own zone stays there", 5600, 5000, true, 1},
+		{"far more in the own zone goes to the other", 20000, 5000, true, 2},
 		{"nothing learned: the price as a factor", 6000, 5000, false, 2},
 		{"first tokens at the objective: a crossing costs only its own", 5000, 4900, true, 2},
 	} {
@@ -159,12 +159,12 @@
 		b, _ := startBalancer(t, s, endpoints...)
 		now := 200 * second
 		b.meanLifetime, b.meanLoad = float64(10*second), 10000
-		b.rows[0].reportedTokens, b.rows[1].reportedTokens = c.home, c.away
+		b.rows[0].reportedTokens, b.rows[1].reportedTokens = c.own, c.other
 		for _, row := range b.rows {
 			row.reportedAt, row.slowness = now, 1
 		}
 		first := 50_000.0 // first tokens in 0.25 s, an objective of 1 s: a crossing weighs 0.03 x 3 x usual load
-		if c.home-c.away < 200 {
+		if c.own-c.other < 200 {
 			first = 800_000 // most of the objective is used up already
 		}
 		for x := 0.0; c.learned && x <= 4000; x += 1000 {
--- a/balancer/slowstart_test.go
+++ b/balancer/slowstart_test.go
@@ -147,7 +147,8 @@
 	}
 }
 
-// A replica that started lately has cached nothing of what its place is home to, and is slow.
+// A replica that started lately has cached nothing of the prefixes whose affinity target it is, and
+// is slow.
 func TestRecentlyStartedReplicas(t *testing.T) {
 	endpoints := fleet(2)
 	endpoints[1].StartedAt = 100 * second
--- a/balancer/snapshot.go
+++ b/balancer/snapshot.go
@@ -285,7 +285,7 @@
 	integer(a, 21, &policyNumber)
 	a.float(22, &req.PriorityFactor)
 	integer(a, 23, &req.PriorAttempts)
-	integer(a, 24, &req.HomeReplica)
+	integer(a, 24, &req.AffinityTarget)
 	if a.saving {
 		return
 	}
--- a/balancer/snapshot_test.go
+++ b/balancer/snapshot_test.go
@@ -84,7 +84,7 @@
 var derived = map[string]bool{
 	"Balancer.settings": true, "Balancer.sink": true, "Balancer.classIndex": true, "Balancer.tenantIndex": true,
 	"Balancer.policies": true, "Balancer.interceptor": true, "Balancer.breakdowns": true,
-	"pickState.shortlist": true, "pickState.mayPoll": true, "pickState.offeredWarming": true, "pickState.homeByKind": true,
+	"pickState.shortlist": true, "pickState.mayPoll": true, "pickState.offeredWarming": true, "pickState.targetByKind": true,
 	"loadTable.hashes": true, "replicaRow.hash": true,
 }
 
@@ -211,7 +211,7 @@
 		cmp.AllowUnexported(Balancer{}, loadTable{}, promptCache{}, pickState{}, discoveryState{}, trafficRates{}, attemptBudgets{}, admissionState{},
 			replicaRow{}, request{}, requestPolicy{}, attempt{}, session{}, classStats{}, kindStats{}, linearFit{}),
 		cmpopts.IgnoreFields(Balancer{}, "sink", "interceptor", "breakdowns"),
-		cmpopts.IgnoreFields(pickState{}, "shortlist", "homeByKind"), cmpopts.EquateEmpty()); diff != "" {
+		cmpopts.IgnoreFields(pickState{}, "shortlist", "targetByKind"), cmpopts.EquateEmpty()); diff != "" {
 		t.Fatal(diff)
 	}
 }
--- a/internal/capture/convert.go
+++ b/internal/capture/convert.go
@@ -84,7 +84,7 @@
 	to.Prefix = in.Prefix
 	to.Factor = in.PriorityFactor
 	to.Spent = int64(in.PriorAttempts)
-	to.Home = uint32(in.HomeReplica)
+	to.Home = uint32(in.AffinityTarget)
 	return to
 }
 
@@ -101,7 +101,7 @@
 		Prefix:         a.GetPrefix(),
 		PriorityFactor: a.GetFactor(),
 		PriorAttempts:  int(a.GetSpent()),
-		HomeReplica:    balancer.ReplicaID(a.GetHome()),
+		AffinityTarget: balancer.ReplicaID(a.GetHome()),
 	}
 }
 
--- a/internal/capture/stored_test.go
+++ b/internal/capture/stored_test.go
@@ -207,7 +207,7 @@
 	}
 	request := func(id balancer.RequestID, session uint64) balancer.Request {
 		return balancer.Request{ID: id, Class: "chat", Tenant: "quay", TimeLeft: 2900000, PromptTokens: 900, PrefixTokens: 300, MaxTokens: 200, Session: session, Prefix: 34,
-			PriorityFactor: 1.5, PriorAttempts: 1, HomeReplica: 2}
+			PriorityFactor: 1.5, PriorAttempts: 1, AffinityTarget: 2}
 	}
 	reconfigured := storedSettings()
 	reconfigured.MaxAttempts = 2
--- a/internal/endpoint/replicaid.go
+++ b/internal/endpoint/replicaid.go
@@ -7,7 +7,7 @@
 	"archknot/balancer"
 )
 
-// assignIDs gives each replica its balancer ID. The balancer ranks home replicas by these IDs, so every
+// assignIDs gives each replica its balancer ID. The balancer ranks affinity targets by these IDs, so every
 // gateway must assign the same ones in whatever order it learned of the replicas: an ID is a hash of the
 // name, and where two names collide, the later one in sort order takes the next hash. It reports whether
 // a replica that remains on the list has changed its ID.
--- a/internal/replay/explain.go
+++ b/internal/replay/explain.go
@@ -160,7 +160,7 @@
 		if s.ServedSession {
 			mark += " (had the session)"
 		}
-		if s.HomeReplica {
+		if s.AffinityTarget {
 			mark += " (home)"
 		}
 		fmt.Fprintf(&b, "  %-16s %12.1f %9.1f %9.1f %9.1f %9.1f %9.1f %9.4f %6.2f %8.1f %8.0f %8.1f %6.3f%s\n", n.Replica(uint32(s.Replica)), s.Score,
--- a/internal/subset/affinity.go
+++ b/internal/subset/affinity.go
@@ -61,7 +61,7 @@
 	return p.replicas
 }
 
-// AssignAffinityTarget sets the HomeReplica of an arriving request. If the balancer does not know that
+// AssignAffinityTarget sets the AffinityTarget of an arriving request. If the balancer does not know that
 // replica yet, changed is true and the returned list announces it; the balancer must get this list before
 // the request.
 func (s *Selector) AssignAffinityTarget(now balancer.Micros, request *balancer.Request) (list balancer.EndpointList, changed bool) {
@@ -74,7 +74,7 @@
 	}
 	s.useCounter++
 	s.announceTarget(target, &list)
-	request.HomeReplica = target.Replica
+	request.AffinityTarget = target.Replica
 	list.Kind, list.FleetSize = balancer.ListOverride, s.stats.Ready
 	sortByReplica(list.Endpoints)
 	return list, len(list.Endpoints) > 0
--- a/internal/subset/subset_test.go
+++ b/internal/subset/subset_test.go
@@ -81,7 +81,7 @@
 			t.Errorf("%d replicas: %d announced, fleet %d", n, len(got.Endpoints), got.FleetSize)
 		}
 		request := balancer.Request{Session: 7, Prefix: 8}
-		if _, changed := selector.AssignAffinityTarget(second, &request); changed || request.HomeReplica != 0 {
+		if _, changed := selector.AssignAffinityTarget(second, &request); changed || request.AffinityTarget != 0 {
 			t.Errorf("%d replicas: an affinity target for a complete list", n)
 		}
 	}
@@ -220,7 +220,7 @@
 			}
 		}
 		request := balancer.Request{Session: uint64(index) + 1}
-		if selector.AssignAffinityTarget(9*second, &request); request.HomeReplica != 0 && slices.ContainsFunc(back, func(e balancer.Endpoint) bool { return e.Replica == request.HomeReplica && e.Zone == "z1" }) {
+		if selector.AssignAffinityTarget(9*second, &request); request.AffinityTarget != 0 && slices.ContainsFunc(back, func(e balancer.Endpoint) bool { return e.Replica == request.AffinityTarget && e.Zone == "z1" }) {
 			t.Errorf("gateway %d: the affinity target is warming up", index)
 		}
 	}
@@ -309,20 +309,20 @@
 			if changed {
 				applyAnnounced(announced, list)
 			}
-			if request.HomeReplica == 0 {
+			if request.AffinityTarget == 0 {
 				t.Fatalf("gateway %d, session %d: no affinity target", index, session)
 			}
-			if _, known := announced[request.HomeReplica]; !known || len(announced) > 128+64 {
+			if _, known := announced[request.AffinityTarget]; !known || len(announced) > 128+64 {
 				t.Fatalf("gateway %d, session %d: target announced %t; %d announced", index, session, known, len(announced))
 			}
-			if target, ok := targets[session]; ok && target != request.HomeReplica {
+			if target, ok := targets[session]; ok && target != request.AffinityTarget {
 				t.Fatalf("gateway %d, session %d: another affinity target", index, session)
 			}
-			targets[session] = request.HomeReplica
+			targets[session] = request.AffinityTarget
 			if ofPrefix[request.Prefix] == nil {
 				ofPrefix[request.Prefix] = map[balancer.ReplicaID]bool{}
 			}
-			ofPrefix[request.Prefix][request.HomeReplica] = true
+			ofPrefix[request.Prefix][request.AffinityTarget] = true
 		}
 	}
 	for prefix, at := range ofPrefix {
@@ -411,7 +411,7 @@
 			if list, changed := selector.AssignAffinityTarget(now+20*second, &request); changed {
 				applyAnnounced(announced, list)
 			}
-			if request.HomeReplica != 0 && announced[request.HomeReplica].State != balancer.EndpointReady {
+			if request.AffinityTarget != 0 && announced[request.AffinityTarget].State != balancer.EndpointReady {
 				t.Fatalf("step %d: the affinity target is not ready", step)
 			}
 		}
