--- a/balancer/admission_test.go
+++ b/balancer/admission_test.go
@@ -42,6 +42,20 @@
 	}
 }
 
+// tickAndDispatch sends a request, each fifth one after a tick. It returns the replica of
+// the request's first attempt, or admitted = false if the request is shed.
+func tickAndDispatch(b *Balancer, rec *recorder, now Micros, id RequestID) (to ReplicaID, admitted bool) {
+	if id%5 == 0 {
+		b.tick(now)
+	}
+	rec.acts = nil
+	b.RequestArrived(now, testRequest(id))
+	if len(rec.take("shed")) > 0 {
+		return 0, false
+	}
+	return b.requests[id].attempts[0].row.id, true
+}
+
 // Streams slower than their token objective count as late though their first tokens come
 // in time: else an overloaded fleet admits every request.
 func TestSlowStreamsLimitAdmission(t *testing.T) {
@@ -54,16 +68,11 @@
 			if i < 40 {
 				wait = 60_000 // at first all is well
 			}
-			if i%5 == 0 {
-				b.tick(now)
-			}
-			rec.acts = nil
-			b.RequestArrived(now, testRequest(i))
-			if len(rec.take("shed")) > 0 {
+			to, admitted := tickAndDispatch(b, rec, now, i)
+			if !admitted {
 				shed++
 				continue
 			}
-			to := b.requests[i].attempts[0].row.id
 			b.FirstToken(now+wait, Outcome{ID: i, Replica: to, Elapsed: wait})
 			if j := i - 20; i > 20 && b.requests[j] != nil {
 				w := b.requests[j].attempts[0].row.id
@@ -102,16 +111,11 @@
 	now, shed := 102*second, 0
 	for i := range RequestID(200) { // the fleet is idle: each is served at once
 		now += 50_000
-		if i%5 == 0 {
-			b.tick(now)
-		}
-		rec.acts = nil
-		b.RequestArrived(now, testRequest(i))
-		if len(rec.take("shed")) > 0 {
+		to, admitted := tickAndDispatch(b, rec, now, i)
+		if !admitted {
 			shed++
 			continue
 		}
-		to := b.requests[i].attempts[0].row.id
 		b.FirstToken(now, Outcome{ID: i, Replica: to, Elapsed: 50_000})
 		b.AttemptEnded(now, Outcome{ID: i, Replica: to, Status: Served, Elapsed: 60_000, Final: true})
 	}
@@ -156,12 +160,7 @@
 func TestLatenessCountsWhenTheObjectivePasses(t *testing.T) {
 	b, rec := startBalancer(t, settings(), fleet(2)...)
 	b.RequestArrived(101*second, testRequest(1))
-	var timer recordedAction
-	for _, a := range rec.take("timer") {
-		if a.token&(1<<timerBits-1) == timerObjective {
-			timer = a
-		}
-	}
+	timer := rec.takeTimer(timerObjective)
 	if timer.delay != second {
 		t.Fatalf("objective timer %+v", timer)
 	}
--- a/balancer/balancer_test.go
+++ b/balancer/balancer_test.go
@@ -58,6 +58,18 @@
 	return out
 }
 
+// takeTimer returns the last recorded timer of a purpose, the zero value if there is none, and
+// clears all actions.
+func (r *recorder) takeTimer(purpose uint64) recordedAction {
+	var last recordedAction
+	for _, a := range r.take("timer") {
+		if a.token&timerPurposeMask == purpose {
+			last = a
+		}
+	}
+	return last
+}
+
 // second is one second in Micros.
 const second Micros = 1_000_000
 
--- a/balancer/request_test.go
+++ b/balancer/request_test.go
@@ -32,12 +32,7 @@
 func TestDeadlineAnswersWhateverHappens(t *testing.T) {
 	b, rec := startBalancer(t, settings(), fleet(2)...)
 	b.RequestArrived(101*second, testRequest(1))
-	var deadline recordedAction
-	for _, a := range rec.take("timer") {
-		if a.token&(1<<timerBits-1) == timerDeadline {
-			deadline = a
-		}
-	}
+	deadline := rec.takeTimer(timerDeadline)
 	if deadline.delay <= 0 || deadline.delay >= 4*second {
 		t.Fatalf("deadline timer %+v", deadline)
 	}
