--- a/internal/gateway/clientgone_test.go
+++ b/internal/gateway/clientgone_test.go
@@ -21,11 +21,7 @@
 // gone: no attempt begins from then on, even if the HTTP server has not noticed. The kernel's
 // state is read where an attempt is sent.
 func TestClientGoneByKernelState(t *testing.T) {
-	l, err := net.Listen("tcp", "127.0.0.1:0")
-	if err != nil {
-		t.Fatal(err)
-	}
-	defer l.Close()
+	l := listenOnLoopback(t)
 	for name, c := range map[string]struct {
 		end  func(*net.TCPConn)
 		gone bool
@@ -103,15 +99,8 @@
 // The same for a client that disconnects while its attempt waits for a slow connect: nothing is
 // written to the connection.
 func TestNothingIsWrittenAfterLateConnect(t *testing.T) {
-	l, err := net.Listen("tcp", "127.0.0.1:0")
-	if err != nil {
-		t.Fatal(err)
-	}
-	defer l.Close()
-	g, err := New(testOptions())
-	if err != nil {
-		t.Fatal(err)
-	}
+	l := listenOnLoopback(t)
+	g := newTestGateway(t, testOptions())
 	store := inflight.NewTable()
 	ctx, end := context.WithCancel(t.Context())
 	r := inflight.NewRequest(ctx, "late", balancer.Request{}, 0, 3)
--- a/internal/gateway/discovery_test.go
+++ b/internal/gateway/discovery_test.go
@@ -33,17 +33,10 @@
 // from the failure on counts, however soon: when it was swallowed, discovery was not polled for
 // 5 s.
 func TestPollRequestDuringFailedPoll(t *testing.T) {
-	l, err := net.Listen("tcp", "127.0.0.1:0")
-	if err != nil {
-		t.Fatal(err)
-	}
-	defer l.Close()
+	l := listenOnLoopback(t)
 	o := testOptions()
 	o.Discovery = l.Addr().String()
-	g, err := New(o)
-	if err != nil {
-		t.Fatal(err)
-	}
+	g := newTestGateway(t, o)
 	m := &pollingModule{Module: g.loop.module, loop: g.loop}
 	g.loop.module = m
 	l.(*net.TCPListener).SetDeadline(time.Now().Add(5 * time.Second))
@@ -73,10 +66,7 @@
 // The client gets its first event only after all other attempts of its request have ended: when
 // the action to relay the stream is posted, the others are cancelled.
 func TestHedgedAttemptStreamsFirst(t *testing.T) {
-	g, err := New(testOptions())
-	if err != nil {
-		t.Fatal(err)
-	}
+	g := newTestGateway(t, testOptions())
 	l := g.loop
 	l.now = g.clock.now()
 	l.loadCachedList(httpwire.EndpointList{Endpoints: []httpwire.Endpoint{{ID: "s-1", Addr: "127.0.0.1:1", Zone: "a", Kind: "k", Lifecycle: "ready"},
@@ -143,11 +133,7 @@
 	} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
-			l, err := net.Listen("tcp", "127.0.0.1:0")
-			if err != nil {
-				t.Fatal(err)
-			}
-			defer l.Close()
+			l := listenOnLoopback(t)
 			go func() {
 				conn, err := l.Accept()
 				if err != nil {
@@ -162,10 +148,7 @@
 					io.Copy(io.Discard, conn)
 				}
 			}()
-			g, err := New(testOptions())
-			if err != nil {
-				t.Fatal(err)
-			}
+			g := newTestGateway(t, testOptions())
 			begun := time.Now()
 			got, err := g.requestList(t.Context(), l.Addr().String(), httpwire.ListPath, 300*time.Millisecond)
 			if c.good != (err == nil) || c.good && (got.Generation != 7 || len(got.Endpoints) != 1) {
@@ -203,15 +186,8 @@
 		"length": fmt.Sprintf("HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n%s", len(list), list)} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
-			l, err := net.Listen("tcp", "127.0.0.1:0")
-			if err != nil {
-				t.Fatal(err)
-			}
-			defer l.Close()
-			g, err := New(testOptions())
-			if err != nil {
-				t.Fatal(err)
-			}
+			l := listenOnLoopback(t)
+			g := newTestGateway(t, testOptions())
 			g.options.MaxListEntries = 6000
 			go func() {
 				conn, err := l.Accept()
--- a/internal/gateway/fakes_test.go
+++ b/internal/gateway/fakes_test.go
@@ -19,6 +19,17 @@
 
 // Scripted replicas and a scripted discovery on loopback sockets.
 
+// listenOnLoopback listens on a free port until the test ends.
+func listenOnLoopback(t *testing.T) net.Listener {
+	t.Helper()
+	l, err := net.Listen("tcp", "127.0.0.1:0")
+	if err != nil {
+		t.Fatal(err)
+	}
+	t.Cleanup(func() { l.Close() })
+	return l
+}
+
 // fakeReplica answers each request as its script says; the script returns false to
 // end the connection.
 type fakeReplica struct {
@@ -34,12 +45,8 @@
 
 func newFakeReplica(t *testing.T, id string, script func(net.Conn, *http.Request) bool) *fakeReplica {
 	t.Helper()
-	l, err := net.Listen("tcp", "127.0.0.1:0")
-	if err != nil {
-		t.Fatal(err)
-	}
+	l := listenOnLoopback(t)
 	w := &fakeReplica{id: id, addr: l.Addr().String(), listener: l, script: script, closedByPeer: make(chan struct{}, 16), connEnded: make(chan struct{}, 64)}
-	t.Cleanup(func() { l.Close() })
 	go func() {
 		for {
 			c, err := l.Accept()
@@ -132,10 +139,7 @@
 
 func newFakeDiscovery(t *testing.T, list httpwire.EndpointList) *fakeDiscovery {
 	t.Helper()
-	l, err := net.Listen("tcp", "127.0.0.1:0")
-	if err != nil {
-		t.Fatal(err)
-	}
+	l := listenOnLoopback(t)
 	d := &fakeDiscovery{addr: l.Addr().String(), list: list, changed: make(chan struct{}, 16)}
 	d.serve(l)
 	t.Cleanup(func() { d.server.Close() })
@@ -210,6 +214,19 @@
 	d.changed <- struct{}{}
 }
 
+// muteNextCall leaves the next call unanswered, and waits until it has arrived.
+func (d *fakeDiscovery) muteNextCall(t *testing.T) {
+	t.Helper()
+	d.mu.Lock()
+	d.mute = 1
+	d.mu.Unlock()
+	waitUntil(t, "a call that is not answered", func() bool {
+		d.mu.Lock()
+		defer d.mu.Unlock()
+		return d.mute == 0
+	})
+}
+
 func (d *fakeDiscovery) callCount() int {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -232,6 +249,16 @@
 		DrainAcceptPeriod: time.Second}
 }
 
+// newTestGateway returns a gateway that does not run yet.
+func newTestGateway(tb testing.TB, o Options) *Gateway {
+	tb.Helper()
+	g, err := New(o)
+	if err != nil {
+		tb.Fatal(err)
+	}
+	return g
+}
+
 // testGateway is a gateway that serves on loopback.
 type testGateway struct {
 	*Gateway
@@ -243,11 +270,7 @@
 // startGateway runs a gateway in front of replicas and waits until it is ready.
 func startGateway(t *testing.T, tweak func(*Options), replicas ...*fakeReplica) *testGateway {
 	t.Helper()
-	l, err := net.Listen("tcp", "127.0.0.1:0")
-	if err != nil {
-		t.Fatal(err)
-	}
-	return startGatewayOn(t, l, tweak, replicas...)
+	return startGatewayOn(t, listenOnLoopback(t), tweak, replicas...)
 }
 
 func startGatewayOn(t *testing.T, l net.Listener, tweak func(*Options), replicas ...*fakeReplica) *testGateway {
@@ -262,10 +285,7 @@
 	}
 	discovery := newFakeDiscovery(t, list)
 	o.Discovery = discovery.addr
-	g, err := New(o)
-	if err != nil {
-		t.Fatal(err)
-	}
+	g := newTestGateway(t, o)
 	ctx, stop := context.WithCancel(context.Background())
 	r := &testGateway{Gateway: g, addr: l.Addr().String(), discoveryServer: discovery, served: make(chan error, 1)}
 	go func() { r.served <- g.Serve(ctx, l) }()
@@ -312,6 +332,15 @@
 		"Req-Deadline: %s\r\nContent-Length: %d\r\n\r\n%s", id, wait, len(body), body))
 }
 
+// exchange sends n requests with the same id one after another, and reads their answers.
+func (c *testClient) exchange(n int, id string) {
+	c.t.Helper()
+	for range n {
+		c.sendRequest(id, "4000m")
+		c.readAnswer()
+	}
+}
+
 func (c *testClient) sendRaw(text string) {
 	c.t.Helper()
 	if _, err := io.WriteString(c, text); err != nil {
--- a/internal/gateway/gateway_test.go
+++ b/internal/gateway/gateway_test.go
@@ -104,10 +104,7 @@
 // An attempt that the handler of a gone client never started ends all the same: else the module
 // would count it as in flight forever.
 func TestPendingAttemptOfGoneClientEnds(t *testing.T) {
-	g, err := New(testOptions())
-	if err != nil {
-		t.Fatal(err)
-	}
+	g := newTestGateway(t, testOptions())
 	l := g.loop
 	l.now = g.clock.now()
 	l.loadCachedList(httpwire.EndpointList{Endpoints: []httpwire.Endpoint{{ID: "s-1", Addr: "127.0.0.1:1", Zone: "a", Kind: "k", Lifecycle: "ready"}}})
@@ -223,10 +220,7 @@
 			if c.wait == 0 {
 				c.wait = 5 * time.Second
 			}
-			g, err := New(testOptions())
-			if err != nil {
-				t.Fatal(err)
-			}
+			g := newTestGateway(t, testOptions())
 			addr := c.addr
 			if addr == "" {
 				addr = newFakeReplica(t, "w", c.script).addr
@@ -395,11 +389,7 @@
 	waitUntil(t, "the watch", func() bool { return g.discoveryServer.callCount() >= 2 })
 	g.discoveryServer.change(listEntry(a, "draining"))
 	waitUntil(t, "the watch after a change", func() bool { return g.discoveryServer.callCount() >= 3 })
-	c := dial(t, g.addr)
-	for range 5 {
-		c.sendRequest("g", "4000m")
-		c.readAnswer()
-	}
+	dial(t, g.addr).exchange(5, "g")
 	if _, n := a.counts(); n != 0 {
 		t.Errorf("%d attempts to a draining replica", n)
 	}
@@ -417,22 +407,11 @@
 func TestSilentDiscoveryIsPolledAgain(t *testing.T) {
 	a, b := newFakeReplica(t, "s-1", answerCompletely), newFakeReplica(t, "s-2", answerCompletely)
 	g := startGateway(t, func(o *Options) { o.WatchWait, o.DiscoveryTimeout = 20*time.Millisecond, 100*time.Millisecond }, a, b)
-	g.discoveryServer.mu.Lock()
-	g.discoveryServer.mute = 1
-	g.discoveryServer.mu.Unlock()
-	waitUntil(t, "a call that is not answered", func() bool {
-		g.discoveryServer.mu.Lock()
-		defer g.discoveryServer.mu.Unlock()
-		return g.discoveryServer.mute == 0
-	})
+	g.discoveryServer.muteNextCall(t)
 	calls := g.discoveryServer.callCount()
 	g.discoveryServer.change(listEntry(a, "draining"))
 	waitUntil(t, "calls after the silence", func() bool { return g.discoveryServer.callCount() >= calls+2 })
-	c := dial(t, g.addr)
-	for range 5 {
-		c.sendRequest("n", "4000m")
-		c.readAnswer()
-	}
+	dial(t, g.addr).exchange(5, "n")
 	if _, n := a.counts(); n != 0 {
 		t.Errorf("%d attempts to a replica that drained during the silence", n)
 	}
@@ -446,14 +425,7 @@
 		o.WatchWait, o.DiscoveryTimeout = 20*time.Millisecond, 100*time.Millisecond
 		o.Settings.Gateways = 100 // the call after a failed one waits for 4 s or more
 	}, a, b)
-	g.discoveryServer.mu.Lock()
-	g.discoveryServer.mute = 1
-	g.discoveryServer.mu.Unlock()
-	waitUntil(t, "a call that is not answered", func() bool {
-		g.discoveryServer.mu.Lock()
-		defer g.discoveryServer.mu.Unlock()
-		return g.discoveryServer.mute == 0
-	})
+	g.discoveryServer.muteNextCall(t)
 	calls, begun := g.discoveryServer.callCount(), time.Now()
 	waitUntil(t, "the restarted watch", func() bool { return g.discoveryServer.callCount() > calls })
 	if d := time.Since(begun); d > 2*time.Second {
--- a/internal/gateway/version_test.go
+++ b/internal/gateway/version_test.go
@@ -291,10 +291,7 @@
 // BenchmarkApplyVersion measures the loop's time for a version, with 1,000 replicas and
 // 10,000 requests in flight.
 func BenchmarkApplyVersion(b *testing.B) {
-	g, err := New(testOptions())
-	if err != nil {
-		b.Fatal(err)
-	}
+	g := newTestGateway(b, testOptions())
 	l := g.loop
 	l.now = g.clock.now()
 	list := httpwire.EndpointList{Generation: 1}
--- a/internal/gateway/wallclock_test.go
+++ b/internal/gateway/wallclock_test.go
@@ -70,10 +70,7 @@
 
 // A step changes nothing about known replicas: each start is converted once.
 func TestKnownReplicaStartIsStable(t *testing.T) {
-	g, err := New(testOptions())
-	if err != nil {
-		t.Fatal(err)
-	}
+	g := newTestGateway(t, testOptions())
 	offset := balancer.Micros(0)
 	g.clock.wall.read = func() balancer.Micros { return g.clock.now() + offset }
 	l := g.loop
--- a/internal/gateway/withdrawn_test.go
+++ b/internal/gateway/withdrawn_test.go
@@ -20,10 +20,7 @@
 	} {
 		for _, kind := range []balancer.ListKind{balancer.ListDelta, balancer.ListFull} {
 			w := newFakeReplica(t, "s-1", answerCompletely)
-			g, err := New(testOptions())
-			if err != nil {
-				t.Fatal(err)
-			}
+			g := newTestGateway(t, testOptions())
 			l := g.loop
 			l.now = g.clock.now()
 			entry := httpwire.Endpoint{ID: "s-1", Addr: w.addr, Zone: "a", Kind: "k", Lifecycle: "ready"}
