--- a/internal/gateway/clientgone_test.go
+++ b/internal/gateway/clientgone_test.go
@@ -14,6 +14,7 @@
 	"archknot/balancer"
 	"archknot/internal/connpool"
 	"archknot/internal/endpoint"
+	"archknot/internal/httpwire"
 	"archknot/internal/inflight"
 )
 
@@ -123,3 +124,43 @@
 		t.Errorf("read %q, %v", b, err)
 	}
 }
+
+// A client that disconnects frees the replica's connection at once, before and during the
+// stream.
+func TestClientDisconnectFreesReplica(t *testing.T) {
+	for name, text := range map[string]string{"before": "", "during": streamHead + chunk(event1)} {
+		w := newFakeReplica(t, "s-1", replyWith(text, true))
+		g := startGateway(t, nil, w)
+		c := dial(t, g.addr)
+		c.sendRequest("c1", "4000m")
+		waitUntil(t, "the attempt", func() bool { _, n := w.counts(); return n == 1 })
+		if text != "" {
+			c.readHead()
+		}
+		c.Close()
+		select {
+		case <-w.closedByPeer:
+		case <-time.After(2 * time.Second):
+			t.Errorf("%s: its connection to the replica stayed open", name)
+		}
+		waitUntil(t, name+": nothing in flight", func() bool { return g.clients.inFlightCount() == 0 && g.pool.OpenCount() == 0 })
+	}
+}
+
+// An attempt that the handler of a gone client never started ends all the same: else the module
+// would count it as in flight forever.
+func TestPendingAttemptOfGoneClientEnds(t *testing.T) {
+	g := newTestGateway(t, testOptions())
+	l := g.loop
+	l.now = g.clock.now()
+	l.loadCachedList(httpwire.EndpointList{Endpoints: []httpwire.Endpoint{{ID: "s-1", Addr: "127.0.0.1:1", Zone: "a", Kind: "k", Lifecycle: "ready"}}})
+	r := inflight.NewRequest(context.Background(), "l1", balancer.Request{Class: "chat"}, l.now+1e6, 3)
+	requestArrived{r, l.gateway.config.Load(), true}.apply(l)
+	if len(r.Actions) != 1 {
+		t.Fatalf("%d actions", len(r.Actions))
+	}
+	clientGone{r}.apply(l)
+	if l.requests.Len() != 0 {
+		t.Error("the request is still in flight")
+	}
+}
--- /dev/null
+++ b/internal/gateway/relay_test.go
@@ -0,0 +1,106 @@
+package gateway
+
+import (
+	"errors"
+	"io"
+	"net"
+	"net/http"
+	"strings"
+	"sync/atomic"
+	"testing"
+	"time"
+
+	"github.com/google/go-cmp/cmp"
+)
+
+// An event reaches the client before the next one exists; the stream is relayed unchanged, and
+// the next request uses the same connections.
+func TestEventsAreRelayedImmediately(t *testing.T) {
+	more := make(chan struct{})
+	w := newFakeReplica(t, "s-1", func(c net.Conn, _ *http.Request) bool {
+		io.WriteString(c, streamHead+chunk(event1))
+		<-more
+		io.WriteString(c, chunk(event2)+chunk(loadReportLine)+lastChunk)
+		return true
+	})
+	g := startGateway(t, nil, w)
+	c := dial(t, g.addr)
+	for _, id := range []string{"a1", "a2"} {
+		c.sendRequest(id, "4000m")
+		resp := c.readHead()
+		first := make([]byte, len(event1))
+		if _, err := io.ReadFull(resp.Body, first); err != nil || string(first) != event1 {
+			t.Fatalf("first event %q, %v", first, err)
+		}
+		more <- struct{}{}
+		remainder, err := io.ReadAll(resp.Body)
+		if diff := cmp.Diff(event2+loadReportLine, string(remainder)); err != nil || diff != "" {
+			t.Fatal(err, diff)
+		}
+		waitUntil(t, "the attempt's end", func() bool { return g.clients.inFlightCount() == 0 && len(g.loop.events) == 0 })
+	}
+	r := w.requests[1]
+	if r.Method != "POST" || r.RequestURI != "/v1/chat/completions?x=1" || r.Header.Get("Req-Id") != "a2" ||
+		!strings.HasSuffix(r.Header.Get("Req-Deadline"), "u") {
+		t.Errorf("the replica got %s %s %v", r.Method, r.RequestURI, r.Header)
+	}
+	if n, _ := w.counts(); n != 1 {
+		t.Errorf("%d connections for two requests in turn", n)
+	}
+}
+
+// A stream that breaks or stalls ends the client's connection without the last chunk, and
+// nothing more is sent for the request.
+func TestBrokenStreamIsCutOff(t *testing.T) {
+	for name, script := range map[string]func(net.Conn, *http.Request) bool{
+		"breaks": replyWith(streamHead+chunk(event1), false),
+		"stalls": replyWith(streamHead+chunk(event1), true),
+	} {
+		w, other := newFakeReplica(t, "s-1", script), newFakeReplica(t, "s-2", script)
+		g := startGateway(t, func(o *Options) { o.StreamIdleTimeout = 100 * time.Millisecond }, w, other)
+		c := dial(t, g.addr)
+		c.sendRequest("b1", "4000m")
+		got, err := io.ReadAll(c.readHead().Body)
+		if !errors.Is(err, io.ErrUnexpectedEOF) || string(got) != event1 {
+			t.Errorf("%s: read %q, %v", name, got, err)
+		}
+		_, n := w.counts()
+		_, m := other.counts()
+		if n+m != 1 {
+			t.Errorf("%s: %d attempts", name, n+m)
+		}
+	}
+}
+
+// A stream that is malformed before its first event was relayed is retried at the other
+// replica; one that is malformed later ends the client's connection, and nothing of what cannot
+// be parsed is relayed.
+func TestMalformedStreams(t *testing.T) {
+	for name, c := range map[string]struct {
+		text string
+		late bool
+	}{
+		"head": {"\x16\x03\x01", false}, "first chunk": {streamHead + "b0000000\r\n" + event1, false},
+		"later chunk":  {streamHead + chunk(event1) + "b0000000\r\n" + event1, true},
+		"wrong length": {streamHead + chunk(event1) + "3\r\n" + event1, true},
+	} {
+		var dispatches atomic.Int32
+		failFirst := func(conn net.Conn, r *http.Request) bool {
+			if dispatches.Add(1) == 1 {
+				return replyWith(c.text, true)(conn, r)
+			}
+			return answerCompletely(conn, r)
+		}
+		// A head that does not end is given up after half a second: no hedged request by then.
+		g := startGateway(t, func(o *Options) { o.Settings.Classes[0].LatencyObjective = 3_000_000 }, newFakeReplica(t, "s-1", failFirst), newFakeReplica(t, "s-2", failFirst))
+		client := dial(t, g.addr)
+		client.sendRequest("s1", "4000m")
+		body, err := io.ReadAll(client.readHead().Body)
+		if c.late && (!errors.Is(err, io.ErrUnexpectedEOF) || string(body) != event1 || dispatches.Load() != 1) {
+			t.Errorf("%s: %q, %v, %d attempts", name, body, err, dispatches.Load())
+		}
+		if !c.late && (err != nil || string(body) != event1+event2+loadReportLine || dispatches.Load() != 2) {
+			t.Errorf("%s: %q, %v, %d attempts", name, body, err, dispatches.Load())
+		}
+	}
+}
--- a/internal/gateway/wallclock_test.go
+++ b/internal/gateway/wallclock_test.go
@@ -2,6 +2,7 @@
 
 import (
 	"testing"
+	"time"
 
 	"archknot/balancer"
 	"archknot/internal/httpwire"
@@ -85,3 +86,13 @@
 		t.Errorf("its start moved by %d ms", (now.StartedAt-was.StartedAt)/1000)
 	}
 }
+
+// A replica that started shortly before the gateway is still warming up: on a clock that began
+// with the gateway its start fell below 0, which means long ago.
+func TestReplicaStartsBeforeGateway(t *testing.T) {
+	c := newMonotonicClock()
+	at := c.fromUnixMillis(time.Now().Add(-3 * time.Second).UnixMilli())
+	if age := c.now() - at; at <= 0 || age < 2_900_000 || age > 3_500_000 {
+		t.Errorf("started at %d, %d us ago", at, age)
+	}
+}
