--- a/internal/gateway/drain_test.go
+++ b/internal/gateway/drain_test.go
@@ -3,10 +3,15 @@
 import (
 	"context"
 	"errors"
+	"fmt"
 	"io"
 	"net"
 	"net/http"
+	"strings"
 	"testing"
+	"time"
+
+	"archknot/internal/syncpoint"
 )
 
 // After SIGTERM, requests that arrive while the listener is open are answered, a stream is
@@ -52,3 +57,194 @@
 		t.Error(err)
 	}
 }
+
+// A drain begins at each point of a request's arrival: what has arrived, read or not, is
+// answered on its connection, which ends then; what arrives later is not read, and nothing of
+// it reaches a replica.
+func TestDrainWhileRequestArrives(t *testing.T) {
+	request := func(id string) string {
+		return strings.Replace(requestFirstHalf, "Req-Id: x", "Req-Id: "+id, 1) + requestSecondHalf
+	}
+	type scenario func(t *testing.T, c *testClient, conn *syncpoint.Conn, drain func()) (attempts int)
+	read := func(n int) scenario { // so many bytes of it were read, and not processed yet
+		return func(t *testing.T, c *testClient, conn *syncpoint.Conn, drain func()) int {
+			t.Helper()
+			afterRead := syncpoint.NewPoint(t)
+			conn.StopAfterRead(afterRead)
+			c.sendRaw(request("b")[:n])
+			afterRead.WaitReached(t)
+			drain()
+			afterRead.Release()
+			c.sendRaw(request("b")[n:])
+			return 2
+		}
+	}
+	for name, play := range map[string]scenario{
+		"its first bytes were read": read(7),
+		"all of it was read":        read(len(request("b"))),
+		"all of it has arrived and none was read": func(t *testing.T, c *testClient, conn *syncpoint.Conn, drain func()) int {
+			t.Helper()
+			beforeRead := syncpoint.NewPoint(t)
+			conn.StopBeforeRead(beforeRead)
+			c.sendRaw(request("b"))
+			beforeRead.WaitReached(t)
+			drain()
+			beforeRead.Release()
+			return 2
+		},
+		"it arrives after the end": func(t *testing.T, c *testClient, conn *syncpoint.Conn, drain func()) int {
+			t.Helper()
+			drain()
+			if _, err := c.reader.ReadByte(); !errors.Is(err, io.EOF) {
+				t.Errorf("the idle connection: %v, want a clean end", err)
+			}
+			io.WriteString(c, request("b")) // may fail: the other side has closed
+			return 1
+		},
+	} {
+		t.Run(name, func(t *testing.T) {
+			w := newFakeReplica(t, "s-1", answerCompletely)
+			g, l := startGatewayHeld(t, func(o *Options) { o.DrainAcceptPeriod = 100 * time.Millisecond }, w)
+			c := dial(t, g.addr)
+			c.sendRaw(request("a"))
+			if resp, _ := c.readAnswer(); resp.StatusCode != 200 || resp.Close {
+				t.Fatalf("status %d, close %t", resp.StatusCode, resp.Close)
+			}
+			drained := make(chan error, 1)
+			other := dial(t, g.addr) // shows that the drain has been at all connections
+			other.sendRaw(request("other"))
+			other.readAnswer()
+			first, second := l.NextConn(t), l.NextConn(t)
+			if first.RemoteAddr().String() != c.LocalAddr().String() {
+				first = second
+			}
+			waitUntil(t, "idle connections", func() bool { return g.idleConnCount() == 2 })
+			attempts := play(t, c, first, func() {
+				go func() { drained <- g.Drain(context.Background()) }()
+				if _, err := other.reader.ReadByte(); !errors.Is(err, io.EOF) {
+					t.Errorf("the other connection: %v", err)
+				}
+			})
+			if attempts == 2 {
+				if resp, _ := c.readAnswer(); resp.StatusCode != 200 || !resp.Close {
+					t.Errorf("status %d, close %t", resp.StatusCode, resp.Close)
+				}
+			}
+			if _, err := c.reader.ReadByte(); err == nil {
+				t.Error("the connection goes on")
+			}
+			if err := <-drained; err != nil {
+				t.Error(err)
+			}
+			if _, n := w.counts(); n != attempts+1 {
+				t.Errorf("%d requests reached the replica, want %d", n, attempts+1)
+			}
+		})
+	}
+}
+
+// Pipelined requests are answered in a drain too, each by its own settings, and only the last
+// answer ends the connection; so is a request on a connection that was accepted as the listener
+// closed.
+func TestDrainAnswersPipelinedRequests(t *testing.T) {
+	more := make(chan struct{})
+	w := newFakeReplica(t, "s-1", func(c net.Conn, r *http.Request) bool {
+		if r.Header.Get("Req-Id") == "first" {
+			<-more
+		}
+		return answerCompletely(c, r)
+	})
+	g := startGateway(t, func(o *Options) { o.DrainAcceptPeriod = 50 * time.Millisecond }, w)
+	c, late, unused := dial(t, g.addr), dial(t, g.addr), dial(t, g.addr)
+	for i, id := range []string{"first", "second", "third"} {
+		c.sendRaw(fmt.Sprintf("POST /v1/chat/completions HTTP/1.1\r\nHost: a\r\nReq-Id: %s\r\nReq-Kind: chat\r\nReq-Owner: t%d\r\nContent-Length: 0\r\n\r\n", id, i))
+	}
+	late.sendRaw(requestFirstHalf[:9])
+	waitUntil(t, "the first attempt", func() bool { _, n := w.counts(); return n == 1 })
+	waitUntil(t, "a partial request", func() bool { return g.begunRequestCount() == 2 })
+	drained := make(chan error, 1)
+	go func() { drained <- g.Drain(context.Background()) }()
+	if _, err := unused.reader.ReadByte(); !errors.Is(err, io.EOF) { // the last step of the drain before it waits
+		t.Errorf("the unused connection: %v", err)
+	}
+	close(more)
+	late.sendRaw(requestFirstHalf[9:] + requestSecondHalf)
+	for i, last := range []bool{false, false, true} {
+		if resp, body := c.readAnswer(); resp.StatusCode != 200 || !strings.Contains(body, "[DONE]") || resp.Close != last {
+			t.Errorf("answer %d: status %d, close %t", i, resp.StatusCode, resp.Close)
+		}
+	}
+	if resp, _ := late.readAnswer(); resp.StatusCode != 200 || !resp.Close {
+		t.Errorf("status %d, close %t", resp.StatusCode, resp.Close)
+	}
+	if err := <-drained; err != nil {
+		t.Error(err)
+	}
+	w.mu.Lock()
+	defer w.mu.Unlock()
+	owners := map[string]string{}
+	for _, r := range w.requests {
+		owners[r.Header.Get("Req-Id")] = r.Header.Get("Req-Owner")
+	}
+	if len(w.requests) != 4 || owners["first"] != "t0" || owners["second"] != "t1" || owners["third"] != "t2" {
+		t.Errorf("%d attempts: %v", len(w.requests), owners)
+	}
+}
+
+func (r *testGateway) begunRequestCount() (n int) {
+	for _, conn := range r.clients.connections() {
+		conn.mu.Lock()
+		if conn.requestStart > 0 {
+			n++
+		}
+		conn.mu.Unlock()
+	}
+	return n
+}
+
+// A stream whose head was written before the drain did not announce the end to its client. A
+// request that has arrived by the stream's end is answered; one that arrives later is not read.
+func TestDrainAfterStream(t *testing.T) {
+	for name, arrives := range map[string]bool{"a request has arrived": true, "none has": false} {
+		t.Run(name, func(t *testing.T) {
+			more := make(chan struct{})
+			w := newFakeReplica(t, "s-1", func(c net.Conn, r *http.Request) bool {
+				if r.Header.Get("Req-Id") != "stream" {
+					return answerCompletely(c, r)
+				}
+				io.WriteString(c, streamHead+chunk(event1))
+				<-more
+				io.WriteString(c, lastChunk)
+				return true
+			})
+			g := startGateway(t, func(o *Options) { o.DrainAcceptPeriod = 20 * time.Millisecond }, w)
+			c := dial(t, g.addr)
+			c.sendRequest("stream", "4000m")
+			resp := c.readHead()
+			if _, err := io.ReadFull(resp.Body, make([]byte, len(event1))); err != nil || resp.Close {
+				t.Fatalf("%v, close %t", err, resp.Close)
+			}
+			drained := make(chan error, 1)
+			go func() { drained <- g.Drain(context.Background()) }()
+			<-g.acceptDone
+			if arrives {
+				c.sendRequest("next", "4000m")
+			}
+			close(more)
+			if got, err := io.ReadAll(resp.Body); err != nil || len(got) != 0 {
+				t.Errorf("the stream ended with %q, %v", got, err)
+			}
+			if arrives {
+				if resp, _ := c.readAnswer(); resp.StatusCode != 200 || !resp.Close {
+					t.Errorf("status %d, close %t", resp.StatusCode, resp.Close)
+				}
+			}
+			if _, err := c.reader.ReadByte(); !errors.Is(err, io.EOF) {
+				t.Errorf("at the end: %v", err)
+			}
+			if err := <-drained; err != nil {
+				t.Error(err)
+			}
+		})
+	}
+}
