--- a/internal/subset/subset_test.go
+++ b/internal/subset/subset_test.go
@@ -418,26 +418,45 @@
 	})
 }
 
+// subsetCounts counts for each replica the gateways that have it in their subset.
+type subsetCounts map[balancer.ReplicaID]int
+
+// add counts the subset that a gateway with these settings takes of a fleet.
+func (c subsetCounts) add(s Settings, fleet []balancer.Endpoint) {
+	for id := range readyIDs(NewSelector(s, noPrefixStats{}).Apply(second, fullList(fleet))) {
+		c[id]++
+	}
+}
+
+// largest returns the largest count of a replica.
+func (c subsetCounts) largest() (largest int) {
+	for _, n := range c {
+		largest = max(largest, n)
+	}
+	return largest
+}
+
+// mean returns the mean count of the fleet's replicas, those in no subset included.
+func (c subsetCounts) mean(fleet []balancer.Endpoint) float64 {
+	sum := 0
+	for _, n := range c {
+		sum += n
+	}
+	return float64(sum) / float64(len(fleet))
+}
+
 // Where there are few gateways for a fleet, subsets are larger than MaxReplicas, up to the complete list,
 // and every replica is in some subset. A stale gateway count changes only their sizes.
 func TestFewGateways(t *testing.T) {
 	fleet := zonedEndpoints(0, evenCounts(3, 400)...)
 	for _, c := range []struct{ gateways, configured int }{{12, 12}, {40, 40}, {200, 200}, {200, 100}, {200, 400}, {100, 1800}} {
-		subsets, sizes := map[balancer.ReplicaID]int{}, 0
+		subsets := subsetCounts{}
 		for i := range c.gateways {
 			s := testSettings(64, i, fmt.Sprint("z", i%3))
 			s.GatewayCount = c.configured
-			got := readyIDs(NewSelector(s, noPrefixStats{}).Apply(second, fullList(fleet)))
-			for id := range got {
-				subsets[id]++
-			}
-			sizes += len(got)
-		}
-		largest := 0
-		for _, n := range subsets {
-			largest = max(largest, n)
+			subsets.add(s, fleet)
 		}
-		mean := float64(sizes) / float64(len(fleet))
+		largest, mean := subsets.largest(), subsets.mean(fleet)
 		t.Logf("%d gateways, configured %d: %.1f per replica, largest over mean %.2f", c.gateways, c.configured, mean, float64(largest)/mean)
 		if c.configured <= c.gateways && (len(subsets) != len(fleet) || float64(largest)/mean > 1.5 || mean < 0.9*min(minGatewaysPerReplica, float64(c.gateways))) {
 			t.Errorf("%d gateways, configured %d: %d of %d replicas in use, %.1f a replica, largest %d", c.gateways, c.configured, len(subsets), len(fleet), mean, largest)
@@ -449,24 +468,15 @@
 // nearly equally many subsets. The last list counts, whatever its version.
 func TestStaleIndexesAndLists(t *testing.T) {
 	fleet := zonedEndpoints(0, evenCounts(3, 400)...)
-	subsets, sizes := map[balancer.ReplicaID]int{}, 0
+	subsets := subsetCounts{}
 	for i := range 300 {
 		index := i
 		if i%10 == 9 {
 			index = 300 + i/2 // its index before the gateways were renumbered
 		}
-		s := testSettings(128, index, fmt.Sprint("z", i%3))
-		got := readyIDs(NewSelector(s, noPrefixStats{}).Apply(second, fullList(fleet)))
-		for id := range got {
-			subsets[id]++
-		}
-		sizes += len(got)
-	}
-	largest := 0
-	for _, n := range subsets {
-		largest = max(largest, n)
+		subsets.add(testSettings(128, index, fmt.Sprint("z", i%3)), fleet)
 	}
-	mean := float64(sizes) / float64(len(fleet))
+	largest, mean := subsets.largest(), subsets.mean(fleet)
 	if len(subsets) != len(fleet) || float64(largest)/mean > 1.6 {
 		t.Errorf("%d replicas in use, %.1f gateways each, %d at most", len(subsets), mean, largest)
 	}
