--- a/internal/gateway/clientgone_test.go
+++ b/internal/gateway/clientgone_test.go
@@ -14,6 +14,7 @@
 	"archknot/balancer"
 	"archknot/internal/connpool"
 	"archknot/internal/endpoint"
+	"archknot/internal/httpwire"
 	"archknot/internal/inflight"
 )
 
@@ -21,11 +22,7 @@
 // gone: no attempt begins from then on, even if the HTTP server has not noticed. The kernel's
 // state is read where an attempt is sent.
 func TestClientGoneByKernelState(t *testing.T) {
-	l, err := net.Listen("tcp", "127.0.0.1:0")
-	if err != nil {
-		t.Fatal(err)
-	}
-	defer l.Close()
+	l := listenOnLoopback(t)
 	for name, c := range map[string]struct {
 		end  func(*net.TCPConn)
 		gone bool
@@ -103,15 +100,8 @@
 // The same for a client that disconnects while its attempt waits for a slow connect: nothing is
 // written to the connection.
 func TestNothingIsWrittenAfterLateConnect(t *testing.T) {
-	l, err := net.Listen("tcp", "127.0.0.1:0")
-	if err != nil {
-		t.Fatal(err)
-	}
-	defer l.Close()
-	g, err := New(testOptions())
-	if err != nil {
-		t.Fatal(err)
-	}
+	l := listenOnLoopback(t)
+	g := newTestGateway(t, testOptions())
 	store := inflight.NewTable()
 	ctx, end := context.WithCancel(t.Context())
 	r := inflight.NewRequest(ctx, "late", balancer.Request{}, 0, 3)
@@ -134,3 +124,43 @@
 		t.Errorf("read %q, %v", b, err)
 	}
 }
+
+// A client that disconnects frees the replica's connection at once, before and during the
+// stream.
+func TestClientDisconnectFreesReplica(t *testing.T) {
+	for name, text := range map[string]string{"before": "", "during": streamHead + chunk(event1)} {
+		w := newFakeReplica(t, "s-1", replyWith(text, true))
+		g := startGateway(t, nil, w)
+		c := dial(t, g.addr)
+		c.sendRequest("c1", "4000m")
+		waitUntil(t, "the attempt", func() bool { _, n := w.counts(); return n == 1 })
+		if text != "" {
+			c.readHead()
+		}
+		c.Close()
+		select {
+		case <-w.closedByPeer:
+		case <-time.After(2 * time.Second):
+			t.Errorf("%s: its connection to the replica stayed open", name)
+		}
+		waitUntil(t, name+": nothing in flight", func() bool { return g.clients.inFlightCount() == 0 && g.pool.OpenCount() == 0 })
+	}
+}
+
+// An attempt that the handler of a gone client never started ends all the same: else the module
+// would count it as in flight forever.
+func TestPendingAttemptOfGoneClientEnds(t *testing.T) {
+	g := newTestGateway(t, testOptions())
+	l := g.loop
+	l.now = g.clock.now()
+	l.loadCachedList(httpwire.EndpointList{Endpoints: []httpwire.Endpoint{{ID: "s-1", Addr: "127.0.0.1:1", Zone: "a", Kind: "k", Lifecycle: "ready"}}})
+	r := inflight.NewRequest(context.Background(), "l1", balancer.Request{Class: "chat"}, l.now+1e6, 3)
+	requestArrived{r, l.gateway.config.Load(), true}.apply(l)
+	if len(r.Actions) != 1 {
+		t.Fatalf("%d actions", len(r.Actions))
+	}
+	clientGone{r}.apply(l)
+	if l.requests.Len() != 0 {
+		t.Error("the request is still in flight")
+	}
+}
--- a/internal/gateway/wallclock_test.go
+++ b/internal/gateway/wallclock_test.go
@@ -2,6 +2,7 @@
 
 import (
 	"testing"
+	"time"
 
 	"archknot/balancer"
 	"archknot/internal/httpwire"
@@ -70,10 +71,7 @@
 
 // A step changes nothing about known replicas: each start is converted once.
 func TestKnownReplicaStartIsStable(t *testing.T) {
-	g, err := New(testOptions())
-	if err != nil {
-		t.Fatal(err)
-	}
+	g := newTestGateway(t, testOptions())
 	offset := balancer.Micros(0)
 	g.clock.wall.read = func() balancer.Micros { return g.clock.now() + offset }
 	l := g.loop
@@ -88,3 +86,13 @@
 		t.Errorf("its start moved by %d ms", (now.StartedAt-was.StartedAt)/1000)
 	}
 }
+
+// A replica that started shortly before the gateway is still warming up: on a clock that began
+// with the gateway its start fell below 0, which means long ago.
+func TestReplicaStartsBeforeGateway(t *testing.T) {
+	c := newMonotonicClock()
+	at := c.fromUnixMillis(time.Now().Add(-3 * time.Second).UnixMilli())
+	if age := c.now() - at; at <= 0 || age < 2_900_000 || age > 3_500_000 {
+		t.Errorf("started at %d, %d us ago", at, age)
+	}
+}
