--- a/cmd/adapter/main.go
+++ b/cmd/adapter/main.go
@@ -21,7 +21,7 @@
 
 func main() {
 	dir := flag.String("capture", "", "record each instance in a folder below this one")
-	contracts := flag.Bool("contracts", false, "have the deployment's shares kept by contracts in place of the module's own quotas")
+	contracts := flag.Bool("contracts", false, "enforce the deployment's quotas by contracts instead of the module's own rule")
 	flag.Parse()
 	if err := run(os.Stdin, os.Stdout, *dir, *contracts); err != nil {
 		fmt.Fprintln(os.Stderr, "adapter:", err)
@@ -199,7 +199,7 @@
 }
 
 // demandHeadroom is how far above its quota a tenant's recent demand may be before all that it sends is over quota,
-// as the module's own rule has it.
+// as in the module's own rule.
 const demandHeadroom = 1.25
 
 // newLedger returns the deployment's quotas as contracts, in which a request counts as one token. Each instance has
@@ -247,7 +247,7 @@
 // minPriorityFactor stands for no priority: a factor of 0 would mean that none is set.
 const minPriorityFactor = 1e-6
 
-// setClock tells the instance's timers the time of the event to come.
+// setClock sets the time of the next event, from which the instance's timers are counted.
 func (n *instance) setClock(now balancer.Micros) {
 	if n.timers != nil {
 		n.timers.now = now
--- a/internal/adminapi/server.go
+++ b/internal/adminapi/server.go
@@ -49,11 +49,11 @@
 type Gateway interface {
 	// CanServe reports whether this process can serve clients.
 	CanServe() bool
-	// Eject has a replica receive no new requests until Reinstate.
+	// Eject stops new requests to a replica until Reinstate.
 	Eject(ctx context.Context, replica string) error
 	// Reinstate ends an ejection.
 	Reinstate(ctx context.Context, replica string) error
-	// DrainClients has clients go elsewhere, while the process keeps running.
+	// DrainClients sends clients to other gateways, while this process continues to run.
 	DrainClients(ctx context.Context) error
 	// Resume ends a drain.
 	Resume(ctx context.Context) error
--- a/internal/capture/ledger.go
+++ b/internal/capture/ledger.go
@@ -9,7 +9,7 @@
 // Requests are identified by the decision module's number for them, and hedges and retries by their attempt. Like
 // Module it belongs to one goroutine.
 type ContractLedger interface {
-	// Charge has the ledger judge a request, or a further attempt of it, and fills in the charge.
+	// Charge returns the verdict of the contracts on a request, or on a further attempt of it, and fills in the charge.
 	Charge(now balancer.Micros, in *balancer.Request, attempt int, c *contract.Charge) contract.Verdict
 	// Settle settles a charge with what was used. It reports whether the charge was open.
 	Settle(now balancer.Micros, id balancer.RequestID, attempt int, c *contract.Charge, used contract.Usage, served bool) bool
--- a/internal/capture/recorder.go
+++ b/internal/capture/recorder.go
@@ -126,8 +126,8 @@
 	r.balancer.SetSink(r.sink)
 }
 
-// SaveIncident has the writer save the last minutes as an incident. The result is sent on done, which must have room
-// or be nil.
+// SaveIncident makes the writer save the last minutes as an incident. The result is sent on done, which must be
+// buffered, since the writer does not wait for a receiver, or nil.
 func (r *Recorder) SaveIncident(now balancer.Micros, reason string, done chan<- SavedIncident) {
 	r.now = max(r.now, now)
 	// Begin a new segment, so that the current one is complete and closed.
--- a/internal/capture/recordledger.go
+++ b/internal/capture/recordledger.go
@@ -81,7 +81,7 @@
 	r.endLedgerRecord(rec, nested)
 }
 
-// Charge has the ledger judge a request, or a further attempt of it.
+// Charge records and returns the verdict of the contracts on a request, or on a further attempt of it.
 func (r *Recorder) Charge(now balancer.Micros, in *balancer.Request, attempt int, c *contract.Charge) contract.Verdict {
 	rec, nested := r.beginLedgerRecord(now, pb.Kind_KIND_CHARGED)
 	v := UnrecordedLedger{r.ledger}.Charge(now, in, attempt, c)
--- a/internal/capturetrigger/detector.go
+++ b/internal/capturetrigger/detector.go
@@ -74,6 +74,7 @@
 // ratioSum is a sum of times to the first token, each relative to its class's baseline.
 type ratioSum struct{ sum, n float64 }
 
+// replica is a replica with its recent times to the first token.
 type replica struct {
 	state    balancer.EndpointState
 	baseline float64 // time to the first token relative to the class's baseline
@@ -114,7 +115,7 @@
 	return int(d.bucket % bucketCount)
 }
 
-// ListChanged takes a change of the endpoint list.
+// ListChanged handles a change of the endpoint list.
 func (d *Detector) ListChanged(_ balancer.Micros, l balancer.EndpointList) {
 	if l.Kind.Failed() {
 		return
@@ -152,13 +153,13 @@
 	}
 }
 
-// RequestArrived takes a request that arrived.
+// RequestArrived handles the arrival of a request.
 func (d *Detector) RequestArrived(now balancer.Micros, in balancer.Request) {
 	c := d.classes[in.Class]
 	d.inFlight[in.ID] = &request{class: c.Name, objectiveAt: now + c.LatencyObjective + c.ObjectivePer1000Tokens*int64(in.PromptTokens)/1000, deadline: now + in.TimeLeft}
 }
 
-// Dispatched takes the balancer's order of an attempt.
+// Dispatched handles the balancer's dispatch of an attempt.
 func (d *Detector) Dispatched(_ balancer.Micros, id balancer.RequestID, to balancer.ReplicaID) string {
 	if r := d.inFlight[id]; r != nil {
 		if r.attempts++; r.attempts > d.maxAttempts {
@@ -171,7 +172,7 @@
 	return ""
 }
 
-// FirstToken takes the first token of a stream.
+// FirstToken handles the first token of a stream.
 func (d *Detector) FirstToken(now balancer.Micros, o balancer.Outcome) string {
 	r := d.inFlight[o.ID]
 	if r == nil || r.started {
@@ -235,7 +236,7 @@
 	return counted, slow
 }
 
-// AttemptEnded takes the end of an attempt.
+// AttemptEnded handles the end of an attempt.
 func (d *Detector) AttemptEnded(now balancer.Micros, o balancer.Outcome) string {
 	r := d.inFlight[o.ID]
 	if r == nil || !o.Final {
@@ -248,7 +249,7 @@
 	return d.countOutcome(d.advance(now), o.Status != balancer.Served || now > r.objectiveAt)
 }
 
-// ClientGone takes a client's disconnection.
+// ClientGone handles a client's disconnection.
 func (d *Detector) ClientGone(now balancer.Micros, id balancer.RequestID) string {
 	r := d.inFlight[id]
 	if r == nil {
@@ -261,7 +262,7 @@
 	return d.countOutcome(d.advance(now), true)
 }
 
-// RequestFailed takes the balancer's order to shed or fail a request.
+// RequestFailed handles the balancer's order to shed or fail a request.
 func (d *Detector) RequestFailed(now balancer.Micros, id balancer.RequestID) string {
 	r := d.inFlight[id]
 	if r == nil {
--- a/internal/configversion/host.go
+++ b/internal/configversion/host.go
@@ -23,7 +23,7 @@
 // Manifest says which resources make a version.
 type Manifest struct {
 	Number Number
-	// Types has the service's version names of the resources that belong together. A
+	// Types are the service's version names of the resources that belong together. A
 	// type that isn't there stays as the configuration files give it.
 	Types   map[ResourceType]string
 	Rollout Rollout
@@ -40,7 +40,7 @@
 	// name on. With a response's nonce it is an acknowledgement where reason is empty, and
 	// otherwise a rejection (NACK).
 	SendRequest(t ResourceType, version, nonce, reason string)
-	// Apply has the gateway apply a version, or return to one; nil is the configuration
+	// Apply makes the gateway apply a version, or return to one; nil is the configuration
 	// files. The host answers by Machine.Applied, later than this call.
 	Apply(c *Config)
 	// Persist saves the version in force, with those that must not be applied again.
--- a/internal/configversion/machine.go
+++ b/internal/configversion/machine.go
@@ -181,7 +181,7 @@
 	m.incompleteSince = 0
 }
 
-// Received takes a message of the stream.
+// Received handles a message of the stream.
 func (m *Machine) Received(now balancer.Micros, r Response) {
 	if !m.connected {
 		return
--- a/internal/contract/balance.go
+++ b/internal/contract/balance.go
@@ -15,7 +15,7 @@
 // writes half a reserve in the time that the team takes to use one. A strict ledger
 // waits for the disk.
 
-// Balance is the usage of one team as a store has it: what counts as used after a
+// Balance is the stored usage of one team: what counts as used after a
 // restart.
 type Balance struct {
 	Team         string
@@ -26,7 +26,7 @@
 	LatestUnix   balancer.Micros
 }
 
-// ToProto returns a balance as the store has it.
+// ToProto returns the stored form of a balance.
 func (k *Balance) ToProto() *pb.Balance {
 	m := &pb.Balance{Team: k.Team, Level: k.Level, Clean: k.Clean, LatestUs: k.LatestUnix}
 	for i := range k.Used {
--- a/internal/contract/period.go
+++ b/internal/contract/period.go
@@ -21,7 +21,7 @@
 // monthsPerQuarter is the length of a Quarter.
 const monthsPerQuarter = 3
 
-// String returns the word of the settings for a period.
+// String returns a period's name in the settings.
 func (p Period) String() string { return [...]string{"hour", "day", "quarter"}[min(p, Quarter)] }
 
 // Bounds returns the start and the end, in Unix time, of the period that a moment
--- a/internal/faulttest/soak_test.go
+++ b/internal/faulttest/soak_test.go
@@ -78,7 +78,7 @@
 		{"internal/gateway/orders.go", "return replica.Accepting() && (g.options.Orders == nil || !g.options.Orders.Ejected(id) && !g.pendingEjections.has(id))", "_ = id; return replica.Accepting()"}}},
 	{"a drained gateway keeps its clients", "drained", 2, []change{
 		{"internal/gateway/drain.go", "return t.drainedAt.Load() > 0 || t.shutdownAt.Load() > 0", "return t.shutdownAt.Load() > 0"}}},
-	{"SIGTERM drops what is in hand", "lost", 7, []change{
+	{"SIGTERM drops requests in flight", "lost", 7, []change{
 		{"internal/gateway/gateway.go", "return g.clients.waitUntilEmpty(ctx)", "return nil"}}},
 	{"time in the system's queue does not count", "deadline", 15, []change{
 		{"internal/gateway/clientconn.go", "return max(earliest, now-balancer.Micros(info.Last_data_recv)*1000)", "_, _ = earliest, info; return now"}}},
--- a/internal/fleet/fit/fit_test.go
+++ b/internal/fleet/fit/fit_test.go
@@ -88,7 +88,7 @@
 	}
 }
 
-// Bursts are told apart from Poisson arrivals; turns that were cut off, not served or never seen again are
+// Bursts are distinguished from Poisson arrivals; turns that were cut off, not served or never seen again are
 // noted as unknown and do not count as the end of a session.
 func TestUnknownsOfARecording(t *testing.T) {
 	rng := rand.New(rand.NewPCG(1, 2))
--- a/internal/httpwire/body.go
+++ b/internal/httpwire/body.go
@@ -77,8 +77,10 @@
 	return readerFunc(b.readPlain)
 }
 
+// readerFunc is a function as an io.Reader.
 type readerFunc func(p []byte) (int, error)
 
+// Read implements io.Reader.
 func (f readerFunc) Read(p []byte) (int, error) { return f(p) }
 
 // readPlain reads the next bytes of a body without chunks.
--- a/internal/maintenance/state.go
+++ b/internal/maintenance/state.go
@@ -44,7 +44,7 @@
 type state struct {
 	Format int   `json:"format"`
 	Drain  order `json:"drain"`
-	// Replicas has the order on each replica, by id. Reinstated replicas stay in it, to supersede older
+	// Replicas holds the latest order on each replica, by id. Reinstated replicas stay in it, to supersede older
 	// orders of other processes.
 	Replicas map[string]order `json:"replicas"`
 }
--- a/internal/peers/service.go
+++ b/internal/peers/service.go
@@ -157,7 +157,7 @@
 	}
 }
 
-// tick lets time pass for the membership and the takeovers.
+// tick advances the membership and the takeovers to the present time.
 func (s *Service) tick() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -173,8 +173,8 @@
 	s.runOutputs(now)
 }
 
-// Close closes the sockets. The process has to end right after it: the others take a refused
-// probe for the proof of its death.
+// Close closes the sockets. The process has to end right after it: a refused probe proves to
+// the other gateways that it is dead.
 func (s *Service) Close() {
 	s.udp.Close()
 	s.tcp.Close()
--- a/internal/replay/filter.go
+++ b/internal/replay/filter.go
@@ -158,8 +158,8 @@
 }
 
 var filterFields = []filterField{
-	{name: "kind", doc: "what was told: start, list, arrived, first, ended, left, timer, probed, message", text: func(s *filterSubject) []string { return oneOrNone(eventKindName(s.record.Kind)) }},
-	{name: "order", doc: "what was ordered: dispatch, refuse, fail, cancel, set_timer, probe, tell_peers, watch_registry", text: func(s *filterSubject) (out []string) {
+	{name: "kind", doc: "kind of the event: start, list, arrived, first, ended, left, timer, probed, message", text: func(s *filterSubject) []string { return oneOrNone(eventKindName(s.record.Kind)) }},
+	{name: "order", doc: "kinds of its orders: dispatch, refuse, fail, cancel, set_timer, probe, tell_peers, watch_registry", text: func(s *filterSubject) (out []string) {
 		for _, a := range s.record.Actions {
 			out = append(out, actionKindName(a.Kind))
 		}
@@ -195,7 +195,7 @@
 	}},
 	{name: "attempt", kind: numberField, doc: "its number, from 0", number: outcomeNumber(func(o *pb.Outcome) float64 { return float64(o.GetAttempt()) })},
 	{name: "elapsed", kind: timeField, doc: "of an attempt or a probe", number: outcomeNumber(func(o *pb.Outcome) float64 { return float64(o.GetElapsedUs()) })},
-	{name: "kept", kind: numberField, doc: "prompt tokens found kept", number: outcomeNumber(func(o *pb.Outcome) float64 { return float64(o.GetKept()) })},
+	{name: "kept", kind: numberField, doc: "prompt tokens found cached", number: outcomeNumber(func(o *pb.Outcome) float64 { return float64(o.GetKept()) })},
 	{name: "tokens", kind: numberField, doc: "of the answer", number: outcomeNumber(func(o *pb.Outcome) float64 { return float64(o.GetTokens()) })},
 	{name: "final", kind: boolField, doc: "the request has ended with it", number: outcomeNumber(func(o *pb.Outcome) float64 {
 		if o.GetFinal() {
--- a/internal/replay/names.go
+++ b/internal/replay/names.go
@@ -27,7 +27,7 @@
 	return &Names{replicas: map[uint32]string{}, requests: map[uint32]*pb.Arrival{}}
 }
 
-// Learn takes the names from a record.
+// Learn remembers the names that a record brings.
 func (n *Names) Learn(r *pb.Record) {
 	switch r.Kind {
 	case pb.Kind_KIND_LIST:
--- a/internal/replay/replay.go
+++ b/internal/replay/replay.go
@@ -28,7 +28,7 @@
 	Number      uint64
 	At          balancer.Micros
 	Record      *pb.Record
-	Actions     []*pb.Action // of this build, kept in step with the recording; valid until the next event
+	Actions     []*pb.Action // of this build, in step with the recording; valid until the next event
 	Differences []*Difference
 	Picks       []Pick // if Options.Explain wants them
 	Names       *Names
--- a/internal/replay/scheduler.go
+++ b/internal/replay/scheduler.go
@@ -30,6 +30,7 @@
 	return task.run, ok
 }
 
+// scheduledTask is a function that is to run at a time.
 type scheduledTask struct {
 	at  balancer.Micros
 	seq uint64
@@ -39,20 +40,25 @@
 // taskQueue is the heap.Interface of a scheduler's tasks.
 type taskQueue []scheduledTask
 
+// Len implements sort.Interface.
 func (q taskQueue) Len() int { return len(q) }
 
+// Less implements sort.Interface: by time, and by order of scheduling at equal times.
 func (q taskQueue) Less(i, j int) bool {
 	return q[i].at < q[j].at || q[i].at == q[j].at && q[i].seq < q[j].seq
 }
 
+// Swap implements sort.Interface.
 func (q taskQueue) Swap(i, j int) { q[i], q[j] = q[j], q[i] }
 
+// Push implements heap.Interface.
 func (q *taskQueue) Push(x any) {
 	if task, ok := x.(scheduledTask); ok { // nothing else is pushed
 		*q = append(*q, task)
 	}
 }
 
+// Pop implements heap.Interface.
 func (q *taskQueue) Pop() any {
 	last := len(*q) - 1
 	task := (*q)[last]
--- a/internal/scaletest/scale.go
+++ b/internal/scaletest/scale.go
@@ -241,7 +241,7 @@
 	return sum
 }
 
-// runTraffic lets the measured time pass, and changes the endpoint list at the plan's interval.
+// runTraffic waits for the measured time, and changes the endpoint list at the plan's interval.
 func (f *testFleet) runTraffic(ctx context.Context) error {
 	for end := time.Now().Add(f.plan.Duration); ; {
 		if err := f.wait(ctx, min(f.plan.ChangeInterval, time.Until(end))); err != nil {
--- a/internal/simwire/encoder.go
+++ b/internal/simwire/encoder.go
@@ -30,6 +30,7 @@
 // Sink returns the sink of one gateway's actions, which go into the reply in the order in which they are taken.
 func (e *Encoder) Sink(gateway int) balancer.Sink { return &sink{encoder: e, gateway: gateway} }
 
+// sink is the balancer.Sink of one gateway: each action is a line of the encoder's reply.
 type sink struct {
 	encoder *Encoder
 	gateway int
@@ -52,30 +53,37 @@
 	e.buf = append(e.buf, '\n')
 }
 
+// Dispatch writes a SUBMIT_TO line.
 func (s *sink) Dispatch(id balancer.RequestID, to balancer.ReplicaID, timeoutAt balancer.Micros) {
 	s.writeLine("SUBMIT_TO", int64(id), int64(to), timeoutAt)
 }
 
+// Shed writes a BUSY line.
 func (s *sink) Shed(id balancer.RequestID, retryAfter balancer.Micros) {
 	s.writeLine("BUSY", int64(id), retryAfter)
 }
 
+// Fail writes a FAIL line.
 func (s *sink) Fail(id balancer.RequestID) {
 	s.writeLine("FAIL", int64(id))
 }
 
+// Cancel writes a DROP_ATTEMPT line.
 func (s *sink) Cancel(id balancer.RequestID, attempt int) {
 	s.writeLine("DROP_ATTEMPT", int64(id), int64(attempt))
 }
 
+// HealthCheck writes a HEALTH_CHECK line.
 func (s *sink) HealthCheck(to balancer.ReplicaID) {
 	s.writeLine("HEALTH_CHECK", int64(to))
 }
 
+// WatchDiscovery writes a TRACK line.
 func (s *sink) WatchDiscovery() {
 	s.writeLine("TRACK", 1)
 }
 
+// SetTimer writes a SET_ALARM line.
 func (s *sink) SetTimer(delay balancer.Micros, token uint64) {
 	s.writeLine("SET_ALARM", delay, int64(token))
 }
--- a/internal/simwire/fieldparser.go
+++ b/internal/simwire/fieldparser.go
@@ -8,8 +8,8 @@
 	"archknot/balancer"
 )
 
-// fieldParser parses the fields of one line. It keeps the first error in err, so that a line can be parsed as a
-// whole and checked once.
+// fieldParser parses the fields of one line. It records the first error in err, so that a caller parses all fields of
+// the line and checks for an error once.
 type fieldParser struct {
 	fields [][]byte
 	err    error
@@ -135,7 +135,7 @@
 	return status
 }
 
-// loadReport parses name:number pairs that are set apart by commas; a report may be absent.
+// loadReport parses comma-separated name:number pairs; a report may be absent.
 func (p *fieldParser) loadReport(i int) balancer.LoadReport {
 	var report balancer.LoadReport
 	rest := p.fields[i]
--- a/internal/sockets/listener_test.go
+++ b/internal/sockets/listener_test.go
@@ -55,7 +55,7 @@
 	}
 }
 
-// A shortage of this machine is told apart from errors of the peer or the network.
+// A shortage of this machine is distinguished from errors of the peer or the network.
 func TestErrorClassification(t *testing.T) {
 	for errno, want := range map[syscall.Errno][2]bool{ // is it a local shortage; is it transient for a bind or a file read
 		syscall.EMFILE: {true, true}, syscall.ENOBUFS: {true, true}, syscall.EADDRNOTAVAIL: {true, false}, syscall.EACCES: {true, false},
--- a/internal/syncpoint/syncpoint.go
+++ b/internal/syncpoint/syncpoint.go
@@ -51,7 +51,7 @@
 	}
 }
 
-// Release lets the blocked caller go on. It may be called several times.
+// Release unblocks the callers of Stop. It may be called several times.
 func (p *Point) Release() { p.releaseOnce.Do(func() { close(p.released) }) }
 
 // Listener wraps the connections that it accepts.
--- a/internal/xdsclient/client.go
+++ b/internal/xdsclient/client.go
@@ -115,7 +115,8 @@
 	}
 }
 
-// post has the goroutine of Run call a function; false means that the context ended.
+// post queues a function that the goroutine of Run calls. It returns false if the context
+// ended first.
 func (c *Client) post(ctx context.Context, event func(balancer.Micros)) bool {
 	select {
 	case c.events <- event:
@@ -243,7 +244,8 @@
 	}
 }
 
-// Apply has the target apply a version, on a goroutine of its own.
+// Apply applies a version to the target in a new goroutine, so that the machine doesn't
+// wait for it.
 func (c *Client) Apply(next *configversion.Config) {
 	run := c.runContext
 	go func() {
