--- a/cmd/archknot/main_test.go
+++ b/cmd/archknot/main_test.go
@@ -273,7 +273,7 @@
 			for _, s := range signals {
 				p.signal(t, s)
 			}
-			if _, err := idle.reader.ReadByte(); err != io.EOF { // the drain has begun
+			if _, err := idle.reader.ReadByte(); !errors.Is(err, io.EOF) { // the drain has begun
 				t.Errorf("the idle connection: %v, want a clean end", err)
 			}
 			half.send(requestText("p", "-")[40:])
@@ -285,7 +285,7 @@
 			close(f.endStreams)
 			streaming.expectServed("the stream")
 			for _, c := range []*testClient{half, next, accepted, streaming} {
-				if _, err := c.reader.ReadByte(); err != io.EOF {
+				if _, err := c.reader.ReadByte(); !errors.Is(err, io.EOF) {
 					t.Errorf("after the last response: %v", err)
 				}
 			}
--- a/cmd/archknot/operators_test.go
+++ b/cmd/archknot/operators_test.go
@@ -2,6 +2,7 @@
 
 import (
 	"bufio"
+	"errors"
 	"fmt"
 	"io"
 	"net"
@@ -103,7 +104,7 @@
 func (c *testClient) expectClosedBy(end time.Time, what string) {
 	c.t.Helper()
 	c.SetReadDeadline(end)
-	if _, err := c.reader.ReadByte(); err != io.EOF {
+	if _, err := c.reader.ReadByte(); !errors.Is(err, io.EOF) {
 		c.t.Errorf("%s: %v, want a clean end", what, err)
 	}
 }
--- a/internal/metrics/control.go
+++ b/internal/metrics/control.go
@@ -17,29 +17,29 @@
 }
 
 var (
-	replicasDesc      = controlDesc("replicas", "Replicas: listed by discovery, ready, in the gateway's subset, and homes of requests beside it.", "set")
-	subsetChangesDesc = controlDesc("subset_moved_total", "Replicas that have come into the gateway's subset, and out of it.", "way")
-	rejectedListsDesc = controlDesc("refused_lists_total", "Lists of discovery's that were not taken.")
-	oddEntriesDesc    = controlDesc("odd_entries_total", "Entries of discovery's lists that could not be taken as they stood.")
-	unknownKeysDesc   = controlDesc("config_unknown_keys", "Keys of the platform's configuration in force that the program does not serve.")
-	closedDesc        = controlDesc("client_closed_total", "Clients' connections that were closed, by reason.", "reason")
-	ejectedDesc       = controlDesc("replicas_out", "Replicas that operators have taken out.")
-	drainedDesc       = controlDesc("drained", "1 while operators have the gateway drained.")
-	unsavedOrdersDesc = controlDesc("orders_not_saved", "1 while what operators ordered cannot be read or saved.")
-	operatorDesc      = controlDesc("operator_calls_total", "Operators' calls, by call and answer.", "call", "answer")
-	versionDesc       = controlDesc("list_version", "The version of the list in force.")
-	connectionsDesc   = controlDesc("connections", "Connections to replicas that are open.")
-	busyDesc          = controlDesc("decide_seconds_total", "Time that the task that decides was busy.")
-	attemptsDesc      = controlDesc("attempts_total", "Attempts, by whether there was a report of the replica's load.", "report")
-	reportAgeDesc     = controlDesc("report_age_seconds_total", "Ages of the reports that attempts went by, summed up.")
-	callsDesc         = controlDesc("calls_total", "Calls over connections, by purpose.", "purpose")
-	openedDesc        = controlDesc("opened_total", "Connections that were opened, by purpose.", "purpose")
-	bytesDesc         = controlDesc("bytes_total", "Bytes over connections, by purpose and way.", "purpose", "way")
+	replicasDesc         = controlDesc("replicas", "Replicas: listed by discovery, ready, in the gateway's subset, and homes of requests beside it.", "set")
+	subsetChangesDesc    = controlDesc("subset_moved_total", "Replicas that have come into the gateway's subset, and out of it.", "way")
+	rejectedListsDesc    = controlDesc("refused_lists_total", "Lists of discovery's that were not taken.")
+	malformedEntriesDesc = controlDesc("odd_entries_total", "Entries of discovery's lists that could not be taken as they stood.")
+	unknownKeysDesc      = controlDesc("config_unknown_keys", "Keys of the platform's configuration in force that the program does not serve.")
+	closedDesc           = controlDesc("client_closed_total", "Clients' connections that were closed, by reason.", "reason")
+	ejectedDesc          = controlDesc("replicas_out", "Replicas that operators have taken out.")
+	drainedDesc          = controlDesc("drained", "1 while operators have the gateway drained.")
+	unsavedOrdersDesc    = controlDesc("orders_not_saved", "1 while what operators ordered cannot be read or saved.")
+	operatorDesc         = controlDesc("operator_calls_total", "Operators' calls, by call and answer.", "call", "answer")
+	versionDesc          = controlDesc("list_version", "The version of the list in force.")
+	connectionsDesc      = controlDesc("connections", "Connections to replicas that are open.")
+	busyDesc             = controlDesc("decide_seconds_total", "Time that the task that decides was busy.")
+	attemptsDesc         = controlDesc("attempts_total", "Attempts, by whether there was a report of the replica's load.", "report")
+	reportAgeDesc        = controlDesc("report_age_seconds_total", "Ages of the reports that attempts went by, summed up.")
+	callsDesc            = controlDesc("calls_total", "Calls over connections, by purpose.", "purpose")
+	openedDesc           = controlDesc("opened_total", "Connections that were opened, by purpose.", "purpose")
+	bytesDesc            = controlDesc("bytes_total", "Bytes over connections, by purpose and way.", "purpose", "way")
 )
 
 // Describe sends the descriptions of all metrics of control work.
 func (c *controlCollector) Describe(ch chan<- *prometheus.Desc) {
-	for _, d := range []*prometheus.Desc{replicasDesc, subsetChangesDesc, rejectedListsDesc, oddEntriesDesc, unknownKeysDesc, closedDesc, ejectedDesc, drainedDesc, unsavedOrdersDesc, operatorDesc, versionDesc, connectionsDesc, busyDesc, attemptsDesc,
+	for _, d := range []*prometheus.Desc{replicasDesc, subsetChangesDesc, rejectedListsDesc, malformedEntriesDesc, unknownKeysDesc, closedDesc, ejectedDesc, drainedDesc, unsavedOrdersDesc, operatorDesc, versionDesc, connectionsDesc, busyDesc, attemptsDesc,
 		reportAgeDesc, callsDesc, openedDesc, bytesDesc} {
 		ch <- d
 	}
@@ -69,7 +69,7 @@
 	e.counter(subsetChangesDesc, float64(stats.Joined), "in")
 	e.counter(subsetChangesDesc, float64(stats.Left), "out")
 	e.counter(rejectedListsDesc, float64(stats.RejectedLists))
-	e.counter(oddEntriesDesc, float64(stats.MalformedEntries))
+	e.counter(malformedEntriesDesc, float64(stats.MalformedEntries))
 	e.gauge(unknownKeysDesc, float64(stats.UnknownKeys))
 	for reason, n := range stats.ClosedConnections {
 		e.counter(closedDesc, float64(n), reason)
--- a/internal/replay/perturb.go
+++ b/internal/replay/perturb.go
@@ -150,15 +150,15 @@
 
 func newPerturbedFleet(run *capture.Run, kinds map[Perturbation]bool, seed uint64) *perturbedFleet {
 	return &perturbedFleet{
-		result:      &PerturbResult{Violations: []string{}},
-		kinds:       kinds,
-		rng:         rand.New(rand.NewPCG(seed, 1)),
-		midpoint:    run.Begin() + (run.End()-run.Begin())/2,
-		maxAttempts: run.Settings.MaxAttempts,
-		replicas:    map[balancer.ReplicaID]balancer.EndpointState{},
-		requests:    map[balancer.RequestID]*simulatedRequest{},
-		outcomes:    map[uint32][]*pb.Outcome{},
-		firstTokens: map[uint32][]*pb.Outcome{},
-		heldReports: map[uint32][]*pb.Report{},
+		result:        &PerturbResult{Violations: []string{}},
+		kinds:         kinds,
+		rng:           rand.New(rand.NewPCG(seed, 1)),
+		midpoint:      run.Begin() + (run.End()-run.Begin())/2,
+		maxAttempts:   run.Settings.MaxAttempts,
+		replicas:      map[balancer.ReplicaID]balancer.EndpointState{},
+		requests:      map[balancer.RequestID]*simulatedRequest{},
+		outcomes:      map[uint32][]*pb.Outcome{},
+		firstTokens:   map[uint32][]*pb.Outcome{},
+		recentReports: map[uint32][]*pb.Report{},
 	}
 }
--- a/internal/replay/perturbedfleet.go
+++ b/internal/replay/perturbedfleet.go
@@ -24,10 +24,10 @@
 	requests    map[balancer.RequestID]*simulatedRequest
 	maxAttempts int // the most of any settings so far: requests keep those that they arrived under
 
-	outcomes    map[uint32][]*pb.Outcome // recorded ends of attempts, by request
-	firstTokens map[uint32][]*pb.Outcome // recorded first tokens, by request
-	samples     []*pb.Outcome            // recorded ends to draw from where a request has none
-	heldReports map[uint32][]*pb.Report  // load reports for LateReports, by replica
+	outcomes      map[uint32][]*pb.Outcome // recorded ends of attempts, by request
+	firstTokens   map[uint32][]*pb.Outcome // recorded first tokens, by request
+	samples       []*pb.Outcome            // recorded ends to draw from where a request has none
+	recentReports map[uint32][]*pb.Report  // load reports for LateReports, by replica
 }
 
 // noAttempt stands for no attempt of a request.
@@ -67,10 +67,10 @@
 
 // Probabilities and times of the perturbations and of what the recording does not have.
 const (
-	lostShare      = 0.1
-	delayedShare   = 0.3
-	duplicateShare = 0.2
-	maxHeldReports = 16 // of a replica
+	lostShare        = 0.1
+	delayedShare     = 0.3
+	duplicateShare   = 0.2
+	maxRecentReports = 16 // of a replica
 
 	meanDelay          = 1e6 // us
 	meanDuplicateDelay = 2e6 // us
@@ -297,12 +297,12 @@
 func (f *perturbedFleet) reportFor(o *pb.Outcome) balancer.LoadReport {
 	report := o.Report
 	if f.kinds[LateReports] && report != nil {
-		held := append(f.heldReports[o.Worker], report)
-		if len(held) > maxHeldReports {
-			held = held[1:]
+		recent := append(f.recentReports[o.Worker], report)
+		if len(recent) > maxRecentReports {
+			recent = recent[1:]
 		}
-		f.heldReports[o.Worker] = held
-		report = held[f.rng.IntN(len(held))]
+		f.recentReports[o.Worker] = recent
+		report = recent[f.rng.IntN(len(recent))]
 	}
 	return capture.ReportFromProto(report)
 }
