--- a/internal/fakes/controlservice/stream.go
+++ b/internal/fakes/controlservice/stream.go
@@ -80,20 +80,25 @@
 	return nil
 }
 
+// receive handles the requests of a stream until it ends, then cancels the stream's context.
+func receive[R any](cancel context.CancelFunc, next func() (R, error), handle func(R)) {
+	defer cancel()
+	for {
+		r, err := next()
+		if err != nil {
+			return
+		}
+		handle(r)
+	}
+}
+
 // StreamAggregatedResources serves a stream of the state-of-the-world form.
 func (s *Service) StreamAggregatedResources(st discovery.AggregatedDiscoveryService_StreamAggregatedResourcesServer) error {
 	ctx, cancel := context.WithCancel(st.Context())
 	defer cancel()
-	go func() {
-		defer cancel()
-		for {
-			m, err := st.Recv()
-			if err != nil {
-				return
-			}
-			s.recordAck(m.Node, m.TypeUrl, m.VersionInfo, m.ResponseNonce, m.ErrorDetail)
-		}
-	}()
+	go receive(cancel, st.Recv, func(m *discovery.DiscoveryRequest) {
+		s.recordAck(m.Node, m.TypeUrl, m.VersionInfo, m.ResponseNonce, m.ErrorDetail)
+	})
 	return s.serve(ctx, func(m message) error {
 		return st.Send(&discovery.DiscoveryResponse{TypeUrl: typeURLPrefix + string(m.resourceType), VersionInfo: m.version, Nonce: s.nextNonce(m), Resources: m.resources})
 	})
@@ -104,16 +109,9 @@
 func (s *Service) DeltaAggregatedResources(st discovery.AggregatedDiscoveryService_DeltaAggregatedResourcesServer) error {
 	ctx, cancel := context.WithCancel(st.Context())
 	defer cancel()
-	go func() {
-		defer cancel()
-		for {
-			m, err := st.Recv()
-			if err != nil {
-				return
-			}
-			s.recordAck(m.Node, m.TypeUrl, "", m.ResponseNonce, m.ErrorDetail)
-		}
-	}()
+	go receive(cancel, st.Recv, func(m *discovery.DeltaDiscoveryRequest) {
+		s.recordAck(m.Node, m.TypeUrl, "", m.ResponseNonce, m.ErrorDetail)
+	})
 	sent := map[configversion.ResourceType]map[string]string{} // contents by type and name
 	return s.serve(ctx, func(m message) error {
 		r := &discovery.DeltaDiscoveryResponse{TypeUrl: typeURLPrefix + string(m.resourceType), SystemVersionInfo: m.version, Nonce: s.nextNonce(m)}
--- a/internal/replay/filter.go
+++ b/internal/replay/filter.go
@@ -239,34 +239,35 @@
 // matcher reports whether an event matches.
 type matcher = func(*filterSubject) bool
 
-func (e *filterOr) compile() (matcher, error) {
-	m, err := e.Left.compile()
-	for _, next := range e.More {
+// condition is a part of the grammar that can be compiled.
+type condition interface{ compile() (matcher, error) }
+
+// compileAll compiles conditions and combines their matchers from left to right.
+func compileAll[C condition](first C, more []C, combine func(left, right matcher) matcher) (matcher, error) {
+	m, err := first.compile()
+	if err != nil {
+		return nil, err
+	}
+	for _, next := range more {
+		right, err := next.compile()
 		if err != nil {
 			return nil, err
 		}
-		left := m
-		var right matcher
-		if right, err = next.compile(); err == nil {
-			m = func(s *filterSubject) bool { return left(s) || right(s) }
-		}
+		m = combine(m, right)
 	}
-	return m, err
+	return m, nil
+}
+
+func (e *filterOr) compile() (matcher, error) {
+	return compileAll(e.Left, e.More, func(left, right matcher) matcher {
+		return func(s *filterSubject) bool { return left(s) || right(s) }
+	})
 }
 
 func (e *filterAnd) compile() (matcher, error) {
-	m, err := e.Left.compile()
-	for _, next := range e.More {
-		if err != nil {
-			return nil, err
-		}
-		left := m
-		var right matcher
-		if right, err = next.compile(); err == nil {
-			m = func(s *filterSubject) bool { return left(s) && right(s) }
-		}
-	}
-	return m, err
+	return compileAll(e.Left, e.More, func(left, right matcher) matcher {
+		return func(s *filterSubject) bool { return left(s) && right(s) }
+	})
 }
 
 func (e *filterNot) compile() (m matcher, err error) {
--- a/internal/subset/subset_test.go
+++ b/internal/subset/subset_test.go
@@ -418,29 +418,36 @@
 	})
 }
 
+// subsetsPerReplica counts the subsets that replicas are in, over gateways with the given settings. It returns how many
+// replicas are in any subset, and the largest and the mean number of subsets that a replica is in.
+func subsetsPerReplica(fleet []balancer.Endpoint, gateways int, settings func(i int) Settings) (used, largest int, mean float64) {
+	subsets, sizes := map[balancer.ReplicaID]int{}, 0
+	for i := range gateways {
+		ready := readyIDs(NewSelector(settings(i), noPrefixStats{}).Apply(second, fullList(fleet)))
+		for id := range ready {
+			subsets[id]++
+		}
+		sizes += len(ready)
+	}
+	for _, n := range subsets {
+		largest = max(largest, n)
+	}
+	return len(subsets), largest, float64(sizes) / float64(len(fleet))
+}
+
 // Where there are few gateways for a fleet, subsets are larger than MaxReplicas, up to the complete list,
 // and every replica is in some subset. A stale gateway count changes only their sizes.
 func TestFewGateways(t *testing.T) {
 	fleet := zonedEndpoints(0, evenCounts(3, 400)...)
 	for _, c := range []struct{ gateways, configured int }{{12, 12}, {40, 40}, {200, 200}, {200, 100}, {200, 400}, {100, 1800}} {
-		subsets, sizes := map[balancer.ReplicaID]int{}, 0
-		for i := range c.gateways {
+		used, largest, mean := subsetsPerReplica(fleet, c.gateways, func(i int) Settings {
 			s := testSettings(64, i, fmt.Sprint("z", i%3))
 			s.GatewayCount = c.configured
-			got := readyIDs(NewSelector(s, noPrefixStats{}).Apply(second, fullList(fleet)))
-			for id := range got {
-				subsets[id]++
-			}
-			sizes += len(got)
-		}
-		largest := 0
-		for _, n := range subsets {
-			largest = max(largest, n)
-		}
-		mean := float64(sizes) / float64(len(fleet))
+			return s
+		})
 		t.Logf("%d gateways, configured %d: %.1f per replica, largest over mean %.2f", c.gateways, c.configured, mean, float64(largest)/mean)
-		if c.configured <= c.gateways && (len(subsets) != len(fleet) || float64(largest)/mean > 1.5 || mean < 0.9*min(minGatewaysPerReplica, float64(c.gateways))) {
-			t.Errorf("%d gateways, configured %d: %d of %d replicas in use, %.1f a replica, largest %d", c.gateways, c.configured, len(subsets), len(fleet), mean, largest)
+		if c.configured <= c.gateways && (used != len(fleet) || float64(largest)/mean > 1.5 || mean < 0.9*min(minGatewaysPerReplica, float64(c.gateways))) {
+			t.Errorf("%d gateways, configured %d: %d of %d replicas in use, %.1f a replica, largest %d", c.gateways, c.configured, used, len(fleet), mean, largest)
 		}
 	}
 }
@@ -449,26 +456,15 @@
 // nearly equally many subsets. The last list counts, whatever its version.
 func TestStaleIndexesAndLists(t *testing.T) {
 	fleet := zonedEndpoints(0, evenCounts(3, 400)...)
-	subsets, sizes := map[balancer.ReplicaID]int{}, 0
-	for i := range 300 {
+	used, largest, mean := subsetsPerReplica(fleet, 300, func(i int) Settings {
 		index := i
 		if i%10 == 9 {
 			index = 300 + i/2 // its index before the gateways were renumbered
 		}
-		s := testSettings(128, index, fmt.Sprint("z", i%3))
-		got := readyIDs(NewSelector(s, noPrefixStats{}).Apply(second, fullList(fleet)))
-		for id := range got {
-			subsets[id]++
-		}
-		sizes += len(got)
-	}
-	largest := 0
-	for _, n := range subsets {
-		largest = max(largest, n)
-	}
-	mean := float64(sizes) / float64(len(fleet))
-	if len(subsets) != len(fleet) || float64(largest)/mean > 1.6 {
-		t.Errorf("%d replicas in use, %.1f gateways each, %d at most", len(subsets), mean, largest)
+		return testSettings(128, index, fmt.Sprint("z", i%3))
+	})
+	if used != len(fleet) || float64(largest)/mean > 1.6 {
+		t.Errorf("%d replicas in use, %.1f gateways each, %d at most", used, mean, largest)
 	}
 	selector := NewSelector(testSettings(128, 5, "z1"), noPrefixStats{})
 	first := readyIDs(selector.Apply(second, fullList(fleet)))
