--- a/internal/capture/recorder.go
+++ b/internal/capture/recorder.go
@@ -313,7 +313,7 @@
 	r.gap = nil
 	r.writer.clearFailure()
 	r.writeCheckpoint(true, ended)
-	if r.gap != nil { // it failed again: the same gap goes on
+	if r.gap != nil { // it failed again: the same gap continues
 		ended.retryAt = r.gap.retryAt
 		r.gap = ended
 		return false
--- a/internal/contract/account.go
+++ b/internal/contract/account.go
@@ -120,8 +120,8 @@
 	return status
 }
 
-// fleetWide returns the usage in the entire fleet that a gateway with a share of the
-// contract takes its own usage to stand for.
+// fleetWide extrapolates a gateway's usage to the entire fleet by the gateway's share of
+// the contract.
 func fleetWide(u Units, share float64) Units {
 	if share == 1 {
 		return u
--- a/internal/contractsim/simulate.go
+++ b/internal/contractsim/simulate.go
@@ -203,7 +203,7 @@
 	}
 }
 
-// arrived has the contract decide on a request and counts the decision.
+// arrived charges a request to its contract and counts the ledger's verdict.
 func (s *simulation) arrived(at balancer.Micros, record *pb.Record) {
 	arrival := record.GetArrival()
 	request := &openRequest{
--- a/internal/faulttest/drill.go
+++ b/internal/faulttest/drill.go
@@ -146,7 +146,7 @@
 	return result, nil
 }
 
-// scheduleStrikes starts a task for each strike at a time, and has the recorder fire those at a state of a
+// scheduleStrikes starts a task for each strike at a time, and makes the recorder fire those at a state of a
 // request.
 func (d *drill) scheduleStrikes(ctx context.Context) {
 	strikes := map[string][]*stateStrike{}
--- a/internal/faulttest/proxy.go
+++ b/internal/faulttest/proxy.go
@@ -21,7 +21,7 @@
 	proxyModeCount  int       = iota
 )
 
-// String returns the mode as it stands in a timeline.
+// String returns the mode's name in a timeline.
 func (m proxyMode) String() string {
 	return [...]string{"passes", "silent", "refuses", "slow", "in pieces"}[m]
 }
--- a/internal/fleet/emulate/attempts.go
+++ b/internal/fleet/emulate/attempts.go
@@ -173,7 +173,7 @@
 	defer resp.Body.Close()
 	a.Status = resp.StatusCode
 	if a.Status != http.StatusOK {
-		text, _ := io.ReadAll(io.LimitReader(resp.Body, maxErrorText)) // what there is of it will do
+		text, _ := io.ReadAll(io.LimitReader(resp.Body, maxErrorText)) // a part of the text is enough
 		a.ErrorText = strings.TrimSpace(string(text))
 		end.retryAfter = retryAfter(resp.Header)
 		return finish(errorOutcome(a, text))
--- a/internal/membership/gossip.go
+++ b/internal/membership/gossip.go
@@ -40,7 +40,7 @@
 	return updates
 }
 
-// queueUpdate has what is known of a member gossiped.
+// queueUpdate queues a member's state to be gossiped.
 func (t *Table) queueUpdate(m *memberState) {
 	t.pendingUpdates[m.Name] = true
 	m.transmitsLeft = retransmitFactor * bits.Len(uint(len(t.members)+1))
--- a/internal/replay/names.go
+++ b/internal/replay/names.go
@@ -27,7 +27,7 @@
 	return &Names{replicas: map[uint32]string{}, requests: map[uint32]*pb.Arrival{}}
 }
 
-// Learn remembers the names that a record brings.
+// Learn adds the names that a record contains.
 func (n *Names) Learn(r *pb.Record) {
 	switch r.Kind {
 	case pb.Kind_KIND_LIST:
--- a/internal/replay/player.go
+++ b/internal/replay/player.go
@@ -206,7 +206,7 @@
 }
 
 // addToDigest adds the event's decisions to the digest: the actions, and what the module would have decided where it
-// was kept in step.
+// stayed in step.
 func (p *player) addToDigest(own []*pb.Action) {
 	b := binary.LittleEndian.AppendUint64(p.buf[:0], p.number)
 	b = append(b, byte(p.record.Kind), byte(len(own)))
--- a/internal/replay/replay_test.go
+++ b/internal/replay/replay_test.go
@@ -56,7 +56,7 @@
 	}
 }
 
-// A module that decides differently is flagged at its first difference, with the scores of the replicas, and kept in
+// A module that decides differently is flagged at its first difference, with the scores of the replicas, and stays in
 // step: recorded requests that it would have sent elsewhere do not make later decisions differ.
 func TestChangedModuleIsFlagged(t *testing.T) {
 	run, _, _ := recordRun(t, 8, 0, 20)
@@ -133,7 +133,7 @@
 	r.Close()
 	w.Close()
 	h.module = h.balancer
-	h.run(1, 80) // goes on without
+	h.run(1, 80) // continues without the recorder
 	if res := mustReplay(t, openRun(t, dir), Options{}); res.Differing != 0 || res.Events < 1200 {
 		t.Error(res.Line())
 	}
--- a/internal/simwire/settings.go
+++ b/internal/simwire/settings.go
@@ -133,7 +133,7 @@
 	return s, nil
 }
 
-// plainSettings are the settings that are taken as they stand.
+// plainSettings are the settings that need no conversion.
 func (in *setup) plainSettings() balancer.Settings {
 	return balancer.Settings{
 		Self:             in.SelfIndex,
--- a/internal/takeover/backup.go
+++ b/internal/takeover/backup.go
@@ -265,7 +265,7 @@
 	}
 }
 
-// beginGrant has the live members behind this one in the chain record that the permit is
+// beginGrant makes the live members behind this one in the chain record that the permit is
 // granted. The requester gets it once they have.
 func (n *Node) beginGrant(now Micros, id string, record *requestRecord) {
 	decision := record.decision
--- a/internal/takeover/claim.go
+++ b/internal/takeover/claim.go
@@ -17,6 +17,7 @@
 	deadline  Micros
 }
 
+// claimPhase is what a claim waits for.
 type claimPhase uint8
 
 const (
--- a/internal/takeover/lease.go
+++ b/internal/takeover/lease.go
@@ -140,7 +140,7 @@
 	}
 }
 
-// stopLease rejects what is pending for a lease and has the caller end its attempts.
+// stopLease rejects what is pending for a lease and orders the caller to end its attempts.
 func (n *Node) stopLease(id string, lease *leaseState) {
 	if lease.stopped {
 		return
