--- a/internal/gateway/attempt.go
+++ b/internal/gateway/attempt.go
@@ -37,7 +37,7 @@
 
 // run carries out the attempt from its dispatch to its end and posts its one outcome to the
 // event loop. The stream goes to attempt.Events as it arrives.
-func (x attemptExchange) run() {
+func (x *attemptExchange) run() {
 	defer x.attempt.Cancel()
 	result := attemptEnded{attempt: x.attempt, status: balancer.ConnectFailed}
 	switch {
@@ -52,7 +52,7 @@
 }
 
 // exchange sends the request and reads the answer over one connection.
-func (x attemptExchange) exchange(result *attemptEnded) balancer.Status {
+func (x *attemptExchange) exchange(result *attemptEnded) balancer.Status {
 	attempt, pool := x.attempt, x.gateway.pool
 	timeoutAt := x.gateway.clock.timeAt(attempt.TimeoutAt)
 	ctx, stop := context.WithDeadline(attempt.Ctx, timeoutAt)
@@ -85,7 +85,9 @@
 	}
 	x.lease.markDispatched()
 	conn.SetDeadline(timeoutAt)
-	if err := x.sendRequest(conn); err != nil {
+	err = x.sendRequest(conn)
+	x.body = nil // a stream may last for long: its goroutine must not keep the body in memory
+	if err != nil {
 		// The last byte was never written, so the replica did not start.
 		return x.failureStatus(err, balancer.ConnectFailed)
 	}
@@ -104,7 +106,7 @@
 }
 
 // connectStatus returns the status of an attempt that got no connection.
-func (x attemptExchange) connectStatus(err error) balancer.Status {
+func (x *attemptExchange) connectStatus(err error) balancer.Status {
 	switch {
 	case x.attempt.Ctx.Err() != nil:
 		return balancer.Cancelled
@@ -115,7 +117,7 @@
 }
 
 // sendRequest writes the head and the body with the time that the client has left.
-func (x attemptExchange) sendRequest(conn *connpool.Conn) error {
+func (x *attemptExchange) sendRequest(conn *connpool.Conn) error {
 	timeLeft := x.attempt.TimeoutAt - x.gateway.clock.now()
 	head := httpwire.ForwardedHead(x.request, len(x.body), timeLeft)
 	return conn.WriteBuffers(net.Buffers{head, x.body})
@@ -123,7 +125,7 @@
 
 // awaitHead waits for the head of the answer. A replica that stayed silent for
 // silentReplicaAfter loses the cached connections that were unused since the sending.
-func (x attemptExchange) awaitHead(conn *connpool.Conn, timeoutAt time.Time) (replyHead, error) {
+func (x *attemptExchange) awaitHead(conn *connpool.Conn, timeoutAt time.Time) (replyHead, error) {
 	sent := time.Now()
 	head, err := readHead(conn, timeoutAt)
 	if err != nil && time.Since(sent) >= silentReplicaAfter {
@@ -134,7 +136,7 @@
 
 // readErrorReply reads an answer that is not 200, and reports whether the connection can be
 // reused.
-func (x attemptExchange) readErrorReply(conn *connpool.Conn, head replyHead, body *httpwire.Body, result *attemptEnded) (status balancer.Status, reusable bool) {
+func (x *attemptExchange) readErrorReply(conn *connpool.Conn, head replyHead, body *httpwire.Body, result *attemptEnded) (status balancer.Status, reusable bool) {
 	result.report, result.httpStatus = httpwire.LoadReportOf(head.Header), head.StatusCode
 	conn.SetDeadline(time.Now().Add(errorReplyTimeout))
 	_, err := body.ReadAll(httpwire.MaxBodyBytes)
@@ -145,7 +147,7 @@
 
 // readStream reads the events of a 200 answer into attempt.Events, and reports whether the
 // connection can be reused.
-func (x attemptExchange) readStream(conn *connpool.Conn, head replyHead, body *httpwire.Body, result *attemptEnded) (status balancer.Status, reusable bool) {
+func (x *attemptExchange) readStream(conn *connpool.Conn, head replyHead, body *httpwire.Body, result *attemptEnded) (status balancer.Status, reusable bool) {
 	var observer httpwire.StreamObserver
 	var firstEvent []byte // an answer that breaks within it has given the client nothing
 	for opened := false; ; {
@@ -194,7 +196,7 @@
 
 // failureStatus returns what the failure of a connection means for the attempt; otherwise is
 // the status of a failure that is neither a cancellation, a malformed answer nor a timeout.
-func (x attemptExchange) failureStatus(err error, otherwise balancer.Status) balancer.Status {
+func (x *attemptExchange) failureStatus(err error, otherwise balancer.Status) balancer.Status {
 	switch {
 	case x.attempt.Ctx.Err() != nil:
 		return balancer.Cancelled
--- a/internal/gateway/attempt_test.go
+++ b/internal/gateway/attempt_test.go
@@ -76,7 +76,7 @@
 			}()
 			in, _ := http.NewRequest("POST", "/v1/chat/completions", nil)
 			in.RequestURI = "/v1/chat/completions"
-			go attemptExchange{gateway: g, request: in, body: []byte("{}"), attempt: d}.run()
+			go (&attemptExchange{gateway: g, request: in, body: []byte("{}"), attempt: d}).run()
 			for {
 				e, ok := (<-g.loop.events).(attemptEnded)
 				if !ok {
--- a/internal/gateway/clientgone_test.go
+++ b/internal/gateway/clientgone_test.go
@@ -111,7 +111,7 @@
 	d := store.StartAttempt(r, &endpoint.Replica{}, now, now+1e6)
 	d.Replica.Addr = l.Addr().String()
 	in, _ := http.NewRequest("POST", "/v1/chat/completions", nil)
-	go attemptExchange{gateway: g, request: in, body: []byte("{}"), attempt: d}.run()
+	go (&attemptExchange{gateway: g, request: in, body: []byte("{}"), attempt: d}).run()
 	if e := (<-g.loop.events).(attemptEnded); e.status != balancer.Cancelled {
 		t.Errorf("status %v", e.status)
 	}
--- a/internal/gateway/request.go
+++ b/internal/gateway/request.go
@@ -148,7 +148,7 @@
 			switch action.Kind {
 			case inflight.ActionForward:
 				h.result.attempts++
-				exchange := attemptExchange{h.gateway, r, h.body, action.Attempt, h.lease}
+				exchange := &attemptExchange{h.gateway, r, h.body, action.Attempt, h.lease}
 				h.lease.startAttempt(exchange.run)
 			case inflight.ActionStream:
 				h.stream(ctx, w, action.Attempt)
@@ -166,6 +166,7 @@
 
 // stream relays an attempt's stream to the client.
 func (h *requestHandler) stream(ctx context.Context, w http.ResponseWriter, attempt *inflight.Attempt) {
+	h.body = nil // nothing more is sent for the request, and its stream may last for long
 	h.result.replica = attempt.Replica.Endpoint.ID
 	h.result.firstToken = h.gateway.clock.now() - h.sentAt
 	complete := relayStream(w, attempt, h.lease)
--- a/internal/gateway/withdrawn_test.go
+++ b/internal/gateway/withdrawn_test.go
@@ -38,7 +38,7 @@
 			}()
 			in, _ := http.NewRequest("POST", httpwire.CompletionsPath, nil)
 			in.RequestURI = httpwire.CompletionsPath
-			go attemptExchange{gateway: g, request: in, body: nil, attempt: d}.run()
+			go (&attemptExchange{gateway: g, request: in, body: nil, attempt: d}).run()
 			got := attemptEnded{}
 			for ok := false; !ok; {
 				got, ok = (<-g.loop.events).(attemptEnded)
