--- a/balancer/admission.go
+++ b/balancer/admission.go
@@ -29,16 +29,16 @@
 
 // admissionState limits the tokens in flight by how many requests come late.
 type admissionState struct {
-	lateShare          float64 // share of recent requests past their latency objective or unserved
+	lateFraction       float64 // share of recent requests past their latency objective or unserved
 	tokenLimit         float64 // most tokens in flight; 0: no limit
 	tokenLimitFloor    float64 // the limit does not fall below it before the next tick
 	meanInFlightTokens float64 // recent mean
 	meanWeightPerToken float64
 
-	stepExcess      float64         // median of first-token times less prefill and stepFloor
-	stepFloor       map[int]float64 // the least first-token time less prefill, by stepFloorKey
-	lengthsReported bool            // answers report their length
-	slowStreamShare float64         // share of recent streams slower than their token objectives
+	stepExcess         float64         // median of first-token times less prefill and stepFloor
+	stepFloor          map[int]float64 // the least first-token time less prefill, by stepFloorKey
+	lengthsReported    bool            // answers report their length
+	slowStreamFraction float64         // share of recent streams slower than their token objectives
 
 	tenantRate     []float64 // requests a second, by tenant
 	tenantArrivals []float64 // since the last tick, by tenant
@@ -103,8 +103,8 @@
 // recordLateness moves the limit by one request's lateness, 0 or 1, down from what is in
 // flight. The limit stands still while a share of maxLateShare comes late.
 func (b *Balancer) recordLateness(late float64) {
-	b.lateShare += learnRate * (late - b.lateShare)
-	if late > 0 && (b.tokenLimit > 0 || b.lateShare > maxLateShare) {
+	b.lateFraction += learnRate * (late - b.lateFraction)
+	if late > 0 && (b.tokenLimit > 0 || b.lateFraction > maxLateShare) {
 		b.lowerLimit()
 	} else {
 		b.tokenLimit *= 1 + learnRate*maxLateShare/(1-maxLateShare)
@@ -125,7 +125,7 @@
 // Lateness decays with time too: a gateway that sheds most of its requests sees too little
 // to find out that the overload is over.
 func (b *Balancer) updateLimit(elapsed float64) {
-	b.lateShare *= 1 - math.Min(1, elapsed/latenessDecay)
+	b.lateFraction *= 1 - math.Min(1, elapsed/latenessDecay)
 	b.stepExcess *= 1 - math.Min(1, elapsed/latenessDecay)
 	b.meanInFlightTokens += math.Min(1, elapsed/2) * (b.inFlightTokens - b.meanInFlightTokens)
 	if b.tokenLimit > slackLimit*b.meanInFlightTokens+b.meanHeldTokens {
@@ -159,7 +159,7 @@
 		b.stepExcess -= learnRate * objective
 	}
 	// Streams that report their length must confirm it: a new gateway guesses badly.
-	return b.stepExcess > objective*slowStepFactor && (!b.lengthsReported || b.slowStreamShare > maxLateShare)
+	return b.stepExcess > objective*slowStepFactor && (!b.lengthsReported || b.slowStreamFraction > maxLateShare)
 }
 
 // stepFloorKey distinguishes attempts whose least first-token times differ: by zone and, for
@@ -176,7 +176,7 @@
 func (b *Balancer) recordStreamPace(took, allowed float64) {
 	if allowed > 0 {
 		b.lengthsReported = true
-		b.slowStreamShare += 2 * learnRate * (boolToFloat(took > allowed) - b.slowStreamShare)
+		b.slowStreamFraction += 2 * learnRate * (boolToFloat(took > allowed) - b.slowStreamFraction)
 	}
 }
 
--- a/balancer/admission_test.go
+++ b/balancer/admission_test.go
@@ -165,12 +165,12 @@
 		t.Fatalf("objective timer %+v", timer)
 	}
 	b.TimerFired(101*second+timer.delay, timer.token)
-	late := b.lateShare
+	late := b.lateFraction
 	if late == 0 {
 		t.Fatal("not counted when the objective passed")
 	}
 	b.FirstToken(104*second, Outcome{ID: 1, Replica: b.requests[1].attempts[0].row.id, Elapsed: 3 * second})
-	if b.lateShare != late {
+	if b.lateFraction != late {
 		t.Fatal("counted again when the answer came")
 	}
 }
@@ -180,7 +180,7 @@
 // a gateway shed load for seconds after the overload was over.
 func TestOneOverloadLowersTheLimitSlowly(t *testing.T) {
 	b, _ := startBalancer(t, settings(), fleet(2)...)
-	b.inFlightTokens, b.meanInFlightTokens, b.meanHeldTokens, b.lateShare = 100_000, 100_000, 1000, 1
+	b.inFlightTokens, b.meanInFlightTokens, b.meanHeldTokens, b.lateFraction = 100_000, 100_000, 1000, 1
 	b.recordLateness(1)
 	b.tick(101 * second)
 	before := b.tokenLimit
@@ -191,7 +191,7 @@
 		t.Errorf("from %.0f to %.0f by one overload", before, b.tokenLimit)
 	}
 	for range 20 { // an overload that lasts still lowers it
-		b.inFlightTokens, b.lateShare = b.tokenLimit, 1
+		b.inFlightTokens, b.lateFraction = b.tokenLimit, 1
 		b.tick(b.lastTickAt + tickEvery)
 		for range 100 {
 			b.recordLateness(1)
@@ -206,7 +206,7 @@
 // limit starts from what is in flight.
 func TestLimitStartsFromInFlightTokens(t *testing.T) {
 	b, _ := startBalancer(t, settings(), fleet(2)...)
-	b.inFlightTokens, b.meanInFlightTokens, b.lateShare = 100_000, 5_000, 1
+	b.inFlightTokens, b.meanInFlightTokens, b.lateFraction = 100_000, 5_000, 1
 	if b.recordLateness(1); b.tokenLimit < 90_000 {
 		t.Errorf("limit %.0f with 100000 open", b.tokenLimit)
 	}
--- a/balancer/affinity.go
+++ b/balancer/affinity.go
@@ -24,7 +24,7 @@
 	sessionRingNext int
 	prefixCounts    map[uint64]float64 // decaying counts of requests by prefix
 	prefixTotal     float64            // their sum
-	cacheTrust      float64            // tokens found cached over tokens expected to be
+	cacheConfidence float64            // tokens found cached over tokens expected to be
 }
 
 // session is where a session's last answer came from, and how long its prompt was.
@@ -36,7 +36,7 @@
 func (b *Balancer) initPromptCache() {
 	b.sessions, b.prefixCounts = map[uint64]session{}, map[uint64]float64{}
 	b.sessionRing = make([]uint64, maxSessions)
-	b.cacheTrust = 0.8
+	b.cacheConfidence = 0.8
 }
 
 // rememberSession notes where a session is, in place of the oldest one.
--- a/balancer/balancer.go
+++ b/balancer/balancer.go
@@ -132,7 +132,7 @@
 	switch token & (timerPurposeMask | timerPoll) {
 	case timerPoll:
 		if len(req.attempts) == 0 {
-			b.recordSilence(now, req)
+			b.recordUnansweredPolls(now, req)
 			b.dispatch(now, req)
 		}
 	case timerDeadline:
@@ -142,7 +142,7 @@
 	case timerObjective:
 		req.late = true
 		b.recordLateness(1)
-		b.recordOverdue(now, req)
+		b.recordOverdueAttempts(now, req)
 	}
 }
 
--- a/balancer/discovery.go
+++ b/balancer/discovery.go
@@ -91,7 +91,7 @@
 	if list.Kind.FromDiscovery() {
 		b.listReceived = true
 	}
-	b.dropGoneRows()
+	b.removeDelistedRows()
 	b.refreshEstimates(now)
 }
 
--- a/balancer/hedging.go
+++ b/balancer/hedging.go
@@ -22,7 +22,7 @@
 
 // refillBudgets adds one request's share to the budgets, which shrinks as the fleet falls behind.
 func (b *Balancer) refillBudgets() {
-	inTime := 1 - b.lateShare
+	inTime := 1 - b.lateFraction
 	b.hedgeBudget = math.Min(budgetCap, b.hedgeBudget+cmp.Or(b.settings.HedgeRatio, defaultHedgeRatio)*inTime)
 	b.retryBudget = math.Min(budgetCap, b.retryBudget+cmp.Or(b.settings.RetryRatio, defaultRetryRatio)*inTime)
 }
--- a/balancer/introspect.go
+++ b/balancer/introspect.go
@@ -59,7 +59,7 @@
 		Prefixes:       len(b.prefixCounts),
 		InFlightTokens: b.inFlightTokens,
 		TokenLimit:     b.tokenLimit,
-		LateShare:      b.lateShare,
+		LateShare:      b.lateFraction,
 	}
 	for _, row := range b.rows {
 		stats.LedgerEntries += len(row.ledger)
@@ -153,7 +153,7 @@
 		return "gone"
 	case !lastResort && now < row.backoffUntil:
 		return fmt.Sprintf("in backoff for another %.3f s after %d consecutive failures", float64(row.backoffUntil-now)/microsPerSecond, row.consecutiveFailures)
-	case !lastResort && !b.zoneOpen(now, row):
+	case !lastResort && !b.zoneEligible(now, row):
 		return "its zone is lost"
 	case !lastResort && b.healthCheckOverdue(now, row):
 		return "a health check is overdue"
--- a/balancer/learning.go
+++ b/balancer/learning.go
@@ -13,8 +13,8 @@
 		b.learnStream(req, a, outcome)
 	}
 	if expected := float64(req.PromptTokens) - a.prefillTokens; expected > float64(req.PromptTokens)/8 {
-		full := expected / math.Max(b.cacheTrust, 0.1) // before cacheTrust was applied
-		b.cacheTrust += learnRate * (math.Min(1, float64(outcome.CachedTokens)/full) - b.cacheTrust)
+		full := expected / math.Max(b.cacheConfidence, 0.1) // before cacheTrust was applied
+		b.cacheConfidence += learnRate * (math.Min(1, float64(outcome.CachedTokens)/full) - b.cacheConfidence)
 	}
 	if req.PromptTokens > 0 {
 		stats.cachedShare += learnRate * (math.Min(1, float64(outcome.CachedTokens)/float64(req.PromptTokens)) - stats.cachedShare)
--- a/balancer/loadtable.go
+++ b/balancer/loadtable.go
@@ -26,7 +26,7 @@
 	meanHeldTokens    float64 // mean tokens held for a request
 	meanCharge        float64 // mean charge of a dispatch
 	warmUtilization   float64 // mean reported utilization of warm replicas; 0: not reported
-	meanSlotShare     float64 // mean reported share of a replica that a request takes; 0: not reported
+	meanSlotFraction  float64 // mean reported share of a replica that a request takes; 0: not reported
 	inFlightTokens    float64 // sum of heldTokens over all own attempts in flight
 }
 
@@ -172,8 +172,8 @@
 	row.slownessSum, row.slownessCount = 0, 0
 }
 
-// dropGoneRows removes the rows of replicas that are gone and have no attempt in flight.
-func (b *Balancer) dropGoneRows() {
+// removeDelistedRows removes the rows of replicas that are gone and have no attempt in flight.
+func (b *Balancer) removeDelistedRows() {
 	keep := b.rows[:0]
 	for _, row := range b.rows {
 		if row.state == EndpointGone && len(row.ledger) == 0 {
--- a/balancer/pick.go
+++ b/balancer/pick.go
@@ -69,7 +69,7 @@
 	if row.state != EndpointReady || b.ListStale(now) || !b.mayPoll && b.needsConfirmation(now, row) { // rule 3
 		return false
 	}
-	if !lastResort && (now < row.backoffUntil || !b.zoneOpen(now, row) || row.onTrial()) {
+	if !lastResort && (now < row.backoffUntil || !b.zoneEligible(now, row) || row.onTrial()) {
 		return false
 	}
 	if !lastResort && b.healthCheckOverdue(now, row) {
--- a/balancer/predict.go
+++ b/balancer/predict.go
@@ -55,7 +55,7 @@
 		invLifetime:  1 / math.Max(1, b.meanLifetime),
 		reportUsers:  gateways,
 		prefillCost:  prefillCost,
-		cacheTrust:   b.cacheTrust,
+		cacheTrust:   b.cacheConfidence,
 		largeFleet:   b.largeFleet(),
 		crossZone:    b.crossZoneCost(req),
 	}
@@ -207,7 +207,7 @@
 // time that a held token takes.
 func (b *Balancer) prefillWeight() float64 {
 	weight := 0.0
-	if held := b.meanLifetime * b.meanSlotShare / math.Max(1, b.meanHeldTokens); held > 0 {
+	if held := b.meanLifetime * b.meanSlotFraction / math.Max(1, b.meanHeldTokens); held > 0 {
 		weight = math.Min(maxPrefillWeight, prefillQueueFactor*b.settings.prefillTimePerToken()/held)
 	}
 	return math.Max(weight, prefillCost*largeFleetPrefillFactor)
--- a/balancer/predict_test.go
+++ b/balancer/predict_test.go
@@ -185,7 +185,7 @@
 	b, _ := startBalancer(t, s, fleet(40)...)
 	b.meanHeldTokens, b.meanLifetime = 4000, 3e6
 	report := func(util, inFlight float64) float64 {
-		b.meanSlotShare = 0
+		b.meanSlotFraction = 0
 		b.HealthCheckEnded(101*second, Outcome{Replica: 1, Status: Served, Report: LoadReport{Has: HasUtilization | HasInFlight, Utilization: util, InFlight: inFlight}})
 		return b.prefillWeight()
 	}
--- a/balancer/report.go
+++ b/balancer/report.go
@@ -48,7 +48,7 @@
 		return
 	}
 	if report.Has&HasInFlight != 0 && report.InFlight >= 1 && report.Utilization > 0 {
-		updateMean(&b.meanSlotShare, report.Utilization/report.InFlight)
+		updateMean(&b.meanSlotFraction, report.Utilization/report.InFlight)
 	}
 	if now >= row.warmingUntil {
 		b.warmUtilization += (math.Max(0, math.Min(1, report.Utilization)) - b.warmUtilization) / 8
--- a/balancer/snapshot.go
+++ b/balancer/snapshot.go
@@ -80,14 +80,14 @@
 	a.each(4, len(t.kinds), func(n int) { t.kinds = make([]kindStats, n) }, func(i int, entry *archive) { t.kinds[i].archive(entry) })
 	integer(a, 5, &t.readyCount)
 	a.floatFields(6, &t.meanLoad, &t.memoryPerToken, &t.tokensPerLiveLoad, &t.meanLifetime, &t.meanHeldTokens, &t.meanCharge,
-		&t.inFlightTokens, &b.prefixTotal, &b.cacheTrust)
+		&t.inFlightTokens, &b.prefixTotal, &b.cacheConfidence)
 	integer(a, 15, &b.sessionRingNext)
 	b.archiveSessions(a)
 	sortedMap(a, 17, &b.prefixCounts, func(key *uint64, count *float64, entry *archive) {
 		entry.fixed(1, key)
 		entry.float(2, count)
 	})
-	a.float(18, &t.meanSlotShare)
+	a.float(18, &t.meanSlotFraction)
 	integer(a, 19, &t.warmingCount)
 	a.float(20, &t.warmUtilization)
 	integer(a, 21, &t.fleetSize)
@@ -143,7 +143,7 @@
 	integer(a, 4, &b.nextPollAt)
 	integer(a, 5, &b.pollBackoff)
 	a.floatFields(6, &b.dispatchRate, nil, &b.dispatchesSinceTick, nil, &b.meanServiceMs, &b.hedgeBudget, &b.retryBudget,
-		&b.stepExcess, &b.slowStreamShare, &b.lateShare, &b.tokenLimit, &b.tokenLimitFloor, &b.meanInFlightTokens, &b.meanWeightPerToken)
+		&b.stepExcess, &b.slowStreamFraction, &b.lateFraction, &b.tokenLimit, &b.tokenLimitFloor, &b.meanInFlightTokens, &b.meanWeightPerToken)
 	a.bool(20, &b.lengthsReported)
 	sortedMap(a, 21, &b.stepFloor, func(key *int, floor *float64, entry *archive) {
 		integer(entry, 1, key)
--- a/balancer/zones.go
+++ b/balancer/zones.go
@@ -109,9 +109,9 @@
 	}
 }
 
-// recordSilence counts the replicas that were polled in vain, by a request or as it arrived,
+// recordUnansweredPolls counts the replicas that were polled in vain, by a request or as it arrived,
 // as not answering.
-func (b *Balancer) recordSilence(now Micros, req *request) {
+func (b *Balancer) recordUnansweredPolls(now Micros, req *request) {
 	for _, row := range b.rows {
 		polled := row.healthCheckedAt == req.arrivedAt || slices.Contains(req.polled, row.id)
 		if polled && row.awaitedSince(req.arrivedAt) {
@@ -120,10 +120,10 @@
 	}
 }
 
-// recordOverdue counts an attempt without a first token at its latency objective as not
+// recordOverdueAttempts counts an attempt without a first token at its latency objective as not
 // answered, where health checks are not allowed: overload is distinguished from an outage by the
 // answers that others of the zone still give.
-func (b *Balancer) recordOverdue(now Micros, req *request) {
+func (b *Balancer) recordOverdueAttempts(now Micros, req *request) {
 	if b.settings.MayHealthCheck {
 		return
 	}
@@ -134,8 +134,8 @@
 	}
 }
 
-// zoneOpen reports whether a replica's zone takes ordinary requests.
-func (b *Balancer) zoneOpen(now Micros, row *replicaRow) bool {
+// zoneEligible reports whether a replica's zone takes ordinary requests.
+func (b *Balancer) zoneEligible(now Micros, row *replicaRow) bool {
 	if !b.zones.IsUnavailable(row.zone) {
 		return true
 	}
