--- a/balancer/admission.go
+++ b/balancer/admission.go
@@ -71,7 +71,7 @@
 			weight *= b.settings.OverQuotaWeight
 		}
 	}
-	return weight / (prefillCost*float64(req.PromptTokens)*(1-b.stats[req.classIndex].cachedShare) + b.expectedHeldTokens(req))
+	return weight / (prefillCost*float64(req.PromptTokens)*(1-b.stats[req.classIndex].cachedFraction) + b.expectedHeldTokens(req))
 }
 
 // admit reports whether a request is admitted. Once this gateway has as many tokens in
--- a/balancer/admission_test.go
+++ b/balancer/admission_test.go
@@ -48,7 +48,7 @@
 	if id%5 == 0 {
 		b.tick(now)
 	}
-	rec.acts = nil
+	rec.actions = nil
 	b.RequestArrived(now, testRequest(id))
 	if len(rec.take("shed")) > 0 {
 		return 0, false
@@ -101,7 +101,7 @@
 		t.Fatalf("limit %v after 200 late requests", b.tokenLimit)
 	}
 	low := b.tokenLimit
-	for now := 101 * second; now < 102*second; now += tickEvery {
+	for now := 101 * second; now < 102*second; now += tickInterval {
 		b.meanInFlightTokens = 50000
 		b.tick(now) // nothing arrives: only time raises it
 	}
@@ -192,7 +192,7 @@
 	}
 	for range 20 { // an overload that lasts still lowers it
 		b.inFlightTokens, b.lateFraction = b.tokenLimit, 1
-		b.tick(b.lastTickAt + tickEvery)
+		b.tick(b.lastTickAt + tickInterval)
 		for range 100 {
 			b.recordLateness(1)
 		}
--- a/balancer/affinity_test.go
+++ b/balancer/affinity_test.go
@@ -40,7 +40,7 @@
 		r.Session, r.Prefix = uint64(i+1), uint64(i+1)
 		b.RequestArrived(101*second, r)
 		b.AttemptEnded(101*second, Outcome{ID: r.ID, Replica: 1, Status: Served, Final: true})
-		rec.acts = nil
+		rec.actions = nil
 	}
 	if len(b.sessions) > maxSessions || len(b.prefixCounts) > maxPrefixes || len(b.requests) != 0 {
 		t.Fatalf("%d sessions, %d prefixes, %d requests", len(b.sessions), len(b.prefixCounts), len(b.requests))
@@ -53,7 +53,7 @@
 	for session := range uint64(50) {
 		var first ReplicaID
 		for self := range 2 {
-			s := eightyGateways()
+			s := largeFleetSettings()
 			s.Self = self
 			b, rec := startBalancer(t, s, fleet(40)...)
 			b.meanHeldTokens, b.meanLoad = 1200, 9600
@@ -90,7 +90,7 @@
 func TestEightyAgreeOnAffinityTargets(t *testing.T) {
 	var all []*Balancer
 	for self := range 40 {
-		s := eightyGateways()
+		s := largeFleetSettings()
 		s.Self = self
 		b, _ := startBalancer(t, s, fleet(40)...)
 		for i := range 1 + self%12 { // what it has seen so far
@@ -124,7 +124,7 @@
 // fleet. Seen: a prefix of 500 tokens of prompts of 12,000, with a quarter of all traffic, had four
 // targets of a hundred, for each of 300 gateways had seen little of it.
 func TestShortPrefixesSpreadLongPrompts(t *testing.T) {
-	s := eightyGateways()
+	s := largeFleetSettings()
 	s.Gateways = 300
 	targetCount := func(prefix, prompt int) int {
 		seen := map[ReplicaID]bool{}
@@ -160,7 +160,7 @@
 	}
 	var all []*Balancer
 	for self := range 3 {
-		s := eightyGateways()
+		s := largeFleetSettings()
 		s.Self, s.Kinds = self, []string{"k", "fast"}
 		b, _ := startBalancer(t, s, endpoints...)
 		all = append(all, b)
@@ -195,7 +195,7 @@
 // An affinity target named by the request comes before what the module would find, and it alone has
 // the prefix.
 func TestRequestedAffinityTarget(t *testing.T) {
-	b, _ := startBalancer(t, eightyGateways(), fleet(40)...)
+	b, _ := startBalancer(t, largeFleetSettings(), fleet(40)...)
 	b.fleetSize = 400
 	req := &request{Request: testRequest(1), policy: b.policies[0], tenantIndex: -1, avoidZone: -1}
 	req.Session, req.Prefix, req.PrefixTokens, req.AffinityTarget = 77, 5, 500, 31
--- a/balancer/balancer.go
+++ b/balancer/balancer.go
@@ -44,8 +44,8 @@
 
 // classStats is what a gateway has seen of one class.
 type classStats struct {
-	streamTime  float64 // mean time from the first token to the end, in microseconds
-	cachedShare float64 // mean share of the prompt found in the cache
+	streamTime     float64 // mean time from the first token to the end, in microseconds
+	cachedFraction float64 // mean share of the prompt found in the cache
 }
 
 // Timer tokens: the low timerBits give the purpose, the bits above them the request.
@@ -65,9 +65,9 @@
 func timerToken(purpose uint64, id RequestID) uint64 { return purpose | uint64(id)<<timerBits }
 
 const (
-	// tickEvery is the interval of upkeep: well under the second within which
+	// tickInterval is the interval of upkeep: well under the second within which
 	// reports are renewed.
-	tickEvery Micros = 250_000
+	tickInterval Micros = 250_000
 	// rateWindow is the time constant of rates, in seconds.
 	rateWindow = 8.0
 	// learnRate is the weight of a new sample in slow averages (about 30 samples).
@@ -114,7 +114,7 @@
 			b.watch(now)
 		}
 	}
-	b.sink.SetTimer(1+int64(b.random()*float64(tickEvery)), timerTick)
+	b.sink.SetTimer(1+int64(b.random()*float64(tickInterval)), timerTick)
 }
 
 // TimerFired handles a timer set through the Sink. Timers of requests that have
@@ -122,7 +122,7 @@
 func (b *Balancer) TimerFired(now Micros, token uint64) {
 	if token == timerTick {
 		b.tick(now)
-		b.sink.SetTimer(tickEvery, timerTick)
+		b.sink.SetTimer(tickInterval, timerTick)
 		return
 	}
 	req := b.requests[RequestID(token>>timerBits)]
--- a/balancer/balancer_test.go
+++ b/balancer/balancer_test.go
@@ -8,7 +8,7 @@
 
 // recordedAction is one action of a Balancer.
 type recordedAction struct {
-	what  string
+	kind  string
 	id    RequestID
 	to    ReplicaID
 	n     int
@@ -18,43 +18,47 @@
 }
 
 // recorder is a Sink that records the actions.
-type recorder struct{ acts []recordedAction }
+type recorder struct{ actions []recordedAction }
 
 func (r *recorder) Dispatch(id RequestID, to ReplicaID, cutAt Micros) {
-	r.acts = append(r.acts, recordedAction{what: "dispatch", id: id, to: to, delay: cutAt})
+	r.actions = append(r.actions, recordedAction{kind: "dispatch", id: id, to: to, delay: cutAt})
 }
 
 func (r *recorder) Shed(id RequestID, after Micros) {
-	r.acts = append(r.acts, recordedAction{what: "shed", id: id, delay: after})
+	r.actions = append(r.actions, recordedAction{kind: "shed", id: id, delay: after})
 }
 
-func (r *recorder) Fail(id RequestID) { r.acts = append(r.acts, recordedAction{what: "fail", id: id}) }
+func (r *recorder) Fail(id RequestID) {
+	r.actions = append(r.actions, recordedAction{kind: "fail", id: id})
+}
 
 func (r *recorder) Cancel(id RequestID, n int) {
-	r.acts = append(r.acts, recordedAction{what: "cancel", id: id, n: n})
+	r.actions = append(r.actions, recordedAction{kind: "cancel", id: id, n: n})
 }
 
 func (r *recorder) SetTimer(d Micros, token uint64) {
-	r.acts = append(r.acts, recordedAction{what: "timer", delay: d, token: token})
+	r.actions = append(r.actions, recordedAction{kind: "timer", delay: d, token: token})
 }
 
 func (r *recorder) HealthCheck(to ReplicaID) {
-	r.acts = append(r.acts, recordedAction{what: "health check", to: to})
+	r.actions = append(r.actions, recordedAction{kind: "health check", to: to})
 }
 
-func (r *recorder) Gossip(b []byte) { r.acts = append(r.acts, recordedAction{what: "gossip", body: b}) }
+func (r *recorder) Gossip(b []byte) {
+	r.actions = append(r.actions, recordedAction{kind: "gossip", body: b})
+}
 
-func (r *recorder) WatchDiscovery() { r.acts = append(r.acts, recordedAction{what: "watch"}) }
+func (r *recorder) WatchDiscovery() { r.actions = append(r.actions, recordedAction{kind: "watch"}) }
 
 // take returns the recorded actions of one kind and clears all.
 func (r *recorder) take(what string) []recordedAction {
 	var out []recordedAction
-	for _, a := range r.acts {
-		if a.what == what {
+	for _, a := range r.actions {
+		if a.kind == what {
 			out = append(out, a)
 		}
 	}
-	r.acts = nil
+	r.actions = nil
 	return out
 }
 
@@ -95,7 +99,7 @@
 	b.Start(100 * second)
 	b.ListChanged(100*second, EndpointList{Kind: ListCached, Endpoints: endpoints})
 	b.ListChanged(100*second, EndpointList{Kind: ListFull, Endpoints: endpoints})
-	rec.acts = nil
+	rec.actions = nil
 	return b, rec
 }
 
@@ -115,7 +119,7 @@
 
 // dispatched sends one request and returns the replica that it went to; 0: none.
 func dispatched(b *Balancer, rec *recorder, now Micros, r Request) ReplicaID {
-	rec.acts = nil
+	rec.actions = nil
 	b.RequestArrived(now, r)
 	if d := rec.take("dispatch"); len(d) > 0 {
 		return d[0].to
--- a/balancer/discovery.go
+++ b/balancer/discovery.go
@@ -108,7 +108,7 @@
 	}
 	for _, row := range b.rows {
 		if !listed[row.id] {
-			row.state = EndpointGone
+			row.state = EndpointRemoved
 		}
 	}
 }
@@ -149,7 +149,7 @@
 		least, most = max(pollBackoffMin, spread/8), max(pollBackoffMax, spread/4)
 	case unreachable || b.unavailableAt > b.lastHeardAt:
 		// The next call begins while the list is still used. Where nobody is served it costs nothing.
-		most = max(pollBackoffMax, min(spread, b.ListTrustedUntil()-now-2*tickEvery))
+		most = max(pollBackoffMax, min(spread, b.ListTrustedUntil()-now-2*tickInterval))
 		least = min(least, most)
 	}
 	b.pollBackoff = min(most, max(least, 2*b.pollBackoff))
@@ -172,10 +172,10 @@
 // ListStale reports whether the list is too old for new attempts.
 func (b *Balancer) ListStale(now Micros) bool { return now >= b.ListTrustedUntil() }
 
-// ListDoubtful reports whether the list is used only because discovery answers that it serves
+// ListUnconfirmed reports whether the list is used only because discovery answers that it serves
 // none. Nothing can have counted as known if it is down. If it has too many callers, changes
 // may have: then only replicas that show themselves unchanged get new attempts.
-func (b *Balancer) ListDoubtful(now Micros) bool {
+func (b *Balancer) ListUnconfirmed(now Micros) bool {
 	return b.settings.WatchInterval > 0 && now >= b.lastHeardAt+b.settings.ListTrust()
 }
 
@@ -187,7 +187,7 @@
 
 // confirmReplicas checks replicas before the list becomes doubtful, where requests poll none.
 func (b *Balancer) confirmReplicas(now Micros) {
-	if !b.settings.MayHealthCheck || b.largeFleet() || b.unavailableAt <= b.lastHeardAt || !b.ListDoubtful(now+confirmAhead) || b.ListStale(now) {
+	if !b.settings.MayHealthCheck || b.largeFleet() || b.unavailableAt <= b.lastHeardAt || !b.ListUnconfirmed(now+confirmAhead) || b.ListStale(now) {
 		return
 	}
 	for _, row := range b.rows {
--- a/balancer/discovery_test.go
+++ b/balancer/discovery_test.go
@@ -60,7 +60,7 @@
 // startAll starts all gateways of a fleet at once without a list.
 func startAll(gateways int, at Micros) (all []*pollingGateway) {
 	for i := range gateways {
-		s := eightyGateways()
+		s := largeFleetSettings()
 		s.PollDiscovery, s.WatchInterval, s.Gateways, s.Self = true, 2*second, gateways, i
 		g := &pollingGateway{rec: &recorder{}}
 		g.b, _ = New(s, uint64(i+1), g.rec)
@@ -72,7 +72,7 @@
 
 // until lets gateways poll between two times, and returns when each has its first list.
 func (d *slowDiscovery) until(all []*pollingGateway, from, to Micros) (notified []Micros) {
-	for now := from; now < to && len(notified) < len(all); now += tickEvery / 5 {
+	for now := from; now < to && len(notified) < len(all); now += tickInterval / 5 {
 		for i, g := range all {
 			if g.at > 0 && now >= g.at {
 				g.at = 0
@@ -82,7 +82,7 @@
 					notified = append(notified, now)
 				}
 			}
-			if now%tickEvery == Micros(i%5)*(tickEvery/5) {
+			if now%tickInterval == Micros(i%5)*(tickInterval/5) {
 				g.b.tick(now)
 			}
 			if polled := len(g.rec.take("watch")) > 0; polled && g.at == 0 && !g.notified {
@@ -112,7 +112,7 @@
 			for _, g := range all {
 				g.b.ListChanged(90*second, EndpointList{Kind: ListFull, Endpoints: fleet(2)})
 				g.b.ListChanged(down, EndpointList{Kind: ListFailed}) // its watch was reset
-				g.rec.acts = nil
+				g.rec.actions = nil
 			}
 			after := d.until(all, down, up+60*second)
 			for i := range after {
@@ -147,7 +147,7 @@
 func TestStaleListIsNotUsed(t *testing.T) {
 	const grace = 2_500_000
 	for _, gateways := range []int{1, 3, 30, 80, 200, 900} {
-		s := eightyGateways()
+		s := largeFleetSettings()
 		s.Gateways, s.DrainGrace = gateways, grace
 		last := 100*second + notifiedWithin + grace - writeDelay // the list is of 100 s
 		b, rec := silence(t, s, 107*second, ListFailed)
@@ -170,15 +170,15 @@
 
 // placed returns where a request goes whose health checks all pass, 0 if nowhere, and whether it is shed.
 func placed(b *Balancer, rec *recorder, now Micros, id RequestID) (to ReplicaID, shed bool) {
-	rec.acts = nil
+	rec.actions = nil
 	b.RequestArrived(now, testRequest(id))
 	giveSignsOfLife(b, now)
 	b.TimerFired(now+pollTimeout, timerToken(timerPoll, id))
-	for _, a := range rec.acts {
-		if a.what == "dispatch" {
+	for _, a := range rec.actions {
+		if a.kind == "dispatch" {
 			to = a.to
 		}
-		shed = shed || a.what == "shed"
+		shed = shed || a.kind == "shed"
 	}
 	return to, shed
 }
@@ -192,7 +192,7 @@
 
 // A stale list is used for no further attempt either: a retry and a hedge choose late.
 func TestStaleListIsNotUsedForRetriesAndHedges(t *testing.T) {
-	s := eightyGateways()
+	s := largeFleetSettings()
 	s.Gateways, s.DrainGrace, s.MayHedge = 3, 2_500_000, true
 	b, rec := silence(t, s, 107*second, ListFailed)
 	now := b.ListTrustedUntil() - 1
@@ -202,13 +202,13 @@
 	}
 	b.TimerFired(now+2, timerToken(timerHedge, 1))
 	b.AttemptEnded(now+3, Outcome{ID: 1, Replica: first, Status: ConnBroken})
-	for _, a := range rec.acts[1:] {
-		if a.what == "dispatch" {
+	for _, a := range rec.actions[1:] {
+		if a.kind == "dispatch" {
 			t.Errorf("a further attempt went to %d", a.to)
 		}
 	}
-	if last := rec.acts[len(rec.acts)-1]; last.what != "shed" {
-		t.Errorf("the request ended with %q", last.what)
+	if last := rec.actions[len(rec.actions)-1]; last.kind != "shed" {
+		t.Errorf("the request ended with %q", last.kind)
 	}
 }
 
@@ -229,7 +229,7 @@
 // A local agent is polled again at once, however many gateways there are. The operators' own
 // marks do not come from discovery: polling continues.
 func TestDiscoveryPollBackoff(t *testing.T) {
-	s := eightyGateways()
+	s := largeFleetSettings()
 	s.Gateways, s.Self, s.PollDiscovery, s.LocalDiscovery = 300, 299, true, true
 	rec := &recorder{}
 	b, _ := New(s, 3, rec)
@@ -253,7 +253,7 @@
 func TestDrainingReplicasGetNothing(t *testing.T) {
 	for _, change := range []EndpointList{
 		{Kind: ListDelta, Endpoints: []Endpoint{{Replica: 1, State: EndpointDraining, Kind: "k", Zone: "a"}}},
-		{Kind: ListDelta, Endpoints: []Endpoint{{Replica: 1, State: EndpointGone}}},
+		{Kind: ListDelta, Endpoints: []Endpoint{{Replica: 1, State: EndpointRemoved}}},
 		{Kind: ListFull, Endpoints: fleet(2)[1:]},
 	} {
 		b, rec := startBalancer(t, settings(), fleet(2)...)
@@ -298,7 +298,7 @@
 		all = append(all, g)
 	}
 	failed := 0
-	for now := Micros(0); now < 12*second; now += tickEvery {
+	for now := Micros(0); now < 12*second; now += tickInterval {
 		for _, g := range all {
 			if g.at > 0 && now >= g.at {
 				g.at, g.notified = 0, g.ok
@@ -366,20 +366,20 @@
 func TestPollsBeginWithinTheTermAtAnyFleetSize(t *testing.T) {
 	for _, gateways := range []int{1, 3, 10, 30, 80, 200, 300, 900} {
 		for seed := range uint64(20) {
-			s := eightyGateways()
+			s := largeFleetSettings()
 			s.Gateways, s.DrainGrace, s.PollDiscovery, s.WatchInterval = gateways, 2_500_000, true, 2*second
 			b, _ := New(s, seed+1, &recorder{})
 			b.Start(100 * second)
 			now := 110 * second
 			b.ListChanged(now, EndpointList{Kind: ListFull, Endpoints: fleet(2)})
 			b.ListChanged(now+second, EndpointList{Kind: ListFailed})
-			if begins := b.nextPollAt + tickEvery; begins > now+second+maxPollSpread/2+tickEvery || begins >= b.ListTrustedUntil() {
+			if begins := b.nextPollAt + tickInterval; begins > now+second+maxPollSpread/2+tickInterval || begins >= b.ListTrustedUntil() {
 				t.Errorf("%d gateways: after an open watch has ended, polled after %d us", gateways, begins-now-second)
 			}
 			for range 8 {
 				now = b.nextPollAt
 				b.ListChanged(now, EndpointList{Kind: ListUnreachable})
-				if begins := b.nextPollAt + tickEvery; begins >= b.ListTrustedUntil() {
+				if begins := b.nextPollAt + tickInterval; begins >= b.ListTrustedUntil() {
 					t.Errorf("%d gateways: while discovery is unreachable, polled after %d us", gateways, begins-now)
 				}
 			}
@@ -410,12 +410,12 @@
 			"declined":                      {Outcome{Status: Errored, ConnAge: old}, false},
 			"no answer":                     {Outcome{Status: TimedOut, ConnAge: old}, false},
 		} {
-			s := eightyGateways()
+			s := largeFleetSettings()
 			s.Gateways, s.DrainGrace = gateways, 2_500_000
 			b, rec := silence(t, s, 107*second, ListUnavailable)
 			now := 100*second + s.ListTrust()
-			if !b.ListDoubtful(now) || b.ListStale(now) {
-				t.Fatalf("doubtful %t, stale %t", b.ListDoubtful(now), b.ListStale(now))
+			if !b.ListUnconfirmed(now) || b.ListStale(now) {
+				t.Fatalf("doubtful %t, stale %t", b.ListUnconfirmed(now), b.ListStale(now))
 			}
 			if to := placedWith(b, rec, now, 1, c.check); (to != 0) != c.used {
 				t.Errorf("%d gateways, %s: sent to %d", gateways, name, to)
@@ -440,12 +440,12 @@
 	if !b.largeFleet() { // checked before they are needed
 		answer()
 	}
-	rec.acts = nil
+	rec.actions = nil
 	b.RequestArrived(now, testRequest(id))
 	answer()
 	b.TimerFired(now+pollTimeout, timerToken(timerPoll, id))
-	for _, a := range rec.acts {
-		if a.what == "dispatch" {
+	for _, a := range rec.actions {
+		if a.kind == "dispatch" {
 			to = a.to
 		}
 	}
@@ -454,11 +454,11 @@
 
 // Guards against: an explained request gives no reason where a doubtful list kept a replica out.
 func TestDoubtfulListIsGivenAsReason(t *testing.T) {
-	s := eightyGateways()
+	s := largeFleetSettings()
 	s.Gateways, s.DrainGrace = 3, 2_500_000
 	b, rec := silence(t, s, 107*second, ListUnavailable)
 	now := 100*second + s.ListTrust()
-	rec.acts = nil
+	rec.actions = nil
 	b.requests[1] = b.newRequest(now, testRequest(1))
 	if reason := b.ExclusionReason(now, 1, b.rows[0].id); !strings.Contains(reason, "doubtful") {
 		t.Errorf("the reason is %q", reason)
--- a/balancer/events.go
+++ b/balancer/events.go
@@ -13,7 +13,7 @@
 const (
 	EndpointReady EndpointState = iota
 	EndpointDraining
-	EndpointGone
+	EndpointRemoved
 )
 
 // Endpoint is one entry of the endpoint list.
--- a/balancer/healthcheck_test.go
+++ b/balancer/healthcheck_test.go
@@ -36,7 +36,7 @@
 	b, rec := startBalancer(t, s, fleet(50)...)
 	b.dispatchRate = 10
 	checks := 0
-	for now := 101 * second; now < 161*second; now += tickEvery {
+	for now := 101 * second; now < 161*second; now += tickInterval {
 		b.runHealthChecks(now)
 		for _, p := range rec.take("health check") {
 			checks++
--- a/balancer/hedging_test.go
+++ b/balancer/hedging_test.go
@@ -11,7 +11,7 @@
 	b, rec := startBalancer(t, s, fleet(3)...)
 	b.hedgeBudget = 8
 	b.RequestArrived(101*second, testRequest(1))
-	rec.acts = nil
+	rec.actions = nil
 	b.TimerFired(103*second, timerHedge|1<<timerBits)
 	if len(rec.take("dispatch")) != 0 {
 		t.Fatal("a hedge was dispatched")
@@ -36,7 +36,7 @@
 			}
 			extra++
 		}
-		rec.acts = nil
+		rec.actions = nil
 	}
 	if most := int(budgetCap + defaultRetryRatio*300 + 1); extra > most || extra == 0 {
 		t.Fatalf("%d further attempts for 300 requests that all fail, at most %d", extra, most)
--- a/balancer/interceptor_test.go
+++ b/balancer/interceptor_test.go
@@ -25,7 +25,7 @@
 
 // What replay explains is how the score was made up, also where a report is not believed.
 func TestBreakdownAddsUpToTheScore(t *testing.T) {
-	b, _ := startBalancer(t, eightyGateways(), fleet(40)...)
+	b, _ := startBalancer(t, largeFleetSettings(), fleet(40)...)
 	j := &breakdownChecker{t: t}
 	b.SetInterceptor(j)
 	b.meanHeldTokens, b.meanLoad = 1200, 9600
--- a/balancer/learning.go
+++ b/balancer/learning.go
@@ -17,7 +17,7 @@
 		b.cacheConfidence += learnRate * (math.Min(1, float64(outcome.CachedTokens)/full) - b.cacheConfidence)
 	}
 	if req.PromptTokens > 0 {
-		stats.cachedShare += learnRate * (math.Min(1, float64(outcome.CachedTokens)/float64(req.PromptTokens)) - stats.cachedShare)
+		stats.cachedFraction += learnRate * (math.Min(1, float64(outcome.CachedTokens)/float64(req.PromptTokens)) - stats.cachedFraction)
 	}
 	if req.Session != 0 {
 		b.rememberSession(req.Session, session{replica: a.row.id, tokens: req.PromptTokens})
--- a/balancer/loadtable.go
+++ b/balancer/loadtable.go
@@ -108,9 +108,9 @@
 // the first list of all counts as warm unless its start time says otherwise.
 func (b *Balancer) applyEndpoint(now Micros, endpoint Endpoint, firstList bool) {
 	row := b.rowByID[endpoint.Replica]
-	if endpoint.State == EndpointGone {
+	if endpoint.State == EndpointRemoved {
 		if row != nil {
-			row.state = EndpointGone
+			row.state = EndpointRemoved
 		}
 		return
 	}
@@ -155,7 +155,7 @@
 // detectRestart starts a listed replica anew if its start time has changed, or if it
 // was gone.
 func (b *Balancer) detectRestart(now Micros, row *replicaRow, endpoint Endpoint) {
-	wasGone := row.state == EndpointGone
+	wasGone := row.state == EndpointRemoved
 	if b.fleetSize > 0 && wasGone && endpoint.StartedAt == row.startedAt && endpoint.StartedAt > 0 {
 		row.reportedAt = -1 // back in this gateway's subset of the fleet, not restarted
 		return
@@ -176,7 +176,7 @@
 func (b *Balancer) removeDelistedRows() {
 	keep := b.rows[:0]
 	for _, row := range b.rows {
-		if row.state == EndpointGone && len(row.ledger) == 0 {
+		if row.state == EndpointRemoved && len(row.ledger) == 0 {
 			delete(b.rowByID, row.id)
 			continue
 		}
--- a/balancer/outlier_test.go
+++ b/balancer/outlier_test.go
@@ -20,7 +20,7 @@
 // A replica that errs at once looks idle. One of eighty gateways meets it seldom: it must not be
 // attracted by the idleness, nor come again half a second after the error.
 func TestQuickErrorsDoNotAttractEighty(t *testing.T) {
-	b, rec := startBalancer(t, eightyGateways(), fleet(40)...)
+	b, rec := startBalancer(t, largeFleetSettings(), fleet(40)...)
 	b.meanHeldTokens, b.meanLoad = 1200, 9600
 	now := 110 * second
 	for _, row := range b.rows {
@@ -36,7 +36,7 @@
 	if next := b.shortlist[0]; next.row.id == 1 && next.score < 0.6*b.shortlist[1].score {
 		t.Errorf("the idle one scores %.0f, the next %.0f", next.score, b.shortlist[1].score)
 	}
-	rec.acts = nil
+	rec.actions = nil
 	b.recordFailure(now, b.rowByID[1], Errored)
 	if rest := b.rowByID[1].backoffUntil - now; rest < 3*second || rest > backoffMax*5/4 {
 		t.Errorf("backoff of %d us", rest)
--- a/balancer/polling.go
+++ b/balancer/polling.go
@@ -69,7 +69,7 @@
 
 // needsConfirmation reports whether the list alone does not allow new attempts at a replica.
 func (b *Balancer) needsConfirmation(now Micros, row *replicaRow) bool {
-	return b.ListDoubtful(now) && !b.isConfirmed(now, row)
+	return b.ListUnconfirmed(now) && !b.isConfirmed(now, row)
 }
 
 // addRandomCandidate puts a random replica, or the warming one on offer, in the last place
@@ -102,12 +102,12 @@
 	return b.largeFleet() && len(req.attempts) == 0 && now > req.arrivedAt && now < req.arrivedAt+pollTimeout &&
 		slices.ContainsFunc(req.polled, func(id ReplicaID) bool {
 			row := b.rowByID[id]
-			return row != nil && row.awaitedSince(req.arrivedAt)
+			return row != nil && row.healthCheckPendingSince(req.arrivedAt)
 		})
 }
 
-// awaitedSince reports whether a health check that was sent by then has no answer yet.
-func (row *replicaRow) awaitedSince(then Micros) bool {
+// healthCheckPendingSince reports whether a health check that was sent by then has no answer yet.
+func (row *replicaRow) healthCheckPendingSince(then Micros) bool {
 	return row.healthCheckPending && row.healthCheckedAt <= then
 }
 
--- a/balancer/polling_test.go
+++ b/balancer/polling_test.go
@@ -5,8 +5,8 @@
 	"testing"
 )
 
-// eightyGateways are the settings of one of the eighty gateways of a large fleet.
-func eightyGateways() Settings {
+// largeFleetSettings are the settings of one of the eighty gateways of a large fleet.
+func largeFleetSettings() Settings {
 	s := settings()
 	s.Gateways, s.MayHealthCheck, s.InitialCapacity, s.OverloadMultiple, s.SlowStartFor, s.OverloadWindow = 80, true, 0.3, 3, 9*second, second*3/2
 	return s
@@ -30,20 +30,20 @@
 // likeliest replicas are polled, and the least loaded of them gets it; one of three gateways
 // dispatches at once. Guards against requests placed without any view of the load.
 func TestOneOfEightyPollsBeforeItSends(t *testing.T) {
-	s := eightyGateways()
+	s := largeFleetSettings()
 	b, rec := startBalancer(t, s, fleet(40)...)
 	for i, row := range b.rows { // reported long ago, all alike
 		b.HealthCheckEnded(100*second, Outcome{Replica: row.id, Status: Served, Report: reportInFlight(8)})
 		row.lastUsedAt = Micros(i)
 	}
 	b.meanHeldTokens, b.meanLoad = 1200, 9600
-	rec.acts = nil
+	rec.actions = nil
 	now := 110 * second
 	b.RequestArrived(now, testRequest(1))
-	if got := len(rec.acts); got == 0 || slices.ContainsFunc(rec.acts, func(a recordedAction) bool { return a.what == "dispatch" }) {
-		t.Fatalf("%d actions, a send among them: %v", got, rec.acts)
+	if got := len(rec.actions); got == 0 || slices.ContainsFunc(rec.actions, func(a recordedAction) bool { return a.kind == "dispatch" }) {
+		t.Fatalf("%d actions, a send among them: %v", got, rec.actions)
 	}
-	for _, a := range rec.acts {
+	for _, a := range rec.actions {
 		if a.token >= 1<<63 {
 			t.Errorf("a timer's token %d, which the simulator's wire does not know", a.token)
 		}
@@ -86,9 +86,9 @@
 // Gateways that have not had a request yet do not poll. Seen: eighty polled every replica each
 // second, three thousand times in the first second.
 func TestEightyDoNotPollWhenIdle(t *testing.T) {
-	b, rec := startBalancer(t, eightyGateways(), fleet(40)...)
+	b, rec := startBalancer(t, largeFleetSettings(), fleet(40)...)
 	for i := range Micros(40) {
-		b.tick(100*second + i*tickEvery)
+		b.tick(100*second + i*tickInterval)
 	}
 	if n := len(healthChecked(rec)); n != 0 {
 		t.Fatalf("%d replicas polled without a request", n)
@@ -103,7 +103,7 @@
 	random := 0
 	for seed := range uint64(400) {
 		rec := &recorder{}
-		b, _ := New(eightyGateways(), seed, rec)
+		b, _ := New(largeFleetSettings(), seed, rec)
 		b.Start(100 * second)
 		b.ListChanged(100*second, EndpointList{Kind: ListFull, Endpoints: endpoints})
 		b.meanHeldTokens, b.meanLoad = 1200, 9600
@@ -124,19 +124,19 @@
 // A request whose best replica was polled by another request just before waits for that answer too. Guards against
 // requests sent to a replica that has just died, on a report from before.
 func TestRequestJoinsAPollThatIsPending(t *testing.T) {
-	s := eightyGateways()
+	s := largeFleetSettings()
 	b, rec := startBalancer(t, s, fleet(40)...)
 	for i, row := range b.rows { // the first ones are idle, and their reports are old
 		b.HealthCheckEnded(100*second, Outcome{Replica: row.id, Status: Served, Report: reportInFlight(float64(8 + 2*i))})
 	}
 	b.meanHeldTokens, b.meanLoad = 1200, 9600
-	rec.acts = nil
+	rec.actions = nil
 	now := 110 * second
 	b.RequestArrived(now, testRequest(1))
 	silent := healthChecked(rec)
 	for id := RequestID(2); id < 12; id++ {
 		now += pollTimeout / 20
-		rec.acts = nil
+		rec.actions = nil
 		b.RequestArrived(now, testRequest(id))
 		for _, to := range healthChecked(rec) {
 			b.HealthCheckEnded(now+1, Outcome{Replica: to, Status: Served, Report: reportInFlight(60)})
@@ -165,7 +165,7 @@
 	sentToWarming := 0
 	for seed := range uint64(400) {
 		rec := &recorder{}
-		b, _ := New(eightyGateways(), seed, rec)
+		b, _ := New(largeFleetSettings(), seed, rec)
 		b.Start(100 * second)
 		b.ListChanged(100*second, EndpointList{Kind: ListFull, Endpoints: endpoints})
 		b.meanHeldTokens, b.meanLoad = 1200, 9600
--- a/balancer/predict_test.go
+++ b/balancer/predict_test.go
@@ -180,7 +180,7 @@
 // The weight of a prefill token follows from the reports: without them it is the least, then it
 // grows the smaller a part of a replica a request takes, up to its bound.
 func TestPrefillWeightFollowsSlotTime(t *testing.T) {
-	s := eightyGateways()
+	s := largeFleetSettings()
 	s.Classes[0].ObjectivePer1000Tokens = 50_000
 	b, _ := startBalancer(t, s, fleet(40)...)
 	b.meanHeldTokens, b.meanLifetime = 4000, 3e6
@@ -214,7 +214,7 @@
 	for i := range endpoints {
 		endpoints[i].Kind = []string{"old", "new", "unseen"}[i%3]
 	}
-	b, _ := startBalancer(t, eightyGateways(), endpoints...)
+	b, _ := startBalancer(t, largeFleetSettings(), endpoints...)
 	observe := func(ms map[string]float64) {
 		for _, row := range b.rows {
 			for kind, k := range b.kindIndex {
--- a/balancer/request.go
+++ b/balancer/request.go
@@ -40,9 +40,9 @@
 	late        bool // its latency objective has passed without a first token
 	avoidZone   int  // zone of a failed connect; -1: none
 
-	polled     []ReplicaID // whose load reports it waits for before its first attempt
-	offerDrawn bool        // a warming replica was drawn for its first attempt
-	offered    ReplicaID   // the one that was drawn; 0: none
+	polled       []ReplicaID // whose load reports it waits for before its first attempt
+	warmingDrawn bool        // a warming replica was drawn for its first attempt
+	drawnWarming ReplicaID   // the one that was drawn; 0: none
 }
 
 // attempt is one dispatch of a request: an entry of a row's ledger until it ends.
--- a/balancer/request_test.go
+++ b/balancer/request_test.go
@@ -44,8 +44,8 @@
 	b.TimerFired(110*second, deadline.token)
 	b.AttemptEnded(110*second, Outcome{ID: 1, Status: TimedOut, Final: true})
 	b.AttemptEnded(110*second, Outcome{ID: 99, Status: Served, Final: true})
-	if len(rec.acts) != 0 || len(b.requests) != 0 {
-		t.Fatalf("after the answer: %v, %d requests", rec.acts, len(b.requests))
+	if len(rec.actions) != 0 || len(b.requests) != 0 {
+		t.Fatalf("after the answer: %v, %d requests", rec.actions, len(b.requests))
 	}
 }
 
@@ -107,7 +107,7 @@
 		b, rec := startBalancer(t, settings(), fleet(2)...)
 		b.RequestArrived(101*second, testRequest(1))
 		row := b.requests[1].attempts[0].row
-		rec.acts = nil
+		rec.actions = nil
 		b.AttemptEnded(101*second, Outcome{ID: 1, Replica: row.id, Status: status})
 		if n := len(rec.take(want)); n != 1 {
 			t.Errorf("status %d: %d times %s", status, n, want)
--- a/balancer/rules_test.go
+++ b/balancer/rules_test.go
@@ -39,7 +39,7 @@
 // check checks actions against the rules.
 func (c *ruleChecker) check(acts []recordedAction) {
 	for _, a := range acts {
-		switch a.what {
+		switch a.kind {
 		case "dispatch":
 			c.checkDispatch(a)
 		case "shed", "fail":
@@ -80,7 +80,7 @@
 	}
 	class := c.class[a.id]
 	harmless := class.Idempotency == Idempotent || class.Idempotency == IdempotentWithKey && class.DedupScope == DedupAll
-	if a.what == "shed" && !harmless {
+	if a.kind == "shed" && !harmless {
 		for _, earlier := range c.sent[a.id] {
 			if !earlier.ended || !earlier.status.NeverRan() {
 				c.t.Fatalf("request %d (%s): shed though it may have run", a.id, class.Name)
@@ -164,16 +164,16 @@
 
 // flush checks the actions since the last time, and sets their timers.
 func (f *randomFleet) flush() {
-	f.check(f.rec.acts)
+	f.check(f.rec.actions)
 	tick := f.settings.Tick
-	for _, a := range f.rec.acts {
-		if a.what == "timer" {
+	for _, a := range f.rec.actions {
+		if a.kind == "timer" {
 			at := (f.now + max(1, a.delay) + tick - 1) / tick * tick
 			f.timers[at] = append(f.timers[at], a.token)
 		}
 	}
-	f.log = append(f.log, f.rec.acts...)
-	f.rec.acts = nil
+	f.log = append(f.log, f.rec.actions...)
+	f.rec.actions = nil
 }
 
 // newEndpoint enters a replica in the fleet.
--- a/balancer/slowstart.go
+++ b/balancer/slowstart.go
@@ -39,13 +39,13 @@
 	if len(req.attempts) > 0 {
 		return b.offerWarming(now, req)
 	}
-	if !req.offerDrawn {
-		req.offerDrawn = true
+	if !req.warmingDrawn {
+		req.warmingDrawn = true
 		if row := b.offerWarming(now, req); row != nil {
-			req.offered = row.id
+			req.drawnWarming = row.id
 		}
 	}
-	return b.rowByID[req.offered]
+	return b.rowByID[req.drawnWarming]
 }
 
 // offerWarming picks at random the warming replica that an attempt of a request may go to, nil for
--- a/balancer/slowstart_test.go
+++ b/balancer/slowstart_test.go
@@ -13,7 +13,7 @@
 // warm ones bore everything.
 func TestWarmingReplicasAreUsedByEighty(t *testing.T) {
 	const gateways, warming = 80, 24
-	s := eightyGateways()
+	s := largeFleetSettings()
 	endpoints := fleet(40)
 	for i := range warming {
 		endpoints[i].StartedAt = 100 * second
@@ -32,15 +32,15 @@
 		// 0.8 requests a second, nine seconds; whatever is polled reports the same load.
 		for now := 100*second + Micros(self)*15_000; now < 109*second; now += second * 5 / 4 {
 			id++
-			rec.acts = nil
+			rec.actions = nil
 			r := testRequest(id)
 			r.Session, r.Prefix, r.PrefixTokens = uint64(id)*7919, uint64(id%50+1), 500
 			b.RequestArrived(now, r)
-			for _, w := range healthChecked(&recorder{acts: slices.Clone(rec.acts)}) {
+			for _, w := range healthChecked(&recorder{actions: slices.Clone(rec.actions)}) {
 				b.HealthCheckEnded(now+2000, Outcome{Replica: w, Status: Served, Report: reportInFlight(8 * b.warmCapacity(now, b.rowByID[w]))})
 			}
-			for _, a := range slices.Clone(rec.acts) {
-				if a.what == "dispatch" {
+			for _, a := range slices.Clone(rec.actions) {
+				if a.kind == "dispatch" {
 					total++
 					sent[a.to]++
 					perWindow[[2]int64{int64(a.to), (now - 100*second) / s.OverloadWindow}]++
@@ -203,7 +203,7 @@
 // startGateway starts one gateway before the fleet.
 func (f warmingFleet) startGateway(t *testing.T, self int) (*Balancer, *recorder) {
 	t.Helper()
-	s := eightyGateways()
+	s := largeFleetSettings()
 	s.Gateways, s.Self = f.gateways, self
 	endpoints := fleet(f.replicas)
 	for i := range f.warming {
@@ -233,7 +233,7 @@
 	for at := 100.0; ; {
 		at += rnd.ExpFloat64() * interval
 		now := Micros(at * 1e6)
-		for ; lastTick < now; lastTick += tickEvery {
+		for ; lastTick < now; lastTick += tickInterval {
 			b.tick(lastTick)
 			b.lastHeardAt = lastTick // discovery answers
 		}
@@ -245,7 +245,7 @@
 			return
 		}
 		id++
-		rec.acts = nil
+		rec.actions = nil
 		req := testRequest(id)
 		req.PromptTokens = []int{250, 500, 1000, 3000}[rnd.IntN(4)]
 		req.Session, req.Prefix, req.PrefixTokens = rnd.Uint64N(2000)+1, rnd.Uint64N(30)+1, 200
@@ -263,7 +263,7 @@
 // answerPolls reports the load of the replicas that a request polls, and for a hungry fleet has the
 // others look full.
 func (f warmingFleet) answerPolls(b *Balancer, rec *recorder, now Micros) {
-	for _, id := range healthChecked(&recorder{acts: slices.Clone(rec.acts)}) {
+	for _, id := range healthChecked(&recorder{actions: slices.Clone(rec.actions)}) {
 		row := b.rowByID[id]
 		inFlight := 8.0
 		if now < row.warmingUntil {
@@ -380,7 +380,7 @@
 		seeds = 2
 	}
 	for seed := range seeds {
-		most, over, share := f.excess(eightyGateways(), f.play(t, seed), bound)
+		most, over, share := f.excess(largeFleetSettings(), f.play(t, seed), bound)
 		largest, used = math.Max(largest, most), used+share/float64(seeds)
 		broken += int(boolToFloat(over))
 	}
--- a/balancer/snapshot.go
+++ b/balancer/snapshot.go
@@ -58,7 +58,7 @@
 		}
 	}, func(i int, entry *archive) {
 		entry.float(1, &b.stats[i].streamTime)
-		entry.float(2, &b.stats[i].cachedShare)
+		entry.float(2, &b.stats[i].cachedFraction)
 	})
 	a.message(4, b.firstTokenFit.archive)
 	a.message(5, b.archiveTable)
@@ -287,8 +287,8 @@
 	a.float(22, &req.PriorityFactor)
 	integer(a, 23, &req.PriorAttempts)
 	integer(a, 24, &req.AffinityTarget)
-	a.bool(25, &req.offerDrawn)
-	integer(a, 26, &req.offered)
+	a.bool(25, &req.warmingDrawn)
+	integer(a, 26, &req.drawnWarming)
 	a.each(27, len(req.polled), func(n int) { req.polled = make([]ReplicaID, n) }, func(i int, entry *archive) { integer(entry, 1, &req.polled[i]) })
 	if a.saving {
 		return
--- a/balancer/snapshot_test.go
+++ b/balancer/snapshot_test.go
@@ -63,7 +63,7 @@
 	b.TimerFired(now+2*second, timerTick)
 	// A replica that leaves the table while a request remembers it.
 	gone := b.requests[4].attempts[0].row
-	b.ListChanged(now+2*second, EndpointList{Kind: ListDelta, Endpoints: []Endpoint{{Replica: gone.id, State: EndpointGone}}})
+	b.ListChanged(now+2*second, EndpointList{Kind: ListDelta, Endpoints: []Endpoint{{Replica: gone.id, State: EndpointRemoved}}})
 	if b.rowByID[gone.id] != nil && len(gone.ledger) == 0 {
 		t.Fatal("the replica did not leave")
 	}
--- a/balancer/subset_test.go
+++ b/balancer/subset_test.go
@@ -13,7 +13,7 @@
 		since   Micros
 		warming bool
 	}{{500, 50 * second, false}, {500, 104 * second, true}, {0, 50 * second, true}} {
-		b, rec := startBalancer(t, eightyGateways(), fleet(40)...)
+		b, rec := startBalancer(t, largeFleetSettings(), fleet(40)...)
 		b.fleetSize = c.fleet
 		endpoint := Endpoint{Replica: 7, State: EndpointReady, Weight: 1, StartedAt: 50 * second, Zone: "a", Kind: "k"}
 		tell := func(now Micros, state EndpointState, since Micros) {
@@ -24,9 +24,9 @@
 		row := b.rowByID[7]
 		row.warmingUntil = 0
 		row.ledger = append(row.ledger, &attempt{row: row})
-		rec.acts = nil
-		tell(103*second, EndpointGone, 50*second)
-		if b.rowByID[7] != row || row.state != EndpointGone {
+		rec.actions = nil
+		tell(103*second, EndpointRemoved, 50*second)
+		if b.rowByID[7] != row || row.state != EndpointRemoved {
 			t.Fatal("with something out its row stays, and takes nothing")
 		}
 		tell(105*second, EndpointReady, c.since)
@@ -39,7 +39,7 @@
 // Where lists are a subset of the fleet, as many gateways share a replica as have it in theirs, and
 // a request polls fewer replicas the more of its subset the gateway hears of by itself.
 func TestSubsetOfTheFleet(t *testing.T) {
-	s := eightyGateways()
+	s := largeFleetSettings()
 	s.Gateways = 1800
 	b, _ := startBalancer(t, s, fleet(40)...)
 	if n, drawn := b.pollLimit(); n != shortlistSize || !drawn || b.gatewaysPerReplica() != 1800 {
--- a/balancer/zones.go
+++ b/balancer/zones.go
@@ -114,7 +114,7 @@
 func (b *Balancer) recordUnansweredPolls(now Micros, req *request) {
 	for _, row := range b.rows {
 		polled := row.healthCheckedAt == req.arrivedAt || slices.Contains(req.polled, row.id)
-		if polled && row.awaitedSince(req.arrivedAt) {
+		if polled && row.healthCheckPendingSince(req.arrivedAt) {
 			b.recordMiss(now, row)
 		}
 	}
--- a/balancer/zones_test.go
+++ b/balancer/zones_test.go
@@ -34,7 +34,7 @@
 	if n := inZone(101*second, 1); n != 0 {
 		t.Fatalf("%d sent to the zone right after", n)
 	}
-	rec.acts = nil
+	rec.actions = nil
 	b.tick(103 * second)
 	if n := len(rec.take("health check")); b.settings.MayHealthCheck != (n >= 1) {
 		t.Fatalf("%d trials by health checks", n)
--- a/internal/capturetrigger/detector.go
+++ b/internal/capturetrigger/detector.go
@@ -122,7 +122,7 @@
 	}
 	if l.Kind.Complete() {
 		for _, r := range d.replicas {
-			r.state = balancer.EndpointGone
+			r.state = balancer.EndpointRemoved
 		}
 	}
 	for _, e := range l.Endpoints {
@@ -139,7 +139,7 @@
 // forgetGone forgets replicas that are gone: those without samples, and past a bound all.
 func (d *Detector) forgetGone(listed int) {
 	for id, r := range d.replicas {
-		if r.state == balancer.EndpointGone && r.samples == 0 {
+		if r.state == balancer.EndpointRemoved && r.samples == 0 {
 			delete(d.replicas, id)
 		}
 	}
@@ -147,7 +147,7 @@
 		return
 	}
 	for id, r := range d.replicas {
-		if r.state == balancer.EndpointGone {
+		if r.state == balancer.EndpointRemoved {
 			delete(d.replicas, id)
 		}
 	}
--- a/internal/endpoint/registry.go
+++ b/internal/endpoint/registry.go
@@ -70,7 +70,7 @@
 	for _, entry := range list.Endpoints {
 		replica := newReplica(entry, previous[entry.ID], sinceOf)
 		changed[entry.ID] = replica
-		if replica.State() == balancer.EndpointGone {
+		if replica.State() == balancer.EndpointRemoved {
 			delete(next, entry.ID)
 		} else {
 			next[entry.ID] = replica
@@ -89,7 +89,7 @@
 		applied.Kind, changed = balancer.ListFull, next
 	}
 	for name, replica := range changed {
-		if replica.State() == balancer.EndpointGone {
+		if replica.State() == balancer.EndpointRemoved {
 			if previous[name] == nil {
 				continue
 			}
@@ -155,7 +155,7 @@
 	if previous != nil && previous.State() == balancer.EndpointReady {
 		r.readyCount--
 	}
-	if replica.State() == balancer.EndpointGone {
+	if replica.State() == balancer.EndpointRemoved {
 		delete(r.byName, replica.Endpoint.ID)
 		delete(r.byID, replica.ID)
 		return
--- a/internal/endpoint/registry_test.go
+++ b/internal/endpoint/registry_test.go
@@ -87,7 +87,7 @@
 		{balancer.ListDelta, []httpwire.Endpoint{listEntry("a", "draining", 0)},
 			map[balancer.ReplicaID]balancer.EndpointState{a: balancer.EndpointDraining}, nil, 1},
 		{balancer.ListDelta, []httpwire.Endpoint{listEntry("a", "gone", 0), listEntry("never", "gone", 0)},
-			map[balancer.ReplicaID]balancer.EndpointState{a: balancer.EndpointGone}, []string{"a@127.0.0.1:a/0"}, 1},
+			map[balancer.ReplicaID]balancer.EndpointState{a: balancer.EndpointRemoved}, []string{"a@127.0.0.1:a/0"}, 1},
 		{balancer.ListDelta, []httpwire.Endpoint{listEntry("b", "ready", 50)},
 			map[balancer.ReplicaID]balancer.EndpointState{b: balancer.EndpointReady}, nil, 1},
 		{balancer.ListDelta, []httpwire.Endpoint{listEntry("b", "ready", 60)}, // it restarted: its connections are dead
--- a/internal/fleet/model/faults.go
+++ b/internal/fleet/model/faults.go
@@ -125,7 +125,7 @@
 	incarnation := h.incarnation
 	s.engine.After(failureDetectionTime, func(balancer.Micros) {
 		if h.incarnation == incarnation && h.simulator == nil {
-			s.publish(h, balancer.EndpointGone)
+			s.publish(h, balancer.EndpointRemoved)
 		}
 	})
 }
@@ -142,7 +142,7 @@
 	incarnation := h.incarnation
 	s.engine.After(noticedAfter, func(balancer.Micros) {
 		if h.incarnation == incarnation {
-			s.publish(h, balancer.EndpointGone)
+			s.publish(h, balancer.EndpointRemoved)
 		}
 	})
 	s.engine.After(streamIdleTimeout, func(balancer.Micros) {
--- a/internal/gateway/actions.go
+++ b/internal/gateway/actions.go
@@ -116,7 +116,7 @@
 		return shedReasonDeadline
 	case l.endpoints.ReadyCount() == 0:
 		return shedReasonNoReplica
-	case l.balancer.ListDoubtful(l.now):
+	case l.balancer.ListUnconfirmed(l.now):
 		return shedReasonListStale
 	case len(r.Attempts) > 0:
 		return shedReasonAttemptsFailed
--- a/internal/gateway/endpointlog.go
+++ b/internal/gateway/endpointlog.go
@@ -89,7 +89,7 @@
 	switch {
 	case b.ListStale(now):
 		return listStale
-	case b.ListDoubtful(now):
+	case b.ListUnconfirmed(now):
 		return listDoubtful
 	}
 	return listCurrent
--- a/internal/gateway/endpoints.go
+++ b/internal/gateway/endpoints.go
@@ -69,7 +69,7 @@
 	out := in
 	out.Endpoints = make([]httpwire.Endpoint, len(in.Endpoints))
 	for i, entry := range in.Endpoints {
-		if entry.State() == balancer.EndpointGone {
+		if entry.State() == balancer.EndpointRemoved {
 			delete(t.listed, entry.ID)
 		} else {
 			t.listed[entry.ID] = entry
--- a/internal/httpwire/endpointlist.go
+++ b/internal/httpwire/endpointlist.go
@@ -44,7 +44,7 @@
 	case lifecycleReady:
 		return balancer.EndpointReady
 	case lifecycleGone:
-		return balancer.EndpointGone
+		return balancer.EndpointRemoved
 	}
 	return balancer.EndpointDraining
 }
--- a/internal/replay/host_test.go
+++ b/internal/replay/host_test.go
@@ -118,7 +118,7 @@
 		case 0:
 			h.module.ListChanged(h.now, balancer.EndpointList{Kind: balancer.ListDelta, Endpoints: []balancer.Endpoint{testEndpoint(i, balancer.EndpointDraining, 0)}})
 		case 1:
-			h.module.ListChanged(h.now, balancer.EndpointList{Kind: balancer.ListDelta, Endpoints: []balancer.Endpoint{testEndpoint(i, balancer.EndpointGone, 0)}})
+			h.module.ListChanged(h.now, balancer.EndpointList{Kind: balancer.ListDelta, Endpoints: []balancer.Endpoint{testEndpoint(i, balancer.EndpointRemoved, 0)}})
 		case 2:
 			h.module.ListChanged(h.now, balancer.EndpointList{Kind: balancer.ListFailed})
 			h.reconfigure()
--- a/internal/replay/perturbedfleet.go
+++ b/internal/replay/perturbedfleet.go
@@ -203,7 +203,7 @@
 func (f *perturbedFleet) updateReplicas(l *pb.List) {
 	if balancer.ListKind(l.Kind).Complete() {
 		for id := range f.replicas {
-			f.replicas[id] = balancer.EndpointGone
+			f.replicas[id] = balancer.EndpointRemoved
 		}
 	}
 	for _, m := range l.Members {
--- a/internal/simwire/decoder.go
+++ b/internal/simwire/decoder.go
@@ -435,7 +435,7 @@
 	case "leaving":
 		endpoint.State = balancer.EndpointDraining
 	case "left":
-		endpoint.State = balancer.EndpointGone
+		endpoint.State = balancer.EndpointRemoved
 	default:
 		p.fail(1, "state", "active, leaving or left")
 	}
--- a/internal/simwire/decoder_test.go
+++ b/internal/simwire/decoder_test.go
@@ -71,7 +71,7 @@
 		m[1].StartedAt != 6100000 || m[0].StartedAt != 0 || m[1].Zone != "b" {
 		t.Errorf("list %+v (a reused number must not change the list before it)", m)
 	}
-	if m := got[3].Endpoints.Endpoints; len(m) != 1 || m[0].State != balancer.EndpointGone {
+	if m := got[3].Endpoints.Endpoints; len(m) != 1 || m[0].State != balancer.EndpointRemoved {
 		t.Errorf("reused list %+v", m)
 	}
 	if r := got[5].Request; r.ID != 1564119492 || r.PrefixTokens != 1200 || r.PromptTokens != 1800 || r.TimeLeft != 240000 ||
--- a/internal/subset/affinity.go
+++ b/internal/subset/affinity.go
@@ -183,7 +183,7 @@
 		}
 	}
 	withdrawn := s.announced[oldest]
-	withdrawn.State = balancer.EndpointGone
+	withdrawn.State = balancer.EndpointRemoved
 	list.Endpoints = append(list.Endpoints, withdrawn)
 	delete(s.outsideTargets, oldest)
 	delete(s.announced, oldest)
--- a/internal/subset/selector.go
+++ b/internal/subset/selector.go
@@ -100,7 +100,7 @@
 		if list.Kind.Complete() {
 			listed[e.Replica] = true
 		}
-		if e.State == balancer.EndpointGone {
+		if e.State == balancer.EndpointRemoved {
 			s.remove(e.Replica)
 			continue
 		}
@@ -212,7 +212,7 @@
 		}
 		s.stats.Left++
 		if !list.Kind.Complete() {
-			previous.State = balancer.EndpointGone
+			previous.State = balancer.EndpointRemoved
 			out.Endpoints = append(out.Endpoints, previous)
 		}
 	}
@@ -249,7 +249,7 @@
 	}
 	if !list.Kind.Complete() { // a delta must also say what has gone
 		for _, e := range list.Endpoints {
-			if e.State == balancer.EndpointGone {
+			if e.State == balancer.EndpointRemoved {
 				out.Endpoints = append(out.Endpoints, e)
 			}
 		}
--- a/internal/subset/subset_test.go
+++ b/internal/subset/subset_test.go
@@ -63,7 +63,7 @@
 		clear(announced)
 	}
 	for _, e := range list.Endpoints {
-		if e.State == balancer.EndpointGone {
+		if e.State == balancer.EndpointRemoved {
 			delete(announced, e.Replica)
 		} else {
 			announced[e.Replica] = e
@@ -178,7 +178,7 @@
 // If a gateway's own replicas become unavailable, the same list announces others.
 func TestUnavailableReplicasAreReplaced(t *testing.T) {
 	fleet := zonedEndpoints(0, evenCounts(3, 500)...)
-	for _, state := range []balancer.EndpointState{balancer.EndpointDraining, balancer.EndpointGone} {
+	for _, state := range []balancer.EndpointState{balancer.EndpointDraining, balancer.EndpointRemoved} {
 		selector := NewSelector(testSettings(128, 11, "z1"), noPrefixStats{})
 		first := selector.Apply(second, fullList(fleet))
 		announced := map[balancer.ReplicaID]balancer.Endpoint{}
@@ -237,7 +237,7 @@
 		change := balancer.EndpointList{Kind: balancer.ListDelta}
 		for i, e := range fleet {
 			if i >= n {
-				e.State = balancer.EndpointGone
+				e.State = balancer.EndpointRemoved
 			}
 			change.Endpoints = append(change.Endpoints, e)
 		}
@@ -356,13 +356,13 @@
 				case 0:
 					continue // not on this list
 				case 1:
-					e.State = balancer.EndpointGone
+					e.State = balancer.EndpointRemoved
 				case 2:
 					e.State = balancer.EndpointDraining
 				}
 				e.Weight = float64(mix64(seed^uint64(i)) % 4)
 				list.Endpoints = append(list.Endpoints, e)
-				if delete(listed, e.Replica); e.State != balancer.EndpointGone {
+				if delete(listed, e.Replica); e.State != balancer.EndpointRemoved {
 					listed[e.Replica] = e
 				}
 			}
