--- a/example/teams/main.go
+++ b/example/teams/main.go
@@ -171,8 +171,8 @@
 		{Name: "agent", LatencyObjective: 1_000_000, TokenObjective: 300_000, Deadline: args.Deadline.Microseconds(), PriorityWeight: 2, LateWeightShare: 0.3, Streaming: true},
 		{Name: "bulk", LatencyObjective: 1_000_000, TokenObjective: 300_000, Deadline: args.Deadline.Microseconds(), PriorityWeight: 2, LateWeightShare: 0.3, Streaming: true}}
 	o := gateway.Options{Name: "teams", Discovery: f.serveDiscovery(), Seed: args.Seed, CachedList: httpwire.EndpointList{Generation: httpwire.NoGeneration}, MaxInFlight: 4000, MaxClientConns: 4000, OverflowConns: 16, MaxReplicaConns: 2000,
-		MaxBodyBytes: 1 << 20, ConnectTimeout: time.Second, ReplicaConnIdle: 30 * time.Second, ClientConnIdle: 30 * time.Second, StreamIdleTimeout: 5 * time.Second,
-		HealthCheckTimeout: time.Second, PollWithin: 10 * time.Second, WatchWait: 2 * time.Second, DiscoveryTimeout: time.Second,
+		MaxBodyBytes: 1 << 20, ConnectTimeout: time.Second, ReplicaConnIdleTimeout: 30 * time.Second, ClientConnIdleTimeout: 30 * time.Second, StreamIdleTimeout: 5 * time.Second,
+		HealthCheckTimeout: time.Second, MaxPollInterval: 10 * time.Second, WatchWait: 2 * time.Second, DiscoveryTimeout: time.Second,
 		DrainAcceptPeriod: 100 * time.Millisecond,
 		Settings: balancer.Settings{Gateways: 1, Zone: "here", Zones: []string{"here"}, Kinds: []string{"toy"}, Classes: classes, MaxAttempts: 3,
 			OverQuotaWeight: 0.05, MayHealthCheck: true}}
--- a/internal/gateway/actions.go
+++ b/internal/gateway/actions.go
@@ -154,9 +154,9 @@
 // recordReportAge counts the age of the load report that an attempt is based on.
 func (l *eventLoop) recordReportAge(age balancer.Micros) {
 	if age == inflight.ReportUnknown {
-		l.reports.WithoutReport++
+		l.reportAges.WithoutReport++
 		return
 	}
-	l.reports.WithReport++
-	l.reports.Sum += time.Duration(age) * time.Microsecond
+	l.reportAges.WithReport++
+	l.reportAges.Sum += time.Duration(age) * time.Microsecond
 }
--- a/internal/gateway/clientgone_test.go
+++ b/internal/gateway/clientgone_test.go
@@ -139,7 +139,7 @@
 		}
 		c.Close()
 		select {
-		case <-w.closedByPeer:
+		case <-w.closedByGateway:
 		case <-time.After(2 * time.Second):
 			t.Errorf("%s: its connection to the replica stayed open", name)
 		}
@@ -159,7 +159,7 @@
 	if len(r.Actions) != 1 {
 		t.Fatalf("%d actions", len(r.Actions))
 	}
-	clientGone{r}.apply(l)
+	requestCancelled{r}.apply(l)
 	if l.requests.Len() != 0 {
 		t.Error("the request is still in flight")
 	}
@@ -182,7 +182,7 @@
 	if len(r.Actions) > 0 || len(r.Attempts) != 1 {
 		t.Errorf("%d attempts, %d actions for a client that has gone", len(r.Attempts), len(r.Actions))
 	}
-	clientGone{r}.apply(l)
+	requestCancelled{r}.apply(l)
 	if l.requests.Len() != 0 {
 		t.Errorf("%d requests stay in flight", l.requests.Len())
 	}
--- a/internal/gateway/controlstats.go
+++ b/internal/gateway/controlstats.go
@@ -27,7 +27,7 @@
 		ListAge:        time.Duration(l.balancer.ListAge(l.now)) * time.Microsecond,
 		ListStale:      l.balancer.ListStale(l.now),
 		LoopBusy:       l.busy,
-		Reports:        l.reports,
+		Reports:        l.reportAges,
 	}
 }
 
--- a/internal/gateway/events.go
+++ b/internal/gateway/events.go
@@ -54,11 +54,11 @@
 	return nil
 }
 
-// clientGone: a client has closed its connection, or another gateway has taken over its
+// requestCancelled: a client has closed its connection, or another gateway has taken over its
 // request.
-type clientGone struct{ request *inflight.Request }
+type requestCancelled struct{ request *inflight.Request }
 
-func (e clientGone) apply(l *eventLoop) {
+func (e requestCancelled) apply(l *eventLoop) {
 	r := e.request
 	if !r.Finished {
 		r.Finished = true
--- a/internal/gateway/fakes_test.go
+++ b/internal/gateway/fakes_test.go
@@ -33,20 +33,20 @@
 // fakeReplica answers each request as its script says; the script returns false to
 // end the connection.
 type fakeReplica struct {
-	id, addr     string
-	listener     net.Listener
-	mu           sync.Mutex
-	conns        int
-	requests     []*http.Request
-	closedByPeer chan struct{} // a connection that the gateway ended
-	connEnded    chan struct{} // one that the replica ended
-	script       func(c net.Conn, r *http.Request) bool
+	id, addr        string
+	listener        net.Listener
+	mu              sync.Mutex
+	conns           int
+	requests        []*http.Request
+	closedByGateway chan struct{} // a connection that the gateway ended
+	connEnded       chan struct{} // one that the replica ended
+	script          func(c net.Conn, r *http.Request) bool
 }
 
 func newFakeReplica(t *testing.T, id string, script func(net.Conn, *http.Request) bool) *fakeReplica {
 	t.Helper()
 	l := listenOnLoopback(t)
-	w := &fakeReplica{id: id, addr: l.Addr().String(), listener: l, script: script, closedByPeer: make(chan struct{}, 16), connEnded: make(chan struct{}, 64)}
+	w := &fakeReplica{id: id, addr: l.Addr().String(), listener: l, script: script, closedByGateway: make(chan struct{}, 16), connEnded: make(chan struct{}, 64)}
 	go func() {
 		for {
 			c, err := l.Accept()
@@ -71,7 +71,7 @@
 	for {
 		r, err := http.ReadRequest(in)
 		if err != nil {
-			w.closedByPeer <- struct{}{}
+			w.closedByGateway <- struct{}{}
 			return
 		}
 		io.Copy(io.Discard, r.Body)
@@ -244,7 +244,7 @@
 			Tick:    2000, PollDiscovery: true, ReportSource: balancer.ReportInline, MayCancel: true, MayHedge: true, RetryAfter: true, MaxAttempts: 3,
 			MaxRetryAfter: 2e6, InitialCapacity: 0.3, OverloadMultiple: 3, SlowStartFor: 8e6, OverloadWindow: 1.5e6, StreamsPerConn: 1, ConnIdleTimeout: 60e6},
 		MaxInFlight: 50, MaxClientConns: 50, OverflowConns: 5, MaxReplicaConns: 50, MaxBodyBytes: 8 << 20,
-		ConnectTimeout: time.Second, ReplicaConnIdle: 45 * time.Second, ClientConnIdle: time.Minute, StreamIdleTimeout: 4 * time.Second,
+		ConnectTimeout: time.Second, ReplicaConnIdleTimeout: 45 * time.Second, ClientConnIdleTimeout: time.Minute, StreamIdleTimeout: 4 * time.Second,
 		HealthCheckTimeout: time.Second, WatchWait: 8 * time.Second, DiscoveryTimeout: 2 * time.Second,
 		DrainAcceptPeriod: time.Second}
 }
--- a/internal/gateway/gateway.go
+++ b/internal/gateway/gateway.go
@@ -79,11 +79,11 @@
 		listening:      make(chan struct{}),
 		acceptDone:     make(chan struct{}),
 		orderUpdates:   make(chan struct{}, 1),
-		pool:           connpool.NewPool(o.MaxReplicaConns, o.ReplicaConnIdle, o.ConnectTimeout),
+		pool:           connpool.NewPool(o.MaxReplicaConns, o.ReplicaConnIdleTimeout, o.ConnectTimeout),
 	}
 	g.pool.SetReuseDelay(o.ReplicaConnReuseDelay)
 	g.discovery = pooledClient{
-		pool:  connpool.NewPool(maxDiscoveryConns, o.ReplicaConnIdle, o.DiscoveryTimeout),
+		pool:  connpool.NewPool(maxDiscoveryConns, o.ReplicaConnIdleTimeout, o.DiscoveryTimeout),
 		meter: &g.meters[controlstats.PurposeDiscovery],
 	}
 	g.config.Store(&liveConfig{
--- a/internal/gateway/loop.go
+++ b/internal/gateway/loop.go
@@ -37,7 +37,7 @@
 	accounting contractAccounting
 	zones      zoneMonitor
 	list       listMonitor
-	reports    controlstats.ReportAge
+	reportAges controlstats.ReportAge
 
 	pollRequests      chan struct{} // to the goroutine that watches discovery
 	discoveryAnswered bool          // discovery itself has sent a list
--- a/internal/gateway/options.go
+++ b/internal/gateway/options.go
@@ -20,22 +20,22 @@
 	Settings   balancer.Settings
 	CachedList httpwire.EndpointList // the last known endpoint list, possibly outdated
 
-	MaxInFlight           int   // requests in flight at once
-	MaxClientConns        int   // client connections at once
-	OverflowConns         int   // accepted beyond MaxClientConns, to be answered that the gateway is at capacity
-	MaxReplicaConns       int   // connections to replicas at once
-	MaxBodyBytes          int64 // of all requests' bodies in memory
-	MaxListEntries        int   // of an endpoint list; 0: no bound
-	ConnectTimeout        time.Duration
-	ReplicaConnIdle       time.Duration // an idle connection to a replica is closed after that
-	ReplicaConnReuseDelay time.Duration // and carries no request before that
-	ClientConnIdle        time.Duration // an idle client connection is closed after that
-	StreamIdleTimeout     time.Duration // longest time between two events of a stream
-	HealthCheckTimeout    time.Duration
-	PollWithin            time.Duration // discovery counts a change as notified to a gateway that did not poll for so long
-	WatchWait             time.Duration // how long discovery may hold a watch call
-	DiscoveryTimeout      time.Duration // how much longer discovery's answer may take
-	DrainAcceptPeriod     time.Duration // how long the listener stays open after SIGTERM
+	MaxInFlight            int   // requests in flight at once
+	MaxClientConns         int   // client connections at once
+	OverflowConns          int   // accepted beyond MaxClientConns, to be answered that the gateway is at capacity
+	MaxReplicaConns        int   // connections to replicas at once
+	MaxBodyBytes           int64 // of all requests' bodies in memory
+	MaxListEntries         int   // of an endpoint list; 0: no bound
+	ConnectTimeout         time.Duration
+	ReplicaConnIdleTimeout time.Duration // an idle connection to a replica is closed after that
+	ReplicaConnReuseDelay  time.Duration // and carries no request before that
+	ClientConnIdleTimeout  time.Duration // an idle client connection is closed after that
+	StreamIdleTimeout      time.Duration // longest time between two events of a stream
+	HealthCheckTimeout     time.Duration
+	MaxPollInterval        time.Duration // discovery counts a change as notified to a gateway that did not poll for so long
+	WatchWait              time.Duration // how long discovery may hold a watch call
+	DiscoveryTimeout       time.Duration // how much longer discovery's answer may take
+	DrainAcceptPeriod      time.Duration // how long the listener stays open after SIGTERM
 
 	Subset         subset.Settings    // the part of the fleet that the gateway works with
 	Capture        *Capture           // nil: nothing is recorded
--- a/internal/gateway/request.go
+++ b/internal/gateway/request.go
@@ -173,7 +173,7 @@
 	complete := relayStream(w, attempt, h.lease)
 	switch {
 	case ctx.Err() != nil || h.lease.lost():
-		h.gateway.loop.events <- clientGone{h.inFlight}
+		h.gateway.loop.events <- requestCancelled{h.inFlight}
 	case complete:
 		h.result.outcome = outcomeServed
 	default:
@@ -212,7 +212,7 @@
 
 // abandon ends a request whose client has gone or which another gateway has taken over.
 func (h *requestHandler) abandon() {
-	h.gateway.loop.events <- clientGone{h.inFlight}
+	h.gateway.loop.events <- requestCancelled{h.inFlight}
 	if h.lease.lost() {
 		h.result.outcome = outcomeTakenOver
 		panic(http.ErrAbortHandler)
--- a/internal/gateway/server.go
+++ b/internal/gateway/server.go
@@ -25,7 +25,7 @@
 	return &http.Server{
 		Handler:           http.HandlerFunc(g.handle),
 		ReadHeaderTimeout: requestHeadTimeout,
-		IdleTimeout:       g.options.ClientConnIdle,
+		IdleTimeout:       g.options.ClientConnIdleTimeout,
 		MaxHeaderBytes:    maxRequestHeadBytes,
 		ConnState:         g.clients.connState,
 		ConnContext:       g.clients.connContext,
--- a/internal/lifecycle/nodeconfig_test.go
+++ b/internal/lifecycle/nodeconfig_test.go
@@ -52,13 +52,13 @@
 	if o.ReplicaConnReuseDelay < 10*time.Millisecond || o.ReplicaConnReuseDelay > 100*time.Millisecond { // a second response comes some milliseconds late
 		t.Errorf("reuse delay %v", o.ReplicaConnReuseDelay)
 	}
-	if o.ReplicaConnIdle >= 60*time.Second || o.ConnectTimeout != 50*time.Millisecond || o.WatchWait > 10*time.Second {
-		t.Errorf("idle %v, connect %v, watch %v", o.ReplicaConnIdle, o.ConnectTimeout, o.WatchWait)
+	if o.ReplicaConnIdleTimeout >= 60*time.Second || o.ConnectTimeout != 50*time.Millisecond || o.WatchWait > 10*time.Second {
+		t.Errorf("idle %v, connect %v, watch %v", o.ReplicaConnIdleTimeout, o.ConnectTimeout, o.WatchWait)
 	}
 	// Discovery queues calls for two seconds, so a shorter call has no answer; and a call that is longer
 	// than the rules allow between polls counts as notified.
-	if o.DiscoveryTimeout <= 2*time.Second || o.WatchWait+o.DiscoveryTimeout > o.PollWithin {
-		t.Errorf("calls end after %v, watches after %v, polls expected within %v", o.DiscoveryTimeout, o.WatchWait, o.PollWithin)
+	if o.DiscoveryTimeout <= 2*time.Second || o.WatchWait+o.DiscoveryTimeout > o.MaxPollInterval {
+		t.Errorf("calls end after %v, watches after %v, polls expected within %v", o.DiscoveryTimeout, o.WatchWait, o.MaxPollInterval)
 	}
 	if !o.Settings.RetryAfter || !o.Settings.PollDiscovery || o.Settings.MayGossip || len(o.CachedList.Endpoints) != 1 || o.CachedList.Generation != 0 {
 		t.Errorf("%+v", o)
@@ -192,7 +192,7 @@
 		}
 	}
 	server := &server{config: Config{}}
-	server.config.Gateway.PollWithin = 10 * time.Second
+	server.config.Gateway.MaxPollInterval = 10 * time.Second
 	server.config.Gateway.Settings.DrainGrace = 2_500_000
 	server.fileSettings = &config.Config{}
 	if got, trust := server.versionLimits().MaxPollInterval, server.config.Gateway.Settings.ListTrust(); got > trust {
--- a/internal/lifecycle/transportsettings.go
+++ b/internal/lifecycle/transportsettings.go
@@ -75,13 +75,13 @@
 	o.ConnectTimeout = microseconds(s.Limits.ConnectTimeoutUs)
 	// Well below the replicas' own limit: what is written to a connection that they have closed is lost
 	// with it.
-	o.ReplicaConnIdle = microseconds(o.Settings.ConnIdleTimeout) * 3 / 4
+	o.ReplicaConnIdleTimeout = microseconds(o.Settings.ConnIdleTimeout) * 3 / 4
 	o.ReplicaConnReuseDelay = connReuseDelay
-	o.ClientConnIdle = clientConnIdle
+	o.ClientConnIdleTimeout = clientConnIdle
 	o.StreamIdleTimeout = streamIdleTimeout
 	o.HealthCheckTimeout = healthCheckTimeout
-	o.PollWithin = microseconds(s.Rules.PollWithinUs)
-	o.WatchWait, o.DiscoveryTimeout = watchTimeouts(&o.Settings, o.PollWithin)
+	o.MaxPollInterval = microseconds(s.Rules.PollWithinUs)
+	o.WatchWait, o.DiscoveryTimeout = watchTimeouts(&o.Settings, o.MaxPollInterval)
 	o.Settings.WatchInterval = o.WatchWait.Microseconds()
 	o.DrainAcceptPeriod = drainAcceptPeriod
 }
