--- a/internal/gateway/accounting.go
+++ b/internal/gateway/accounting.go
@@ -25,10 +25,10 @@
 // requests pass. The event loop owns it.
 type contractAccounting struct {
 	ledger           *contract.Ledger       // nil: no contracts
-	recorded         capture.ContractLedger // the ledger, or the recorder in front of it
+	recordedLedger   capture.ContractLedger // the ledger, or the recorder in front of it
 	fileContracts    *Contracts             // from the configuration file; nil: none
 	versionContracts []contract.Terms       // from a configuration version, in place of the file's; nil: none
-	shares           quotaShares
+	quotaShares      quotaShares
 	checkpointing    bool            // a checkpoint of balances is being written
 	errorLoggedAt    balancer.Micros // when it was last logged that this failed
 }
@@ -48,13 +48,13 @@
 
 // close ends accounting: there are no contracts any more.
 func (a *contractAccounting) close() {
-	a.ledger, a.recorded, a.shares = nil, nil, quotaShares{}
+	a.ledger, a.recordedLedger, a.quotaShares = nil, nil, quotaShares{}
 	a.checkpointing, a.errorLoggedAt = false, 0
 }
 
 // charge charges an attempt of a request with the usage that is estimated for it.
 func (a *contractAccounting) charge(now balancer.Micros, r *inflight.Request, attempt int, c *contract.Charge) contract.Verdict {
-	return a.recorded.Charge(now, &r.BalancerRequest, attempt, c)
+	return a.recordedLedger.Charge(now, &r.BalancerRequest, attempt, c)
 }
 
 // admit has the team's contract judge a request. An admitted one carries its priority;
@@ -100,7 +100,7 @@
 	}
 	attempt, r := e.attempt, e.attempt.Request
 	usage := attempt.Charge.ActualUsage(e.status, r.BalancerRequest.PromptTokens, e.cachedTokens, e.outputTokens)
-	a.recorded.Settle(now, r.ID, attempt.Index, &attempt.Charge, usage, e.status == balancer.Served)
+	a.recordedLedger.Settle(now, r.ID, attempt.Index, &attempt.Charge, usage, e.status == balancer.Served)
 	a.logBudgetNotices()
 }
 
@@ -115,13 +115,13 @@
 			return
 		}
 	}
-	a.recorded.RecordShed(now, &r.BalancerRequest, r.EstimatedUse, r.OverRate)
+	a.recordedLedger.RecordShed(now, &r.BalancerRequest, r.EstimatedUse, r.OverRate)
 }
 
 // releaseCharge settles a request's charge that no attempt got.
 func (a *contractAccounting) releaseCharge(now balancer.Micros, r *inflight.Request) {
 	if a.ledger != nil {
-		a.recorded.Settle(now, r.ID, 0, &r.Charge, contract.Usage{}, false)
+		a.recordedLedger.Settle(now, r.ID, 0, &r.Charge, contract.Usage{}, false)
 	}
 }
 
@@ -139,7 +139,7 @@
 	if a.ledger == nil {
 		return
 	}
-	a.recorded.CheckpointDone(now, checkpoint, err == nil)
+	a.recordedLedger.CheckpointDone(now, checkpoint, err == nil)
 	if err != nil && now-a.errorLoggedAt >= ledgerErrorInterval {
 		a.errorLoggedAt = now
 		slog.Error("contract_ledger_write_failed", "err", err, "unsaved_tokens", a.ledger.UnstoredUsage()/contract.Token)
@@ -149,7 +149,7 @@
 // updateQuotaShares gives the ledger the gateway's shares of the contracts, once per
 // quotaShareInterval.
 func (a *contractAccounting) updateQuotaShares(now balancer.Micros) {
-	s := &a.shares
+	s := &a.quotaShares
 	if s.splitter == nil || now-s.updatedAt < quotaShareInterval {
 		return
 	}
@@ -168,7 +168,7 @@
 		*last = *current
 	}
 	s.updatedAt, s.own, s.all = now, 0, 0
-	a.recorded.SetQuotaShares(now, s.splitter.Shares(observed))
+	a.recordedLedger.SetQuotaShares(now, s.splitter.Shares(observed))
 }
 
 // quotaShares is what the gateway's shares of the contracts are computed from: its part of
--- a/internal/gateway/capture.go
+++ b/internal/gateway/capture.go
@@ -113,11 +113,11 @@
 	a := &l.accounting
 	switch {
 	case a.ledger == nil:
-		a.recorded = nil
+		a.recordedLedger = nil
 	case l.recording != nil && l.recording.recorder != nil:
-		a.recorded = l.recording.recorder
+		a.recordedLedger = l.recording.recorder
 	default:
-		a.recorded = capture.UnrecordedLedger{Ledger: a.ledger}
+		a.recordedLedger = capture.UnrecordedLedger{Ledger: a.ledger}
 	}
 }
 
--- a/internal/gateway/clientconn_test.go
+++ b/internal/gateway/clientconn_test.go
@@ -169,8 +169,8 @@
 	}
 }
 
-// startGatewayHeld is startGateway on a listener whose connections can be stopped.
-func startGatewayHeld(t *testing.T, tweak func(*Options), replicas ...*fakeReplica) (*testGateway, *syncpoint.Listener) {
+// startGatewayWithSyncpoints is startGateway on a listener whose connections can be stopped.
+func startGatewayWithSyncpoints(t *testing.T, tweak func(*Options), replicas ...*fakeReplica) (*testGateway, *syncpoint.Listener) {
 	t.Helper()
 	l := syncpoint.NewListener(t)
 	return startGatewayOn(t, l, tweak, replicas...), l
--- a/internal/gateway/contracts.go
+++ b/internal/gateway/contracts.go
@@ -52,11 +52,11 @@
 	}
 	// Written before any request is served: a strict ledger needs it, and a disk that cannot
 	// be written shows at once.
-	checkpoint, list := accounting.recorded.Checkpoint(now)
+	checkpoint, list := accounting.recordedLedger.Checkpoint(now)
 	if err := g.options.Ledger.Write(list); err != nil {
 		return err
 	}
-	accounting.recorded.CheckpointDone(now, checkpoint, true)
+	accounting.recordedLedger.CheckpointDone(now, checkpoint, true)
 	return nil
 }
 
@@ -148,10 +148,10 @@
 	}
 	writer := l.gateway.ledgerWriter
 	if writer != nil && a.ledger.CheckpointDue() && !a.checkpointing {
-		checkpoint, balances := a.recorded.Checkpoint(l.now)
+		checkpoint, balances := a.recordedLedger.Checkpoint(l.now)
 		a.checkpointing = writer.Write(checkpoint, balances)
 		if !a.checkpointing {
-			a.recorded.CheckpointDone(l.now, checkpoint, false)
+			a.recordedLedger.CheckpointDone(l.now, checkpoint, false)
 		}
 	}
 	a.updateQuotaShares(l.now)
@@ -184,9 +184,9 @@
 		l.removeContracts()
 		return nil
 	}
-	a.shares.reset(c.Split)
+	a.quotaShares.reset(c.Split)
 	if a.ledger != nil {
-		return a.recorded.ApplyTerms(l.now, c.Settings, c.Teams)
+		return a.recordedLedger.ApplyTerms(l.now, c.Settings, c.Teams)
 	}
 	startedAt := time.Now().UnixMicro()
 	opened, err := contract.NewLedger(c.Settings, c.Teams, l.now, startedAt)
--- a/internal/gateway/discoverypoll.go
+++ b/internal/gateway/discoverypoll.go
@@ -101,7 +101,7 @@
 }
 
 // isExplicitEnd reports whether discovery itself ended a call without a list.
-func isExplicitEnd(err error) bool { return isConnEnd(err) || errors.Is(err, errUnavailable) }
+func isExplicitEnd(err error) bool { return isConnClosed(err) || errors.Is(err, errUnavailable) }
 
 // log writes a line about the poll.
 func (p *discoveryPoll) log(ctx context.Context, level slog.Level, msg string, args ...any) {
--- a/internal/gateway/drain_test.go
+++ b/internal/gateway/drain_test.go
@@ -104,7 +104,7 @@
 	} {
 		t.Run(name, func(t *testing.T) {
 			w := newFakeReplica(t, "s-1", answerCompletely)
-			g, l := startGatewayHeld(t, func(o *Options) { o.DrainAcceptPeriod = 100 * time.Millisecond }, w)
+			g, l := startGatewayWithSyncpoints(t, func(o *Options) { o.DrainAcceptPeriod = 100 * time.Millisecond }, w)
 			c := dial(t, g.addr)
 			c.sendRaw(request("a"))
 			if resp, _ := c.readAnswer(); resp.StatusCode != 200 || resp.Close {
@@ -254,7 +254,7 @@
 func TestDrainAnswersConnectionsInTheAcceptQueue(t *testing.T) {
 	const acceptPeriod = 10 * time.Millisecond
 	w := newFakeReplica(t, "s-1", answerCompletely)
-	g, l := startGatewayHeld(t, func(o *Options) { o.DrainAcceptPeriod = acceptPeriod }, w)
+	g, l := startGatewayWithSyncpoints(t, func(o *Options) { o.DrainAcceptPeriod = acceptPeriod }, w)
 	beforeAccept := syncpoint.NewPoint(t)
 	l.StopBeforeAccept(beforeAccept)
 	dial(t, g.addr) // ends the accept that has begun
@@ -290,7 +290,7 @@
 // the kill, and no longer.
 func TestDrainGivesUpAnAcceptQueueInTime(t *testing.T) {
 	const longestDeadline = 200_000 // microseconds
-	g, l := startGatewayHeld(t, func(o *Options) {
+	g, l := startGatewayWithSyncpoints(t, func(o *Options) {
 		o.DrainAcceptPeriod = 10 * time.Millisecond
 		o.Settings.Classes[0].Deadline = longestDeadline
 	}, newFakeReplica(t, "s-1", answerCompletely))
@@ -313,7 +313,7 @@
 // On a shared listening socket the connections that wait are the other process's: a drain neither
 // waits for them nor has the socket refuse others.
 func TestDrainLeavesASharedAcceptQueue(t *testing.T) {
-	g, l := startGatewayHeld(t, func(o *Options) {
+	g, l := startGatewayWithSyncpoints(t, func(o *Options) {
 		o.DrainAcceptPeriod = 10 * time.Millisecond
 		o.SharedListener = true
 	}, newFakeReplica(t, "s-1", answerCompletely))
--- a/internal/gateway/events.go
+++ b/internal/gateway/events.go
@@ -124,7 +124,7 @@
 	}
 	e.attempt.NeverRan = e.status.NeverRan()
 	l.accounting.settleAttempt(l.now, &e)
-	l.accounting.shares.recordReplicaLoad(e.attempt.Replica, &e.report)
+	l.accounting.quotaShares.recordReplicaLoad(e.attempt.Replica, &e.report)
 	elapsed := l.now - e.attempt.SentAt
 	r.LastStatus = attemptStatusNames[e.status]
 	if e.status != balancer.Served {
@@ -194,6 +194,6 @@
 }
 
 func (e healthCheckEnded) apply(l *eventLoop) {
-	l.accounting.shares.recordReplicaLoad(e.replica, &e.report)
+	l.accounting.quotaShares.recordReplicaLoad(e.replica, &e.report)
 	l.module.HealthCheckEnded(l.now, balancer.Outcome{Replica: e.replica.ID, Status: e.status, Elapsed: e.elapsed, ConnAge: e.connAge, Report: e.report})
 }
--- a/internal/gateway/healthcheck.go
+++ b/internal/gateway/healthcheck.go
@@ -41,7 +41,7 @@
 
 // read takes over a replica's answer. A report in the header goes before one in the body.
 func (e *healthCheckEnded) read(status int, header http.Header, body io.Reader) error {
-	text, err := io.ReadAll(io.LimitReader(body, maxShortBody))
+	text, err := io.ReadAll(io.LimitReader(body, maxControlBodyBytes))
 	if err != nil {
 		return err
 	}
--- a/internal/gateway/pooledclient.go
+++ b/internal/gateway/pooledclient.go
@@ -14,9 +14,9 @@
 	"archknot/internal/httpwire"
 )
 
-// maxShortBody bounds the answer to a health check, and what is read of an unused
+// maxControlBodyBytes bounds the answer to a health check, and what is read of an unused
 // remainder of an answer so that its connection can be reused.
-const maxShortBody = 64 << 10
+const maxControlBodyBytes = 64 << 10
 
 var (
 	// errNotConnected marks a call that never reached the other side.
@@ -85,20 +85,20 @@
 
 // markClosed adds errConnClosed to an error that shows the end of a new connection.
 func markClosed(conn *connpool.Conn, err error) error {
-	if isConnEnd(err) && !conn.Reused {
+	if isConnClosed(err) && !conn.Reused {
 		return fmt.Errorf("%w: %w", errConnClosed, err)
 	}
 	return err
 }
 
-// isConnEnd reports whether an error says that the other side closed or reset the connection.
-func isConnEnd(err error) bool {
+// isConnClosed reports whether an error says that the other side closed or reset the connection.
+func isConnClosed(err error) bool {
 	return errors.Is(err, io.EOF) || errors.Is(err, syscall.ECONNRESET) || errors.Is(err, syscall.EPIPE)
 }
 
 // drainBody reads the remainder of a body, and reports whether its end was reached.
 func drainBody(body io.Reader) bool {
-	limited := io.LimitedReader{R: body, N: maxShortBody}
+	limited := io.LimitedReader{R: body, N: maxControlBodyBytes}
 	_, err := io.Copy(io.Discard, &limited)
 	return err == nil && limited.N > 0
 }
--- a/internal/gateway/request.go
+++ b/internal/gateway/request.go
@@ -15,7 +15,7 @@
 	gateway     *Gateway
 	conn        *clientConn
 	config      *liveConfig // one version throughout the request
-	sentAt      balancer.Micros
+	arrivedAt   balancer.Micros
 	request     httpwire.ClientRequest
 	hasDeadline bool // the client set its own deadline
 	body        []byte
@@ -28,7 +28,7 @@
 func (g *Gateway) serve(w http.ResponseWriter, r *http.Request) {
 	conn := g.clients.connOf(r.Context())
 	config := g.config.Load()
-	h := requestHandler{gateway: g, conn: conn, config: config, sentAt: conn.requestSentAt()}
+	h := requestHandler{gateway: g, conn: conn, config: config, arrivedAt: conn.requestSentAt()}
 	if rejected := h.parseHead(r); rejected != nil {
 		g.reject(w, rejected)
 		return
@@ -124,7 +124,7 @@
 // enterFlight creates the record that the event loop and the attempts share.
 func (h *requestHandler) enterFlight(ctx context.Context, cancel context.CancelFunc) {
 	maxAttempts := max(protocolMaxAttempts, h.gateway.options.Settings.MaxAttempts)
-	h.inFlight = inflight.NewRequest(ctx, h.request.ID, h.request.Request, h.sentAt+h.request.Timeout, maxAttempts)
+	h.inFlight = inflight.NewRequest(ctx, h.request.ID, h.request.Request, h.arrivedAt+h.request.Timeout, maxAttempts)
 	h.inFlight.ClientClosed = h.conn.peerGone
 	h.inFlight.Cancel = cancel
 	h.result.outcome = outcomeClientGone
@@ -136,7 +136,7 @@
 	if g.options.RequestEnded != nil {
 		g.options.RequestEnded(h.config.missedObjective(&h.request, h.result.outcome, h.result.firstToken))
 	}
-	h.result.log(ctx, &h.request, g.clock.now()-h.sentAt)
+	h.result.log(ctx, &h.request, g.clock.now()-h.arrivedAt)
 }
 
 // carryOutActions carries out the event loop's actions until the request is answered or its
@@ -169,7 +169,7 @@
 func (h *requestHandler) stream(ctx context.Context, w http.ResponseWriter, attempt *inflight.Attempt) {
 	h.body = nil // nothing more is sent for the request, and its stream may last for long
 	h.result.replica = attempt.Replica.Endpoint.ID
-	h.result.firstToken = h.gateway.clock.now() - h.sentAt
+	h.result.firstToken = h.gateway.clock.now() - h.arrivedAt
 	complete := relayStream(w, attempt, h.lease)
 	switch {
 	case ctx.Err() != nil || h.lease.lost():
--- a/internal/gateway/takeover.go
+++ b/internal/gateway/takeover.go
@@ -71,7 +71,7 @@
 // acquireNewLease leases a request that no gateway has.
 func (h *requestHandler) acquireNewLease(lease *requestLease) *rejection {
 	g := h.gateway
-	timeLeft := time.Duration(h.sentAt+h.request.Timeout-g.clock.now()) * time.Microsecond
+	timeLeft := time.Duration(h.arrivedAt+h.request.Timeout-g.clock.now()) * time.Microsecond
 	terms := g.takeoverTerms(h.request.Request.Class, h.config)
 	lease.lease = g.options.Peers.Acquire(h.request.ID, terms, max(0, timeLeft), lease.cancel)
 	if lease.lease == nil {
@@ -84,7 +84,7 @@
 // have used up.
 func (h *requestHandler) claimLease(ctx context.Context, lease *requestLease, resume httpwire.ResumeRequest) *rejection {
 	g := h.gateway
-	ctx, stop := context.WithDeadline(ctx, g.clock.timeAt(h.sentAt+h.request.Timeout))
+	ctx, stop := context.WithDeadline(ctx, g.clock.timeAt(h.arrivedAt+h.request.Timeout))
 	defer stop()
 	claimed, grant, err := g.options.Peers.Claim(ctx, resume.ID, resume.Sequence, lease.cancel)
 	slog.Info("takeover", "id", h.request.ID, "of", resume.ID, "claim", resume.Sequence,
@@ -96,7 +96,7 @@
 	lease.lease, lease.resume, lease.checksum = claimed, resume, crc32.NewIEEE()
 	h.request.Request.PriorAttempts = grant.AttemptsMade
 	if resume.ReceivedBytes == 0 { // no first token yet: the first attempt's deadline still runs
-		h.request.Timeout = min(h.request.Timeout, g.clock.now()-h.sentAt+grant.TimeLeft.Microseconds())
+		h.request.Timeout = min(h.request.Timeout, g.clock.now()-h.arrivedAt+grant.TimeLeft.Microseconds())
 	}
 	return nil
 }
