--- a/internal/gateway/takeover.go
+++ b/internal/gateway/takeover.go
@@ -103,7 +103,7 @@
 
 // rejectClaim returns the answer to a claim that failed.
 func rejectClaim(err error) *rejection {
-	var refused peers.RefusalError
+	var refused peers.ClaimRejectedError
 	if errors.As(err, &refused) {
 		switch refused.Reason {
 		case takeover.ReasonAlreadyClaimed:
--- a/internal/peers/claim.go
+++ b/internal/peers/claim.go
@@ -17,11 +17,11 @@
 	TimeLeft     time.Duration // until the deadline of the client's first request
 }
 
-// RefusalError is the error of a claim that was rejected.
-type RefusalError struct{ Reason takeover.Reason }
+// ClaimRejectedError is the error of a claim that was rejected.
+type ClaimRejectedError struct{ Reason takeover.Reason }
 
 // Error implements the error interface.
-func (e RefusalError) Error() string { return e.Reason.String() }
+func (e ClaimRejectedError) Error() string { return e.Reason.String() }
 
 // pendingClaim is a claim whose result is awaited.
 type pendingClaim struct {
@@ -36,12 +36,12 @@
 func (s *Service) Claim(ctx context.Context, id string, resumeSeq uint32, cancel func()) (*Lease, Grant, error) {
 	claim := s.startClaim(id, resumeSeq, cancel)
 	if claim == nil {
-		return nil, Grant{}, RefusalError{takeover.ReasonAlreadyClaimed}
+		return nil, Grant{}, ClaimRejectedError{takeover.ReasonAlreadyClaimed}
 	}
 	select {
 	case o := <-claim.result:
 		if !o.OK {
-			return nil, Grant{}, RefusalError{o.Reason}
+			return nil, Grant{}, ClaimRejectedError{o.Reason}
 		}
 		return claim.lease, Grant{AttemptsMade: o.AttemptsMade, TimeLeft: time.Duration(o.TimeLeft) * time.Microsecond}, nil
 	case <-ctx.Done():
--- a/internal/peers/peers_test.go
+++ b/internal/peers/peers_test.go
@@ -109,7 +109,7 @@
 	if err != nil || grant.AttemptsMade != 2 || grant.TimeLeft <= 0 || !second.Valid(ctx) {
 		t.Fatalf("%v, %+v", err, grant)
 	}
-	var refusal RefusalError
+	var refusal ClaimRejectedError
 	if _, _, err := all[2].Claim(ctx, "r1", 1, func() {}); !errors.As(err, &refusal) {
 		t.Errorf("a second claim: %v", err)
 	}
