--- a/internal/membership/gossip.go
+++ b/internal/membership/gossip.go
@@ -90,15 +90,15 @@
 }
 
 // ConfirmAlive reports that a probe found the process running in the expected incarnation.
-func (t *Table) ConfirmAlive(now Micros, who takeover.Member) {
-	if m := t.members[who.Name]; m != nil && m.Incarnation == who.Incarnation && m.State < Left {
+func (t *Table) ConfirmAlive(now Micros, member takeover.Member) {
+	if m := t.members[member.Name]; m != nil && m.Incarnation == member.Incarnation && m.State < Left {
 		t.markResponsive(now, m)
 	}
 }
 
 // ConfirmDead reports that a process is proven to have ended.
-func (t *Table) ConfirmDead(now Micros, who takeover.Member) {
-	if m := t.members[who.Name]; m != nil && m.Incarnation <= who.Incarnation && m.State != Dead {
+func (t *Table) ConfirmDead(now Micros, member takeover.Member) {
+	if m := t.members[member.Name]; m != nil && m.Incarnation <= member.Incarnation && m.State != Dead {
 		t.setState(now, m, Dead)
 	}
 }
@@ -127,8 +127,8 @@
 // refute answers an update that says this gateway is not alive. The refutation goes out with
 // the next message.
 func (t *Table) refute(update MemberInfo) {
-	wrong := update.Incarnation == t.self.Incarnation && update.State > Alive && update.State != t.self.State
-	if wrong && update.Refutations >= t.self.Refutations {
+	contradictsSelf := update.Incarnation == t.self.Incarnation && update.State > Alive && update.State != t.self.State
+	if contradictsSelf && update.Refutations >= t.self.Refutations {
 		t.self.Refutations = update.Refutations + 1
 	}
 }
--- a/internal/membership/table.go
+++ b/internal/membership/table.go
@@ -12,8 +12,8 @@
 	// maxSeedsAtOnce is how many seeds are asked at once while no member is known.
 	maxSeedsAtOnce = 8
 
-	// unansweredTimeouts is how many ack timeouts a member has to answer a ping or its probe.
-	unansweredTimeouts Micros = 3
+	// suspectAfterAckTimeouts is how many ack timeouts a member has to answer a ping or its probe.
+	suspectAfterAckTimeouts Micros = 3
 )
 
 // Settings are the parameters of a Table.
@@ -132,15 +132,15 @@
 // for some of them may be gone.
 func (t *Table) join(now Micros) {
 	selected := t.randomIntN(len(t.seeds))
-	alone := len(t.members) == 0
+	noMembers := len(t.members) == 0
 	for i, seed := range t.seeds {
-		if seed != t.self.Addr && (i == selected || alone && i < maxSeedsAtOnce) {
+		if seed != t.self.Addr && (i == selected || noMembers && i < maxSeedsAtOnce) {
 			t.send(seed, MsgJoin, 0)
 		}
 	}
 	t.joinRounds++
 	backoff := min(Micros(t.joinRounds), maxJoinBackoff)
-	if alone {
+	if noMembers {
 		backoff = 1
 	}
 	t.nextJoinAt = now + joinInterval*backoff
@@ -168,7 +168,7 @@
 		m.probing = true
 		info := m.MemberInfo
 		t.outputs = append(t.outputs, Output{Probe: &info})
-	case unansweredFor >= unansweredTimeouts*t.settings.AckTimeout:
+	case unansweredFor >= suspectAfterAckTimeouts*t.settings.AckTimeout:
 		m.pingedAt = 0
 		m.probing = false
 		if m.State == Alive {
--- a/internal/peers/codec.go
+++ b/internal/peers/codec.go
@@ -62,11 +62,11 @@
 		}
 		d.gossip.Updates = append(d.gossip.Updates, memberInfoFromProto(update))
 	}
-	for _, word := range encoded.Words {
-		if !validMessage(word) {
+	for _, message := range encoded.Words {
+		if !validMessage(message) {
 			return datagram{}, errInvalidDatagram
 		}
-		d.messages = append(d.messages, messageFromProto(word))
+		d.messages = append(d.messages, messageFromProto(message))
 	}
 	return d, nil
 }
@@ -80,14 +80,14 @@
 		info.State <= uint32(membership.Dead)
 }
 
-func validMessage(word *peerpb.Word) bool {
-	return word.Id != "" &&
-		len(word.Id) <= maxIDLength &&
-		len(word.Keepers) <= maxBackups &&
-		len(word.Dead) <= maxBackups &&
-		word.Chain >= 0 && word.Chain <= maxBackups &&
-		word.LeftUs >= 0 &&
-		word.Reason <= uint32(takeover.ReasonSuperseded)
+func validMessage(m *peerpb.Word) bool {
+	return m.Id != "" &&
+		len(m.Id) <= maxIDLength &&
+		len(m.Keepers) <= maxBackups &&
+		len(m.Dead) <= maxBackups &&
+		m.Chain >= 0 && m.Chain <= maxBackups &&
+		m.LeftUs >= 0 &&
+		m.Reason <= uint32(takeover.ReasonSuperseded)
 }
 
 func memberToProto(m takeover.Member) *peerpb.Member {
@@ -156,25 +156,25 @@
 	}
 }
 
-func messageFromProto(word *peerpb.Word) takeover.Message {
+func messageFromProto(m *peerpb.Word) takeover.Message {
 	return takeover.Message{
-		Kind:          takeover.MessageKind(word.Kind),
-		ToIncarnation: word.To,
-		RequestID:     word.Id,
-		QueryID:       word.Op,
-		Holder:        memberFromProto(word.Holder),
-		Epoch:         word.Epoch,
-		ResumeSeq:     word.Ask,
-		NextResumeSeq: word.Next,
-		Policy:        takeover.RetryPolicy{Idempotent: word.Repeat, Hedgeable: word.Beside},
-		TimeLeft:      word.LeftUs,
-		Backups:       membersFromProto(word.Keepers),
-		Chain:         int(word.Chain),
-		PermitGranted: word.Given,
-		Initial:       word.Fresh,
-		OK:            word.Ok,
-		MayHaveRun:    word.Ran,
-		Reason:        takeover.Reason(word.Reason),
-		ProvenDead:    membersFromProto(word.Dead),
+		Kind:          takeover.MessageKind(m.Kind),
+		ToIncarnation: m.To,
+		RequestID:     m.Id,
+		QueryID:       m.Op,
+		Holder:        memberFromProto(m.Holder),
+		Epoch:         m.Epoch,
+		ResumeSeq:     m.Ask,
+		NextResumeSeq: m.Next,
+		Policy:        takeover.RetryPolicy{Idempotent: m.Repeat, Hedgeable: m.Beside},
+		TimeLeft:      m.LeftUs,
+		Backups:       membersFromProto(m.Keepers),
+		Chain:         int(m.Chain),
+		PermitGranted: m.Given,
+		Initial:       m.Fresh,
+		OK:            m.Ok,
+		MayHaveRun:    m.Ran,
+		Reason:        takeover.Reason(m.Reason),
+		ProvenDead:    membersFromProto(m.Dead),
 	}
 }
--- a/internal/peers/lease.go
+++ b/internal/peers/lease.go
@@ -94,7 +94,7 @@
 	case o := <-l.replies:
 		return o.OK
 	case <-ctx.Done():
-		l.giveUpQuery()
+		l.abandonQuery()
 		return false
 	}
 }
@@ -108,9 +108,9 @@
 	l.service.runOutputs(now)
 }
 
-// giveUpQuery ends the wait for a result. One that has come meanwhile is delivered again, to
+// abandonQuery ends the wait for a result. One that has come meanwhile is delivered again, to
 // nobody.
-func (l *Lease) giveUpQuery() {
+func (l *Lease) abandonQuery() {
 	l.service.mu.Lock()
 	defer l.service.mu.Unlock()
 	l.awaited = 0
--- a/internal/peers/lease_test.go
+++ b/internal/peers/lease_test.go
@@ -11,15 +11,15 @@
 // answerDelay is more than a query needs to begin.
 const answerDelay = 50 * time.Millisecond
 
-// leaseRig is a lease with one backup, whose answers the test gives.
-type leaseRig struct {
+// leaseFixture is a lease with one backup, whose answers the test gives.
+type leaseFixture struct {
 	*testing.T
 	service *Service
 	lease   *Lease
 	backup  takeover.Member
 }
 
-func newLeaseRig(t *testing.T) *leaseRig {
+func newLeaseFixture(t *testing.T) *leaseFixture {
 	t.Helper()
 	service, err := Start(Options{Name: "g1", ListenAddr: "127.0.0.1:0", Backups: 1, Permits: 2, ReplyTimeout: 10 * time.Second, RecordTTL: time.Minute,
 		FreezeThreshold: time.Hour, MaxRecords: 10, MaxRecordsPerHolder: 10, RandomSeed: 1})
@@ -27,17 +27,17 @@
 		t.Fatal(err)
 	}
 	t.Cleanup(service.Close)
-	rig := &leaseRig{T: t, service: service, backup: takeover.Member{Name: "g2", Incarnation: 7}}
+	fixture := &leaseFixture{T: t, service: service, backup: takeover.Member{Name: "g2", Incarnation: 7}}
 	service.mu.Lock()
 	service.syncMembers(service.now())
-	service.backupCandidates = []takeover.Member{rig.backup}
+	service.backupCandidates = []takeover.Member{fixture.backup}
 	service.mu.Unlock()
-	rig.lease = service.Acquire("r1", takeover.RetryPolicy{Idempotent: true}, time.Minute, func() {})
-	return rig
+	fixture.lease = service.Acquire("r1", takeover.RetryPolicy{Idempotent: true}, time.Minute, func() {})
+	return fixture
 }
 
 // answer gives the backup's answer to a query; queries are numbered from 1.
-func (r *leaseRig) answer(kind takeover.MessageKind, query uint32, ok bool) {
+func (r *leaseFixture) answer(kind takeover.MessageKind, query uint32, ok bool) {
 	r.service.mu.Lock()
 	defer r.service.mu.Unlock()
 	now := r.service.now()
@@ -45,8 +45,8 @@
 	r.service.runOutputs(now)
 }
 
-// giveUp makes a query whose caller leaves before it is answered.
-func (r *leaseRig) giveUp(query func(context.Context) bool) {
+// abandon makes a query whose caller leaves before it is answered.
+func (r *leaseFixture) abandon(query func(context.Context) bool) {
 	r.Helper()
 	ctx, cancel := context.WithTimeout(r.Context(), time.Millisecond)
 	defer cancel()
@@ -56,14 +56,14 @@
 }
 
 // begin makes a query and returns where its result will be.
-func (r *leaseRig) begin(query func(context.Context) bool) <-chan bool {
+func (r *leaseFixture) begin(query func(context.Context) bool) <-chan bool {
 	result := make(chan bool, 1)
 	go func() { result <- query(r.Context()) }()
 	time.Sleep(answerDelay)
 	return result
 }
 
-func (r *leaseRig) expect(result <-chan bool, want bool) {
+func (r *leaseFixture) expect(result <-chan bool, want bool) {
 	r.Helper()
 	select {
 	case got := <-result:
@@ -75,7 +75,7 @@
 	}
 }
 
-func (r *leaseRig) expectPending(result <-chan bool) {
+func (r *leaseFixture) expectPending(result <-chan bool) {
 	r.Helper()
 	select {
 	case got := <-result:
@@ -86,8 +86,8 @@
 
 // Guards against: the late reply to a permit query counts as a valid lease, and two gateways run one request.
 func TestLatePermitIsNoValidLease(t *testing.T) {
-	r := newLeaseRig(t)
-	r.giveUp(r.lease.AcquirePermit)
+	r := newLeaseFixture(t)
+	r.abandon(r.lease.AcquirePermit)
 	r.service.freezes.Add(1)
 	valid := r.begin(r.lease.Valid)
 	r.answer(takeover.MsgPermitReply, 1, true)
@@ -98,9 +98,9 @@
 
 // Guards against: the late reply to a lease check counts as a permit, and one attempt more than granted is made.
 func TestLateLeaseCheckIsNoPermit(t *testing.T) {
-	r := newLeaseRig(t)
+	r := newLeaseFixture(t)
 	r.service.freezes.Add(1)
-	r.giveUp(r.lease.Valid)
+	r.abandon(r.lease.Valid)
 	permit := r.begin(r.lease.AcquirePermit)
 	r.answer(takeover.MsgLeaseCheckReply, 1, true)
 	r.expectPending(permit)
@@ -110,9 +110,9 @@
 
 // Guards against: a reply to a lease check from before a second freeze counts for the time after it.
 func TestLeaseIsCheckedAnewAfterAnotherFreeze(t *testing.T) {
-	r := newLeaseRig(t)
+	r := newLeaseFixture(t)
 	r.service.freezes.Add(1)
-	r.giveUp(r.lease.Valid)
+	r.abandon(r.lease.Valid)
 	r.service.freezes.Add(1)
 	valid := r.begin(r.lease.Valid)
 	r.answer(takeover.MsgLeaseCheckReply, 1, true)
@@ -124,21 +124,21 @@
 // Guards against: a permit that is granted after its attempt has ended is lost, and the request is not retried.
 func TestPermitOfAnEndedAttemptIsKept(t *testing.T) {
 	t.Run("granted before the next attempt", func(t *testing.T) {
-		r := newLeaseRig(t)
-		r.giveUp(r.lease.AcquirePermit)
+		r := newLeaseFixture(t)
+		r.abandon(r.lease.AcquirePermit)
 		r.answer(takeover.MsgPermitReply, 1, true)
 		r.expect(r.begin(r.lease.AcquirePermit), true)
 	})
 	t.Run("granted while the next attempt waits", func(t *testing.T) {
-		r := newLeaseRig(t)
-		r.giveUp(r.lease.AcquirePermit)
+		r := newLeaseFixture(t)
+		r.abandon(r.lease.AcquirePermit)
 		permit := r.begin(r.lease.AcquirePermit)
 		r.answer(takeover.MsgPermitReply, 1, true)
 		r.expect(permit, true)
 	})
 	t.Run("used once", func(t *testing.T) {
-		r := newLeaseRig(t)
-		r.giveUp(r.lease.AcquirePermit)
+		r := newLeaseFixture(t)
+		r.abandon(r.lease.AcquirePermit)
 		r.answer(takeover.MsgPermitReply, 1, true)
 		r.expect(r.begin(r.lease.AcquirePermit), true)
 		select {
--- a/internal/peers/probe.go
+++ b/internal/peers/probe.go
@@ -52,30 +52,30 @@
 // probeMember dials a member's port in a goroutine of its own. A refused connection, or the
 // answer of a later incarnation, proves that the process has ended. No answer proves nothing. The
 // caller holds the lock.
-func (s *Service) probeMember(who takeover.Member, addr string) {
-	if s.probing[who.Name] || len(s.probing) >= maxConcurrentProbes {
+func (s *Service) probeMember(member takeover.Member, addr string) {
+	if s.probing[member.Name] || len(s.probing) >= maxConcurrentProbes {
 		return
 	}
-	s.probing[who.Name] = true
+	s.probing[member.Name] = true
 	go func() {
-		incarnation, err := dialIncarnation(addr, s.self.Name, who.Name, s.options.ReplyTimeout)
-		s.finishProbe(who, incarnation, err)
+		incarnation, err := dialIncarnation(addr, s.self.Name, member.Name, s.options.ReplyTimeout)
+		s.finishProbe(member, incarnation, err)
 	}()
 }
 
 // finishProbe reports the result of a probe.
-func (s *Service) finishProbe(who takeover.Member, incarnation uint64, err error) {
+func (s *Service) finishProbe(member takeover.Member, incarnation uint64, err error) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	delete(s.probing, who.Name)
+	delete(s.probing, member.Name)
 	now := s.now()
 	switch {
-	case errors.Is(err, syscall.ECONNREFUSED) || err == nil && incarnation > who.Incarnation:
-		slog.Info("peer_dead", "peer", who.Name, "incarnation", who.Incarnation, "answered_by", incarnation)
-		s.table.ConfirmDead(now, who)
-		s.node.ConfirmDead(now, who)
-	case err == nil && incarnation == who.Incarnation:
-		s.table.ConfirmAlive(now, who)
+	case errors.Is(err, syscall.ECONNREFUSED) || err == nil && incarnation > member.Incarnation:
+		slog.Info("peer_dead", "peer", member.Name, "incarnation", member.Incarnation, "answered_by", incarnation)
+		s.table.ConfirmDead(now, member)
+		s.node.ConfirmDead(now, member)
+	case err == nil && incarnation == member.Incarnation:
+		s.table.ConfirmAlive(now, member)
 	}
 	s.runOutputs(now)
 }
--- a/internal/peers/stored_test.go
+++ b/internal/peers/stored_test.go
@@ -68,9 +68,9 @@
 	if membership.Alive != 0 || membership.Suspect != 1 || membership.Unreachable != 2 || membership.Left != 3 || membership.Dead != 4 {
 		t.Error("the states of a member have other numbers")
 	}
-	for number, word := range []string{"none", "unknown", "taken", "spent", "no_proof", "may_have_run", "superseded"} {
-		if got := takeover.Reason(number).String(); got != word {
-			t.Errorf("reason %d is %q, expected %q", number, got, word)
+	for number, name := range []string{"none", "unknown", "taken", "spent", "no_proof", "may_have_run", "superseded"} {
+		if got := takeover.Reason(number).String(); got != name {
+			t.Errorf("reason %d is %q, expected %q", number, got, name)
 		}
 	}
 }
--- a/internal/subset/affinity.go
+++ b/internal/subset/affinity.go
@@ -16,8 +16,8 @@
 	// the factor over the number that its share of the traffic needs: see docs/measurements/scale.md.
 	minPrefixTargets     = 8
 	prefixTargetHeadroom = 6.0
-	// minScore keeps the logarithm in the rendezvous score finite.
-	minScore = 1e-18
+	// scoreEpsilon keeps the logarithm in the rendezvous score finite.
+	scoreEpsilon = 1e-18
 	// affinityPoolSeed separates the order of affinity pools from other uses of a replica's hash.
 	affinityPoolSeed = 0x706f6f6c // "pool"
 )
@@ -105,18 +105,18 @@
 	if request.Prefix != 0 {
 		maxDistance = float64(targetCount) / float64(len(candidates))
 	}
-	return s.rankFirst(now, candidates, prefixHash, rankHash, maxDistance)
+	return s.bestTarget(now, candidates, prefixHash, rankHash, maxDistance)
 }
 
 // prefixTargetCount returns how many of the zone's replicas serve a prefix.
 func (s *Selector) prefixTargetCount(prefix uint64, zoneSize int) int {
-	share := s.prefixStats.PrefixShare(prefix)
-	return max(minPrefixTargets, int(math.Ceil(prefixTargetHeadroom*share*float64(zoneSize))))
+	trafficFraction := s.prefixStats.PrefixShare(prefix)
+	return max(minPrefixTargets, int(math.Ceil(prefixTargetHeadroom*trafficFraction*float64(zoneSize))))
 }
 
-// rankFirst returns the candidate with the best rendezvous score of those whose hash distance to the
+// bestTarget returns the candidate with the best rendezvous score of those whose hash distance to the
 // prefix is less than maxDistance, or else the nearest one. Replicas that are warming up do not count.
-func (s *Selector) rankFirst(now balancer.Micros, candidates []*replica, prefixHash, rankHash uint64, maxDistance float64) *replica {
+func (s *Selector) bestTarget(now balancer.Micros, candidates []*replica, prefixHash, rankHash uint64, maxDistance float64) *replica {
 	var best, nearest *replica
 	bestScore, nearestDistance := math.Inf(1), math.Inf(1)
 	for _, r := range candidates {
@@ -130,7 +130,7 @@
 		if distance >= maxDistance {
 			continue
 		}
-		score := -math.Log(unitInterval(mix64(rankHash^r.hash))+minScore) / r.size(s.settings.WeightIsSize)
+		score := -math.Log(unitInterval(mix64(rankHash^r.hash))+scoreEpsilon) / r.size(s.settings.WeightIsSize)
 		if score < bestScore {
 			best, bestScore = r, score
 		}
@@ -143,7 +143,7 @@
 func affinityZone(zones *zoneTable, key uint64) string {
 	remaining := unitInterval(key)
 	for _, z := range zones.sorted {
-		if remaining -= z.affinityShare; remaining < 0 {
+		if remaining -= z.affinityFraction; remaining < 0 {
 			return z.name
 		}
 	}
--- a/internal/subset/selector.go
+++ b/internal/subset/selector.go
@@ -11,7 +11,7 @@
 // PrefixStats is what a Selector needs to know from the balancer.
 type PrefixStats interface {
 	// PrefixShare returns a prefix's share of the requests seen so far.
-	PrefixShare(prefix uint64) (share float64)
+	PrefixShare(prefix uint64) (fraction float64)
 }
 
 // startedLongAgo is the start of a replica that was up before this gateway was. It is not 0, which the
@@ -22,19 +22,19 @@
 // passes on the gateway's subset of it, and in addition the affinity targets of current requests that are
 // outside the subset. It reads no clock and must not be used by several goroutines at once.
 type Selector struct {
-	settings       Settings
-	prefixStats    PrefixStats
-	fleet          map[balancer.ReplicaID]*replica
-	sorted         []*replica // the fleet by ID
-	fleetChanged   bool       // replicas have joined or left the fleet since sorted was made
-	zones          *zoneTable
-	affinityPools  map[string]*affinityPool // by zone, made on demand; nil: no replica of the zone is ready
-	subsetting     bool                     // the balancer knows a subset and not the complete list
-	discoveryHeard bool                     // a list has come from discovery itself
-	announced      map[balancer.ReplicaID]balancer.Endpoint
-	outsideTargets map[balancer.ReplicaID]uint64 // announced affinity targets outside the subset, with useCounter at their last use
-	useCounter     uint64
-	stats          Stats
+	settings          Settings
+	prefixStats       PrefixStats
+	fleet             map[balancer.ReplicaID]*replica
+	sorted            []*replica // the fleet by ID
+	fleetChanged      bool       // replicas have joined or left the fleet since sorted was made
+	zones             *zoneTable
+	affinityPools     map[string]*affinityPool // by zone, made on demand; nil: no replica of the zone is ready
+	subsetting        bool                     // the balancer knows a subset and not the complete list
+	discoveryListSeen bool                     // a list has come from discovery itself
+	announced         map[balancer.ReplicaID]balancer.Endpoint
+	outsideTargets    map[balancer.ReplicaID]uint64 // announced affinity targets outside the subset, with useCounter at their last use
+	useCounter        uint64
+	stats             Stats
 }
 
 // Stats describe a Selector for operators.
@@ -113,7 +113,7 @@
 			}
 		}
 	}
-	s.discoveryHeard = s.discoveryHeard || list.Kind.FromDiscovery()
+	s.discoveryListSeen = s.discoveryListSeen || list.Kind.FromDiscovery()
 }
 
 func (s *Selector) upsert(now balancer.Micros, e balancer.Endpoint) {
@@ -139,7 +139,7 @@
 	switch {
 	case known != nil:
 		return known.StartedAt
-	case s.discoveryHeard:
+	case s.discoveryListSeen:
 		return now
 	default:
 		return startedLongAgo
--- a/internal/subset/subset_test.go
+++ b/internal/subset/subset_test.go
@@ -298,7 +298,7 @@
 func TestGatewaysAgreeOnAffinityTargets(t *testing.T) {
 	fleet := zonedEndpoints(0, evenCounts(4, 400)...)
 	targets := map[uint64]balancer.ReplicaID{}
-	ofPrefix := map[uint64]map[balancer.ReplicaID]bool{}
+	targetsByPrefix := map[uint64]map[balancer.ReplicaID]bool{}
 	for _, index := range []int{1, 5, 9, 413} {
 		selector := NewSelector(testSettings(128, index, "z1"), noPrefixStats{})
 		announced := map[balancer.ReplicaID]balancer.Endpoint{}
@@ -319,13 +319,13 @@
 				t.Fatalf("gateway %d, session %d: another affinity target", index, session)
 			}
 			targets[session] = request.AffinityTarget
-			if ofPrefix[request.Prefix] == nil {
-				ofPrefix[request.Prefix] = map[balancer.ReplicaID]bool{}
+			if targetsByPrefix[request.Prefix] == nil {
+				targetsByPrefix[request.Prefix] = map[balancer.ReplicaID]bool{}
 			}
-			ofPrefix[request.Prefix][request.AffinityTarget] = true
+			targetsByPrefix[request.Prefix][request.AffinityTarget] = true
 		}
 	}
-	for prefix, at := range ofPrefix {
+	for prefix, at := range targetsByPrefix {
 		if len(at) > 3*minPrefixTargets {
 			t.Errorf("prefix %d has %d targets", prefix, len(at))
 		}
@@ -375,8 +375,8 @@
 			}
 			outside := 0
 			for id, e := range announced {
-				if is, ok := listed[id]; !ok || is != e {
-					t.Fatalf("step %d: %+v is announced, the list has %+v", step, e, is)
+				if current, ok := listed[id]; !ok || current != e {
+					t.Fatalf("step %d: %+v is announced, the list has %+v", step, e, current)
 				}
 				if _, isOutside := selector.outsideTargets[id]; isOutside {
 					outside++
--- a/internal/subset/window.go
+++ b/internal/subset/window.go
@@ -56,7 +56,7 @@
 			r.windowWidth, r.windowOffset = 0, 0
 			continue
 		}
-		r.windowWidth = meanSize * r.zone.subsetShare * r.size(s.WeightIsSize) / r.zone.readyWeight
+		r.windowWidth = meanSize * r.zone.subsetFraction * r.size(s.WeightIsSize) / r.zone.readyWeight
 		offset := r.ringPosition - r.zone.windowStarts[r.ring]
 		r.windowOffset = offset - math.Floor(offset)
 	}
@@ -82,8 +82,8 @@
 
 // windowScale returns the factor on all windows by which the subset has the wanted mean size. It is 1
 // unless a zone is too small for its share.
-func windowScale(fleet []*replica, wantedSize float64) float64 {
-	isEnough := func(scale float64) bool { return expectedSize(fleet, scale) >= wantedSize*scaleTolerance }
+func windowScale(fleet []*replica, targetSize float64) float64 {
+	isEnough := func(scale float64) bool { return expectedSize(fleet, scale) >= targetSize*scaleTolerance }
 	low, high := 1.0, 1.0
 	for range maxScaleDoublings {
 		if isEnough(high) {
--- a/internal/subset/zones.go
+++ b/internal/subset/zones.go
@@ -9,11 +9,11 @@
 
 // zone is the part of the endpoint list in one zone.
 type zone struct {
-	name          string
-	readyWeight   float64               // sum of the sizes of the ready replicas
-	subsetShare   float64               // share of this gateway's subset that comes from the zone
-	affinityShare float64               // share of the requests of this gateway's zone whose affinity target is in the zone
-	windowStarts  [ringsPerZone]float64 // where this gateway's windows begin
+	name             string
+	readyWeight      float64               // sum of the sizes of the ready replicas
+	subsetFraction   float64               // share of this gateway's subset that comes from the zone
+	affinityFraction float64               // share of the requests of this gateway's zone whose affinity target is in the zone
+	windowStarts     [ringsPerZone]float64 // where this gateway's windows begin
 }
 
 // zoneTable is the endpoint list by zone.
@@ -49,7 +49,7 @@
 			r.zone = t.byName[r.Zone]
 		}
 	}
-	t.assignShares(s)
+	t.assignFractions(s)
 	return t
 }
 
@@ -75,8 +75,8 @@
 // minRemoteFraction keeps every zone reachable: the windows of a zone without a share could not be widened.
 const minRemoteFraction = 0.01
 
-// assignShares sets each zone's shares of the subset and of the affinity targets.
-func (t *zoneTable) assignShares(s *Settings) {
+// assignFractions sets each zone's shares of the subset and of the affinity targets.
+func (t *zoneTable) assignFractions(s *Settings) {
 	totalWeight := 0.0
 	for _, z := range t.sorted {
 		totalWeight += z.readyWeight
@@ -94,12 +94,12 @@
 	for _, z := range t.sorted {
 		switch {
 		case own == nil:
-			z.affinityShare = z.readyWeight / totalWeight
+			z.affinityFraction = z.readyWeight / totalWeight
 		case z == own:
-			z.affinityShare = min(1, own.readyWeight/fairWeight)
+			z.affinityFraction = min(1, own.readyWeight/fairWeight)
 		case surplus > 0:
-			z.affinityShare = (1 - min(1, own.readyWeight/fairWeight)) * max(0, z.readyWeight-fairWeight) / surplus
+			z.affinityFraction = (1 - min(1, own.readyWeight/fairWeight)) * max(0, z.readyWeight-fairWeight) / surplus
 		}
-		z.subsetShare = (1-remote)*z.affinityShare + remote*z.readyWeight/totalWeight
+		z.subsetFraction = (1-remote)*z.affinityFraction + remote*z.readyWeight/totalWeight
 	}
 }
--- a/internal/takeover/backup.go
+++ b/internal/takeover/backup.go
@@ -172,7 +172,7 @@
 
 // beginDecision grants a permit to the holder, or asks the holder of a claimed request to stop.
 func (n *Node) beginDecision(now Micros, from Member, m Message, record *requestRecord) {
-	n.undecided[m.RequestID] = true
+	n.pendingDecisions[m.RequestID] = true
 	decision := &pendingDecision{request: m, requester: from, startedAt: now, lastSentAt: now}
 	record.decision = decision
 	if m.Kind == MsgPermit {
--- a/internal/takeover/backup_test.go
+++ b/internal/takeover/backup_test.go
@@ -61,25 +61,25 @@
 }
 
 // Guards against: a backup that hears of a decision before it has the record reports that no time is left.
-func TestDecisionBeforeTheRecordTellsTheTimeLeft(t *testing.T) {
+func TestUpdateBeforeRecordCarriesTimeLeft(t *testing.T) {
 	settings := Settings{Permits: 1, ReplyTimeout: 100, RecordTTL: 1000, MaxRecords: 10, MaxRecordsPerHolder: 10}
 	holder, claimant, first, second := Member{"h", 1}, Member{"a", 1}, Member{"k", 1}, Member{"l", 1}
-	decides, hears := New(first, settings), New(second, settings)
-	decides.Receive(0, holder, Message{Kind: MsgReplicate, ToIncarnation: 1, RequestID: "r", Holder: holder, Epoch: 1,
+	headNode, secondNode := New(first, settings), New(second, settings)
+	headNode.Receive(0, holder, Message{Kind: MsgReplicate, ToIncarnation: 1, RequestID: "r", Holder: holder, Epoch: 1,
 		Policy: RetryPolicy{Idempotent: true}, TimeLeft: 500, Backups: []Member{first, second}, Initial: true})
-	decides.ConfirmDead(1, holder)
-	decides.Receive(100, claimant, Message{Kind: MsgClaim, ToIncarnation: 1, RequestID: "r", QueryID: 1, NextResumeSeq: 1, Holder: holder, Epoch: 1})
-	told := false
-	for _, o := range decides.Outputs() {
+	headNode.ConfirmDead(1, holder)
+	headNode.Receive(100, claimant, Message{Kind: MsgClaim, ToIncarnation: 1, RequestID: "r", QueryID: 1, NextResumeSeq: 1, Holder: holder, Epoch: 1})
+	updateSent := false
+	for _, o := range headNode.Outputs() {
 		if o.Action == ActionSend && o.To == second && o.Message.Kind == MsgUpdate {
-			told = true
-			hears.Receive(110, first, o.Message)
+			updateSent = true
+			secondNode.Receive(110, first, o.Message)
 		}
 	}
-	if !told {
+	if !updateSent {
 		t.Fatal("the second backup is not told of the decision")
 	}
-	if record := hears.records["r"]; record == nil || record.deadline != 510 {
+	if record := secondNode.records["r"]; record == nil || record.deadline != 510 {
 		t.Errorf("the second backup has %+v, not the deadline as told at 100 with 400 left", record)
 	}
 }
--- a/internal/takeover/claim.go
+++ b/internal/takeover/claim.go
@@ -9,12 +9,12 @@
 // claimState is a claim of this gateway's whose result is pending.
 type claimState struct {
 	pendingQuery
-	resumeSeq uint32
-	phase     claimPhase
-	found     bool
-	latest    Message // the newest record that was received
-	grantor   Member
-	deadline  Micros
+	resumeSeq    uint32
+	phase        claimPhase
+	recordFound  bool
+	latestRecord Message // the newest record that was received
+	grantor      Member
+	deadline     Micros
 }
 
 // claimPhase is what a claim waits for.
@@ -67,7 +67,7 @@
 
 func (n *Node) advanceLookup(now Micros, id string, claim *claimState, elapsed Micros) {
 	switch {
-	case claim.found: // one record is enough: it lists all backups
+	case claim.recordFound: // one record is enough: it lists all backups
 		n.claimNextChain(now, id, claim)
 	case len(claim.unanswered) == 0 || elapsed >= n.settings.ReplyTimeout:
 		n.rejectClaim(id, claim, ReasonUnknown)
@@ -81,7 +81,7 @@
 		n.claimNextChain(now, id, claim)
 	case elapsed < claimReplyTimeouts*n.settings.ReplyTimeout:
 		return
-	case !claim.latest.Policy.Hedgeable:
+	case !claim.latestRecord.Policy.Hedgeable:
 		n.rejectClaim(id, claim, ReasonNoProof)
 	default:
 		n.claimNextChain(now, id, claim)
@@ -92,8 +92,8 @@
 func (n *Node) claimNextChain(now Micros, id string, claim *claimState) {
 	claim.phase = phaseClaim
 	claim.unanswered = nil
-	for claim.chain++; claim.chain < n.chainCount(claim.latest.Backups); claim.chain++ {
-		members := n.chainMembers(claim.latest.Backups, claim.chain)
+	for claim.chain++; claim.chain < n.chainCount(claim.latestRecord.Backups); claim.chain++ {
+		members := n.chainMembers(claim.latestRecord.Backups, claim.chain)
 		head, ok := n.chainHead(members)
 		if !ok {
 			continue
@@ -102,9 +102,9 @@
 		n.startQuery(now, &claim.pendingQuery, []Member{head}, Message{
 			Kind:          MsgClaim,
 			RequestID:     id,
-			Holder:        claim.latest.Holder,
-			Epoch:         claim.latest.Epoch,
-			ResumeSeq:     claim.latest.ResumeSeq,
+			Holder:        claim.latestRecord.Holder,
+			Epoch:         claim.latestRecord.Epoch,
+			ResumeSeq:     claim.latestRecord.ResumeSeq,
 			NextResumeSeq: claim.resumeSeq,
 			Chain:         claim.chain,
 			ProvenDead:    n.provenDead(members),
@@ -142,18 +142,18 @@
 func (n *Node) handleLookupReply(now Micros, from Member, m Message, claim *claimState) {
 	claim.unanswered = without(claim.unanswered, from)
 	if m.OK {
-		claim.found = true
-		claim.latest = m
+		claim.recordFound = true
+		claim.latestRecord = m
 		claim.deadline = now + m.TimeLeft
 	}
 	n.advanceClaim(now, m.RequestID, claim)
 }
 
 func (n *Node) handleClaimReply(now Micros, from Member, m Message, claim *claimState) {
-	if m.Epoch > claim.latest.Epoch {
-		claim.latest.Holder = m.Holder
-		claim.latest.Epoch = m.Epoch
-		claim.latest.ResumeSeq = m.ResumeSeq
+	if m.Epoch > claim.latestRecord.Epoch {
+		claim.latestRecord.Holder = m.Holder
+		claim.latestRecord.Epoch = m.Epoch
+		claim.latestRecord.ResumeSeq = m.ResumeSeq
 	}
 	switch {
 	case m.OK:
@@ -170,18 +170,18 @@
 // that is taken over, all have to record it, or be proven dead, before the takeover is complete.
 func (n *Node) replicateClaim(now Micros, id string, claim *claimState) {
 	claim.phase = phaseReplicate
-	others := without(claim.latest.Backups, claim.to)
+	others := without(claim.latestRecord.Backups, claim.to)
 	n.startQuery(now, &claim.pendingQuery, others, Message{
 		Kind:      MsgUpdate,
 		RequestID: id,
 		Holder:    n.self,
-		Epoch:     claim.latest.Epoch,
+		Epoch:     claim.latestRecord.Epoch,
 		ResumeSeq: claim.resumeSeq,
-		Policy:    claim.latest.Policy,
-		Backups:   claim.latest.Backups,
+		Policy:    claim.latestRecord.Policy,
+		Backups:   claim.latestRecord.Backups,
 		TimeLeft:  max(0, claim.deadline-now),
 	})
-	if claim.latest.Policy.Hedgeable {
+	if claim.latestRecord.Policy.Hedgeable {
 		n.completeClaim(now, id, claim)
 		return
 	}
@@ -192,11 +192,11 @@
 func (n *Node) completeClaim(now Micros, id string, claim *claimState) {
 	delete(n.claims, id)
 	lease := &leaseState{
-		epoch:            claim.latest.Epoch,
+		epoch:            claim.latestRecord.Epoch,
 		resumeSeq:        claim.resumeSeq,
-		policy:           claim.latest.Policy,
+		policy:           claim.latestRecord.Policy,
 		deadline:         claim.deadline,
-		backups:          claim.latest.Backups,
+		backups:          claim.latestRecord.Backups,
 		lastReplicatedAt: now,
 		exhausted:        make([]bool, n.settings.Permits),
 		grantor:          claim.grantor,
--- a/internal/takeover/lease.go
+++ b/internal/takeover/lease.go
@@ -132,9 +132,9 @@
 func releaseSupersedes(release Message, claim *claimState) bool {
 	switch claim.phase {
 	case phaseClaim:
-		return release.Epoch > claim.latest.Epoch
+		return release.Epoch > claim.latestRecord.Epoch
 	case phaseReplicate:
-		return release.Epoch >= claim.latest.Epoch
+		return release.Epoch >= claim.latestRecord.Epoch
 	default:
 		return false
 	}
--- a/internal/takeover/model_test.go
+++ b/internal/takeover/model_test.go
@@ -417,7 +417,7 @@
 	c.claims = map[string]*claimState{}
 	c.recordsByHolder = maps.Clone(n.recordsByHolder)
 	c.tombstones = maps.Clone(n.tombstones)
-	c.undecided = maps.Clone(n.undecided)
+	c.pendingDecisions = maps.Clone(n.pendingDecisions)
 	c.scratchIDs = nil
 	for id, record := range n.records {
 		recordCopy := copyOf(record)
--- a/internal/takeover/node.go
+++ b/internal/takeover/node.go
@@ -19,19 +19,19 @@
 // gateways' requests, and claimant of those that clients want the remainder of. It is not safe
 // for concurrent use.
 type Node struct {
-	self            Member
-	settings        Settings
-	records         map[string]*requestRecord // by request id, like undecided, leases and claims
-	recordsByHolder map[string]int            // by the holder's name
-	undecided       map[string]bool           // records with a pending decision
-	lastSweep       Micros
-	leases          map[string]*leaseState
-	claims          map[string]*claimState
-	scratchIDs      []string          // buffer of advanceQueries
-	tombstones      map[string]uint64 // the latest incarnation proven dead, by name
-	lastQueryID     uint32
-	outputs         []Output
-	rejectedRecords uint64 // because of the limits in settings
+	self             Member
+	settings         Settings
+	records          map[string]*requestRecord // by request id, like undecided, leases and claims
+	recordsByHolder  map[string]int            // by the holder's name
+	pendingDecisions map[string]bool           // records with a pending decision
+	lastSweep        Micros
+	leases           map[string]*leaseState
+	claims           map[string]*claimState
+	scratchIDs       []string          // buffer of advanceQueries
+	tombstones       map[string]uint64 // the latest incarnation proven dead, by name
+	lastQueryID      uint32
+	outputs          []Output
+	rejectedRecords  uint64 // because of the limits in settings
 
 	// Mutations for tests that show that the explorer finds a broken node.
 	disableFencing, disableDeathProof bool
@@ -40,14 +40,14 @@
 // New returns the Node of a gateway.
 func New(self Member, settings Settings) *Node {
 	return &Node{
-		self:            self,
-		settings:        settings,
-		records:         map[string]*requestRecord{},
-		recordsByHolder: map[string]int{},
-		undecided:       map[string]bool{},
-		leases:          map[string]*leaseState{},
-		claims:          map[string]*claimState{},
-		tombstones:      map[string]uint64{},
+		self:             self,
+		settings:         settings,
+		records:          map[string]*requestRecord{},
+		recordsByHolder:  map[string]int{},
+		pendingDecisions: map[string]bool{},
+		leases:           map[string]*leaseState{},
+		claims:           map[string]*claimState{},
+		tombstones:       map[string]uint64{},
 	}
 }
 
@@ -149,11 +149,11 @@
 
 // advanceDecisions continues the pending decisions, in the order of their request ids.
 func (n *Node) advanceDecisions(now Micros) {
-	for _, id := range sortedKeys(n.undecided) {
+	for _, id := range sortedKeys(n.pendingDecisions) {
 		if record := n.records[id]; record != nil && record.decision != nil {
 			n.advanceDecision(now, id, record)
 		} else {
-			delete(n.undecided, id)
+			delete(n.pendingDecisions, id)
 		}
 	}
 }
--- a/internal/takeover/statekey_test.go
+++ b/internal/takeover/statekey_test.go
@@ -71,8 +71,8 @@
 			if claim := n.claims[r.id]; claim != nil {
 				b.query(&claim.pendingQuery)
 				b.ints(int64(claim.resumeSeq), int64(claim.phase), claim.deadline)
-				b.bools(claim.found)
-				b.message(&claim.latest)
+				b.bools(claim.recordFound)
+				b.message(&claim.latestRecord)
 			}
 		}
 	}
