--- a/internal/takeover/backup.go
+++ b/internal/takeover/backup.go
@@ -2,8 +2,8 @@
 
 import "slices"
 
-// This file is the backup's part: it stores records of other gateways' requests and grants
-// the permits of the chains that it heads.
+// This file implements the backup role: storing records of other gateways' requests, and
+// granting the permits of the chains whose head this gateway is.
 
 // requestRecord is a backup's record of a request.
 type requestRecord struct {
@@ -26,13 +26,14 @@
 	request      Message
 	requester    Member
 	startedAt    Micros
-	awaitingAcks []Member // members of the chain that have not recorded the grant; nil: not asked yet
-	retransmit   Message  // to awaitingAcks, or to the holder
+	awaitingAcks []Member // chain members that have not recorded the grant; nil: the update is not sent yet
+	retransmit   Message  // to the members of awaitingAcks; while that is nil, to the holder
 	lastSentAt   Micros
 }
 
-// handleReplicate stores or renews a record. Only the first message of the first holder
-// brings a permit: a backup that has lost its record cannot know what it has granted.
+// handleReplicate stores or renews a record. The permit is available only if the record is
+// created from the first holder's initial message: a backup that has lost its record cannot
+// know whether it has granted the permit.
 func (n *Node) handleReplicate(now Micros, from Member, m Message) {
 	record := n.records[m.RequestID]
 	if record == nil {
@@ -51,8 +52,8 @@
 	}
 }
 
-// addRecord creates a record, or returns nil if there are too many. The newest is rejected
-// because dropping an older one would forget a granted permit.
+// addRecord creates a record, or returns nil if a limit on records is reached. The new
+// record is rejected because evicting an old one would lose the grant of its permit.
 func (n *Node) addRecord(m Message) *requestRecord {
 	if len(n.records) >= n.settings.MaxRecords || n.recordsByHolder[m.Holder.Name] >= n.settings.MaxRecordsPerHolder {
 		n.rejectedRecords++
@@ -89,8 +90,8 @@
 	}
 }
 
-// mergeHolder updates a record to the holder in a message if that has a greater epoch, and
-// reports whether the record and the message then agree on the holder.
+// mergeHolder sets a record's holder to the one in a message if the message has a greater
+// epoch. It reports whether the record and the message agree on the holder afterwards.
 func (n *Node) mergeHolder(record *requestRecord, m Message) bool {
 	if m.Epoch > record.epoch {
 		n.setHolder(record, m.Holder)
@@ -100,7 +101,7 @@
 	return record.epoch == m.Epoch && record.holder == m.Holder
 }
 
-// handleLookup replies whether this gateway has a record of a request, and with the record.
+// handleLookup replies with the record of a request, or that this gateway has none.
 func (n *Node) handleLookup(now Micros, from Member, m Message) {
 	reply := Message{Kind: MsgLookupReply, RequestID: m.RequestID, QueryID: m.QueryID}
 	if record := n.records[m.RequestID]; record != nil {
@@ -141,8 +142,8 @@
 	n.beginDecision(now, from, m, record)
 }
 
-// rejectionReason updates a record to the holder in a claim or a permit query, and returns why
-// the message has to be rejected at once, or ReasonNone.
+// rejectionReason merges the holder in a claim or a permit query into the record. It returns
+// the reason to reject the message at once, or ReasonNone.
 func (n *Node) rejectionReason(record *requestRecord, m Message) Reason {
 	holderAgrees := n.mergeHolder(record, m)
 	switch {
@@ -170,7 +171,8 @@
 	n.send(to, reply)
 }
 
-// beginDecision grants a permit to the holder, or asks the holder of a claimed request to stop.
+// beginDecision begins to grant a permit to the holder, or requests the holder of a claimed
+// request to stop.
 func (n *Node) beginDecision(now Micros, from Member, m Message, record *requestRecord) {
 	n.pendingDecisions[m.RequestID] = true
 	decision := &pendingDecision{request: m, requester: from, startedAt: now, lastSentAt: now}
@@ -195,13 +197,13 @@
 	return MsgPermitReply
 }
 
-// isChainHead reports whether this gateway is the head of one of a record's chains.
+// isChainHead reports whether this gateway is the head of a chain of a record's backups.
 func (n *Node) isChainHead(record *requestRecord, chain int) bool {
 	head, ok := n.chainHead(n.chainMembers(record.backups, chain))
 	return ok && head == n.self
 }
 
-// handleReleaseReply handles the holder's confirmation that nothing of a request runs there.
+// handleReleaseReply handles the holder's confirmation that it runs no attempt of a request.
 func (n *Node) handleReleaseReply(now Micros, from Member, m Message) {
 	record := n.records[m.RequestID]
 	if record == nil || record.decision == nil || record.holder != from {
@@ -235,7 +237,7 @@
 	switch {
 	case len(waiting) == 0:
 		n.finishDecision(now, id, record, ReasonNone)
-	case timedOut: // a member behind may grant the permit again: it must not be used
+	case timedOut: // a member without the update may grant the permit again: the grant must not be used
 		n.finishDecision(now, id, record, ReasonNoProof)
 	case n.retransmitDue(now, &decision.lastSentAt):
 		for _, member := range waiting {
@@ -250,7 +252,7 @@
 	decision := record.decision
 	if n.retransmitDue(now, &decision.lastSentAt) && !n.isDead(record.holder) {
 		n.send(record.holder, decision.retransmit)
-		n.probe(record.holder) // again: a dying process closes its port last of all
+		n.probe(record.holder) // repeated because a terminating process closes its port last
 	}
 	dead := n.isDead(record.holder)
 	switch {
@@ -265,8 +267,8 @@
 	}
 }
 
-// beginGrant makes the live members behind this one in the chain record that the permit is
-// granted. The requester gets it once they have.
+// beginGrant sends the grant of the permit to the live members behind this one in the chain.
+// The requester receives the permit after they have recorded the grant.
 func (n *Node) beginGrant(now Micros, id string, record *requestRecord) {
 	decision := record.decision
 	record.permitGranted = true
@@ -284,7 +286,7 @@
 	n.advanceDecision(now, id, record)
 }
 
-// decidedUpdate returns the record as it will be once the pending decision has been granted.
+// decidedUpdate returns an update to the record's state after the pending decision is granted.
 func decidedUpdate(now Micros, record *requestRecord) Message {
 	request := record.decision.request
 	update := Message{
@@ -370,9 +372,8 @@
 	return r.decision != nil && r.decision.request.QueryID == queryID && slices.Contains(r.decision.awaitingAcks, from)
 }
 
-// handlePermitReturn makes a permit available again that was granted and not used, because
-// the request was rejected at its new holder. The members behind in the chain still count it as
-// granted.
+// handlePermitReturn makes a granted permit available again that was not used because the new
+// holder rejected the request. The members behind in the chain still record it as granted.
 func (n *Node) handlePermitReturn(from Member, m Message) {
 	record := n.records[m.RequestID]
 	if record == nil || record.decision != nil {
@@ -383,7 +384,8 @@
 	}
 }
 
-// handleLeaseCheck replies whether a holder still has its lease, as far as is known here.
+// handleLeaseCheck replies whether a holder still has its lease according to the record here.
+// Without a record the reply is OK.
 func (n *Node) handleLeaseCheck(from Member, m Message) {
 	valid := true
 	if record := n.records[m.RequestID]; record != nil {
--- a/internal/takeover/backup_test.go
+++ b/internal/takeover/backup_test.go
@@ -2,8 +2,8 @@
 
 import "testing"
 
-// A dying process may accept a connection for a moment still. A probe that proves nothing is
-// therefore repeated, else the claim would end without a proof of death.
+// Guards against a claim that ends without a proof of death because the first probe proved nothing:
+// a terminating process may still accept a connection. The probe has to be repeated.
 func TestHolderIsProbedUntilProvenDead(t *testing.T) {
 	holder, claimant := Member{"h", 1}, Member{"a", 1}
 	backup := New(Member{"k", 1}, Settings{Permits: 2, ReplyTimeout: 100, RecordTTL: 1000, MaxRecords: 10, MaxRecordsPerHolder: 10})
@@ -24,11 +24,11 @@
 	}
 	backup.Tick(10)
 	if probes() != 0 {
-		t.Error("probed again at once")
+		t.Error("holder probed again before a retransmission is due")
 	}
 	backup.Tick(40)
 	if probes() != 1 {
-		t.Fatal("not probed again")
+		t.Fatal("holder not probed again when a retransmission is due")
 	}
 	backup.ConfirmDead(41, holder)
 	for _, o := range backup.Outputs() {
@@ -36,10 +36,10 @@
 			return
 		}
 	}
-	t.Error("not granted with the proof")
+	t.Error("claim not granted after the proof of death")
 }
 
-// Over the limits the newest record is rejected, so that no granted permit is forgotten.
+// Over the limits the newest record is rejected, so that the grant of no permit is lost.
 func TestRecordLimits(t *testing.T) {
 	backup := New(Member{"k", 1}, Settings{Permits: 2, ReplyTimeout: 100, RecordTTL: 3_000_000, MaxRecords: 3, MaxRecordsPerHolder: 2})
 	replicate := func(now Micros, holderName, id string) {
@@ -60,7 +60,8 @@
 	}
 }
 
-// Guards against: a backup that hears of a decision before it has the record reports that no time is left.
+// Guards against a backup that receives the update of a decision before the record itself, and then
+// replies that the request's deadline has passed.
 func TestUpdateBeforeRecordCarriesTimeLeft(t *testing.T) {
 	settings := Settings{Permits: 1, ReplyTimeout: 100, RecordTTL: 1000, MaxRecords: 10, MaxRecordsPerHolder: 10}
 	holder, claimant, first, second := Member{"h", 1}, Member{"a", 1}, Member{"k", 1}, Member{"l", 1}
@@ -77,9 +78,9 @@
 		}
 	}
 	if !updateSent {
-		t.Fatal("the second backup is not told of the decision")
+		t.Fatal("no update sent to the second backup")
 	}
 	if record := secondNode.records["r"]; record == nil || record.deadline != 510 {
-		t.Errorf("the second backup has %+v, not the deadline as told at 100 with 400 left", record)
+		t.Errorf("the second backup has record %+v, expected deadline 510: the update was received at 110 with 400 left", record)
 	}
 }
--- a/internal/takeover/chain.go
+++ b/internal/takeover/chain.go
@@ -7,8 +7,9 @@
 )
 
 // SelectBackups selects at most limit members that store the record of a request, by
-// rendezvous hashing of its id. Members in other zones than the holder's come first, up to
-// half of the places. The holder itself is never selected.
+// rendezvous hashing of its id. Half of the places, rounded up, are reserved for members in
+// other zones than the holder's. The holder itself is never selected. The result is in the
+// order of the rendezvous scores, whatever the zones.
 func SelectBackups(id string, holder Member, zoneOf func(Member) string, members []Member, limit int) []Member {
 	type candidate struct {
 		member Member
@@ -23,8 +24,8 @@
 		}
 	}
 	slices.SortFunc(candidates, func(a, b candidate) int { return cmp.Compare(b.score, a.score) })
-	// Half of the places go to other zones, the others to the best of any zone: the loss of a
-	// zone then loses no request, and few claims need to cross zones.
+	// Half of the places go to other zones, so that the loss of a zone loses no request. The
+	// others go to the best of any zone, so that few claims need to cross zones.
 	var selected []Member
 	remote := 0
 	for _, c := range candidates {
@@ -44,13 +45,14 @@
 	return selected
 }
 
-// rendezvousScore returns the weight of a gateway for a request.
+// rendezvousScore returns the rendezvous hash of a gateway for a request.
 func rendezvousScore(id, name string) uint64 {
 	hash := fnv.New64a()
 	hash.Write([]byte(name))
 	hash.Write([]byte{0})
 	hash.Write([]byte(id))
-	// FNV alone leaves similar names in one order: the finalizer of MurmurHash3 mixes them.
+	// FNV alone ranks similar names in the same order for all ids. The first round of the
+	// MurmurHash3 finalizer mixes the bits.
 	x := hash.Sum64()
 	x ^= x >> 33
 	x *= 0xff51afd7ed558ccd
--- a/internal/takeover/claim.go
+++ b/internal/takeover/claim.go
@@ -1,12 +1,12 @@
 package takeover
 
-// This file is the claimant's part.
+// This file implements the claimant role.
 
-// claimReplyTimeouts is how many reply timeouts a claimant waits for a chain: its head waits
-// for the holder, then for the members behind it.
+// claimReplyTimeouts is the number of reply timeouts that a claimant waits for a chain's head,
+// which itself waits up to one for the holder, then up to one for the members behind it.
 const claimReplyTimeouts = 3
 
-// claimState is a claim of this gateway's whose result is pending.
+// claimState is a pending claim of this gateway.
 type claimState struct {
 	pendingQuery
 	resumeSeq    uint32
@@ -17,7 +17,7 @@
 	deadline     Micros
 }
 
-// claimPhase is what a claim waits for.
+// claimPhase is the step that a pending claim has reached.
 type claimPhase uint8
 
 const (
@@ -26,9 +26,9 @@
 	phaseReplicate                   // waiting for the backups to record the new holder
 )
 
-// Claim asks for the lease of a request that a client wants the remainder of. resumeSeq
-// counts the client's resume requests, from 1. The candidates may be the request's backups, by
-// this gateway's view of the members. The result is an ActionClaimResult.
+// Claim requests the lease of a request that a client resumes at this gateway. resumeSeq counts
+// the client's resume requests, from 1. The candidates are the members that may be the request's
+// backups according to this gateway's membership table. The result is an ActionClaimResult.
 func (n *Node) Claim(now Micros, id string, resumeSeq uint32, candidates []Member) {
 	if n.claims[id] != nil || resumeSeq == 0 {
 		n.emit(Output{Action: ActionClaimResult, RequestID: id, ResumeSeq: resumeSeq, Reason: ReasonAlreadyClaimed})
@@ -40,7 +40,7 @@
 	n.advanceClaim(now, id, claim)
 }
 
-// AbandonClaim ends a claim whose client has gone. It has no result.
+// AbandonClaim ends a claim whose client has disconnected. No ActionClaimResult follows.
 func (n *Node) AbandonClaim(id string) { delete(n.claims, id) }
 
 func (n *Node) rejectClaim(id string, claim *claimState, reason Reason) {
@@ -77,7 +77,7 @@
 func (n *Node) advanceChainClaim(now Micros, id string, claim *claimState, elapsed Micros) {
 	switch {
 	case n.isDead(claim.to):
-		claim.chain-- // the same chain again: it has a new head
+		claim.chain-- // retry the same chain at its new head
 		n.claimNextChain(now, id, claim)
 	case elapsed < claimReplyTimeouts*n.settings.ReplyTimeout:
 		return
@@ -88,7 +88,8 @@
 	}
 }
 
-// claimNextChain sends the claim to the head of the next chain that has one.
+// claimNextChain sends the claim to the head of the next chain that has a live member, or
+// rejects the claim if there is none.
 func (n *Node) claimNextChain(now Micros, id string, claim *claimState) {
 	claim.phase = phaseClaim
 	claim.unanswered = nil
@@ -114,7 +115,7 @@
 	n.rejectClaim(id, claim, ReasonAttemptsExhausted)
 }
 
-// handleReply handles the reply to a query of this gateway's.
+// handleReply handles the reply to a query of this gateway.
 func (n *Node) handleReply(now Micros, from Member, m Message) {
 	if lease := n.leases[m.RequestID]; lease != nil && (m.Kind == MsgPermitReply || m.Kind == MsgLeaseCheckReply) {
 		n.handleHolderReply(now, from, m, lease)
@@ -166,8 +167,8 @@
 	}
 }
 
-// replicateClaim sends all other backups the new holder. If no attempt may run beside the one
-// that is taken over, all have to record it, or be proven dead, before the takeover is complete.
+// replicateClaim sends the new holder to all other backups. Unless the request allows concurrent
+// attempts, each backup has to record it or be proven dead before the takeover is complete.
 func (n *Node) replicateClaim(now Micros, id string, claim *claimState) {
 	claim.phase = phaseReplicate
 	others := without(claim.latestRecord.Backups, claim.to)
@@ -205,7 +206,7 @@
 	for chain := range claim.chain + 1 {
 		lease.exhausted[chain] = true
 	}
-	if earlier := n.leases[id]; earlier != nil { // an earlier lease of this gateway's, which was stopped
+	if earlier := n.leases[id]; earlier != nil { // this gateway held the lease before and was stopped
 		n.replyToReleases(id, earlier, true)
 	}
 	n.leases[id] = lease
--- a/internal/takeover/doc.go
+++ b/internal/takeover/doc.go
@@ -1,21 +1,20 @@
-// Package takeover decides which gateway continues a request whose gateway was lost. It
-// uses no sockets and no clock: each input carries its time, the caller carries out the
+// Package takeover decides which gateway continues a request after its gateway has failed.
+// It uses no sockets and no clock: each input carries its time, the caller executes the
 // outputs, and equal inputs give equal outputs.
 //
-// Each request has one lease holder. The holder replicates a record of the request (what
-// another gateway needs in order to continue it) to its backups, other gateways that are
+// Each request has one lease holder. The holder replicates a record of the request (the
+// state that another gateway needs to continue it) to the request's backups: other gateways,
 // selected by rendezvous hashing of the request id. The holder's first attempt needs no
-// permission. Each further attempt, whichever gateway makes it, needs a permit, and there
-// are as many permits as retries are allowed: more attempts than that are impossible,
-// whatever is lost or partitioned.
+// permit. Each further attempt needs one, whichever gateway makes it. There are as many
+// permits as allowed retries, so lost messages and partitions cannot cause more attempts.
 //
 // A permit belongs to a chain of backups. The chain's head, its first member that is not
 // proven dead, grants the permit once, after the members behind it have recorded the
-// grant. A gateway that a client asks to resume a broken answer claims the
-// request at the first chain, then at the next. A backup grants a claim when the holder's
-// attempt is proven to have ended (its process is dead, or reports that it has stopped), or
-// when the request's class allows a second attempt beside the first. Each granted claim
-// increases the lease's epoch, which fences off earlier holders.
+// grant. A gateway that receives a client's request to resume an interrupted response
+// claims the request at the first chain, then at the next ones. A backup grants a claim when
+// the holder's attempt is proven to have ended (the holder's process is dead, or has replied
+// that it has stopped), or when the request's class allows concurrent attempts. Each granted
+// claim increases the lease's epoch, which fences off earlier holders.
 //
 // A Node is not safe for concurrent use.
 package takeover
--- a/internal/takeover/explore_test.go
+++ b/internal/takeover/explore_test.go
@@ -15,14 +15,14 @@
 // exploration is the result of explore.
 type exploration struct {
 	states    int
-	complete  bool // all states that can be reached were visited
+	complete  bool // all reachable states were visited
 	violation string
 	trace     []string // the transitions that lead to the violation
 }
 
-// visit is a state that was reached, and the way to it.
+// visit is a reached state and the path to it.
 type visit struct {
-	model      *model // nil once its successors are known
+	model      *model // nil after its successors have been computed
 	from       *visit
 	transition string
 	key        uint64
@@ -48,8 +48,8 @@
 	return out
 }
 
-// explore visits the states that can be reached breadth first, on all cores, until it has
-// visited limit of them or one violates an invariant.
+// explore visits the reachable states breadth first, on all cores, until it has visited limit of
+// them or one violates an invariant.
 func explore(start *model, limit int) exploration {
 	first := &visit{model: start, transition: "start", key: start.stateKey()}
 	seen := map[uint64]bool{first.key: true}
@@ -111,7 +111,7 @@
 }
 
 // No sequence of events with three gateways and one or two requests violates an invariant. A lost
-// message is one that is never delivered. TAKEOVER_STATES=5000000 explores further than CI has time for.
+// message is one that is never delivered. TAKEOVER_STATES=5000000 visits more states than CI does.
 func TestExhaustiveExploration(t *testing.T) {
 	for _, c := range []struct {
 		name            string
@@ -147,7 +147,7 @@
 	}
 }
 
-// The explorer finds the fault of nodes without fencing, and of nodes that need no proof of death.
+// The exploration detects nodes without fencing, and nodes that grant claims without proof of death.
 func TestExplorationFindsBrokenNodes(t *testing.T) {
 	m := withRecordsReplicated(newModel(3, []RetryPolicy{idempotent}, eventBudget{ticks: 1, resumes: 1}, 2))
 	for _, n := range m.nodes {
@@ -165,7 +165,7 @@
 	}
 }
 
-// Longer random schedules of more gateways and requests violate no invariant.
+// Longer random schedules with more gateways and requests violate no invariant.
 func TestRandomSchedules(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		allPolicies := []RetryPolicy{hedgeable, idempotent, notIdempotent}
--- a/internal/takeover/lease.go
+++ b/internal/takeover/lease.go
@@ -2,10 +2,10 @@
 
 import "slices"
 
-// This file is the lease holder's part.
+// This file implements the lease holder role.
 
-// permitReplyTimeouts is how many reply timeouts a holder waits for a permit: the chain's
-// head waits for the members behind it in turn.
+// permitReplyTimeouts is the number of reply timeouts that a holder waits for a chain's head,
+// which itself waits up to one for the members behind it.
 const permitReplyTimeouts = 2
 
 // leaseState is a request whose lease this gateway holds.
@@ -16,7 +16,7 @@
 	deadline         Micros
 	backups          []Member
 	lastReplicatedAt Micros
-	exhausted        []bool // by chain: it has no permit left to grant
+	exhausted        []bool // by chain: not to be queried for a permit again
 	grantor          Member // backup that granted the claim; zero for the first holder
 	grantorChain     int
 	permitQuery      *pendingQuery
@@ -57,14 +57,14 @@
 	}
 }
 
-// leaseMessage returns a message about a lease of this gateway's.
+// leaseMessage returns a message about a lease of this gateway.
 func (n *Node) leaseMessage(kind MessageKind, id string, lease *leaseState) Message {
 	return Message{Kind: kind, RequestID: id, Holder: n.self, Epoch: lease.epoch, ResumeSeq: lease.resumeSeq}
 }
 
-// Release ends a lease: the request is answered and nothing of it runs here any more.
-// mayHaveRun says whether an attempt may have run; if none has, the permit of a request that
-// was taken over goes back to the backup that granted it.
+// Release ends a lease after all attempts of the request here have ended. mayHaveRun reports
+// whether an attempt may have run. If none has, and the lease was claimed, the claim's permit
+// is returned to the backup that granted it.
 func (n *Node) Release(now Micros, id string, mayHaveRun bool) {
 	lease := n.leases[id]
 	if lease == nil {
@@ -76,7 +76,8 @@
 	n.Stopped(now, id, mayHaveRun)
 }
 
-// SetBackups gives a lease its backups if it had none because this gateway knew of no other.
+// SetBackups sets the backups of a lease that was acquired while this gateway had no other
+// gateway in its membership table. A lease that already has backups stays unchanged.
 func (n *Node) SetBackups(now Micros, id string, backups []Member) {
 	lease := n.leases[id]
 	if lease == nil || lease.epoch != 1 || len(lease.backups) > 0 || len(backups) == 0 {
@@ -86,7 +87,7 @@
 	n.replicate(now, id, lease, true)
 }
 
-// Stopped reports that an ActionStop has been carried out. mayHaveRun says whether an attempt
+// Stopped confirms that an ActionStop has been executed. mayHaveRun reports whether an attempt
 // may have run.
 func (n *Node) Stopped(_ Micros, id string, mayHaveRun bool) {
 	lease := n.leases[id]
@@ -97,14 +98,14 @@
 	n.replyToReleases(id, lease, mayHaveRun)
 }
 
-// replyToReleases confirms to the waiting backups that nothing of a request runs here.
+// replyToReleases confirms to the waiting backups that no attempt of a request runs here.
 func (n *Node) replyToReleases(id string, lease *leaseState, mayHaveRun bool) {
 	for _, query := range lease.releaseQueries {
 		n.send(query.to, Message{Kind: MsgReleaseReply, RequestID: id, QueryID: query.id, OK: true, MayHaveRun: mayHaveRun})
 	}
 }
 
-// handleRelease handles a backup's request to stop: another gateway is to continue the request.
+// handleRelease handles a backup's order to stop because another gateway has claimed the request.
 func (n *Node) handleRelease(from Member, m Message) {
 	if claim := n.claims[m.RequestID]; claim != nil && releaseSupersedes(m, claim) {
 		n.rejectClaim(m.RequestID, claim, ReasonSuperseded)
@@ -126,9 +127,9 @@
 	n.stopLease(m.RequestID, lease)
 }
 
-// releaseSupersedes reports whether a release makes a pending claim of this gateway's void.
-// The backup takes this gateway for the holder already, so a grant that is under way, or is
-// still being replicated, must not be used.
+// releaseSupersedes reports whether a release invalidates a pending claim of this gateway. The
+// backup has already recorded this gateway as the holder and now decides on another claim. A
+// grant that is in flight or still being replicated must therefore not be used.
 func releaseSupersedes(release Message, claim *claimState) bool {
 	switch claim.phase {
 	case phaseClaim:
@@ -140,7 +141,7 @@
 	}
 }
 
-// stopLease rejects what is pending for a lease and orders the caller to end its attempts.
+// stopLease rejects the pending queries of a lease and emits an ActionStop.
 func (n *Node) stopLease(id string, lease *leaseState) {
 	if lease.stopped {
 		return
@@ -155,8 +156,8 @@
 	n.emit(Output{Action: ActionStop, RequestID: id})
 }
 
-// RequestPermit asks for a permit to make another attempt. One such query is pending at a
-// time; the result is an ActionPermitResult.
+// RequestPermit requests a permit for another attempt. The result is an ActionPermitResult. It
+// is a rejection at once if the lease is stopped or a permit query is already pending.
 func (n *Node) RequestPermit(now Micros, id string) {
 	lease := n.leases[id]
 	if lease == nil || lease.stopped || lease.permitQuery != nil {
@@ -167,7 +168,7 @@
 	n.queryNextChain(now, id, lease)
 }
 
-// queryNextChain asks the next chain that may have a permit left.
+// queryNextChain sends the permit query to the next chain that may have a permit left.
 func (n *Node) queryNextChain(now Micros, id string, lease *leaseState) {
 	query := lease.permitQuery
 	for query.chain++; query.chain < n.chainCount(lease.backups); query.chain++ {
@@ -202,7 +203,7 @@
 			n.queryNextChain(now, id, lease)
 		}
 	case elapsed >= permitReplyTimeouts*n.settings.ReplyTimeout:
-		lease.exhausted[query.chain] = true // a grant that comes now is ignored
+		lease.exhausted[query.chain] = true // a grant that arrives later is ignored
 		n.queryNextChain(now, id, lease)
 	}
 }
@@ -212,10 +213,10 @@
 	n.emit(Output{Action: ActionPermitResult, RequestID: id, OK: granted})
 }
 
-// CheckLease asks the backups whether this gateway still holds a lease: after a freeze of the
-// process, before anything of the request is sent, relayed or charged. The result is an
-// ActionLeaseCheckResult. A check that is pending starts anew: its replies may be older than
-// the freeze.
+// CheckLease queries the backups whether this gateway still holds a lease. It is required after
+// a freeze of the process, before any data of the request is sent, relayed or charged. The
+// result is an ActionLeaseCheckResult. A pending check is restarted, because its replies may be
+// older than the freeze.
 func (n *Node) CheckLease(now Micros, id string) {
 	lease := n.leases[id]
 	if lease == nil || lease.stopped {
@@ -232,7 +233,7 @@
 	switch {
 	case len(lease.leaseCheck.unanswered) == 0:
 		n.finishLeaseCheck(id, lease, true)
-	case elapsed >= n.settings.ReplyTimeout: // a backup out of reach may have granted it to another
+	case elapsed >= n.settings.ReplyTimeout: // an unreachable backup may have granted a claim of the request
 		n.stopLease(id, lease)
 	}
 }
--- a/internal/takeover/message.go
+++ b/internal/takeover/message.go
@@ -22,19 +22,19 @@
 
 // The kinds of messages. Each reply carries the QueryID of the message it answers.
 const (
-	MsgReplicate       MessageKind = iota + 1 // holder to backup: record this request
-	MsgLookup                                 // claimant to gateways: who has a record of it?
+	MsgReplicate       MessageKind = iota + 1 // holder to backup: store this record of the request
+	MsgLookup                                 // claimant to gateways: send the record of the request
 	MsgLookupReply                            // OK if the sender has a record
-	MsgClaim                                  // claimant to chain head: may I continue it?
+	MsgClaim                                  // claimant to chain head: request for the lease
 	MsgClaimReply                             // OK if the claim is granted
-	MsgPermit                                 // holder to chain head: may I make another attempt?
+	MsgPermit                                 // holder to chain head: request for another attempt
 	MsgPermitReply                            // OK if the permit is granted
-	MsgRelease                                // backup to holder: stop, and confirm it
-	MsgReleaseReply                           // holder to backup: nothing of it runs here any more
-	MsgUpdate                                 // record the new holder and the permit's grant
-	MsgUpdateReply                            // not OK if the sender knows of another holder
-	MsgLeaseCheck                             // holder to backup: is the lease still mine?
-	MsgLeaseCheckReply                        // OK if the sender knows of no other holder
+	MsgRelease                                // backup to holder: end all attempts, and confirm it
+	MsgReleaseReply                           // holder to backup: no attempt of the request runs here
+	MsgUpdate                                 // chain head or claimant to backup: record the new holder or the permit's grant
+	MsgUpdateReply                            // not OK if the sender has recorded another holder
+	MsgLeaseCheck                             // holder to backup: request to confirm the lease
+	MsgLeaseCheckReply                        // OK if the sender has recorded no other holder or claim
 	MsgPermitReturn                           // holder to backup: the granted permit was not used
 )
 
@@ -47,22 +47,22 @@
 	ReasonUnknown                  // no backup that replied has a record of the request
 	ReasonAlreadyClaimed           // another gateway claimed it first
 	ReasonAttemptsExhausted        // all allowed attempts were made, or may have been
-	ReasonNoProof                  // its attempt may still run, and must not run concurrently with another
-	ReasonMayHaveRun               // it may have run, and is not idempotent
-	ReasonSuperseded               // the asking holder no longer has the lease
+	ReasonNoProof                  // the holder or a backup has neither replied nor been proven dead
+	ReasonMayHaveRun               // an attempt may have run, and the request is not idempotent
+	ReasonSuperseded               // the requesting gateway no longer has the lease
 )
 
-// String returns the reason as it stands in logs and in error texts for clients.
+// String returns the reason as it appears in logs and in error texts for clients.
 func (r Reason) String() string {
 	return [...]string{"none", "unknown", "taken", "spent", "no_proof", "may_have_run", "superseded"}[r]
 }
 
-// Message is what one gateway sends another about a request.
+// Message is sent from one gateway to another and concerns one request.
 type Message struct {
 	Kind          MessageKind
-	ToIncarnation uint64 // the receiving process: any other ignores the message
-	RequestID     string // the id of the client's first request
-	QueryID       uint32 // identifies a query of its sender; its reply carries the same
+	ToIncarnation uint64 // incarnation of the receiver: any other ignores the message
+	RequestID     string // id of the client's first request
+	QueryID       uint32 // identifies a query of its sender; the reply carries the same id
 	Holder        Member
 	Epoch         uint32 // of the lease: 1 for the first holder, one more with each takeover
 	ResumeSeq     uint32 // sequence number of the client's resume request that the holder serves; 0: the first holder
@@ -76,10 +76,10 @@
 	OK            bool
 	MayHaveRun    bool // MsgReleaseReply: an attempt may have run
 	Reason        Reason
-	ProvenDead    []Member // processes that the sender has proof to be dead
+	ProvenDead    []Member // processes that are proven dead to the sender
 }
 
-// Output is an action that the caller of a Node has to carry out.
+// Output is an action that the caller of a Node has to execute.
 type Output struct {
 	Action    Action
 	To        Member  // ActionSend, ActionProbe
@@ -91,8 +91,8 @@
 
 	ResumeSeq    uint32
 	Reason       Reason
-	TimeLeft     Micros // until the deadline of the client's first request, as far as it is known
-	AttemptsMade int    // attempts that count as made, including the one that the claim permits
+	TimeLeft     Micros // until the deadline of the client's first request; 0 if it has passed
+	AttemptsMade int    // attempts that count as made before the one that the claim permits
 }
 
 // Action is the kind of an Output.
@@ -101,7 +101,7 @@
 // The actions of a Node's caller.
 const (
 	ActionSend             Action = iota + 1 // send Message to To
-	ActionProbe                              // find out whether To is dead, and report it with ConfirmDead
+	ActionProbe                              // probe To, and call ConfirmDead if it is proven dead
 	ActionPermitResult                       // the result of RequestPermit
 	ActionClaimResult                        // the result of Claim
 	ActionLeaseCheckResult                   // the result of CheckLease
--- a/internal/takeover/model_test.go
+++ b/internal/takeover/model_test.go
@@ -7,8 +7,8 @@
 	"strconv"
 )
 
-// model is a set of gateways, the network between them and the attempts at the replicas. It lists all
-// transitions that are possible in a state, and each transition checks the invariants.
+// model is a set of gateways, the network between them and the attempts at the replicas. It enumerates
+// the transitions that are possible in a state, and each transition checks the invariants.
 type model struct {
 	nodes        []*Node // by gateway
 	incarnations []uint64
@@ -43,7 +43,7 @@
 	resumes       uint32           // resume requests that the client has sent
 	resumedTwice  bool             // the same resume request went to a second gateway
 	pendingClaims map[string]int   // by gateway and resume sequence number
-	supersededAt  map[int][]Member // by resumed gateway: backups that knew of a newer holder
+	supersededAt  map[int][]Member // by gateway whose freeze ended: backups that had recorded a newer holder
 }
 
 type attempt struct {
@@ -290,7 +290,7 @@
 	return out
 }
 
-// requestTransitions adds what a gateway and a client may do about a request.
+// requestTransitions adds the transitions of a request at a gateway: a failed attempt, and resume requests.
 func (m *model) requestTransitions(g int, r *clientRequest, add func(string, func(*model))) {
 	if lease := m.nodes[g].leases[r.id]; lease != nil && !lease.stopped && lease.leaseCheck == nil {
 		current := slices.IndexFunc(r.attempts, func(a attempt) bool { return a.by == m.member(g) && a.open })
@@ -325,7 +325,7 @@
 
 func (m *model) claim(g int, request *clientRequest) {
 	if m.nodes[g].claims[request.id] != nil {
-		return // the gateway rejects that one itself
+		return // the gateway rejects a second claim while one is pending
 	}
 	request.pendingClaims[fmt.Sprintf("%d/%d", g, request.resumes)]++
 	var all []Member
--- a/internal/takeover/node.go
+++ b/internal/takeover/node.go
@@ -2,22 +2,22 @@
 
 import "slices"
 
-// sweepInterval is the time between two searches for records that have expired and leases
-// whose records are to be renewed.
+// sweepInterval is the interval between sweeps that remove expired records and renew the records
+// of this gateway's leases.
 const sweepInterval Micros = 1_000_000
 
 // Settings are the parameters of a Node.
 type Settings struct {
-	Permits             int    // retries allowed for each request: the most attempts less one
-	ReplyTimeout        Micros // how long a reply is waited for
-	RecordTTL           Micros // how long a record outlasts its holder's last message
-	MaxRecords          int    // records in all
+	Permits             int    // retries allowed for each request: the limit on attempts less one
+	ReplyTimeout        Micros // how long to wait for a reply
+	RecordTTL           Micros // how long a record is stored after its holder's last message
+	MaxRecords          int    // of all holders
 	MaxRecordsPerHolder int
 }
 
-// Node is one gateway's part in takeovers: lease holder of its own requests, backup of other
-// gateways' requests, and claimant of those that clients want the remainder of. It is not safe
-// for concurrent use.
+// Node is one gateway's state machine for takeovers. It is the lease holder of the gateway's own
+// requests, a backup of other gateways' requests, and the claimant of requests that clients
+// resume at this gateway. It is not safe for concurrent use.
 type Node struct {
 	self             Member
 	settings         Settings
@@ -33,7 +33,7 @@
 	outputs          []Output
 	rejectedRecords  uint64 // because of the limits in settings
 
-	// Mutations for tests that show that the explorer finds a broken node.
+	// Faults that tests inject in order to show that the state exploration detects them.
 	disableFencing, disableDeathProof bool
 }
 
@@ -51,7 +51,7 @@
 	}
 }
 
-// Outputs returns the actions to carry out since the last call, in order.
+// Outputs returns the actions to execute that were added since the last call, in order.
 func (n *Node) Outputs() []Output {
 	outputs := n.outputs
 	n.outputs = nil
@@ -67,7 +67,7 @@
 // Receive handles a message from another gateway, or from this one.
 func (n *Node) Receive(now Micros, from Member, m Message) {
 	if m.ToIncarnation != n.self.Incarnation || n.isDead(from) {
-		return // addressed to an earlier incarnation, or late from one
+		return // addressed to another incarnation, or delayed and from a dead one
 	}
 	n.addTombstones(m.ProvenDead)
 	switch m.Kind {
@@ -94,8 +94,8 @@
 	}
 }
 
-// Tick continues what has timed out, removes expired records and renews those of this
-// gateway's leases.
+// Tick handles timeouts, removes expired records and renews the records of this gateway's
+// leases.
 func (n *Node) Tick(now Micros) {
 	n.advanceDecisions(now)
 	n.advanceQueries(now)
@@ -116,7 +116,8 @@
 	}
 }
 
-// ConfirmDead reports that a process is proven to have ended.
+// ConfirmDead records that a process is proven to have ended, and continues the decisions and
+// queries that wait for it.
 func (n *Node) ConfirmDead(now Micros, m Member) {
 	if n.isDead(m) {
 		return
@@ -137,7 +138,7 @@
 	}
 }
 
-// provenDead returns those of a list that this gateway has proof to be dead.
+// provenDead returns the given members that are proven dead.
 func (n *Node) provenDead(members []Member) (dead []Member) {
 	for _, m := range members {
 		if n.isDead(m) {
@@ -166,7 +167,7 @@
 			n.scratchIDs = append(n.scratchIDs, id)
 		}
 	}
-	slices.Sort(n.scratchIDs) // for the same outputs in each run
+	slices.Sort(n.scratchIDs) // so that equal inputs give equal outputs
 	for _, id := range n.scratchIDs {
 		lease := n.leases[id]
 		if lease != nil && lease.permitQuery != nil {
@@ -205,7 +206,7 @@
 	return keys
 }
 
-// without returns a copy of a list that lacks one member.
+// without returns a copy of members that lacks the excluded one.
 func without(members []Member, excluded Member) []Member {
 	return slices.DeleteFunc(slices.Clone(members), func(m Member) bool { return m == excluded })
 }
--- a/internal/takeover/query.go
+++ b/internal/takeover/query.go
@@ -2,22 +2,22 @@
 
 import "slices"
 
-// retransmitsPerTimeout is how often a message without a reply is sent again within
+// retransmitsPerTimeout is the number of times that a message without a reply is resent within
 // Settings.ReplyTimeout.
 const retransmitsPerTimeout = 4
 
 // pendingQuery is a message to one or more gateways whose replies are awaited.
 type pendingQuery struct {
 	id         uint32
-	retransmit Message // sent again to those without a reply, for it may have been lost
+	retransmit Message // resent to the members of unanswered, because it may have been lost
 	lastSentAt Micros
 	chain      int
-	to         Member // the chain's head that was asked
+	to         Member // head of the chain, which the query was sent to
 	startedAt  Micros
-	unanswered []Member
+	unanswered []Member // members whose reply is awaited
 }
 
-// startQuery sends a message to those of some members that are not proven dead.
+// startQuery sends a message to the given members that are not proven dead.
 func (n *Node) startQuery(now Micros, query *pendingQuery, to []Member, m Message) {
 	query.startedAt = now
 	query.lastSentAt = now
@@ -36,8 +36,8 @@
 	}
 }
 
-// refreshQuery no longer expects replies of dead members, sends the message again to the
-// others if that is due, and returns how long the query has been pending.
+// refreshQuery stops waiting for members that are proven dead, resends the message to the other
+// unanswered members if that is due, and returns how long the query has been pending.
 func (n *Node) refreshQuery(now Micros, query *pendingQuery) (elapsed Micros) {
 	query.unanswered = slices.DeleteFunc(query.unanswered, n.isDead)
 	if n.retransmitDue(now, &query.lastSentAt) {
@@ -49,8 +49,8 @@
 	return now - query.startedAt
 }
 
-// retransmitDue reports whether a message that was last sent at *lastSentAt is to be sent
-// again, and if so sets *lastSentAt to now.
+// retransmitDue reports whether a message that was last sent at *lastSentAt has to be resent,
+// and if so sets *lastSentAt to now.
 func (n *Node) retransmitDue(now Micros, lastSentAt *Micros) bool {
 	if now-*lastSentAt < n.settings.ReplyTimeout/retransmitsPerTimeout {
 		return false
--- a/internal/takeover/statekey_test.go
+++ b/internal/takeover/statekey_test.go
@@ -7,8 +7,8 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// stateKey returns the hash of a state: two states with the same key have the same future. It is
-// written by hand because millions are computed.
+// stateKey returns the hash of a state. Two states with the same key have the same successors. It
+// encodes the fields without reflection, because millions of keys are computed.
 func (m *model) stateKey() uint64 {
 	b := make(stateEncoder, 0, 2048)
 	for g := range m.nodes {
@@ -94,7 +94,7 @@
 	return xxhash.Sum64(b)
 }
 
-// stateEncoder builds the text that a state is hashed from.
+// stateEncoder builds the encoding of a state that is hashed.
 type stateEncoder []byte
 
 func (b *stateEncoder) ints(list ...int64) {
@@ -142,7 +142,7 @@
 	b.members(query.unanswered)
 }
 
-// unordered writes a set of n elements, whose order does not matter.
+// unordered writes a set of n elements, independently of their order.
 func (b *stateEncoder) unordered(n int, each func(*stateEncoder, int)) {
 	var all uint64
 	var one stateEncoder
