--- a/internal/peers/batch.go
+++ b/internal/peers/batch.go
@@ -11,26 +11,28 @@
 )
 
 const (
-	// batchDelay is how long a new request's record waits for others to the same member.
+	// batchDelay is how long a new request's record is delayed, so that records for the same member
+	// share a datagram.
 	batchDelay = 3 * time.Millisecond
-	// piggybackedUpdates is how many membership updates a batch carries at most.
+	// piggybackedUpdates is the largest number of membership updates in a batch.
 	piggybackedUpdates = 4
 	// maxResolvedAddrs bounds the cache of resolved addresses.
 	maxResolvedAddrs = 2048
-
-	// Estimated sizes in bytes of a takeover message without its lists, and of a member in a list.
+	// messageSizeEstimate is the estimated size in bytes of a takeover message without its lists.
 	messageSizeEstimate = 64
-	memberSizeEstimate  = 24
+	// memberSizeEstimate is the estimated size in bytes of a member in a list.
+	memberSizeEstimate = 24
 )
 
-// messageBatch is the takeover messages that go to a member in one datagram.
+// messageBatch holds the takeover messages that are sent to a member in one datagram.
 type messageBatch struct {
 	to       takeover.Member
 	messages []takeover.Message
 	size     int // estimated, in bytes
 }
 
-// enqueue sends a message to a member. Only a replicated record is delayed: nothing waits for it.
+// enqueue adds a message to a member's batch. It sends the batch at once, unless the message is
+// a replicated record, which nothing waits for, and the batch is below targetDatagramSize.
 func (s *Service) enqueue(to takeover.Member, m takeover.Message) {
 	batch := s.batches[to.Name]
 	if batch == nil {
@@ -45,8 +47,8 @@
 }
 
 // scheduleFlush sends the batches at once if the last flush is at least batchDelay ago, else
-// after batchDelay. One timer serves all requests in between: a timer for each would wake the
-// process once more for each request.
+// after batchDelay. A single timer serves all requests in between, because a timer for each
+// request would wake the process once more per request.
 func (s *Service) scheduleFlush(now int64) {
 	if len(s.batches) == 0 || s.flushScheduled {
 		return
@@ -71,7 +73,8 @@
 	}
 }
 
-// sendBatch sends a batch, with membership updates, if its member is known.
+// sendBatch sends a batch, with membership updates. It discards the batch if its member is not in
+// the membership table.
 func (s *Service) sendBatch(batch *messageBatch) {
 	delete(s.batches, batch.to.Name)
 	m, ok := s.table.Member(batch.to.Name)
@@ -82,8 +85,8 @@
 	s.writeDatagram(m.Addr, &datagram{from: s.self, gossip: gossip, messages: batch.messages})
 }
 
-// writeDatagram sends a datagram and counts whether that failed. A lost one is sent again by
-// membership and takeovers if it matters.
+// writeDatagram sends a datagram and counts the success or failure. Packages membership and
+// takeover resend lost messages where necessary.
 func (s *Service) writeDatagram(address string, d *datagram) {
 	if err := s.tryWriteDatagram(address, d); err != nil {
 		s.datagramsFailed++
@@ -99,13 +102,13 @@
 	}
 	encoded, err := d.encode()
 	if err != nil {
-		return fmt.Errorf("encode a datagram to %s: %w", address, err)
+		return fmt.Errorf("encode datagram to %s: %w", address, err)
 	}
 	_, err = s.udp.WriteToUDPAddrPort(encoded, addr)
 	return err
 }
 
-// resolve returns the address and port of a host:port, which it resolves once.
+// resolve returns the IP address and port of a host:port, and caches them.
 func (s *Service) resolve(address string) (netip.AddrPort, error) {
 	if addr, ok := s.resolvedAddrs[address]; ok {
 		return addr, nil
--- a/internal/peers/claim.go
+++ b/internal/peers/claim.go
@@ -7,13 +7,14 @@
 	"archknot/internal/takeover"
 )
 
-// spareCandidates is how many more gateways than there are backups are asked for a record: the
-// holder may have known others, and this gateway may be a backup itself.
+// spareCandidates is the number of gateways, in addition to the number of backups, that a claim
+// queries for a record. The holder may have selected its backups from other members than this
+// gateway has in its table, and this gateway may be a backup itself.
 const spareCandidates = 3
 
 // Grant describes a claimed request.
 type Grant struct {
-	AttemptsMade int           // attempts that count as made
+	AttemptsMade int           // attempts that count as made before the one that the claim permits
 	TimeLeft     time.Duration // until the deadline of the client's first request
 }
 
@@ -23,16 +24,16 @@
 // Error implements the error interface.
 func (e ClaimRejectedError) Error() string { return e.Reason.String() }
 
-// pendingClaim is a claim whose result is awaited.
+// pendingClaim is a claim that has no result yet.
 type pendingClaim struct {
 	result chan takeover.Output
-	cancel func() // of the lease
+	cancel func() // for Lease.cancel
 	lease  *Lease // once the claim is granted
 }
 
-// Claim asks the other gateways for the lease of a request that a client wants to resume.
-// resumeSeq counts the client's resume requests, from 1. The error is a RefusalError, or the
-// context's. For cancel see Acquire.
+// Claim requests the lease of a request that a client resumes at this gateway. resumeSeq counts
+// the client's resume requests, from 1. The error is a RefusalError if the claim is rejected, else
+// the context's. For cancel see Acquire.
 func (s *Service) Claim(ctx context.Context, id string, resumeSeq uint32, cancel func()) (*Lease, Grant, error) {
 	claim := s.startClaim(id, resumeSeq, cancel)
 	if claim == nil {
@@ -75,13 +76,14 @@
 		return
 	}
 	delete(s.claims, o.RequestID)
-	if o.OK { // the lease exists from now on: the next message may be that it is lost again
+	if o.OK { // create the lease now: the next output may already be its loss
 		claim.lease = s.addLease(o.RequestID, claim.cancel)
 	}
 	claim.result <- o
 }
 
-// abandonClaim ends a claim whose client has gone, and its lease if it was granted meanwhile.
+// abandonClaim ends a claim whose context has ended, and releases its lease if the claim was
+// granted in the meantime.
 func (s *Service) abandonClaim(id string, claim *pendingClaim) {
 	s.mu.Lock()
 	if s.claims[id] == claim {
--- a/internal/peers/codec.go
+++ b/internal/peers/codec.go
@@ -11,18 +11,18 @@
 	"archknot/internal/takeover"
 )
 
-// Limits on a datagram. One that exceeds them comes from no gateway.
+// Limits on a datagram. Gateways send none that exceeds them, and ignore one that does.
 const (
-	maxDatagramSize    = 60 << 10
-	targetDatagramSize = 1200 // estimated size from which a batch is sent at once
-	maxNameLength      = 64
-	maxIDLength        = 128
-	maxBackups         = 16
+	maxDatagramSize    = 60 << 10 // bytes
+	targetDatagramSize = 1200     // bytes, estimated: a larger batch is sent at once
+	maxNameLength      = 64       // bytes, of a name, an address or a zone
+	maxIDLength        = 128      // bytes, of a request id
+	maxBackups         = 16       // members in a list of a message
 	maxMessages        = 256
 )
 
-// errInvalidDatagram is the error for what a gateway does not send.
-var errInvalidDatagram = errors.New("not a gateway's datagram")
+// errInvalidDatagram is the error for a datagram that lacks a required field or exceeds a limit.
+var errInvalidDatagram = errors.New("invalid datagram: required field missing or limit exceeded")
 
 // datagram is the content of one UDP datagram between gateways.
 type datagram struct {
@@ -43,7 +43,7 @@
 	return proto.Marshal(encoded)
 }
 
-// decodeDatagram parses the wire format, and rejects what exceeds the limits.
+// decodeDatagram parses the wire format. It rejects a datagram that exceeds the limits.
 func decodeDatagram(wire []byte) (datagram, error) {
 	var encoded peerpb.Datagram
 	if err := proto.Unmarshal(wire, &encoded); err != nil {
--- a/internal/peers/dispatch.go
+++ b/internal/peers/dispatch.go
@@ -8,7 +8,7 @@
 	"archknot/internal/takeover"
 )
 
-// readDatagrams handles the datagrams of other gateways until the socket is closed.
+// readDatagrams receives and handles the datagrams of other gateways until the socket is closed.
 func (s *Service) readDatagrams() {
 	buffer := make([]byte, maxDatagramSize)
 	for {
@@ -17,7 +17,7 @@
 			return
 		}
 		if err != nil {
-			continue // an earlier datagram of ours reached no socket
+			continue // for example because an earlier datagram from here reached no socket
 		}
 		d, err := decodeDatagram(buffer[:size])
 		if err != nil || d.from.Name == s.self.Name {
@@ -40,8 +40,8 @@
 	s.runOutputs(now)
 }
 
-// syncMembers reports to the takeovers which processes are proven dead, and updates the
-// candidates for backups, if the membership has changed. The caller holds the lock.
+// syncMembers applies a changed membership: it reports processes that are proven dead to the
+// takeover node and updates the backup candidates. The caller holds the lock.
 func (s *Service) syncMembers(now int64) {
 	version := s.table.Version()
 	if version == s.tableVersion {
@@ -65,8 +65,8 @@
 	}
 }
 
-// runOutputs carries out the outputs of membership and takeovers until there are none. The
-// caller holds the lock.
+// runOutputs executes the outputs of the membership table and the takeover node until there are
+// none. The caller holds the lock.
 func (s *Service) runOutputs(now int64) {
 	for {
 		s.syncMembers(now)
--- a/internal/peers/lease.go
+++ b/internal/peers/lease.go
@@ -18,7 +18,7 @@
 	service        *Service
 	id             string
 	cancel         func()       // ends the attempts and the client's connection; may be called twice
-	checkedFreezes atomic.Int64 // the process's freezes after which the lease was still valid
+	checkedFreezes atomic.Int64 // Service.freezes when the lease was last found valid
 	queryMu        sync.Mutex   // one query at a time
 	replies        chan takeover.Output
 
@@ -26,13 +26,13 @@
 
 	awaited       takeover.Action // result that a goroutine waits for; 0: none does
 	permitPending bool            // a permit query has no result yet
-	unusedPermit  bool            // granted when its caller had gone
+	unusedPermit  bool            // a permit was granted after its caller had stopped waiting
 }
 
-// Acquire makes this gateway the first holder of a request's lease and has the record
-// replicated, without waiting for that. It returns nil if this gateway has the lease already.
-// The function cancel ends the request's attempts and its client's connection once the lease is
-// lost; it may be called twice.
+// Acquire makes this gateway the first holder of a request's lease and sends the record to the
+// backups, without waiting for them. It returns nil if this gateway already has the lease. The
+// function cancel has to end the request's attempts and its client's connection; it is called
+// once the lease is lost, possibly twice.
 func (s *Service) Acquire(id string, policy takeover.RetryPolicy, timeLeft time.Duration, cancel func()) *Lease {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -63,14 +63,14 @@
 	return takeover.SelectBackups(id, s.self, zoneOf, s.backupCandidates, limit)
 }
 
-// lose marks the lease as lost and ends what runs of the request.
+// lose marks the lease as lost and starts the cancellation of the request.
 func (l *Lease) lose() {
 	l.Lost.Store(true)
 	go l.cancel()
 }
 
 // deliver passes the result of a query to the goroutine that waits for it. A permit whose
-// caller has gone is kept for the next attempt. The caller holds the service's lock.
+// requester no longer waits is stored for the next attempt. The caller holds the service's lock.
 func (l *Lease) deliver(o takeover.Output) {
 	if o.Action == takeover.ActionPermitResult {
 		l.permitPending = false
@@ -78,14 +78,14 @@
 	switch {
 	case o.Action == l.awaited:
 		l.awaited = 0
-		l.replies <- o // it has room for the one result that is awaited
+		l.replies <- o // does not block: the buffer has room for the one awaited result
 	case o.Action == takeover.ActionPermitResult && o.OK:
 		l.unusedPermit = true
 	}
 }
 
 // query starts a query to the backups and waits for its result, which is false if the context
-// ends first. The result of another query, which was given up, does not count.
+// ends first. A late result of an abandoned query of the other kind is not taken for it.
 func (l *Lease) query(ctx context.Context, result takeover.Action, start func(now int64)) bool {
 	l.queryMu.Lock()
 	defer l.queryMu.Unlock()
@@ -108,8 +108,8 @@
 	l.service.runOutputs(now)
 }
 
-// abandonQuery ends the wait for a result. One that has come meanwhile is delivered again, to
-// nobody.
+// abandonQuery stops waiting for a result. A result that has arrived in the meantime is delivered
+// again without a waiter, so that a granted permit is stored.
 func (l *Lease) abandonQuery() {
 	l.service.mu.Lock()
 	defer l.service.mu.Unlock()
@@ -121,13 +121,14 @@
 	}
 }
 
-// AcquirePermit asks for a permit to make another attempt, and reports whether it was granted.
+// AcquirePermit requests a permit for another attempt and reports whether it was granted. It
+// returns false if the lease is lost or the context ends.
 func (l *Lease) AcquirePermit(ctx context.Context) bool {
 	return !l.Lost.Load() && l.query(ctx, takeover.ActionPermitResult, l.requestPermit)
 }
 
-// requestPermit uses the permit of an earlier query that was given up, waits for its result,
-// or asks for a permit. The caller holds the service's lock.
+// requestPermit uses the permit of an abandoned query, lets the caller wait for the result of an
+// abandoned query that is still pending, or requests a permit. The caller holds the service's lock.
 func (l *Lease) requestPermit(now int64) {
 	switch {
 	case l.unusedPermit:
@@ -139,9 +140,9 @@
 	}
 }
 
-// Valid reports whether this gateway still has the lease. It is to be called before anything of
-// the request is sent or relayed. It costs a look at the clock, and after a freeze of the process
-// an exchange with the backups.
+// Valid reports whether this gateway still has the lease. It has to be called before any data of
+// the request is sent or relayed. It reads the clock, and exchanges messages with the backups only
+// after a freeze of the process.
 func (l *Lease) Valid(ctx context.Context) bool {
 	if l.Lost.Load() {
 		return false
@@ -161,8 +162,8 @@
 	return true
 }
 
-// Release ends the lease: nothing of the request runs here any more. mayHaveRun says whether an
-// attempt may have run.
+// Release ends the lease after all attempts of the request here have ended. mayHaveRun reports
+// whether an attempt may have run.
 func (l *Lease) Release(mayHaveRun bool) {
 	s := l.service
 	s.mu.Lock()
--- a/internal/peers/lease_test.go
+++ b/internal/peers/lease_test.go
@@ -8,10 +8,10 @@
 	"archknot/internal/takeover"
 )
 
-// answerDelay is more than a query needs to begin.
+// answerDelay is longer than a query takes to start.
 const answerDelay = 50 * time.Millisecond
 
-// leaseFixture is a lease with one backup, whose answers the test gives.
+// leaseFixture is a lease with one backup, whose replies the test injects.
 type leaseFixture struct {
 	*testing.T
 	service *Service
@@ -36,7 +36,7 @@
 	return fixture
 }
 
-// answer gives the backup's answer to a query; queries are numbered from 1.
+// answer injects the backup's reply to a query; queries are numbered from 1.
 func (r *leaseFixture) answer(kind takeover.MessageKind, query uint32, ok bool) {
 	r.service.mu.Lock()
 	defer r.service.mu.Unlock()
@@ -45,17 +45,17 @@
 	r.service.runOutputs(now)
 }
 
-// abandon makes a query whose caller leaves before it is answered.
+// abandon starts a query whose context ends before the reply.
 func (r *leaseFixture) abandon(query func(context.Context) bool) {
 	r.Helper()
 	ctx, cancel := context.WithTimeout(r.Context(), time.Millisecond)
 	defer cancel()
 	if query(ctx) {
-		r.Fatal("a query without an answer succeeded")
+		r.Fatal("a query without a reply succeeded")
 	}
 }
 
-// begin makes a query and returns where its result will be.
+// begin starts a query and returns the channel of its result.
 func (r *leaseFixture) begin(query func(context.Context) bool) <-chan bool {
 	result := make(chan bool, 1)
 	go func() { result <- query(r.Context()) }()
@@ -68,7 +68,7 @@
 	select {
 	case got := <-result:
 		if got != want {
-			r.Errorf("the query's result is %t", got)
+			r.Errorf("unexpected result of the query: %t", got)
 		}
 	case <-time.After(time.Second):
 		r.Error("the query has no result")
@@ -79,12 +79,13 @@
 	r.Helper()
 	select {
 	case got := <-result:
-		r.Errorf("the query ended with %t before its own answer", got)
+		r.Errorf("the query ended with %t before its own reply", got)
 	case <-time.After(answerDelay):
 	}
 }
 
-// Guards against: the late reply to a permit query counts as a valid lease, and two gateways run one request.
+// Guards against two gateways that run the same request because the late reply to a permit query is taken
+// for the reply to a lease check.
 func TestLatePermitIsNoValidLease(t *testing.T) {
 	r := newLeaseFixture(t)
 	r.abandon(r.lease.AcquirePermit)
@@ -96,7 +97,8 @@
 	r.expect(valid, false)
 }
 
-// Guards against: the late reply to a lease check counts as a permit, and one attempt more than granted is made.
+// Guards against an attempt without a permit because the late reply to a lease check is taken for the reply
+// to a permit query.
 func TestLateLeaseCheckIsNoPermit(t *testing.T) {
 	r := newLeaseFixture(t)
 	r.service.freezes.Add(1)
@@ -108,7 +110,8 @@
 	r.expect(permit, true)
 }
 
-// Guards against: a reply to a lease check from before a second freeze counts for the time after it.
+// Guards against a lease that is taken as valid after a second freeze because of a reply to the lease check
+// from before that freeze.
 func TestLeaseIsCheckedAnewAfterAnotherFreeze(t *testing.T) {
 	r := newLeaseFixture(t)
 	r.service.freezes.Add(1)
@@ -121,7 +124,8 @@
 	r.expect(valid, true)
 }
 
-// Guards against: a permit that is granted after its attempt has ended is lost, and the request is not retried.
+// Guards against a request that is not retried because a permit that is granted after its requester has
+// stopped waiting is lost.
 func TestPermitOfAnEndedAttemptIsKept(t *testing.T) {
 	t.Run("granted before the next attempt", func(t *testing.T) {
 		r := newLeaseFixture(t)
--- a/internal/peers/peers_test.go
+++ b/internal/peers/peers_test.go
@@ -56,12 +56,12 @@
 		_, _ = decodeDatagram(encoded[:n])
 	}
 	if _, err := decodeDatagram([]byte("noise that no gateway sent")); err == nil {
-		t.Error("noise is accepted")
+		t.Error("a datagram of arbitrary bytes is accepted")
 	}
 }
 
-// Of four gateways in one process, one holds a request's lease and ends. Another continues the
-// request, once: the claim of a third is rejected.
+// Of four gateways in one process, the lease holder of a request ends. A second gateway claims the
+// request, and the claim of a third is rejected.
 func TestClaimOverSockets(t *testing.T) {
 	ctx, stop := context.WithCancel(t.Context())
 	defer stop()
@@ -90,11 +90,11 @@
 		}
 	}
 	for _, service := range all {
-		until("they do not find each other", func() bool { return service.Stats().Members == 3 })
+		until("the gateways do not discover each other", func() bool { return service.Stats().Members == 3 })
 	}
 	var stopped atomic.Bool
 	first := all[0].Acquire("r1", takeover.RetryPolicy{Idempotent: true}, time.Second*4, func() { stopped.Store(true) })
-	until("not replicated", func() bool {
+	until("the record is not replicated to all backups", func() bool {
 		n := 0
 		for _, service := range all[1:] {
 			n += service.Stats().Records
@@ -104,20 +104,20 @@
 	if !first.Valid(ctx) || !first.AcquirePermit(ctx) {
 		t.Error("the holder has no valid lease or no permit")
 	}
-	stops[0]() // closes its port, as the end of its process would
+	stops[0]() // closes the port, as the end of the process would
 	second, grant, err := all[1].Claim(ctx, "r1", 1, func() {})
 	if err != nil || grant.AttemptsMade != 2 || grant.TimeLeft <= 0 || !second.Valid(ctx) {
 		t.Fatalf("%v, %+v", err, grant)
 	}
 	var refusal ClaimRejectedError
 	if _, _, err := all[2].Claim(ctx, "r1", 1, func() {}); !errors.As(err, &refusal) {
-		t.Errorf("a second claim: %v", err)
+		t.Errorf("second claim of the same resume request: %v, expected a rejection", err)
 	}
 	if second.AcquirePermit(ctx) {
-		t.Error("a fourth attempt")
+		t.Error("permit granted for a fourth attempt")
 	}
 	if _, _, err := all[2].Claim(ctx, "r2", 1, func() {}); !errors.As(err, &refusal) || refusal.Reason != takeover.ReasonUnknown {
-		t.Errorf("a request without a holder: %v", err)
+		t.Errorf("claim of a request without a holder: %v, expected the reason unknown", err)
 	}
 	second.Release(true)
 }
--- a/internal/peers/probe.go
+++ b/internal/peers/probe.go
@@ -16,11 +16,12 @@
 )
 
 const (
-	// maxConcurrentProbes bounds the probes that are answered at once, and those under way.
+	// maxConcurrentProbes bounds the incoming probes that are answered concurrently, and separately
+	// the outgoing probes that are pending.
 	maxConcurrentProbes = 16
-	// probeAnswerTimeout bounds how long a connection of a probe stays open.
+	// probeAnswerTimeout bounds how long the connection of an incoming probe stays open.
 	probeAnswerTimeout = time.Second
-	// maxProbeLine is the most bytes that are read from the other end of a probe.
+	// maxProbeLine is the largest number of bytes that is read from the peer of a probe.
 	maxProbeLine = 256
 )
 
@@ -49,9 +50,9 @@
 	_, _ = io.Copy(io.Discard, io.LimitReader(conn, maxProbeLine))
 }
 
-// probeMember dials a member's port in a goroutine of its own. A refused connection, or the
-// answer of a later incarnation, proves that the process has ended. No answer proves nothing. The
-// caller holds the lock.
+// probeMember dials a member's port in a new goroutine. A refused connection, or the answer of a
+// later incarnation, proves that the process has ended; a timeout proves nothing. The caller holds
+// the lock.
 func (s *Service) probeMember(member takeover.Member, addr string) {
 	if s.probing[member.Name] || len(s.probing) >= maxConcurrentProbes {
 		return
@@ -63,7 +64,7 @@
 	}()
 }
 
-// finishProbe reports the result of a probe.
+// finishProbe reports the result of a probe to the membership table and the takeover node.
 func (s *Service) finishProbe(member takeover.Member, incarnation uint64, err error) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -80,7 +81,7 @@
 	s.runOutputs(now)
 }
 
-// dialIncarnation returns the incarnation of the gateway of a name that answers at an address.
+// dialIncarnation returns the incarnation that the named gateway answers with at an address.
 func dialIncarnation(addr, self, name string, timeout time.Duration) (incarnation uint64, err error) {
 	conn, err := net.DialTimeout("tcp", addr, timeout)
 	if err != nil {
@@ -91,11 +92,11 @@
 	fmt.Fprintf(conn, "%s 0\n", self)
 	line, err := bufio.NewReader(io.LimitReader(conn, maxProbeLine)).ReadString('\n')
 	if err != nil {
-		return 0, fmt.Errorf("%s: read the answer to a probe: %w", addr, err)
+		return 0, fmt.Errorf("probe %s: read answer: %w", addr, err)
 	}
 	answering, text, _ := strings.Cut(strings.TrimSpace(line), " ")
 	if answering != name {
-		return 0, fmt.Errorf("%s: %.64q answers in the place of %s", addr, answering, name)
+		return 0, fmt.Errorf("probe %s: answered by gateway %.64q, expected %q", addr, answering, name)
 	}
 	return strconv.ParseUint(text, 10, 64)
 }
--- a/internal/peers/service.go
+++ b/internal/peers/service.go
@@ -21,10 +21,10 @@
 const (
 	// maxHeartbeatInterval is the longest time between two heartbeats of the process.
 	maxHeartbeatInterval = 100 * time.Millisecond
-	// heartbeatsPerFreeze is how many heartbeats fall into Options.FreezeThreshold at least. Each
-	// of them wakes an idle process: there are no more than it takes to notice a freeze.
+	// heartbeatsPerFreeze is the least number of heartbeats within Options.FreezeThreshold. It is
+	// no more than the detection of a freeze needs, because each heartbeat wakes an idle process.
 	heartbeatsPerFreeze = 4
-	// receiveBufferSize is the wanted size of the socket's receive buffer in bytes.
+	// receiveBufferSize is the requested size of the socket's receive buffer in bytes.
 	receiveBufferSize = 1 << 20
 )
 
@@ -38,7 +38,7 @@
 	Backups             int      // of each request
 	Permits             int      // retries allowed for each request
 	ReplyTimeout        time.Duration
-	RecordTTL           time.Duration // how long a record outlasts its holder's last message
+	RecordTTL           time.Duration // how long a record is stored after its holder's last message
 	FreezeThreshold     time.Duration // a gap between heartbeats after which leases are checked
 	HandOverDelay       time.Duration // from SIGTERM to the hand-over of requests in flight
 	MaxRecords          int           // of other gateways' requests
@@ -46,8 +46,8 @@
 	RandomSeed          uint64
 }
 
-// Service is a running connection to the other gateways. Its methods may be called from any
-// goroutine.
+// Service exchanges datagrams and probes with the other gateways. Its methods may be called from
+// any goroutine.
 type Service struct {
 	options   Options
 	self      takeover.Member
@@ -65,7 +65,7 @@
 	flushScheduled   bool
 	lastFlush        int64 // in microseconds since startedAt
 	resolvedAddrs    map[string]netip.AddrPort
-	probing          map[string]bool   // members with a probe under way
+	probing          map[string]bool   // members with a pending probe
 	zones            map[string]string // by member
 	backupCandidates []takeover.Member // alive or suspect, as of tableVersion
 	tableVersion     uint64
@@ -129,7 +129,7 @@
 		tcp.Close()
 		return nil, nil, fmt.Errorf("peers: %w", err)
 	}
-	_ = udp.SetReadBuffer(receiveBufferSize) // a smaller buffer works as well
+	_ = udp.SetReadBuffer(receiveBufferSize) // an error is ignored: a smaller buffer also works
 	return tcp, udp, nil
 }
 
@@ -180,7 +180,8 @@
 	s.tcp.Close()
 }
 
-// recordHeartbeat records that the process runs, and counts a freeze if it has not for long.
+// recordHeartbeat records the time of a heartbeat, and counts a freeze if the last heartbeat is at
+// least Options.FreezeThreshold ago.
 func (s *Service) recordHeartbeat() {
 	now := s.now()
 	if last := s.lastHeartbeat.Swap(now); now-last >= s.options.FreezeThreshold.Microseconds() {
@@ -189,7 +190,7 @@
 	}
 }
 
-// Stats are counts and current numbers of a Service.
+// Stats are the counters and gauges of a Service.
 type Stats struct {
 	Members         int // other gateways that are alive or suspect
 	Records         int // of other gateways' requests
@@ -200,7 +201,7 @@
 	Freezes         int64  // of this process
 }
 
-// Stats returns the current numbers.
+// Stats returns the current values.
 func (s *Service) Stats() Stats {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -216,7 +217,8 @@
 	}
 }
 
-// Leave notifies other gateways that this one leaves, so that they no longer select it as a backup.
+// Leave notifies some other gateways, which spread it, that this one leaves, so that they no longer
+// select it as a backup.
 func (s *Service) Leave() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -227,8 +229,8 @@
 // HandOverDelay returns how long requests in flight at SIGTERM continue here.
 func (s *Service) HandOverDelay() time.Duration { return s.options.HandOverDelay }
 
-// HandOver gives up all leases, so that the clients resume their requests at other gateways. It
-// returns how many.
+// HandOver marks all leases as lost and cancels their requests, so that the clients resume them at
+// other gateways. It returns the number of leases.
 func (s *Service) HandOver() int {
 	s.mu.Lock()
 	defer s.mu.Unlock()
--- a/internal/peers/stored_test.go
+++ b/internal/peers/stored_test.go
@@ -10,8 +10,9 @@
 	"archknot/internal/takeover"
 )
 
-// A datagram written by the build of commit b3142ba is read with all its fields. Kinds,
-// states and reasons stand as the numbers that go over the wire.
+// Guards against an incompatible change of the wire format: a datagram encoded by the build of
+// commit b3142ba is decoded with all its fields. Kinds, states and reasons are compared as the
+// numbers of the wire format.
 func TestStoredDatagram(t *testing.T) {
 	text, err := os.ReadFile("testdata/stored/datagram.pb")
 	if err != nil {
