--- a/internal/membership/bench_test.go
+++ b/internal/membership/bench_test.go
@@ -7,8 +7,8 @@
 	"archknot/internal/takeover"
 )
 
-// BenchmarkSecond measures one member's work in a second, by the number of members, of which one in a
-// hundred changes: ten ticks, and an ack for each message.
+// BenchmarkSecond measures one member's work per second for several numbers of members, of which one in a
+// hundred changes per second. A second has ten ticks, and each message is answered by an ack.
 func BenchmarkSecond(b *testing.B) {
 	for _, n := range []int{100, 500, 1000, 2000} {
 		b.Run(fmt.Sprint(n), func(b *testing.B) {
--- a/internal/membership/gossip.go
+++ b/internal/membership/gossip.go
@@ -8,15 +8,15 @@
 	"archknot/internal/takeover"
 )
 
-// retransmitFactor times the binary logarithm of the number of members is how often an update
-// is sent, so that it reaches all.
+// retransmitFactor, times the binary logarithm of the number of members, is the number of times
+// that an update is sent so that it reaches all members.
 const retransmitFactor = 3
 
-// leaveNotices is how many members a leaving gateway notifies itself.
+// leaveNotices is the number of members that a leaving gateway notifies directly.
 const leaveNotices = 8
 
-// Piggyback returns updates to send along with another message, at most limit of them: those
-// that were sent least first.
+// Piggyback returns at most limit updates to send along with another message, those with the
+// most transmissions left first. It counts them as sent.
 func (t *Table) Piggyback(limit int) []MemberInfo {
 	var pending []*memberState
 	for name := range t.pendingUpdates {
@@ -61,7 +61,8 @@
 	return append([]MemberInfo{t.self}, updates...)
 }
 
-// Receive handles a message from another member.
+// Receive applies the updates of a message from another member, and handles the message itself if
+// the sender is in the table with the same incarnation.
 func (t *Table) Receive(now Micros, from takeover.Member, m Message) {
 	t.Merge(now, m.Updates)
 	sender := t.members[from.Name]
@@ -80,7 +81,7 @@
 	}
 }
 
-// markResponsive records that a member's process has answered.
+// markResponsive records that a member's process runs.
 func (t *Table) markResponsive(now Micros, m *memberState) {
 	m.pingedAt = 0
 	m.probing = false
@@ -89,21 +90,21 @@
 	}
 }
 
-// ConfirmAlive reports that a probe found the process running in the expected incarnation.
+// ConfirmAlive records that a probe was answered by the process in the expected incarnation.
 func (t *Table) ConfirmAlive(now Micros, member takeover.Member) {
 	if m := t.members[member.Name]; m != nil && m.Incarnation == member.Incarnation && m.State < Left {
 		t.markResponsive(now, m)
 	}
 }
 
-// ConfirmDead reports that a process is proven to have ended.
+// ConfirmDead records that a process is proven to have ended.
 func (t *Table) ConfirmDead(now Micros, member takeover.Member) {
 	if m := t.members[member.Name]; m != nil && m.Incarnation <= member.Incarnation && m.State != Dead {
 		t.setState(now, m, Dead)
 	}
 }
 
-// Leave notifies some other members that this gateway leaves.
+// Leave marks this gateway as left and notifies up to leaveNotices members, which gossip it.
 func (t *Table) Leave(Micros) {
 	t.self.State = Left
 	for _, name := range t.sortedNames[:min(len(t.members), leaveNotices)] {
@@ -124,8 +125,8 @@
 	}
 }
 
-// refute answers an update that says this gateway is not alive. The refutation goes out with
-// the next message.
+// refute refutes an update that reports this gateway as not alive. The next message carries the
+// refutation.
 func (t *Table) refute(update MemberInfo) {
 	contradictsSelf := update.Incarnation == t.self.Incarnation && update.State > Alive && update.State != t.self.State
 	if contradictsSelf && update.Refutations >= t.self.Refutations {
@@ -133,8 +134,8 @@
 	}
 }
 
-// mergeUnknown adds a member that is not in the table. One that is gone already is added only to
-// an empty table: there is no reason to remember it.
+// mergeUnknown adds a member that is not in the table. A member that is unreachable, left or dead
+// is added only to an empty table: otherwise there is no reason to store it.
 func (t *Table) mergeUnknown(now Micros, update MemberInfo) {
 	if update.State >= Unreachable && len(t.members) > 0 {
 		return
@@ -146,8 +147,8 @@
 	t.addMember(now, update)
 }
 
-// supersedes reports whether an update has precedence over what is known of a member: first by
-// incarnation, then death, then the number of refutations, then the worse state.
+// supersedes reports whether an update has precedence over the known state of a member. The
+// criteria are, in order: later incarnation, death, more refutations, greater state.
 func supersedes(update, known MemberInfo) bool {
 	if update.Incarnation != known.Incarnation {
 		return update.Incarnation > known.Incarnation
@@ -166,7 +167,7 @@
 		m.stateSince = now
 	}
 	if update.State == Unreachable && m.State == Alive {
-		update.State = Suspect // the suspicion timeout passes here as well
+		update.State = Suspect // SuspicionTimeout has to pass at this gateway as well
 	}
 	if update.Incarnation != m.Incarnation {
 		m.pingedAt = 0
--- a/internal/membership/membership_test.go
+++ b/internal/membership/membership_test.go
@@ -56,7 +56,7 @@
 		n.deliverAll()
 		for i := range len(n.tables) {
 			addr := testAddr(i)
-			ticks := n.now/1000%20 == int64(i%20) // every 20 ms, and whenever it has outputs
+			ticks := n.now/1000%20 == int64(i%20) // a member ticks every 20 ms, and whenever it has outputs
 			if (ticks || len(n.tables[addr].outputs) > 0) && !n.down[addr] && !n.frozen[addr] {
 				n.tables[addr].Tick(n.now)
 				n.runOutputs(addr)
@@ -110,8 +110,8 @@
 	return count
 }
 
-// A hundred members find each other. Three in ten of them die at once, which all others know
-// within seconds, and are alive to all after a restart. MEMBERS=300 does it with more.
+// A hundred members discover each other. When three in ten of them die at once, all others record
+// the deaths within 10 s. After a restart they are alive to all. MEMBERS=300 runs it with 300.
 func TestMassDeath(t *testing.T) {
 	n := 100
 	if v, err := strconv.Atoi(os.Getenv("MEMBERS")); err == nil {
@@ -122,7 +122,7 @@
 	network.run(12_000_000)
 	for i := range n {
 		if got := len(network.tables[testAddr(i)].Members()); got != n-1 {
-			t.Fatalf("%s knows %d", testAddr(i), got)
+			t.Fatalf("%s has discovered %d other members", testAddr(i), got)
 		}
 	}
 	for i := 10; i < 10+dying; i++ {
@@ -143,7 +143,7 @@
 	rate := float64(network.packets-before) / float64(n-dying) / (float64(knownAfter) / 1000)
 	t.Logf("%d of %d dead: known to all after %d ms, %.1f messages a member and second", dying, n, knownAfter, rate)
 	if knownAfter < 0 {
-		t.Error("some do not know of the deaths after 10 s")
+		t.Error("not all members have recorded the deaths after 10 s")
 	}
 	for i := 10; i < 10+dying; i++ {
 		network.start(i, 2)
@@ -156,7 +156,8 @@
 	}
 }
 
-// A frozen member is never dead: it is suspect, unreachable, and alive with its first answer.
+// A frozen member is never recorded as dead: it becomes suspect, then unreachable, and is alive with
+// its first answer.
 func TestFrozenMemberIsNotDead(t *testing.T) {
 	network := newTestNetwork(t, 30)
 	network.run(5_000_000)
@@ -175,7 +176,7 @@
 	}
 }
 
-// Two halves of a network that was partitioned find each other again.
+// The two halves of a partitioned network discover each other again after the partition heals.
 func TestPartitionHeals(t *testing.T) {
 	network := newTestNetwork(t, 20)
 	network.run(5_000_000)
--- a/internal/membership/table.go
+++ b/internal/membership/table.go
@@ -3,16 +3,17 @@
 import "slices"
 
 const (
-	// joinInterval is the time between two joins while no member is known. Later joins are ever
-	// rarer, up to maxJoinBackoff times it: they go on because a seed may be in another part of a
-	// fleet that was partitioned.
-	joinInterval   Micros = 500_000
+	// joinInterval is the time between two joins while no member is known.
+	joinInterval Micros = 500_000
+	// maxJoinBackoff is the largest backoff between later joins, as a multiple of joinInterval. Joins
+	// never stop, because after a partition a seed may be the only contact to its part of the fleet.
 	maxJoinBackoff Micros = 20
 
-	// maxSeedsAtOnce is how many seeds are asked at once while no member is known.
+	// maxSeedsAtOnce is the number of seeds that a join is sent to while no member is known.
 	maxSeedsAtOnce = 8
 
-	// suspectAfterAckTimeouts is how many ack timeouts a member has to answer a ping or its probe.
+	// suspectAfterAckTimeouts is the time, in multiples of Settings.AckTimeout, after which a member
+	// is suspect if it has answered neither a ping nor the probe that follows.
 	suspectAfterAckTimeouts Micros = 3
 )
 
@@ -21,7 +22,7 @@
 	PingInterval     Micros
 	AckTimeout       Micros // from a ping without an answer to the probe
 	SuspicionTimeout Micros // from suspect to unreachable
-	TombstoneTTL     Micros // how long members that are unreachable, left or dead are remembered
+	TombstoneTTL     Micros // how long members that are unreachable, left or dead are stored
 	MaxMembers       int    // in all states
 	MaxUpdates       int    // in one message
 }
@@ -38,13 +39,13 @@
 	}
 }
 
-// Table is one gateway's view of the other gateways. It is not safe for concurrent use.
+// Table is one gateway's membership list of the other gateways. It is not safe for concurrent use.
 type Table struct {
 	settings       Settings
 	self           MemberInfo
 	seeds          []string
 	members        map[string]*memberState // by name
-	sortedNames    []string                // of members: for the same outputs in each run
+	sortedNames    []string                // of members: equal inputs have to give equal outputs
 	pingOrder      []string                // members that remain to be pinged in this round
 	pingSeq        uint32
 	outputs        []Output
@@ -57,18 +58,18 @@
 	rejected       int
 }
 
-// memberState is a member, and the progress of pinging it.
+// memberState is a member and the state of its ping and gossip.
 type memberState struct {
 	MemberInfo
 	stateSince    Micros
-	pingedAt      Micros // of the ping that is unanswered; 0: none
+	pingedAt      Micros // time of the unanswered ping; 0: none
 	pingSeq       uint32
 	probing       bool
-	transmitsLeft int // how often this state is still to be gossiped
+	transmitsLeft int // number of times that this state is still to be gossiped
 }
 
-// New returns the view of a gateway that knows the addresses of some others, its seeds. The
-// random seed determines the order of its pings.
+// New returns the table of a gateway, without members. The seeds are the addresses of the gateways
+// that it joins. The random seed determines the order of its pings and the seed of each join.
 func New(self MemberInfo, seeds []string, settings Settings, randomSeed uint64) *Table {
 	return &Table{
 		settings:       settings,
@@ -80,7 +81,7 @@
 	}
 }
 
-// Outputs returns the actions to carry out since the last call, in order.
+// Outputs returns the actions to execute that were added since the last call, in order.
 func (t *Table) Outputs() []Output {
 	outputs := t.outputs
 	t.outputs = nil
@@ -128,8 +129,8 @@
 	}
 }
 
-// join sends a join to a random seed, and while no member is known to the first seeds as well,
-// for some of them may be gone.
+// join sends a join to a random seed. While no member is known it also sends one to each of the
+// first seeds, because some of them may no longer run.
 func (t *Table) join(now Micros) {
 	selected := t.randomIntN(len(t.seeds))
 	noMembers := len(t.members) == 0
