--- a/internal/subset/affinity.go
+++ b/internal/subset/affinity.go
@@ -10,11 +10,12 @@
 )
 
 const (
-	// affinityPoolSize is about how many replicas are candidates for a request's affinity target.
+	// affinityPoolSize is the approximate number of candidates for a request's affinity target.
 	affinityPoolSize = 128
-	// minPrefixTargets is the least number of replicas that serve a shared prefix, and prefixTargetHeadroom
-	// the factor over the number that its share of the traffic needs: see docs/measurements/scale.md.
-	minPrefixTargets     = 8
+	// minPrefixTargets is the least number of replicas that serve a shared prefix.
+	minPrefixTargets = 8
+	// prefixTargetHeadroom is the factor by which the replicas that serve a prefix exceed the number that
+	// its fraction of the traffic requires: see docs/measurements/scale.md.
 	prefixTargetHeadroom = 6.0
 	// scoreEpsilon keeps the logarithm in the rendezvous score finite.
 	scoreEpsilon = 1e-18
@@ -22,14 +23,14 @@
 	affinityPoolSeed = 0x706f6f6c // "pool"
 )
 
-// affinityPool holds the ready replicas of a zone, sorted by a hash of their own: a run of them with the
-// same leading bits is a part of the zone that all gateways see alike.
+// affinityPool holds the ready replicas of a zone, sorted by affinityPoolKey. Replicas whose keys share their
+// leading bits form a run, which is the same at all gateways.
 type affinityPool struct {
 	sortKeys []uint64
 	replicas []*replica // in the order of sortKeys
 }
 
-// newAffinityPool returns a pool of the replicas and takes over the slice.
+// newAffinityPool returns a pool of the replicas. It takes ownership of the slice and sorts it.
 func newAffinityPool(replicas []*replica) *affinityPool {
 	p := &affinityPool{replicas: replicas}
 	slices.SortFunc(p.replicas, func(a, b *replica) int { return cmp.Compare(affinityPoolKey(a), affinityPoolKey(b)) })
@@ -41,8 +42,8 @@
 
 func affinityPoolKey(r *replica) uint64 { return mix64(r.hash ^ affinityPoolSeed) }
 
-// candidates returns the run of replicas that share a key's leading bits: as many bits as leave about
-// affinityPoolSize replicas, or fewer bits if the run would have less than minCount.
+// candidates returns the run of replicas that share a key's leading bits. The number of bits leaves about
+// affinityPoolSize replicas; fewer bits are used if the run would have less than minCount.
 func (p *affinityPool) candidates(key uint64, minCount int) []*replica {
 	n := len(p.replicas)
 	leadingBits := bits.Len(uint((n - 1) / affinityPoolSize))
@@ -61,9 +62,9 @@
 	return p.replicas
 }
 
-// AssignAffinityTarget sets the AffinityTarget of an arriving request. If the balancer does not know that
-// replica yet, changed is true and the returned list announces it; the balancer must get this list before
-// the request.
+// AssignAffinityTarget sets the AffinityTarget of an arriving request. If that replica is not announced to
+// the balancer yet, changed is true and the returned list announces it; the balancer must receive this list
+// before the request.
 func (s *Selector) AssignAffinityTarget(now balancer.Micros, request *balancer.Request) (list balancer.EndpointList, changed bool) {
 	if !s.subsetting {
 		return list, false
@@ -80,10 +81,10 @@
 	return list, len(list.Endpoints) > 0
 }
 
-// affinityTarget returns the affinity target on which all gateways of the zone agree: of the few replicas
-// that serve the request's prefix, the one that ranks first for its session (weighted rendezvous hashing).
-// Replicas that are warming up are no targets. It returns nil if the request has neither session nor
-// prefix, or if there is no replica.
+// affinityTarget returns the affinity target of a request, which is the same at all gateways of the zone: of
+// the few replicas that serve the request's prefix, the one that ranks first for its session by weighted
+// rendezvous hashing. Replicas that are warming up are excluded. It returns nil if the request has neither
+// session nor prefix, or if there is no such replica.
 func (s *Selector) affinityTarget(now balancer.Micros, request *balancer.Request) *replica {
 	if request.Prefix == 0 && request.Session == 0 {
 		return nil
@@ -115,7 +116,7 @@
 }
 
 // bestTarget returns the candidate with the best rendezvous score of those whose hash distance to the
-// prefix is less than maxDistance, or else the nearest one. Replicas that are warming up do not count.
+// prefix is less than maxDistance, or else the nearest one. Replicas that are warming up are skipped.
 func (s *Selector) bestTarget(now balancer.Micros, candidates []*replica, prefixHash, rankHash uint64, maxDistance float64) *replica {
 	var best, nearest *replica
 	bestScore, nearestDistance := math.Inf(1), math.Inf(1)
@@ -138,8 +139,8 @@
 	return cmp.Or(best, nearest)
 }
 
-// affinityZone returns the zone of a key's affinity target: the gateway's own, except for the share of
-// keys for which that zone has too few replicas.
+// affinityZone returns the zone of a key's affinity target. Keys are divided among the zones by their
+// affinityFraction: zones other than the gateway's own are used only if that has too few replicas or none.
 func affinityZone(zones *zoneTable, key uint64) string {
 	remaining := unitInterval(key)
 	for _, z := range zones.sorted {
@@ -150,8 +151,8 @@
 	return ""
 }
 
-// announceTarget makes sure that the balancer knows a replica, and appends the changes that this needs to
-// the list.
+// announceTarget appends to the list the changes that announce a target, if it is not announced yet, and
+// records the use of a target outside the subset.
 func (s *Selector) announceTarget(target *replica, list *balancer.EndpointList) {
 	_, announced := s.announced[target.Replica]
 	_, outside := s.outsideTargets[target.Replica]
@@ -169,7 +170,7 @@
 	s.stats.OutsideTargets = len(s.outsideTargets)
 }
 
-// maxOutsideTargets returns how many affinity targets outside the subset the balancer may know at once.
+// maxOutsideTargets returns the limit on announced affinity targets outside the subset.
 func (s *Selector) maxOutsideTargets() int { return max(1, s.settings.MaxReplicas/2) }
 
 // withdrawOldestTarget withdraws the least recently used target outside the subset. Its attempts in flight
--- a/internal/subset/bench_test.go
+++ b/internal/subset/bench_test.go
@@ -7,7 +7,7 @@
 	"archknot/balancer"
 )
 
-// BenchmarkChange measures one replica's change of state, over the size of the fleet.
+// BenchmarkChange measures one replica's change of state, for several sizes of the fleet.
 func BenchmarkChange(b *testing.B) {
 	for _, n := range []int{1000, 3000, 6000, 12000} {
 		b.Run(fmt.Sprint(n), func(b *testing.B) {
@@ -25,7 +25,8 @@
 	}
 }
 
-// BenchmarkAssignAffinityTarget measures finding a request's affinity target, over the size of the fleet.
+// BenchmarkAssignAffinityTarget measures the selection of a request's affinity target, for several sizes of
+// the fleet.
 func BenchmarkAssignAffinityTarget(b *testing.B) {
 	for _, n := range []int{1000, 6000, 12000} {
 		b.Run(fmt.Sprint(n), func(b *testing.B) {
--- a/internal/subset/request_bench_test.go
+++ b/internal/subset/request_bench_test.go
@@ -8,7 +8,7 @@
 	"archknot/internal/subset"
 )
 
-// lastDispatchSink receives a balancer's actions and remembers the replica of the last dispatch.
+// lastDispatchSink receives a balancer's actions and stores the replica of the last dispatch.
 type lastDispatchSink struct{ lastDispatched balancer.ReplicaID }
 
 func (n *lastDispatchSink) Dispatch(_ balancer.RequestID, to balancer.ReplicaID, _ balancer.Micros) {
@@ -22,8 +22,9 @@
 func (*lastDispatchSink) Gossip([]byte)                            {}
 func (*lastDispatchSink) WatchDiscovery()                          {}
 
-// BenchmarkRequest measures all decisions for a request, from its arrival to its end: the affinity target,
-// the list that announces it, the pick, and learning from the outcome. The fleet is in one zone or eighteen.
+// BenchmarkRequest measures all decisions for a request, from its arrival to its end: the selection of the
+// affinity target, the list that announces it, the choice of a replica, and the update from the outcome. The
+// fleet is in one zone or eighteen.
 func BenchmarkRequest(b *testing.B) {
 	for _, c := range []struct{ replicas, zones, maxReplicas int }{
 		{100, 1, 128}, {100, 1, 0}, {1000, 1, 0}, {6000, 1, 0}, {1000, 1, 128}, {6000, 1, 128}, {6000, 18, 128},
--- a/internal/subset/selector.go
+++ b/internal/subset/selector.go
@@ -8,29 +8,29 @@
 	"archknot/balancer"
 )
 
-// PrefixStats is what a Selector needs to know from the balancer.
+// PrefixStats provides the balancer's statistics of prefixes to a Selector.
 type PrefixStats interface {
-	// PrefixShare returns a prefix's share of the requests seen so far.
+	// PrefixShare returns the fraction of the requests so far that have the prefix.
 	PrefixShare(prefix uint64) (fraction float64)
 }
 
-// startedLongAgo is the start of a replica that was up before this gateway was. It is not 0, which the
-// balancer takes for an unknown start and hence for a start just now.
+// startedLongAgo is the assumed start time of a replica that started before this gateway. It is not 0,
+// because the balancer treats 0 as unknown and the replica as just started.
 const startedLongAgo balancer.Micros = 1
 
-// Selector stands between discovery's endpoint lists and the balancer. It holds the complete list and
-// passes on the gateway's subset of it, and in addition the affinity targets of current requests that are
-// outside the subset. It reads no clock and must not be used by several goroutines at once.
+// Selector reduces discovery's endpoint lists for the balancer. It stores the complete list and passes on
+// the gateway's subset of it, and in addition the affinity targets of current requests that are outside the
+// subset. It reads no clock and is not safe for concurrent use.
 type Selector struct {
 	settings          Settings
 	prefixStats       PrefixStats
 	fleet             map[balancer.ReplicaID]*replica
 	sorted            []*replica // the fleet by ID
-	fleetChanged      bool       // replicas have joined or left the fleet since sorted was made
+	fleetChanged      bool       // replicas have joined or left the fleet since sorted was built
 	zones             *zoneTable
-	affinityPools     map[string]*affinityPool // by zone, made on demand; nil: no replica of the zone is ready
-	subsetting        bool                     // the balancer knows a subset and not the complete list
-	discoveryListSeen bool                     // a list has come from discovery itself
+	affinityPools     map[string]*affinityPool // by zone, built on demand; nil: no replica of the zone is ready
+	subsetting        bool                     // a subset is announced to the balancer, not the complete list
+	discoveryListSeen bool                     // a list was received from discovery itself
 	announced         map[balancer.ReplicaID]balancer.Endpoint
 	outsideTargets    map[balancer.ReplicaID]uint64 // announced affinity targets outside the subset, with useCounter at their last use
 	useCounter        uint64
@@ -41,13 +41,13 @@
 type Stats struct {
 	Listed         int    // replicas on the list
 	Ready          int    // those of them that accept new attempts
-	Subset         int    // ready replicas in the subset; equal to Ready where the list passes complete
+	Subset         int    // ready replicas in the subset; equal to Ready if the complete list is passed on
 	OutsideTargets int    // announced affinity targets outside the subset
 	Joined         uint64 // replicas that have joined the subset by changes of the list
 	Left           uint64 // replicas that have left it
 }
 
-// NewSelector returns a Selector that has seen no list.
+// NewSelector returns a Selector that has no list yet.
 func NewSelector(settings Settings, prefixStats PrefixStats) *Selector {
 	return &Selector{
 		settings:       settings,
@@ -59,11 +59,11 @@
 	}
 }
 
-// Stats returns the current figures.
+// Stats returns the current statistics.
 func (s *Selector) Stats() Stats { return s.stats }
 
-// Apply enters a list or delta from discovery and returns the one for the balancer. Lists within the size
-// limit are returned unchanged.
+// Apply applies a list or delta from discovery and returns the list or delta for the balancer. A failed list
+// is returned unchanged, and so is a list within the size limit unless the one before was over it.
 func (s *Selector) Apply(now balancer.Micros, list balancer.EndpointList) balancer.EndpointList {
 	if s.settings.MaxReplicas <= 0 || list.Kind.Failed() {
 		return list
@@ -85,7 +85,7 @@
 	return list
 }
 
-// announceFleet notes that the balancer knows the complete fleet.
+// announceFleet records that the complete fleet is announced to the balancer.
 func (s *Selector) announceFleet() {
 	clear(s.announced)
 	for id, r := range s.fleet {
@@ -93,7 +93,7 @@
 	}
 }
 
-// updateFleet enters a list or delta in the fleet.
+// updateFleet applies a list or delta to the fleet.
 func (s *Selector) updateFleet(now balancer.Micros, list *balancer.EndpointList) {
 	listed := map[balancer.ReplicaID]bool{}
 	for _, e := range list.Endpoints {
@@ -156,8 +156,8 @@
 // invalidatePool discards a zone's affinity pool.
 func (s *Selector) invalidatePool(zone string) { delete(s.affinityPools, zone) }
 
-// refreshIndex updates what is derived from the complete fleet: the sorted list and the affinity pools
-// only where replicas have joined or left.
+// refreshIndex updates the data that is derived from the complete fleet. The sorted list and the affinity
+// pools are rebuilt only if replicas have joined or left.
 func (s *Selector) refreshIndex() {
 	if s.fleetChanged {
 		s.sorted = slices.AppendSeq(s.sorted[:0], maps.Values(s.fleet))
@@ -221,8 +221,8 @@
 	return out
 }
 
-// nextAnnounced returns the replicas that the balancer is to know: the subset and the affinity targets
-// outside it. Targets that are in the subset now or have left the fleet are no outside targets any more.
+// nextAnnounced returns the replicas to announce to the balancer: the subset and the affinity targets outside
+// it. It removes targets that are in the subset now or have left the fleet from the outside targets.
 func (s *Selector) nextAnnounced() map[balancer.ReplicaID]balancer.Endpoint {
 	next := make(map[balancer.ReplicaID]balancer.Endpoint, s.settings.MaxReplicas)
 	for _, r := range s.sorted {
@@ -247,7 +247,7 @@
 	for _, r := range s.sorted {
 		out.Endpoints = append(out.Endpoints, r.Endpoint)
 	}
-	if !list.Kind.Complete() { // a delta must also say what has gone
+	if !list.Kind.Complete() { // a delta must also contain the removed replicas
 		for _, e := range list.Endpoints {
 			if e.State == balancer.EndpointRemoved {
 				out.Endpoints = append(out.Endpoints, e)
--- a/internal/subset/slowstart_test.go
+++ b/internal/subset/slowstart_test.go
@@ -11,10 +11,11 @@
 	"archknot/internal/subset"
 )
 
-// Slow start holds for the sum of all gateways where each works with its own subset of the fleet and with
-// affinity targets outside it: in any window of 1.5 s a replica that is warming up gets at most
-// N + 3 sqrt(N) + 3 requests (N + 2 sqrt(N) + 2 from N = 30 on), N being what slow start allows it then. Replicas that
-// are warming up look empty and all others full; all gateways share sessions and prefixes.
+// Guards against a replica in slow start that is overloaded by the sum of all gateways, each of which uses its
+// own subset of the fleet and affinity targets outside it. In any window of 1.5 s a replica that is warming up
+// receives at most N + 3 sqrt(N) + 3 requests (N + 2 sqrt(N) + 2 from N = 30 on), where N is the number that
+// slow start allows in the window. Load reports show replicas that are warming up as empty and all others as
+// full, and all gateways receive the same sessions and prefixes.
 func TestSlowStartAcrossGatewaysWithSubsets(t *testing.T) {
 	const second balancer.Micros = 1_000_000
 	for _, c := range []struct {
--- a/internal/subset/subset.go
+++ b/internal/subset/subset.go
@@ -1,16 +1,16 @@
-// Package subset bounds the part of a large fleet that a gateway works with (deterministic subsetting).
-// Every gateway applies the same rule to what it knows anyway: its own index and zone, and discovery's
-// endpoint list. Gateways do not communicate for it, and none keeps a table of the others.
+// Package subset bounds the part of a large fleet that a gateway uses (deterministic subsetting). Each
+// gateway computes its subset from its own index and zone and from discovery's endpoint list. Gateways
+// exchange no messages for this, and none stores a table of the others.
 //
-// Each replica has a fixed position on a ring of its zone, and each gateway a window on every ring. A
-// replica is in the gateway's subset while its position lies in the window. Positions follow from the
-// replica's name and windows from the gateway's index, so a replica that joins or leaves moves no other
-// one. Windows begin at multiples of irrational numbers, which spread any run of indexes evenly: all
-// replicas are in nearly the same number of subsets.
+// Each replica has a fixed position on a ring of its zone, and each gateway has a window on every ring. A
+// replica is in the gateway's subset while its position lies in the window. Positions depend only on the
+// replica's ID and window starts only on the gateway's index and the zone's name, so a replica that joins or
+// leaves moves no other one. Windows start at multiples of irrational numbers, which spread any run of
+// indexes evenly: all replicas are in nearly the same number of subsets.
 //
-// Requests with a session or prefix also have an affinity target: the replica that all gateways of the
-// zone prefer for it, whether or not it is in their subset. Targets outside the subset are announced to
-// the balancer when a request needs them.
+// A request with a session or prefix also has an affinity target: the replica that all gateways of the
+// zone prefer for the request, whether or not it is in their subsets. A target outside the subset is
+// announced to the balancer when a request needs it.
 //
 // See docs/design/subsets.md.
 package subset
@@ -29,36 +29,37 @@
 
 // Settings determine a gateway's subset of an endpoint list.
 type Settings struct {
-	MaxReplicas    int             // size of the subset; shorter lists pass complete; 0: no subsetting
+	MaxReplicas    int             // size of the subset; shorter lists are passed on completely; 0: no subsetting
 	GatewayIndex   int             // index of this gateway
 	GatewayCount   int             // number of gateways; 0: unknown
 	Zone           string          // zone of this gateway; "": none
-	RemoteFraction float64         // part of the subset that is taken from all zones alike
-	WeightIsSize   bool            // weights on the list are sizes: twice the weight is in twice as many subsets
+	RemoteFraction float64         // fraction of the subset that is taken from all zones alike
+	WeightIsSize   bool            // weights are sizes: a replica with twice the weight is in twice as many subsets
 	SlowStart      balancer.Micros // how long a replica warms up after its start
 }
 
 // minGatewaysPerReplica is the least mean number of gateways that have a replica in their subsets. With
-// fewer, some replicas are in no subset and others in twice as many as the mean.
+// fewer, some replicas would be in no subset and others in twice as many as the mean.
 const minGatewaysPerReplica = 16
 
 const (
-	// meanFill is the mean size of a subset in parts of its limit. The rest is a margin, because the number
-	// of replicas in a window varies.
+	// meanFill is the mean size of a subset as a fraction of its limit. The remainder is a margin, because
+	// the number of replicas in a window varies.
 	meanFill = 0.8
-	// minReadyFraction is the least number of ready replicas in a subset in parts of its limit.
+	// minReadyFraction is the least number of ready replicas in a subset as a fraction of its limit.
 	minReadyFraction = 0.4
 )
 
 const (
 	// windowGrowth is the factor by which windows grow while they contain too few ready replicas.
 	windowGrowth = 1.5
-	// maxWindowGrowths bounds the growth. After it a window of any share covers the complete ring.
+	// maxWindowGrowths bounds the number of growths. After that many, a window covers the complete ring
+	// whatever its zone's fraction of the subset.
 	maxWindowGrowths = 64
 )
 
-// sizeLimit returns the largest size of a subset of so many listed replicas. It is more than MaxReplicas
-// where there are few gateways for them.
+// sizeLimit returns the largest size of a subset for a number of listed replicas. It is more than MaxReplicas
+// if there are few gateways for that number.
 func (s *Settings) sizeLimit(listed int) int {
 	if s.GatewayCount <= 0 {
 		return s.MaxReplicas
--- a/internal/subset/subset_test.go
+++ b/internal/subset/subset_test.go
@@ -11,7 +11,7 @@
 	"archknot/balancer"
 )
 
-// noPrefixStats stands for a balancer that has seen no prefix.
+// noPrefixStats are the statistics of a balancer that has received no prefix.
 type noPrefixStats struct{}
 
 func (noPrefixStats) PrefixShare(uint64) float64 { return 0 }
@@ -31,7 +31,7 @@
 	return out
 }
 
-// evenCounts returns the same count for each of several zones.
+// evenCounts returns a list with the same count for each zone.
 func evenCounts(zones, each int) []int {
 	return slices.Repeat([]int{each}, zones)
 }
@@ -91,7 +91,7 @@
 	}
 }
 
-// Every replica is in about as many subsets as any other, however gateway indexes are assigned to zones.
+// Every replica is in about as many subsets as any other, for several assignments of gateway indexes to zones.
 func TestReplicasAreInEquallyManySubsets(t *testing.T) {
 	for _, c := range []struct {
 		name     string
@@ -136,7 +136,8 @@
 	}
 }
 
-// Replacing one replica moves no other one; replacing a third of the fleet at once moves only these.
+// Replacing one replica changes the subset only by that replica. Replacing a third of the fleet at once removes
+// no other replica from the subset.
 func TestReplacedReplicasMoveNothingElse(t *testing.T) {
 	fleet := zonedEndpoints(0, evenCounts(6, 1000)...)
 	for index := range 60 {
@@ -175,7 +176,7 @@
 	}
 }
 
-// If a gateway's own replicas become unavailable, the same list announces others.
+// If all replicas of a gateway's subset become unavailable, the list that reports it announces others.
 func TestUnavailableReplicasAreReplaced(t *testing.T) {
 	fleet := zonedEndpoints(0, evenCounts(3, 500)...)
 	for _, state := range []balancer.EndpointState{balancer.EndpointDraining, balancer.EndpointRemoved} {
@@ -196,10 +197,11 @@
 			}
 		}
 		if ready < 51 || ready > 128 {
-			t.Errorf("state %d: %d others", state, ready)
+			t.Errorf("state %d: %d other replicas announced", state, ready)
 		}
 	}
-	// A zone is lost and returns warming up: its gateways use other zones, and then the same replicas as before.
+	// After the loss of a zone its gateways use other zones. After its return with replicas that are warming up,
+	// they use the same replicas as before.
 	for index := range 30 {
 		selector := NewSelector(testSettings(128, index, "z1"), noPrefixStats{})
 		before := readyIDs(selector.Apply(second, fullList(fleet)))
@@ -226,8 +228,8 @@
 	}
 }
 
-// A list shrinks below the size limit and grows over it again: the balancer knows the subset and never a
-// replica that has gone.
+// While a list shrinks below the size limit and grows over it again, the subset is announced to the balancer,
+// and never a removed replica.
 func TestListsShrinkAndGrow(t *testing.T) {
 	fleet := zonedEndpoints(0, 400)
 	selector := NewSelector(testSettings(128, 5, "z0"), noPrefixStats{})
@@ -248,7 +250,7 @@
 		applyAnnounced(announced, selector.Apply(balancer.Micros(step+2)*second, list))
 		for id := range announced {
 			if !slices.ContainsFunc(fleet[:n], func(e balancer.Endpoint) bool { return e.Replica == id }) {
-				t.Fatalf("step %d: a replica that has gone is announced", step)
+				t.Fatalf("step %d: a removed replica is announced", step)
 			}
 		}
 		if n <= 128 && len(announced) != n || n > 128 && (len(announced) < 51 || len(announced) > 128) {
@@ -257,8 +259,8 @@
 	}
 }
 
-// A replica with twice the weight is in twice as many subsets; a weight of 0 is unknown and counts as 1;
-// weights that are load and not size move nothing.
+// A replica with twice the weight is in twice as many subsets, and a weight of 0 is unknown and counts as 1.
+// If weights are load and not size, a change of weights changes no subset.
 func TestWeights(t *testing.T) {
 	fleet := zonedEndpoints(0, 3000)
 	for i := range fleet {
@@ -293,8 +295,8 @@
 	}
 }
 
-// All gateways of a zone give a session the same affinity target, whatever their subsets, and a prefix has
-// few targets. A target outside the subset is announced before it is used, within the limit for them.
+// All gateways of a zone assign a session the same affinity target, whatever their subsets, and a prefix has
+// few targets. A target outside the subset is announced before it is used, within the limit on such targets.
 func TestGatewaysAgreeOnAffinityTargets(t *testing.T) {
 	fleet := zonedEndpoints(0, evenCounts(4, 400)...)
 	targets := map[uint64]balancer.ReplicaID{}
@@ -332,8 +334,8 @@
 	}
 }
 
-// For random fleets and sequences of lists, the subset is within its limits, agrees with the list, does not
-// depend on the sequence that led to the list, and has enough ready replicas.
+// For random fleets and sequences of lists, the subset is within its limits, agrees with the last list, does
+// not depend on earlier lists, and has enough ready replicas.
 func TestSubsetsOfRandomFleets(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		maxReplicas := rapid.IntRange(1, 150).Draw(t, "maxReplicas")
@@ -418,17 +420,17 @@
 	})
 }
 
-// subsetCounts counts for each replica the gateways that have it in their subset.
+// subsetCounts is the number of gateways, by replica, that have the replica in their subset.
 type subsetCounts map[balancer.ReplicaID]int
 
-// add counts the subset that a gateway with these settings takes of a fleet.
+// add counts the subset of a fleet that a gateway with these settings selects.
 func (c subsetCounts) add(s Settings, fleet []balancer.Endpoint) {
 	for id := range readyIDs(NewSelector(s, noPrefixStats{}).Apply(second, fullList(fleet))) {
 		c[id]++
 	}
 }
 
-// largest returns the largest count of a replica.
+// largest returns the largest count.
 func (c subsetCounts) largest() (largest int) {
 	for _, n := range c {
 		largest = max(largest, n)
@@ -445,8 +447,8 @@
 	return float64(sum) / float64(len(fleet))
 }
 
-// Where there are few gateways for a fleet, subsets are larger than MaxReplicas, up to the complete list,
-// and every replica is in some subset. A stale gateway count changes only their sizes.
+// With few gateways for a fleet, subsets are larger than MaxReplicas, up to the complete list, so that every
+// replica is in some subset. This also holds if the configured number of gateways is too small.
 func TestFewGateways(t *testing.T) {
 	fleet := zonedEndpoints(0, evenCounts(3, 400)...)
 	for _, c := range []struct{ gateways, configured int }{{12, 12}, {40, 40}, {200, 200}, {200, 100}, {200, 400}, {100, 1800}} {
@@ -464,8 +466,8 @@
 	}
 }
 
-// A gateway with another's index uses the other's subset; with one stale index in ten, replicas are still in
-// nearly equally many subsets. The last list counts, whatever its version.
+// With one stale gateway index in ten, replicas are still in nearly equally many subsets. The subset depends
+// only on the list that was applied last, whatever the versions of the lists.
 func TestStaleIndexesAndLists(t *testing.T) {
 	fleet := zonedEndpoints(0, evenCounts(3, 400)...)
 	subsets := subsetCounts{}
@@ -497,8 +499,8 @@
 	}
 }
 
-// Replicas without a start time were up before discovery's first list, also where an empty cached list came
-// before it; a replica that joins later has just started.
+// Replicas without a start time on discovery's first list are assumed to have started before it, also if an
+// empty cached list was applied first. A replica that joins later is assumed to have just started.
 func TestUnknownStartTimes(t *testing.T) {
 	fleet := zonedEndpoints(0, 400)
 	for i := range fleet {
--- a/internal/subset/window.go
+++ b/internal/subset/window.go
@@ -8,24 +8,24 @@
 	"archknot/balancer"
 )
 
-// ringsPerZone is the number of rings in a zone. On a single ring the same gateways would be neighbours
-// everywhere, and a crowded stretch would have the same subsets in all of their windows.
+// ringsPerZone is the number of rings in a zone. With a single ring, the same gateways would have adjacent
+// windows everywhere, and gateways in a dense section of the ring would all have nearly the same subset.
 const ringsPerZone = 8
 
 // ringSteps are the distances between the windows of successive gateway indexes on each ring: irrational
-// numbers, whose multiples spread evenly over the ring. They were searched for among the square roots of
-// numbers up to 4,000: their multiples spread evenly also where only every n-th index is taken, for n up
-// to 24, as when gateways are assigned to zones in turn.
+// numbers, whose multiples spread evenly over the ring. For these square roots, of numbers up to 4,000, the
+// multiples also spread evenly if only every n-th index is used, for n up to 24, as when gateways are
+// assigned to zones in turn.
 var ringSteps = [ringsPerZone]float64{
 	math.Sqrt(1845), math.Sqrt(3427), math.Sqrt(463), math.Sqrt(3340),
 	math.Sqrt(1178), math.Sqrt(1737), math.Sqrt(347), math.Sqrt(2514),
 }
 
-// replica is an entry of the endpoint list with its place in this gateway's windows.
+// replica is an entry of the endpoint list with its position relative to this gateway's windows.
 type replica struct {
 	balancer.Endpoint
 	hash         uint64
-	ringPosition float64 // on its ring, in [0, 1)
+	ringPosition float64 // position on its ring, in [0, 1)
 	ring         int
 	zone         *zone   // nil: no replica of its zone is ready
 	windowWidth  float64 // of this gateway's window for it, at a scale of 1
@@ -75,13 +75,13 @@
 
 // Bounds of the search in windowScale.
 const (
-	scaleTolerance    = 1 - 1e-9 // part of the wanted size that is enough
+	scaleTolerance    = 1 - 1e-9 // fraction of the target size that is sufficient
 	maxScaleDoublings = 60
 	scaleBisections   = 40
 )
 
-// windowScale returns the factor on all windows by which the subset has the wanted mean size. It is 1
-// unless a zone is too small for its share.
+// windowScale returns the factor on all window widths for which the subset has the target mean size. It is 1
+// unless a zone has too few replicas for its fraction of the subset.
 func windowScale(fleet []*replica, targetSize float64) float64 {
 	isEnough := func(scale float64) bool { return expectedSize(fleet, scale) >= targetSize*scaleTolerance }
 	low, high := 1.0, 1.0
@@ -114,8 +114,8 @@
 	return sum
 }
 
-// trimToLimit takes the ready replicas that lie last in their windows out of the subset, down to the
-// limit, which it returns.
+// trimToLimit removes ready replicas from the subset, those last in their windows first, until limit of them
+// remain. It returns the limit.
 func trimToLimit(fleet []*replica, limit int) (ready int) {
 	var selected []*replica
 	for _, r := range fleet {
--- a/internal/subset/zones.go
+++ b/internal/subset/zones.go
@@ -11,9 +11,9 @@
 type zone struct {
 	name             string
 	readyWeight      float64               // sum of the sizes of the ready replicas
-	subsetFraction   float64               // share of this gateway's subset that comes from the zone
-	affinityFraction float64               // share of the requests of this gateway's zone whose affinity target is in the zone
-	windowStarts     [ringsPerZone]float64 // where this gateway's windows begin
+	subsetFraction   float64               // fraction of this gateway's subset that comes from the zone
+	affinityFraction float64               // fraction of the requests of this gateway's zone with an affinity target in the zone
+	windowStarts     [ringsPerZone]float64 // start of this gateway's window on each ring
 }
 
 // zoneTable is the endpoint list by zone.
@@ -25,13 +25,14 @@
 
 // groupByZone groups the fleet by zone and divides the subset among the zones.
 //
-// Gateways are assumed to be spread evenly over the zones that have replicas. A zone with its fair part of
-// the fleet or more serves its own gateways. One with less serves as many as it has replicas for, and the
-// others use zones with a surplus. So each replica is in as many subsets as any other. In addition
-// RemoteFraction of the subset comes from all zones alike: with it a gateway continues if its zone is lost.
+// Gateways are assumed to be spread evenly over the zones that have replicas. A zone with at least the mean
+// weight of a zone serves its own gateways. A zone with less serves its gateways in part, and the remainder
+// of their subsets comes from zones with a surplus. So each replica is in as many subsets as any other. In
+// addition RemoteFraction of the subset comes from all zones alike, so that a gateway continues to serve
+// requests if its zone is lost.
 func (s *Settings) groupByZone(fleet []*replica) *zoneTable {
 	t := &zoneTable{byName: map[string]*zone{}}
-	var last *zone // spares lookups: replicas of a zone often come in runs
+	var last *zone // saves map lookups: the replicas of a zone are often listed in a run
 	for _, r := range fleet {
 		if r.State != balancer.EndpointReady {
 			continue
@@ -53,7 +54,7 @@
 	return t
 }
 
-// findOrAdd returns the zone of the name and adds it if it is missing.
+// findOrAdd returns the named zone, and adds it if it is missing.
 func (t *zoneTable) findOrAdd(s *Settings, name string) *zone {
 	z := t.byName[name]
 	if z == nil {
@@ -72,10 +73,10 @@
 	return z
 }
 
-// minRemoteFraction keeps every zone reachable: the windows of a zone without a share could not be widened.
+// minRemoteFraction keeps every zone's subsetFraction positive: windows of width 0 could not be widened.
 const minRemoteFraction = 0.01
 
-// assignFractions sets each zone's shares of the subset and of the affinity targets.
+// assignFractions sets each zone's fractions of the subset and of the affinity targets.
 func (t *zoneTable) assignFractions(s *Settings) {
 	totalWeight := 0.0
 	for _, z := range t.sorted {
