--- a/internal/peers/codec.go
+++ b/internal/peers/codec.go
@@ -11,7 +11,7 @@
 	"archknot/internal/takeover"
 )
 
-// Limits on a datagram. Gateways send none that exceeds them, and ignore one that does.
+// Limits on a datagram. A received one with a list, a name or an id over its limit is ignored.
 const (
 	maxDatagramSize    = 60 << 10 // bytes
 	targetDatagramSize = 1200     // bytes, estimated: a larger batch is sent at once
--- a/internal/subset/selector.go
+++ b/internal/subset/selector.go
@@ -153,7 +153,6 @@
 	}
 }
 
-// invalidatePool discards a zone's affinity pool.
 func (s *Selector) invalidatePool(zone string) { delete(s.affinityPools, zone) }
 
 // refreshIndex updates the data that is derived from the complete fleet. The sorted list and the affinity
--- a/internal/subset/subset_test.go
+++ b/internal/subset/subset_test.go
@@ -46,7 +46,6 @@
 	return Settings{MaxReplicas: maxReplicas, GatewayIndex: index, Zone: zone, RemoteFraction: DefaultRemoteFraction, SlowStart: 9 * second}
 }
 
-// readyIDs returns the ready replicas of a list.
 func readyIDs(list balancer.EndpointList) map[balancer.ReplicaID]bool {
 	out := map[balancer.ReplicaID]bool{}
 	for _, e := range list.Endpoints {
@@ -430,7 +429,6 @@
 	}
 }
 
-// largest returns the largest count.
 func (c subsetCounts) largest() (largest int) {
 	for _, n := range c {
 		largest = max(largest, n)
--- a/internal/takeover/lease.go
+++ b/internal/takeover/lease.go
@@ -57,7 +57,6 @@
 	}
 }
 
-// leaseMessage returns a message about a lease of this gateway.
 func (n *Node) leaseMessage(kind MessageKind, id string, lease *leaseState) Message {
 	return Message{Kind: kind, RequestID: id, Holder: n.self, Epoch: lease.epoch, ResumeSeq: lease.resumeSeq}
 }
--- a/internal/takeover/message.go
+++ b/internal/takeover/message.go
@@ -32,7 +32,7 @@
 	MsgRelease                                // backup to holder: end all attempts, and confirm it
 	MsgReleaseReply                           // holder to backup: no attempt of the request runs here
 	MsgUpdate                                 // chain head or claimant to backup: record the new holder or the permit's grant
-	MsgUpdateReply                            // not OK if the sender has recorded another holder
+	MsgUpdateReply                            // not OK if the sender has recorded another holder, or cannot store a record
 	MsgLeaseCheck                             // holder to backup: request to confirm the lease
 	MsgLeaseCheckReply                        // OK if the sender has recorded no other holder or claim
 	MsgPermitReturn                           // holder to backup: the granted permit was not used
--- a/internal/takeover/model_test.go
+++ b/internal/takeover/model_test.go
@@ -121,7 +121,7 @@
 	return m.requests[i]
 }
 
-// runOutputs carries out the outputs of a gateway.
+// runOutputs executes the outputs of a gateway.
 func (m *model) runOutputs(g int) {
 	n := m.nodes[g]
 	for outs := n.Outputs(); len(outs) > 0; outs = n.Outputs() {
