--- a/internal/peers/claim.go
+++ b/internal/peers/claim.go
@@ -18,10 +18,10 @@
 	TimeLeft     time.Duration // until the deadline of the client's first request
 }
 
-// ClaimRejectedError is the error of a claim that was rejected.
+// ClaimRejectedError is the error of a rejected claim. Its text is part of the response to the client.
 type ClaimRejectedError struct{ Reason takeover.Reason }
 
-// Error implements the error interface.
+// Error returns the reason's name.
 func (e ClaimRejectedError) Error() string { return e.Reason.String() }
 
 // pendingClaim is a claim that has no result yet.
@@ -32,8 +32,8 @@
 }
 
 // Claim requests the lease of a request that a client resumes at this gateway. resumeSeq counts
-// the client's resume requests, from 1. The error is a RefusalError if the claim is rejected, else
-// the context's. For cancel see Acquire.
+// the client's resume requests, from 1. The error is a ClaimRejectedError if the claim is rejected,
+// else the context's. For cancel see Acquire.
 func (s *Service) Claim(ctx context.Context, id string, resumeSeq uint32, cancel func()) (*Lease, Grant, error) {
 	claim := s.startClaim(id, resumeSeq, cancel)
 	if claim == nil {
--- a/internal/peers/peers_test.go
+++ b/internal/peers/peers_test.go
@@ -109,14 +109,14 @@
 	if err != nil || grant.AttemptsMade != 2 || grant.TimeLeft <= 0 || !second.Valid(ctx) {
 		t.Fatalf("%v, %+v", err, grant)
 	}
-	var refusal ClaimRejectedError
-	if _, _, err := all[2].Claim(ctx, "r1", 1, func() {}); !errors.As(err, &refusal) {
+	var rejection ClaimRejectedError
+	if _, _, err := all[2].Claim(ctx, "r1", 1, func() {}); !errors.As(err, &rejection) {
 		t.Errorf("second claim of the same resume request: %v, expected a rejection", err)
 	}
 	if second.AcquirePermit(ctx) {
 		t.Error("permit granted for a fourth attempt")
 	}
-	if _, _, err := all[2].Claim(ctx, "r2", 1, func() {}); !errors.As(err, &refusal) || refusal.Reason != takeover.ReasonUnknown {
+	if _, _, err := all[2].Claim(ctx, "r2", 1, func() {}); !errors.As(err, &rejection) || rejection.Reason != takeover.ReasonUnknown {
 		t.Errorf("claim of a request without a holder: %v, expected the reason unknown", err)
 	}
 	second.Release(true)
