--- a/internal/peers/stored_test.go
+++ b/internal/peers/stored_test.go
@@ -10,8 +10,9 @@
 	"archknot/internal/takeover"
 )
 
-// A datagram written by the build of commit b3142ba is read with all its fields. Kinds,
-// states and reasons stand as the numbers that go over the wire.
+// Guards against an incompatible change of the wire format: a datagram encoded by the build of
+// commit b3142ba is decoded with all its fields. Kinds, states and reasons are compared as the
+// numbers of the wire format.
 func TestStoredDatagram(t *testing.T) {
 	text, err := os.ReadFile("testdata/stored/datagram.pb")
 	if err != nil {
@@ -68,9 +69,9 @@
 	if membership.Alive != 0 || membership.Suspect != 1 || membership.Unreachable != 2 || membership.Left != 3 || membership.Dead != 4 {
 		t.Error("the states of a member have other numbers")
 	}
-	for number, word := range []string{"none", "unknown", "taken", "spent", "no_proof", "may_have_run", "superseded"} {
-		if got := takeover.Reason(number).String(); got != word {
-			t.Errorf("reason %d is %q, expected %q", number, got, word)
+	for number, name := range []string{"none", "unknown", "taken", "spent", "no_proof", "may_have_run", "superseded"} {
+		if got := takeover.Reason(number).String(); got != name {
+			t.Errorf("reason %d is %q, expected %q", number, got, name)
 		}
 	}
 }
--- a/internal/takeover/claim.go
+++ b/internal/takeover/claim.go
@@ -1,23 +1,23 @@
 package takeover
 
-// This file is the claimant's part.
+// This file implements the claimant role.
 
-// claimReplyTimeouts is how many reply timeouts a claimant waits for a chain: its head waits
-// for the holder, then for the members behind it.
+// claimReplyTimeouts is the number of reply timeouts that a claimant waits for a chain's head,
+// which itself waits up to one for the holder, then up to one for the members behind it.
 const claimReplyTimeouts = 3
 
-// claimState is a claim of this gateway's whose result is pending.
+// claimState is a pending claim of this gateway.
 type claimState struct {
 	pendingQuery
-	resumeSeq uint32
-	phase     claimPhase
-	found     bool
-	latest    Message // the newest record that was received
-	grantor   Member
-	deadline  Micros
+	resumeSeq    uint32
+	phase        claimPhase
+	recordFound  bool
+	latestRecord Message // the newest record that was received
+	grantor      Member
+	deadline     Micros
 }
 
-// claimPhase is what a claim waits for.
+// claimPhase is the step that a pending claim has reached.
 type claimPhase uint8
 
 const (
@@ -26,9 +26,9 @@
 	phaseReplicate                   // waiting for the backups to record the new holder
 )
 
-// Claim asks for the lease of a request that a client wants the remainder of. resumeSeq
-// counts the client's resume requests, from 1. The candidates may be the request's backups, by
-// this gateway's view of the members. The result is an ActionClaimResult.
+// Claim requests the lease of a request that a client resumes at this gateway. resumeSeq counts
+// the client's resume requests, from 1. The candidates are the members that may be the request's
+// backups according to this gateway's membership table. The result is an ActionClaimResult.
 func (n *Node) Claim(now Micros, id string, resumeSeq uint32, candidates []Member) {
 	if n.claims[id] != nil || resumeSeq == 0 {
 		n.emit(Output{Action: ActionClaimResult, RequestID: id, ResumeSeq: resumeSeq, Reason: ReasonAlreadyClaimed})
@@ -40,7 +40,7 @@
 	n.advanceClaim(now, id, claim)
 }
 
-// AbandonClaim ends a claim whose client has gone. It has no result.
+// AbandonClaim ends a claim whose client has disconnected. No ActionClaimResult follows.
 func (n *Node) AbandonClaim(id string) { delete(n.claims, id) }
 
 func (n *Node) rejectClaim(id string, claim *claimState, reason Reason) {
@@ -67,7 +67,7 @@
 
 func (n *Node) advanceLookup(now Micros, id string, claim *claimState, elapsed Micros) {
 	switch {
-	case claim.found: // one record is enough: it lists all backups
+	case claim.recordFound: // one record is enough: it lists all backups
 		n.claimNextChain(now, id, claim)
 	case len(claim.unanswered) == 0 || elapsed >= n.settings.ReplyTimeout:
 		n.rejectClaim(id, claim, ReasonUnknown)
@@ -77,23 +77,24 @@
 func (n *Node) advanceChainClaim(now Micros, id string, claim *claimState, elapsed Micros) {
 	switch {
 	case n.isDead(claim.to):
-		claim.chain-- // the same chain again: it has a new head
+		claim.chain-- // retry the same chain at its new head
 		n.claimNextChain(now, id, claim)
 	case elapsed < claimReplyTimeouts*n.settings.ReplyTimeout:
 		return
-	case !claim.latest.Policy.Hedgeable:
+	case !claim.latestRecord.Policy.Hedgeable:
 		n.rejectClaim(id, claim, ReasonNoProof)
 	default:
 		n.claimNextChain(now, id, claim)
 	}
 }
 
-// claimNextChain sends the claim to the head of the next chain that has one.
+// claimNextChain sends the claim to the head of the next chain that has a live member, or
+// rejects the claim if there is none.
 func (n *Node) claimNextChain(now Micros, id string, claim *claimState) {
 	claim.phase = phaseClaim
 	claim.unanswered = nil
-	for claim.chain++; claim.chain < n.chainCount(claim.latest.Backups); claim.chain++ {
-		members := n.chainMembers(claim.latest.Backups, claim.chain)
+	for claim.chain++; claim.chain < n.chainCount(claim.latestRecord.Backups); claim.chain++ {
+		members := n.chainMembers(claim.latestRecord.Backups, claim.chain)
 		head, ok := n.chainHead(members)
 		if !ok {
 			continue
@@ -102,9 +103,9 @@
 		n.startQuery(now, &claim.pendingQuery, []Member{head}, Message{
 			Kind:          MsgClaim,
 			RequestID:     id,
-			Holder:        claim.latest.Holder,
-			Epoch:         claim.latest.Epoch,
-			ResumeSeq:     claim.latest.ResumeSeq,
+			Holder:        claim.latestRecord.Holder,
+			Epoch:         claim.latestRecord.Epoch,
+			ResumeSeq:     claim.latestRecord.ResumeSeq,
 			NextResumeSeq: claim.resumeSeq,
 			Chain:         claim.chain,
 			ProvenDead:    n.provenDead(members),
@@ -114,7 +115,7 @@
 	n.rejectClaim(id, claim, ReasonAttemptsExhausted)
 }
 
-// handleReply handles the reply to a query of this gateway's.
+// handleReply handles the reply to a query of this gateway.
 func (n *Node) handleReply(now Micros, from Member, m Message) {
 	if lease := n.leases[m.RequestID]; lease != nil && (m.Kind == MsgPermitReply || m.Kind == MsgLeaseCheckReply) {
 		n.handleHolderReply(now, from, m, lease)
@@ -142,18 +143,18 @@
 func (n *Node) handleLookupReply(now Micros, from Member, m Message, claim *claimState) {
 	claim.unanswered = without(claim.unanswered, from)
 	if m.OK {
-		claim.found = true
-		claim.latest = m
+		claim.recordFound = true
+		claim.latestRecord = m
 		claim.deadline = now + m.TimeLeft
 	}
 	n.advanceClaim(now, m.RequestID, claim)
 }
 
 func (n *Node) handleClaimReply(now Micros, from Member, m Message, claim *claimState) {
-	if m.Epoch > claim.latest.Epoch {
-		claim.latest.Holder = m.Holder
-		claim.latest.Epoch = m.Epoch
-		claim.latest.ResumeSeq = m.ResumeSeq
+	if m.Epoch > claim.latestRecord.Epoch {
+		claim.latestRecord.Holder = m.Holder
+		claim.latestRecord.Epoch = m.Epoch
+		claim.latestRecord.ResumeSeq = m.ResumeSeq
 	}
 	switch {
 	case m.OK:
@@ -166,22 +167,22 @@
 	}
 }
 
-// replicateClaim sends all other backups the new holder. If no attempt may run beside the one
-// that is taken over, all have to record it, or be proven dead, before the takeover is complete.
+// replicateClaim sends the new holder to all other backups. Unless the request allows concurrent
+// attempts, each backup has to record it or be proven dead before the takeover is complete.
 func (n *Node) replicateClaim(now Micros, id string, claim *claimState) {
 	claim.phase = phaseReplicate
-	others := without(claim.latest.Backups, claim.to)
+	others := without(claim.latestRecord.Backups, claim.to)
 	n.startQuery(now, &claim.pendingQuery, others, Message{
 		Kind:      MsgUpdate,
 		RequestID: id,
 		Holder:    n.self,
-		Epoch:     claim.latest.Epoch,
+		Epoch:     claim.latestRecord.Epoch,
 		ResumeSeq: claim.resumeSeq,
-		Policy:    claim.latest.Policy,
-		Backups:   claim.latest.Backups,
+		Policy:    claim.latestRecord.Policy,
+		Backups:   claim.latestRecord.Backups,
 		TimeLeft:  max(0, claim.deadline-now),
 	})
-	if claim.latest.Policy.Hedgeable {
+	if claim.latestRecord.Policy.Hedgeable {
 		n.completeClaim(now, id, claim)
 		return
 	}
@@ -192,11 +193,11 @@
 func (n *Node) completeClaim(now Micros, id string, claim *claimState) {
 	delete(n.claims, id)
 	lease := &leaseState{
-		epoch:            claim.latest.Epoch,
+		epoch:            claim.latestRecord.Epoch,
 		resumeSeq:        claim.resumeSeq,
-		policy:           claim.latest.Policy,
+		policy:           claim.latestRecord.Policy,
 		deadline:         claim.deadline,
-		backups:          claim.latest.Backups,
+		backups:          claim.latestRecord.Backups,
 		lastReplicatedAt: now,
 		exhausted:        make([]bool, n.settings.Permits),
 		grantor:          claim.grantor,
@@ -205,7 +206,7 @@
 	for chain := range claim.chain + 1 {
 		lease.exhausted[chain] = true
 	}
-	if earlier := n.leases[id]; earlier != nil { // an earlier lease of this gateway's, which was stopped
+	if earlier := n.leases[id]; earlier != nil { // this gateway held the lease before and was stopped
 		n.replyToReleases(id, earlier, true)
 	}
 	n.leases[id] = lease
--- a/internal/takeover/model_test.go
+++ b/internal/takeover/model_test.go
@@ -7,8 +7,8 @@
 	"strconv"
 )
 
-// model is a set of gateways, the network between them and the attempts at the replicas. It lists all
-// transitions that are possible in a state, and each transition checks the invariants.
+// model is a set of gateways, the network between them and the attempts at the replicas. It enumerates
+// the transitions that are possible in a state, and each transition checks the invariants.
 type model struct {
 	nodes        []*Node // by gateway
 	incarnations []uint64
@@ -43,7 +43,7 @@
 	resumes       uint32           // resume requests that the client has sent
 	resumedTwice  bool             // the same resume request went to a second gateway
 	pendingClaims map[string]int   // by gateway and resume sequence number
-	supersededAt  map[int][]Member // by resumed gateway: backups that knew of a newer holder
+	supersededAt  map[int][]Member // by gateway whose freeze ended: backups that had recorded a newer holder
 }
 
 type attempt struct {
@@ -121,7 +121,7 @@
 	return m.requests[i]
 }
 
-// runOutputs carries out the outputs of a gateway.
+// runOutputs executes the outputs of a gateway.
 func (m *model) runOutputs(g int) {
 	n := m.nodes[g]
 	for outs := n.Outputs(); len(outs) > 0; outs = n.Outputs() {
@@ -290,7 +290,7 @@
 	return out
 }
 
-// requestTransitions adds what a gateway and a client may do about a request.
+// requestTransitions adds the transitions of a request at a gateway: a failed attempt, and resume requests.
 func (m *model) requestTransitions(g int, r *clientRequest, add func(string, func(*model))) {
 	if lease := m.nodes[g].leases[r.id]; lease != nil && !lease.stopped && lease.leaseCheck == nil {
 		current := slices.IndexFunc(r.attempts, func(a attempt) bool { return a.by == m.member(g) && a.open })
@@ -325,7 +325,7 @@
 
 func (m *model) claim(g int, request *clientRequest) {
 	if m.nodes[g].claims[request.id] != nil {
-		return // the gateway rejects that one itself
+		return // the gateway rejects a second claim while one is pending
 	}
 	request.pendingClaims[fmt.Sprintf("%d/%d", g, request.resumes)]++
 	var all []Member
@@ -417,7 +417,7 @@
 	c.claims = map[string]*claimState{}
 	c.recordsByHolder = maps.Clone(n.recordsByHolder)
 	c.tombstones = maps.Clone(n.tombstones)
-	c.undecided = maps.Clone(n.undecided)
+	c.pendingDecisions = maps.Clone(n.pendingDecisions)
 	c.scratchIDs = nil
 	for id, record := range n.records {
 		recordCopy := copyOf(record)
