--- a/balancer/admission.go
+++ b/balancer/admission.go
@@ -3,45 +3,51 @@
 import "math"
 
 const (
-	// maxLateShare is the share of late requests from which less is admitted, and
-	// minLimitShare the part of the limit that even requests of the least weight may fill.
-	maxLateShare, minLimitShare = 0.2, 0.3
-	// latenessDecay is the time constant of lateness's decay, in seconds.
-	latenessDecay = 12.0
-	// limitGrowth is the part by which the limit grows each second.
-	limitGrowth = 0.2
-	// minLimitPerTick is the part to which the limit may fall in a tick: lowered for each
-	// late request of an overload, it fell to next to nothing.
-	minLimitPerTick = 0.9
-	// slackLimit is how many times the mean of tokens in flight the limit grows to before
-	// it is lifted.
-	slackLimit = 4
-	// slowStepFactor is how many token objectives first tokens may take beyond their
-	// prefill and the least time seen, at the median, before streams count as too slow;
-	// minFirstTokens is the number of first tokens seen before they are compared.
-	slowStepFactor, minFirstTokens = 1.5, 16
-	// quotaTolerance is how many times its quota a tenant may send at its full weight.
+	// maxLateFraction is the fraction of late requests above which the limit falls.
+	maxLateFraction = 0.2
+	// minLimitFraction is the fraction of the limit that requests of any weight may fill.
+	minLimitFraction = 0.3
+	// latenessDecaySeconds is the time constant with which lateFraction and stepExcess decay.
+	latenessDecaySeconds = 12.0
+	// limitGrowthPerSecond is the relative growth of the limit.
+	limitGrowthPerSecond = 0.2
+	// minLimitRatioPerTick bounds the relative fall of the limit within a tick. Without it,
+	// each late request of one overload would lower the limit, to almost nothing.
+	minLimitRatioPerTick = 0.9
+	// limitLiftFactor is the ratio of the limit to the mean tokens in flight above which the
+	// limit is lifted.
+	limitLiftFactor = 4
+	// slowStepFactor is the median excess of first-token times, in token objectives, above
+	// which streams count as too slow; see stepExcess.
+	slowStepFactor = 1.5
+	// minFirstTokens is the number of first-token times required for that comparison.
+	minFirstTokens = 16
+	// quotaTolerance is the ratio of a tenant's rate to its quota above which its requests
+	// count as over quota.
 	quotaTolerance = 1.25
-	// minRetryAfter and maxRetryAfter bound the advice to a client whose request was shed,
-	// in latency objectives: sooner nothing has changed, later the answer would be late.
-	minRetryAfter, maxRetryAfter = 0.125, 0.5
+	// minRetryAfter bounds Retry-After from below, as a fraction of the latency objective: an
+	// earlier retry would find the same overload.
+	minRetryAfter = 0.125
+	// maxRetryAfter bounds Retry-After from above, as a fraction of the latency objective: a
+	// later retry would be answered too late.
+	maxRetryAfter = 0.5
 )
 
-// admissionState limits the tokens in flight by how many requests come late.
+// admissionState limits the tokens in flight according to the fraction of late requests.
 type admissionState struct {
-	lateFraction       float64 // share of recent requests past their latency objective or unserved
-	tokenLimit         float64 // most tokens in flight; 0: no limit
-	tokenLimitFloor    float64 // the limit does not fall below it before the next tick
+	lateFraction       float64 // fraction of recent requests past their latency objective or unserved
+	tokenLimit         float64 // maximum tokens in flight; 0: no limit
+	tokenLimitFloor    float64 // lower bound of the limit until the next tick
 	meanInFlightTokens float64 // recent mean
 	meanWeightPerToken float64
 
-	stepExcess         float64         // median of first-token times less prefill and stepFloor
-	stepFloor          map[int]float64 // the least first-token time less prefill, by stepFloorKey
+	stepExcess         float64         // median of first-token time less prefill and stepFloor, in microseconds
+	stepFloor          map[int]float64 // minimum first-token time less prefill, by stepFloorKey
 	lengthsReported    bool            // answers report their length
-	slowStreamFraction float64         // share of recent streams slower than their token objectives
+	slowStreamFraction float64         // fraction of recent streams slower than their token objectives
 
-	tenantRate     []float64 // requests a second, by tenant
-	tenantArrivals []float64 // since the last tick, by tenant
+	tenantRate     []float64 // requests per second, by tenant
+	tenantArrivals []float64 // requests since the last tick, by tenant
 }
 
 func (b *Balancer) initAdmission() {
@@ -50,7 +56,8 @@
 	b.stepFloor = map[int]float64{}
 }
 
-// countArrival counts a request that has arrived.
+// countArrival updates the prefix, work, tenant and budget statistics for a request that
+// has arrived.
 func (b *Balancer) countArrival(req *request) {
 	b.countPrefix(req)
 	updateMean(&b.meanWork, b.workTokens(req))
@@ -60,7 +67,7 @@
 	b.refillBudgets()
 }
 
-// weightPerToken is the priority weight of a request for each token of its expected charge.
+// weightPerToken returns a request's priority weight per token of its expected charge.
 func (b *Balancer) weightPerToken(req *request) float64 {
 	weight := b.classOf(req).PriorityWeight
 	if req.PriorityFactor > 0 {
@@ -74,73 +81,75 @@
 	return weight / (prefillCost*float64(req.PromptTokens)*(1-b.stats[req.classIndex].cachedFraction) + b.expectedHeldTokens(req))
 }
 
-// admit reports whether a request is admitted. Once this gateway has as many tokens in
-// flight as went together with lateness it sheds load, first the requests of the least
-// weight for their work. A limit on what is in flight admits again as soon as work ends;
-// a limit on the rate of arrivals went on shedding long after the fleet stood idle.
+// admit reports whether a request is admitted. When this gateway's tokens in flight reach
+// the limit it sheds requests, first those of the least weight for their work. The limit
+// is on tokens in flight because it admits again as soon as work ends, whereas a limit on
+// the arrival rate would go on shedding long after the fleet is idle.
 func (b *Balancer) admit(req *request) bool {
 	updateMean(&b.meanWeightPerToken, b.weightPerToken(req))
 	if b.tokenLimit == 0 {
 		return true
 	}
-	return b.inFlightTokens+b.random()*b.expectedHeldTokens(req) <= b.limitShare(req)*b.tokenLimit
+	return b.inFlightTokens+b.random()*b.expectedHeldTokens(req) <= b.limitFraction(req)*b.tokenLimit
 }
 
-// limitShare is the part of the limit that a request may fill, by its weight.
-func (b *Balancer) limitShare(req *request) float64 {
-	return math.Max(minLimitShare, math.Min(1, b.weightPerToken(req)/b.meanWeightPerToken))
+// limitFraction returns the fraction of the limit that a request may fill, by its weight.
+func (b *Balancer) limitFraction(req *request) float64 {
+	return math.Max(minLimitFraction, math.Min(1, b.weightPerToken(req)/b.meanWeightPerToken))
 }
 
-// recordFirstToken takes the lateness of a request whose answer begins. One whose latency
-// objective had passed was counted then: counted when the answer came, seconds later, the
-// past overload went on lowering the limit of an idle fleet.
+// recordFirstToken records the lateness of a request whose answer begins. A request past
+// its latency objective was already counted when the objective passed: counted seconds
+// later, at its first token, it would lower the limit after the overload has ended.
 func (b *Balancer) recordFirstToken(req *request, tooSlow bool) {
 	if !req.late {
 		b.recordLateness(boolToFloat(tooSlow))
 	}
 }
 
-// recordLateness moves the limit by one request's lateness, 0 or 1, down from what is in
-// flight. The limit stands still while a share of maxLateShare comes late.
+// recordLateness adjusts the limit for one request: late is 1 if the request was late, else
+// 0. The limit is stable while a fraction of maxLateFraction is late.
 func (b *Balancer) recordLateness(late float64) {
 	b.lateFraction += learnRate * (late - b.lateFraction)
-	if late > 0 && (b.tokenLimit > 0 || b.lateFraction > maxLateShare) {
+	if late > 0 && (b.tokenLimit > 0 || b.lateFraction > maxLateFraction) {
 		b.lowerLimit()
 	} else {
-		b.tokenLimit *= 1 + learnRate*maxLateShare/(1-maxLateShare)
+		b.tokenLimit *= 1 + learnRate*maxLateFraction/(1-maxLateFraction)
 	}
 }
 
-// lowerLimit lowers the limit a little, from no more than what is in flight.
+// lowerLimit lowers the limit by a small factor, starting from at most the tokens in flight.
 func (b *Balancer) lowerLimit() {
 	inFlight := math.Max(b.meanInFlightTokens, b.inFlightTokens)
 	if b.tokenLimit == 0 || b.tokenLimit > inFlight {
 		b.tokenLimit = inFlight
 	}
-	least := math.Max(b.meanHeldTokens, b.tokenLimitFloor)
-	b.tokenLimit = math.Max(least, b.tokenLimit*(1-learnRate))
+	minLimit := math.Max(b.meanHeldTokens, b.tokenLimitFloor)
+	b.tokenLimit = math.Max(minLimit, b.tokenLimit*(1-learnRate))
 }
 
-// updateLimit lets the limit grow and lateness decay, elapsed seconds after the last time.
-// Lateness decays with time too: a gateway that sheds most of its requests sees too little
-// to find out that the overload is over.
+// updateLimit raises the limit and decays lateness, elapsed seconds after the last call.
+// Lateness also decays with time because a gateway that sheds most of its requests has too
+// few results to detect the end of the overload.
 func (b *Balancer) updateLimit(elapsed float64) {
-	b.lateFraction *= 1 - math.Min(1, elapsed/latenessDecay)
-	b.stepExcess *= 1 - math.Min(1, elapsed/latenessDecay)
+	b.lateFraction *= 1 - math.Min(1, elapsed/latenessDecaySeconds)
+	b.stepExcess *= 1 - math.Min(1, elapsed/latenessDecaySeconds)
 	b.meanInFlightTokens += math.Min(1, elapsed/2) * (b.inFlightTokens - b.meanInFlightTokens)
-	if b.tokenLimit > slackLimit*b.meanInFlightTokens+b.meanHeldTokens {
-		b.tokenLimit = 0 // far from binding
+	if b.tokenLimit > limitLiftFactor*b.meanInFlightTokens+b.meanHeldTokens {
+		b.tokenLimit = 0 // the limit has no effect at this load
 	}
-	b.tokenLimit *= 1 + limitGrowth*elapsed
-	b.tokenLimitFloor = b.tokenLimit * minLimitPerTick
+	b.tokenLimit *= 1 + limitGrowthPerSecond*elapsed
+	b.tokenLimitFloor = b.tokenLimit * minLimitRatioPerTick
 }
 
-// streamsTooSlow reports whether streams like a request's now run slower than their token
-// objective. The length of an answer may not be reported, so a stream's end does not show
-// its pace; but a first token waits for about one step beside its own prefill, and each
-// further token takes a step. What a step takes with nothing else to do stands in the least
-// time seen, with the network's, and is put at a third of the objective. Without this, a
-// fleet that answers at once but streams too slowly admits every request.
+// streamsTooSlow reports whether streams are now slower than the token objective of a
+// request's class. Without this check, a fleet that answers at once but streams too slowly
+// would admit every request.
+//
+// The length of an answer may not be reported, so the end of a stream does not show its
+// speed. But each output token takes one decode step, and a first token waits for about one
+// step in addition to its own prefill. The minimum first-token time seen covers the network
+// and the step of an idle replica, which is assumed to be a third of the objective.
 func (b *Balancer) streamsTooSlow(req *request, a *attempt) bool {
 	objective := float64(b.classOf(req).TokenObjective)
 	if objective == 0 || b.firstTokenFit.n < minFirstTokens {
@@ -153,17 +162,18 @@
 		floor = math.Max(1, step)
 		b.stepFloor[key] = floor
 	}
-	if step-floor > b.stepExcess { // follows the median
+	if step-floor > b.stepExcess { // equal steps up and down converge to the median
 		b.stepExcess += learnRate * objective
 	} else {
 		b.stepExcess -= learnRate * objective
 	}
-	// Streams that report their length must confirm it: a new gateway guesses badly.
-	return b.stepExcess > objective*slowStepFactor && (!b.lengthsReported || b.slowStreamFraction > maxLateShare)
+	// If streams report their length they must confirm the estimate, which is poor at a
+	// gateway that has just started.
+	return b.stepExcess > objective*slowStepFactor && (!b.lengthsReported || b.slowStreamFraction > maxLateFraction)
 }
 
-// stepFloorKey distinguishes attempts whose least first-token times differ: by zone and, for
-// the handshake, by whether the connection was new.
+// stepFloorKey returns the key of an attempt in stepFloor. Minimum first-token times differ
+// by zone and, because of the handshake, by whether the connection was new.
 func (a *attempt) stepFloorKey() int {
 	key := 2 * a.row.zone
 	if a.newConn {
@@ -172,26 +182,28 @@
 	return key
 }
 
-// recordStreamPace compares the duration of a stream with what its tokens may take.
-func (b *Balancer) recordStreamPace(took, allowed float64) {
+// recordStreamPace compares the duration of a stream with the time allowed for its tokens,
+// both in microseconds; allowed is 0 if the length or the objective is unknown.
+func (b *Balancer) recordStreamPace(duration, allowed float64) {
 	if allowed > 0 {
 		b.lengthsReported = true
-		b.slowStreamFraction += 2 * learnRate * (boolToFloat(took > allowed) - b.slowStreamFraction)
+		b.slowStreamFraction += 2 * learnRate * (boolToFloat(duration > allowed) - b.slowStreamFraction)
 	}
 }
 
-// retryAfter is the advice that goes with an overload reply: when what stands over the
-// request's share of the limit will have ended, at the pace at which requests end. It is
-// bounded by a part of the latency objective, for a later answer has little value, and
-// scattered, so that requests shed together are not repeated together.
+// retryAfter returns the Retry-After time of an overload reply: the estimated time until
+// the tokens above the request's fraction of the limit have ended. It is bounded by
+// fractions of the latency objective, because a later answer has little value, and has
+// jitter, so that requests shed together are not retried together. It is 0 if the settings
+// disable Retry-After.
 func (b *Balancer) retryAfter(req *request) Micros {
 	if !b.settings.RetryAfter {
 		return 0
 	}
 	wait := 0.0
-	held := b.expectedHeldTokens(req)
-	if over := b.inFlightTokens + held - b.limitShare(req)*b.tokenLimit; b.tokenLimit > 0 && over > 0 {
-		wait = b.meanLifetime * over / (b.inFlightTokens + held)
+	heldTokens := b.expectedHeldTokens(req)
+	if excess := b.inFlightTokens + heldTokens - b.limitFraction(req)*b.tokenLimit; b.tokenLimit > 0 && excess > 0 {
+		wait = b.meanLifetime * excess / (b.inFlightTokens + heldTokens)
 	}
 	objective := float64(b.latencyObjective(req))
 	wait = math.Max(objective*minRetryAfter, math.Min(objective*maxRetryAfter, wait)) * (0.75 + 0.5*b.random())
--- a/balancer/admission_test.go
+++ b/balancer/admission_test.go
@@ -187,7 +187,7 @@
 	for range 100 {
 		b.recordLateness(1)
 	}
-	if b.tokenLimit < minLimitPerTick*before || b.tokenLimit > 0.95*before {
+	if b.tokenLimit < minLimitRatioPerTick*before || b.tokenLimit > 0.95*before {
 		t.Errorf("from %.0f to %.0f by one overload", before, b.tokenLimit)
 	}
 	for range 20 { // an overload that lasts still lowers it
--- a/balancer/affinity.go
+++ b/balancer/affinity.go
@@ -7,27 +7,29 @@
 )
 
 const (
-	// maxSessions and maxPrefixes bound what is remembered of cached prompts.
+	// maxSessions bounds the sessions map.
 	maxSessions = 4096
+	// maxPrefixes bounds the prefixCounts map.
 	maxPrefixes = 1024
-	// maxPrefixTotal bounds the sum of the prefix counts, so that they decay.
+	// maxPrefixTotal is the sum of the prefix counts above which they are halved, so that
+	// old requests lose weight.
 	maxPrefixTotal = 1 << 14
-	// targetHeadroom is the factor by which a prefix has more affinity targets than its
-	// share of the traffic needs, so that an overloaded one can be avoided.
+	// targetHeadroom is how many times more affinity targets a prefix has than its
+	// fraction of the traffic requires, so that overloaded ones can be avoided.
 	targetHeadroom = 3.0
 )
 
-// promptCache remembers where the prompts of sessions and prefixes are cached.
+// promptCache estimates where the prompts of sessions and prefixes are cached.
 type promptCache struct {
 	sessions        map[uint64]session
-	sessionRing     []uint64 // the sessions, from the oldest: bounds the map
+	sessionRing     []uint64 // ring buffer of session keys in insertion order; bounds the map
 	sessionRingNext int
 	prefixCounts    map[uint64]float64 // decaying counts of requests by prefix
-	prefixTotal     float64            // their sum
-	cacheConfidence float64            // tokens found cached over tokens expected to be
+	prefixTotal     float64            // sum of prefixCounts
+	cacheConfidence float64            // mean ratio of tokens found cached to tokens expected to be
 }
 
-// session is where a session's last answer came from, and how long its prompt was.
+// session records the replica that last served a session and the prompt's length.
 type session struct {
 	replica ReplicaID
 	tokens  int
@@ -39,7 +41,7 @@
 	b.cacheConfidence = 0.8
 }
 
-// rememberSession notes where a session is, in place of the oldest one.
+// rememberSession records where a session was served. A new session evicts the oldest one.
 func (c *promptCache) rememberSession(key uint64, s session) {
 	if _, ok := c.sessions[key]; !ok {
 		delete(c.sessions, c.sessionRing[c.sessionRingNext])
@@ -49,7 +51,8 @@
 	c.sessions[key] = s
 }
 
-// countPrefix counts a request's prefix. All counts are halved when there are too many.
+// countPrefix counts a request's prefix, and first halves all counts if there are too many
+// prefixes or requests.
 func (c *promptCache) countPrefix(req *request) {
 	if req.Prefix == 0 {
 		return
@@ -61,7 +64,7 @@
 	c.prefixTotal++
 }
 
-// halvePrefixCounts halves the counts and drops those that become less than one.
+// halvePrefixCounts halves the counts and deletes those that fall below 1.
 func (c *promptCache) halvePrefixCounts() {
 	halved := map[uint64]float64{}
 	for key, count := range c.prefixCounts {
@@ -69,7 +72,7 @@
 			halved[key] = count / 2
 		}
 	}
-	// In the order of the keys: sums of halves of halves depend on the order.
+	// Sum in key order: floating-point sums depend on the order, and map order is random.
 	c.prefixTotal = 0
 	for _, key := range slices.Sorted(maps.Keys(halved)) {
 		c.prefixTotal += halved[key]
@@ -77,24 +80,23 @@
 	c.prefixCounts = halved
 }
 
-// affinity is where a request's prompt is likely to be cached.
+// affinity lists the replicas where a request's prompt is likely to be cached.
 type affinity struct {
-	target *replicaRow // the session's affinity target, the same at all gateways
-	second *replicaRow // its second target, likewise the same
-	// holder has served the session, as this gateway knows, with a prompt of holderTokens.
-	holder       *replicaRow
-	holderTokens float64
+	target       *replicaRow // the session's affinity target, the same at all gateways
+	second       *replicaRow // the session's second affinity target, the same at all gateways
+	servedBy     *replicaRow // the replica that last served the session through this gateway
+	servedTokens float64     // prompt tokens of the session's last request at servedBy
 }
 
-// affinityOf finds the replicas that have cached a request's session or prefix.
-// Affinity targets come from weighted rendezvous hashing within the targets of the
-// prefix, so that all gateways agree. Weights are by kind, in coarse steps: weighted by
-// what each has learned of a replica, gateways disagreed.
+// affinityOf finds the replicas that probably have a request's session or prefix cached.
+// Affinity targets come from weighted rendezvous hashing among the targets of the prefix,
+// so that all gateways agree. The weights depend on the replica's kind alone, in coarse
+// steps, because gateways measure different slowness for the same replica.
 func (b *Balancer) affinityOf(req *request) affinity {
 	var found affinity
 	if s, ok := b.sessions[req.Session]; ok && req.Session != 0 {
 		if row := b.readyRow(s.replica); row != nil {
-			found.holder, found.holderTokens = row, float64(s.tokens)
+			found.servedBy, found.servedTokens = row, float64(s.tokens)
 		}
 	}
 	if req.AffinityTarget != 0 {
@@ -115,42 +117,42 @@
 // of a request's prefix.
 func (b *Balancer) rendezvous(key uint64, req *request) (target, second *replicaRow) {
 	keyHash, prefixHash := splitmix(key), splitmix(req.Prefix)
-	targetShare := b.prefixTargetShare(req)
-	best, next := math.Inf(1), math.Inf(1)
+	targetFraction := b.prefixTargetFraction(req)
+	bestScore, nextScore := math.Inf(1), math.Inf(1)
 	targetByKind := b.resetTargetByKind()
-	enter := func(row *replicaRow, penalty float64) {
+	consider := func(row *replicaRow, penalty float64) {
 		score := -math.Log(unitFloat(splitmix(keyHash^row.hash))+1e-18)*b.kinds[row.kind].slownessStep + penalty
-		if score < best {
-			second, next = target, best
-			best, target = score, row
-		} else if score < next {
-			second, next = row, score
+		if score < bestScore {
+			second, nextScore = target, bestScore
+			bestScore, target = score, row
+		} else if score < nextScore {
+			second, nextScore = row, score
 		}
 		if score < targetByKind[row.kind].score {
 			targetByKind[row.kind] = candidate{row: row, score: score}
 		}
 	}
 	for i, hash := range b.hashes {
-		if targetShare >= 1 || unitFloat(splitmix(prefixHash^hash)) < targetShare {
+		if targetFraction >= 1 || unitFloat(splitmix(prefixHash^hash)) < targetFraction {
 			if row := b.rows[i]; row.state == EndpointReady {
-				enter(row, 0)
+				consider(row, 0)
 			}
 		}
 	}
 	if second != nil {
 		return target, b.secondTarget(target, second)
 	}
-	// Fewer than two targets of the prefix are ready: take the others, in the order in
-	// which a larger share would include them.
+	// Fewer than two targets of the prefix are ready: fall back to the other replicas, in
+	// the order in which a larger targetFraction would include them.
 	for _, row := range b.rows {
-		if u := unitFloat(splitmix(prefixHash ^ row.hash)); row.state == EndpointReady && targetShare < 1 && u >= targetShare {
-			enter(row, 1e6*(1+u))
+		if u := unitFloat(splitmix(prefixHash ^ row.hash)); row.state == EndpointReady && targetFraction < 1 && u >= targetFraction {
+			consider(row, 1e6*(1+u))
 		}
 	}
 	return target, b.secondTarget(target, second)
 }
 
-// resetTargetByKind empties the best target by kind of machine.
+// resetTargetByKind clears targetByKind, with one entry for each kind.
 func (b *Balancer) resetTargetByKind() []candidate {
 	b.targetByKind = b.targetByKind[:0]
 	for range b.kinds {
@@ -159,10 +161,10 @@
 	return b.targetByKind
 }
 
-// secondTarget is the second affinity target: the best one on another kind of machine than
-// the first target's, if there is one. Requests leave their target most often for machines
-// that prefill faster or are less loaded as a kind, at all gateways; when each turn of a
-// session went to another one of these, nothing was cached there.
+// secondTarget returns the best affinity target on a kind of machine other than the first
+// target's, or the given second if there is none. Requests leave their target mostly for a
+// kind that prefills faster or is less loaded. Without one fixed target of that kind, each
+// turn of a session could go to a different replica and find nothing cached.
 func (b *Balancer) secondTarget(target, second *replicaRow) *replicaRow {
 	best := math.Inf(1)
 	for _, other := range b.targetByKind {
@@ -173,30 +175,35 @@
 	return second
 }
 
-// prefixTargetShare is the share of replicas that are affinity targets of a request's
-// prefix: as much as its share of the traffic needs, and some to spare. The one added
-// count keeps gateways that have seen little near to all replicas, and so near to each
-// other: on a few counts, targets moved about with them. One of many gateways counts too
-// little to estimate a share: what the others have seen stands beside it as counts of
-// other prefixes, half as many as there are gateways. There a prefix has more targets the
-// longer the prompt is: a few would save the prefix and crowd all the rest.
-func (b *Balancer) prefixTargetShare(req *request) float64 {
+// prefixTargetFraction returns the fraction of replicas that are affinity targets of a
+// request's prefix: the prefix's fraction of the traffic, times targetHeadroom, but at least
+// two replicas.
+//
+// One count is added to the prefix, so that a gateway with few counts uses nearly all
+// replicas: its targets would otherwise change with each count and differ between gateways.
+// One of many gateways sees too few requests for an estimate, so half as many counts as
+// there are gateways are added to the total, for other prefixes that its peers have seen.
+// In a large fleet a prefix has more targets the longer the prompt is relative to the
+// prefix: a few targets would have the prefix cached, but the uncached part of the prompts
+// would overload them.
+func (b *Balancer) prefixTargetFraction(req *request) float64 {
 	if req.Prefix == 0 || b.prefixTotal <= 0 || b.readyCount == 0 {
 		return 1
 	}
-	unseen := math.Max(1, b.gatewaysPerReplica()/2-1)
-	spread := targetHeadroom
+	unseenCounts := math.Max(1, b.gatewaysPerReplica()/2-1)
+	headroom := targetHeadroom
 	if b.largeFleet() {
-		spread *= math.Max(1, float64(req.PromptTokens)/math.Max(1, float64(req.PrefixTokens)))
+		headroom *= math.Max(1, float64(req.PromptTokens)/math.Max(1, float64(req.PrefixTokens)))
 	}
-	return math.Max(2/float64(b.readyCount), spread*(b.prefixCounts[req.Prefix]+1)/(b.prefixTotal+unseen))
+	return math.Max(2/float64(b.readyCount), headroom*(b.prefixCounts[req.Prefix]+1)/(b.prefixTotal+unseenCounts))
 }
 
-// prefixCachedChance is how likely a replica, if it has started lately, has cached a
-// prefix that it gets so often.
-func (row *replicaRow) prefixCachedChance(now Micros, perSecond float64) float64 {
+// prefixCachedProbability returns the probability that a replica has cached a prefix since
+// its start, given the rate at which it receives requests with that prefix. It is 1 for a
+// replica that had no slow start.
+func (row *replicaRow) prefixCachedProbability(now Micros, requestsPerSecond float64) float64 {
 	if row.warmingUntil == 0 {
 		return 1
 	}
-	return 1 - math.Exp(-perSecond*math.Max(0, float64(now-row.warmingSince))/microsPerSecond)
+	return 1 - math.Exp(-requestsPerSecond*math.Max(0, float64(now-row.warmingSince))/microsPerSecond)
 }
--- a/balancer/learning.go
+++ b/balancer/learning.go
@@ -2,10 +2,10 @@
 
 import "math"
 
-// What outcomes teach: means and fits. No decision is made here.
+// Estimates that are updated from the outcomes of attempts. No decision is made here.
 
-// learnFromSuccess learns from a served attempt: how long it ran, how much of the
-// prompt was cached, and where its session now is.
+// learnFromSuccess updates the estimates of lifetime, cached tokens and session location
+// from a served attempt.
 func (b *Balancer) learnFromSuccess(req *request, a *attempt, outcome Outcome) {
 	stats := &b.stats[req.classIndex]
 	updateMean(&b.meanLifetime, float64(outcome.Elapsed))
@@ -13,8 +13,8 @@
 		b.learnStream(req, a, outcome)
 	}
 	if expected := float64(req.PromptTokens) - a.prefillTokens; expected > float64(req.PromptTokens)/8 {
-		full := expected / math.Max(b.cacheConfidence, 0.1) // before cacheTrust was applied
-		b.cacheConfidence += learnRate * (math.Min(1, float64(outcome.CachedTokens)/full) - b.cacheConfidence)
+		undiscounted := expected / math.Max(b.cacheConfidence, 0.1) // expected without the discount by cacheConfidence
+		b.cacheConfidence += learnRate * (math.Min(1, float64(outcome.CachedTokens)/undiscounted) - b.cacheConfidence)
 	}
 	if req.PromptTokens > 0 {
 		stats.cachedFraction += learnRate * (math.Min(1, float64(outcome.CachedTokens)/float64(req.PromptTokens)) - stats.cachedFraction)
@@ -24,55 +24,58 @@
 	}
 }
 
-// learnStream learns from the time between the first token and the end of a stream.
+// learnStream updates the estimates that depend on the time from a stream's first token to
+// its end.
 func (b *Balancer) learnStream(req *request, a *attempt, outcome Outcome) {
 	stats := &b.stats[req.classIndex]
-	took := float64(outcome.Elapsed - a.timeToFirstToken)
+	duration := float64(outcome.Elapsed - a.timeToFirstToken)
 	if stats.streamTime > 0 {
 		kind := &b.kinds[a.row.kind]
-		kind.slownessSum += took / stats.streamTime
+		kind.slownessSum += duration / stats.streamTime
 		kind.slownessCount++
 	}
-	updateMean(&stats.streamTime, took)
-	b.recordStreamPace(took, float64(outcome.OutputTokens)*float64(b.classOf(req).TokenObjective))
+	updateMean(&stats.streamTime, duration)
+	b.recordStreamPace(duration, float64(outcome.OutputTokens)*float64(b.classOf(req).TokenObjective))
 }
 
-// learnFirstToken compares a time to the first token with what so many prefill tokens
-// usually take.
+// learnFirstToken compares an attempt's time to the first token with the time expected for
+// its prefill tokens, and updates the replica's slowness and the fit.
 func (b *Balancer) learnFirstToken(now Micros, a *attempt) {
-	took := float64(a.timeToFirstToken)
-	if usual := b.firstTokenFit.predict(a.prefillTokens); usual > 0 {
-		a.row.recordSlowness(now, took/usual)
+	duration := float64(a.timeToFirstToken)
+	if expected := b.firstTokenFit.predict(a.prefillTokens); expected > 0 {
+		a.row.recordSlowness(now, duration/expected)
 	}
-	b.firstTokenFit.add(a.prefillTokens, took)
-	b.recordFirstTokenTime(a.row, took)
+	b.firstTokenFit.add(a.prefillTokens, duration)
+	b.recordFirstTokenTime(a.row, duration)
 }
 
-// slownessKept is the weight at now of the observations of a replica's slowness.
-func (row *replicaRow) slownessKept(now Micros) float64 {
+// slownessWeight returns the weight at now of a replica's slowness observations. It falls
+// to 0 within slownessDecay of the last observation.
+func (row *replicaRow) slownessWeight(now Micros) float64 {
 	return math.Max(0, 1-float64(now-row.slownessAt)/float64(slownessDecay))
 }
 
-// recordSlowness adds one observation of a replica's time against the usual time.
+// recordSlowness adds an observation: the ratio of a replica's time to the expected time.
 func (row *replicaRow) recordSlowness(now Micros, ratio float64) {
-	keep := row.slownessKept(now)
-	row.slownessSum = row.slownessSum*keep + math.Min(ratio, 10)
-	row.slownessCount = row.slownessCount*keep + 1
+	weight := row.slownessWeight(now)
+	row.slownessSum = row.slownessSum*weight + math.Min(ratio, 10)
+	row.slownessCount = row.slownessCount*weight + 1
 	row.slownessAt = now
 }
 
 // recordFirstTokenTime adds a time to the first token, in microseconds, to the statistics
-// of the replica's kind. In small fleets all kinds count as alike.
-func (b *Balancer) recordFirstTokenTime(row *replicaRow, took float64) {
+// of the replica's kind. In small fleets kinds are not distinguished.
+func (b *Balancer) recordFirstTokenTime(row *replicaRow, duration float64) {
 	if !b.largeFleet() {
 		return
 	}
 	kind := &b.kinds[row.kind]
-	kind.firstTokenSum += took
+	kind.firstTokenSum += duration
 	kind.firstTokenCount++
 }
 
-// recordServiceTime takes a reported service time, in milliseconds, as an observation of slowness.
+// recordServiceTime records a reported service time, in milliseconds, as an observation of
+// slowness.
 func (b *Balancer) recordServiceTime(now Micros, row *replicaRow, ms float64) {
 	updateMean(&b.meanServiceMs, ms)
 	b.recordFirstTokenTime(row, 1000*ms)
--- a/balancer/ledger.go
+++ b/balancer/ledger.go
@@ -2,22 +2,22 @@
 
 import "math"
 
-// The ledger of own dispatches: each attempt is charged to its replica's row from
-// its dispatch to its end, first with its prefill and what it holds, after the first
-// token with what it holds.
+// The ledger of this gateway's dispatches. Each attempt is charged to its replica's row
+// from dispatch to end: the prefill until the first token, the held tokens throughout.
 
 const (
-	// prefillCost is the charge of a prompt token that needs prefill, in held tokens:
-	// prefill takes a replica's whole step, holding a part of it.
+	// prefillCost is the charge for prefilling one prompt token, in held tokens. Prefill
+	// occupies a replica's whole step, a held token only part of it.
 	prefillCost = 4.0
-	// reportLag is how long before its arrival a report may have been taken: charges
-	// younger than that are not in it. Reports are refreshed about once a second.
+	// reportLag is the maximum age of a load report on arrival: newer charges are not
+	// included in it. Reports are refreshed about once a second.
 	reportLag Micros = 1_000_000
 )
 
-// expectedHeldTokens is what a request will hold while it runs: its prompt and its answer.
+// expectedHeldTokens returns the tokens that a request is expected to hold while it runs,
+// its prompt and its answer.
 func (b *Balancer) expectedHeldTokens(req *request) float64 {
-	answer := float64(req.MaxTokens) / 4 // limits are seldom reached
+	answer := float64(req.MaxTokens) / 4 // answers are usually shorter than the limit
 	objective := b.classOf(req).TokenObjective
 	if stats := &b.stats[req.classIndex]; stats.streamTime > 0 && objective > 0 {
 		// Healthy streams take about half of the token objective.
@@ -26,13 +26,13 @@
 	return float64(req.PromptTokens) + answer
 }
 
-// workTokens is what a request takes of a replica that has nothing of it cached, in
-// held tokens.
+// workTokens returns the cost of a request at a replica that has none of its prompt
+// cached, in held tokens.
 func (b *Balancer) workTokens(req *request) float64 {
 	return prefillCost*float64(req.PromptTokens) + b.expectedHeldTokens(req)
 }
 
-// charge is what the ledger has for an attempt, in held tokens.
+// charge returns the ledger's present charge for an attempt, in held tokens.
 func (a *attempt) charge() float64 {
 	if a.timeToFirstToken > 0 {
 		return a.heldTokens
@@ -40,7 +40,7 @@
 	return a.prefillCharge + a.heldTokens
 }
 
-// chargeLedger enters a dispatch in the ledger.
+// chargeLedger adds a dispatch to the ledger and updates the averages over dispatches.
 func (b *Balancer) chargeLedger(now Micros, row *replicaRow, a *attempt) {
 	a.newConn = b.needsConnection(now, row)
 	if a.newConn {
@@ -55,7 +55,7 @@
 	updateMean(&b.meanHeldTokens, a.heldTokens)
 	updateMean(&b.meanCharge, charge)
 	b.dispatchesSinceTick++
-	b.zones.TakeTrial(now, row.zone, 0.5) // without health checks this dispatch is the trial of an unavailable zone
+	b.zones.TakeTrial(now, row.zone, 0.5) // without health checks, requests are the trials of an unavailable zone
 }
 
 // needsConnection reports whether a dispatch to a replica needs a new connection.
@@ -66,14 +66,14 @@
 	return len(row.ledger) >= row.openConns*max(1, b.settings.StreamsPerConn)
 }
 
-// releasePrefill takes an attempt's prefill off the ledger, at its first token.
+// releasePrefill removes an attempt's prefill charge at its first token.
 func (b *Balancer) releasePrefill(a *attempt) {
 	row := a.row
 	row.charge -= a.prefillCharge
 	row.unreported = math.Max(0, row.unreported-a.prefillCharge)
 }
 
-// releaseCharge takes an attempt off the ledger, at its end.
+// releaseCharge removes an attempt and its charge from the ledger at its end.
 func (b *Balancer) releaseCharge(a *attempt) {
 	row := a.row
 	for i, entry := range row.ledger {
@@ -87,12 +87,12 @@
 	row.unreported = math.Max(0, row.unreported-charge)
 	b.inFlightTokens -= a.heldTokens
 	if len(row.ledger) == 0 {
-		row.charge, row.unreported = 0, 0 // no rounding errors stay
+		row.charge, row.unreported = 0, 0 // clears accumulated rounding errors
 	}
 }
 
-// closeLedgerEntry takes an attempt that has ended off the ledger, and its end into
-// the replica's health.
+// closeLedgerEntry removes an ended attempt from the ledger and records its status in the
+// health of the replica and its zone.
 func (b *Balancer) closeLedgerEntry(now Micros, a *attempt, status Status) {
 	row := a.row
 	b.releaseCharge(a)
@@ -107,11 +107,11 @@
 		row.errorRate *= errorRateDecay
 	case Errored, ConnectFailed, ConnBroken:
 		b.recordFailure(now, row, status)
-	case Malformed: // a healthy replica may send one too: it counts, but without backoff
+	case Malformed: // counted without backoff, because a healthy replica may send one too
 		row.countError()
 	case Shed:
-		// The replica is full, so its last report is wrong. Until a newer one comes it
-		// counts as loaded as twice the fleet.
+		// The replica is full, so its last report is out of date. Until the next report,
+		// assume at least twice the fleet's mean load.
 		b.setReportedLoad(now, row, math.Max(row.reportedTokens, 2*b.meanLoad/row.slowness))
 	}
 }
--- a/balancer/loadtable.go
+++ b/balancer/loadtable.go
@@ -5,32 +5,32 @@
 	"sort"
 )
 
-// loadTable holds one row for each replica of the endpoint list, and the estimates
-// over all of them that predictions use.
+// loadTable holds one row for each replica of the endpoint list, and fleet-wide estimates
+// for predictions.
 type loadTable struct {
-	rows      []*replicaRow // sorted by replica, so that scans have one order everywhere
-	hashes    []uint64      // of the rows: a scan of them alone passes by most rows
+	rows      []*replicaRow // sorted by replica ID, for a deterministic scan order
+	hashes    []uint64      // hashes of the rows: scans of these skip most rows cheaply
 	rowByID   map[ReplicaID]*replicaRow
 	zoneIndex map[string]int // by zone name
 	kindIndex map[string]int // by replica kind
-	ownZone   int            // this gateway's
+	ownZone   int            // index of this gateway's zone
 	kinds     []kindStats    // by kindIndex
 
-	fleetSize         int     // ready replicas of the whole fleet; 0: those that are listed
+	fleetSize         int     // ready replicas of the whole fleet; 0: only those in the list
 	readyCount        int     // replicas listed as ready
 	warmingCount      int     // ready replicas that are warming up
 	meanLoad          float64 // mean of slowness x held tokens over rows with recent reports
-	memoryPerToken    float64 // mean share of a replica's memory that a token takes
-	tokensPerLiveLoad float64 // tokens held for each unit of load by live weights
-	meanLifetime      float64 // mean time from dispatch to end, in microseconds: reports age by it
-	meanHeldTokens    float64 // mean tokens held for a request
+	memoryPerToken    float64 // mean fraction of a replica's memory per token
+	tokensPerLiveLoad float64 // held tokens per unit of the load computed from live weights
+	meanLifetime      float64 // mean time from dispatch to end, in microseconds; sets how reports age
+	meanHeldTokens    float64 // mean held tokens of a request
 	meanCharge        float64 // mean charge of a dispatch
 	warmUtilization   float64 // mean reported utilization of warm replicas; 0: not reported
-	meanSlotFraction  float64 // mean reported share of a replica that a request takes; 0: not reported
+	meanSlotFraction  float64 // mean reported utilization per request in flight; 0: not reported
 	inFlightTokens    float64 // sum of heldTokens over all own attempts in flight
 }
 
-// kindStats compares the replicas of one kind of machine with all.
+// kindStats compares the replicas of one kind of machine with the whole fleet.
 type kindStats struct {
 	slownessSum, slownessCount float64 // decaying sum and count of observed slowness
 	slowness                   float64 // 1: as fast as the fleet's mean
@@ -38,25 +38,25 @@
 	idleWeight                 float64 // the largest live weight seen
 
 	firstTokenSum, firstTokenCount float64 // decaying sum (microseconds) and count of first-token times
-	firstTokenRatio                float64 // mean first-token time against all kinds'; 1: the same
+	firstTokenRatio                float64 // mean first-token time relative to that of all kinds
 }
 
 // replicaRow is one replica's row of the table.
 type replicaRow struct {
-	// What a scan reads of each row stands first, in two cache lines: over thousands
-	// of rows memory bandwidth sets the scan's time.
+	// The fields that a scan reads come first, within two cache lines: with thousands of
+	// rows, memory bandwidth determines the duration of a scan.
 	hash                uint64
-	reportedAt          Micros     // date of the last report; -1: none
-	reportedTokens      float64    // tokens held by the last report
+	reportedAt          Micros     // time of the last report; -1: none
+	reportedTokens      float64    // held tokens according to the last report
 	slowness            float64    // 1: as fast as the fleet's mean
 	charge              float64    // sum of the charges in the ledger
-	unreported          float64    // the part of charge that is too young for the last report
+	unreported          float64    // part of charge that is too recent for the last report
 	warmingUntil        Micros     // end of slow start
-	backoffUntil        Micros     // no dispatches before, unless all replicas are in backoff
+	backoffUntil        Micros     // no dispatches before, unless no replica is eligible
 	ledger              []*attempt // own attempts in flight
-	openConns           int        // connections believed open
+	openConns           int        // connections assumed open
 	lastUsedAt          Micros     // when a connection was last in use
-	errorRate           float64    // decaying share of attempts that failed
+	errorRate           float64    // decaying fraction of attempts that failed
 	zone                int        // by zoneIndex
 	kind                int        // by kindIndex
 	consecutiveFailures int
@@ -65,33 +65,39 @@
 	healthCheckPending  bool
 
 	cell                  int64
-	size                  float64 // registered size against others; 0: unknown
+	size                  float64 // registered size relative to other replicas; 0: unknown
 	startedAt             Micros  // 0: unknown
-	memoryPerToken        float64 // fitted share of its memory that a token takes
+	memoryPerToken        float64 // fitted fraction of its memory per token
 	memoryPerTokenSamples float64
 
 	slownessSum, slownessCount float64 // decaying sum and count of observed slowness
-	slownessAt                 Micros  // the last observation
+	slownessAt                 Micros  // time of the last observation
 
-	liveLoad        float64 // load by the last live weight
-	healthCheckedAt Micros  // the last health check
+	liveLoad        float64 // load computed from the last live weight
+	healthCheckedAt Micros  // time of the last health check
 	confirmedAt     Micros  // when it last passed a health check over an old connection
 	warmingSince    Micros  // start of slow start
 }
 
 const (
-	// slownessThreshold is how many times slower than its kind a replica must seem to be
-	// before its own slowness counts.
+	// slownessThreshold is the ratio of a replica's slowness to its kind's above which the
+	// replica's own slowness is used.
 	slownessThreshold = 1.6
-	// minKindRatio and maxKindRatio bound how much kinds differ, and maxSlowness how slow
-	// a replica counts as.
-	minKindRatio, maxKindRatio, maxSlowness = 0.25, 4, 8
-	// kindDecay is applied to what was seen of a kind at each refresh.
+	// minKindRatio is the lower bound of a kind's slowness and first-token ratio.
+	minKindRatio = 0.25
+	// maxKindRatio is the upper bound of a kind's slowness and first-token ratio.
+	maxKindRatio = 4
+	// maxSlowness is the upper bound of a replica's own slowness.
+	maxSlowness = 8
+	// kindDecay multiplies the sums and counts of each kind at each refresh.
 	kindDecay = 0.99
-	// kindPrior and replicaPrior are the observations before a kind's or a replica's own
-	// slowness counts half.
-	kindPrior, replicaPrior = 8, 6
-	// slownessDecay is how long an observation of a replica's slowness counts.
+	// kindPrior is the number of observations at which a kind's mean and the prior of 1
+	// have equal weight.
+	kindPrior = 8
+	// replicaPrior is the number of observations at which a replica's own slowness and
+	// that of its kind have equal weight.
+	replicaPrior = 6
+	// slownessDecay is the time after which observations of a replica's slowness expire.
 	slownessDecay Micros = 20_000_000
 )
 
@@ -101,11 +107,11 @@
 	t.zoneIndex = map[string]int{}
 	t.kindIndex = map[string]int{}
 	t.meanLifetime = float64(b.settings.Classes[0].LatencyObjective)
-	t.ownZone = t.zoneOf(b.settings.Zone)
+	t.ownZone = t.zoneIndexOf(b.settings.Zone)
 }
 
-// applyEndpoint enters one entry of the endpoint list in the table. A replica in
-// the first list of all counts as warm unless its start time says otherwise.
+// applyEndpoint applies one entry of the endpoint list to the table. A replica in the
+// first list after the gateway's start counts as warm unless it has a recent start time.
 func (b *Balancer) applyEndpoint(now Micros, endpoint Endpoint, firstList bool) {
 	row := b.rowByID[endpoint.Replica]
 	if endpoint.State == EndpointRemoved {
@@ -120,7 +126,7 @@
 		b.detectRestart(now, row, endpoint)
 	}
 	row.state, row.cell = endpoint.State, endpoint.Cell
-	row.zone, row.kind = b.zoneOf(endpoint.Zone), b.kindOf(endpoint.Kind)
+	row.zone, row.kind = b.zoneIndexOf(endpoint.Zone), b.kindIndexOf(endpoint.Kind)
 	switch {
 	case b.settings.WeightKind == WeightLive && endpoint.Weight > 0:
 		b.applyLiveWeight(now, row, endpoint.Weight)
@@ -129,7 +135,7 @@
 	}
 }
 
-// addRow adds the row of a replica that is new on the list, in the order of the replicas.
+// addRow inserts the row of a replica that is new in the list, in order of replica ID.
 func (b *Balancer) addRow(now Micros, endpoint Endpoint, firstList bool) *replicaRow {
 	row := &replicaRow{
 		id:              endpoint.Replica,
@@ -137,7 +143,7 @@
 		reportedAt:      -1,
 		slowness:        1,
 		startedAt:       endpoint.StartedAt,
-		healthCheckedAt: now, // its owner checks it first
+		healthCheckedAt: now, // the replica's owner checks it first
 	}
 	b.rowByID[endpoint.Replica] = row
 	i := sort.Search(len(b.rows), func(i int) bool { return b.rows[i].id >= endpoint.Replica })
@@ -152,27 +158,28 @@
 	return row
 }
 
-// detectRestart starts a listed replica anew if its start time has changed, or if it
-// was gone.
+// detectRestart begins the slow start of a listed replica if its start time has changed or
+// it had been removed from the list.
 func (b *Balancer) detectRestart(now Micros, row *replicaRow, endpoint Endpoint) {
-	wasGone := row.state == EndpointRemoved
-	if b.fleetSize > 0 && wasGone && endpoint.StartedAt == row.startedAt && endpoint.StartedAt > 0 {
-		row.reportedAt = -1 // back in this gateway's subset of the fleet, not restarted
+	wasDelisted := row.state == EndpointRemoved
+	if b.fleetSize > 0 && wasDelisted && endpoint.StartedAt == row.startedAt && endpoint.StartedAt > 0 {
+		row.reportedAt = -1 // returned to this gateway's subset of the fleet without a restart
 		return
 	}
 	restarted := endpoint.StartedAt != row.startedAt && endpoint.StartedAt > 0
-	if !restarted && !wasGone {
+	if !restarted && !wasDelisted {
 		return
 	}
 	b.beginSlowStart(row, max(endpoint.StartedAt, row.startedAt))
 	if endpoint.StartedAt == row.startedAt || endpoint.StartedAt == 0 {
-		b.beginSlowStart(row, now) // back on the list without a start time: assume a restart
+		b.beginSlowStart(row, now) // listed again without a new start time: assume a restart
 	}
 	row.startedAt, row.reportedAt = endpoint.StartedAt, -1
 	row.slownessSum, row.slownessCount = 0, 0
 }
 
-// removeDelistedRows removes the rows of replicas that are gone and have no attempt in flight.
+// removeDelistedRows deletes the rows of replicas that were removed from the endpoint list and
+// have no attempt in flight.
 func (b *Balancer) removeDelistedRows() {
 	keep := b.rows[:0]
 	for _, row := range b.rows {
@@ -187,7 +194,7 @@
 	b.rebuildHashes()
 }
 
-// rebuildHashes follows a change of the rows.
+// rebuildHashes recomputes hashes after a change of the rows.
 func (t *loadTable) rebuildHashes() {
 	t.hashes = t.hashes[:0]
 	for _, row := range t.rows {
@@ -195,8 +202,8 @@
 	}
 }
 
-// zoneOf is the index of a zone, which is new if the name is.
-func (t *loadTable) zoneOf(name string) int {
+// zoneIndexOf returns the index of a zone, and assigns one to a new name.
+func (t *loadTable) zoneIndexOf(name string) int {
 	n, ok := t.zoneIndex[name]
 	if !ok {
 		n = len(t.zoneIndex)
@@ -205,8 +212,8 @@
 	return n
 }
 
-// kindOf is the index of a kind of replica, which is new if the name is.
-func (t *loadTable) kindOf(name string) int {
+// kindIndexOf returns the index of a kind of replica, and assigns one to a new name.
+func (t *loadTable) kindIndexOf(name string) int {
 	n, ok := t.kindIndex[name]
 	if !ok {
 		n = len(t.kindIndex)
@@ -216,7 +223,7 @@
 	return n
 }
 
-// readyRow is the row of a replica if it is ready, else nil.
+// readyRow returns the row of a replica, or nil if the replica is not ready.
 func (t *loadTable) readyRow(id ReplicaID) *replicaRow {
 	if row := t.rowByID[id]; row != nil && row.state == EndpointReady {
 		return row
@@ -224,8 +231,8 @@
 	return nil
 }
 
-// refreshEstimates renews what scans use: the slowness of kinds and replicas, the
-// counts of replicas and the fleet's mean load.
+// refreshEstimates recomputes the estimates for scans: the slowness of kinds and replicas,
+// the counts of replicas and the fleet's mean load.
 func (b *Balancer) refreshEstimates(now Micros) {
 	b.updateKindSlowness()
 	b.updateKindRatios()
@@ -244,9 +251,9 @@
 		if row.reportedAt < 0 {
 			continue
 		}
-		if fresh := 1 - float64(now-row.reportedAt)/(2*math.Max(1, b.meanLifetime)); fresh > 0 {
-			load += fresh * row.slowness * row.reportedTokens
-			weight += fresh
+		if freshness := 1 - float64(now-row.reportedAt)/(2*math.Max(1, b.meanLifetime)); freshness > 0 {
+			load += freshness * row.slowness * row.reportedTokens
+			weight += freshness
 		}
 	}
 	if weight > 0 {
@@ -254,7 +261,7 @@
 	}
 }
 
-// meanSize is the mean registered size of the replicas that have one.
+// meanSize returns the mean registered size of the replicas that have one; NaN if none has.
 func (t *loadTable) meanSize() float64 {
 	sum, count := 0.0, 0.0
 	for _, row := range t.rows {
@@ -267,20 +274,20 @@
 
 // updateSlowness estimates a replica's slowness from its kind's and its own observations.
 func (t *loadTable) updateSlowness(now Micros, row *replicaRow, meanSize float64) {
-	keep := row.slownessKept(now)
+	weight := row.slownessWeight(now)
 	row.slowness = t.kinds[row.kind].slowness
-	own := (replicaPrior*row.slowness + row.slownessSum*keep) / (replicaPrior + row.slownessCount*keep)
-	// First-token times scatter, and reported ones reach all gateways alike:
-	// only what stands out is held against a replica.
-	if own > slownessThreshold*row.slowness {
-		row.slowness = math.Min(maxSlowness, own)
+	observed := (replicaPrior*row.slowness + row.slownessSum*weight) / (replicaPrior + row.slownessCount*weight)
+	// First-token times vary, and all gateways receive the same reports: a small
+	// difference would move them all, so only a clear one counts.
+	if observed > slownessThreshold*row.slowness {
+		row.slowness = math.Min(maxSlowness, observed)
 	}
-	if row.size > 0 { // twice the size bears twice the load
+	if row.size > 0 { // a replica of twice the size takes twice the load
 		row.slowness *= meanSize / row.size
 	}
 }
 
-// updateKindSlowness estimates the slowness of each kind, and lets observations decay.
+// updateKindSlowness estimates the slowness of each kind and decays its observations.
 func (t *loadTable) updateKindSlowness() {
 	for i := range t.kinds {
 		kind := &t.kinds[i]
@@ -290,8 +297,8 @@
 	}
 }
 
-// updateKindRatios compares the first-token times of each kind with all, and lets
-// observations decay.
+// updateKindRatios compares the first-token times of each kind with those of all kinds, and
+// decays the observations.
 func (t *loadTable) updateKindRatios() {
 	sum, count := 0.0, 0.0
 	for _, kind := range t.kinds {
@@ -300,8 +307,8 @@
 	for i := range t.kinds {
 		kind := &t.kinds[i]
 		if sum > 0 {
-			all := sum / count
-			ratio := (kindPrior*all + kind.firstTokenSum) / (kindPrior + kind.firstTokenCount) / all
+			overallMean := sum / count
+			ratio := (kindPrior*overallMean + kind.firstTokenSum) / (kindPrior + kind.firstTokenCount) / overallMean
 			kind.firstTokenRatio = math.Max(minKindRatio, math.Min(maxKindRatio, ratio))
 		}
 		kind.firstTokenSum, kind.firstTokenCount = kind.firstTokenSum*kindDecay, kind.firstTokenCount*kindDecay
--- a/balancer/numeric.go
+++ b/balancer/numeric.go
@@ -2,9 +2,9 @@
 
 import "math"
 
-// Hashes, the seeded random source, means and fits.
+// Hash functions, the seeded random source, moving averages and linear fits.
 
-// splitmix is the finalizer of splitmix64, used as a hash.
+// splitmix hashes x with one step of splitmix64.
 func splitmix(x uint64) uint64 {
 	x += 0x9e3779b97f4a7c15
 	x = (x ^ x>>30) * 0xbf58476d1ce4e5b9
@@ -12,7 +12,7 @@
 	return x ^ x>>31
 }
 
-// random draws from 0 up to 1, by xorshift64.
+// random returns a pseudo-random number in [0, 1), by xorshift64.
 func (b *Balancer) random() float64 {
 	b.rng ^= b.rng << 13
 	b.rng ^= b.rng >> 7
@@ -20,10 +20,11 @@
 	return unitFloat(b.rng)
 }
 
-// unitFloat maps a hash to a number from 0 up to 1.
+// unitFloat maps a hash to a number in [0, 1).
 func unitFloat(hash uint64) float64 { return float64(hash>>11) / (1 << 53) }
 
-// updateMean moves a slow average by a sample. It starts from the first sample.
+// updateMean adds a sample to an exponential moving average with weight learnRate. An
+// average of 0 is first set to the sample.
 func updateMean(mean *float64, sample float64) {
 	if *mean == 0 {
 		*mean = sample
@@ -31,7 +32,6 @@
 	*mean += learnRate * (sample - *mean)
 }
 
-// boolToFloat is 1 for true, 0 for false.
 func boolToFloat(v bool) float64 {
 	if v {
 		return 1
@@ -39,20 +39,22 @@
 	return 0
 }
 
-// linearFit is a decaying least-squares line, by the sums over its points.
+// linearFit is a least-squares line through points with exponentially decaying weights,
+// stored as weighted sums.
 type linearFit struct{ n, x, y, xx, xy float64 }
 
-// minFitPoints is the number of points from which a linearFit has values.
+// minFitPoints is the weighted number of points that a linearFit requires.
 const minFitPoints = 4
 
-// add adds a point and lets the earlier ones decay.
+// add adds a point and decays the weights of earlier points.
 func (f *linearFit) add(x, y float64) {
 	const keep = 1 - learnRate/4
 	f.n, f.x, f.y = f.n*keep+1, f.x*keep+x, f.y*keep+y
 	f.xx, f.xy = f.xx*keep+x*x, f.xy*keep+x*y
 }
 
-// predict is the line's value at x, no less than half the mean; 0 without enough points.
+// predict returns the line's value at x, at least half the mean of y; 0 without enough
+// points.
 func (f *linearFit) predict(x float64) float64 {
 	if f.n < minFitPoints {
 		return 0
@@ -60,7 +62,7 @@
 	return math.Max(f.y/f.n/2, f.y/f.n+f.slope()*(x-f.x/f.n))
 }
 
-// mean is the mean of y; 0 without enough points.
+// mean returns the weighted mean of y; 0 without enough points.
 func (f *linearFit) mean() float64 {
 	if f.n < minFitPoints {
 		return 0
@@ -68,7 +70,7 @@
 	return f.y / f.n
 }
 
-// slope is the line's slope, 0 or more.
+// slope returns the line's slope, or 0 if it is negative or the x values hardly differ.
 func (f *linearFit) slope() float64 {
 	meanY, meanX := f.y/f.n, f.x/f.n
 	if variance := f.xx/f.n - meanX*meanX; variance > 1 {
@@ -77,13 +79,13 @@
 	return 0
 }
 
-// logSteps is the number of packLog's steps for each doubling: steps of 6 percent.
-const logSteps = 12
+// logStepsPerDoubling is the resolution of packLog: 12 steps per doubling are 6 percent each.
+const logStepsPerDoubling = 12
 
-// packLog packs a value from 0 to 2^21 on a log scale; unpackLog unpacks it.
+// packLog encodes a value from 0 to 2^21 in one byte, on a logarithmic scale.
 func packLog(v float64) byte {
-	return byte(math.Min(math.MaxUint8, math.Round(logSteps*math.Log2(1+v))))
+	return byte(math.Min(math.MaxUint8, math.Round(logStepsPerDoubling*math.Log2(1+v))))
 }
 
-// unpackLog unpacks a value that packLog has packed.
-func unpackLog(c byte) float64 { return math.Exp2(float64(c)/logSteps) - 1 }
+// unpackLog decodes a value encoded by packLog.
+func unpackLog(c byte) float64 { return math.Exp2(float64(c)/logStepsPerDoubling) - 1 }
--- a/balancer/pick.go
+++ b/balancer/pick.go
@@ -1,11 +1,11 @@
 package balancer
 
-// pickState is the state of one pick.
+// pickState holds the working data of one pick.
 type pickState struct {
-	shortlist      [shortlistSize]candidate // by least score
-	targetByKind   []candidate              // best affinity target of a key on each kind of machine
+	shortlist      [shortlistSize]candidate // in ascending order of score
+	targetByKind   []candidate              // best affinity target of a key, by kindIndex
 	mayPoll        bool                     // load reports may be polled before the dispatch
-	offeredWarming *replicaRow              // the one warming replica that the attempt may go to
+	offeredWarming *replicaRow              // the only warming replica that is eligible; nil: none
 }
 
 // candidate is a row with its score.
@@ -15,21 +15,21 @@
 	cachedTokens float64 // prompt tokens expected to be cached
 }
 
-// pick chooses a replica for an attempt, nil if there is none, with the number of prompt
-// tokens that are expected to be cached there; or it reports that the request is to wait
-// for load reports.
+// pick chooses the replica for an attempt, nil if none is eligible, and returns the number
+// of prompt tokens expected to be cached there. wait reports instead that the request must
+// wait for polled load reports.
 func (b *Balancer) pick(now Micros, req *request) (best *replicaRow, cachedTokens float64, wait bool) {
 	b.mayPoll = b.largeFleet() && len(req.attempts) == 0 && now == req.arrivedAt && req.deadline-now >= 8*pollTimeout
-	b.offeredWarming = b.offerTo(now, req)
+	b.offeredWarming = b.warmingReplicaFor(now, req)
 	b.scan(now, req)
 	if b.pollShortlist(now, req) {
 		b.breakdowns = b.breakdowns[:0]
 		return nil, 0, true
 	}
 	if b.mayPoll {
-		b.mayPoll = false // from here on the attempt goes out
+		b.mayPoll = false // the attempt is dispatched without a poll
 		if first := b.shortlist[0].row; first != nil && b.needsConfirmation(now, first) {
-			// It was accepted to be polled, and cannot be polled now.
+			// The replica was eligible only to be polled, and it was not polled.
 			b.breakdowns = b.breakdowns[:0]
 			b.scan(now, req)
 		}
@@ -41,7 +41,8 @@
 	return best, cachedTokens, false
 }
 
-// addToShortlist enters a candidate in the shortlist, by least score.
+// addToShortlist inserts a candidate in order of score and drops the last one if the
+// shortlist is full.
 func (b *Balancer) addToShortlist(next candidate) {
 	for i := range b.shortlist {
 		if listed := b.shortlist[i]; listed.row == nil || next.score < listed.score {
@@ -53,8 +54,9 @@
 	}
 }
 
-// lastResort reports whether no replica is eligible for a request. Then backoff and
-// unavailable zones are ignored: a dispatch somewhere beats none.
+// lastResort reports whether no replica is eligible for a request. In that case backoff,
+// trials, unavailable zones and overdue health checks are ignored, because any dispatch is
+// better than none.
 func (b *Balancer) lastResort(now Micros, req *request) bool {
 	for _, row := range b.rows {
 		if b.eligible(now, row, req, false) {
@@ -64,9 +66,10 @@
 	return true
 }
 
-// eligible reports whether an attempt of a request may go to a replica at all.
+// eligible reports whether an attempt of a request may be sent to a replica.
 func (b *Balancer) eligible(now Micros, row *replicaRow, req *request, lastResort bool) bool {
-	if row.state != EndpointReady || b.ListStale(now) || !b.mayPoll && b.needsConfirmation(now, row) { // rule 3
+	// A replica that is draining or removed from the endpoint list gets no new attempt.
+	if row.state != EndpointReady || b.ListStale(now) || !b.mayPoll && b.needsConfirmation(now, row) {
 		return false
 	}
 	if !lastResort && (now < row.backoffUntil || !b.zoneEligible(now, row) || row.onTrial()) {
@@ -83,5 +86,5 @@
 	if len(req.attempts) > 0 && !b.idempotencyAllows(now, req, row) {
 		return false
 	}
-	return now >= row.warmingUntil || row == b.offeredWarming // rule 4
+	return now >= row.warmingUntil || row == b.offeredWarming // limits the load on warming replicas
 }
--- a/balancer/slowstart_test.go
+++ b/balancer/slowstart_test.go
@@ -155,10 +155,10 @@
 	b, _ := startBalancer(t, settings(), endpoints...)
 	old, young := b.rowByID[1], b.rowByID[2]
 	for now, want := range map[Micros]float64{100 * second: 0, 101 * second: 0.39, 160 * second: 1} {
-		if got := young.prefixCachedChance(now, 0.5); math.Abs(got-want) > 0.01 {
+		if got := young.prefixCachedProbability(now, 0.5); math.Abs(got-want) > 0.01 {
 			t.Errorf("%d s: has cached %.2f, want %.2f", now/second, got, want)
 		}
-		if old.prefixCachedChance(now, 0.5) != 1 {
+		if old.prefixCachedProbability(now, 0.5) != 1 {
 			t.Errorf("%d s: the old replica has cached nothing", now/second)
 		}
 	}
--- a/balancer/zonehealth/zonehealth.go
+++ b/balancer/zonehealth/zonehealth.go
@@ -1,12 +1,14 @@
 // Package zonehealth tracks the health of zones as one gateway sees it: healthy,
-// suspect, unavailable or recovering. It performs no I/O and reads no clock: each input
-// brings its time, and equal inputs give equal states. A [Tracker] belongs to one goroutine.
+// suspect, unavailable or recovering. It performs no I/O and reads no clock: the current
+// time is a parameter, and equal inputs give equal states. A [Tracker] must be used by one
+// goroutine only.
 //
-// A zone is unavailable to a gateway if several of its replicas, each by itself, have not
-// answered and none has since. One bad replica says nothing of its zone: some part of a
-// fleet's replicas is always slow or failing, and that several of one zone fail at once
-// without an answer from any other must be more likely by an outage than by chance. The
-// caller checks others of a suspect zone at once: an answer from any ends the suspicion.
+// A zone is unavailable to a gateway if several of its replicas have not answered and none
+// has answered since. One failed replica is not enough, because some replicas of a fleet
+// are always slow or failing. The threshold is set so that an outage is a more likely cause
+// than independent failures of that many replicas without an answer from any other. The
+// caller checks other replicas of a suspect zone at once, and an answer from any of them
+// makes the zone healthy again.
 package zonehealth
 
 import "slices"
@@ -14,67 +16,72 @@
 // Micros is a point in time or a duration, in microseconds.
 type Micros = int64
 
-// State is the state of a zone, as one gateway sees it.
+// State is the health of a zone as seen by one gateway.
 type State uint8
 
 // The states of a zone.
 const (
 	Healthy     State = iota
-	Suspect           // some of its replicas did not answer, and none has since
-	Unavailable       // so many did not that it is the zone; it gets nothing but trials
-	Recovering        // it answers again, and gets a growing share of its traffic
+	Suspect           // some replicas did not answer, and none has answered since
+	Unavailable       // missThreshold was reached; the zone receives trials only
+	Recovering        // the zone answers again and receives a growing fraction of its traffic
 )
 
 var stateNames = [...]string{"healthy", "suspect", "unavailable", "recovering"}
 
-// String is the state's name.
+// String returns the state's name in lower case. It panics for a value that is not a state.
 func (s State) String() string { return stateNames[s] }
 
 const (
-	// missThreshold is the number of replicas of a zone that must not have answered for it
-	// to be unavailable. Let one in eight be bad by itself and a zone be unavailable in one
-	// of a hundred windows: by chance four in a row miss once in 4,096.
+	// missThreshold is the number of misses, in general from as many replicas, that make a
+	// zone unavailable. If one replica in eight fails independently, four in a row miss by
+	// chance once in 4,096 times, much less often than an outage in one of a hundred windows.
 	missThreshold = 4
-	// missWindow is how long a miss counts: without further misses suspicion ends.
+	// missWindow is the time without further misses after which earlier misses expire and a
+	// suspect zone becomes healthy.
 	missWindow Micros = 5_000_000
-	// trialIntervalMin is the time until an unavailable zone is tried, and trialIntervalMax
-	// what it grows to; a short gap of the network must not cost seconds.
-	trialIntervalMin, trialIntervalMax Micros = 250_000, 1_000_000
-	// maxTrialDoublings bounds the growth of the interval.
+	// trialIntervalMin is the time until the first trial of an unavailable zone. It is short
+	// so that a brief network interruption does not cost seconds.
+	trialIntervalMin Micros = 250_000
+	// trialIntervalMax bounds the interval of trials in a first outage, before jitter.
+	trialIntervalMax Micros = 1_000_000
+	// maxTrialDoublings bounds the exponential growth of the interval.
 	maxTrialDoublings = 8
-	// recoveryRamp is how long the traffic share of a zone grows after its return. Replicas
-	// that have started anew are on the endpoint list within that time, and are held back
-	// by their own slow start from then on.
+	// recoveryRamp is the duration of a recovery, per consecutive outage. Replicas that were
+	// restarted are listed with their new start time within it, and from then on their own
+	// slow start limits their load.
 	recoveryRamp Micros = 3_000_000
-	// maxOutages bounds how many outages in a row count, and outageMemory is the time
-	// without one after which none does.
-	maxOutages          = 4
-	outageMemory Micros = 60_000_000
+	// maxOutages bounds the count of consecutive outages.
+	maxOutages = 4
+	// outageResetAfter is the time from the start of an outage after which the next one
+	// counts as a first outage again.
+	outageResetAfter Micros = 60_000_000
 )
 
-// Zone is what is known of one zone.
+// Zone holds the health of one zone.
 type Zone struct {
 	State            State
 	Since            Micros   // when the state began
 	MissedReplicas   []uint64 // replicas that did not answer since the zone's last answer
 	LastMissAt       Micros
-	Misses           int      // misses that count
+	Misses           int      // misses that count towards missThreshold
 	AnsweredReplicas []uint64 // unavailable: replicas that have answered since
-	NextTrialAt      Micros   // unavailable: no trial before
+	NextTrialAt      Micros   // unavailable: earliest time of the next trial
 	Trials           int      // unavailable: trials made
-	Outages          int      // in a row, without a long healthy time between them
+	Outages          int      // consecutive outages, at most maxOutages
 	UnavailableAt    Micros   // when it last became unavailable
 }
 
-// Tracker is what one gateway knows of all zones, by their index.
+// Tracker holds the health of all zones as seen by one gateway, by zone index.
 type Tracker struct {
-	Zones map[int]*Zone // those with a miss so far
+	Zones map[int]*Zone // zones with at least one miss so far
 }
 
-// New returns a Tracker that takes all zones for healthy.
+// New returns a Tracker with all zones healthy.
 func New() Tracker { return Tracker{Zones: map[int]*Zone{}} }
 
-// State returns the state of a zone.
+// State returns the state of a zone, Healthy for a zone without misses. States that end with
+// time are updated by RecordMiss and RecordAnswer only.
 func (t Tracker) State(index int) State {
 	if zone := t.Zones[index]; zone != nil {
 		return zone.State
@@ -82,12 +89,13 @@
 	return Healthy
 }
 
-// IsUnavailable reports whether a zone is to get nothing but trials.
+// IsUnavailable reports whether a zone may receive trials only.
 func (t Tracker) IsUnavailable(index int) bool { return t.State(index) == Unavailable }
 
-// RecordMiss records that a replica did not answer, of a zone with so many ready replicas:
-// no connection came up, or an open one fell silent or broke. suspect says that others of
-// the zone are to be checked; unavailable, that the zone became unavailable by this.
+// RecordMiss records that a replica did not answer: a connect failed, or an open connection
+// broke or became unresponsive. ready is the number of ready replicas in the zone. suspect
+// reports that the caller must check other replicas of the zone, unavailable that this miss
+// made the zone unavailable.
 func (t Tracker) RecordMiss(now Micros, index int, replica uint64, ready int) (suspect, unavailable bool) {
 	zone := t.Zones[index]
 	if zone == nil {
@@ -108,7 +116,9 @@
 	return true, false
 }
 
-// countMiss counts a miss, and reports whether it is a new one.
+// countMiss adds a miss and reports whether it counts. A replica's repeated miss counts only
+// in a zone of fewer than missThreshold ready replicas, and not within trialIntervalMin of
+// the zone's last miss.
 func (z *Zone) countMiss(now Micros, replica uint64, ready int) bool {
 	sinceLast := now - z.LastMissAt
 	if sinceLast > missWindow {
@@ -116,7 +126,7 @@
 	}
 	z.LastMissAt = now
 	if slices.Contains(z.MissedReplicas, replica) {
-		// In a zone with few replicas each counts again, as often as it takes.
+		// A zone with few replicas can only reach missThreshold by repeated misses.
 		if ready >= missThreshold || sinceLast < trialIntervalMin {
 			return false
 		}
@@ -130,7 +140,7 @@
 // becomeUnavailable begins an outage.
 func (z *Zone) becomeUnavailable(now Micros) {
 	z.Outages = min(maxOutages, z.Outages+1)
-	if now-z.UnavailableAt > outageMemory {
+	if now-z.UnavailableAt > outageResetAfter {
 		z.Outages = 1
 	}
 	z.State, z.Since, z.UnavailableAt = Unavailable, now, now
@@ -138,9 +148,10 @@
 	z.Trials, z.NextTrialAt = 0, now+trialIntervalMin
 }
 
-// RecordAnswer records that a replica answered, whatever it said, of a zone with so many
-// ready replicas. It reports whether the zone recovers by this: after a first outage one
-// answer is enough, and more are needed each time that another outage follows soon.
+// RecordAnswer records that a replica answered, with any status. ready is the number of
+// ready replicas in the zone. It reports whether an unavailable zone begins to recover: this
+// takes answers from one replica after a first outage, and from one more replica for each
+// consecutive outage.
 func (t Tracker) RecordAnswer(now Micros, index int, replica uint64, ready int) (recovers bool) {
 	zone := t.Zones[index]
 	if zone == nil {
@@ -155,7 +166,7 @@
 		if !slices.Contains(zone.AnsweredReplicas, replica) {
 			zone.AnsweredReplicas = append(zone.AnsweredReplicas, replica)
 		}
-		zone.NextTrialAt = now // where one answers others are checked soon
+		zone.NextTrialAt = now // after one answer, try other replicas without delay
 		if len(zone.AnsweredReplicas) >= min(zone.Outages, max(1, ready)) {
 			zone.State, zone.Since, zone.AnsweredReplicas = Recovering, now, nil
 			return true
@@ -164,7 +175,7 @@
 	return false
 }
 
-// expire ends the states that end with time.
+// expire makes a zone healthy whose suspicion or recovery has ended by now.
 func (z *Zone) expire(now Micros) {
 	switch {
 	case z.State == Suspect && now-z.LastMissAt > missWindow:
@@ -174,14 +185,15 @@
 	}
 }
 
-// rampTime is how long the zone's traffic share takes to grow to 1.
+// rampTime returns the duration of the zone's recovery.
 func (z *Zone) rampTime() Micros { return recoveryRamp * Micros(max(1, z.Outages)) }
 
-// TrafficShare is the part of its usual load that a zone may be given, above 0 and up to 1.
-// The first recovery is held back by the slow start of its replicas alone: a share for the
-// zone beside it left warm replicas idle (docs/measurements/site.md). After each
-// further outage soon after, the share starts lower and grows for longer.
-func (t Tracker) TrafficShare(now Micros, index int) float64 {
+// TrafficFraction returns the fraction of its usual load that a zone may receive, above 0
+// and at most 1. After a first outage it is 1, because the slow start of restarted replicas
+// limits their load: limiting the zone as well would leave warm replicas idle
+// (docs/measurements/site.md). After each consecutive outage the fraction starts lower and
+// grows for longer.
+func (t Tracker) TrafficFraction(now Micros, index int) float64 {
 	zone := t.Zones[index]
 	if zone == nil || zone.State != Recovering || zone.Outages < 2 {
 		return 1
@@ -190,8 +202,8 @@
 	return min(1, least+(1-least)*float64(now-zone.Since)/float64(zone.rampTime()))
 }
 
-// TakeTrial reports whether an unavailable zone is due for a trial now, and counts it as
-// made. jitter, from 0 to 1, sets many gateways apart.
+// TakeTrial reports whether an unavailable zone is due for a trial at now, and if so counts
+// the trial and schedules the next. jitter, from 0 to 1, desynchronizes gateways.
 func (t Tracker) TakeTrial(now Micros, index int, jitter float64) bool {
 	zone := t.Zones[index]
 	if zone == nil || zone.State != Unavailable || now < zone.NextTrialAt {
@@ -203,8 +215,9 @@
 	return true
 }
 
-// LikelyIsolated reports whether all zones but a gateway's own are unavailable to it, and
-// its own is not: then the gateway is more likely to be isolated itself.
+// LikelyIsolated reports whether at least two zones other than the gateway's own are listed,
+// all of them are unavailable and its own is not. The gateway itself is then more likely to
+// be isolated than all the others to have failed.
 func (t Tracker) LikelyIsolated(own int, zones []int) bool {
 	others := 0
 	for _, index := range zones {
--- a/balancer/zonehealth/zonehealth_test.go
+++ b/balancer/zonehealth/zonehealth_test.go
@@ -62,7 +62,7 @@
 	if trials < 4 || trials > 7 {
 		t.Errorf("%d trials in 5 s", trials)
 	}
-	if !b.RecordAnswer(6*second, 1, 3, 10) || b.State(1) != Recovering || b.TrafficShare(6*second, 1) != 1 {
+	if !b.RecordAnswer(6*second, 1, 3, 10) || b.State(1) != Recovering || b.TrafficFraction(6*second, 1) != 1 {
 		t.Errorf("after one answer: %+v", b.Zones[1])
 	}
 	b.RecordAnswer(10*second, 1, 4, 10)
@@ -93,10 +93,10 @@
 		if got := answersToRecover(now + second); got != want {
 			t.Errorf("outage %d: recovered after %d answers, want %d", i+1, got, want)
 		}
-		if trust := b.TrafficShare(now+second, 1); i > 0 && (trust >= 1 || trust < 1.0/maxOutages) {
+		if trust := b.TrafficFraction(now+second, 1); i > 0 && (trust >= 1 || trust < 1.0/maxOutages) {
 			t.Errorf("outage %d: a share of %.2f at once", i+1, trust)
 		}
-		if trust := b.TrafficShare(now+second+maxOutages*recoveryRamp, 1); trust != 1 {
+		if trust := b.TrafficFraction(now+second+maxOutages*recoveryRamp, 1); trust != 1 {
 			t.Errorf("outage %d: a share of %.2f in the end", i+1, trust)
 		}
 	}
@@ -165,7 +165,7 @@
 			if zone := a.Zones[1]; zone != nil && (len(zone.MissedReplicas) > missThreshold || len(zone.AnsweredReplicas) > maxOutages || zone.Outages > maxOutages) {
 				t.Fatalf("grows: %+v", zone)
 			}
-			if share := a.TrafficShare(now, 1); share <= 0 || share > 1 {
+			if share := a.TrafficFraction(now, 1); share <= 0 || share > 1 {
 				t.Fatalf("traffic share %v", share)
 			}
 		}
--- a/balancer/zones.go
+++ b/balancer/zones.go
@@ -2,13 +2,15 @@
 
 import "slices"
 
-// What zonehealth is notified of, and what follows when a zone becomes unavailable or recovers.
+// Events that are reported to zonehealth, and the reactions when a zone becomes unavailable
+// or recovers.
 
-// suspectZoneChecks is how many other replicas of a zone are checked when one did not answer.
+// suspectZoneChecks is the maximum number of health checks in a zone after a replica of it
+// did not answer.
 const suspectZoneChecks = 2
 
-// recordAnswer notifies zonehealth whether a replica answered, by how an attempt or a health
-// check ended.
+// recordAnswer reports to zonehealth whether a replica answered, according to the status of
+// an attempt or a health check.
 func (b *Balancer) recordAnswer(now Micros, row *replicaRow, status Status, healthCheck bool) {
 	switch status {
 	case ConnectFailed, ConnBroken:
@@ -19,7 +21,7 @@
 		}
 	case Served, Errored, Shed, Malformed:
 		ready := 0
-		if b.zones.IsUnavailable(row.zone) { // else it is not used, and each answer would count the fleet
+		if b.zones.IsUnavailable(row.zone) { // not used otherwise; counting scans all rows
 			ready = b.readyInZone(row.zone)
 		}
 		if b.zones.RecordAnswer(now, row.zone, uint64(row.id), ready) {
@@ -28,8 +30,9 @@
 	}
 }
 
-// recordMiss notifies zonehealth that a replica did not answer. Others of its zone are checked,
-// and if the zone becomes unavailable by this, its requests are hedged elsewhere.
+// recordMiss reports to zonehealth that a replica did not answer. If its zone becomes
+// suspect, other replicas of the zone are checked; if it becomes unavailable, the requests
+// that wait for it are hedged in other zones.
 func (b *Balancer) recordMiss(now Micros, row *replicaRow) {
 	suspect, unavailable := b.zones.RecordMiss(now, row.zone, uint64(row.id), b.readyInZone(row.zone))
 	if suspect {
@@ -44,26 +47,26 @@
 func (b *Balancer) hedgeZone(now Micros, zone int) {
 	var ids []RequestID
 	for id, req := range b.requests {
-		if !req.ended && !req.streaming && req.inFlight == 1 && req.waitsForZone(zone) {
+		if !req.ended && !req.streaming && req.inFlight == 1 && req.hasAttemptInZone(zone) {
 			ids = append(ids, id)
 		}
 	}
 	slices.Sort(ids)
 	for _, id := range ids {
 		if req := b.requests[id]; b.mayHedge(req) {
-			b.hedgeBudget++ // beside an attempt that is lost a hedge is no more work
+			b.hedgeBudget++ // not charged: the first attempt is lost, so the hedge adds no load
 			b.hedge(now, req)
 		}
 	}
 }
 
-// waitsForZone reports whether a request has an attempt in flight in a zone.
-func (req *request) waitsForZone(zone int) bool {
+// hasAttemptInZone reports whether a request has an attempt in flight in a zone.
+func (req *request) hasAttemptInZone(zone int) bool {
 	return slices.ContainsFunc(req.attempts, func(a *attempt) bool { return !a.ended && a.row.zone == zone })
 }
 
-// zoneRecovered clears the failures of a zone's replicas, which were the zone's: each
-// fails by itself again if it is not back.
+// zoneRecovered clears the failures of a zone's replicas, because the zone caused them. A
+// replica that is still failing is detected again by itself.
 func (b *Balancer) zoneRecovered(zone int) {
 	for _, row := range b.rows {
 		if row.zone == zone {
@@ -72,7 +75,7 @@
 	}
 }
 
-// readyInZone is the number of replicas of a zone that are listed as ready.
+// readyInZone returns the number of replicas of a zone that are listed as ready.
 func (b *Balancer) readyInZone(zone int) (n int) {
 	for _, row := range b.rows {
 		if row.zone == zone && row.state == EndpointReady {
@@ -82,7 +85,8 @@
 	return n
 }
 
-// checkZone sends health checks to up to limit replicas of a zone, from a random one on.
+// checkZone sends health checks to at most limit replicas of a zone, starting at a random
+// row of the table.
 func (b *Balancer) checkZone(now Micros, zone, limit int) {
 	if !b.settings.MayHealthCheck {
 		return
@@ -96,8 +100,8 @@
 	}
 }
 
-// tryUnavailableZones sends the trials that unavailable zones are due: health checks. Where
-// those are not allowed the zone's next request is the trial.
+// tryUnavailableZones sends a health check as a trial to each unavailable zone that is due
+// for one. Where health checks are not allowed, the next request to the zone is the trial.
 func (b *Balancer) tryUnavailableZones(now Micros) {
 	if !b.settings.MayHealthCheck {
 		return
@@ -109,8 +113,8 @@
 	}
 }
 
-// recordUnansweredPolls counts the replicas that were polled in vain, by a request or as it arrived,
-// as not answering.
+// recordUnansweredPolls records a miss for each replica that was polled for a request, or at its
+// arrival, and has not answered yet.
 func (b *Balancer) recordUnansweredPolls(now Micros, req *request) {
 	for _, row := range b.rows {
 		polled := row.healthCheckedAt == req.arrivedAt || slices.Contains(req.polled, row.id)
@@ -120,9 +124,9 @@
 	}
 }
 
-// recordOverdueAttempts counts an attempt without a first token at its latency objective as not
-// answered, where health checks are not allowed: overload is distinguished from an outage by the
-// answers that others of the zone still give.
+// recordOverdueAttempts records a miss for each attempt that has no first token at the latency
+// objective, where health checks are not allowed. In an overload, unlike an outage, other
+// replicas of the zone still answer, which clears the misses.
 func (b *Balancer) recordOverdueAttempts(now Micros, req *request) {
 	if b.settings.MayHealthCheck {
 		return
@@ -134,7 +138,8 @@
 	}
 }
 
-// zoneEligible reports whether a replica's zone takes ordinary requests.
+// zoneEligible reports whether a replica's zone may receive requests: it is not unavailable, or
+// health checks are not allowed and the zone is due for a trial.
 func (b *Balancer) zoneEligible(now Micros, row *replicaRow) bool {
 	if !b.zones.IsUnavailable(row.zone) {
 		return true
@@ -142,14 +147,15 @@
 	return !b.settings.MayHealthCheck && now >= b.zones.Zones[row.zone].NextTrialAt
 }
 
-// zonePenalty multiplies the score of a replica whose zone recovers from repeated outages.
+// zonePenalty returns the score's factor for a replica whose zone recovers from repeated
+// outages; 1 for others.
 func (b *Balancer) zonePenalty(now Micros, row *replicaRow) float64 {
-	return 1 / b.zones.TrafficShare(now, row.zone)
+	return 1 / b.zones.TrafficFraction(now, row.zone)
 }
 
-// UnavailableZones lists the zones that are unavailable to this gateway, in order, and
-// reports whether they are all but its own: then this gateway is more likely to be
-// isolated itself.
+// UnavailableZones lists the named zones with ready replicas that are unavailable to this
+// gateway, in order. isolated reports that this gateway itself is more likely isolated, see
+// [zonehealth.Tracker.LikelyIsolated].
 func (b *Balancer) UnavailableZones() (names []string, isolated bool) {
 	if len(b.zones.Zones) == 0 {
 		return nil, false
