--- a/balancer/admission_test.go
+++ b/balancer/admission_test.go
@@ -4,24 +4,24 @@
 	"testing"
 )
 
-// The advice of an overload reply grows with what stands over its request's share of the
-// limit, stays within the latency objective and the settings' maximum, and scatters.
+// The Retry-After of an overload reply grows with the tokens above the request's fraction of
+// the limit, stays within the latency objective and the settings' maximum, and has jitter.
 func TestRetryAfter(t *testing.T) {
 	s := settings()
 	s.Classes = append(s.Classes, Class{Name: "bulk", LatencyObjective: 10 * second, Deadline: 30 * second, PriorityWeight: 1, Streaming: true})
 	for _, c := range []struct {
-		class       string
-		open, limit float64
-		least, most Micros
+		class           string
+		inFlight, limit float64
+		least, most     Micros
 	}{
-		{"chat", 0, 0, second / 8 * 3 / 4, second / 8 * 5 / 4},            // nothing says how long: soon
+		{"chat", 0, 0, second / 8 * 3 / 4, second / 8 * 5 / 4},            // no limit: the minimum
 		{"chat", 20_000, 15_000, second / 4 * 3 / 4, second / 2 * 5 / 4},  // a quarter over, requests last 1 s
 		{"chat", 90_000, 1_000, second / 2 * 3 / 4, second / 2 * 5 / 4},   // far over: half the objective
 		{"bulk", 20_000, 15_000, 10 * second / 8 * 3 / 4, 2 * second},     // no sooner than an eighth of its objective
 		{"bulk", 90_000, 1_000, 10 * second / 8 * 3 / 4, s.MaxRetryAfter}, // no later than the maximum
 	} {
 		b, _ := startBalancer(t, s, fleet(3)...)
-		b.inFlightTokens, b.tokenLimit, b.meanWeightPerToken = c.open, c.limit, 1e-9
+		b.inFlightTokens, b.tokenLimit, b.meanWeightPerToken = c.inFlight, c.limit, 1e-9
 		req := &request{Request: testRequest(1), classIndex: b.classIndex[c.class], policy: b.policies[b.classIndex[c.class]], tenantIndex: -1}
 		seen := map[Micros]bool{}
 		for range 100 {
@@ -38,12 +38,12 @@
 	s.RetryAfter = false
 	b, _ := startBalancer(t, s, fleet(1)...)
 	if d := b.retryAfter(&request{Request: testRequest(1), policy: b.policies[0], tenantIndex: -1}); d != 0 {
-		t.Errorf("advice %d where the wire has none", d)
+		t.Errorf("Retry-After of %d where the settings disable it", d)
 	}
 }
 
-// tickAndDispatch sends a request, each fifth one after a tick. It returns the replica of
-// the request's first attempt, or admitted = false if the request is shed.
+// tickAndDispatch delivers a request, and a tick before each fifth one. It returns the replica
+// of the request's first attempt, or admitted = false if the request is shed.
 func tickAndDispatch(b *Balancer, rec *recorder, now Micros, id RequestID) (to ReplicaID, admitted bool) {
 	if id%5 == 0 {
 		b.tick(now)
@@ -56,17 +56,17 @@
 	return b.requests[id].attempts[0].row.id, true
 }
 
-// Streams slower than their token objective count as late though their first tokens come
-// in time: else an overloaded fleet admits every request.
+// Streams slower than their token objective count as late although their first tokens are on
+// time. Otherwise an overloaded fleet would admit every request.
 func TestSlowStreamsLimitAdmission(t *testing.T) {
-	serve := func(first Micros) (shed int) {
+	shedCount := func(firstTokenTime Micros) (shed int) {
 		b, rec := startBalancer(t, settings(), fleet(4)...)
 		now := 101 * second
 		for i := range RequestID(600) {
 			now += 50_000
-			wait := first
+			wait := firstTokenTime
 			if i < 40 {
-				wait = 60_000 // at first all is well
+				wait = 60_000 // fast at first
 			}
 			to, admitted := tickAndDispatch(b, rec, now, i)
 			if !admitted {
@@ -75,22 +75,22 @@
 			}
 			b.FirstToken(now+wait, Outcome{ID: i, Replica: to, Elapsed: wait})
 			if j := i - 20; i > 20 && b.requests[j] != nil {
-				w := b.requests[j].attempts[0].row.id
-				b.AttemptEnded(now, Outcome{ID: j, Replica: w, Status: Served, Elapsed: second, Final: true})
+				replica := b.requests[j].attempts[0].row.id
+				b.AttemptEnded(now, Outcome{ID: j, Replica: replica, Status: Served, Elapsed: second, Final: true})
 			}
 		}
 		return shed
 	}
-	if n := serve(60_000); n != 0 {
-		t.Errorf("%d shed while all is well", n)
+	if n := shedCount(60_000); n != 0 {
+		t.Errorf("%d of 600 requests shed while streams are fast enough", n)
 	}
-	if n := serve(400_000); n < 50 {
-		t.Errorf("only %d shed while streams are far too slow", n)
+	if n := shedCount(400_000); n < 50 {
+		t.Errorf("%d of 600 requests shed while streams are far too slow, want at least 50", n)
 	}
 }
 
-// Once an overload is over, requests are admitted again though few had been: shedding must
-// not feed itself.
+// After an overload requests are admitted again, although few were admitted during it: load
+// shedding must not sustain itself.
 func TestSheddingEndsWithTheOverload(t *testing.T) {
 	b, rec := startBalancer(t, settings(), fleet(4)...)
 	b.meanHeldTokens, b.meanInFlightTokens = 1100, 50000
@@ -103,13 +103,13 @@
 	low := b.tokenLimit
 	for now := 101 * second; now < 102*second; now += tickInterval {
 		b.meanInFlightTokens = 50000
-		b.tick(now) // nothing arrives: only time raises it
+		b.tick(now) // no requests arrive: only time raises the limit
 	}
 	if b.tokenLimit < 1.1*low {
 		t.Fatalf("limit %v after a second, was %v", b.tokenLimit, low)
 	}
 	now, shed := 102*second, 0
-	for i := range RequestID(200) { // the fleet is idle: each is served at once
+	for i := range RequestID(200) { // the fleet is idle and serves each request at once
 		now += 50_000
 		to, admitted := tickAndDispatch(b, rec, now, i)
 		if !admitted {
@@ -124,7 +124,7 @@
 	}
 }
 
-// Handshakes of several round trips must not look like slow steps.
+// Handshakes of several round trips must not be mistaken for slow decode steps.
 func TestConnectionsDoNotLookSlow(t *testing.T) {
 	b, _ := startBalancer(t, settings(), fleet(1)...)
 	b.firstTokenFit.n = 100
@@ -142,7 +142,7 @@
 	}
 }
 
-// Requests over their tenant's quota weigh less.
+// Requests above their tenant's quota have a lower weight.
 func TestOverQuotaWeighsLess(t *testing.T) {
 	s := settings()
 	s.Tenants, s.OverQuotaWeight = []Tenant{{Name: "x", QuotaPerS: 10}, {Name: "y", QuotaPerS: 10}}, 0.1
@@ -151,12 +151,12 @@
 	over := b.weightPerToken(&request{Request: testRequest(1), policy: b.policies[0], tenantIndex: 0})
 	within := b.weightPerToken(&request{Request: testRequest(1), policy: b.policies[0], tenantIndex: 1})
 	if over > within*0.11 {
-		t.Fatalf("over share %v, within %v", over, within)
+		t.Fatalf("weight per token %v above the quota, %v within it", over, within)
 	}
 }
 
-// Lateness is counted once, when the latency objective passes: counted when the answer came,
-// an overload went on lowering the limit long after it was over.
+// Lateness is counted once, when the latency objective passes. Counted when the answer comes,
+// it would lower the limit after the overload is over.
 func TestLatenessCountsWhenTheObjectivePasses(t *testing.T) {
 	b, rec := startBalancer(t, settings(), fleet(2)...)
 	b.RequestArrived(101*second, testRequest(1))
@@ -167,17 +167,17 @@
 	b.TimerFired(101*second+timer.delay, timer.token)
 	late := b.lateFraction
 	if late == 0 {
-		t.Fatal("not counted when the objective passed")
+		t.Fatal("lateness not counted when the objective passed")
 	}
 	b.FirstToken(104*second, Outcome{ID: 1, Replica: b.requests[1].attempts[0].row.id, Elapsed: 3 * second})
 	if b.lateFraction != late {
-		t.Fatal("counted again when the answer came")
+		t.Fatal("lateness counted again at the first token")
 	}
 }
 
-// All that an overload makes late is one overload: the limit falls by a part in each tick, not
-// by as much for each request. Counted one by one, 60 late requests left a seventh of it, and
-// a gateway shed load for seconds after the overload was over.
+// The fall of the limit is bounded per tick, however many requests are late. If each of 60 late
+// requests lowered it, a seventh of the limit would be left, and the gateway would shed load for
+// seconds after the overload is over.
 func TestOneOverloadLowersTheLimitSlowly(t *testing.T) {
 	b, _ := startBalancer(t, settings(), fleet(2)...)
 	b.inFlightTokens, b.meanInFlightTokens, b.meanHeldTokens, b.lateFraction = 100_000, 100_000, 1000, 1
@@ -188,9 +188,9 @@
 		b.recordLateness(1)
 	}
 	if b.tokenLimit < minLimitRatioPerTick*before || b.tokenLimit > 0.95*before {
-		t.Errorf("from %.0f to %.0f by one overload", before, b.tokenLimit)
+		t.Errorf("limit fell from %.0f to %.0f within a tick", before, b.tokenLimit)
 	}
-	for range 20 { // an overload that lasts still lowers it
+	for range 20 { // a long overload lowers the limit further
 		b.inFlightTokens, b.lateFraction = b.tokenLimit, 1
 		b.tick(b.lastTickAt + tickInterval)
 		for range 100 {
@@ -198,38 +198,38 @@
 		}
 	}
 	if b.tokenLimit > before/2 {
-		t.Errorf("%.0f of %.0f after five seconds", b.tokenLimit, before)
+		t.Errorf("limit %.0f after five seconds of overload, was %.0f", b.tokenLimit, before)
 	}
 }
 
-// A gateway that takes over another's traffic has more in flight than its recent mean: the
-// limit starts from what is in flight.
+// A gateway that takes over another's traffic has more tokens in flight than their recent mean.
+// The limit starts from the tokens in flight.
 func TestLimitStartsFromInFlightTokens(t *testing.T) {
 	b, _ := startBalancer(t, settings(), fleet(2)...)
 	b.inFlightTokens, b.meanInFlightTokens, b.lateFraction = 100_000, 5_000, 1
 	if b.recordLateness(1); b.tokenLimit < 90_000 {
-		t.Errorf("limit %.0f with 100000 open", b.tokenLimit)
+		t.Errorf("limit %.0f with 100000 tokens in flight", b.tokenLimit)
 	}
 }
 
-// The pace estimated from first tokens counts only if ended streams confirm it, where they
-// report their length.
+// Where streams report their length, the decode speed estimated from first tokens counts only
+// if ended streams confirm it.
 func TestSlowPaceIsConfirmedByStreams(t *testing.T) {
 	b, _ := startBalancer(t, settings(), fleet(1)...)
 	a := &attempt{row: b.rows[0], timeToFirstToken: 400_000}
 	req := &request{Request: testRequest(1), policy: b.policies[0], tenantIndex: -1}
 	b.firstTokenFit.n, b.stepExcess, b.stepFloor[2*a.row.zone] = 20, 1e6, 1000
 	if !b.streamsTooSlow(req, a) {
-		t.Error("not too slow where lengths are not reported")
+		t.Error("streams not too slow although lengths are not reported")
 	}
 	b.recordStreamPace(2e6, 100*50_000) // 100 tokens in 2 s: well within 50 ms each
 	if b.streamsTooSlow(req, a) {
-		t.Error("too slow, although streams are quick")
+		t.Error("streams too slow although ended streams were fast")
 	}
 	for range 20 {
 		b.recordStreamPace(9e6, 100*50_000)
 	}
 	if !b.streamsTooSlow(req, a) {
-		t.Error("not too slow, although streams are")
+		t.Error("streams not too slow although ended streams were slow")
 	}
 }
--- a/balancer/affinity_test.go
+++ b/balancer/affinity_test.go
@@ -10,8 +10,8 @@
 	return found.target, found.second
 }
 
-// A session's turns find its affinity target by hashing, also at gateways that never saw the
-// session, and load can outweigh that.
+// All gateways send a session to the same affinity target, also those that have not served the session
+// before. An overloaded target is not picked.
 func TestSessionAffinityTarget(t *testing.T) {
 	r := testRequest(1)
 	r.Session, r.PromptTokens = 0xabcdef, 6000
@@ -26,13 +26,13 @@
 		}
 		target = row.id
 		row.charge, row.unreported = 1e6, 1e6
-		if w2, _, _ := b.pick(101*second, &request{Request: r, policy: b.policies[0], tenantIndex: -1, avoidZone: -1}); w2.id == target {
+		if other, _, _ := b.pick(101*second, &request{Request: r, policy: b.policies[0], tenantIndex: -1, avoidZone: -1}); other.id == target {
 			t.Fatal("an overloaded target is still picked")
 		}
 	}
 }
 
-// What is remembered of sessions and prefixes is bounded.
+// The tables of sessions and prefixes are bounded.
 func TestSessionAndPrefixTablesAreBounded(t *testing.T) {
 	b, rec := startBalancer(t, settings(), fleet(1)...)
 	for i := range 3 * maxSessions {
@@ -47,8 +47,8 @@
 	}
 }
 
-// A session whose affinity target is full goes to the same second target from all gateways.
-func TestEightyAgreeOnTheSecondTarget(t *testing.T) {
+// All gateways send a session whose affinity target is full to the same second target.
+func TestGatewaysAgreeOnTheSecondTarget(t *testing.T) {
 	agreed := 0
 	for session := range uint64(50) {
 		var first ReplicaID
@@ -71,7 +71,7 @@
 			}
 			to := b.requests[1].attempts[0].row.id
 			if to == target.id {
-				t.Fatalf("sent to the full target")
+				t.Fatalf("sent to the affinity target, which is full")
 			}
 			if self == 0 {
 				first = to
@@ -85,15 +85,15 @@
 	}
 }
 
-// Eighty gateways, each of which has seen a few requests, agree on where a session's prompt is
-// cached: with a share counted from so few, affinity targets were anywhere.
-func TestEightyAgreeOnAffinityTargets(t *testing.T) {
+// Gateways that have each seen only a few requests agree on a session's affinity target. If they
+// estimated a prefix's fraction of the traffic from so few counts, their targets would differ.
+func TestGatewaysAgreeOnAffinityTargets(t *testing.T) {
 	var all []*Balancer
 	for self := range 40 {
 		s := largeFleetSettings()
 		s.Self = self
 		b, _ := startBalancer(t, s, fleet(40)...)
-		for i := range 1 + self%12 { // what it has seen so far
+		for i := range 1 + self%12 { // requests that this gateway has seen
 			b.countPrefix(&request{Request: Request{Prefix: uint64(100 + (self*7+i*3)%25)}})
 		}
 		all = append(all, b)
@@ -109,20 +109,20 @@
 			count[target.id]++
 			n++
 		}
-		most := 0
+		maxCount := 0
 		for _, c := range count {
-			most = max(most, c)
+			maxCount = max(maxCount, c)
 		}
-		agreed += most
+		agreed += maxCount
 	}
-	if share := float64(agreed) / float64(n); share < 0.7 {
-		t.Errorf("%.0f%% of gateways agree on a session's affinity target", 100*share)
+	if fraction := float64(agreed) / float64(n); fraction < 0.7 {
+		t.Errorf("%.0f%% of gateways agree on a session's affinity target", 100*fraction)
 	}
 }
 
-// Many sessions that share a short prefix of long prompts have affinity targets all over the
-// fleet. Seen: a prefix of 500 tokens of prompts of 12,000, with a quarter of all traffic, had four
-// targets of a hundred, for each of 300 gateways had seen little of it.
+// Sessions with long prompts and a short common prefix have affinity targets all over the fleet. Each
+// of 300 gateways sees few requests of a prefix. Estimated from these counts and the prefix alone, a
+// quarter of all traffic, prompts of 12,000 tokens that share 500, would have four targets of a hundred.
 func TestShortPrefixesSpreadLongPrompts(t *testing.T) {
 	s := largeFleetSettings()
 	s.Gateways = 300
@@ -133,7 +133,7 @@
 			in := testRequest(i + 1)
 			in.Session, in.Prefix, in.PrefixTokens, in.PromptTokens = 1000+uint64(i), 7, prefix, prompt
 			req := &request{Request: in, policy: b.policies[0]}
-			if i < 5 { // what a gateway has seen of it
+			if i < 5 { // requests with the prefix that the gateway has seen
 				b.countPrefix(req)
 			}
 			target, _ := affinityTargetsOf(b, req)
@@ -149,8 +149,9 @@
 	}
 }
 
-// Requests that leave a session's affinity target for machines of another kind go to one and the
-// same of them from all gateways: when each turn went to another one, nothing was cached there.
+// A session's second target is of another kind than its first, and the same at all gateways. Without
+// that, each turn that leaves the first target for another kind could go to a different replica, where
+// nothing is cached.
 func TestSecondTargetIsOfAnotherKind(t *testing.T) {
 	endpoints := fleet(40)
 	for i := range endpoints {
@@ -165,7 +166,7 @@
 		b, _ := startBalancer(t, s, endpoints...)
 		all = append(all, b)
 	}
-	spread := map[ReplicaID]int{}
+	sessionsByTarget := map[ReplicaID]int{}
 	for session := range uint64(400) {
 		req := &request{Request: testRequest(1)}
 		req.Session = session + 1
@@ -179,21 +180,20 @@
 			}
 		}
 		if second.id%4 == 1 {
-			spread[second.id]++
+			sessionsByTarget[second.id]++
 		}
 	}
-	for id, n := range spread { // about 300 sessions over the ten fast ones
+	for id, n := range sessionsByTarget { // about 300 sessions over the ten fast ones
 		if n > 60 {
 			t.Errorf("%d sessions have their second target at %d", n, id)
 		}
 	}
-	if len(spread) != 10 {
-		t.Errorf("%d of ten fast replicas are second targets", len(spread))
+	if len(sessionsByTarget) != 10 {
+		t.Errorf("%d of ten fast replicas are second targets", len(sessionsByTarget))
 	}
 }
 
-// An affinity target named by the request comes before what the module would find, and it alone has
-// the prefix.
+// An affinity target named by the request replaces the computed targets.
 func TestRequestedAffinityTarget(t *testing.T) {
 	b, _ := startBalancer(t, largeFleetSettings(), fleet(40)...)
 	b.fleetSize = 400
--- a/balancer/hedging_test.go
+++ b/balancer/hedging_test.go
@@ -4,7 +4,7 @@
 	"testing"
 )
 
-// Settings without hedging allow none.
+// No hedge is dispatched if the settings forbid hedging.
 func TestNoHedgeWhereForbidden(t *testing.T) {
 	s := settings()
 	s.MayHedge = false
@@ -21,7 +21,7 @@
 // The retry budget bounds the retries of requests that all fail.
 func TestRetriesAreBounded(t *testing.T) {
 	b, rec := startBalancer(t, settings(), fleet(30)...)
-	extra := 0
+	retries := 0
 	for i := range RequestID(300) {
 		b.RequestArrived(101*second, testRequest(i))
 		for n := 0; n < 3; n++ {
@@ -34,11 +34,11 @@
 			if b.requests[i] == nil || len(req.attempts) == before {
 				break
 			}
-			extra++
+			retries++
 		}
 		rec.actions = nil
 	}
-	if most := int(budgetCap + defaultRetryRatio*300 + 1); extra > most || extra == 0 {
-		t.Fatalf("%d further attempts for 300 requests that all fail, at most %d", extra, most)
+	if most := int(budgetCap + defaultRetryRatio*300 + 1); retries > most || retries == 0 {
+		t.Fatalf("%d retries for 300 requests that all fail, want 1 to %d", retries, most)
 	}
 }
--- a/balancer/ledger_test.go
+++ b/balancer/ledger_test.go
@@ -4,7 +4,7 @@
 	"testing"
 )
 
-// The ledger is charged on dispatch, loses the prefill with the first token, and all at the end.
+// A dispatch is charged to the ledger; the first token releases the prefill charge, the end the rest.
 func TestLedger(t *testing.T) {
 	b, rec := startBalancer(t, settings(), fleet(1)...)
 	if dispatched(b, rec, 101*second, testRequest(1)) != 1 {
@@ -24,16 +24,16 @@
 	}
 }
 
-// A report covers what was dispatched well before it, not what was dispatched just now.
+// A report includes charges older than reportLag, and does not include newer ones.
 func TestReportLag(t *testing.T) {
 	b, rec := startBalancer(t, settings(), fleet(1)...)
 	dispatched(b, rec, 101*second, testRequest(1))
 	b.setReportedLoad(101*second+reportLag/2, b.rows[0], 5)
 	if b.rows[0].unreported != b.rows[0].charge {
-		t.Fatal("a young charge is taken for reported")
+		t.Fatal("a charge newer than reportLag counts as reported")
 	}
 	b.setReportedLoad(101*second+2*reportLag, b.rows[0], 5)
 	if b.rows[0].unreported != 0 {
-		t.Fatal("an old charge is counted beside the report")
+		t.Fatal("a charge older than reportLag counts as unreported")
 	}
 }
--- a/balancer/outlier_test.go
+++ b/balancer/outlier_test.go
@@ -4,22 +4,22 @@
 	"testing"
 )
 
-// Backoff doubles up to its bound, and lasts longer after quick errors in large fleets.
+// Backoff grows up to its bound, and is longer after fast errors in large fleets.
 func TestBackoff(t *testing.T) {
 	if got := backoff(1, true, 30, 0.5); got != 500_000 {
-		t.Errorf("silent: %d", got)
+		t.Errorf("unresponsive replica: backoff of %d us, want 500000", got)
 	}
 	if got := backoff(1, false, 30, 0.5); got != 15_000_000 {
-		t.Errorf("quick errors before 300 gateways: %d", got)
+		t.Errorf("fast errors in a fleet of 300 gateways: backoff of %d us, want 15000000", got)
 	}
 	if got := backoff(60, true, 1, 1); got != 20_000_000 {
-		t.Errorf("bound: %d", got)
+		t.Errorf("after 60 failures: backoff of %d us, want 20000000", got)
 	}
 }
 
-// A replica that errs at once looks idle. One of eighty gateways meets it seldom: it must not be
-// attracted by the idleness, nor come again half a second after the error.
-func TestQuickErrorsDoNotAttractEighty(t *testing.T) {
+// A replica that fails fast looks idle, and each of eighty gateways sees few of its errors. Its low
+// load must not attract requests, and its backoff must be longer than the minimum of half a second.
+func TestFastErrorsDoNotAttractManyGateways(t *testing.T) {
 	b, rec := startBalancer(t, largeFleetSettings(), fleet(40)...)
 	b.meanHeldTokens, b.meanLoad = 1200, 9600
 	now := 110 * second
@@ -34,18 +34,18 @@
 	req := &request{Request: testRequest(1), policy: b.policies[0], tenantIndex: -1, avoidZone: -1, arrivedAt: now - second, deadline: now + 3*second}
 	b.pick(now, req)
 	if next := b.shortlist[0]; next.row.id == 1 && next.score < 0.6*b.shortlist[1].score {
-		t.Errorf("the idle one scores %.0f, the next %.0f", next.score, b.shortlist[1].score)
+		t.Errorf("the idle replica scores %.0f, the next one %.0f", next.score, b.shortlist[1].score)
 	}
 	rec.actions = nil
 	b.recordFailure(now, b.rowByID[1], Errored)
-	if rest := b.rowByID[1].backoffUntil - now; rest < 3*second || rest > backoffMax*5/4 {
-		t.Errorf("backoff of %d us", rest)
+	if remaining := b.rowByID[1].backoffUntil - now; remaining < 3*second || remaining > backoffMax*5/4 {
+		t.Errorf("backoff of %d us", remaining)
 	}
 }
 
-// Quick errors must not make a replica the emptiest: it gets backoff and comes back one attempt
-// at a time.
-func TestQuickErrorsBackOff(t *testing.T) {
+// A replica that fails fast looks least loaded, but is in backoff and then receives one attempt at a
+// time.
+func TestFastErrorsBackOff(t *testing.T) {
 	b, rec := startBalancer(t, settings(), fleet(2)...)
 	id := RequestID(1)
 	for ; ; id++ {
--- a/balancer/predict_test.go
+++ b/balancer/predict_test.go
@@ -4,13 +4,14 @@
 	"testing"
 )
 
-// The ordinary pick, by hand: report + own charges not yet in it + the request's own.
+// The predicted load is the report, plus own charges that are not in it yet, plus the request's own
+// tokens; pick takes the replica with the least.
 func TestPickLeastPredicted(t *testing.T) {
 	type rowState struct {
-		held   float64
-		age    Micros // of the report; -1: none
-		charge float64
-		slow   float64
+		held     float64
+		age      Micros // of the report; -1: none
+		charge   float64
+		slowness float64
 	}
 	// One gateway: the report counts with 1 - (age + lag/2) / (2 x lifetime),
 	// lifetime 10 s, and the mean load is 10000.
@@ -23,15 +24,15 @@
 		{"own charges are added", []rowState{{9000, 0, 0, 1}, {3000, 0, 8000, 1}, {6000, 0, 0, 1}}, 3},
 		{"slowness weighs", []rowState{{9000, 0, 0, 0.5}, {3000, 0, 0, 4}, {6000, 0, 0, 2}}, 1},
 		{"no reports: own ledger decides", []rowState{{0, -1, 500, 1}, {0, -1, 200, 1}, {0, -1, 900, 1}}, 2},
-		{"an old full row is tried again", []rowState{{90000, 60 * second, 0, 1}, {8000, 0, 0, 1}}, 1},
-		{"an old empty row is no longer crowded", []rowState{{100, 60 * second, 5000, 1}, {1000, 0, 0, 1}}, 2},
+		{"an outdated report of a full replica expires", []rowState{{90000, 60 * second, 0, 1}, {8000, 0, 0, 1}}, 1},
+		{"an outdated report of an idle replica expires", []rowState{{100, 60 * second, 5000, 1}, {1000, 0, 0, 1}}, 2},
 	} {
 		b, _ := startBalancer(t, settings(), fleet(len(c.rows))...)
 		now := 200 * second
 		b.meanLifetime, b.meanLoad = float64(10*second), 10000
 		for i, in := range c.rows {
 			row := b.rows[i]
-			row.reportedTokens, row.charge, row.unreported, row.slowness, row.reportedAt = in.held, in.charge, in.charge, in.slow, now-in.age
+			row.reportedTokens, row.charge, row.unreported, row.slowness, row.reportedAt = in.held, in.charge, in.charge, in.slowness, now-in.age
 			if in.age < 0 {
 				row.reportedAt = -1
 			}
@@ -43,8 +44,8 @@
 	}
 }
 
-// With many gateways, each answers for its share of what a report shows, so one emptier replica
-// does not draw every dispatch.
+// With many gateways, a report's weight is divided among them, so the least loaded replica does not
+// attract the dispatches of all gateways at once.
 func TestManyGatewaysDoNotHerd(t *testing.T) {
 	s := settings()
 	s.Gateways = 50
@@ -60,7 +61,7 @@
 	hits := 0
 	for i := range 40 {
 		r := testRequest(RequestID(i + 1))
-		r.Session = splitmix(uint64(i)) // sessions with affinity targets of their own
+		r.Session = splitmix(uint64(i)) // sessions with different affinity targets
 		row, _, _ := b.pick(now, &request{Request: r, policy: b.policies[0], tenantIndex: -1, avoidZone: -1})
 		if row.id == 4 {
 			hits++
@@ -71,7 +72,7 @@
 	}
 }
 
-// A new connection has a cost: of like replicas, one with an idle connection is taken.
+// A new connection has a cost: of equally loaded replicas, one with an idle connection is preferred.
 func TestIdleConnectionPreferred(t *testing.T) {
 	s := settings()
 	s.HandshakeCost = 0.12
@@ -85,11 +86,11 @@
 		b.AttemptEnded(103*second, Outcome{ID: i + 2, Replica: first, Status: Served, Final: true, Elapsed: second})
 	}
 	if row := b.rowByID[first]; !b.needsConnection(200*second, row) {
-		t.Fatal("the connection is believed open past its idle time")
+		t.Fatal("the connection is assumed open after its idle timeout")
 	}
 }
 
-// First-token times scatter: only a replica that stands out counts as slow.
+// First-token times vary, so only a replica that is much slower than its kind counts as slow.
 func TestOwnSlownessMustStandOut(t *testing.T) {
 	b, _ := startBalancer(t, settings(), fleet(2)...)
 	now := 101 * second
@@ -103,11 +104,11 @@
 	}
 	b.refreshEstimates(now + slownessDecay)
 	if b.rows[1].slowness != 1 {
-		t.Fatal("slowness never fades")
+		t.Fatal("slowness did not expire after slownessDecay")
 	}
 }
 
-// When all replicas slow down at once, all are still used.
+// When all replicas slow down at once, none is excluded.
 func TestSharedSlownessExcludesNoReplica(t *testing.T) {
 	b, rec := startBalancer(t, settings(), fleet(4)...)
 	now := 101 * second
@@ -118,17 +119,17 @@
 	}
 	b.refreshEstimates(now)
 	if dispatched(b, rec, now, testRequest(1)) == 0 {
-		t.Fatal("nothing sent while all are slow alike")
+		t.Fatal("no dispatch while all replicas are equally slow")
 	}
 }
 
-// Where discovery reports sizes, the larger replica bears more.
+// Where discovery reports sizes, a larger replica receives more requests.
 func TestNominalSizesWeigh(t *testing.T) {
 	s := settings()
 	s.WeightKind = WeightNominal
-	m := fleet(2)
-	m[1].Weight = 3
-	b, rec := startBalancer(t, s, m...)
+	endpoints := fleet(2)
+	endpoints[1].Weight = 3
+	b, rec := startBalancer(t, s, endpoints...)
 	count := map[ReplicaID]int{}
 	for i := range RequestID(80) {
 		count[dispatched(b, rec, 101*second, testRequest(i))]++
@@ -138,8 +139,9 @@
 	}
 }
 
-// A crossing costs a share of the request's weight, which is lost only once the first token is
-// late: a little more load in the own zone does not pay for it, much more does.
+// The cost of a dispatch to another zone is a fraction of the request's weight, which is lost only
+// when the first token is late. A slightly higher load in the own zone does not justify the cost, a
+// much higher load does.
 func TestCrossZoneCostFollowsTheLatencyObjective(t *testing.T) {
 	for _, c := range []struct {
 		name       string
@@ -149,8 +151,8 @@
 	}{
 		{"a little more in the own zone stays there", 5600, 5000, true, 1},
 		{"far more in the own zone goes to the other", 20000, 5000, true, 2},
-		{"nothing learned: the price as a factor", 6000, 5000, false, 2},
-		{"first tokens at the objective: a crossing costs only its own", 5000, 4900, true, 2},
+		{"no first-token times: the cost is a factor", 6000, 5000, false, 2},
+		{"first tokens close to the objective: the cost is small", 5000, 4900, true, 2},
 	} {
 		s := settings()
 		s.CrossZoneCost = 0.03
@@ -177,8 +179,8 @@
 	}
 }
 
-// The weight of a prefill token follows from the reports: without them it is the least, then it
-// grows the smaller a part of a replica a request takes, up to its bound.
+// Without reports the prefill weight has its lower bound. With reports it grows as a request takes a
+// smaller fraction of a replica, up to maxPrefillWeight.
 func TestPrefillWeightFollowsSlotTime(t *testing.T) {
 	s := largeFleetSettings()
 	s.Classes[0].ObjectivePer1000Tokens = 50_000
@@ -197,18 +199,18 @@
 	}
 	few, many, extreme := report(0.8, 8), report(0.8, 64), report(1e-9, 1e9)
 	if few < least || many <= few || extreme != maxPrefillWeight {
-		t.Errorf("%v with ten slots, %v with eighty, %v by an extreme report", few, many, extreme)
+		t.Errorf("%v with ten slots, %v with eighty, %v with an extreme report", few, many, extreme)
 	}
 	for i := range b.settings.Classes {
 		b.settings.Classes[i].ObjectivePer1000Tokens = 0
 	}
 	if got := b.prefillWeight(); got != least {
-		t.Errorf("%v where the objectives say nothing of prefill, want %v", got, least)
+		t.Errorf("%v where the objectives allow no time for prefill, want %v", got, least)
 	}
 }
 
-// A kind whose first tokens take longer is given less to prefill, within four times; one of which
-// nothing is known counts as the mean.
+// A kind with slower first tokens receives less prefill work, with its ratio bounded by a factor of
+// four. A kind without observations counts as the mean.
 func TestKindRatiosFollowFirstTokenTimes(t *testing.T) {
 	endpoints := fleet(40)
 	for i := range endpoints {
@@ -235,9 +237,9 @@
 	req := &request{Request: in, policy: b.policies[0], tenantIndex: -1, avoidZone: -1}
 	for range 20 {
 		if row, _, _ := b.pick(101*second, req); row != nil && row.kind == b.kindIndex["old"] {
-			t.Fatal("a long prompt goes to a replica of the slowest prefill, all else being equal")
+			t.Fatal("a long prompt was sent to the kind with the slowest prefill, all else being equal")
 		}
-		req.arrivedAt = 0 // as one that has polled
+		req.arrivedAt = 0 // past its wait for load reports
 	}
 	for range 50 {
 		observe(map[string]float64{"old": 1e7, "new": 1e-6})
--- a/balancer/slowstart_test.go
+++ b/balancer/slowstart_test.go
@@ -8,10 +8,10 @@
 	"testing"
 )
 
-// Warming replicas are used by the fleet, and get no more than rule 4 allows. Seen: each gateway's
-// share of what they may get is a hundredth of a request, which came to none at all, while the
-// warm ones bore everything.
-func TestWarmingReplicasAreUsedByEighty(t *testing.T) {
+// Many gateways send requests to warming replicas, but no more than these can serve. A limit that
+// is divided among the gateways is a small fraction of one request at each, which rounds to none,
+// so that warm replicas would receive everything.
+func TestWarmingReplicasAreUsedByManyGateways(t *testing.T) {
 	const gateways, warming = 80, 24
 	s := largeFleetSettings()
 	endpoints := fleet(40)
@@ -29,7 +29,7 @@
 		b.ListChanged(100*second, EndpointList{Kind: ListFull, Endpoints: endpoints})
 		b.meanHeldTokens, b.meanLoad, b.meanCharge = 1200, 9600, 5000
 		b.dispatchRate, b.meanWork = 0.8, 5000
-		// 0.8 requests a second, nine seconds; whatever is polled reports the same load.
+		// 0.8 requests per second for nine seconds; all polled replicas report the same load.
 		for now := 100*second + Micros(self)*15_000; now < 109*second; now += second * 5 / 4 {
 			id++
 			rec.actions = nil
@@ -59,28 +59,28 @@
 	if share := float64(toWarming) / float64(total); share < 0.08 {
 		t.Errorf("%.0f%% of %d requests went to 24 of 40 replicas, which are %.0f%% warm on average", 100*share, total, 65.0)
 	}
-	mean := float64(total) / 40 / 6 // a warm replica's in a window
-	for k, n := range perWindow {
-		if k[0] > warming {
+	mean := float64(total) / 40 / 6 // requests to a warm replica in a window
+	for key, n := range perWindow {
+		if key[0] > warming {
 			continue
 		}
-		warm := min(1, s.InitialCapacity+(1-s.InitialCapacity)*(float64(k[1])+0.5)*1.5/9)
+		warm := min(1, s.InitialCapacity+(1-s.InitialCapacity)*(float64(key[1])+0.5)*1.5/9)
 		if most := s.OverloadMultiple * warm * mean / 0.6; float64(n) > most+3 { // the fleet is 60% busy; 3 for chance
-			t.Errorf("replica %d: %d requests in window %d, at most %.1f may go", k[0], n, k[1], most)
+			t.Errorf("replica %d: %d requests in window %d, at most %.1f may go", key[0], n, key[1], most)
 		}
 	}
 }
 
-// Rule 4: all gateways together stay under the multiple of what a warming replica can do, in any
-// window, though each one's share is far under one request and the warming one looks empty.
-// Guards against shares saved up and spent at once.
+// All gateways together stay within the allowed multiple of a warming replica's capacity in a
+// window, although each gateway's fraction is far below one request and the replica looks idle.
+// The test fails if gateways accumulate unused allowances and spend them at the same time.
 func TestSlowStartShareOfManyGateways(t *testing.T) {
-	const gateways, perGateway = 50, 5.0 // requests a second at each
+	const gateways, perGateway = 50, 5.0 // requests per second at each
 	s := settings()
 	s.Gateways = gateways
 	endpoints := fleet(80)
-	var nodes []*Balancer
-	var recs []*recorder
+	var balancers []*Balancer
+	var recorders []*recorder
 	for self := range gateways {
 		s.Self = self
 		rec := &recorder{}
@@ -90,24 +90,24 @@
 		}
 		b.ListChanged(0, EndpointList{Kind: ListFull, Endpoints: endpoints})
 		b.dispatchRate, b.meanCharge, b.meanWork = perGateway, 5100, 5100
-		nodes, recs = append(nodes, b), append(recs, rec)
+		balancers, recorders = append(balancers, b), append(recorders, rec)
 	}
 	begin := 100 * second
-	for _, b := range nodes {
+	for _, b := range balancers {
 		b.ListChanged(begin, EndpointList{Kind: ListDelta, Endpoints: []Endpoint{
 			{Replica: 1, Kind: "k", Zone: "a", StartedAt: begin}}})
 	}
-	// The first seconds send nothing there: shares that could be saved up.
-	capacity := gateways * perGateway / 80 / 0.6 // requests a second of one warm replica, fleet 60% busy
+	// No requests arrive in the first eight seconds, in which allowances could accumulate.
+	capacity := gateways * perGateway / 80 / 0.6 // requests per second of one warm replica, fleet 60% busy
 	sent := 0
-	for i, b := range nodes {
+	for i, b := range balancers {
 		for k := range 10 {
 			now := begin + 8*second + int64(k)*s.OverloadWindow/10
 			r := testRequest(RequestID(k + 1))
-			for _, row := range b.rows[1:] { // everything else looks full
+			for _, row := range b.rows[1:] { // all other replicas look full
 				row.charge, row.unreported = 1e9, 1e9
 			}
-			if dispatched(b, recs[i], now, r) == 1 {
+			if dispatched(b, recorders[i], now, r) == 1 {
 				sent++
 			}
 		}
@@ -115,92 +115,91 @@
 	warm := s.InitialCapacity + (1-s.InitialCapacity)*8/24
 	most := s.OverloadMultiple * warm * capacity * float64(s.OverloadWindow) / 1e6
 	if float64(sent) > most {
-		t.Fatalf("%d requests in a span, at most %.1f may go", sent, most)
+		t.Fatalf("%d requests to the warming replica in a window, want at most %.1f", sent, most)
 	}
 	if sent == 0 {
-		t.Fatal("a warming replica never gets anything")
+		t.Fatal("the warming replica received no requests")
 	}
 }
 
-// Replicas that are new or restarted warm up, by their start time or their first listing.
+// New and restarted replicas warm up from their start time or, without one, their first listing.
 func TestWhichReplicasWarmUp(t *testing.T) {
 	b, _ := startBalancer(t, settings(), fleet(2)...)
 	now := 200 * second
-	old := b.rows[0]
-	if old.warmingUntil > now {
+	running := b.rows[0]
+	if running.warmingUntil > now {
 		t.Fatal("a replica that has been running for long warms up")
 	}
-	m := fleet(4)
-	m[0].StartedAt = now - second // restarted
-	m[2].StartedAt = now - second // new, with a start time
-	b.ListChanged(now, EndpointList{Kind: ListDelta, Endpoints: m})
+	endpoints := fleet(4)
+	endpoints[0].StartedAt = now - second // restarted
+	endpoints[2].StartedAt = now - second // new, with a start time
+	b.ListChanged(now, EndpointList{Kind: ListDelta, Endpoints: endpoints})
 	for _, row := range b.rows {
 		warming := now < row.warmingUntil
 		if want := row.id != 2; warming != want {
 			t.Errorf("replica %d warming: %v", row.id, warming)
 		}
 	}
-	// A gateway that itself restarts judges by the start time alone.
+	// In a restarted gateway the start time alone decides.
 	b, _ = startBalancer(t, settings(), Endpoint{Replica: 1, Zone: "a", StartedAt: 99 * second}, Endpoint{Replica: 2, Zone: "a"})
 	if b.rows[0].warmingUntil <= 100*second || b.rows[1].warmingUntil > 100*second {
 		t.Fatal("a restarted gateway misjudges warming replicas")
 	}
 }
 
-// A replica that started lately has cached nothing of the prefixes whose affinity target it is, and
-// is slow.
+// A recently started replica is less likely to have a prefix cached, and has a higher penalty.
 func TestRecentlyStartedReplicas(t *testing.T) {
 	endpoints := fleet(2)
 	endpoints[1].StartedAt = 100 * second
 	b, _ := startBalancer(t, settings(), endpoints...)
-	old, young := b.rowByID[1], b.rowByID[2]
+	warm, recent := b.rowByID[1], b.rowByID[2]
 	for now, want := range map[Micros]float64{100 * second: 0, 101 * second: 0.39, 160 * second: 1} {
-		if got := young.prefixCachedProbability(now, 0.5); math.Abs(got-want) > 0.01 {
+		if got := recent.prefixCachedProbability(now, 0.5); math.Abs(got-want) > 0.01 {
 			t.Errorf("%d s: has cached %.2f, want %.2f", now/second, got, want)
 		}
-		if old.prefixCachedProbability(now, 0.5) != 1 {
+		if warm.prefixCachedProbability(now, 0.5) != 1 {
 			t.Errorf("%d s: the old replica has cached nothing", now/second)
 		}
 	}
 	req := &request{Request: testRequest(1), policy: b.policies[0], tenantIndex: -1, avoidZone: -1}
-	if f, g := b.penaltyFactor(101*second, young, req), b.penaltyFactor(101*second, old, req); f < 2*g {
+	if f, g := b.penaltyFactor(101*second, recent, req), b.penaltyFactor(101*second, warm, req); f < 2*g {
 		t.Errorf("a warming replica weighs %.2f, a warm one %.2f", f, g)
 	}
 }
 
-// warmingFleet is a fleet whose warming replicas look empty, before gateways that have all just started.
+// warmingFleet describes a fleet with warming replicas and gateways that have all just started.
 type warmingFleet struct {
 	gateways, replicas, warming int
-	rate                        float64 // requests a second of the whole fleet
-	uneven                      bool    // some gateways get eight times what others do
-	hungry                      bool    // warming replicas look empty whatever they have
-	util                        float64 // utilization that warm replicas report; 0: none
-	one                         bool    // all prefer the same warming replica, the others look full
+	requestRate                 float64 // requests per second of the whole fleet
+	unevenTraffic               bool    // some gateways receive eight times the traffic of others
+	warmingLooksIdle            bool    // warming replicas report no load, and the others look full
+	utilization                 float64 // utilization that warm replicas report; 0: none
+	onePreferred                bool    // only one warming replica reports no load, so all gateways prefer it
 }
 
-// dispatchSample is one dispatch to a warming replica: its time in seconds and its work in requests
-// of mean work.
+// dispatchSample is one dispatch to a warming replica: its time in seconds, and its work relative to
+// the mean request.
 type dispatchSample struct{ at, work float64 }
 
-// play returns what warming replicas are sent.
-func (f warmingFleet) play(t *testing.T, seed uint64) map[ReplicaID][]dispatchSample {
+// simulate runs all gateways and returns the dispatches to each warming replica.
+func (f warmingFleet) simulate(t *testing.T, seed uint64) map[ReplicaID][]dispatchSample {
 	t.Helper()
 	rnd := rand.New(rand.NewPCG(seed, 1))
 	weights, total := make([]float64, f.gateways), 0.0
 	for i := range weights {
-		if weights[i] = 1; f.uneven && i%4 == 0 {
+		if weights[i] = 1; f.unevenTraffic && i%4 == 0 {
 			weights[i] = 8
 		}
 		total += weights[i]
 	}
 	sent := map[ReplicaID][]dispatchSample{}
 	for self := range f.gateways {
-		f.playGateway(t, rnd, self, total/weights[self]/f.rate, sent)
+		f.simulateGateway(t, rnd, self, total/weights[self]/f.requestRate, sent)
 	}
 	return sent
 }
 
-// startGateway starts one gateway before the fleet.
+// startGateway starts one gateway that has the fleet's endpoint list.
 func (f warmingFleet) startGateway(t *testing.T, self int) (*Balancer, *recorder) {
 	t.Helper()
 	s := largeFleetSettings()
@@ -210,7 +209,7 @@
 		endpoints[i].StartedAt = 100 * second
 	}
 	rec := &recorder{}
-	b, err := New(s, 1, rec) // the same seed at each: what they have in common must not add up
+	b, err := New(s, 1, rec) // the same seed at each gateway, so that correlated draws would add up
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -219,27 +218,28 @@
 	return b, rec
 }
 
-// playGateway plays one gateway during slow start, with requests at a mean interval in seconds.
-func (f warmingFleet) playGateway(t *testing.T, rnd *rand.Rand, self int, interval float64, sent map[ReplicaID][]dispatchSample) {
+// simulateGateway runs one gateway during slow start, with random arrivals at a mean interval in
+// seconds.
+func (f warmingFleet) simulateGateway(t *testing.T, rnd *rand.Rand, self int, interval float64, sent map[ReplicaID][]dispatchSample) {
 	t.Helper()
 	const meanPrompt = (250 + 500 + 1000 + 3000) / 4.0
 	b, rec := f.startGateway(t, self)
-	type ending struct {
+	type scheduledEnd struct {
 		at      Micros
 		outcome Outcome
 	}
-	var endings []ending
+	var scheduledEnds []scheduledEnd
 	lastTick, id := 100*second, RequestID(0)
 	for at := 100.0; ; {
 		at += rnd.ExpFloat64() * interval
 		now := Micros(at * 1e6)
 		for ; lastTick < now; lastTick += tickInterval {
 			b.tick(lastTick)
-			b.lastHeardAt = lastTick // discovery answers
+			b.lastHeardAt = lastTick // the endpoint list stays current
 		}
-		for len(endings) > 0 && endings[0].at <= now {
-			b.AttemptEnded(endings[0].at, endings[0].outcome)
-			endings = endings[1:]
+		for len(scheduledEnds) > 0 && scheduledEnds[0].at <= now {
+			b.AttemptEnded(scheduledEnds[0].at, scheduledEnds[0].outcome)
+			scheduledEnds = scheduledEnds[1:]
 		}
 		if now >= 100*second+b.settings.SlowStartFor {
 			return
@@ -255,33 +255,33 @@
 			if int(a.to) <= f.warming {
 				sent[a.to] = append(sent[a.to], dispatchSample{at, float64(req.PromptTokens) / meanPrompt})
 			}
-			endings = append(endings, ending{now + second, Outcome{ID: id, Replica: a.to, Elapsed: second, Status: Served, Final: true}})
+			scheduledEnds = append(scheduledEnds, scheduledEnd{now + second, Outcome{ID: id, Replica: a.to, Elapsed: second, Status: Served, Final: true}})
 		}
 	}
 }
 
-// answerPolls reports the load of the replicas that a request polls, and for a hungry fleet has the
-// others look full.
+// answerPolls answers the health checks that a request has sent, and with warmingLooksIdle makes all
+// other replicas look full.
 func (f warmingFleet) answerPolls(b *Balancer, rec *recorder, now Micros) {
 	for _, id := range healthChecked(&recorder{actions: slices.Clone(rec.actions)}) {
 		row := b.rowByID[id]
 		inFlight := 8.0
 		if now < row.warmingUntil {
-			if inFlight *= b.warmCapacity(now, row); f.hungry && (!f.one || id == 1) {
+			if inFlight *= b.warmCapacity(now, row); f.warmingLooksIdle && (!f.onePreferred || id == 1) {
 				inFlight = 0
 			}
 		}
 		report := reportInFlight(inFlight)
-		if f.util > 0 {
-			report.Has, report.Utilization = report.Has|HasUtilization, f.util
+		if f.utilization > 0 {
+			report.Has, report.Utilization = report.Has|HasUtilization, f.utilization
 		}
 		b.HealthCheckEnded(now+2000, Outcome{Replica: id, Status: Served, Report: report})
 	}
-	if !f.hungry {
+	if !f.warmingLooksIdle {
 		return
 	}
 	full := b.rows[f.warming:]
-	if f.one {
+	if f.onePreferred {
 		full = b.rows[1:]
 	}
 	for _, row := range full {
@@ -289,10 +289,11 @@
 	}
 }
 
-// strictLimit is the most that may go to a warming replica in a window in the tests of many gateways.
+// strictLimit returns the maximum load on a warming replica in a window, in tests of many gateways: the
+// allowed load n and an allowance for random variation.
 func strictLimit(n float64) float64 { return n + 2*math.Sqrt(n) + 2 }
 
-// operatorLimit is the operators' bound, which has another form for small n.
+// operatorLimit returns the operators' limit, which allows more random variation for small n.
 func operatorLimit(n float64) float64 {
 	if n < 30 {
 		return n + 3*math.Sqrt(n) + 3
@@ -300,40 +301,40 @@
 	return strictLimit(n)
 }
 
-// excess returns the most that any warming replica was sent in any window over N, in roots of N;
-// whether it was over the bound, by requests or by their work; and the share of all requests that
-// went to warming replicas.
-func (f warmingFleet) excess(s Settings, sent map[ReplicaID][]dispatchSample, bound func(float64) float64) (most float64, over bool, share float64) {
+// excess returns the maximum load of any warming replica in any window above the allowed load N, in
+// units of the square root of N; whether the load, by requests or by work, exceeded the limit; and the
+// fraction of all requests that warming replicas received.
+func (f warmingFleet) excess(s Settings, sent map[ReplicaID][]dispatchSample, limit func(float64) float64) (maxExcess float64, exceeded bool, warmingFraction float64) {
 	n := 0
 	for _, all := range sent {
 		n += len(all)
 		slices.SortFunc(all, func(a, b dispatchSample) int { return int(math.Copysign(1, a.at-b.at)) })
-		for i, first := range all {
-			warm := s.InitialCapacity + (1-s.InitialCapacity)*(first.at-100)*1e6/float64(s.SlowStartFor)
-			allowed := s.OverloadMultiple * warm * f.rate / float64(f.replicas) * float64(s.OverloadWindow) / 1e6
-			if f.util > 0 { // a warm one can do more than it is sent
-				allowed /= f.util
+		for i, start := range all {
+			warm := s.InitialCapacity + (1-s.InitialCapacity)*(start.at-100)*1e6/float64(s.SlowStartFor)
+			allowed := s.OverloadMultiple * warm * f.requestRate / float64(f.replicas) * float64(s.OverloadWindow) / 1e6
+			if f.utilization > 0 { // a warm replica has unused capacity
+				allowed /= f.utilization
 			}
 			count, work := 0.0, 0.0
 			for _, next := range all[i:] {
-				if next.at >= first.at+float64(s.OverloadWindow)/1e6 {
+				if next.at >= start.at+float64(s.OverloadWindow)/1e6 {
 					break
 				}
 				count, work = count+1, work+next.work
 			}
-			got := math.Max(count, work)
-			most = math.Max(most, (got-allowed)/math.Sqrt(allowed))
-			over = over || got > bound(allowed)
+			load := math.Max(count, work)
+			maxExcess = math.Max(maxExcess, (load-allowed)/math.Sqrt(allowed))
+			exceeded = exceeded || load > limit(allowed)
 		}
 	}
-	return most, over, float64(n) / (f.rate * float64(s.SlowStartFor) / 1e6)
+	return maxExcess, exceeded, float64(n) / (f.requestRate * float64(s.SlowStartFor) / 1e6)
 }
 
-// The sum of what all gateways send to a warming replica, in any window and counted by requests or
-// by their work, stays under what rule 4 allows and what is chance, however many gateways there
-// are and whatever each gets, all of them just started with the same seed, and where each of them
-// sees warming replicas empty and the others full. Seen: thirty gateways that each admitted one
-// request came to three times that.
+// The load that all gateways together send to a warming replica stays within the allowed load, plus
+// random variation, in any window, by requests and by work. It holds for any number of gateways and any
+// distribution of traffic, with gateways that have just started with the same seed and see warming
+// replicas idle and the others full. If each of thirty gateways allowed itself one request, the load
+// would be three times the limit.
 func TestSlowStartLoadOfManyGateways(t *testing.T) {
 	for _, f := range []warmingFleet{
 		{3, 12, 4, 25, false, true, 0, false}, {3, 12, 4, 25, true, false, 0, false}, {20, 16, 5, 60, true, true, 0, false}, {20, 40, 1, 80, false, true, 0, false},
@@ -341,19 +342,19 @@
 		{300, 60, 36, 300, true, true, 0, false}, {300, 60, 6, 300, true, false, 0.6, false},
 		{30, 12, 6, 60, true, true, 0, true},
 	} {
-		t.Run(fmt.Sprintf("%+v", f), f.holds)
+		t.Run(fmt.Sprintf("%+v", f), f.checkStrictLimit)
 	}
 }
 
-// The same where all gateways prefer one of many warming replicas, from the first attempt on.
+// The limit also holds where all gateways prefer the same warming replica from the first attempt on.
 func TestSlowStartLoadOnOnePreferredReplica(t *testing.T) {
 	for _, f := range []warmingFleet{{6, 12, 4, 60, true, true, 0, true}, {30, 40, 24, 120, true, true, 0.6, true}} {
-		t.Run(fmt.Sprintf("%+v", f), f.holds)
+		t.Run(fmt.Sprintf("%+v", f), f.checkStrictLimit)
 	}
 }
 
-// The same for one to ten gateways, and for N from under 1 to over 100: few gateways are as bound
-// as many, whether all prefer one warming replica, any of them, or none in particular.
+// The limit also holds for one to ten gateways, for N from below 1 to above 100, whether all gateways
+// prefer one warming replica, any of them, or none.
 func TestSlowStartLoadOfFewGateways(t *testing.T) {
 	for _, gateways := range []int{1, 2, 3, 5, 8, 10} {
 		for _, perReplica := range []float64{0.5, 4, 25} {
@@ -362,33 +363,32 @@
 				{gateways, 12, 11, 12 * perReplica, false, true, 0, false},
 				{gateways, 6, 1, 6 * perReplica, true, false, 0.6, false},
 			} {
-				t.Run(fmt.Sprintf("%+v", f), func(t *testing.T) { f.within(t, operatorLimit) })
+				t.Run(fmt.Sprintf("%+v", f), func(t *testing.T) { f.checkLimit(t, operatorLimit) })
 			}
 		}
 	}
 }
 
-// holds checks the fleet against strictLimit.
-func (f warmingFleet) holds(t *testing.T) { f.within(t, strictLimit) }
+func (f warmingFleet) checkStrictLimit(t *testing.T) { f.checkLimit(t, strictLimit) }
 
-// within checks the fleet against a bound over several seeds.
-func (f warmingFleet) within(t *testing.T, bound func(float64) float64) {
+// checkLimit checks the load of warming replicas against a limit, over several seeds.
+func (f warmingFleet) checkLimit(t *testing.T, limit func(float64) float64) {
 	t.Helper()
 	t.Parallel()
-	largest, broken, used, seeds := 0.0, 0, 0.0, uint64(8)
+	largest, violations, warmingFraction, seeds := 0.0, 0, 0.0, uint64(8)
 	if f.gateways == 300 {
 		seeds = 2
 	}
 	for seed := range seeds {
-		most, over, share := f.excess(largeFleetSettings(), f.play(t, seed), bound)
-		largest, used = math.Max(largest, most), used+share/float64(seeds)
-		broken += int(boolToFloat(over))
+		most, over, share := f.excess(largeFleetSettings(), f.simulate(t, seed), limit)
+		largest, warmingFraction = math.Max(largest, most), warmingFraction+share/float64(seeds)
+		violations += int(boolToFloat(over))
 	}
-	t.Logf("largest excess %.2f roots of N; %.1f%% of all went to warming ones, %.0f%% of the fleet", largest, 100*used, 100*float64(f.warming)/float64(f.replicas))
-	if broken > 0 {
-		t.Errorf("over the bound in %d of %d runs; largest excess %.2f roots", broken, seeds, largest)
+	t.Logf("largest excess %.2f * sqrt(N); warming replicas received %.1f%% of requests and are %.0f%% of the fleet", largest, 100*warmingFraction, 100*float64(f.warming)/float64(f.replicas))
+	if violations > 0 {
+		t.Errorf("load above the limit in %d of %d runs; largest excess %.2f * sqrt(N)", violations, seeds, largest)
 	}
-	if used == 0 {
-		t.Error("a warming replica never gets anything")
+	if warmingFraction == 0 {
+		t.Error("warming replicas received no requests")
 	}
 }
--- a/balancer/zones_test.go
+++ b/balancer/zones_test.go
@@ -4,8 +4,8 @@
 	"testing"
 )
 
-// An unavailable zone is tried as a whole: else each of its replicas must fail on its own, a
-// connect timeout each.
+// An unavailable zone is tried as a whole. Otherwise each of its replicas would have to fail by
+// itself, which costs one connect timeout per replica.
 func TestUnavailableZoneIsTriedAsAWhole(t *testing.T) {
 	endpoints := fleet(20)
 	for i := range 10 {
@@ -28,11 +28,11 @@
 		fail(i)
 	}
 	if b.zones.IsUnavailable(b.rows[0].zone) || inZone(101*second, 50) == 0 {
-		t.Fatal("three bad replicas of ten made their zone unavailable")
+		t.Fatal("three failed replicas of ten made their zone unavailable")
 	}
 	fail(3)
 	if n := inZone(101*second, 1); n != 0 {
-		t.Fatalf("%d sent to the zone right after", n)
+		t.Fatalf("%d of 15 requests sent to the zone right after it became unavailable", n)
 	}
 	rec.actions = nil
 	b.tick(103 * second)
@@ -44,12 +44,12 @@
 	}
 	b.recordAnswer(103*second, b.rows[5], Served, false)
 	if n := inZone(103*second+settleTime, 200); n < 2 {
-		t.Fatalf("%d sent to the zone after a success there", n)
+		t.Fatalf("%d of 15 requests sent to the zone after its recovery, want at least 2", n)
 	}
 	if row := b.rows[1]; row.backoffUntil > 0 || row.consecutiveFailures > 0 {
-		t.Fatal("a failure of the zone stands against a replica")
+		t.Fatal("a replica still has backoff or failures from the zone's outage")
 	}
 }
 
-// settleTime is the time in which a zone's traffic share is 1 again after its recovery.
+// settleTime is the time after which a recovered zone is healthy again.
 const settleTime = 3 * second
