--- a/balancer/zonehealth/zonehealth.go
+++ b/balancer/zonehealth/zonehealth.go
@@ -24,7 +24,7 @@
 	Healthy     State = iota
 	Suspect           // some replicas did not answer, and none has answered since
 	Unavailable       // missThreshold was reached; the zone receives trials only
-	Recovering        // the zone answers again and receives a growing fraction of its traffic
+	Recovering        // the zone answers again; see TrafficFraction
 )
 
 var stateNames = [...]string{"healthy", "suspect", "unavailable", "recovering"}
