--- a/balancer/archive.go
+++ b/balancer/archive.go
@@ -10,32 +10,32 @@
 	"google.golang.org/protobuf/encoding/protowire"
 )
 
-// archive carries fields to or from protobuf's wire form. Each method names a field once
-// and serves both ways: it writes the value when saving and sets it when loading. The
-// first error stays.
+// archive encodes fields to protobuf's wire format or decodes them from it. Each method serves
+// both directions, so that a field is named once: it writes the value when saving and sets it
+// when loading. The first error is kept in err.
 type archive struct {
 	saving bool
 	out    []byte
-	got    map[protowire.Number][]wireField // read and not yet taken
+	fields map[protowire.Number][]wireField // decoded and not yet taken
 	err    error
 }
 
-// wireField is one field as it was read.
+// wireField is the value of one decoded field.
 type wireField struct {
 	number uint64 // a varint or a fixed value
 	bytes  []byte
 }
 
-// fail notes the first error.
+// fail records an error, unless there is an earlier one.
 func (a *archive) fail(err error) {
 	if a.err == nil {
 		a.err = err
 	}
 }
 
-// parse reads all fields of a message.
+// parse decodes all fields of a message.
 func (a *archive) parse(in []byte) {
-	a.got = map[protowire.Number][]wireField{}
+	a.fields = map[protowire.Number][]wireField{}
 	for len(in) > 0 {
 		tag, wireType, n := protowire.ConsumeTag(in)
 		if n < 0 {
@@ -59,29 +59,29 @@
 			a.fail(protowire.ParseError(n))
 			return
 		}
-		a.got[tag] = append(a.got[tag], field)
+		a.fields[tag] = append(a.fields[tag], field)
 		in = in[n:]
 	}
 }
 
-// finish fails if a field was read that no method has taken.
+// finish fails if a decoded field was taken by no method.
 func (a *archive) finish() {
-	if a.err == nil && len(a.got) > 0 {
-		a.fail(fmt.Errorf("field %d is not known to this build", slices.Min(slices.Collect(maps.Keys(a.got)))))
+	if a.err == nil && len(a.fields) > 0 {
+		a.fail(fmt.Errorf("field %d: unknown to this build", slices.Min(slices.Collect(maps.Keys(a.fields)))))
 	}
 }
 
-// take takes the last value of a field.
+// take removes a field and returns its last value.
 func (a *archive) take(tag protowire.Number) (wireField, bool) {
-	all := a.got[tag]
+	all := a.fields[tag]
 	if len(all) == 0 {
 		return wireField{}, false
 	}
-	delete(a.got, tag)
+	delete(a.fields, tag)
 	return all[len(all)-1], true
 }
 
-// skip ignores fields of earlier builds.
+// skip discards fields that only earlier builds wrote.
 func (a *archive) skip(tags ...protowire.Number) {
 	for _, tag := range tags {
 		if !a.saving {
@@ -90,7 +90,7 @@
 	}
 }
 
-// uint carries a varint.
+// uint encodes or decodes a varint.
 func (a *archive) uint(tag protowire.Number, v *uint64) {
 	if a.saving {
 		if *v != 0 {
@@ -102,7 +102,7 @@
 	*v = field.number
 }
 
-// integer carries a signed number, zigzag encoded.
+// integer encodes or decodes a signed number as a zigzag varint.
 func integer[T ~int | ~int64 | ~uint8 | ~uint32](a *archive, tag protowire.Number, v *T) {
 	u := protowire.EncodeZigZag(int64(*v))
 	a.uint(tag, &u)
@@ -111,14 +111,13 @@
 	}
 }
 
-// bool carries a bool.
 func (a *archive) bool(tag protowire.Number, v *bool) {
 	u := uint64(boolToFloat(*v))
 	a.uint(tag, &u)
 	*v = u != 0
 }
 
-// fixed carries a number of 64 bits.
+// fixed encodes or decodes a fixed 64-bit number.
 func (a *archive) fixed(tag protowire.Number, v *uint64) {
 	if a.saving {
 		if *v != 0 {
@@ -130,15 +129,15 @@
 	*v = field.number
 }
 
-// float carries a float64 with every bit, the sign of a zero included.
+// float encodes or decodes a float64 bit by bit, including the sign of a zero.
 func (a *archive) float(tag protowire.Number, v *float64) {
 	u := math.Float64bits(*v)
 	a.fixed(tag, &u)
 	*v = math.Float64frombits(u)
 }
 
-// floatFields carries floats under consecutive tags from first on; nil stands for a tag
-// that is not used.
+// floatFields encodes or decodes floats under consecutive tags from first on. A nil field
+// skips its tag.
 func (a *archive) floatFields(first protowire.Number, fields ...*float64) {
 	for i, v := range fields {
 		if v != nil {
@@ -147,12 +146,12 @@
 	}
 }
 
-// floats carries a list of floats, each in a message of its own.
+// floats encodes or decodes a list of floats, each in a message of its own.
 func (a *archive) floats(tag protowire.Number, v *[]float64) {
 	a.each(tag, len(*v), func(n int) { *v = make([]float64, n) }, func(i int, entry *archive) { entry.float(1, &(*v)[i]) })
 }
 
-// uints carries a list of numbers, each in a message of its own.
+// uints encodes or decodes a list of numbers, each in a message of its own.
 func (a *archive) uints(tag protowire.Number, v *[]uint64) {
 	a.each(tag, len(*v), func(n int) {
 		if *v = nil; n > 0 {
@@ -161,7 +160,6 @@
 	}, func(i int, entry *archive) { entry.uint(1, &(*v)[i]) })
 }
 
-// string carries a string.
 func (a *archive) string(tag protowire.Number, v *string) {
 	if a.saving {
 		if *v != "" {
@@ -172,16 +170,17 @@
 	}
 }
 
-// message carries one message.
+// message encodes or decodes one message.
 func (a *archive) message(tag protowire.Number, fields func(*archive)) {
 	a.each(tag, 1, func(n int) {
 		if n > 1 {
-			a.fail(fmt.Errorf("field %d: given %d times", tag, n))
+			a.fail(fmt.Errorf("field %d: expected at most 1 message, found %d", tag, n))
 		}
 	}, func(_ int, entry *archive) { fields(entry) })
 }
 
-// each carries n messages. When loading, resize is first called with their number.
+// each encodes n messages, or decodes all messages of a tag after a call of resize with their
+// number.
 func (a *archive) each(tag protowire.Number, n int, resize func(n int), fields func(i int, entry *archive)) {
 	if a.saving {
 		entry := archive{saving: true}
@@ -192,8 +191,8 @@
 		}
 		return
 	}
-	all := a.got[tag]
-	delete(a.got, tag)
+	all := a.fields[tag]
+	delete(a.fields, tag)
 	resize(len(all))
 	for i, field := range all {
 		if a.err != nil {
@@ -210,7 +209,7 @@
 	}
 }
 
-// sortedMap carries a map's entries in the order of their keys.
+// sortedMap encodes or decodes a map's entries in the order of their keys.
 func sortedMap[K cmp.Ordered, V any](a *archive, tag protowire.Number, m *map[K]V, fields func(k *K, v *V, entry *archive)) {
 	var keys []K
 	if a.saving {
@@ -227,7 +226,7 @@
 	})
 }
 
-// nameIndex carries names by their index.
+// nameIndex encodes or decodes a map from names to indices as the list of names.
 func (a *archive) nameIndex(tag protowire.Number, index *map[string]int) {
 	var names []string
 	if a.saving {
--- a/balancer/balancer.go
+++ b/balancer/balancer.go
@@ -6,8 +6,8 @@
 	"archknot/balancer/zonehealth"
 )
 
-// Balancer makes the decisions of one gateway. It belongs to one goroutine, is
-// deterministic and reads no clock: each event brings its time.
+// Balancer makes the decisions of one gateway. It is deterministic and reads no
+// clock: each event carries its time. It must be used from one goroutine.
 type Balancer struct {
 	settings    Settings
 	sink        Sink
@@ -21,7 +21,7 @@
 	stats         []classStats // by class, like policies
 	firstTokenFit linearFit    // time to first token by prompt tokens to prefill
 	zones         zonehealth.Tracker
-	interceptor   Interceptor      // nil in service
+	interceptor   Interceptor      // nil except in replay
 	breakdowns    []ScoreBreakdown // of the last scan, for the interceptor
 
 	loadTable
@@ -33,22 +33,22 @@
 	admissionState
 }
 
-// trafficRates are averages over this gateway's own traffic.
+// trafficRates are moving averages over this gateway's own traffic.
 type trafficRates struct {
 	lastTickAt          Micros
-	dispatchRate        float64 // dispatches a second
+	dispatchRate        float64 // dispatches per second
 	dispatchesSinceTick float64
 	meanWork            float64 // mean work of a request with nothing cached; see workTokens
 	meanServiceMs       float64 // mean reported service time
 }
 
-// classStats is what a gateway has seen of one class.
+// classStats are statistics of the requests of one class.
 type classStats struct {
 	streamTime     float64 // mean time from the first token to the end, in microseconds
-	cachedFraction float64 // mean share of the prompt found in the cache
+	cachedFraction float64 // mean fraction of the prompt found in the cache
 }
 
-// Timer tokens: the low timerBits give the purpose, the bits above them the request.
+// A timer token has the timer's purpose in its low timerBits bits and the request's ID above them.
 const (
 	timerTick uint64 = iota
 	timerDeadline
@@ -56,28 +56,26 @@
 	timerObjective
 	timerBits        = 2
 	timerPurposeMask = 1<<timerBits - 1
-	// timerPoll, a bit above the request, ends a request's wait for load reports. The
-	// simulator's wire carries tokens below 1<<63.
+	// timerPoll ends a request's wait for load reports. It is a bit above the request's
+	// ID; the simulator's protocol limits tokens to below 1<<63.
 	timerPoll uint64 = 1 << 62
 )
 
-// timerToken is the token of a request's timer.
 func timerToken(purpose uint64, id RequestID) uint64 { return purpose | uint64(id)<<timerBits }
 
 const (
-	// tickInterval is the interval of upkeep: well under the second within which
-	// reports are renewed.
+	// tickInterval is the interval of periodic work. It is well below the second within
+	// which replicas renew their reports.
 	tickInterval Micros = 250_000
-	// rateWindow is the time constant of rates, in seconds.
-	rateWindow = 8.0
-	// learnRate is the weight of a new sample in slow averages (about 30 samples).
-	learnRate = 1.0 / 32
-	// microsPerSecond converts between Micros and seconds.
+	// rateTimeConstant is the time constant of moving averages of rates, in seconds.
+	rateTimeConstant = 8.0
+	// learnRate is the weight of a new sample in slow moving averages (about 30 samples).
+	learnRate       = 1.0 / 32
 	microsPerSecond = 1e6
 )
 
-// New returns a Balancer for the settings, or an error if it cannot work with them.
-// The seed sets its random source.
+// New returns a Balancer, or an error if the settings are invalid or sink is nil. The
+// seed initializes its random source.
 func New(settings Settings, seed uint64, sink Sink) (*Balancer, error) {
 	if sink == nil {
 		return nil, errNoSink
@@ -104,11 +102,12 @@
 	return b, nil
 }
 
-// Start is called once, before all other events.
+// Start begins the watch of discovery and the periodic timer. It must be called once,
+// before all other events.
 func (b *Balancer) Start(now Micros) {
 	b.lastTickAt, b.lastHeardAt = now, now
 	if b.settings.PollDiscovery {
-		// Each gateway has its turn.
+		// The first calls of all gateways are spread, in the order of their indices.
 		b.nextPollAt = now + b.pollSpread()*int64(b.settings.Self)/int64(b.settings.Gateways)
 		if b.nextPollAt == now {
 			b.watch(now)
@@ -118,7 +117,7 @@
 }
 
 // TimerFired handles a timer set through the Sink. Timers of requests that have
-// ended have no effect.
+// ended or that stream have no effect.
 func (b *Balancer) TimerFired(now Micros, token uint64) {
 	if token == timerTick {
 		b.tick(now)
@@ -146,21 +145,21 @@
 	}
 }
 
-// tick does the upkeep, every tickEvery.
+// tick does the periodic work.
 func (b *Balancer) tick(now Micros) {
 	elapsed := math.Max(1e-3, float64(now-b.lastTickAt)/microsPerSecond)
 	b.lastTickAt = now
 	b.updateRates(elapsed)
 	b.updateLimit(elapsed)
-	b.followDiscovery(now)
+	b.tickDiscovery(now)
 	b.refreshEstimates(now)
 	b.runHealthChecks(now)
 	b.tryUnavailableZones(now)
 }
 
-// updateRates averages the counts since the last tick, elapsed seconds ago.
+// updateRates adds the counts since the last tick, elapsed seconds ago, to the moving averages.
 func (b *Balancer) updateRates(elapsed float64) {
-	gain := math.Min(1, elapsed/rateWindow)
+	gain := math.Min(1, elapsed/rateTimeConstant)
 	b.dispatchRate += gain * (b.dispatchesSinceTick/elapsed - b.dispatchRate)
 	b.dispatchesSinceTick = 0
 	for i := range b.tenantRate {
--- a/balancer/balancer_test.go
+++ b/balancer/balancer_test.go
@@ -6,22 +6,22 @@
 	"testing"
 )
 
-// recordedAction is one action of a Balancer.
+// recordedAction is one call of a Sink method.
 type recordedAction struct {
-	kind  string
-	id    RequestID
-	to    ReplicaID
-	n     int
-	delay Micros
-	token uint64
-	body  []byte
+	kind    string
+	id      RequestID
+	to      ReplicaID
+	attempt int
+	delay   Micros
+	token   uint64
+	body    []byte
 }
 
 // recorder is a Sink that records the actions.
 type recorder struct{ actions []recordedAction }
 
-func (r *recorder) Dispatch(id RequestID, to ReplicaID, cutAt Micros) {
-	r.actions = append(r.actions, recordedAction{kind: "dispatch", id: id, to: to, delay: cutAt})
+func (r *recorder) Dispatch(id RequestID, to ReplicaID, deadline Micros) {
+	r.actions = append(r.actions, recordedAction{kind: "dispatch", id: id, to: to, delay: deadline})
 }
 
 func (r *recorder) Shed(id RequestID, after Micros) {
@@ -33,7 +33,7 @@
 }
 
 func (r *recorder) Cancel(id RequestID, n int) {
-	r.actions = append(r.actions, recordedAction{kind: "cancel", id: id, n: n})
+	r.actions = append(r.actions, recordedAction{kind: "cancel", id: id, attempt: n})
 }
 
 func (r *recorder) SetTimer(d Micros, token uint64) {
@@ -51,10 +51,10 @@
 func (r *recorder) WatchDiscovery() { r.actions = append(r.actions, recordedAction{kind: "watch"}) }
 
 // take returns the recorded actions of one kind and clears all.
-func (r *recorder) take(what string) []recordedAction {
+func (r *recorder) take(kind string) []recordedAction {
 	var out []recordedAction
 	for _, a := range r.actions {
-		if a.kind == what {
+		if a.kind == kind {
 			out = append(out, a)
 		}
 	}
@@ -74,10 +74,9 @@
 	return last
 }
 
-// second is one second in Micros.
 const second Micros = 1_000_000
 
-// settings are those of a single gateway before a small fleet.
+// settings returns the settings of a single gateway with a small fleet.
 func settings() Settings {
 	return Settings{
 		Gateways: 1, Zone: "a", Zones: []string{"a", "b"}, Kinds: []string{"k"},
@@ -88,7 +87,7 @@
 	}
 }
 
-// startBalancer starts a Balancer at 100 s with the endpoints on its list.
+// startBalancer returns a Balancer that was started at 100 s with a list of the endpoints.
 func startBalancer(t *testing.T, s Settings, endpoints ...Endpoint) (*Balancer, *recorder) {
 	t.Helper()
 	rec := &recorder{}
@@ -103,7 +102,7 @@
 	return b, rec
 }
 
-// fleet lists n replicas that have been running for long.
+// fleet returns n ready replicas without a start time.
 func fleet(n int) []Endpoint {
 	var out []Endpoint
 	for i := range n {
@@ -112,12 +111,12 @@
 	return out
 }
 
-// testRequest is an ordinary request.
+// testRequest returns a request without tenant, session and prefix.
 func testRequest(id RequestID) Request {
 	return Request{ID: id, Class: "chat", TimeLeft: 4 * second, PromptTokens: 1000, MaxTokens: 400}
 }
 
-// dispatched sends one request and returns the replica that it went to; 0: none.
+// dispatched plays the arrival of a request and returns the replica to which it is sent; 0: none.
 func dispatched(b *Balancer, rec *recorder, now Micros, r Request) ReplicaID {
 	rec.actions = nil
 	b.RequestArrived(now, r)
@@ -127,9 +126,9 @@
 	return 0
 }
 
-// New names what is wrong with settings.
+// New returns an error for invalid settings and for a missing sink.
 func TestNewRejectsInvalidSettings(t *testing.T) {
-	for name, spoil := range map[string]func(*Settings){
+	for name, invalidate := range map[string]func(*Settings){
 		"self":     func(s *Settings) { s.Self = 1 },
 		"classes":  func(s *Settings) { s.Classes = nil },
 		"attempts": func(s *Settings) { s.MaxAttempts = 0 },
@@ -138,7 +137,7 @@
 		"rules":    func(s *Settings) { s.OverloadWindow = -1 },
 	} {
 		s := settings()
-		spoil(&s)
+		invalidate(&s)
 		if _, err := New(s, 1, &recorder{}); err == nil || !strings.HasPrefix(err.Error(), "balancer: ") {
 			t.Errorf("%s: got error %v", name, err)
 		}
@@ -165,7 +164,7 @@
 	// Output: send request 1 to replica 7
 }
 
-// printer is a Sink that prints dispatches; a gateway would carry out all actions.
+// printer is a Sink that prints dispatches and ignores all other actions.
 type printer struct{}
 
 func (printer) Dispatch(id RequestID, to ReplicaID, _ Micros) {
--- a/balancer/bench_test.go
+++ b/balancer/bench_test.go
@@ -5,8 +5,8 @@
 	"testing"
 )
 
-// busyBalancer is a Balancer with so many replicas and some of everything: reports of all ages,
-// own dispatches, sessions, errors, backoff, warming replicas, two zones and kinds.
+// busyBalancer returns a Balancer whose replicas are in varied states: reports of different ages
+// or none, errors, backoff, slow start, open connections, two zones and two kinds.
 func busyBalancer(tb testing.TB, gateways, replicas int) *Balancer {
 	tb.Helper()
 	s := settings()
@@ -44,12 +44,12 @@
 	for _, gateways := range []int{3, 80} {
 		for _, replicas := range []int{14, 60, 1000, 10_000} {
 			b.Run(fmt.Sprintf("gateways=%d/replicas=%d", gateways, replicas), func(b *testing.B) {
-				g := busyBalancer(b, gateways, replicas)
-				req := &request{Request: testRequest(1), policy: g.policies[0], tenantIndex: -1, avoidZone: -1, deadline: 200 * second}
+				balancer := busyBalancer(b, gateways, replicas)
+				req := &request{Request: testRequest(1), policy: balancer.policies[0], tenantIndex: -1, avoidZone: -1, deadline: 200 * second}
 				for n := 0; b.Loop(); n++ {
 					req.Session, req.Prefix, req.PrefixTokens = uint64(n%997+1), uint64(n%31+1), 600
-					g.prefixCounts[req.Prefix], g.prefixTotal = 5, 200
-					g.pick(101*second, req)
+					balancer.prefixCounts[req.Prefix], balancer.prefixTotal = 5, 200
+					balancer.pick(101*second, req)
 				}
 			})
 		}
--- a/balancer/discovery.go
+++ b/balancer/discovery.go
@@ -5,49 +5,56 @@
 	"math"
 )
 
-// Following discovery: applying its endpoint lists, polling it again after failures, and
-// how long a list is trusted.
+// The endpoint list of discovery: applying its changes, polling again after failed calls, and
+// limiting how long an old list is used.
 
 const (
-	// notifiedWithin is the protocol's term for a change of the list: whatever became of a
-	// call, a gateway counts as notified so long after discovery had the change and could
-	// be reached.
-	notifiedWithin Micros = 6_000_000
-	// writeDelay is how much later than its decision an attempt may be written: a gateway may
-	// be held up for half of it between reading its clock and writing.
+	// maxNotificationDelay is the time after which a gateway counts as notified of a change of
+	// the list, even if its calls fail. It starts when discovery has the change and is reachable.
+	maxNotificationDelay Micros = 6_000_000
+	// writeDelay is the longest time between the decision for an attempt and its write to the
+	// connection. Half of it allows for a pause between reading the clock and writing.
 	writeDelay Micros = 300_000
-	// minLocalTrust is how long the list of an agent on this machine is trusted at least.
-	minLocalTrust Micros = 2_000_000
-	// minConfirmedConnAge is how long a connection must have been open for a health check over it
-	// to show that a replica was not started in the meantime: the next process at its address
-	// answers before it is listed.
+	// minLocalListValidity is the least ListTrust with an agent on this machine. It leaves time
+	// for a call to the agent.
+	minLocalListValidity Micros = 2_000_000
+	// minConfirmedConnAge is the least age of a connection over which a health check confirms a
+	// replica. A younger one may lead to a new process at the same address, which answers
+	// before it is listed.
 	minConfirmedConnAge Micros = 5_000_000
-	// confirmAhead is how long before it is needed a replica is checked where requests poll none,
-	// and confirmInterval how often.
-	confirmAhead, confirmInterval Micros = 1_500_000, 500_000
-	// pollBackoffMin and pollBackoffMax bound the backoff after a failed call where
-	// discovery takes the calls of all gateways at once: with a short call before and one
-	// after it well within notifiedWithin. localPollBackoff is the backoff for an agent on
-	// this machine, which answers at no cost.
-	pollBackoffMin, pollBackoffMax, localPollBackoff Micros = 250_000, 1_000_000, 200_000
-	// watchRetryInterval is when a watch is repeated that has no answer at all.
+	// confirmationLead is the time before the list becomes unconfirmed at which replicas are first
+	// checked, in fleets in which requests poll no replicas.
+	confirmationLead Micros = 1_500_000
+	// confirmationInterval is the time between two such checks of a replica.
+	confirmationInterval Micros = 500_000
+	// pollBackoffMin is the least backoff after a failed call, if discovery can serve the calls
+	// of all gateways at once.
+	pollBackoffMin Micros = 250_000
+	// pollBackoffMax is the longest such backoff. With a short call before and after it, it is
+	// well within maxNotificationDelay.
+	pollBackoffMax Micros = 1_000_000
+	// localPollBackoff is the backoff for an agent on this machine, whose calls are cheap.
+	localPollBackoff Micros = 200_000
+	// watchRetryInterval is the time after which a watch without any answer is repeated.
 	watchRetryInterval Micros = 5_000_000
-	// discoveryCallTime is discovery's time for one gateway's call, and maxPollSpread
-	// bounds the time over which the calls of all of them are spread.
-	discoveryCallTime, maxPollSpread Micros = 110_000, 8_000_000
-	// unspreadCallTime is what the calls of all gateways may take together without a spread.
+	// discoveryCallTime is the time that discovery takes to serve a call of one gateway.
+	discoveryCallTime Micros = 110_000
+	// maxPollSpread bounds the time over which the calls of all gateways are spread.
+	maxPollSpread Micros = 8_000_000
+	// unspreadCallTime is the total time of the calls of all gateways up to which they are not
+	// spread.
 	unspreadCallTime Micros = 500_000
 )
 
-// ListTrust is how long the list may be used from the time up to which all its changes are
-// known: an attempt that is written by then is within the grace of any change. An agent's
-// changes count as known once the agent has them.
+// ListTrust returns how long the list may be used after the last time at which it was current.
+// An attempt that is written by then is within DrainGrace of every change that the gateway does
+// not have yet. The changes of a local agent count as known as soon as the agent has them.
 func (s *Settings) ListTrust() Micros {
 	grace := max(0, s.DrainGrace-writeDelay)
 	if s.LocalDiscovery {
-		return max(minLocalTrust, grace)
+		return max(minLocalListValidity, grace)
 	}
-	return notifiedWithin + grace
+	return maxNotificationDelay + grace
 }
 
 // discoveryState is the state of the watch of discovery.
@@ -56,19 +63,19 @@
 	watching     bool
 	nextPollAt   Micros // 0: not due
 	pollBackoff  Micros
-	lastHeardAt  Micros // up to when changes of the list are known
-	// unavailableAt is when the last call began that discovery answered with that it serves none;
-	// since lastHeardAt all calls have ended so. It is down, or has too many callers.
+	lastHeardAt  Micros // the list includes all changes up to this time
+	// unavailableAt is the start of the last call to which discovery answered that it serves
+	// no list, because it is down or overloaded.
 	unavailableAt Micros
 }
 
-// ListChanged handles a change of the endpoint list. Rule 3: a replica that is draining or
-// gone gets nothing from this moment on, which is within any grace period.
+// ListChanged handles an endpoint list or a failed call to discovery. A replica that the list
+// shows as draining or removed gets no new attempt from this call on.
 func (b *Balancer) ListChanged(now Micros, list EndpointList) {
 	if list.Kind.Failed() {
 		switch list.Kind {
 		case ListUnreachable:
-			b.renewList(now, list.AsOf)
+			b.recordListCurrent(now, list.AsOf)
 		case ListUnavailable:
 			b.unavailableAt = max(b.unavailableAt, min(now, cmp.Or(list.AsOf, now)))
 		}
@@ -79,10 +86,10 @@
 	}
 	if list.Kind.FromDiscovery() {
 		b.watching, b.pollBackoff, b.nextPollAt = true, 0, 0
-		b.renewList(now, list.AsOf)
+		b.recordListCurrent(now, list.AsOf)
 	}
 	if list.Kind.Complete() {
-		b.markAbsentGone(list.Endpoints)
+		b.markAbsentRemoved(list.Endpoints)
 	}
 	b.fleetSize = list.FleetSize
 	for _, endpoint := range list.Endpoints {
@@ -95,13 +102,13 @@
 	b.refreshEstimates(now)
 }
 
-// renewList notes up to when changes of the list are known, which dates its lease; 0: now.
-func (b *Balancer) renewList(now, asOf Micros) {
+// recordListCurrent records that the list includes all changes up to asOf; 0: now.
+func (b *Balancer) recordListCurrent(now, asOf Micros) {
 	b.lastHeardAt = max(b.lastHeardAt, min(now, cmp.Or(asOf, now)))
 }
 
-// markAbsentGone marks the replicas as gone that a complete list does not have.
-func (b *Balancer) markAbsentGone(endpoints []Endpoint) {
+// markAbsentRemoved marks the replicas as removed that are not in a complete list.
+func (b *Balancer) markAbsentRemoved(endpoints []Endpoint) {
 	listed := make(map[ReplicaID]bool, len(endpoints))
 	for _, endpoint := range endpoints {
 		listed[endpoint.Replica] = true
@@ -113,57 +120,59 @@
 	}
 }
 
-// pollSpread is the time over which the gateways' calls must be spread for discovery to
-// answer all; 0: it takes them at once. It works also for calls that it will not answer in
-// time.
+// pollSpread returns the time over which the calls of all gateways must be spread for discovery
+// to answer them in time; 0: no spread is necessary. Without it discovery would spend its time
+// on calls that have timed out.
 func (b *Balancer) pollSpread() Micros {
-	if all := Micros(b.settings.Gateways) * discoveryCallTime; all > unspreadCallTime && !b.settings.LocalDiscovery {
-		return min(all, maxPollSpread)
+	if totalCallTime := Micros(b.settings.Gateways) * discoveryCallTime; totalCallTime > unspreadCallTime && !b.settings.LocalDiscovery {
+		return min(totalCallTime, maxPollSpread)
 	}
 	return 0
 }
 
-// watch asks discovery for its list and changes.
+// watch requests the endpoint list and its changes from discovery.
 func (b *Balancer) watch(now Micros) {
 	b.nextPollAt = now + watchRetryInterval
 	b.sink.WatchDiscovery()
 }
 
-// scheduleNextPoll sets when discovery is polled after a call that failed. Calls fail when
-// all gateways call at once: they are spread. A call that did not even connect has cost
-// discovery nothing, and says nothing of its load.
+// scheduleNextPoll sets the time of the next poll after a failed call. Calls can fail because
+// all gateways call at once, so the next ones are spread. A call that could not connect is no
+// sign of such an overload.
 func (b *Balancer) scheduleNextPoll(now Micros, unreachable bool) {
 	spread := b.pollSpread()
 	if b.watching && !unreachable && spread > 0 && b.settings.WatchInterval > 0 {
-		// An open watch has ended. All may have, at once: their next calls are spread, but begin now.
+		// An open watch has ended. Those of all gateways may have ended at once, so the next
+		// calls are spread, beginning now.
 		b.watching = false
 		b.nextPollAt = now + int64(b.random()*float64(spread)/2)
 		return
 	}
 	b.watching = false
-	least, most := max(pollBackoffMin, spread), max(pollBackoffMax, spread)
+	minBackoff, maxBackoff := max(pollBackoffMin, spread), max(pollBackoffMax, spread)
 	switch {
 	case b.settings.LocalDiscovery:
-		least, most = localPollBackoff, localPollBackoff
-	case unreachable && !b.listReceived && b.readyCount == 0: // it cannot serve before
-		least, most = max(pollBackoffMin, spread/8), max(pollBackoffMax, spread/4)
+		minBackoff, maxBackoff = localPollBackoff, localPollBackoff
+	case unreachable && !b.listReceived && b.readyCount == 0: // without a list the gateway cannot serve
+		minBackoff, maxBackoff = max(pollBackoffMin, spread/8), max(pollBackoffMax, spread/4)
 	case unreachable || b.unavailableAt > b.lastHeardAt:
-		// The next call begins while the list is still used. Where nobody is served it costs nothing.
-		most = max(pollBackoffMax, min(spread, b.ListTrustedUntil()-now-2*tickInterval))
-		least = min(least, most)
+		// The next call must begin before the list is stale. It costs little, since discovery
+		// serves no gateway at this time.
+		maxBackoff = max(pollBackoffMax, min(spread, b.ListTrustedUntil()-now-2*tickInterval))
+		minBackoff = min(minBackoff, maxBackoff)
 	}
-	b.pollBackoff = min(most, max(least, 2*b.pollBackoff))
+	b.pollBackoff = min(maxBackoff, max(minBackoff, 2*b.pollBackoff))
 	b.nextPollAt = now + int64(float64(b.pollBackoff)*(0.5+0.5*b.random()))
 }
 
-// ListAge is the time since discovery's last word: up to then all changes of the list are known.
+// ListAge returns the time since the list was last known to include all changes.
 func (b *Balancer) ListAge(now Micros) Micros { return now - b.lastHeardAt }
 
-// ListTrustedUntil is the time up to which attempts may be written by the list: later a
-// replica may drain or be gone, and the grace for it be over, without this gateway's
-// knowledge.
+// ListTrustedUntil returns the time until which attempts may be written according to the list.
+// Later a replica may be draining or removed, and its DrainGrace over, without this gateway
+// having the change.
 func (b *Balancer) ListTrustedUntil() Micros {
-	if b.settings.WatchInterval <= 0 { // no word of discovery's means that nothing has changed
+	if b.settings.WatchInterval <= 0 { // discovery sends only changes, so the list does not expire
 		return math.MaxInt64
 	}
 	return max(b.lastHeardAt, b.unavailableAt) + b.settings.ListTrust()
@@ -172,33 +181,36 @@
 // ListStale reports whether the list is too old for new attempts.
 func (b *Balancer) ListStale(now Micros) bool { return now >= b.ListTrustedUntil() }
 
-// ListUnconfirmed reports whether the list is used only because discovery answers that it serves
-// none. Nothing can have counted as known if it is down. If it has too many callers, changes
-// may have: then only replicas that show themselves unchanged get new attempts.
+// ListUnconfirmed reports whether ListTrust has passed since the list was last current. Such a
+// list, which logs call doubtful, is used until ListTrustedUntil, while discovery answers that it
+// serves none. If discovery is overloaded rather than down, changes may be missing, so new
+// attempts go only to replicas that a health check has confirmed.
 func (b *Balancer) ListUnconfirmed(now Micros) bool {
 	return b.settings.WatchInterval > 0 && now >= b.lastHeardAt+b.settings.ListTrust()
 }
 
-// isConfirmed reports whether a replica may get new attempts by a doubtful list: it has passed
-// a health check, as one that declines work does not, in a process that ran before.
+// isConfirmed reports whether a replica may get new attempts while the list is unconfirmed: it has
+// recently passed a health check over an old connection, so it accepts work and its process
+// is the listed one.
 func (b *Balancer) isConfirmed(now Micros, row *replicaRow) bool {
-	return now-row.confirmedAt < notifiedWithin
+	return now-row.confirmedAt < maxNotificationDelay
 }
 
-// confirmReplicas checks replicas before the list becomes doubtful, where requests poll none.
+// confirmReplicas checks replicas shortly before and while the list is unconfirmed, in fleets in
+// which requests poll no replicas.
 func (b *Balancer) confirmReplicas(now Micros) {
-	if !b.settings.MayHealthCheck || b.largeFleet() || b.unavailableAt <= b.lastHeardAt || !b.ListUnconfirmed(now+confirmAhead) || b.ListStale(now) {
+	if !b.settings.MayHealthCheck || b.largeFleet() || b.unavailableAt <= b.lastHeardAt || !b.ListUnconfirmed(now+confirmationLead) || b.ListStale(now) {
 		return
 	}
 	for _, row := range b.rows {
-		if row.state == EndpointReady && !row.healthCheckPending && now-row.healthCheckedAt >= confirmInterval {
+		if row.state == EndpointReady && !row.healthCheckPending && now-row.healthCheckedAt >= confirmationInterval {
 			b.sendHealthCheck(now, row)
 		}
 	}
 }
 
-// followDiscovery polls discovery when that is due.
-func (b *Balancer) followDiscovery(now Micros) {
+// tickDiscovery polls discovery if a poll is due, and confirms replicas.
+func (b *Balancer) tickDiscovery(now Micros) {
 	if b.nextPollAt > 0 && now >= b.nextPollAt && !b.watching {
 		b.watch(now)
 	}
--- a/balancer/discovery_test.go
+++ b/balancer/discovery_test.go
@@ -8,74 +8,75 @@
 	"testing"
 )
 
-// slowDiscovery serves calls in turn, so many a second, and fails those that have waited for two
-// seconds, though it has worked for them too. Before upAt it is unreachable.
+// slowDiscovery serves calls one after another, each in callTime. Calls that take longer than two
+// seconds fail, and occupy it all the same. Before reachableAt it is unreachable.
 type slowDiscovery struct {
-	upAt, each, free Micros
+	reachableAt, callTime, freeAt Micros
 }
 
 // call returns when a call ends, and with what kind of list.
 func (d *slowDiscovery) call(now Micros) (at Micros, kind ListKind) {
-	if now < d.upAt {
+	if now < d.reachableAt {
 		return now, ListUnreachable
 	}
-	d.free = max(d.free, now) + d.each
-	if d.free > now+2*second {
+	d.freeAt = max(d.freeAt, now) + d.callTime
+	if d.freeAt > now+2*second {
 		return now + 2*second, ListFailed
 	}
-	return d.free, ListFull
+	return d.freeAt, ListFull
 }
 
-// Of gateways that all start together without a list, before a discovery that is down at first
-// or slow, nine in ten can serve within ten seconds.
+// Of gateways that start at the same time without a list, with a discovery that is slow or at
+// first unreachable, nine in ten have the list within ten seconds.
 func TestNineInTenAreReadyInTime(t *testing.T) {
 	for _, c := range []struct {
-		gateways   int
-		down, each Micros
+		gateways         int
+		outage, callTime Micros
 	}{{3, 8 * second, second / 10}, {20, 6 * second, second / 10}, {30, 0, second / 5}, {80, 0, second / 10}, {300, 0, second / 40}, {300, 5 * second, second / 150}} {
-		d := slowDiscovery{upAt: 100*second + c.down, each: c.each}
+		d := slowDiscovery{reachableAt: 100*second + c.outage, callTime: c.callTime}
 		all := startAll(c.gateways, 100*second)
-		notified := d.until(all, 100*second, 130*second)
+		notified := d.playUntilNotified(all, 100*second, 130*second)
 		if len(notified) < c.gateways {
 			t.Errorf("%+v: only %d have the list", c, len(notified))
 			continue
 		}
-		ninth := float64(notified[(c.gateways*9+9)/10-1]-100*second) / 1e6
-		t.Logf("%+v: nine in ten after %.1f s, all after %.1f s", c, ninth, float64(notified[len(notified)-1]-100*second)/1e6)
-		if ninth > 10 {
-			t.Errorf("%+v: nine in ten are ready after %.1f s", c, ninth)
+		ninety := float64(notified[(c.gateways*9+9)/10-1]-100*second) / 1e6
+		t.Logf("%+v: nine in ten after %.1f s, all after %.1f s", c, ninety, float64(notified[len(notified)-1]-100*second)/1e6)
+		if ninety > 10 {
+			t.Errorf("%+v: nine in ten are ready after %.1f s", c, ninety)
 		}
 	}
 }
 
-// pollingGateway is a gateway that polls discovery.
+// pollingGateway is a gateway with the state of its call to discovery.
 type pollingGateway struct {
-	b        *Balancer
-	rec      *recorder
-	at       Micros // when its call ends; 0: none is open
-	kind     ListKind
-	notified bool
+	b          *Balancer
+	rec        *recorder
+	callEndsAt Micros // when its call ends; 0: none is open
+	kind       ListKind
+	notified   bool
 }
 
-// startAll starts all gateways of a fleet at once without a list.
-func startAll(gateways int, at Micros) (all []*pollingGateway) {
+// startAll starts gateways at the same time without a list.
+func startAll(gateways int, at Micros) (started []*pollingGateway) {
 	for i := range gateways {
 		s := largeFleetSettings()
 		s.PollDiscovery, s.WatchInterval, s.Gateways, s.Self = true, 2*second, gateways, i
 		g := &pollingGateway{rec: &recorder{}}
 		g.b, _ = New(s, uint64(i+1), g.rec)
 		g.b.Start(at)
-		all = append(all, g)
+		started = append(started, g)
 	}
-	return all
+	return started
 }
 
-// until lets gateways poll between two times, and returns when each has its first list.
-func (d *slowDiscovery) until(all []*pollingGateway, from, to Micros) (notified []Micros) {
+// playUntilNotified simulates gateways that poll, between two times, and returns the sorted times
+// at which they received their first list.
+func (d *slowDiscovery) playUntilNotified(all []*pollingGateway, from, to Micros) (notified []Micros) {
 	for now := from; now < to && len(notified) < len(all); now += tickInterval / 5 {
 		for i, g := range all {
-			if g.at > 0 && now >= g.at {
-				g.at = 0
+			if g.callEndsAt > 0 && now >= g.callEndsAt {
+				g.callEndsAt = 0
 				g.b.ListChanged(now, EndpointList{Kind: g.kind, Endpoints: fleet(2)})
 				if g.kind == ListFull && !g.notified {
 					g.notified = true
@@ -85,9 +86,9 @@
 			if now%tickInterval == Micros(i%5)*(tickInterval/5) {
 				g.b.tick(now)
 			}
-			if polled := len(g.rec.take("watch")) > 0; polled && g.at == 0 && !g.notified {
-				g.at, g.kind = d.call(now)
-				g.at = max(g.at, now+1)
+			if polled := len(g.rec.take("watch")) > 0; polled && g.callEndsAt == 0 && !g.notified {
+				g.callEndsAt, g.kind = d.call(now)
+				g.callEndsAt = max(g.callEndsAt, now+1)
 			}
 		}
 	}
@@ -95,40 +96,40 @@
 	return notified
 }
 
-// After an outage of eight seconds a few gateways all have the list again well within the six
-// seconds after which a change counts as known. Many cannot all have it by then from a
-// discovery that serves ten calls a second; they have in the end, and meanwhile trust no entry
-// of the old list whose replica does not show itself.
+// After an outage of discovery of eight seconds a few gateways all have the list again well within
+// maxNotificationDelay. Discovery is too slow to serve many gateways within that time, but all of
+// them get the list in the end.
 func TestListArrivesAfterDiscoveryOutage(t *testing.T) {
 	for _, c := range []struct {
 		gateways int
-		each     Micros
-		within   Micros // all of them
+		callTime Micros
+		within   Micros // time until all gateways have the list
 	}{{3, second / 10, 2 * second}, {10, second / 10, 4 * second}, {30, second / 10, 12 * second}, {300, second / 40, 40 * second}} {
 		t.Run(fmt.Sprint(c.gateways), func(t *testing.T) {
-			const down, up = 100 * second, 108 * second
-			d := slowDiscovery{upAt: up, each: c.each}
+			const unreachableAt, reachableAt = 100 * second, 108 * second
+			d := slowDiscovery{reachableAt: reachableAt, callTime: c.callTime}
 			all := startAll(c.gateways, 90*second)
 			for _, g := range all {
 				g.b.ListChanged(90*second, EndpointList{Kind: ListFull, Endpoints: fleet(2)})
-				g.b.ListChanged(down, EndpointList{Kind: ListFailed}) // its watch was reset
+				g.b.ListChanged(unreachableAt, EndpointList{Kind: ListFailed}) // its watch was reset
 				g.rec.actions = nil
 			}
-			after := d.until(all, down, up+60*second)
+			after := d.playUntilNotified(all, unreachableAt, reachableAt+60*second)
 			for i := range after {
-				after[i] -= up
+				after[i] -= reachableAt
 			}
 			if len(after) < c.gateways || after[len(after)-1] > c.within {
-				t.Fatalf("%d of %d notified, the last %.1f s after it could be reached", len(after), c.gateways, float64(after[max(0, len(after)-1)])/1e6)
+				t.Fatalf("%d of %d gateways have the list, the last %.1f s after discovery was reachable", len(after), c.gateways, float64(after[max(0, len(after)-1)])/1e6)
 			}
-			t.Logf("notified after it could be reached: median %.2f s, 99th percentile %.2f s, worst %.2f s", float64(after[len(after)/2])/1e6,
+			t.Logf("list received after discovery was reachable: median %.2f s, 99th percentile %.2f s, maximum %.2f s", float64(after[len(after)/2])/1e6,
 				float64(after[len(after)*99/100])/1e6, float64(after[len(after)-1])/1e6)
 		})
 	}
 }
 
-// silence returns a Balancer whose calls to discovery have failed since 101 s.
-func silence(t *testing.T, s Settings, now Micros, kind ListKind) (*Balancer, *recorder) {
+// balancerAfterFailedCalls returns a Balancer with a list of 100 s, whose calls to discovery have
+// failed each second from 101 s to now.
+func balancerAfterFailedCalls(t *testing.T, s Settings, now Micros, kind ListKind) (*Balancer, *recorder) {
 	t.Helper()
 	s.PollDiscovery, s.WatchInterval = true, 2*second
 	b, rec := startBalancer(t, s, fleet(4)...)
@@ -139,40 +140,40 @@
 	return b, rec
 }
 
-// Where discovery can be reached and its calls fail all the same, a replica may drain without a
-// gateway's knowledge: from six seconds and the grace after the last word no replica gets new
-// work, also none that has passed a health check or taken work since, which a draining one may
-// do. While discovery cannot be reached the list stands. (Incident 49: a first token and a
-// passed health check counted as proof that a replica does not drain.)
+// If calls to a reachable discovery fail, a replica may drain without this gateway having the
+// change. Once the list is stale, after maxNotificationDelay and DrainGrace, no replica gets new
+// work. A passed health check or a first token is no proof that a replica is not draining, so it
+// does not extend this. While discovery is unreachable the list stays valid.
 func TestStaleListIsNotUsed(t *testing.T) {
 	const grace = 2_500_000
 	for _, gateways := range []int{1, 3, 30, 80, 200, 900} {
 		s := largeFleetSettings()
 		s.Gateways, s.DrainGrace = gateways, grace
-		last := 100*second + notifiedWithin + grace - writeDelay // the list is of 100 s
-		b, rec := silence(t, s, 107*second, ListFailed)
-		if to, _ := placed(b, rec, last-second, 1); to == 0 {
-			t.Errorf("%d gateways: nothing is sent while the list is trusted", gateways)
+		last := 100*second + maxNotificationDelay + grace - writeDelay // the list is of 100 s
+		b, rec := balancerAfterFailedCalls(t, s, 107*second, ListFailed)
+		if to, _ := dispatchedIfChecksPass(b, rec, last-second, 1); to == 0 {
+			t.Errorf("%d gateways: no dispatch before the list is stale", gateways)
 		}
-		b, rec = silence(t, s, 107*second, ListFailed)
-		giveSignsOfLife(b, last-second)
+		b, rec = balancerAfterFailedCalls(t, s, 107*second, ListFailed)
+		passHealthChecks(b, last-second)
 		for id := range RequestID(12) {
-			if to, shed := placed(b, rec, last, 10+id); to != 0 || !shed {
-				t.Errorf("%d gateways: with a stale list sent to %d, shed %t", gateways, to, shed)
+			if to, shed := dispatchedIfChecksPass(b, rec, last, 10+id); to != 0 || !shed {
+				t.Errorf("%d gateways: with a stale list dispatched to %d, shed %t", gateways, to, shed)
 			}
 		}
-		b, rec = silence(t, s, 130*second, ListUnreachable)
-		if to, _ := placed(b, rec, 130*second+1, 3); to == 0 {
-			t.Errorf("%d gateways: nothing is sent while discovery is unreachable", gateways)
+		b, rec = balancerAfterFailedCalls(t, s, 130*second, ListUnreachable)
+		if to, _ := dispatchedIfChecksPass(b, rec, 130*second+1, 3); to == 0 {
+			t.Errorf("%d gateways: no dispatch while discovery is unreachable", gateways)
 		}
 	}
 }
 
-// placed returns where a request goes whose health checks all pass, 0 if nowhere, and whether it is shed.
-func placed(b *Balancer, rec *recorder, now Micros, id RequestID) (to ReplicaID, shed bool) {
+// dispatchedIfChecksPass returns the replica to which a request is sent if all health checks for it
+// pass, 0 if none, and whether the request is shed.
+func dispatchedIfChecksPass(b *Balancer, rec *recorder, now Micros, id RequestID) (to ReplicaID, shed bool) {
 	rec.actions = nil
 	b.RequestArrived(now, testRequest(id))
-	giveSignsOfLife(b, now)
+	passHealthChecks(b, now)
 	b.TimerFired(now+pollTimeout, timerToken(timerPoll, id))
 	for _, a := range rec.actions {
 		if a.kind == "dispatch" {
@@ -183,28 +184,28 @@
 	return to, shed
 }
 
-// giveSignsOfLife has all replicas pass a health check, with a fresh report.
-func giveSignsOfLife(b *Balancer, now Micros) {
+// passHealthChecks plays passed health checks of all replicas, with load reports.
+func passHealthChecks(b *Balancer, now Micros) {
 	for _, endpoint := range b.Endpoints() {
 		b.HealthCheckEnded(now, Outcome{Replica: endpoint.Replica, Status: Served, Report: reportInFlight(1)})
 	}
 }
 
-// A stale list is used for no further attempt either: a retry and a hedge choose late.
+// A list that becomes stale while a request is in flight is not used for its retries and hedges.
 func TestStaleListIsNotUsedForRetriesAndHedges(t *testing.T) {
 	s := largeFleetSettings()
 	s.Gateways, s.DrainGrace, s.MayHedge = 3, 2_500_000, true
-	b, rec := silence(t, s, 107*second, ListFailed)
+	b, rec := balancerAfterFailedCalls(t, s, 107*second, ListFailed)
 	now := b.ListTrustedUntil() - 1
 	first := dispatched(b, rec, now, testRequest(1))
 	if first == 0 {
-		t.Fatal("nothing is sent while the list is trusted")
+		t.Fatal("no dispatch before the list is stale")
 	}
 	b.TimerFired(now+2, timerToken(timerHedge, 1))
 	b.AttemptEnded(now+3, Outcome{ID: 1, Replica: first, Status: ConnBroken})
 	for _, a := range rec.actions[1:] {
 		if a.kind == "dispatch" {
-			t.Errorf("a further attempt went to %d", a.to)
+			t.Errorf("with a stale list a further attempt was dispatched to %d", a.to)
 		}
 	}
 	if last := rec.actions[len(rec.actions)-1]; last.kind != "shed" {
@@ -212,22 +213,22 @@
 	}
 }
 
-// The list of an agent on this machine counts as known at once: it is trusted for the grace
-// alone. Without a grace in the settings there is time for a call to the agent.
+// Changes count as known as soon as an agent on this machine has them, so its list is valid for
+// DrainGrace only, and no less than the time of a call to the agent.
 func TestTrustFollowsTheSettings(t *testing.T) {
 	for _, c := range []struct {
-		local        bool
-		grace, trust Micros
-	}{{false, 0, 6_000_000}, {false, 2_500_000, 8_200_000}, {true, 2_500_000, 2_200_000}, {true, 0, minLocalTrust}} {
+		local           bool
+		grace, validity Micros
+	}{{false, 0, 6_000_000}, {false, 2_500_000, 8_200_000}, {true, 2_500_000, 2_200_000}, {true, 0, minLocalListValidity}} {
 		s := Settings{LocalDiscovery: c.local, DrainGrace: c.grace}
-		if got := s.ListTrust(); got != c.trust {
-			t.Errorf("%+v: trusted for %d", c, got)
+		if got := s.ListTrust(); got != c.validity {
+			t.Errorf("%+v: ListTrust is %d", c, got)
 		}
 	}
 }
 
-// A local agent is polled again at once, however many gateways there are. The operators' own
-// marks do not come from discovery: polling continues.
+// A local agent is polled again after localPollBackoff, however many gateways there are. An
+// operator's override is no answer of discovery: polling continues.
 func TestDiscoveryPollBackoff(t *testing.T) {
 	s := largeFleetSettings()
 	s.Gateways, s.Self, s.PollDiscovery, s.LocalDiscovery = 300, 299, true, true
@@ -245,11 +246,11 @@
 	}
 	b.ListChanged(100*second, EndpointList{Kind: ListOverride, Endpoints: []Endpoint{{Replica: 1, State: EndpointDraining}}})
 	if b.watching || b.nextPollAt == 0 || math.Abs(float64(b.lastHeardAt-100*second)) > 0 {
-		t.Errorf("after a mark: watching %t, polled at %d", b.watching, b.nextPollAt)
+		t.Errorf("after an override: watching %t, next poll at %d", b.watching, b.nextPollAt)
 	}
 }
 
-// Rule 3: a replica that is draining or gone gets nothing, from the change of the list on.
+// A replica that is draining or removed gets no attempt after the change of the list.
 func TestDrainingReplicasGetNothing(t *testing.T) {
 	for _, change := range []EndpointList{
 		{Kind: ListDelta, Endpoints: []Endpoint{{Replica: 1, State: EndpointDraining, Kind: "k", Zone: "a"}}},
@@ -260,39 +261,39 @@
 		b.ListChanged(101*second, change)
 		for i := range RequestID(20) {
 			if got := dispatched(b, rec, 101*second, testRequest(i)); got == 1 {
-				t.Fatalf("%+v: still sent to 1", change)
+				t.Fatalf("%+v: still dispatched to 1", change)
 			}
 		}
 	}
 }
 
-// queue is a discovery that serves calls in turn, a tenth of a second each. Those that would wait
-// for over two seconds fail then, and it has worked for them too.
-type queue struct{ free Micros }
+// queuedDiscovery is a discovery that serves calls one after another, each in a tenth of a second.
+// Calls that take longer than two seconds fail, and occupy it all the same.
+type queuedDiscovery struct{ freeAt Micros }
 
-func (q *queue) call(now Micros) (at Micros, ok bool) {
-	q.free = max(q.free, now) + second/10
-	return min(q.free, now+2*second), q.free <= now+2*second
+func (q *queuedDiscovery) call(now Micros) (at Micros, ok bool) {
+	q.freeAt = max(q.freeAt, now) + second/10
+	return min(q.freeAt, now+2*second), q.freeAt <= now+2*second
 }
 
-// Eighty gateways that all start at once, as after a mass kill, have the list of a discovery that
-// serves ten of them a second within twelve seconds, and hardly a call fails. Without a spread,
-// one in five had it.
+// Eighty gateways that start at the same time all have the list within twelve seconds, from a
+// discovery that serves ten calls a second, and at most eight calls fail. Without a spread
+// of the calls most time out, and only one gateway in five gets the list.
 func TestEightyGatewaysDoNotStallDiscovery(t *testing.T) {
 	const gateways = 80
-	var q queue
-	type one struct {
+	var discovery queuedDiscovery
+	type gateway struct {
 		b        *Balancer
 		rec      *recorder
 		at       Micros // when its call ends; 0: none is open
 		ok       bool
 		notified bool
 	}
-	var all []*one
+	var all []*gateway
 	for i := range gateways {
 		s := settings()
 		s.PollDiscovery, s.Gateways, s.Self = true, gateways, i
-		g := &one{rec: &recorder{}}
+		g := &gateway{rec: &recorder{}}
 		g.b, _ = New(s, uint64(i+1), g.rec)
 		g.b.Start(0)
 		all = append(all, g)
@@ -311,7 +312,7 @@
 			}
 			g.b.tick(now)
 			if polled := len(g.rec.take("watch")) > 0; polled && g.at == 0 && !g.notified {
-				g.at, g.ok = q.call(now)
+				g.at, g.ok = discovery.call(now)
 			}
 		}
 	}
@@ -326,7 +327,7 @@
 	}
 }
 
-// After failed calls discovery is polled again with backoff, and not while a watch is open.
+// Discovery is polled again with backoff after failed calls, and not while a watch is open.
 func TestDiscoveryPollsAreSpread(t *testing.T) {
 	s := settings()
 	s.PollDiscovery = true
@@ -341,7 +342,7 @@
 		b.ListChanged(last, EndpointList{Kind: ListFailed})
 		wait := b.nextPollAt - last
 		if wait <= 0 || wait > pollBackoffMax {
-			t.Fatalf("waits %d", wait)
+			t.Fatalf("backoff of %d us", wait)
 		}
 		b.tick(b.nextPollAt - 1)
 		if len(rec.take("watch")) != 0 {
@@ -360,9 +361,9 @@
 	}
 }
 
-// However many gateways there are, the call after an open watch has ended begins within the half of a spread, and
-// those while discovery is unreachable begin before the list is stale: waits grew with the fleet to 8 and 16 s, and the
-// term for a change does not.
+// For any number of gateways, the next call after the end of an open watch begins within half of maxPollSpread, and
+// calls while discovery is unreachable begin before the list is stale. Guards against a backoff that grows with the
+// fleet, since maxNotificationDelay does not.
 func TestPollsBeginWithinTheTermAtAnyFleetSize(t *testing.T) {
 	for _, gateways := range []int{1, 3, 10, 30, 80, 200, 300, 900} {
 		for seed := range uint64(20) {
@@ -387,49 +388,49 @@
 				now = b.nextPollAt
 				b.ListChanged(now, EndpointList{Kind: ListFailed})
 				if wait := b.nextPollAt - now; wait > maxPollSpread {
-					t.Errorf("%d gateways: after calls that failed late, polled after %d us", gateways, wait)
+					t.Errorf("%d gateways: after failed calls, polled after %d us", gateways, wait)
 				}
 			}
 		}
 	}
 }
 
-// While discovery answers that it serves none, the list is used only for replicas that show themselves unchanged: that
-// pass a health check, as one that declines work does not, over a connection that is older than the next process at
-// their address could be before it is listed. (Incident 49: any passed health check and any first token would do, at
-// any time.)
+// While the list is unconfirmed, new attempts go only to replicas that pass a health check over a connection of at least
+// minConfirmedConnAge. A draining replica declines health checks, and a younger connection may lead to a new process
+// at the same address that is not listed yet.
 func TestDoubtfulListIsUsedOnlyForUnchangedReplicas(t *testing.T) {
-	const old, fresh = minConfirmedConnAge, minConfirmedConnAge - 1
+	const oldConn, youngConn = minConfirmedConnAge, minConfirmedConnAge - 1
 	for _, gateways := range []int{3, 80} {
 		for name, c := range map[string]struct {
-			check Outcome
-			used  bool
+			check   Outcome
+			allowed bool
 		}{
-			"passed over an old connection": {Outcome{Status: Served, ConnAge: old}, true},
-			"passed over a new connection":  {Outcome{Status: Served, ConnAge: fresh}, false},
-			"declined":                      {Outcome{Status: Errored, ConnAge: old}, false},
-			"no answer":                     {Outcome{Status: TimedOut, ConnAge: old}, false},
+			"passed over an old connection": {Outcome{Status: Served, ConnAge: oldConn}, true},
+			"passed over a new connection":  {Outcome{Status: Served, ConnAge: youngConn}, false},
+			"declined":                      {Outcome{Status: Errored, ConnAge: oldConn}, false},
+			"no answer":                     {Outcome{Status: TimedOut, ConnAge: oldConn}, false},
 		} {
 			s := largeFleetSettings()
 			s.Gateways, s.DrainGrace = gateways, 2_500_000
-			b, rec := silence(t, s, 107*second, ListUnavailable)
+			b, rec := balancerAfterFailedCalls(t, s, 107*second, ListUnavailable)
 			now := 100*second + s.ListTrust()
 			if !b.ListUnconfirmed(now) || b.ListStale(now) {
-				t.Fatalf("doubtful %t, stale %t", b.ListUnconfirmed(now), b.ListStale(now))
+				t.Fatalf("list unconfirmed %t, stale %t", b.ListUnconfirmed(now), b.ListStale(now))
 			}
-			if to := placedWith(b, rec, now, 1, c.check); (to != 0) != c.used {
-				t.Errorf("%d gateways, %s: sent to %d", gateways, name, to)
+			if to := dispatchedIfChecksEnd(b, rec, now, 1, c.check); (to != 0) != c.allowed {
+				t.Errorf("%d gateways, %s: dispatched to %d", gateways, name, to)
 			}
 			stale := 107*second + s.ListTrust()
-			if to := placedWith(b, rec, stale, 2, c.check); to != 0 {
-				t.Errorf("%d gateways, %s: sent to %d, %d us after the last call", gateways, name, to, stale-107*second)
+			if to := dispatchedIfChecksEnd(b, rec, stale, 2, c.check); to != 0 {
+				t.Errorf("%d gateways, %s: dispatched to %d, %d us after the last call", gateways, name, to, stale-107*second)
 			}
 		}
 	}
 }
 
-// placedWith returns where a request goes, 0 if nowhere, if all health checks before and for it end in one way.
-func placedWith(b *Balancer, rec *recorder, now Micros, id RequestID, check Outcome) (to ReplicaID) {
+// dispatchedIfChecksEnd returns the replica to which a request is sent, 0 if none, if all health checks before and for
+// it end with the outcome check.
+func dispatchedIfChecksEnd(b *Balancer, rec *recorder, now Micros, id RequestID, check Outcome) (to ReplicaID) {
 	answer := func() {
 		for _, endpoint := range b.Endpoints() {
 			check.Replica = endpoint.Replica
@@ -437,7 +438,7 @@
 			b.HealthCheckEnded(now, check)
 		}
 	}
-	if !b.largeFleet() { // checked before they are needed
+	if !b.largeFleet() { // replicas are checked before the request arrives
 		answer()
 	}
 	rec.actions = nil
@@ -452,15 +453,15 @@
 	return to
 }
 
-// Guards against: an explained request gives no reason where a doubtful list kept a replica out.
+// ExclusionReason names the doubtful list if that excludes a replica.
 func TestDoubtfulListIsGivenAsReason(t *testing.T) {
 	s := largeFleetSettings()
 	s.Gateways, s.DrainGrace = 3, 2_500_000
-	b, rec := silence(t, s, 107*second, ListUnavailable)
+	b, rec := balancerAfterFailedCalls(t, s, 107*second, ListUnavailable)
 	now := 100*second + s.ListTrust()
 	rec.actions = nil
 	b.requests[1] = b.newRequest(now, testRequest(1))
 	if reason := b.ExclusionReason(now, 1, b.rows[0].id); !strings.Contains(reason, "doubtful") {
-		t.Errorf("the reason is %q", reason)
+		t.Errorf("reason %q does not name the doubtful list", reason)
 	}
 }
--- a/balancer/healthcheck.go
+++ b/balancer/healthcheck.go
@@ -3,24 +3,27 @@
 import "math"
 
 const (
-	// minHealthCheckInterval is how often replicas renew their reports.
+	// minHealthCheckInterval is the time after which replicas renew their reports.
 	minHealthCheckInterval Micros = 1_000_000
-	// maxHealthChecks and maxHealthCheckCost bound the health checks of a gateway that
-	// shares them with no other: their number and their cost for each request.
-	maxHealthChecks, maxHealthCheckCost = 0.25, 0.005
-	// overdueIntervals is how many intervals late a health check of another gateway's must
-	// be before this one steps in.
+	// maxHealthChecks is the most health checks per request, for a gateway that does not
+	// share them with others.
+	maxHealthChecks = 0.25
+	// maxHealthCheckCost is the highest cost of health checks per request, for such a gateway.
+	maxHealthCheckCost = 0.005
+	// overdueIntervals is the age of a replica's report, in intervals, from which a gateway
+	// takes over health checks that another gateway does not perform.
 	overdueIntervals = 3
 )
 
-// sendHealthCheck checks a replica's health, which renews its load report too.
+// sendHealthCheck checks a replica's health, which also renews its load report.
 func (b *Balancer) sendHealthCheck(now Micros, row *replicaRow) {
 	row.healthCheckPending, row.healthCheckedAt = true, now
 	b.sink.HealthCheck(row.id)
 }
 
-// runHealthChecks renews load reports where they come in no other way. Gateways that may
-// gossip share the replicas by hash and send each other the results.
+// runHealthChecks sends the health checks that are due. Gateways that may gossip divide the
+// replicas among themselves by hash and send each other the results. Large fleets poll
+// replicas for requests instead.
 func (b *Balancer) runHealthChecks(now Micros) {
 	if !b.settings.MayHealthCheck || b.settings.ReportSource == ReportNone || b.largeFleet() {
 		return
@@ -32,7 +35,7 @@
 		age := now - max(row.reportedAt, row.healthCheckedAt)
 		interval := b.healthCheckInterval()
 		if b.settings.MayGossip && !b.ownsHealthCheck(row) {
-			// Its owner is silent: step in, but not all gateways at once.
+			// The owner does not check it. Take over, but not from all gateways at once.
 			if age < overdueIntervals*interval || b.random() > 2/float64(b.settings.Gateways) {
 				continue
 			}
@@ -43,9 +46,9 @@
 	}
 }
 
-// healthCheckInterval is the time between two health checks of a replica: no less than
-// reports take to be renewed. Without gossip health checks are limited to a part of the
-// requests, and within their cost.
+// healthCheckInterval returns the time between two health checks of a replica, no less than
+// replicas take to renew their reports. Without gossip the health checks per request, and
+// their cost, are bounded too.
 func (b *Balancer) healthCheckInterval() Micros {
 	if b.settings.MayGossip || b.dispatchRate <= 0 {
 		return minHealthCheckInterval
@@ -57,24 +60,26 @@
 	return max(minHealthCheckInterval, int64(microsPerSecond*float64(b.readyCount)/rate))
 }
 
-// ownsHealthCheck reports whether this gateway is the one that checks a replica, by
-// rendezvous hashing.
+// ownsHealthCheck reports whether this gateway is responsible for a replica's health checks,
+// by rendezvous hashing.
 func (b *Balancer) ownsHealthCheck(row *replicaRow) bool {
-	best, owner := uint64(0), 0
+	bestHash, owner := uint64(0), 0
 	for i := range b.settings.Gateways {
-		if hash := splitmix(row.hash ^ uint64(i+1)); hash > best {
-			best, owner = hash, i
+		if hash := splitmix(row.hash ^ uint64(i+1)); hash > bestHash {
+			bestHash, owner = hash, i
 		}
 	}
 	return owner == b.settings.Self
 }
 
-// healthCheckOverdue reports whether a replica was polled and has not answered.
+// healthCheckOverdue reports whether a poll of a replica has had no answer for half of
+// pollTimeout.
 func (b *Balancer) healthCheckOverdue(now Micros, row *replicaRow) bool {
 	return row.healthCheckPending && b.largeFleet() && now-row.healthCheckedAt >= pollTimeout/2
 }
 
-// HealthCheckEnded handles the result of a health check.
+// HealthCheckEnded handles the result of a health check. Results of replicas that are not in
+// the load table are ignored.
 func (b *Balancer) HealthCheckEnded(now Micros, outcome Outcome) {
 	row := b.rowByID[outcome.Replica]
 	if row == nil {
@@ -96,8 +101,8 @@
 	}
 }
 
-// healthCheckPassed takes the report of a replica that has passed a health check, and
-// shares it with the other gateways.
+// healthCheckPassed applies the report of a replica that has passed a health check, and
+// sends it to the other gateways if gossip is allowed.
 func (b *Balancer) healthCheckPassed(now Micros, row *replicaRow, report LoadReport) {
 	b.applyReport(now, row, report)
 	if row.backoffUntil > 0 && row.errorRate < healthyErrorRate {
--- a/balancer/healthcheck_test.go
+++ b/balancer/healthcheck_test.go
@@ -4,7 +4,7 @@
 	"testing"
 )
 
-// Gateways that may gossip check each replica's health once between them.
+// Of the gateways that may gossip, exactly one checks each replica and sends its report to the others.
 func TestHealthChecksAreSharedAndGossiped(t *testing.T) {
 	s := settings()
 	s.ReportSource, s.MayHealthCheck, s.MayGossip, s.Gateways = ReportOnHealthCheck, true, true, 4
@@ -13,23 +13,23 @@
 		s.Self = self
 		b, rec := startBalancer(t, s, fleet(20)...)
 		b.runHealthChecks(101 * second)
-		for _, p := range rec.take("health check") {
-			owners[p.to]++
-			b.HealthCheckEnded(102*second, Outcome{Replica: p.to, Status: Served,
+		for _, check := range rec.take("health check") {
+			owners[check.to]++
+			b.HealthCheckEnded(102*second, Outcome{Replica: check.to, Status: Served,
 				Report: LoadReport{Has: HasMemory, MemoryShare: 0.1}})
 			if len(rec.take("gossip")) != 1 {
-				t.Fatal("a probed report was not relayed")
+				t.Fatal("the report of a health check was not sent to the peers")
 			}
 		}
 	}
 	for _, endpoint := range fleet(20) {
 		if owners[endpoint.Replica] != 1 {
-			t.Fatalf("replica %d probed by %d gateways", endpoint.Replica, owners[endpoint.Replica])
+			t.Fatalf("replica %d was checked by %d gateways", endpoint.Replica, owners[endpoint.Replica])
 		}
 	}
 }
 
-// Health checks that gateways do not share stay a part of the requests.
+// Without gossip, the cost of health checks per request stays bounded.
 func TestHealthChecksStayWithinTheirCost(t *testing.T) {
 	s := settings()
 	s.MayHealthCheck, s.HealthCheckCost = true, 0.05
@@ -38,12 +38,12 @@
 	checks := 0
 	for now := 101 * second; now < 161*second; now += tickInterval {
 		b.runHealthChecks(now)
-		for _, p := range rec.take("health check") {
+		for _, check := range rec.take("health check") {
 			checks++
-			b.HealthCheckEnded(now, Outcome{Replica: p.to, Status: Served, Report: LoadReport{Has: HasMemory, MemoryShare: 0.1}})
+			b.HealthCheckEnded(now, Outcome{Replica: check.to, Status: Served, Report: LoadReport{Has: HasMemory, MemoryShare: 0.1}})
 		}
 	}
 	if cost := float64(checks) * s.HealthCheckCost / (10 * 60); checks == 0 || cost > 0.01 {
-		t.Fatalf("%d checks cost %v points a request", checks, cost)
+		t.Fatalf("%d health checks cost %v per request", checks, cost)
 	}
 }
--- a/balancer/interceptor_test.go
+++ b/balancer/interceptor_test.go
@@ -5,36 +5,38 @@
 	"testing"
 )
 
-// breakdownChecker is an Interceptor that checks that a pick's breakdowns make up its scores.
+// breakdownChecker is an Interceptor that checks that the components of each breakdown yield its
+// score.
 type breakdownChecker struct {
-	t *testing.T
-	n int
+	t           *testing.T
+	scoredCount int
 }
 
-func (j *breakdownChecker) Pick(_ RequestID, own ReplicaID, found bool, scored []ScoreBreakdown) (ReplicaID, bool) {
-	for _, w := range scored {
-		held := (1-w.ReportWeight)*(w.PeerLoad+w.LedgerLoad) + w.ReportWeight*(w.Reported+w.Unreported) + w.Noise
-		score := (w.Slowness*(held+w.RequestTokens) + w.PrefillCost*(w.PromptTokens-w.CachedTokens)) * w.Penalty
-		if math.Abs(score-w.Score) > 1e-9*w.Score {
-			j.t.Errorf("replica %d: the breakdown makes %.1f, its score is %.1f", w.Replica, score, w.Score)
+func (c *breakdownChecker) Pick(_ RequestID, own ReplicaID, found bool, scored []ScoreBreakdown) (ReplicaID, bool) {
+	for _, breakdown := range scored {
+		held := (1-breakdown.ReportWeight)*(breakdown.PeerLoad+breakdown.LedgerLoad) + breakdown.ReportWeight*(breakdown.Reported+breakdown.Unreported) + breakdown.Noise
+		score := (breakdown.Slowness*(held+breakdown.RequestTokens) + breakdown.PrefillCost*(breakdown.PromptTokens-breakdown.CachedTokens)) * breakdown.Penalty
+		if math.Abs(score-breakdown.Score) > 1e-9*breakdown.Score {
+			c.t.Errorf("replica %d: the components yield %.1f, the score is %.1f", breakdown.Replica, score, breakdown.Score)
 		}
-		j.n++
+		c.scoredCount++
 	}
 	return own, found
 }
 
-// What replay explains is how the score was made up, also where a report is not believed.
+// The breakdowns that replay explains yield the scores, also for idle replicas, whose reported load
+// is raised.
 func TestBreakdownAddsUpToTheScore(t *testing.T) {
 	b, _ := startBalancer(t, largeFleetSettings(), fleet(40)...)
-	j := &breakdownChecker{t: t}
-	b.SetInterceptor(j)
+	checker := &breakdownChecker{t: t}
+	b.SetInterceptor(checker)
 	b.meanHeldTokens, b.meanLoad = 1200, 9600
 	for _, row := range b.rows { // a third of them idle
 		b.HealthCheckEnded(110*second, Outcome{Replica: row.id, Status: Served, Report: reportInFlight(float64(row.id % 3 * 6))})
 	}
 	b.meanLoad = 9600
 	b.RequestArrived(110*second, testRequest(1))
-	if j.n != 40 {
-		t.Errorf("%d replicas were scored", j.n)
+	if checker.scoredCount != 40 {
+		t.Errorf("%d replicas were scored, expected 40", checker.scoredCount)
 	}
 }
--- a/balancer/introspect.go
+++ b/balancer/introspect.go
@@ -6,18 +6,20 @@
 	"slices"
 )
 
-// What owners, replay and the operators' views may look at. Nothing here changes a decision.
+// Read access for the owner of a Balancer, for replay and for operators. Nothing in this file
+// affects a decision.
 
 // Settings returns the settings in force.
 func (b *Balancer) Settings() Settings { return b.settings }
 
-// SetSink replaces the sink of all further actions.
+// SetSink sets the Sink of all further actions.
 func (b *Balancer) SetSink(sink Sink) { b.sink = sink }
 
-// InFlightRequests lists the requests that have not ended or have attempts in flight, in order.
+// InFlightRequests returns the IDs of the requests that have not ended or have attempts in
+// flight, in ascending order.
 func (b *Balancer) InFlightRequests() []RequestID { return slices.Sorted(maps.Keys(b.requests)) }
 
-// Endpoints lists the replicas of the load table, in its order, without their zone and kind.
+// Endpoints returns the replicas of the load table by ascending ID, without their zone and kind.
 func (b *Balancer) Endpoints() []Endpoint {
 	out := make([]Endpoint, len(b.rows))
 	for i, row := range b.rows {
@@ -26,7 +28,7 @@
 	return out
 }
 
-// ReportAge returns the age of a replica's last load report, and whether there is one.
+// ReportAge returns the age of a replica's last load report, and false if there is none.
 func (b *Balancer) ReportAge(now Micros, id ReplicaID) (age Micros, known bool) {
 	row := b.rowByID[id]
 	if row == nil || row.reportedAt < 0 {
@@ -35,22 +37,22 @@
 	return now - row.reportedAt, true
 }
 
-// PrefixShare is a low estimate of a prefix's share of the requests: while few were seen,
-// one sight says little.
+// PrefixShare returns a conservative estimate of the fraction of requests with a prefix, which
+// is low until many requests were counted.
 func (b *Balancer) PrefixShare(prefix uint64) float64 {
-	const few = 32.0 // requests
-	return b.prefixCounts[prefix] / (b.prefixTotal + few)
+	const priorRequests = 32.0 // assumed earlier requests without the prefix
+	return b.prefixCounts[prefix] / (b.prefixTotal + priorRequests)
 }
 
-// Stats are sizes of a Balancer's state, and what it has learned.
+// Stats are the sizes of a Balancer's state and its admission control.
 type Stats struct {
 	Rows, Requests, Sessions, Prefixes, LedgerEntries int
 	InFlightTokens                                    float64
 	TokenLimit                                        float64 // most tokens in flight; 0: no limit
-	LateShare                                         float64 // share of recent requests that came late
+	LateShare                                         float64 // fraction of recent requests that missed their latency objective
 }
 
-// Stats returns the present figures.
+// Stats returns the current figures.
 func (b *Balancer) Stats() Stats {
 	stats := Stats{
 		Rows:           len(b.rows),
@@ -67,23 +69,21 @@
 	return stats
 }
 
-// timerPurposes are the names of timers' purposes in replay's output.
+// timerPurposes are the names of timer purposes in the output of replay.
 var timerPurposes = [...]string{timerTick: "tick", timerDeadline: "deadline", timerHedge: "hedge", timerObjective: "aim"}
 
-// TimerPurpose returns the name of a timer's purpose, and its request.
+// TimerPurpose returns the name of the purpose in a timer token, and the ID of its request.
 func TimerPurpose(token uint64) (purpose string, id RequestID) {
 	return timerPurposes[token&timerPurposeMask], RequestID(token >> timerBits)
 }
 
-// InFlight is what a class or a tenant has in flight.
+// InFlight summarizes the requests in flight of a class or a tenant.
 type InFlight struct {
 	Requests int
-	// LongestTimeout is the most that a request that waits for its first token was given
-	// from its arrival.
+	// LongestTimeout is the longest TimeLeft of the requests that wait for a first token.
 	LongestTimeout Micros
 }
 
-// add counts a request.
 func (f *InFlight) add(req *request) {
 	f.Requests++
 	if !req.streaming {
@@ -91,8 +91,8 @@
 	}
 }
 
-// InFlight returns what is in flight by the classes and the tenants in force, and the
-// number of attempts in flight at each replica that takes no new work.
+// InFlight returns the requests in flight of each configured class and tenant, and the
+// number of attempts in flight at each replica that is draining or removed.
 func (b *Balancer) InFlight() (classes, tenants map[string]InFlight, draining map[ReplicaID]int) {
 	byClass, byTenant := make([]InFlight, len(b.policies)), make([]InFlight, len(b.settings.Tenants))
 	for _, req := range b.requests {
@@ -119,8 +119,8 @@
 	return classes, tenants, draining
 }
 
-// ExclusionReason says in words why a replica may not take a further attempt of a request
-// now, "" if it may. It changes nothing.
+// ExclusionReason returns the reason why a replica may not get a further attempt of a request
+// now, as text for operators; "" if it may.
 func (b *Balancer) ExclusionReason(now Micros, id RequestID, to ReplicaID) string {
 	row, req := b.rowByID[to], b.requests[id]
 	if row == nil {
@@ -144,7 +144,8 @@
 	return ""
 }
 
-// rowExclusion says why a replica takes no attempt of any request now, "" if it may.
+// rowExclusion returns the reason why a replica may not get an attempt of any request now,
+// "" if it may.
 func (b *Balancer) rowExclusion(now Micros, row *replicaRow, lastResort bool) string {
 	switch {
 	case row.state == EndpointDraining:
@@ -154,13 +155,13 @@
 	case !lastResort && now < row.backoffUntil:
 		return fmt.Sprintf("in backoff for another %.3f s after %d consecutive failures", float64(row.backoffUntil-now)/microsPerSecond, row.consecutiveFailures)
 	case !lastResort && !b.zoneEligible(now, row):
-		return "its zone is lost"
+		return "its zone is unavailable"
 	case !lastResort && b.healthCheckOverdue(now, row):
 		return "a health check is overdue"
 	case b.ListStale(now):
-		return fmt.Sprintf("no word of discovery for %.3f s", float64(b.ListAge(now))/microsPerSecond)
+		return fmt.Sprintf("the endpoint list is stale: last current %.3f s ago", float64(b.ListAge(now))/microsPerSecond)
 	case b.needsConfirmation(now, row):
-		return "the list is doubtful, and no health check has confirmed the replica"
+		return "the endpoint list is doubtful, and no health check has confirmed the replica"
 	case !lastResort && row.onTrial():
 		return "on trial after a failure, with one attempt in flight"
 	}
--- a/balancer/polling.go
+++ b/balancer/polling.go
@@ -5,28 +5,29 @@
 	"slices"
 )
 
-// Polling replicas for load reports before a request is dispatched: where many gateways
-// serve one fleet, each hears too seldom of a replica by its own requests. See
+// Polling replicas for load reports before a request is dispatched. Where many gateways
+// serve one fleet, the reports in a gateway's own answers are too old. See
 // docs/design/large-fleet.md.
 
 const (
-	// largeFleetGateways is the number of gateways above which load reports are polled.
+	// largeFleetGateways is the number of gateways above which requests poll load reports.
 	largeFleetGateways = 10
-	// shortlistSize is the number of replicas that a pick compares.
+	// shortlistSize is the number of least-loaded replicas that a pick polls and compares.
 	shortlistSize = 3
-	// pollReportAge is the age from which a load report is renewed, and pollTimeout how
-	// long a request waits for one.
-	pollReportAge, pollTimeout Micros = 400_000, 60_000
+	// pollReportAge is the age above which a load report is renewed.
+	pollReportAge Micros = 400_000
+	// pollTimeout is the longest time that a request waits for a load report.
+	pollTimeout Micros = 60_000
 )
 
-// largeFleet reports whether there are so many gateways that one hears too seldom of a
-// replica for the reports in its own answers to say how loaded it is now.
+// largeFleet reports whether there are so many gateways that each gets reports in its own
+// answers too seldom to know a replica's current load.
 func (b *Balancer) largeFleet() bool {
 	return b.settings.Gateways > largeFleetGateways && b.settings.MayHealthCheck && b.settings.ReportSource != ReportNone
 }
 
-// gatewaysPerReplica is how many gateways send to a replica: all of them, or as many as
-// have it in their subset of the fleet.
+// gatewaysPerReplica returns the number of gateways that send to a replica: all of them, or
+// the expected number that have it in their subset of the fleet.
 func (b *Balancer) gatewaysPerReplica() float64 {
 	if b.fleetSize <= b.readyCount {
 		return float64(b.settings.Gateways)
@@ -34,9 +35,9 @@
 	return math.Max(1, float64(b.settings.Gateways)*float64(b.readyCount)/float64(b.fleetSize))
 }
 
-// pollShortlist polls the replicas of the shortlist for load reports where theirs are
-// old, if the request has just arrived, and reports whether the request is to wait for
-// answers: also for those that another request has polled.
+// pollShortlist polls the replicas of the shortlist whose load reports are old, if the request
+// has just arrived, and reports whether the request must wait for answers. It also waits for
+// the answers to polls of other requests.
 func (b *Balancer) pollShortlist(now Micros, req *request) bool {
 	if !b.mayPoll {
 		return b.awaitsReports(now, req)
@@ -62,18 +63,21 @@
 	return len(req.polled) > 0
 }
 
-// needsPoll reports whether what is known of a replica is too old for a pick.
+// needsPoll reports whether a replica's load report or confirmation is too old for a pick, and
+// no health check is pending.
 func (b *Balancer) needsPoll(now Micros, row *replicaRow) bool {
 	return !row.healthCheckPending && (row.reportedAt < 0 || now-row.reportedAt > pollReportAge || b.needsConfirmation(now, row))
 }
 
-// needsConfirmation reports whether the list alone does not allow new attempts at a replica.
+// needsConfirmation reports whether a replica must pass a health check before new attempts,
+// because the list is unconfirmed.
 func (b *Balancer) needsConfirmation(now Micros, row *replicaRow) bool {
 	return b.ListUnconfirmed(now) && !b.isConfirmed(now, row)
 }
 
-// addRandomCandidate puts a random replica, or the warming one on offer, in the last place
-// of the shortlist: of a replica that no prediction favours nothing would ever be heard.
+// addRandomCandidate puts the warming replica that was drawn for the attempt, or else a random
+// replica, in the last place of the shortlist. Otherwise a replica that no prediction favours
+// would never be polled.
 func (b *Balancer) addRandomCandidate(now Micros, req *request) {
 	if row := b.offeredWarming; row != nil && b.eligible(now, row, req, false) {
 		if !b.leadsShortlist(row) {
@@ -91,13 +95,13 @@
 	}
 }
 
-// leadsShortlist reports whether a row has one of the first two places of the shortlist.
+// leadsShortlist reports whether a row is in one of the first two places of the shortlist.
 func (b *Balancer) leadsShortlist(row *replicaRow) bool {
 	return row == b.shortlist[0].row || row == b.shortlist[1].row
 }
 
-// awaitsReports reports whether a request waits for load reports of the replicas that it
-// has polled.
+// awaitsReports reports whether a request still waits for load reports of the replicas in
+// req.polled.
 func (b *Balancer) awaitsReports(now Micros, req *request) bool {
 	return b.largeFleet() && len(req.attempts) == 0 && now > req.arrivedAt && now < req.arrivedAt+pollTimeout &&
 		slices.ContainsFunc(req.polled, func(id ReplicaID) bool {
@@ -106,21 +110,21 @@
 		})
 }
 
-// healthCheckPendingSince reports whether a health check that was sent by then has no answer yet.
-func (row *replicaRow) healthCheckPendingSince(then Micros) bool {
-	return row.healthCheckPending && row.healthCheckedAt <= then
+// healthCheckPendingSince reports whether a health check that was sent at or before sentBy is pending.
+func (row *replicaRow) healthCheckPendingSince(sentBy Micros) bool {
+	return row.healthCheckPending && row.healthCheckedAt <= sentBy
 }
 
-// pollLimit is how many replicas a request may poll, and whether one of them is random:
-// all of the shortlist, one of them random. Where lists name a subset of the fleet, a
-// gateway hears of its replicas by its own requests, and polls the less the more it hears.
+// pollLimit returns how many replicas a request may poll, and whether one of them is random:
+// the whole shortlist, one of them random. Where lists name a subset of the fleet, a gateway
+// gets more reports with its own answers, and its requests poll fewer replicas.
 func (b *Balancer) pollLimit() (limit int, withRandom bool) {
-	const randomShare = 0.25 // of the requests that poll one replica
+	const randomPollFraction = 0.25 // fraction of the requests that poll one replica
 	if b.fleetSize <= b.readyCount {
 		return shortlistSize, true
 	}
 	if b.dispatchRate*b.meanLifetime/microsPerSecond < float64(b.readyCount)/4 {
 		return 2, true
 	}
-	return 1, b.offeredWarming != nil || b.random() < randomShare
+	return 1, b.offeredWarming != nil || b.random() < randomPollFraction
 }
--- a/balancer/reconfigure.go
+++ b/balancer/reconfigure.go
@@ -1,20 +1,19 @@
 package balancer
 
-// setPolicies makes the policies of new requests from the settings.
+// setPolicies creates the policies of new requests from the settings.
 func (b *Balancer) setPolicies() {
 	b.classIndex, b.tenantIndex, b.policies = map[string]int{}, map[string]int{}, nil
 	for i, class := range b.settings.Classes {
 		b.classIndex[class.Name] = i
 		b.addPolicy(class)
 	}
-	// An unknown class is treated as the most fragile one.
+	// Requests of unknown classes are treated as not idempotent.
 	b.addPolicy(Class{Idempotency: NonIdempotent, LatencyObjective: b.settings.Classes[0].LatencyObjective})
 	for i, tenant := range b.settings.Tenants {
 		b.tenantIndex[tenant.Name] = i
 	}
 }
 
-// addPolicy adds the policy of a class.
 func (b *Balancer) addPolicy(class Class) {
 	b.policies = append(b.policies, &requestPolicy{
 		Class:       class,
@@ -23,10 +22,10 @@
 	})
 }
 
-// Reconfigure puts other settings in force. Classes and tenants are matched by name, and
-// what was learned of them stays. A request in flight keeps the policy it was accepted
-// under (its class, its attempts) to its end, also if its class is gone; it counts for the
-// class of the same name. An error changes nothing.
+// Reconfigure applies new settings. Classes and tenants are matched by name, and keep their
+// statistics. A request in flight keeps the policy under which it was accepted until its end,
+// even if its class was removed; it is counted under the class of the same name. An error is
+// returned for invalid settings and for changes of fixed ones, and leaves everything unchanged.
 func (b *Balancer) Reconfigure(now Micros, settings Settings) error {
 	if err := settings.validate(); err != nil {
 		return err
@@ -47,14 +46,14 @@
 	return nil
 }
 
-// carryStats keeps what was learned of the classes that remain.
+// carryStats keeps the statistics of the classes that remain.
 func (b *Balancer) carryStats(oldClasses map[string]int) {
 	old := b.stats
 	b.stats = make([]classStats, len(b.policies))
 	b.stats[len(b.stats)-1] = old[len(old)-1]
 	for name, i := range b.classIndex {
-		if was, ok := oldClasses[name]; ok {
-			b.stats[i] = old[was]
+		if oldIndex, ok := oldClasses[name]; ok {
+			b.stats[i] = old[oldIndex]
 		}
 	}
 }
@@ -65,25 +64,25 @@
 	b.tenantRate = make([]float64, len(b.settings.Tenants))
 	b.tenantArrivals = make([]float64, len(b.settings.Tenants))
 	for name, i := range b.tenantIndex {
-		if was, ok := oldTenants[name]; ok {
-			b.tenantRate[i], b.tenantArrivals[i] = oldRate[was], oldArrivals[was]
+		if oldIndex, ok := oldTenants[name]; ok {
+			b.tenantRate[i], b.tenantArrivals[i] = oldRate[oldIndex], oldArrivals[oldIndex]
 		}
 	}
 }
 
-// newIndices maps the count indices of old to those of the same names in index, or to
-// otherwise.
-func newIndices(old, index map[string]int, count, otherwise int) []int {
+// newIndices returns, for each of the count indices in old, the index of the same name in
+// index, or fallback if there is none.
+func newIndices(old, index map[string]int, count, fallback int) []int {
 	indices := make([]int, count)
 	for name, i := range old {
-		indices[i] = indexOr(index, name, otherwise)
+		indices[i] = indexOr(index, name, fallback)
 	}
 	return indices
 }
 
-// reindexRequests follows the classes and tenants in the requests in flight. The new
-// indices are found by the old ones, so that no name is looked up for each request; a
-// class or tenant that was unknown may be known now.
+// reindexRequests updates the class and tenant indices of the requests in flight. New indices
+// are found by the old ones, without a look-up by name for each request, except for classes
+// and tenants that were unknown before.
 func (b *Balancer) reindexRequests(newClass, newTenant []int) {
 	for _, req := range b.requests {
 		if req.classIndex < len(newClass) {
@@ -99,10 +98,10 @@
 	}
 }
 
-// indexOr is the index of a name, or otherwise if it has none.
-func indexOr(index map[string]int, name string, otherwise int) int {
+// indexOr returns the index of a name, or fallback if it has none.
+func indexOr(index map[string]int, name string, fallback int) int {
 	if i, ok := index[name]; ok {
 		return i
 	}
-	return otherwise
+	return fallback
 }
--- a/balancer/reconfigure_test.go
+++ b/balancer/reconfigure_test.go
@@ -5,8 +5,8 @@
 	"testing"
 )
 
-// A request in flight keeps the policy it was accepted under; later ones have the new one; what
-// was learned of a class goes by its name.
+// A request in flight keeps its policy, and later requests get the new one. Statistics follow the
+// names of classes and tenants. Rejected settings change nothing.
 func TestReconfigure(t *testing.T) {
 	s := settings()
 	s.Classes = append(s.Classes, Class{Name: "docs", LatencyObjective: second, Deadline: 5 * second, PriorityWeight: 1, Streaming: true})
@@ -17,42 +17,42 @@
 	r.Tenant = "t2"
 	b.RequestArrived(now, r)
 	b.stats[0].streamTime, b.stats[1].streamTime, b.tenantRate[0], b.tenantRate[1] = 11, 22, 1, 2
-	next := s
-	next.Classes = []Class{{Name: "docs", LatencyObjective: second, Deadline: 5 * second, PriorityWeight: 1, Streaming: true}, {Name: "new", Deadline: second}}
-	next.Tenants = []Tenant{{Name: "t2", QuotaPerS: 3}}
-	next.MaxAttempts, next.MayHedge = 1, false
-	if err := b.Reconfigure(now, next); err != nil {
+	changed := s
+	changed.Classes = []Class{{Name: "docs", LatencyObjective: second, Deadline: 5 * second, PriorityWeight: 1, Streaming: true}, {Name: "new", Deadline: second}}
+	changed.Tenants = []Tenant{{Name: "t2", QuotaPerS: 3}}
+	changed.MaxAttempts, changed.MayHedge = 1, false
+	if err := b.Reconfigure(now, changed); err != nil {
 		t.Fatal(err)
 	}
 	if b.stats[0].streamTime != 22 || b.stats[1].streamTime != 0 || b.tenantRate[0] != 2 || len(b.tenantRate) != 1 {
-		t.Errorf("learnt: %v %v", b.stats, b.tenantRate)
+		t.Errorf("statistics after the change: %v %v", b.stats, b.tenantRate)
 	}
-	// The old request still has three attempts, by its policy.
+	// The old request keeps its policy of three attempts.
 	for n := range 3 {
 		if got := len(b.requests[1].attempts); got != n+1 {
-			t.Fatalf("%d attempts, not %d", got, n+1)
+			t.Fatalf("%d attempts, expected %d", got, n+1)
 		}
 		b.AttemptEnded(now+second/10, Outcome{ID: 1, Attempt: n, Replica: b.requests[1].attempts[n].row.id, Status: ConnectFailed})
 	}
 	if len(rec.take("shed")) != 1 {
-		t.Error("not answered once")
+		t.Error("the old request was not shed exactly once")
 	}
-	// A new one has one attempt.
+	// A new request gets one attempt.
 	r = testRequest(2)
 	r.Class = "docs"
 	b.RequestArrived(now, r)
 	b.AttemptEnded(now+second/10, Outcome{ID: 2, Replica: b.requests[2].attempts[0].row.id, Status: ConnectFailed})
 	if n := len(rec.take("shed")); n != 1 {
-		t.Errorf("answered %d times", n)
+		t.Errorf("the new request was shed %d times, expected 1", n)
 	}
-	for name, bad := range map[string]func(*Settings){
+	for name, invalidate := range map[string]func(*Settings){
 		"gateways": func(s *Settings) { s.Gateways = 9 }, "zone": func(s *Settings) { s.Zone = "z" },
 		"classes": func(s *Settings) { s.Classes = nil }, "reports": func(s *Settings) { s.ReportSource = ReportNone }} {
-		other := next
-		bad(&other)
+		invalid := changed
+		invalidate(&invalid)
 		state := b.Snapshot()
-		if err := b.Reconfigure(now, other); err == nil || !bytes.Equal(state, b.Snapshot()) {
-			t.Errorf("%s: taken, or changed by halves: %v", name, err)
+		if err := b.Reconfigure(now, invalid); err == nil || !bytes.Equal(state, b.Snapshot()) {
+			t.Errorf("%s: accepted, or the state has changed: %v", name, err)
 		}
 	}
 }
--- a/balancer/report.go
+++ b/balancer/report.go
@@ -2,17 +2,17 @@
 
 import "math"
 
-// applyReport enters a replica's own account of its load in its row.
+// applyReport enters a replica's load report in its row. An empty report is ignored.
 func (b *Balancer) applyReport(now Micros, row *replicaRow, report LoadReport) {
 	if report.Has == 0 {
 		return
 	}
 	tokens := 0.0
-	share, hasShare := report.capacityShare()
-	if hasShare {
-		b.fitMemoryRatio(row, share, report)
+	capacity, hasCapacity := report.usedCapacity()
+	if hasCapacity {
+		b.fitMemoryRatio(row, capacity, report)
 		if row.memoryPerToken > 0 {
-			tokens = share / row.memoryPerToken
+			tokens = capacity / row.memoryPerToken
 		}
 	}
 	b.learnUtilization(now, row, report)
@@ -20,7 +20,7 @@
 	if report.Has&HasService != 0 && report.ServiceMs > 0 {
 		b.recordServiceTime(now, row, report.ServiceMs)
 	}
-	if row.liveLoad > 0 && hasShare {
+	if row.liveLoad > 0 && hasCapacity {
 		ratio := tokens / row.liveLoad
 		if b.tokensPerLiveLoad == 0 {
 			b.tokensPerLiveLoad = ratio
@@ -30,9 +30,9 @@
 	b.setReportedLoad(now, row, tokens)
 }
 
-// capacityShare is the share of a replica that a report says is in use: its memory,
-// else its utilization.
-func (r *LoadReport) capacityShare() (share float64, ok bool) {
+// usedCapacity returns the fraction of a replica that is in use according to a report: its
+// memory, or else its utilization.
+func (r *LoadReport) usedCapacity() (fraction float64, ok bool) {
 	switch {
 	case r.Has&HasMemory != 0:
 		return r.MemoryShare, true
@@ -42,7 +42,7 @@
 	return 0, false
 }
 
-// learnUtilization averages what reports say of how busy replicas are.
+// learnUtilization updates the means of utilization per request and of warm replicas.
 func (b *Balancer) learnUtilization(now Micros, row *replicaRow, report LoadReport) {
 	if report.Has&HasUtilization == 0 {
 		return
@@ -55,8 +55,9 @@
 	}
 }
 
-// addBacklog adds what waits at a replica to the tokens it holds, for that is held
-// soon: prompts that wait for prefill, or requests in the queue.
+// addBacklog adds the load that waits at a replica to the tokens that it holds, since it will
+// be held soon: prompts that wait for prefill, or queued requests. A report of neither implies
+// at least the load of its requests in flight.
 func (b *Balancer) addBacklog(tokens float64, report LoadReport) float64 {
 	switch {
 	case report.Has&HasPrefillBacklog != 0:
@@ -69,7 +70,7 @@
 	return tokens
 }
 
-// applyLiveWeight takes a live weight of the endpoint list as a report of requests in flight.
+// applyLiveWeight treats a live weight of the endpoint list as a report of requests in flight.
 func (b *Balancer) applyLiveWeight(now Micros, row *replicaRow, weight float64) {
 	kind := &b.kinds[row.kind]
 	kind.idleWeight = math.Max(kind.idleWeight, weight)
@@ -80,8 +81,8 @@
 	row.liveLoad = load
 }
 
-// setReportedLoad dates a report of so many held tokens, and finds the charges that
-// are too young to be in it.
+// setReportedLoad records a report of held tokens that arrives now, and sums the charges that
+// are too recent to be in it.
 func (b *Balancer) setReportedLoad(now Micros, row *replicaRow, tokens float64) {
 	row.reportedTokens, row.reportedAt, row.unreported = tokens, now, 0
 	for _, a := range row.ledger {
@@ -91,31 +92,31 @@
 	}
 }
 
-// fitMemoryRatio fits the share of its memory that a token takes at a replica, starting
-// from the fleet's mean.
-func (b *Balancer) fitMemoryRatio(row *replicaRow, share float64, report LoadReport) {
-	if share <= 0 || b.meanHeldTokens <= 0 {
+// fitMemoryRatio fits the fraction of a replica's memory that a token takes, starting from
+// the fleet's mean.
+func (b *Balancer) fitMemoryRatio(row *replicaRow, memoryFraction float64, report LoadReport) {
+	if memoryFraction <= 0 || b.meanHeldTokens <= 0 {
 		return
 	}
 	tokens := 0.0
 	if report.Has&HasInFlight != 0 {
 		tokens = report.InFlight * b.meanHeldTokens
-	} else if b.readyCount > 0 { // own tokens in flight, times the gateways, spread evenly
+	} else if b.readyCount > 0 { // assume that all gateways send equally, and evenly to all replicas
 		tokens = b.inFlightTokens * b.gatewaysPerReplica() / float64(b.readyCount)
 	}
 	if tokens < b.meanHeldTokens/2 {
 		return
 	}
-	ratio := share / tokens
+	ratio := memoryFraction / tokens
 	if b.memoryPerToken == 0 {
 		b.memoryPerToken = ratio
 	}
 	b.memoryPerToken += learnRate * (ratio - b.memoryPerToken)
 	if report.Has&HasInFlight == 0 {
-		row.memoryPerToken = b.memoryPerToken // the report does not count this replica's requests: the fleet's mean serves
+		row.memoryPerToken = b.memoryPerToken // without a count of the replica's requests, use the fleet's mean
 		return
 	}
-	const prior = 4 // reports before a replica's own ratio outweighs the fleet's
+	const prior = 4 // weight of the fleet's ratio, in reports
 	row.memoryPerTokenSamples = math.Min(row.memoryPerTokenSamples+1, 1/learnRate)
 	if row.memoryPerToken == 0 {
 		row.memoryPerToken = b.memoryPerToken
--- a/balancer/request.go
+++ b/balancer/request.go
@@ -5,15 +5,15 @@
 	"slices"
 )
 
-// requestPolicy is what a request was accepted under. It holds for the request to
-// its end, also after a Reconfigure.
+// requestPolicy are the settings under which a request was accepted. They apply until
+// the request ends, also after a Reconfigure.
 type requestPolicy struct {
 	Class
 	maxAttempts int
 	mayHedge    bool
 }
 
-// withPriorAttempts is the policy for a request of which another gateway has made
+// withPriorAttempts returns the policy for a request of which another gateway has made
 // some attempts.
 func (p *requestPolicy) withPriorAttempts(attempts int) *requestPolicy {
 	if attempts <= 0 {
@@ -24,7 +24,7 @@
 	return &remaining
 }
 
-// request is a request from its arrival until its last attempt has ended.
+// request is the state of a request from its arrival until its last attempt has ended.
 type request struct {
 	Request
 	policy      *requestPolicy
@@ -35,46 +35,47 @@
 	attempts    []*attempt
 	inFlight    int  // attempts that have not ended
 	streaming   bool // the first token has gone to the client
-	ended       bool // it has its final answer: nothing more is sent for it
+	ended       bool // answered or abandoned: no further attempt is sent
 	hedged      bool
 	late        bool // its latency objective has passed without a first token
-	avoidZone   int  // zone of a failed connect; -1: none
+	avoidZone   int  // zone in which a connect failed; -1: none
 
-	polled       []ReplicaID // whose load reports it waits for before its first attempt
-	warmingDrawn bool        // a warming replica was drawn for its first attempt
-	drawnWarming ReplicaID   // the one that was drawn; 0: none
+	polled       []ReplicaID // replicas whose load reports it waits for before its first attempt
+	warmingDrawn bool        // the draw of a warming replica for its first attempt has taken place
+	drawnWarming ReplicaID   // the warming replica that was drawn; 0: none
 }
 
-// attempt is one dispatch of a request: an entry of a row's ledger until it ends.
+// attempt is one dispatch of a request. It is an entry of a row's ledger until it ends.
 type attempt struct {
 	row              *replicaRow
 	sentAt           Micros
 	prefillTokens    float64 // prompt tokens expected not to be in the replica's cache
-	prefillCharge    float64 // charged until the first token
-	heldTokens       float64 // charged until the end
+	prefillCharge    float64 // charged to the ledger until the first token
+	heldTokens       float64 // expected in the replica's memory; charged until the end
 	status           Status
 	ended            bool
-	newConn          bool   // it needed a new connection
+	newConn          bool   // required a new connection
 	timeToFirstToken Micros // 0: no first token yet
 }
 
-// RequestArrived accepts a request: from here it is owed one final answer.
+// RequestArrived handles the arrival of a request. Exactly one final answer follows,
+// possibly within this call. A request whose ID is in flight is ignored.
 func (b *Balancer) RequestArrived(now Micros, in Request) {
 	if b.requests[in.ID] != nil {
-		return // IDs never repeat; a second arrival is not ours to answer twice
+		return // a second answer to the same ID would violate rule 1
 	}
 	req := b.newRequest(now, in)
 	b.requests[in.ID] = req
 	b.countArrival(req)
-	// Rule 1: the answer is given two ticks before the client leaves, whatever
-	// else happens; without this timer a request whose replicas all vanish is lost.
+	// The request is answered two ticks before its client's deadline at the latest. Without
+	// this timer a request whose replicas all disappear would get no answer.
 	b.sink.SetTimer(max(1, in.TimeLeft-2*b.settings.Tick), timerToken(timerDeadline, in.ID))
 	if !b.interceptAdmit(req, b.admit(req)) {
 		b.shedOrFail(req)
 		return
 	}
 	b.dispatch(now, req)
-	if !req.ended && len(req.attempts) == 0 { // it waits for load reports, but not for long
+	if !req.ended && len(req.attempts) == 0 { // limit its wait for load reports
 		b.sink.SetTimer(pollTimeout, timerToken(timerPoll, in.ID))
 	}
 	if !req.ended {
@@ -82,7 +83,7 @@
 	}
 }
 
-// newRequest resolves the names in a request that has arrived.
+// newRequest returns the state of a request that has arrived, with its class and tenant looked up.
 func (b *Balancer) newRequest(now Micros, in Request) *request {
 	req := &request{
 		Request:     in,
@@ -96,18 +97,18 @@
 	return req
 }
 
-// classOf is the class of a request, as it was at the request's arrival.
+// classOf returns the class of a request as configured when the request arrived.
 func (b *Balancer) classOf(req *request) *Class { return &req.policy.Class }
 
-// latencyObjective is the time from a request's arrival to its first token that its
-// class asks for.
+// latencyObjective returns the time from arrival to first token that a request's class
+// sets as its objective.
 func (b *Balancer) latencyObjective(req *request) Micros {
 	class := b.classOf(req)
 	return class.LatencyObjective + class.ObjectivePer1000Tokens*int64(req.PromptTokens)/1000
 }
 
-// dispatch sends an attempt of a request to the best replica that the rules allow, and
-// reports whether it did. If there is none and no attempt is in flight, the request ends.
+// dispatch sends an attempt of a request to the best eligible replica, and reports whether
+// it did. If there is none and no attempt is in flight, the request ends.
 func (b *Balancer) dispatch(now Micros, req *request) bool {
 	if req.ended || len(req.attempts) >= req.policy.maxAttempts || now >= req.deadline-2*b.settings.Tick {
 		b.finishIfIdle(req)
@@ -139,7 +140,7 @@
 	return true
 }
 
-// resumeWaiting dispatches the requests that wait for load reports and need not wait longer.
+// resumeWaiting dispatches the requests whose wait for load reports is over.
 func (b *Balancer) resumeWaiting(now Micros) {
 	var ids []RequestID
 	for id, req := range b.requests {
@@ -149,15 +150,15 @@
 	}
 	slices.Sort(ids)
 	for _, id := range ids {
-		// One that still waits is not scored again: with many of them each answer would
-		// cost as many scans, and an overloaded gateway fell ever further behind.
+		// Requests that still wait are not scored again: each answer would cost one scan per
+		// waiting request, and an overloaded gateway would fall further behind.
 		if req := b.requests[id]; !b.awaitsReports(now, req) {
 			b.dispatch(now, req)
 		}
 	}
 }
 
-// finishIfIdle ends a request that has no attempt in flight.
+// finishIfIdle ends a request that has no attempt in flight and does not stream.
 func (b *Balancer) finishIfIdle(req *request) {
 	if req.ended || req.inFlight > 0 || req.streaming {
 		return
@@ -165,7 +166,7 @@
 	b.shedOrFail(req)
 }
 
-// shedOrFail ends a request with an overload reply if rule 2 allows one, else with a failure.
+// shedOrFail ends a request with an overload reply if its idempotency allows one, else with an error.
 func (b *Balancer) shedOrFail(req *request) {
 	if req.ended {
 		return
@@ -178,7 +179,8 @@
 	b.finish(req)
 }
 
-// mayShed applies rule 2 to overload replies: they tell the client that a repeat is harmless.
+// mayShed reports whether a request may get an overload reply. Such a reply states that a
+// repeat is harmless, so no attempt may have had an effect that a repeat would duplicate.
 func (b *Balancer) mayShed(req *request) bool {
 	class := b.classOf(req)
 	if class.Idempotency == Idempotent || (class.Idempotency == IdempotentWithKey && class.DedupScope == DedupAll) {
@@ -192,7 +194,8 @@
 	return true
 }
 
-// idempotencyAllows applies rule 2 to a further attempt of a request at a replica.
+// idempotencyAllows reports whether a replica may get a further attempt of a request: the
+// request cannot take effect twice, and no attempt is in flight unless hedges are allowed.
 func (b *Balancer) idempotencyAllows(now Micros, req *request, row *replicaRow) bool {
 	class := b.classOf(req)
 	for _, a := range req.attempts {
@@ -211,8 +214,8 @@
 	return true
 }
 
-// finish marks a request as answered and cancels its attempts in flight, except one
-// that streams to the client.
+// finish marks a request as ended and cancels its attempts in flight that have no first
+// token.
 func (b *Balancer) finish(req *request) {
 	req.ended = true
 	b.cancelOthers(req, nil)
@@ -220,24 +223,24 @@
 }
 
 // cancelOthers cancels the attempts of a request that are in flight without a first
-// token, except keep.
-func (b *Balancer) cancelOthers(req *request, keep *attempt) {
+// token, other than except. It does nothing if the settings do not allow cancellation.
+func (b *Balancer) cancelOthers(req *request, except *attempt) {
 	for i, a := range req.attempts {
-		if b.settings.MayCancel && !a.ended && a.timeToFirstToken == 0 && a != keep {
+		if b.settings.MayCancel && !a.ended && a.timeToFirstToken == 0 && a != except {
 			b.sink.Cancel(req.ID, i)
 		}
 	}
 }
 
-// dropIfDone forgets a request that has its answer once its last attempt has ended.
+// dropIfDone removes a request that has ended and has no attempt in flight.
 func (b *Balancer) dropIfDone(req *request) {
 	if req.ended && req.inFlight == 0 {
 		delete(b.requests, req.ID)
 	}
 }
 
-// attemptOf finds the request and the attempt that an outcome is about, nil if there
-// is none or the attempt has ended.
+// attemptOf returns the request and the attempt of an outcome, nil if the request or the
+// attempt is unknown or the attempt has ended.
 func (b *Balancer) attemptOf(outcome Outcome) (*request, *attempt) {
 	req := b.requests[outcome.ID]
 	if req == nil || outcome.Attempt < 0 || outcome.Attempt >= len(req.attempts) {
@@ -250,8 +253,8 @@
 	return req, a
 }
 
-// FirstToken handles the first token of an attempt: the stream belongs to the client
-// from here on.
+// FirstToken handles the first token of an attempt. The first such attempt streams to the
+// client, and the others are cancelled. Unknown and ended attempts are ignored.
 func (b *Balancer) FirstToken(now Micros, outcome Outcome) {
 	req, a := b.attemptOf(outcome)
 	if a == nil || a.timeToFirstToken > 0 {
@@ -268,7 +271,8 @@
 	}
 }
 
-// AttemptEnded handles the end of an attempt, of which there is exactly one.
+// AttemptEnded handles the end of an attempt. It must be called exactly once for each
+// dispatch; unknown and ended attempts are ignored.
 func (b *Balancer) AttemptEnded(now Micros, outcome Outcome) {
 	req, a := b.attemptOf(outcome)
 	if a == nil {
@@ -283,7 +287,7 @@
 	}
 	switch {
 	case outcome.Final:
-		b.finishFinal(req, a)
+		b.finishAnswered(req, a)
 	case req.ended || req.streaming || req.inFlight > 0:
 		b.dropIfDone(req)
 	default:
@@ -291,11 +295,11 @@
 	}
 }
 
-// finishFinal ends a request whose client has its answer, by attempt a or before.
-func (b *Balancer) finishFinal(req *request, a *attempt) {
+// finishAnswered ends a request whose client has its answer, from attempt a or an earlier one.
+func (b *Balancer) finishAnswered(req *request, a *attempt) {
 	if !req.ended {
 		if !req.streaming && a.status == Served {
-			b.recordFirstToken(req, false) // a class that does not stream: its answer is its first token
+			b.recordFirstToken(req, false) // without streaming the answer counts as the first token
 		}
 		b.cancelOthers(req, a)
 	}
@@ -303,14 +307,14 @@
 	b.dropIfDone(req)
 }
 
-// retryOrFinish goes on with a request whose last attempt in flight, a, has ended
+// retryOrFinish retries or ends a request whose last attempt in flight, a, has ended
 // without an answer.
 func (b *Balancer) retryOrFinish(now Micros, req *request, a *attempt) {
 	if a.status == ConnectFailed {
 		req.avoidZone = a.row.zone
 	}
 	switch {
-	case a.status == Rejected: // not the replica's fault, and none would accept it
+	case a.status == Rejected: // the request is invalid at every replica
 		b.sink.Fail(req.ID)
 		b.finish(req)
 	case a.status != TimedOut && b.interceptRetry(req, b.takeRetry(a.status)):
@@ -320,7 +324,8 @@
 	}
 }
 
-// ClientGone handles a client that has left: its request is owed no answer.
+// ClientGone handles the disconnection of a client. Its request ends without an answer, and
+// its attempts that have no first token yet are cancelled.
 func (b *Balancer) ClientGone(now Micros, id RequestID) {
 	if req := b.requests[id]; req != nil && !req.ended {
 		b.finish(req)
--- a/balancer/settings.go
+++ b/balancer/settings.go
@@ -8,13 +8,13 @@
 // Micros is a point in time or a duration, in microseconds.
 type Micros = int64
 
-// Idempotency says what a repeated attempt of a request does.
+// Idempotency is the effect of a repeated attempt of a request.
 type Idempotency uint8
 
 // The kinds of idempotency.
 const (
 	Idempotent        Idempotency = iota // may run any number of times
-	IdempotentWithKey                    // repeats are dropped within a DedupScope, for the class's DedupWindow
+	IdempotentWithKey                    // the replicas of a DedupScope drop repeats for the class's DedupWindow
 	NonIdempotent                        // must not run twice
 )
 
@@ -32,52 +32,52 @@
 // the names in the tags.
 type Class struct {
 	Name string
-	// LatencyObjective is the time to the first token, or to the answer of a class
-	// that does not stream, up to which a request earns its full weight.
+	// LatencyObjective is the longest time to the first token, or to the answer of a
+	// class that does not stream, with which a request earns its full PriorityWeight.
 	LatencyObjective Micros `json:"Aim"`
 	// ObjectivePer1000Tokens is added to LatencyObjective for each 1,000 prompt tokens.
 	ObjectivePer1000Tokens Micros `json:"AimPer1000"`
 	// TokenObjective is the time allowed for each streamed token.
 	TokenObjective Micros `json:"TokenAim"`
-	// Deadline is how long a client waits in all.
+	// Deadline is the longest time that a client waits for the complete answer.
 	Deadline       Micros
 	PriorityWeight float64 `json:"Worth"`
-	// LateWeightShare is the share of PriorityWeight earned between the latency
-	// objective and the deadline.
+	// LateWeightShare is the fraction of PriorityWeight that a request earns between its
+	// latency objective and its deadline.
 	LateWeightShare float64     `json:"LateWorth"`
 	Idempotency     Idempotency `json:"Effect"`
-	// DedupScope and DedupWindow matter for IdempotentWithKey alone: which replicas
-	// drop repeats, and for how long.
+	// DedupScope and DedupWindow apply to IdempotentWithKey only: the replicas that drop
+	// repeats, and for how long they do.
 	DedupScope  DedupScope `json:"Scope"`
 	DedupWindow Micros     `json:"RepeatsKept"`
 	Streaming   bool       `json:"Stream"`
 }
 
-// Tenant is a party that shares the fleet.
+// Tenant is one of the parties that share the fleet.
 type Tenant struct {
 	Name string
-	// QuotaPerS is the tenant's quota in requests a second, over all gateways.
+	// QuotaPerS is the tenant's quota in requests per second, over all gateways.
 	QuotaPerS float64
 }
 
-// ReportSource says how replicas report their load.
+// ReportSource is the way in which replicas report their load.
 type ReportSource uint8
 
-// The ways of load reports.
+// The sources of load reports.
 const (
-	ReportNone          ReportSource = iota // not at all
+	ReportNone          ReportSource = iota // no load reports
 	ReportInline                            // with each answer
 	ReportOnHealthCheck                     // with the answer to a health check
 )
 
-// WeightKind says what the Weight of an Endpoint means.
+// WeightKind is the meaning of an Endpoint's Weight.
 type WeightKind uint8
 
 // The meanings of an endpoint's weight.
 const (
-	WeightNone    WeightKind = iota
-	WeightNominal            // the registered size, exact or rough
-	WeightLive               // size / (1 + requests in flight per core), measured a while ago
+	WeightNone    WeightKind = iota // unused
+	WeightNominal                   // registered size, exact or approximate
+	WeightLive                      // size / (1 + requests in flight per core), measured some time ago
 )
 
 // Settings configure a Balancer. Reconfigure can change some of them. Captures
@@ -88,53 +88,53 @@
 	Zones, Kinds   []string
 	Classes        []Class
 	Tenants        []Tenant
-	// OverQuotaWeight multiplies the priority weight of requests over their tenant's quota.
+	// OverQuotaWeight multiplies the priority weight of requests of tenants over their quota.
 	OverQuotaWeight float64      `json:"OverShareWorth"`
 	ReportSource    ReportSource `json:"ReportVia"`
 	WeightKind      WeightKind   `json:"Weights"`
-	// PollDiscovery: discovery sends the endpoint list only when asked.
+	// PollDiscovery is set if discovery sends the endpoint list only on request.
 	PollDiscovery bool `json:"AskRegistry"`
-	// LocalDiscovery: an agent on this machine answers for discovery, at no cost.
+	// LocalDiscovery is set if an agent on this machine answers instead of discovery, so
+	// that calls cost discovery nothing.
 	LocalDiscovery bool `json:"ListsPushed"`
-	// WatchInterval is the longest time that discovery takes to answer a watch; 0: no
-	// answer means that nothing has changed.
+	// WatchInterval is the longest time that discovery takes to answer a watch; 0: discovery
+	// answers only changes, so that without an answer the list stays valid.
 	WatchInterval Micros `json:"WatchWait"`
-	// DrainGrace is how long after it counts as known that a replica drains or is gone attempts
-	// may still be sent there.
+	// DrainGrace is how long attempts may still be sent to a draining or removed replica after
+	// its change counts as known to the gateway.
 	DrainGrace Micros `json:",omitempty"`
-	// Tick is the least time between two rounds of events.
+	// Tick is the least time between two batches of events.
 	Tick Micros
 
 	MayHealthCheck bool `json:"MayProbe"`
 	MayGossip      bool `json:"MayTellPeers"`
 	MayCancel      bool
 	MayHedge       bool `json:"SecondCopies"`
-	RetryAfter     bool // overload replies carry a Retry-After
+	RetryAfter     bool // overload replies have a Retry-After
 	MaxAttempts    int
 	MaxRetryAfter  Micros
-	// HedgeRatio and RetryRatio are the hedges and retries allowed for each request;
-	// 0: the defaults.
+	// HedgeRatio is the number of hedges allowed per request; 0: the default.
 	HedgeRatio float64 `json:"HedgeShare"`
+	// RetryRatio is the number of retries allowed per request; 0: the default.
 	RetryRatio float64 `json:"RetryShare"`
 
 	// Slow start. A warming replica fails if all gateways together send it more than
-	// OverloadMultiple times its present capacity during OverloadWindow.
-	InitialCapacity  float64 `json:"StartCapacity"` // share of its capacity that a replica has at its start
+	// OverloadMultiple times its current capacity within OverloadWindow.
+	InitialCapacity  float64 `json:"StartCapacity"` // fraction of its full capacity that a replica has at its start
 	OverloadMultiple float64 `json:"FallMultiple"`
 	SlowStartFor     Micros  `json:"ColdFor"`
 	OverloadWindow   Micros  `json:"FallSpan"`
 
-	// Connections: attempts that share one, and how long an idle one stays open.
-	StreamsPerConn  int    `json:"ConnStreams"`
+	StreamsPerConn  int    `json:"ConnStreams"` // concurrent attempts on one connection
 	ConnIdleTimeout Micros `json:"ConnIdle"`
 
-	// Costs of one of each, in the unit of PriorityWeight.
-	CrossZoneCost   float64 `json:"PriceCrossZone"`
-	HandshakeCost   float64 `json:"PriceHandshake"`
-	HealthCheckCost float64 `json:"PriceProbe"`
+	// Costs in the unit of PriorityWeight.
+	CrossZoneCost   float64 `json:"PriceCrossZone"` // of an attempt in another zone
+	HandshakeCost   float64 `json:"PriceHandshake"` // of a new connection
+	HealthCheckCost float64 `json:"PriceProbe"`     // of a health check
 }
 
-// Errors of New and Reconfigure that name no value.
+// Errors of New and Reconfigure that contain no value.
 var (
 	errNoSink           = errors.New("balancer: no sink")
 	errNoClasses        = errors.New("balancer: no request classes")
@@ -145,7 +145,7 @@
 	errDiscoveryChanged = errors.New("balancer: how the module hears of the fleet cannot change")
 )
 
-// validate returns an error if no Balancer can work with the settings.
+// validate returns an error if the settings are invalid.
 func (s *Settings) validate() error {
 	switch {
 	case s.Gateways < 1 || s.Self < 0 || s.Self >= s.Gateways:
@@ -167,8 +167,8 @@
 	return nil
 }
 
-// checkUnchanged returns an error if next differs from s in a setting that is
-// fixed for the life of a Balancer.
+// checkUnchanged returns an error if next differs from s in a setting that cannot
+// change during the lifetime of a Balancer.
 func (s *Settings) checkUnchanged(next *Settings) error {
 	switch {
 	case s.Self != next.Self || s.Gateways != next.Gateways:
@@ -183,8 +183,8 @@
 	return nil
 }
 
-// prefillTimePerToken is the time that the latency objectives allow for the prefill
-// of a prompt token, in microseconds: the mean over the classes.
+// prefillTimePerToken returns the time that the latency objectives allow for the prefill
+// of a prompt token, in microseconds, as the mean over the classes.
 func (s *Settings) prefillTimePerToken() float64 {
 	sum := 0.0
 	for _, class := range s.Classes {
--- a/balancer/snapshot.go
+++ b/balancer/snapshot.go
@@ -9,27 +9,28 @@
 	"archknot/balancer/zonehealth"
 )
 
-// The errors of a state that contradicts itself.
+// Errors of an inconsistent snapshot. They are wrapped with the field and the entry.
 var (
-	errNoRingPlace   = errors.New("no such place in the session ring")
-	errNoRow         = errors.New("an attempt at no row")
-	errNoLedgerEntry = errors.New("a ledger names an attempt that does not exist")
+	errSessionRingIndex = errors.New("index outside the session ring")
+	errNoRow            = errors.New("attempt at a row that does not exist")
+	errNoLedgerEntry    = errors.New("ledger entry for an attempt or row that does not exist")
 )
 
-// Snapshot returns the complete state of b in protobuf's wire form: the message State of
-// internal/capture/capturepb. Restore with the settings and this makes a Balancer that goes
-// on exactly as b does. Equal states give equal bytes.
+// Snapshot returns the complete state of b in protobuf's wire format, as the message State of
+// internal/capture/capturepb. Restore with the same settings returns a Balancer that continues
+// exactly as b. Equal states give equal bytes.
 //
-// The settings are not in it, nor are pending timers: the sink's owner holds those.
+// The snapshot contains neither the settings nor pending timers, which the owner of the sink
+// has to keep.
 func (b *Balancer) Snapshot() []byte {
 	a := &archive{saving: true}
 	b.archive(a)
 	return a.out
 }
 
-// Restore makes a Balancer from a Snapshot and the settings that were in force. A field
-// that this build does not know is an error: a state that is understood in part would
-// decide otherwise.
+// Restore returns a Balancer with the state of a Snapshot and the settings that were in force
+// then. An unknown field is an error, since a Balancer with a part of the state would make
+// other decisions.
 func Restore(settings Settings, state []byte, sink Sink) (*Balancer, error) {
 	b, err := New(settings, 0, sink)
 	if err != nil {
@@ -46,15 +47,15 @@
 	return b, nil
 }
 
-// archive carries the state of b. Tags are fixed for ever: a new field takes a new tag. The
-// stored messages are older than some structs here, so Table and Guard each hold the fields
-// of several.
+// archive encodes or decodes the state of b. A tag must never get another meaning: a new field
+// takes a new tag. The stored messages are older than some structs here, so Table and Guard
+// each hold the fields of several.
 func (b *Balancer) archive(a *archive) {
 	a.fixed(1, &b.seed)
 	a.fixed(2, &b.rng)
 	a.each(3, len(b.stats), func(n int) {
 		if n != len(b.stats) {
-			a.fail(fmt.Errorf("%d classes, the settings have %d", n-1, len(b.stats)-1))
+			a.fail(fmt.Errorf("state has %d classes, settings have %d", n-1, len(b.stats)-1))
 		}
 	}, func(i int, entry *archive) {
 		entry.float(1, &b.stats[i].streamTime)
@@ -66,12 +67,12 @@
 	b.archiveRequests(a)
 }
 
-// archive carries the fit.
 func (f *linearFit) archive(a *archive) {
 	a.floatFields(1, &f.n, &f.x, &f.y, &f.xx, &f.xy)
 }
 
-// archiveTable carries the load table but its rows, and the prompt cache: the message Table.
+// archiveTable encodes or decodes the load table except its rows, and the prompt cache, as the
+// message Table.
 func (b *Balancer) archiveTable(a *archive) {
 	t := &b.loadTable
 	a.nameIndex(1, &t.zoneIndex)
@@ -93,49 +94,50 @@
 	integer(a, 21, &t.fleetSize)
 }
 
-// archive carries one kind.
 func (kind *kindStats) archive(a *archive) {
 	a.floatFields(1, &kind.slownessSum, &kind.slownessCount, &kind.slowness, &kind.slownessStep, &kind.idleWeight,
 		&kind.firstTokenSum, &kind.firstTokenCount, &kind.firstTokenRatio)
-	if kind.firstTokenRatio == 0 { // of a build that did not know it
+	if kind.firstTokenRatio == 0 { // the state is of a build without this field
 		kind.firstTokenRatio = 1
 	}
 }
 
-// archiveSessions carries the sessions in the order of their ring, which has each once.
+// archiveSessions encodes or decodes the sessions in the order of sessionRing, which contains
+// each session once.
 func (c *promptCache) archiveSessions(a *archive) {
-	var places []int
+	var positions []int
 	if a.saving {
 		for i, key := range c.sessionRing {
 			if key != 0 {
-				places = append(places, i)
+				positions = append(positions, i)
 			}
 		}
 	}
-	a.each(16, len(places), func(n int) { places = make([]int, n) }, func(i int, entry *archive) {
+	a.each(16, len(positions), func(n int) { positions = make([]int, n) }, func(i int, entry *archive) {
 		var key uint64
 		var s session
 		if entry.saving {
-			key = c.sessionRing[places[i]]
+			key = c.sessionRing[positions[i]]
 			s = c.sessions[key]
 		}
-		integer(entry, 1, &places[i])
+		integer(entry, 1, &positions[i])
 		entry.fixed(2, &key)
 		integer(entry, 3, &s.replica)
 		integer(entry, 4, &s.tokens)
 		if entry.saving {
 			return
 		}
-		if places[i] < 0 || places[i] >= len(c.sessionRing) {
-			entry.fail(errNoRingPlace)
+		if positions[i] < 0 || positions[i] >= len(c.sessionRing) {
+			entry.fail(errSessionRingIndex)
 			return
 		}
-		c.sessionRing[places[i]] = key
+		c.sessionRing[positions[i]] = key
 		c.sessions[key] = s
 	})
 }
 
-// archiveControl carries discovery, rates, budgets, admission and zones: the message Guard.
+// archiveControl encodes or decodes discovery, rates, budgets, admission and zones, as the
+// message Guard.
 func (b *Balancer) archiveControl(a *archive) {
 	integer(a, 1, &b.lastTickAt)
 	a.bool(2, &b.listReceived)
@@ -151,19 +153,18 @@
 	})
 	a.floats(22, &b.tenantRate)
 	a.floats(23, &b.tenantArrivals)
-	// Builds before 1.3 knew zones by failed connects in a row; those before 1.4 counted what
-	// warming replicas were sent, and those of 1.5 what they were wanted for.
+	// Fields of older builds: failed connects in a row by zone (before 1.3), work sent to
+	// warming replicas (before 1.4) and demand for warming replicas (1.5).
 	a.skip(7, 9, 24, 25, 29, 30)
 	integer(a, 31, &b.unavailableAt)
 	sortedMap(a, 26, &b.zones.Zones, archiveZone)
 	integer(a, 27, &b.lastHeardAt)
 	a.float(28, &b.meanWork)
 	if !a.saving && (len(b.tenantRate) != len(b.settings.Tenants) || len(b.tenantArrivals) != len(b.settings.Tenants)) {
-		a.fail(fmt.Errorf("%d tenants, the settings have %d", len(b.tenantRate), len(b.settings.Tenants)))
+		a.fail(fmt.Errorf("state has %d tenants, settings have %d", len(b.tenantRate), len(b.settings.Tenants)))
 	}
 }
 
-// archiveZone carries the health of one zone.
 func archiveZone(index *int, zone **zonehealth.Zone, a *archive) {
 	if !a.saving {
 		*zone = &zonehealth.Zone{}
@@ -182,18 +183,18 @@
 	integer(a, 11, &z.Misses)
 }
 
-// references are the numbers by which the stored requests name rows and policies.
+// references number the rows and policies to which stored requests refer.
 type references struct {
-	// rows are those of the table, then those that only attempts know: replicas that
-	// left the list.
+	// rows are those of the table, followed by those of removed replicas to which only
+	// attempts refer.
 	rows     []*replicaRow
 	rowIndex map[*replicaRow]int
-	// policies are those that only requests know, which are in force no more.
+	// policies are those that are no longer in force, to which only requests refer.
 	policies    []*requestPolicy
 	policyIndex map[*requestPolicy]int
 }
 
-// newReferences numbers the rows and policies of a Balancer that is saved.
+// newReferences numbers the rows and policies of a Balancer to be saved, whose requests are ids.
 func (b *Balancer) newReferences(ids []RequestID) *references {
 	refs := &references{
 		rows:        slices.Clone(b.rows),
@@ -219,9 +220,9 @@
 	return refs
 }
 
-// archiveRequests carries the rows and the requests with their attempts. Attempts name
-// their row by its number, ledgers their attempts by request and number, in the ledger's
-// order: sums of floats depend on it.
+// archiveRequests encodes or decodes the rows and the requests with their attempts. An attempt
+// refers to its row by number, and a ledger to its attempts by request and number. Ledgers keep
+// their order, because sums of floats depend on it.
 func (b *Balancer) archiveRequests(a *archive) {
 	var ids []RequestID
 	refs := &references{}
@@ -248,7 +249,7 @@
 	}
 }
 
-// archiveRows carries the rows, with whether each is in the table.
+// archiveRows encodes or decodes the rows, and for each whether it is in the table.
 func (b *Balancer) archiveRows(a *archive, refs *references) {
 	a.each(7, len(refs.rows), func(n int) {
 		refs.rows = make([]*replicaRow, n)
@@ -267,7 +268,7 @@
 	})
 }
 
-// archivePolicies carries the policies that are in force no more.
+// archivePolicies encodes or decodes the policies that are no longer in force.
 func (refs *references) archivePolicies(a *archive) {
 	a.each(10, len(refs.policies), func(n int) {
 		for range n {
@@ -276,7 +277,7 @@
 	}, func(i int, entry *archive) { refs.policies[i].archive(entry) })
 }
 
-// archiveRequest carries a request, and when loading finds its policy.
+// archiveRequest encodes or decodes a request with the reference to its policy.
 func (b *Balancer) archiveRequest(a *archive, req *request, refs *references) {
 	req.archive(a, refs)
 	policyNumber := 0 // 0: the policy in force, else from 1
@@ -300,43 +301,42 @@
 	case policyNumber == 0 && knownClass:
 		req.policy = b.policies[req.classIndex]
 	default:
-		a.fail(fmt.Errorf("request %d: no such policy", req.ID))
+		a.fail(fmt.Errorf("request %d: policy does not exist", req.ID))
 	}
 	if !knownClass || req.tenantIndex >= len(b.settings.Tenants) {
-		a.fail(fmt.Errorf("request %d: no such class or tenant", req.ID))
+		a.fail(fmt.Errorf("request %d: class or tenant does not exist", req.ID))
 	}
 }
 
-// loadRequest reads a request.
 func (b *Balancer) loadRequest(a *archive, refs *references) {
 	req := &request{}
 	b.archiveRequest(a, req, refs)
 	b.requests[req.ID] = req
 }
 
-// saveLedgers writes the entries of the rows' ledgers.
+// saveLedgers encodes the entries of the rows' ledgers.
 func (b *Balancer) saveLedgers(a *archive, ids []RequestID, refs *references) {
-	type attemptName struct {
+	type attemptRef struct {
 		id     RequestID
 		number int
 	}
-	names := map[*attempt]attemptName{}
+	attemptRefs := map[*attempt]attemptRef{}
 	for _, id := range ids {
 		for number, entry := range b.requests[id].attempts {
-			names[entry] = attemptName{id, number}
+			attemptRefs[entry] = attemptRef{id, number}
 		}
 	}
 	for rowNumber, row := range refs.rows {
 		a.each(9, len(row.ledger), nil, func(i int, entry *archive) {
-			name := names[row.ledger[i]]
+			ref := attemptRefs[row.ledger[i]]
 			integer(entry, 1, &rowNumber)
-			integer(entry, 2, &name.id)
-			integer(entry, 3, &name.number)
+			integer(entry, 2, &ref.id)
+			integer(entry, 3, &ref.number)
 		})
 	}
 }
 
-// loadLedgers reads the entries of the rows' ledgers.
+// loadLedgers decodes the entries of the rows' ledgers.
 func (b *Balancer) loadLedgers(a *archive, refs *references) {
 	a.each(9, 0, func(int) {}, func(_ int, entry *archive) {
 		var rowNumber, number int
@@ -354,7 +354,7 @@
 	})
 }
 
-// archive carries a policy: the message Terms.
+// archive encodes or decodes a policy as the message Terms.
 func (p *requestPolicy) archive(a *archive) {
 	a.string(1, &p.Name)
 	integer(a, 2, &p.LatencyObjective)
@@ -371,7 +371,7 @@
 	a.bool(13, &p.mayHedge)
 }
 
-// archive carries a row but its ledger.
+// archive encodes or decodes a row except its ledger.
 func (row *replicaRow) archive(a *archive) {
 	integer(a, 2, &row.id)
 	integer(a, 3, &row.state)
@@ -394,11 +394,12 @@
 	integer(a, 28, &row.warmingSince)
 	integer(a, 29, &row.warmingUntil)
 	integer(a, 31, &row.confirmedAt)
-	a.skip(23, 30, 32) // what a warming one was sent, in builds before 1.4, or wanted for, in those of 1.5
+	a.skip(23, 30, 32) // work sent to a warming replica (before 1.4) and demand for it (1.5)
 	row.hash = splitmix(uint64(row.id))
 }
 
-// archive carries a request but its policy.
+// archive encodes or decodes the fields of a request, except its policy and those that
+// archiveRequest handles.
 func (req *request) archive(a *archive, refs *references) {
 	integer(a, 1, &req.ID)
 	a.string(2, &req.Class)
@@ -426,7 +427,7 @@
 	}, func(i int, entry *archive) { req.attempts[i].archive(entry, refs) })
 }
 
-// archive carries an attempt.
+// archive encodes or decodes an attempt with the reference to its row.
 func (a *attempt) archive(entry *archive, refs *references) {
 	rowNumber := refs.rowIndex[a.row]
 	integer(entry, 1, &rowNumber)
--- a/balancer/snapshot_test.go
+++ b/balancer/snapshot_test.go
@@ -14,13 +14,13 @@
 	"archknot/balancer/zonehealth"
 )
 
-// A Balancer that is stored and restored every few ticks, in the midst of requests in flight and
-// hedges, acts the same as one that was not.
+// A Balancer that is stored and restored every few ticks, with requests and hedges in flight, takes
+// the same actions as one that runs through.
 func TestRestoredBalancerDecidesAlike(t *testing.T) {
 	for seed := range int64(4) {
-		n := 0
-		renew := func(b *Balancer) *Balancer {
-			n++
+		restored := 0
+		replace := func(b *Balancer) *Balancer {
+			restored++
 			state := b.Snapshot()
 			next, err := Restore(b.Settings(), state, b.sink)
 			if err != nil {
@@ -31,16 +31,16 @@
 			}
 			return next
 		}
-		if randomRun(t, seed, renew) != randomRun(t, seed, nil) {
-			t.Fatalf("seed %d: the restored one acts otherwise", seed)
+		if randomRun(t, seed, replace) != randomRun(t, seed, nil) {
+			t.Fatalf("seed %d: the restored Balancer takes other actions", seed)
 		}
-		if n < 50 {
-			t.Fatalf("restored %d times", n)
+		if restored < 50 {
+			t.Fatalf("restored %d times, expected 50 or more", restored)
 		}
 	}
 }
 
-// fullState is a Balancer in which every part of the state is in use.
+// fullState returns a Balancer in which no part of the state is empty.
 func fullState(t *testing.T) *Balancer {
 	t.Helper()
 	s := settings()
@@ -61,13 +61,13 @@
 	b.TimerFired(now+2*second, timerObjective|3<<timerBits)
 	b.AttemptEnded(now+2*second, Outcome{ID: 4, Replica: b.requests[4].attempts[0].row.id, Elapsed: second, Status: ConnectFailed})
 	b.TimerFired(now+2*second, timerTick)
-	// A replica that leaves the table while a request remembers it.
-	gone := b.requests[4].attempts[0].row
-	b.ListChanged(now+2*second, EndpointList{Kind: ListDelta, Endpoints: []Endpoint{{Replica: gone.id, State: EndpointRemoved}}})
-	if b.rowByID[gone.id] != nil && len(gone.ledger) == 0 {
-		t.Fatal("the replica did not leave")
+	// A replica that leaves the table while an attempt refers to its row.
+	removed := b.requests[4].attempts[0].row
+	b.ListChanged(now+2*second, EndpointList{Kind: ListDelta, Endpoints: []Endpoint{{Replica: removed.id, State: EndpointRemoved}}})
+	if b.rowByID[removed.id] != nil && len(removed.ledger) == 0 {
+		t.Fatal("the removed replica is still in the table")
 	}
-	// Requests accepted under policies that are in force no more.
+	// Requests accepted under policies that are no longer in force.
 	s = b.Settings()
 	s.Classes = append([]Class{{Name: "other", Deadline: second}}, s.Classes...)
 	if err := b.Reconfigure(now+2*second, s); err != nil {
@@ -83,50 +83,50 @@
 	return b
 }
 
-// derived are fields that are made anew from the settings or from others.
-var derived = map[string]bool{
+// derivedFields are fields that are computed from the settings or from other fields.
+var derivedFields = map[string]bool{
 	"Balancer.settings": true, "Balancer.sink": true, "Balancer.classIndex": true, "Balancer.tenantIndex": true,
 	"Balancer.policies": true, "Balancer.interceptor": true, "Balancer.breakdowns": true,
 	"pickState.shortlist": true, "pickState.mayPoll": true, "pickState.offeredWarming": true, "pickState.targetByKind": true,
 	"loadTable.hashes": true, "replicaRow.hash": true,
 }
 
-// fieldWalker changes each field of a Balancer's state by itself, and checks that the snapshot shows it.
+// fieldWalker changes each field of a Balancer's state in turn, and checks that the snapshot changes.
 type fieldWalker struct {
-	t     *testing.T
-	b     *Balancer
-	state []byte // the snapshot before any change
-	seen  map[uintptr]bool
-	tried int
+	t       *testing.T
+	b       *Balancer
+	state   []byte // the snapshot before any change
+	visited map[uintptr]bool
+	changes int
 }
 
-// try makes one change, checks the snapshot and takes the change back.
+// try makes one change, checks the snapshot and reverts the change.
 func (w *fieldWalker) try(path string, v reflect.Value, change func()) {
 	old := reflect.New(v.Type()).Elem()
 	old.Set(v)
 	change()
-	w.tried++
+	w.changes++
 	if bytes.Equal(w.b.Snapshot(), w.state) {
 		w.t.Errorf("%s is not in the snapshot", path)
 	}
 	v.Set(old)
 }
 
-// walk tries all fields from a value on.
+// walk tries a change of each field that is reachable from a value.
 func (w *fieldWalker) walk(path string, v reflect.Value) {
 	if v.CanAddr() {
 		v = reflect.NewAt(v.Type(), unsafe.Pointer(v.UnsafeAddr())).Elem() // unexported fields too
 	}
 	switch v.Kind() {
 	case reflect.Pointer:
-		if !v.IsNil() && !w.seen[v.Pointer()] {
-			w.seen[v.Pointer()] = true
+		if !v.IsNil() && !w.visited[v.Pointer()] {
+			w.visited[v.Pointer()] = true
 			w.walk(path, v.Elem())
 		}
 	case reflect.Struct:
 		for i := range v.NumField() {
 			name := v.Type().Name() + "." + v.Type().Field(i).Name
-			if !derived[name] {
+			if !derivedFields[name] {
 				w.walk(path+"/"+name, v.Field(i))
 			}
 		}
@@ -144,7 +144,7 @@
 	}
 }
 
-// walkMap tries a map without its first entry, or walks the entries if they are pointers.
+// walkMap tries to remove one entry of a map, or walks the entries if they are pointers.
 func (w *fieldWalker) walkMap(path string, v reflect.Value) {
 	if v.Len() == 0 {
 		w.t.Errorf("%s is empty in this test", path)
@@ -156,19 +156,19 @@
 			continue
 		}
 		w.try(fmt.Sprintf("%s[%v]", path, key), v, func() {
-			rest := reflect.MakeMap(v.Type())
+			others := reflect.MakeMap(v.Type())
 			for _, other := range v.MapKeys() {
 				if other.Interface() != key.Interface() {
-					rest.SetMapIndex(other, v.MapIndex(other))
+					others.SetMapIndex(other, v.MapIndex(other))
 				}
 			}
-			v.Set(rest)
+			v.Set(others)
 		})
 		break
 	}
 }
 
-// walkScalar tries another value.
+// walkScalar tries another value of a scalar.
 func (w *fieldWalker) walkScalar(path string, v reflect.Value) {
 	switch v.Kind() {
 	case reflect.Bool:
@@ -181,29 +181,29 @@
 		w.try(path, v, func() { v.SetInt(v.Int() + 1) })
 	case reflect.Uint8, reflect.Uint32, reflect.Uint64:
 		if strings.Contains(path, "sessionRing[") {
-			return // the ring has no place without its session; tried with the map
+			return // ring entries cannot change without their session; the map of sessions covers them
 		}
 		w.try(path, v, func() { v.SetUint(v.Uint() + 1) })
 	default:
-		w.t.Errorf("%s: a %s, which this test does not know", path, v.Kind())
+		w.t.Errorf("%s: unexpected kind %s", path, v.Kind())
 	}
 }
 
-// A field of the state that the snapshot leaves out would make a replay from a checkpoint diverge:
-// each is changed by itself, and must change the bytes.
+// A field that the snapshot omits would make replay from a checkpoint diverge. The test changes each
+// field of the state in turn, which must change the snapshot.
 func TestSnapshotHoldsEveryField(t *testing.T) {
 	b := fullState(t)
-	w := &fieldWalker{t: t, b: b, state: b.Snapshot(), seen: map[uintptr]bool{}}
-	for _, policy := range b.policies { // made anew from the settings
-		w.seen[reflect.ValueOf(policy).Pointer()] = true
+	w := &fieldWalker{t: t, b: b, state: b.Snapshot(), visited: map[uintptr]bool{}}
+	for _, policy := range b.policies { // computed from the settings
+		w.visited[reflect.ValueOf(policy).Pointer()] = true
 	}
 	w.walk("", reflect.ValueOf(b))
-	if w.tried < 250 {
-		t.Fatalf("%d fields tried", w.tried)
+	if w.changes < 250 {
+		t.Fatalf("%d changes tried, expected 250 or more", w.changes)
 	}
 }
 
-// All values come back, each in its place.
+// Restore sets every field to the value in the snapshot.
 func TestRestoreReturnsEveryField(t *testing.T) {
 	b := fullState(t)
 	got, err := Restore(b.Settings(), b.Snapshot(), b.sink)
@@ -219,13 +219,13 @@
 	}
 }
 
-// A damaged state, or one with fields of a later build, is an error and no panic.
+// Restore does not panic on damaged snapshots, and rejects unknown fields and other settings.
 func TestRestoreRejectsUnknownState(t *testing.T) {
 	b := fullState(t)
 	state := b.Snapshot()
 	for i := 0; i < len(state); i += 7 {
-		for _, bad := range [][]byte{state[:i], append(bytes.Clone(state[:i]), append([]byte{state[i] ^ 0x55}, state[i+1:]...)...)} {
-			got, err := Restore(b.Settings(), bad, b.sink)
+		for _, damaged := range [][]byte{state[:i], append(bytes.Clone(state[:i]), append([]byte{state[i] ^ 0x55}, state[i+1:]...)...)} {
+			got, err := Restore(b.Settings(), damaged, b.sink)
 			if err == nil {
 				got.Snapshot()
 			}
@@ -237,7 +237,7 @@
 	s := b.Settings()
 	s.Classes = append(s.Classes, Class{Name: "x", Deadline: 1})
 	if _, err := Restore(s, state, b.sink); err == nil {
-		t.Error("a state of other classes was taken")
+		t.Error("no error for a snapshot with other classes")
 	}
 }
 
