--- a/balancer/discovery_test.go
+++ b/balancer/discovery_test.go
@@ -40,10 +40,10 @@
 			t.Errorf("%+v: only %d have the list", c, len(notified))
 			continue
 		}
-		ninety := float64(notified[(c.gateways*9+9)/10-1]-100*second) / 1e6
-		t.Logf("%+v: nine in ten after %.1f s, all after %.1f s", c, ninety, float64(notified[len(notified)-1]-100*second)/1e6)
-		if ninety > 10 {
-			t.Errorf("%+v: nine in ten are ready after %.1f s", c, ninety)
+		nineInTenAfter := float64(notified[(c.gateways*9+9)/10-1]-100*second) / 1e6
+		t.Logf("%+v: nine in ten after %.1f s, all after %.1f s", c, nineInTenAfter, float64(notified[len(notified)-1]-100*second)/1e6)
+		if nineInTenAfter > 10 {
+			t.Errorf("%+v: nine in ten are ready after %.1f s", c, nineInTenAfter)
 		}
 	}
 }
@@ -283,11 +283,11 @@
 	const gateways = 80
 	var discovery queuedDiscovery
 	type gateway struct {
-		b        *Balancer
-		rec      *recorder
-		at       Micros // when its call ends; 0: none is open
-		ok       bool
-		notified bool
+		b          *Balancer
+		rec        *recorder
+		callEndsAt Micros // when its call ends; 0: none is open
+		ok         bool
+		notified   bool
 	}
 	var all []*gateway
 	for i := range gateways {
@@ -301,8 +301,8 @@
 	failed := 0
 	for now := Micros(0); now < 12*second; now += tickInterval {
 		for _, g := range all {
-			if g.at > 0 && now >= g.at {
-				g.at, g.notified = 0, g.ok
+			if g.callEndsAt > 0 && now >= g.callEndsAt {
+				g.callEndsAt, g.notified = 0, g.ok
 				kind := ListFull
 				if !g.ok {
 					kind = ListFailed
@@ -311,8 +311,8 @@
 				g.b.ListChanged(now, EndpointList{Kind: kind, Endpoints: fleet(2)})
 			}
 			g.b.tick(now)
-			if polled := len(g.rec.take("watch")) > 0; polled && g.at == 0 && !g.notified {
-				g.at, g.ok = discovery.call(now)
+			if polled := len(g.rec.take("watch")) > 0; polled && g.callEndsAt == 0 && !g.notified {
+				g.callEndsAt, g.ok = discovery.call(now)
 			}
 		}
 	}
