--- a/internal/gateway/accounting.go
+++ b/internal/gateway/accounting.go
@@ -28,7 +28,7 @@
 	recordedLedger   capture.ContractLedger // the ledger, or the recorder in front of it
 	fileContracts    *Contracts             // from the configuration file; nil: none
 	versionContracts []contract.Terms       // from a configuration version, in place of the file's; nil: none
-	quotaShares      quotaShares
+	quotaShares      quotaShareState
 	checkpointing    bool            // a checkpoint of balances is being written
 	errorLoggedAt    balancer.Micros // when it was last logged that this failed
 }
@@ -48,7 +48,7 @@
 
 // close ends accounting: there are no contracts any more.
 func (a *contractAccounting) close() {
-	a.ledger, a.recordedLedger, a.quotaShares = nil, nil, quotaShares{}
+	a.ledger, a.recordedLedger, a.quotaShares = nil, nil, quotaShareState{}
 	a.checkpointing, a.errorLoggedAt = false, 0
 }
 
@@ -154,7 +154,7 @@
 		return
 	}
 	accounts := a.ledger.Accounts()
-	observed := split.Observation{Interval: now - s.updatedAt, OwnInFlight: s.own, FleetInFlight: s.all}
+	observed := split.Observation{Interval: now - s.updatedAt, OwnInFlight: s.ownInFlight, FleetInFlight: s.fleetInFlight}
 	if len(s.lastCounts) != len(accounts) || s.updatedAt == 0 {
 		s.lastCounts, observed.Interval = make([]contract.Counters, len(accounts)), 0
 	}
@@ -167,30 +167,30 @@
 		})
 		*last = *current
 	}
-	s.updatedAt, s.own, s.all = now, 0, 0
+	s.updatedAt, s.ownInFlight, s.fleetInFlight = now, 0, 0
 	a.recordedLedger.SetQuotaShares(now, s.splitter.Shares(observed))
 }
 
-// quotaShares is what the gateway's shares of the contracts are computed from: its part of
+// quotaShareState is what the gateway's shares of the contracts are computed from: its part of
 // the replicas' work in flight.
-type quotaShares struct {
-	splitter   split.Strategy // nil: this is the only gateway
-	own, all   float64        // sums over the replicas' reports since the last update
-	updatedAt  balancer.Micros
-	lastCounts []contract.Counters
+type quotaShareState struct {
+	splitter                   split.Strategy // nil: this is the only gateway
+	ownInFlight, fleetInFlight float64        // sums over the replicas' reports since the last update
+	updatedAt                  balancer.Micros
+	lastCounts                 []contract.Counters
 }
 
 // reset begins a new observation with a splitter.
-func (s *quotaShares) reset(newSplitter func() split.Strategy) {
+func (s *quotaShareState) reset(newSplitter func() split.Strategy) {
 	s.splitter = nil
 	if newSplitter != nil {
 		s.splitter = newSplitter()
 	}
-	s.updatedAt, s.own, s.all = 0, 0, 0
+	s.updatedAt, s.ownInFlight, s.fleetInFlight = 0, 0, 0
 }
 
 // recordReplicaLoad adds what a replica reports as in flight, and this gateway's part of it.
-func (s *quotaShares) recordReplicaLoad(replica *endpoint.Replica, report *balancer.LoadReport) {
+func (s *quotaShareState) recordReplicaLoad(replica *endpoint.Replica, report *balancer.LoadReport) {
 	if s.splitter == nil || report.Has&balancer.HasInFlight == 0 {
 		return
 	}
@@ -199,7 +199,7 @@
 		all += report.Queued
 	}
 	own := float64(replica.InFlight())
-	s.own += own
+	s.ownInFlight += own
 	// The report may be older than this gateway's latest requests.
-	s.all += max(all, own)
+	s.fleetInFlight += max(all, own)
 }
--- a/internal/gateway/actions.go
+++ b/internal/gateway/actions.go
@@ -103,8 +103,8 @@
 	shedReasonListStale      = "list_stale"
 )
 
-// nearDeadline is how long before a request's deadline its shedding is put down to that.
-const nearDeadline balancer.Micros = 20_000
+// deadlineShedMargin is how long before a request's deadline its shedding is put down to that.
+const deadlineShedMargin balancer.Micros = 20_000
 
 // shedReason returns why the module sheds a request, for the log.
 func (l *eventLoop) shedReason(id balancer.RequestID) string {
@@ -112,7 +112,7 @@
 	switch {
 	case r == nil:
 		return ""
-	case l.now >= r.Deadline-nearDeadline:
+	case l.now >= r.Deadline-deadlineShedMargin:
 		return shedReasonDeadline
 	case l.endpoints.ReadyCount() == 0:
 		return shedReasonNoReplica
--- a/internal/gateway/attempt.go
+++ b/internal/gateway/attempt.go
@@ -18,9 +18,9 @@
 )
 
 const (
-	// silentReplicaAfter is how long a replica may answer nothing before its cached
+	// unresponsiveReplicaAfter is how long a replica may answer nothing before its cached
 	// connections are no longer trusted.
-	silentReplicaAfter = time.Second
+	unresponsiveReplicaAfter = time.Second
 	// errorReplyTimeout bounds the reading of the body of an answer that is not 200.
 	errorReplyTimeout = time.Second
 )
@@ -125,10 +125,10 @@
 
 // awaitHead waits for the head of the answer. A replica that stayed silent for
 // silentReplicaAfter loses the cached connections that were unused since the sending.
-func (x *attemptExchange) awaitHead(conn *connpool.Conn, timeoutAt time.Time) (replyHead, error) {
+func (x *attemptExchange) awaitHead(conn *connpool.Conn, timeoutAt time.Time) (responseHead, error) {
 	sent := time.Now()
 	head, err := readHead(conn, timeoutAt)
-	if err != nil && time.Since(sent) >= silentReplicaAfter {
+	if err != nil && time.Since(sent) >= unresponsiveReplicaAfter {
 		x.gateway.pool.CloseUnusedSince(x.attempt.Replica.ConnKey(), sent)
 	}
 	return head, err
@@ -136,7 +136,7 @@
 
 // readErrorReply reads an answer that is not 200, and reports whether the connection can be
 // reused.
-func (x *attemptExchange) readErrorReply(conn *connpool.Conn, head replyHead, body *httpwire.Body, result *attemptEnded) (status balancer.Status, reusable bool) {
+func (x *attemptExchange) readErrorReply(conn *connpool.Conn, head responseHead, body *httpwire.Body, result *attemptEnded) (status balancer.Status, reusable bool) {
 	result.report, result.httpStatus = httpwire.LoadReportOf(head.Header), head.StatusCode
 	conn.SetDeadline(time.Now().Add(errorReplyTimeout))
 	_, err := body.ReadAll(httpwire.MaxBodyBytes)
@@ -147,7 +147,7 @@
 
 // readStream reads the events of a 200 answer into attempt.Events, and reports whether the
 // connection can be reused.
-func (x *attemptExchange) readStream(conn *connpool.Conn, head replyHead, body *httpwire.Body, result *attemptEnded) (status balancer.Status, reusable bool) {
+func (x *attemptExchange) readStream(conn *connpool.Conn, head responseHead, body *httpwire.Body, result *attemptEnded) (status balancer.Status, reusable bool) {
 	var observer httpwire.StreamObserver
 	var firstEvent []byte // an answer that breaks within it has given the client nothing
 	for opened := false; ; {
@@ -157,7 +157,7 @@
 		if !opened {
 			firstEvent = append(firstEvent, events...)
 			events = nil
-			opened = httpwire.EndsEvent(firstEvent) || len(firstEvent) >= maxPartialEvent || ended
+			opened = httpwire.EndsEvent(firstEvent) || len(firstEvent) >= maxPartialEventBytes || ended
 			if opened {
 				events = firstEvent
 				x.gateway.loop.events <- streamOpened{x.attempt}
@@ -196,7 +196,7 @@
 
 // failureStatus returns what the failure of a connection means for the attempt; otherwise is
 // the status of a failure that is neither a cancellation, a malformed answer nor a timeout.
-func (x *attemptExchange) failureStatus(err error, otherwise balancer.Status) balancer.Status {
+func (x *attemptExchange) failureStatus(err error, fallback balancer.Status) balancer.Status {
 	switch {
 	case x.attempt.Ctx.Err() != nil:
 		return balancer.Cancelled
@@ -205,5 +205,5 @@
 	case errors.Is(err, os.ErrDeadlineExceeded):
 		return balancer.TimedOut
 	}
-	return otherwise
+	return fallback
 }
--- a/internal/gateway/attempt_test.go
+++ b/internal/gateway/attempt_test.go
@@ -94,12 +94,12 @@
 
 // Bytes after an answer are not the next request's answer.
 func TestSurplusAnswerIsDiscarded(t *testing.T) {
-	w := newFakeReplica(t, "s-1", func(c net.Conn, r *http.Request) bool {
+	replica := newFakeReplica(t, "s-1", func(c net.Conn, r *http.Request) bool {
 		id := "data: " + r.Header.Get("Req-Id") + "\n\n"
 		io.WriteString(c, streamHead+chunk(id)+lastChunk+streamHead+chunk("data: more\n\n")+lastChunk)
 		return true
 	})
-	g := startGateway(t, nil, w)
+	g := startGateway(t, nil, replica)
 	c := dial(t, g.addr)
 	for _, id := range []string{"t1", "t2", "t3"} {
 		c.sendRequest(id, "4000m")
@@ -114,7 +114,7 @@
 func TestSurplusAnswerDuringNextRequest(t *testing.T) {
 	const wrong = "data: another's\n\n"
 	second, wrote := make(chan struct{}), make(chan struct{})
-	w := newFakeReplica(t, "s-1", func(c net.Conn, r *http.Request) bool {
+	replica := newFakeReplica(t, "s-1", func(c net.Conn, r *http.Request) bool {
 		switch r.Header.Get("Req-Id") {
 		case "y1":
 			go func() {
@@ -128,7 +128,7 @@
 		}
 		return answerCompletely(c, r)
 	})
-	g := startGateway(t, func(o *Options) { o.ReplicaConnReuseDelay = time.Minute }, w)
+	g := startGateway(t, func(o *Options) { o.ReplicaConnReuseDelay = time.Minute }, replica)
 	c := dial(t, g.addr)
 	for _, id := range []string{"y1", "y2"} {
 		c.sendRequest(id, "4000m")
@@ -147,17 +147,17 @@
 // A cached connection that its replica has closed carries nothing: a request written to it
 // would be lost.
 func TestStaleConnectionIsNotUsed(t *testing.T) {
-	w := newFakeReplica(t, "s-1", func(c net.Conn, r *http.Request) bool { answerCompletely(c, r); return false })
-	g := startGateway(t, func(o *Options) { o.Settings.MaxAttempts = 1 }, w)
+	replica := newFakeReplica(t, "s-1", func(c net.Conn, r *http.Request) bool { answerCompletely(c, r); return false })
+	g := startGateway(t, func(o *Options) { o.Settings.MaxAttempts = 1 }, replica)
 	c := dial(t, g.addr)
 	for _, id := range []string{"f1", "f2", "f3"} {
 		c.sendRequest(id, "4000m")
 		if resp, _ := c.readAnswer(); resp.StatusCode != 200 {
 			t.Fatalf("%s: status %d", id, resp.StatusCode)
 		}
-		<-w.connEnded
+		<-replica.connEnded
 	}
-	if conns, n := w.counts(); conns != 3 || n != 3 {
+	if conns, n := replica.counts(); conns != 3 || n != 3 {
 		t.Errorf("%d connections, %d requests", conns, n)
 	}
 }
--- a/internal/gateway/body.go
+++ b/internal/gateway/body.go
@@ -9,8 +9,8 @@
 	"archknot/internal/httpwire"
 )
 
-// firstBodyBuffer is the size of a body's first buffer; it doubles from there.
-const firstBodyBuffer = 4 << 10
+// initialBodyBufferBytes is the size of a body's first buffer; it doubles from there.
+const initialBodyBufferBytes = 4 << 10
 
 // readBody reads a request's body within the protocol's size limit and the memory reserved
 // for bodies. The caller returns len(body) bytes with clientTracker.releaseBytes.
@@ -60,8 +60,8 @@
 
 // nextBodySize returns the size of the buffer that follows a full one. length is the
 // announced length of the body; negative: unknown.
-func nextBodySize(full int, length int64) int {
-	size := max(firstBodyBuffer, 2*full)
+func nextBodySize(currentSize int, length int64) int {
+	size := max(initialBodyBufferBytes, 2*currentSize)
 	if length >= 0 {
 		size = min(size, int(length)+1) // one byte more, to see the end
 	}
--- a/internal/gateway/clientconn.go
+++ b/internal/gateway/clientconn.go
@@ -19,8 +19,8 @@
 )
 
 const (
-	// maxQueueTime bounds how long a request may have waited in the kernel's queue.
-	maxQueueTime balancer.Micros = 10_000_000
+	// maxKernelQueueTime bounds how long a request may have waited in the kernel's queue.
+	maxKernelQueueTime balancer.Micros = 10_000_000
 	// maxMemoryRetries bounds the retries of a read that fails for want of memory, and
 	// memoryRetryPause is the pause before each.
 	maxMemoryRetries = 20
@@ -140,7 +140,7 @@
 	if err != nil {
 		return now
 	}
-	earliest := now - maxQueueTime
+	earliest := now - maxKernelQueueTime
 	if c.used { // not before the previous answer
 		earliest = max(earliest, c.idleSince)
 	}
@@ -187,12 +187,12 @@
 	}
 }
 
-// peerGone reports whether the client has closed the connection, by the kernel's state.
-func (c *clientConn) peerGone() bool { return connpool.PeerClosed(c.Conn) }
+// clientDisconnected reports whether the client has closed the connection, by the kernel's state.
+func (c *clientConn) clientDisconnected() bool { return connpool.PeerClosed(c.Conn) }
 
-// framingInDoubt reports whether the length of a request is ambiguous: nothing more is served
+// hasAmbiguousFraming reports whether the length of a request is ambiguous: nothing more is served
 // on the connection.
-func (c *clientConn) framingInDoubt() bool {
+func (c *clientConn) hasAmbiguousFraming() bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return c.framing.Ambiguity != ""
@@ -206,8 +206,8 @@
 	return c.framing.RequestStarted(c.answered + 1)
 }
 
-// requestSentAt returns when the current request's first byte arrived.
-func (c *clientConn) requestSentAt() balancer.Micros {
+// requestArrivedAt returns when the current request's first byte arrived.
+func (c *clientConn) requestArrivedAt() balancer.Micros {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if c.requestStart > 0 {
@@ -218,7 +218,7 @@
 
 // readDeadlineBase returns when the client connected, or when its further request began.
 func (c *clientConn) readDeadlineBase() time.Time {
-	at := c.requestSentAt()
+	at := c.requestArrivedAt()
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if !c.used {
--- a/internal/gateway/clientconn_test.go
+++ b/internal/gateway/clientconn_test.go
@@ -192,18 +192,18 @@
 // reset would drop it. A client that does not read is not waited for.
 func TestCloseDeliversTheAnswer(t *testing.T) {
 	events := strings.Repeat(event1, 2000)
-	w := newFakeReplica(t, "s-1", func(c net.Conn, r *http.Request) bool {
+	replica := newFakeReplica(t, "s-1", func(c net.Conn, r *http.Request) bool {
 		io.WriteString(c, streamHead)
 		for left := events; left != ""; left = left[len(event1):] {
 			io.WriteString(c, chunk(left[:len(event1)]))
 		}
 		return false // breaks
 	})
-	g := startGateway(t, nil, w)
+	g := startGateway(t, nil, replica)
 	c := dial(t, g.addr)
 	c.Conn.(*net.TCPConn).SetReadBuffer(32 << 10)
 	c.sendRequest("l1", "4000m")
-	waitUntil(t, "the attempt", func() bool { _, n := w.counts(); return n == 1 })
+	waitUntil(t, "the attempt", func() bool { _, n := replica.counts(); return n == 1 })
 	c.sendRaw("POST /v1/chat/completions HTTP/1.1\r\nHost: a\r\n") // pipelined, and left unread
 	waitUntil(t, "the close", func() bool { return g.clients.lingering.Load() == 1 })
 	got, err := io.ReadAll(c.readHead().Body)
@@ -234,8 +234,8 @@
 // Many misbehaving clients at once: each is answered or cut off, others notice nothing, no
 // replica is blamed, and connections, body memory and goroutines are back to where they were.
 func TestMisbehavingClientsLeakNothing(t *testing.T) {
-	w := newFakeReplica(t, "s-1", answerCompletely)
-	g := startGateway(t, nil, w)
+	replica := newFakeReplica(t, "s-1", answerCompletely)
+	g := startGateway(t, nil, replica)
 	c := dial(t, g.addr)
 	c.sendRequest("before", "4000m")
 	c.readAnswer()
@@ -278,7 +278,7 @@
 	waitUntil(t, "all back", func() bool {
 		return g.clients.connCount() == 1 && g.clients.bodyBytes.Load() == 0 && g.clients.inFlightCount() == 0 && runtime.NumGoroutine() <= goroutines+2
 	})
-	if _, n := w.counts(); n != 22 {
+	if _, n := replica.counts(); n != 22 {
 		t.Errorf("%d requests reached the replica, want the 22 good ones", n)
 	}
 }
--- a/internal/gateway/clientgone_test.go
+++ b/internal/gateway/clientgone_test.go
@@ -62,7 +62,7 @@
 			var begun, late atomic.Int32
 			var goneAt atomic.Int64
 			hold := make(chan struct{})
-			w := newFakeReplica(t, "s-1", func(c net.Conn, r *http.Request) bool {
+			replica := newFakeReplica(t, "s-1", func(c net.Conn, r *http.Request) bool {
 				if at := goneAt.Load(); at > 0 && time.Now().UnixNano() > at+int64(100*time.Millisecond) {
 					late.Add(1)
 				}
@@ -71,8 +71,8 @@
 				io.WriteString(c, shedReply)
 				return true
 			})
-			other := newFakeReplica(t, "s-2", w.script)
-			g := startGateway(t, nil, w, other)
+			other := newFakeReplica(t, "s-2", replica.script)
+			g := startGateway(t, nil, replica, other)
 			var all []*testClient
 			for i := range 20 {
 				c := dial(t, g.addr)
@@ -129,17 +129,17 @@
 // stream.
 func TestClientDisconnectFreesReplica(t *testing.T) {
 	for name, text := range map[string]string{"before": "", "during": streamHead + chunk(event1)} {
-		w := newFakeReplica(t, "s-1", replyWith(text, true))
-		g := startGateway(t, nil, w)
+		replica := newFakeReplica(t, "s-1", replyWith(text, true))
+		g := startGateway(t, nil, replica)
 		c := dial(t, g.addr)
 		c.sendRequest("c1", "4000m")
-		waitUntil(t, "the attempt", func() bool { _, n := w.counts(); return n == 1 })
+		waitUntil(t, "the attempt", func() bool { _, n := replica.counts(); return n == 1 })
 		if text != "" {
 			c.readHead()
 		}
 		c.Close()
 		select {
-		case <-w.closedByGateway:
+		case <-replica.closedByGateway:
 		case <-time.After(2 * time.Second):
 			t.Errorf("%s: its connection to the replica stayed open", name)
 		}
--- a/internal/gateway/clientlimits_test.go
+++ b/internal/gateway/clientlimits_test.go
@@ -11,8 +11,8 @@
 // At the limit of connections the one that is idle longest is evicted; where all are busy, the
 // new one is answered that the gateway is at capacity.
 func TestConnectionsAreBounded(t *testing.T) {
-	w := newFakeReplica(t, "s-1", replyWith(streamHead+chunk(event1), true))
-	g := startGateway(t, func(o *Options) { o.MaxClientConns = 2 }, w)
+	replica := newFakeReplica(t, "s-1", replyWith(streamHead+chunk(event1), true))
+	g := startGateway(t, func(o *Options) { o.MaxClientConns = 2 }, replica)
 	idle := dial(t, g.addr)
 	idle.sendRaw("GET /health/ready HTTP/1.1\r\nHost: a\r\n\r\n")
 	idle.readAnswer()
--- a/internal/gateway/connclose.go
+++ b/internal/gateway/connclose.go
@@ -90,7 +90,7 @@
 const (
 	rankNever       evictionRank = iota // a request is arriving or in flight
 	rankLingering                       // only its client's reading is waited for
-	rankSilent                          // nothing arrived in firstByteGrace
+	rankNoData                          // nothing arrived in firstByteGrace
 	rankIdle                            // a request was answered, none is arriving
 	rankSlowRequest                     // a request did not arrive completely in slowRequestAfter
 	rankNew                             // just connected
@@ -113,7 +113,7 @@
 	case c.used:
 		return rankIdle, idle
 	case idle > firstByteGrace:
-		return rankSilent, idle
+		return rankNoData, idle
 	}
 	return rankNew, idle
 }
--- a/internal/gateway/contracts.go
+++ b/internal/gateway/contracts.go
@@ -20,8 +20,8 @@
 	checkpointPostTimeout = 10 * time.Second
 )
 
-// errLoopNotAnswering says that the event loop did not answer within the call's time.
-var errLoopNotAnswering = errors.New("the gateway does not answer")
+// errLoopUnresponsive says that the event loop did not answer within the call's time.
+var errLoopUnresponsive = errors.New("the gateway does not answer")
 
 // Contracts are the teams' contracts and what holds for all of them.
 type Contracts struct {
@@ -117,7 +117,7 @@
 		return l.accounting.ledger.Accounts()
 	})
 	if err != nil {
-		return nil, errors.Join(errLoopNotAnswering, err)
+		return nil, errors.Join(errLoopUnresponsive, err)
 	}
 	return accounts, nil
 }
--- a/internal/gateway/contracts_test.go
+++ b/internal/gateway/contracts_test.go
@@ -42,8 +42,8 @@
 // machines; no replica gets them, and other teams are served. What counts as used is what the
 // replica reported, not the estimate.
 func TestBudgetIsEnforced(t *testing.T) {
-	w := newFakeReplica(t, "s-1", answerCompletely) // reports 200 output tokens, and 4096 of the prompt cached
-	g := startGateway(t, func(o *Options) { o.Contracts = testContracts(10_000) }, w)
+	replica := newFakeReplica(t, "s-1", answerCompletely) // reports 200 output tokens, and 4096 of the prompt cached
+	g := startGateway(t, func(o *Options) { o.Contracts = testContracts(10_000) }, replica)
 	c := dial(t, g.addr)
 	served := 0
 	var last *http.Response
@@ -63,7 +63,7 @@
 	if a := g.accounts(t)["a"]; a.Used[contract.Quarter] != 4*1224*contract.Token {
 		t.Errorf("used %d", a.Used[contract.Quarter]/contract.Token)
 	}
-	if _, n := w.counts(); n != served {
+	if _, n := replica.counts(); n != served {
 		t.Errorf("%d requests at the replica", n)
 	}
 	c.sendRequestFor("other", "b")
@@ -88,22 +88,22 @@
 		io.WriteString(c, "HTTP/1.1 500 Internal Server Error\r\nContent-Length: 0\r\n\r\n")
 		return true
 	}
-	w1, w2 := newFakeReplica(t, "s-1", bad), newFakeReplica(t, "s-2", bad)
+	replica1, replica2 := newFakeReplica(t, "s-1", bad), newFakeReplica(t, "s-2", bad)
 	for _, c := range []struct {
 		budget   int64
 		attempts int
 	}{{100_000, 3}, {9_000, 1}} {
-		g := startGateway(t, func(o *Options) { o.Contracts = testContracts(c.budget) }, w1, w2)
-		_, before1 := w1.counts()
-		_, before2 := w2.counts()
+		g := startGateway(t, func(o *Options) { o.Contracts = testContracts(c.budget) }, replica1, replica2)
+		_, before1 := replica1.counts()
+		_, before2 := replica2.counts()
 		cl := dial(t, g.addr)
 		cl.sendRequestFor("x", "a")
 		if resp, _ := cl.readAnswer(); resp.StatusCode != http.StatusServiceUnavailable {
 			t.Error(resp.Status)
 		}
 		waitUntil(t, "settled", func() bool { return g.accounts(t)["a"].Open == 0 })
-		_, n1 := w1.counts()
-		_, n2 := w2.counts()
+		_, n1 := replica1.counts()
+		_, n2 := replica2.counts()
 		if got := n1 + n2 - before1 - before2; got != c.attempts {
 			t.Errorf("budget %d: %d attempts", c.budget, got)
 		}
--- a/internal/gateway/ledger_test.go
+++ b/internal/gateway/ledger_test.go
@@ -31,8 +31,8 @@
 func TestLedgerIsRecorded(t *testing.T) {
 	dir := t.TempDir()
 	var flaky atomic.Int64
-	w1 := newFakeReplica(t, "s-1", answerCompletely)
-	w2 := newFakeReplica(t, "s-2", func(c net.Conn, r *http.Request) bool {
+	replica1 := newFakeReplica(t, "s-1", answerCompletely)
+	replica2 := newFakeReplica(t, "s-2", func(c net.Conn, r *http.Request) bool {
 		if flaky.Add(1)%2 == 0 {
 			return answerCompletely(c, r)
 		}
@@ -51,7 +51,7 @@
 		o.Capture, o.Contracts, o.Ledger = captureTo(dir), c, store
 		o.Capture.Recorder.CheckpointInterval = 3 * time.Millisecond
 		o.Capture.Writer.BlockWhenFull = true // nothing is lost on a busy machine
-	}, w1, w2)
+	}, replica1, replica2)
 	rejected := 0
 	for i := range 120 {
 		cl := dial(t, g.addr)
@@ -129,7 +129,7 @@
 // that.
 func TestBalancesSurviveRestart(t *testing.T) {
 	path := filepath.Join(t.TempDir(), "b.db")
-	w := newFakeReplica(t, "s-1", answerCompletely)
+	replica := newFakeReplica(t, "s-1", answerCompletely)
 	for _, clean := range []bool{true, false} {
 		var used, before contract.Units
 		for run := range 2 {
@@ -139,7 +139,7 @@
 			}
 			c := testContracts(1_000_000)
 			c.Settings.ReserveFraction, c.Settings.Strict = 0.01, true
-			g := startGateway(t, func(o *Options) { o.Contracts, o.Ledger = c, store }, w)
+			g := startGateway(t, func(o *Options) { o.Contracts, o.Ledger = c, store }, replica)
 			if before = g.accounts(t)["a"].Used[contract.Quarter]; run == 1 {
 				switch {
 				case clean && before != used, before < used, before > used+10_000*contract.Token+5320*contract.Token:
@@ -165,8 +165,8 @@
 	}
 }
 
-// refusalReported reports whether a gateway has rejected a version in such words.
-func refusalReported(s *controlservice.Service, words string) bool {
+// versionRejected reports whether a gateway has rejected a version in such words.
+func versionRejected(s *controlservice.Service, words string) bool {
 	for _, a := range s.Acks() {
 		if strings.Contains(a.Error, words) {
 			return true
@@ -178,13 +178,13 @@
 // A version of the streamed configuration brings contracts in place of the file's; one that
 // would reject all that a team sends is rejected.
 func TestContractsAreStreamed(t *testing.T) {
-	w := newFakeReplica(t, "s-1", answerCompletely)
+	replica := newFakeReplica(t, "s-1", answerCompletely)
 	s, err := controlservice.Start("127.0.0.1:0", nil)
 	if err != nil {
 		t.Fatal(err)
 	}
 	t.Cleanup(s.Stop)
-	g := startGateway(t, func(o *Options) { o.Contracts = testContracts(1_000_000) }, w)
+	g := startGateway(t, func(o *Options) { o.Contracts = testContracts(1_000_000) }, replica)
 	v := follow(t, "n0", s.Addr(), g)
 	cl := dial(t, g.addr)
 	publish := func(n uint64, teams ...contract.Terms) {
@@ -211,11 +211,11 @@
 	expect("spent", http.StatusTooManyRequests)
 	// Valid alone, but not as a step: below what is used.
 	publish(2, testContracts(500).Teams...)
-	waitUntil(t, "version 2 rejected", func() bool { return v.versionInForce() == 1 && refusalReported(s, "below the") })
+	waitUntil(t, "version 2 rejected", func() bool { return v.versionInForce() == 1 && versionRejected(s, "below the") })
 	bad := testContracts(7_000).Teams
 	bad[0].Rate = -1
 	publish(3, bad...)
-	waitUntil(t, "version 3 rejected", func() bool { return v.versionInForce() == 1 && refusalReported(s, "rate") })
+	waitUntil(t, "version 3 rejected", func() bool { return v.versionInForce() == 1 && versionRejected(s, "rate") })
 	publish(4, testContracts(9_000).Teams...)
 	waitUntil(t, "version 4", func() bool { return v.versionInForce() == 4 })
 	expect("more", http.StatusOK)
@@ -230,11 +230,11 @@
 // Requests in flight when the contracts are removed are not settled in a later ledger.
 func TestLedgerRenewedWithRequestsInFlight(t *testing.T) {
 	dir, release := t.TempDir(), make(chan struct{})
-	w := newFakeReplica(t, "s-1", func(c net.Conn, r *http.Request) bool {
+	replica := newFakeReplica(t, "s-1", func(c net.Conn, r *http.Request) bool {
 		<-release
 		return answerCompletely(c, r)
 	})
-	g := startGateway(t, func(o *Options) { o.Capture, o.Contracts = captureTo(dir), testContracts(100_000) }, w)
+	g := startGateway(t, func(o *Options) { o.Capture, o.Contracts = captureTo(dir), testContracts(100_000) }, replica)
 	cl := dial(t, g.addr)
 	cl.sendRequestFor("in-flight", "a")
 	waitUntil(t, "it is charged", func() bool { return g.accounts(t)["a"].Open == 1 })
--- a/internal/gateway/outcome.go
+++ b/internal/gateway/outcome.go
@@ -13,14 +13,14 @@
 type outcome string
 
 const (
-	outcomeServed           outcome = "served"            // the stream was relayed to its end
-	outcomeStreamBroken     outcome = "stream_broken"     // it broke after its first event
-	outcomeShed             outcome = "shed"              // 503, it never ran
-	outcomeContractRejected outcome = "contract_rejected" // 429, the team's contract does not allow it
-	outcomeRejected         outcome = "rejected"          // 4xx
-	outcomeFailed           outcome = "failed"            // 502
-	outcomeClientGone       outcome = "client_gone"       // the client closed its connection first
-	outcomeTakenOver        outcome = "taken_over"        // another gateway goes on with it
+	outcomeServed             outcome = "served"            // the stream was relayed to its end
+	outcomeStreamBroken       outcome = "stream_broken"     // it broke after its first event
+	outcomeShed               outcome = "shed"              // 503, it never ran
+	outcomeContractRejected   outcome = "contract_rejected" // 429, the team's contract does not allow it
+	outcomeRejected           outcome = "rejected"          // 4xx
+	outcomeFailed             outcome = "failed"            // 502
+	outcomeClientDisconnected outcome = "client_gone"       // the client closed its connection first
+	outcomeTakenOver          outcome = "taken_over"        // another gateway goes on with it
 )
 
 // requestResult describes the end of a request for the log.
--- a/internal/gateway/pooledclient.go
+++ b/internal/gateway/pooledclient.go
@@ -23,13 +23,13 @@
 	errNotConnected = errors.New("connect")
 	// errConnClosed marks a call whose new connection was closed or reset before an answer began.
 	errConnClosed = errors.New("closed without an answer")
-	// errAnswerCutOff says that an answer did not end, or not within maxShortBody of what was
+	// errResponseTruncated says that an answer did not end, or not within maxControlBodyBytes of what was
 	// read of it.
-	errAnswerCutOff = errors.New("answer cut off or too long")
+	errResponseTruncated = errors.New("answer cut off or too long")
 )
 
-// answerReader reads the body of an answer.
-type answerReader func(status int, header http.Header, body io.Reader) error
+// responseReader reads the body of an answer.
+type responseReader func(status int, header http.Header, body io.Reader) error
 
 // pooledClient makes GET calls over cached connections: to discovery, and health checks.
 type pooledClient struct {
@@ -40,7 +40,7 @@
 // get fetches a path from an address and has the answer read. key names the address's
 // connections in the pool. The call ends within the timeout. connAge is how long its connection
 // had been open when the call began.
-func (c pooledClient) get(ctx context.Context, key, addr, path string, timeout time.Duration, read answerReader) (connAge time.Duration, err error) {
+func (c pooledClient) get(ctx context.Context, key, addr, path string, timeout time.Duration, read responseReader) (connAge time.Duration, err error) {
 	ctx, stop := context.WithTimeout(ctx, timeout)
 	defer stop()
 	conn, err := c.pool.Get(ctx, key, addr)
@@ -63,12 +63,12 @@
 	}
 	deadline, _ := ctx.Deadline() // it has one
 	conn.SetDeadline(deadline)
-	reusable, err = readAnswer(conn, deadline, read)
+	reusable, err = readResponse(conn, deadline, read)
 	return connAge, err
 }
 
-// readAnswer has one answer read, and reports whether its connection can be reused.
-func readAnswer(conn *connpool.Conn, deadline time.Time, read answerReader) (reusable bool, err error) {
+// readResponse has one answer read, and reports whether its connection can be reused.
+func readResponse(conn *connpool.Conn, deadline time.Time, read responseReader) (reusable bool, err error) {
 	head, err := readHead(conn, deadline)
 	if err != nil {
 		return false, fmt.Errorf("no answer: %w", markClosed(conn, err))
@@ -78,7 +78,7 @@
 	err = read(head.StatusCode, head.Header, content)
 	complete := drainBody(content)
 	if err == nil && !complete {
-		err = errAnswerCutOff
+		err = errResponseTruncated
 	}
 	return complete && endsCleanly(conn, head, body), err
 }
--- a/internal/gateway/readhead.go
+++ b/internal/gateway/readhead.go
@@ -19,15 +19,15 @@
 	maxInformational = 8
 )
 
-// replyHead is the head of an answer. The body is not read by way of its Body, but by an
+// responseHead is the head of an answer. The body is not read by way of its Body, but by an
 // httpwire.Body on the connection.
-type replyHead struct{ *http.Response }
+type responseHead struct{ *http.Response }
 
 // readHead waits for an answer and reads its head, past 1xx answers.
-func readHead(conn *connpool.Conn, timeoutAt time.Time) (head replyHead, err error) {
+func readHead(conn *connpool.Conn, timeoutAt time.Time) (head responseHead, err error) {
 	for informational := 0; ; informational++ {
 		if _, err := conn.Reader.Peek(1); err != nil {
-			return replyHead{}, err
+			return responseHead{}, err
 		}
 		if headBy := time.Now().Add(responseHeadTimeout); headBy.Before(timeoutAt) {
 			conn.SetDeadline(headBy)
@@ -41,13 +41,13 @@
 			return head, err
 		}
 		if informational >= maxInformational {
-			return replyHead{}, fmt.Errorf("%w: over %d answers before the answer", httpwire.ErrMalformed, maxInformational)
+			return responseHead{}, fmt.Errorf("%w: over %d answers before the answer", httpwire.ErrMalformed, maxInformational)
 		}
 	}
 }
 
 // endsCleanly reports whether a connection can carry another request after this answer.
 // Bytes behind an answer would be taken for the answer to the next request.
-func endsCleanly(conn *connpool.Conn, head replyHead, body *httpwire.Body) bool {
+func endsCleanly(conn *connpool.Conn, head responseHead, body *httpwire.Body) bool {
 	return body.Delimited() && !head.Close && conn.Reader.Buffered() == 0
 }
--- a/internal/gateway/relay.go
+++ b/internal/gateway/relay.go
@@ -11,8 +11,8 @@
 const (
 	// partialEventWait is how long an incomplete event waits for its remainder.
 	partialEventWait = 50 * time.Millisecond
-	// maxPartialEvent bounds the size of an event that is buffered until it is complete.
-	maxPartialEvent = 64 << 10
+	// maxPartialEventBytes bounds the size of an event that is buffered until it is complete.
+	maxPartialEventBytes = 64 << 10
 	// clientWriteTimeout is how long a client may read nothing of what is sent to it; after
 	// that it counts as gone.
 	clientWriteTimeout = 5 * time.Second
@@ -45,7 +45,7 @@
 				flush.Reset(partialEventWait)
 			}
 			pending = append(pending, events...)
-			if !httpwire.EndsEvent(pending) && len(pending) < maxPartialEvent {
+			if !httpwire.EndsEvent(pending) && len(pending) < maxPartialEventBytes {
 				continue
 			}
 		case <-flush.C:
--- a/internal/gateway/relay_test.go
+++ b/internal/gateway/relay_test.go
@@ -17,13 +17,13 @@
 // the next request uses the same connections.
 func TestEventsAreRelayedImmediately(t *testing.T) {
 	more := make(chan struct{})
-	w := newFakeReplica(t, "s-1", func(c net.Conn, _ *http.Request) bool {
+	replica := newFakeReplica(t, "s-1", func(c net.Conn, _ *http.Request) bool {
 		io.WriteString(c, streamHead+chunk(event1))
 		<-more
 		io.WriteString(c, chunk(event2)+chunk(loadReportLine)+lastChunk)
 		return true
 	})
-	g := startGateway(t, nil, w)
+	g := startGateway(t, nil, replica)
 	c := dial(t, g.addr)
 	for _, id := range []string{"a1", "a2"} {
 		c.sendRequest(id, "4000m")
@@ -39,12 +39,12 @@
 		}
 		waitUntil(t, "the attempt's end", func() bool { return g.clients.inFlightCount() == 0 && len(g.loop.events) == 0 })
 	}
-	r := w.requests[1]
+	r := replica.requests[1]
 	if r.Method != "POST" || r.RequestURI != "/v1/chat/completions?x=1" || r.Header.Get("Req-Id") != "a2" ||
 		!strings.HasSuffix(r.Header.Get("Req-Deadline"), "u") {
 		t.Errorf("the replica got %s %s %v", r.Method, r.RequestURI, r.Header)
 	}
-	if n, _ := w.counts(); n != 1 {
+	if n, _ := replica.counts(); n != 1 {
 		t.Errorf("%d connections for two requests in turn", n)
 	}
 }
@@ -56,15 +56,15 @@
 		"breaks": replyWith(streamHead+chunk(event1), false),
 		"stalls": replyWith(streamHead+chunk(event1), true),
 	} {
-		w, other := newFakeReplica(t, "s-1", script), newFakeReplica(t, "s-2", script)
-		g := startGateway(t, func(o *Options) { o.StreamIdleTimeout = 100 * time.Millisecond }, w, other)
+		replica, other := newFakeReplica(t, "s-1", script), newFakeReplica(t, "s-2", script)
+		g := startGateway(t, func(o *Options) { o.StreamIdleTimeout = 100 * time.Millisecond }, replica, other)
 		c := dial(t, g.addr)
 		c.sendRequest("b1", "4000m")
 		got, err := io.ReadAll(c.readHead().Body)
 		if !errors.Is(err, io.ErrUnexpectedEOF) || string(got) != event1 {
 			t.Errorf("%s: read %q, %v", name, got, err)
 		}
-		_, n := w.counts()
+		_, n := replica.counts()
 		_, m := other.counts()
 		if n+m != 1 {
 			t.Errorf("%s: %d attempts", name, n+m)
--- a/internal/gateway/request.go
+++ b/internal/gateway/request.go
@@ -28,7 +28,7 @@
 func (g *Gateway) serve(w http.ResponseWriter, r *http.Request) {
 	conn := g.clients.connOf(r.Context())
 	config := g.config.Load()
-	h := requestHandler{gateway: g, conn: conn, config: config, arrivedAt: conn.requestSentAt()}
+	h := requestHandler{gateway: g, conn: conn, config: config, arrivedAt: conn.requestArrivedAt()}
 	if rejected := h.parseHead(r); rejected != nil {
 		g.reject(w, rejected)
 		return
@@ -49,10 +49,10 @@
 	defer h.lease.release()
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
-	h.enterFlight(ctx, cancel)
+	h.initInFlight(ctx, cancel)
 	defer h.recordResult(ctx)
 	g.loop.events <- requestArrived{h.inFlight, h.config, h.hasDeadline}
-	h.carryOutActions(ctx, w, r)
+	h.runActions(ctx, w, r)
 }
 
 // parseHead reads the request's head. All that it contains is checked before the body is
@@ -100,7 +100,7 @@
 // returns false, the client has been answered.
 func (h *requestHandler) admit(w http.ResponseWriter) bool {
 	g := h.gateway
-	if h.conn.framingInDoubt() { // seen in what arrived after the head
+	if h.conn.hasAmbiguousFraming() { // seen in what arrived after the head
 		g.reject(w, rejectAmbiguousFraming)
 		return false
 	}
@@ -121,13 +121,13 @@
 	return false
 }
 
-// enterFlight creates the record that the event loop and the attempts share.
-func (h *requestHandler) enterFlight(ctx context.Context, cancel context.CancelFunc) {
+// initInFlight creates the record that the event loop and the attempts share.
+func (h *requestHandler) initInFlight(ctx context.Context, cancel context.CancelFunc) {
 	maxAttempts := max(protocolMaxAttempts, h.gateway.options.Settings.MaxAttempts)
 	h.inFlight = inflight.NewRequest(ctx, h.request.ID, h.request.Request, h.arrivedAt+h.request.Timeout, maxAttempts)
-	h.inFlight.ClientClosed = h.conn.peerGone
+	h.inFlight.ClientClosed = h.conn.clientDisconnected
 	h.inFlight.Cancel = cancel
-	h.result.outcome = outcomeClientGone
+	h.result.outcome = outcomeClientDisconnected
 }
 
 // recordResult reports and logs how the request ended.
@@ -139,9 +139,9 @@
 	h.result.log(ctx, &h.request, g.clock.now()-h.arrivedAt)
 }
 
-// carryOutActions carries out the event loop's actions until the request is answered or its
+// runActions carries out the event loop's actions until the request is answered or its
 // context ends.
-func (h *requestHandler) carryOutActions(ctx context.Context, w http.ResponseWriter, r *http.Request) {
+func (h *requestHandler) runActions(ctx context.Context, w http.ResponseWriter, r *http.Request) {
 	for {
 		select {
 		case action := <-h.inFlight.Actions:
--- a/internal/gateway/request_test.go
+++ b/internal/gateway/request_test.go
@@ -11,8 +11,8 @@
 
 // A request that is not served gets a plain answer.
 func TestMalformedRequests(t *testing.T) {
-	w := newFakeReplica(t, "s-1", answerCompletely)
-	g := startGateway(t, nil, w)
+	replica := newFakeReplica(t, "s-1", answerCompletely)
+	g := startGateway(t, nil, replica)
 	big := strings.Repeat("x", httpwire.MaxBodyBytes+1)
 	for name, c := range map[string]struct {
 		text   string
@@ -41,7 +41,7 @@
 			t.Errorf("%s: %d %q, want %d %q", name, resp.StatusCode, body, c.status, c.body)
 		}
 	}
-	if _, n := w.counts(); n != 1 {
+	if _, n := replica.counts(); n != 1 {
 		t.Errorf("%d requests forwarded, want the one without a deadline of its own", n)
 	}
 	if g.clients.bodyBytes.Load() != 0 {
@@ -53,8 +53,8 @@
 // server itself does not report the length that it drops.
 func TestSmuggledRequestIsNotForwarded(t *testing.T) {
 	const head = "POST /v1/chat/completions HTTP/1.1\r\nHost: a\r\nReq-Kind: chat\r\nReq-Deadline: 4000m\r\nReq-Id: "
-	w := newFakeReplica(t, "s-1", answerCompletely)
-	g := startGateway(t, nil, w)
+	replica := newFakeReplica(t, "s-1", answerCompletely)
+	g := startGateway(t, nil, replica)
 	hidden := head + "hidden\r\nContent-Length: 0\r\n\r\n"
 	for _, text := range []string{
 		head + "1\r\nContent-Length: 3\r\nTransfer-Encoding: chunked\r\n\r\n0\r\n\r\n" + hidden,
@@ -70,7 +70,7 @@
 			t.Errorf("%q: a second answer", text)
 		}
 	}
-	if _, n := w.counts(); n != 0 {
+	if _, n := replica.counts(); n != 0 {
 		t.Errorf("%d requests forwarded", n)
 	}
 }
@@ -78,8 +78,8 @@
 // The id of a request in flight is not accepted a second time: the replica would run that
 // request twice. Afterwards it is free again.
 func TestDuplicateInFlightIDIsRejected(t *testing.T) {
-	w := newFakeReplica(t, "s-1", replyWith(streamHead+chunk(event1), true))
-	g := startGateway(t, nil, w)
+	replica := newFakeReplica(t, "s-1", replyWith(streamHead+chunk(event1), true))
+	g := startGateway(t, nil, replica)
 	first, second := dial(t, g.addr), dial(t, g.addr)
 	first.sendRequest("same", "4000m")
 	first.readHead()
@@ -87,7 +87,7 @@
 	if resp, _ := second.readAnswer(); resp.StatusCode != 409 {
 		t.Errorf("status %d", resp.StatusCode)
 	}
-	if _, n := w.counts(); n != 1 {
+	if _, n := replica.counts(); n != 1 {
 		t.Errorf("%d attempts", n)
 	}
 	first.Close()
@@ -102,13 +102,13 @@
 // A request that a replica rejects is answered at once and not retried, and the replica stays
 // in use.
 func TestRejectedRequestIsNotRetried(t *testing.T) {
-	w := newFakeReplica(t, "s-1", func(c net.Conn, r *http.Request) bool {
+	replica := newFakeReplica(t, "s-1", func(c net.Conn, r *http.Request) bool {
 		if r.Header.Get("Req-Id") == "bad" {
 			return replyWith("HTTP/1.1 400 No\r\nContent-Length: 0\r\n\r\n", true)(c, r)
 		}
 		return answerCompletely(c, r)
 	})
-	g := startGateway(t, nil, w)
+	g := startGateway(t, nil, replica)
 	c := dial(t, g.addr)
 	for i, id := range []string{"bad", "good", "bad", "good"} {
 		c.sendRequest(id, "4000m")
@@ -116,7 +116,7 @@
 		if want := map[string]int{"bad": 502, "good": 200}[id]; resp.StatusCode != want {
 			t.Errorf("%s: status %d", id, resp.StatusCode)
 		}
-		if _, n := w.counts(); n != i+1 {
+		if _, n := replica.counts(); n != i+1 {
 			t.Errorf("%s: %d attempts, want %d", id, n, i+1)
 		}
 	}
--- a/internal/gateway/server.go
+++ b/internal/gateway/server.go
@@ -43,7 +43,7 @@
 	_ = http.NewResponseController(w).SetReadDeadline(conn.readDeadlineBase().Add(requestTimeout))
 	isPost := r.Method == http.MethodPost
 	switch {
-	case conn.framingInDoubt():
+	case conn.hasAmbiguousFraming():
 		g.reject(w, rejectAmbiguousFraming)
 	case r.URL.Path == httpwire.CompletionsPath && isPost:
 		g.serve(w, r)
