--- a/internal/gateway/attempt_test.go
+++ b/internal/gateway/attempt_test.go
@@ -19,8 +19,8 @@
 
 // There is one outcome for each way in which an attempt can end, by the protocol's table.
 func TestAttemptOutcomes(t *testing.T) {
-	dead := newFakeReplica(t, "dead", neverAnswer)
-	dead.listener.Close()
+	closed := newFakeReplica(t, "dead", neverAnswer)
+	closed.listener.Close()
 	for name, c := range map[string]struct {
 		script func(net.Conn, *http.Request) bool
 		addr   string
@@ -50,7 +50,7 @@
 		"breaks in chunk": {script: replyWith(streamHead+"50\r\ndata", false), want: attemptEnded{status: balancer.ConnBroken}},
 		"no last chunk":   {script: replyWith("HTTP/1.1 200 OK\r\n\r\n"+event1, false), want: attemptEnded{status: balancer.ConnBroken}},
 		"nothing":         {script: neverAnswer, wait: 100 * time.Millisecond, want: attemptEnded{status: balancer.TimedOut}},
-		"refused":         {addr: dead.addr, want: attemptEnded{status: balancer.ConnectFailed}},
+		"refused":         {addr: closed.addr, want: attemptEnded{status: balancer.ConnectFailed}},
 		"cancelled":       {script: neverAnswer, cancel: true, want: attemptEnded{status: balancer.Cancelled}},
 	} {
 		t.Run(name, func(t *testing.T) {
@@ -62,21 +62,21 @@
 			if addr == "" {
 				addr = newFakeReplica(t, "w", c.script).addr
 			}
-			store := inflight.NewTable()
+			table := inflight.NewTable()
 			r := inflight.NewRequest(context.Background(), "o1", balancer.Request{}, 0, 3)
-			store.Add(r)
+			table.Add(r)
 			now := g.clock.now()
-			d := store.StartAttempt(r, &endpoint.Replica{Endpoint: httpwire.Endpoint{Addr: addr}}, now, now+c.wait.Microseconds())
+			attempt := table.StartAttempt(r, &endpoint.Replica{Endpoint: httpwire.Endpoint{Addr: addr}}, now, now+c.wait.Microseconds())
 			if c.cancel {
-				time.AfterFunc(50*time.Millisecond, d.Cancel)
+				time.AfterFunc(50*time.Millisecond, attempt.Cancel)
 			}
 			go func() {
-				for range d.Events {
+				for range attempt.Events {
 				}
 			}()
 			in, _ := http.NewRequest("POST", "/v1/chat/completions", nil)
 			in.RequestURI = "/v1/chat/completions"
-			go (&attemptExchange{gateway: g, request: in, body: []byte("{}"), attempt: d}).run()
+			go (&attemptExchange{gateway: g, request: in, body: []byte("{}"), attempt: attempt}).run()
 			for {
 				e, ok := (<-g.loop.events).(attemptEnded)
 				if !ok {
@@ -112,19 +112,19 @@
 // A second answer to a request that arrives after the next request was sent is not taken for
 // that one's: a connection that has just been used carries nothing for a while.
 func TestSurplusAnswerDuringNextRequest(t *testing.T) {
-	const wrong = "data: another's\n\n"
-	second, wrote := make(chan struct{}), make(chan struct{})
+	const surplusEvent = "data: another's\n\n"
+	secondArrived, surplusWritten := make(chan struct{}), make(chan struct{})
 	replica := newFakeReplica(t, "s-1", func(c net.Conn, r *http.Request) bool {
 		switch r.Header.Get("Req-Id") {
 		case "y1":
 			go func() {
-				<-second
-				io.WriteString(c, streamHead+chunk(wrong)+lastChunk)
-				close(wrote)
+				<-secondArrived
+				io.WriteString(c, streamHead+chunk(surplusEvent)+lastChunk)
+				close(surplusWritten)
 			}()
 		case "y2":
-			close(second)
-			<-wrote
+			close(secondArrived)
+			<-surplusWritten
 		}
 		return answerCompletely(c, r)
 	})
@@ -132,14 +132,14 @@
 	c := dial(t, g.addr)
 	for _, id := range []string{"y1", "y2"} {
 		c.sendRequest(id, "4000m")
-		if _, body := c.readAnswer(); !strings.Contains(body, "[DONE]") || strings.Contains(body, wrong) {
+		if _, body := c.readAnswer(); !strings.Contains(body, "[DONE]") || strings.Contains(body, surplusEvent) {
 			t.Errorf("%s: %q", id, body)
 		}
 	}
 	// A connection with unsolicited bytes is not reused, whatever the delay.
 	g.pool.SetReuseDelay(0)
 	c.sendRequest("y3", "4000m")
-	if _, body := c.readAnswer(); !strings.Contains(body, "[DONE]") || strings.Contains(body, wrong) {
+	if _, body := c.readAnswer(); !strings.Contains(body, "[DONE]") || strings.Contains(body, surplusEvent) {
 		t.Errorf("y3: %q", body)
 	}
 }
--- a/internal/gateway/clientconn_test.go
+++ b/internal/gateway/clientconn_test.go
@@ -45,15 +45,15 @@
 		n, err := c.Read(b)
 		return string(b[:n]), err
 	}
-	waiting := func(t *testing.T, c *clientConn) {
+	waitForUnread := func(t *testing.T, c *clientConn) {
 		t.Helper()
 		waitUntil(t, "bytes that wait", func() bool { return connpool.HasUnreadData(c.Conn) })
 	}
-	for name, play := range map[string]func(t *testing.T, conn *clientConn, c *testClient){
+	for name, run := range map[string]func(t *testing.T, conn *clientConn, c *testClient){
 		"bytes unread, then the end": func(t *testing.T, conn *clientConn, c *testClient) {
 			t.Helper()
 			c.sendRaw(requestFirstHalf)
-			waiting(t, conn)
+			waitForUnread(t, conn)
 			if conn.closeIfIdle(true) || conn.evict() {
 				t.Error("ended over bytes that had arrived")
 			}
@@ -77,11 +77,11 @@
 				t.Error("an idle connection does not end")
 			}
 			c.sendRaw(requestFirstHalf + requestSecondHalf)
-			waiting(t, conn)
+			waitForUnread(t, conn)
 			if got, err := read(conn); got != "" || !errors.Is(err, io.EOF) {
 				t.Errorf("read %q, %v", got, err)
 			}
-			waiting(t, conn) // still: nobody has read them
+			waitForUnread(t, conn) // still: nobody has read them
 		},
 		"a partial request, no longer waited for": func(t *testing.T, conn *clientConn, c *testClient) {
 			t.Helper()
@@ -105,7 +105,7 @@
 		"its idle timeout ends over bytes that have arrived": func(t *testing.T, conn *clientConn, c *testClient) {
 			t.Helper()
 			c.sendRaw(requestFirstHalf)
-			waiting(t, conn)
+			waitForUnread(t, conn)
 			conn.SetReadDeadline(time.Unix(1, 0))
 			if got, err := read(conn); got != requestFirstHalf || err != nil {
 				t.Errorf("read %q, %v", got, err)
@@ -123,7 +123,7 @@
 				t.Errorf("read %q, %v", got, err)
 			}
 			c.sendRaw(requestFirstHalf)
-			waiting(t, conn)
+			waitForUnread(t, conn)
 			conn.SetReadDeadline(time.Time{})
 			if got, err := read(conn); got != "" || !errors.Is(err, io.EOF) {
 				t.Errorf("read %q, %v", got, err)
@@ -164,7 +164,7 @@
 	} {
 		t.Run(name, func(t *testing.T) {
 			conn, c := acceptedConn(t)
-			play(t, conn, c)
+			run(t, conn, c)
 		})
 	}
 }
@@ -253,19 +253,19 @@
 		"two at once, gone":  strings.Repeat(requestFirstHalf+"Req-Kind: none\r\nContent-Length: 0\r\n\r\n", 2),
 		"complete, bytewise": requestFirstHalf + requestSecondHalf,
 	} {
-		bad := dial(t, g.addr)
+		client := dial(t, g.addr)
 		group.Go(func() {
 			if strings.HasPrefix(name, "complete") {
 				for i := range len(text) {
-					io.WriteString(bad, text[i:i+1])
+					io.WriteString(client, text[i:i+1])
 				}
-				if resp, err := http.ReadResponse(bad.reader, nil); err != nil || resp.StatusCode != 200 {
+				if resp, err := http.ReadResponse(client.reader, nil); err != nil || resp.StatusCode != 200 {
 					t.Errorf("%s: %v, %v", name, resp, err)
 				}
 			} else {
-				io.WriteString(bad, text) // may be cut off
+				io.WriteString(client, text) // may be cut off
 			}
-			bad.Close()
+			client.Close()
 		})
 	}
 	for i := range 20 {
--- a/internal/gateway/clientgone_test.go
+++ b/internal/gateway/clientgone_test.go
@@ -34,22 +34,22 @@
 		"resets":             {func(c *net.TCPConn) { c.SetLinger(0); c.Close() }, true},
 		"sends more, closes": {func(c *net.TCPConn) { io.WriteString(c, "GET /"); c.Close() }, true},
 	} {
-		there, err := net.Dial("tcp", l.Addr().String())
+		client, err := net.Dial("tcp", l.Addr().String())
 		if err != nil {
 			t.Fatal(err)
 		}
-		here, err := l.Accept()
+		accepted, err := l.Accept()
 		if err != nil {
 			t.Fatal(err)
 		}
-		c.end(there.(*net.TCPConn))
+		c.end(client.(*net.TCPConn))
 		if c.gone {
-			waitUntil(t, name+": seen to be gone", func() bool { return connpool.PeerClosed(here) })
-		} else if time.Sleep(20 * time.Millisecond); connpool.PeerClosed(here) {
+			waitUntil(t, name+": seen to be gone", func() bool { return connpool.PeerClosed(accepted) })
+		} else if time.Sleep(20 * time.Millisecond); connpool.PeerClosed(accepted) {
 			t.Errorf("%s: taken for gone", name)
 		}
-		here.Close()
-		there.Close()
+		accepted.Close()
+		client.Close()
 	}
 }
 
@@ -61,26 +61,26 @@
 		t.Run(name, func(t *testing.T) {
 			var begun, late atomic.Int32
 			var goneAt atomic.Int64
-			hold := make(chan struct{})
+			releaseFirst := make(chan struct{})
 			replica := newFakeReplica(t, "s-1", func(c net.Conn, r *http.Request) bool {
 				if at := goneAt.Load(); at > 0 && time.Now().UnixNano() > at+int64(100*time.Millisecond) {
 					late.Add(1)
 				}
 				begun.Add(1)
-				<-hold // the first attempt: shed after its client has gone, which calls for a retry
+				<-releaseFirst // the first attempt: shed after its client has gone, which calls for a retry
 				io.WriteString(c, shedReply)
 				return true
 			})
 			other := newFakeReplica(t, "s-2", replica.script)
 			g := startGateway(t, nil, replica, other)
-			var all []*testClient
+			var clients []*testClient
 			for i := range 20 {
 				c := dial(t, g.addr)
 				c.sendRequest("gone"+name[:1]+string(rune('a'+i)), "4000m")
-				all = append(all, c)
+				clients = append(clients, c)
 			}
 			waitUntil(t, "attempts", func() bool { return begun.Load() == 20 })
-			for _, c := range all {
+			for _, c := range clients {
 				if more != "" {
 					c.sendRaw(more)
 				}
@@ -88,7 +88,7 @@
 			}
 			goneAt.Store(time.Now().UnixNano())
 			time.Sleep(150 * time.Millisecond) // the clock of the rule: what begins now is late
-			close(hold)
+			close(releaseFirst)
 			waitUntil(t, "nothing in flight", func() bool { return g.clients.inFlightCount() == 0 && len(g.loop.events) == 0 || late.Load() > 0 })
 			if n := late.Load(); n > 0 {
 				t.Errorf("%d attempts begun for clients that had gone", n)
@@ -102,16 +102,16 @@
 func TestNothingIsWrittenAfterLateConnect(t *testing.T) {
 	l := listenOnLoopback(t)
 	g := newTestGateway(t, testOptions())
-	store := inflight.NewTable()
-	ctx, end := context.WithCancel(t.Context())
+	table := inflight.NewTable()
+	ctx, cancel := context.WithCancel(t.Context())
 	r := inflight.NewRequest(ctx, "late", balancer.Request{}, 0, 3)
-	r.ClientClosed, r.Cancel = func() bool { return true }, end // the kernel knows, the HTTP server does not
-	store.Add(r)
+	r.ClientClosed, r.Cancel = func() bool { return true }, cancel // the kernel knows, the HTTP server does not
+	table.Add(r)
 	now := g.clock.now()
-	d := store.StartAttempt(r, &endpoint.Replica{}, now, now+1e6)
-	d.Replica.Addr = l.Addr().String()
+	attempt := table.StartAttempt(r, &endpoint.Replica{}, now, now+1e6)
+	attempt.Replica.Addr = l.Addr().String()
 	in, _ := http.NewRequest("POST", "/v1/chat/completions", nil)
-	go (&attemptExchange{gateway: g, request: in, body: []byte("{}"), attempt: d}).run()
+	go (&attemptExchange{gateway: g, request: in, body: []byte("{}"), attempt: attempt}).run()
 	if e := (<-g.loop.events).(attemptEnded); e.status != balancer.Cancelled {
 		t.Errorf("status %v", e.status)
 	}
@@ -173,11 +173,11 @@
 	l.now = g.clock.now()
 	l.loadCachedList(httpwire.EndpointList{Endpoints: []httpwire.Endpoint{{ID: "s-1", Addr: "127.0.0.1:1", Zone: "a", Kind: "k", Lifecycle: "ready"},
 		{ID: "s-2", Addr: "127.0.0.1:2", Zone: "a", Kind: "k", Lifecycle: "ready"}}})
-	ctx, leave := context.WithCancel(t.Context())
+	ctx, cancel := context.WithCancel(t.Context())
 	r := inflight.NewRequest(ctx, "g1", balancer.Request{Class: "chat"}, l.now+4e6, 3)
 	requestArrived{r, g.config.Load(), true}.apply(l)
 	attempt := (<-r.Actions).Attempt
-	leave()
+	cancel()
 	attemptEnded{attempt: attempt, status: balancer.Cancelled}.apply(l)
 	if len(r.Actions) > 0 || len(r.Attempts) != 1 {
 		t.Errorf("%d attempts, %d actions for a client that has gone", len(r.Attempts), len(r.Actions))
--- a/internal/gateway/contracts_test.go
+++ b/internal/gateway/contracts_test.go
@@ -84,11 +84,11 @@
 // Each attempt is charged to the team that it is sent for: one that never ran costs nothing,
 // one that may have run its estimate; one that the budget does not allow is not sent.
 func TestAttemptsAreCharged(t *testing.T) {
-	bad := func(c net.Conn, r *http.Request) bool {
+	replyError := func(c net.Conn, r *http.Request) bool {
 		io.WriteString(c, "HTTP/1.1 500 Internal Server Error\r\nContent-Length: 0\r\n\r\n")
 		return true
 	}
-	replica1, replica2 := newFakeReplica(t, "s-1", bad), newFakeReplica(t, "s-2", bad)
+	replica1, replica2 := newFakeReplica(t, "s-1", replyError), newFakeReplica(t, "s-2", replyError)
 	for _, c := range []struct {
 		budget   int64
 		attempts int
@@ -112,8 +112,8 @@
 			t.Errorf("budget %d: used %d", c.budget, a.Used[contract.Quarter]/contract.Token)
 		}
 	}
-	declines := newFakeReplica(t, "s-3", replyWith(shedReply, true))
-	g := startGateway(t, func(o *Options) { o.Contracts = testContracts(100_000) }, declines)
+	sheds := newFakeReplica(t, "s-3", replyWith(shedReply, true))
+	g := startGateway(t, func(o *Options) { o.Contracts = testContracts(100_000) }, sheds)
 	cl := dial(t, g.addr)
 	cl.sendRequestFor("y", "a")
 	cl.readAnswer()
--- a/internal/gateway/deadline_test.go
+++ b/internal/gateway/deadline_test.go
@@ -19,13 +19,13 @@
 // past the client's deadline.
 func TestRetriesCarryRemainingDeadline(t *testing.T) {
 	const (
-		wait  = 2 * time.Second
-		holds = 400 * time.Millisecond
-		slack = 150 * time.Millisecond
+		timeout   = 2 * time.Second
+		shedDelay = 400 * time.Millisecond
+		slack     = 150 * time.Millisecond
 	)
 	type attempt struct {
-		announced time.Duration
-		at        time.Time
+		timeout time.Duration
+		at      time.Time
 	}
 	var mu sync.Mutex
 	var attempts []attempt
@@ -39,7 +39,7 @@
 		if !first {
 			return answerCompletely(c, r)
 		}
-		<-time.After(holds) // what a slow shedding takes
+		<-time.After(shedDelay) // what a slow shedding takes
 		io.WriteString(c, shedReply)
 		return true
 	}
@@ -56,8 +56,8 @@
 		t.Fatalf("%d attempts", len(attempts))
 	}
 	for i, a := range attempts {
-		if left := wait - a.at.Sub(sent); a.announced > left+slack || a.announced < left/2 {
-			t.Errorf("attempt %d announced %v, the client has %v left", i+1, a.announced, left)
+		if left := timeout - a.at.Sub(sent); a.timeout > left+slack || a.timeout < left/2 {
+			t.Errorf("attempt %d announced %v, the client has %v left", i+1, a.timeout, left)
 		}
 	}
 }
@@ -66,15 +66,15 @@
 // gets one final answer by its deadline: the protocol's half second past it is not needed.
 func TestFaultsLeaveNoRequestUnanswered(t *testing.T) {
 	const (
-		requests = 40
-		wait     = time.Second
-		late     = 500 * time.Millisecond
+		requests   = 40
+		timeout    = time.Second
+		maxOverrun = 500 * time.Millisecond
 	)
-	var turn atomic.Int64
+	var faultCount atomic.Int64
 	faults := []func(net.Conn, *http.Request) bool{replyWith("", false), neverAnswer, replyWith("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\nzz\r\n", true),
 		replyWith("HTTP/1.1 500 Oops\r\nContent-Length: 0\r\n\r\n", true), replyWith(shedReply, true), replyWith("HTTP/1.1 200 OK\r\nConte", false)}
 	fault := func(c net.Conn, r *http.Request) bool {
-		return faults[int(turn.Add(1))%len(faults)](c, r)
+		return faults[int(faultCount.Add(1))%len(faults)](c, r)
 	}
 	var replicas []*fakeReplica
 	for i := range 6 {
@@ -82,9 +82,9 @@
 	}
 	g := startGateway(t, func(o *Options) { o.MaxClientConns = 400 }, replicas...) // the limit of connections has its own test
 	stop := make(chan struct{})
-	var others sync.WaitGroup
+	var otherClients sync.WaitGroup
 	for i := range 4 { // other clients: partial requests, noise, sent and gone
-		others.Go(func() {
+		otherClients.Go(func() {
 			for n := 0; ; n++ {
 				select {
 				case <-stop:
@@ -112,13 +112,13 @@
 				return
 			}
 			_, _ = io.Copy(io.Discard, resp.Body)
-			if took := time.Since(begun); took > wait+late || resp.StatusCode == http.StatusOK {
+			if took := time.Since(begun); took > timeout+maxOverrun || resp.StatusCode == http.StatusOK {
 				t.Errorf("request %d: status %d after %v", i, resp.StatusCode, took)
 			}
 		})
 	}
 	all.Wait()
 	close(stop)
-	others.Wait()
+	otherClients.Wait()
 	waitUntil(t, "nothing in flight", func() bool { return g.clients.inFlightCount() == 0 })
 }
--- a/internal/gateway/ledger_test.go
+++ b/internal/gateway/ledger_test.go
@@ -30,10 +30,10 @@
 // checkpoint; a verdict that was another is found.
 func TestLedgerIsRecorded(t *testing.T) {
 	dir := t.TempDir()
-	var flaky atomic.Int64
+	var s2Calls atomic.Int64
 	replica1 := newFakeReplica(t, "s-1", answerCompletely)
 	replica2 := newFakeReplica(t, "s-2", func(c net.Conn, r *http.Request) bool {
-		if flaky.Add(1)%2 == 0 {
+		if s2Calls.Add(1)%2 == 0 {
 			return answerCompletely(c, r)
 		}
 		_, err := io.WriteString(c, "HTTP/1.1 500 Internal Server Error\r\nContent-Length: 0\r\n\r\n")
@@ -212,9 +212,9 @@
 	// Valid alone, but not as a step: below what is used.
 	publish(2, testContracts(500).Teams...)
 	waitUntil(t, "version 2 rejected", func() bool { return v.versionInForce() == 1 && versionRejected(s, "below the") })
-	bad := testContracts(7_000).Teams
-	bad[0].Rate = -1
-	publish(3, bad...)
+	invalid := testContracts(7_000).Teams
+	invalid[0].Rate = -1
+	publish(3, invalid...)
 	waitUntil(t, "version 3 rejected", func() bool { return v.versionInForce() == 1 && versionRejected(s, "rate") })
 	publish(4, testContracts(9_000).Teams...)
 	waitUntil(t, "version 4", func() bool { return v.versionInForce() == 4 })
--- a/internal/gateway/relay_test.go
+++ b/internal/gateway/relay_test.go
@@ -16,10 +16,10 @@
 // An event reaches the client before the next one exists; the stream is relayed unchanged, and
 // the next request uses the same connections.
 func TestEventsAreRelayedImmediately(t *testing.T) {
-	more := make(chan struct{})
+	sendRemainder := make(chan struct{})
 	replica := newFakeReplica(t, "s-1", func(c net.Conn, _ *http.Request) bool {
 		io.WriteString(c, streamHead+chunk(event1))
-		<-more
+		<-sendRemainder
 		io.WriteString(c, chunk(event2)+chunk(loadReportLine)+lastChunk)
 		return true
 	})
@@ -32,7 +32,7 @@
 		if _, err := io.ReadFull(resp.Body, first); err != nil || string(first) != event1 {
 			t.Fatalf("first event %q, %v", first, err)
 		}
-		more <- struct{}{}
+		sendRemainder <- struct{}{}
 		remainder, err := io.ReadAll(resp.Body)
 		if diff := cmp.Diff(event2+loadReportLine, string(remainder)); err != nil || diff != "" {
 			t.Fatal(err, diff)
