--- a/internal/gateway/accounting.go
+++ b/internal/gateway/accounting.go
@@ -12,29 +12,29 @@
 )
 
 const (
-	// quotaShareInterval is how often the gateway recomputes its shares of the contracts.
+	// quotaShareInterval is how often the gateway recomputes its shares of the teams' quotas.
 	quotaShareInterval balancer.Micros = 1_000_000
-	// ledgerErrorInterval is how often it is logged that the ledger cannot be written.
+	// ledgerErrorInterval is the minimum time between log lines about failed ledger writes.
 	ledgerErrorInterval balancer.Micros = 10_000_000
-	// minPriorityWeight stands for a priority weight of 0, which would say that there is no
-	// contract.
+	// minPriorityWeight replaces a priority weight of 0, which the decision module takes for a
+	// request without a contract.
 	minPriorityWeight = 1e-6
 )
 
-// contractAccounting charges requests to their teams' contracts. Without contracts all
-// requests pass. The event loop owns it.
+// contractAccounting charges requests to their teams' contracts. Without contracts it admits all
+// requests. The event loop owns it.
 type contractAccounting struct {
 	ledger           *contract.Ledger       // nil: no contracts
-	recordedLedger   capture.ContractLedger // the ledger, or the recorder in front of it
+	recordedLedger   capture.ContractLedger // the ledger, or the recorder that wraps it
 	fileContracts    *Contracts             // from the configuration file; nil: none
-	versionContracts []contract.Terms       // from a configuration version, in place of the file's; nil: none
+	versionContracts []contract.Terms       // from a configuration version, replacing the file's; nil: none
 	quotaShares      quotaShareState
-	checkpointing    bool            // a checkpoint of balances is being written
-	errorLoggedAt    balancer.Micros // when it was last logged that this failed
+	checkpointing    bool            // a checkpoint of the balances is being written
+	errorLoggedAt    balancer.Micros // when a failed checkpoint was last logged
 }
 
-// contracts returns the contracts to put in force: the file's, with a version's teams in
-// place of the file's if it has any.
+// contracts returns the contracts to apply: the file's, with the teams of the configuration
+// version in place of the file's if the version has contracts.
 func (a *contractAccounting) contracts() Contracts {
 	c := Contracts{}
 	if a.fileContracts != nil {
@@ -46,19 +46,19 @@
 	return c
 }
 
-// close ends accounting: there are no contracts any more.
+// close ends accounting: from then on no contracts apply.
 func (a *contractAccounting) close() {
 	a.ledger, a.recordedLedger, a.quotaShares = nil, nil, quotaShareState{}
 	a.checkpointing, a.errorLoggedAt = false, 0
 }
 
-// charge charges an attempt of a request with the usage that is estimated for it.
+// charge charges the estimated usage of an attempt.
 func (a *contractAccounting) charge(now balancer.Micros, r *inflight.Request, attempt int, c *contract.Charge) contract.Verdict {
 	return a.recordedLedger.Charge(now, &r.BalancerRequest, attempt, c)
 }
 
-// admit has the team's contract judge a request. An admitted one carries its priority;
-// otherwise answer is the rejection.
+// admit charges a request to its team's contract. An admitted request gets the priority of the
+// contract; otherwise answer is the rejection.
 func (a *contractAccounting) admit(now balancer.Micros, r *inflight.Request) (answer inflight.Action, admitted bool) {
 	if a.ledger == nil {
 		return inflight.Action{}, true
@@ -66,7 +66,8 @@
 	verdict := a.charge(now, r, 0, &r.Charge)
 	a.logBudgetNotices()
 	if verdict.Rejected && r.BalancerRequest.PriorAttempts > 0 {
-		// It was admitted by the gateway that lost it: it goes on, with the least priority.
+		// The gateway that served the request before had admitted it: it continues, at the lowest
+		// priority.
 		r.BalancerRequest.PriorityFactor = minPriorityWeight
 		return inflight.Action{}, true
 	}
@@ -79,8 +80,8 @@
 	return inflight.Action{}, true
 }
 
-// chargeAttempt gives an attempt its charge: the first one gets the request's, any other one
-// of its own. It returns false if the budget does not allow the attempt.
+// chargeAttempt assigns an attempt its charge: the first attempt takes over the request's charge,
+// any other is charged separately. It returns false if the budget does not allow the attempt.
 func (a *contractAccounting) chargeAttempt(now balancer.Micros, attempt *inflight.Attempt) bool {
 	if a.ledger == nil {
 		return true
@@ -93,7 +94,7 @@
 	return !a.charge(now, r, attempt.Index, &attempt.Charge).Rejected
 }
 
-// settleAttempt replaces an attempt's estimated charge with what it used.
+// settleAttempt replaces an attempt's estimated charge with its actual usage.
 func (a *contractAccounting) settleAttempt(now balancer.Micros, e *attemptEnded) {
 	if a.ledger == nil {
 		return
@@ -104,8 +105,8 @@
 	a.logBudgetNotices()
 }
 
-// recordShed notes that the module or the replicas had no capacity for a request. A request
-// that ran and failed does not count.
+// recordShed records that the module or the replicas had no capacity for a request. A request
+// with an attempt that may have run does not count.
 func (a *contractAccounting) recordShed(now balancer.Micros, r *inflight.Request) {
 	if a.ledger == nil || r.BalancerRequest.PriorityFactor == 0 {
 		return
@@ -118,14 +119,14 @@
 	a.recordedLedger.RecordShed(now, &r.BalancerRequest, r.EstimatedUse, r.OverRate)
 }
 
-// releaseCharge settles a request's charge that no attempt got.
+// releaseCharge settles, with no usage, a request's charge that no attempt has taken over.
 func (a *contractAccounting) releaseCharge(now balancer.Micros, r *inflight.Request) {
 	if a.ledger != nil {
 		a.recordedLedger.Settle(now, r.ID, 0, &r.Charge, contract.Usage{}, false)
 	}
 }
 
-// logBudgetNotices logs the budgets that have reached a half, four fifths or all.
+// logBudgetNotices logs the budgets of which a half, four fifths or all has been used.
 func (a *contractAccounting) logBudgetNotices() {
 	for _, n := range a.ledger.TakeNotices() {
 		slog.Info("contract_budget", "team", n.Team, "period", n.Period.String(), "percent", n.Percent,
@@ -133,7 +134,7 @@
 	}
 }
 
-// checkpointWritten notes the end of a checkpoint that was handed to the store.
+// checkpointWritten handles the result of writing a checkpoint to the store.
 func (a *contractAccounting) checkpointWritten(now balancer.Micros, checkpoint uint64, err error) {
 	a.checkpointing = false
 	if a.ledger == nil {
@@ -146,8 +147,8 @@
 	}
 }
 
-// updateQuotaShares gives the ledger the gateway's shares of the contracts, once per
-// quotaShareInterval.
+// updateQuotaShares recomputes the gateway's shares of the quotas, at most once per
+// quotaShareInterval, and sets them in the ledger.
 func (a *contractAccounting) updateQuotaShares(now balancer.Micros) {
 	s := &a.quotaShares
 	if s.splitter == nil || now-s.updatedAt < quotaShareInterval {
@@ -171,8 +172,8 @@
 	a.recordedLedger.SetQuotaShares(now, s.splitter.Shares(observed))
 }
 
-// quotaShareState is what the gateway's shares of the contracts are computed from: its part of
-// the replicas' work in flight.
+// quotaShareState is the input to the computation of the gateway's shares of the quotas: its
+// fraction of the requests in flight at the replicas.
 type quotaShareState struct {
 	splitter                   split.Strategy // nil: this is the only gateway
 	ownInFlight, fleetInFlight float64        // sums over the replicas' reports since the last update
@@ -180,7 +181,7 @@
 	lastCounts                 []contract.Counters
 }
 
-// reset begins a new observation with a splitter.
+// reset starts a new observation period with a new splitter, or without one if newSplitter is nil.
 func (s *quotaShareState) reset(newSplitter func() split.Strategy) {
 	s.splitter = nil
 	if newSplitter != nil {
@@ -189,7 +190,8 @@
 	s.updatedAt, s.ownInFlight, s.fleetInFlight = 0, 0, 0
 }
 
-// recordReplicaLoad adds what a replica reports as in flight, and this gateway's part of it.
+// recordReplicaLoad adds the requests that a replica reports as in flight or queued, and this
+// gateway's own requests at that replica.
 func (s *quotaShareState) recordReplicaLoad(replica *endpoint.Replica, report *balancer.LoadReport) {
 	if s.splitter == nil || report.Has&balancer.HasInFlight == 0 {
 		return
--- a/internal/gateway/actions.go
+++ b/internal/gateway/actions.go
@@ -8,8 +8,8 @@
 	"archknot/internal/inflight"
 )
 
-// The actions of the decision module: eventLoop is a balancer.Sink. The module calls them
-// within a turn of the loop.
+// The actions of the decision module: eventLoop implements balancer.Sink. The module calls these
+// methods while the loop applies an event.
 
 // Dispatch starts an attempt of a request at a replica, until timeoutAt or the request's
 // deadline, whichever is earlier; 0: until the deadline.
@@ -21,7 +21,7 @@
 	if timeoutAt <= 0 || timeoutAt > r.Deadline {
 		timeoutAt = r.Deadline
 	}
-	if replica == nil { // the list changed since the decision: without an address it never runs
+	if replica == nil { // removed from the list since the decision; without an address the attempt fails
 		replica = &endpoint.Replica{ID: to}
 	}
 	attempt := l.requests.StartAttempt(r, replica, l.now, timeoutAt)
@@ -35,17 +35,17 @@
 	r.Actions <- inflight.Action{Kind: inflight.ActionForward, Attempt: attempt}
 }
 
-// Shed answers a request with an overload reply.
+// Shed answers a request with an overload response; retryAfter 0: without advice.
 func (l *eventLoop) Shed(id balancer.RequestID, retryAfter balancer.Micros) {
 	l.sendFinalAnswer(id, inflight.Action{Kind: inflight.ActionShed, RetryAfter: retryAfter, Reason: l.shedReason(id)})
 }
 
-// Fail answers a request with a failure.
+// Fail answers a request with a failure response.
 func (l *eventLoop) Fail(id balancer.RequestID) {
 	l.sendFinalAnswer(id, inflight.Action{Kind: inflight.ActionFail})
 }
 
-// Cancel cancels an attempt, unless the client gets its stream.
+// Cancel cancels an attempt, unless its stream is being relayed to the client.
 func (l *eventLoop) Cancel(id balancer.RequestID, attempt int) {
 	r := l.requests.Get(id)
 	if r == nil || attempt < 0 || attempt >= len(r.Attempts) {
@@ -56,19 +56,19 @@
 	}
 }
 
-// SetTimer has the module's TimerFired called after a delay.
+// SetTimer schedules a call of the module's TimerFired with the token after a delay.
 func (l *eventLoop) SetTimer(delay balancer.Micros, token uint64) {
 	l.timers.add(l.now+delay, token)
 }
 
-// HealthCheck starts a health check of a replica.
+// HealthCheck starts a health check of a replica, unless the replica is no longer listed.
 func (l *eventLoop) HealthCheck(to balancer.ReplicaID) {
 	if replica := l.endpoints.ByID(to); replica != nil {
 		go l.gateway.runHealthCheck(replica)
 	}
 }
 
-// WatchDiscovery requests the next poll of discovery, unless one is requested already.
+// WatchDiscovery requests the next poll of discovery, unless a request is pending.
 func (l *eventLoop) WatchDiscovery() {
 	select {
 	case l.pollRequests <- struct{}{}:
@@ -80,7 +80,7 @@
 // connection to each other.
 func (l *eventLoop) Gossip([]byte) {}
 
-// sendFinalAnswer answers a request for good, unless that is done or a stream has begun.
+// sendFinalAnswer ends a request with a final response, unless it is finished or a stream has begun.
 func (l *eventLoop) sendFinalAnswer(id balancer.RequestID, action inflight.Action) {
 	r := l.requests.Get(id)
 	if r == nil || r.Finished || r.Winner != nil {
@@ -93,7 +93,7 @@
 	l.requests.RemoveIfFinished(r)
 }
 
-// Why a request was shed, for the log.
+// Reasons for shedding a request, as logged.
 const (
 	shedReasonDeadline       = "deadline"
 	shedReasonNoReplica      = "no_replica"
@@ -103,7 +103,8 @@
 	shedReasonListStale      = "list_stale"
 )
 
-// deadlineShedMargin is how long before a request's deadline its shedding is put down to that.
+// deadlineShedMargin is the time before a request's deadline within which the deadline is
+// logged as the reason for shedding the request.
 const deadlineShedMargin balancer.Micros = 20_000
 
 // shedReason returns why the module sheds a request, for the log.
@@ -124,7 +125,7 @@
 	return shedReasonAdmission
 }
 
-// Why an attempt was started, for the log.
+// Causes of an attempt, as logged.
 const (
 	attemptFirst = "first"
 	attemptHedge = "hedge"
@@ -142,7 +143,7 @@
 	return attemptRetry
 }
 
-// attemptBasis returns what the newest attempt of a request, at a replica, is decided on.
+// attemptBasis returns the data on which the newest attempt of a request, at a replica, was decided.
 func (l *eventLoop) attemptBasis(r *inflight.Request, to balancer.ReplicaID) inflight.Basis {
 	reportAge, known := l.balancer.ReportAge(l.now, to)
 	if !known {
@@ -151,7 +152,7 @@
 	return inflight.Basis{ListVersion: l.endpoints.Version(), ListAge: l.balancer.ListAge(l.now), ReportAge: reportAge, After: r.LastStatus}
 }
 
-// recordReportAge counts the age of the load report that an attempt is based on.
+// recordReportAge adds the age of an attempt's load report to the totals.
 func (l *eventLoop) recordReportAge(age balancer.Micros) {
 	if age == inflight.ReportUnknown {
 		l.reportAges.WithoutReport++
--- a/internal/gateway/attempt.go
+++ b/internal/gateway/attempt.go
@@ -18,15 +18,15 @@
 )
 
 const (
-	// unresponsiveReplicaAfter is how long a replica may answer nothing before its cached
-	// connections are no longer trusted.
+	// unresponsiveReplicaAfter is how long a replica may take to respond before its idle
+	// connections are assumed to be dead.
 	unresponsiveReplicaAfter = time.Second
-	// errorReplyTimeout bounds the reading of the body of an answer that is not 200.
+	// errorReplyTimeout limits the time to read the body of a response other than 200.
 	errorReplyTimeout = time.Second
 )
 
-// attemptExchange carries out one attempt: it sends the request to the replica and reads
-// the answer.
+// attemptExchange carries out one attempt: it sends the request to the replica and reads the
+// response.
 type attemptExchange struct {
 	gateway *Gateway
 	request *http.Request
@@ -35,8 +35,8 @@
 	lease   *requestLease
 }
 
-// run carries out the attempt from its dispatch to its end and posts its one outcome to the
-// event loop. The stream goes to attempt.Events as it arrives.
+// run carries out the attempt from its dispatch to its end and posts its single outcome to the
+// event loop. It sends the stream to attempt.Events as it arrives.
 func (x *attemptExchange) run() {
 	defer x.attempt.Cancel()
 	result := attemptEnded{attempt: x.attempt, status: balancer.ConnectFailed}
@@ -51,7 +51,7 @@
 	x.gateway.loop.events <- result
 }
 
-// exchange sends the request and reads the answer over one connection.
+// exchange sends the request and reads the response over one connection.
 func (x *attemptExchange) exchange(result *attemptEnded) balancer.Status {
 	attempt, pool := x.attempt, x.gateway.pool
 	timeoutAt := x.gateway.clock.timeAt(attempt.TimeoutAt)
@@ -64,7 +64,7 @@
 	result.reused = conn.Reused
 	conn.StartCall(&x.gateway.meters[controlstats.PurposeAttempt])
 	reusable := false
-	// A cancelled attempt frees its connection at once, whatever waits on it.
+	// Cancelling the attempt closes its connection at once, which ends a pending read or write.
 	unhook := context.AfterFunc(attempt.Ctx, func() { conn.Close() })
 	defer func() {
 		if unhook() && reusable {
@@ -73,9 +73,9 @@
 			pool.Drop(conn)
 		}
 	}()
-	// The attempt may have been cancelled while it connected, or its client have gone while
-	// it waited to be scheduled. This is the only place where an attempt begins: nothing may
-	// be sent after that.
+	// The attempt may have been cancelled, or its client may have disconnected, while the attempt
+	// connected or waited to be scheduled. Nothing may be sent after that, and every attempt
+	// passes here before it sends.
 	if !x.lease.isHolder() || attempt.Request.ClientGone() || attempt.Ctx.Err() != nil {
 		return balancer.Cancelled
 	}
@@ -86,9 +86,9 @@
 	x.lease.markDispatched()
 	conn.SetDeadline(timeoutAt)
 	err = x.sendRequest(conn)
-	x.body = nil // a stream may last for long: its goroutine must not keep the body in memory
+	x.body = nil // frees the body's memory: a stream may last long
 	if err != nil {
-		// The last byte was never written, so the replica did not start.
+		// The request was not written completely, so the replica has not started it.
 		return x.failureStatus(err, balancer.ConnectFailed)
 	}
 	head, err := x.awaitHead(conn, timeoutAt)
@@ -111,20 +111,20 @@
 	case x.attempt.Ctx.Err() != nil:
 		return balancer.Cancelled
 	case errors.Is(err, connpool.ErrLocalShortage):
-		return balancer.NotSent // no replica is at fault
+		return balancer.NotSent // the replica is not at fault
 	}
 	return balancer.ConnectFailed
 }
 
-// sendRequest writes the head and the body with the time that the client has left.
+// sendRequest writes the request with the time left until the attempt's timeout as its deadline.
 func (x *attemptExchange) sendRequest(conn *connpool.Conn) error {
 	timeLeft := x.attempt.TimeoutAt - x.gateway.clock.now()
 	head := httpwire.ForwardedHead(x.request, len(x.body), timeLeft)
 	return conn.WriteBuffers(net.Buffers{head, x.body})
 }
 
-// awaitHead waits for the head of the answer. A replica that stayed silent for
-// silentReplicaAfter loses the cached connections that were unused since the sending.
+// awaitHead waits for the head of the response. If that fails after unresponsiveReplicaAfter or
+// later, it closes the replica's idle connections, unless one was used since the request was sent.
 func (x *attemptExchange) awaitHead(conn *connpool.Conn, timeoutAt time.Time) (responseHead, error) {
 	sent := time.Now()
 	head, err := readHead(conn, timeoutAt)
@@ -134,22 +134,22 @@
 	return head, err
 }
 
-// readErrorReply reads an answer that is not 200, and reports whether the connection can be
+// readErrorReply reads a response other than 200, and reports whether the connection can be
 // reused.
 func (x *attemptExchange) readErrorReply(conn *connpool.Conn, head responseHead, body *httpwire.Body, result *attemptEnded) (status balancer.Status, reusable bool) {
 	result.report, result.httpStatus = httpwire.LoadReportOf(head.Header), head.StatusCode
 	conn.SetDeadline(time.Now().Add(errorReplyTimeout))
 	_, err := body.ReadAll(httpwire.MaxBodyBytes)
 	status = httpwire.StatusOf(head.Response)
-	// A replica that rejects a request may close on what follows it.
+	// A replica that rejects a request may close the connection when the next one arrives.
 	return status, err == nil && endsCleanly(conn, head, body) && status != balancer.Rejected
 }
 
-// readStream reads the events of a 200 answer into attempt.Events, and reports whether the
+// readStream reads the events of a 200 response into attempt.Events, and reports whether the
 // connection can be reused.
 func (x *attemptExchange) readStream(conn *connpool.Conn, head responseHead, body *httpwire.Body, result *attemptEnded) (status balancer.Status, reusable bool) {
 	var observer httpwire.StreamObserver
-	var firstEvent []byte // an answer that breaks within it has given the client nothing
+	var firstEvent []byte // held back until complete: if the stream breaks within it, the client has received nothing
 	for opened := false; ; {
 		events, err := body.Next()
 		ended := errors.Is(err, io.EOF)
@@ -169,8 +169,8 @@
 			case <-x.attempt.Ctx.Done():
 				return balancer.Cancelled, false
 			}
-			// From the first event on no deadline runs, but a machine that dies leaves its
-			// connection open: only a timeout shows that.
+			// From the first event on only the idle timeout applies. Nothing else detects a machine
+			// that dies, which leaves its connection open.
 			conn.SetDeadline(time.Now().Add(x.gateway.options.StreamIdleTimeout))
 		}
 		if ended {
@@ -186,7 +186,8 @@
 	}
 }
 
-// observe takes over what was seen in a complete stream.
+// observe copies the usage and the load report of a complete stream. A report in the stream
+// takes precedence over one in the header.
 func (e *attemptEnded) observe(observer *httpwire.StreamObserver, header http.Header) {
 	e.cachedTokens, e.outputTokens, e.report = observer.CachedTokens, observer.OutputTokens, observer.Report
 	if e.report.Has == 0 {
@@ -194,8 +195,8 @@
 	}
 }
 
-// failureStatus returns what the failure of a connection means for the attempt; otherwise is
-// the status of a failure that is neither a cancellation, a malformed answer nor a timeout.
+// failureStatus returns the attempt's status after a connection error. fallback applies if the
+// error is neither a cancellation, a malformed response nor a timeout.
 func (x *attemptExchange) failureStatus(err error, fallback balancer.Status) balancer.Status {
 	switch {
 	case x.attempt.Ctx.Err() != nil:
--- a/internal/gateway/attempt_test.go
+++ b/internal/gateway/attempt_test.go
@@ -17,7 +17,7 @@
 	"github.com/google/go-cmp/cmp"
 )
 
-// There is one outcome for each way in which an attempt can end, by the protocol's table.
+// Each way in which an attempt can end yields the status that the protocol assigns to it.
 func TestAttemptOutcomes(t *testing.T) {
 	closed := newFakeReplica(t, "dead", neverAnswer)
 	closed.listener.Close()
@@ -35,8 +35,8 @@
 		"bare 503":        {script: replyWith("HTTP/1.1 503 Busy\r\nContent-Length: 0\r\n\r\n", true), want: attemptEnded{status: balancer.Errored, httpStatus: 503}},
 		"400":             {script: replyWith("HTTP/1.1 400 No\r\nContent-Length: 0\r\n\r\n", true), want: attemptEnded{status: balancer.Rejected, httpStatus: 400}},
 		"1xx before":      {script: replyWith(informational+informational+streamHead+chunk(event1)+lastChunk, true), want: attemptEnded{status: balancer.Served}},
-		"1xx for ever":    {script: replyWith(strings.Repeat(informational, 100), true), want: attemptEnded{status: balancer.Malformed}},
-		"noise":           {script: replyWith("\x00\x01\x02\x03", true), want: attemptEnded{status: balancer.Malformed}},
+		"endless 1xx":     {script: replyWith(strings.Repeat(informational, 100), true), want: attemptEnded{status: balancer.Malformed}},
+		"binary data":     {script: replyWith("\x00\x01\x02\x03", true), want: attemptEnded{status: balancer.Malformed}},
 		"malformed head":  {script: replyWith("HTTP/1.1 two hundred\r\n\r\n", true), want: attemptEnded{status: balancer.Malformed}},
 		"long head":       {script: replyWith("HTTP/1.1 200 OK\r\nX: "+strings.Repeat("x", 20<<10), true), want: attemptEnded{status: balancer.Malformed}},
 		"endless head":    {script: replyWith("HTTP/1.1 200 OK\r\n", true), want: attemptEnded{status: balancer.Malformed}},
@@ -80,7 +80,7 @@
 			for {
 				e, ok := (<-g.loop.events).(attemptEnded)
 				if !ok {
-					continue // opened
+					continue // streamOpened
 				}
 				e.attempt = nil
 				if diff := cmp.Diff(c.want, e, cmp.AllowUnexported(attemptEnded{})); diff != "" {
@@ -92,7 +92,7 @@
 	}
 }
 
-// Bytes after an answer are not the next request's answer.
+// Surplus bytes after a response are not taken for the response to the next request.
 func TestSurplusAnswerIsDiscarded(t *testing.T) {
 	replica := newFakeReplica(t, "s-1", func(c net.Conn, r *http.Request) bool {
 		id := "data: " + r.Header.Get("Req-Id") + "\n\n"
@@ -104,13 +104,13 @@
 	for _, id := range []string{"t1", "t2", "t3"} {
 		c.sendRequest(id, "4000m")
 		if _, body := c.readAnswer(); body != "data: "+id {
-			t.Errorf("%s: answer %q", id, body)
+			t.Errorf("%s: body %q", id, body)
 		}
 	}
 }
 
-// A second answer to a request that arrives after the next request was sent is not taken for
-// that one's: a connection that has just been used carries nothing for a while.
+// A surplus response that arrives after the next request was sent is not taken for that request's:
+// ReplicaConnReuseDelay keeps a connection that has just been used from carrying a request.
 func TestSurplusAnswerDuringNextRequest(t *testing.T) {
 	const surplusEvent = "data: another's\n\n"
 	secondArrived, surplusWritten := make(chan struct{}), make(chan struct{})
@@ -144,8 +144,8 @@
 	}
 }
 
-// A cached connection that its replica has closed carries nothing: a request written to it
-// would be lost.
+// A cached connection that its replica has closed is not reused: a request written to it would
+// be lost.
 func TestStaleConnectionIsNotUsed(t *testing.T) {
 	replica := newFakeReplica(t, "s-1", func(c net.Conn, r *http.Request) bool { answerCompletely(c, r); return false })
 	g := startGateway(t, func(o *Options) { o.Settings.MaxAttempts = 1 }, replica)
--- a/internal/gateway/body.go
+++ b/internal/gateway/body.go
@@ -9,11 +9,11 @@
 	"archknot/internal/httpwire"
 )
 
-// initialBodyBufferBytes is the size of a body's first buffer; it doubles from there.
+// initialBodyBufferBytes is the size of a body's first buffer; each further buffer is twice as large.
 const initialBodyBufferBytes = 4 << 10
 
 // readBody reads a request's body within the protocol's size limit and the memory reserved
-// for bodies. The caller returns len(body) bytes with clientTracker.releaseBytes.
+// for bodies. The caller must release len(body) bytes with clientTracker.releaseBytes.
 func (g *Gateway) readBody(w http.ResponseWriter, r *http.Request) ([]byte, *rejection) {
 	if r.ContentLength > httpwire.MaxBodyBytes {
 		return nil, rejectBodyTooLarge
@@ -29,9 +29,9 @@
 	return body, nil
 }
 
-// readBody reads to the end of a body. Memory is reserved for what has arrived and at most
-// as much again: a length that is only announced costs nothing. The caller releases
-// cap(body) bytes, also after an error.
+// readBody reads a body to its end. The reserved memory grows with the bytes received, to at most
+// twice their size after the first buffer: a large announced length alone reserves none. The
+// caller must release cap(body) bytes, also after an error.
 func (t *clientTracker) readBody(in io.Reader, length, maxBytes int64) ([]byte, *rejection) {
 	var body []byte
 	for {
@@ -58,17 +58,17 @@
 	}
 }
 
-// nextBodySize returns the size of the buffer that follows a full one. length is the
-// announced length of the body; negative: unknown.
+// nextBodySize returns the size of the buffer that replaces a full one of currentSize bytes.
+// length is the announced length of the body; negative: unknown.
 func nextBodySize(currentSize int, length int64) int {
 	size := max(initialBodyBufferBytes, 2*currentSize)
 	if length >= 0 {
-		size = min(size, int(length)+1) // one byte more, to see the end
+		size = min(size, int(length)+1) // one byte more, to detect the end
 	}
 	return size
 }
 
-// reserveBytes reserves memory for a body, unless that would exceed the limit.
+// reserveBytes reserves memory for a body. It returns false if that would exceed the limit.
 func (t *clientTracker) reserveBytes(n, limit int64) bool {
 	if t.bodyBytes.Add(n) > limit {
 		t.bodyBytes.Add(-n)
--- a/internal/gateway/clientconn.go
+++ b/internal/gateway/clientconn.go
@@ -19,49 +19,49 @@
 )
 
 const (
-	// maxKernelQueueTime bounds how long a request may have waited in the kernel's queue.
+	// maxKernelQueueTime bounds how long a request is assumed to have waited in the kernel's queues.
 	maxKernelQueueTime balancer.Micros = 10_000_000
-	// maxMemoryRetries bounds the retries of a read that fails for want of memory, and
-	// memoryRetryPause is the pause before each.
+	// maxMemoryRetries bounds the retries of a read that fails with ENOMEM or ENOBUFS.
 	maxMemoryRetries = 20
+	// memoryRetryPause is the pause before each of those retries.
 	memoryRetryPause = time.Millisecond
 )
 
-// clientConn is one connection of a client. The HTTP server's goroutine reads and closes it;
-// a drain or the limit of connections may want it to end. Under mu one of the two wins: the
-// bytes of a request that have arrived, read or not, or the end. After the end no byte is
-// read, so that the client may send a request that crossed the end elsewhere.
+// clientConn is one client connection. The HTTP server's goroutine reads and closes it; a drain
+// or the connection limit may stop its reads concurrently. mu serializes the two: reads are
+// stopped only if no request bytes are pending, and no byte is read afterwards. A client whose
+// request crossed the close can therefore safely send it elsewhere.
 type clientConn struct {
 	net.Conn
 	raw         syscall.RawConn
 	tracker     *clientTracker
-	overLimit   bool         // accepted beyond the limit: its requests are shed
-	lastWriteAt atomic.Int64 // 0: nothing was written
+	overLimit   bool         // accepted beyond the connection limit: its requests are shed
+	lastWriteAt atomic.Int64 // time of the last write; 0: nothing was written
 	closeOnce   sync.Once
 
 	mu           sync.Mutex
-	readClosed   bool                    // no byte is read any more
-	peerClosed   bool                    // the client's end was read
-	lingering    bool                    // it is being closed, and its client may still read
+	readClosed   bool                    // no further byte is read
+	peerClosed   bool                    // EOF or an error was read from the client
+	lingering    bool                    // closing, while the client may still read the response
 	used         bool                    // a request has been answered on it
-	requestStart balancer.Micros         // when the first byte of a request arrived, before the server's handler starts; 0: none has
-	idleSince    balancer.Micros         // of the time before requestStart
+	requestStart balancer.Micros         // arrival of the current request's first byte; 0: none has arrived
+	idleSince    balancer.Micros         // when the connection was accepted or its last request was answered
 	answered     int                     // requests answered
-	framing      httpwire.RequestFraming // of all that was read
-	reason       closeReason             // the first cause of its end
+	framing      httpwire.RequestFraming // of all bytes read
+	reason       closeReason             // the first cause of the close
 }
 
-// newClientConn wraps an accepted connection. It fails if the connection has no descriptor.
+// newClientConn wraps an accepted connection. It fails if the connection has no file descriptor.
 func newClientConn(conn net.Conn, tracker *clientTracker) (*clientConn, error) {
 	withDescriptor, ok := conn.(syscall.Conn)
 	if !ok {
-		return nil, fmt.Errorf("%T has no descriptor", conn)
+		return nil, fmt.Errorf("client connection of type %T has no file descriptor", conn)
 	}
 	raw, err := withDescriptor.SyscallConn()
 	return &clientConn{Conn: conn, raw: raw, tracker: tracker, idleSince: tracker.clock.now()}, err
 }
 
-// Read reads under mu: the bytes belong to the server, or they stay unread.
+// Read reads under mu: bytes are either passed to the server or stay unread in the kernel.
 func (c *clientConn) Read(p []byte) (n int, err error) {
 	done := false
 	waitErr := c.raw.Read(func(fd uintptr) bool {
@@ -78,7 +78,7 @@
 	defer c.mu.Unlock()
 	timedOut := errors.Is(waitErr, os.ErrDeadlineExceeded)
 	if !c.readClosed && c.requestStart == 0 && timedOut {
-		// What has arrived at this very moment is a request all the same.
+		// Bytes that arrived just as the idle timeout expired still begin a request.
 		controlErr := c.raw.Control(func(fd uintptr) { n, done, err = c.readAvailable(int(fd), p) })
 		if controlErr == nil && done {
 			return n, err
@@ -94,7 +94,7 @@
 	return 0, waitErr
 }
 
-// readAvailable reads what has arrived; done is false if nothing has. The caller holds mu.
+// readAvailable reads without blocking; done is false if nothing has arrived. The caller holds mu.
 func (c *clientConn) readAvailable(fd int, p []byte) (n int, done bool, err error) {
 	if c.readClosed {
 		return 0, true, io.EOF
@@ -116,39 +116,39 @@
 	return n, true, nil
 }
 
-// recordRead follows the framing of what was read. The HTTP server silently drops a
-// Content-Length beside a Transfer-Encoding: which of the two counts is ambiguous, and with it
-// where the next request begins. Only here both are seen, and before the server sees them.
-// The caller holds mu.
+// recordRead updates the framing state with the bytes just read. A request with both a
+// Content-Length and a Transfer-Encoding has an ambiguous end, and so has the next one its start.
+// The HTTP server drops the Content-Length without reporting it, so both headers can only be
+// detected here, before the server parses them. The caller holds mu.
 func (c *clientConn) recordRead(fd int, p []byte) {
 	c.framing.Write(p)
-	// An empty line after a request does not begin another one.
+	// An empty line after a request does not begin a new request.
 	if c.requestStart != 0 || c.framing.Ambiguity == "" && !c.framing.RequestStarted(c.answered) {
 		return
 	}
 	c.requestStart = c.arrivalTime(fd, c.tracker.clock.now())
-	if c.used { // the idle timeout is no limit for a request that has begun
+	if c.used { // the idle timeout does not apply once a request has begun
 		_ = c.SetReadDeadline(time.Now().Add(requestHeadTimeout))
 	}
 }
 
-// arrivalTime returns when the bytes just read arrived at this machine. They may have waited,
-// with their connection or on it, while this process was stalled or short of descriptors; the
-// client's deadline runs from its sending. The caller holds mu.
+// arrivalTime returns when the bytes just read arrived at this machine. They may have waited in
+// the accept queue or the socket buffer while this process was stalled or short of descriptors,
+// but the client's deadline runs from its sending. The caller holds mu.
 func (c *clientConn) arrivalTime(fd int, now balancer.Micros) balancer.Micros {
 	info, err := unix.GetsockoptTCPInfo(fd, unix.IPPROTO_TCP, unix.TCP_INFO)
 	if err != nil {
 		return now
 	}
 	earliest := now - maxKernelQueueTime
-	if c.used { // not before the previous answer
+	if c.used { // not before the previous request was answered
 		earliest = max(earliest, c.idleSince)
 	}
 	return max(earliest, now-balancer.Micros(info.Last_data_recv)*1000)
 }
 
-// readOnce reads what has arrived. An interrupt, or memory that the system lacks for a moment,
-// says nothing about the connection: such a read is retried.
+// readOnce reads the bytes that have arrived. It retries after EINTR and after a temporary lack
+// of kernel memory, neither of which is a fault of the connection.
 func readOnce(fd int, p []byte) (n int, err error) {
 	for retries := 0; ; {
 		n, err = syscall.Read(fd, p)
@@ -164,41 +164,41 @@
 	}
 }
 
-// Write writes a part of an answer.
+// Write writes part of a response and records the time for Close.
 func (c *clientConn) Write(p []byte) (int, error) {
 	c.lastWriteAt.Store(c.tracker.clock.now())
 	return c.Conn.Write(p)
 }
 
-// requestAnswered notes that a request has been answered. In a drain the connection ends here.
+// requestAnswered records that a request has been answered. In a drain it closes the connection.
 func (c *clientConn) requestAnswered(now balancer.Micros) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.used, c.idleSince = true, now
 	c.answered++
 	c.requestStart = 0
-	if c.framing.RequestStarted(c.answered) { // part of the next one was read with it
+	if c.framing.RequestStarted(c.answered) { // part of the next request was read with it
 		c.requestStart = now
 		return
 	}
-	// Read under mu: a drain that begins now ends each idle connection after this.
+	// Checked under mu: a drain that begins after this check closes the idle connections itself.
 	if c.tracker.draining() {
 		c.stopUnlessPending(closedForDrain)
 	}
 }
 
-// clientDisconnected reports whether the client has closed the connection, by the kernel's state.
+// clientDisconnected reports whether the client has closed the connection, by the socket's state.
 func (c *clientConn) clientDisconnected() bool { return connpool.PeerClosed(c.Conn) }
 
-// hasAmbiguousFraming reports whether the length of a request is ambiguous: nothing more is served
-// on the connection.
+// hasAmbiguousFraming reports whether the length of a request was ambiguous. Nothing more is
+// served on such a connection.
 func (c *clientConn) hasAmbiguousFraming() bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return c.framing.Ambiguity != ""
 }
 
-// hasPipelined reports whether part of a further request has been read, which is owed an answer
+// hasPipelined reports whether part of a further request has been read, which must be answered
 // too.
 func (c *clientConn) hasPipelined() bool {
 	c.mu.Lock()
@@ -216,7 +216,8 @@
 	return c.tracker.clock.now()
 }
 
-// readDeadlineBase returns when the client connected, or when its further request began.
+// readDeadlineBase returns the time from which requestTimeout counts: when the client connected,
+// or for a later request on the connection, when that request arrived.
 func (c *clientConn) readDeadlineBase() time.Time {
 	at := c.requestArrivedAt()
 	c.mu.Lock()
--- a/internal/gateway/clientconn_test.go
+++ b/internal/gateway/clientconn_test.go
@@ -16,7 +16,7 @@
 	"archknot/internal/syncpoint"
 )
 
-// acceptedConn is one accepted connection before any server reads it, with its client.
+// acceptedConn returns an accepted connection that no server reads, and its client.
 func acceptedConn(t *testing.T) (*clientConn, *testClient) {
 	t.Helper()
 	l := syncpoint.NewListener(t)
@@ -35,10 +35,13 @@
 	return conn, c
 }
 
-const requestFirstHalf, requestSecondHalf = "POST /v1/chat/completions HTTP/1.1\r\nHost: a\r\nReq-Id: x\r\n", "Req-Kind: chat\r\nContent-Length: 0\r\n\r\n"
+const (
+	requestFirstHalf  = "POST /v1/chat/completions HTTP/1.1\r\nHost: a\r\nReq-Id: x\r\n"
+	requestSecondHalf = "Req-Kind: chat\r\nContent-Length: 0\r\n\r\n"
+)
 
-// Either the end of a connection wins or the bytes of a request, in either order, and after the
-// end no byte is read.
+// A connection on which bytes of a request have arrived is not closed, and after a close no byte
+// is read, in whichever order the two come. A request must not be read and then dropped.
 func TestConnectionCloseVersusRequestStart(t *testing.T) {
 	read := func(c *clientConn) (string, error) {
 		b := make([]byte, 512)
@@ -47,21 +50,21 @@
 	}
 	waitForUnread := func(t *testing.T, c *clientConn) {
 		t.Helper()
-		waitUntil(t, "bytes that wait", func() bool { return connpool.HasUnreadData(c.Conn) })
+		waitUntil(t, "unread bytes", func() bool { return connpool.HasUnreadData(c.Conn) })
 	}
 	for name, run := range map[string]func(t *testing.T, conn *clientConn, c *testClient){
-		"bytes unread, then the end": func(t *testing.T, conn *clientConn, c *testClient) {
+		"unread bytes, then a close": func(t *testing.T, conn *clientConn, c *testClient) {
 			t.Helper()
 			c.sendRaw(requestFirstHalf)
 			waitForUnread(t, conn)
 			if conn.closeIfIdle(true) || conn.evict() {
-				t.Error("ended over bytes that had arrived")
+				t.Error("closed with unread bytes")
 			}
 			if got, err := read(conn); got != requestFirstHalf || err != nil {
 				t.Errorf("read %q, %v", got, err)
 			}
 		},
-		"bytes read, then the end": func(t *testing.T, conn *clientConn, c *testClient) {
+		"bytes read, then a close": func(t *testing.T, conn *clientConn, c *testClient) {
 			t.Helper()
 			c.sendRaw(requestFirstHalf)
 			if got, err := read(conn); got != requestFirstHalf || err != nil {
@@ -71,19 +74,19 @@
 				t.Error("ended under a request that had begun")
 			}
 		},
-		"the end, then bytes": func(t *testing.T, conn *clientConn, c *testClient) {
+		"a close, then bytes": func(t *testing.T, conn *clientConn, c *testClient) {
 			t.Helper()
 			if !conn.closeIfIdle(true) {
-				t.Error("an idle connection does not end")
+				t.Error("an idle connection is not closed")
 			}
 			c.sendRaw(requestFirstHalf + requestSecondHalf)
 			waitForUnread(t, conn)
 			if got, err := read(conn); got != "" || !errors.Is(err, io.EOF) {
 				t.Errorf("read %q, %v", got, err)
 			}
-			waitForUnread(t, conn) // still: nobody has read them
+			waitForUnread(t, conn) // still unread
 		},
-		"a partial request, no longer waited for": func(t *testing.T, conn *clientConn, c *testClient) {
+		"a partial request is evicted": func(t *testing.T, conn *clientConn, c *testClient) {
 			t.Helper()
 			c.sendRaw(requestFirstHalf)
 			read(conn)
@@ -94,15 +97,15 @@
 				t.Errorf("read %q, %v", got, err)
 			}
 		},
-		"a complete request that is not served yet": func(t *testing.T, conn *clientConn, c *testClient) {
+		"a complete request that is not served yet is not evicted": func(t *testing.T, conn *clientConn, c *testClient) {
 			t.Helper()
 			c.sendRaw(requestFirstHalf + requestSecondHalf)
 			read(conn)
 			if rank, _ := conn.evictionRank(conn.tracker.clock.now() + 10*slowRequestAfter); rank != 0 || conn.evict() {
-				t.Errorf("rank %d, or ended", rank)
+				t.Errorf("evicted, or rank %d, want 0", rank)
 			}
 		},
-		"its idle timeout ends over bytes that have arrived": func(t *testing.T, conn *clientConn, c *testClient) {
+		"the idle timeout expires with unread bytes": func(t *testing.T, conn *clientConn, c *testClient) {
 			t.Helper()
 			c.sendRaw(requestFirstHalf)
 			waitForUnread(t, conn)
@@ -110,13 +113,13 @@
 			if got, err := read(conn); got != requestFirstHalf || err != nil {
 				t.Errorf("read %q, %v", got, err)
 			}
-			// A request that has begun has a time of its own.
+			// A request that has begun has its own timeout.
 			c.sendRaw(requestSecondHalf)
 			if got, err := read(conn); got != requestSecondHalf || err != nil {
 				t.Errorf("read %q, %v", got, err)
 			}
 		},
-		"its idle timeout ends, then bytes": func(t *testing.T, conn *clientConn, c *testClient) {
+		"the idle timeout expires, then bytes": func(t *testing.T, conn *clientConn, c *testClient) {
 			t.Helper()
 			conn.SetReadDeadline(time.Unix(1, 0))
 			if got, err := read(conn); got != "" || err == nil {
@@ -129,7 +132,7 @@
 				t.Errorf("read %q, %v", got, err)
 			}
 		},
-		"answered with some of the next request read, in a drain": func(t *testing.T, conn *clientConn, c *testClient) {
+		"answered in a drain with part of the next request read": func(t *testing.T, conn *clientConn, c *testClient) {
 			t.Helper()
 			c.sendRaw(requestFirstHalf + requestSecondHalf + "P")
 			read(conn)
@@ -147,7 +150,7 @@
 			c.sendRaw("\n")
 			read(conn)
 			if conn.requestStart != 0 || !conn.closeIfIdle(true) {
-				t.Error("an empty line is taken for a request")
+				t.Error("an empty line counts as the start of a request")
 			}
 		},
 		"answered while a drain begins": func(t *testing.T, conn *clientConn, c *testClient) {
@@ -155,10 +158,10 @@
 			conn.used = false
 			c.sendRaw(requestFirstHalf + requestSecondHalf)
 			read(conn)
-			conn.tracker.beginShutdown() // has been at this one already
+			conn.tracker.beginShutdown() // skips this connection, whose request is in flight
 			conn.requestAnswered(conn.tracker.clock.now())
 			if !conn.readClosed {
-				t.Error("stays open in the drain")
+				t.Error("still reads in the drain")
 			}
 		},
 	} {
@@ -169,14 +172,14 @@
 	}
 }
 
-// startGatewayWithSyncpoints is startGateway on a listener whose connections can be stopped.
+// startGatewayWithSyncpoints is startGateway on a listener whose connections can be paused.
 func startGatewayWithSyncpoints(t *testing.T, tweak func(*Options), replicas ...*fakeReplica) (*testGateway, *syncpoint.Listener) {
 	t.Helper()
 	l := syncpoint.NewListener(t)
 	return startGatewayOn(t, l, tweak, replicas...), l
 }
 
-// idleConnCount counts the connections on which a request was answered and none has arrived since.
+// idleConnCount returns the number of connections that have answered a request and have no other.
 func (r *testGateway) idleConnCount() (n int) {
 	for _, conn := range r.clients.connections() {
 		conn.mu.Lock()
@@ -188,8 +191,8 @@
 	return n
 }
 
-// A connection that is closed over unread bytes still delivers all that was written before: a
-// reset would drop it. A client that does not read is not waited for.
+// A connection that is closed with unread bytes still delivers all that was written before, which
+// a reset would drop. The close ends although the client keeps its side open.
 func TestCloseDeliversTheAnswer(t *testing.T) {
 	events := strings.Repeat(event1, 2000)
 	replica := newFakeReplica(t, "s-1", func(c net.Conn, r *http.Request) bool {
@@ -210,10 +213,10 @@
 	if !errors.Is(err, io.ErrUnexpectedEOF) || string(got) != events {
 		t.Errorf("%d of %d bytes, %v", len(got), len(events), err)
 	}
-	waitUntil(t, "the connection's end", func() bool { return g.clients.connCount() == 0 && g.clients.lingering.Load() == 0 })
+	waitUntil(t, "the connection to be closed", func() bool { return g.clients.connCount() == 0 && g.clients.lingering.Load() == 0 })
 }
 
-// A connection that is being closed gives way to another one.
+// A connection whose close waits for its client can be evicted.
 func TestLingeringConnectionIsEvicted(t *testing.T) {
 	conn, c := acceptedConn(t)
 	tracker := conn.tracker
@@ -231,8 +234,8 @@
 	}
 }
 
-// Many misbehaving clients at once: each is answered or cut off, others notice nothing, no
-// replica is blamed, and connections, body memory and goroutines are back to where they were.
+// Misbehaving clients leak no connection, body memory or goroutine: each is answered or
+// disconnected. Meanwhile another client is served and no invalid request reaches the replica.
 func TestMisbehavingClientsLeakNothing(t *testing.T) {
 	replica := newFakeReplica(t, "s-1", answerCompletely)
 	g := startGateway(t, nil, replica)
@@ -249,8 +252,8 @@
 		"an endless body":    requestFirstHalf + "Req-Kind: chat\r\nTransfer-Encoding: chunked\r\n\r\n" + strings.Repeat(chunk(strings.Repeat("y", 1000)), 1000),
 		"two lengths":        requestFirstHalf + "Req-Kind: chat\r\nContent-Length: 2\r\nContent-Length: 3\r\n\r\nabc",
 		"a malformed chunk":  requestFirstHalf + "Req-Kind: chat\r\nTransfer-Encoding: chunked\r\n\r\nzz\r\nabc",
-		"noise":              "\x00\x01\x02\xff\n\n\n\n",
-		"two at once, gone":  strings.Repeat(requestFirstHalf+"Req-Kind: none\r\nContent-Length: 0\r\n\r\n", 2),
+		"binary data":        "\x00\x01\x02\xff\n\n\n\n",
+		"two, then closed":   strings.Repeat(requestFirstHalf+"Req-Kind: none\r\nContent-Length: 0\r\n\r\n", 2),
 		"complete, bytewise": requestFirstHalf + requestSecondHalf,
 	} {
 		client := dial(t, g.addr)
@@ -263,7 +266,7 @@
 					t.Errorf("%s: %v, %v", name, resp, err)
 				}
 			} else {
-				io.WriteString(client, text) // may be cut off
+				io.WriteString(client, text) // the gateway may close the connection meanwhile
 			}
 			client.Close()
 		})
@@ -271,14 +274,14 @@
 	for i := range 20 {
 		c.sendRequest(fmt.Sprint("good", i), "4000m")
 		if resp, _ := c.readAnswer(); resp.StatusCode != 200 {
-			t.Errorf("a good client's: status %d", resp.StatusCode)
+			t.Errorf("well-behaved client: status %d", resp.StatusCode)
 		}
 	}
 	group.Wait()
-	waitUntil(t, "all back", func() bool {
+	waitUntil(t, "resources to be released", func() bool {
 		return g.clients.connCount() == 1 && g.clients.bodyBytes.Load() == 0 && g.clients.inFlightCount() == 0 && runtime.NumGoroutine() <= goroutines+2
 	})
 	if _, n := replica.counts(); n != 22 {
-		t.Errorf("%d requests reached the replica, want the 22 good ones", n)
+		t.Errorf("%d requests reached the replica, want the 22 valid ones", n)
 	}
 }
--- a/internal/gateway/clientgone_test.go
+++ b/internal/gateway/clientgone_test.go
@@ -18,9 +18,8 @@
 	"archknot/internal/inflight"
 )
 
-// A client that has closed its connection, completely or its own half, or has reset it, is
-// gone: no attempt begins from then on, even if the HTTP server has not noticed. The kernel's
-// state is read where an attempt is sent.
+// PeerClosed detects from the socket's state that a client has closed, half-closed or reset its
+// connection. It is checked before an attempt is sent, since the HTTP server may detect that late.
 func TestClientGoneByKernelState(t *testing.T) {
 	l := listenOnLoopback(t)
 	for name, c := range map[string]struct {
@@ -44,18 +43,18 @@
 		}
 		c.end(client.(*net.TCPConn))
 		if c.gone {
-			waitUntil(t, name+": seen to be gone", func() bool { return connpool.PeerClosed(accepted) })
+			waitUntil(t, name+": detected as closed", func() bool { return connpool.PeerClosed(accepted) })
 		} else if time.Sleep(20 * time.Millisecond); connpool.PeerClosed(accepted) {
-			t.Errorf("%s: taken for gone", name)
+			t.Errorf("%s: taken for closed", name)
 		}
 		accepted.Close()
 		client.Close()
 	}
 }
 
-// A client disconnects at each point at which its request waits, alone or with all others at
-// once, also after bytes beyond its request, which keep the server from noticing. No attempt
-// begins from 0.1 s after that on.
+// No attempt is sent later than 0.1 s after its client has disconnected. All clients disconnect
+// while their first attempt is in flight, in one case after bytes beyond the request, which keep
+// the HTTP server from detecting it. The attempts are then shed, which calls for a retry.
 func TestNoAttemptStartsForGoneClient(t *testing.T) {
 	for name, more := range map[string]string{"plain": "", "more after it": "GET /health/ready HTTP/1.1\r\n"} {
 		t.Run(name, func(t *testing.T) {
@@ -67,7 +66,7 @@
 					late.Add(1)
 				}
 				begun.Add(1)
-				<-releaseFirst // the first attempt: shed after its client has gone, which calls for a retry
+				<-releaseFirst // the first attempt is shed after its client has disconnected, which calls for a retry
 				io.WriteString(c, shedReply)
 				return true
 			})
@@ -87,25 +86,24 @@
 				c.Close()
 			}
 			goneAt.Store(time.Now().UnixNano())
-			time.Sleep(150 * time.Millisecond) // the clock of the rule: what begins now is late
+			time.Sleep(150 * time.Millisecond) // past the 0.1 s: an attempt that begins from now on is late
 			close(releaseFirst)
 			waitUntil(t, "nothing in flight", func() bool { return g.clients.inFlightCount() == 0 && len(g.loop.events) == 0 || late.Load() > 0 })
 			if n := late.Load(); n > 0 {
-				t.Errorf("%d attempts begun for clients that had gone", n)
+				t.Errorf("%d attempts sent for disconnected clients", n)
 			}
 		})
 	}
 }
 
-// The same for a client that disconnects while its attempt waits for a slow connect: nothing is
-// written to the connection.
+// No request is written for a client that disconnected while its attempt was connecting.
 func TestNothingIsWrittenAfterLateConnect(t *testing.T) {
 	l := listenOnLoopback(t)
 	g := newTestGateway(t, testOptions())
 	table := inflight.NewTable()
 	ctx, cancel := context.WithCancel(t.Context())
 	r := inflight.NewRequest(ctx, "late", balancer.Request{}, 0, 3)
-	r.ClientClosed, r.Cancel = func() bool { return true }, cancel // the kernel knows, the HTTP server does not
+	r.ClientClosed, r.Cancel = func() bool { return true }, cancel // closed by the socket's state, not yet detected by the HTTP server
 	table.Add(r)
 	now := g.clock.now()
 	attempt := table.StartAttempt(r, &endpoint.Replica{}, now, now+1e6)
@@ -125,7 +123,7 @@
 	}
 }
 
-// A client that disconnects frees the replica's connection at once, before and during the
+// A client's disconnect closes the connection to the replica at once, before and during the
 // stream.
 func TestClientDisconnectFreesReplica(t *testing.T) {
 	for name, text := range map[string]string{"before": "", "during": streamHead + chunk(event1)} {
@@ -141,14 +139,14 @@
 		select {
 		case <-replica.closedByGateway:
 		case <-time.After(2 * time.Second):
-			t.Errorf("%s: its connection to the replica stayed open", name)
+			t.Errorf("%s: the connection to the replica stayed open", name)
 		}
 		waitUntil(t, name+": nothing in flight", func() bool { return g.clients.inFlightCount() == 0 && g.pool.OpenCount() == 0 })
 	}
 }
 
-// An attempt that the handler of a gone client never started ends all the same: else the module
-// would count it as in flight forever.
+// An attempt that was never started because its client disconnected still ends. Otherwise the
+// module would count it as in flight forever.
 func TestPendingAttemptOfGoneClientEnds(t *testing.T) {
 	g := newTestGateway(t, testOptions())
 	l := g.loop
@@ -165,8 +163,9 @@
 	}
 }
 
-// The end of an attempt that was cancelled because its client has gone may reach the event loop before the news of the
-// client does. No retry is planned for it: in incident 49 one was, and used up a retry of the budget.
+// No retry is dispatched for an attempt that was cancelled because its client disconnected, although
+// the attempt's end may reach the event loop before requestCancelled. Such a retry would use up the retry
+// budget.
 func TestNoRetryIsPlannedForGoneClient(t *testing.T) {
 	g := newTestGateway(t, testOptions())
 	l := g.loop
@@ -180,7 +179,7 @@
 	cancel()
 	attemptEnded{attempt: attempt, status: balancer.Cancelled}.apply(l)
 	if len(r.Actions) > 0 || len(r.Attempts) != 1 {
-		t.Errorf("%d attempts, %d actions for a client that has gone", len(r.Attempts), len(r.Actions))
+		t.Errorf("%d attempts, %d actions for a disconnected client", len(r.Attempts), len(r.Actions))
 	}
 	requestCancelled{r}.apply(l)
 	if l.requests.Len() != 0 {
--- a/internal/gateway/clientlimits_test.go
+++ b/internal/gateway/clientlimits_test.go
@@ -8,15 +8,15 @@
 	"time"
 )
 
-// At the limit of connections the one that is idle longest is evicted; where all are busy, the
-// new one is answered that the gateway is at capacity.
+// At the connection limit an idle connection is evicted for a new one. If all are busy, a request
+// on a new connection gets a 503.
 func TestConnectionsAreBounded(t *testing.T) {
 	replica := newFakeReplica(t, "s-1", replyWith(streamHead+chunk(event1), true))
 	g := startGateway(t, func(o *Options) { o.MaxClientConns = 2 }, replica)
 	idle := dial(t, g.addr)
 	idle.sendRaw("GET /health/ready HTTP/1.1\r\nHost: a\r\n\r\n")
 	idle.readAnswer()
-	waitUntil(t, "the connection is idle", func() bool { // its answer arrives before the server reports it as idle
+	waitUntil(t, "the connection is idle", func() bool { // the response arrives before the server reports the connection as idle
 		return g.clients.connCount() == 1 && g.idleConnCount() == 1
 	})
 	for _, id := range []string{"i1", "i2"} {
@@ -27,7 +27,7 @@
 		}
 	}
 	if _, err := idle.reader.ReadByte(); !errors.Is(err, io.EOF) {
-		t.Errorf("the idle connection: %v, want its end", err)
+		t.Errorf("the idle connection: %v, want EOF", err)
 	}
 	c := dial(t, g.addr)
 	c.sendRequest("i3", "4000m")
@@ -36,8 +36,8 @@
 	}
 }
 
-// Clients that connect and send nothing, or never finish a request, take no connection from the
-// others, and lose theirs in time.
+// Clients that connect and send nothing, or never complete a request, do not keep other clients
+// out, and their connections are closed within 3 s.
 func TestStalledClientsAreEvicted(t *testing.T) {
 	g := startGateway(t, func(o *Options) { o.MaxClientConns = 4 }, newFakeReplica(t, "s-1", answerCompletely))
 	var stalled []*testClient
@@ -61,6 +61,6 @@
 		}
 	}
 	if n := g.clients.bodyBytes.Load(); n != 0 {
-		t.Errorf("%d bytes of bodies still counted", n)
+		t.Errorf("%d bytes of body memory still reserved", n)
 	}
 }
--- a/internal/gateway/clienttracker.go
+++ b/internal/gateway/clienttracker.go
@@ -14,7 +14,7 @@
 	"archknot/balancer"
 )
 
-// connCheckInterval is how often a wait for the end of a connection looks by itself.
+// connCheckInterval is how often a wait for connections to close re-checks without a signal.
 const connCheckInterval = 50 * time.Millisecond
 
 // clientTracker tracks the clients' connections, the requests in flight on them and the
@@ -22,19 +22,19 @@
 type clientTracker struct {
 	clock         monotonicClock
 	maxConns      atomic.Int64
-	overflowConns int          // accepted beyond maxConns
-	bodyBytes     atomic.Int64 // of request bodies in memory
+	overflowConns int          // connections accepted beyond maxConns
+	bodyBytes     atomic.Int64 // memory reserved for request bodies
 
-	drainedAt  atomic.Int64 // when operators drained the gateway; 0: it is not drained
-	shutdownAt atomic.Int64 // when the shutdown of the process began; 0: it has not
-	lingering  atomic.Int64 // connections that are being closed
+	drainedAt  atomic.Int64 // when operators drained the gateway; 0: not drained
+	shutdownAt atomic.Int64 // when the shutdown of the process began; 0: not begun
+	lingering  atomic.Int64 // connections closing while their clients read the response
 
 	closedCounts [closeReasonCount]atomic.Int64
 
 	mu          sync.Mutex
 	conns       map[*clientConn]struct{}
-	inFlightIDs map[string]struct{} // the clients' ids of requests in flight
-	connClosed  chan struct{}       // signals that a connection has ended
+	inFlightIDs map[string]struct{} // client-assigned ids of the requests in flight
+	connClosed  chan struct{}       // signals that a connection was removed
 }
 
 func newClientTracker(maxConns, overflowConns int, clock monotonicClock) *clientTracker {
@@ -49,8 +49,8 @@
 	return t
 }
 
-// beginRequest enters a request among those in flight, unless maxInFlight are or one of them
-// has its id.
+// beginRequest registers a request as in flight. It returns false if maxInFlight requests are in
+// flight already or one of them has the same id.
 func (t *clientTracker) beginRequest(id string, maxInFlight int) bool {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -87,7 +87,7 @@
 	t.conns[conn] = struct{}{}
 }
 
-// remove ends the tracking of a connection that is closed.
+// remove ends the tracking of a connection and signals connClosed.
 func (t *clientTracker) remove(conn *clientConn) {
 	t.mu.Lock()
 	delete(t.conns, conn)
@@ -111,7 +111,7 @@
 	return slices.Collect(maps.Keys(t.conns))
 }
 
-// waitUntilEmpty waits until there is no connection any more.
+// waitUntilEmpty waits until no connection is tracked any more.
 func (t *clientTracker) waitUntilEmpty(ctx context.Context) error {
 	for t.connCount() > 0 {
 		select {
@@ -124,8 +124,8 @@
 	return nil
 }
 
-// recordClose counts a closed connection by its reason. It is logged at debug level only: there
-// are as many lines as connections.
+// recordClose counts a closed connection by its reason. It logs at debug level only, since there
+// is one line per connection.
 func (t *clientTracker) recordClose(conn *clientConn) {
 	conn.mu.Lock()
 	reason, answered, idleSince := conn.reason, conn.answered, conn.idleSince
@@ -149,30 +149,31 @@
 // connContextKey is the key of a request's connection in its context.
 type connContextKey struct{}
 
-// connContext is the HTTP server's ConnContext: it puts the connection into the context.
+// connContext is the HTTP server's ConnContext hook: it adds the connection to the context.
 func (t *clientTracker) connContext(ctx context.Context, conn net.Conn) context.Context {
 	return context.WithValue(ctx, connContextKey{}, conn)
 }
 
-// connOf returns the connection of a request. The HTTP server serves connections of a
-// clientListener only, so there always is one.
+// connOf returns the connection of a request. It is never nil, since the HTTP server serves only
+// connections of a clientListener.
 func (t *clientTracker) connOf(ctx context.Context) *clientConn {
 	conn, _ := ctx.Value(connContextKey{}).(*clientConn)
 	return conn
 }
 
-// connState is the HTTP server's ConnState: an idle connection's request has been answered.
+// connState is the HTTP server's ConnState hook: a connection becomes idle when its request has
+// been answered.
 func (t *clientTracker) connState(conn net.Conn, state http.ConnState) {
 	if c, ok := conn.(*clientConn); ok && state == http.StateIdle {
 		c.requestAnswered(t.clock.now())
 	}
 }
 
-// evictOne ends the connection that is least likely to be missed, and reports whether there
-// was one. Clients that open connections by the hundred and send nothing, or begin a request
-// and never finish it, hold no connection that others need.
+// evictOne closes the connection with the lowest eviction rank and reports whether there was one.
+// Clients that open many connections and send nothing, or never complete a request, therefore
+// cannot keep other clients out.
 func (t *clientTracker) evictOne() bool {
-	var skip map[*clientConn]bool // a request arrived on them before they could be evicted
+	var skip map[*clientConn]bool // connections on which bytes arrived before they could be evicted
 	for {
 		candidate := t.evictionCandidate(skip)
 		if candidate == nil {
@@ -188,8 +189,8 @@
 	}
 }
 
-// evictionCandidate returns the connection with the lowest rank, the longest in that state; nil:
-// there is none.
+// evictionCandidate returns the connection with the lowest rank, among equals the one that has had
+// the rank longest, or nil if none may be evicted.
 func (t *clientTracker) evictionCandidate(except map[*clientConn]bool) *clientConn {
 	var candidate *clientConn
 	var lowest evictionRank
--- a/internal/gateway/connclose.go
+++ b/internal/gateway/connclose.go
@@ -9,14 +9,14 @@
 	"archknot/internal/connpool"
 )
 
-// closeReason is why a client's connection ended. Its names are label values of a metric.
+// closeReason is why a client's connection was closed. Its names are label values of a metric.
 type closeReason uint8
 
 const (
-	closedAnswered    closeReason = iota // after an answer that was announced as the last, or a rejection
-	closedByClient                       // the client closed it, or it broke
-	closedIdle                           // it was idle, or its request did not arrive, for too long
-	closedForCapacity                    // another connection needed its place
+	closedAnswered    closeReason = iota // by the server, usually after a response with Connection: close
+	closedByClient                       // by the client, or by a connection error
+	closedIdle                           // idle, or waiting for a request to arrive, for too long
+	closedForCapacity                    // evicted in favor of another connection
 	closedForDrain                       // the gateway is draining
 	closeReasonCount  int         = iota
 )
@@ -26,29 +26,29 @@
 	return [...]string{"answered", "client", "idle", "room", "drain"}[r]
 }
 
-// stopReading has no further byte read. The caller holds mu.
+// stopReading stops all further reads. The caller holds mu.
 func (c *clientConn) stopReading(reason closeReason) {
 	c.readClosed = true
 	c.setCloseReason(reason)
 }
 
-// setCloseReason notes why the connection ends; the first reason counts. The caller holds mu.
+// setCloseReason records why the connection is closed; the first reason counts. The caller holds mu.
 func (c *clientConn) setCloseReason(reason closeReason) {
 	if c.reason == closedAnswered {
 		c.reason = reason
 	}
 }
 
-// closeIfIdle ends the connection for a drain if nothing of a request has arrived and it was
-// used before, or was not, as given. It reports whether it did. The server's goroutine then
-// reads the end and closes the connection.
+// closeIfIdle stops reading for a drain if no byte of a request has arrived and c.used equals
+// used. It reports whether it did. The server's goroutine then reads EOF and closes the
+// connection.
 func (c *clientConn) closeIfIdle(used bool) bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return c.used == used && c.requestStart == 0 && c.stopUnlessPending(closedForDrain)
 }
 
-// stopUnlessPending ends the connection unless bytes wait to be read. The caller holds mu.
+// stopUnlessPending stops reading unless unread bytes are pending. The caller holds mu.
 func (c *clientConn) stopUnlessPending(reason closeReason) bool {
 	if c.readClosed {
 		return true
@@ -57,18 +57,19 @@
 		return false
 	}
 	c.stopReading(reason)
-	_ = c.SetReadDeadline(time.Unix(1, 0)) // wakes the goroutine that reads
+	_ = c.SetReadDeadline(time.Unix(1, 0)) // wakes the reading goroutine
 	return true
 }
 
-// idleBefore reports whether no request has arrived since a time.
+// idleBefore reports whether the connection was accepted, or last answered a request, at or
+// before the given time.
 func (c *clientConn) idleBefore(at balancer.Micros) bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return c.idleSince <= at
 }
 
-// expirePartialRequest has the server give up an incomplete request, if there is one.
+// expirePartialRequest makes the server time out an incomplete request, if there is one.
 func (c *clientConn) expirePartialRequest() {
 	c.mu.Lock()
 	partial := c.requestStart > 0 && c.framing.CompleteRequests <= c.answered
@@ -78,25 +79,27 @@
 	}
 }
 
-// Clients that do not behave as usual are evicted first.
+// Connections whose clients exceed these times are evicted before newer ones.
 const (
-	firstByteGrace   balancer.Micros = 100_000 // the usual client sends something so soon after connecting
-	slowRequestAfter balancer.Micros = 500_000 // and its complete request so soon after that
+	// firstByteGrace is the time within which a normal client sends its first byte.
+	firstByteGrace balancer.Micros = 100_000
+	// slowRequestAfter is the time within which a normal client completes a request.
+	slowRequestAfter balancer.Micros = 500_000
 )
 
-// evictionRank is how soon a connection may be evicted, the lowest rank first.
+// evictionRank is the order of eviction: the lowest rank first, rankNever excepted.
 type evictionRank int
 
 const (
 	rankNever       evictionRank = iota // a request is arriving or in flight
-	rankLingering                       // only its client's reading is waited for
-	rankNoData                          // nothing arrived in firstByteGrace
+	rankLingering                       // closing, only waiting for the client to read
+	rankNoData                          // no byte arrived within firstByteGrace
 	rankIdle                            // a request was answered, none is arriving
-	rankSlowRequest                     // a request did not arrive completely in slowRequestAfter
-	rankNew                             // just connected
+	rankSlowRequest                     // a request is incomplete after slowRequestAfter
+	rankNew                             // accepted within firstByteGrace
 )
 
-// evictionRank returns the connection's rank, and for how long it has had it.
+// evictionRank returns the connection's rank and how long it has been in that state.
 func (c *clientConn) evictionRank(now balancer.Micros) (evictionRank, balancer.Micros) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -118,8 +121,9 @@
 	return rankNew, idle
 }
 
-// evict ends the connection at once, for another's sake: also one with an incomplete request.
-// One with a complete request is never ended. It reports whether the connection ended.
+// evict closes the connection at once to make room for another, even with an incomplete request.
+// It keeps a connection with a complete request or unread bytes. It reports whether it closed the
+// connection.
 func (c *clientConn) evict() bool {
 	c.mu.Lock()
 	evicted := c.lingering || c.framing.CompleteRequests <= c.answered && c.stopUnlessPending(closedForCapacity)
@@ -132,16 +136,15 @@
 }
 
 const (
-	// lingerTimeout is how long a closed connection's client may take to read the end of its
-	// answer.
+	// lingerTimeout is how long a close waits for the client to read the rest of the response.
 	lingerTimeout = 500 * time.Millisecond
-	// lingerFraction: at most one in so many connections may be waited for so.
+	// lingerFraction limits lingering connections to 1/lingerFraction of the connection limit.
 	lingerFraction = 4
 )
 
-// Close closes the connection. A close over unread bytes resets it, and the client loses what it
-// has not yet received of its answer. So where an answer has just been written, the sending side
-// is closed first and the client's end waited for, with nothing read.
+// Close closes the connection. Closing a socket with unread bytes resets it, and the client loses
+// the part of the response that it has not received. If a response was written recently, Close
+// therefore shuts down the sending side first and waits, without reading, for the client to close.
 func (c *clientConn) Close() error {
 	var err error
 	c.closeOnce.Do(func() {
@@ -155,7 +158,7 @@
 	return err
 }
 
-// beginLinger reports whether the close has to wait. From now on nothing is read.
+// beginLinger stops all reads and reports whether the close must wait for the client.
 func (c *clientConn) beginLinger() bool {
 	t := c.tracker
 	lastWriteAt := c.lastWriteAt.Load()
@@ -173,7 +176,7 @@
 	return true
 }
 
-// awaitPeerClose closes the sending side and waits for the client's end, for lingerTimeout.
+// awaitPeerClose shuts down the sending side and waits up to lingerTimeout for the client to close.
 func (c *clientConn) awaitPeerClose() {
 	defer c.tracker.lingering.Add(-1)
 	until := time.Now().Add(lingerTimeout)
@@ -189,12 +192,12 @@
 		closed = err != nil || n == 0
 		return true
 	})
-	if err == nil && !closed { // unread bytes hide the client's end
+	if err == nil && !closed { // unread bytes hide the client's FIN
 		time.Sleep(time.Until(until))
 	}
 }
 
-// CloseWrite closes the sending side.
+// CloseWrite shuts down the sending side, if the underlying connection supports that.
 func (c *clientConn) CloseWrite() error {
 	if conn, ok := c.Conn.(interface{ CloseWrite() error }); ok {
 		return conn.CloseWrite()
--- a/internal/gateway/contracts.go
+++ b/internal/gateway/contracts.go
@@ -14,25 +14,25 @@
 )
 
 const (
-	// checkpointInterval is how often the loop looks for balances that are due to be written.
+	// checkpointInterval is how often the loop checks whether balances are due to be written.
 	checkpointInterval = 250 * time.Millisecond
-	// checkpointPostTimeout bounds the wait of the store's goroutine for the event loop.
+	// checkpointPostTimeout limits how long the store's goroutine waits to post to the event loop.
 	checkpointPostTimeout = 10 * time.Second
 )
 
-// errLoopUnresponsive says that the event loop did not answer within the call's time.
+// errLoopUnresponsive marks a call that the event loop did not handle before the context ended.
 var errLoopUnresponsive = errors.New("the gateway does not answer")
 
-// Contracts are the teams' contracts and what holds for all of them.
+// Contracts are the teams' contracts and the settings that apply to all of them.
 type Contracts struct {
 	Settings contract.Settings
 	Teams    []contract.Terms
-	// Split returns the strategy by which this gateway computes its shares of the contracts;
-	// nil: this is the only gateway.
+	// Split returns a new strategy for computing this gateway's shares of the quotas; nil: this
+	// is the only gateway.
 	Split func() split.Strategy
 }
 
-// openLedger puts the first contracts in force, starting from the stored balances.
+// openLedger applies the initial contracts, starting from the stored balances.
 func (g *Gateway) openLedger() error {
 	if g.options.Ledger != nil {
 		g.ledgerWriter = ledger.NewWriter(g.options.Ledger, g.onCheckpointWritten)
@@ -50,8 +50,8 @@
 	if err := g.loop.applyContracts(balances); err != nil || g.ledgerWriter == nil || accounting.ledger == nil {
 		return err
 	}
-	// Written before any request is served: a strict ledger needs it, and a disk that cannot
-	// be written shows at once.
+	// Written before any request is served: a strict ledger requires a stored balance, and a disk
+	// that cannot be written is detected at startup.
 	checkpoint, list := accounting.recordedLedger.Checkpoint(now)
 	if err := g.options.Ledger.Write(list); err != nil {
 		return err
@@ -67,7 +67,7 @@
 	return g.options.Ledger.Load()
 }
 
-// SetContracts puts other contracts in force; nil: none. Requests in flight are settled as
+// SetContracts replaces the contracts of the configuration file; nil: none. Requests in flight are settled as
 // they were charged. Any goroutine may call it while Serve runs.
 func (g *Gateway) SetContracts(ctx context.Context, c *Contracts) error {
 	balances, err := g.storedBalances()
@@ -86,7 +86,8 @@
 	return errors.Join(rejected, err)
 }
 
-// CloseLedger writes all balances as they are. It is called once no request is in flight.
+// CloseLedger writes the final balances and closes the ledger's writer. It must be called once no
+// request is in flight.
 func (g *Gateway) CloseLedger(ctx context.Context) error {
 	if g.ledgerWriter == nil {
 		return nil
@@ -107,7 +108,7 @@
 	return g.options.Ledger.Write(balances)
 }
 
-// Accounts returns the state of the teams' accounts; none without contracts. Any goroutine
+// Accounts returns the state of the teams' accounts, or nil without contracts. Any goroutine
 // may call it while Serve runs.
 func (g *Gateway) Accounts(ctx context.Context) ([]contract.AccountStatus, error) {
 	accounts, err := queryLoop(ctx, g.loop, func(l *eventLoop) []contract.AccountStatus {
@@ -122,7 +123,8 @@
 	return accounts, nil
 }
 
-// runLedgerTicks has the loop look after the ledger until the context ends.
+// runLedgerTicks posts a ledgerTick every checkpointInterval until the context ends, while there
+// are contracts.
 func (g *Gateway) runLedgerTicks(ctx context.Context) {
 	ticker := time.NewTicker(checkpointInterval)
 	defer ticker.Stop()
@@ -138,7 +140,7 @@
 	}
 }
 
-// ledgerTick: it is time to look for balances to write, and for the quota shares.
+// ledgerTick starts a checkpoint of the balances if one is due, and updates the quota shares.
 type ledgerTick struct{}
 
 func (ledgerTick) apply(l *eventLoop) {
@@ -157,14 +159,14 @@
 	a.updateQuotaShares(l.now)
 }
 
-// onCheckpointWritten posts the end of a checkpoint. The store's goroutine calls it.
+// onCheckpointWritten posts the result of a checkpoint. The store's goroutine calls it.
 func (g *Gateway) onCheckpointWritten(checkpoint uint64, err error) {
 	ctx, stop := context.WithTimeout(context.Background(), checkpointPostTimeout)
 	defer stop()
 	g.loop.post(ctx, checkpointWritten{checkpoint, err})
 }
 
-// checkpointWritten: the store has written a checkpoint, or failed to.
+// checkpointWritten is the result of writing a checkpoint; err is nil on success.
 type checkpointWritten struct {
 	checkpoint uint64
 	err        error
@@ -174,8 +176,8 @@
 	l.accounting.checkpointWritten(l.now, e.checkpoint, e.err)
 }
 
-// applyContracts puts the contracts of the file and the version in force. A new ledger
-// starts from the stored balances.
+// applyContracts applies the contracts of the configuration file and version. A new ledger starts
+// from the stored balances.
 func (l *eventLoop) applyContracts(stored []contract.Balance) error {
 	a := &l.accounting
 	defer func() { l.gateway.hasContracts.Store(a.ledger != nil) }()
@@ -204,8 +206,8 @@
 	return nil
 }
 
-// removeContracts ends accounting. Open charges are dropped with the ledger: a later one must
-// not settle them.
+// removeContracts ends accounting. It clears the open charges, which a later ledger must not
+// settle.
 func (l *eventLoop) removeContracts() {
 	if l.accounting.ledger != nil && l.recording != nil {
 		l.recording.recorder.ReplaceLedger(l.now, nil, 0, nil)
@@ -214,8 +216,8 @@
 	l.accounting.close()
 }
 
-// admitByContract has the team's contract judge a request before the module gets it. One
-// that is rejected is answered at once.
+// admitByContract charges a request to its team's contract before the module gets it. A rejected
+// request is answered at once.
 func (l *eventLoop) admitByContract(r *inflight.Request) bool {
 	answer, admitted := l.accounting.admit(l.now, r)
 	if admitted {
--- a/internal/gateway/contracts_test.go
+++ b/internal/gateway/contracts_test.go
@@ -38,9 +38,9 @@
 		{Team: "b", Tenants: []string{"b"}, Rate: 1e9, Burst: 1e9}}}
 }
 
-// A budget that is spent has requests rejected at once: 429, Retry-After, and a reason for
-// machines; no replica gets them, and other teams are served. What counts as used is what the
-// replica reported, not the estimate.
+// A request over a spent budget is rejected with 429, Retry-After and a machine-readable reason, and
+// reaches no replica, while other teams are served. The budget is charged with the usage that the
+// replica reported, not with the estimate.
 func TestBudgetIsEnforced(t *testing.T) {
 	replica := newFakeReplica(t, "s-1", answerCompletely) // reports 200 output tokens, and 4096 of the prompt cached
 	g := startGateway(t, func(o *Options) { o.Contracts = testContracts(10_000) }, replica)
@@ -56,7 +56,7 @@
 		served++
 		waitUntil(t, "settled", func() bool { return g.accounts(t)["a"].Open == 0 })
 	}
-	// Each takes 5120-4096 and 200; the next is estimated at 5120 and 200.
+	// Each request uses 5120-4096 prompt and 200 output tokens; the next is estimated at 5120 and 200.
 	if served != 4 || last.StatusCode != http.StatusTooManyRequests || !strings.Contains(text, `"code":"budget_spent"`) || last.Header.Get("Retry-After") == "" {
 		t.Fatalf("%d served, then %s %v %s", served, last.Status, last.Header, text)
 	}
@@ -70,7 +70,7 @@
 	if resp, _ := c.readAnswer(); resp.StatusCode != http.StatusOK {
 		t.Error(resp.Status)
 	}
-	// The contract changes: the next is served, what was used still counts.
+	// With a larger budget the next request is served, and earlier usage still counts.
 	if err := g.SetContracts(t.Context(), testContracts(100_000)); err != nil {
 		t.Fatal(err)
 	}
@@ -81,8 +81,8 @@
 	waitUntil(t, "settled", func() bool { return g.accounts(t)["a"].Used[contract.Quarter] == 5*1224*contract.Token })
 }
 
-// Each attempt is charged to the team that it is sent for: one that never ran costs nothing,
-// one that may have run its estimate; one that the budget does not allow is not sent.
+// Each attempt is charged to its request's team: an attempt that never ran is free, one that may
+// have run is charged its estimate, and one that the budget does not allow is not sent.
 func TestAttemptsAreCharged(t *testing.T) {
 	replyError := func(c net.Conn, r *http.Request) bool {
 		io.WriteString(c, "HTTP/1.1 500 Internal Server Error\r\nContent-Length: 0\r\n\r\n")
@@ -107,7 +107,7 @@
 		if got := n1 + n2 - before1 - before2; got != c.attempts {
 			t.Errorf("budget %d: %d attempts", c.budget, got)
 		}
-		// 5120 of the prompt and a quarter of the limit, for each that may have run.
+		// 5120 prompt tokens and a quarter of max_out, for each attempt that may have run.
 		if a := g.accounts(t)["a"]; a.Used[contract.Quarter] != int64(c.attempts)*5220*contract.Token {
 			t.Errorf("budget %d: used %d", c.budget, a.Used[contract.Quarter]/contract.Token)
 		}
@@ -119,6 +119,6 @@
 	cl.readAnswer()
 	waitUntil(t, "settled", func() bool { return g.accounts(t)["a"].Open == 0 })
 	if a := g.accounts(t)["a"]; a.Used[contract.Quarter] != 0 {
-		t.Errorf("what never ran cost %d", a.Used[contract.Quarter])
+		t.Errorf("an attempt that never ran was charged %d", a.Used[contract.Quarter])
 	}
 }
--- a/internal/gateway/deadline_test.go
+++ b/internal/gateway/deadline_test.go
@@ -13,10 +13,9 @@
 	"archknot/balancer"
 )
 
-// The time that each attempt announces to its replica is what the client has left when it is
-// written, first attempt or retry, and no more than 0.15 s above it. The first replica holds
-// the request for a while and sheds it; given the whole time again, the next one would work
-// past the client's deadline.
+// Each attempt carries the time that its client has left, with at most 0.15 s more. The first
+// replica sheds the request after a delay; a retry with the full time would let the second replica
+// work past the client's deadline.
 func TestRetriesCarryRemainingDeadline(t *testing.T) {
 	const (
 		timeout   = 2 * time.Second
@@ -39,7 +38,7 @@
 		if !first {
 			return answerCompletely(c, r)
 		}
-		<-time.After(shedDelay) // what a slow shedding takes
+		<-time.After(shedDelay) // a slow shed
 		io.WriteString(c, shedReply)
 		return true
 	}
@@ -57,13 +56,13 @@
 	}
 	for i, a := range attempts {
 		if left := timeout - a.at.Sub(sent); a.timeout > left+slack || a.timeout < left/2 {
-			t.Errorf("attempt %d announced %v, the client has %v left", i+1, a.timeout, left)
+			t.Errorf("attempt %d carries a deadline of %v, the client has %v left", i+1, a.timeout, left)
 		}
 	}
 }
 
-// Whatever replicas do, and whatever other clients do meanwhile, each request that was read
-// gets one final answer by its deadline: the protocol's half second past it is not needed.
+// With replicas that fail in various ways and other clients that misbehave, each request gets a
+// final response no later than 0.5 s after its deadline, the overrun that the protocol allows.
 func TestFaultsLeaveNoRequestUnanswered(t *testing.T) {
 	const (
 		requests   = 40
@@ -80,10 +79,10 @@
 	for i := range 6 {
 		replicas = append(replicas, newFakeReplica(t, fmt.Sprint("s-", i), fault))
 	}
-	g := startGateway(t, func(o *Options) { o.MaxClientConns = 400 }, replicas...) // the limit of connections has its own test
+	g := startGateway(t, func(o *Options) { o.MaxClientConns = 400 }, replicas...) // TestConnectionsAreBounded tests the connection limit
 	stop := make(chan struct{})
 	var otherClients sync.WaitGroup
-	for i := range 4 { // other clients: partial requests, noise, sent and gone
+	for i := range 4 { // partial requests, binary data, and requests whose client disconnects
 		otherClients.Go(func() {
 			for n := 0; ; n++ {
 				select {
@@ -108,7 +107,7 @@
 			c.sendRequest(fmt.Sprint("t", i), "1000m")
 			resp, err := http.ReadResponse(c.reader, nil)
 			if err != nil {
-				t.Errorf("request %d: no answer: %v after %v", i, err, time.Since(begun))
+				t.Errorf("request %d: no response: %v after %v", i, err, time.Since(begun))
 				return
 			}
 			_, _ = io.Copy(io.Discard, resp.Body)
--- a/internal/gateway/ledger_test.go
+++ b/internal/gateway/ledger_test.go
@@ -25,9 +25,9 @@
 	"archknot/internal/replay"
 )
 
-// The ledger's calls stand in captures: verdicts, attempts, settlements, contracts that change
-// in flight, quota shares and checkpoints replay identically, from the beginning and from each
-// checkpoint; a verdict that was another is found.
+// A capture records the ledger's calls: verdicts, attempts, settlements, contract changes with
+// requests in flight, quota shares and checkpoints replay identically, from the beginning and from
+// each checkpoint. A changed verdict is detected.
 func TestLedgerIsRecorded(t *testing.T) {
 	dir := t.TempDir()
 	var s2Calls atomic.Int64
@@ -50,7 +50,7 @@
 	g := startGateway(t, func(o *Options) {
 		o.Capture, o.Contracts, o.Ledger = captureTo(dir), c, store
 		o.Capture.Recorder.CheckpointInterval = 3 * time.Millisecond
-		o.Capture.Writer.BlockWhenFull = true // nothing is lost on a busy machine
+		o.Capture.Writer.BlockWhenFull = true // a busy machine must not lose records
 	}, replica1, replica2)
 	rejected := 0
 	for i := range 120 {
@@ -66,7 +66,7 @@
 			if err := g.SetContracts(t.Context(), next); err != nil {
 				t.Fatal(err)
 			}
-		case 80: // none at all, with requests in flight
+		case 80: // removes the contracts; the last request may not be settled yet
 			if err := g.SetContracts(t.Context(), nil); err != nil {
 				t.Fatal(err)
 			}
@@ -77,7 +77,7 @@
 		}
 	}
 	if rejected == 0 {
-		t.Error("nothing was rejected")
+		t.Error("no request was rejected")
 	}
 	waitUntil(t, "settled", func() bool { return g.accounts(t)["a"].Open == 0 })
 	ctx, stop := context.WithTimeout(t.Context(), 5*time.Second)
@@ -98,7 +98,7 @@
 			t.Errorf("restart %v: %s verdicts=%d checkpoints=%d %v", restart, res.Line(), res.Verdicts, res.Checkpoints, res.ByKind)
 		}
 	}
-	// A changed verdict is found to differ.
+	// A changed verdict differs from the replayed one.
 	r, err := capture.NewReader(found[0], found[0].Begin())
 	if err != nil {
 		t.Fatal(err)
@@ -125,8 +125,8 @@
 	}
 }
 
-// After a kill, a gateway counts at least what was used; after a graceful shutdown, exactly
-// that.
+// After a kill, the restored balance is at least the actual usage; after a graceful shutdown, it
+// is exactly that.
 func TestBalancesSurviveRestart(t *testing.T) {
 	path := filepath.Join(t.TempDir(), "b.db")
 	replica := newFakeReplica(t, "s-1", answerCompletely)
@@ -143,7 +143,7 @@
 			if before = g.accounts(t)["a"].Used[contract.Quarter]; run == 1 {
 				switch {
 				case clean && before != used, before < used, before > used+10_000*contract.Token+5320*contract.Token:
-					t.Errorf("clean %v: %d counts as used, %d was", clean, before/contract.Token, used/contract.Token)
+					t.Errorf("clean %v: restored usage %d, actual %d", clean, before/contract.Token, used/contract.Token)
 				}
 			}
 			cl := dial(t, g.addr)
@@ -160,12 +160,12 @@
 					t.Error(err)
 				}
 			}
-			store.Close() // a kill: what was queued and not written is lost
+			store.Close() // without CloseLedger, as after a kill: queued checkpoints are lost
 		}
 	}
 }
 
-// versionRejected reports whether a gateway has rejected a version in such words.
+// versionRejected reports whether a gateway has rejected a version with an error that contains words.
 func versionRejected(s *controlservice.Service, words string) bool {
 	for _, a := range s.Acks() {
 		if strings.Contains(a.Error, words) {
@@ -175,8 +175,8 @@
 	return false
 }
 
-// A version of the streamed configuration brings contracts in place of the file's; one that
-// would reject all that a team sends is rejected.
+// A streamed configuration version replaces the contracts of the file. A version with a budget
+// below a team's usage, or with an invalid rate, is rejected.
 func TestContractsAreStreamed(t *testing.T) {
 	replica := newFakeReplica(t, "s-1", answerCompletely)
 	s, err := controlservice.Start("127.0.0.1:0", nil)
@@ -207,9 +207,9 @@
 	tight := testContracts(7_000).Teams
 	publish(1, tight...)
 	waitUntil(t, "version 1", func() bool { return v.versionInForce() == 1 })
-	expect("streamed", http.StatusOK) // 1224 used, 1224 more
+	expect("streamed", http.StatusOK) // 1224 tokens were used before, and 1224 by this request
 	expect("spent", http.StatusTooManyRequests)
-	// Valid alone, but not as a step: below what is used.
+	// Valid by itself, but not after version 1: the budget is below the usage.
 	publish(2, testContracts(500).Teams...)
 	waitUntil(t, "version 2 rejected", func() bool { return v.versionInForce() == 1 && versionRejected(s, "below the") })
 	invalid := testContracts(7_000).Teams
@@ -219,7 +219,7 @@
 	publish(4, testContracts(9_000).Teams...)
 	waitUntil(t, "version 4", func() bool { return v.versionInForce() == 4 })
 	expect("more", http.StatusOK)
-	s.Publish(chatVersion(5)) // without contracts: the file's again, and what was used still counts
+	s.Publish(chatVersion(5)) // without contracts: the file's apply again, and earlier usage still counts
 	waitUntil(t, "version 5", func() bool { return v.versionInForce() == 5 })
 	expect("files-again", http.StatusOK)
 	if used := g.accounts(t)["a"].Used[contract.Quarter]; used != 4*1224*contract.Token {
@@ -237,7 +237,7 @@
 	g := startGateway(t, func(o *Options) { o.Capture, o.Contracts = captureTo(dir), testContracts(100_000) }, replica)
 	cl := dial(t, g.addr)
 	cl.sendRequestFor("in-flight", "a")
-	waitUntil(t, "it is charged", func() bool { return g.accounts(t)["a"].Open == 1 })
+	waitUntil(t, "the request to be charged", func() bool { return g.accounts(t)["a"].Open == 1 })
 	for _, c := range []*Contracts{nil, testContracts(100_000)} {
 		if err := g.SetContracts(t.Context(), c); err != nil {
 			t.Fatal(err)
@@ -245,7 +245,7 @@
 	}
 	close(release)
 	cl.readAnswer()
-	waitUntil(t, "its end", func() bool { return g.clients.inFlightCount() == 0 })
+	waitUntil(t, "the request to end", func() bool { return g.clients.inFlightCount() == 0 })
 	if err := g.SetCapture(t.Context(), nil); err != nil {
 		t.Fatal(err)
 	}
--- a/internal/gateway/outcome.go
+++ b/internal/gateway/outcome.go
@@ -9,32 +9,32 @@
 	"archknot/internal/httpwire"
 )
 
-// outcome is how a client's request ended, as the log names it.
+// outcome is how a client's request ended, as logged.
 type outcome string
 
 const (
 	outcomeServed             outcome = "served"            // the stream was relayed to its end
-	outcomeStreamBroken       outcome = "stream_broken"     // it broke after its first event
-	outcomeShed               outcome = "shed"              // 503, it never ran
+	outcomeStreamBroken       outcome = "stream_broken"     // the stream broke after its first event
+	outcomeShed               outcome = "shed"              // 503, the request never ran
 	outcomeContractRejected   outcome = "contract_rejected" // 429, the team's contract does not allow it
 	outcomeRejected           outcome = "rejected"          // 4xx
 	outcomeFailed             outcome = "failed"            // 502
 	outcomeClientDisconnected outcome = "client_gone"       // the client closed its connection first
-	outcomeTakenOver          outcome = "taken_over"        // another gateway goes on with it
+	outcomeTakenOver          outcome = "taken_over"        // another gateway has taken over the request
 )
 
 // requestResult describes the end of a request for the log.
 type requestResult struct {
 	outcome    outcome
-	reason     string // of a request that was not served
-	replica    string // whose stream the client got
+	reason     string // why the request was not served
+	replica    string // the replica whose stream the client received
 	attempts   int
-	listAge    balancer.Micros // of the endpoint list, when the last attempt was decided
-	firstToken balancer.Micros // after the client's sending; 0: there was none
-	retryAfter balancer.Micros // the advice to the client; 0: none
+	listAge    balancer.Micros // age of the endpoint list when the last attempt was decided
+	firstToken balancer.Micros // time from the request's arrival to its first token; 0: none
+	retryAfter balancer.Micros // Retry-After sent to the client; 0: none
 }
 
-// log writes the line of a request that has ended.
+// log writes the log line of a request that has ended.
 func (r *requestResult) log(ctx context.Context, request *httpwire.ClientRequest, elapsed balancer.Micros) {
 	slog.LogAttrs(ctx, slog.LevelInfo, "request",
 		slog.String("id", request.ID),
--- a/internal/gateway/readhead.go
+++ b/internal/gateway/readhead.go
@@ -12,18 +12,18 @@
 )
 
 const (
-	// responseHeadTimeout is how long an answer's head may take from its first byte: it is
-	// sent in one piece, and one that does not end would use up the request's time.
+	// responseHeadTimeout limits the time from the first to the last byte of a response head. A
+	// head is sent in one piece; one that never ends would use up the request's time.
 	responseHeadTimeout = 500 * time.Millisecond
-	// maxInformational bounds the 1xx answers before the final answer.
+	// maxInformational bounds the number of 1xx responses before the final one.
 	maxInformational = 8
 )
 
-// responseHead is the head of an answer. The body is not read by way of its Body, but by an
-// httpwire.Body on the connection.
+// responseHead is the head of a response. The body is read by an httpwire.Body on the connection,
+// not through Response.Body.
 type responseHead struct{ *http.Response }
 
-// readHead waits for an answer and reads its head, past 1xx answers.
+// readHead waits for a response and reads its head, skipping 1xx responses.
 func readHead(conn *connpool.Conn, timeoutAt time.Time) (head responseHead, err error) {
 	for informational := 0; ; informational++ {
 		if _, err := conn.Reader.Peek(1); err != nil {
@@ -41,13 +41,13 @@
 			return head, err
 		}
 		if informational >= maxInformational {
-			return responseHead{}, fmt.Errorf("%w: over %d answers before the answer", httpwire.ErrMalformed, maxInformational)
+			return responseHead{}, fmt.Errorf("%w: more than %d 1xx responses before the final response", httpwire.ErrMalformed, maxInformational)
 		}
 	}
 }
 
-// endsCleanly reports whether a connection can carry another request after this answer.
-// Bytes behind an answer would be taken for the answer to the next request.
+// endsCleanly reports whether a connection can carry another request after this response. Surplus
+// bytes after a response would be taken for the response to the next request.
 func endsCleanly(conn *connpool.Conn, head responseHead, body *httpwire.Body) bool {
 	return body.Delimited() && !head.Close && conn.Reader.Buffered() == 0
 }
--- a/internal/gateway/relay.go
+++ b/internal/gateway/relay.go
@@ -9,19 +9,19 @@
 )
 
 const (
-	// partialEventWait is how long an incomplete event waits for its remainder.
+	// partialEventWait is how long an incomplete event is held back for its remainder.
 	partialEventWait = 50 * time.Millisecond
 	// maxPartialEventBytes bounds the size of an event that is buffered until it is complete.
 	maxPartialEventBytes = 64 << 10
-	// clientWriteTimeout is how long a client may read nothing of what is sent to it; after
-	// that it counts as gone.
+	// clientWriteTimeout is how long a write to a client may block; after that the client counts
+	// as disconnected.
 	clientWriteTimeout = 5 * time.Second
 )
 
-// relayStream writes an attempt's events to the client as they arrive, and reports whether
-// the stream was relayed to its end. A replica may send one event in several chunks, which
-// are of no use to the client alone: they are written together, or after partialEventWait
-// as far as they have arrived.
+// relayStream writes an attempt's events to the client as they arrive, and reports whether the
+// stream was relayed to its end. A replica may split an event over several chunks, which are of
+// no use to the client separately: they are written together, or after partialEventWait as far
+// as they have arrived.
 func relayStream(w http.ResponseWriter, attempt *inflight.Attempt, lease *requestLease) bool {
 	defer attempt.Cancel()
 	controller := http.NewResponseController(w)
--- a/internal/gateway/relay_test.go
+++ b/internal/gateway/relay_test.go
@@ -13,8 +13,8 @@
 	"github.com/google/go-cmp/cmp"
 )
 
-// An event reaches the client before the next one exists; the stream is relayed unchanged, and
-// the next request uses the same connections.
+// An event reaches the client before the replica sends the next one, the stream is relayed
+// unchanged, and the next request reuses the same connections.
 func TestEventsAreRelayedImmediately(t *testing.T) {
 	sendRemainder := make(chan struct{})
 	replica := newFakeReplica(t, "s-1", func(c net.Conn, _ *http.Request) bool {
@@ -37,20 +37,20 @@
 		if diff := cmp.Diff(event2+loadReportLine, string(remainder)); err != nil || diff != "" {
 			t.Fatal(err, diff)
 		}
-		waitUntil(t, "the attempt's end", func() bool { return g.clients.inFlightCount() == 0 && len(g.loop.events) == 0 })
+		waitUntil(t, "the attempt to end", func() bool { return g.clients.inFlightCount() == 0 && len(g.loop.events) == 0 })
 	}
 	r := replica.requests[1]
 	if r.Method != "POST" || r.RequestURI != "/v1/chat/completions?x=1" || r.Header.Get("Req-Id") != "a2" ||
 		!strings.HasSuffix(r.Header.Get("Req-Deadline"), "u") {
-		t.Errorf("the replica got %s %s %v", r.Method, r.RequestURI, r.Header)
+		t.Errorf("the replica received %s %s %v", r.Method, r.RequestURI, r.Header)
 	}
 	if n, _ := replica.counts(); n != 1 {
 		t.Errorf("%d connections for two requests in turn", n)
 	}
 }
 
-// A stream that breaks or stalls ends the client's connection without the last chunk, and
-// nothing more is sent for the request.
+// A stream that breaks or stalls after its first event closes the client's connection without the
+// last chunk, and no further attempt is sent.
 func TestBrokenStreamIsCutOff(t *testing.T) {
 	for name, script := range map[string]func(net.Conn, *http.Request) bool{
 		"breaks": replyWith(streamHead+chunk(event1), false),
@@ -72,9 +72,8 @@
 	}
 }
 
-// A stream that is malformed before its first event was relayed is retried at the other
-// replica; one that is malformed later ends the client's connection, and nothing of what cannot
-// be parsed is relayed.
+// A stream that is malformed before its first event was relayed is retried at the other replica.
+// One that is malformed later closes the client's connection, and no unparsed bytes are relayed.
 func TestMalformedStreams(t *testing.T) {
 	for name, c := range map[string]struct {
 		text string
@@ -91,7 +90,8 @@
 			}
 			return answerCompletely(conn, r)
 		}
-		// A head that does not end is given up after half a second: no hedged request by then.
+		// An endless head times out after responseHeadTimeout; the latency objective is high enough
+		// that no hedge is sent before that.
 		g := startGateway(t, func(o *Options) { o.Settings.Classes[0].LatencyObjective = 3_000_000 }, newFakeReplica(t, "s-1", failFirst), newFakeReplica(t, "s-2", failFirst))
 		client := dial(t, g.addr)
 		client.sendRequest("s1", "4000m")
--- a/internal/gateway/request.go
+++ b/internal/gateway/request.go
@@ -24,7 +24,7 @@
 	result      requestResult
 }
 
-// serve handles one request, from its head to the last byte of its answer.
+// serve handles one request, from its head to the last byte of its response.
 func (g *Gateway) serve(w http.ResponseWriter, r *http.Request) {
 	conn := g.clients.connOf(r.Context())
 	config := g.config.Load()
@@ -55,9 +55,9 @@
 	h.runActions(ctx, w, r)
 }
 
-// parseHead reads the request's head. All that it contains is checked before the body is
-// read: a request that cannot be served takes up neither memory nor a replica. A replica
-// would reject it with an error, and errors count against the replica.
+// parseHead parses and validates the request's head before the body is read, so that an invalid
+// request takes up neither memory nor a replica. A replica would reject it with an error, and
+// errors count against the replica.
 func (h *requestHandler) parseHead(r *http.Request) *rejection {
 	request, err := httpwire.ParseRequest(r.Header)
 	h.hasDeadline = request.Timeout > 0
@@ -71,8 +71,8 @@
 	return nil
 }
 
-// checkClass rejects a class that the configuration does not have, and sets the class's
-// timeout on a request that has none of its own.
+// checkClass returns an error for a class that the configuration does not have, and applies the
+// class's timeout to a request without its own.
 func (c *liveConfig) checkClass(request *httpwire.ClientRequest) error {
 	class, err := c.class(request.Request.Class)
 	request.Timeout = cmp.Or(request.Timeout, class.Deadline)
@@ -96,11 +96,11 @@
 	return true
 }
 
-// admit enters the request among those in flight, within the gateway's own limits. If it
+// admit registers the request as in flight, within the gateway's own limits. If it
 // returns false, the client has been answered.
 func (h *requestHandler) admit(w http.ResponseWriter) bool {
 	g := h.gateway
-	if h.conn.hasAmbiguousFraming() { // seen in what arrived after the head
+	if h.conn.hasAmbiguousFraming() { // detected in bytes after the head
 		g.reject(w, rejectAmbiguousFraming)
 		return false
 	}
@@ -121,7 +121,7 @@
 	return false
 }
 
-// initInFlight creates the record that the event loop and the attempts share.
+// initInFlight creates the request's record that the event loop and the attempts share.
 func (h *requestHandler) initInFlight(ctx context.Context, cancel context.CancelFunc) {
 	maxAttempts := max(protocolMaxAttempts, h.gateway.options.Settings.MaxAttempts)
 	h.inFlight = inflight.NewRequest(ctx, h.request.ID, h.request.Request, h.arrivedAt+h.request.Timeout, maxAttempts)
@@ -139,8 +139,7 @@
 	h.result.log(ctx, &h.request, g.clock.now()-h.arrivedAt)
 }
 
-// runActions carries out the event loop's actions until the request is answered or its
-// context ends.
+// runActions executes the event loop's actions until the request is answered or its context ends.
 func (h *requestHandler) runActions(ctx context.Context, w http.ResponseWriter, r *http.Request) {
 	for {
 		select {
@@ -155,10 +154,10 @@
 				h.stream(ctx, w, action.Attempt)
 				return
 			default:
-				h.answer(w, action)
+				h.writeFinalResponse(w, action)
 				return
 			}
-		case <-ctx.Done(): // the attempts end with it
+		case <-ctx.Done(): // also cancels the attempts
 			h.abandon()
 			return
 		}
@@ -167,7 +166,7 @@
 
 // stream relays an attempt's stream to the client.
 func (h *requestHandler) stream(ctx context.Context, w http.ResponseWriter, attempt *inflight.Attempt) {
-	h.body = nil // nothing more is sent for the request, and its stream may last for long
+	h.body = nil // no further attempt needs it, and a stream may last long
 	h.result.replica = attempt.Replica.Endpoint.ID
 	h.result.firstToken = h.gateway.clock.now() - h.arrivedAt
 	complete := relayStream(w, attempt, h.lease)
@@ -180,37 +179,37 @@
 		h.result.outcome = outcomeStreamBroken
 	}
 	if !complete {
-		// Closes the connection without the last chunk: the client sees that the stream
-		// broke, and may resume it.
+		// Closes the connection without the last chunk, so that the client detects the broken
+		// stream and may resume it.
 		panic(http.ErrAbortHandler)
 	}
 }
 
-// answer sends a final answer that has no stream.
-func (h *requestHandler) answer(w http.ResponseWriter, action inflight.Action) {
+// writeFinalResponse sends a final response that has no stream.
+func (h *requestHandler) writeFinalResponse(w http.ResponseWriter, action inflight.Action) {
 	switch action.Kind {
 	case inflight.ActionShed:
-		h.setAnswer(outcomeShed, action)
+		h.setResult(outcomeShed, action)
 		writeOverload(w, action.RetryAfter)
 	case inflight.ActionDeny:
-		h.setAnswer(outcomeContractRejected, action)
+		h.setResult(outcomeContractRejected, action)
 		writeContractRejection(w, action.Reason, action.RetryAfter)
 	case inflight.ActionReject:
-		h.setAnswer(outcomeRejected, action)
+		h.setResult(outcomeRejected, action)
 		h.gateway.reject(w, badRequest(action.Reason))
 	case inflight.ActionFail:
-		h.setAnswer(outcomeFailed, action)
+		h.setResult(outcomeFailed, action)
 		http.Error(w, "the request failed", http.StatusBadGateway)
 	}
 }
 
-func (h *requestHandler) setAnswer(o outcome, action inflight.Action) {
+func (h *requestHandler) setResult(o outcome, action inflight.Action) {
 	h.result.outcome = o
 	h.result.reason = action.Reason
 	h.result.retryAfter = action.RetryAfter
 }
 
-// abandon ends a request whose client has gone or which another gateway has taken over.
+// abandon ends a request whose client has disconnected or which another gateway has taken over.
 func (h *requestHandler) abandon() {
 	h.gateway.loop.events <- requestCancelled{h.inFlight}
 	if h.lease.lost() {
--- a/internal/gateway/request_test.go
+++ b/internal/gateway/request_test.go
@@ -9,7 +9,8 @@
 	"archknot/internal/httpwire"
 )
 
-// A request that is not served gets a plain answer.
+// An invalid request gets an error response and is not forwarded. A request without a deadline is
+// valid.
 func TestMalformedRequests(t *testing.T) {
 	replica := newFakeReplica(t, "s-1", answerCompletely)
 	g := startGateway(t, nil, replica)
@@ -42,15 +43,15 @@
 		}
 	}
 	if _, n := replica.counts(); n != 1 {
-		t.Errorf("%d requests forwarded, want the one without a deadline of its own", n)
+		t.Errorf("%d requests forwarded, want only the one without a deadline", n)
 	}
 	if g.clients.bodyBytes.Load() != 0 {
-		t.Errorf("%d bytes of bodies still counted", g.clients.bodyBytes.Load())
+		t.Errorf("%d bytes of body memory still reserved", g.clients.bodyBytes.Load())
 	}
 }
 
-// A request with two lengths may hide another one in its body: neither is forwarded. The HTTP
-// server itself does not report the length that it drops.
+// A request with both a Content-Length and a Transfer-Encoding may hide a second one in its body:
+// neither is forwarded. The HTTP server drops one of the lengths without reporting it.
 func TestSmuggledRequestIsNotForwarded(t *testing.T) {
 	const head = "POST /v1/chat/completions HTTP/1.1\r\nHost: a\r\nReq-Kind: chat\r\nReq-Deadline: 4000m\r\nReq-Id: "
 	replica := newFakeReplica(t, "s-1", answerCompletely)
@@ -67,7 +68,7 @@
 			t.Errorf("%q: status %d, close %t", text, resp.StatusCode, resp.Close)
 		}
 		if _, err := c.reader.ReadByte(); err == nil {
-			t.Errorf("%q: a second answer", text)
+			t.Errorf("%q: a second response", text)
 		}
 	}
 	if _, n := replica.counts(); n != 0 {
@@ -75,8 +76,8 @@
 	}
 }
 
-// The id of a request in flight is not accepted a second time: the replica would run that
-// request twice. Afterwards it is free again.
+// A request with the id of a request in flight is rejected: the replica would run it twice. Once
+// that request has ended, the id can be used again.
 func TestDuplicateInFlightIDIsRejected(t *testing.T) {
 	replica := newFakeReplica(t, "s-1", replyWith(streamHead+chunk(event1), true))
 	g := startGateway(t, nil, replica)
@@ -95,7 +96,7 @@
 	third := dial(t, g.addr)
 	third.sendRequest("same", "4000m")
 	if resp := third.readHead(); resp.StatusCode != 200 {
-		t.Errorf("afterwards: status %d", resp.StatusCode)
+		t.Errorf("after the first has ended: status %d", resp.StatusCode)
 	}
 }
 
--- a/internal/gateway/server.go
+++ b/internal/gateway/server.go
@@ -10,8 +10,8 @@
 	"archknot/internal/httpwire"
 )
 
-// Time limits on what a client sends. A client that sends nothing that can be served
-// is owed an error or a close within 3 s of connecting.
+// Time limits on receiving a request. A client that sends no valid request must get an error
+// or a close within 3 s of connecting.
 const (
 	requestHeadTimeout = 2 * time.Second         // from connecting, or from the head's first bytes
 	requestTimeout     = 2500 * time.Millisecond // from the same moment to the body's last byte
@@ -33,13 +33,13 @@
 	}
 }
 
-// handle routes a client's request. A ServeMux is not used: it would answer some
-// unknown paths with a redirect.
+// handle routes a client's request. It does not use a ServeMux, which redirects some unknown
+// paths.
 func (g *Gateway) handle(w http.ResponseWriter, r *http.Request) {
 	conn := g.clients.connOf(r.Context())
 	w = &drainAwareWriter{ResponseWriter: w, conn: conn}
-	// The deadline stands until the complete request has arrived: after a rejection the
-	// server reads on for a while, and without a deadline it would wait forever.
+	// The read deadline applies until the complete request has arrived: after a rejection the
+	// server keeps reading for a while, and without a deadline it would wait forever.
 	_ = http.NewResponseController(w).SetReadDeadline(conn.readDeadlineBase().Add(requestTimeout))
 	isPost := r.Method == http.MethodPost
 	switch {
@@ -65,9 +65,9 @@
 	fmt.Fprintln(w, "ready")
 }
 
-// drainAwareWriter writes the answer to a client. While the gateway is draining, an answer
-// announces that it is the last one on its connection, unless part of a pipelined request
-// has been read, which is owed an answer too.
+// drainAwareWriter writes the response to a client. While the gateway is draining, responses
+// carry Connection: close, unless part of a pipelined request has been read, which must be
+// answered too.
 type drainAwareWriter struct {
 	http.ResponseWriter
 	conn          *clientConn
@@ -77,7 +77,7 @@
 // Unwrap lets http.ResponseController reach the server's own writer.
 func (w *drainAwareWriter) Unwrap() http.ResponseWriter { return w.ResponseWriter }
 
-// WriteHeader writes the status line and the headers.
+// WriteHeader writes the status line and the headers, in a drain with Connection: close.
 func (w *drainAwareWriter) WriteHeader(status int) {
 	if w.conn.tracker.draining() && !w.conn.hasPipelined() {
 		w.Header().Set("Connection", "close")
@@ -86,7 +86,7 @@
 	w.ResponseWriter.WriteHeader(status)
 }
 
-// Write writes a part of the body, after the header if that is not written yet.
+// Write writes part of the body, after the header if that is not written yet.
 func (w *drainAwareWriter) Write(p []byte) (int, error) {
 	if !w.headerWritten {
 		w.WriteHeader(http.StatusOK)
@@ -97,7 +97,7 @@
 // serverLogWriter passes the HTTP server's own messages to the gateway's log.
 type serverLogWriter struct{ log rateLimitedLog }
 
-// Write logs one message.
+// Write logs one message, within the log's rate limit.
 func (w *serverLogWriter) Write(p []byte) (int, error) {
 	w.log.log("http_server", "err", strings.TrimSpace(string(p)))
 	return len(p), nil
