--- a/internal/gateway/clientconn.go
+++ b/internal/gateway/clientconn.go
@@ -47,7 +47,7 @@
 	requestStart balancer.Micros         // arrival of the current request's first byte; 0: none has arrived
 	idleSince    balancer.Micros         // when the connection was accepted or its last request was answered
 	answered     int                     // requests answered
-	framing      httpwire.RequestFraming // of all bytes read
+	framing      httpwire.RequestFraming // framing of all bytes read
 	reason       closeReason             // the first cause of the close
 }
 
@@ -116,10 +116,10 @@
 	return n, true, nil
 }
 
-// recordRead updates the framing state with the bytes just read. A request with both a
-// Content-Length and a Transfer-Encoding has an ambiguous end, and so has the next one its start.
-// The HTTP server drops the Content-Length without reporting it, so both headers can only be
-// detected here, before the server parses them. The caller holds mu.
+// recordRead updates the framing state with the bytes just read. If a request has both a
+// Content-Length and a Transfer-Encoding, its end is ambiguous, and so is the start of the next
+// one. The HTTP server drops the Content-Length without reporting it, so the pair can only be
+// detected here, before the server parses the bytes. The caller holds mu.
 func (c *clientConn) recordRead(fd int, p []byte) {
 	c.framing.Write(p)
 	// An empty line after a request does not begin a new request.
--- a/internal/gateway/clientconn_test.go
+++ b/internal/gateway/clientconn_test.go
@@ -40,8 +40,8 @@
 	requestSecondHalf = "Req-Kind: chat\r\nContent-Length: 0\r\n\r\n"
 )
 
-// A connection on which bytes of a request have arrived is not closed, and after a close no byte
-// is read, in whichever order the two come. A request must not be read and then dropped.
+// A connection on which bytes of a request have arrived is not closed as idle, and after a close no
+// byte is read. Otherwise a request could be read and then dropped.
 func TestConnectionCloseVersusRequestStart(t *testing.T) {
 	read := func(c *clientConn) (string, error) {
 		b := make([]byte, 512)
--- a/internal/gateway/clientgone_test.go
+++ b/internal/gateway/clientgone_test.go
@@ -23,8 +23,8 @@
 func TestClientGoneByKernelState(t *testing.T) {
 	l := listenOnLoopback(t)
 	for name, c := range map[string]struct {
-		end  func(*net.TCPConn)
-		gone bool
+		end        func(*net.TCPConn)
+		wantClosed bool
 	}{
 		"stays":              {func(c *net.TCPConn) {}, false},
 		"sends more, stays":  {func(c *net.TCPConn) { io.WriteString(c, "GET /") }, false},
@@ -42,7 +42,7 @@
 			t.Fatal(err)
 		}
 		c.end(client.(*net.TCPConn))
-		if c.gone {
+		if c.wantClosed {
 			waitUntil(t, name+": detected as closed", func() bool { return connpool.PeerClosed(accepted) })
 		} else if time.Sleep(20 * time.Millisecond); connpool.PeerClosed(accepted) {
 			t.Errorf("%s: taken for closed", name)
@@ -59,10 +59,10 @@
 	for name, more := range map[string]string{"plain": "", "more after it": "GET /health/ready HTTP/1.1\r\n"} {
 		t.Run(name, func(t *testing.T) {
 			var begun, late atomic.Int32
-			var goneAt atomic.Int64
+			var disconnectedAt atomic.Int64
 			releaseFirst := make(chan struct{})
 			replica := newFakeReplica(t, "s-1", func(c net.Conn, r *http.Request) bool {
-				if at := goneAt.Load(); at > 0 && time.Now().UnixNano() > at+int64(100*time.Millisecond) {
+				if at := disconnectedAt.Load(); at > 0 && time.Now().UnixNano() > at+int64(100*time.Millisecond) {
 					late.Add(1)
 				}
 				begun.Add(1)
@@ -85,7 +85,7 @@
 				}
 				c.Close()
 			}
-			goneAt.Store(time.Now().UnixNano())
+			disconnectedAt.Store(time.Now().UnixNano())
 			time.Sleep(150 * time.Millisecond) // past the 0.1 s: an attempt that begins from now on is late
 			close(releaseFirst)
 			waitUntil(t, "nothing in flight", func() bool { return g.clients.inFlightCount() == 0 && len(g.loop.events) == 0 || late.Load() > 0 })
