--- a/internal/gateway/contracts.go
+++ b/internal/gateway/contracts.go
@@ -67,8 +67,8 @@
 	return g.options.Ledger.Load()
 }
 
-// SetContracts replaces the contracts of the configuration file; nil: none. Requests in flight are settled as
-// they were charged. Any goroutine may call it while Serve runs.
+// SetContracts replaces the contracts of the configuration file; nil: none. Requests in flight are
+// settled as they were charged. Any goroutine may call it while Serve runs.
 func (g *Gateway) SetContracts(ctx context.Context, c *Contracts) error {
 	balances, err := g.storedBalances()
 	if err != nil {
