--- a/internal/gateway/clientgone_test.go
+++ b/internal/gateway/clientgone_test.go
@@ -163,9 +163,8 @@
 	}
 }
 
-// No retry is dispatched for an attempt that was cancelled because its client disconnected, although
-// the attempt's end may reach the event loop before requestCancelled. Such a retry would use up the retry
-// budget.
+// No retry is dispatched for an attempt that was cancelled because its client disconnected. Its end
+// may reach the event loop before requestCancelled does; a retry would use up the retry budget.
 func TestNoRetryIsPlannedForGoneClient(t *testing.T) {
 	g := newTestGateway(t, testOptions())
 	l := g.loop
--- a/internal/gateway/pooledclient.go
+++ b/internal/gateway/pooledclient.go
@@ -14,8 +14,8 @@
 	"archknot/internal/httpwire"
 )
 
-// maxControlBodyBytes bounds, in bytes, the response to a health check and the unread remainder of a
-// response that is discarded so that its connection can be reused.
+// maxControlBodyBytes bounds the response to a health check, and the unread remainder of a response
+// that is discarded so that its connection can be reused.
 const maxControlBodyBytes = 64 << 10
 
 var (
@@ -23,7 +23,7 @@
 	errNotConnected = errors.New("connect")
 	// errConnClosed marks a call whose new connection was closed or reset before a response began.
 	errConnClosed = errors.New("connection closed before a response")
-	// errResponseTruncated marks a response whose end was not reached within maxControlBodyBytes bytes
+	// errResponseTruncated marks a response whose end was not reached within maxControlBodyBytes
 	// after the part that the caller read.
 	errResponseTruncated = errors.New("response truncated or too long")
 )
