--- a/internal/gateway/attempt_test.go
+++ b/internal/gateway/attempt_test.go
@@ -17,10 +17,10 @@
 	"github.com/google/go-cmp/cmp"
 )
 
-// There is one outcome for each way in which an attempt can end, by the protocol's table.
+// Each way in which an attempt can end yields the status that the protocol assigns to it.
 func TestAttemptOutcomes(t *testing.T) {
-	dead := newFakeReplica(t, "dead", neverAnswer)
-	dead.listener.Close()
+	closed := newFakeReplica(t, "dead", neverAnswer)
+	closed.listener.Close()
 	for name, c := range map[string]struct {
 		script func(net.Conn, *http.Request) bool
 		addr   string
@@ -35,8 +35,8 @@
 		"bare 503":        {script: replyWith("HTTP/1.1 503 Busy\r\nContent-Length: 0\r\n\r\n", true), want: attemptEnded{status: balancer.Errored, httpStatus: 503}},
 		"400":             {script: replyWith("HTTP/1.1 400 No\r\nContent-Length: 0\r\n\r\n", true), want: attemptEnded{status: balancer.Rejected, httpStatus: 400}},
 		"1xx before":      {script: replyWith(informational+informational+streamHead+chunk(event1)+lastChunk, true), want: attemptEnded{status: balancer.Served}},
-		"1xx for ever":    {script: replyWith(strings.Repeat(informational, 100), true), want: attemptEnded{status: balancer.Malformed}},
-		"noise":           {script: replyWith("\x00\x01\x02\x03", true), want: attemptEnded{status: balancer.Malformed}},
+		"endless 1xx":     {script: replyWith(strings.Repeat(informational, 100), true), want: attemptEnded{status: balancer.Malformed}},
+		"binary data":     {script: replyWith("\x00\x01\x02\x03", true), want: attemptEnded{status: balancer.Malformed}},
 		"malformed head":  {script: replyWith("HTTP/1.1 two hundred\r\n\r\n", true), want: attemptEnded{status: balancer.Malformed}},
 		"long head":       {script: replyWith("HTTP/1.1 200 OK\r\nX: "+strings.Repeat("x", 20<<10), true), want: attemptEnded{status: balancer.Malformed}},
 		"endless head":    {script: replyWith("HTTP/1.1 200 OK\r\n", true), want: attemptEnded{status: balancer.Malformed}},
@@ -50,7 +50,7 @@
 		"breaks in chunk": {script: replyWith(streamHead+"50\r\ndata", false), want: attemptEnded{status: balancer.ConnBroken}},
 		"no last chunk":   {script: replyWith("HTTP/1.1 200 OK\r\n\r\n"+event1, false), want: attemptEnded{status: balancer.ConnBroken}},
 		"nothing":         {script: neverAnswer, wait: 100 * time.Millisecond, want: attemptEnded{status: balancer.TimedOut}},
-		"refused":         {addr: dead.addr, want: attemptEnded{status: balancer.ConnectFailed}},
+		"refused":         {addr: closed.addr, want: attemptEnded{status: balancer.ConnectFailed}},
 		"cancelled":       {script: neverAnswer, cancel: true, want: attemptEnded{status: balancer.Cancelled}},
 	} {
 		t.Run(name, func(t *testing.T) {
@@ -62,25 +62,25 @@
 			if addr == "" {
 				addr = newFakeReplica(t, "w", c.script).addr
 			}
-			store := inflight.NewTable()
+			table := inflight.NewTable()
 			r := inflight.NewRequest(context.Background(), "o1", balancer.Request{}, 0, 3)
-			store.Add(r)
+			table.Add(r)
 			now := g.clock.now()
-			d := store.StartAttempt(r, &endpoint.Replica{Endpoint: httpwire.Endpoint{Addr: addr}}, now, now+c.wait.Microseconds())
+			attempt := table.StartAttempt(r, &endpoint.Replica{Endpoint: httpwire.Endpoint{Addr: addr}}, now, now+c.wait.Microseconds())
 			if c.cancel {
-				time.AfterFunc(50*time.Millisecond, d.Cancel)
+				time.AfterFunc(50*time.Millisecond, attempt.Cancel)
 			}
 			go func() {
-				for range d.Events {
+				for range attempt.Events {
 				}
 			}()
 			in, _ := http.NewRequest("POST", "/v1/chat/completions", nil)
 			in.RequestURI = "/v1/chat/completions"
-			go (&attemptExchange{gateway: g, request: in, body: []byte("{}"), attempt: d}).run()
+			go (&attemptExchange{gateway: g, request: in, body: []byte("{}"), attempt: attempt}).run()
 			for {
 				e, ok := (<-g.loop.events).(attemptEnded)
 				if !ok {
-					continue // opened
+					continue // streamOpened
 				}
 				e.attempt = nil
 				if diff := cmp.Diff(c.want, e, cmp.AllowUnexported(attemptEnded{})); diff != "" {
@@ -92,72 +92,72 @@
 	}
 }
 
-// Bytes after an answer are not the next request's answer.
+// Surplus bytes after a response are not taken for the response to the next request.
 func TestSurplusAnswerIsDiscarded(t *testing.T) {
-	w := newFakeReplica(t, "s-1", func(c net.Conn, r *http.Request) bool {
+	replica := newFakeReplica(t, "s-1", func(c net.Conn, r *http.Request) bool {
 		id := "data: " + r.Header.Get("Req-Id") + "\n\n"
 		io.WriteString(c, streamHead+chunk(id)+lastChunk+streamHead+chunk("data: more\n\n")+lastChunk)
 		return true
 	})
-	g := startGateway(t, nil, w)
+	g := startGateway(t, nil, replica)
 	c := dial(t, g.addr)
 	for _, id := range []string{"t1", "t2", "t3"} {
 		c.sendRequest(id, "4000m")
 		if _, body := c.readAnswer(); body != "data: "+id {
-			t.Errorf("%s: answer %q", id, body)
+			t.Errorf("%s: body %q", id, body)
 		}
 	}
 }
 
-// A second answer to a request that arrives after the next request was sent is not taken for
-// that one's: a connection that has just been used carries nothing for a while.
+// A surplus response that arrives after the next request was sent is not taken for that request's:
+// ReplicaConnReuseDelay keeps a connection that has just been used from carrying a request.
 func TestSurplusAnswerDuringNextRequest(t *testing.T) {
-	const wrong = "data: another's\n\n"
-	second, wrote := make(chan struct{}), make(chan struct{})
-	w := newFakeReplica(t, "s-1", func(c net.Conn, r *http.Request) bool {
+	const surplusEvent = "data: another's\n\n"
+	secondArrived, surplusWritten := make(chan struct{}), make(chan struct{})
+	replica := newFakeReplica(t, "s-1", func(c net.Conn, r *http.Request) bool {
 		switch r.Header.Get("Req-Id") {
 		case "y1":
 			go func() {
-				<-second
-				io.WriteString(c, streamHead+chunk(wrong)+lastChunk)
-				close(wrote)
+				<-secondArrived
+				io.WriteString(c, streamHead+chunk(surplusEvent)+lastChunk)
+				close(surplusWritten)
 			}()
 		case "y2":
-			close(second)
-			<-wrote
+			close(secondArrived)
+			<-surplusWritten
 		}
 		return answerCompletely(c, r)
 	})
-	g := startGateway(t, func(o *Options) { o.ReplicaConnReuseDelay = time.Minute }, w)
+	g := startGateway(t, func(o *Options) { o.ReplicaConnReuseDelay = time.Minute }, replica)
 	c := dial(t, g.addr)
 	for _, id := range []string{"y1", "y2"} {
 		c.sendRequest(id, "4000m")
-		if _, body := c.readAnswer(); !strings.Contains(body, "[DONE]") || strings.Contains(body, wrong) {
+		if _, body := c.readAnswer(); !strings.Contains(body, "[DONE]") || strings.Contains(body, surplusEvent) {
 			t.Errorf("%s: %q", id, body)
 		}
 	}
 	// A connection with unsolicited bytes is not reused, whatever the delay.
 	g.pool.SetReuseDelay(0)
 	c.sendRequest("y3", "4000m")
-	if _, body := c.readAnswer(); !strings.Contains(body, "[DONE]") || strings.Contains(body, wrong) {
+	if _, body := c.readAnswer(); !strings.Contains(body, "[DONE]") || strings.Contains(body, surplusEvent) {
 		t.Errorf("y3: %q", body)
 	}
 }
 
-// A cached connection that its replica has closed carries nothing: a request written to it
-// would be lost.
+// A cached connection that its replica has closed is not reused: a request written to it would
+// be lost.
 func TestStaleConnectionIsNotUsed(t *testing.T) {
-	w := newFakeReplica(t, "s-1", func(c net.Conn, r *http.Request) bool { answerCompletely(c, r); return false })
-	g := startGateway(t, func(o *Options) { o.Settings.MaxAttempts = 1 }, w)
+	replica := newFakeReplica(t, "s-1", func(c net.Conn, r *http.Request) bool { answerCompletely(c, r); return false })
+	g := startGateway(t, func(o *Options) { o.Settings.MaxAttempts = 1 }, replica)
 	c := dial(t, g.addr)
 	for _, id := range []string{"f1", "f2", "f3"} {
 		c.sendRequest(id, "4000m")
 		if resp, _ := c.readAnswer(); resp.StatusCode != 200 {
 			t.Fatalf("%s: status %d", id, resp.StatusCode)
 		}
-		<-w.connEnded
+		<-replica.connEnded
 	}
-	if conns, n := w.counts(); conns != 3 || n != 3 {
+	if conns, n := replica.counts(); conns != 3 || n != 3 {
 		t.Errorf("%d connections, %d requests", conns, n)
 	}
 }
--- a/internal/gateway/deadline_test.go
+++ b/internal/gateway/deadline_test.go
@@ -13,19 +13,18 @@
 	"archknot/balancer"
 )
 
-// The time that each attempt announces to its replica is what the client has left when it is
-// written, first attempt or retry, and no more than 0.15 s above it. The first replica holds
-// the request for a while and sheds it; given the whole time again, the next one would work
-// past the client's deadline.
+// Each attempt carries the time that its client has left, with at most 0.15 s more. The first
+// replica sheds the request after a delay; a retry with the full time would let the second replica
+// work past the client's deadline.
 func TestRetriesCarryRemainingDeadline(t *testing.T) {
 	const (
-		wait  = 2 * time.Second
-		holds = 400 * time.Millisecond
-		slack = 150 * time.Millisecond
+		timeout   = 2 * time.Second
+		shedDelay = 400 * time.Millisecond
+		slack     = 150 * time.Millisecond
 	)
 	type attempt struct {
-		announced time.Duration
-		at        time.Time
+		timeout time.Duration
+		at      time.Time
 	}
 	var mu sync.Mutex
 	var attempts []attempt
@@ -39,7 +38,7 @@
 		if !first {
 			return answerCompletely(c, r)
 		}
-		<-time.After(holds) // what a slow shedding takes
+		<-time.After(shedDelay) // a slow shed
 		io.WriteString(c, shedReply)
 		return true
 	}
@@ -56,35 +55,35 @@
 		t.Fatalf("%d attempts", len(attempts))
 	}
 	for i, a := range attempts {
-		if left := wait - a.at.Sub(sent); a.announced > left+slack || a.announced < left/2 {
-			t.Errorf("attempt %d announced %v, the client has %v left", i+1, a.announced, left)
+		if left := timeout - a.at.Sub(sent); a.timeout > left+slack || a.timeout < left/2 {
+			t.Errorf("attempt %d carries a deadline of %v, the client has %v left", i+1, a.timeout, left)
 		}
 	}
 }
 
-// Whatever replicas do, and whatever other clients do meanwhile, each request that was read
-// gets one final answer by its deadline: the protocol's half second past it is not needed.
+// With replicas that fail in various ways and other clients that misbehave, each request gets a
+// final response no later than 0.5 s after its deadline, the overrun that the protocol allows.
 func TestFaultsLeaveNoRequestUnanswered(t *testing.T) {
 	const (
-		requests = 40
-		wait     = time.Second
-		late     = 500 * time.Millisecond
+		requests   = 40
+		timeout    = time.Second
+		maxOverrun = 500 * time.Millisecond
 	)
-	var turn atomic.Int64
+	var faultCount atomic.Int64
 	faults := []func(net.Conn, *http.Request) bool{replyWith("", false), neverAnswer, replyWith("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\nzz\r\n", true),
 		replyWith("HTTP/1.1 500 Oops\r\nContent-Length: 0\r\n\r\n", true), replyWith(shedReply, true), replyWith("HTTP/1.1 200 OK\r\nConte", false)}
 	fault := func(c net.Conn, r *http.Request) bool {
-		return faults[int(turn.Add(1))%len(faults)](c, r)
+		return faults[int(faultCount.Add(1))%len(faults)](c, r)
 	}
 	var replicas []*fakeReplica
 	for i := range 6 {
 		replicas = append(replicas, newFakeReplica(t, fmt.Sprint("s-", i), fault))
 	}
-	g := startGateway(t, func(o *Options) { o.MaxClientConns = 400 }, replicas...) // the limit of connections has its own test
+	g := startGateway(t, func(o *Options) { o.MaxClientConns = 400 }, replicas...) // TestConnectionsAreBounded tests the connection limit
 	stop := make(chan struct{})
-	var others sync.WaitGroup
-	for i := range 4 { // other clients: partial requests, noise, sent and gone
-		others.Go(func() {
+	var otherClients sync.WaitGroup
+	for i := range 4 { // partial requests, binary data, and requests whose client disconnects
+		otherClients.Go(func() {
 			for n := 0; ; n++ {
 				select {
 				case <-stop:
@@ -108,17 +107,17 @@
 			c.sendRequest(fmt.Sprint("t", i), "1000m")
 			resp, err := http.ReadResponse(c.reader, nil)
 			if err != nil {
-				t.Errorf("request %d: no answer: %v after %v", i, err, time.Since(begun))
+				t.Errorf("request %d: no response: %v after %v", i, err, time.Since(begun))
 				return
 			}
 			_, _ = io.Copy(io.Discard, resp.Body)
-			if took := time.Since(begun); took > wait+late || resp.StatusCode == http.StatusOK {
+			if took := time.Since(begun); took > timeout+maxOverrun || resp.StatusCode == http.StatusOK {
 				t.Errorf("request %d: status %d after %v", i, resp.StatusCode, took)
 			}
 		})
 	}
 	all.Wait()
 	close(stop)
-	others.Wait()
+	otherClients.Wait()
 	waitUntil(t, "nothing in flight", func() bool { return g.clients.inFlightCount() == 0 })
 }
--- a/internal/gateway/relay_test.go
+++ b/internal/gateway/relay_test.go
@@ -13,17 +13,17 @@
 	"github.com/google/go-cmp/cmp"
 )
 
-// An event reaches the client before the next one exists; the stream is relayed unchanged, and
-// the next request uses the same connections.
+// An event reaches the client before the replica sends the next one, the stream is relayed
+// unchanged, and the next request reuses the same connections.
 func TestEventsAreRelayedImmediately(t *testing.T) {
-	more := make(chan struct{})
-	w := newFakeReplica(t, "s-1", func(c net.Conn, _ *http.Request) bool {
+	sendRemainder := make(chan struct{})
+	replica := newFakeReplica(t, "s-1", func(c net.Conn, _ *http.Request) bool {
 		io.WriteString(c, streamHead+chunk(event1))
-		<-more
+		<-sendRemainder
 		io.WriteString(c, chunk(event2)+chunk(loadReportLine)+lastChunk)
 		return true
 	})
-	g := startGateway(t, nil, w)
+	g := startGateway(t, nil, replica)
 	c := dial(t, g.addr)
 	for _, id := range []string{"a1", "a2"} {
 		c.sendRequest(id, "4000m")
@@ -32,39 +32,39 @@
 		if _, err := io.ReadFull(resp.Body, first); err != nil || string(first) != event1 {
 			t.Fatalf("first event %q, %v", first, err)
 		}
-		more <- struct{}{}
+		sendRemainder <- struct{}{}
 		remainder, err := io.ReadAll(resp.Body)
 		if diff := cmp.Diff(event2+loadReportLine, string(remainder)); err != nil || diff != "" {
 			t.Fatal(err, diff)
 		}
-		waitUntil(t, "the attempt's end", func() bool { return g.clients.inFlightCount() == 0 && len(g.loop.events) == 0 })
+		waitUntil(t, "the attempt to end", func() bool { return g.clients.inFlightCount() == 0 && len(g.loop.events) == 0 })
 	}
-	r := w.requests[1]
+	r := replica.requests[1]
 	if r.Method != "POST" || r.RequestURI != "/v1/chat/completions?x=1" || r.Header.Get("Req-Id") != "a2" ||
 		!strings.HasSuffix(r.Header.Get("Req-Deadline"), "u") {
-		t.Errorf("the replica got %s %s %v", r.Method, r.RequestURI, r.Header)
+		t.Errorf("the replica received %s %s %v", r.Method, r.RequestURI, r.Header)
 	}
-	if n, _ := w.counts(); n != 1 {
+	if n, _ := replica.counts(); n != 1 {
 		t.Errorf("%d connections for two requests in turn", n)
 	}
 }
 
-// A stream that breaks or stalls ends the client's connection without the last chunk, and
-// nothing more is sent for the request.
+// A stream that breaks or stalls after its first event closes the client's connection without the
+// last chunk, and no further attempt is sent.
 func TestBrokenStreamIsCutOff(t *testing.T) {
 	for name, script := range map[string]func(net.Conn, *http.Request) bool{
 		"breaks": replyWith(streamHead+chunk(event1), false),
 		"stalls": replyWith(streamHead+chunk(event1), true),
 	} {
-		w, other := newFakeReplica(t, "s-1", script), newFakeReplica(t, "s-2", script)
-		g := startGateway(t, func(o *Options) { o.StreamIdleTimeout = 100 * time.Millisecond }, w, other)
+		replica, other := newFakeReplica(t, "s-1", script), newFakeReplica(t, "s-2", script)
+		g := startGateway(t, func(o *Options) { o.StreamIdleTimeout = 100 * time.Millisecond }, replica, other)
 		c := dial(t, g.addr)
 		c.sendRequest("b1", "4000m")
 		got, err := io.ReadAll(c.readHead().Body)
 		if !errors.Is(err, io.ErrUnexpectedEOF) || string(got) != event1 {
 			t.Errorf("%s: read %q, %v", name, got, err)
 		}
-		_, n := w.counts()
+		_, n := replica.counts()
 		_, m := other.counts()
 		if n+m != 1 {
 			t.Errorf("%s: %d attempts", name, n+m)
@@ -72,9 +72,8 @@
 	}
 }
 
-// A stream that is malformed before its first event was relayed is retried at the other
-// replica; one that is malformed later ends the client's connection, and nothing of what cannot
-// be parsed is relayed.
+// A stream that is malformed before its first event was relayed is retried at the other replica.
+// One that is malformed later closes the client's connection, and no unparsed bytes are relayed.
 func TestMalformedStreams(t *testing.T) {
 	for name, c := range map[string]struct {
 		text string
@@ -91,7 +90,8 @@
 			}
 			return answerCompletely(conn, r)
 		}
-		// A head that does not end is given up after half a second: no hedged request by then.
+		// An endless head times out after responseHeadTimeout; the latency objective is high enough
+		// that no hedge is sent before that.
 		g := startGateway(t, func(o *Options) { o.Settings.Classes[0].LatencyObjective = 3_000_000 }, newFakeReplica(t, "s-1", failFirst), newFakeReplica(t, "s-2", failFirst))
 		client := dial(t, g.addr)
 		client.sendRequest("s1", "4000m")
