--- a/internal/gateway/controlstats.go
+++ b/internal/gateway/controlstats.go
@@ -11,22 +11,22 @@
 type controlQuery struct{ result chan controlstats.Stats }
 
 func (e controlQuery) apply(l *eventLoop) {
-	view := l.endpoints.view.Stats()
+	subsetStats := l.endpoints.selector.Stats()
 	if l.gateway.options.Subset.MaxReplicas <= 0 { // no bound: the subset is the fleet
-		view.Subset = l.endpoints.ReadyCount()
+		subsetStats.Subset = l.endpoints.ReadyCount()
 	}
 	e.result <- controlstats.Stats{ // the channel has capacity for it
 		Listed:         l.endpoints.Len(),
 		Ready:          l.endpoints.ReadyCount(),
-		Subset:         view.Subset,
-		OutsideTargets: view.OutsideTargets,
-		Joined:         view.Joined,
-		Left:           view.Left,
+		Subset:         subsetStats.Subset,
+		OutsideTargets: subsetStats.OutsideTargets,
+		Joined:         subsetStats.Joined,
+		Left:           subsetStats.Left,
 		ListVersion:    l.endpoints.Version(),
 		ListSince:      l.endpoints.receivedAt,
 		ListAge:        time.Duration(l.balancer.ListAge(l.now)) * time.Microsecond,
 		ListStale:      l.balancer.ListStale(l.now),
-		LoopBusy:       l.busy,
+		LoopBusy:       l.busyTime,
 		Reports:        l.reportAges,
 	}
 }
--- a/internal/gateway/discovery.go
+++ b/internal/gateway/discovery.go
@@ -14,36 +14,36 @@
 	"archknot/internal/httpwire"
 )
 
-// firstCallWithin is how soon after the start a call counts as made at the start.
-const firstCallWithin = time.Second
+// startupCallWindow is how soon after the start a call counts as made at the start.
+const startupCallWindow = time.Second
 
 // errUnavailable says that discovery answered that it serves no calls.
 var errUnavailable = errors.New("status 503")
 
 // discoveryWatch follows the endpoint list. The goroutine of watchDiscovery owns it.
 type discoveryWatch struct {
-	gateway    *Gateway
-	addr       string
-	generation int64 // of the list in force; httpwire.NoGeneration: the next call gets the full list
-	continues  bool  // discovery answered the last call, and so serves the next one at once
-	called     bool  // a call has been made
-	covered    bool  // since its last answer, or the start, discovery was watched or could not be reached
-	claimed    bool  // as covered, or it ended first calls itself, after a wait
+	gateway              *Gateway
+	addr                 string
+	generation           int64 // of the list in force; httpwire.NoGeneration: the next call gets the full list
+	lastCallAnswered     bool  // discovery answered the last call, and so serves the next one at once
+	hasCalled            bool  // a call has been made
+	noChangeMissed       bool  // since its last answer, or the start, discovery was watched or could not be reached
+	onlyExplicitFailures bool  // as covered, or it ended first calls itself, after a wait
 }
 
 // watchDiscovery follows discovery whenever the module requests it, until a poll fails: then
 // the module decides when to poll again. A move polls the new address at once, and ends the
 // call that waits at the old one.
 func (g *Gateway) watchDiscovery(ctx context.Context) {
-	w := discoveryWatch{gateway: g, addr: g.options.Discovery, generation: g.options.CachedList.Generation, claimed: true}
+	w := discoveryWatch{gateway: g, addr: g.options.Discovery, generation: g.options.CachedList.Generation, onlyExplicitFailures: true}
 	started := time.Now()
 	for {
 		select {
 		case <-g.loop.pollRequests:
-			w.covered = w.covered || !w.called && time.Since(started) < firstCallWithin
-			w.called = true
-		case next := <-g.discoveryMoves:
-			w.moveTo(next)
+			w.noChangeMissed = w.noChangeMissed || !w.hasCalled && time.Since(started) < startupCallWindow
+			w.hasCalled = true
+		case newAddr := <-g.discoveryMoves:
+			w.moveTo(newAddr)
 		case <-ctx.Done():
 			return
 		}
@@ -54,30 +54,30 @@
 // follow polls again and again until a poll fails.
 func (w *discoveryWatch) follow(ctx context.Context) {
 	g := w.gateway
-	for silent := false; ; {
+	for previousTimedOut := false; ; {
 		poll := w.newPoll()
-		list, next, err := g.pollList(ctx, &poll)
-		outcome := poll.outcome(&list, next, err)
+		list, newAddr, err := g.pollList(ctx, &poll)
+		outcome := poll.outcome(&list, newAddr, err)
 		g.polls[outcome].Add(1)
 		poll.log(ctx, slog.LevelDebug, "discovery_poll", "outcome", outcome.String())
-		w.continues = err == nil && next == ""
-		w.claimed = w.continues || w.claimed && (w.staysCovered(&poll, err) || isExplicitEnd(err))
-		w.covered = w.continues || w.covered && w.staysCovered(&poll, err)
+		w.lastCallAnswered = err == nil && newAddr == ""
+		w.onlyExplicitFailures = w.lastCallAnswered || w.onlyExplicitFailures && (w.missesNoChange(&poll, err) || endedByDiscovery(err))
+		w.noChangeMissed = w.lastCallAnswered || w.noChangeMissed && w.missesNoChange(&poll, err)
 		switch {
 		case outcome == pollMoved:
-			w.moveTo(next)
-		case outcome == pollSilent && !silent:
+			w.moveTo(newAddr)
+		case outcome == pollTimedOut && !previousTimedOut:
 			// Discovery accepted the call and did not answer within the timeout. What the
 			// gateway missed counts as notified by now, so it polls again at once, but only
 			// once. The gateways' calls stay as far apart as their watches were begun.
-			silent = true
+			previousTimedOut = true
 			poll.log(ctx, slog.LevelWarn, "discovery_silent", "err", err)
 		case err != nil:
 			w.reportFailure(ctx, &poll, err)
 			return
 		default:
-			silent, w.generation = false, list.Generation
-			asOf := g.clock.readingAgo(poll.knownFor(outcome))
+			previousTimedOut, w.generation = false, list.Generation
+			asOf := g.clock.readingAgo(poll.informationAge(outcome))
 			g.loop.post(ctx, listReceived{list, time.Since(poll.begunAt), asOf})
 		}
 	}
@@ -87,12 +87,12 @@
 // that the list's age is known soon, or one that continues the watch.
 func (w *discoveryWatch) newPoll() discoveryPoll {
 	config := w.gateway.config.Load()
-	poll := discoveryPoll{addr: w.addr, since: w.generation, first: !w.continues, begunAt: time.Now()}
+	poll := discoveryPoll{addr: w.addr, since: w.generation, first: !w.lastCallAnswered, begunAt: time.Now()}
 	answerTimeout := config.discoveryTimeout
 	switch {
 	case w.generation == httpwire.NoGeneration: // such a call does not wait for a change
 	case poll.first:
-		poll.wait = min(config.watchWait/firstWaitFraction, firstWatchWait)
+		poll.wait = min(config.watchWait/firstWaitDivisor, firstWatchWait)
 	default:
 		poll.wait = jitter(config.watchWait)
 		answerTimeout = min(answerTimeout, openWatchTimeout)
@@ -110,24 +110,24 @@
 // showsUnreachable reports whether a failed call shows that discovery could not be reached when the call began.
 func (w *discoveryWatch) showsUnreachable(poll *discoveryPoll, err error) bool {
 	// An agent on this machine answers a first call at once, or is silent and learns nothing.
-	silentAgent := poll.first && poll.timedOut(err) && w.gateway.options.Settings.LocalDiscovery
-	return silentAgent || poll.foundUnreachable(err)
+	agentTimedOut := poll.first && poll.timedOut(err) && w.gateway.options.Settings.LocalDiscovery
+	return agentTimedOut || poll.foundUnreachable(err)
 }
 
-// staysCovered reports whether no change can have been missed in the time of a failed call: discovery could not be
+// missesNoChange reports whether no change can have been missed in the time of a failed call: discovery could not be
 // reached, or it ended an open watch, which was alive until then. An agent's watch falls silent as the agent does.
-func (w *discoveryWatch) staysCovered(poll *discoveryPoll, err error) bool {
-	openWatchEnded := !poll.first && isExplicitEnd(err)
-	silentWithAgent := poll.timedOut(err) && w.gateway.options.Settings.LocalDiscovery
-	return openWatchEnded || silentWithAgent || w.showsUnreachable(poll, err)
+func (w *discoveryWatch) missesNoChange(poll *discoveryPoll, err error) bool {
+	openWatchEnded := !poll.first && endedByDiscovery(err)
+	agentWatchTimedOut := poll.timedOut(err) && w.gateway.options.Settings.LocalDiscovery
+	return openWatchEnded || agentWatchTimedOut || w.showsUnreachable(poll, err)
 }
 
 // failureKind returns what a failed call means for the list.
 func (w *discoveryWatch) failureKind(poll *discoveryPoll, err error) balancer.ListKind {
 	switch {
-	case w.covered && w.showsUnreachable(poll, err):
+	case w.noChangeMissed && w.showsUnreachable(poll, err):
 		return balancer.ListUnreachable
-	case w.claimed && poll.first && (isExplicitEnd(err) || w.showsUnreachable(poll, err)):
+	case w.onlyExplicitFailures && poll.first && (endedByDiscovery(err) || w.showsUnreachable(poll, err)):
 		return balancer.ListUnavailable
 	}
 	return balancer.ListFailed
@@ -155,7 +155,7 @@
 }
 
 // pollList makes one call. A move ends it early; then next is the new address.
-func (g *Gateway) pollList(ctx context.Context, poll *discoveryPoll) (list httpwire.EndpointList, next string, err error) {
+func (g *Gateway) pollList(ctx context.Context, poll *discoveryPoll) (list httpwire.EndpointList, newAddr string, err error) {
 	ctx, stop := context.WithCancel(ctx)
 	defer stop()
 	done := make(chan struct{})
@@ -165,11 +165,11 @@
 	}()
 	select {
 	case <-done:
-	case next = <-g.discoveryMoves:
+	case newAddr = <-g.discoveryMoves:
 		stop()
 		<-done
 	}
-	return list, next, err
+	return list, newAddr, err
 }
 
 // requestList fetches a list, and counts and logs what of it cannot be applied.
--- a/internal/gateway/discoverypoll.go
+++ b/internal/gateway/discoverypoll.go
@@ -18,7 +18,7 @@
 const (
 	pollChanged   pollOutcome = iota // discovery sent a list or a change of it
 	pollUnchanged                    // discovery answered that nothing has changed
-	pollSilent                       // discovery did not answer within the timeout
+	pollTimedOut                     // discovery did not answer within the timeout
 	pollFailed                       // the call failed in any other way
 	pollMoved                        // the gateway left discovery's address meanwhile
 	pollOutcomes  int         = iota
@@ -38,9 +38,9 @@
 	begunAt time.Time
 }
 
-// unreachableWithin is how soon a call fails where discovery serves none. One that was accepted, or that
+// maxUnreachableDelay is how soon a call fails where discovery serves none. One that was accepted, or that
 // waited in discovery's queue, fails later.
-const unreachableWithin = 500 * time.Millisecond
+const maxUnreachableDelay = 500 * time.Millisecond
 
 // timedOut reports whether discovery accepted the call and did not answer it within the timeout.
 func (p *discoveryPoll) timedOut(err error) bool {
@@ -48,12 +48,12 @@
 }
 
 // outcome returns how the call ended.
-func (p *discoveryPoll) outcome(list *httpwire.EndpointList, next string, err error) pollOutcome {
+func (p *discoveryPoll) outcome(list *httpwire.EndpointList, newAddr string, err error) pollOutcome {
 	switch {
-	case next != "":
+	case newAddr != "":
 		return pollMoved
 	case p.timedOut(err):
-		return pollSilent
+		return pollTimedOut
 	case err != nil:
 		return pollFailed
 	case len(list.Endpoints) == 0 && !list.Reset:
@@ -64,8 +64,8 @@
 
 const (
 	// firstWatchWait is how long discovery may delay the answer to the first call of a watch, and
-	// firstWaitFraction the part of a watch's wait that it may be at most.
-	firstWatchWait, firstWaitFraction = 250 * time.Millisecond, 8
+	// firstWaitDivisor the part of a watch's wait that it may be at most.
+	firstWatchWait, firstWaitDivisor = 250 * time.Millisecond, 8
 	// openWatchTimeout is how much longer than its wait the answer to an open watch may take: unlike a first call
 	// it is in no queue.
 	openWatchTimeout = 1500 * time.Millisecond
@@ -73,16 +73,16 @@
 
 // MaxWatchWait returns the longest wait of a watch with which a list that is trusted for a time does not get older
 // than that if the watch falls silent: its silence is noticed, and a first call answered, before.
-func MaxWatchWait(trust, answerTimeout time.Duration) time.Duration {
-	return trust - maxTransit - min(answerTimeout, openWatchTimeout) - firstWatchWait - answerTimeout
+func MaxWatchWait(maxListAge, answerTimeout time.Duration) time.Duration {
+	return maxListAge - maxTransit - min(answerTimeout, openWatchTimeout) - firstWatchWait - answerTimeout
 }
 
 // maxTransit is how long an answer of discovery's may be under way.
 const maxTransit = time.Second
 
-// knownFor returns how long ago all changes were known that discovery had, by an answer. Discovery composed
+// informationAge returns how long ago all changes were known that discovery had, by an answer. Discovery composed
 // the answer after it had the call, and after its wait if nothing has changed.
-func (p *discoveryPoll) knownFor(outcome pollOutcome) time.Duration {
+func (p *discoveryPoll) informationAge(outcome pollOutcome) time.Duration {
 	took := time.Since(p.begunAt)
 	if outcome == pollUnchanged {
 		took = max(0, took-p.wait)
@@ -94,14 +94,14 @@
 // call began: it was refused, reset or answered with 503 at once. A shortage on this machine shows nothing of
 // discovery, nor does a connection that had been idle.
 func (p *discoveryPoll) foundUnreachable(err error) bool {
-	if time.Since(p.begunAt) >= unreachableWithin || errors.Is(err, connpool.ErrLocalShortage) {
+	if time.Since(p.begunAt) >= maxUnreachableDelay || errors.Is(err, connpool.ErrLocalShortage) {
 		return false
 	}
 	return errors.Is(err, errNotConnected) || errors.Is(err, errConnClosed) || errors.Is(err, errUnavailable)
 }
 
-// isExplicitEnd reports whether discovery itself ended a call without a list.
-func isExplicitEnd(err error) bool { return isConnClosed(err) || errors.Is(err, errUnavailable) }
+// endedByDiscovery reports whether discovery itself ended a call without a list.
+func endedByDiscovery(err error) bool { return isConnClosed(err) || errors.Is(err, errUnavailable) }
 
 // log writes a line about the poll.
 func (p *discoveryPoll) log(ctx context.Context, level slog.Level, msg string, args ...any) {
--- a/internal/gateway/discoverypoll_test.go
+++ b/internal/gateway/discoverypoll_test.go
@@ -63,7 +63,7 @@
 // The list is trusted for longer only where a failed call shows that discovery served nobody when the call began:
 // the answer 503 counted as a discovery that could be reached, so that service ended in an outage of 8 s.
 func TestFailuresThatShowDiscoveryUnreachable(t *testing.T) {
-	const late = unreachableWithin + 100*time.Millisecond
+	const late = maxUnreachableDelay + 100*time.Millisecond
 	for name, c := range map[string]struct {
 		answer      discoveryCall
 		unreachable bool
@@ -158,7 +158,7 @@
 // A call that discovery refuses at once shows an outage only from then on. Behind a watch that fell silent, or a call
 // that failed late, changes may have been missed, and the list must not be trusted for longer.
 func TestRefusedCallBehindAGapShowsNothing(t *testing.T) {
-	const late = unreachableWithin + 100*time.Millisecond
+	const late = maxUnreachableDelay + 100*time.Millisecond
 	for name, c := range map[string]struct {
 		first       discoveryCall // of the process's calls, the one before that which is refused
 		unreachable bool
@@ -179,7 +179,7 @@
 					return
 				}
 				io.WriteString(conn, unavailable)
-			}, func(o *Options) { o.DiscoveryTimeout = 2 * unreachableWithin })
+			}, func(o *Options) { o.DiscoveryTimeout = 2 * maxUnreachableDelay })
 			for failed, ok := e.(listPollFailed); !ok || calls.Load() < 2; failed, ok = e.(listPollFailed) {
 				if ok {
 					close(failed.handled)
--- a/internal/gateway/drain.go
+++ b/internal/gateway/drain.go
@@ -32,8 +32,8 @@
 	// SIGTERM, where deadlines over maxKillDeadline count as that.
 	killDelay       balancer.Micros = 700_000
 	maxKillDeadline balancer.Micros = 3_000_000
-	// lastAnswerTime before the kill no connection is accepted any more.
-	lastAnswerTime balancer.Micros = 300_000
+	// lastAnswerMargin before the kill no connection is accepted any more.
+	lastAnswerMargin balancer.Micros = 300_000
 )
 
 // draining reports whether connections end as soon as they are idle.
@@ -85,7 +85,7 @@
 	for _, class := range g.config.Load().classes {
 		longest = max(longest, class.Deadline)
 	}
-	return g.clients.shutdownAt.Load() + min(longest, maxKillDeadline) + killDelay - lastAnswerTime
+	return g.clients.shutdownAt.Load() + min(longest, maxKillDeadline) + killDelay - lastAnswerMargin
 }
 
 // closeIdle ends the connections on which a request was answered and none is arriving.
--- a/internal/gateway/endpointlog.go
+++ b/internal/gateway/endpointlog.go
@@ -25,7 +25,7 @@
 
 // logList logs a list that was applied.
 func (l *eventLoop) logList(list httpwire.EndpointList, kind balancer.ListKind, args ...any) {
-	stats := l.endpoints.view.Stats()
+	stats := l.endpoints.selector.Stats()
 	slog.Info("endpoint_list", append([]any{"kind", listKindNames[kind], "version", list.Generation, "entries", len(list.Endpoints),
 		"ready", l.endpoints.ReadyCount(), "subset", stats.Subset, "joined", stats.Joined, "left", stats.Left}, args...)...)
 }
--- a/internal/gateway/endpoints.go
+++ b/internal/gateway/endpoints.go
@@ -22,7 +22,7 @@
 // get no new work, whatever the list says. The event loop owns it.
 type endpointTracker struct {
 	*endpoint.Registry
-	view         *subset.Selector             // what of the list the decision module gets
+	selector     *subset.Selector             // what of the list the decision module gets
 	receivedAt   time.Time                    // when the list in force was received
 	listed       map[string]httpwire.Endpoint // discovery's own list, without marks and ejections
 	drainMarks   map[string]bool              // replicas that a configuration version drains
@@ -33,7 +33,7 @@
 func newEndpointTracker(settings subset.Settings, stats subset.PrefixStats) endpointTracker {
 	return endpointTracker{
 		Registry:     endpoint.NewRegistry(),
-		view:         subset.NewSelector(settings, stats),
+		selector:     subset.NewSelector(settings, stats),
 		listed:       map[string]httpwire.Endpoint{},
 		ejectedStart: map[string]int64{},
 	}
@@ -60,9 +60,9 @@
 	return out
 }
 
-// overlayWithheld remembers discovery's list and returns it with the withheld replicas as
+// overlayExclusions remembers discovery's list and returns it with the withheld replicas as
 // draining.
-func (t *endpointTracker) overlayWithheld(in httpwire.EndpointList, kind balancer.ListKind) httpwire.EndpointList {
+func (t *endpointTracker) overlayExclusions(in httpwire.EndpointList, kind balancer.ListKind) httpwire.EndpointList {
 	if kind != balancer.ListDelta {
 		clear(t.listed)
 	}
@@ -74,7 +74,7 @@
 		} else {
 			t.listed[entry.ID] = entry
 		}
-		if t.isWithheld(entry.ID) && entry.State() == balancer.EndpointReady {
+		if t.isExcluded(entry.ID) && entry.State() == balancer.EndpointReady {
 			entry.Lifecycle = lifecycleDraining
 		}
 		out.Endpoints[i] = entry
@@ -82,34 +82,34 @@
 	return out
 }
 
-// isWithheld reports whether a replica gets no new work, whatever the list says, by the
+// isExcluded reports whether a replica gets no new work, whatever the list says, by the
 // version in force or by operators.
-func (t *endpointTracker) isWithheld(id string) bool {
+func (t *endpointTracker) isExcluded(id string) bool {
 	_, ejected := t.ejected[id]
 	return ejected || t.drainMarks[id]
 }
 
-// setWithheld replaces the marks and ejections. It returns the entries whose state changes
+// setExclusions replaces the marks and ejections. It returns the entries whose state changes
 // with them.
-func (t *endpointTracker) setWithheld(marks map[string]bool, ejected map[string]struct{}) httpwire.EndpointList {
+func (t *endpointTracker) setExclusions(marks map[string]bool, ejected map[string]struct{}) httpwire.EndpointList {
 	before := map[string]bool{}
 	for id := range t.listed {
-		before[id] = t.isWithheld(id)
+		before[id] = t.isExcluded(id)
 	}
 	t.drainMarks, t.ejected = marks, ejected
 	change := httpwire.EndpointList{Generation: t.Version()}
 	for id, entry := range t.listed {
-		if before[id] != t.isWithheld(id) {
+		if before[id] != t.isExcluded(id) {
 			change.Endpoints = append(change.Endpoints, entry)
 		}
 	}
 	return change
 }
 
-// assumeReinstatedStarted has replicas that are no longer ejected count as started just now.
+// assumeReinstatedRestarted has replicas that are no longer ejected count as started just now.
 // An ejected replica was restarted, as a rule. Where the list does not show a new start yet,
 // it may be late, and a replica that is warming up fails under a warm one's load.
-func (t *endpointTracker) assumeReinstatedStarted(ejected map[string]struct{}, now balancer.Micros) {
+func (t *endpointTracker) assumeReinstatedRestarted(ejected map[string]struct{}, now balancer.Micros) {
 	for id := range t.ejected {
 		if _, still := ejected[id]; still {
 			continue
@@ -176,7 +176,7 @@
 	default:
 	}
 	l.module.ListChanged(l.now, balancer.EndpointList{Kind: e.kind, AsOf: e.asOf})
-	l.publishListTrust()
+	l.publishListExpiry()
 	close(e.handled)
 }
 
@@ -202,10 +202,10 @@
 	l.updateReady()
 }
 
-// setWithheld puts other marks and ejections in force. The module gets the changed replicas
+// setExclusions puts other marks and ejections in force. The module gets the changed replicas
 // as discovery would announce them: a draining one gets no new work from this moment on.
-func (l *eventLoop) setWithheld(marks map[string]bool, ejected map[string]struct{}) {
-	change := l.endpoints.setWithheld(marks, ejected)
+func (l *eventLoop) setExclusions(marks map[string]bool, ejected map[string]struct{}) {
+	change := l.endpoints.setExclusions(marks, ejected)
 	if len(change.Endpoints) > 0 {
 		l.applyList(change, balancer.ListOverride, l.now)
 		l.logList(change, balancer.ListOverride)
@@ -221,7 +221,7 @@
 	}
 	list = l.endpoints.fillPartialEntries(list)
 	l.recordListed(list)
-	list = l.endpoints.overlayWithheld(list, source)
+	list = l.endpoints.overlayExclusions(list, source)
 	l.logStateChanges(list)
 	change, removed := l.endpoints.Apply(list, source, l.gateway.clock.fromUnixMillis)
 	if kind == balancer.ListOverride {
@@ -230,10 +230,10 @@
 	for _, connKey := range removed {
 		l.gateway.pool.CloseIdle(connKey)
 	}
-	change = l.endpoints.view.Apply(l.now, change)
+	change = l.endpoints.selector.Apply(l.now, change)
 	change.AsOf = asOf
 	l.module.ListChanged(l.now, change)
-	l.publishListTrust()
+	l.publishListExpiry()
 	l.endpoints.receivedAt = l.gateway.clock.timeAt(l.now)
 }
 
@@ -250,9 +250,9 @@
 	}
 }
 
-// publishListTrust tells the goroutines of attempts how long the list may be used.
-func (l *eventLoop) publishListTrust() {
-	l.gateway.listTrustedUntil.Store(l.balancer.ListTrustedUntil())
+// publishListExpiry tells the goroutines of attempts how long the list may be used.
+func (l *eventLoop) publishListExpiry() {
+	l.gateway.listValidUntil.Store(l.balancer.ListTrustedUntil())
 }
 
 // updateReady makes the gateway ready once a replica can take work. The cached list is
--- a/internal/gateway/events.go
+++ b/internal/gateway/events.go
@@ -29,7 +29,7 @@
 	if !l.admitByContract(r) {
 		return
 	}
-	if list, changed := l.endpoints.view.AssignAffinityTarget(l.now, &r.BalancerRequest); changed {
+	if list, changed := l.endpoints.selector.AssignAffinityTarget(l.now, &r.BalancerRequest); changed {
 		l.module.ListChanged(l.now, list)
 	}
 	l.module.RequestArrived(l.now, r.BalancerRequest)
--- a/internal/gateway/gateway.go
+++ b/internal/gateway/gateway.go
@@ -20,9 +20,9 @@
 	maxDiscoveryConns = 2
 	// housekeepingInterval is how often idle connections and the wall clock are looked after.
 	housekeepingInterval = time.Second
-	// unusedConnFraction of DrainAcceptPeriod is how long a drain waits, after the listener
+	// unusedConnDivisor of DrainAcceptPeriod is how long a drain waits, after the listener
 	// is closed, for the first request on connections that were never used.
-	unusedConnFraction = 4
+	unusedConnDivisor = 4
 )
 
 // Gateway serves clients by the decisions of one balancer.Balancer.
@@ -46,7 +46,7 @@
 	discovery         pooledClient
 	discoveryMoves    chan string  // discovery's next address; only the latest counts
 	discoveryAnswered atomic.Bool  // discovery itself has answered
-	listTrustedUntil  atomic.Int64 // when the list becomes too old for new attempts, on the clock
+	listValidUntil    atomic.Int64 // when the list becomes too old for new attempts, on the clock
 
 	// Contracts.
 	ledgerWriter *ledger.Writer // nil: balances are not stored
@@ -71,29 +71,29 @@
 
 // New returns a gateway, or an error if the decision module does not accept its settings, the
 // stored balances cannot be read or written, or the capture cannot be opened.
-func New(o Options) (*Gateway, error) {
+func New(options Options) (*Gateway, error) {
 	g := &Gateway{
-		options:        o,
+		options:        options,
 		clock:          newMonotonicClock(),
 		discoveryMoves: make(chan string, 1),
 		listening:      make(chan struct{}),
 		acceptDone:     make(chan struct{}),
 		orderUpdates:   make(chan struct{}, 1),
-		pool:           connpool.NewPool(o.MaxReplicaConns, o.ReplicaConnIdleTimeout, o.ConnectTimeout),
+		pool:           connpool.NewPool(options.MaxReplicaConns, options.ReplicaConnIdleTimeout, options.ConnectTimeout),
 	}
-	g.pool.SetReuseDelay(o.ReplicaConnReuseDelay)
+	g.pool.SetReuseDelay(options.ReplicaConnReuseDelay)
 	g.discovery = pooledClient{
-		pool:  connpool.NewPool(maxDiscoveryConns, o.ReplicaConnIdleTimeout, o.DiscoveryTimeout),
+		pool:  connpool.NewPool(maxDiscoveryConns, options.ReplicaConnIdleTimeout, options.DiscoveryTimeout),
 		meter: &g.meters[controlstats.PurposeDiscovery],
 	}
 	g.config.Store(&liveConfig{
-		classes:          o.Settings.Classes,
-		maxInFlight:      o.MaxInFlight,
-		maxRetryAfter:    o.Settings.MaxRetryAfter,
-		watchWait:        o.WatchWait,
-		discoveryTimeout: o.DiscoveryTimeout,
+		classes:          options.Settings.Classes,
+		maxInFlight:      options.MaxInFlight,
+		maxRetryAfter:    options.Settings.MaxRetryAfter,
+		watchWait:        options.WatchWait,
+		discoveryTimeout: options.DiscoveryTimeout,
 	})
-	g.clients = newClientTracker(o.MaxClientConns, o.OverflowConns, g.clock)
+	g.clients = newClientTracker(options.MaxClientConns, options.OverflowConns, g.clock)
 	var err error
 	if g.loop, err = newEventLoop(g); err != nil {
 		return nil, err
@@ -105,14 +105,14 @@
 		return nil, err
 	}
 	g.server = g.newServer()
-	if o.Orders != nil {
-		o.Orders.OnChange(g.onOrdersChanged)
+	if options.Orders != nil {
+		options.Orders.OnChange(g.onOrdersChanged)
 	}
 	return g, nil
 }
 
 // Serve serves clients on a listener until Drain has ended it. It returns nil after a drain.
-func (g *Gateway) Serve(ctx context.Context, l net.Listener) error {
+func (g *Gateway) Serve(ctx context.Context, listener net.Listener) error {
 	go g.loop.run(ctx)
 	go g.watchDiscovery(ctx)
 	go g.runHousekeeping(ctx)
@@ -121,12 +121,12 @@
 	if g.options.Peers != nil {
 		go g.options.Peers.Run(ctx)
 	}
-	g.listener = l
+	g.listener = listener
 	close(g.listening)
 	if g.options.SharedListener {
 		g.awaitReady(ctx)
 	}
-	err := g.server.Serve(g.clients.wrapListener(sockets.NewRetryListener(l)))
+	err := g.server.Serve(g.clients.wrapListener(sockets.NewRetryListener(listener)))
 	close(g.acceptDone)
 	if g.clients.shutdownAt.Load() > 0 && sockets.IsClosed(err) {
 		return nil
@@ -153,17 +153,17 @@
 func (g *Gateway) Drain(ctx context.Context) error {
 	g.clients.beginShutdown()
 	<-g.listening
-	wait(ctx, g.options.DrainAcceptPeriod)
+	sleep(ctx, g.options.DrainAcceptPeriod)
 	g.closeListener(ctx)
 	<-g.acceptDone // the connections that it accepted are tracked now
 	go g.handOverRequests(ctx)
-	wait(ctx, g.options.DrainAcceptPeriod/unusedConnFraction)
+	sleep(ctx, g.options.DrainAcceptPeriod/unusedConnDivisor)
 	g.clients.closeUnused(0)
 	return g.clients.waitUntilEmpty(ctx)
 }
 
-// wait returns after a time, or when the context ends.
-func wait(ctx context.Context, d time.Duration) {
+// sleep returns after a time, or when the context ends.
+func sleep(ctx context.Context, d time.Duration) {
 	select {
 	case <-time.After(d):
 	case <-ctx.Done():
--- a/internal/gateway/loop.go
+++ b/internal/gateway/loop.go
@@ -30,7 +30,7 @@
 	deferred []event         // caused by an action; applied at the end of the turn
 	now      balancer.Micros // read once in each turn
 	timers   timerQueue
-	busy     time.Duration
+	busyTime time.Duration
 
 	requests   *inflight.Table
 	endpoints  endpointTracker
@@ -55,7 +55,7 @@
 		return nil, err
 	}
 	l.module = l.balancer
-	l.publishListTrust()
+	l.publishListExpiry()
 	l.endpoints = newEndpointTracker(g.options.Subset, l.balancer)
 	if g.options.Orders != nil {
 		l.endpoints.ejected = g.options.Orders.AllEjected()
@@ -93,7 +93,7 @@
 		l.applyDeferred()
 		l.zones.logChanges(l.now, l.balancer)
 		l.list.logChanges(l.now, l.balancer, l.endpoints.Version())
-		l.busy += time.Since(turnStart)
+		l.busyTime += time.Since(turnStart)
 		if len(l.timers) > 0 {
 			wake.Reset(time.Until(l.gateway.clock.timeAt(l.timers[0].at)))
 		}
--- a/internal/gateway/orders.go
+++ b/internal/gateway/orders.go
@@ -172,15 +172,15 @@
 // attempt is sent; any goroutine may call it.
 func (g *Gateway) acceptsWork(replica *endpoint.Replica) bool {
 	id := replica.Endpoint.ID
-	return g.clock.now() < g.listTrustedUntil.Load() && replica.Accepting() && (g.options.Orders == nil || !g.options.Orders.Ejected(id) && !g.pendingEjections.has(id))
+	return g.clock.now() < g.listValidUntil.Load() && replica.Accepting() && (g.options.Orders == nil || !g.options.Orders.Ejected(id) && !g.pendingEjections.has(id))
 }
 
 // ejectionsChanged: operators have ejected or reinstated replicas.
 type ejectionsChanged struct{ ejected map[string]struct{} }
 
 func (e ejectionsChanged) apply(l *eventLoop) {
-	l.endpoints.assumeReinstatedStarted(e.ejected, l.now)
-	l.setWithheld(l.endpoints.drainMarks, e.ejected)
+	l.endpoints.assumeReinstatedRestarted(e.ejected, l.now)
+	l.setExclusions(l.endpoints.drainMarks, e.ejected)
 	l.endpoints.recordEjectedStarts()
 	l.updateReady()
 }
--- a/internal/gateway/takeover.go
+++ b/internal/gateway/takeover.go
@@ -35,8 +35,8 @@
 	dispatched bool // an attempt may have run
 }
 
-// takeoverTerms returns what a class allows after a first run.
-func (g *Gateway) takeoverTerms(class string, config *liveConfig) takeover.RetryPolicy {
+// takeoverRetryPolicy returns what a class allows after a first run.
+func (g *Gateway) takeoverRetryPolicy(class string, config *liveConfig) takeover.RetryPolicy {
 	c, err := config.class(class)
 	idempotent := err == nil && c.Idempotency == balancer.Idempotent
 	return takeover.RetryPolicy{Idempotent: idempotent, Hedgeable: idempotent && g.options.Settings.MayHedge}
@@ -72,8 +72,8 @@
 func (h *requestHandler) acquireNewLease(lease *requestLease) *rejection {
 	g := h.gateway
 	timeLeft := time.Duration(h.arrivedAt+h.request.Timeout-g.clock.now()) * time.Microsecond
-	terms := g.takeoverTerms(h.request.Request.Class, h.config)
-	lease.lease = g.options.Peers.Acquire(h.request.ID, terms, max(0, timeLeft), lease.cancel)
+	policy := g.takeoverRetryPolicy(h.request.Request.Class, h.config)
+	lease.lease = g.options.Peers.Acquire(h.request.ID, policy, max(0, timeLeft), lease.cancel)
 	if lease.lease == nil {
 		return rejectDuplicateID
 	}
--- a/internal/gateway/version.go
+++ b/internal/gateway/version.go
@@ -28,9 +28,9 @@
 	}
 }
 
-// baseConfig returns what is in force where a version has nothing: the platform's
+// platformConfig returns what is in force where a version has nothing: the platform's
 // configuration.
-func (g *Gateway) baseConfig() *configversion.Config {
+func (g *Gateway) platformConfig() *configversion.Config {
 	o := &g.options
 	c := &configversion.Config{
 		HasClasses:      true,
@@ -62,7 +62,7 @@
 
 // completeVersion returns a version with the platform's parts where it has none of its own.
 func (g *Gateway) completeVersion(version *configversion.Config) *configversion.Config {
-	base := g.baseConfig()
+	base := g.platformConfig()
 	if version == nil {
 		return base
 	}
@@ -109,7 +109,7 @@
 	}
 	// From here on nothing can fail.
 	l.gateway.applyLimits(e.config, &settings)
-	l.setWithheld(e.config.DrainedReplicas(), l.endpoints.ejected)
+	l.setExclusions(e.config.DrainedReplicas(), l.endpoints.ejected)
 	l.applyVersionContracts(e.config, e.balances)
 	e.result <- nil
 }
@@ -124,15 +124,15 @@
 		classes:          settings.Classes,
 		maxInFlight:      min(c.Admission.MaxInFlight, c.Connections.Clients),
 		maxRetryAfter:    settings.MaxRetryAfter,
-		watchWait:        duration(c.Watch.Wait),
-		discoveryTimeout: duration(c.Watch.CallTimeout),
+		watchWait:        microsDuration(c.Watch.Wait),
+		discoveryTimeout: microsDuration(c.Watch.CallTimeout),
 	})
 	g.clients.maxConns.Store(int64(c.Connections.Clients))
-	idle := duration(settings.ConnIdleTimeout) * idleTimeoutNumerator / idleTimeoutDenominator
-	g.pool.SetLimits(c.Connections.Replicas, idle, duration(c.Connections.ConnectTimeout))
+	idle := microsDuration(settings.ConnIdleTimeout) * idleTimeoutNumerator / idleTimeoutDenominator
+	g.pool.SetLimits(c.Connections.Replicas, idle, microsDuration(c.Connections.ConnectTimeout))
 }
 
-func duration(us balancer.Micros) time.Duration { return time.Duration(us) * time.Microsecond }
+func microsDuration(us balancer.Micros) time.Duration { return time.Duration(us) * time.Microsecond }
 
 // applyVersionContracts puts a version's contracts in force, or removes the last version's.
 func (l *eventLoop) applyVersionContracts(c *configversion.Config, stored []contract.Balance) {
--- a/internal/gateway/withdrawn_test.go
+++ b/internal/gateway/withdrawn_test.go
@@ -48,7 +48,7 @@
 		l.now = g.clock.now()
 		entry := httpwire.Endpoint{ID: "s-1", Addr: w.addr, Zone: "a", Kind: "k", Lifecycle: "ready"}
 		l.receiveList(httpwire.EndpointList{Reset: true, Endpoints: []httpwire.Endpoint{entry}}, balancer.ListFull, l.now)
-		g.listTrustedUntil.Store(l.now + trustLeft)
+		g.listValidUntil.Store(l.now + trustLeft)
 		got := runAttempt(g, l.endpoints.ByName("s-1"))
 		if _, attempts := w.counts(); got.status != want || (attempts == 1) != (want == balancer.Served) {
 			t.Errorf("with %d us left: status %d, %d attempts", trustLeft, got.status, attempts)
