--- a/internal/gateway/capture_test.go
+++ b/internal/gateway/capture_test.go
@@ -44,9 +44,9 @@
 // drains, a client that disconnects, and discovery that moves.
 func TestGatewayRecords(t *testing.T) {
 	dir := t.TempDir()
-	good := newFakeReplica(t, "s-1", answerCompletely)
-	bad := newFakeReplica(t, "s-2", replyWith(shedReply, true))
-	g := startGateway(t, func(o *Options) { o.Capture = captureTo(dir) }, good, bad)
+	serving := newFakeReplica(t, "s-1", answerCompletely)
+	shedding := newFakeReplica(t, "s-2", replyWith(shedReply, true))
+	g := startGateway(t, func(o *Options) { o.Capture = captureTo(dir) }, serving, shedding)
 	for i := range 30 {
 		c := dial(t, g.addr)
 		c.sendRequest(strings.Repeat("x", i+1), "4000m")
@@ -54,7 +54,7 @@
 			t.Fatal(resp.Status)
 		}
 	}
-	g.discoveryServer.change(listEntry(bad, "draining"))
+	g.discoveryServer.change(listEntry(shedding, "draining"))
 	next := newFakeDiscovery(t, g.discoveryServer.list)
 	g.MoveDiscovery(next.addr)
 	waitUntil(t, "the move", func() bool { return next.callCount() > 0 })
--- a/internal/gateway/discovery_test.go
+++ b/internal/gateway/discovery_test.go
@@ -111,9 +111,9 @@
 	const list = "{\n \"generation\": 7,\n \"reset\": true,\n \"instances\": [\n  {\"instanceId\": \"s-1\", \"hostPort\": \"127.0.0.1:1\", \"lifecycle\": \"ready\"}]}"
 	complete := fmt.Sprintf("HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n%s", len(list), list)
 	for name, c := range map[string]struct {
-		text   string
+		reply   string
 		hangs  bool // the connection stays open after it
-		good   bool
+		valid   bool
 		cached int
 	}{
 		"complete, indented": {complete, true, true, 1},
@@ -143,7 +143,7 @@
 				if _, err := http.ReadRequest(bufio.NewReader(conn)); err != nil {
 					return
 				}
-				io.WriteString(conn, c.text)
+				io.WriteString(conn, c.reply)
 				if c.hangs {
 					io.Copy(io.Discard, conn)
 				}
@@ -151,7 +151,7 @@
 			g := newTestGateway(t, testOptions())
 			begun := time.Now()
 			got, err := g.requestList(t.Context(), l.Addr().String(), httpwire.ListPath, 300*time.Millisecond)
-			if c.good != (err == nil) || c.good && (got.Generation != 7 || len(got.Endpoints) != 1) {
+			if c.valid != (err == nil) || c.valid && (got.Generation != 7 || len(got.Endpoints) != 1) {
 				t.Errorf("%+v, %v", got, err)
 			}
 			if d := time.Since(begun); d > 2*time.Second {
--- a/internal/gateway/discoverypoll_test.go
+++ b/internal/gateway/discoverypoll_test.go
@@ -99,7 +99,7 @@
 
 // A connection that had been idle and is reset shows nothing of discovery, nor does a shortage on this machine:
 // with either taken for an outage, the list would be trusted past the term.
-func TestFailuresThatShowNothingOfDiscovery(t *testing.T) {
+func TestFailuresUnrelatedToDiscovery(t *testing.T) {
 	poll := discoveryPoll{begunAt: time.Now()}
 	for _, err := range []error{
 		fmt.Errorf("%w: %w", errNotConnected, connpool.ErrLocalShortage),
@@ -143,7 +143,7 @@
 
 // A first call to an agent on this machine that gets no answer shows that the agent is silent, and learns nothing;
 // one to a discovery that is shared shows nothing: it may be in a queue.
-func TestSilentAgentLearnsNothing(t *testing.T) {
+func TestUnansweredCallShowsOnlyALocalAgentUnreachable(t *testing.T) {
 	for _, local := range []bool{true, false} {
 		e, _ := pollOnce(t, 7, func(c net.Conn, _ int) { io.Copy(io.Discard, c) }, func(o *Options) {
 			o.WatchWait, o.DiscoveryTimeout = 100*time.Millisecond, 100*time.Millisecond
@@ -157,7 +157,7 @@
 
 // A call that discovery refuses at once shows an outage only from then on. Behind a watch that fell silent, or a call
 // that failed late, changes may have been missed, and the list must not be trusted for longer.
-func TestRefusedCallBehindAGapShowsNothing(t *testing.T) {
+func TestRefusedCallAfterGapIsNotUnreachable(t *testing.T) {
 	const late = maxUnreachableDelay + 100*time.Millisecond
 	for name, c := range map[string]struct {
 		first       discoveryCall // of the process's calls, the one before that which is refused
--- a/internal/gateway/drain_test.go
+++ b/internal/gateway/drain_test.go
@@ -17,11 +17,11 @@
 // After SIGTERM, requests that arrive while the listener is open are answered, a stream is
 // finished, and then the gateway ends.
 func TestDrain(t *testing.T) {
-	more := make(chan struct{})
+	finishStream := make(chan struct{})
 	w := newFakeReplica(t, "s-1", func(c net.Conn, r *http.Request) bool {
 		if r.Header.Get("Req-Id") == "slow" {
 			io.WriteString(c, streamHead+chunk(event1))
-			<-more
+			<-finishStream
 			io.WriteString(c, lastChunk)
 			return true
 		}
@@ -46,7 +46,7 @@
 	if _, err := unused.reader.ReadByte(); !errors.Is(err, io.EOF) {
 		t.Errorf("the unused connection: %v, want a clean end", err)
 	}
-	close(more)
+	close(finishStream)
 	if got, err := io.ReadAll(resp.Body); err != nil || string(got) != event1 {
 		t.Errorf("the stream ended with %q, %v", got, err)
 	}
@@ -147,10 +147,10 @@
 // answer ends the connection; so is a request on a connection that was accepted as the listener
 // closed.
 func TestDrainAnswersPipelinedRequests(t *testing.T) {
-	more := make(chan struct{})
+	answerFirst := make(chan struct{})
 	w := newFakeReplica(t, "s-1", func(c net.Conn, r *http.Request) bool {
 		if r.Header.Get("Req-Id") == "first" {
-			<-more
+			<-answerFirst
 		}
 		return answerCompletely(c, r)
 	})
@@ -167,7 +167,7 @@
 	if _, err := unused.reader.ReadByte(); !errors.Is(err, io.EOF) { // the last step of the drain before it waits
 		t.Errorf("the unused connection: %v", err)
 	}
-	close(more)
+	close(answerFirst)
 	late.sendRaw(requestFirstHalf[9:] + requestSecondHalf)
 	for i, last := range []bool{false, false, true} {
 		if resp, body := c.readAnswer(); resp.StatusCode != 200 || !strings.Contains(body, "[DONE]") || resp.Close != last {
@@ -207,13 +207,13 @@
 func TestDrainAfterStream(t *testing.T) {
 	for name, arrives := range map[string]bool{"a request has arrived": true, "none has": false} {
 		t.Run(name, func(t *testing.T) {
-			more := make(chan struct{})
+			finishStream := make(chan struct{})
 			w := newFakeReplica(t, "s-1", func(c net.Conn, r *http.Request) bool {
 				if r.Header.Get("Req-Id") != "stream" {
 					return answerCompletely(c, r)
 				}
 				io.WriteString(c, streamHead+chunk(event1))
-				<-more
+				<-finishStream
 				io.WriteString(c, lastChunk)
 				return true
 			})
@@ -230,7 +230,7 @@
 			if arrives {
 				c.sendRequest("next", "4000m")
 			}
-			close(more)
+			close(finishStream)
 			if got, err := io.ReadAll(resp.Body); err != nil || len(got) != 0 {
 				t.Errorf("the stream ended with %q, %v", got, err)
 			}
@@ -288,7 +288,7 @@
 
 // An accept queue that does not become empty is waited for as long as answers are possible before
 // the kill, and no longer.
-func TestDrainGivesUpAnAcceptQueueInTime(t *testing.T) {
+func TestDrainClosesAFullAcceptQueueBeforeTheKill(t *testing.T) {
 	const longestDeadline = 200_000 // microseconds
 	g, l := startGatewayWithSyncpoints(t, func(o *Options) {
 		o.DrainAcceptPeriod = 10 * time.Millisecond
--- a/internal/gateway/events_test.go
+++ b/internal/gateway/events_test.go
@@ -15,8 +15,8 @@
 func (c *testClient) readChunk() string {
 	c.t.Helper()
 	line, err := c.reader.ReadString('\n')
-	n, bad := strconv.ParseUint(strings.TrimSpace(line), 16, 31)
-	if err != nil || bad != nil {
+	n, parseErr := strconv.ParseUint(strings.TrimSpace(line), 16, 31)
+	if err != nil || parseErr != nil {
 		c.t.Fatalf("chunk length %q, %v", line, err)
 	}
 	b := make([]byte, n+2)
@@ -31,21 +31,21 @@
 // the next one, and a part whose remainder does not arrive is relayed alone.
 func TestEventIsRelayedComplete(t *testing.T) {
 	const tiny, crlf = "data: x\n\n", "data: y\r\n\r\n"
-	got := make(chan struct{})
+	relayed := make(chan struct{})
 	w := newFakeReplica(t, "s-1", func(c net.Conn, _ *http.Request) bool {
 		io.WriteString(c, streamHead)
 		for _, part := range []string{event1[:3], event1[3:40], event1[40:41], event1[41:]} {
 			io.WriteString(c, chunk(part))
 		}
-		<-got
+		<-relayed
 		for range 3 { // each before the next is written
 			io.WriteString(c, chunk(tiny))
-			<-got
+			<-relayed
 		}
 		io.WriteString(c, chunk(crlf))
-		<-got
+		<-relayed
 		io.WriteString(c, chunk(event2[:9])) // and nothing more until it has arrived
-		<-got
+		<-relayed
 		io.WriteString(c, chunk(event2[9:])+lastChunk)
 		return true
 	})
@@ -57,7 +57,7 @@
 		if chunk := c.readChunk(); chunk != want {
 			t.Errorf("a chunk %q, want %q", chunk, want)
 		}
-		got <- struct{}{}
+		relayed <- struct{}{}
 	}
 	if chunk := c.readChunk(); chunk != event2[9:] {
 		t.Errorf("a chunk %q", chunk)
--- a/internal/gateway/fakes_test.go
+++ b/internal/gateway/fakes_test.go
@@ -133,8 +133,8 @@
 	delta    []httpwire.Endpoint
 	changed  chan struct{}
 	calls    []string
-	fail     int // calls that will fail
-	mute     int // calls that will never be answered
+	failingCalls     int // calls that will fail
+	unansweredCalls     int // calls that will never be answered
 }
 
 func newFakeDiscovery(t *testing.T, list httpwire.EndpointList) *fakeDiscovery {
@@ -165,17 +165,17 @@
 func (d *fakeDiscovery) ServeHTTP(w http.ResponseWriter, r *http.Request) {
 	d.mu.Lock()
 	d.calls = append(d.calls, r.URL.String())
-	fail := d.fail > 0
+	fail := d.failingCalls > 0
 	if fail {
-		d.fail--
+		d.failingCalls--
 	}
-	mute := d.mute > 0
-	if mute {
-		d.mute--
+	unanswered := d.unansweredCalls > 0
+	if unanswered {
+		d.unansweredCalls--
 	}
 	version := d.list.Generation
 	d.mu.Unlock()
-	if mute {
+	if unanswered {
 		<-r.Context().Done()
 		return
 	}
@@ -214,16 +214,16 @@
 	d.changed <- struct{}{}
 }
 
-// muteNextCall leaves the next call unanswered, and waits until it has arrived.
-func (d *fakeDiscovery) muteNextCall(t *testing.T) {
+// leaveNextCallUnanswered leaves the next call unanswered, and waits until it has arrived.
+func (d *fakeDiscovery) leaveNextCallUnanswered(t *testing.T) {
 	t.Helper()
 	d.mu.Lock()
-	d.mute = 1
+	d.unansweredCalls = 1
 	d.mu.Unlock()
 	waitUntil(t, "a call that is not answered", func() bool {
 		d.mu.Lock()
 		defer d.mu.Unlock()
-		return d.mute == 0
+		return d.unansweredCalls == 0
 	})
 }
 
--- a/internal/gateway/gateway_test.go
+++ b/internal/gateway/gateway_test.go
@@ -31,7 +31,7 @@
 }
 
 // Silent replicas block nothing: the answer arrives before the client's deadline.
-func TestSilenceIsAnsweredInTime(t *testing.T) {
+func TestUnresponsiveReplicasYieldTimely503(t *testing.T) {
 	g := startGateway(t, nil, newFakeReplica(t, "s-1", neverAnswer), newFakeReplica(t, "s-2", neverAnswer))
 	c := dial(t, g.addr)
 	begin := time.Now() // the bound allows for a busy machine
@@ -46,7 +46,7 @@
 // Whatever the first replica does, the client gets the other one's answer, and the first one's
 // connection is freed when a hedged request has won.
 func TestOtherReplicaAnswers(t *testing.T) {
-	for name, bad := range map[string]func(net.Conn, *http.Request) bool{
+	for name, firstReply := range map[string]func(net.Conn, *http.Request) bool{
 		"declined": replyWith(shedReply, true), "error": replyWith("HTTP/1.1 500 Oops\r\nContent-Length: 0\r\n\r\n", true),
 		"reset": replyWith("", false), "silent": neverAnswer,
 	} {
@@ -55,7 +55,7 @@
 			failFirst := func(c net.Conn, r *http.Request) bool {
 				if dispatches.Add(1) == 1 {
 					defer func() { dispatches.Add(10) }()
-					return bad(c, r)
+					return firstReply(c, r)
 				}
 				return answerCompletely(c, r)
 			}
--- a/internal/gateway/subset_test.go
+++ b/internal/gateway/subset_test.go
@@ -78,11 +78,11 @@
 	if got := requests(true); got != before {
 		t.Errorf("%d requests to replicas that drain", got-before)
 	}
-	var gone []httpwire.Endpoint
+	var removed []httpwire.Endpoint
 	for _, w := range replicas[1:] {
-		gone = append(gone, listEntry(w, "gone"))
+		removed = append(removed, listEntry(w, "gone"))
 	}
-	g.discoveryServer.change(append(gone, listEntry(replicas[0], "ready"))...)
+	g.discoveryServer.change(append(removed, listEntry(replicas[0], "ready"))...)
 	waitUntil(t, "one is left", func() bool { ready, _, _ := control(); return ready == 1 })
 	_, had := replicas[0].counts()
 	sendAll("one", 5)
--- a/internal/gateway/version_test.go
+++ b/internal/gateway/version_test.go
@@ -23,27 +23,27 @@
 	"archknot/internal/xdsclient"
 )
 
-// streamedGateway is a gateway that follows a control service.
-type streamedGateway struct {
+// controlledGateway is a gateway that follows a control service.
+type controlledGateway struct {
 	*testGateway
 	client *xdsclient.Client
 }
 
-func (v *streamedGateway) Apply(ctx context.Context, c *configversion.Config) configversion.Rejections {
+func (v *controlledGateway) Apply(ctx context.Context, c *configversion.Config) configversion.Rejections {
 	l := configversion.DefaultLimits
 	return v.ApplyVersion(ctx, c, l)
 }
 
-func (v *streamedGateway) versionInForce() uint64 {
+func (v *controlledGateway) versionInForce() uint64 {
 	if c := v.client.InForce(); c != nil {
 		return uint64(c.Number)
 	}
 	return 0
 }
 
-func follow(t *testing.T, name, addr string, g *testGateway) *streamedGateway {
+func follow(t *testing.T, name, addr string, g *testGateway) *controlledGateway {
 	t.Helper()
-	v := &streamedGateway{testGateway: g}
+	v := &controlledGateway{testGateway: g}
 	o := xdsclient.Options{Address: addr, Machine: configversion.DefaultOptions(name, 1)}
 	o.Machine.InitialBackoff, o.Machine.MaxBackoff, o.Machine.MinInterval = 20_000, 200_000, 20_000
 	o.Log = func(msg string, args ...any) { t.Log(append([]any{name, msg}, args...)...) }
@@ -81,23 +81,23 @@
 		_, err := io.WriteString(c, streamHead+chunk(event1)+chunk(event2)+chunk(loadReportLine)+lastChunk)
 		return err == nil
 	}
-	s, err := controlservice.Start("127.0.0.1:0", nil)
+	service, err := controlservice.Start("127.0.0.1:0", nil)
 	if err != nil {
 		t.Fatal(err)
 	}
-	t.Cleanup(s.Stop)
+	t.Cleanup(service.Stop)
 	w1, w2, w3 := newFakeReplica(t, "s-1", answer), newFakeReplica(t, "s-2", answer), newFakeReplica(t, "s-3", answer)
-	var all []*streamedGateway
+	var gateways []*controlledGateway
 	var dirs []string
 	for i := range 3 {
 		dir := t.TempDir()
 		dirs = append(dirs, dir)
 		g := startGateway(t, func(o *Options) { o.Capture = captureTo(dir) }, w1, w2, w3)
-		all = append(all, follow(t, fmt.Sprint("n", i), s.Addr(), g))
+		gateways = append(gateways, follow(t, fmt.Sprint("n", i), service.Addr(), g))
 	}
-	on := func(n uint64) func() bool {
+	allInForce := func(n uint64) func() bool {
 		return func() bool {
-			for _, g := range all {
+			for _, g := range gateways {
 				if g.versionInForce() != n {
 					return false
 				}
@@ -108,8 +108,8 @@
 	// The load: each client sends request after request, and every answer is complete.
 	ctx, stop := context.WithCancel(t.Context())
 	var clients sync.WaitGroup
-	var served, wrong atomic.Int64
-	for i, g := range all {
+	var served, failed atomic.Int64
+	for i, g := range gateways {
 		for j := range 3 {
 			clients.Add(1)
 			go func() {
@@ -123,13 +123,13 @@
 					req.Header.Set("Req-Deadline", "4000m")
 					resp, err := client.Do(req)
 					if err != nil {
-						wrong.Add(1)
+						failed.Add(1)
 						continue
 					}
 					body, err := io.ReadAll(resp.Body)
 					resp.Body.Close()
 					if err != nil || resp.StatusCode != http.StatusOK || !strings.HasSuffix(string(body), loadReportLine) {
-						wrong.Add(1)
+						failed.Add(1)
 						continue
 					}
 					served.Add(1)
@@ -139,7 +139,7 @@
 	}
 	waitUntil(t, "load", func() bool { return served.Load() > 50 })
 	// One request waits for its first token all the time, at each gateway.
-	for i, g := range all {
+	for i, g := range gateways {
 		c := dial(t, g.addr)
 		c.sendRequest(fmt.Sprint("hold", i), "60000m")
 		clients.Add(1)
@@ -147,7 +147,7 @@
 			defer clients.Done()
 			c.SetDeadline(time.Now().Add(time.Minute))
 			if resp, err := http.ReadResponse(c.reader, nil); err != nil || resp.StatusCode != http.StatusOK {
-				wrong.Add(1)
+				failed.Add(1)
 			}
 		}()
 	}
@@ -164,13 +164,13 @@
 		}
 		return len(started) == 3
 	})
-	s.Publish(chatVersion(1))
-	waitUntil(t, "version 1", on(1))
+	service.Publish(chatVersion(1))
+	waitUntil(t, "version 1", allInForce(1))
 	expectRejected := func(want string) {
 		t.Helper()
 		ctx, stop := context.WithTimeout(t.Context(), 5*time.Second)
 		defer stop()
-		err := s.AwaitAcks(ctx, func(list []controlservice.Ack) bool {
+		err := service.AwaitAcks(ctx, func(list []controlservice.Ack) bool {
 			who := map[string]bool{}
 			for _, a := range list {
 				if strings.Contains(a.Error, want) {
@@ -184,22 +184,22 @@
 		}
 	}
 	// Valid alone, not as a transition: requests of the class are in flight all the time.
-	out := chatVersion(2)
-	out.Resources[configversion.TypeClass] = []proto.Message{&pb.Class{Name: "docs", AimUs: 1, DeadlineUs: 4_000_000}}
-	s.Publish(out)
+	withoutClass := chatVersion(2)
+	withoutClass.Resources[configversion.TypeClass] = []proto.Message{&pb.Class{Name: "docs", AimUs: 1, DeadlineUs: 4_000_000}}
+	service.Publish(withoutClass)
 	expectRejected("version 2: Class chat: taken out with")
-	short := chatVersion(3)
-	short.Resources[configversion.TypeClass][0].(*pb.Class).DeadlineUs = 2_000_000
-	s.Publish(short)
+	shortDeadline := chatVersion(3)
+	shortDeadline.Resources[configversion.TypeClass][0].(*pb.Class).DeadlineUs = 2_000_000
+	service.Publish(shortDeadline)
 	expectRejected("version 3: Class chat: deadline_us: shortened")
-	if !on(1)() {
+	if !allInForce(1)() {
 		t.Fatal("not on version 1")
 	}
 	// A version drains a replica: no new request goes there once it is in force.
 	drain := chatVersion(4)
 	drain.Resources[configversion.TypeReplica] = []proto.Message{&pb.Worker{Name: "s-2", Mark: pb.Worker_DRAIN}}
-	s.Publish(drain)
-	waitUntil(t, "version 4", on(4))
+	service.Publish(drain)
+	waitUntil(t, "version 4", allInForce(4))
 	_, before := w2.counts()
 	had := served.Load()
 	waitUntil(t, "more load", func() bool { return served.Load() > had+100 })
@@ -207,11 +207,11 @@
 		t.Errorf("%d requests went to the drained replica", after-before)
 	}
 	// The drain rule: a replica that discovery drains is not reinstated.
-	for _, g := range all {
+	for _, g := range gateways {
 		g.discoveryServer.change(listEntry(w3, "draining"))
 	}
 	waitUntil(t, "discovery's state", func() bool {
-		for _, g := range all {
+		for _, g := range gateways {
 			found := make(chan bool, 1)
 			g.loop.post(ctx, inspectLoop{func(l *eventLoop) { found <- l.endpoints.listed["s-3"].Lifecycle == "draining" }})
 			if !<-found {
@@ -220,44 +220,44 @@
 		}
 		return true
 	})
-	back := chatVersion(5)
-	back.Resources[configversion.TypeReplica] = []proto.Message{&pb.Worker{Name: "s-3", Mark: pb.Worker_SERVE}}
-	s.Publish(back)
+	reinstating := chatVersion(5)
+	reinstating.Resources[configversion.TypeReplica] = []proto.Message{&pb.Worker{Name: "s-3", Mark: pb.Worker_SERVE}}
+	service.Publish(reinstating)
 	expectRejected("version 5: Worker s-3: mark: brought back, but the registry says that it drains")
 	// Applied completely, although the service vanishes.
-	half := chatVersion(6)
-	half.CloseAfter = 1
-	s.Publish(half)
-	s.Stop()
-	if err := s.Restart(); err != nil {
+	interrupted := chatVersion(6)
+	interrupted.CloseAfter = 1
+	service.Publish(interrupted)
+	service.Stop()
+	if err := service.Restart(); err != nil {
 		t.Fatal(err)
 	}
 	for n := uint64(7); n < 13; n++ {
-		s.Publish(chatVersion(n))
-		waitUntil(t, fmt.Sprint("version ", n), on(n))
+		service.Publish(chatVersion(n))
+		waitUntil(t, fmt.Sprint("version ", n), allInForce(n))
 	}
 	// The rest of what a service can do wrong, in the same load.
-	bad := chatVersion(13)
-	bad.Resources[configversion.TypeAttempts] = []proto.Message{&pb.Attempts{Most: 4}}
-	s.Publish(bad)
+	tooManyAttempts := chatVersion(13)
+	tooManyAttempts.Resources[configversion.TypeAttempts] = []proto.Message{&pb.Attempts{Most: 4}}
+	service.Publish(tooManyAttempts)
 	expectRejected("version 13: Attempts: most: expected 1 to 3, got 4")
-	cut := chatVersion(14)
-	cut.Truncate = configversion.TypeClass
-	s.Publish(cut)
+	truncated := chatVersion(14)
+	truncated.Truncate = configversion.TypeClass
+	service.Publish(truncated)
 	expectRejected("resource 0: proto:")
-	s.Publish(chatVersion(3))
+	service.Publish(chatVersion(3))
 	expectRejected("version 3 is older than 12")
-	if !on(12)() {
+	if !allInForce(12)() {
 		t.Fatal("not on version 12")
 	}
 	slow := chatVersion(15)
 	slow.Delay, slow.RepeatNonce = 20*time.Millisecond, true
-	s.Publish(slow)
-	waitUntil(t, "version 15, slow and with one nonce", on(15))
+	service.Publish(slow)
+	waitUntil(t, "version 15, slow and with one nonce", allInForce(15))
 	for n := uint64(20); n < 70; n++ {
-		s.Publish(chatVersion(n))
+		service.Publish(chatVersion(n))
 	}
-	if took := timeUntil(t, "the flood's last", on(69)); took > 2*time.Second {
+	if took := timeUntil(t, "the flood's last", allInForce(69)); took > 2*time.Second {
 		t.Errorf("the flood's last took %v", took)
 	}
 	_, before = w2.counts()
@@ -265,10 +265,10 @@
 	close(release)
 	stop()
 	clients.Wait()
-	if wrong.Load() > 0 || served.Load() < 150 {
-		t.Errorf("%d served, %d not", served.Load(), wrong.Load())
+	if failed.Load() > 0 || served.Load() < 150 {
+		t.Errorf("%d served, %d not", served.Load(), failed.Load())
 	}
-	for i, g := range all {
+	for i, g := range gateways {
 		waitUntil(t, "nothing in flight", func() bool { return g.clients.inFlightCount() == 0 })
 		ctx, stop := context.WithTimeout(t.Context(), 5*time.Second)
 		if err := g.SetCapture(ctx, nil); err != nil {
--- a/internal/gateway/wallclock_test.go
+++ b/internal/gateway/wallclock_test.go
@@ -21,30 +21,30 @@
 func TestReplicaStartsAcrossClockSteps(t *testing.T) {
 	const began = 1_700_000_000 * secondUs
 	for _, step := range []balancer.Micros{hourUs, -hourUs, 5 * secondUs, -5 * secondUs, 400_000, -400_000} {
-		own, stepped := began, balancer.Micros(0)
-		w := &wallClock{read: func() balancer.Micros { return own + stepped }}
-		w.observe(own)
-		own += 60 * secondUs
-		before := own - 3*secondUs // started 3 s before the step, and dated then
+		monotonic, stepOffset := began, balancer.Micros(0)
+		w := &wallClock{read: func() balancer.Micros { return monotonic + stepOffset }}
+		w.observe(monotonic)
+		monotonic += 60 * secondUs
+		before := monotonic - 3*secondUs // started 3 s before the step, and dated then
 		dated := before
-		stepped = step
-		own += 2 * secondUs
+		stepOffset = step
+		monotonic += 2 * secondUs
 		younger := balancer.Micros(0) // a step by less than the replica's age leaves open on which side of it the start was
-		if -step > 0 && -step <= own-before+maxClockSkew {
+		if -step > 0 && -step <= monotonic-before+maxClockSkew {
 			younger = -step
 		}
-		if got := w.toMonotonic(own, dated); got < before || got > before+younger {
+		if got := w.toMonotonic(monotonic, dated); got < before || got > before+younger {
 			t.Errorf("step %d ms: a start before it is converted %d ms off", step/1000, (got-before)/1000)
 		}
-		after := own - secondUs // started after the step, and dated by the new time
-		if younger = 0; step > 0 && step <= own-after+maxClockSkew {
+		after := monotonic - secondUs // started after the step, and dated by the new time
+		if younger = 0; step > 0 && step <= monotonic-after+maxClockSkew {
 			younger = step
 		}
-		if got := w.toMonotonic(own, after+stepped); got < after || got > after+younger {
+		if got := w.toMonotonic(monotonic, after+stepOffset); got < after || got > after+younger {
 			t.Errorf("step %d ms: a start after it is converted %d ms off", step/1000, (got-after)/1000)
 		}
-		if got := w.toMonotonic(own, own+stepped+10*hourUs); got != own {
-			t.Errorf("a start in the future: %d ms off", (got-own)/1000)
+		if got := w.toMonotonic(monotonic, monotonic+stepOffset+10*hourUs); got != monotonic {
+			t.Errorf("a start in the future: %d ms off", (got-monotonic)/1000)
 		}
 	}
 }
@@ -53,17 +53,17 @@
 // just started seems as old as it is or younger, and never to start in the future.
 func TestWarmingUpReplicaNeverSeemsOld(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		own, stepped := 1_700_000_000*secondUs, balancer.Micros(0)
-		w := &wallClock{read: func() balancer.Micros { return own + stepped }}
-		w.observe(own)
+		monotonic, stepOffset := 1_700_000_000*secondUs, balancer.Micros(0)
+		w := &wallClock{read: func() balancer.Micros { return monotonic + stepOffset }}
+		w.observe(monotonic)
 		for range rapid.IntRange(1, maxClockOffsets-1).Draw(t, "steps") {
-			started, dated := own, own+stepped
-			own += rapid.Int64Range(0, 20).Draw(t, "wait") * secondUs
-			stepped += rapid.Int64Range(-hourUs, hourUs).Draw(t, "step")
-			w.observe(own)
-			own += rapid.Int64Range(0, 5).Draw(t, "told after") * secondUs
-			if got := w.toMonotonic(own, dated); got < started-minClockStep || got > own {
-				t.Fatalf("started %d ms ago, seems %d", (own-started)/1000, (own-got)/1000)
+			started, dated := monotonic, monotonic+stepOffset
+			monotonic += rapid.Int64Range(0, 20).Draw(t, "wait") * secondUs
+			stepOffset += rapid.Int64Range(-hourUs, hourUs).Draw(t, "step")
+			w.observe(monotonic)
+			monotonic += rapid.Int64Range(0, 5).Draw(t, "told after") * secondUs
+			if got := w.toMonotonic(monotonic, dated); got < started-minClockStep || got > monotonic {
+				t.Fatalf("started %d ms ago, seems %d", (monotonic-started)/1000, (monotonic-got)/1000)
 			}
 		}
 	})
@@ -79,11 +79,11 @@
 		StartedAtMs: (g.clock.now() - secondUs) / 1000}}}
 	l.now = g.clock.now()
 	l.receiveList(list, balancer.ListFull, l.now)
-	was := *l.endpoints.ByName("s-1")
+	before := *l.endpoints.ByName("s-1")
 	offset = -hourUs
 	l.receiveList(list, balancer.ListFull, l.now)
-	if now := l.endpoints.ByName("s-1"); now.StartedAt != was.StartedAt {
-		t.Errorf("its start moved by %d ms", (now.StartedAt-was.StartedAt)/1000)
+	if now := l.endpoints.ByName("s-1"); now.StartedAt != before.StartedAt {
+		t.Errorf("its start moved by %d ms", (now.StartedAt-before.StartedAt)/1000)
 	}
 }
 
--- a/internal/gateway/watch_test.go
+++ b/internal/gateway/watch_test.go
@@ -23,7 +23,7 @@
 		t.Errorf("%d attempts to a draining replica", n)
 	}
 	g.discoveryServer.mu.Lock()
-	g.discoveryServer.fail = 1
+	g.discoveryServer.failingCalls = 1
 	g.discoveryServer.mu.Unlock()
 	g.discoveryServer.change() // answered, then the next call fails
 	waitUntil(t, "a call after the failed one", func() bool { return g.discoveryServer.callCount() >= 5 })
@@ -36,7 +36,7 @@
 func TestSilentDiscoveryIsPolledAgain(t *testing.T) {
 	a, b := newFakeReplica(t, "s-1", answerCompletely), newFakeReplica(t, "s-2", answerCompletely)
 	g := startGateway(t, func(o *Options) { o.WatchWait, o.DiscoveryTimeout = 20*time.Millisecond, 100*time.Millisecond }, a, b)
-	g.discoveryServer.muteNextCall(t)
+	g.discoveryServer.leaveNextCallUnanswered(t)
 	calls := g.discoveryServer.callCount()
 	g.discoveryServer.change(listEntry(a, "draining"))
 	waitUntil(t, "calls after the silence", func() bool { return g.discoveryServer.callCount() >= calls+2 })
@@ -54,7 +54,7 @@
 		o.WatchWait, o.DiscoveryTimeout = 20*time.Millisecond, 100*time.Millisecond
 		o.Settings.Gateways = 100 // the call after a failed one waits for 4 s or more
 	}, a, b)
-	g.discoveryServer.muteNextCall(t)
+	g.discoveryServer.leaveNextCallUnanswered(t)
 	calls, begun := g.discoveryServer.callCount(), time.Now()
 	waitUntil(t, "the restarted watch", func() bool { return g.discoveryServer.callCount() > calls })
 	if d := time.Since(begun); d > 2*time.Second {
@@ -65,10 +65,10 @@
 // Discovery that moves is followed at its new address at once, although the call at the old one
 // still waits; the whole list is requested, and requests in flight go on.
 func TestDiscoveryMoves(t *testing.T) {
-	more := make(chan struct{})
+	finishStream := make(chan struct{})
 	a := newFakeReplica(t, "s-1", func(c net.Conn, _ *http.Request) bool {
 		io.WriteString(c, streamHead+chunk(event1))
-		<-more
+		<-finishStream
 		io.WriteString(c, lastChunk)
 		return true
 	})
@@ -85,7 +85,7 @@
 	if path := next.calls[0]; path != httpwire.ListPath {
 		t.Errorf("the first call there: %s", path)
 	}
-	close(more)
+	close(finishStream)
 	if got, err := io.ReadAll(resp.Body); err != nil || string(got) != event1 {
 		t.Errorf("the stream in flight ended with %q, %v", got, err)
 	}
--- a/internal/gateway/withdrawn_test.go
+++ b/internal/gateway/withdrawn_test.go
@@ -26,10 +26,10 @@
 			l.now = g.clock.now()
 			entry := httpwire.Endpoint{ID: "s-1", Addr: w.addr, Zone: "a", Kind: "k", Lifecycle: "ready"}
 			l.receiveList(httpwire.EndpointList{Reset: true, Endpoints: []httpwire.Endpoint{entry}}, balancer.ListFull, l.now)
-			ordered := l.endpoints.ByName("s-1")
+			dispatchedTo := l.endpoints.ByName("s-1")
 			change(&entry)
 			l.receiveList(httpwire.EndpointList{Reset: kind == balancer.ListFull, Endpoints: []httpwire.Endpoint{entry}}, kind, l.now)
-			got := runAttempt(g, ordered)
+			got := runAttempt(g, dispatchedTo)
 			_, attempts := w.counts()
 			if name == "still there" && (got.status != balancer.Served || attempts != 1) || name != "still there" && (got.status != balancer.NotSent || attempts != 0) {
 				t.Errorf("%s, list %d: status %d, %d attempts", name, kind, got.status, attempts)
