--- a/internal/gateway/discovery_test.go
+++ b/internal/gateway/discovery_test.go
@@ -111,9 +111,9 @@
 	const list = "{\n \"generation\": 7,\n \"reset\": true,\n \"instances\": [\n  {\"instanceId\": \"s-1\", \"hostPort\": \"127.0.0.1:1\", \"lifecycle\": \"ready\"}]}"
 	complete := fmt.Sprintf("HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n%s", len(list), list)
 	for name, c := range map[string]struct {
-		reply   string
+		reply  string
 		hangs  bool // the connection stays open after it
-		valid   bool
+		valid  bool
 		cached int
 	}{
 		"complete, indented": {complete, true, true, 1},
--- a/internal/gateway/discoverypoll.go
+++ b/internal/gateway/discoverypoll.go
@@ -16,12 +16,12 @@
 
 // The outcomes of a poll.
 const (
-	pollChanged   pollOutcome = iota // discovery sent a list or a change of it
-	pollUnchanged                    // discovery answered that nothing has changed
-	pollTimedOut                     // discovery did not answer within the timeout
-	pollFailed                       // the call failed in any other way
-	pollMoved                        // the gateway left discovery's address meanwhile
-	pollOutcomes  int         = iota
+	pollChanged      pollOutcome = iota // discovery sent a list or a change of it
+	pollUnchanged                       // discovery answered that nothing has changed
+	pollTimedOut                        // discovery did not answer within the timeout
+	pollFailed                          // the call failed in any other way
+	pollMoved                           // the gateway left discovery's address meanwhile
+	pollOutcomeCount int         = iota
 )
 
 func (o pollOutcome) String() string {
@@ -73,8 +73,8 @@
 
 // MaxWatchWait returns the longest wait of a watch with which a list that is trusted for a time does not get older
 // than that if the watch falls silent: its silence is noticed, and a first call answered, before.
-func MaxWatchWait(maxListAge, answerTimeout time.Duration) time.Duration {
-	return maxListAge - maxTransit - min(answerTimeout, openWatchTimeout) - firstWatchWait - answerTimeout
+func MaxWatchWait(trust, answerTimeout time.Duration) time.Duration {
+	return trust - maxTransit - min(answerTimeout, openWatchTimeout) - firstWatchWait - answerTimeout
 }
 
 // maxTransit is how long an answer of discovery's may be under way.
@@ -110,12 +110,12 @@
 }
 
 // pollCounts counts polls of discovery by outcome. Any goroutine may use it.
-type pollCounts [pollOutcomes]atomic.Int64
+type pollCounts [pollOutcomeCount]atomic.Int64
 
 // byOutcome returns the counts by the name of the outcome.
 func (c *pollCounts) byOutcome() map[string]int64 {
-	counts := make(map[string]int64, pollOutcomes)
-	for outcome := range pollOutcomes {
+	counts := make(map[string]int64, pollOutcomeCount)
+	for outcome := range pollOutcomeCount {
 		counts[pollOutcome(outcome).String()] = c[outcome].Load()
 	}
 	return counts
--- a/internal/gateway/endpointlog.go
+++ b/internal/gateway/endpointlog.go
@@ -58,9 +58,9 @@
 type listState string
 
 const (
-	listCurrent  listState = "current"
-	listDoubtful listState = "doubtful" // only for replicas that show themselves unchanged
-	listStale    listState = "stale"    // for nothing
+	listCurrent     listState = "current"
+	listUnconfirmed listState = "doubtful" // only for replicas that show themselves unchanged
+	listStale       listState = "stale"    // for nothing
 )
 
 // listMonitor logs changes of the list's state. The event loop owns it.
@@ -90,7 +90,7 @@
 	case b.ListStale(now):
 		return listStale
 	case b.ListUnconfirmed(now):
-		return listDoubtful
+		return listUnconfirmed
 	}
 	return listCurrent
 }
--- a/internal/gateway/fakes_test.go
+++ b/internal/gateway/fakes_test.go
@@ -125,16 +125,16 @@
 
 // fakeDiscovery serves a list and its changes.
 type fakeDiscovery struct {
-	addr     string
-	listener net.Listener
-	server   *http.Server
-	mu       sync.Mutex
-	list     httpwire.EndpointList
-	delta    []httpwire.Endpoint
-	changed  chan struct{}
-	calls    []string
-	failingCalls     int // calls that will fail
-	unansweredCalls     int // calls that will never be answered
+	addr            string
+	listener        net.Listener
+	server          *http.Server
+	mu              sync.Mutex
+	list            httpwire.EndpointList
+	delta           []httpwire.Endpoint
+	changed         chan struct{}
+	calls           []string
+	failingCalls    int // calls that will fail
+	unansweredCalls int // calls that will never be answered
 }
 
 func newFakeDiscovery(t *testing.T, list httpwire.EndpointList) *fakeDiscovery {
