--- a/internal/gateway/capture.go
+++ b/internal/gateway/capture.go
@@ -9,7 +9,7 @@
 	"archknot/internal/contract"
 )
 
-// ErrNotRecording says that there is no capture to save an incident from.
+// ErrNotRecording is returned for an incident if the gateway does not record a capture.
 var ErrNotRecording = errors.New("the gateway does not record (capture.record)")
 
 // Capture configures how the gateway records the decision module's inputs and actions.
@@ -18,7 +18,7 @@
 	Recorder capture.Options
 }
 
-// newRecording opens the writer of a recording that has not begun yet.
+// newRecording opens the writer of a recording; the recording begins with its captureChange.
 func (c *Capture) newRecording(seed uint64) (*captureRecording, error) {
 	options := c.Writer
 	options.Seed = seed
@@ -31,7 +31,7 @@
 
 // captureRecording is a recorder with its writer.
 type captureRecording struct {
-	recorder *capture.Recorder // nil: it has not begun
+	recorder *capture.Recorder // nil: the recording has not begun
 	writer   *capture.Writer
 	options  capture.Options
 }
@@ -50,8 +50,8 @@
 	return nil
 }
 
-// SetCapture begins a recording, in place of a running one; nil ends it. It returns when the
-// old one is complete on disk. Any goroutine may call it while Serve runs.
+// SetCapture begins a recording and ends the running one; nil only ends that. It returns when
+// the old recording is complete on disk. Any goroutine may call it while Serve runs.
 func (g *Gateway) SetCapture(ctx context.Context, c *Capture) error {
 	var next *captureRecording
 	if c != nil {
@@ -73,11 +73,11 @@
 	}
 }
 
-// captureChange replaces the recording; nil ends it. The old writer is handed back to be
-// closed, because closing waits for the disk.
+// captureChange replaces the recording. It sends the old writer back to be closed outside the
+// loop, because closing waits for the disk.
 type captureChange struct {
-	next     *captureRecording
-	previous chan<- *capture.Writer // nil: nobody waits for it
+	next     *captureRecording      // nil: none
+	previous chan<- *capture.Writer // nil: the old writer is not sent
 }
 
 func (e captureChange) apply(l *eventLoop) {
@@ -98,7 +98,7 @@
 	}
 }
 
-// captureHost returns what a recorder reads from the loop.
+// captureHost returns the functions by which a recorder reads the loop's state.
 func (l *eventLoop) captureHost() capture.Host {
 	return capture.Host{
 		Timers:      l.pendingTimers,
@@ -108,7 +108,7 @@
 	}
 }
 
-// routeLedger has the calls of the ledger pass through the recorder, if there is one.
+// routeLedger routes the calls of the ledger through the recorder, if there is one.
 func (l *eventLoop) routeLedger() {
 	a := &l.accounting
 	switch {
@@ -150,8 +150,8 @@
 	return out
 }
 
-// SaveIncident saves the last minutes of the capture and returns where. The error is
-// ErrNotRecording if there is no capture. Any goroutine may call it while Serve runs.
+// SaveIncident saves the last minutes of the capture and returns where they were saved. The
+// error is ErrNotRecording if there is no capture. Any goroutine may call it while Serve runs.
 func (g *Gateway) SaveIncident(ctx context.Context, reason string) (capture.SavedIncident, error) {
 	request := incidentRequest{reason, make(chan capture.SavedIncident, 1)}
 	g.loop.post(ctx, request)
--- a/internal/gateway/clock.go
+++ b/internal/gateway/clock.go
@@ -7,8 +7,8 @@
 )
 
 // monotonicClock reads the monotonic clock in microseconds. It starts at the Unix time, so that
-// the start of a replica from before the gateway's own is above 0: a replica that is still
-// warming up when its gateway restarts must count as warming up.
+// the start of a replica before the gateway's own start is above 0. With 0 or less it would
+// count as long ago, although the replica may still be warming up when its gateway restarts.
 type monotonicClock struct {
 	start time.Time
 	base  balancer.Micros // the reading at start
--- a/internal/gateway/controlstats.go
+++ b/internal/gateway/controlstats.go
@@ -7,7 +7,7 @@
 	"archknot/internal/controlstats"
 )
 
-// controlQuery queries the loop for its part of the control statistics.
+// controlQuery is an event that requests the loop's part of the control statistics.
 type controlQuery struct{ result chan controlstats.Stats }
 
 func (e controlQuery) apply(l *eventLoop) {
@@ -32,7 +32,7 @@
 }
 
 // Control returns statistics of the gateway's control work: endpoint list, connections and
-// traffic. Any goroutine may call it while Serve runs.
+// traffic. The error is the context's. Any goroutine may call it while Serve runs.
 func (g *Gateway) Control(ctx context.Context) (controlstats.Stats, error) {
 	query := controlQuery{make(chan controlstats.Stats, 1)}
 	g.loop.post(ctx, query)
@@ -54,6 +54,6 @@
 	}
 }
 
-// SetUnknownKeys sets the number of keys in the configuration that the program does not
-// serve.
+// SetUnknownKeys sets the number of configuration keys that the program does not support, for
+// the statistics. Any goroutine may call it.
 func (g *Gateway) SetUnknownKeys(n int) { g.unknownKeys.Store(int64(n)) }
--- a/internal/gateway/discovery.go
+++ b/internal/gateway/discovery.go
@@ -14,26 +14,27 @@
 	"archknot/internal/httpwire"
 )
 
-// startupCallWindow is how soon after the start a call counts as made at the start.
+// startupCallWindow is the time after the process's start within which its first call to
+// discovery counts as made at the start.
 const startupCallWindow = time.Second
 
-// errUnavailable says that discovery answered that it serves no calls.
-var errUnavailable = errors.New("status 503")
+// errUnavailable marks a call that discovery answered with 503: it serves no calls.
+var errUnavailable = errors.New("discovery answered with status 503")
 
 // discoveryWatch follows the endpoint list. The goroutine of watchDiscovery owns it.
 type discoveryWatch struct {
 	gateway              *Gateway
 	addr                 string
-	generation           int64 // of the list in force; httpwire.NoGeneration: the next call gets the full list
-	lastCallAnswered     bool  // discovery answered the last call, and so serves the next one at once
+	generation           int64 // of the list in force; httpwire.NoGeneration: the next call requests the full list
+	lastCallAnswered     bool  // discovery answered the last call, and so serves the next one without a queue
 	hasCalled            bool  // a call has been made
 	noChangeMissed       bool  // since its last answer, or the start, discovery was watched or could not be reached
-	onlyExplicitFailures bool  // as covered, or it ended first calls itself, after a wait
+	onlyExplicitFailures bool  // as noChangeMissed, but discovery may also have ended first calls itself after a wait
 }
 
-// watchDiscovery follows discovery whenever the module requests it, until a poll fails: then
-// the module decides when to poll again. A move polls the new address at once, and ends the
-// call that waits at the old one.
+// watchDiscovery polls discovery when the module requests it, and repeatedly until a poll
+// fails; then the module decides when to poll again. A move cancels the call at the old
+// address, and the new one is polled at once.
 func (g *Gateway) watchDiscovery(ctx context.Context) {
 	w := discoveryWatch{gateway: g, addr: g.options.Discovery, generation: g.options.CachedList.Generation, onlyExplicitFailures: true}
 	started := time.Now()
@@ -51,7 +52,7 @@
 	}
 }
 
-// follow polls again and again until a poll fails.
+// follow polls discovery repeatedly until a poll fails.
 func (w *discoveryWatch) follow(ctx context.Context) {
 	g := w.gateway
 	for previousTimedOut := false; ; {
@@ -67,9 +68,9 @@
 		case outcome == pollMoved:
 			w.moveTo(newAddr)
 		case outcome == pollTimedOut && !previousTimedOut:
-			// Discovery accepted the call and did not answer within the timeout. What the
-			// gateway missed counts as notified by now, so it polls again at once, but only
-			// once. The gateways' calls stay as far apart as their watches were begun.
+			// Discovery accepted the call and did not answer within the timeout. By now it
+			// counts changes that the gateway missed as notified, so the gateway polls again at
+			// once, but only once. All gateways' polls are as spread out as their watches were.
 			previousTimedOut = true
 			poll.log(ctx, slog.LevelWarn, "discovery_silent", "err", err)
 		case err != nil:
@@ -83,14 +84,14 @@
 	}
 }
 
-// newPoll returns the next call: for the full list, or the first call of a watch, which is answered soon so
-// that the list's age is known soon, or one that continues the watch.
+// newPoll returns the next call. It requests the full list, or starts a watch, or continues one. The call that
+// starts a watch waits for a short time only, so that the list's age is known soon.
 func (w *discoveryWatch) newPoll() discoveryPoll {
 	config := w.gateway.config.Load()
 	poll := discoveryPoll{addr: w.addr, since: w.generation, first: !w.lastCallAnswered, begunAt: time.Now()}
 	answerTimeout := config.discoveryTimeout
 	switch {
-	case w.generation == httpwire.NoGeneration: // such a call does not wait for a change
+	case w.generation == httpwire.NoGeneration: // the full list: the call does not wait for a change
 	case poll.first:
 		poll.wait = min(config.watchWait/firstWaitDivisor, firstWatchWait)
 	default:
@@ -101,28 +102,29 @@
 	return poll
 }
 
-// jitter returns a time of three quarters of another one to all of it: gateways whose watches were answered at
-// once, by a change, do not all call again at once if these fall silent.
+// jitter returns a random duration between three quarters of d and d. A change answers the watches of all gateways
+// at once; without jitter, all their next calls would also time out at once if discovery became unresponsive.
 func jitter(d time.Duration) time.Duration {
 	return d - time.Duration(rand.Float64()*float64(d)/4)
 }
 
 // showsUnreachable reports whether a failed call shows that discovery could not be reached when the call began.
 func (w *discoveryWatch) showsUnreachable(poll *discoveryPoll, err error) bool {
-	// An agent on this machine answers a first call at once, or is silent and learns nothing.
+	// An agent on this machine answers a first call at once, unless it is unresponsive and receives no changes.
 	agentTimedOut := poll.first && poll.timedOut(err) && w.gateway.options.Settings.LocalDiscovery
 	return agentTimedOut || poll.foundUnreachable(err)
 }
 
-// missesNoChange reports whether no change can have been missed in the time of a failed call: discovery could not be
-// reached, or it ended an open watch, which was alive until then. An agent's watch falls silent as the agent does.
+// missesNoChange reports whether no change can have been missed during a failed call: discovery could not be
+// reached, or it ended an open watch, which worked until then. The watch of a local agent times out only if the
+// agent is unresponsive, and then the agent receives no changes.
 func (w *discoveryWatch) missesNoChange(poll *discoveryPoll, err error) bool {
 	openWatchEnded := !poll.first && endedByDiscovery(err)
 	agentWatchTimedOut := poll.timedOut(err) && w.gateway.options.Settings.LocalDiscovery
 	return openWatchEnded || agentWatchTimedOut || w.showsUnreachable(poll, err)
 }
 
-// failureKind returns what a failed call means for the list.
+// failureKind returns the kind of list event that a failed call causes.
 func (w *discoveryWatch) failureKind(poll *discoveryPoll, err error) balancer.ListKind {
 	switch {
 	case w.noChangeMissed && w.showsUnreachable(poll, err):
@@ -133,8 +135,8 @@
 	return balancer.ListFailed
 }
 
-// reportFailure posts a failed poll, and waits until the loop has applied it: polls requested
-// before that are void, those requested from then on count.
+// reportFailure posts a failed poll, and waits until the loop has applied it. Applying it
+// discards a poll that was requested during the call; polls requested later are made.
 func (w *discoveryWatch) reportFailure(ctx context.Context, poll *discoveryPoll, err error) {
 	kind := w.failureKind(poll, err)
 	poll.log(ctx, slog.LevelInfo, "discovery_failed", "err", err, "unreachable", kind == balancer.ListUnreachable)
@@ -146,8 +148,8 @@
 	}
 }
 
-// moveTo leaves discovery's old address. Another discovery's generations mean nothing there:
-// the next call gets the full list.
+// moveTo switches to another address of discovery. Generations cannot be compared between
+// addresses, so the next call requests the full list.
 func (w *discoveryWatch) moveTo(addr string) {
 	w.gateway.discovery.pool.CloseIdle(w.addr)
 	slog.Info("discovery_moved", "from", w.addr, "to", addr)
@@ -172,7 +174,7 @@
 	return list, newAddr, err
 }
 
-// requestList fetches a list, and counts and logs what of it cannot be applied.
+// requestList fetches a list. It counts and logs invalid entries and a rejected list.
 func (g *Gateway) requestList(ctx context.Context, addr, path string, timeout time.Duration) (httpwire.EndpointList, error) {
 	var list httpwire.EndpointList
 	limits := httpwire.ListLimits{Endpoints: g.options.MaxListEntries, Zones: g.options.Settings.Zones}
@@ -181,7 +183,7 @@
 			return errUnavailable
 		}
 		if status != http.StatusOK {
-			return fmt.Errorf("status %d", status)
+			return fmt.Errorf("discovery answered with status %d, expected 200", status)
 		}
 		list, err = httpwire.ReadList(body, limits)
 		return err
--- a/internal/gateway/discoverypoll.go
+++ b/internal/gateway/discoverypoll.go
@@ -11,7 +11,7 @@
 	"archknot/internal/httpwire"
 )
 
-// pollOutcome is how a poll of discovery ended, as the log and the metrics name it.
+// pollOutcome is how a poll of discovery ended. Its String is the name in the log and the metrics.
 type pollOutcome uint8
 
 // The outcomes of a poll.
@@ -20,7 +20,7 @@
 	pollUnchanged                       // discovery answered that nothing has changed
 	pollTimedOut                        // discovery did not answer within the timeout
 	pollFailed                          // the call failed in any other way
-	pollMoved                           // the gateway left discovery's address meanwhile
+	pollMoved                           // a move to another address cancelled the call
 	pollOutcomeCount int         = iota
 )
 
@@ -38,8 +38,8 @@
 	begunAt time.Time
 }
 
-// maxUnreachableDelay is how soon a call fails where discovery serves none. One that was accepted, or that
-// waited in discovery's queue, fails later.
+// maxUnreachableDelay is the time within which a call fails if discovery serves none. A call that fails later was
+// accepted, or waited in discovery's queue.
 const maxUnreachableDelay = 500 * time.Millisecond
 
 // timedOut reports whether discovery accepted the call and did not answer it within the timeout.
@@ -63,21 +63,23 @@
 }
 
 const (
-	// firstWatchWait is how long discovery may delay the answer to the first call of a watch, and
-	// firstWaitDivisor the part of a watch's wait that it may be at most.
-	firstWatchWait, firstWaitDivisor = 250 * time.Millisecond, 8
-	// openWatchTimeout is how much longer than its wait the answer to an open watch may take: unlike a first call
-	// it is in no queue.
+	// firstWatchWait bounds how long discovery may delay the answer to the call that starts a watch.
+	firstWatchWait = 250 * time.Millisecond
+	// firstWaitDivisor bounds that delay also by the wait of a watch / firstWaitDivisor.
+	firstWaitDivisor = 8
+	// openWatchTimeout is how much longer than its wait the answer to a call that continues a watch may take. Unlike
+	// the call that starts a watch, it does not wait in discovery's queue.
 	openWatchTimeout = 1500 * time.Millisecond
 )
 
-// MaxWatchWait returns the longest wait of a watch with which a list that is trusted for a time does not get older
-// than that if the watch falls silent: its silence is noticed, and a first call answered, before.
+// MaxWatchWait returns the longest wait of a watch for a list that may be used up to the age trust. If discovery does
+// not answer a call of the watch, that call times out, and the next one is answered, before the list gets that old.
+// answerTimeout is how much longer than its wait the answer to a call may take.
 func MaxWatchWait(trust, answerTimeout time.Duration) time.Duration {
 	return trust - maxTransit - min(answerTimeout, openWatchTimeout) - firstWatchWait - answerTimeout
 }
 
-// maxTransit is how long an answer of discovery's may be under way.
+// maxTransit bounds how long an answer of discovery is assumed to be in transit.
 const maxTransit = time.Second
 
 // informationAge returns how long ago all changes were known that discovery had, by an answer. Discovery composed
@@ -91,8 +93,8 @@
 }
 
 // foundUnreachable reports whether the call's failure shows that discovery could not be reached when the
-// call began: it was refused, reset or answered with 503 at once. A shortage on this machine shows nothing of
-// discovery, nor does a connection that had been idle.
+// call began: the call was refused, reset or answered with 503 at once. A resource shortage on this machine says
+// nothing about discovery, nor does the end of a connection that had been idle.
 func (p *discoveryPoll) foundUnreachable(err error) bool {
 	if time.Since(p.begunAt) >= maxUnreachableDelay || errors.Is(err, connpool.ErrLocalShortage) {
 		return false
@@ -103,7 +105,7 @@
 // endedByDiscovery reports whether discovery itself ended a call without a list.
 func endedByDiscovery(err error) bool { return isConnClosed(err) || errors.Is(err, errUnavailable) }
 
-// log writes a line about the poll.
+// log writes a log line with the poll's parameters and its duration so far.
 func (p *discoveryPoll) log(ctx context.Context, level slog.Level, msg string, args ...any) {
 	slog.Log(ctx, level, msg, append(args, "addr", p.addr, "since", p.since,
 		"wait_ms", p.wait.Milliseconds(), "took_ms", time.Since(p.begunAt).Milliseconds())...)
--- a/internal/gateway/drain.go
+++ b/internal/gateway/drain.go
@@ -11,32 +11,36 @@
 	"archknot/internal/sockets"
 )
 
-// A gateway that operators drain ends its client connections and goes on running; one that is
-// shutting down does so for good.
+// After an operators' drain, the gateway closes its client connections and keeps running until
+// operators resume it. A shutdown closes them for good.
 
 const (
-	// drainAdmitPeriod is how long after an operators' drain new requests are still admitted:
-	// a request that is in flight 4 s after it may not have arrived in the last 2 s.
+	// drainAdmitPeriod is how long after the start of an operators' drain new requests are
+	// admitted: a request in flight 4 s after the start must not have arrived in the last 2 s.
 	drainAdmitPeriod balancer.Micros = 1_800_000
-	// shutdownAdmitPeriod is that time after SIGTERM: a request that arrived later than 0.7 s
-	// after it has to be answered completely before the process is killed.
+	// shutdownAdmitPeriod is how long after SIGTERM new requests are admitted: a request that
+	// arrives more than 0.7 s after SIGTERM must be answered completely before the process is
+	// killed.
 	shutdownAdmitPeriod balancer.Micros = 650_000
 	// unusedConnGrace is how long a connection may be open in a drain before its first
-	// request: the front hands out new ones for a while.
+	// request: the front still opens connections for a while.
 	unusedConnGrace = 550 * time.Millisecond
-	// partialRequestGrace is how long after a drain an incomplete request is waited for.
+	// partialRequestGrace is how long after the start of a drain an incomplete request may
+	// still be completed.
 	partialRequestGrace balancer.Micros = 3_300_000
 	// drainCheckInterval is how often connections are checked in a drain.
 	drainCheckInterval = 50 * time.Millisecond
-	// The platform kills the process at the earliest killDelay and the longest deadline after
-	// SIGTERM, where deadlines over maxKillDeadline count as that.
-	killDelay       balancer.Micros = 700_000
+	// killDelay is the least time from SIGTERM to the platform's kill of the process, beyond
+	// the longest deadline.
+	killDelay balancer.Micros = 700_000
+	// maxKillDeadline bounds the longest deadline in that time.
 	maxKillDeadline balancer.Micros = 3_000_000
-	// lastAnswerMargin before the kill no connection is accepted any more.
+	// lastAnswerMargin is how long before the kill the gateway stops accepting connections.
 	lastAnswerMargin balancer.Micros = 300_000
 )
 
-// draining reports whether connections end as soon as they are idle.
+// draining reports whether a drain or the shutdown has begun: connections are closed as soon
+// as they are idle.
 func (t *clientTracker) draining() bool { return t.drainedAt.Load() > 0 || t.shutdownAt.Load() > 0 }
 
 // shedsNewRequests reports whether new requests are no longer admitted.
@@ -63,23 +67,23 @@
 	return true
 }
 
-// closeListener gives the listener up. Connections in its accept queue are accepted first, as long
-// as a request on them can be answered before the process is killed. On a shared listener they
-// are the other process's.
+// closeListener closes the listener. It first waits until all connections in the accept queue
+// are accepted, as long as a request on them can be answered before the process is killed. On
+// a shared listener the other process accepts them.
 func (g *Gateway) closeListener(ctx context.Context) {
 	if g.options.SharedListener {
-		_ = g.listener.Close() // it is given up either way
+		_ = g.listener.Close() // not used any more, even if the close fails
 		slog.Info("listener_closed", "shared", true)
 		return
 	}
 	begun := time.Now()
 	ctx, cancel := context.WithDeadline(ctx, g.clients.clock.timeAt(g.lastAcceptAt()))
 	defer cancel()
-	empty, _ := sockets.CloseWhenEmpty(ctx, g.listener) // it is given up either way
+	empty, _ := sockets.CloseWhenEmpty(ctx, g.listener) // not used any more, even if the close fails
 	slog.Info("listener_closed", "shared", false, "queue_empty", empty, "waited_ms", time.Since(begun).Milliseconds())
 }
 
-// lastAcceptAt returns until when a shutdown may accept connections.
+// lastAcceptAt returns the time at which a shutdown stops accepting connections.
 func (g *Gateway) lastAcceptAt() balancer.Micros {
 	longest := balancer.Micros(0)
 	for _, class := range g.config.Load().classes {
@@ -88,14 +92,15 @@
 	return g.clients.shutdownAt.Load() + min(longest, maxKillDeadline) + killDelay - lastAnswerMargin
 }
 
-// closeIdle ends the connections on which a request was answered and none is arriving.
+// closeIdle closes the connections on which a request was answered and none is arriving.
 func (t *clientTracker) closeIdle() {
 	for _, conn := range t.connections() {
 		conn.closeIfIdle(true)
 	}
 }
 
-// closeUnused ends the connections that carried nothing in a time since they were opened.
+// closeUnused closes the connections that were opened at least age ago and have carried no
+// request.
 func (t *clientTracker) closeUnused(age time.Duration) {
 	before := t.clock.now() - age.Microseconds()
 	for _, conn := range t.connections() {
@@ -105,8 +110,8 @@
 	}
 }
 
-// closeForDrain ends the connections that may end in an operators' drain, after
-// partialRequestGrace also those with an incomplete request.
+// closeForDrain closes the connections that an operators' drain may close by now: idle and
+// unused ones, and after partialRequestGrace also those with an incomplete request.
 func (t *clientTracker) closeForDrain() {
 	t.closeIdle()
 	t.closeUnused(unusedConnGrace)
@@ -119,7 +124,7 @@
 	}
 }
 
-// shedDraining answers a request that arrived too late in a drain to be admitted.
+// shedDraining answers a request that arrived after the admission period of a drain.
 func shedDraining(w http.ResponseWriter, request *httpwire.ClientRequest, config *liveConfig) {
 	writeAtCapacity(w, config)
 	slog.Info("request", "id", request.ID, "class", request.Request.Class,
--- a/internal/gateway/ejections.go
+++ b/internal/gateway/ejections.go
@@ -9,8 +9,8 @@
 const (
 	// maxPendingEjections bounds the ejections that wait for discovery's first answer.
 	maxPendingEjections = 64
-	// maxReplicaIDHistory bounds the remembered ids of listed replicas; the oldest are
-	// forgotten first.
+	// maxReplicaIDHistory bounds the recorded ids of listed replicas; the oldest are evicted
+	// first.
 	maxReplicaIDHistory = 16384
 )
 
@@ -22,7 +22,7 @@
 	ids map[string]struct{}
 }
 
-// add reports whether there was capacity for the ejection.
+// add adds an ejection, and reports false if maxPendingEjections are pending.
 func (p *pendingEjections) add(id string) bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -68,13 +68,13 @@
 	return out
 }
 
-// replicaIDHistory remembers the replicas that were listed to this process, up to
+// replicaIDHistory records the ids of the replicas that lists had in this process, up to
 // maxReplicaIDHistory. The zero value is empty; any goroutine may call its methods.
 type replicaIDHistory struct {
 	mu    sync.Mutex
 	known map[string]struct{}
 	ring  []string // in the order of listing
-	next  int      // the oldest of a full ring
+	next  int      // index of the oldest id, once the ring is full
 }
 
 func (h *replicaIDHistory) add(id string) {
--- a/internal/gateway/endpointlog.go
+++ b/internal/gateway/endpointlog.go
@@ -7,9 +7,9 @@
 	"archknot/internal/httpwire"
 )
 
-// The log of the endpoint list: lists, what they change, and whether the list in force is current.
+// Logging of the endpoint list: lists, their changes, and whether the list in force is current.
 
-// maxStateChangeLines bounds the lines that one list writes about its replicas.
+// maxStateChangeLines bounds the log lines about changed replicas for each list.
 const maxStateChangeLines = 32
 
 // microsPerMilli converts balancer.Micros to milliseconds.
@@ -30,7 +30,7 @@
 		"ready", l.endpoints.ReadyCount(), "subset", stats.Subset, "joined", stats.Joined, "left", stats.Left}, args...)...)
 }
 
-// logStateChanges logs the replicas whose state a list is about to change. The first list of all changes none.
+// logStateChanges logs the replicas whose state a list is about to change. It does nothing for the first list.
 func (l *eventLoop) logStateChanges(list httpwire.EndpointList) {
 	if l.endpoints.Len() == 0 {
 		return
@@ -54,13 +54,13 @@
 	}
 }
 
-// listState says how far the list in force may be used, as the log names it.
+// listState is the extent to which the list in force may be used, by its name in the log.
 type listState string
 
 const (
 	listCurrent     listState = "current"
-	listUnconfirmed listState = "doubtful" // only for replicas that show themselves unchanged
-	listStale       listState = "stale"    // for nothing
+	listUnconfirmed listState = "doubtful" // only for replicas that passed a health check recently
+	listStale       listState = "stale"    // not for new attempts
 )
 
 // listMonitor logs changes of the list's state. The event loop owns it.
@@ -69,7 +69,7 @@
 	nextCheck balancer.Micros
 }
 
-// listCheckInterval is how often the event loop looks at the list's state.
+// listCheckInterval is how often the event loop checks the list's state.
 const listCheckInterval balancer.Micros = 250_000
 
 // logChanges logs a change since the last check, once per listCheckInterval.
--- a/internal/gateway/endpoints.go
+++ b/internal/gateway/endpoints.go
@@ -17,17 +17,17 @@
 	lifecycleDraining = "draining"
 )
 
-// endpointTracker holds the endpoint list as discovery sent it, and what this gateway
-// changes about it: replicas that a configuration version drains or that operators ejected
-// get no new work, whatever the list says. The event loop owns it.
+// endpointTracker holds discovery's endpoint list and this gateway's own exclusions: replicas
+// that a configuration version drains or that operators ejected get no new work, whatever
+// their state in the list. The event loop owns it.
 type endpointTracker struct {
 	*endpoint.Registry
-	selector     *subset.Selector             // what of the list the decision module gets
-	receivedAt   time.Time                    // when the list in force was received
+	selector     *subset.Selector             // selects the part of the list that the decision module gets
+	receivedAt   time.Time                    // when a list or a change was last applied
 	listed       map[string]httpwire.Endpoint // discovery's own list, without marks and ejections
 	drainMarks   map[string]bool              // replicas that a configuration version drains
 	ejected      map[string]struct{}          // replicas that operators ejected
-	ejectedStart map[string]int64             // start times of these when first seen as ejected
+	ejectedStart map[string]int64             // start times of ejected replicas when first seen as ejected
 }
 
 func newEndpointTracker(settings subset.Settings, stats subset.PrefixStats) endpointTracker {
@@ -39,8 +39,8 @@
 	}
 }
 
-// fillPartialEntries completes the list's invalid entries with what was known of their
-// replicas; entries of unknown replicas are left out.
+// fillPartialEntries completes a list's partial entries with the last entries of their
+// replicas. Partial entries of unknown replicas are left out.
 func (t *endpointTracker) fillPartialEntries(in httpwire.EndpointList) httpwire.EndpointList {
 	if in.InvalidEntryCount == 0 {
 		return in
@@ -60,7 +60,7 @@
 	return out
 }
 
-// overlayExclusions remembers discovery's list and returns it with the withheld replicas as
+// overlayExclusions stores discovery's list, and returns a copy in which excluded replicas are
 // draining.
 func (t *endpointTracker) overlayExclusions(in httpwire.EndpointList, kind balancer.ListKind) httpwire.EndpointList {
 	if kind != balancer.ListDelta {
@@ -82,15 +82,15 @@
 	return out
 }
 
-// isExcluded reports whether a replica gets no new work, whatever the list says, by the
-// version in force or by operators.
+// isExcluded reports whether the configuration version in force or operators exclude a replica
+// from new work.
 func (t *endpointTracker) isExcluded(id string) bool {
 	_, ejected := t.ejected[id]
 	return ejected || t.drainMarks[id]
 }
 
-// setExclusions replaces the marks and ejections. It returns the entries whose state changes
-// with them.
+// setExclusions replaces the marks and ejections. It returns the entries of the replicas that
+// are now excluded and were not, or the reverse.
 func (t *endpointTracker) setExclusions(marks map[string]bool, ejected map[string]struct{}) httpwire.EndpointList {
 	before := map[string]bool{}
 	for id := range t.listed {
@@ -106,9 +106,9 @@
 	return change
 }
 
-// assumeReinstatedRestarted has replicas that are no longer ejected count as started just now.
-// An ejected replica was restarted, as a rule. Where the list does not show a new start yet,
-// it may be late, and a replica that is warming up fails under a warm one's load.
+// assumeReinstatedRestarted treats replicas that are no longer ejected as started just now,
+// unless the list has a new start time for them. An ejected replica was usually restarted, and
+// the list may not show that yet. A replica that is warming up fails under the load of a warm one.
 func (t *endpointTracker) assumeReinstatedRestarted(ejected map[string]struct{}, now balancer.Micros) {
 	for id := range t.ejected {
 		if _, still := ejected[id]; still {
@@ -121,7 +121,7 @@
 	}
 }
 
-// recordEjectedStarts remembers the start times of ejected replicas.
+// recordEjectedStarts stores the start times of newly ejected replicas.
 func (t *endpointTracker) recordEjectedStarts() {
 	for id := range t.ejected {
 		if _, seen := t.ejectedStart[id]; seen {
@@ -133,8 +133,8 @@
 	}
 }
 
-// hasEjectedReady reports whether a listed replica would take work if operators had not
-// ejected it. The process can serve then, even if no replica is left.
+// hasEjectedReady reports whether an ejected replica is listed as ready. The gateway counts as
+// ready then, even if operators have ejected all replicas.
 func (t *endpointTracker) hasEjectedReady() bool {
 	for id := range t.ejected {
 		if entry, listed := t.listed[id]; listed && entry.Lifecycle == lifecycleReady {
@@ -144,11 +144,11 @@
 	return false
 }
 
-// listReceived: discovery has sent a list or a change of it.
+// listReceived is posted when discovery has answered a poll with a list, a change or no change.
 type listReceived struct {
 	list httpwire.EndpointList
-	took time.Duration   // by the call that brought it
-	asOf balancer.Micros // up to when all changes are known by it
+	took time.Duration   // of the call
+	asOf balancer.Micros // time up to which the list has all changes
 }
 
 func (e listReceived) apply(l *eventLoop) {
@@ -163,15 +163,15 @@
 	}
 }
 
-// listPollFailed: a poll of discovery has failed.
+// listPollFailed is posted when a poll of discovery has failed.
 type listPollFailed struct {
-	kind    balancer.ListKind // one that Failed
+	kind    balancer.ListKind // a kind for which Failed returns true
 	asOf    balancer.Micros   // when the call began
 	handled chan struct{}     // closed once the event is applied
 }
 
 func (e listPollFailed) apply(l *eventLoop) {
-	select { // a poll requested while the call ran is answered by its failure
+	select { // the failure also answers a poll that was requested during the call
 	case <-l.pollRequests:
 	default:
 	}
@@ -202,8 +202,8 @@
 	l.updateReady()
 }
 
-// setExclusions puts other marks and ejections in force. The module gets the changed replicas
-// as discovery would announce them: a draining one gets no new work from this moment on.
+// setExclusions replaces the marks and ejections in force. The module gets the changed replicas
+// as list entries, so that a newly excluded one gets no new work from this moment on.
 func (l *eventLoop) setExclusions(marks map[string]bool, ejected map[string]struct{}) {
 	change := l.endpoints.setExclusions(marks, ejected)
 	if len(change.Endpoints) > 0 {
@@ -212,8 +212,8 @@
 	}
 }
 
-// applyList applies a list, or a ListOverride: what this gateway's own marks and ejections
-// change about it.
+// applyList applies a list, or a ListOverride with the entries that this gateway's own marks
+// and ejections change.
 func (l *eventLoop) applyList(list httpwire.EndpointList, kind balancer.ListKind, asOf balancer.Micros) {
 	source := kind
 	if kind == balancer.ListOverride {
@@ -237,7 +237,7 @@
 	l.endpoints.receivedAt = l.gateway.clock.timeAt(l.now)
 }
 
-// recordListed remembers the ids of a list, for the operators' orders.
+// recordListed records the ids of a list, since operators may only order for listed replicas.
 func (l *eventLoop) recordListed(list httpwire.EndpointList) {
 	if l.gateway.options.Orders == nil {
 		return
@@ -250,14 +250,13 @@
 	}
 }
 
-// publishListExpiry tells the goroutines of attempts how long the list may be used.
+// publishListExpiry publishes until when the attempts' goroutines may use the list.
 func (l *eventLoop) publishListExpiry() {
 	l.gateway.listValidUntil.Store(l.balancer.ListTrustedUntil())
 }
 
 // updateReady makes the gateway ready once a replica can take work. The cached list is
-// enough: when all gateways restart at once, discovery does not get to some of them for
-// seconds.
+// sufficient: when all gateways restart at once, discovery takes seconds to answer some of them.
 func (l *eventLoop) updateReady() {
 	if l.endpoints.ReadyCount() == 0 && !l.endpoints.hasEjectedReady() {
 		return
--- a/internal/gateway/events.go
+++ b/internal/gateway/events.go
@@ -11,10 +11,10 @@
 
 // The events of requests, attempts and health checks.
 
-// requestArrived: a client's request was read completely.
+// requestArrived is posted when a client's request has been read completely.
 type requestArrived struct {
 	request     *inflight.Request
-	config      *liveConfig // the version under which its head was read
+	config      *liveConfig // in force when the request's head was read
 	hasDeadline bool        // the client set its own deadline
 }
 
@@ -35,15 +35,15 @@
 	l.module.RequestArrived(l.now, r.BalancerRequest)
 }
 
-// adoptCurrentVersion moves the request to the version in force, if another one came into
-// force after its head was read: no request is served partly by one version's class and
-// partly by another's. It returns an error if the request's class is gone.
+// adoptCurrentVersion applies the configuration version in force to a request whose head was
+// read under another version, so that one version's class applies to the whole request. It
+// returns an error if the version in force does not have the request's class.
 func (e requestArrived) adoptCurrentVersion(current *liveConfig) error {
 	if current == e.config {
 		return nil
 	}
 	name := e.request.BalancerRequest.Class
-	before, _ := e.config.class(name) // the head was checked under that version
+	before, _ := e.config.class(name) // exists: the head was checked under that version
 	after, err := current.class(name)
 	if err != nil {
 		return err
@@ -64,7 +64,7 @@
 		r.Finished = true
 		l.module.ClientGone(l.now, r.ID)
 	}
-	// The goroutine that reads the actions has ended: attempts that it did not start end
+	// The goroutine that reads the actions has ended. Attempts that it did not start must end
 	// here, or the module would count them as in flight forever.
 	for len(r.Actions) > 0 {
 		if action := <-r.Actions; action.Kind == inflight.ActionForward {
@@ -76,8 +76,9 @@
 	l.requests.RemoveIfFinished(r)
 }
 
-// streamOpened: an attempt's first event is complete. The first such attempt is the winner,
-// whose stream the client gets; any other is cancelled.
+// streamOpened is posted when the first event of an attempt's stream is complete. The first
+// attempt of a request to get there wins: the client gets its stream, and the others are
+// cancelled.
 type streamOpened struct{ attempt *inflight.Attempt }
 
 func (e streamOpened) apply(l *eventLoop) {
@@ -87,8 +88,8 @@
 		return
 	}
 	r.Winner = e.attempt
-	// The module cancels the other attempts before the client gets anything: nothing is sent
-	// for the request from then on.
+	// The module cancels the other attempts before the stream is relayed: once the client has
+	// received data, nothing more is sent to a replica for the request.
 	l.module.FirstToken(l.now, balancer.Outcome{
 		ID:      r.ID,
 		Attempt: e.attempt.Index,
@@ -98,15 +99,15 @@
 	r.Actions <- inflight.Action{Kind: inflight.ActionStream, Attempt: e.attempt}
 }
 
-// attemptEnded is the one outcome of an attempt.
+// attemptEnded is posted exactly once for each attempt, with its outcome.
 type attemptEnded struct {
 	attempt      *inflight.Attempt
 	status       balancer.Status
 	cachedTokens int
 	outputTokens int
 	report       balancer.LoadReport
-	reused       bool // over a cached connection
-	httpStatus   int  // of an answer that was not 200
+	reused       bool // the attempt used a cached connection
+	httpStatus   int  // of an answer other than 200; 0: none
 }
 
 func (e attemptEnded) apply(l *eventLoop) {
@@ -118,7 +119,7 @@
 		r.Finished = true
 	}
 	if e.status == balancer.Cancelled && !r.Finished && r.Ctx.Err() != nil {
-		// The client has gone, and the event that says so comes later.
+		// The request's context has ended; the event for that is posted later.
 		r.Finished = true
 		l.module.ClientGone(l.now, r.ID)
 	}
@@ -176,7 +177,7 @@
 		slog.Int64("report_age_ms", reportAgeMillis(e.attempt.Basis.ReportAge)))
 }
 
-// reportAgeMillis is the age of a load report in milliseconds, and -1 for none.
+// reportAgeMillis returns the age of a load report in milliseconds, or -1 if there is none.
 func reportAgeMillis(age balancer.Micros) balancer.Micros {
 	if age == inflight.ReportUnknown {
 		return -1
@@ -184,12 +185,12 @@
 	return age / microsPerMilli
 }
 
-// healthCheckEnded is the outcome of a health check.
+// healthCheckEnded is posted at the end of a health check, with its outcome.
 type healthCheckEnded struct {
 	replica *endpoint.Replica
 	status  balancer.Status
 	elapsed balancer.Micros
-	connAge balancer.Micros // of its connection, when it began
+	connAge balancer.Micros // age of the connection when the check began
 	report  balancer.LoadReport
 }
 
--- a/internal/gateway/gateway.go
+++ b/internal/gateway/gateway.go
@@ -15,21 +15,22 @@
 )
 
 const (
-	// maxDiscoveryConns bounds the connections to discovery: one for the call that runs, and
-	// one for the call after a move.
+	// maxDiscoveryConns bounds the connections to discovery: one for the running call, and one
+	// for the first call to a new address.
 	maxDiscoveryConns = 2
-	// housekeepingInterval is how often idle connections and the wall clock are looked after.
+	// housekeepingInterval is how often expired connections are closed and the wall clock is
+	// checked for steps.
 	housekeepingInterval = time.Second
-	// unusedConnDivisor of DrainAcceptPeriod is how long a drain waits, after the listener
-	// is closed, for the first request on connections that were never used.
+	// unusedConnDivisor determines how long a drain waits, after the listener has closed, for
+	// the first request on unused connections: DrainAcceptPeriod / unusedConnDivisor.
 	unusedConnDivisor = 4
 )
 
-// Gateway serves clients by the decisions of one balancer.Balancer.
+// Gateway forwards clients' requests to replicas as one balancer.Balancer decides.
 type Gateway struct {
 	options Options
 	clock   monotonicClock
-	config  atomic.Pointer[liveConfig] // what configuration versions may change
+	config  atomic.Pointer[liveConfig] // the settings that configuration versions may change
 	loop    *eventLoop
 
 	// Clients.
@@ -38,15 +39,15 @@
 	listener   net.Listener
 	listening  chan struct{} // closed once listener is set
 	acceptDone chan struct{} // closed once no connection is accepted any more
-	ready      atomic.Bool   // a replica can take work
+	ready      atomic.Bool   // set once a replica can take work, and never cleared
 
 	// Replicas and discovery. Discovery has a pool of its own, so that connections to
-	// replicas never use up its share.
+	// replicas cannot exhaust its connections.
 	pool              *connpool.Pool
 	discovery         pooledClient
-	discoveryMoves    chan string  // discovery's next address; only the latest counts
-	discoveryAnswered atomic.Bool  // discovery itself has answered
-	listValidUntil    atomic.Int64 // when the list becomes too old for new attempts, on the clock
+	discoveryMoves    chan string  // discovery's new address; only the latest is kept
+	discoveryAnswered atomic.Bool  // discovery itself has answered a poll
+	listValidUntil    atomic.Int64 // the clock's reading from which the list is too old for new attempts
 
 	// Contracts.
 	ledgerWriter *ledger.Writer // nil: balances are not stored
@@ -58,12 +59,12 @@
 	orderUpdates     chan struct{}
 	adminCalls       adminapi.CallCounts
 
-	// Statistics, and logs that clients or discovery can cause at any rate.
+	// Statistics, and logs whose rate clients or discovery determine.
 	meters          [controlstats.PurposeCount]controlstats.Meter
 	polls           pollCounts   // of discovery
 	rejectedLists   atomic.Int64 // endpoint lists that were not applied
-	invalidEntries  atomic.Int64 // entries that could not be applied as they were
-	unknownKeys     atomic.Int64 // keys of the configuration that nothing serves
+	invalidEntries  atomic.Int64 // list entries that were invalid, and applied in part or not at all
+	unknownKeys     atomic.Int64 // configuration keys that the program does not support
 	capacityLog     rateLimitedLog
 	rejectLog       rateLimitedLog
 	invalidEntryLog rateLimitedLog
@@ -111,7 +112,8 @@
 	return g, nil
 }
 
-// Serve serves clients on a listener until Drain has ended it. It returns nil after a drain.
+// Serve accepts connections of clients and serves them until Drain closes the listener. It
+// returns nil after a drain, and the listener's error otherwise.
 func (g *Gateway) Serve(ctx context.Context, listener net.Listener) error {
 	go g.loop.run(ctx)
 	go g.watchDiscovery(ctx)
@@ -134,35 +136,35 @@
 	return err
 }
 
-// MoveDiscovery has the gateway follow discovery at another address from now on. Requests in
-// flight go on, and the last list stays in force meanwhile. Only one goroutine may call it at
-// a time.
+// MoveDiscovery switches the gateway to another address of discovery. Requests in flight
+// continue, and the last list stays in force until that address has sent one. Only one
+// goroutine may call it at a time.
 func (g *Gateway) MoveDiscovery(addr string) {
 	select {
-	case <-g.discoveryMoves: // an earlier move that was not followed yet
+	case <-g.discoveryMoves: // replaces an earlier move that is still pending
 	default:
 	}
 	g.discoveryMoves <- addr
 }
 
-// Drain shuts the gateway down gracefully, and returns once all client connections have ended
-// or the context has. The listener stays open for a while, because the front goes on handing
-// out connections; each answer ends its connection. Then the listener closes, and requests in
-// flight are finished. The server's own Shutdown is not used: it drops requests that have
-// been read, and closes connections under those that are being read.
+// Drain shuts the gateway down gracefully. It returns once all client connections have ended,
+// or with the context's error. The listener stays open for DrainAcceptPeriod, because the
+// front still opens connections; each answer closes its connection. Then the listener closes,
+// and requests in flight are finished. http.Server.Shutdown is not used: it drops requests
+// that have been read, and closes connections on which a request is arriving.
 func (g *Gateway) Drain(ctx context.Context) error {
 	g.clients.beginShutdown()
 	<-g.listening
 	sleep(ctx, g.options.DrainAcceptPeriod)
 	g.closeListener(ctx)
-	<-g.acceptDone // the connections that it accepted are tracked now
+	<-g.acceptDone // all accepted connections are tracked from here on
 	go g.handOverRequests(ctx)
 	sleep(ctx, g.options.DrainAcceptPeriod/unusedConnDivisor)
 	g.clients.closeUnused(0)
 	return g.clients.waitUntilEmpty(ctx)
 }
 
-// sleep returns after a time, or when the context ends.
+// sleep waits for d, or until the context ends.
 func sleep(ctx context.Context, d time.Duration) {
 	select {
 	case <-time.After(d):
@@ -170,8 +172,8 @@
 	}
 }
 
-// runHousekeeping closes expired connections and follows the wall clock until the context
-// ends.
+// runHousekeeping closes expired connections to replicas and checks the wall clock for steps
+// until the context ends.
 func (g *Gateway) runHousekeeping(ctx context.Context) {
 	ticker := time.NewTicker(housekeepingInterval)
 	defer ticker.Stop()
--- a/internal/gateway/healthcheck.go
+++ b/internal/gateway/healthcheck.go
@@ -15,7 +15,7 @@
 	"archknot/internal/httpwire"
 )
 
-// runHealthCheck checks a replica's state, and its load where there are load reports. It posts
+// runHealthCheck checks a replica's state, and its load if replicas send load reports. It posts
 // the outcome to the event loop.
 func (g *Gateway) runHealthCheck(replica *endpoint.Replica) {
 	path := httpwire.LivePath
@@ -28,7 +28,7 @@
 	connAge, err := client.get(context.Background(), replica.ConnKey(), replica.Addr, path, g.options.HealthCheckTimeout, result.read)
 	switch {
 	case errors.Is(err, connpool.ErrLocalShortage):
-		result.status = balancer.NotSent // the replica did not get it
+		result.status = balancer.NotSent // the replica is not at fault
 	case errors.Is(err, errNotConnected):
 		result.status = balancer.ConnectFailed
 	case err != nil:
@@ -39,7 +39,8 @@
 	g.loop.events <- result
 }
 
-// read takes over a replica's answer. A report in the header goes before one in the body.
+// read reads a replica's answer. A load report in the header takes precedence over one in the
+// body.
 func (e *healthCheckEnded) read(status int, header http.Header, body io.Reader) error {
 	text, err := io.ReadAll(io.LimitReader(body, maxControlBodyBytes))
 	if err != nil {
--- a/internal/gateway/listener.go
+++ b/internal/gateway/listener.go
@@ -14,9 +14,9 @@
 
 func (t *clientTracker) wrapListener(l net.Listener) net.Listener { return &clientListener{l, t} }
 
-// Accept returns the next connection. At the limit it ends one on which no request is
-// arriving, as the protocol allows between requests; if all are busy, the new one is marked
-// to be answered that the gateway is at capacity.
+// Accept returns the next connection. At the limit it closes one on which no request is
+// arriving, as HTTP allows between requests. If all are busy, the new connection is marked as
+// over the limit: its requests are answered that the gateway is at capacity.
 func (l *clientListener) Accept() (net.Conn, error) {
 	t := l.tracker
 	conn, err := l.acceptUsable()
@@ -27,8 +27,8 @@
 		conn.overLimit = !t.evictOne()
 	}
 	for t.connCount() >= int(t.maxConns.Load())+t.overflowConns && !t.evictOne() {
-		// There is no descriptor even for that answer: the next connections wait in the
-		// kernel's queue.
+		// No descriptor is left even for that answer: further connections wait in the kernel's
+		// accept queue.
 		select {
 		case <-t.connClosed:
 		case <-time.After(connCheckInterval):
@@ -38,7 +38,8 @@
 	return conn, nil
 }
 
-// acceptUsable returns the next usable connection. A fault of one ends that one alone.
+// acceptUsable returns the next usable connection. It closes an unusable one and accepts the
+// next.
 func (l *clientListener) acceptUsable() (*clientConn, error) {
 	for {
 		accepted, err := l.Listener.Accept()
--- a/internal/gateway/liveconfig.go
+++ b/internal/gateway/liveconfig.go
@@ -8,12 +8,12 @@
 	"archknot/internal/httpwire"
 )
 
-// protocolMaxAttempts is the protocol's bound on the attempts of a request, whatever a
-// configuration version says.
+// protocolMaxAttempts is the protocol's bound on the attempts of a request, which no
+// configuration version can exceed.
 const protocolMaxAttempts = 3
 
-// liveConfig is what configuration versions may change and other goroutines than the event
-// loop read. It is never modified, only replaced.
+// liveConfig holds the settings that configuration versions may change and that goroutines
+// other than the event loop read. It is never modified, only replaced.
 type liveConfig struct {
 	classes          []balancer.Class
 	maxInFlight      int
--- a/internal/gateway/loop.go
+++ b/internal/gateway/loop.go
@@ -14,21 +14,21 @@
 // eventQueueLength is the capacity of the event loop's queue; a sender waits while it is full.
 const eventQueueLength = 1024
 
-// event is something that happened. The event loop applies it between two others.
+// event is an input of the event loop, which applies events one at a time.
 type event interface{ apply(l *eventLoop) }
 
-// eventLoop owns the decision module and all state that goes with it. Other goroutines
-// post events; the module's actions reach them through channels with enough capacity, so
-// that no connection ever blocks the loop.
+// eventLoop owns the decision module and all state that belongs to it. Other goroutines post
+// events; the loop sends them the module's actions over buffered channels, so that a slow
+// connection never blocks the loop.
 type eventLoop struct {
 	gateway   *Gateway
 	balancer  *balancer.Balancer
-	module    capture.Module    // balancer, or the recorder in front of it
+	module    capture.Module    // the balancer, or the recorder that wraps it
 	recording *captureRecording // nil: nothing is recorded
 
 	events   chan event
-	deferred []event         // caused by an action; applied at the end of the turn
-	now      balancer.Micros // read once in each turn
+	deferred []event         // events caused by an action; applied at the end of the turn
+	now      balancer.Micros // the clock's reading at the start of the turn
 	timers   timerQueue
 	busyTime time.Duration
 
@@ -40,7 +40,7 @@
 	reportAges controlstats.ReportAge
 
 	pollRequests      chan struct{} // to the goroutine that watches discovery
-	discoveryAnswered bool          // discovery itself has sent a list
+	discoveryAnswered bool          // discovery itself has answered a poll
 }
 
 func newEventLoop(g *Gateway) (*eventLoop, error) {
@@ -63,7 +63,8 @@
 	return l, nil
 }
 
-// post hands an event to the loop. It waits while the queue is full.
+// post queues an event for the loop. It blocks while the queue is full, and drops the event if
+// the context ends meanwhile.
 func (l *eventLoop) post(ctx context.Context, e event) {
 	select {
 	case l.events <- e:
@@ -100,7 +101,7 @@
 	}
 }
 
-// applyQueued applies the first event, if there is one, and those queued by now.
+// applyQueued applies first, unless it is nil, and then the events that are already queued.
 func (l *eventLoop) applyQueued(first event) {
 	if first != nil {
 		first.apply(l)
@@ -128,7 +129,7 @@
 	}
 }
 
-// loopQuery has the loop evaluate a function between two events.
+// loopQuery is an event that evaluates a function in the loop and sends its result.
 type loopQuery[T any] struct {
 	run    func(*eventLoop) T
 	result chan T
@@ -136,7 +137,8 @@
 
 func (q loopQuery[T]) apply(l *eventLoop) { q.result <- q.run(l) }
 
-// queryLoop returns the result of a function that the loop evaluates between two events.
+// queryLoop evaluates a function in the event loop and returns its result, or the context's
+// error.
 func queryLoop[T any](ctx context.Context, l *eventLoop, run func(*eventLoop) T) (result T, err error) {
 	query := loopQuery[T]{run, make(chan T, 1)}
 	l.post(ctx, query)
@@ -148,7 +150,7 @@
 	}
 }
 
-// timer is one that the decision module has set.
+// timer is a pending timer of the decision module, which identifies it by the token.
 type timer struct {
 	at    balancer.Micros
 	token uint64
--- a/internal/gateway/orders.go
+++ b/internal/gateway/orders.go
@@ -12,18 +12,20 @@
 	"archknot/internal/maintenance"
 )
 
-// The maintenance orders of operators: Gateway is an adminapi.Gateway.
+// Operators' maintenance orders: Gateway implements adminapi.Gateway.
 
-// discoveryCheckInterval is how often a call that needs discovery's first answer checks for it.
+// discoveryCheckInterval is how often a call that needs discovery's first answer checks for
+// that answer.
 const discoveryCheckInterval = 20 * time.Millisecond
 
 // saveEjectionTimeout bounds the saving of an ejection that waited for discovery.
 const saveEjectionTimeout = time.Second
 
-// Eject has a replica get no new work from now on, whatever discovery's list says, until
-// Reinstate. The error is adminapi.ErrUnknownReplica if it was never listed, and
-// adminapi.ErrDiscoveryPending if that is not known yet: then the ejection is in force, and
-// is saved or dropped with discovery's first answer. Any goroutine may call it.
+// Eject excludes a replica from new work until Reinstate, whatever its state in discovery's
+// list. The error is adminapi.ErrUnknownReplica if the replica was never listed, or if too many
+// ejections are pending. It is adminapi.ErrDiscoveryPending if discovery has not answered yet:
+// then the ejection is in force, and is saved or dropped at discovery's first answer. Any
+// goroutine may call it.
 func (g *Gateway) Eject(ctx context.Context, id string) error {
 	if g.isKnownReplica(ctx, id) {
 		return g.options.Orders.SetEjected(ctx, id, true)
@@ -32,7 +34,7 @@
 		return adminapi.ErrUnknownReplica
 	}
 	g.onOrdersChanged()
-	if g.discoveryAnswered.Load() { // it answered meanwhile, and may have missed this ejection
+	if g.discoveryAnswered.Load() { // answered meanwhile: confirmEjections may have missed this ejection
 		g.confirmEjections(ctx)
 	}
 	return adminapi.ErrDiscoveryPending
@@ -49,7 +51,7 @@
 	return ignoreNotSaved(g.options.Orders.SetEjected(ctx, id, false))
 }
 
-// DrainClients stops serving clients; the process goes on. The error is
+// DrainClients stops serving clients; the process keeps running. The error is
 // adminapi.ErrShuttingDown after SIGTERM. Any goroutine may call it.
 func (g *Gateway) DrainClients(ctx context.Context) error {
 	if g.clients.shutdownAt.Load() > 0 {
@@ -67,8 +69,9 @@
 	return ignoreNotSaved(g.options.Orders.SetDrained(ctx, false))
 }
 
-// ignoreNotSaved ignores that an order could not be saved, where the worst consequence is
-// that the next process is too careful.
+// ignoreNotSaved returns nil for an order that is in force but not saved yet: saving is retried
+// in the background. If the process ends before that, the next one has the previous orders. A
+// lost reinstatement or resume then only makes it more cautious than ordered.
 func ignoreNotSaved(err error) error {
 	if errors.Is(err, maintenance.ErrNotSaved) {
 		return nil
@@ -79,7 +82,7 @@
 // AdminCalls returns the counters of the operators' calls.
 func (g *Gateway) AdminCalls() *adminapi.CallCounts { return &g.adminCalls }
 
-// addOrderStats adds what operators ordered, and how often they called.
+// addOrderStats adds the operators' orders in force and the counts of their calls.
 func (g *Gateway) addOrderStats(stats *controlstats.Stats) {
 	orders := g.options.Orders
 	if orders == nil {
@@ -93,15 +96,15 @@
 	})
 }
 
-// isKnownReplica reports whether a replica was ever listed, or has an order. Before discovery
-// has answered it waits for that until the context ends.
+// isKnownReplica reports whether a replica was ever listed, or has an order. If discovery has
+// not answered yet, it waits for the first answer until the context ends.
 func (g *Gateway) isKnownReplica(ctx context.Context, id string) bool {
 	for {
 		if g.recentReplicas.has(id) || g.options.Orders.HasOrder(id) {
 			return true
 		}
 		if g.discoveryAnswered.Load() {
-			return g.recentReplicas.has(id) // the list may have come in between
+			return g.recentReplicas.has(id) // the list may have arrived after the check above
 		}
 		select {
 		case <-time.After(discoveryCheckInterval):
@@ -112,7 +115,7 @@
 }
 
 // confirmEjections saves the ejections from before discovery's first answer, and drops those
-// of replicas that are not listed. It does not end with the context.
+// of replicas that are not listed. It completes even if the context ends.
 func (g *Gateway) confirmEjections(ctx context.Context) {
 	for _, id := range g.pendingEjections.all() {
 		if g.recentReplicas.has(id) {
@@ -138,12 +141,12 @@
 	}
 	select {
 	case g.orderUpdates <- struct{}{}:
-	default: // the update that waits covers this one
+	default: // the pending update covers this one
 	}
 }
 
-// followOrders has the event loop apply ejections, and ends client connections while the
-// gateway is drained, until the context ends.
+// followOrders posts changed ejections to the event loop, and closes client connections while
+// the gateway is drained, until the context ends.
 func (g *Gateway) followOrders(ctx context.Context) {
 	if g.options.Orders == nil {
 		return
@@ -168,14 +171,14 @@
 	}
 }
 
-// acceptsWork reports whether a replica may get new work now. It is read right before an
+// acceptsWork reports whether a replica may get new work now. It is called right before an
 // attempt is sent; any goroutine may call it.
 func (g *Gateway) acceptsWork(replica *endpoint.Replica) bool {
 	id := replica.Endpoint.ID
 	return g.clock.now() < g.listValidUntil.Load() && replica.Accepting() && (g.options.Orders == nil || !g.options.Orders.Ejected(id) && !g.pendingEjections.has(id))
 }
 
-// ejectionsChanged: operators have ejected or reinstated replicas.
+// ejectionsChanged is posted when operators have ejected or reinstated replicas.
 type ejectionsChanged struct{ ejected map[string]struct{} }
 
 func (e ejectionsChanged) apply(l *eventLoop) {
--- a/internal/gateway/readiness.go
+++ b/internal/gateway/readiness.go
@@ -6,17 +6,22 @@
 	"time"
 )
 
-// Where processes share the listening socket, a connection that one accepts is lost to the
-// others. A process that cannot serve yet leaves connections to its predecessor as long as
-// there is one, or else in the kernel's queue: for a moment only, since clients wait there.
+// If processes share the listening socket, only the one that accepts a connection can serve it.
+// A process that cannot serve yet therefore waits before it accepts.
 const (
-	readyWaitAlone           = time.Second
+	// readyWaitAlone is the longest wait of a process without a predecessor: clients wait in
+	// the kernel's accept queue meanwhile.
+	readyWaitAlone = time.Second
+	// readyWaitWithPredecessor is the longest wait while a predecessor still accepts.
 	readyWaitWithPredecessor = 6 * time.Second
-	readyCheckInterval       = 10 * time.Millisecond
+	// readyCheckInterval is how often readiness is checked.
+	readyCheckInterval = 10 * time.Millisecond
+	// predecessorCheckInterval is how often it is checked that the predecessor is running.
 	predecessorCheckInterval = time.Second
 )
 
-// CanServe reports whether this process can serve clients. Any goroutine may call it.
+// CanServe reports whether this process can serve clients: it has a listener, a replica could
+// take work, and no shutdown has begun. Any goroutine may call it.
 func (g *Gateway) CanServe() bool {
 	select {
 	case <-g.listening:
@@ -26,7 +31,8 @@
 	}
 }
 
-// awaitReady waits until the gateway can serve, within the times above.
+// awaitReady waits until the gateway can serve, for readyWaitAlone or, while a predecessor
+// runs, readyWaitWithPredecessor at most.
 func (g *Gateway) awaitReady(ctx context.Context) {
 	begun := time.Now()
 	lastCheck := begun
--- a/internal/gateway/takeover.go
+++ b/internal/gateway/takeover.go
@@ -17,33 +17,33 @@
 	"archknot/internal/takeover"
 )
 
-// requestLease is this gateway's lease on a request, where gateways take over each other's
-// requests. A nil lease is valid: there are no take-overs, and everything is allowed.
+// requestLease is this gateway's lease on a request, if gateways take over each other's
+// requests. Its methods accept a nil lease: there are no take-overs, and everything is allowed.
 type requestLease struct {
 	lease    *peers.Lease
 	ctx      context.Context // the request's; it also ends when the lease is lost
 	cancel   context.CancelFunc
 	attempts sync.WaitGroup
 
-	// What the client of a resumed request had received elsewhere. The goroutine of the
-	// client's connection owns it.
+	// The part of the answer that the client of a resumed request received from another
+	// gateway. The goroutine of the client's connection owns these fields.
 	resume   httpwire.ResumeRequest
-	offset   int64 // bytes of this answer that were compared with what the client has
+	offset   int64 // bytes of this answer that were compared with that part
 	checksum hash.Hash32
 
 	mu         sync.Mutex
 	dispatched bool // an attempt may have run
 }
 
-// takeoverRetryPolicy returns what a class allows after a first run.
+// takeoverRetryPolicy returns which further attempts a class allows once a first one has run.
 func (g *Gateway) takeoverRetryPolicy(class string, config *liveConfig) takeover.RetryPolicy {
 	c, err := config.class(class)
 	idempotent := err == nil && c.Idempotency == balancer.Idempotent
 	return takeover.RetryPolicy{Idempotent: idempotent, Hedgeable: idempotent && g.options.Settings.MayHedge}
 }
 
-// acquireLease leases a new request, or claims one that another gateway had. It returns the
-// context in which the request is served.
+// acquireLease acquires the lease on a new request, or claims the lease on a resumed one from
+// another gateway. It returns the context of the request, which ends when the lease is lost.
 func (h *requestHandler) acquireLease(ctx context.Context, r *http.Request) (context.Context, *rejection) {
 	if h.gateway.options.Peers == nil {
 		return ctx, nil
@@ -68,7 +68,7 @@
 	return ctx, nil
 }
 
-// acquireNewLease leases a request that no gateway has.
+// acquireNewLease acquires the lease on a request that no gateway serves yet.
 func (h *requestHandler) acquireNewLease(lease *requestLease) *rejection {
 	g := h.gateway
 	timeLeft := time.Duration(h.arrivedAt+h.request.Timeout-g.clock.now()) * time.Microsecond
@@ -80,8 +80,8 @@
 	return nil
 }
 
-// claimLease claims a request that another gateway had, and sets what its attempts there
-// have used up.
+// claimLease claims the lease on a request from another gateway, and deducts the attempts that
+// were made and the time that was used there.
 func (h *requestHandler) claimLease(ctx context.Context, lease *requestLease, resume httpwire.ResumeRequest) *rejection {
 	g := h.gateway
 	ctx, stop := context.WithDeadline(ctx, g.clock.timeAt(h.arrivedAt+h.request.Timeout))
@@ -118,8 +118,9 @@
 // lost reports whether another gateway has taken over the request.
 func (l *requestLease) lost() bool { return l != nil && l.lease.Lost.Load() }
 
-// release ends the lease once no attempt of the request runs here any more. A cancelled
-// attempt takes a moment to close its connection, so that is waited for in the background.
+// release cancels the request's attempts, and releases the lease once all of them have ended.
+// It waits for them in the background, since a cancelled attempt takes a moment to close its
+// connection.
 func (l *requestLease) release() {
 	if l == nil {
 		return
@@ -158,7 +159,7 @@
 // isHolder reports whether this gateway still holds the lease.
 func (l *requestLease) isHolder() bool { return l == nil || l.lease.Valid(l.ctx) }
 
-// markDispatched notes that an attempt is about to be sent.
+// markDispatched records that an attempt is about to be sent.
 func (l *requestLease) markDispatched() {
 	if l == nil {
 		return
@@ -168,8 +169,8 @@
 	l.mu.Unlock()
 }
 
-// skipDelivered returns the part of the next events that the client does not have yet. It
-// returns false if this answer does not begin with what the client has.
+// skipDelivered returns the part of the next events that the client has not received yet. It
+// returns false if this answer does not begin with the bytes that the client has.
 func (l *requestLease) skipDelivered(events []byte) ([]byte, bool) {
 	if l == nil || l.offset >= l.resume.ReceivedBytes {
 		return events, true
@@ -183,11 +184,11 @@
 	return events[n:], true
 }
 
-// prefixDelivered reports whether all that the client had has been read again.
+// prefixDelivered reports whether this answer has passed the part that the client has.
 func (l *requestLease) prefixDelivered() bool { return l == nil || l.offset >= l.resume.ReceivedBytes }
 
-// handOverRequests hands the requests that are still in flight some time after SIGTERM over
-// to other gateways.
+// handOverRequests announces to the other gateways that this one leaves, and after
+// HandOverDelay hands over to them the requests that are still in flight.
 func (g *Gateway) handOverRequests(ctx context.Context) {
 	if g.options.Peers == nil {
 		return
--- a/internal/gateway/version.go
+++ b/internal/gateway/version.go
@@ -10,9 +10,9 @@
 	"archknot/internal/contract"
 )
 
-// ApplyVersion applies a configuration version; nil: back to the platform's configuration. It
-// is applied completely, between two events of the loop, or not at all: then the rejections
-// say why. Any goroutine may call it while Serve runs.
+// ApplyVersion applies a configuration version; nil restores the platform's configuration. A
+// version is applied completely, between two events of the loop, or not at all; then the
+// rejections give the reasons. Any goroutine may call it while Serve runs.
 func (g *Gateway) ApplyVersion(ctx context.Context, c *configversion.Config, limits configversion.Limits) configversion.Rejections {
 	balances, err := g.storedBalances()
 	if err != nil {
@@ -28,8 +28,8 @@
 	}
 }
 
-// platformConfig returns what is in force where a version has nothing: the platform's
-// configuration.
+// platformConfig returns the platform's configuration, which supplies the parts that a version
+// does not have.
 func (g *Gateway) platformConfig() *configversion.Config {
 	o := &g.options
 	c := &configversion.Config{
@@ -60,7 +60,8 @@
 	return c
 }
 
-// completeVersion returns a version with the platform's parts where it has none of its own.
+// completeVersion returns a copy of a version with its missing parts taken from the platform's
+// configuration.
 func (g *Gateway) completeVersion(version *configversion.Config) *configversion.Config {
 	base := g.platformConfig()
 	if version == nil {
@@ -92,7 +93,7 @@
 // versionChange applies a complete version.
 type versionChange struct {
 	config   *configversion.Config
-	balances []contract.Balance // stored, for a ledger that starts with the version
+	balances []contract.Balance // stored balances, for a ledger that the version starts
 	limits   configversion.Limits
 	result   chan configversion.Rejections
 }
@@ -107,18 +108,24 @@
 		e.result <- configversion.Rejections{{Type: configversion.TypeVersion, Reason: err.Error()}}
 		return
 	}
-	// From here on nothing can fail.
+	// The steps from here on cannot fail.
 	l.gateway.applyLimits(e.config, &settings)
 	l.setExclusions(e.config.DrainedReplicas(), l.endpoints.ejected)
 	l.applyVersionContracts(e.config, e.balances)
 	e.result <- nil
 }
 
-// An idle connection to a replica is closed after this part of the replicas' own idle
-// timeout, as in the platform's configuration.
-const idleTimeoutNumerator, idleTimeoutDenominator = 3, 4
+const (
+	// idleTimeoutNumerator / idleTimeoutDenominator is the fraction of the replicas' own idle
+	// timeout after which an idle connection to a replica is closed, as in the platform's
+	// configuration.
+	idleTimeoutNumerator = 3
+	// idleTimeoutDenominator is the denominator of that fraction.
+	idleTimeoutDenominator = 4
+)
 
-// applyLimits puts a version's limits in force that are not the decision module's.
+// applyLimits puts a version's limits in force, other than those that the decision module
+// enforces.
 func (g *Gateway) applyLimits(c *configversion.Config, settings *balancer.Settings) {
 	g.config.Store(&liveConfig{
 		classes:          settings.Classes,
--- a/internal/gateway/wallclock.go
+++ b/internal/gateway/wallclock.go
@@ -10,9 +10,9 @@
 
 // wallClock converts times of the machines' wall clock to the gateway's monotonic clock. The
 // wall clock may be stepped by any amount at any moment, and a time may have been taken before
-// a step or after it. So a time is converted by each offset that was observed, and the latest
-// result that is not in the future counts. A replica that has just started never seems old,
-// and an old one seems young only where the clock was stepped back by just its age.
+// or after a step. So a time is converted by each observed offset, and the latest result that
+// is not in the future is used. The result is never too old for a replica that has just
+// started, and too young for an old one only if the clock was stepped back by just its age.
 type wallClock struct {
 	read    func() balancer.Micros // the wall clock, Unix time
 	mu      sync.Mutex
@@ -20,17 +20,16 @@
 }
 
 const (
-	// minClockStep is the change of the offset that counts as a step. Below it the clock is
-	// slewed, or the goroutine was delayed between reading the two clocks.
+	// minClockStep is the smallest change of the offset that counts as a step. A smaller one
+	// means that the clock is slewed, or that time passed between reading the two clocks.
 	minClockStep balancer.Micros = 100_000
-	// maxClockOffsets bounds the offsets that are remembered.
+	// maxClockOffsets bounds the stored offsets.
 	maxClockOffsets = 8
-	// maxClockSkew is how far in the future a start may lie because the machines' clocks
-	// differ.
+	// maxClockSkew is how far in the future a start may be, since the machines' clocks differ.
 	maxClockSkew balancer.Micros = 100_000
 )
 
-// observe notes the current offset. It is called each second, so that no step is missed.
+// observe records the current offset. It is called each second, so that no step is missed.
 func (w *wallClock) observe(now balancer.Micros) {
 	offset := w.read() - now
 	w.mu.Lock()
@@ -43,7 +42,7 @@
 	if n > 0 {
 		slog.Warn("clock_stepped", "by_ms", (offset-w.offsets[n-1])/1000)
 	}
-	if i := slices.IndexFunc(w.offsets, near); i >= 0 { // stepped back to where it was
+	if i := slices.IndexFunc(w.offsets, near); i >= 0 { // stepped back to an earlier offset
 		offset = w.offsets[i]
 		w.offsets = slices.Delete(w.offsets, i, i+1)
 	}
@@ -53,7 +52,8 @@
 	}
 }
 
-// toMonotonic returns the monotonic time of a start at a wall clock time, from 1 to now.
+// toMonotonic returns the monotonic time of a replica's start at a wall clock time. The result
+// is from 1 to now.
 func (w *wallClock) toMonotonic(now, wall balancer.Micros) balancer.Micros {
 	w.observe(now)
 	w.mu.Lock()
@@ -64,7 +64,7 @@
 			latest, found = at, true
 		}
 	}
-	if !found { // in the future by any offset: it has started, at the latest just now
+	if !found { // in the future by each offset: it started just now at the latest
 		latest = now
 	}
 	return max(1, min(now, latest))
--- a/internal/gateway/zones.go
+++ b/internal/gateway/zones.go
@@ -7,17 +7,17 @@
 	"archknot/balancer"
 )
 
-// zoneCheckInterval is how often the event loop looks for zones that were lost or recovered.
+// zoneCheckInterval is how often the event loop checks for zones that were lost or recovered.
 const zoneCheckInterval balancer.Micros = 250_000
 
 // zoneMonitor logs the zones that become unavailable and those that recover. The event loop
 // owns it.
 type zoneMonitor struct {
-	lost      []string // at the last check
+	lost      []string // unavailable zones at the last check
 	nextCheck balancer.Micros
 }
 
-// logChanges logs what has changed since the last check, once per zoneCheckInterval.
+// logChanges logs the zones that changed since the last check, once per zoneCheckInterval.
 func (m *zoneMonitor) logChanges(now balancer.Micros, b *balancer.Balancer) {
 	if now < m.nextCheck {
 		return
