--- a/internal/gateway/capture_test.go
+++ b/internal/gateway/capture_test.go
@@ -40,8 +40,8 @@
 	return events, len(found)
 }
 
-// What a gateway on sockets records replays identically: answers of every kind, a replica that
-// drains, a client that disconnects, and discovery that moves.
+// The capture of a gateway on sockets replays identically: served and shed attempts, a replica
+// that drains, and discovery that moves.
 func TestGatewayRecords(t *testing.T) {
 	dir := t.TempDir()
 	serving := newFakeReplica(t, "s-1", answerCompletely)
--- a/internal/gateway/discovery_test.go
+++ b/internal/gateway/discovery_test.go
@@ -16,7 +16,7 @@
 	"archknot/internal/inflight"
 )
 
-// pollingModule is a module that requests a poll at the moment of a failed one.
+// pollingModule is a module that requests a poll whenever one has failed.
 type pollingModule struct {
 	capture.Module
 	loop     *eventLoop
@@ -29,8 +29,8 @@
 	}
 }
 
-// A poll that was requested while a call ran is answered by the call's failure; one requested
-// from the failure on counts, however soon: when it was swallowed, discovery was not polled for
+// A poll requested during a call is answered by the call's failure; one requested while that
+// failure is handled, or later, is made. If it were dropped, discovery would not be polled for
 // 5 s.
 func TestPollRequestDuringFailedPoll(t *testing.T) {
 	l := listenOnLoopback(t)
@@ -47,7 +47,7 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		g.loop.WatchDiscovery() // while the call runs: void
+		g.loop.WatchDiscovery() // during the call: discarded
 		c.Close()
 		e := (<-g.loop.events).(listPollFailed)
 		if i == 2 {
@@ -59,7 +59,7 @@
 		e.apply(g.loop)
 	}
 	if len(g.loop.pollRequests) != 0 {
-		t.Error("a poll requested before the failure stands")
+		t.Error("a poll requested before the failure is still pending")
 	}
 }
 
@@ -84,7 +84,7 @@
 	}}
 	streamOpened{first}.apply(l)
 	if a := <-r.Actions; a.Kind != inflight.ActionStream || second.Ctx.Err() == nil {
-		t.Errorf("action %v, the twin's end %v", a.Kind, second.Ctx.Err())
+		t.Errorf("action %v, the second attempt's context: %v", a.Kind, second.Ctx.Err())
 	}
 	// The other order: a stream that begins after another one has won ends at once.
 	third := l.requests.StartAttempt(r, l.endpoints.ByName("s-2"), l.now, l.now+4e6)
@@ -164,9 +164,9 @@
 	}
 }
 
-// Lists of thousands of entries make a gateway ready in any framing: one chunk of over 64 KiB
-// was rejected, and the gateway never became ready. A rejected list is counted, and the last
-// valid one stays in force.
+// Lists of thousands of entries make a gateway ready in any framing. Guards against rejecting
+// a chunk of over 64 KiB, after which the gateway never becomes ready. A rejected list is
+// counted, and the last valid one stays in force.
 func TestLongLists(t *testing.T) {
 	entry := func(i int) string {
 		return fmt.Sprintf(`{"instanceId":"s-%d","hostPort":"127.0.0.1:1","zone":"a","machineType":"k","lifecycle":"ready"}`, i)
@@ -176,7 +176,7 @@
 		entries[i] = entry(i)
 	}
 	list := `{"generation":7,"reset":true,"instances":[` + strings.Join(entries, ",\n  ") + `]}`
-	twice := `{"generation":8,"generation":9,"reset":true,"instances":[` + entry(1) + `]}` // rejected: which of the two counts?
+	twice := `{"generation":8,"generation":9,"reset":true,"instances":[` + entry(1) + `]}` // rejected: the key occurs twice
 	const head = "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n"
 	many := strings.Builder{}
 	for part := list; part != ""; part = part[min(5000, len(part)):] {
--- a/internal/gateway/discoverypoll_test.go
+++ b/internal/gateway/discoverypoll_test.go
@@ -19,8 +19,8 @@
 // discoveryCall answers a call to discovery; n counts the earlier calls on its connection.
 type discoveryCall func(c net.Conn, n int)
 
-// pollOnce has a gateway make one call to discovery, and returns the event that it posts. The test takes the place of
-// the event loop.
+// pollOnce starts a gateway's watch of discovery and returns the first event that it posts. The test takes the place
+// of the event loop.
 func pollOnce(t *testing.T, generation int64, answer discoveryCall, change func(*Options)) (event, *Gateway) {
 	t.Helper()
 	l := listenOnLoopback(t)
@@ -60,8 +60,8 @@
 
 const unavailable = "HTTP/1.1 503 Busy\r\nContent-Length: 0\r\n\r\n"
 
-// The list is trusted for longer only where a failed call shows that discovery served nobody when the call began:
-// the answer 503 counted as a discovery that could be reached, so that service ended in an outage of 8 s.
+// A failed call extends the use of the list only if it shows that discovery served nobody when the call began. Guards
+// against a 503 at once that counts as a reachable discovery: gateways would stop serving in an outage of 8 s.
 func TestFailuresThatShowDiscoveryUnreachable(t *testing.T) {
 	const late = maxUnreachableDelay + 100*time.Millisecond
 	for name, c := range map[string]struct {
@@ -97,8 +97,8 @@
 	}
 }
 
-// A connection that had been idle and is reset shows nothing of discovery, nor does a shortage on this machine:
-// with either taken for an outage, the list would be trusted past the term.
+// The reset of a connection that had been idle says nothing about discovery, nor does a resource shortage on this
+// machine. If either counted as an outage, the list would be used after it has expired.
 func TestFailuresUnrelatedToDiscovery(t *testing.T) {
 	poll := discoveryPoll{begunAt: time.Now()}
 	for _, err := range []error{
@@ -112,8 +112,8 @@
 	}
 }
 
-// What discovery sent is dated by the call, not by its arrival: an answer that was long under way says nothing
-// of the changes behind it.
+// An answer of discovery is dated by its call, not by its arrival: one that was in transit for long does not have
+// the changes since.
 func TestListIsDatedByItsCall(t *testing.T) {
 	const wait, delay = firstWatchWait, 400 * time.Millisecond // together below maxTransit
 	answer := func(text string) discoveryCall {
@@ -141,8 +141,8 @@
 	}
 }
 
-// A first call to an agent on this machine that gets no answer shows that the agent is silent, and learns nothing;
-// one to a discovery that is shared shows nothing: it may be in a queue.
+// An unanswered first call to an agent on this machine shows that the agent is unresponsive and receives no changes.
+// An unanswered call to a shared discovery does not: it may wait in a queue.
 func TestUnansweredCallShowsOnlyALocalAgentUnreachable(t *testing.T) {
 	for _, local := range []bool{true, false} {
 		e, _ := pollOnce(t, 7, func(c net.Conn, _ int) { io.Copy(io.Discard, c) }, func(o *Options) {
@@ -155,12 +155,12 @@
 	}
 }
 
-// A call that discovery refuses at once shows an outage only from then on. Behind a watch that fell silent, or a call
-// that failed late, changes may have been missed, and the list must not be trusted for longer.
+// A call that discovery refuses at once shows an outage only from that call on. After a watch that timed out, or a
+// call that failed late, changes may have been missed, and the list must not be used for longer.
 func TestRefusedCallAfterGapIsNotUnreachable(t *testing.T) {
 	const late = maxUnreachableDelay + 100*time.Millisecond
 	for name, c := range map[string]struct {
-		first       discoveryCall // of the process's calls, the one before that which is refused
+		first       discoveryCall // answers the process's first call; the later ones are refused
 		unreachable bool
 	}{
 		"answered before": {func(c net.Conn, _ int) {
--- a/internal/gateway/drain_test.go
+++ b/internal/gateway/drain_test.go
@@ -58,15 +58,15 @@
 	}
 }
 
-// A drain begins at each point of a request's arrival: what has arrived, read or not, is
-// answered on its connection, which ends then; what arrives later is not read, and nothing of
-// it reaches a replica.
+// A drain begins at each point of a request's arrival. A request that has begun to arrive, read
+// or not, is answered on its connection, which is then closed. A request that arrives later is
+// not read, and nothing of it reaches a replica.
 func TestDrainWhileRequestArrives(t *testing.T) {
 	request := func(id string) string {
 		return strings.Replace(requestFirstHalf, "Req-Id: x", "Req-Id: "+id, 1) + requestSecondHalf
 	}
 	type scenario func(t *testing.T, c *testClient, conn *syncpoint.Conn, drain func()) (attempts int)
-	read := func(n int) scenario { // so many bytes of it were read, and not processed yet
+	read := func(n int) scenario { // the request's first n bytes were read, and not processed yet
 		return func(t *testing.T, c *testClient, conn *syncpoint.Conn, drain func()) int {
 			t.Helper()
 			afterRead := syncpoint.NewPoint(t)
@@ -111,7 +111,7 @@
 				t.Fatalf("status %d, close %t", resp.StatusCode, resp.Close)
 			}
 			drained := make(chan error, 1)
-			other := dial(t, g.addr) // shows that the drain has been at all connections
+			other := dial(t, g.addr) // its end shows that the drain has checked all connections
 			other.sendRaw(request("other"))
 			other.readAnswer()
 			first, second := l.NextConn(t), l.NextConn(t)
@@ -131,7 +131,7 @@
 				}
 			}
 			if _, err := c.reader.ReadByte(); err == nil {
-				t.Error("the connection goes on")
+				t.Error("the connection stays open")
 			}
 			if err := <-drained; err != nil {
 				t.Error(err)
@@ -143,9 +143,9 @@
 	}
 }
 
-// Pipelined requests are answered in a drain too, each by its own settings, and only the last
-// answer ends the connection; so is a request on a connection that was accepted as the listener
-// closed.
+// Pipelined requests are answered in a drain, each with its own headers, and only the last
+// answer closes the connection. A request of which only a part has arrived when the drain
+// begins is answered, too.
 func TestDrainAnswersPipelinedRequests(t *testing.T) {
 	answerFirst := make(chan struct{})
 	w := newFakeReplica(t, "s-1", func(c net.Conn, r *http.Request) bool {
@@ -202,8 +202,8 @@
 	return n
 }
 
-// A stream whose head was written before the drain did not announce the end to its client. A
-// request that has arrived by the stream's end is answered; one that arrives later is not read.
+// The head of a stream that was written before the drain does not announce the connection's
+// end. A request that has arrived by the stream's end is answered; a later one is not read.
 func TestDrainAfterStream(t *testing.T) {
 	for name, arrives := range map[string]bool{"a request has arrived": true, "none has": false} {
 		t.Run(name, func(t *testing.T) {
@@ -249,8 +249,8 @@
 	}
 }
 
-// Guards against: a listener that is closed over connections in its accept queue. The system resets
-// them, with the requests that have arrived on them.
+// Guards against closing a listener while connections wait in its accept queue: the kernel resets
+// them, and the requests that have arrived on them are lost.
 func TestDrainAnswersConnectionsInTheAcceptQueue(t *testing.T) {
 	const acceptPeriod = 10 * time.Millisecond
 	w := newFakeReplica(t, "s-1", answerCompletely)
@@ -267,7 +267,7 @@
 	}
 	drained := make(chan error, 1)
 	go func() { drained <- g.Drain(context.Background()) }()
-	time.Sleep(10 * acceptPeriod) // the listener would have been closed long ago
+	time.Sleep(10 * acceptPeriod) // a drain that does not wait would have closed the listener
 	beforeAccept.Release()
 	for _, client := range waiting {
 		if resp, _ := client.readAnswer(); resp.StatusCode != http.StatusOK || !resp.Close {
@@ -286,8 +286,8 @@
 	}
 }
 
-// An accept queue that does not become empty is waited for as long as answers are possible before
-// the kill, and no longer.
+// A drain waits for an accept queue that does not become empty as long as answers are possible
+// before the kill, and no longer.
 func TestDrainClosesAFullAcceptQueueBeforeTheKill(t *testing.T) {
 	const longestDeadline = 200_000 // microseconds
 	g, l := startGatewayWithSyncpoints(t, func(o *Options) {
@@ -310,8 +310,8 @@
 	}
 }
 
-// On a shared listening socket the connections that wait are the other process's: a drain neither
-// waits for them nor has the socket refuse others.
+// On a shared listening socket the other process accepts the waiting connections: a drain neither
+// waits for them nor makes the socket refuse new ones.
 func TestDrainLeavesASharedAcceptQueue(t *testing.T) {
 	g, l := startGatewayWithSyncpoints(t, func(o *Options) {
 		o.DrainAcceptPeriod = 10 * time.Millisecond
@@ -337,7 +337,7 @@
 	waitUntil(t, "the listener's close", func() bool {
 		return l.SetDeadline(time.Time{}) != nil
 	})
-	for _, when := range []string{"waited", "came behind the close"} {
+	for _, when := range []string{"waited", "arrived after the close"} {
 		conn, err := successor.Accept()
 		if err != nil {
 			t.Fatalf("the connection that %s: %v", when, err)
--- a/internal/gateway/events_test.go
+++ b/internal/gateway/events_test.go
@@ -27,8 +27,8 @@
 }
 
 // An event that its replica sends in several chunks is relayed in one write: on a slow link
-// each write costs, and the parts queue up behind each other. A tiny event does not wait for
-// the next one, and a part whose remainder does not arrive is relayed alone.
+// each write has a cost, and the parts would queue. A tiny event does not wait for the next
+// one, and a part whose remainder does not arrive is relayed alone.
 func TestEventIsRelayedComplete(t *testing.T) {
 	const tiny, crlf = "data: x\n\n", "data: y\r\n\r\n"
 	relayed := make(chan struct{})
@@ -67,9 +67,9 @@
 	}
 }
 
-// A stream that breaks within its first event has given the client nothing, even if part of the
-// event had arrived: the request is retried at another replica, and the client gets that one's
-// answer alone.
+// If a stream breaks within its first event, nothing of it was relayed, even if part of the
+// event had arrived: the request is retried at another replica, and the client gets only that
+// replica's answer.
 func TestStreamBreaksWithinFirstEvent(t *testing.T) {
 	var dispatches atomic.Int32
 	script := func(c net.Conn, r *http.Request) bool {
@@ -90,7 +90,8 @@
 	}
 }
 
-// A stream that breaks within an event has its bytes relayed, and no last chunk.
+// If a stream breaks within a later event, the part of it that arrived is relayed, without a
+// last chunk.
 func TestStreamBreaksWithinEvent(t *testing.T) {
 	w := newFakeReplica(t, "s-1", replyWith(streamHead+chunk(event1)+chunk(event2[:9]), false))
 	g := startGateway(t, nil, w)
--- a/internal/gateway/fakes_test.go
+++ b/internal/gateway/fakes_test.go
@@ -151,7 +151,7 @@
 	go d.server.Serve(l)
 }
 
-// restart has a closed discovery serve again at its address.
+// restart starts a closed discovery again at its address.
 func (d *fakeDiscovery) restart(t *testing.T) {
 	t.Helper()
 	l, err := net.Listen("tcp", d.addr)
@@ -297,11 +297,11 @@
 }
 
 // waitUntil waits for a condition that another goroutine brings about.
-func waitUntil(t *testing.T, what string, done func() bool) {
+func waitUntil(t *testing.T, condition string, done func() bool) {
 	t.Helper()
 	for end := time.Now().Add(5 * time.Second); !done(); time.Sleep(time.Millisecond) {
 		if time.Now().After(end) {
-			t.Fatalf("not in time: %s", what)
+			t.Fatalf("not in time: %s", condition)
 		}
 	}
 }
@@ -325,11 +325,11 @@
 }
 
 // sendRequest sends a request with an id and a timeout.
-func (c *testClient) sendRequest(id, wait string) {
+func (c *testClient) sendRequest(id, timeout string) {
 	c.t.Helper()
 	const body = `{"model":"chat","stream":true}`
 	c.sendRaw(fmt.Sprintf("POST /v1/chat/completions?x=1 HTTP/1.1\r\nHost: app.svc\r\nReq-Id: %s\r\nReq-Kind: chat\r\n"+
-		"Req-Deadline: %s\r\nContent-Length: %d\r\n\r\n%s", id, wait, len(body), body))
+		"Req-Deadline: %s\r\nContent-Length: %d\r\n\r\n%s", id, timeout, len(body), body))
 }
 
 // exchange sends n requests with the same id one after another, and reads their answers.
--- a/internal/gateway/gateway_test.go
+++ b/internal/gateway/gateway_test.go
@@ -30,7 +30,7 @@
 	}
 }
 
-// Silent replicas block nothing: the answer arrives before the client's deadline.
+// Unresponsive replicas block no client: it gets an answer by its deadline of 300 ms.
 func TestUnresponsiveReplicasYieldTimely503(t *testing.T) {
 	g := startGateway(t, nil, newFakeReplica(t, "s-1", neverAnswer), newFakeReplica(t, "s-2", neverAnswer))
 	c := dial(t, g.addr)
@@ -43,8 +43,8 @@
 	waitUntil(t, "no connection in use", func() bool { return g.pool.OpenCount() == 0 })
 }
 
-// Whatever the first replica does, the client gets the other one's answer, and the first one's
-// connection is freed when a hedged request has won.
+// However the first attempt fails, the client gets the other replica's answer. The first
+// attempt's connection is freed when a hedged attempt has won.
 func TestOtherReplicaAnswers(t *testing.T) {
 	for name, firstReply := range map[string]func(net.Conn, *http.Request) bool{
 		"declined": replyWith(shedReply, true), "error": replyWith("HTTP/1.1 500 Oops\r\nContent-Length: 0\r\n\r\n", true),
--- a/internal/gateway/readiness_test.go
+++ b/internal/gateway/readiness_test.go
@@ -20,7 +20,7 @@
 }
 
 // With the cached list a gateway serves at once: when all gateways restart together, discovery
-// does not get to some of them for seconds.
+// takes seconds to answer some of them.
 func TestReadyOnCachedList(t *testing.T) {
 	w := newFakeReplica(t, "s-1", answerCompletely)
 	g := startGateway(t, func(o *Options) {
--- a/internal/gateway/subset_test.go
+++ b/internal/gateway/subset_test.go
@@ -8,9 +8,9 @@
 	"archknot/internal/subset"
 )
 
-// A gateway works with a subset of its replicas, and is notified that all of that subset drain:
-// others are in use with the same list, no request is lost, and none goes to a draining
-// replica. Then the list shrinks to one replica, which gets all.
+// All replicas of a gateway's subset drain with one change of the list: other replicas replace
+// them with the same change, no request is lost, and none goes to a draining replica. Then the
+// list shrinks to one replica, which gets all requests.
 func TestWholeSubsetDrains(t *testing.T) {
 	const fleetSize, maxReplicas = 40, 16
 	var replicas []*fakeReplica
--- a/internal/gateway/takeover_test.go
+++ b/internal/gateway/takeover_test.go
@@ -7,8 +7,8 @@
 	"archknot/internal/httpwire"
 )
 
-// What the client has is skipped, however the events are cut up, and an answer that begins
-// differently is not joined to it.
+// The bytes that the client has are skipped, however the events are split, and an answer that
+// begins differently is not joined to them.
 func TestResumedStreamIsJoinedByteForByte(t *testing.T) {
 	answer := event1 + event2
 	for had := range len(answer) + 1 {
@@ -18,7 +18,7 @@
 			for i := 0; i < len(answer); i += size {
 				fresh, ok := h.skipDelivered([]byte(answer[i:min(i+size, len(answer))]))
 				if !ok {
-					t.Fatalf("had %d: not its answer", had)
+					t.Fatalf("had %d: the answer was rejected", had)
 				}
 				joined += string(fresh)
 			}
--- a/internal/gateway/version_test.go
+++ b/internal/gateway/version_test.go
@@ -183,7 +183,7 @@
 			t.Fatalf("not rejected: %s", want)
 		}
 	}
-	// Valid alone, not as a transition: requests of the class are in flight all the time.
+	// Valid versions, but invalid transitions: requests of the class are in flight all the time.
 	withoutClass := chatVersion(2)
 	withoutClass.Resources[configversion.TypeClass] = []proto.Message{&pb.Class{Name: "docs", AimUs: 1, DeadlineUs: 4_000_000}}
 	service.Publish(withoutClass)
@@ -203,10 +203,10 @@
 	_, before := w2.counts()
 	had := served.Load()
 	waitUntil(t, "more load", func() bool { return served.Load() > had+100 })
-	if _, after := w2.counts(); after > before+9 { // what was on its way when it came into force
+	if _, after := w2.counts(); after > before+9 { // attempts that were dispatched before the version came into force
 		t.Errorf("%d requests went to the drained replica", after-before)
 	}
-	// The drain rule: a replica that discovery drains is not reinstated.
+	// A version cannot reinstate a replica that discovery drains.
 	for _, g := range gateways {
 		g.discoveryServer.change(listEntry(w3, "draining"))
 	}
@@ -224,7 +224,7 @@
 	reinstating.Resources[configversion.TypeReplica] = []proto.Message{&pb.Worker{Name: "s-3", Mark: pb.Worker_SERVE}}
 	service.Publish(reinstating)
 	expectRejected("version 5: Worker s-3: mark: brought back, but the registry says that it drains")
-	// Applied completely, although the service vanishes.
+	// A version is applied completely, although the service stops while it sends.
 	interrupted := chatVersion(6)
 	interrupted.CloseAfter = 1
 	service.Publish(interrupted)
@@ -236,7 +236,7 @@
 		service.Publish(chatVersion(n))
 		waitUntil(t, fmt.Sprint("version ", n), allInForce(n))
 	}
-	// The rest of what a service can do wrong, in the same load.
+	// Further faults of a control service, under the same load.
 	tooManyAttempts := chatVersion(13)
 	tooManyAttempts.Resources[configversion.TypeAttempts] = []proto.Message{&pb.Attempts{Most: 4}}
 	service.Publish(tooManyAttempts)
@@ -281,10 +281,10 @@
 	}
 }
 
-func timeUntil(t *testing.T, what string, done func() bool) time.Duration {
+func timeUntil(t *testing.T, condition string, done func() bool) time.Duration {
 	t.Helper()
 	begin := time.Now()
-	waitUntil(t, what, done)
+	waitUntil(t, condition, done)
 	return time.Since(begin)
 }
 
@@ -325,8 +325,8 @@
 func (e inspectLoop) apply(l *eventLoop) { e.f(l) }
 
 // A version comes into force between the head of a request and its last byte: the request is
-// served under the new version completely, or rejected if its class is gone. No request is
-// served by parts of two versions.
+// served completely under the new version, or rejected if that does not have its class. No
+// request is served by parts of two versions.
 func TestVersionDuringRequest(t *testing.T) {
 	version := func(name string, deadline uint64) *configversion.Config {
 		c := balancer.Class{Name: name, LatencyObjective: 1_000_000, Deadline: balancer.Micros(deadline), PriorityWeight: 1, Streaming: true}
@@ -335,7 +335,7 @@
 	for name, c := range map[string]struct {
 		next      *configversion.Config
 		status    int
-		announced balancer.Micros // to the replica, at most and at least a tenth of it
+		announced balancer.Micros // most time announced to the replica; the least is a tenth of it
 	}{
 		"its class is gone":           {version("other", 4_000_000), 400, 0},
 		"its class has another time":  {version("chat", 60_000_000), 200, 60_000_000},
--- a/internal/gateway/wallclock_test.go
+++ b/internal/gateway/wallclock_test.go
@@ -17,7 +17,7 @@
 
 // A replica's start is converted correctly across steps of the wall clock, forward and back, by
 // seconds or an hour, whether it was taken before the step or after it: a replica that is
-// warming up never seems old, nor an old one to start in the future.
+// warming up never seems old, and an old one never seems to start in the future.
 func TestReplicaStartsAcrossClockSteps(t *testing.T) {
 	const began = 1_700_000_000 * secondUs
 	for _, step := range []balancer.Micros{hourUs, -hourUs, 5 * secondUs, -5 * secondUs, 400_000, -400_000} {
@@ -29,7 +29,7 @@
 		dated := before
 		stepOffset = step
 		monotonic += 2 * secondUs
-		younger := balancer.Micros(0) // a step by less than the replica's age leaves open on which side of it the start was
+		younger := balancer.Micros(0) // after a step by less than the replica's age, the start may be before or after it
 		if -step > 0 && -step <= monotonic-before+maxClockSkew {
 			younger = -step
 		}
@@ -61,7 +61,7 @@
 			monotonic += rapid.Int64Range(0, 20).Draw(t, "wait") * secondUs
 			stepOffset += rapid.Int64Range(-hourUs, hourUs).Draw(t, "step")
 			w.observe(monotonic)
-			monotonic += rapid.Int64Range(0, 5).Draw(t, "told after") * secondUs
+			monotonic += rapid.Int64Range(0, 5).Draw(t, "converted after") * secondUs
 			if got := w.toMonotonic(monotonic, dated); got < started-minClockStep || got > monotonic {
 				t.Fatalf("started %d ms ago, seems %d", (monotonic-started)/1000, (monotonic-got)/1000)
 			}
@@ -87,8 +87,8 @@
 	}
 }
 
-// A replica that started shortly before the gateway is still warming up: on a clock that began
-// with the gateway its start fell below 0, which means long ago.
+// A replica that started shortly before the gateway is still warming up. On a clock that starts
+// at 0 with the gateway, its start would be below 0, which means long ago.
 func TestReplicaStartsBeforeGateway(t *testing.T) {
 	c := newMonotonicClock()
 	at := c.fromUnixMillis(time.Now().Add(-3 * time.Second).UnixMilli())
--- a/internal/gateway/watch_test.go
+++ b/internal/gateway/watch_test.go
@@ -10,8 +10,8 @@
 	"archknot/internal/httpwire"
 )
 
-// The watch goes on, a draining replica gets no new request, and a failed call is followed by
-// another. Generation 0 once made the watch spin.
+// The watch goes on after a change, a draining replica gets no new request, and a failed call is
+// followed by another. Guards against a watch of generation 0 that polls without waiting.
 func TestDiscoveryIsFollowed(t *testing.T) {
 	a, b := newFakeReplica(t, "s-1", answerCompletely), newFakeReplica(t, "s-2", answerCompletely)
 	g := startGateway(t, nil, a, b)
@@ -32,7 +32,8 @@
 	}
 }
 
-// Discovery that falls silent is polled again, and what it sends then is applied.
+// A discovery that does not answer a call is polled again, and the change that it then sends is
+// applied.
 func TestSilentDiscoveryIsPolledAgain(t *testing.T) {
 	a, b := newFakeReplica(t, "s-1", answerCompletely), newFakeReplica(t, "s-2", answerCompletely)
 	g := startGateway(t, func(o *Options) { o.WatchWait, o.DiscoveryTimeout = 20*time.Millisecond, 100*time.Millisecond }, a, b)
@@ -46,8 +47,8 @@
 	}
 }
 
-// A watch that fell silent restarts at once, also where there are so many gateways that the
-// call after a failed one waits for seconds: what it missed counts as notified by then.
+// A watch that timed out restarts at once, even with so many gateways that the call after a
+// failed one waits for seconds: by then, discovery counts the missed changes as notified.
 func TestSilentWatchRestartsImmediately(t *testing.T) {
 	a, b := newFakeReplica(t, "s-1", answerCompletely), newFakeReplica(t, "s-2", answerCompletely)
 	g := startGateway(t, func(o *Options) {
@@ -62,8 +63,8 @@
 	}
 }
 
-// Discovery that moves is followed at its new address at once, although the call at the old one
-// still waits; the whole list is requested, and requests in flight go on.
+// After a move, discovery is polled at its new address at once, although the call at the old one
+// has not ended; the full list is requested, and requests in flight continue.
 func TestDiscoveryMoves(t *testing.T) {
 	finishStream := make(chan struct{})
 	a := newFakeReplica(t, "s-1", func(c net.Conn, _ *http.Request) bool {
@@ -79,7 +80,7 @@
 	c.sendRequest("r1", "4000m")
 	resp := c.readHead()
 	next := newFakeDiscovery(t, httpwire.EndpointList{Generation: 3, Endpoints: []httpwire.Endpoint{listEntry(b, "ready")}})
-	g.MoveDiscovery("127.0.0.1:1") // left again before it was followed, or refused
+	g.MoveDiscovery("127.0.0.1:1") // replaced before it is polled, or the poll is refused
 	g.MoveDiscovery(next.addr)
 	waitUntil(t, "the watch at the new address", func() bool { return next.callCount() >= 2 })
 	if path := next.calls[0]; path != httpwire.ListPath {
--- a/internal/gateway/withdrawn_test.go
+++ b/internal/gateway/withdrawn_test.go
@@ -38,8 +38,8 @@
 	}
 }
 
-// An attempt that was decided while the list could be used, and whose connection came up when it no longer could, is
-// not written: its replica may drain, and the grace be over.
+// An attempt that was dispatched while the list could be used, but whose connection was opened after the list had
+// expired, is not written: its replica may be draining, and the grace period may be over.
 func TestAttemptIsNotWrittenWithAStaleList(t *testing.T) {
 	for trustLeft, want := range map[balancer.Micros]balancer.Status{5_000_000: balancer.Served, 0: balancer.NotSent} {
 		w := newFakeReplica(t, "s-1", answerCompletely)
@@ -56,7 +56,7 @@
 	}
 }
 
-// runAttempt carries out an attempt at a replica, and returns its end.
+// runAttempt carries out an attempt at a replica, and returns its outcome.
 func runAttempt(g *Gateway, replica *endpoint.Replica) attemptEnded {
 	table := inflight.NewTable()
 	r := inflight.NewRequest(context.Background(), "a1", balancer.Request{}, 0, 3)
