--- a/internal/gateway/discoverypoll.go
+++ b/internal/gateway/discoverypoll.go
@@ -82,8 +82,8 @@
 // maxTransit bounds how long an answer of discovery is assumed to be in transit.
 const maxTransit = time.Second
 
-// informationAge returns how long ago all changes were known that discovery had, by an answer. Discovery composed
-// the answer after it had the call, and after its wait if nothing has changed.
+// informationAge returns the greatest age of an answer: it has all changes that discovery had that long ago. Discovery
+// composed it after the call began, and after the call's wait if nothing has changed.
 func (p *discoveryPoll) informationAge(outcome pollOutcome) time.Duration {
 	took := time.Since(p.begunAt)
 	if outcome == pollUnchanged {
--- a/internal/gateway/version.go
+++ b/internal/gateway/version.go
@@ -13,12 +13,12 @@
 // ApplyVersion applies a configuration version; nil restores the platform's configuration. A
 // version is applied completely, between two events of the loop, or not at all; then the
 // rejections give the reasons. Any goroutine may call it while Serve runs.
-func (g *Gateway) ApplyVersion(ctx context.Context, c *configversion.Config, limits configversion.Limits) configversion.Rejections {
+func (g *Gateway) ApplyVersion(ctx context.Context, version *configversion.Config, limits configversion.Limits) configversion.Rejections {
 	balances, err := g.storedBalances()
 	if err != nil {
 		return configversion.Rejections{{Type: configversion.TypeContract, Reason: err.Error()}}
 	}
-	change := versionChange{g.completeVersion(c), balances, limits, make(chan configversion.Rejections, 1)}
+	change := versionChange{g.completeVersion(version), balances, limits, make(chan configversion.Rejections, 1)}
 	g.loop.post(ctx, change)
 	select {
 	case rejections := <-change.result:
@@ -31,33 +31,33 @@
 // platformConfig returns the platform's configuration, which supplies the parts that a version
 // does not have.
 func (g *Gateway) platformConfig() *configversion.Config {
-	o := &g.options
-	c := &configversion.Config{
+	options := &g.options
+	config := &configversion.Config{
 		HasClasses:      true,
 		HasTenants:      true,
 		HasReplicaMarks: true,
-		Classes:         o.Settings.Classes,
-		Attempts:        &configversion.Attempts{Max: o.Settings.MaxAttempts, MayHedge: o.Settings.MayHedge},
+		Classes:         options.Settings.Classes,
+		Attempts:        &configversion.Attempts{Max: options.Settings.MaxAttempts, MayHedge: options.Settings.MayHedge},
 		Admission: &configversion.Admission{
-			MaxInFlight:     o.MaxInFlight,
-			OverQuotaWeight: o.Settings.OverQuotaWeight,
-			MaxRetryAfter:   o.Settings.MaxRetryAfter,
+			MaxInFlight:     options.MaxInFlight,
+			OverQuotaWeight: options.Settings.OverQuotaWeight,
+			MaxRetryAfter:   options.Settings.MaxRetryAfter,
 		},
 		Connections: &configversion.Connections{
-			Clients:        o.MaxClientConns,
-			Replicas:       o.MaxReplicaConns,
-			IdleTimeout:    o.Settings.ConnIdleTimeout,
-			ConnectTimeout: o.ConnectTimeout.Microseconds(),
+			Clients:        options.MaxClientConns,
+			Replicas:       options.MaxReplicaConns,
+			IdleTimeout:    options.Settings.ConnIdleTimeout,
+			ConnectTimeout: options.ConnectTimeout.Microseconds(),
 		},
 		Watch: &configversion.Watch{
-			Wait:        o.WatchWait.Microseconds(),
-			CallTimeout: o.DiscoveryTimeout.Microseconds(),
+			Wait:        options.WatchWait.Microseconds(),
+			CallTimeout: options.DiscoveryTimeout.Microseconds(),
 		},
 	}
-	for _, tenant := range o.Settings.Tenants {
-		c.Tenants = append(c.Tenants, configversion.Tenant{Name: tenant.Name, QuotaPerS: tenant.QuotaPerS})
+	for _, tenant := range options.Settings.Tenants {
+		config.Tenants = append(config.Tenants, configversion.Tenant{Name: tenant.Name, QuotaPerS: tenant.QuotaPerS})
 	}
-	return c
+	return config
 }
 
 // completeVersion returns a copy of a version with its missing parts taken from the platform's
@@ -67,27 +67,27 @@
 	if version == nil {
 		return base
 	}
-	c := *version
-	if !c.HasClasses {
-		c.HasClasses, c.Classes = true, base.Classes
+	complete := *version
+	if !complete.HasClasses {
+		complete.HasClasses, complete.Classes = true, base.Classes
 	}
-	if !c.HasTenants {
-		c.HasTenants, c.Tenants = true, base.Tenants
+	if !complete.HasTenants {
+		complete.HasTenants, complete.Tenants = true, base.Tenants
 	}
-	c.HasReplicaMarks = true // a version without marks removes them all
-	if c.Attempts == nil {
-		c.Attempts = base.Attempts
+	complete.HasReplicaMarks = true // a version without marks removes them all
+	if complete.Attempts == nil {
+		complete.Attempts = base.Attempts
 	}
-	if c.Admission == nil {
-		c.Admission = base.Admission
+	if complete.Admission == nil {
+		complete.Admission = base.Admission
 	}
-	if c.Connections == nil {
-		c.Connections = base.Connections
+	if complete.Connections == nil {
+		complete.Connections = base.Connections
 	}
-	if c.Watch == nil {
-		c.Watch = base.Watch
+	if complete.Watch == nil {
+		complete.Watch = base.Watch
 	}
-	return &c
+	return &complete
 }
 
 // versionChange applies a complete version.
@@ -126,17 +126,17 @@
 
 // applyLimits puts a version's limits in force, other than those that the decision module
 // enforces.
-func (g *Gateway) applyLimits(c *configversion.Config, settings *balancer.Settings) {
+func (g *Gateway) applyLimits(config *configversion.Config, settings *balancer.Settings) {
 	g.config.Store(&liveConfig{
 		classes:          settings.Classes,
-		maxInFlight:      min(c.Admission.MaxInFlight, c.Connections.Clients),
+		maxInFlight:      min(config.Admission.MaxInFlight, config.Connections.Clients),
 		maxRetryAfter:    settings.MaxRetryAfter,
-		watchWait:        microsDuration(c.Watch.Wait),
-		discoveryTimeout: microsDuration(c.Watch.CallTimeout),
+		watchWait:        microsDuration(config.Watch.Wait),
+		discoveryTimeout: microsDuration(config.Watch.CallTimeout),
 	})
-	g.clients.maxConns.Store(int64(c.Connections.Clients))
+	g.clients.maxConns.Store(int64(config.Connections.Clients))
 	idle := microsDuration(settings.ConnIdleTimeout) * idleTimeoutNumerator / idleTimeoutDenominator
-	g.pool.SetLimits(c.Connections.Replicas, idle, microsDuration(c.Connections.ConnectTimeout))
+	g.pool.SetLimits(config.Connections.Replicas, idle, microsDuration(config.Connections.ConnectTimeout))
 }
 
 func microsDuration(us balancer.Micros) time.Duration { return time.Duration(us) * time.Microsecond }
--- a/internal/gateway/version_test.go
+++ b/internal/gateway/version_test.go
@@ -69,8 +69,8 @@
 }
 
 // Three gateways under load apply versions, valid and invalid, completely or not at all: no
-// request is lost, a replica that a version drains gets no new request, and what was recorded
-// over all the versions replays identically.
+// request is lost, a replica that a version drains gets no new request, and the capture over
+// all the versions replays identically.
 func TestVersionsUnderLoad(t *testing.T) {
 	release := make(chan struct{})
 	answer := func(c net.Conn, r *http.Request) bool {
