--- a/internal/gateway/events.go
+++ b/internal/gateway/events.go
@@ -54,8 +54,8 @@
 	return nil
 }
 
-// requestCancelled: a client has closed its connection, or another gateway has taken over its
-// request.
+// requestCancelled is posted when a request's client has closed its connection, or another
+// gateway has taken over the request.
 type requestCancelled struct{ request *inflight.Request }
 
 func (e requestCancelled) apply(l *eventLoop) {
--- a/internal/gateway/fakes_test.go
+++ b/internal/gateway/fakes_test.go
@@ -38,8 +38,8 @@
 	mu              sync.Mutex
 	conns           int
 	requests        []*http.Request
-	closedByGateway chan struct{} // a connection that the gateway ended
-	connEnded       chan struct{} // one that the replica ended
+	closedByGateway chan struct{} // signals each connection that the gateway has closed
+	connEnded       chan struct{} // signals each connection that has ended
 	script          func(c net.Conn, r *http.Request) bool
 }
 
@@ -133,8 +133,8 @@
 	delta           []httpwire.Endpoint
 	changed         chan struct{}
 	calls           []string
-	failingCalls    int // calls that will fail
-	unansweredCalls int // calls that will never be answered
+	failingCalls    int // next calls to fail
+	unansweredCalls int // next calls that are not answered
 }
 
 func newFakeDiscovery(t *testing.T, list httpwire.EndpointList) *fakeDiscovery {
