--- a/internal/gateway/events_test.go
+++ b/internal/gateway/events_test.go
@@ -15,8 +15,8 @@
 func (c *testClient) readChunk() string {
 	c.t.Helper()
 	line, err := c.reader.ReadString('\n')
-	n, bad := strconv.ParseUint(strings.TrimSpace(line), 16, 31)
-	if err != nil || bad != nil {
+	n, parseErr := strconv.ParseUint(strings.TrimSpace(line), 16, 31)
+	if err != nil || parseErr != nil {
 		c.t.Fatalf("chunk length %q, %v", line, err)
 	}
 	b := make([]byte, n+2)
@@ -27,25 +27,25 @@
 }
 
 // An event that its replica sends in several chunks is relayed in one write: on a slow link
-// each write costs, and the parts queue up behind each other. A tiny event does not wait for
-// the next one, and a part whose remainder does not arrive is relayed alone.
+// each write has a cost, and the parts would queue. A tiny event does not wait for the next
+// one, and a part whose remainder does not arrive is relayed alone.
 func TestEventIsRelayedComplete(t *testing.T) {
 	const tiny, crlf = "data: x\n\n", "data: y\r\n\r\n"
-	got := make(chan struct{})
+	relayed := make(chan struct{})
 	w := newFakeReplica(t, "s-1", func(c net.Conn, _ *http.Request) bool {
 		io.WriteString(c, streamHead)
 		for _, part := range []string{event1[:3], event1[3:40], event1[40:41], event1[41:]} {
 			io.WriteString(c, chunk(part))
 		}
-		<-got
+		<-relayed
 		for range 3 { // each before the next is written
 			io.WriteString(c, chunk(tiny))
-			<-got
+			<-relayed
 		}
 		io.WriteString(c, chunk(crlf))
-		<-got
+		<-relayed
 		io.WriteString(c, chunk(event2[:9])) // and nothing more until it has arrived
-		<-got
+		<-relayed
 		io.WriteString(c, chunk(event2[9:])+lastChunk)
 		return true
 	})
@@ -57,7 +57,7 @@
 		if chunk := c.readChunk(); chunk != want {
 			t.Errorf("a chunk %q, want %q", chunk, want)
 		}
-		got <- struct{}{}
+		relayed <- struct{}{}
 	}
 	if chunk := c.readChunk(); chunk != event2[9:] {
 		t.Errorf("a chunk %q", chunk)
@@ -67,9 +67,9 @@
 	}
 }
 
-// A stream that breaks within its first event has given the client nothing, even if part of the
-// event had arrived: the request is retried at another replica, and the client gets that one's
-// answer alone.
+// If a stream breaks within its first event, nothing of it was relayed, even if part of the
+// event had arrived: the request is retried at another replica, and the client gets only that
+// replica's answer.
 func TestStreamBreaksWithinFirstEvent(t *testing.T) {
 	var dispatches atomic.Int32
 	script := func(c net.Conn, r *http.Request) bool {
@@ -90,7 +90,8 @@
 	}
 }
 
-// A stream that breaks within an event has its bytes relayed, and no last chunk.
+// If a stream breaks within a later event, the part of it that arrived is relayed, without a
+// last chunk.
 func TestStreamBreaksWithinEvent(t *testing.T) {
 	w := newFakeReplica(t, "s-1", replyWith(streamHead+chunk(event1)+chunk(event2[:9]), false))
 	g := startGateway(t, nil, w)
--- a/internal/gateway/fakes_test.go
+++ b/internal/gateway/fakes_test.go
@@ -38,8 +38,8 @@
 	mu              sync.Mutex
 	conns           int
 	requests        []*http.Request
-	closedByGateway chan struct{} // a connection that the gateway ended
-	connEnded       chan struct{} // one that the replica ended
+	closedByGateway chan struct{} // signals each connection that the gateway has closed
+	connEnded       chan struct{} // signals each connection that has ended
 	script          func(c net.Conn, r *http.Request) bool
 }
 
@@ -125,16 +125,16 @@
 
 // fakeDiscovery serves a list and its changes.
 type fakeDiscovery struct {
-	addr     string
-	listener net.Listener
-	server   *http.Server
-	mu       sync.Mutex
-	list     httpwire.EndpointList
-	delta    []httpwire.Endpoint
-	changed  chan struct{}
-	calls    []string
-	fail     int // calls that will fail
-	mute     int // calls that will never be answered
+	addr            string
+	listener        net.Listener
+	server          *http.Server
+	mu              sync.Mutex
+	list            httpwire.EndpointList
+	delta           []httpwire.Endpoint
+	changed         chan struct{}
+	calls           []string
+	failingCalls    int // next calls to fail
+	unansweredCalls int // next calls that are not answered
 }
 
 func newFakeDiscovery(t *testing.T, list httpwire.EndpointList) *fakeDiscovery {
@@ -151,7 +151,7 @@
 	go d.server.Serve(l)
 }
 
-// restart has a closed discovery serve again at its address.
+// restart starts a closed discovery again at its address.
 func (d *fakeDiscovery) restart(t *testing.T) {
 	t.Helper()
 	l, err := net.Listen("tcp", d.addr)
@@ -165,17 +165,17 @@
 func (d *fakeDiscovery) ServeHTTP(w http.ResponseWriter, r *http.Request) {
 	d.mu.Lock()
 	d.calls = append(d.calls, r.URL.String())
-	fail := d.fail > 0
+	fail := d.failingCalls > 0
 	if fail {
-		d.fail--
+		d.failingCalls--
 	}
-	mute := d.mute > 0
-	if mute {
-		d.mute--
+	unanswered := d.unansweredCalls > 0
+	if unanswered {
+		d.unansweredCalls--
 	}
 	version := d.list.Generation
 	d.mu.Unlock()
-	if mute {
+	if unanswered {
 		<-r.Context().Done()
 		return
 	}
@@ -214,16 +214,16 @@
 	d.changed <- struct{}{}
 }
 
-// muteNextCall leaves the next call unanswered, and waits until it has arrived.
-func (d *fakeDiscovery) muteNextCall(t *testing.T) {
+// leaveNextCallUnanswered leaves the next call unanswered, and waits until it has arrived.
+func (d *fakeDiscovery) leaveNextCallUnanswered(t *testing.T) {
 	t.Helper()
 	d.mu.Lock()
-	d.mute = 1
+	d.unansweredCalls = 1
 	d.mu.Unlock()
 	waitUntil(t, "a call that is not answered", func() bool {
 		d.mu.Lock()
 		defer d.mu.Unlock()
-		return d.mute == 0
+		return d.unansweredCalls == 0
 	})
 }
 
@@ -297,11 +297,11 @@
 }
 
 // waitUntil waits for a condition that another goroutine brings about.
-func waitUntil(t *testing.T, what string, done func() bool) {
+func waitUntil(t *testing.T, condition string, done func() bool) {
 	t.Helper()
 	for end := time.Now().Add(5 * time.Second); !done(); time.Sleep(time.Millisecond) {
 		if time.Now().After(end) {
-			t.Fatalf("not in time: %s", what)
+			t.Fatalf("not in time: %s", condition)
 		}
 	}
 }
@@ -325,11 +325,11 @@
 }
 
 // sendRequest sends a request with an id and a timeout.
-func (c *testClient) sendRequest(id, wait string) {
+func (c *testClient) sendRequest(id, timeout string) {
 	c.t.Helper()
 	const body = `{"model":"chat","stream":true}`
 	c.sendRaw(fmt.Sprintf("POST /v1/chat/completions?x=1 HTTP/1.1\r\nHost: app.svc\r\nReq-Id: %s\r\nReq-Kind: chat\r\n"+
-		"Req-Deadline: %s\r\nContent-Length: %d\r\n\r\n%s", id, wait, len(body), body))
+		"Req-Deadline: %s\r\nContent-Length: %d\r\n\r\n%s", id, timeout, len(body), body))
 }
 
 // exchange sends n requests with the same id one after another, and reads their answers.
--- a/internal/gateway/subset_test.go
+++ b/internal/gateway/subset_test.go
@@ -8,9 +8,9 @@
 	"archknot/internal/subset"
 )
 
-// A gateway works with a subset of its replicas, and is notified that all of that subset drain:
-// others are in use with the same list, no request is lost, and none goes to a draining
-// replica. Then the list shrinks to one replica, which gets all.
+// All replicas of a gateway's subset drain with one change of the list: other replicas replace
+// them with the same change, no request is lost, and none goes to a draining replica. Then the
+// list shrinks to one replica, which gets all requests.
 func TestWholeSubsetDrains(t *testing.T) {
 	const fleetSize, maxReplicas = 40, 16
 	var replicas []*fakeReplica
@@ -78,11 +78,11 @@
 	if got := requests(true); got != before {
 		t.Errorf("%d requests to replicas that drain", got-before)
 	}
-	var gone []httpwire.Endpoint
+	var removed []httpwire.Endpoint
 	for _, w := range replicas[1:] {
-		gone = append(gone, listEntry(w, "gone"))
+		removed = append(removed, listEntry(w, "gone"))
 	}
-	g.discoveryServer.change(append(gone, listEntry(replicas[0], "ready"))...)
+	g.discoveryServer.change(append(removed, listEntry(replicas[0], "ready"))...)
 	waitUntil(t, "one is left", func() bool { ready, _, _ := control(); return ready == 1 })
 	_, had := replicas[0].counts()
 	sendAll("one", 5)
--- a/internal/gateway/version.go
+++ b/internal/gateway/version.go
@@ -10,15 +10,15 @@
 	"archknot/internal/contract"
 )
 
-// ApplyVersion applies a configuration version; nil: back to the platform's configuration. It
-// is applied completely, between two events of the loop, or not at all: then the rejections
-// say why. Any goroutine may call it while Serve runs.
-func (g *Gateway) ApplyVersion(ctx context.Context, c *configversion.Config, limits configversion.Limits) configversion.Rejections {
+// ApplyVersion applies a configuration version; nil restores the platform's configuration. A
+// version is applied completely, between two events of the loop, or not at all; then the
+// rejections give the reasons. Any goroutine may call it while Serve runs.
+func (g *Gateway) ApplyVersion(ctx context.Context, version *configversion.Config, limits configversion.Limits) configversion.Rejections {
 	balances, err := g.storedBalances()
 	if err != nil {
 		return configversion.Rejections{{Type: configversion.TypeContract, Reason: err.Error()}}
 	}
-	change := versionChange{g.completeVersion(c), balances, limits, make(chan configversion.Rejections, 1)}
+	change := versionChange{g.completeVersion(version), balances, limits, make(chan configversion.Rejections, 1)}
 	g.loop.post(ctx, change)
 	select {
 	case rejections := <-change.result:
@@ -28,71 +28,72 @@
 	}
 }
 
-// baseConfig returns what is in force where a version has nothing: the platform's
-// configuration.
-func (g *Gateway) baseConfig() *configversion.Config {
-	o := &g.options
-	c := &configversion.Config{
+// platformConfig returns the platform's configuration, which supplies the parts that a version
+// does not have.
+func (g *Gateway) platformConfig() *configversion.Config {
+	options := &g.options
+	config := &configversion.Config{
 		HasClasses:      true,
 		HasTenants:      true,
 		HasReplicaMarks: true,
-		Classes:         o.Settings.Classes,
-		Attempts:        &configversion.Attempts{Max: o.Settings.MaxAttempts, MayHedge: o.Settings.MayHedge},
+		Classes:         options.Settings.Classes,
+		Attempts:        &configversion.Attempts{Max: options.Settings.MaxAttempts, MayHedge: options.Settings.MayHedge},
 		Admission: &configversion.Admission{
-			MaxInFlight:     o.MaxInFlight,
-			OverQuotaWeight: o.Settings.OverQuotaWeight,
-			MaxRetryAfter:   o.Settings.MaxRetryAfter,
+			MaxInFlight:     options.MaxInFlight,
+			OverQuotaWeight: options.Settings.OverQuotaWeight,
+			MaxRetryAfter:   options.Settings.MaxRetryAfter,
 		},
 		Connections: &configversion.Connections{
-			Clients:        o.MaxClientConns,
-			Replicas:       o.MaxReplicaConns,
-			IdleTimeout:    o.Settings.ConnIdleTimeout,
-			ConnectTimeout: o.ConnectTimeout.Microseconds(),
+			Clients:        options.MaxClientConns,
+			Replicas:       options.MaxReplicaConns,
+			IdleTimeout:    options.Settings.ConnIdleTimeout,
+			ConnectTimeout: options.ConnectTimeout.Microseconds(),
 		},
 		Watch: &configversion.Watch{
-			Wait:        o.WatchWait.Microseconds(),
-			CallTimeout: o.DiscoveryTimeout.Microseconds(),
+			Wait:        options.WatchWait.Microseconds(),
+			CallTimeout: options.DiscoveryTimeout.Microseconds(),
 		},
 	}
-	for _, tenant := range o.Settings.Tenants {
-		c.Tenants = append(c.Tenants, configversion.Tenant{Name: tenant.Name, QuotaPerS: tenant.QuotaPerS})
+	for _, tenant := range options.Settings.Tenants {
+		config.Tenants = append(config.Tenants, configversion.Tenant{Name: tenant.Name, QuotaPerS: tenant.QuotaPerS})
 	}
-	return c
+	return config
 }
 
-// completeVersion returns a version with the platform's parts where it has none of its own.
+// completeVersion returns a copy of a version with its missing parts taken from the platform's
+// configuration.
 func (g *Gateway) completeVersion(version *configversion.Config) *configversion.Config {
-	base := g.baseConfig()
+	base := g.platformConfig()
 	if version == nil {
 		return base
 	}
-	c := *version
-	if !c.HasClasses {
-		c.HasClasses, c.Classes = true, base.Classes
+	complete := *version
+	if !complete.HasClasses {
+		complete.HasClasses, complete.Classes = true, base.Classes
 	}
-	if !c.HasTenants {
-		c.HasTenants, c.Tenants = true, base.Tenants
+	if !complete.HasTenants {
+		complete.HasTenants, complete.Tenants = true, base.Tenants
 	}
-	c.HasReplicaMarks = true // a version without marks removes them all
-	if c.Attempts == nil {
-		c.Attempts = base.Attempts
+	complete.HasReplicaMarks = true // a version without marks removes them all
+	if complete.Attempts == nil {
+		complete.Attempts = base.Attempts
 	}
-	if c.Admission == nil {
-		c.Admission = base.Admission
+	if complete.Admission == nil {
+		complete.Admission = base.Admission
 	}
-	if c.Connections == nil {
-		c.Connections = base.Connections
+	if complete.Connections == nil {
+		complete.Connections = base.Connections
 	}
-	if c.Watch == nil {
-		c.Watch = base.Watch
+	if complete.Watch == nil {
+		complete.Watch = base.Watch
 	}
-	return &c
+	return &complete
 }
 
 // versionChange applies a complete version.
 type versionChange struct {
 	config   *configversion.Config
-	balances []contract.Balance // stored, for a ledger that starts with the version
+	balances []contract.Balance // stored balances, for a ledger that the version starts
 	limits   configversion.Limits
 	result   chan configversion.Rejections
 }
@@ -107,32 +108,38 @@
 		e.result <- configversion.Rejections{{Type: configversion.TypeVersion, Reason: err.Error()}}
 		return
 	}
-	// From here on nothing can fail.
+	// The steps from here on cannot fail.
 	l.gateway.applyLimits(e.config, &settings)
-	l.setWithheld(e.config.DrainedReplicas(), l.endpoints.ejected)
+	l.setExclusions(e.config.DrainedReplicas(), l.endpoints.ejected)
 	l.applyVersionContracts(e.config, e.balances)
 	e.result <- nil
 }
 
-// An idle connection to a replica is closed after this part of the replicas' own idle
-// timeout, as in the platform's configuration.
-const idleTimeoutNumerator, idleTimeoutDenominator = 3, 4
+const (
+	// idleTimeoutNumerator / idleTimeoutDenominator is the fraction of the replicas' own idle
+	// timeout after which an idle connection to a replica is closed, as in the platform's
+	// configuration.
+	idleTimeoutNumerator = 3
+	// idleTimeoutDenominator is the denominator of that fraction.
+	idleTimeoutDenominator = 4
+)
 
-// applyLimits puts a version's limits in force that are not the decision module's.
-func (g *Gateway) applyLimits(c *configversion.Config, settings *balancer.Settings) {
+// applyLimits puts a version's limits in force, other than those that the decision module
+// enforces.
+func (g *Gateway) applyLimits(config *configversion.Config, settings *balancer.Settings) {
 	g.config.Store(&liveConfig{
 		classes:          settings.Classes,
-		maxInFlight:      min(c.Admission.MaxInFlight, c.Connections.Clients),
+		maxInFlight:      min(config.Admission.MaxInFlight, config.Connections.Clients),
 		maxRetryAfter:    settings.MaxRetryAfter,
-		watchWait:        duration(c.Watch.Wait),
-		discoveryTimeout: duration(c.Watch.CallTimeout),
+		watchWait:        microsDuration(config.Watch.Wait),
+		discoveryTimeout: microsDuration(config.Watch.CallTimeout),
 	})
-	g.clients.maxConns.Store(int64(c.Connections.Clients))
-	idle := duration(settings.ConnIdleTimeout) * idleTimeoutNumerator / idleTimeoutDenominator
-	g.pool.SetLimits(c.Connections.Replicas, idle, duration(c.Connections.ConnectTimeout))
+	g.clients.maxConns.Store(int64(config.Connections.Clients))
+	idle := microsDuration(settings.ConnIdleTimeout) * idleTimeoutNumerator / idleTimeoutDenominator
+	g.pool.SetLimits(config.Connections.Replicas, idle, microsDuration(config.Connections.ConnectTimeout))
 }
 
-func duration(us balancer.Micros) time.Duration { return time.Duration(us) * time.Microsecond }
+func microsDuration(us balancer.Micros) time.Duration { return time.Duration(us) * time.Microsecond }
 
 // applyVersionContracts puts a version's contracts in force, or removes the last version's.
 func (l *eventLoop) applyVersionContracts(c *configversion.Config, stored []contract.Balance) {
--- a/internal/gateway/withdrawn_test.go
+++ b/internal/gateway/withdrawn_test.go
@@ -26,10 +26,10 @@
 			l.now = g.clock.now()
 			entry := httpwire.Endpoint{ID: "s-1", Addr: w.addr, Zone: "a", Kind: "k", Lifecycle: "ready"}
 			l.receiveList(httpwire.EndpointList{Reset: true, Endpoints: []httpwire.Endpoint{entry}}, balancer.ListFull, l.now)
-			ordered := l.endpoints.ByName("s-1")
+			dispatchedTo := l.endpoints.ByName("s-1")
 			change(&entry)
 			l.receiveList(httpwire.EndpointList{Reset: kind == balancer.ListFull, Endpoints: []httpwire.Endpoint{entry}}, kind, l.now)
-			got := runAttempt(g, ordered)
+			got := runAttempt(g, dispatchedTo)
 			_, attempts := w.counts()
 			if name == "still there" && (got.status != balancer.Served || attempts != 1) || name != "still there" && (got.status != balancer.NotSent || attempts != 0) {
 				t.Errorf("%s, list %d: status %d, %d attempts", name, kind, got.status, attempts)
@@ -38,8 +38,8 @@
 	}
 }
 
-// An attempt that was decided while the list could be used, and whose connection came up when it no longer could, is
-// not written: its replica may drain, and the grace be over.
+// An attempt that was dispatched while the list could be used, but whose connection was opened after the list had
+// expired, is not written: its replica may be draining, and the grace period may be over.
 func TestAttemptIsNotWrittenWithAStaleList(t *testing.T) {
 	for trustLeft, want := range map[balancer.Micros]balancer.Status{5_000_000: balancer.Served, 0: balancer.NotSent} {
 		w := newFakeReplica(t, "s-1", answerCompletely)
@@ -48,7 +48,7 @@
 		l.now = g.clock.now()
 		entry := httpwire.Endpoint{ID: "s-1", Addr: w.addr, Zone: "a", Kind: "k", Lifecycle: "ready"}
 		l.receiveList(httpwire.EndpointList{Reset: true, Endpoints: []httpwire.Endpoint{entry}}, balancer.ListFull, l.now)
-		g.listTrustedUntil.Store(l.now + trustLeft)
+		g.listValidUntil.Store(l.now + trustLeft)
 		got := runAttempt(g, l.endpoints.ByName("s-1"))
 		if _, attempts := w.counts(); got.status != want || (attempts == 1) != (want == balancer.Served) {
 			t.Errorf("with %d us left: status %d, %d attempts", trustLeft, got.status, attempts)
@@ -56,7 +56,7 @@
 	}
 }
 
-// runAttempt carries out an attempt at a replica, and returns its end.
+// runAttempt carries out an attempt at a replica, and returns its outcome.
 func runAttempt(g *Gateway, replica *endpoint.Replica) attemptEnded {
 	table := inflight.NewTable()
 	r := inflight.NewRequest(context.Background(), "a1", balancer.Request{}, 0, 3)
