--- a/internal/httpwire/body.go
+++ b/internal/httpwire/body.go
@@ -15,8 +15,8 @@
 	maxChunkBytes    = 64 << 10 // a chunk holds one event, or a few
 	maxChunkSizeLine = 256
 	maxTrailerBytes  = 4 << 10
-	// pieceBytes is how much of a body without chunks is read at once, and by how much a chunk's buffer grows.
-	pieceBytes = 4096
+	// readBlockBytes is how much of a body without chunks is read at once, and by how much a chunk's buffer grows.
+	readBlockBytes = 4096
 )
 
 // Body reads the body of a response piece by piece. Either Next or the Reader is used on one Body, not both.
@@ -44,9 +44,9 @@
 		return b.readChunk()
 	}
 	if b.buf == nil {
-		b.buf = make([]byte, pieceBytes)
+		b.buf = make([]byte, readBlockBytes)
 	}
-	n, err := b.readPlain(b.buf)
+	n, err := b.readUnchunked(b.buf)
 	return b.buf[:n], err
 }
 
@@ -74,7 +74,7 @@
 	if b.chunked {
 		return &chunkReader{body: b}
 	}
-	return readerFunc(b.readPlain)
+	return readerFunc(b.readUnchunked)
 }
 
 // readerFunc is a function as an io.Reader.
@@ -83,8 +83,8 @@
 // Read implements io.Reader.
 func (f readerFunc) Read(p []byte) (int, error) { return f(p) }
 
-// readPlain reads the next bytes of a body without chunks.
-func (b *Body) readPlain(p []byte) (int, error) {
+// readUnchunked reads the next bytes of a body without chunks.
+func (b *Body) readUnchunked(p []byte) (int, error) {
 	if b.remaining == 0 {
 		return 0, io.EOF
 	}
@@ -116,7 +116,7 @@
 	b.buf = b.buf[:0]
 	for len(b.buf) < total {
 		if len(b.buf) == cap(b.buf) {
-			b.buf = append(b.buf, make([]byte, min(pieceBytes, total))...)[:len(b.buf)]
+			b.buf = append(b.buf, make([]byte, min(readBlockBytes, total))...)[:len(b.buf)]
 		}
 		n, err := b.reader.Read(b.buf[len(b.buf):min(cap(b.buf), total)])
 		b.buf = b.buf[:len(b.buf)+n]
--- a/internal/httpwire/framing.go
+++ b/internal/httpwire/framing.go
@@ -18,7 +18,7 @@
 	line                  []byte // the current line, up to maxFramingLine bytes of it
 	lineTruncated         bool   // the line is longer
 	requestLineSeen       bool
-	http10                bool // or something else than HTTP/1.1
+	notHTTP11             bool // or something else than HTTP/1.1
 	contentLength         string
 	contentLengthCount    int
 	transferEncodingCount int
@@ -52,14 +52,14 @@
 			}
 			continue
 		}
-		part, rest, lineEnds := bytes.Cut(p, []byte{'\n'})
+		part, remainder, lineComplete := bytes.Cut(p, []byte{'\n'})
 		f.lineTruncated = f.lineTruncated || len(f.line)+len(part) > maxFramingLine
 		room := maxFramingLine - len(f.line)
 		f.line = append(f.line, part[:min(room, len(part))]...)
-		if !lineEnds {
+		if !lineComplete {
 			return
 		}
-		p = rest
+		p = remainder
 		f.handleLine(strings.TrimSuffix(string(f.line), "\r"))
 		f.line, f.lineTruncated = f.line[:0], false
 	}
@@ -67,8 +67,8 @@
 
 // RequestStarted reports whether anything has arrived of a further request after so many. An empty line before a
 // request is not part of it.
-func (f *RequestFraming) RequestStarted(requests int) bool {
-	return f.CompleteHeads > requests || f.state == inHead && (f.requestLineSeen || len(f.line) > 0 && string(f.line) != "\r")
+func (f *RequestFraming) RequestStarted(preceding int) bool {
+	return f.CompleteHeads > preceding || f.state == inHead && (f.requestLineSeen || len(f.line) > 0 && string(f.line) != "\r")
 }
 
 // endSection goes on after a chunk, or after the end of a request.
@@ -107,7 +107,7 @@
 		f.endHead()
 	case !f.requestLineSeen:
 		f.requestLineSeen = true
-		f.http10 = f.lineTruncated || !strings.HasSuffix(line, " HTTP/1.1")
+		f.notHTTP11 = f.lineTruncated || !strings.HasSuffix(line, " HTTP/1.1")
 	default:
 		f.handleHeader(line)
 	}
@@ -156,7 +156,7 @@
 	switch {
 	case f.contentLengthCount+f.transferEncodingCount > 1:
 		f.Ambiguity = "two lengths"
-	case f.transferEncodingCount == 1 && f.http10:
+	case f.transferEncodingCount == 1 && f.notHTTP11:
 		f.Ambiguity = "Transfer-Encoding before HTTP/1.1"
 	case f.transferEncodingCount == 1:
 		f.state = inChunkSize
--- a/internal/httpwire/listparser.go
+++ b/internal/httpwire/listparser.go
@@ -24,9 +24,9 @@
 	maxTrackedKeys = 64
 	// maxReportedEntries bounds the invalid entries that are reported one by one.
 	maxReportedEntries = 8
-	// maxExtraZones and maxZoneLength bound the zones that entries may name beside those of the settings.
-	maxExtraZones = 32
-	maxZoneLength = 128
+	// maxUnconfiguredZones and maxZoneLength bound the zones that entries may name beside those of the settings.
+	maxUnconfiguredZones = 32
+	maxZoneLength        = 128
 )
 
 // InvalidListError says that a list could be read but must not be used: the list before it stays in force.
@@ -60,14 +60,14 @@
 
 // listParser is one reading of a list.
 type listParser struct {
-	limits     ListLimits
-	input      *boundedReader
-	decoder    *json.Decoder
-	list       EndpointList
-	seenKeys   map[string]bool // keys of the object so far, in lower case
-	index      int             // of the entry that is parsed next
-	entryText  json.RawMessage // its text
-	extraZones map[string]bool // zones that entries name and the settings do not
+	limits            ListLimits
+	input             *boundedReader
+	decoder           *json.Decoder
+	list              EndpointList
+	seenKeys          map[string]bool // keys of the object so far, in lower case
+	index             int             // of the entry that is parsed next
+	entryText         json.RawMessage // its text
+	unconfiguredZones map[string]bool // zones that entries name and the settings do not
 }
 
 // parseObject parses the list's object and checks that nothing follows it.
@@ -193,9 +193,9 @@
 		p.reportInvalid(&entry, "weight %v, expected 0 to %v: taken for none", entry.Weight, maxWeight)
 		entry.Weight = 0
 	}
-	if !p.hasKnownZone(&entry) {
+	if !p.hasConfiguredZone(&entry) {
 		p.reportInvalid(&entry, "zone %.60q, which the settings don't name", entry.Zone)
-		entry.Partial = entry.Partial || !p.admitExtraZone(entry.Zone)
+		entry.Partial = entry.Partial || !p.acceptUnconfiguredZone(entry.Zone)
 	}
 	return entry, true
 }
@@ -219,25 +219,25 @@
 	return entry
 }
 
-// admitExtraZone reports whether replicas of a zone that the settings do not name can be used, which is bounded by
+// acceptUnconfiguredZone reports whether replicas of a zone that the settings do not name can be used, which is bounded by
 // the number of such zones.
-func (p *listParser) admitExtraZone(zone string) bool {
-	if p.extraZones[zone] {
+func (p *listParser) acceptUnconfiguredZone(zone string) bool {
+	if p.unconfiguredZones[zone] {
 		return true
 	}
-	if len(zone) > maxZoneLength || len(p.extraZones) >= maxExtraZones {
+	if len(zone) > maxZoneLength || len(p.unconfiguredZones) >= maxUnconfiguredZones {
 		return false
 	}
-	if p.extraZones == nil {
-		p.extraZones = map[string]bool{}
+	if p.unconfiguredZones == nil {
+		p.unconfiguredZones = map[string]bool{}
 	}
-	p.extraZones[zone] = true
+	p.unconfiguredZones[zone] = true
 	return true
 }
 
-// hasKnownZone reports whether the entry's zone is one that the settings name. An entry that only says that its
+// hasConfiguredZone reports whether the entry's zone is one that the settings name. An entry that only says that its
 // replica is gone needs none.
-func (p *listParser) hasKnownZone(entry *Endpoint) bool {
+func (p *listParser) hasConfiguredZone(entry *Endpoint) bool {
 	if len(p.limits.Zones) == 0 || entry.Zone == "" || entry.Lifecycle == lifecycleGone {
 		return true
 	}
@@ -266,14 +266,14 @@
 }
 
 // expectDelimiter reads the next token and checks that it is a delimiter.
-func (p *listParser) expectDelimiter(want json.Delim) error {
+func (p *listParser) expectDelimiter(delimiter json.Delim) error {
 	p.input.reset()
 	token, err := p.decoder.Token()
 	if err != nil {
 		return err
 	}
-	if token != want {
-		return fmt.Errorf("expected %q, got %v", want.String(), token)
+	if token != delimiter {
+		return fmt.Errorf("expected %q, got %v", delimiter.String(), token)
 	}
 	return nil
 }
--- a/internal/httpwire/listparser_test.go
+++ b/internal/httpwire/listparser_test.go
@@ -27,8 +27,8 @@
 func TestInvalidListsAreRejected(t *testing.T) {
 	limits := ListLimits{Endpoints: 3, Zones: []string{"a", "b"}}
 	list := func(instances string) string { return `{"generation":1,"reset":true,"instances":[` + instances + `]}` }
-	entry := func(rest string) string {
-		return list(`{"instanceId":"s-1","hostPort":"h:1","lifecycle":"ready",` + rest + `}`)
+	entry := func(fields string) string {
+		return list(`{"instanceId":"s-1","hostPort":"h:1","lifecycle":"ready",` + fields + `}`)
 	}
 	for text, want := range map[string]string{
 		list(entriesText(3)):                         "",
@@ -84,15 +84,15 @@
 	} {
 		text := `{"generation":1,"reset":true,"instances":[` + before + "," + invalid + "," + after + `]}`
 		got, err := ReadList(strings.NewReader(text), limits)
-		wanted := []Endpoint{{ID: "s-a", Addr: "h:1", Zone: "a", Lifecycle: "draining", Weight: 2}}
+		wantEndpoints := []Endpoint{{ID: "s-a", Addr: "h:1", Zone: "a", Lifecycle: "draining", Weight: 2}}
 		if want.entry.ID == "s-a" {
-			wanted = nil
+			wantEndpoints = nil
 		}
 		if want.entry.ID != "" {
-			wanted = append(wanted, want.entry)
+			wantEndpoints = append(wantEndpoints, want.entry)
 		}
-		wanted = append(wanted, Endpoint{ID: "s-z", Addr: "h:2", Zone: "b", Lifecycle: "ready", Weight: 3})
-		if diff := cmp.Diff(wanted, got.Endpoints); err != nil || diff != "" {
+		wantEndpoints = append(wantEndpoints, Endpoint{ID: "s-z", Addr: "h:2", Zone: "b", Lifecycle: "ready", Weight: 3})
+		if diff := cmp.Diff(wantEndpoints, got.Endpoints); err != nil || diff != "" {
 			t.Errorf("%.90s: %v\n%s", invalid, err, diff)
 		}
 		if got.InvalidEntryCount != 1 || len(got.InvalidEntries) != 1 || !strings.Contains(got.InvalidEntries[0].Reason, want.reason) {
@@ -100,18 +100,18 @@
 		}
 	}
 	// However many are invalid, the reported ones are bounded, and so are the zones that the settings do not name.
-	var all []string
+	var entries []string
 	for i := range 100 {
-		all = append(all, fmt.Sprintf(`{"instanceId":"s-%d","hostPort":"h:1","zone":"z%d","lifecycle":"ready"}`, i, i))
+		entries = append(entries, fmt.Sprintf(`{"instanceId":"s-%d","hostPort":"h:1","zone":"z%d","lifecycle":"ready"}`, i, i))
 	}
-	got, err := ReadList(strings.NewReader(`{"instances":[`+strings.Join(all, ",")+`]}`), ListLimits{Zones: []string{"a"}})
+	got, err := ReadList(strings.NewReader(`{"instances":[`+strings.Join(entries, ",")+`]}`), ListLimits{Zones: []string{"a"}})
 	usable := 0
 	for _, endpoint := range got.Endpoints {
 		if !endpoint.Partial {
 			usable++
 		}
 	}
-	if err != nil || got.InvalidEntryCount != 100 || len(got.InvalidEntries) != maxReportedEntries || usable != maxExtraZones {
+	if err != nil || got.InvalidEntryCount != 100 || len(got.InvalidEntries) != maxReportedEntries || usable != maxUnconfiguredZones {
 		t.Errorf("%v: %d invalid, %d reported, %d usable", err, got.InvalidEntryCount, len(got.InvalidEntries), usable)
 	}
 }
@@ -163,10 +163,10 @@
 		}
 	}
 	// Text that is truncated or does not fit its chunks is no list.
-	one := chunked(text, len(text))
+	oneChunk := chunked(text, len(text))
 	for name, answer := range map[string]string{
-		"truncated": one[:len(one)-40], "no last chunk": strings.TrimSuffix(one, "0\r\nX: y\r\n\r\n"), "an invalid length": strings.Replace(one, ";x=y", "zz", 1),
-		"longer than its chunk": strings.Replace(one, "]}\r\n0", "]} \r\n0", 1), "truncated length": withLength(text)[:5000],
+		"truncated": oneChunk[:len(oneChunk)-40], "no last chunk": strings.TrimSuffix(oneChunk, "0\r\nX: y\r\n\r\n"), "an invalid length": strings.Replace(oneChunk, ";x=y", "zz", 1),
+		"longer than its chunk": strings.Replace(oneChunk, "]}\r\n0", "]} \r\n0", 1), "truncated length": withLength(text)[:5000],
 	} {
 		in := bufio.NewReader(strings.NewReader(answer))
 		resp, err := ReadHead(in)
--- a/internal/httpwire/loadreport.go
+++ b/internal/httpwire/loadreport.go
@@ -14,9 +14,9 @@
 
 // Bounds of a load report.
 const (
-	maxReportBytes = 512
-	maxReportValue = 1e7 // the largest values are times in milliseconds
-	maxReportShare = 10  // of memory, or of the processor
+	maxReportBytes    = 512
+	maxReportValue    = 1e7 // the largest values are times in milliseconds
+	maxReportFraction = 10  // of memory, or of the processor
 )
 
 // LoadReportOf returns the load report of a response's head; an empty one if there is none.
@@ -40,7 +40,7 @@
 		}
 		simwire.SetReportField(&report, name, v)
 	}
-	if report.MemoryShare > maxReportShare || report.Utilization > maxReportShare {
+	if report.MemoryShare > maxReportFraction || report.Utilization > maxReportFraction {
 		return balancer.LoadReport{}
 	}
 	return report
--- a/internal/httpwire/request.go
+++ b/internal/httpwire/request.go
@@ -63,32 +63,32 @@
 
 // ParseRequest parses the headers of a client's request. The error's text is for the client.
 func ParseRequest(h http.Header) (ClientRequest, error) {
-	var c ClientRequest
+	var parsed ClientRequest
 	for _, name := range requestHeaders {
 		if len(h.Values(name)) > 1 {
-			return c, fmt.Errorf("%s: given more than once", name)
+			return parsed, fmt.Errorf("%s: given more than once", name)
 		}
 	}
-	c.ID = h.Get(headerRequestID)
-	if c.ID == "" {
-		return c, errors.New("Req-Id: missing")
+	parsed.ID = h.Get(headerRequestID)
+	if parsed.ID == "" {
+		return parsed, errors.New("Req-Id: missing")
 	}
-	if len(c.ID) > maxRequestIDLength || strings.ContainsFunc(c.ID, isInvisible) {
-		return c, fmt.Errorf("Req-Id: expected up to %d visible characters", maxRequestIDLength)
+	if len(parsed.ID) > maxRequestIDLength || strings.ContainsFunc(parsed.ID, isInvisible) {
+		return parsed, fmt.Errorf("Req-Id: expected up to %d visible characters", maxRequestIDLength)
 	}
-	if texts := h.Values(headerDeadline); len(texts) > 0 {
+	if deadlines := h.Values(headerDeadline); len(deadlines) > 0 {
 		var err error
-		if c.Timeout, err = parseDeadline(texts[0]); err != nil {
-			return c, err
+		if parsed.Timeout, err = parseDeadline(deadlines[0]); err != nil {
+			return parsed, err
 		}
 	}
-	c.Request = balancer.Request{
+	parsed.Request = balancer.Request{
 		Class:        h.Get(headerClass),
 		Tenant:       h.Get(headerTenant),
 		Session:      keyNumber(h.Get(headerSession)),
 		PromptTokens: unknownPromptTokens,
 	}
-	return c, c.parseExtra(h.Get(headerExtra))
+	return parsed, parsed.parseExtra(h.Get(headerExtra))
 }
 
 // isInvisible reports whether a character is not a visible one of ASCII.
--- a/internal/httpwire/resume.go
+++ b/internal/httpwire/resume.go
@@ -33,14 +33,14 @@
 // ParseResume parses the ResumeHeader. Whether there is one is in resuming, also with an error, whose text is for
 // the client.
 func ParseResume(h http.Header) (resume ResumeRequest, resuming bool, err error) {
-	list := h.Values(ResumeHeader)
-	if len(list) == 0 {
+	values := h.Values(ResumeHeader)
+	if len(values) == 0 {
 		return resume, false, nil
 	}
-	if len(list) > 1 || len(list[0]) > 2*maxRequestIDLength {
+	if len(values) > 1 || len(values[0]) > 2*maxRequestIDLength {
 		return resume, true, errors.New("Req-Rest: once, and short")
 	}
-	for pair := range strings.SplitSeq(list[0], ",") {
+	for pair := range strings.SplitSeq(values[0], ",") {
 		name, value, ok := strings.Cut(strings.TrimSpace(pair), "=")
 		if !ok {
 			return resume, true, fmt.Errorf("Req-Rest: expected name=value pairs, got %.40q", pair)
--- a/internal/httpwire/streamobserver.go
+++ b/internal/httpwire/streamobserver.go
@@ -29,19 +29,19 @@
 // Write observes the next bytes of the stream.
 func (o *StreamObserver) Write(p []byte) {
 	for len(p) > 0 {
-		part, rest, lineEnds := bytes.Cut(p, []byte{'\n'})
+		part, remainder, lineComplete := bytes.Cut(p, []byte{'\n'})
 		o.skipLine = o.skipLine || len(o.line)+len(part) > maxObservedLine
 		if !o.skipLine {
 			o.line = append(o.line, part...)
 		}
-		if !lineEnds {
+		if !lineComplete {
 			return
 		}
 		if !o.skipLine {
 			o.observeLine(bytes.TrimSuffix(o.line, []byte("\r")))
 		}
 		o.line, o.skipLine = o.line[:0], false
-		p = rest
+		p = remainder
 	}
 }
 
--- a/internal/inflight/request.go
+++ b/internal/inflight/request.go
@@ -21,8 +21,8 @@
 	ActionDeny                      // answer that the team's contract does not allow the request
 )
 
-// finalActions is the number of a request's actions that no attempt begins: one stream and one answer.
-const finalActions = 2
+// nonAttemptActions is the number of a request's actions that no attempt begins: one stream and one answer.
+const nonAttemptActions = 2
 
 // Action is an instruction of the event loop to the goroutine that serves a request.
 type Action struct {
@@ -62,7 +62,7 @@
 		BalancerRequest: request,
 		Ctx:             ctx,
 		Deadline:        deadline,
-		Actions:         make(chan Action, maxAttempts+finalActions),
+		Actions:         make(chan Action, maxAttempts+nonAttemptActions),
 	}
 }
 
