--- a/internal/httpwire/body.go
+++ b/internal/httpwire/body.go
@@ -10,35 +10,35 @@
 	"strings"
 )
 
-// Bounds of a chunked body. The reader of package net/http accepts any length of a chunk.
+// Limits of a chunked body, in bytes. The reader of package net/http accepts chunks of any size.
 const (
-	maxChunkBytes    = 64 << 10 // a chunk holds one event, or a few
-	maxChunkSizeLine = 256
+	maxChunkBytes    = 64 << 10 // of a chunk that Next returns; a chunk holds one event, or a few
+	maxChunkSizeLine = 256      // of the line with a chunk's size
 	maxTrailerBytes  = 4 << 10
-	// readBlockBytes is how much of a body without chunks is read at once, and by how much a chunk's buffer grows.
+	// readBlockBytes is the size of one read from an unchunked body, and the step by which a chunk's buffer grows.
 	readBlockBytes = 4096
 )
 
-// Body reads the body of a response piece by piece. Either Next or the Reader is used on one Body, not both.
+// Body reads the body of a response incrementally, by either Next or the Reader, but not both.
 type Body struct {
 	reader    *bufio.Reader
 	chunked   bool
-	remaining int64 // without chunks: bytes still to be read; below 0: until the connection ends
+	remaining int64 // unread bytes of an unchunked body; negative: the body ends with the connection
 	buf       []byte
 }
 
-// NewBody returns the body that follows the head that ReadHead has returned.
+// NewBody returns the body that follows the head resp, which ReadHead has read from r.
 func NewBody(r *bufio.Reader, resp *http.Response) *Body {
 	return &Body{reader: r, chunked: len(resp.TransferEncoding) > 0, remaining: resp.ContentLength}
 }
 
-// Delimited reports whether the body itself says where it ends. Otherwise the end of the connection ends it,
-// whether the peer was finished or failed.
+// Delimited reports whether a length or the chunked encoding marks the body's end. Otherwise the body ends with
+// the connection, and a complete body cannot be told from a truncated one.
 func (b *Body) Delimited() bool { return b.chunked || b.remaining >= 0 }
 
-// Next returns the next piece, valid until the next call, and io.EOF at the end. A chunk is returned once it is
-// complete and fits its length: of a malformed one nothing is returned. Its buffer grows with what has arrived, not
-// with the length that the chunk claims.
+// Next returns the next part of the body, valid until the next call, and io.EOF at the end. A chunk is returned
+// as a whole, once it has arrived and matches its size; no part of a malformed chunk is returned. The buffer grows
+// with the bytes received, not with the size that the chunk's first line announces.
 func (b *Body) Next() ([]byte, error) {
 	if b.chunked {
 		return b.readChunk()
@@ -50,14 +50,14 @@
 	return b.buf[:n], err
 }
 
-// ReadAll reads the complete body. One of over limit bytes is an error.
+// ReadAll reads the complete body. A body of more than limit bytes is an ErrMalformed.
 func (b *Body) ReadAll(limit int) ([]byte, error) {
 	var all []byte
 	for {
 		piece, err := b.Next()
 		all = append(all, piece...)
 		if len(all) > limit {
-			return nil, fmt.Errorf("%w: body over %d bytes", ErrMalformed, limit)
+			return nil, fmt.Errorf("%w: body exceeds %d bytes", ErrMalformed, limit)
 		}
 		if errors.Is(err, io.EOF) {
 			return all, nil
@@ -68,8 +68,8 @@
 	}
 }
 
-// Reader returns the body as a plain stream of bytes. Next returns complete chunks, because the chunks of a stream
-// carry events; an endpoint list may come as one chunk of any size, which need not be buffered.
+// Reader returns the body as a stream of bytes. Unlike Next, which buffers whole chunks because the chunks of an
+// event stream carry events, it accepts chunks of any size: an endpoint list may arrive as a single chunk.
 func (b *Body) Reader() io.Reader {
 	if b.chunked {
 		return &chunkReader{body: b}
@@ -77,13 +77,13 @@
 	return readerFunc(b.readUnchunked)
 }
 
-// readerFunc is a function as an io.Reader.
+// readerFunc adapts a function to io.Reader.
 type readerFunc func(p []byte) (int, error)
 
 // Read implements io.Reader.
 func (f readerFunc) Read(p []byte) (int, error) { return f(p) }
 
-// readUnchunked reads the next bytes of a body without chunks.
+// readUnchunked reads the next bytes of an unchunked body.
 func (b *Body) readUnchunked(p []byte) (int, error) {
 	if b.remaining == 0 {
 		return 0, io.EOF
@@ -97,19 +97,19 @@
 		err = unexpectedEOF(err)
 	}
 	if n > 0 {
-		err = nil // the next call returns it
+		err = nil // the next read returns it again
 	}
 	return n, err
 }
 
-// readChunk reads the next chunk, with the line end that follows its bytes.
+// readChunk reads the next chunk and the line end that follows its data.
 func (b *Body) readChunk() ([]byte, error) {
 	size, err := b.readChunkSize()
 	if err != nil {
 		return nil, err
 	}
 	if size > maxChunkBytes {
-		return nil, fmt.Errorf("%w: chunk length %x", ErrMalformed, size)
+		return nil, fmt.Errorf("%w: chunk size 0x%x exceeds the limit", ErrMalformed, size)
 	}
 	const lineEnd = "\r\n"
 	total := int(size) + len(lineEnd)
@@ -130,10 +130,10 @@
 	return b.buf[:size], nil
 }
 
-var errChunkOverrun = fmt.Errorf("%w: chunk does not fit its length", ErrMalformed)
+var errChunkOverrun = fmt.Errorf("%w: chunk data longer than the chunk size", ErrMalformed)
 
-// readChunkSize reads the line that begins a chunk. After the last chunk it reads the trailer, and the error is
-// io.EOF.
+// readChunkSize reads the line with the size of the next chunk. At the last chunk, of size 0, it reads the trailer
+// and returns io.EOF.
 func (b *Body) readChunkSize() (uint64, error) {
 	line, err := b.readLine(maxChunkSizeLine)
 	if err != nil {
@@ -142,7 +142,7 @@
 	digits, _, _ := strings.Cut(line, ";") // an extension may follow
 	size, err := strconv.ParseUint(strings.TrimSpace(digits), 16, 32)
 	if err != nil {
-		return 0, fmt.Errorf("%w: chunk length %.20q", ErrMalformed, line)
+		return 0, fmt.Errorf("%w: invalid chunk size %.20q", ErrMalformed, line)
 	}
 	if size == 0 {
 		return 0, b.readTrailer()
@@ -150,7 +150,7 @@
 	return size, nil
 }
 
-// readTrailer reads what follows the last chunk. The error is io.EOF where it is well-formed.
+// readTrailer reads the trailer that follows the last chunk. It returns io.EOF if the trailer is well-formed.
 func (b *Body) readTrailer() error {
 	for read := 0; read <= maxTrailerBytes; {
 		line, err := b.readLine(maxTrailerBytes)
@@ -162,10 +162,10 @@
 		}
 		read += len(line)
 	}
-	return fmt.Errorf("%w: trailer", ErrMalformed)
+	return fmt.Errorf("%w: trailer exceeds the limit", ErrMalformed)
 }
 
-// readChunkEnd reads the line end that follows a chunk's bytes.
+// readChunkEnd reads the line end that follows a chunk's data.
 func (b *Body) readChunkEnd() error {
 	line, err := b.readLine(maxChunkSizeLine)
 	if err != nil {
@@ -181,7 +181,7 @@
 func (b *Body) readLine(limit int) (string, error) {
 	line, err := b.reader.ReadSlice('\n')
 	if errors.Is(err, bufio.ErrBufferFull) || len(line) > limit {
-		return "", fmt.Errorf("%w: line over %d bytes", ErrMalformed, limit)
+		return "", fmt.Errorf("%w: line exceeds %d bytes", ErrMalformed, limit)
 	}
 	if err != nil {
 		return "", unexpectedEOF(err)
@@ -189,14 +189,14 @@
 	return strings.TrimSuffix(string(line[:len(line)-1]), "\r"), nil
 }
 
-// chunkReader reads a chunked body regardless of where its chunks end.
+// chunkReader reads a chunked body as a stream, without regard to chunk boundaries.
 type chunkReader struct {
 	body      *Body
-	remaining uint64 // bytes of the current chunk that are still to be read
-	err       error  // the end, once it has been reached
+	remaining uint64 // unread bytes of the current chunk
+	err       error  // the first error, or io.EOF; each later Read returns it
 }
 
-// Read reads bytes of one chunk. An error that comes with bytes is returned by the next call.
+// Read reads from the current chunk only. An error that occurs after some bytes is returned by the next call.
 func (c *chunkReader) Read(p []byte) (int, error) {
 	if len(p) == 0 || c.err != nil {
 		return 0, c.err
@@ -219,8 +219,8 @@
 	return 0, c.err
 }
 
-// unexpectedEOF returns io.ErrUnexpectedEOF for io.EOF, which within a body is no orderly end, and other errors
-// unchanged.
+// unexpectedEOF converts io.EOF to io.ErrUnexpectedEOF, because within a body it means truncation, and returns other
+// errors unchanged.
 func unexpectedEOF(err error) error {
 	if errors.Is(err, io.EOF) {
 		return io.ErrUnexpectedEOF
--- a/internal/httpwire/doc.go
+++ b/internal/httpwire/doc.go
@@ -1,4 +1,4 @@
-// Package httpwire implements the gateway's HTTP protocols as they are spoken on connections: the headers of a
-// client's request, the head, body and load report of a replica's response, and discovery's endpoint list.
-// It opens no connection and makes no decision.
+// Package httpwire parses and formats the messages of the gateway's HTTP protocols: the headers of a client's
+// request, the head, body and load report of a replica's response, and discovery's endpoint list. It opens no
+// connections and makes no decisions.
 package httpwire
--- a/internal/httpwire/framing.go
+++ b/internal/httpwire/framing.go
@@ -6,41 +6,42 @@
 	"strings"
 )
 
-// RequestFraming follows the bytes of a client's connection from request to request, and detects a request whose
-// length is ambiguous: another request may be hidden in its body (request smuggling). It buffers at most
-// maxFramingLine bytes. The zero value is ready to use.
+// RequestFraming parses where the requests on a client's connection begin and end. It detects a request of ambiguous
+// length, whose body may hide another request (request smuggling). It buffers at most maxFramingLine bytes. The zero
+// value is ready to use.
 type RequestFraming struct {
-	Ambiguity        string // what is ambiguous, "" if nothing is; from then on the bytes are not followed
-	CompleteHeads    int    // heads that have arrived
-	CompleteRequests int    // requests that have arrived with their bodies
+	Ambiguity        string // why a length is ambiguous; "" if none is. Once it is set, Write ignores all bytes
+	CompleteHeads    int    // request heads that have arrived
+	CompleteRequests int    // requests whose heads and bodies have arrived
 
 	state                 framingState
-	line                  []byte // the current line, up to maxFramingLine bytes of it
-	lineTruncated         bool   // the line is longer
+	line                  []byte // the first maxFramingLine bytes of the current line
+	lineTruncated         bool   // the current line exceeds maxFramingLine
 	requestLineSeen       bool
-	notHTTP11             bool // or something else than HTTP/1.1
+	notHTTP11             bool // the request line does not end with HTTP/1.1
 	contentLength         string
 	contentLengthCount    int
 	transferEncodingCount int
-	remaining             int64 // bytes of the body or chunk that have not arrived
+	remaining             int64 // bytes of the body or chunk that have not arrived yet
 }
 
-// framingState is the part of a request that the next byte belongs to.
+// framingState is the section of a request that the next byte belongs to.
 type framingState uint8
 
 const (
-	inHead framingState = iota // the lines up to the empty one
+	inHead framingState = iota // the request line and the headers, up to the empty line
 	inBody
-	inChunkSize // the line of a chunk's length
+	inChunkSize // the line with a chunk's size
 	inChunk
-	inChunkEnd // the line end after a chunk
+	inChunkEnd // the line end after a chunk's data
 	inTrailer
 )
 
-// maxFramingLine is how much of a line is inspected. No well-formed line that gives a body's length is longer.
+// maxFramingLine is the number of bytes of a line that are parsed. No well-formed line that gives a body's length is
+// longer.
 const maxFramingLine = 256
 
-// Write follows the next bytes of the connection.
+// Write parses the next bytes of the connection.
 func (f *RequestFraming) Write(p []byte) {
 	for len(p) > 0 && f.Ambiguity == "" {
 		if f.state == inBody || f.state == inChunk {
@@ -65,13 +66,13 @@
 	}
 }
 
-// RequestStarted reports whether anything has arrived of a further request after so many. An empty line before a
-// request is not part of it.
+// RequestStarted reports whether any part has arrived of the request that follows the given number of preceding
+// ones. An empty line before a request is not part of it.
 func (f *RequestFraming) RequestStarted(preceding int) bool {
 	return f.CompleteHeads > preceding || f.state == inHead && (f.requestLineSeen || len(f.line) > 0 && string(f.line) != "\r")
 }
 
-// endSection goes on after a chunk, or after the end of a request.
+// endSection handles the end of a chunk's data, or else the end of a request.
 func (f *RequestFraming) endSection() {
 	if f.state == inChunk {
 		f.state = inChunkEnd
@@ -90,7 +91,7 @@
 	case inChunkEnd:
 		f.state = inChunkSize
 		if line != "" {
-			f.Ambiguity = "chunk longer than its length"
+			f.Ambiguity = "chunk data longer than the chunk size"
 		}
 	case inTrailer:
 		if line == "" {
@@ -99,7 +100,7 @@
 	}
 }
 
-// handleHeadLine takes the request line, a header, or the empty line that ends a head.
+// handleHeadLine handles the request line, a header, or the empty line that ends a head.
 func (f *RequestFraming) handleHeadLine(line string) {
 	switch {
 	case line == "" && !f.requestLineSeen: // an empty line before a request
@@ -113,13 +114,13 @@
 	}
 }
 
-// handleChunkSize takes the line with a chunk's length.
+// handleChunkSize handles the line with a chunk's size.
 func (f *RequestFraming) handleChunkSize(line string) {
 	digits, _, _ := strings.Cut(line, ";") // an extension may follow
 	n, err := strconv.ParseUint(strings.TrimSpace(digits), 16, 62)
 	switch {
 	case err != nil || f.lineTruncated:
-		f.Ambiguity = "chunk length"
+		f.Ambiguity = "invalid chunk size"
 	case n == 0:
 		f.state = inTrailer
 	default:
@@ -127,9 +128,9 @@
 	}
 }
 
-// handleHeader notes the headers that give the body's length.
+// handleHeader records the headers that give the body's length.
 func (f *RequestFraming) handleHeader(line string) {
-	if line[0] == ' ' || line[0] == '\t' { // a continuation of the line before
+	if line[0] == ' ' || line[0] == '\t' { // a continuation of the previous line
 		f.Ambiguity = "folded header"
 		return
 	}
@@ -140,24 +141,24 @@
 		f.contentLengthCount++
 		f.contentLength = value
 		if f.lineTruncated {
-			f.Ambiguity = "Content-Length"
+			f.Ambiguity = "invalid Content-Length"
 		}
 	case "transfer-encoding":
 		f.transferEncodingCount++
 		if !strings.EqualFold(value, "chunked") || f.lineTruncated {
-			f.Ambiguity = "Transfer-Encoding"
+			f.Ambiguity = "unsupported Transfer-Encoding"
 		}
 	}
 }
 
-// endHead determines what follows a head.
+// endHead handles the end of a head: it selects the framing of the body, or detects an ambiguous one.
 func (f *RequestFraming) endHead() {
 	f.CompleteHeads++
 	switch {
 	case f.contentLengthCount+f.transferEncodingCount > 1:
-		f.Ambiguity = "two lengths"
+		f.Ambiguity = "more than one Content-Length or Transfer-Encoding"
 	case f.transferEncodingCount == 1 && f.notHTTP11:
-		f.Ambiguity = "Transfer-Encoding before HTTP/1.1"
+		f.Ambiguity = "Transfer-Encoding in a request that is not HTTP/1.1"
 	case f.transferEncodingCount == 1:
 		f.state = inChunkSize
 	case f.contentLengthCount == 1:
@@ -167,11 +168,11 @@
 	}
 }
 
-// beginBody begins a body of the length that Content-Length gives.
+// beginBody begins the body, whose length is given by Content-Length.
 func (f *RequestFraming) beginBody() {
 	n, err := strconv.ParseUint(f.contentLength, 10, 62)
 	if err != nil {
-		f.Ambiguity = "Content-Length"
+		f.Ambiguity = "invalid Content-Length"
 		return
 	}
 	f.state, f.remaining = inBody, int64(n)
--- a/internal/httpwire/httpwire_test.go
+++ b/internal/httpwire/httpwire_test.go
@@ -13,7 +13,7 @@
 func TestListQuery(t *testing.T) {
 	for since, want := range map[int64]string{
 		NoGeneration: "/registry/instances",
-		// Generation 0 is a list like any other: without 'since' the watch spun.
+		// Generation 0 is valid: without since, each watch call would be answered at once, in a busy loop.
 		0:  "/registry/instances?since=0&timeout_ms=8000",
 		41: "/registry/instances?since=41&timeout_ms=8000",
 	} {
@@ -43,16 +43,16 @@
 				Session: 0x7f3a9c21e0b4d655, Prefix: 0x5c0f6e1a2b3d4c59, PromptTokens: 5120, PrefixTokens: 2048, MaxTokens: 800}}},
 		"microseconds, length from the body": {h: header("Req-Id", "1", "Req-Deadline", "250u"),
 			want: ClientRequest{ID: "1", Timeout: 250, Request: balancer.Request{PromptTokens: 10}}},
-		"no id":        {h: header("Req-Deadline", "1m"), err: "Req-Id"},
-		"no unit":      {h: header("Req-Id", "1", "Req-Deadline", "250"), err: "Req-Deadline"},
-		"not a number": {h: header("Req-Id", "1", "Req-Deadline", "NaNm"), err: "Req-Deadline"},
-		"no time":      {h: header("Req-Id", "1", "Req-Deadline", "0m"), err: "Req-Deadline"},
-		"hexadecimal":  {h: header("Req-Id", "1", "Req-Deadline", "0x10m"), err: "Req-Deadline"},
-		"space in id":  {h: header("Req-Id", "a b"), err: "Req-Id"},
-		"long id":      {h: header("Req-Id", strings.Repeat("1", 129)), err: "Req-Id"},
-		"two ids":      {h: http.Header{"Req-Id": {"1", "2"}}, err: "Req-Id"},
-		"huge length":  {h: header("Req-Id", "1", "Req-Extra", "max_out=2000000000"), err: "Req-Extra: max_out"},
-		"bad extra":    {h: header("Req-Id", "1", "Req-Extra", "prompt_len=-4"), err: "Req-Extra: prompt_len"},
+		"no id":           {h: header("Req-Deadline", "1m"), err: "Req-Id"},
+		"no unit":         {h: header("Req-Id", "1", "Req-Deadline", "250"), err: "Req-Deadline"},
+		"not a number":    {h: header("Req-Id", "1", "Req-Deadline", "NaNm"), err: "Req-Deadline"},
+		"zero deadline":   {h: header("Req-Id", "1", "Req-Deadline", "0m"), err: "Req-Deadline"},
+		"hexadecimal":     {h: header("Req-Id", "1", "Req-Deadline", "0x10m"), err: "Req-Deadline"},
+		"space in id":     {h: header("Req-Id", "a b"), err: "Req-Id"},
+		"long id":         {h: header("Req-Id", strings.Repeat("1", 129)), err: "Req-Id"},
+		"two ids":         {h: http.Header{"Req-Id": {"1", "2"}}, err: "Req-Id"},
+		"huge length":     {h: header("Req-Id", "1", "Req-Extra", "max_out=2000000000"), err: "Req-Extra: max_out"},
+		"negative length": {h: header("Req-Id", "1", "Req-Extra", "prompt_len=-4"), err: "Req-Extra: prompt_len"},
 	} {
 		got, err := ParseRequest(c.h)
 		got.EstimatePrompt(40)
@@ -66,8 +66,8 @@
 	}
 }
 
-// Where a request's length is ambiguous, another may hide in its body. Bytes that arrive in one piece or one by one
-// are judged the same.
+// A request of ambiguous length, which may hide another request in its body, is detected whether its bytes arrive at
+// once or one by one.
 func TestFraming(t *testing.T) {
 	const head = "POST / HTTP/1.1\r\nHost: a\r\n"
 	plain := head + "Content-Length: 5\r\n\r\nhello"
--- a/internal/httpwire/listparser.go
+++ b/internal/httpwire/listparser.go
@@ -10,64 +10,66 @@
 	"strings"
 )
 
-// ListLimits bounds the memory that a list may take.
+// ListLimits bounds the memory that an endpoint list occupies.
 type ListLimits struct {
-	Endpoints int      // most entries; 0: any number
-	Zones     []string // zones of the settings; empty: entries may name any
+	Endpoints int      // the maximum number of entries; 0: no limit
+	Zones     []string // the zones in the settings; empty: entries may have any zone
 }
 
-// Bounds of a list.
+// Limits of an endpoint list.
 const (
+	// maxEntryBytes bounds the text of an entry, or of another value of the list's object, in bytes.
 	maxEntryBytes = 64 << 10
 	maxWeight     = 1e6
-	// maxTrackedKeys bounds the keys that are remembered, so that one that is given again is an error.
+	// maxTrackedKeys bounds the keys that are stored to detect duplicates.
 	maxTrackedKeys = 64
-	// maxReportedEntries bounds the invalid entries that are reported one by one.
+	// maxReportedEntries bounds the invalid entries that are reported individually.
 	maxReportedEntries = 8
-	// maxUnconfiguredZones and maxZoneLength bound the zones that entries may name beside those of the settings.
+	// maxUnconfiguredZones bounds the accepted zones that are not in the settings.
 	maxUnconfiguredZones = 32
-	maxZoneLength        = 128
+	// maxZoneLength bounds the name of such a zone, in bytes.
+	maxZoneLength = 128
 )
 
-// InvalidListError says that a list could be read but must not be used: the list before it stays in force.
+// InvalidListError reports a list that could be read but must not be used. The previous list stays in force.
 type InvalidListError struct{ Reason string }
 
-// Error returns the reason.
-func (e *InvalidListError) Error() string { return "list refused: " + e.Reason }
+// Error returns the reason, after a prefix.
+func (e *InvalidListError) Error() string { return "endpoint list rejected: " + e.Reason }
 
 func invalidList(format string, args ...any) error {
 	return &InvalidListError{fmt.Sprintf(format, args...)}
 }
 
-// ParseList parses a list that is in memory, with no limits but those of each entry.
+// ParseList parses a list that is in memory, as ReadList does. It limits neither the number of entries nor the zones.
 func ParseList(text []byte) (EndpointList, error) {
 	return ReadList(bytes.NewReader(text), ListLimits{})
 }
 
-// ReadList reads a list entry by entry, to the end of the text. It buffers one entry of the text at a time, so the
-// limits bound its memory whatever the text's length and framing. The error is an InvalidListError where the list
-// could be read but must not be used.
+// ReadList reads a list entry by entry, to the end of r. It buffers the text of one entry at a time, so the limits
+// bound the memory that it uses, whatever the length of the text. The error is an InvalidListError if the list could
+// be read but must not be used.
 func ReadList(r io.Reader, limits ListLimits) (EndpointList, error) {
 	p := &listParser{limits: limits, input: &boundedReader{reader: r}}
 	p.decoder = json.NewDecoder(p.input)
 	err := p.parseObject()
 	var invalid *InvalidListError
 	if err != nil && !errors.As(err, &invalid) {
-		err = fmt.Errorf("list: %w", err)
+		err = fmt.Errorf("endpoint list: %w", err)
 	}
 	return p.list, err
 }
 
-// listParser is one reading of a list.
+// listParser parses one list.
 type listParser struct {
 	limits            ListLimits
 	input             *boundedReader
 	decoder           *json.Decoder
 	list              EndpointList
-	seenKeys          map[string]bool // keys of the object so far, in lower case
-	index             int             // of the entry that is parsed next
-	entryText         json.RawMessage // its text
-	unconfiguredZones map[string]bool // zones that entries name and the settings do not
+	seenKeys          map[string]bool // the object's keys so far, in lower case
+	index             int             // of the current entry
+	entryText         json.RawMessage // the text of the current entry
+	unconfiguredZones map[string]bool // accepted zones that are not in the settings
 }
 
 // parseObject parses the list's object and checks that nothing follows it.
@@ -93,12 +95,12 @@
 		return nil
 	}
 	if err == nil {
-		err = errors.New("text behind the end")
+		err = errors.New("unexpected data after the end of the list")
 	}
 	return err
 }
 
-// parseMember parses one key of the object and its value. Unknown keys are ignored.
+// parseMember parses one key of the list's object and its value. Unknown keys are ignored.
 func (p *listParser) parseMember() error {
 	p.input.reset()
 	token, err := p.decoder.Token()
@@ -111,7 +113,7 @@
 	}
 	key := strings.ToLower(name) // as encoding/json matches keys
 	if p.seenKeys[key] {
-		return invalidList("%.40q stands twice", key)
+		return invalidList("duplicate key %.40q", key)
 	}
 	if len(p.seenKeys) < maxTrackedKeys {
 		p.seenKeys[key] = true
@@ -127,15 +129,16 @@
 	return p.decoder.Decode(new(json.RawMessage))
 }
 
-// InvalidEntry reports an entry of a list that cannot be used as it is. Only that entry suffers: what can be used of
-// it is, and the other entries are not affected.
+// InvalidEntry reports an invalid entry of a list. Its valid fields are used as far as possible, and the other
+// entries are not affected.
 type InvalidEntry struct {
 	Index  int // in the list, from 0
 	ID     string
 	Reason string
 }
 
-// reportInvalid adds an entry to the list's invalid ones.
+// reportInvalid counts an invalid entry, and adds it to the reported ones while there are fewer than
+// maxReportedEntries.
 func (p *listParser) reportInvalid(entry *Endpoint, format string, args ...any) {
 	p.list.InvalidEntryCount++
 	if len(p.list.InvalidEntries) >= maxReportedEntries {
@@ -151,7 +154,7 @@
 // parseEndpoints parses the array of entries.
 func (p *listParser) parseEndpoints() error {
 	token, err := p.decoder.Token()
-	if err != nil || token == nil { // null stands for no entries
+	if err != nil || token == nil { // null means no entries
 		return err
 	}
 	if token != json.Delim('[') {
@@ -165,7 +168,7 @@
 		entry, usable := p.parseEntry()
 		if usable {
 			if limit := p.limits.Endpoints; limit > 0 && len(p.list.Endpoints) >= limit {
-				return invalidList("over %d entries, which the memory limit allows", limit)
+				return invalidList("more than %d entries, the maximum that the memory limit allows", limit)
 			}
 			p.list.Endpoints = append(p.list.Endpoints, entry)
 		}
@@ -174,7 +177,7 @@
 	return p.expectDelimiter(']')
 }
 
-// parseEntry parses entryText. An invalid entry is reported, and usable if its id can be parsed.
+// parseEntry parses entryText. It reports an invalid entry, which is still usable if its id can be parsed.
 func (p *listParser) parseEntry() (entry Endpoint, usable bool) {
 	if err := json.Unmarshal(p.entryText, &entry); err != nil {
 		entry = recoverEntry(p.entryText)
@@ -182,26 +185,26 @@
 		return entry, entry.ID != ""
 	}
 	if entry.ID == "" {
-		p.reportInvalid(&entry, "without instanceId")
+		p.reportInvalid(&entry, "missing instanceId")
 		return entry, false
 	}
 	if entry.Addr == "" && entry.Lifecycle != lifecycleGone {
-		p.reportInvalid(&entry, "without hostPort")
+		p.reportInvalid(&entry, "missing hostPort")
 		entry.Partial = true
 	}
 	if !(entry.Weight >= 0 && entry.Weight <= maxWeight) {
-		p.reportInvalid(&entry, "weight %v, expected 0 to %v: taken for none", entry.Weight, maxWeight)
+		p.reportInvalid(&entry, "weight %v is not between 0 and %v; ignored", entry.Weight, maxWeight)
 		entry.Weight = 0
 	}
 	if !p.hasConfiguredZone(&entry) {
-		p.reportInvalid(&entry, "zone %.60q, which the settings don't name", entry.Zone)
+		p.reportInvalid(&entry, "zone %.60q is not in the settings", entry.Zone)
 		entry.Partial = entry.Partial || !p.acceptUnconfiguredZone(entry.Zone)
 	}
 	return entry, true
 }
 
-// recoverEntry returns the id and the state of an entry that cannot be parsed as a whole. The id is empty if not
-// even that can be parsed.
+// recoverEntry returns the id and the lifecycle of an entry that cannot be parsed as a whole. The id is empty if it
+// cannot be parsed either.
 func recoverEntry(text []byte) (entry Endpoint) {
 	var fields map[string]json.RawMessage
 	if json.Unmarshal(text, &fields) != nil {
@@ -210,7 +213,7 @@
 	for name, value := range fields {
 		switch strings.ToLower(name) {
 		case "instanceid":
-			_ = json.Unmarshal(value, &entry.ID) // stays empty if it is no string
+			_ = json.Unmarshal(value, &entry.ID) // stays empty if the value is not a string
 		case "lifecycle":
 			_ = json.Unmarshal(value, &entry.Lifecycle)
 		}
@@ -219,8 +222,8 @@
 	return entry
 }
 
-// acceptUnconfiguredZone reports whether replicas of a zone that the settings do not name can be used, which is bounded by
-// the number of such zones.
+// acceptUnconfiguredZone reports whether replicas of a zone that is not in the settings can be used. The length
+// and the number of such zones are limited.
 func (p *listParser) acceptUnconfiguredZone(zone string) bool {
 	if p.unconfiguredZones[zone] {
 		return true
@@ -235,8 +238,8 @@
 	return true
 }
 
-// hasConfiguredZone reports whether the entry's zone is one that the settings name. An entry that only says that its
-// replica is gone needs none.
+// hasConfiguredZone reports whether the entry's zone is in the settings. It is true as well if the settings have no
+// zones, or if the entry has none or is of a replica that was removed, which needs none.
 func (p *listParser) hasConfiguredZone(entry *Endpoint) bool {
 	if len(p.limits.Zones) == 0 || entry.Zone == "" || entry.Lifecycle == lifecycleGone {
 		return true
@@ -244,8 +247,8 @@
 	return slices.Contains(p.limits.Zones, entry.Zone)
 }
 
-// mergeDuplicates leaves one entry of each id in a complete list. The last one counts, as among changes, but if any
-// of them says that its replica takes no new requests, that state counts.
+// mergeDuplicates keeps one entry for each id in a complete list: the last one, as in a list of changes. If any
+// entry of the id has a lifecycle other than "ready", the merged entry is not ready either.
 func (p *listParser) mergeDuplicates() {
 	indexOf := make(map[string]int, len(p.list.Endpoints))
 	merged := p.list.Endpoints[:0]
@@ -256,7 +259,7 @@
 			merged = append(merged, entry)
 			continue
 		}
-		p.reportInvalid(&entry, "named twice")
+		p.reportInvalid(&entry, "duplicate instanceId")
 		if merged[i].Lifecycle != lifecycleReady {
 			entry.Lifecycle = merged[i].Lifecycle
 		}
@@ -278,8 +281,8 @@
 	return nil
 }
 
-// boundedReader is a reader of which maxEntryBytes can be read until it is reset: the buffer of a decoder that reads
-// one value cannot grow beyond them.
+// boundedReader returns at most maxEntryBytes between two calls of reset. This bounds the buffer that a json.Decoder
+// grows while it reads one value.
 type boundedReader struct {
 	reader io.Reader
 	used   int
@@ -287,10 +290,10 @@
 
 func (b *boundedReader) reset() { b.used = 0 }
 
-// Read fails with an InvalidListError at the bound.
+// Read implements io.Reader. It returns an InvalidListError at the limit.
 func (b *boundedReader) Read(p []byte) (int, error) {
 	if b.used >= maxEntryBytes {
-		return 0, invalidList("a value of over %d bytes", maxEntryBytes)
+		return 0, invalidList("value exceeds %d bytes", maxEntryBytes)
 	}
 	n, err := b.reader.Read(p[:min(len(p), maxEntryBytes-b.used)])
 	b.used += n
--- a/internal/httpwire/listparser_test.go
+++ b/internal/httpwire/listparser_test.go
@@ -14,7 +14,7 @@
 	"github.com/google/go-cmp/cmp"
 )
 
-// entriesText returns the text of so many entries.
+// entriesText returns the JSON text of n entries.
 func entriesText(n int) string {
 	out := make([]string, n)
 	for i := range out {
@@ -23,7 +23,7 @@
 	return strings.Join(out, ",")
 }
 
-// A list that must not be used is rejected with the reason. It is distinguished from text that cannot be parsed.
+// A list that must not be used is an InvalidListError with the reason; text that cannot be parsed is another error.
 func TestInvalidListsAreRejected(t *testing.T) {
 	limits := ListLimits{Endpoints: 3, Zones: []string{"a", "b"}}
 	list := func(instances string) string { return `{"generation":1,"reset":true,"instances":[` + instances + `]}` }
@@ -32,10 +32,10 @@
 	}
 	for text, want := range map[string]string{
 		list(entriesText(3)):                         "",
-		list(entriesText(4)):                         "over 3 entries",
+		list(entriesText(4)):                         "more than 3 entries",
 		entry(`"zone":"a"`):                          "",
-		`{"generation":1,"generation":2}`:            "stands twice",
-		entry(`"zone":"a","x":` + longString(70000)): "a value of over",
+		`{"generation":1,"generation":2}`:            "duplicate key",
+		entry(`"zone":"a","x":` + longString(70000)): "value exceeds",
 	} {
 		got, err := ReadList(strings.NewReader(text), limits)
 		var invalid *InvalidListError
@@ -46,7 +46,7 @@
 			t.Errorf("%.80s: %d entries, error %v, want %s", text, len(got.Endpoints), err, want)
 		}
 	}
-	// Changes may name a replica twice, and one that is gone needs no known zone.
+	// A list of changes may contain a replica twice, and a removed replica needs no zone of the settings.
 	changes := `{"generation":2,"instances":[{"instanceId":"s-1","hostPort":"h:1","lifecycle":"draining"},{"instanceId":"s-1","lifecycle":"gone","zone":"z"}]}`
 	if got, err := ReadList(strings.NewReader(changes), limits); err != nil || len(got.Endpoints) != 2 {
 		t.Errorf("changes: %+v, %v", got, err)
@@ -54,32 +54,31 @@
 	for _, text := range []string{"", "[]", `{"generation":1`, `{"generation":1}x`, `{"generation":"1"}`, `{"instances":{}}`, `{"instances":[{"instanceId":`} {
 		var invalid *InvalidListError
 		if _, err := ReadList(strings.NewReader(text), limits); err == nil || errors.As(err, &invalid) {
-			t.Errorf("%q: %v, want an error of the text", text, err)
+			t.Errorf("%q: error %v, want a parse error", text, err)
 		}
 	}
 }
 
-// An invalid entry affects itself alone: it is reported, what can be used of it is, and the entries before and after
-// it are unchanged.
+// An invalid entry is reported and used as far as it is valid. The entries before and after it are unchanged.
 func TestInvalidEntries(t *testing.T) {
 	limits := ListLimits{Endpoints: 4, Zones: []string{"a", "b"}}
 	before, after := `{"instanceId":"s-a","hostPort":"h:1","zone":"a","lifecycle":"draining","weight":2}`, `{"instanceId":"s-z","hostPort":"h:2","zone":"b","lifecycle":"ready","weight":3}`
 	for invalid, want := range map[string]struct {
-		entry  Endpoint // as it is used; without an id: not at all
+		entry  Endpoint // the resulting entry; without an id: none
 		reason string
 	}{
 		`7`:                      {reason: "cannot unmarshal number"},
-		`null`:                   {reason: "without instanceId"},
-		`{"hostPort":"h:3"}`:     {reason: "without instanceId"},
+		`null`:                   {reason: "missing instanceId"},
+		`{"hostPort":"h:3"}`:     {reason: "missing instanceId"},
 		`{"instanceId":["s-1"]}`: {reason: "cannot unmarshal array"},
-		`{"instanceId":"s-1"}`:   {Endpoint{ID: "s-1", Partial: true}, "without hostPort"},
+		`{"instanceId":"s-1"}`:   {Endpoint{ID: "s-1", Partial: true}, "missing hostPort"},
 		`{"instanceId":"s-1","hostPort":5,"lifecycle":"draining"}`:                                 {Endpoint{ID: "s-1", Lifecycle: "draining", Partial: true}, "cannot unmarshal number"},
 		`{"instanceId":"s-1","hostPort":"h:3","lifecycle":{},"startedAtMs":"x"}`:                   {Endpoint{ID: "s-1", Partial: true}, "cannot unmarshal"},
 		`{"instanceId":"s-1","hostPort":"h:3","lifecycle":"gone","startedAtMs":1e99}`:              {Endpoint{ID: "s-1", Lifecycle: "gone", Partial: true}, "cannot unmarshal"},
 		`{"instanceId":"s-1","hostPort":"h:3","zone":"a","lifecycle":"ready","weight":-1}`:         {Endpoint{ID: "s-1", Addr: "h:3", Zone: "a", Lifecycle: "ready"}, "weight -1"},
 		`{"instanceId":"s-1","hostPort":"h:3","zone":"a","lifecycle":"ready","weight":1e9}`:        {Endpoint{ID: "s-1", Addr: "h:3", Zone: "a", Lifecycle: "ready"}, "weight 1e+09"},
 		`{"instanceId":"s-1","hostPort":"h:3","zone":"c","lifecycle":"ready"}`:                     {Endpoint{ID: "s-1", Addr: "h:3", Zone: "c", Lifecycle: "ready"}, `zone "c"`},
-		`{"instanceId":"s-a","hostPort":"h:9","zone":"a","lifecycle":"ready"}`:                     {Endpoint{ID: "s-a", Addr: "h:9", Zone: "a", Lifecycle: "draining"}, "named twice"},
+		`{"instanceId":"s-a","hostPort":"h:9","zone":"a","lifecycle":"ready"}`:                     {Endpoint{ID: "s-a", Addr: "h:9", Zone: "a", Lifecycle: "draining"}, "duplicate instanceId"},
 		`{"instanceId":"s-1","hostPort":"h:3","zone":` + longString(200) + `,"lifecycle":"ready"}`: {Endpoint{ID: "s-1", Addr: "h:3", Zone: strings.Repeat("x", 200), Lifecycle: "ready", Partial: true}, "zone"},
 	} {
 		text := `{"generation":1,"reset":true,"instances":[` + before + "," + invalid + "," + after + `]}`
@@ -99,7 +98,7 @@
 			t.Errorf("%.90s: reported %+v, want %s", invalid, got.InvalidEntries, want.reason)
 		}
 	}
-	// However many are invalid, the reported ones are bounded, and so are the zones that the settings do not name.
+	// The number of reported entries is limited, and so is that of accepted zones that are not in the settings.
 	var entries []string
 	for i := range 100 {
 		entries = append(entries, fmt.Sprintf(`{"instanceId":"s-%d","hostPort":"h:1","zone":"z%d","lifecycle":"ready"}`, i, i))
@@ -118,8 +117,8 @@
 
 func longString(n int) string { return `"` + strings.Repeat("x", n) + `"` }
 
-// A list is the same in any framing and indentation, whatever the size of a chunk and however it arrives. The reader
-// ends where the body does.
+// A list is parsed alike in any framing, indentation, chunk size and division into reads, and its body is read to the
+// end.
 func TestListInEveryFraming(t *testing.T) {
 	const n = 6000
 	text := `{"generation":7,"reset":true,"instances":[` + entriesText(n) + `]}`
@@ -158,11 +157,11 @@
 				t.Errorf("%s: %d entries, %v", name, len(got.Endpoints), err)
 			}
 			if in.Buffered() > 0 {
-				t.Errorf("%s: %d bytes are left", name, in.Buffered())
+				t.Errorf("%s: %d bytes left unread", name, in.Buffered())
 			}
 		}
 	}
-	// Text that is truncated or does not fit its chunks is no list.
+	// A body that is truncated or has malformed chunks is an error.
 	oneChunk := chunked(text, len(text))
 	for name, answer := range map[string]string{
 		"truncated": oneChunk[:len(oneChunk)-40], "no last chunk": strings.TrimSuffix(oneChunk, "0\r\nX: y\r\n\r\n"), "an invalid length": strings.Replace(oneChunk, ";x=y", "zz", 1),
@@ -179,7 +178,7 @@
 	}
 }
 
-// The memory for reading a list depends on its entries, not on its text, which is never buffered as a whole.
+// The text of a list is never buffered as a whole: the memory to read it depends on its entries only.
 func TestListTextIsNotBuffered(t *testing.T) {
 	spaces := strings.Repeat(" ", 40<<10)
 	text := `{"generation":1,"reset":true,"instances":[` + strings.ReplaceAll(entriesText(200), "},", "}"+spaces+",") + `]}`
@@ -190,6 +189,6 @@
 	}
 	runtime.ReadMemStats(&after)
 	if got := after.TotalAlloc - before.TotalAlloc; got > uint64(len(text)/8) {
-		t.Errorf("%d bytes allocated for a text of %d", got, len(text))
+		t.Errorf("%d bytes allocated for a text of %d bytes", got, len(text))
 	}
 }
--- a/internal/httpwire/loadreport.go
+++ b/internal/httpwire/loadreport.go
@@ -9,24 +9,23 @@
 	"archknot/internal/simwire"
 )
 
-// headerLoadReport carries a replica's load report, in the head of a response or in a comment line of a stream.
+// headerLoadReport is the name of a replica's load report, as a header of a response or in a comment line of a stream.
 const headerLoadReport = "Srv-Load"
 
-// Bounds of a load report.
+// Limits of a load report.
 const (
 	maxReportBytes    = 512
 	maxReportValue    = 1e7 // the largest values are times in milliseconds
-	maxReportFraction = 10  // of memory, or of the processor
+	maxReportFraction = 10  // of memory use and utilization, where 1 is the full capacity
 )
 
-// LoadReportOf returns the load report of a response's head; an empty one if there is none.
+// LoadReportOf returns the load report in a response's headers. It is empty if there is none or it is invalid.
 func LoadReportOf(h http.Header) balancer.LoadReport {
 	return ParseLoadReport(h.Get(headerLoadReport))
 }
 
-// ParseLoadReport parses a load report: name=value pairs, of which unknown ones are ignored. A report that cannot
-// be parsed, or has a value that no replica can have, is discarded as a whole: its other values cannot be trusted
-// either.
+// ParseLoadReport parses a load report, a comma-separated list of name=value pairs. Unknown names are ignored. If any
+// value cannot be parsed or is out of range, the whole report is discarded, because the other values may be wrong too.
 func ParseLoadReport(text string) balancer.LoadReport {
 	if len(text) > maxReportBytes {
 		return balancer.LoadReport{}
--- a/internal/httpwire/request.go
+++ b/internal/httpwire/request.go
@@ -13,7 +13,7 @@
 	"archknot/balancer"
 )
 
-// Paths of the protocol.
+// The paths of HTTP calls to replicas and to discovery.
 const (
 	CompletionsPath = "/v1/chat/completions"
 	ReadyPath       = "/health/ready"
@@ -32,36 +32,36 @@
 	headerExtra     = "Req-Extra"
 )
 
-// requestHeaders may each be given once.
+// requestHeaders are the headers that a request may contain at most once.
 var requestHeaders = []string{headerRequestID, headerClass, headerTenant, headerSession, headerDeadline, headerExtra}
 
 const (
-	// MaxBodyBytes bounds the body of a client's request.
+	// MaxBodyBytes bounds the body of a client's request, in bytes.
 	MaxBodyBytes = 256 << 10
 	// maxRequestIDLength bounds a Req-Id, in bytes.
 	maxRequestIDLength = 128
-	// maxTokenCount is far above any length in tokens that a replica can hold. Lengths are a client's claim and
-	// weigh in the balancer's sums.
+	// maxTokenCount bounds a length in tokens, far above what a replica can hold. Lengths are given by clients
+	// unverified, and the balancer adds them to its load sums.
 	maxTokenCount = 10_000_000
-	// bytesPerToken is the protocol's size of a token.
+	// bytesPerToken is the size of a token that the protocol assumes.
 	bytesPerToken = 4
-	// maxDeadlineUs bounds Req-Deadline.
+	// maxDeadlineUs bounds Req-Deadline, in microseconds.
 	maxDeadlineUs = math.MaxInt32 * 1000.0
-	// keyDigits is the number of hexadecimal digits of a key that is a number already.
+	// keyDigits is the length of a key in hexadecimal digits that is used as a number without hashing.
 	keyDigits = 16
 )
 
-// unknownPromptTokens is the length of a prompt whose client has not given it.
+// unknownPromptTokens is the length of a prompt that the client has not specified.
 const unknownPromptTokens = -1
 
 // ClientRequest is a client's request as its headers describe it.
 type ClientRequest struct {
 	ID      string           // the client's Req-Id
-	Timeout balancer.Micros  // until the client gives up, from when it sent the request; 0: not given
-	Request balancer.Request // all but ID and TimeLeft
+	Timeout balancer.Micros  // how long the client waits after sending the request; 0: not specified
+	Request balancer.Request // the fields that headers determine; ID and TimeLeft are not set
 }
 
-// ParseRequest parses the headers of a client's request. The error's text is for the client.
+// ParseRequest parses the headers of a client's request. The error's text is sent to the client.
 func ParseRequest(h http.Header) (ClientRequest, error) {
 	var parsed ClientRequest
 	for _, name := range requestHeaders {
@@ -91,17 +91,17 @@
 	return parsed, parsed.parseExtra(h.Get(headerExtra))
 }
 
-// isInvisible reports whether a character is not a visible one of ASCII.
+// isInvisible reports whether c is anything but a visible ASCII character.
 func isInvisible(c rune) bool { return c <= ' ' || c > '~' }
 
-// EstimatePrompt estimates the prompt's length by that of the body where the client has not given it.
+// EstimatePrompt sets the prompt's length, by an estimate from the body's length, if the client has not specified it.
 func (c *ClientRequest) EstimatePrompt(bodyBytes int) {
 	if c.Request.PromptTokens == unknownPromptTokens {
 		c.Request.PromptTokens = bodyBytes / bytesPerToken
 	}
 }
 
-// parseDeadline parses a time with its unit, milliseconds or microseconds: 4800m or 4800000u.
+// parseDeadline parses a duration with a unit, m for milliseconds or u for microseconds: 4800m or 4800000u.
 func parseDeadline(text string) (balancer.Micros, error) {
 	number, unit := strings.TrimSuffix(text, "u"), balancer.Micros(1)
 	if number == text {
@@ -115,7 +115,8 @@
 	return balancer.Micros(n * float64(unit)), nil
 }
 
-// parseExtra parses the details of the prompt: name=value pairs, of which unknown ones are ignored.
+// parseExtra parses Req-Extra, the properties of the prompt: a comma-separated list of name=value pairs. Unknown
+// names are ignored.
 func (c *ClientRequest) parseExtra(text string) error {
 	if text == "" {
 		return nil
@@ -148,8 +149,8 @@
 	return nil
 }
 
-// keyNumber returns the number of a key: its value where it is 16 hexadecimal digits, as in the simulator's
-// protocol, else a hash, which is the same at every gateway. 0 stands for no key.
+// keyNumber converts a key to a number: the value of 16 hexadecimal digits, as the simulator's protocol has them, or a
+// hash of any other key, which is the same at every gateway. 0 means that there is no key.
 func keyNumber(text string) uint64 {
 	if text == "" || text == "-" {
 		return 0
@@ -162,8 +163,7 @@
 	return h.Sum64()
 }
 
-// excludedHeaders are not forwarded to a replica: they belong to the client's connection, or the gateway writes
-// them itself.
+// excludedHeaders are not forwarded to a replica: they concern the client's connection, or the gateway sets them.
 var excludedHeaders = map[string]bool{
 	"Connection":          true,
 	"Keep-Alive":          true,
@@ -180,8 +180,8 @@
 	"Host":                true,
 }
 
-// ForwardedHead returns the head of the request that goes to a replica: method, path, query and Req-Id unchanged,
-// with the time that the gateway will wait as the deadline.
+// ForwardedHead returns the head of the request that is sent to a replica. Method, path, query and headers are those
+// of r, except for excludedHeaders. Req-Deadline is set to timeout, the time that the gateway waits for the replica.
 func ForwardedHead(r *http.Request, bodyLen int, timeout balancer.Micros) []byte {
 	var b bytes.Buffer
 	target := r.RequestURI
@@ -194,7 +194,7 @@
 	return b.Bytes()
 }
 
-// FormatRetryAfter formats a time as a Retry-After header: seconds with three decimals.
+// FormatRetryAfter formats a duration as the value of a Retry-After header, in seconds with three decimals.
 func FormatRetryAfter(d balancer.Micros) string {
 	return strconv.FormatFloat(float64(d)/1e6, 'f', 3, 64)
 }
--- a/internal/httpwire/response.go
+++ b/internal/httpwire/response.go
@@ -11,13 +11,14 @@
 	"archknot/balancer"
 )
 
-// ErrMalformed says that a response cannot be read. Its connection may be open still but must not be used again.
+// ErrMalformed reports a response that cannot be parsed. Its connection must not be reused even if it is still open.
 var ErrMalformed = errors.New("malformed response")
 
-// maxHeadBytes bounds the head of a response. The reader of package net/http does not.
+// maxHeadBytes bounds the head of a response, in bytes. The reader of package net/http has no such limit.
 const maxHeadBytes = 16 << 10
 
-// ReadHead reads the head of one response. The Response has no body: NewBody reads it.
+// ReadHead reads the head of one response. The Response's Body must not be used; NewBody returns the body. The error
+// is ErrMalformed, or that of r.
 func ReadHead(r *bufio.Reader) (*http.Response, error) {
 	head, err := readHeadBytes(r)
 	if err != nil {
@@ -25,18 +26,18 @@
 	}
 	resp, err := http.ReadResponse(bufio.NewReader(bytes.NewReader(head)), nil)
 	if err != nil {
-		// Not wrapped: the head is complete, so an io.EOF of its parser is no end of the connection.
+		// Not wrapped: the head is complete, so an io.EOF of its parser does not mean that the connection has ended.
 		return nil, fmt.Errorf("%w: %s", ErrMalformed, err.Error())
 	}
 	return resp, nil
 }
 
-// readHeadBytes reads up to the empty line that ends a head.
+// readHeadBytes reads a head, including the empty line that ends it.
 func readHeadBytes(r *bufio.Reader) ([]byte, error) {
 	const start = "HTTP/1."
-	// What is no HTTP may have no line end.
+	// Checked first because data that is not HTTP may contain no line end.
 	if b, err := r.Peek(len(start)); !strings.HasPrefix(start, string(b)) {
-		return nil, fmt.Errorf("%w: no HTTP", ErrMalformed)
+		return nil, fmt.Errorf("%w: not HTTP/1.x", ErrMalformed)
 	} else if err != nil {
 		return nil, err
 	}
@@ -45,7 +46,7 @@
 		line, err := r.ReadSlice('\n')
 		head = append(head, line...)
 		if len(head) > maxHeadBytes {
-			return nil, fmt.Errorf("%w: head over %d bytes", ErrMalformed, maxHeadBytes)
+			return nil, fmt.Errorf("%w: head exceeds %d bytes", ErrMalformed, maxHeadBytes)
 		}
 		if err != nil && !errors.Is(err, bufio.ErrBufferFull) {
 			return nil, err
@@ -54,11 +55,11 @@
 	return head, nil
 }
 
-// headerDeclined is "1" on a response of a replica that has not begun the request.
+// headerDeclined is "1" in the response of a replica that has not started the request.
 const headerDeclined = "Srv-Declined"
 
-// StatusOf returns what a response other than 200 means. Only the replica itself can say that it never ran the
-// request: a bare 503 may come from one that began. A 4xx is about the request and says nothing of the replica.
+// StatusOf returns the status of an attempt whose response is not 200. A 503 or 504 is Shed only with headerDeclined:
+// without it, the replica may have started the request. A 4xx is a fault of the request, not of the replica.
 func StatusOf(resp *http.Response) balancer.Status {
 	overloaded := resp.StatusCode == http.StatusServiceUnavailable || resp.StatusCode == http.StatusGatewayTimeout
 	if overloaded && resp.Header.Get(headerDeclined) == "1" {
--- a/internal/httpwire/resume.go
+++ b/internal/httpwire/resume.go
@@ -8,30 +8,29 @@
 	"strings"
 )
 
-// ResumeHeader marks a client's request for the remainder of a stream that broke. It is an extension of ours, which
-// works only where gateways take over each other's requests:
+// ResumeHeader marks a client's request for the remainder of an interrupted stream. It is an extension of the protocol
+// that works only where gateways take over each other's requests:
 //
 //	Req-Rest: id=9b1f03aa5c7e2d41,ask=1,bytes=512,sum=7f3a9c21
 //
-// id is the Req-Id of the original request, ask numbers the requests for its remainder from 1. bytes and sum say
-// what the client has of the response's body: so many bytes, and their CRC-32 (IEEE, hexadecimal). They are left out
-// where the body of the resuming request itself says how to go on.
+// id is the Req-Id of the original request. ask numbers the requests for its remainder, from 1. bytes is the length of
+// the part of the response's body that the client has, and sum is the CRC-32 of that part (IEEE, hexadecimal). Both are
+// omitted if the body of the resuming request itself specifies the continuation.
 const ResumeHeader = "Req-Rest"
 
-// ResumeRequest is the content of a ResumeHeader.
+// ResumeRequest is the parsed value of a ResumeHeader.
 type ResumeRequest struct {
 	ID            string // Req-Id of the original request
-	Sequence      uint32 // from 1
-	ReceivedBytes int64  // of the body
-	Checksum      uint32 // CRC-32 of these bytes
+	Sequence      uint32 // number of the request for the remainder, from 1
+	ReceivedBytes int64  // length of the part of the body that the client has
+	Checksum      uint32 // CRC-32 of that part
 }
 
-// maxResumeBytes bounds the bytes that a client may have already: they have to be generated again only to be
-// discarded.
+// maxResumeBytes bounds ReceivedBytes: a replica has to generate these bytes again, only for them to be discarded.
 const maxResumeBytes = 8 << 20
 
-// ParseResume parses the ResumeHeader. Whether there is one is in resuming, also with an error, whose text is for
-// the client.
+// ParseResume parses the ResumeHeader. resuming reports whether there is one, even if it is invalid. The error's text
+// is sent to the client.
 func ParseResume(h http.Header) (resume ResumeRequest, resuming bool, err error) {
 	values := h.Values(ResumeHeader)
 	if len(values) == 0 {
@@ -55,7 +54,7 @@
 	return resume, true, nil
 }
 
-// set parses one pair of the header. Unknown names are ignored.
+// set sets the field of one name=value pair. Unknown names are ignored.
 func (r *ResumeRequest) set(name, value string) error {
 	switch name {
 	case "id":
--- a/internal/httpwire/resume_test.go
+++ b/internal/httpwire/resume_test.go
@@ -20,7 +20,7 @@
 		}
 	}
 	if _, _, err := ParseResume(http.Header{ResumeHeader: {"id=a,ask=1", "id=a,ask=1"}}); err == nil {
-		t.Error("given twice, and accepted")
+		t.Error("two ResumeHeaders are accepted")
 	}
 	if _, resuming, err := ParseResume(http.Header{}); resuming || err != nil {
 		t.Error(resuming, err)
--- a/internal/httpwire/streamobserver.go
+++ b/internal/httpwire/streamobserver.go
@@ -7,26 +7,26 @@
 	"archknot/balancer"
 )
 
-// EndsEvent reports whether bytes of a stream end with the end of an event: an empty line.
+// EndsEvent reports whether b ends with the empty line that ends an event of a stream.
 func EndsEvent(b []byte) bool {
 	return bytes.HasSuffix(b, []byte("\n\n")) || bytes.HasSuffix(b, []byte("\n\r\n")) || bytes.HasSuffix(b, []byte("\r\r"))
 }
 
-// maxObservedLine bounds the line that a StreamObserver buffers. The two kinds of lines that it looks for are short.
+// maxObservedLine bounds the line that a StreamObserver buffers, in bytes. The lines that it parses are shorter.
 const maxObservedLine = 4096
 
-// StreamObserver watches a stream of events as it passes, for what the replica says of itself: the usage of the
-// request and the load report. The zero value is ready to use.
+// StreamObserver extracts the request's token usage and the replica's load report from a stream of events that is
+// forwarded. The zero value is ready to use.
 type StreamObserver struct {
 	CachedTokens int // prompt tokens that the replica had cached
 	OutputTokens int
 	Report       balancer.LoadReport
 
 	line     []byte
-	skipLine bool // the line is longer than maxObservedLine
+	skipLine bool // the current line is longer than maxObservedLine
 }
 
-// Write observes the next bytes of the stream.
+// Write parses the next bytes of the stream.
 func (o *StreamObserver) Write(p []byte) {
 	for len(p) > 0 {
 		part, remainder, lineComplete := bytes.Cut(p, []byte{'\n'})
@@ -45,7 +45,7 @@
 	}
 }
 
-// observeLine takes the load report from a comment line, or the usage from a data line.
+// observeLine parses the load report in a comment line, or the usage in a data line.
 func (o *StreamObserver) observeLine(line []byte) {
 	if report, ok := bytes.CutPrefix(line, []byte(": "+headerLoadReport+":")); ok {
 		o.Report = ParseLoadReport(string(report))
@@ -64,7 +64,7 @@
 		} `json:"usage"`
 	}
 	if json.Unmarshal(data, &event) != nil {
-		return // not the usage: the events are the client's and are not checked
+		return // not the usage; the content of other events is not validated
 	}
 	o.CachedTokens = max(0, event.Usage.PromptTokensDetails.CachedTokens)
 	o.OutputTokens = max(0, event.Usage.CompletionTokens)
