--- a/internal/connpool/conn.go
+++ b/internal/connpool/conn.go
@@ -8,7 +8,7 @@
 	"archknot/internal/controlstats"
 )
 
-// readBufferSize is the size in bytes of a connection's read buffer.
+// readBufferSize is the size of a connection's read buffer, in bytes.
 const readBufferSize = 2048
 
 // Conn is a pooled connection to a replica or to discovery. It carries one request at a time and is
@@ -30,35 +30,35 @@
 	return c
 }
 
-// StartCall records a new call in the meter and counts all further traffic of the connection there.
+// StartCall records a new call in the meter, which also counts the connection's further traffic.
 func (c *Conn) StartCall(meter *controlstats.Meter) {
 	c.meter = meter
 	meter.AddCall(!c.Reused)
 }
 
-// Read reads from the connection and counts the bytes.
+// Read reads from the connection and adds the bytes to the meter.
 func (c *Conn) Read(p []byte) (int, error) {
 	n, err := c.Conn.Read(p)
 	c.meter.AddBytesIn(n)
 	return n, err
 }
 
-// Write writes to the connection and counts the bytes.
+// Write writes to the connection and adds the bytes to the meter.
 func (c *Conn) Write(p []byte) (int, error) {
 	n, err := c.Conn.Write(p)
 	c.meter.AddBytesOut(n)
 	return n, err
 }
 
-// WriteBuffers writes several buffers with one system call where possible and counts the bytes.
+// WriteBuffers writes several buffers, with one system call where possible, and adds the bytes to the meter.
 func (c *Conn) WriteBuffers(buffers net.Buffers) error {
 	n, err := buffers.WriteTo(c.Conn)
 	c.meter.AddBytesOut(int(n))
 	return err
 }
 
-// reusable reports whether an idle connection can carry another request. The socket's state is read
-// first, because a request written to a connection that the peer has closed counts as sent and failed.
+// reusable reports whether an idle connection can carry another request. It checks the socket's state,
+// because a request that is written to a connection closed by the peer counts as sent and failed.
 func (c *Conn) reusable(idleTimeout time.Duration) bool {
 	if time.Since(c.lastUsed) >= idleTimeout || c.Reader.Buffered() > 0 {
 		return false
--- a/internal/connpool/dial.go
+++ b/internal/connpool/dial.go
@@ -10,17 +10,19 @@
 	"archknot/internal/sockets"
 )
 
-// ErrLocalShortage reports that this machine lacked a resource for a connection; the peer was never contacted.
-var ErrLocalShortage = errors.New("no connection for want of something on this machine")
+// ErrLocalShortage reports that this machine lacked a resource for a connection, such as a descriptor or a
+// port. The peer was not contacted.
+var ErrLocalShortage = errors.New("local resource shortage")
 
-// A dial that fails for a local shortage is retried with exponential backoff.
+// Limits of the retries, with exponential backoff, of a dial that fails because of a local shortage.
 const (
 	maxShortageAttempts = 4
 	shortageBackoff     = 5 * time.Millisecond // before the first retry
 )
 
-// dialWithRetry opens a TCP connection. It retries only local shortages, and returns ErrLocalShortage,
-// wrapped with the cause, if the last attempt or the context ends with one.
+// dialWithRetry opens a TCP connection. It retries only after a local shortage, until maxShortageAttempts
+// or the end of the context. If the last attempt fails with one, the error wraps ErrLocalShortage and the
+// cause.
 func dialWithRetry(ctx context.Context, dialer *net.Dialer, addr string) (net.Conn, error) {
 	for attempt := 1; ; attempt++ {
 		conn, err := dialer.DialContext(ctx, "tcp", addr)
--- a/internal/connpool/pool.go
+++ b/internal/connpool/pool.go
@@ -11,17 +11,17 @@
 )
 
 // ErrExhausted reports that the pool has reached its limit of open connections and none of them is idle.
-var ErrExhausted = errors.New("no socket left for a further connection")
+var ErrExhausted = errors.New("connection pool exhausted")
 
 // Pool keeps idle connections for reuse and bounds the number of open ones. It may be used by many
 // goroutines at once.
 type Pool struct {
 	mu          sync.Mutex
 	dialer      net.Dialer
-	idleTimeout time.Duration // an idle connection is closed after this time
-	reuseDelay  time.Duration // an idle connection is not reused before this time
+	idleTimeout time.Duration // the idle time after which a connection is closed
+	reuseDelay  time.Duration // the idle time before which a connection is not reused
 	maxOpen     int
-	open        int                // connections open now, idle ones included
+	open        int                // open connections, idle ones included
 	idleConns   map[string][]*Conn // by peer key, the most recently used last
 }
 
@@ -45,8 +45,8 @@
 	p.reuseDelay = delay
 }
 
-// SetLimits changes the pool's limits. Connections over a lower maximum are not closed; new ones are
-// opened only after enough of them have ended.
+// SetLimits changes the pool's limits. It closes no connections over a lower maximum; until enough of them
+// have been closed, a new connection is opened only in place of an idle one.
 func (p *Pool) SetLimits(maxOpen int, idleTimeout, connectTimeout time.Duration) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -56,11 +56,11 @@
 }
 
 // Get returns the most recently used idle connection of the peer key, or a new connection to addr. A key
-// identifies one peer process: another process may listen at the same address later, and the idle
-// connections lead to the old one.
+// identifies one peer process. Addresses do not: a later process may listen at the same address, while
+// the idle connections lead to the previous one.
 //
-// The caller must return the connection with Put or Drop. Errors are ErrExhausted, ErrLocalShortage or
-// those of the dial.
+// The caller must return the connection with Put or Drop. The error is ErrExhausted, ErrLocalShortage or
+// that of the dial.
 func (p *Pool) Get(ctx context.Context, key, addr string) (*Conn, error) {
 	if c := p.takeIdle(key); c != nil {
 		return c, nil
@@ -77,7 +77,7 @@
 	return newConn(raw, key), nil
 }
 
-// Put returns a connection whose exchange is complete to the pool for reuse.
+// Put returns a connection to the pool for reuse. Its last response must have been read completely.
 func (p *Pool) Put(c *Conn) {
 	if c.SetDeadline(time.Time{}) != nil {
 		p.Drop(c)
@@ -102,9 +102,9 @@
 	p.closeIdleLocked(key)
 }
 
-// CloseUnusedSince closes the idle connections of the peer key, unless one of them was used after the
-// given time, since which the peer has been silent. A machine that vanished leaves its connections open
-// and silent: each request over an idle one waits for seconds, while a new connection fails at once.
+// CloseUnusedSince closes the idle connections of the peer key, unless one of them was used after since,
+// the time from which the peer did not respond. The connections to a machine that has disappeared stay
+// open: each request over one waits for seconds, while opening a new connection fails at once.
 func (p *Pool) CloseUnusedSince(key string, since time.Time) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -115,8 +115,8 @@
 	p.closeIdleLocked(key)
 }
 
-// CloseExpired closes idle connections that have reached the idle timeout or that the peer has closed,
-// so that they occupy no socket.
+// CloseExpired closes idle connections that cannot be reused, such as those that have reached the idle
+// timeout or that the peer has closed, so that they occupy no socket.
 func (p *Pool) CloseExpired() {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -144,8 +144,8 @@
 	return p.open
 }
 
-// takeIdle removes the most recently used idle connection of the key that can be reused and returns it.
-// It closes those on the way that cannot, and returns nil if there is none.
+// takeIdle removes and returns the most recently used idle connection of the key that can be reused, or
+// nil if there is none. It closes the connections that it finds not to be reusable.
 func (p *Pool) takeIdle(key string) *Conn {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -164,15 +164,15 @@
 	return nil
 }
 
-// currentDialer returns a copy of the dialer, whose timeout SetLimits may change.
+// currentDialer returns a copy of the dialer, because SetLimits may change its timeout at any time.
 func (p *Pool) currentDialer() net.Dialer {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	return p.dialer
 }
 
-// reserveSlot reserves capacity for a new connection. At the limit it closes the connection that has
-// been idle for longest, and returns false if none is idle.
+// reserveSlot reserves capacity for a new connection. At the limit it closes the longest idle connection,
+// or returns false if none is idle.
 func (p *Pool) reserveSlot() bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -188,14 +188,14 @@
 	return true
 }
 
-// releaseSlot gives back the capacity of a connection that was closed or never opened.
+// releaseSlot releases the capacity of a connection that was closed or never opened.
 func (p *Pool) releaseSlot() {
 	p.mu.Lock()
 	p.open--
 	p.mu.Unlock()
 }
 
-// longestIdleLocked returns the connection that has been idle for longest, nil if none is idle.
+// longestIdleLocked returns the connection that has been idle for longest, or nil if none is idle.
 func (p *Pool) longestIdleLocked() *Conn {
 	var oldest *Conn
 	for _, conns := range p.idleConns {
--- a/internal/connpool/pool_test.go
+++ b/internal/connpool/pool_test.go
@@ -27,7 +27,7 @@
 	}
 	a, b := get(), get()
 	if _, err := p.Get(context.Background(), "k", l.Addr().String()); !errors.Is(err, ErrExhausted) {
-		t.Errorf("a third connection: %v", err)
+		t.Errorf("third connection at a limit of 2: error %v, want ErrExhausted", err)
 	}
 	p.Put(a)
 	p.Put(b)
@@ -44,7 +44,7 @@
 	if err != nil || p.OpenCount() != 2 {
 		t.Errorf("with two idle: %v, %d open", err, p.OpenCount())
 	}
-	// Another process at the same address gets no connection of the previous one.
+	// Requests for another process at the same address get no connection to the previous process.
 	if p.Put(c); c.Reused {
 		t.Error("a new connection is marked as reused")
 	}
@@ -62,7 +62,7 @@
 	}
 }
 
-// A silent peer's idle connections are closed, unless one was in use since.
+// The idle connections of an unresponsive peer are closed, unless one was used since the given time.
 func TestCloseUnusedSince(t *testing.T) {
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -88,7 +88,7 @@
 	}
 }
 
-// A connection that is idle for too long or closed by the peer occupies no socket.
+// A connection that has reached the idle timeout or was closed by the peer occupies no socket.
 func TestCloseExpired(t *testing.T) {
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -122,7 +122,7 @@
 	}
 }
 
-// Unsolicited bytes on an idle connection would be taken for the next response.
+// A connection with unsolicited bytes is not reused: they would be taken for the next response.
 func TestUnsolicitedBytesPreventReuse(t *testing.T) {
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -145,6 +145,6 @@
 		time.Sleep(time.Millisecond)
 	}
 	if c, err := p.Get(context.Background(), "k", l.Addr().String()); err != nil || c == first || p.OpenCount() != 1 {
-		t.Errorf("%v, the same %t, %d open", err, c == first, p.OpenCount())
+		t.Errorf("error %v, same connection %t, %d open", err, c == first, p.OpenCount())
 	}
 }
--- a/internal/connpool/shortage_test.go
+++ b/internal/connpool/shortage_test.go
@@ -10,8 +10,8 @@
 	"time"
 )
 
-// A dial that fails for a local shortage is retried for a moment, and its error differs from those of a
-// peer or the network.
+// A dial that fails because of a local shortage is retried a few times. Its error is distinguished from
+// errors of the peer or the network.
 func TestLocalShortageIsRetried(t *testing.T) {
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
--- a/internal/connpool/sockstate.go
+++ b/internal/connpool/sockstate.go
@@ -9,14 +9,14 @@
 	"golang.org/x/sys/unix"
 )
 
-// HasUnreadData reports whether the connection has received bytes that were not read yet.
+// HasUnreadData reports whether the socket has received bytes that were not read yet.
 func HasUnreadData(c net.Conn) bool {
 	n, err := peekConn(c)
 	return err == nil && n > 0
 }
 
-// PeerClosed reports whether the peer has closed its half of the connection or reset it. Unread bytes
-// may precede the peer's FIN in the receive buffer; in that case the kernel's TCP state decides.
+// PeerClosed reports whether the peer has closed its half of the connection or reset it. If unread bytes
+// precede the peer's FIN in the receive buffer, a peek does not show it, and the kernel's TCP state decides.
 func PeerClosed(c net.Conn) bool {
 	switch n, err := peekConn(c); {
 	case err == nil && n > 0:
@@ -34,7 +34,7 @@
 	return errors.Is(err, syscall.EAGAIN)
 }
 
-// finReceived reports whether the peer's FIN has arrived, whether or not all bytes before it were read.
+// finReceived reports whether the peer's FIN or a reset has arrived, even if bytes before it are unread.
 func finReceived(c net.Conn) (received bool) {
 	controlErr := withDescriptor(c, func(fd int) {
 		info, err := unix.GetsockoptTCPInfo(fd, unix.IPPROTO_TCP, unix.TCP_INFO)
@@ -53,15 +53,15 @@
 	}
 }
 
-// peekConn looks at what can be read from a connection now. EAGAIN means that nothing can, or that the
-// connection has no descriptor to look at.
+// peekConn calls PeekDescriptor for the connection's descriptor. EAGAIN means that there is nothing to read,
+// or that the connection has no descriptor.
 func peekConn(c net.Conn) (n int, err error) {
 	controlErr := withDescriptor(c, func(fd int) { n, err = PeekDescriptor(fd) })
 	return n, cmp.Or(controlErr, err)
 }
 
-// PeekDescriptor looks at what can be read from a socket descriptor now and leaves it unread. It never
-// blocks: where there is nothing to read it returns EAGAIN. A count of 0 without an error is the peer's FIN.
+// PeekDescriptor reads one byte of a socket descriptor without consuming it. It never blocks: if there is
+// nothing to read, it returns EAGAIN. A count of 0 without an error means that the peer has sent its FIN.
 func PeekDescriptor(fd int) (n int, err error) {
 	var buffer [1]byte
 	for {
@@ -82,6 +82,6 @@
 	if err != nil {
 		return err
 	}
-	// Control instead of Read, which would wait for a goroutine that is reading.
+	// Not raw.Read, which would wait for a goroutine that is reading from the connection.
 	return raw.Control(func(fd uintptr) { f(int(fd)) })
 }
