--- a/internal/httpwire/body.go
+++ b/internal/httpwire/body.go
@@ -97,7 +97,7 @@
 		err = unexpectedEOF(err)
 	}
 	if n > 0 {
-		err = nil // the next read returns it again
+		err = nil // the next call returns it
 	}
 	return n, err
 }
--- a/internal/httpwire/framing.go
+++ b/internal/httpwire/framing.go
@@ -18,7 +18,7 @@
 	line                  []byte // the first maxFramingLine bytes of the current line
 	lineTruncated         bool   // the current line exceeds maxFramingLine
 	requestLineSeen       bool
-	notHTTP11             bool // the request line does not end with HTTP/1.1
+	notHTTP11             bool // the request line was truncated or does not end with HTTP/1.1
 	contentLength         string
 	contentLengthCount    int
 	transferEncodingCount int
--- a/internal/inflight/request.go
+++ b/internal/inflight/request.go
@@ -8,10 +8,10 @@
 	"archknot/internal/endpoint"
 )
 
-// ActionKind is what the event loop asks the goroutine that serves a request to do.
+// ActionKind selects what the goroutine that serves a request does on an Action.
 type ActionKind uint8
 
-// The kinds of actions.
+// The kinds of actions. All but ActionForward and ActionStream are the final answer to the client.
 const (
 	ActionForward ActionKind = iota // send an attempt to a replica
 	ActionStream                    // forward the attempt's stream to the client
@@ -21,7 +21,8 @@
 	ActionDeny                      // answer that the team's contract does not allow the request
 )
 
-// nonAttemptActions is the number of a request's actions that no attempt begins: one stream and one answer.
+// nonAttemptActions is the maximum number of a request's actions besides ActionForward: one stream and one
+// final answer.
 const nonAttemptActions = 2
 
 // Action is an instruction of the event loop to the goroutine that serves a request.
@@ -29,33 +30,33 @@
 	Kind       ActionKind
 	Attempt    *Attempt        // for ActionForward and ActionStream
 	RetryAfter balancer.Micros // for ActionShed and ActionDeny; 0: no advice
-	Reason     string          // for ActionDeny and ActionReject a machine-readable reason; for ActionShed, for the log
+	Reason     string          // for ActionDeny a code and for ActionReject a text, both for the client; for ActionShed, for the log
 }
 
-// Request is a client's request while it awaits its answer or has attempts in flight. The goroutine that
-// serves it reads Actions and Ctx and calls ClientGone; all else belongs to the event loop.
+// Request is a client's request that awaits its answer or has attempts in flight. The goroutine that serves
+// it may read Actions and Ctx and call ClientGone; only the event loop may use anything else.
 type Request struct {
 	ID              balancer.RequestID
 	ClientRequestID string
 	BalancerRequest balancer.Request
 	Ctx             context.Context // ends when the client disconnects or is answered
 	Cancel          func()          // ends Ctx
-	ClientClosed    func() bool     // reports whether the kernel has seen the client close its connection; nil: not known
-	Deadline        balancer.Micros // when the client gives up, on the gateway's clock
+	ClientClosed    func() bool     // reports whether the kernel has received the client's FIN or reset; nil: cannot be checked
+	Deadline        balancer.Micros // when the client's timeout expires, on the gateway's clock
 	Actions         chan Action
 	Attempts        []*Attempt
-	Winner          *Attempt        // the attempt whose stream the client gets; nil before there is one
+	Winner          *Attempt        // the attempt whose stream is forwarded to the client; nil: none yet
 	Finished        bool            // the client has its final answer or has disconnected
-	LastStatus      string          // of the attempt that ended last, for the log
-	Charge          contract.Charge // until the first attempt takes it over
-	EstimatedUse    contract.Usage  // the use that was charged
-	OverRate        bool            // the request competes beyond its team's rate
+	LastStatus      string          // status of the attempt that ended last, for the log
+	Charge          contract.Charge // the contract charge; moved to the first attempt when that starts
+	EstimatedUse    contract.Usage  // the estimated usage that was charged
+	OverRate        bool            // the request is over its team's rate or a soft limit
 
 	attemptsInFlight int
 }
 
-// NewRequest returns a request that is in no table yet. It gets at most maxAttempts attempts, one stream
-// and one final answer; Actions has the capacity for these, so that the event loop never blocks.
+// NewRequest returns a request that is in no table yet. Actions has capacity for maxAttempts attempts, one
+// stream and one final answer, so that the event loop never blocks when it sends an action.
 func NewRequest(ctx context.Context, clientRequestID string, request balancer.Request, deadline balancer.Micros, maxAttempts int) *Request {
 	return &Request{
 		ClientRequestID: clientRequestID,
@@ -66,8 +67,8 @@
 	}
 }
 
-// ClientGone reports whether the client has disconnected. The HTTP server notices it late on a busy core,
-// or where the client had sent more bytes after its request; ClientGone then ends Ctx itself.
+// ClientGone reports whether the client has disconnected, and cancels Ctx if it has. The HTTP server cancels
+// Ctx too, but late on a busy core, or if the client had sent more bytes after its request.
 func (r *Request) ClientGone() bool {
 	if r.Ctx.Err() == nil && r.ClientClosed != nil && r.ClientClosed() {
 		r.Cancel()
@@ -81,12 +82,12 @@
 // ReportUnknown is the ReportAge of a replica that has sent no load report since it started.
 const ReportUnknown balancer.Micros = -1
 
-// Basis is what an attempt was decided on, for the log.
+// Basis is the information on which the decision for an attempt was based, for the log.
 type Basis struct {
-	ListVersion int64           // of the endpoint list
-	ListAge     balancer.Micros // since discovery's last word
-	ReportAge   balancer.Micros // of the replica's load report; ReportUnknown: it has sent none
-	After       string          // status of the attempt that ended before; empty: none has ended
+	ListVersion int64           // version of the endpoint list
+	ListAge     balancer.Micros // time since discovery last confirmed the endpoint list
+	ReportAge   balancer.Micros // age of the replica's load report; ReportUnknown: none
+	After       string          // status of the attempt that ended last before this one; empty: none
 }
 
 // Attempt is one attempt of a request at a replica.
@@ -101,8 +102,8 @@
 	Events    chan []byte // the response stream as it arrives; closed at its end
 	Complete  bool        // the stream arrived up to its last chunk; set before Events is closed
 	Charge    contract.Charge
-	NeverRan  bool   // the replica did not run the attempt; set once it has ended
-	Cause     string // first, retry or hedge: for the log
+	NeverRan  bool   // the replica did not run the attempt; set when it ends
+	Cause     string // "first", "retry" or "hedge", for the log
 	Basis     Basis  // for the log
 
 	ended bool
--- a/internal/inflight/table.go
+++ b/internal/inflight/table.go
@@ -9,7 +9,7 @@
 	"archknot/internal/endpoint"
 )
 
-// Table holds the requests in flight by the balancer's ID. It belongs to the gateway's event loop.
+// Table holds the requests in flight by the balancer's ID. Only the gateway's event loop may use it.
 type Table struct {
 	nextID balancer.RequestID
 	byID   map[balancer.RequestID]*Request
@@ -18,7 +18,7 @@
 // NewTable returns an empty table.
 func NewTable() *Table { return &Table{byID: map[balancer.RequestID]*Request{}} }
 
-// Add enters a request and assigns its ID.
+// Add adds a request and assigns an ID that no request in flight has.
 func (t *Table) Add(r *Request) {
 	for t.byID[t.nextID] != nil {
 		t.nextID++
@@ -28,13 +28,13 @@
 	t.nextID++
 }
 
-// Get returns the request with the ID, nil if it is no longer in flight.
+// Get returns the request with the ID, or nil if it is not in flight.
 func (t *Table) Get(id balancer.RequestID) *Request { return t.byID[id] }
 
 // Len returns the number of requests in flight.
 func (t *Table) Len() int { return len(t.byID) }
 
-// StartAttempt enters a new attempt of the request at a replica.
+// StartAttempt adds a new attempt of the request at a replica, and counts it as in flight at both.
 func (t *Table) StartAttempt(r *Request, replica *endpoint.Replica, now, timeoutAt balancer.Micros) *Attempt {
 	attempt := &Attempt{
 		Request:   r,
@@ -62,8 +62,8 @@
 	return true
 }
 
-// EachOpenCharge calls visit with each charge to a contract that is not settled, in no order. A charge that no
-// attempt has taken over yet has attempt index 0.
+// EachOpenCharge calls visit with each unsettled charge to a contract, in no particular order. The charge of a
+// request without attempts has attempt index 0.
 func (t *Table) EachOpenCharge(visit func(id balancer.RequestID, attemptIndex int, charge *contract.Charge)) {
 	for id, r := range t.byID {
 		if r.Charge.Open() {
--- a/internal/inflight/table_test.go
+++ b/internal/inflight/table_test.go
@@ -9,7 +9,8 @@
 	"archknot/internal/httpwire"
 )
 
-// A request stays in the table until it is finished and its last attempt has ended; an attempt's end counts once.
+// A request stays in the table until it is finished and its last attempt has ended. A second end of the same attempt
+// is ignored.
 func TestRequestStaysUntilLastAttemptEnds(t *testing.T) {
 	registry := endpoint.NewRegistry()
 	list := httpwire.EndpointList{Endpoints: []httpwire.Endpoint{{ID: "r-1", Addr: "127.0.0.1:1", Lifecycle: "ready"}}}
