--- a/internal/inflight/request.go
+++ b/internal/inflight/request.go
@@ -34,7 +34,7 @@
 }
 
 // Request is a client's request that awaits its answer or has attempts in flight. The goroutine that serves
-// it may read Actions and Ctx and call ClientGone; only the event loop may use anything else.
+// it may read Actions and Ctx and check for a disconnected client; only the event loop may use anything else.
 type Request struct {
 	ID              balancer.RequestID
 	ClientRequestID string
@@ -86,7 +86,7 @@
 type Basis struct {
 	ListVersion int64           // version of the endpoint list
 	ListAge     balancer.Micros // time since discovery last confirmed the endpoint list
-	ReportAge   balancer.Micros // age of the replica's load report; ReportUnknown: none
+	ReportAge   balancer.Micros // age of the replica's load report; negative: it has sent none
 	After       string          // status of the attempt that ended last before this one; empty: none
 }
 
