--- a/internal/lifecycle/balancersettings.go
+++ b/internal/lifecycle/balancersettings.go
@@ -91,11 +91,11 @@
 func checkClasses(classes []balancer.Class) error {
 	for i, c := range classes {
 		key := fmt.Sprintf("settings.requestClasses[%d]", i)
-		isNamesake := func(other balancer.Class) bool { return other.Name == c.Name }
+		hasSameName := func(other balancer.Class) bool { return other.Name == c.Name }
 		switch {
 		case c.Name == "":
 			return newKeyError(key+".name", "missing")
-		case slices.ContainsFunc(classes[:i], isNamesake):
+		case slices.ContainsFunc(classes[:i], hasSameName):
 			return newKeyError(key+".name", "%q is named twice", c.Name)
 		case c.Deadline <= 0:
 			return newKeyError(key+".deadlineUs", "expected above 0, got %d", c.Deadline)
--- a/internal/lifecycle/configstream.go
+++ b/internal/lifecycle/configstream.go
@@ -55,11 +55,11 @@
 // streamOptions returns the options of the client, without TLS and store.
 func (s *server) streamOptions(service config.ControlService) xdsclient.Options {
 	o := &s.config.Gateway
-	machine := configversion.DefaultOptions(o.Name, o.Seed)
-	machine.MinInterval = service.MinInterval.Microseconds()
-	machine.StallTimeout = service.StallTimeout.Microseconds()
-	machine.Limits = s.versionLimits()
-	return xdsclient.Options{Address: service.Address, Delta: service.Protocol == protocolDelta, Machine: machine, Log: logInfo}
+	machineOptions := configversion.DefaultOptions(o.Name, o.Seed)
+	machineOptions.MinInterval = service.MinInterval.Microseconds()
+	machineOptions.StallTimeout = service.StallTimeout.Microseconds()
+	machineOptions.Limits = s.versionLimits()
+	return xdsclient.Options{Address: service.Address, Delta: service.Protocol == protocolDelta, Machine: machineOptions, Log: logInfo}
 }
 
 // openVersionStore opens the store of streamed versions. A corrupted one is set aside and replaced.
@@ -101,9 +101,9 @@
 	}
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	before := s.effectiveSettings()
+	previous := s.effectiveSettings()
 	s.activeVersion = version
-	s.applySettings(before)
+	s.applySettings(previous)
 	return nil
 }
 
@@ -130,10 +130,10 @@
 
 // applySettings applies the effective settings to the log and, if they differ from those before, to the
 // capture. The caller holds mu.
-func (s *server) applySettings(before config.Config) {
+func (s *server) applySettings(previous config.Config) {
 	settings := s.effectiveSettings()
 	setLogLevel(settings.Log.Level)
-	if reflect.DeepEqual(before.Capture, settings.Capture) && reflect.DeepEqual(before.Incident, settings.Incident) {
+	if reflect.DeepEqual(previous.Capture, settings.Capture) && reflect.DeepEqual(previous.Incident, settings.Incident) {
 		return
 	}
 	select {
--- a/internal/lifecycle/configstream_test.go
+++ b/internal/lifecycle/configstream_test.go
@@ -17,10 +17,10 @@
 )
 
 // chatVersion returns a version with one request class and more resources.
-func chatVersion(n uint64, more map[configversion.ResourceType][]proto.Message) *controlservice.Version {
+func chatVersion(n uint64, extra map[configversion.ResourceType][]proto.Message) *controlservice.Version {
 	v := &controlservice.Version{Number: n, Resources: map[configversion.ResourceType][]proto.Message{
 		configversion.TypeClass: {&pb.Class{Name: "chat", AimUs: 1_000_000, DeadlineUs: 3_000_000, Worth: float64(n), Stream: true}}}}
-	for t, m := range more {
+	for t, m := range extra {
 		v.Resources[t] = m
 	}
 	return v
--- a/internal/lifecycle/harness_test.go
+++ b/internal/lifecycle/harness_test.go
@@ -17,14 +17,14 @@
 	directory  string
 	configPath string
 	log        *syncBuffer // of the latest run
-	ended      chan error  // results of Run
+	runResult  chan error  // results of Run
 }
 
 // newRunHarness writes validConfig, and restores the default logger at the end of the test.
 func newRunHarness(t *testing.T) *runHarness {
 	t.Helper()
 	directory := t.TempDir()
-	h := &runHarness{t: t, directory: directory, configPath: filepath.Join(directory, "config.json"), ended: make(chan error, 1)}
+	h := &runHarness{t: t, directory: directory, configPath: filepath.Join(directory, "config.json"), runResult: make(chan error, 1)}
 	h.write(h.configPath, validConfig)
 	defaultLogger := slog.Default()
 	t.Cleanup(func() { slog.SetDefault(defaultLogger) })
@@ -48,7 +48,7 @@
 	getenv := func(key string) string {
 		return map[string]string{"NODE_CONFIG": h.configPath}[key]
 	}
-	go func() { h.ended <- Run(getenv, settingsFile) }()
+	go func() { h.runResult <- Run(getenv, settingsFile) }()
 }
 
 // waitUntil waits for a condition, which what describes.
@@ -78,7 +78,7 @@
 func (h *runHarness) terminate() {
 	h.t.Helper()
 	h.signal(syscall.SIGTERM)
-	if err := <-h.ended; err != nil {
+	if err := <-h.runResult; err != nil {
 		h.t.Fatal(err)
 	}
 }
--- a/internal/lifecycle/keyposition.go
+++ b/internal/lifecycle/keyposition.go
@@ -23,11 +23,11 @@
 // withPosition prefixes a keyError with the path of the file and, if the file has the key, the line and
 // column of its value. Other errors are returned unchanged.
 func withPosition(path string, text []byte, err error) error {
-	var wrongKey *keyError
-	if !errors.As(err, &wrongKey) {
+	var keyErr *keyError
+	if !errors.As(err, &keyErr) {
 		return err
 	}
-	line, column, ok := locate(text, wrongKey.key)
+	line, column, ok := locate(text, keyErr.key)
 	if !ok {
 		return fmt.Errorf("%s: %w", path, err)
 	}
--- a/internal/lifecycle/keyposition_test.go
+++ b/internal/lifecycle/keyposition_test.go
@@ -30,14 +30,14 @@
 			t.Errorf("%s: no error", c.key)
 			continue
 		}
-		value, _, _ := strings.Cut(c.key[strings.LastIndex(c.key, ".")+1:], "[") // the last member's name
+		member, _, _ := strings.Cut(c.key[strings.LastIndex(c.key, ".")+1:], "[") // the last member's name
 		line, column, ok := locate([]byte(text), c.key)
 		if !ok {
 			t.Fatalf("%s: not found in the text", c.key)
 		}
 		lines := strings.Split(text, "\n")
 		before := lines[line-1][:column-1]
-		if !strings.HasSuffix(strings.TrimRight(before, ": "), `"`+value+`"`) {
+		if !strings.HasSuffix(strings.TrimRight(before, ": "), `"`+member+`"`) {
 			t.Errorf("%s: %d:%d does not follow the key: %q", c.key, line, column, before)
 		}
 		want := fmt.Sprintf("config.json:%d:%d: %s: ", line, column, c.key)
--- a/internal/lifecycle/listeners_test.go
+++ b/internal/lifecycle/listeners_test.go
@@ -40,9 +40,9 @@
 		t.Fatal(err)
 	}
 	conn.Close()
-	for _, bad := range []string{"x", "2", "-1"} {
-		if _, err := loadText(t, validConfig, map[string]string{"NODE_SOCKET_FD": bad}); err == nil || !strings.Contains(err.Error(), "NODE_SOCKET_FD") {
-			t.Errorf("%q: got %v", bad, err)
+	for _, invalid := range []string{"x", "2", "-1"} {
+		if _, err := loadText(t, validConfig, map[string]string{"NODE_SOCKET_FD": invalid}); err == nil || !strings.Contains(err.Error(), "NODE_SOCKET_FD") {
+			t.Errorf("%q: got %v", invalid, err)
 		}
 	}
 }
--- a/internal/lifecycle/nodeconfig.go
+++ b/internal/lifecycle/nodeconfig.go
@@ -177,7 +177,7 @@
 		Listen:   f.Listen,
 		Admin:    f.Admin,
 		Cores:    max(1, int(limits.cores)),
-		MemoryMB: int64(limits.memoryMB * heapMemoryShare),
+		MemoryMB: int64(limits.memoryMB * heapMemoryFraction),
 	}
 	o := &c.Gateway
 	o.Name, o.Discovery, o.Seed = f.Name, f.Discovery, seed
--- a/internal/lifecycle/nodeconfig_test.go
+++ b/internal/lifecycle/nodeconfig_test.go
@@ -179,15 +179,15 @@
 
 // At any fleet size a silent watch is noticed, and a first call answered, before the list is too old to be used: the
 // wait of a watch grew with the fleet to 7.5 s. A streamed version may not poll more seldom than that either.
-func TestPollsFitTheTermAtAnyFleetSize(t *testing.T) {
+func TestListStaysFreshAtAnyFleetSize(t *testing.T) {
 	const firstCall, transit = 250 * time.Millisecond, time.Second
 	for _, grace := range []balancer.Micros{0, 1_000_000, 2_500_000} {
 		for _, gateways := range []int{1, 3, 10, 30, 80, 200, 300, 900} {
 			s := balancer.Settings{Gateways: gateways, DrainGrace: grace}
-			wait, answer := watchTimeouts(&s, 10*time.Second)
-			silence := wait + min(answer, 1500*time.Millisecond)
-			if worst := transit + silence + firstCall + answer; worst > microseconds(s.ListTrust()) && wait > minWatchWait {
-				t.Errorf("%d gateways, grace %d us: the list is %v old, trusted for %d us", gateways, grace, worst, s.ListTrust())
+			watchWait, responseTimeout := watchTimeouts(&s, 10*time.Second)
+			detection := watchWait + min(responseTimeout, 1500*time.Millisecond)
+			if maxAge := transit + detection + firstCall + responseTimeout; maxAge > microseconds(s.ListTrust()) && watchWait > minWatchWait {
+				t.Errorf("%d gateways, grace %d us: the list is %v old, trusted for %d us", gateways, grace, maxAge, s.ListTrust())
 			}
 		}
 	}
--- a/internal/lifecycle/reload.go
+++ b/internal/lifecycle/reload.go
@@ -57,9 +57,9 @@
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	previous = s.fileSettings
-	effectiveBefore := s.effectiveSettings()
+	previousEffective := s.effectiveSettings()
 	s.fileSettings = settings
-	s.applySettings(effectiveBefore)
+	s.applySettings(previousEffective)
 	return previous
 }
 
--- a/internal/lifecycle/resourcelimits.go
+++ b/internal/lifecycle/resourcelimits.go
@@ -23,24 +23,24 @@
 	reservedSockets = 16
 	// adminSockets are for operators' calls, their listener, the orders file and a successor's handoff.
 	adminSockets = adminapi.MaxConnections + 4
-	// clientConnShare is the share for clients' requests: each takes one socket, and its attempts one each,
+	// clientConnFraction is the share for clients' requests: each takes one socket, and its attempts one each,
 	// mostly one in all.
-	clientConnShare = 0.44
-	// spareConnShare is the share for client connections that only receive an overload reply.
-	spareConnShare = 0.03
-	// replicaConnShare is the share for connections to replicas.
-	replicaConnShare = 0.5
+	clientConnFraction = 0.44
+	// overflowConnFraction is the share for client connections that only receive an overload reply.
+	overflowConnFraction = 0.03
+	// replicaConnFraction is the share for connections to replicas.
+	replicaConnFraction = 0.5
 )
 
 // How the memory is divided.
 const (
 	mebibyte = 1 << 20
-	// bodyMemoryShare is the share for request bodies in memory at the same time.
-	bodyMemoryShare = 0.2
-	// heapMemoryShare is the share at which the garbage collector begins to work harder.
-	heapMemoryShare = 0.7
-	// endpointListMemoryShare is the share for discovery's endpoint list.
-	endpointListMemoryShare = 0.2
+	// bodyMemoryFraction is the share for request bodies in memory at the same time.
+	bodyMemoryFraction = 0.2
+	// heapMemoryFraction is the share at which the garbage collector begins to work harder.
+	heapMemoryFraction = 0.7
+	// endpointListMemoryFraction is the share for discovery's endpoint list.
+	endpointListMemoryFraction = 0.2
 	// endpointBytes is what an entry of the list takes up: its strings, its places in maps, the balancer's row.
 	endpointBytes = 1024
 )
@@ -66,12 +66,12 @@
 }
 
 // parseLimit returns the value of a key, or fallback if the key is missing. NaN is an error too.
-func parseLimit(key string, value *float64, fallback, least float64) (float64, error) {
+func parseLimit(key string, value *float64, fallback, minimum float64) (float64, error) {
 	if value == nil {
 		return fallback, nil
 	}
-	if !(*value >= least) {
-		return 0, fmt.Errorf("%s: expected %v or more, got %v", key, least, *value)
+	if !(*value >= minimum) {
+		return 0, fmt.Errorf("%s: expected %v or more, got %v", key, minimum, *value)
 	}
 	return *value, nil
 }
@@ -82,9 +82,9 @@
 	if hasAdmin {
 		usable -= adminSockets
 	}
-	o.MaxClientConns = int(usable * clientConnShare)
-	o.OverflowConns = int(usable * spareConnShare)
-	o.MaxReplicaConns = int(usable * replicaConnShare)
-	o.MaxBodyBytes = int64(l.memoryMB * bodyMemoryShare * mebibyte)
-	o.MaxListEntries = int(l.memoryMB * endpointListMemoryShare * mebibyte / endpointBytes)
+	o.MaxClientConns = int(usable * clientConnFraction)
+	o.OverflowConns = int(usable * overflowConnFraction)
+	o.MaxReplicaConns = int(usable * replicaConnFraction)
+	o.MaxBodyBytes = int64(l.memoryMB * bodyMemoryFraction * mebibyte)
+	o.MaxListEntries = int(l.memoryMB * endpointListMemoryFraction * mebibyte / endpointBytes)
 }
--- a/internal/lifecycle/run.go
+++ b/internal/lifecycle/run.go
@@ -89,20 +89,20 @@
 
 // events are what the goroutine of Run waits for.
 type events struct {
-	terminate chan os.Signal
-	hangup    chan os.Signal
-	served    chan error // the result of gateway.Serve
-	drained   chan error // the result of gateway.Drain
+	terminate   chan os.Signal
+	hangup      chan os.Signal
+	serveResult chan error // the result of gateway.Serve
+	drainResult chan error // the result of gateway.Drain
 }
 
 // newEvents begins to receive signals. It is called first of all: the default of SIGHUP is to end the
 // program.
 func newEvents() *events {
 	e := &events{
-		terminate: make(chan os.Signal, 1),
-		hangup:    make(chan os.Signal, 1),
-		served:    make(chan error, 1),
-		drained:   make(chan error, 1),
+		terminate:   make(chan os.Signal, 1),
+		hangup:      make(chan os.Signal, 1),
+		serveResult: make(chan error, 1),
+		drainResult: make(chan error, 1),
 	}
 	signal.Notify(e.terminate, syscall.SIGTERM, os.Interrupt)
 	signal.Notify(e.hangup, syscall.SIGHUP)
@@ -157,7 +157,7 @@
 	defer s.startAdmin()()
 	s.config.logUnknownKeys()
 	s.gateway.SetUnknownKeys(s.config.UnknownKeyCount)
-	go func() { events.served <- s.gateway.Serve(ctx, listener) }()
+	go func() { events.serveResult <- s.gateway.Serve(ctx, listener) }()
 	streamEnded := s.startConfigStream(ctx)
 	defer func() {
 		cancel()
@@ -210,15 +210,15 @@
 // handleEvents reloads and drains the gateway on signals, and returns when it has drained or cannot serve.
 // The context does not end before.
 func (s *server) handleEvents(ctx context.Context, events *events) error {
-	served := events.served
+	serveResult := events.serveResult
 	draining := false
 	for {
 		select {
-		case err := <-served:
+		case err := <-serveResult:
 			if !draining {
 				return fmt.Errorf("listen: %w", err)
 			}
-			served = nil // the drain has ended Serve
+			serveResult = nil // the drain has ended Serve
 		case <-events.hangup: // also while the gateway drains
 			s.reload(ctx)
 		case sig := <-events.terminate:
@@ -227,8 +227,8 @@
 			}
 			draining = true
 			slog.Info("drain", "signal", sig.String())
-			go func() { events.drained <- s.gateway.Drain(ctx) }()
-		case err := <-events.drained:
+			go func() { events.drainResult <- s.gateway.Drain(ctx) }()
+		case err := <-events.drainResult:
 			s.saveAtShutdown(ctx)
 			if err != nil {
 				return fmt.Errorf("drain: %w", err)
--- a/internal/lifecycle/shutdown.go
+++ b/internal/lifecycle/shutdown.go
@@ -21,8 +21,8 @@
 	if err := withShutdownTimeout(ctx, s.gateway.CloseLedger); err != nil {
 		slog.Error("contract_ledger_write_failed", "err", err)
 	}
-	endCapture := func(ctx context.Context) error { return s.gateway.SetCapture(ctx, nil) }
-	_ = withShutdownTimeout(ctx, endCapture) // an incomplete capture shows that itself
+	stopCapture := func(ctx context.Context) error { return s.gateway.SetCapture(ctx, nil) }
+	_ = withShutdownTimeout(ctx, stopCapture) // an incomplete capture shows that itself
 }
 
 // withShutdownTimeout runs a step within shutdownStepTimeout. A step that hangs is abandoned.
--- a/internal/lifecycle/startuppages.go
+++ b/internal/lifecycle/startuppages.go
@@ -68,6 +68,6 @@
 	if len(fields) < 5 || len(fields[1]) != 4 {
 		return m, false
 	}
-	n, _ := fmt.Sscanf(fields[0], "%x-%x", &m.start, &m.end) // n says how much of it matched
-	return m, n == 2
+	parsed, _ := fmt.Sscanf(fields[0], "%x-%x", &m.start, &m.end) // n says how much of it matched
+	return m, parsed == 2
 }
--- a/internal/lifecycle/transportsettings.go
+++ b/internal/lifecycle/transportsettings.go
@@ -13,16 +13,16 @@
 
 // Defaults of transportSettings.
 const (
-	defaultConnectTimeoutUs = 50_000
-	defaultMaxInFlight      = 20_000
-	defaultPollWithinUs     = 10_000_000
+	defaultConnectTimeoutUs  = 50_000
+	defaultMaxInFlight       = 20_000
+	defaultMaxPollIntervalUs = 10_000_000
 )
 
 // Timeouts that the platform does not set.
 const (
-	clientConnIdle     = 15 * time.Second
-	streamIdleTimeout  = 4 * time.Second
-	healthCheckTimeout = 250 * time.Millisecond
+	clientConnIdleTimeout = 15 * time.Second
+	streamIdleTimeout     = 4 * time.Second
+	healthCheckTimeout    = 250 * time.Millisecond
 	// drainAcceptPeriod is what the operators' front and the protocol allow at a planned restart:
 	// connections arrive for up to 0.4 s, and nothing may arrive after 0.7 s.
 	drainAcceptPeriod = 550 * time.Millisecond
@@ -33,10 +33,10 @@
 
 // Bounds of the calls to discovery, see watchTimeouts.
 const (
-	localWatchWait     = time.Second
-	localAnswerTimeout = 500 * time.Millisecond
-	maxAnswerTimeout   = 2500 * time.Millisecond
-	minWatchWait       = time.Second
+	localWatchWait       = time.Second
+	localResponseTimeout = 500 * time.Millisecond
+	maxResponseTimeout   = 2500 * time.Millisecond
+	minWatchWait         = time.Second
 	// watchIntervalPerGateway limits the watch calls of all gateways to four a second, where the bounds allow.
 	watchIntervalPerGateway = 250 * time.Millisecond
 )
@@ -49,7 +49,7 @@
 		MaxInFlight      int   `json:"mostHeld"`
 	} `json:"limits"`
 	Rules struct {
-		PollWithinUs int64 `json:"askWithinUs"`
+		MaxPollIntervalUs int64 `json:"askWithinUs"`
 	} `json:"rules"`
 }
 
@@ -59,12 +59,12 @@
 	if err := json.Unmarshal(text, &s); err != nil {
 		return s, fmt.Errorf("settings: %w", describeJSONError(err))
 	}
-	if s.Limits.ConnectTimeoutUs < 0 || s.Limits.MaxInFlight < 0 || s.Rules.PollWithinUs < 0 {
+	if s.Limits.ConnectTimeoutUs < 0 || s.Limits.MaxInFlight < 0 || s.Rules.MaxPollIntervalUs < 0 {
 		return s, errors.New("settings.limits.connectTimeoutUs, limits.mostHeld, rules.askWithinUs: expected 0 or more")
 	}
 	s.Limits.ConnectTimeoutUs = cmp.Or(s.Limits.ConnectTimeoutUs, defaultConnectTimeoutUs)
 	s.Limits.MaxInFlight = cmp.Or(s.Limits.MaxInFlight, defaultMaxInFlight)
-	s.Rules.PollWithinUs = cmp.Or(s.Rules.PollWithinUs, defaultPollWithinUs)
+	s.Rules.MaxPollIntervalUs = cmp.Or(s.Rules.MaxPollIntervalUs, defaultMaxPollIntervalUs)
 	return s, nil
 }
 
@@ -77,10 +77,10 @@
 	// with it.
 	o.ReplicaConnIdleTimeout = microseconds(o.Settings.ConnIdleTimeout) * 3 / 4
 	o.ReplicaConnReuseDelay = connReuseDelay
-	o.ClientConnIdleTimeout = clientConnIdle
+	o.ClientConnIdleTimeout = clientConnIdleTimeout
 	o.StreamIdleTimeout = streamIdleTimeout
 	o.HealthCheckTimeout = healthCheckTimeout
-	o.MaxPollInterval = microseconds(s.Rules.PollWithinUs)
+	o.MaxPollInterval = microseconds(s.Rules.MaxPollIntervalUs)
 	o.WatchWait, o.DiscoveryTimeout = watchTimeouts(&o.Settings, o.MaxPollInterval)
 	o.Settings.WatchInterval = o.WatchWait.Microseconds()
 	o.DrainAcceptPeriod = drainAcceptPeriod
@@ -90,15 +90,15 @@
 
 // watchTimeouts returns how long discovery may delay the answer to a watch call until there is a change,
 // and how much longer the answer may take. A watch that has fallen silent is noticed after the sum.
-func watchTimeouts(s *balancer.Settings, pollWithin time.Duration) (watchWait, answerTimeout time.Duration) {
+func watchTimeouts(s *balancer.Settings, maxPollInterval time.Duration) (watchWait, responseTimeout time.Duration) {
 	if s.LocalDiscovery { // the agent is on this machine, and its answers cost nothing
-		return localWatchWait, localAnswerTimeout
+		return localWatchWait, localResponseTimeout
 	}
 	// Longer than calls wait in discovery's queue: a caller that leaves the queue earlier has wasted its
 	// place and queues again.
-	answerTimeout = min(maxAnswerTimeout, pollWithin/2)
+	responseTimeout = min(maxResponseTimeout, maxPollInterval/2)
 	// A watch that falls silent must not let the list get too old, however many gateways there are.
-	longest := min(gateway.MaxWatchWait(microseconds(s.ListTrust()), answerTimeout), pollWithin-answerTimeout)
+	maxWatchWait := min(gateway.MaxWatchWait(microseconds(s.ListTrust()), responseTimeout), maxPollInterval-responseTimeout)
 	watchWait = time.Duration(s.Gateways) * watchIntervalPerGateway
-	return max(minWatchWait, min(watchWait, longest)), answerTimeout
+	return max(minWatchWait, min(watchWait, maxWatchWait)), responseTimeout
 }
--- a/internal/lifecycle/unknownkeys.go
+++ b/internal/lifecycle/unknownkeys.go
@@ -84,11 +84,11 @@
 
 // merge adds the keys of another tree.
 func (t keyTree) merge(other keyTree) {
-	for name, below := range other {
+	for name, children := range other {
 		if t[name] == nil {
-			t[name] = below
+			t[name] = children
 		} else {
-			t[name].merge(below)
+			t[name].merge(children)
 		}
 	}
 }
@@ -97,8 +97,8 @@
 func (t keyTree) add(path []string) {
 	if len(path) == 1 {
 		t[path[0]] = nil
-	} else if below := t[path[0]]; below != nil {
-		below.add(path[1:])
+	} else if children := t[path[0]]; children != nil {
+		children.add(path[1:])
 	}
 }
 
@@ -152,14 +152,14 @@
 	}
 	name, _ := token.(string)
 	key := strings.TrimPrefix(path+"."+name, ".")
-	below, ok := known[strings.ToLower(name)]
+	children, ok := known[strings.ToLower(name)]
 	if !ok {
 		w.report(key)
 	}
-	if below == nil {
+	if children == nil {
 		return skipValue(w.decoder)
 	}
-	return w.walkValue(below, key)
+	return w.walkValue(children, key)
 }
 
 // report counts an unknown key that has just been read, and adds it to the reported ones.
--- a/internal/maintenance/handoff.go
+++ b/internal/maintenance/handoff.go
@@ -71,9 +71,9 @@
 type queryOutcome uint8
 
 const (
-	noPredecessor       queryOutcome = iota // no other process owns the address
-	predecessorSilent                       // a predecessor exists, but gave no usable answer
-	predecessorAnswered                     // a predecessor answered with its state
+	noPredecessor           queryOutcome = iota // no other process owns the address
+	predecessorUnresponsive                     // a predecessor exists, but gave no usable answer
+	predecessorResponded                        // a predecessor answered with its state
 )
 
 // queryPredecessor asks the predecessor for its state. The state is set only if the outcome is
@@ -87,7 +87,7 @@
 		return state{}, noPredecessor
 	}
 	if err != nil {
-		return state{}, predecessorSilent
+		return state{}, predecessorUnresponsive
 	}
 	defer conn.Close()
 	if !isSameUser(conn) {
@@ -96,13 +96,13 @@
 	_ = conn.SetDeadline(time.Now().Add(handoffTimeout))
 	content, err := io.ReadAll(io.LimitReader(conn, maxStateBytes))
 	if err != nil {
-		return state{}, predecessorSilent
+		return state{}, predecessorUnresponsive
 	}
 	predecessor, err := parseState(content)
 	if err != nil {
-		return state{}, predecessorSilent
+		return state{}, predecessorUnresponsive
 	}
-	return predecessor, predecessorAnswered
+	return predecessor, predecessorResponded
 }
 
 func (h *handoff) close() {
--- a/internal/maintenance/persist.go
+++ b/internal/maintenance/persist.go
@@ -53,8 +53,8 @@
 // withExclusiveFile runs an operation while no other goroutine of this process uses the file.
 func (s *Store) withExclusiveFile(ctx context.Context, operation func() error) error {
 	select {
-	case s.fileSlot <- struct{}{}:
-		defer func() { <-s.fileSlot }()
+	case s.fileSemaphore <- struct{}{}:
+		defer func() { <-s.fileSemaphore }()
 		return operation()
 	case <-ctx.Done():
 		return ctx.Err()
@@ -116,15 +116,15 @@
 // quarantine renames a corrupted file, so that it can be examined, and a new one can be written. The
 // caller holds fileSlot.
 func (s *Store) quarantine(corruption error) error {
-	target := s.path + quarantineSuffix
-	if err := s.options.FileSystem.Rename(s.path, target); err != nil {
+	quarantinePath := s.path + quarantineSuffix
+	if err := s.options.FileSystem.Rename(s.path, quarantinePath); err != nil {
 		return err
 	}
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if now := time.Now(); now.Sub(s.corruptionLoggedAt) >= corruptionLogInterval {
 		s.corruptionLoggedAt = now
-		slog.Error("maintenance_orders_corrupted", "path", s.path, "err", corruption, "set_aside", target)
+		slog.Error("maintenance_orders_corrupted", "path", s.path, "err", corruption, "set_aside", quarantinePath)
 	}
 	s.fingerprint = ""
 	s.saved = newState()
--- a/internal/maintenance/store.go
+++ b/internal/maintenance/store.go
@@ -57,7 +57,7 @@
 	lastError          error     // of the latest attempt to read or save; nil: it succeeded
 	corruptionLoggedAt time.Time // when a corrupted file was last logged
 
-	fileSlot chan struct{} // holds one token while a goroutine reads or writes the file
+	fileSemaphore chan struct{} // holds one token while a goroutine reads or writes the file
 }
 
 // Open reads the orders that were given before, from the file and from a predecessor that is still
@@ -68,12 +68,12 @@
 	}
 	base := fileBaseName(o)
 	s := &Store{
-		options:  o,
-		path:     filepath.Join(o.Directory, base+".orders"),
-		handoff:  handoff{address: "@" + base},
-		state:    newState(),
-		saved:    newState(),
-		fileSlot: make(chan struct{}, 1),
+		options:       o,
+		path:          filepath.Join(o.Directory, base+".orders"),
+		handoff:       handoff{address: "@" + base},
+		state:         newState(),
+		saved:         newState(),
+		fileSemaphore: make(chan struct{}, 1),
 	}
 	s.publish()
 	s.readAtStart()
@@ -85,9 +85,9 @@
 // fileBaseName returns the name that the orders file and the handoff socket have in common. Its hash
 // keeps gateways apart whose names differ only in characters that a file name cannot have.
 func fileBaseName(o Options) string {
-	id := fnv.New64a()
-	fmt.Fprintf(id, "%d\x00%s\x00%s\x00%s", os.Geteuid(), o.Name, o.Listen, o.Directory)
-	return fmt.Sprintf("archknot-%s-%016x", sanitizeFileName(o.Name), id.Sum64())
+	hash := fnv.New64a()
+	fmt.Fprintf(hash, "%d\x00%s\x00%s\x00%s", os.Geteuid(), o.Name, o.Listen, o.Directory)
+	return fmt.Sprintf("archknot-%s-%016x", sanitizeFileName(o.Name), hash.Sum64())
 }
 
 // sanitizeFileName replaces characters that are not safe in a file name, and shortens the name.
@@ -116,7 +116,7 @@
 	for {
 		predecessor, outcome := s.handoff.queryPredecessor()
 		switch outcome {
-		case predecessorAnswered:
+		case predecessorResponded:
 			s.mergeState(predecessor)
 			return
 		case noPredecessor:
@@ -157,7 +157,7 @@
 	defer s.handoff.close()
 	for {
 		s.handoff.listen(s)
-		if predecessor, outcome := s.handoff.queryPredecessor(); outcome == predecessorAnswered {
+		if predecessor, outcome := s.handoff.queryPredecessor(); outcome == predecessorResponded {
 			s.mergeState(predecessor)
 		}
 		_ = s.withExclusiveFile(ctx, s.sync) // sync has logged a failure
--- a/internal/maintenance/store_test.go
+++ b/internal/maintenance/store_test.go
@@ -20,8 +20,8 @@
 // flakyFileSystem fails on demand, with the errors that Linux documents, or leaves writes half done.
 type flakyFileSystem struct {
 	osFileSystem
-	broken  atomic.Bool // reads and writes fail
-	tearing atomic.Bool // writes leave half of the content in the file, as after a crash of the machine
+	broken     atomic.Bool // reads and writes fail
+	tornWrites atomic.Bool // writes leave half of the content in the file, as after a crash of the machine
 }
 
 func (f *flakyFileSystem) fault() error {
@@ -33,7 +33,7 @@
 }
 
 func (f *flakyFileSystem) WriteFileAtomic(path string, content []byte) (string, error) {
-	if f.tearing.Load() {
+	if f.tornWrites.Load() {
 		_ = os.WriteFile(path, content[:len(content)/2], 0o600)
 		return "", syscall.EIO
 	}
@@ -119,7 +119,7 @@
 	dir, ctx := t.TempDir(), context.Background()
 	fileSystem := &flakyFileSystem{}
 	fileSystem.broken.Store(true)
-	old, end := openStore(t, dir, fileSystem, true)
+	old, stop := openStore(t, dir, fileSystem, true)
 	start := time.Now()
 	if err := old.SetEjected(ctx, "s-1", true); !errors.Is(err, ErrNotSaved) || !old.Ejected("s-1") {
 		t.Errorf("on a broken disk: %v, ejected %v", err, old.Ejected("s-1"))
@@ -127,8 +127,8 @@
 	if err := old.SetDrained(ctx, true); !errors.Is(err, ErrNotSaved) {
 		t.Errorf("on a broken disk: %v", err)
 	}
-	if took := time.Since(start); took > 2*time.Second {
-		t.Errorf("two orders took %v", took)
+	if elapsed := time.Since(start); elapsed > 2*time.Second {
+		t.Errorf("two orders took %v", elapsed)
 	}
 	next := Open(Options{Directory: dir, Name: "n0", Listen: "127.0.0.1:1", FileSystem: fileSystem})
 	if !next.Ejected("s-1") || !next.Drained() {
@@ -145,7 +145,7 @@
 		t.Fatal(err)
 	}
 	waitUntil(t, "the predecessor receives the successor's order", func() bool { return !old.Ejected("s-1") })
-	end()
+	stop()
 	if err := next.SetDrained(ctx, false); err != nil {
 		t.Fatal(err)
 	}
@@ -206,11 +206,11 @@
 	if err := s.SetEjected(ctx, "s-1", true); err != nil {
 		t.Fatal(err)
 	}
-	fileSystem.tearing.Store(true)
+	fileSystem.tornWrites.Store(true)
 	if err := s.SetEjected(ctx, "s-2", true); !errors.Is(err, ErrNotSaved) {
 		t.Errorf("half a write: %v", err)
 	}
-	fileSystem.tearing.Store(false)
+	fileSystem.tornWrites.Store(false)
 	for _, damage := range []func() error{func() error { return nil }, func() error { return os.Remove(s.path) }, func() error { return os.Truncate(s.path, 10) }} {
 		waitUntil(t, "saved", hasSavedEjected(s, 2))
 		if err := damage(); err != nil {
@@ -256,8 +256,8 @@
 			t.Errorf("%v", err)
 		}
 	}
-	if took := time.Since(start); took > 2700*time.Millisecond {
-		t.Errorf("three orders took %v", took)
+	if elapsed := time.Since(start); elapsed > 2700*time.Millisecond {
+		t.Errorf("three orders took %v", elapsed)
 	}
 	if n := hang.entered.Load(); n > 1 {
 		t.Errorf("%d goroutines hang", n)
