--- a/internal/lifecycle/balancersettings.go
+++ b/internal/lifecycle/balancersettings.go
@@ -12,7 +12,7 @@
 // maxMaxAttempts bounds the setting limits.maxAttempts.
 const maxMaxAttempts = 100
 
-// parseBalancerSettings parses the balancer's settings, checks them and adapts them to sockets.
+// parseBalancerSettings parses and checks the balancer's settings, and adapts them from the simulator to sockets.
 func (f *nodeConfig) parseBalancerSettings() (balancer.Settings, error) {
 	if len(f.Settings) == 0 {
 		return balancer.Settings{}, errors.New("settings: missing")
@@ -28,18 +28,18 @@
 	return settings, nil
 }
 
-// adaptSettings sets what differs between sockets and the simulator.
+// adaptSettings overrides the settings that differ between sockets and the simulator.
 func adaptSettings(s *balancer.Settings) {
-	// limits.retryAfter is about the simulator's messages; HTTP always allows the header, and clients
-	// should know when to come back.
+	// limits.retryAfter applies to the simulator's messages only. An HTTP response can always have a
+	// Retry-After header, and clients should know when to retry.
 	s.RetryAfter = s.MaxRetryAfter > 0
-	// On sockets discovery only answers polls, be it the service or its agent on this machine.
+	// Over sockets, the discovery service and its agent on this machine only answer polls; neither pushes updates.
 	s.PollDiscovery = true
-	// Gateways have no way to gossip here.
+	// The balancer's gossip has no transport over sockets.
 	s.MayGossip = false
 }
 
-// checkSettings rejects values that would silently change decisions if they were used as they are.
+// checkSettings rejects invalid values, which would otherwise change the balancer's decisions without an error.
 func checkSettings(s *balancer.Settings) error {
 	if err := checkGeneralSettings(s); err != nil {
 		return err
@@ -82,7 +82,7 @@
 		{"probe", s.HealthCheckCost},
 	} {
 		if !(c.cost >= 0 && c.cost <= 1) {
-			return newKeyError("settings.penalties."+c.key, "expected a share of a request's worth from 0 to 1, got %v", c.cost)
+			return newKeyError("settings.penalties."+c.key, "expected a fraction of a request's weight from 0 to 1, got %v", c.cost)
 		}
 	}
 	return nil
@@ -96,7 +96,7 @@
 		case c.Name == "":
 			return newKeyError(key+".name", "missing")
 		case slices.ContainsFunc(classes[:i], hasSameName):
-			return newKeyError(key+".name", "%q is named twice", c.Name)
+			return newKeyError(key+".name", "duplicate class name %q", c.Name)
 		case c.Deadline <= 0:
 			return newKeyError(key+".deadlineUs", "expected above 0, got %d", c.Deadline)
 		case c.LatencyObjective < 0 || c.LatencyObjective > c.Deadline:
--- a/internal/lifecycle/commands.go
+++ b/internal/lifecycle/commands.go
@@ -12,13 +12,13 @@
 const (
 	// rollbackPollInterval is the pause between two checks whether a rollback has taken effect.
 	rollbackPollInterval = 5 * time.Millisecond
-	// defaultCaptureReason is the reason of a `capture save` without one.
+	// defaultCaptureReason is the reason recorded for a `capture save` that gives none.
 	defaultCaptureReason = "ordered"
-	// rollbackReasonPrefix marks rollbacks that were commanded in the history.
+	// rollbackReasonPrefix marks, in the history, rollbacks that an operator commanded.
 	rollbackReasonPrefix = "ordered: "
 )
 
-// Errors of the commands about streamed versions; their texts are sent to the caller.
+// Errors of the commands about streamed versions. Their texts are sent to the operator's client.
 var (
 	errNoControlService = errors.New("no control service is set (control-service.address)")
 	errNoHistory        = errors.New("no history is kept (control-service.store)")
@@ -61,15 +61,15 @@
 	return SaveResponse{Path: saved.Path, Segments: saved.Segments, Bytes: saved.Bytes}, err
 }
 
-// ConfigStatus is the response to `archknot config status` and `archknot config rollback`: the numbers of
-// entries are those of the version in force.
+// ConfigStatus is the response to `archknot config status` and `archknot config rollback`. The counts are
+// those of the version in force.
 type ConfigStatus struct {
 	Service   string `json:"service"` // address of the control service
 	Connected bool   `json:"connected"`
 	Version   uint64 `json:"version"` // 0: the files are in force
 	Classes   int    `json:"classes"`
 	Tenants   int    `json:"tenants"`
-	Marks     int    `json:"marks"` // replicas with a mark of their own
+	Marks     int    `json:"marks"` // entries about single replicas
 }
 
 func (s *server) configStatus(context.Context, json.RawMessage) (any, error) {
@@ -101,7 +101,7 @@
 	Reason string `json:"reason"`
 }
 
-// configRollback returns to the previous version, and answers when that is in force.
+// configRollback restores the previous version, and responds once it is in force.
 func (s *server) configRollback(ctx context.Context, text json.RawMessage) (any, error) {
 	if s.configStream == nil {
 		return nil, errNoControlService
--- a/internal/lifecycle/configstream.go
+++ b/internal/lifecycle/configstream.go
@@ -14,8 +14,9 @@
 // protocolDelta is the setting control-service.form for the incremental protocol.
 const protocolDelta = "delta"
 
-// openConfigStream creates the client of the control service and opens its files, if the settings have
-// one. It does not connect yet. The caller calls closeFiles when the client has ended.
+// openConfigStream creates the client of the control service and opens its TLS files and version store.
+// It does not connect yet, and does nothing if no control service is set. The caller calls closeFiles
+// after the client has stopped.
 func (s *server) openConfigStream() (closeFiles func(), err error) {
 	service := s.fileSettings.ControlService
 	if service.Address == "" {
@@ -52,7 +53,7 @@
 	return closeFiles, nil
 }
 
-// streamOptions returns the options of the client, without TLS and store.
+// streamOptions returns the options of the client except TLS and Store.
 func (s *server) streamOptions(service config.ControlService) xdsclient.Options {
 	o := &s.config.Gateway
 	machineOptions := configversion.DefaultOptions(o.Name, o.Seed)
@@ -62,7 +63,7 @@
 	return xdsclient.Options{Address: service.Address, Delta: service.Protocol == protocolDelta, Machine: machineOptions, Log: logInfo}
 }
 
-// openVersionStore opens the store of streamed versions. A corrupted one is set aside and replaced.
+// openVersionStore opens the store of streamed versions. A corrupted store is renamed and replaced by an empty one.
 func openVersionStore(path string) (*xdsclient.Store, error) {
 	store, setAside, err := xdsclient.OpenStore(path)
 	if err != nil {
@@ -74,15 +75,15 @@
 	return store, nil
 }
 
-// currentSettings returns the settings file's content, for goroutines other than that of Run. It is never
-// changed, only replaced.
+// currentSettings returns fileSettings, for goroutines other than that of Run. The result is never modified,
+// only replaced.
 func (s *server) currentSettings() *config.Config {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.fileSettings
 }
 
-// versionLimits returns the limits that the platform's configuration sets to streamed versions.
+// versionLimits returns the limits that the platform's configuration imposes on streamed versions.
 func (s *server) versionLimits() configversion.Limits {
 	limits := configversion.DefaultLimits
 	o := &s.config.Gateway
@@ -93,8 +94,8 @@
 	return limits
 }
 
-// Apply puts a streamed version in force; it implements xdsclient.Target. The gateway's own part comes
-// first: it is the only one that can be rejected.
+// Apply puts a streamed version in force; it implements xdsclient.Target. The version is applied to the
+// gateway first: only the gateway can reject it, and in that case nothing else has changed.
 func (s *server) Apply(ctx context.Context, version *configversion.Config) configversion.Rejections {
 	if rejections := s.gateway.ApplyVersion(ctx, version, s.versionLimits()); len(rejections) > 0 {
 		return rejections
@@ -107,8 +108,8 @@
 	return nil
 }
 
-// effectiveSettings returns the settings of the file, overridden by the parts of the version in force: a
-// version takes precedence over the file, whichever is newer. The caller holds mu.
+// effectiveSettings returns the settings of the file, overridden by those of the version in force. The
+// version takes precedence even if the file is newer. The caller holds mu.
 func (s *server) effectiveSettings() config.Config {
 	settings := *s.fileSettings
 	if s.activeVersion == nil {
@@ -128,8 +129,8 @@
 	return settings
 }
 
-// applySettings applies the effective settings to the log and, if they differ from those before, to the
-// capture. The caller holds mu.
+// applySettings applies the effective settings to the log and, if the capture's settings differ from the
+// previous ones, to the capture. The caller holds mu.
 func (s *server) applySettings(previous config.Config) {
 	settings := s.effectiveSettings()
 	setLogLevel(settings.Log.Level)
@@ -137,14 +138,14 @@
 		return
 	}
 	select {
-	case <-s.captureChanges: // not applied yet, and outdated now
+	case <-s.captureChanges: // discards settings that are outdated before they were applied
 	default:
 	}
 	s.captureChanges <- &settings
 }
 
 // restartCaptures restarts the capture whenever its settings have changed, until the context ends. It
-// has a goroutine of its own: a slow disk must not delay signals.
+// runs in its own goroutine, so that a slow disk does not delay the handling of signals.
 func (s *server) restartCaptures(ctx context.Context) {
 	for {
 		select {
--- a/internal/lifecycle/configstream_test.go
+++ b/internal/lifecycle/configstream_test.go
@@ -16,7 +16,7 @@
 	"archknot/internal/xdsclient"
 )
 
-// chatVersion returns a version with one request class and more resources.
+// chatVersion returns a version with one request class and extra resources.
 func chatVersion(n uint64, extra map[configversion.ResourceType][]proto.Message) *controlservice.Version {
 	v := &controlservice.Version{Number: n, Resources: map[configversion.ResourceType][]proto.Message{
 		configversion.TypeClass: {&pb.Class{Name: "chat", AimUs: 1_000_000, DeadlineUs: 3_000_000, Worth: float64(n), Stream: true}}}}
@@ -26,8 +26,8 @@
 	return v
 }
 
-// The parts of a streamed version take precedence over the settings file, whichever is newer, also if
-// SIGHUP and a version arrive together. A restart begins with the version, without the control service; a
+// A streamed version takes precedence over the settings file, even if the file is newer or SIGHUP and a
+// version arrive together. After a restart the stored version is in force without the control service. A
 // rollback ends it.
 func TestStreamedVersionAndSIGHUP(t *testing.T) {
 	h := newRunHarness(t)
@@ -66,7 +66,7 @@
 	if logLevel.Level() != slog.LevelDebug {
 		t.Errorf("level %v after both", logLevel.Level())
 	}
-	// What the version no longer sets is taken from the current file.
+	// A setting that the version no longer has is taken from the current file.
 	service.Publish(chatVersion(3, nil))
 	h.waitUntil("version 3", hasVersion(3))
 	if logLevel.Level() != slog.LevelError {
--- a/internal/lifecycle/gatewayoptions.go
+++ b/internal/lifecycle/gatewayoptions.go
@@ -20,7 +20,7 @@
 	"archknot/internal/subset"
 )
 
-// captureOptions returns the options of the capture by the settings; nil if nothing is to be captured.
+// captureOptions returns the options of the capture; nil if recording is off.
 func captureOptions(gatewayName string, settings *config.Config) *gateway.Capture {
 	c, incident := settings.Capture, settings.Incident
 	if !c.Record {
@@ -59,8 +59,8 @@
 	}
 }
 
-// contractOptions returns the options of the teams' contracts by the settings. Without teams no contract
-// is in force, except those that a streamed version brings.
+// contractOptions returns the options of the teams' contracts. If the settings have no teams, only the
+// contracts of a streamed version are in force.
 func contractOptions(settings *config.Config) *gateway.Contracts {
 	c := &settings.Contracts
 	options := &gateway.Contracts{Teams: c.Teams, Settings: c.LedgerSettings()}
@@ -75,7 +75,7 @@
 	return options
 }
 
-// subsetSettings returns the settings by which the gateway selects its subset of the replicas.
+// subsetSettings returns the settings for the selection of the gateway's subset of the replicas.
 func subsetSettings(c config.Subset, s *balancer.Settings) subset.Settings {
 	index := c.GatewayIndex
 	if index < 0 {
@@ -92,7 +92,7 @@
 	}
 }
 
-// startPeers starts the service that connects the gateway with the others; nil if none is set.
+// startPeers starts the service that connects the gateway to its peers; nil if no peer address is set.
 func startPeers(c config.Peers, o gateway.Options) (*peers.Service, error) {
 	if c.Listen == "" {
 		return nil, nil
@@ -115,12 +115,12 @@
 	})
 }
 
-// splitCommas splits a list and drops its empty elements.
+// splitCommas splits a comma-separated list and drops its empty elements.
 func splitCommas(list string) []string {
 	return strings.FieldsFunc(list, func(r rune) bool { return r == ',' })
 }
 
-// openLedger opens the contract ledger; nil if none is set. A corrupted one is set aside and replaced.
+// openLedger opens the contract ledger; nil if no path is set. A corrupted ledger is renamed and replaced.
 func openLedger(path string) (*ledger.Store, error) {
 	if path == "" {
 		return nil, nil
@@ -135,7 +135,7 @@
 	return store, nil
 }
 
-// openOrders opens the store of maintenance orders; nil if there is no address for operators.
+// openOrders opens the store of maintenance orders; nil if no admin address is set.
 func openOrders(c *Config, tempDirectory string) *maintenance.Store {
 	if c.Admin == "" {
 		return nil
--- a/internal/lifecycle/harness_test.go
+++ b/internal/lifecycle/harness_test.go
@@ -17,7 +17,7 @@
 	directory  string
 	configPath string
 	log        *syncBuffer // of the latest run
-	runResult  chan error  // results of Run
+	runResult  chan error  // result of each Run
 }
 
 // newRunHarness writes validConfig, and restores the default logger at the end of the test.
@@ -51,7 +51,7 @@
 	go func() { h.runResult <- Run(getenv, settingsFile) }()
 }
 
-// waitUntil waits for a condition, which what describes.
+// waitUntil waits for a condition. The failure message describes it by what.
 func (h *runHarness) waitUntil(what string, condition func() bool) {
 	h.t.Helper()
 	for deadline := time.Now().Add(10 * time.Second); !condition(); time.Sleep(time.Millisecond) {
--- a/internal/lifecycle/keyposition.go
+++ b/internal/lifecycle/keyposition.go
@@ -9,7 +9,7 @@
 	"strings"
 )
 
-// keyError is the error about a wrong value in NODE_CONFIG. Its key is a path such as
+// keyError reports an invalid value in NODE_CONFIG. Its key is a path such as
 // settings.requestClasses[1].targetUs.
 type keyError struct{ key, reason string }
 
@@ -101,7 +101,7 @@
 	return 0, false
 }
 
-// nextValueOffset returns the offset of the value that the decoder has not read yet: behind white space and
+// nextValueOffset returns the offset of the next value that the decoder will read, after white space and
 // the separator.
 func nextValueOffset(decoder *json.Decoder, text []byte) (offset int, ok bool) {
 	offset = int(decoder.InputOffset())
@@ -111,7 +111,7 @@
 	return offset, offset < len(text)
 }
 
-// findInObject continues findValue behind the opening brace of an object.
+// findInObject continues findValue after the opening brace of an object.
 func findInObject(decoder *json.Decoder, text []byte, path []pathStep) (offset int, ok bool) {
 	for decoder.More() {
 		name, err := decoder.Token()
@@ -128,7 +128,7 @@
 	return 0, false
 }
 
-// findInArray continues findValue behind the opening bracket of an array.
+// findInArray continues findValue after the opening bracket of an array.
 func findInArray(decoder *json.Decoder, text []byte, path []pathStep) (offset int, ok bool) {
 	for i := 0; decoder.More(); i++ {
 		if i == path[0].index {
@@ -141,7 +141,7 @@
 	return 0, false
 }
 
-// skipValue reads one complete value.
+// skipValue reads and discards one complete value.
 func skipValue(decoder *json.Decoder) error {
 	depth := 0
 	for {
--- a/internal/lifecycle/keyposition_test.go
+++ b/internal/lifecycle/keyposition_test.go
@@ -6,8 +6,8 @@
 	"testing"
 )
 
-// A setting that would silently change decisions stops the start, and the error has the file, the line and
-// the column of its value, and the key.
+// An invalid setting stops the start. The error has the file, the line and the column of its value, and the
+// key.
 func TestInvalidSettingsReportPosition(t *testing.T) {
 	two := strings.Replace(validConfig, `"zone":"a","limits"`, `"zone":"a","zones":["a","b"],"limits"`, 1)
 	if _, err := loadText(t, two, nil); err != nil {
--- a/internal/lifecycle/listeners.go
+++ b/internal/lifecycle/listeners.go
@@ -28,8 +28,8 @@
 	return listener, nil
 }
 
-// openListener opens the clients' listener, or uses the socket that the platform passes on: then the
-// platform owns the address, and every process of the gateway accepts on the same socket.
+// openListener opens the clients' listener, or uses the listening socket that the platform passes on. In
+// that case the platform owns the address, and all processes of the gateway accept on the same socket.
 func openListener(c Config) (net.Listener, error) {
 	if c.ListenFD == 0 {
 		return net.Listen("tcp", c.Listen)
@@ -38,7 +38,7 @@
 	if file == nil {
 		return nil, fmt.Errorf("NODE_SOCKET_FD: descriptor %d is not open", c.ListenFD)
 	}
-	defer file.Close() // the listener has a copy
+	defer file.Close() // the listener uses a duplicate of the descriptor
 	listener, err := net.FileListener(file)
 	if err != nil {
 		return nil, fmt.Errorf("NODE_SOCKET_FD: descriptor %d: %w", c.ListenFD, err)
--- a/internal/lifecycle/listeners_test.go
+++ b/internal/lifecycle/listeners_test.go
@@ -7,8 +7,8 @@
 	"testing"
 )
 
-// If the platform passes on the clients' socket as a file descriptor, the gateway accepts on it: binding
-// the address itself would fail, because it is in use.
+// If the platform passes on the clients' socket as a file descriptor, the gateway accepts on it. Binding the
+// address again would fail, because it is in use.
 func TestInheritedListener(t *testing.T) {
 	platformListener, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
--- a/internal/lifecycle/nodeconfig.go
+++ b/internal/lifecycle/nodeconfig.go
@@ -18,27 +18,27 @@
 const (
 	defaultName = "gateway"
 	defaultSeed = "1"
-	// firstSocketFD is the first file descriptor behind those of the standard streams.
+	// firstSocketFD is the lowest file descriptor after those of the standard streams.
 	firstSocketFD = 3
 )
 
-// Config is the platform's configuration of one gateway, checked and with defaults.
+// Config is the platform's configuration of one gateway, checked and with defaults applied.
 type Config struct {
 	Listen string // client address
-	// ListenFD is the file descriptor of the clients' listening socket if the platform holds the socket
-	// and passes it on (NODE_SOCKET_FD); 0: the gateway opens it.
+	// ListenFD is the file descriptor of the clients' listening socket if the platform has opened it
+	// (NODE_SOCKET_FD); 0: the gateway opens the socket.
 	ListenFD int
 	Admin    string // address for operators' calls; "": none
-	Cores    int    // processors to use
-	MemoryMB int64  // heap size at which the garbage collector begins to work harder
+	Cores    int    // value of GOMAXPROCS
+	MemoryMB int64  // soft memory limit of the Go runtime, in MiB
 	Gateway  gateway.Options
 
 	ReportedUnknownKeys []UnknownKey // the first maxReportedUnknownKeys of the unknown keys
 	UnknownKeyCount     int          // number of all unknown keys
-	path                string       // of NODE_CONFIG
+	path                string       // of the file that NODE_CONFIG names
 }
 
-// nodeConfig is the form of NODE_CONFIG. Other keys are skipped and logged, see findUnknownKeys.
+// nodeConfig is the JSON format of NODE_CONFIG. Other keys are skipped and logged, see findUnknownKeys.
 type nodeConfig struct {
 	Name      string `json:"name"`
 	Listen    string `json:"listen"`
@@ -50,15 +50,15 @@
 		MemoryMB *float64 `json:"memory_mb"`
 		Sockets  *float64 `json:"sockets"`
 	} `json:"limits"`
-	Known    json.RawMessage `json:"known"`    // an endpoint list to start with, as discovery sent it before
+	Known    json.RawMessage `json:"known"`    // initial endpoint list, from an earlier response of discovery
 	Settings json.RawMessage `json:"settings"` // of the balancer, see simwire.ParseSettings, and transportSettings
 
-	path string // where it was read
-	text []byte // its content, to report the line of a wrong value
+	path string // of the file
+	text []byte // of the file, to report the position of an invalid value
 }
 
 // Load reads the configuration: the file that NODE_CONFIG names, and the other NODE_ variables, which take
-// precedence. An error names the key at fault.
+// precedence. An error names the invalid key.
 func Load(getenv func(string) string) (Config, error) {
 	f, err := readNodeConfig(getenv)
 	if err != nil {
@@ -73,9 +73,9 @@
 	return c, err
 }
 
-// Reload reads the configuration again. Now the file's discovery address takes precedence over
-// NODE_DISCOVERY: the file was replaced, while the variable is as old as the process and names the
-// discovery service that was left.
+// Reload reads the configuration again. Unlike in Load, the file's discovery address takes precedence over
+// NODE_DISCOVERY: the file may have been replaced, while the variable is as old as the process and may
+// still name the previous discovery service. NODE_SOCKET_FD is not read.
 func Reload(getenv func(string) string) (Config, error) {
 	f, err := readNodeConfig(getenv)
 	if err != nil {
@@ -85,8 +85,8 @@
 	return f.load()
 }
 
-// GatewayOptions returns the options of a gateway that runs with others in one process, from the text of
-// a platform's configuration and the settings file. The environment is not read.
+// GatewayOptions returns the options of one of several gateways in a process, from the content of a
+// NODE_CONFIG file and the settings. Environment variables are not read.
 func GatewayOptions(platform []byte, settings *config.Config) (gateway.Options, error) {
 	var f nodeConfig
 	if err := json.Unmarshal(platform, &f); err != nil {
@@ -101,12 +101,12 @@
 	return c.Gateway, nil
 }
 
-// readNodeConfig reads and parses the file, with the variables that always take precedence over it.
+// readNodeConfig reads and parses the file, and applies the variables that always take precedence over it.
 func readNodeConfig(getenv func(string) string) (nodeConfig, error) {
 	var f nodeConfig
 	path := getenv("NODE_CONFIG")
 	if path == "" {
-		return f, errors.New("NODE_CONFIG: not set; expected the path of the configuration")
+		return f, errors.New("NODE_CONFIG: not set; expected the path of the configuration file")
 	}
 	var text []byte
 	err := retryTransient(func() (err error) {
@@ -144,12 +144,12 @@
 	}
 	fd, err := strconv.Atoi(value)
 	if err != nil || fd < firstSocketFD {
-		return 0, fmt.Errorf("NODE_SOCKET_FD: expected the number of a descriptor from %d on, got %q", firstSocketFD, value)
+		return 0, fmt.Errorf("NODE_SOCKET_FD: expected a file descriptor of %d or more, got %q", firstSocketFD, value)
 	}
 	return fd, nil
 }
 
-// load checks the configuration and finds its unknown keys. An error has the position of the wrong value.
+// load checks the configuration and finds its unknown keys. A keyError gets the position of the invalid value.
 func (f *nodeConfig) load() (Config, error) {
 	c, err := f.buildConfig()
 	if err != nil {
@@ -160,7 +160,7 @@
 	return c, nil
 }
 
-// buildConfig checks all values and derives the options of the gateway. The first wrong value is reported.
+// buildConfig checks all values and derives the options of the gateway. It reports the first invalid value.
 func (f *nodeConfig) buildConfig() (Config, error) {
 	if err := f.checkAddresses(); err != nil {
 		return Config{}, err
@@ -214,7 +214,7 @@
 	return err == nil && port != ""
 }
 
-// parseKnownList parses the endpoint list to start with; without one the list has no generation.
+// parseKnownList parses the initial endpoint list. Without one it returns an empty list of NoGeneration.
 func (f *nodeConfig) parseKnownList() (httpwire.EndpointList, error) {
 	if len(f.Known) == 0 || string(f.Known) == "null" {
 		return httpwire.EndpointList{Generation: httpwire.NoGeneration}, nil
@@ -226,8 +226,8 @@
 	return list, nil
 }
 
-// restartKeys returns the keys whose new values take effect only at a restart. A reload changes the
-// discovery address and nothing else of NODE_CONFIG.
+// restartKeys returns the changed keys that take effect only at a restart: a reload applies only the
+// discovery address of NODE_CONFIG.
 func (c Config) restartKeys(next Config) []string {
 	var keys []string
 	for _, k := range []struct {
--- a/internal/lifecycle/nodeconfig_test.go
+++ b/internal/lifecycle/nodeconfig_test.go
@@ -55,8 +55,8 @@
 	if o.ReplicaConnIdleTimeout >= 60*time.Second || o.ConnectTimeout != 50*time.Millisecond || o.WatchWait > 10*time.Second {
 		t.Errorf("idle %v, connect %v, watch %v", o.ReplicaConnIdleTimeout, o.ConnectTimeout, o.WatchWait)
 	}
-	// Discovery queues calls for two seconds, so a shorter call has no answer; and a call that is longer
-	// than the rules allow between polls counts as notified.
+	// Discovery queues calls for 2 s, so a call with a shorter timeout would have no response. A call must
+	// not last longer than the time after which discovery counts a gateway without a poll as notified.
 	if o.DiscoveryTimeout <= 2*time.Second || o.WatchWait+o.DiscoveryTimeout > o.MaxPollInterval {
 		t.Errorf("calls end after %v, watches after %v, polls expected within %v", o.DiscoveryTimeout, o.WatchWait, o.MaxPollInterval)
 	}
@@ -69,8 +69,8 @@
 	}
 }
 
-// All sockets together stay below the limit, also for the smallest one: a fixed number of spare
-// connections once gave 156 of 128.
+// All sockets together stay below the limit, down to the smallest limit. A fixed number of overflow
+// connections would exceed small limits: 156 sockets at a limit of 128.
 func TestSocketsAddUp(t *testing.T) {
 	for _, sockets := range []int{64, 128, 1024} {
 		c, err := loadText(t, strings.Replace(validConfig, `"sockets":1024`, fmt.Sprintf(`"sockets":%d`, sockets), 1), nil)
@@ -79,7 +79,7 @@
 		}
 		o := c.Gateway
 		if sum := o.MaxClientConns + o.OverflowConns + o.MaxReplicaConns; sum > sockets-16 || o.OverflowConns < 1 || o.MaxReplicaConns < o.MaxClientConns {
-			t.Errorf("of %d: clients %d, spare %d, replicas %d", sockets, o.MaxClientConns, o.OverflowConns, o.MaxReplicaConns)
+			t.Errorf("of %d: clients %d, overflow %d, replicas %d", sockets, o.MaxClientConns, o.OverflowConns, o.MaxReplicaConns)
 		}
 	}
 }
@@ -145,8 +145,8 @@
 	}
 }
 
-// On a reload the file's discovery address takes precedence: NODE_DISCOVERY still names the service that
-// was left. An error about an invalid file names the key, and nothing of the file is used.
+// On a reload the file's discovery address takes precedence, because NODE_DISCOVERY still names the previous
+// service. An error about an invalid file names the key.
 func TestReload(t *testing.T) {
 	path := filepath.Join(t.TempDir(), "config.json")
 	getenv := func(key string) string {
@@ -173,12 +173,13 @@
 	}
 	write(`"127.0.0.1:8500"`, `"nowhere"`)
 	if _, err = Reload(getenv); err == nil || !strings.Contains(err.Error(), "discovery") {
-		t.Errorf("a bad address: %v", err)
+		t.Errorf("an invalid address: %v", err)
 	}
 }
 
-// At any fleet size a silent watch is noticed, and a first call answered, before the list is too old to be used: the
-// wait of a watch grew with the fleet to 7.5 s. A streamed version may not poll more seldom than that either.
+// At any fleet size an unresponsive watch is detected, and the first call after it answered, before the endpoint list
+// is too old to be used. The wait of a watch grows with the number of gateways, so without a bound (it reached 7.5 s)
+// the list gets too old. The longest poll interval that a streamed version may set has the same bound.
 func TestListStaysFreshAtAnyFleetSize(t *testing.T) {
 	const firstCall, transit = 250 * time.Millisecond, time.Second
 	for _, grace := range []balancer.Micros{0, 1_000_000, 2_500_000} {
@@ -187,7 +188,7 @@
 			watchWait, responseTimeout := watchTimeouts(&s, 10*time.Second)
 			detection := watchWait + min(responseTimeout, 1500*time.Millisecond)
 			if maxAge := transit + detection + firstCall + responseTimeout; maxAge > microseconds(s.ListTrust()) && watchWait > minWatchWait {
-				t.Errorf("%d gateways, grace %d us: the list is %v old, trusted for %d us", gateways, grace, maxAge, s.ListTrust())
+				t.Errorf("%d gateways, grace %d us: the list is %v old, but expires after %d us", gateways, grace, maxAge, s.ListTrust())
 			}
 		}
 	}
@@ -196,6 +197,6 @@
 	server.config.Gateway.Settings.DrainGrace = 2_500_000
 	server.fileSettings = &config.Config{}
 	if got, trust := server.versionLimits().MaxPollInterval, server.config.Gateway.Settings.ListTrust(); got > trust {
-		t.Errorf("versions may poll after %d us, a list is trusted for %d us", got, trust)
+		t.Errorf("a version may set a poll interval of %d us, but a list expires after %d us", got, trust)
 	}
 }
--- a/internal/lifecycle/publicnames_test.go
+++ b/internal/lifecycle/publicnames_test.go
@@ -8,7 +8,7 @@
 	"archknot/internal/simwire"
 )
 
-// NODE_CONFIG keeps its keys: those that are read, and those that are known and left unread.
+// NODE_CONFIG keeps its keys: those that the gateway reads, and those that it deliberately ignores.
 func TestConfigurationKeysStay(t *testing.T) {
 	names := publicnames.JSONFields("read", reflect.TypeFor[nodeConfig]())
 	names = append(names, publicnames.JSONFields("read.settings", simwire.SettingsType())...)
--- a/internal/lifecycle/reload.go
+++ b/internal/lifecycle/reload.go
@@ -10,7 +10,7 @@
 	"archknot/internal/config"
 )
 
-// contractReloadTimeout bounds how long a reload waits for the gateway to take new contracts.
+// contractReloadTimeout bounds how long a reload waits for the gateway to apply new contracts.
 const contractReloadTimeout = time.Second
 
 // reload reads the configuration and the settings file again. If either is invalid, nothing changes.
@@ -41,7 +41,7 @@
 	}
 }
 
-// reloadConfig moves to the discovery service of the new configuration, and logs what else has changed.
+// reloadConfig switches to the discovery service of the new configuration, and logs the other changed keys.
 func (s *server) reloadConfig(next Config) {
 	slog.Info("reload", "discovery", next.Gateway.Discovery, "needs_restart", strings.Join(s.config.restartKeys(next), ","))
 	next.logUnknownKeys()
@@ -52,7 +52,7 @@
 	}
 }
 
-// replaceSettings puts new settings of the file in force, and returns the previous ones.
+// replaceSettings replaces and applies the settings of the file, and returns the previous ones.
 func (s *server) replaceSettings(settings *config.Config) (previous *config.Config) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -91,7 +91,7 @@
 }
 
 func (s *server) reopenMetrics() {
-	s.metricsServer.Close() // may be nil
+	s.metricsServer.Close() // does nothing if nil
 	if err := s.listenMetrics(); err != nil {
 		slog.Error("metrics_failed", "err", err)
 	}
--- a/internal/lifecycle/resourcelimits.go
+++ b/internal/lifecycle/resourcelimits.go
@@ -17,31 +17,32 @@
 	minSockets      = 64
 )
 
-// How the sockets are divided.
+// Division of the sockets.
 const (
-	// reservedSockets are for the listener, discovery, the log and the runtime.
+	// reservedSockets is the number for the listener, discovery, the log and the runtime.
 	reservedSockets = 16
-	// adminSockets are for operators' calls, their listener, the orders file and a successor's handoff.
+	// adminSockets is the number for operators' calls, their listener, the orders file and the handoff to
+	// a successor.
 	adminSockets = adminapi.MaxConnections + 4
-	// clientConnFraction is the share for clients' requests: each takes one socket, and its attempts one each,
-	// mostly one in all.
+	// clientConnFraction is for client connections. Each request occupies one client connection, and one
+	// replica connection per attempt. Most requests have one attempt, so the two fractions are similar.
 	clientConnFraction = 0.44
-	// overflowConnFraction is the share for client connections that only receive an overload reply.
+	// overflowConnFraction is for client connections that only receive an overload response.
 	overflowConnFraction = 0.03
-	// replicaConnFraction is the share for connections to replicas.
+	// replicaConnFraction is for connections to replicas.
 	replicaConnFraction = 0.5
 )
 
-// How the memory is divided.
+// Division of the memory.
 const (
 	mebibyte = 1 << 20
-	// bodyMemoryFraction is the share for request bodies in memory at the same time.
+	// bodyMemoryFraction is for request bodies in memory at the same time.
 	bodyMemoryFraction = 0.2
-	// heapMemoryFraction is the share at which the garbage collector begins to work harder.
+	// heapMemoryFraction is the soft memory limit of the Go runtime, which makes the garbage collector work harder.
 	heapMemoryFraction = 0.7
-	// endpointListMemoryFraction is the share for discovery's endpoint list.
+	// endpointListMemoryFraction is for discovery's endpoint list.
 	endpointListMemoryFraction = 0.2
-	// endpointBytes is what an entry of the list takes up: its strings, its places in maps, the balancer's row.
+	// endpointBytes is the memory of one list entry: its strings, its map entries and its row in the balancer.
 	endpointBytes = 1024
 )
 
--- a/internal/lifecycle/run.go
+++ b/internal/lifecycle/run.go
@@ -23,10 +23,10 @@
 	"archknot/internal/xdsclient"
 )
 
-// startupPagesDelay is when startup is over, and the pages that only it needed are released.
+// startupPagesDelay is the time after the start at which memory pages that only startup needs are released.
 const startupPagesDelay = 1500 * time.Millisecond
 
-// ConfigError is the error of a gateway that was not started because of its configuration.
+// ConfigError is returned by Run if the gateway cannot start because of its configuration.
 type ConfigError struct{ Err error }
 
 // Error returns the text of the underlying error.
@@ -35,8 +35,8 @@
 // Unwrap returns the underlying error.
 func (e ConfigError) Unwrap() error { return e.Err }
 
-// server is a running gateway with its listeners and settings. Except for Apply and the methods that
-// lock mu, its methods are called in the goroutine of Run.
+// server is a running gateway with its listeners and settings. Its methods are called in the goroutine of
+// Run, except Apply, restartCaptures, the handlers of the control socket, and the methods that they call.
 type server struct {
 	getenv         func(string) string
 	settingsFile   string // path; "" if there is none
@@ -51,7 +51,7 @@
 
 	mu            sync.Mutex            // protects the fields below
 	fileSettings  *config.Config        // replaced, never changed
-	activeVersion *configversion.Config // streamed, takes precedence over the file; nil: none
+	activeVersion *configversion.Config // streamed; takes precedence over the file; nil: none
 }
 
 // Run starts the gateway and serves until SIGTERM or SIGINT; then it drains the gateway and returns nil.
@@ -87,7 +87,7 @@
 	return s.serve(listener, events)
 }
 
-// events are what the goroutine of Run waits for.
+// events has the channels on which the goroutine of Run waits.
 type events struct {
 	terminate   chan os.Signal
 	hangup      chan os.Signal
@@ -95,8 +95,8 @@
 	drainResult chan error // the result of gateway.Drain
 }
 
-// newEvents begins to receive signals. It is called first of all: the default of SIGHUP is to end the
-// program.
+// newEvents registers for signals. It is called before any other step of the start, because SIGHUP ends
+// the process by default.
 func newEvents() *events {
 	e := &events{
 		terminate:   make(chan os.Signal, 1),
@@ -179,8 +179,8 @@
 		"conf", s.settingsFile, "capture", s.fileSettings.Capture.Record, "build", buildinfo.Version())
 }
 
-// startAdmin serves the operators' address, if there is one, and keeps the maintenance orders in step with
-// their file. Both continue until stop is called, also while the gateway drains.
+// startAdmin serves the operators' address, if there is one, and keeps the maintenance orders in sync with
+// their file. Both continue until stop is called, including while the gateway drains.
 func (s *server) startAdmin() (stop func()) {
 	if s.config.Admin == "" {
 		return func() {}
@@ -194,8 +194,8 @@
 	}
 }
 
-// startConfigStream follows the control service, if there is one, until the context ends. The gateway
-// serves meanwhile: its start never waits for the control service.
+// startConfigStream runs the client of the control service, if there is one, in the background until the
+// context ends. The gateway starts to serve without waiting for the control service.
 func (s *server) startConfigStream(ctx context.Context) (ended <-chan struct{}) {
 	done := make(chan struct{})
 	go func() {
@@ -208,7 +208,7 @@
 }
 
 // handleEvents reloads and drains the gateway on signals, and returns when it has drained or cannot serve.
-// The context does not end before.
+// The context must not end before.
 func (s *server) handleEvents(ctx context.Context, events *events) error {
 	serveResult := events.serveResult
 	draining := false
@@ -218,7 +218,7 @@
 			if !draining {
 				return fmt.Errorf("listen: %w", err)
 			}
-			serveResult = nil // the drain has ended Serve
+			serveResult = nil // the drain has ended Serve; a nil channel is never ready
 		case <-events.hangup: // also while the gateway drains
 			s.reload(ctx)
 		case sig := <-events.terminate:
--- a/internal/lifecycle/run_test.go
+++ b/internal/lifecycle/run_test.go
@@ -11,7 +11,7 @@
 	"archknot/internal/replay"
 )
 
-// SIGHUP never ends the process, whatever the file contains by then, and SIGTERM right after it still
+// SIGHUP never ends the process, even if the file has become invalid, and SIGTERM right after a SIGHUP still
 // drains the gateway.
 func TestHangup(t *testing.T) {
 	h := newRunHarness(t)
@@ -29,8 +29,8 @@
 	step("start", "msg=start", syscall.SIGHUP)
 	step("reload", "msg=reload discovery=127.0.0.1:8500", syscall.SIGHUP)
 	h.write(h.configPath, `{"name":`)
-	step("bad file", "msg=reload", syscall.SIGHUP)
-	step("bad file", "msg=reload_failed", syscall.SIGHUP)
+	step("invalid file", "msg=reload", syscall.SIGHUP)
+	step("invalid file", "msg=reload_failed", syscall.SIGHUP)
 	h.write(h.configPath, strings.Replace(validConfig, "127.0.0.1:8500", l.Addr().String(), 1))
 	step("move", "msg=reload_failed", syscall.SIGHUP)
 	step("moved", "msg=discovery_moved from=127.0.0.1:8500 to="+l.Addr().String(), syscall.SIGHUP)
@@ -49,7 +49,7 @@
 	h.write(settingsFile, "[capture]\nrecord on\ndirectory "+captures+"\nflush 10ms\n[control]\nsocket "+socket+"\n")
 	h.signal(syscall.SIGHUP)
 	h.waitUntil("a capture", func() bool { return len(h.segments(captures)) == 1 })
-	h.waitUntil("the control socket", func() bool { // it listens later in the same reload
+	h.waitUntil("the control socket", func() bool { // the same reload opens it later
 		c, err := net.Dial("unix", socket)
 		if err == nil {
 			c.Close()
@@ -62,7 +62,7 @@
 	}
 	h.write(settingsFile, "[capture]\nrecrod off\n")
 	h.signal(syscall.SIGHUP)
-	h.waitUntil("a bad file", h.logHas("archknot.conf:2:1: capture.recrod"))
+	h.waitUntil("an invalid file", h.logHas("archknot.conf:2:1: capture.recrod"))
 	h.write(settingsFile, "[capture]\nrecord on\ndirectory "+captures+"\ncheckpoint 2s\n")
 	h.signal(syscall.SIGHUP)
 	h.waitUntil("another capture", func() bool { return len(h.segments(captures)) == 3 })
--- a/internal/lifecycle/shutdown.go
+++ b/internal/lifecycle/shutdown.go
@@ -9,20 +9,20 @@
 // shutdownStepTimeout bounds each step of saveAtShutdown.
 const shutdownStepTimeout = 2 * time.Second
 
-// saveAtShutdown closes the control socket, and completes on disk what a drained gateway leaves behind: the
-// maintenance orders, the contract ledger, and the capture.
+// saveAtShutdown closes the control socket and saves the maintenance orders, the contract ledger and the
+// capture of a drained gateway.
 func (s *server) saveAtShutdown(ctx context.Context) {
 	if s.controlSocket != nil {
 		s.controlSocket.Close()
 	}
 	if orders := s.config.Gateway.Orders; orders != nil {
-		_ = withShutdownTimeout(ctx, orders.Close) // the store has logged a failure
+		_ = withShutdownTimeout(ctx, orders.Close) // the store logs a failure
 	}
 	if err := withShutdownTimeout(ctx, s.gateway.CloseLedger); err != nil {
 		slog.Error("contract_ledger_write_failed", "err", err)
 	}
 	stopCapture := func(ctx context.Context) error { return s.gateway.SetCapture(ctx, nil) }
-	_ = withShutdownTimeout(ctx, stopCapture) // an incomplete capture shows that itself
+	_ = withShutdownTimeout(ctx, stopCapture) // readers detect an incomplete capture
 }
 
 // withShutdownTimeout runs a step within shutdownStepTimeout. A step that hangs is abandoned.
--- a/internal/lifecycle/startuppages.go
+++ b/internal/lifecycle/startuppages.go
@@ -10,10 +10,9 @@
 	"golang.org/x/sys/unix"
 )
 
-// releaseStartupPages releases the pages of the program's own file that are used only at startup: the
-// libraries' registrations of messages and types, which no request needs. They are read-only and clean,
-// so a page that is needed again is mapped again from the file. It returns the size of the released
-// mappings in bytes.
+// releaseStartupPages releases the read-only pages of the program's executable. Many of them are used only
+// at startup, when libraries register their messages and types. The pages are clean, so the kernel reads a
+// page that is used again from the file. It returns the size of the released mappings in bytes.
 func releaseStartupPages() (total uintptr, err error) {
 	self, err := os.Readlink("/proc/self/exe")
 	if err != nil {
@@ -34,15 +33,15 @@
 	return total, nil
 }
 
-// mapping is a range of addresses.
+// mapping is a range of addresses without its end.
 type mapping struct{ start, end uintptr }
 
 // cleanMappings returns the mappings of a file whose memory equals the file: private ones that cannot be
-// written and have no anonymous page. The dynamic linker writes addresses to a mapping that is read-only
-// afterwards, and the file does not have those.
+// written and have no anonymous page. A read-only mapping can have anonymous pages: the dynamic linker
+// writes addresses to it before it becomes read-only, and those would be lost.
 func cleanMappings(smaps io.Reader, file string) []mapping {
 	var clean []mapping
-	var candidate *mapping // the mapping that the lines are about, if it is private, read-only and of the file
+	var candidate *mapping // the current mapping, if it is private, read-only and of the file
 	scanner := bufio.NewScanner(smaps)
 	for scanner.Scan() {
 		fields := strings.Fields(scanner.Text())
@@ -68,6 +67,6 @@
 	if len(fields) < 5 || len(fields[1]) != 4 {
 		return m, false
 	}
-	parsed, _ := fmt.Sscanf(fields[0], "%x-%x", &m.start, &m.end) // n says how much of it matched
+	parsed, _ := fmt.Sscanf(fields[0], "%x-%x", &m.start, &m.end) // parsed is below 2 on an error
 	return m, parsed == 2
 }
--- a/internal/lifecycle/startuppages_test.go
+++ b/internal/lifecycle/startuppages_test.go
@@ -7,8 +7,8 @@
 	"github.com/google/go-cmp/cmp"
 )
 
-// A read-only mapping to which the dynamic linker has written is not released: the addresses of the C
-// library are not in the file.
+// A read-only mapping to which the dynamic linker has written is not released: the addresses that it has
+// written, of the C library, are not in the file.
 func TestCleanMappings(t *testing.T) {
 	const smaps = `00400000-00402000 r--p 00000000 fe:00 17 /bin/archknot
 Size:                  8 kB
--- a/internal/lifecycle/stored_test.go
+++ b/internal/lifecycle/stored_test.go
@@ -43,9 +43,8 @@
 	return messages
 }
 
-// The control socket's messages are those of the build of commit b3142ba: requests are sent in the stored
-// form, stored responses are read with all their fields, and the same responses would be sent in the
-// stored form.
+// The control socket's messages are compatible with the build of commit b3142ba: requests are sent as
+// stored, stored responses are decoded with all their fields, and the same responses are encoded as stored.
 func TestStoredControlMessages(t *testing.T) {
 	stored := storedMessages(t)
 	handlers := map[string]controlsocket.Handler{}
--- a/internal/lifecycle/transportsettings.go
+++ b/internal/lifecycle/transportsettings.go
@@ -23,11 +23,11 @@
 	clientConnIdleTimeout = 15 * time.Second
 	streamIdleTimeout     = 4 * time.Second
 	healthCheckTimeout    = 250 * time.Millisecond
-	// drainAcceptPeriod is what the operators' front and the protocol allow at a planned restart:
-	// connections arrive for up to 0.4 s, and nothing may arrive after 0.7 s.
+	// drainAcceptPeriod is how long the listener stays open when the gateway drains. At a planned
+	// restart the operators' front opens connections for up to 0.4 s, and none may arrive after 0.7 s.
 	drainAcceptPeriod = 550 * time.Millisecond
-	// connReuseDelay allows for the second response to a request, which a replica may send some
-	// milliseconds behind the first.
+	// connReuseDelay is the time from a response to the next request on a replica connection. A replica
+	// may send a second response to the same request some milliseconds after the first.
 	connReuseDelay = 20 * time.Millisecond
 )
 
@@ -37,12 +37,11 @@
 	localResponseTimeout = 500 * time.Millisecond
 	maxResponseTimeout   = 2500 * time.Millisecond
 	minWatchWait         = time.Second
-	// watchIntervalPerGateway limits the watch calls of all gateways to four a second, where the bounds allow.
+	// watchIntervalPerGateway limits the watch calls of all gateways to 4 per second, within the other bounds.
 	watchIntervalPerGateway = 250 * time.Millisecond
 )
 
-// transportSettings are settings for sockets, which the balancer does not use. Their keys are those of
-// the settings in NODE_CONFIG.
+// transportSettings are the settings in NODE_CONFIG that concern sockets and that the balancer does not use.
 type transportSettings struct {
 	Limits struct {
 		ConnectTimeoutUs int64 `json:"connectTimeoutUs"`
@@ -68,13 +67,13 @@
 	return s, nil
 }
 
-// apply sets the timeouts and the number of requests in flight. It needs the balancer's settings and
-// MaxClientConns, which are set before.
+// apply sets the timeouts and the maximum of requests in flight. The balancer's settings and MaxClientConns
+// must be set before.
 func (s transportSettings) apply(o *gateway.Options) {
 	o.MaxInFlight = min(s.Limits.MaxInFlight, o.MaxClientConns)
 	o.ConnectTimeout = microseconds(s.Limits.ConnectTimeoutUs)
-	// Well below the replicas' own limit: what is written to a connection that they have closed is lost
-	// with it.
+	// Well below the replicas' own timeout: a request is lost if it is written to a connection that the
+	// replica has closed.
 	o.ReplicaConnIdleTimeout = microseconds(o.Settings.ConnIdleTimeout) * 3 / 4
 	o.ReplicaConnReuseDelay = connReuseDelay
 	o.ClientConnIdleTimeout = clientConnIdleTimeout
@@ -88,16 +87,16 @@
 
 func microseconds(n int64) time.Duration { return time.Duration(n) * time.Microsecond }
 
-// watchTimeouts returns how long discovery may delay the answer to a watch call until there is a change,
-// and how much longer the answer may take. A watch that has fallen silent is noticed after the sum.
+// watchTimeouts returns how long discovery may hold a watch call until there is a change, and how much
+// longer the response may take. An unresponsive watch is detected after the sum of both.
 func watchTimeouts(s *balancer.Settings, maxPollInterval time.Duration) (watchWait, responseTimeout time.Duration) {
-	if s.LocalDiscovery { // the agent is on this machine, and its answers cost nothing
+	if s.LocalDiscovery { // the agent is on this machine, and its responses cost nothing
 		return localWatchWait, localResponseTimeout
 	}
-	// Longer than calls wait in discovery's queue: a caller that leaves the queue earlier has wasted its
-	// place and queues again.
+	// Longer than calls wait in discovery's queue: a call that times out earlier loses its place and
+	// must queue again.
 	responseTimeout = min(maxResponseTimeout, maxPollInterval/2)
-	// A watch that falls silent must not let the list get too old, however many gateways there are.
+	// An unresponsive watch must be detected before the endpoint list is too old, however many gateways there are.
 	maxWatchWait := min(gateway.MaxWatchWait(microseconds(s.ListTrust()), responseTimeout), maxPollInterval-responseTimeout)
 	watchWait = time.Duration(s.Gateways) * watchIntervalPerGateway
 	return max(minWatchWait, min(watchWait, maxWatchWait)), responseTimeout
--- a/internal/lifecycle/unknownkeys.go
+++ b/internal/lifecycle/unknownkeys.go
@@ -19,41 +19,41 @@
 // maxReportedUnknownKeys bounds the unknown keys that are reported one by one.
 const maxReportedUnknownKeys = 16
 
-// ignoredKey is a key that is left unread on purpose.
+// ignoredKey is a key that the gateway deliberately does not read.
 type ignoredKey struct{ key, reason string }
 
-// ignoredKeys are keys that the platform's documentation defines and the gateway has no use for. A key
-// that is neither here nor in the types that are read is reported at start.
+// ignoredKeys are keys that the platform's documentation defines and the gateway does not use. A key that
+// is neither here nor in the types that are read is reported at start and at each reload.
 var ignoredKeys = []ignoredKey{
-	{"settings.callers", "whether clients mark retries: the header says so"},
-	{"settings.countedBy", "how the benchmark weighs requests"},
-	{"settings.scoreParts", "how the benchmark weighs a day"},
-	{"settings.family", "about the deployment: there is one"},
-	{"settings.feedback.names", "load reports name their fields"},
+	{"settings.callers", "clients mark retries with a header"},
+	{"settings.countedBy", "the benchmark's weights of requests"},
+	{"settings.scoreParts", "the benchmark's weights of a day"},
+	{"settings.family", "there is only one kind of deployment"},
+	{"settings.feedback.names", "load reports have the names of their fields"},
 	{"settings.extra.notes", "description only"},
 	{"settings.extra.reportX0", "description only"},
 	{"settings.extra.reportX1", "description only"},
-	{"settings.extra.resume", "a request to resume a stream is marked by the client"},
-	{"settings.limits.cpuUsPerRequest", "the simulator's figure"},
-	{"settings.limits.cpuUsPerS", "the simulator's figure"},
-	{"settings.penalties.connection", "a cost of connections to replicas that no decision can change"},
-	{"settings.penalties.discovery", "a cost that the bounded rate of calls limits"},
-	{"settings.penalties.lateFail", "failures are answered as soon as they are certain"},
+	{"settings.extra.resume", "clients mark requests that resume a stream"},
+	{"settings.limits.cpuUsPerRequest", "for the simulator only"},
+	{"settings.limits.cpuUsPerS", "for the simulator only"},
+	{"settings.penalties.connection", "a cost of replica connections that no decision can change"},
+	{"settings.penalties.discovery", "a cost of discovery calls, whose rate is bounded"},
+	{"settings.penalties.lateFail", "clients receive a failure as soon as it is certain"},
 	{"settings.penalties.moves", "sessions migrate only away from a worse replica"},
-	{"settings.penalties.origin", "about deployments with an origin"},
+	{"settings.penalties.origin", "for deployments with an origin"},
 	{"settings.penalties.peer", "gateways do not gossip"},
 	{"settings.penalties.waste", "attempts are bounded by budgets"},
 	{"settings.rules.answerSlackUs", "no slack is used"},
-	{"settings.stages", "there is one"},
-	{"settings.tenants.fraction", "about the simulator's traffic"},
-	{"settings.tier", "there is one"},
+	{"settings.stages", "there is only one stage"},
+	{"settings.tenants.fraction", "describes the simulator's traffic"},
+	{"settings.tier", "there is only one tier"},
 }
 
-// keyTree has the known keys of an object, in lower case, each with the keys below it. Below a nil tree
-// nothing is checked.
+// keyTree maps the known keys of an object, in lower case, to the known keys of their values. A nil tree
+// means that the keys of the value are not checked.
 type keyTree map[string]keyTree
 
-// knownKeys returns the keys of NODE_CONFIG that the program reads or leaves unread on purpose.
+// knownKeys returns the keys of NODE_CONFIG that the program reads or deliberately ignores.
 func knownKeys() keyTree {
 	root := keyTreeOf(reflect.TypeFor[nodeConfig]())
 	settings := keyTreeOf(simwire.SettingsType())
@@ -93,7 +93,7 @@
 	}
 }
 
-// add adds one key by its path. Its parents must be known.
+// add adds one key by its path. It does nothing if a parent of the key is unknown.
 func (t keyTree) add(path []string) {
 	if len(path) == 1 {
 		t[path[0]] = nil
@@ -102,7 +102,7 @@
 	}
 }
 
-// findUnknownKeys returns the first unknown keys of a configuration, and the number of all unknown keys.
+// findUnknownKeys returns the first maxReportedUnknownKeys unknown keys of a configuration, and the number of all.
 // The text must be a JSON object.
 func findUnknownKeys(text []byte) (reported []UnknownKey, count int) {
 	w := keyWalker{text: text, decoder: json.NewDecoder(bytes.NewReader(text))}
@@ -174,8 +174,8 @@
 	w.reported = append(w.reported, UnknownKey{Key: key, Line: line, Column: column})
 }
 
-// logUnknownKeys logs the unknown keys, and the invalid entries of the known endpoint list: what has no
-// effect must not be ignored silently.
+// logUnknownKeys logs the unknown keys, and the invalid entries of the initial endpoint list: operators must
+// be able to see which parts of the configuration have no effect.
 func (c *Config) logUnknownKeys() {
 	for _, unknown := range c.ReportedUnknownKeys {
 		slog.Warn("config_unknown_key", "key", unknown.Key, "file", c.path, "line", unknown.Line, "column", unknown.Column)
