--- a/internal/maintenance/doc.go
+++ b/internal/maintenance/doc.go
@@ -1,4 +1,5 @@
-// Package maintenance stores the maintenance orders that operators give a gateway: the replicas they
-// have ejected, and whether the gateway itself is drained. Orders outlive the process: they are saved in
-// a file, and a process that is started beside its predecessor takes them over from it (see handoff).
+// Package maintenance stores operators' maintenance orders for a gateway: the ejected replicas, and whether
+// the gateway itself is drained. Ejections are saved in a file and survive a restart. A process that is
+// started while its predecessor still runs receives all orders from it over a Unix socket (see handoff);
+// without a running predecessor a drain ends.
 package maintenance
--- a/internal/maintenance/filesystem.go
+++ b/internal/maintenance/filesystem.go
@@ -15,17 +15,17 @@
 	// ReadFile returns the content of a file; an error that is fs.ErrNotExist if there is none.
 	ReadFile(path string) ([]byte, error)
 	// WriteFileAtomic replaces the content of a file: after a crash the disk has all of the new content
-	// or all of the old. It returns the fingerprint of the file that it wrote, even if somebody has
-	// changed the file since.
+	// or all of the old. It returns the fingerprint of the file that it wrote, even if the file has been
+	// changed since.
 	WriteFileAtomic(path string, content []byte) (fingerprint string, err error)
 	// Fingerprint returns a string that changes whenever the file does, and "" if there is no file.
 	Fingerprint(path string) (string, error)
-	// Rename renames a file.
+	// Rename renames a file, and replaces a file that has the new name.
 	Rename(oldPath, newPath string) error
 }
 
-// errNotOwnedFile is returned for a path that is not a regular file owned by the current user. Its
-// content is not trusted.
+// errNotOwnedFile is returned for a path that is not a regular file owned by the current user. The
+// content of such a file is not read.
 var errNotOwnedFile = errors.New("not a regular file of this user's")
 
 // osFileSystem is the FileSystem of the operating system.
@@ -80,8 +80,8 @@
 	return fingerprint, syncDirectory(directory)
 }
 
-// writeAndSync writes a new file to disk and returns its fingerprint. That is taken before the file
-// gets its final name: a file that is damaged right after the rename must not pass for this one.
+// writeAndSync writes a new file to disk and returns its fingerprint. The fingerprint is taken before the
+// file gets its final name, so that a change right after the rename is detected.
 func writeAndSync(file *os.File, content []byte) (fingerprint string, err error) {
 	if _, err := file.Write(content); err != nil {
 		return "", err
@@ -110,7 +110,7 @@
 	return err
 }
 
-// Fingerprint implements FileSystem by inode, size and modification time.
+// Fingerprint implements FileSystem. The fingerprint has the inode, size and modification time.
 func (osFileSystem) Fingerprint(path string) (string, error) {
 	info, err := os.Lstat(path)
 	if errors.Is(err, fs.ErrNotExist) {
--- a/internal/maintenance/handoff.go
+++ b/internal/maintenance/handoff.go
@@ -17,21 +17,21 @@
 // handoffTimeout bounds one exchange over the handoff socket.
 const handoffTimeout = 100 * time.Millisecond
 
-// handoff passes the orders in force to a process that is started beside this one, even where the
-// directory of the orders file cannot be written. It uses a Unix socket in the abstract namespace: no
-// file stands for it, and it ends with its process. All methods may be called from any goroutine.
+// handoff sends the current orders to a successor that is started while this process runs, even if the
+// directory of the orders file is not writable. It uses a Unix socket in the abstract namespace, which has
+// no file and ends with its process. All methods may be called from any goroutine.
 type handoff struct {
 	address string
 
 	mu            sync.Mutex
-	listener      net.Listener // nil: a predecessor owns the address, or abstract sockets are not available
-	failureLogged bool         // that abstract sockets are not available
+	listener      net.Listener // nil: a predecessor owns the address, or listening failed
+	failureLogged bool         // whether a failure to listen was logged
 
 	listening atomic.Bool // whether listener is set
 }
 
-// listen begins to serve snapshots of a store to a successor, unless a predecessor still owns the
-// address. It is called again and again until it succeeds.
+// listen starts to serve snapshots of a store to a successor, unless a predecessor still owns the
+// address. It is called periodically, and does nothing once it has succeeded.
 func (h *handoff) listen(s *Store) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
@@ -61,7 +61,7 @@
 		}
 		if isSameUser(conn) {
 			_ = conn.SetDeadline(time.Now().Add(handoffTimeout))
-			_, _ = conn.Write(s.snapshot()) // a successor that did not receive it queries again
+			_, _ = conn.Write(s.snapshot()) // a successor that did not receive it sends another query
 		}
 		conn.Close()
 	}
@@ -71,13 +71,13 @@
 type queryOutcome uint8
 
 const (
-	noPredecessor           queryOutcome = iota // no other process owns the address
-	predecessorUnresponsive                     // a predecessor exists, but gave no usable answer
-	predecessorResponded                        // a predecessor answered with its state
+	noPredecessor           queryOutcome = iota // no other process of this user owns the address
+	predecessorUnresponsive                     // a predecessor exists, but sent no valid state
+	predecessorResponded                        // a predecessor sent its state
 )
 
-// queryPredecessor asks the predecessor for its state. The state is set only if the outcome is
-// predecessorAnswered.
+// queryPredecessor requests the state of the predecessor. The state is set only if the outcome is
+// predecessorResponded.
 func (h *handoff) queryPredecessor() (state, queryOutcome) {
 	if h.listening.Load() { // the owner of the address has no predecessor
 		return state{}, noPredecessor
--- a/internal/maintenance/persist.go
+++ b/internal/maintenance/persist.go
@@ -11,13 +11,13 @@
 )
 
 const (
-	// corruptionLogInterval bounds the log lines about a file that is corrupted again and again.
+	// corruptionLogInterval is the minimum time between two log lines about corrupted files.
 	corruptionLogInterval = 10 * time.Second
-	// quarantineSuffix is appended to the name of a corrupted file that is set aside.
+	// quarantineSuffix is appended to the name of a corrupted file.
 	quarantineSuffix = ".damaged"
 )
 
-// flush saves the state, with retries until the context ends.
+// flush saves the state, with retries until the context ends. An error wraps ErrNotSaved.
 func (s *Store) flush(ctx context.Context) error {
 	if err := s.retryUntilDone(ctx, s.sync); err != nil {
 		return fmt.Errorf("%w: %w", ErrNotSaved, err)
@@ -25,8 +25,8 @@
 	return nil
 }
 
-// retryUntilDone retries an operation on the file until it succeeds or the context ends. A file system
-// that hangs blocks one goroutine, and not the caller.
+// retryUntilDone retries an operation on the file until it succeeds or the context ends. The operation runs
+// in another goroutine, so that a file system that hangs does not block the caller.
 func (s *Store) retryUntilDone(ctx context.Context, operation func() error) error {
 	done := make(chan error, 1)
 	go func() {
@@ -61,7 +61,8 @@
 	}
 }
 
-// sync reads the file if it has changed, and writes it if it lacks an order. The caller holds fileSlot.
+// sync reads the file if it has changed, and writes it if it differs from the state. The caller holds
+// fileSemaphore.
 func (s *Store) sync() error {
 	err := s.load()
 	if err == nil {
@@ -80,7 +81,7 @@
 	return err
 }
 
-// load merges the orders of the file, if it has changed. The caller holds fileSlot.
+// load merges the orders of the file if the file has changed. The caller holds fileSemaphore.
 func (s *Store) load() error {
 	fingerprint, err := s.options.FileSystem.Fingerprint(s.path)
 	if err != nil {
@@ -96,7 +97,7 @@
 	if fingerprint != "" {
 		content, err := s.options.FileSystem.ReadFile(s.path)
 		if errors.Is(err, fs.ErrNotExist) {
-			return nil // removed since; the next sync sees it
+			return nil // removed since; the next sync detects it
 		}
 		if err != nil {
 			return err
@@ -113,8 +114,8 @@
 	return nil
 }
 
-// quarantine renames a corrupted file, so that it can be examined, and a new one can be written. The
-// caller holds fileSlot.
+// quarantine renames a corrupted file, so that it can be examined and a new one can be written. The
+// caller holds fileSemaphore.
 func (s *Store) quarantine(corruption error) error {
 	quarantinePath := s.path + quarantineSuffix
 	if err := s.options.FileSystem.Rename(s.path, quarantinePath); err != nil {
@@ -131,7 +132,7 @@
 	return nil
 }
 
-// save writes the state, if the file lacks an order. The caller holds fileSlot.
+// save writes the state if it differs from the file. The caller holds fileSemaphore.
 func (s *Store) save() error {
 	s.mu.Lock()
 	current := s.state.clone()
--- a/internal/maintenance/state.go
+++ b/internal/maintenance/state.go
@@ -10,28 +10,28 @@
 )
 
 const (
-	// formatVersion is the version of the saved form. A later one may add fields, which are skipped.
+	// formatVersion is the version of the file format. A later version may add fields, which are skipped.
 	formatVersion = 1
 	// maxOrders bounds the number of replicas with a stored order.
 	maxOrders = 4096
 	// maxReplicaIDLength bounds the length of a replica's id, in bytes.
 	maxReplicaIDLength = 256
-	// maxStateBytes bounds the saved form.
+	// maxStateBytes bounds the size of a state in the file format.
 	maxStateBytes = 4 << 20
 )
 
 // ErrTooManyEjected is returned for an order to eject a replica when maxOrders are ejected already.
 var ErrTooManyEjected = errors.New("too many replicas are out")
 
-// order is the newest maintenance order on one subject: a replica, or the gateway itself. Orders are
-// numbered, not dated: the clock may be stepped.
+// order is the newest maintenance order on a replica or on the gateway itself. Orders have sequence numbers
+// and not timestamps, because the clock may be stepped.
 type order struct {
 	Number uint64 `json:"number"`
 	Active bool   `json:"on"` // the replica is ejected, or the gateway drained
 }
 
-// supersedes reports whether o takes precedence over other. Of two with the same number, given to two
-// processes at once, the active one takes precedence.
+// supersedes reports whether o takes precedence over other. Concurrent orders to two processes can have the
+// same number; then the active one takes precedence.
 func (o order) supersedes(other order) bool {
 	if o.Number != other.Number {
 		return o.Number > other.Number
@@ -39,19 +39,19 @@
 	return o.Active && !other.Active
 }
 
-// state is the set of all orders. Merging states gives the same result in any order. It is not safe for
-// concurrent use.
+// state is the set of all orders. Merging states gives the same result in any sequence. A state is not safe
+// for concurrent use.
 type state struct {
 	Format int   `json:"format"`
 	Drain  order `json:"drain"`
-	// Replicas holds the latest order on each replica, by id. Reinstated replicas stay in it, to supersede older
-	// orders of other processes.
+	// Replicas holds the latest order on each replica, by id. Orders to reinstate a replica are kept, to
+	// supersede older orders of other processes.
 	Replicas map[string]order `json:"replicas"`
 }
 
 func newState() state { return state{Format: formatVersion, Replicas: map[string]order{}} }
 
-// parseState parses the saved form. With an error it returns an empty state.
+// parseState parses the file format. On an error it returns an empty state.
 func parseState(content []byte) (state, error) {
 	var s state
 	if err := json.Unmarshal(content, &s); err != nil {
@@ -70,7 +70,7 @@
 	return s, nil
 }
 
-// marshal returns the saved form: one line of JSON.
+// marshal returns the state in the file format: one line of JSON.
 func (s state) marshal() []byte {
 	content, err := json.Marshal(s)
 	if err != nil {
@@ -104,7 +104,7 @@
 	return changed
 }
 
-// nextNumber returns the number of a new order: one above the highest known.
+// nextNumber returns the number of a new order: one above the highest in the state.
 func (s *state) nextNumber() uint64 {
 	highest := s.Drain.Number
 	for _, o := range s.Replicas {
@@ -118,7 +118,7 @@
 	s.Drain = order{Number: s.nextNumber(), Active: drained}
 }
 
-// setEjected records a new order to eject or reinstate a replica. The error is ErrTooManyEjected.
+// setEjected records a new order to eject or reinstate a replica. The only error is ErrTooManyEjected.
 func (s *state) setEjected(id string, ejected bool) error {
 	_, known := s.Replicas[id]
 	if !known && ejected && s.ejectedCount() >= maxOrders {
@@ -129,7 +129,6 @@
 	return nil
 }
 
-// ejectedCount returns the number of ejected replicas.
 func (s *state) ejectedCount() int {
 	count := 0
 	for _, o := range s.Replicas {
@@ -151,8 +150,8 @@
 	return ids
 }
 
-// trimReinstated forgets the oldest orders on reinstated replicas, as far as there are more than
-// maxOrders orders.
+// trimReinstated removes the oldest orders on reinstated replicas while there are more than maxOrders
+// orders.
 func (s *state) trimReinstated() {
 	excess := len(s.Replicas) - maxOrders
 	if excess <= 0 {
--- a/internal/maintenance/store.go
+++ b/internal/maintenance/store.go
@@ -15,23 +15,23 @@
 )
 
 const (
-	// syncInterval is how often the file and the predecessor are checked for newer orders, and a failed
-	// save is retried.
+	// syncInterval is the time between two checks of the file and the predecessor for newer orders, and
+	// between two retries of a failed save.
 	syncInterval = 250 * time.Millisecond
-	// orderTimeout bounds how long an order waits to be saved: operators expect an answer within a second.
+	// orderTimeout bounds how long an order waits to be saved: operators expect a response within 1 s.
 	orderTimeout = 600 * time.Millisecond
 	// retryInterval is the pause between two attempts to read or save the file, or to query the predecessor.
 	retryInterval = 40 * time.Millisecond
-	// openTimeout bounds how long Open waits for a file that cannot be read at the moment.
+	// openTimeout bounds how long Open retries to read the file.
 	openTimeout = 600 * time.Millisecond
-	// predecessorTimeout bounds how long Open waits for a predecessor that exists but does not answer.
+	// predecessorTimeout bounds how long Open waits for a predecessor that exists but does not respond.
 	predecessorTimeout = time.Second
 	// maxNameInFileName bounds the part of the file's name that is taken from the gateway's name, in bytes.
 	maxNameInFileName = 40
 )
 
 // ErrNotSaved is returned for an order that is in force in this process but could not be saved: it would
-// not outlive the process. Saving is retried in the background.
+// be lost if the process ended now. Run retries the save.
 var ErrNotSaved = errors.New("in force, but not saved")
 
 // Options configure a Store. Processes with the same Directory, Name and Listen belong to the same gateway.
@@ -47,21 +47,21 @@
 	options  Options
 	path     string
 	handoff  handoff
-	ejected  atomic.Pointer[map[string]struct{}] // a copy for readers that must not wait for mu
+	ejected  atomic.Pointer[map[string]struct{}] // a copy for readers that must not block on mu
 	onChange atomic.Pointer[func()]
 
 	mu                 sync.Mutex // protects the fields below
 	state              state
-	saved              state     // content of the file, as far as this process knows
+	saved              state     // content of the file when this process last read or wrote it
 	fingerprint        string    // of the file when saved was read or written
 	lastError          error     // of the latest attempt to read or save; nil: it succeeded
 	corruptionLoggedAt time.Time // when a corrupted file was last logged
 
-	fileSemaphore chan struct{} // holds one token while a goroutine reads or writes the file
+	fileSemaphore chan struct{} // of capacity 1; held by the goroutine that reads or writes the file
 }
 
-// Open reads the orders that were given before, from the file and from a predecessor that is still
-// running. It always returns a usable store: a file that cannot be read is logged and retried by Run.
+// Open restores earlier orders from the file and from a predecessor that is still running. It always
+// returns a usable store: if the file cannot be read, Open logs the error and Run retries.
 func Open(o Options) *Store {
 	if o.FileSystem == nil {
 		o.FileSystem = osFileSystem{}
@@ -82,8 +82,8 @@
 	return s
 }
 
-// fileBaseName returns the name that the orders file and the handoff socket have in common. Its hash
-// keeps gateways apart whose names differ only in characters that a file name cannot have.
+// fileBaseName returns the common base name of the orders file and the handoff socket. Its hash distinguishes
+// gateways whose names are equal after sanitizeFileName.
 func fileBaseName(o Options) string {
 	hash := fnv.New64a()
 	fmt.Fprintf(hash, "%d\x00%s\x00%s\x00%s", os.Geteuid(), o.Name, o.Listen, o.Directory)
@@ -109,8 +109,8 @@
 	}
 }
 
-// inheritOrders merges the orders of a predecessor that is still running. If there is none, the drained
-// process has ended, and the drain ends with it.
+// inheritOrders merges the orders of a predecessor that is still running. Without one, the process that was
+// drained has ended, and so inheritOrders ends the drain.
 func (s *Store) inheritOrders() {
 	deadline := time.Now().Add(predecessorTimeout)
 	for {
@@ -149,8 +149,8 @@
 	}
 }
 
-// Run keeps the store in step with the file and the predecessor until the context ends, retries failed
-// saves, and serves the orders to a successor. It is called once, and returns when the context ends.
+// Run keeps the store in sync with the file and the predecessor until the context ends, retries failed
+// saves, and serves the orders to a successor. It must be called only once.
 func (s *Store) Run(ctx context.Context) {
 	ticker := time.NewTicker(syncInterval)
 	defer ticker.Stop()
@@ -160,7 +160,7 @@
 		if predecessor, outcome := s.handoff.queryPredecessor(); outcome == predecessorResponded {
 			s.mergeState(predecessor)
 		}
-		_ = s.withExclusiveFile(ctx, s.sync) // sync has logged a failure
+		_ = s.withExclusiveFile(ctx, s.sync) // sync logs a failure
 		select {
 		case <-ticker.C:
 		case <-ctx.Done():
@@ -169,7 +169,7 @@
 	}
 }
 
-// Close saves what is not saved yet, until the context ends. The error is ErrNotSaved.
+// Close saves unsaved orders, with retries until the context ends. An error wraps ErrNotSaved.
 func (s *Store) Close(ctx context.Context) error { return s.flush(ctx) }
 
 // Ejected reports whether operators have ejected a replica. It never blocks.
@@ -181,7 +181,7 @@
 // AllEjected returns the ids of the ejected replicas. It never blocks. The caller must not change the map.
 func (s *Store) AllEjected() map[string]struct{} { return *s.ejected.Load() }
 
-// HasOrder reports whether there was ever an order on a replica, also one to reinstate it.
+// HasOrder reports whether the store has an order on a replica, either to eject or to reinstate it.
 func (s *Store) HasOrder(id string) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -203,15 +203,15 @@
 	return s.lastError
 }
 
-// HasPredecessor reports whether a predecessor is running beside this process.
+// HasPredecessor reports whether a predecessor is still running.
 func (s *Store) HasPredecessor() bool {
 	_, outcome := s.handoff.queryPredecessor()
 	return outcome != noPredecessor
 }
 
 // SetEjected ejects or reinstates a replica. The order is in force when this returns nil or ErrNotSaved,
-// and saved when it returns nil. With ErrTooManyEjected, or for an id that is empty or too long, nothing
-// has changed.
+// and saved when it returns nil. In case of ErrTooManyEjected, or of an id that is empty or too long, nothing
+// changes.
 func (s *Store) SetEjected(ctx context.Context, id string, ejected bool) error {
 	if id == "" || len(id) > maxReplicaIDLength {
 		return fmt.Errorf("a replica's id has 1 to %d characters", maxReplicaIDLength)
@@ -225,7 +225,7 @@
 	})
 }
 
-// SetDrained drains the gateway or ends the drain. The order is in force when this returns; the error is
+// SetDrained drains the gateway or ends the drain. The order is in force when this returns; an error wraps
 // ErrNotSaved.
 func (s *Store) SetDrained(ctx context.Context, drained bool) error {
 	return s.applyOrder(ctx, func(st *state) error {
@@ -250,7 +250,7 @@
 	return s.flush(ctx)
 }
 
-// mergeState merges the orders of the file or of another process.
+// mergeState merges the orders of the file or of another process, and publishes a change.
 func (s *Store) mergeState(other state) {
 	s.mu.Lock()
 	changed := s.state.merge(other)
@@ -271,14 +271,14 @@
 	}
 }
 
-// OnChange registers the callback that is called after the orders have changed, in any goroutine. It is
-// also called once now. A store has one callback; a further call replaces it.
+// OnChange registers the callback that is called after orders may have changed, in any goroutine. The
+// callback is also called once immediately. A store has one callback; a further call replaces it.
 func (s *Store) OnChange(callback func()) {
 	s.onChange.Store(&callback)
 	callback()
 }
 
-// snapshot returns the state in its saved form, for a successor.
+// snapshot returns the state in the file format, for a successor.
 func (s *Store) snapshot() []byte {
 	s.mu.Lock()
 	defer s.mu.Unlock()
--- a/internal/maintenance/store_test.go
+++ b/internal/maintenance/store_test.go
@@ -17,7 +17,7 @@
 	"pgregory.net/rapid"
 )
 
-// flakyFileSystem fails on demand, with the errors that Linux documents, or leaves writes half done.
+// flakyFileSystem fails on demand with the errors that Linux documents, or leaves writes incomplete.
 type flakyFileSystem struct {
 	osFileSystem
 	broken     atomic.Bool // reads and writes fail
@@ -50,7 +50,7 @@
 	return f.osFileSystem.ReadFile(path)
 }
 
-// openStore opens a store. With running, Run is active until the test ends or the returned function is
+// openStore opens a store. If running is set, Run is active until the test ends or the returned function is
 // called, and successors can query the store.
 func openStore(t *testing.T, dir string, fileSystem FileSystem, running bool) (*Store, func()) {
 	t.Helper()
@@ -113,8 +113,8 @@
 	}
 }
 
-// A process beside its predecessor takes over the orders in force, including a drain, even if the directory
-// cannot be written. Later orders to either process reach the other, and unsaved orders are saved later.
+// A process that starts while its predecessor runs takes over its orders, including a drain, even if the
+// directory is not writable. Later orders to either process reach the other, and unsaved orders are saved later.
 func TestHandoffToSuccessor(t *testing.T) {
 	dir, ctx := t.TempDir(), context.Background()
 	fileSystem := &flakyFileSystem{}
@@ -185,7 +185,7 @@
 	if s, _ = openStore(t, dir, nil, false); !s.Ejected("s-1") {
 		t.Error("a later version's order is lost")
 	}
-	// A symbolic link is not trusted.
+	// A symbolic link is not followed.
 	if err := os.Rename(s.path, s.path+".x"); err != nil {
 		t.Fatal(err)
 	}
@@ -236,7 +236,7 @@
 	return fingerprint, err
 }
 
-// Corruption that happens before the store has read the fingerprint back does not pass for the written file.
+// A file that is damaged right after the store has written it is detected as changed and written again.
 func TestCorruptionRightAfterWrite(t *testing.T) {
 	s, end := openStore(t, t.TempDir(), &damagingFileSystem{}, true)
 	defer end()
@@ -278,8 +278,7 @@
 	return "", nil
 }
 
-// States merged in any sequence give the same result, and an order that is given after another was seen
-// supersedes it.
+// States merged in any sequence give the same result, whether their orders are concurrent or follow a merge.
 func TestMergeIsOrderIndependent(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		states := []state{newState(), newState(), newState()}
@@ -297,7 +296,7 @@
 				}
 				continue
 			}
-			delete(last, id) // concurrent orders: either may win
+			delete(last, id) // concurrent orders: either may take precedence
 			_ = states[i].setEjected(id, rapid.Bool().Draw(t, "ejected"))
 		}
 		var merged []state
@@ -314,7 +313,7 @@
 	})
 }
 
-// The number of stored orders is bounded however many replicas come and go, and no ejected replica is forgotten.
+// The number of stored orders is bounded however many replicas come and go, and no ejection is removed.
 func TestOrdersAreBounded(t *testing.T) {
 	s := newState()
 	for i := range maxOrders - 5 {
--- a/internal/maintenance/stored_test.go
+++ b/internal/maintenance/stored_test.go
@@ -15,7 +15,7 @@
 	"archknot/internal/maintenance"
 )
 
-// orders is the saved form, declared apart from the package's own types.
+// orders is the file format, declared independently of the package's own types.
 type orders struct {
 	Format   int              `json:"format"`
 	Drain    order            `json:"drain"`
@@ -52,8 +52,8 @@
 	return dir
 }
 
-// A file of orders written by the build of commit b3142ba is read, and further orders
-// are saved in the same form. The drain in it ended with its process.
+// An orders file written by the build of commit b3142ba is read, and further orders are saved in
+// the same format. The drain in it has ended with its process.
 func TestStoredOrders(t *testing.T) {
 	dir := directoryWith(t, "orders.json")
 	s := openStored(dir)
