--- a/internal/lifecycle/keyposition_test.go
+++ b/internal/lifecycle/keyposition_test.go
@@ -6,8 +6,8 @@
 	"testing"
 )
 
-// A setting that would silently change decisions stops the start, and the error has the file, the line and
-// the column of its value, and the key.
+// An invalid setting stops the start. The error has the file, the line and the column of its value, and the
+// key.
 func TestInvalidSettingsReportPosition(t *testing.T) {
 	two := strings.Replace(validConfig, `"zone":"a","limits"`, `"zone":"a","zones":["a","b"],"limits"`, 1)
 	if _, err := loadText(t, two, nil); err != nil {
@@ -30,14 +30,14 @@
 			t.Errorf("%s: no error", c.key)
 			continue
 		}
-		value, _, _ := strings.Cut(c.key[strings.LastIndex(c.key, ".")+1:], "[") // the last member's name
+		member, _, _ := strings.Cut(c.key[strings.LastIndex(c.key, ".")+1:], "[") // the last member's name
 		line, column, ok := locate([]byte(text), c.key)
 		if !ok {
 			t.Fatalf("%s: not found in the text", c.key)
 		}
 		lines := strings.Split(text, "\n")
 		before := lines[line-1][:column-1]
-		if !strings.HasSuffix(strings.TrimRight(before, ": "), `"`+value+`"`) {
+		if !strings.HasSuffix(strings.TrimRight(before, ": "), `"`+member+`"`) {
 			t.Errorf("%s: %d:%d does not follow the key: %q", c.key, line, column, before)
 		}
 		want := fmt.Sprintf("config.json:%d:%d: %s: ", line, column, c.key)
--- a/internal/lifecycle/listeners_test.go
+++ b/internal/lifecycle/listeners_test.go
@@ -7,8 +7,8 @@
 	"testing"
 )
 
-// If the platform passes on the clients' socket as a file descriptor, the gateway accepts on it: binding
-// the address itself would fail, because it is in use.
+// If the platform passes on the clients' socket as a file descriptor, the gateway accepts on it. Binding the
+// address again would fail, because it is in use.
 func TestInheritedListener(t *testing.T) {
 	platformListener, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -40,9 +40,9 @@
 		t.Fatal(err)
 	}
 	conn.Close()
-	for _, bad := range []string{"x", "2", "-1"} {
-		if _, err := loadText(t, validConfig, map[string]string{"NODE_SOCKET_FD": bad}); err == nil || !strings.Contains(err.Error(), "NODE_SOCKET_FD") {
-			t.Errorf("%q: got %v", bad, err)
+	for _, invalid := range []string{"x", "2", "-1"} {
+		if _, err := loadText(t, validConfig, map[string]string{"NODE_SOCKET_FD": invalid}); err == nil || !strings.Contains(err.Error(), "NODE_SOCKET_FD") {
+			t.Errorf("%q: got %v", invalid, err)
 		}
 	}
 }
--- a/internal/maintenance/store_test.go
+++ b/internal/maintenance/store_test.go
@@ -17,11 +17,11 @@
 	"pgregory.net/rapid"
 )
 
-// flakyFileSystem fails on demand, with the errors that Linux documents, or leaves writes half done.
+// flakyFileSystem fails on demand with the errors that Linux documents, or leaves writes incomplete.
 type flakyFileSystem struct {
 	osFileSystem
-	broken  atomic.Bool // reads and writes fail
-	tearing atomic.Bool // writes leave half of the content in the file, as after a crash of the machine
+	broken     atomic.Bool // reads and writes fail
+	tornWrites atomic.Bool // writes leave half of the content in the file, as after a crash of the machine
 }
 
 func (f *flakyFileSystem) fault() error {
@@ -33,7 +33,7 @@
 }
 
 func (f *flakyFileSystem) WriteFileAtomic(path string, content []byte) (string, error) {
-	if f.tearing.Load() {
+	if f.tornWrites.Load() {
 		_ = os.WriteFile(path, content[:len(content)/2], 0o600)
 		return "", syscall.EIO
 	}
@@ -50,7 +50,7 @@
 	return f.osFileSystem.ReadFile(path)
 }
 
-// openStore opens a store. With running, Run is active until the test ends or the returned function is
+// openStore opens a store. If running is set, Run is active until the test ends or the returned function is
 // called, and successors can query the store.
 func openStore(t *testing.T, dir string, fileSystem FileSystem, running bool) (*Store, func()) {
 	t.Helper()
@@ -113,13 +113,13 @@
 	}
 }
 
-// A process beside its predecessor takes over the orders in force, including a drain, even if the directory
-// cannot be written. Later orders to either process reach the other, and unsaved orders are saved later.
+// A process that starts while its predecessor runs takes over its orders, including a drain, even if the
+// directory is not writable. Later orders to either process reach the other, and unsaved orders are saved later.
 func TestHandoffToSuccessor(t *testing.T) {
 	dir, ctx := t.TempDir(), context.Background()
 	fileSystem := &flakyFileSystem{}
 	fileSystem.broken.Store(true)
-	old, end := openStore(t, dir, fileSystem, true)
+	old, stop := openStore(t, dir, fileSystem, true)
 	start := time.Now()
 	if err := old.SetEjected(ctx, "s-1", true); !errors.Is(err, ErrNotSaved) || !old.Ejected("s-1") {
 		t.Errorf("on a broken disk: %v, ejected %v", err, old.Ejected("s-1"))
@@ -127,8 +127,8 @@
 	if err := old.SetDrained(ctx, true); !errors.Is(err, ErrNotSaved) {
 		t.Errorf("on a broken disk: %v", err)
 	}
-	if took := time.Since(start); took > 2*time.Second {
-		t.Errorf("two orders took %v", took)
+	if elapsed := time.Since(start); elapsed > 2*time.Second {
+		t.Errorf("two orders took %v", elapsed)
 	}
 	next := Open(Options{Directory: dir, Name: "n0", Listen: "127.0.0.1:1", FileSystem: fileSystem})
 	if !next.Ejected("s-1") || !next.Drained() {
@@ -145,7 +145,7 @@
 		t.Fatal(err)
 	}
 	waitUntil(t, "the predecessor receives the successor's order", func() bool { return !old.Ejected("s-1") })
-	end()
+	stop()
 	if err := next.SetDrained(ctx, false); err != nil {
 		t.Fatal(err)
 	}
@@ -185,7 +185,7 @@
 	if s, _ = openStore(t, dir, nil, false); !s.Ejected("s-1") {
 		t.Error("a later version's order is lost")
 	}
-	// A symbolic link is not trusted.
+	// A symbolic link is not followed.
 	if err := os.Rename(s.path, s.path+".x"); err != nil {
 		t.Fatal(err)
 	}
@@ -206,11 +206,11 @@
 	if err := s.SetEjected(ctx, "s-1", true); err != nil {
 		t.Fatal(err)
 	}
-	fileSystem.tearing.Store(true)
+	fileSystem.tornWrites.Store(true)
 	if err := s.SetEjected(ctx, "s-2", true); !errors.Is(err, ErrNotSaved) {
 		t.Errorf("half a write: %v", err)
 	}
-	fileSystem.tearing.Store(false)
+	fileSystem.tornWrites.Store(false)
 	for _, damage := range []func() error{func() error { return nil }, func() error { return os.Remove(s.path) }, func() error { return os.Truncate(s.path, 10) }} {
 		waitUntil(t, "saved", hasSavedEjected(s, 2))
 		if err := damage(); err != nil {
@@ -236,7 +236,7 @@
 	return fingerprint, err
 }
 
-// Corruption that happens before the store has read the fingerprint back does not pass for the written file.
+// A file that is damaged right after the store has written it is detected as changed and written again.
 func TestCorruptionRightAfterWrite(t *testing.T) {
 	s, end := openStore(t, t.TempDir(), &damagingFileSystem{}, true)
 	defer end()
@@ -256,8 +256,8 @@
 			t.Errorf("%v", err)
 		}
 	}
-	if took := time.Since(start); took > 2700*time.Millisecond {
-		t.Errorf("three orders took %v", took)
+	if elapsed := time.Since(start); elapsed > 2700*time.Millisecond {
+		t.Errorf("three orders took %v", elapsed)
 	}
 	if n := hang.entered.Load(); n > 1 {
 		t.Errorf("%d goroutines hang", n)
@@ -278,8 +278,7 @@
 	return "", nil
 }
 
-// States merged in any sequence give the same result, and an order that is given after another was seen
-// supersedes it.
+// States merged in any sequence give the same result, whether their orders are concurrent or follow a merge.
 func TestMergeIsOrderIndependent(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		states := []state{newState(), newState(), newState()}
@@ -297,7 +296,7 @@
 				}
 				continue
 			}
-			delete(last, id) // concurrent orders: either may win
+			delete(last, id) // concurrent orders: either may take precedence
 			_ = states[i].setEjected(id, rapid.Bool().Draw(t, "ejected"))
 		}
 		var merged []state
@@ -314,7 +313,7 @@
 	})
 }
 
-// The number of stored orders is bounded however many replicas come and go, and no ejected replica is forgotten.
+// The number of stored orders is bounded however many replicas come and go, and no ejection is removed.
 func TestOrdersAreBounded(t *testing.T) {
 	s := newState()
 	for i := range maxOrders - 5 {
