--- a/internal/capture/convert.go
+++ b/internal/capture/convert.go
@@ -200,18 +200,18 @@
 
 // marshalSettings returns the module's settings as JSON with all fields.
 func marshalSettings(s *balancer.Settings) []byte {
-	text, err := json.Marshal(s)
+	data, err := json.Marshal(s)
 	if err != nil {
 		panic(err) // plain data: only a NaN could fail, which the settings' validation rejects
 	}
-	return text
+	return data
 }
 
 // UnmarshalSettings parses the settings of a capture. An unknown field is an error: a setting that this build does not
 // know would make it decide differently.
-func UnmarshalSettings(text []byte) (balancer.Settings, error) {
+func UnmarshalSettings(data []byte) (balancer.Settings, error) {
 	var s balancer.Settings
-	d := json.NewDecoder(bytes.NewReader(text))
+	d := json.NewDecoder(bytes.NewReader(data))
 	d.DisallowUnknownFields()
 	if err := d.Decode(&s); err != nil {
 		return s, fmt.Errorf("settings: %w", err)
--- a/internal/capture/incident.go
+++ b/internal/capture/incident.go
@@ -23,7 +23,7 @@
 	Gateway  string    `json:"gateway"`
 	Build    string    `json:"build"`
 	At       time.Time `json:"at"`
-	Ordered  bool      `json:"ordered"` // by a person, not by a condition
+	Manual   bool      `json:"ordered"` // by a person, not by a condition
 	Segments []string  `json:"segments"`
 	Bytes    int64     `json:"bytes"`
 }
@@ -38,34 +38,34 @@
 
 // Reasons for not saving an incident.
 var (
-	errNoIncidents     = errors.New("no incidents are kept here")
-	errIncidentTooSoon = errors.New("too soon after the last")
+	errIncidentsDisabled = errors.New("no incidents are kept here")
+	errIncidentTooSoon   = errors.New("too soon after the last")
 )
 
 // saveIncident saves the closed segments of the last IncidentWindow in a directory of their own. Incidents that nobody
 // ordered are limited to one in an IncidentInterval.
-func (w *Writer) saveIncident(reason string, ordered bool) SavedIncident {
+func (w *Writer) saveIncident(reason string, manual bool) SavedIncident {
 	if w.options.MaxIncidents <= 0 {
-		return SavedIncident{Err: errNoIncidents}
+		return SavedIncident{Err: errIncidentsDisabled}
 	}
 	now := time.Now()
-	if !ordered && now.Sub(w.lastAutomaticIncident) < w.options.IncidentInterval {
+	if !manual && now.Sub(w.lastAutomaticIncident) < w.options.IncidentInterval {
 		return SavedIncident{Err: errIncidentTooSoon}
 	}
-	if !ordered {
+	if !manual {
 		w.lastAutomaticIncident = now
 	}
-	saved, err := w.linkSegments(reason, ordered, now)
+	saved, err := w.linkSegments(reason, manual, now)
 	if err != nil {
 		w.options.Log("incident_failed", "err", err.Error(), "reason", reason)
 		return SavedIncident{Err: err}
 	}
-	w.options.Log("incident", "reason", reason, "ordered", ordered, "path", saved.Path, "segments", saved.Segments, "bytes", saved.Bytes)
+	w.options.Log("incident", "reason", reason, "ordered", manual, "path", saved.Path, "segments", saved.Segments, "bytes", saved.Bytes)
 	return saved
 }
 
 // linkSegments makes the incident's directory, with links to the segments and a manifest.
-func (w *Writer) linkSegments(reason string, ordered bool, now time.Time) (SavedIncident, error) {
+func (w *Writer) linkSegments(reason string, manual bool, now time.Time) (SavedIncident, error) {
 	if err := os.MkdirAll(w.options.IncidentDirectory, directoryMode); err != nil {
 		return SavedIncident{}, err
 	}
@@ -76,7 +76,7 @@
 	if err := os.Mkdir(dir, directoryMode); err != nil {
 		return SavedIncident{}, err
 	}
-	m := Manifest{Reason: reason, Gateway: w.options.Gateway, Build: w.options.Build, At: now.UTC(), Ordered: ordered}
+	m := Manifest{Reason: reason, Gateway: w.options.Gateway, Build: w.options.Build, At: now.UTC(), Manual: manual}
 	for _, s := range listSegments(w.options.Directory, w.options.Gateway) {
 		isOpen := s.path == w.path && w.file != nil
 		if now.Sub(s.modifiedAt) > w.options.IncidentWindow || isOpen {
@@ -101,19 +101,19 @@
 }
 
 func copyFile(from, to string) error {
-	text, err := os.ReadFile(from)
+	data, err := os.ReadFile(from)
 	if err != nil {
 		return err
 	}
-	return os.WriteFile(to, text, fileMode)
+	return os.WriteFile(to, data, fileMode)
 }
 
 func writeManifest(dir string, m *Manifest) error {
-	text, err := json.MarshalIndent(m, "", "  ")
+	data, err := json.MarshalIndent(m, "", "  ")
 	if err != nil {
 		return err
 	}
-	return renameio.WriteFile(filepath.Join(dir, ManifestName), append(text, '\n'), fileMode)
+	return renameio.WriteFile(filepath.Join(dir, ManifestName), append(data, '\n'), fileMode)
 }
 
 // deleteOldIncidents deletes the oldest incidents of this gateway, until there is room for one more.
@@ -122,18 +122,18 @@
 	if err != nil {
 		return err
 	}
-	var own []string
+	var incidents []string
 	for _, e := range entries {
 		if e.IsDir() && strings.HasPrefix(e.Name(), w.options.Gateway+"-") {
-			own = append(own, filepath.Join(w.options.IncidentDirectory, e.Name()))
+			incidents = append(incidents, filepath.Join(w.options.IncidentDirectory, e.Name()))
 		}
 	}
-	slices.Sort(own) // their names begin with their times
-	for len(own) >= w.options.MaxIncidents {
-		if err := os.RemoveAll(own[0]); err != nil {
+	slices.Sort(incidents) // their names begin with their times
+	for len(incidents) >= w.options.MaxIncidents {
+		if err := os.RemoveAll(incidents[0]); err != nil {
 			return err
 		}
-		own = own[1:]
+		incidents = incidents[1:]
 	}
 	return nil
 }
@@ -166,12 +166,12 @@
 
 // deleteOldSegments deletes the oldest segments of this gateway past MaxBytes and MaxAge.
 func (w *Writer) deleteOldSegments() {
-	all := listSegments(w.options.Directory, w.options.Gateway)
+	segments := listSegments(w.options.Directory, w.options.Gateway)
 	var total int64
-	for _, s := range all {
+	for _, s := range segments {
 		total += s.size
 	}
-	for _, s := range all {
+	for _, s := range segments {
 		if total <= w.options.MaxBytes && time.Since(s.modifiedAt) <= w.options.MaxAge {
 			break
 		}
--- a/internal/capture/reader.go
+++ b/internal/capture/reader.go
@@ -31,7 +31,7 @@
 	file            *os.File
 	decoder         *zstd.Decoder
 
-	unread     []byte // what is left of the current block
+	remaining  []byte // what is left of the current block
 	at         balancer.Micros
 	number     uint64 // of the next event of the block
 	eventsLeft uint32 // in the block
@@ -76,7 +76,7 @@
 			r.unreadableReported++
 			continue
 		}
-		if len(r.unread) > 0 {
+		if len(r.remaining) > 0 {
 			return r.nextEntry(), nil
 		}
 		if err := r.nextBlock(); err != nil {
@@ -95,9 +95,9 @@
 
 // nextEntry returns the next record of the current block. If it is corrupt, the remainder of the block is missing.
 func (r *Reader) nextEntry() Entry {
-	record, rest, err := decodeRecord(r.unread)
+	record, remainder, err := decodeRecord(r.remaining)
 	if err != nil {
-		r.unread = nil
+		r.remaining = nil
 		s := r.run.Segments[r.segmentPos]
 		return Entry{Number: r.number, At: r.at, Missing: &Missing{
 			Path:       s.Path,
@@ -107,7 +107,7 @@
 			Reason:     err.Error(),
 		}}
 	}
-	r.unread = rest
+	r.remaining = remainder
 	r.at += record.AfterUs
 	e := Entry{Number: r.number, At: r.at, Record: record}
 	if record.Kind != pb.Kind_KIND_CHECKPOINT && record.Kind != pb.Kind_KIND_GAP {
@@ -119,13 +119,13 @@
 }
 
 // decodeRecord decodes the first record of a payload.
-func decodeRecord(in []byte) (record *pb.Record, rest []byte, err error) {
-	text, rest, err := nextRecord(in)
+func decodeRecord(in []byte) (record *pb.Record, remainder []byte, err error) {
+	encoded, remainder, err := nextRecord(in)
 	if err != nil {
 		return nil, nil, err
 	}
 	record = &pb.Record{}
-	return record, rest, proto.Unmarshal(text, record)
+	return record, remainder, proto.Unmarshal(encoded, record)
 }
 
 // nextBlock advances by a block, a missing part, or to the next segment.
@@ -182,12 +182,12 @@
 		})
 		return
 	}
-	r.unread, r.at, r.number, r.eventsLeft = loaded.payload, loaded.at, loaded.firstRecord, loaded.recordCount
-	if r.expected > 0 && loaded.recordCount > 0 && loaded.firstRecord > r.expected {
+	r.remaining, r.at, r.number, r.eventsLeft = loaded.payload, loaded.at, loaded.firstEvent, loaded.eventCount
+	if r.expected > 0 && loaded.eventCount > 0 && loaded.firstEvent > r.expected {
 		r.reportMissing(Missing{
 			Path:       path,
 			Offset:     b.Offset,
-			Events:     loaded.firstRecord - r.expected,
+			Events:     loaded.firstEvent - r.expected,
 			FirstEvent: r.expected,
 			Reason:     "events were not recorded before this",
 		})
--- a/internal/capture/recordedactions.go
+++ b/internal/capture/recordedactions.go
@@ -30,8 +30,8 @@
 	if a := r.addAction(pb.Action_DISPATCH); a != nil {
 		a.Request, a.Worker, a.AtUs = uint32(id), uint32(to), timeoutAt
 	}
-	if r.incidentWatch != nil {
-		r.noteIncident(r.incidentWatch.Dispatched(r.now, id, to))
+	if r.incidentDetector != nil {
+		r.noteIncident(r.incidentDetector.Dispatched(r.now, id, to))
 	}
 	r.sink.Dispatch(id, to, timeoutAt)
 }
@@ -41,8 +41,8 @@
 	if a := r.addAction(pb.Action_REFUSE); a != nil {
 		a.Request, a.AtUs = uint32(id), retryAfter
 	}
-	if r.incidentWatch != nil {
-		r.noteIncident(r.incidentWatch.RequestFailed(r.now, id))
+	if r.incidentDetector != nil {
+		r.noteIncident(r.incidentDetector.RequestFailed(r.now, id))
 	}
 	r.sink.Shed(id, retryAfter)
 }
@@ -52,8 +52,8 @@
 	if a := r.addAction(pb.Action_FAIL); a != nil {
 		a.Request = uint32(id)
 	}
-	if r.incidentWatch != nil {
-		r.noteIncident(r.incidentWatch.RequestFailed(r.now, id))
+	if r.incidentDetector != nil {
+		r.noteIncident(r.incidentDetector.RequestFailed(r.now, id))
 	}
 	r.sink.Fail(id)
 }
--- a/internal/capture/recordedcalls.go
+++ b/internal/capture/recordedcalls.go
@@ -20,8 +20,8 @@
 	if recorded {
 		r.current.List = endpointListToProto(&l, r.host.ReplicaName)
 	}
-	if r.incidentWatch != nil {
-		r.incidentWatch.ListChanged(now, l)
+	if r.incidentDetector != nil {
+		r.incidentDetector.ListChanged(now, l)
 	}
 	r.balancer.ListChanged(now, l)
 	r.endRecord(recorded)
@@ -34,8 +34,8 @@
 		r.current.Request = uint32(in.ID)
 		r.current.Arrival = arrivalToProto(&r.arrival, &in, r.host.RequestName(in.ID))
 	}
-	if r.incidentWatch != nil {
-		r.incidentWatch.RequestArrived(now, in)
+	if r.incidentDetector != nil {
+		r.incidentDetector.RequestArrived(now, in)
 	}
 	r.balancer.RequestArrived(now, in)
 	r.endRecord(recorded)
@@ -47,8 +47,8 @@
 	if recorded {
 		r.current.Request, r.current.Outcome = uint32(o.ID), outcomeToProto(&r.outcome, &r.report, &o)
 	}
-	if r.incidentWatch != nil {
-		r.noteIncident(r.incidentWatch.FirstToken(now, o))
+	if r.incidentDetector != nil {
+		r.noteIncident(r.incidentDetector.FirstToken(now, o))
 	}
 	r.balancer.FirstToken(now, o)
 	r.endRecord(recorded)
@@ -60,8 +60,8 @@
 	if recorded {
 		r.current.Request, r.current.Outcome = uint32(o.ID), outcomeToProto(&r.outcome, &r.report, &o)
 	}
-	if r.incidentWatch != nil {
-		r.noteIncident(r.incidentWatch.AttemptEnded(now, o))
+	if r.incidentDetector != nil {
+		r.noteIncident(r.incidentDetector.AttemptEnded(now, o))
 	}
 	r.balancer.AttemptEnded(now, o)
 	r.endRecord(recorded)
@@ -73,8 +73,8 @@
 	if recorded {
 		r.current.Request = uint32(id)
 	}
-	if r.incidentWatch != nil {
-		r.noteIncident(r.incidentWatch.ClientGone(now, id))
+	if r.incidentDetector != nil {
+		r.noteIncident(r.incidentDetector.ClientGone(now, id))
 	}
 	r.balancer.ClientGone(now, id)
 	r.endRecord(recorded)
@@ -121,8 +121,8 @@
 	err := r.balancer.Reconfigure(now, s)
 	if err == nil {
 		r.settingsChanged = true
-		if r.incidentWatch != nil {
-			r.incidentWatch.Reconfigured(s)
+		if r.incidentDetector != nil {
+			r.incidentDetector.Reconfigured(s)
 		}
 	}
 	r.endRecord(recorded)
--- a/internal/capture/recorder.go
+++ b/internal/capture/recorder.go
@@ -46,9 +46,9 @@
 	segmentStartedAt balancer.Micros
 	gap              *gap // not nil: records are being lost
 
-	incidentWatch   *capturetrigger.Detector // nil: incidents are not detected
-	pendingIncident string                   // why one is to be saved once the call is recorded; "": none is
-	incidentSavedAt balancer.Micros          // when the recorder last saved one by itself
+	incidentDetector *capturetrigger.Detector // nil: incidents are not detected
+	pendingIncident  string                   // why one is to be saved once the call is recorded; "": none is
+	incidentSavedAt  balancer.Micros          // when the recorder last saved one by itself
 
 	settingsChanged bool   // the settings in force are not those that the run began with
 	firingTimer     *Timer // the timer that is firing: it is no longer pending with the host
@@ -113,7 +113,7 @@
 		r.host.RequestName = func(balancer.RequestID) string { return "" }
 	}
 	if o.Incident.Enabled() {
-		r.incidentWatch = capturetrigger.New(o.Incident, b.Settings())
+		r.incidentDetector = capturetrigger.New(o.Incident, b.Settings())
 	}
 	b.SetSink(r)
 	r.writeCheckpoint(true, nil)
@@ -274,18 +274,18 @@
 		return
 	}
 	b := block{
-		kind:        blockRecords,
-		flags:       r.blockFlags,
-		recordCount: r.blockEvents,
-		rawLength:   uint32(len(r.blockBuffer)),
-		firstRecord: r.blockFirstEvent,
-		at:          r.blockStartedAt,
-		payload:     r.blockBuffer,
+		kind:       blockRecords,
+		flags:      r.blockFlags,
+		eventCount: r.blockEvents,
+		rawLength:  uint32(len(r.blockBuffer)),
+		firstEvent: r.blockFirstEvent,
+		at:         r.blockStartedAt,
+		payload:    r.blockBuffer,
 	}
 	r.blockBuffer, r.blockEvents, r.blockFlags = nil, 0, 0
 	if !r.writer.enqueue(writerTask{block: b}) && r.gap == nil {
 		r.startGap(reasonQueueFull)
-		r.gap.events += uint64(b.recordCount)
+		r.gap.events += uint64(b.eventCount)
 	}
 }
 
@@ -309,22 +309,22 @@
 	if r.now < r.gap.retryAt || !r.writer.hasRoom() {
 		return false
 	}
-	ended := r.gap
+	endedGap := r.gap
 	r.gap = nil
 	r.writer.clearFailure()
-	r.writeCheckpoint(true, ended)
+	r.writeCheckpoint(true, endedGap)
 	if r.gap != nil { // it failed again: the same gap continues
-		ended.retryAt = r.gap.retryAt
-		r.gap = ended
+		endedGap.retryAt = r.gap.retryAt
+		r.gap = endedGap
 		return false
 	}
-	r.writer.logResumed(ended.events)
+	r.writer.logResumed(endedGap.events)
 	return true
 }
 
 // writeCheckpoint begins a block, in a new segment if wanted, with the module's complete state. The record of the
 // gap before it, if there was one, comes first. The block is handed over with the records that follow.
-func (r *Recorder) writeCheckpoint(newSegment bool, after *gap) {
+func (r *Recorder) writeCheckpoint(newSegment bool, endedGap *gap) {
 	r.flush()
 	if r.gap != nil {
 		return
@@ -338,9 +338,9 @@
 	}
 	r.blockFlags = flagCheckpoint
 	r.blockFirstEvent = r.lastEvent
-	if after != nil {
+	if endedGap != nil {
 		r.resetRecord(pb.Kind_KIND_GAP)
-		r.current.Gap = &pb.Gap{Events: after.events, Actions: after.actions, FromUs: after.startedAt, Reason: after.reason}
+		r.current.Gap = &pb.Gap{Events: endedGap.events, Actions: endedGap.actions, FromUs: endedGap.startedAt, Reason: endedGap.reason}
 		r.encodeRecord(&r.current)
 	}
 	checkpoint := r.newCheckpoint()
--- a/internal/capture/rewrite.go
+++ b/internal/capture/rewrite.go
@@ -15,11 +15,11 @@
 // CopySpan copies a span of time into a new segment: complete blocks, from the last checkpoint before the span on. It
 // returns the number of events. On an error no file is left.
 func CopySpan(run *Run, from, to balancer.Micros, path string) (events uint64, err error) {
-	start, err := NewReader(run, from)
+	reader, err := NewReader(run, from)
 	if err != nil {
 		return 0, err
 	}
-	defer start.Close()
+	defer reader.Close()
 	out, err := os.OpenFile(path, os.O_WRONLY|os.O_CREATE|os.O_EXCL, fileMode)
 	if err != nil {
 		return 0, err
@@ -33,11 +33,11 @@
 		}
 	}()
 	c := spanCopier{out: out, to: to}
-	if err := c.writeHeader(run.Segments[start.segmentPos], start.blockPos); err != nil {
+	if err := c.writeHeader(run.Segments[reader.segmentPos], reader.blockPos); err != nil {
 		return 0, err
 	}
-	firstBlock := start.blockPos
-	for _, s := range run.Segments[start.segmentPos:] {
+	firstBlock := reader.blockPos
+	for _, s := range run.Segments[reader.segmentPos:] {
 		if err := c.copySegment(s, firstBlock); err != nil {
 			return 0, err
 		}
@@ -55,9 +55,9 @@
 }
 
 func (c *spanCopier) writeBlock(b block) error {
-	text := b.appendTo(nil)
-	_, err := c.out.Write(text)
-	c.offset += int64(len(text))
+	encoded := b.appendTo(nil)
+	_, err := c.out.Write(encoded)
+	c.offset += int64(len(encoded))
 	return err
 }
 
@@ -123,28 +123,28 @@
 // RewriteHeader writes a copy of a segment with its header changed: for captures that get another name, and for tests
 // of other versions.
 func RewriteHeader(path, out string, change func(*pb.Header)) error {
-	text, err := os.ReadFile(path)
+	segment, err := os.ReadFile(path)
 	if err != nil {
 		return err
 	}
-	head, err := readBlock(bytes.NewReader(text), 0)
-	var h pb.Header
+	headerBlock, err := readBlock(bytes.NewReader(segment), 0)
+	var header pb.Header
 	if err == nil {
-		err = proto.Unmarshal(head.payload, &h)
+		err = proto.Unmarshal(headerBlock.payload, &header)
 	}
 	if err != nil {
 		return fmt.Errorf("%s: %w", path, err)
 	}
-	rest := text[blockHeadSize+len(head.payload):]
-	change(&h)
-	if head, err = messageBlock(blockHeader, head.at, &h); err != nil {
+	blocks := segment[blockHeadSize+len(headerBlock.payload):]
+	change(&header)
+	if headerBlock, err = messageBlock(blockHeader, headerBlock.at, &header); err != nil {
 		return err
 	}
 	// The index is left out, whose offsets are no longer right: a reader finds the blocks without it.
-	if at := bytes.LastIndex(rest, []byte(blockMarker)); at >= 0 && bytes.HasSuffix(rest, []byte(indexMarker)) {
-		rest = rest[:at]
+	if indexOffset := bytes.LastIndex(blocks, []byte(blockMarker)); indexOffset >= 0 && bytes.HasSuffix(blocks, []byte(indexMarker)) {
+		blocks = blocks[:indexOffset]
 	}
-	return os.WriteFile(out, append(head.appendTo(nil), rest...), fileMode)
+	return os.WriteFile(out, append(headerBlock.appendTo(nil), blocks...), fileMode)
 }
 
 // ChangeSettings returns a change of a header for RewriteHeader that changes the settings, as a module with other
--- a/internal/capture/run.go
+++ b/internal/capture/run.go
@@ -99,7 +99,7 @@
 // ErrUnsupportedVersion says that a capture has a format that this build does not read.
 var ErrUnsupportedVersion = errors.New("format not known to this build")
 
-var errNoCapture = errors.New("not a capture, or its header is damaged")
+var errNotACapture = errors.New("not a capture, or its header is damaged")
 
 // OpenSegment reads a segment's header and finds its blocks. The error is ErrUnsupportedVersion for a segment of
 // another major version of the format.
@@ -124,7 +124,7 @@
 func (s *Segment) load(r io.ReaderAt) error {
 	head, err := readBlockHead(r, 0)
 	if err != nil || head.kind != blockHeader {
-		return errNoCapture
+		return errNotACapture
 	}
 	if err := readPayload(r, 0, &head); err != nil {
 		return fmt.Errorf("its header cannot be read: %w", err)
@@ -150,12 +150,12 @@
 	if s.Size < blockHeadSize+trailerSize {
 		return false
 	}
-	at, ok := readTrailer(r, s.Size-trailerSize)
-	if !ok || at < blockHeadSize || at > s.Size-trailerSize-blockHeadSize {
+	indexOffset, ok := readTrailer(r, s.Size-trailerSize)
+	if !ok || indexOffset < blockHeadSize || indexOffset > s.Size-trailerSize-blockHeadSize {
 		return false
 	}
-	head, err := readBlockHead(r, at)
-	if err != nil || head.kind != blockIndex || readPayload(r, at, &head) != nil {
+	head, err := readBlockHead(r, indexOffset)
+	if err != nil || head.kind != blockIndex || readPayload(r, indexOffset, &head) != nil {
 		return false
 	}
 	var index pb.Index
@@ -163,7 +163,7 @@
 		return false
 	}
 	for _, b := range index.Blocks {
-		if int64(b.Offset) >= at {
+		if int64(b.Offset) >= indexOffset {
 			return false
 		}
 		s.Blocks = append(s.Blocks, Block{
@@ -178,39 +178,39 @@
 }
 
 // scanBlocks finds the blocks from an offset on, one after another, and notes what lies between them.
-func (s *Segment) scanBlocks(r io.ReaderAt, at int64) {
-	for at < s.Size {
-		head, err := readBlockHead(r, at)
-		end := at + blockHeadSize + int64(head.storedLength)
+func (s *Segment) scanBlocks(r io.ReaderAt, offset int64) {
+	for offset < s.Size {
+		head, err := readBlockHead(r, offset)
+		end := offset + blockHeadSize + int64(head.storedLength)
 		if err == nil && end > s.Size {
 			s.Missing = append(s.Missing, Missing{
 				Path:       s.Path,
-				Offset:     at,
-				Events:     uint64(head.recordCount),
-				FirstEvent: head.firstRecord,
+				Offset:     offset,
+				Events:     uint64(head.eventCount),
+				FirstEvent: head.firstEvent,
 				Reason:     "the file ends within a block",
 			})
 			return
 		}
 		if err == nil {
 			if head.kind == blockRecords {
-				s.Blocks = append(s.Blocks, Block{at, head.firstRecord, head.at, head.startsWithCheckpoint(), head.recordCount})
+				s.Blocks = append(s.Blocks, Block{offset, head.firstEvent, head.at, head.startsWithCheckpoint(), head.eventCount})
 			}
-			at = end
+			offset = end
 			continue
 		}
-		if s.Size-at == trailerSize {
-			if _, ok := readTrailer(r, at); ok {
+		if s.Size-offset == trailerSize {
+			if _, ok := readTrailer(r, offset); ok {
 				return // of an index that cannot be read
 			}
 		}
-		next, err := findBlockHead(r, at+1)
+		next, err := findBlockHead(r, offset+1)
 		if err != nil {
-			s.Missing = append(s.Missing, Missing{Path: s.Path, Offset: at, Reason: fmt.Sprintf("the last %d bytes are no whole block", s.Size-at)})
+			s.Missing = append(s.Missing, Missing{Path: s.Path, Offset: offset, Reason: fmt.Sprintf("the last %d bytes are no whole block", s.Size-offset)})
 			return
 		}
-		s.Missing = append(s.Missing, Missing{Path: s.Path, Offset: at, Reason: fmt.Sprintf("%d bytes are no block", next-at)})
-		at = next
+		s.Missing = append(s.Missing, Missing{Path: s.Path, Offset: offset, Reason: fmt.Sprintf("%d bytes are no block", next-offset)})
+		offset = next
 	}
 }
 
--- a/internal/capture/segment.go
+++ b/internal/capture/segment.go
@@ -38,8 +38,8 @@
 	// maxBlockBytes bounds the lengths that a block may claim.
 	maxBlockBytes = 64 << 20
 
-	// searchBytes is how much of a segment is searched for a marker at once.
-	searchBytes = 64 << 10
+	// searchChunkBytes is how much of a segment is searched for a marker at once.
+	searchChunkBytes = 64 << 10
 )
 
 type blockKind uint8
@@ -59,32 +59,32 @@
 type block struct {
 	kind         blockKind
 	flags        uint8
-	recordCount  uint32
+	eventCount   uint32
 	rawLength    uint32 // length of the contents
 	storedLength uint32 // their length in the file
-	firstRecord  uint64 // number of the first record
+	firstEvent   uint64 // number of the first record
 	at           balancer.Micros
 	checksum     uint32
 	payload      []byte // as stored
 }
 
-var castagnoli = crc32.MakeTable(crc32.Castagnoli)
+var crc32cTable = crc32.MakeTable(crc32.Castagnoli)
 
 func (b *block) startsWithCheckpoint() bool { return b.flags&flagCheckpoint != 0 }
 
 // appendTo appends the block to out, with its checksums.
 func (b *block) appendTo(out []byte) []byte {
-	b.storedLength, b.checksum = uint32(len(b.payload)), crc32.Checksum(b.payload, castagnoli)
-	at := len(out)
+	b.storedLength, b.checksum = uint32(len(b.payload)), crc32.Checksum(b.payload, crc32cTable)
+	start := len(out)
 	out = append(out, blockMarker...)
 	out = append(out, byte(b.kind), b.flags, 0, 0)
 	out = binary.LittleEndian.AppendUint32(out, b.storedLength)
 	out = binary.LittleEndian.AppendUint32(out, b.rawLength)
-	out = binary.LittleEndian.AppendUint32(out, b.recordCount)
-	out = binary.LittleEndian.AppendUint64(out, b.firstRecord)
+	out = binary.LittleEndian.AppendUint32(out, b.eventCount)
+	out = binary.LittleEndian.AppendUint64(out, b.firstEvent)
 	out = binary.LittleEndian.AppendUint64(out, uint64(b.at))
 	out = binary.LittleEndian.AppendUint32(out, b.checksum)
-	out = binary.LittleEndian.AppendUint32(out, crc32.Checksum(out[at:], castagnoli))
+	out = binary.LittleEndian.AppendUint32(out, crc32.Checksum(out[start:], crc32cTable))
 	return append(out, b.payload...)
 }
 
@@ -95,12 +95,12 @@
 }
 
 // readTrailer returns the offset of the index block if there is a trailer at an offset.
-func readTrailer(r io.ReaderAt, at int64) (index int64, ok bool) {
-	var trail [trailerSize]byte
-	if n, _ := r.ReadAt(trail[:], at); n < trailerSize || string(trail[8:]) != indexMarker {
+func readTrailer(r io.ReaderAt, at int64) (indexOffset int64, ok bool) {
+	var trailer [trailerSize]byte
+	if n, _ := r.ReadAt(trailer[:], at); n < trailerSize || string(trailer[8:]) != indexMarker {
 		return 0, false
 	}
-	return int64(binary.LittleEndian.Uint64(trail[:])), true
+	return int64(binary.LittleEndian.Uint64(trailer[:])), true
 }
 
 var errCorrupt = errors.New("damaged")
@@ -116,11 +116,11 @@
 		return block{}, err
 	}
 	le := binary.LittleEndian
-	if string(buf[:8]) != blockMarker || le.Uint32(buf[44:]) != crc32.Checksum(buf[:44], castagnoli) {
+	if string(buf[:8]) != blockMarker || le.Uint32(buf[44:]) != crc32.Checksum(buf[:44], crc32cTable) {
 		return block{}, errCorrupt
 	}
 	b := block{kind: blockKind(buf[8]), flags: buf[9], storedLength: le.Uint32(buf[12:]), rawLength: le.Uint32(buf[16:]),
-		recordCount: le.Uint32(buf[20:]), firstRecord: le.Uint64(buf[24:]), at: int64(le.Uint64(buf[32:])), checksum: le.Uint32(buf[40:])}
+		eventCount: le.Uint32(buf[20:]), firstEvent: le.Uint64(buf[24:]), at: int64(le.Uint64(buf[32:])), checksum: le.Uint32(buf[40:])}
 	if b.rawLength > maxBlockBytes || b.storedLength > maxBlockBytes {
 		return block{}, errCorrupt
 	}
@@ -136,7 +136,7 @@
 		}
 		return err
 	}
-	if crc32.Checksum(b.payload, castagnoli) != b.checksum {
+	if crc32.Checksum(b.payload, crc32cTable) != b.checksum {
 		return errCorrupt
 	}
 	return nil
@@ -154,7 +154,7 @@
 
 // findBlockHead returns the offset of the next valid head, from an offset on; the error is io.EOF if there is none.
 func findBlockHead(r io.ReaderAt, from int64) (int64, error) {
-	buf := make([]byte, searchBytes)
+	buf := make([]byte, searchChunkBytes)
 	for {
 		n, err := r.ReadAt(buf, from)
 		for i := 0; ; {
@@ -175,7 +175,7 @@
 }
 
 // nextRecord cuts the first record off the decompressed payload of a block.
-func nextRecord(in []byte) (rec, rest []byte, err error) {
+func nextRecord(in []byte) (record, remainder []byte, err error) {
 	if len(in) < recordLengthBytes {
 		return nil, nil, fmt.Errorf("%w: a record's length is cut off", errCorrupt)
 	}
@@ -188,6 +188,6 @@
 }
 
 // appendTrailer appends a segment's trailer.
-func appendTrailer(out []byte, index int64) []byte {
-	return append(binary.LittleEndian.AppendUint64(out, uint64(index)), indexMarker...)
+func appendTrailer(out []byte, indexOffset int64) []byte {
+	return append(binary.LittleEndian.AppendUint64(out, uint64(indexOffset)), indexMarker...)
 }
--- a/internal/capture/stored_test.go
+++ b/internal/capture/stored_test.go
@@ -19,10 +19,10 @@
 
 // Values that are in the stored file alone.
 const (
-	storedRunName     = "20261202T150710.125Z-9586"
-	storedWallUs      = 1796224030125732
-	storedSize        = 4278
-	storedSecondBlock = 2607
+	storedRunName           = "20261202T150710.125Z-9586"
+	storedWallUs            = 1796224030125732
+	storedSizeBytes         = 4278
+	storedSecondBlockOffset = 2607
 )
 
 // storedSettings are the decision module's settings that the stored capture began with.
@@ -99,8 +99,8 @@
 	if string(rewritten.Settings) != storedSettingsJSON {
 		t.Errorf("the settings would be written as %s", rewritten.Settings)
 	}
-	blocks := []capture.Block{{Offset: 1064, FirstEvent: 1, At: 1000, Checkpoint: true, Records: 20}, {Offset: storedSecondBlock, FirstEvent: 21, At: 12000000, Checkpoint: true, Records: 1}}
-	if diff := cmp.Diff(blocks, s.Blocks); diff != "" || !s.Closed || s.Size != storedSize || len(s.Missing) != 0 {
+	blocks := []capture.Block{{Offset: 1064, FirstEvent: 1, At: 1000, Checkpoint: true, Records: 20}, {Offset: storedSecondBlockOffset, FirstEvent: 21, At: 12000000, Checkpoint: true, Records: 1}}
+	if diff := cmp.Diff(blocks, s.Blocks); diff != "" || !s.Closed || s.Size != storedSizeBytes || len(s.Missing) != 0 {
 		t.Errorf("closed %v, %d bytes, missing %v, blocks: %s", s.Closed, s.Size, s.Missing, diff)
 	}
 	if run.Begin() != 1000 || run.End() != 12000000 || !run.WallTime(1001000).Equal(time.UnixMicro(storedWallUs+1000000)) {
@@ -163,37 +163,37 @@
 
 // call is one call of a decision module.
 type call struct {
-	Name string
-	At   balancer.Micros
-	With any
+	Name     string
+	At       balancer.Micros
+	Argument any
 }
 
 // calls records the calls of a decision module.
 type calls struct{ list []call }
 
-func (c *calls) note(name string, at balancer.Micros, with any) {
-	c.list = append(c.list, call{name, at, with})
+func (c *calls) add(name string, at balancer.Micros, argument any) {
+	c.list = append(c.list, call{name, at, argument})
 }
 
-func (c *calls) Start(now balancer.Micros) { c.note("Start", now, nil) }
+func (c *calls) Start(now balancer.Micros) { c.add("Start", now, nil) }
 func (c *calls) ListChanged(now balancer.Micros, l balancer.EndpointList) {
-	c.note("ListChanged", now, l)
+	c.add("ListChanged", now, l)
 }
 func (c *calls) RequestArrived(now balancer.Micros, in balancer.Request) {
-	c.note("RequestArrived", now, in)
+	c.add("RequestArrived", now, in)
 }
-func (c *calls) FirstToken(now balancer.Micros, o balancer.Outcome)    { c.note("FirstToken", now, o) }
-func (c *calls) AttemptEnded(now balancer.Micros, o balancer.Outcome)  { c.note("AttemptEnded", now, o) }
-func (c *calls) ClientGone(now balancer.Micros, id balancer.RequestID) { c.note("ClientGone", now, id) }
-func (c *calls) TimerFired(now balancer.Micros, token uint64)          { c.note("TimerFired", now, token) }
+func (c *calls) FirstToken(now balancer.Micros, o balancer.Outcome)    { c.add("FirstToken", now, o) }
+func (c *calls) AttemptEnded(now balancer.Micros, o balancer.Outcome)  { c.add("AttemptEnded", now, o) }
+func (c *calls) ClientGone(now balancer.Micros, id balancer.RequestID) { c.add("ClientGone", now, id) }
+func (c *calls) TimerFired(now balancer.Micros, token uint64)          { c.add("TimerFired", now, token) }
 func (c *calls) HealthCheckEnded(now balancer.Micros, o balancer.Outcome) {
-	c.note("ProbeEnded", now, o)
+	c.add("ProbeEnded", now, o)
 }
 func (c *calls) PeerMessage(now balancer.Micros, from int, body []byte) {
-	c.note("PeerMessage", now, []any{from, body})
+	c.add("PeerMessage", now, []any{from, body})
 }
 func (c *calls) Reconfigure(now balancer.Micros, s balancer.Settings) error {
-	c.note("Reconfigure", now, s)
+	c.add("Reconfigure", now, s)
 	return nil
 }
 
@@ -258,15 +258,15 @@
 		`{"atUs":"1000","unixUs":"1796131234567890","sweptUs":"1000","latestUs":"1796131234567890","accounts":[{"atUs":"1000","level":9000000,"floors":[{"class":"chat","level":1000}],"spans":[{"begunUs":"1796130000000000","endsUs":"1796133600000000"},{"begunUs":"1796083200000000","endsUs":"1796169600000000"},{"begunUs":"1790812800000000","endsUs":"1798761600000000"}],"part":1,"waits":true,"askedUs":"1000"}],"gate":{}}`,
 		`{"pool":6695000,"atUs":"1600000","unixUs":"1796131236166890","sweptUs":"1600000","latestUs":"1796131236166890","means":[{"class":"Y2hhdA==","made":90}],"accounts":[{"atUs":"1600000","level":5734961.030678928,"floors":[{"class":"chat"}],"spans":[{"used":"1765000","begunUs":"1796130000000000","endsUs":"1796133600000000"},{"used":"1765000","begunUs":"1796083200000000","endsUs":"1796169600000000","mark":"250000000","kept":"250000000"},{"used":"1765000","begunUs":"1790812800000000","endsUs":"1798761600000000"}],"open":"1","mayBorrow":125,"part":0.5,"taken":"2","takenUnits":"1180000","used":"505000","asking":68750,"askedUs":"1600000","asked":630000}],"open":[{"key":"769","class":"Y2hhdA==","read":"900","made":"90","priceRead":0.5,"priceMade":2,"units":"630000","periodsUs":["1796130000000000","1796083200000000","1790812800000000"],"part":0.5}],"written":"1","gate":{"atUs":"1600000"}}`,
 	}
-	agreed := &contract.Agreement{Settings: contract.Settings{Location: time.UTC, BorrowPoolSeconds: 2, UnknownTenantWeight: 0.5, ReserveFraction: 0.25, Strict: true},
+	wantAgreement := &contract.Agreement{Settings: contract.Settings{Location: time.UTC, BorrowPoolSeconds: 2, UnknownTenantWeight: 0.5, ReserveFraction: 0.25, Strict: true},
 		Terms: []contract.Terms{{Team: "quay", Tenants: []string{"quay"}, Classes: []string{"chat"}, Rate: 5e6, Burst: 9000000, PriorityWeight: 1.5, OverQuotaWeight: 0.05,
 			Prices: map[string]contract.Price{"chat": {PromptToken: 0.5, OutputToken: 2}}, Floors: map[string]float64{"chat": 1000},
 			Budgets: []contract.Budget{{Period: 1, Soft: 800000000, Hard: 1000000000}}, From: 1796083200000000, Until: 1896169600000000, Borrow: 250, Surge: 4}}}
-	checkAgreed := func(text []byte) {
+	checkAgreement := func(text []byte) {
 		t.Helper()
 		got, err := contract.UnmarshalAgreement(text)
 		sameZone := cmp.Comparer(func(a, b *time.Location) bool { return a.String() == b.String() })
-		if diff := cmp.Diff(agreed, got, sameZone); err != nil || diff != "" {
+		if diff := cmp.Diff(wantAgreement, got, sameZone); err != nil || diff != "" {
 			t.Error(err, diff)
 		}
 	}
@@ -275,7 +275,7 @@
 	checkpoints := 0
 	for _, e := range storedEntries(t, run) {
 		if e.Record.Kind == pb.Kind_KIND_AGREED {
-			checkAgreed(e.Record.Agreed)
+			checkAgreement(e.Record.Agreed)
 		}
 		c := e.Record.Checkpoint
 		if c == nil {
@@ -288,17 +288,17 @@
 		if !cmp.Equal(b.Snapshot(), c.State) {
 			t.Errorf("checkpoint %d: the state is marshalled differently", checkpoints)
 		}
-		wantSettings, wantInHand, wantWorkers := storedSettings(), []balancer.RequestID(nil), 0
+		wantSettings, wantInFlight, wantReplicas := storedSettings(), []balancer.RequestID(nil), 0
 		if checkpoints == 1 {
-			wantSettings, wantInHand, wantWorkers = changed, []balancer.RequestID{2, 3}, 4
+			wantSettings, wantInFlight, wantReplicas = changed, []balancer.RequestID{2, 3}, 4
 		}
 		if diff := cmp.Diff(wantSettings, settings); diff != "" {
 			t.Errorf("checkpoint %d: %s", checkpoints, diff)
 		}
-		if got := b.InFlightRequests(); !cmp.Equal(append([]balancer.RequestID(nil), got...), wantInHand) || len(b.Endpoints()) != wantWorkers {
+		if got := b.InFlightRequests(); !cmp.Equal(append([]balancer.RequestID(nil), got...), wantInFlight) || len(b.Endpoints()) != wantReplicas {
 			t.Errorf("checkpoint %d: requests %v, %d replicas", checkpoints, got, len(b.Endpoints()))
 		}
-		checkAgreed(c.Agreed)
+		checkAgreement(c.Agreed)
 		l, err := capture.RestoreReplayLedger(c)
 		if err != nil {
 			t.Fatal(err)
--- a/internal/capture/writer.go
+++ b/internal/capture/writer.go
@@ -307,26 +307,26 @@
 // writeRecords compresses and writes a block of records.
 func (w *Writer) writeRecords(b block) {
 	if w.skipBlocks || w.file == nil {
-		w.Stats.Lost.Add(int64(b.recordCount))
+		w.Stats.Lost.Add(int64(b.eventCount))
 		return
 	}
 	start := w.offset
 	b.payload = w.encoder.EncodeAll(b.payload, nil)
 	b.flags |= flagZstd
 	if !w.writeBlock(b) {
-		w.Stats.Lost.Add(int64(b.recordCount))
+		w.Stats.Lost.Add(int64(b.eventCount))
 		return
 	}
 	w.Stats.Blocks.Add(1)
-	w.Stats.Records.Add(int64(b.recordCount))
+	w.Stats.Records.Add(int64(b.eventCount))
 	w.index.Blocks = append(w.index.Blocks, &pb.Index_Block{
 		Offset:     uint64(start),
-		First:      b.firstRecord,
+		First:      b.firstEvent,
 		AtUs:       b.at,
 		Checkpoint: b.startsWithCheckpoint(),
-		Records:    b.recordCount,
+		Records:    b.eventCount,
 	})
-	w.segmentRecords += uint64(b.recordCount)
+	w.segmentRecords += uint64(b.eventCount)
 	w.index.LastUs = b.at
 }
 
--- a/internal/capturetrigger/detector.go
+++ b/internal/capturetrigger/detector.go
@@ -41,8 +41,8 @@
 	minFirstTokens, minBaselineTokens = 3, 20
 	// minReplicas is how many replicas must count.
 	minReplicas = 2
-	// rememberedMargin is how many replicas may be remembered beyond twice the list.
-	rememberedMargin = 1024
+	// maxExtraReplicas is how many replicas may be remembered beyond twice the list.
+	maxExtraReplicas = 1024
 )
 
 // Detector detects incidents in the events of one balancer. It isn't safe for concurrent
@@ -52,12 +52,12 @@
 	classes     map[string]balancer.Class
 	maxAttempts int
 
-	inFlight map[balancer.RequestID]*request
-	baseline map[string]float64 // time to the first token by class, microseconds
-	replicas map[balancer.ReplicaID]*replica
-	outcomes [bucketCount]outcomeCounts
-	bucket   balancer.Micros // the present bucket, counted from time 0
-	active   string          // the condition that triggered last and still holds
+	inFlight        map[balancer.RequestID]*request
+	baseline        map[string]float64 // time to the first token by class, microseconds
+	replicas        map[balancer.ReplicaID]*replica
+	outcomes        [bucketCount]outcomeCounts
+	bucket          balancer.Micros // the present bucket, counted from time 0
+	activeCondition string          // the condition that triggered last and still holds
 }
 
 // request is a request in flight.
@@ -69,7 +69,7 @@
 }
 
 // outcomeCounts counts requests, and those of them late or not served.
-type outcomeCounts struct{ total, bad int }
+type outcomeCounts struct{ total, unserved int }
 
 // ratioSum is a sum of times to the first token, each relative to its class's baseline.
 type ratioSum struct{ sum, n float64 }
@@ -133,17 +133,17 @@
 		}
 		r.state = e.State
 	}
-	d.forgetGone(len(l.Endpoints))
+	d.pruneReplicas(len(l.Endpoints))
 }
 
-// forgetGone forgets replicas that are gone: those without samples, and past a bound all.
-func (d *Detector) forgetGone(listed int) {
+// pruneReplicas forgets replicas that are gone: those without samples, and past a bound all.
+func (d *Detector) pruneReplicas(listed int) {
 	for id, r := range d.replicas {
 		if r.state == balancer.EndpointRemoved && r.samples == 0 {
 			delete(d.replicas, id)
 		}
 	}
-	if len(d.replicas) <= 2*listed+rememberedMargin {
+	if len(d.replicas) <= 2*listed+maxExtraReplicas {
 		return
 	}
 	for id, r := range d.replicas {
@@ -187,8 +187,8 @@
 	return reason
 }
 
-// follow moves a baseline towards a value.
-func follow(baseline *float64, value float64) {
+// updateBaseline moves a baseline towards a value.
+func updateBaseline(baseline *float64, value float64) {
 	if *baseline == 0 {
 		*baseline = value
 	}
@@ -196,30 +196,30 @@
 }
 
 // checkSlow compares the time to a first token with the baseline of its class and replica.
-func (d *Detector) checkSlow(bucket int, in *request, o balancer.Outcome) string {
+func (d *Detector) checkSlow(bucket int, req *request, o balancer.Outcome) string {
 	r := d.replicas[o.Replica]
 	if d.settings.SlowFactor <= 0 || r == nil || o.Elapsed <= 0 {
 		return ""
 	}
-	baseline := d.baseline[in.class]
-	follow(&baseline, float64(o.Elapsed))
-	d.baseline[in.class] = baseline
+	baseline := d.baseline[req.class]
+	updateBaseline(&baseline, float64(o.Elapsed))
+	d.baseline[req.class] = baseline
 	ratio := float64(o.Elapsed) / baseline
 	r.ratios[bucket].sum += ratio
 	r.ratios[bucket].n++
 	r.samples++
-	follow(&r.baseline, ratio)
-	counted, slow := d.countSlow()
-	if counted < minReplicas || float64(slow) < d.settings.SlowReplicaShare*float64(counted) {
+	updateBaseline(&r.baseline, ratio)
+	eligible, slow := d.countSlow()
+	if eligible < minReplicas || float64(slow) < d.settings.SlowReplicaShare*float64(eligible) {
 		d.clearCondition(ReasonSlow)
 		return ""
 	}
-	return d.trigger(ReasonSlow, "first tokens at %d of %d workers take over %g times the usual", slow, counted, d.settings.SlowFactor)
+	return d.trigger(ReasonSlow, "first tokens at %d of %d workers take over %g times the usual", slow, eligible, d.settings.SlowFactor)
 }
 
 // countSlow counts the replicas with enough first tokens, and those of them that are slow
 // within the window.
-func (d *Detector) countSlow() (counted, slow int) {
+func (d *Detector) countSlow() (eligible, slow int) {
 	for _, r := range d.replicas {
 		sum, n := 0.0, 0.0
 		for _, b := range r.ratios {
@@ -228,12 +228,12 @@
 		if n < minFirstTokens || r.samples < minBaselineTokens {
 			continue
 		}
-		counted++
+		eligible++
 		if sum/n > d.settings.SlowFactor*r.baseline {
 			slow++
 		}
 	}
-	return counted, slow
+	return eligible, slow
 }
 
 // AttemptEnded handles the end of an attempt.
@@ -277,35 +277,35 @@
 }
 
 // countOutcome counts a request, and checks the share of bad ones within the window.
-func (d *Detector) countOutcome(bucket int, bad bool) string {
+func (d *Detector) countOutcome(bucket int, unserved bool) string {
 	c := &d.outcomes[bucket]
-	if c.total++; bad {
-		c.bad++
+	if c.total++; unserved {
+		c.unserved++
 	}
-	total, totalBad := 0, 0
+	total, totalUnserved := 0, 0
 	for _, c := range d.outcomes {
-		total, totalBad = total+c.total, totalBad+c.bad
+		total, totalUnserved = total+c.total, totalUnserved+c.unserved
 	}
-	if d.settings.UnservedShare <= 0 || total < d.settings.MinRequests || float64(totalBad) < d.settings.UnservedShare*float64(total) {
+	if d.settings.UnservedShare <= 0 || total < d.settings.MinRequests || float64(totalUnserved) < d.settings.UnservedShare*float64(total) {
 		d.clearCondition(ReasonUnserved)
 		return ""
 	}
-	return d.trigger(ReasonUnserved, "%d of %d requests within %g s were late or not served", totalBad, total, float64(d.settings.Window)/1e6)
+	return d.trigger(ReasonUnserved, "%d of %d requests within %g s were late or not served", totalUnserved, total, float64(d.settings.Window)/1e6)
 }
 
 // trigger returns the reason of an incident. A share that stays over its bound triggers
 // once, until its condition has been cleared.
 func (d *Detector) trigger(condition, format string, args ...any) string {
-	if d.active == condition && (condition == ReasonUnserved || condition == ReasonSlow) {
+	if d.activeCondition == condition && (condition == ReasonUnserved || condition == ReasonSlow) {
 		return ""
 	}
-	d.active = condition
+	d.activeCondition = condition
 	return condition + ": " + fmt.Sprintf(format, args...)
 }
 
 func (d *Detector) clearCondition(condition string) {
-	if d.active == condition {
-		d.active = ""
+	if d.activeCondition == condition {
+		d.activeCondition = ""
 	}
 }
 
