--- a/internal/capture/convert.go
+++ b/internal/capture/convert.go
@@ -10,10 +10,10 @@
 	pb "archknot/internal/capture/capturepb"
 )
 
-// maxNameBytes bounds a name in a capture.
+// maxNameBytes bounds the client's and discovery's ids that a capture stores.
 const maxNameBytes = 256
 
-// reportToProto fills in the stored form of a load report; nil if the report is empty.
+// reportToProto fills in the stored form of a load report and returns it; nil if the report is empty.
 func reportToProto(to *pb.Report, report *balancer.LoadReport) *pb.Report {
 	if report.Has == 0 {
 		return nil
@@ -28,7 +28,7 @@
 	return to
 }
 
-// ReportFromProto returns the load report of its stored form; an empty one of nil.
+// ReportFromProto converts a stored load report; nil gives an empty one.
 func ReportFromProto(r *pb.Report) balancer.LoadReport {
 	if r == nil {
 		return balancer.LoadReport{}
@@ -44,7 +44,7 @@
 	}
 }
 
-// outcomeToProto fills in the stored form of an outcome, and that of its load report in report.
+// outcomeToProto fills in and returns the stored form of an outcome. It uses report for the outcome's load report.
 func outcomeToProto(to *pb.Outcome, report *pb.Report, o *balancer.Outcome) *pb.Outcome {
 	to.Attempt = int64(o.Attempt)
 	to.Worker = uint32(o.Replica)
@@ -73,7 +73,7 @@
 	}
 }
 
-// arrivalToProto fills in the stored form of a request, with the client's id as its name.
+// arrivalToProto fills in and returns the stored form of a request. The name is the client's id of the request.
 func arrivalToProto(to *pb.Arrival, in *balancer.Request, name string) *pb.Arrival {
 	to.Class = append(to.Class[:0], in.Class...)
 	to.Tenant = append(to.Tenant[:0], in.Tenant...)
@@ -107,7 +107,7 @@
 	}
 }
 
-// endpointListToProto returns the stored form of a list, with the names of its replicas.
+// endpointListToProto returns the stored form of an endpoint list, with the names of its replicas.
 func endpointListToProto(l *balancer.EndpointList, name func(balancer.ReplicaID) string) *pb.List {
 	out := &pb.List{
 		Kind:    uint32(l.Kind),
@@ -152,8 +152,8 @@
 	return out
 }
 
-// sanitizeName returns a name as captures can hold it, where strings are UTF-8 and bounded. Names are for people to
-// read; what the module decides by is recorded unchanged.
+// sanitizeName truncates a name to maxNameBytes and replaces invalid UTF-8, which protobuf strings must not contain.
+// Names are for display only: the inputs of the module's decisions are recorded unchanged.
 func sanitizeName(s string) string {
 	if len(s) > maxNameBytes {
 		s = s[:maxNameBytes]
@@ -161,7 +161,8 @@
 	return strings.ToValidUTF8(s, "\ufffd")
 }
 
-// Apply repeats a recorded call of the module. Checkpoints, gaps and calls of the ledger are none.
+// Apply repeats a recorded call of the module. It ignores checkpoints, gaps and calls of the ledger, and returns an
+// error for a record of unknown kind and for settings that cannot be parsed.
 func Apply(m Module, now balancer.Micros, r *pb.Record) error {
 	id := balancer.RequestID(r.Request)
 	switch r.Kind {
@@ -188,12 +189,12 @@
 		if err != nil {
 			return err
 		}
-		_ = m.Reconfigure(now, s) // rejected now as it was then: that has no effect
+		_ = m.Reconfigure(now, s) // settings rejected during the recording are rejected again, without effect
 	case pb.Kind_KIND_CHECKPOINT, pb.Kind_KIND_GAP, pb.Kind_KIND_AGREED, pb.Kind_KIND_CHARGED, pb.Kind_KIND_SETTLED,
 		pb.Kind_KIND_PARTS, pb.Kind_KIND_KEPT, pb.Kind_KIND_TURNED:
 		// not calls of the module
 	default:
-		return fmt.Errorf("a record of kind %d, which this build does not know", r.Kind)
+		return fmt.Errorf("unknown record kind %d", r.Kind)
 	}
 	return nil
 }
@@ -202,13 +203,13 @@
 func marshalSettings(s *balancer.Settings) []byte {
 	data, err := json.Marshal(s)
 	if err != nil {
-		panic(err) // plain data: only a NaN could fail, which the settings' validation rejects
+		panic(err) // only NaN and infinities cannot be encoded, and the settings' validation rejects them
 	}
 	return data
 }
 
-// UnmarshalSettings parses the settings of a capture. An unknown field is an error: a setting that this build does not
-// know would make it decide differently.
+// UnmarshalSettings parses the module's settings as captures store them. An unknown field is an error: without that
+// setting, this build could decide differently from the build that made the recording.
 func UnmarshalSettings(data []byte) (balancer.Settings, error) {
 	var s balancer.Settings
 	d := json.NewDecoder(bytes.NewReader(data))
--- a/internal/capture/incident.go
+++ b/internal/capture/incident.go
@@ -17,33 +17,32 @@
 // ManifestName is the name of the manifest in an incident's directory.
 const ManifestName = "incident.json"
 
-// Manifest describes an incident, in the file ManifestName of its directory.
+// Manifest describes an incident. It is stored as JSON in the file ManifestName of the incident's directory.
 type Manifest struct {
 	Reason   string    `json:"reason"`
 	Gateway  string    `json:"gateway"`
 	Build    string    `json:"build"`
 	At       time.Time `json:"at"`
-	Manual   bool      `json:"ordered"` // by a person, not by a condition
+	Manual   bool      `json:"ordered"` // requested by an operator, not detected
 	Segments []string  `json:"segments"`
 	Bytes    int64     `json:"bytes"`
 }
 
 // SavedIncident is the result of saving an incident.
 type SavedIncident struct {
-	Path     string // its directory
+	Path     string // the incident's directory
 	Segments int
 	Bytes    int64
 	Err      error
 }
 
-// Reasons for not saving an incident.
 var (
 	errIncidentsDisabled = errors.New("no incidents are kept here")
-	errIncidentTooSoon   = errors.New("too soon after the last")
+	errIncidentTooSoon   = errors.New("too soon after the last automatic incident")
 )
 
-// saveIncident saves the closed segments of the last IncidentWindow in a directory of their own. Incidents that nobody
-// ordered are limited to one in an IncidentInterval.
+// saveIncident saves the closed segments of the last IncidentWindow in a new directory. Automatic incidents, those that
+// no operator requested, are limited to one per IncidentInterval.
 func (w *Writer) saveIncident(reason string, manual bool) SavedIncident {
 	if w.options.MaxIncidents <= 0 {
 		return SavedIncident{Err: errIncidentsDisabled}
@@ -64,7 +63,7 @@
 	return saved
 }
 
-// linkSegments makes the incident's directory, with links to the segments and a manifest.
+// linkSegments creates the incident's directory, with a manifest and hard links to the segments.
 func (w *Writer) linkSegments(reason string, manual bool, now time.Time) (SavedIncident, error) {
 	if err := os.MkdirAll(w.options.IncidentDirectory, directoryMode); err != nil {
 		return SavedIncident{}, err
@@ -85,9 +84,9 @@
 		name := filepath.Base(s.path)
 		err := os.Link(s.path, filepath.Join(dir, name))
 		if errors.Is(err, fs.ErrNotExist) {
-			continue // deleted meanwhile
+			continue // deleted since it was listed
 		}
-		if err != nil { // the directories may be on different file systems
+		if err != nil { // hard links do not cross file systems
 			err = copyFile(s.path, filepath.Join(dir, name))
 		}
 		if err != nil {
@@ -116,7 +115,7 @@
 	return renameio.WriteFile(filepath.Join(dir, ManifestName), append(data, '\n'), fileMode)
 }
 
-// deleteOldIncidents deletes the oldest incidents of this gateway, until there is room for one more.
+// deleteOldIncidents deletes the oldest incidents of this gateway until fewer than MaxIncidents remain.
 func (w *Writer) deleteOldIncidents() error {
 	entries, err := os.ReadDir(w.options.IncidentDirectory)
 	if err != nil {
@@ -128,7 +127,7 @@
 			incidents = append(incidents, filepath.Join(w.options.IncidentDirectory, e.Name()))
 		}
 	}
-	slices.Sort(incidents) // their names begin with their times
+	slices.Sort(incidents) // their names differ only in their timestamps
 	for len(incidents) >= w.options.MaxIncidents {
 		if err := os.RemoveAll(incidents[0]); err != nil {
 			return err
@@ -138,14 +137,15 @@
 	return nil
 }
 
-// segmentFile is a segment in a directory.
+// segmentFile is a segment's entry in a directory.
 type segmentFile struct {
 	path       string
 	size       int64
 	modifiedAt time.Time
 }
 
-// listSegments returns the segments of a gateway in a directory, the oldest first; none if it cannot be read.
+// listSegments returns the segments of a gateway in a directory, oldest first. It returns none if the directory cannot
+// be read.
 func listSegments(dir, gateway string) []segmentFile {
 	entries, err := os.ReadDir(dir)
 	if err != nil {
@@ -164,7 +164,8 @@
 	return out
 }
 
-// deleteOldSegments deletes the oldest segments of this gateway past MaxBytes and MaxAge.
+// deleteOldSegments deletes this gateway's oldest segment while the total size exceeds MaxBytes or that segment is older
+// than MaxAge.
 func (w *Writer) deleteOldSegments() {
 	segments := listSegments(w.options.Directory, w.options.Gateway)
 	var total int64
--- a/internal/capture/module.go
+++ b/internal/capture/module.go
@@ -5,8 +5,8 @@
 	"archknot/internal/contract"
 )
 
-// Module is what the owner of a decision module calls: a balancer.Balancer itself, or a Recorder before it. It
-// belongs to one goroutine.
+// Module is the interface of a decision module to its owner: a balancer.Balancer, or a Recorder that wraps one. It must
+// be used by one goroutine only.
 type Module interface {
 	Start(now balancer.Micros)
 	ListChanged(now balancer.Micros, l balancer.EndpointList)
@@ -20,20 +20,20 @@
 	Reconfigure(now balancer.Micros, s balancer.Settings) error
 }
 
-// Timer is a timer that the module has set and that has not fired.
+// Timer is a pending timer of the module: one that it has set and that has not fired.
 type Timer struct {
 	At    balancer.Micros
 	Token uint64
 }
 
-// Timers tracks the pending timers of a module, for a host that does not have them itself: by token, in the order in
-// which they were set.
+// Timers tracks the pending timers of a module, for a host that cannot list them. It maps a timer's token to the times
+// at which its timers fire, in the order in which they were set.
 type Timers map[uint64][]balancer.Micros
 
 // Add adds a timer that the module has set.
 func (t Timers) Add(at balancer.Micros, token uint64) { t[token] = append(t[token], at) }
 
-// Remove removes the timer of a token that was set first: it has fired.
+// Remove removes the timer with the given token that was set first. The host calls it when the timer fires.
 func (t Timers) Remove(token uint64) {
 	if list := t[token]; len(list) > 1 {
 		t[token] = list[1:]
@@ -42,7 +42,7 @@
 	}
 }
 
-// Pending returns the timers, in no order.
+// Pending returns the pending timers in no particular order.
 func (t Timers) Pending() (out []Timer) {
 	for token, list := range t {
 		for _, at := range list {
@@ -52,11 +52,11 @@
 	return out
 }
 
-// Host is what only the owner of the module knows. The recorder calls the functions within the owner's calls. Each of
-// them may be nil.
+// Host has the functions by which a Recorder queries the owner of the module. The Recorder calls them only during the
+// owner's calls, in the same goroutine. Each of them may be nil.
 type Host struct {
-	Timers      func() []Timer                  // the pending ones
+	Timers      func() []Timer                  // the pending timers
 	ReplicaName func(balancer.ReplicaID) string // discovery's id; "" if there is none
 	RequestName func(balancer.RequestID) string // the client's id; "" if there is none
-	OpenCharges func() []contract.OpenCharge    // those of the ledger
+	OpenCharges func() []contract.OpenCharge    // the open charges of the ledger
 }
--- a/internal/capture/reader.go
+++ b/internal/capture/reader.go
@@ -11,35 +11,36 @@
 	pb "archknot/internal/capture/capturepb"
 )
 
-// Entry is what a Reader returns: a record with its number and time, or a part that is missing.
+// Entry is one result of a Reader: a record with its number and time, or a missing part of the capture.
 type Entry struct {
-	Number  uint64 // of the event; for a checkpoint or a gap, of the next event
+	Number  uint64 // number of the event; for a checkpoint or a gap, that of the next event
 	At      balancer.Micros
-	Record  *pb.Record // nil if Missing is not
+	Record  *pb.Record // nil if Missing is set
 	Missing *Missing
 }
 
-// Reader reads a run's records in order. It skips what is corrupt and reports it as missing. It must not be used by
-// several goroutines at once.
+// Reader reads a run's records in order. It skips corrupt parts and reports them as missing. It is not safe for
+// concurrent use.
 type Reader struct {
 	run                *Run
-	unreadableReported int // of the run's Unreadable
+	unreadableReported int // number of entries of the run's Unreadable already reported
 
-	segmentPos      int // of the current segment in the run
-	blockPos        int // of the next block in the segment
-	missingReported int // of the segment's Missing
+	segmentPos      int // index of the current segment in the run
+	blockPos        int // index of the next block in the segment
+	missingReported int // number of entries of the segment's Missing already reported
 	file            *os.File
 	decoder         *zstd.Decoder
 
-	remaining  []byte // what is left of the current block
+	remaining  []byte // undecoded remainder of the current block
 	at         balancer.Micros
-	number     uint64 // of the next event of the block
-	eventsLeft uint32 // in the block
-	expected   uint64 // number of the event that should come next; 0: not known
+	number     uint64 // number of the next event of the block
+	eventsLeft uint32 // events not yet read of the block
+	expected   uint64 // number of the event that should come next; 0: unknown
 	pending    *Entry
 }
 
-// NewReader returns a Reader that begins at the last checkpoint that is not after a time, or at the first checkpoint.
+// NewReader returns a Reader that begins at the last checkpoint at or before a time. If there is none, it begins at the
+// start of the run.
 func NewReader(run *Run, from balancer.Micros) (*Reader, error) {
 	decoder, err := zstd.NewReader(nil, zstd.WithDecoderConcurrency(1), zstd.WithDecoderMaxMemory(maxBlockBytes))
 	if err != nil {
@@ -56,7 +57,7 @@
 	return r, nil
 }
 
-// Close closes the reader.
+// Close releases the reader's file and decoder.
 func (r *Reader) Close() {
 	r.decoder.Close()
 	if r.file != nil {
@@ -64,7 +65,7 @@
 	}
 }
 
-// Next returns the next entry, and io.EOF at the end. Any other error says that a file cannot be opened.
+// Next returns the next entry. At the end the error is io.EOF; any other error means that a segment cannot be opened.
 func (r *Reader) Next() (Entry, error) {
 	for {
 		if e := r.pending; e != nil {
@@ -88,12 +89,13 @@
 // reportMissing makes a missing part the next entry.
 func (r *Reader) reportMissing(m Missing) {
 	r.pending = &Entry{Number: r.expected, At: r.at, Missing: &m}
-	if m.Events > 0 && m.FirstEvent == r.expected { // not to be reported again as a jump of the numbers
+	if m.Events > 0 && m.FirstEvent == r.expected { // so that loadBlock does not report the same events again
 		r.expected += m.Events
 	}
 }
 
-// nextEntry returns the next record of the current block. If it is corrupt, the remainder of the block is missing.
+// nextEntry returns the next record of the current block. If the record is corrupt, it returns the remainder of the
+// block as missing.
 func (r *Reader) nextEntry() Entry {
 	record, remainder, err := decodeRecord(r.remaining)
 	if err != nil {
@@ -118,7 +120,7 @@
 	return e
 }
 
-// decodeRecord decodes the first record of a payload.
+// decodeRecord decodes the first record of a decompressed payload.
 func decodeRecord(in []byte) (record *pb.Record, remainder []byte, err error) {
 	encoded, remainder, err := nextRecord(in)
 	if err != nil {
@@ -128,7 +130,7 @@
 	return record, remainder, proto.Unmarshal(encoded, record)
 }
 
-// nextBlock advances by a block, a missing part, or to the next segment.
+// nextBlock advances to the next block, to the next missing part of the segment, or to the next segment.
 func (r *Reader) nextBlock() error {
 	if r.segmentPos >= len(r.run.Segments) {
 		return io.EOF
@@ -165,8 +167,8 @@
 	r.segmentPos, r.blockPos, r.missingReported = r.segmentPos+1, 0, 0
 }
 
-// loadBlock makes a block the current one. One that cannot be read is reported, and so are events that are missing
-// before the block.
+// loadBlock makes a block the current one. It reports a block that cannot be read, and events that are missing between
+// the previous block and this one.
 func (r *Reader) loadBlock(path string, b Block) {
 	loaded, err := readBlock(r.file, b.Offset)
 	if err == nil && loaded.flags&flagZstd != 0 {
@@ -178,7 +180,7 @@
 			Offset:     b.Offset,
 			Events:     uint64(b.Records),
 			FirstEvent: b.FirstEvent,
-			Reason:     "a block cannot be read: " + err.Error(),
+			Reason:     "read block: " + err.Error(),
 		})
 		return
 	}
@@ -189,7 +191,7 @@
 			Offset:     b.Offset,
 			Events:     loaded.firstEvent - r.expected,
 			FirstEvent: r.expected,
-			Reason:     "events were not recorded before this",
+			Reason:     "events before this block are missing from the capture",
 		})
 	}
 }
--- a/internal/capture/recordedactions.go
+++ b/internal/capture/recordedactions.go
@@ -5,9 +5,11 @@
 	pb "archknot/internal/capture/capturepb"
 )
 
-// The balancer.Sink that a Recorder is: each action is added to the call's record, and forwarded.
+// The methods of this file implement balancer.Sink. Each adds an action of the module to the record of the current
+// call and forwards the action to the recorder's sink.
 
-// addAction returns the next action of the call's record, to be filled in; nil if the call is not recorded.
+// addAction adds an action to the record of the current call and returns it for the caller to fill in. It returns nil
+// if the call is not recorded.
 func (r *Recorder) addAction(kind pb.Action_Kind) *pb.Action {
 	if !r.recording {
 		if r.gap != nil {
@@ -36,7 +38,7 @@
 	r.sink.Dispatch(id, to, timeoutAt)
 }
 
-// Shed records and forwards that a request is shed.
+// Shed records and forwards the module's decision to shed a request.
 func (r *Recorder) Shed(id balancer.RequestID, retryAfter balancer.Micros) {
 	if a := r.addAction(pb.Action_REFUSE); a != nil {
 		a.Request, a.AtUs = uint32(id), retryAfter
@@ -47,7 +49,7 @@
 	r.sink.Shed(id, retryAfter)
 }
 
-// Fail records and forwards that a request has failed.
+// Fail records and forwards the module's decision to fail a request.
 func (r *Recorder) Fail(id balancer.RequestID) {
 	if a := r.addAction(pb.Action_FAIL); a != nil {
 		a.Request = uint32(id)
@@ -58,7 +60,7 @@
 	r.sink.Fail(id)
 }
 
-// Cancel records and forwards the cancelling of an attempt.
+// Cancel records and forwards the cancellation of an attempt.
 func (r *Recorder) Cancel(id balancer.RequestID, attempt int) {
 	if a := r.addAction(pb.Action_CANCEL); a != nil {
 		a.Request, a.Attempt = uint32(id), uint32(attempt)
@@ -74,7 +76,7 @@
 	r.sink.SetTimer(delay, token)
 }
 
-// HealthCheck records and forwards a health check.
+// HealthCheck records and forwards a health check that the module starts.
 func (r *Recorder) HealthCheck(to balancer.ReplicaID) {
 	if a := r.addAction(pb.Action_PROBE); a != nil {
 		a.Worker = uint32(to)
@@ -90,7 +92,7 @@
 	r.sink.Gossip(body)
 }
 
-// WatchDiscovery records and forwards the order to watch discovery.
+// WatchDiscovery records and forwards the module's request to watch discovery.
 func (r *Recorder) WatchDiscovery() {
 	r.addAction(pb.Action_WATCH_REGISTRY)
 	r.sink.WatchDiscovery()
--- a/internal/capture/recordedcalls.go
+++ b/internal/capture/recordedcalls.go
@@ -5,7 +5,8 @@
 	pb "archknot/internal/capture/capturepb"
 )
 
-// The Module that a Recorder is: each call is recorded with the actions that the module takes in it, and forwarded.
+// The methods of this file implement Module. Each records a call, with the actions that the module takes during it,
+// and forwards the call to the module.
 
 // Start records and forwards the start of the module.
 func (r *Recorder) Start(now balancer.Micros) {
@@ -67,7 +68,7 @@
 	r.endRecord(recorded)
 }
 
-// ClientGone records and forwards that a request's client has disconnected.
+// ClientGone records and forwards the disconnection of a request's client.
 func (r *Recorder) ClientGone(now balancer.Micros, id balancer.RequestID) {
 	recorded := r.beginRecord(now, pb.Kind_KIND_LEFT)
 	if recorded {
@@ -80,7 +81,7 @@
 	r.endRecord(recorded)
 }
 
-// TimerFired records and forwards that a timer has fired.
+// TimerFired records and forwards the expiry of a timer.
 func (r *Recorder) TimerFired(now balancer.Micros, token uint64) {
 	r.firingTimer = &Timer{now, token}
 	recorded := r.beginRecord(now, pb.Kind_KIND_TIMER)
@@ -102,7 +103,7 @@
 	r.endRecord(recorded)
 }
 
-// PeerMessage records and forwards a message of another gateway.
+// PeerMessage records and forwards a message from another gateway.
 func (r *Recorder) PeerMessage(now balancer.Micros, from int, body []byte) {
 	recorded := r.beginRecord(now, pb.Kind_KIND_MESSAGE)
 	if recorded {
@@ -112,7 +113,7 @@
 	r.endRecord(recorded)
 }
 
-// Reconfigure records and forwards new settings. The error is the module's: nothing has changed then.
+// Reconfigure records and forwards new settings. An error is the module's, which then keeps its settings.
 func (r *Recorder) Reconfigure(now balancer.Micros, s balancer.Settings) error {
 	recorded := r.beginRecord(now, pb.Kind_KIND_RECONFIGURE)
 	if recorded {
@@ -129,7 +130,8 @@
 	return err
 }
 
-// noteIncident remembers the reason of an incident until the call is recorded completely.
+// noteIncident stores the reason of the first incident detected during a call, until the call is recorded completely.
+// An incident that is detected during a gap is ignored.
 func (r *Recorder) noteIncident(reason string) {
 	if reason != "" && r.pendingIncident == "" && r.gap == nil {
 		r.pendingIncident = reason
--- a/internal/capture/recorder.go
+++ b/internal/capture/recorder.go
@@ -14,19 +14,20 @@
 
 // Options of a Recorder.
 type Options struct {
-	CheckpointInterval time.Duration // at most, between two checkpoints
-	BlockSize          int           // bytes of records that fill a block
-	FlushInterval      time.Duration // how long a record may wait for its block to fill
-	SegmentSize        int64         // bytes at which a new segment begins
-	SegmentAge         time.Duration // at which a new segment begins
+	CheckpointInterval time.Duration // maximum time between two checkpoints
+	BlockSize          int           // bytes; a block of this size is queued for the writer
+	FlushInterval      time.Duration // maximum age of a block that is not full
+	SegmentSize        int64         // bytes; at this size a new segment begins
+	SegmentAge         time.Duration // at this age a new segment begins
 	Incident           capturetrigger.Settings
-	IncidentInterval   time.Duration // at least, between two incidents that the recorder saves by itself
+	IncidentInterval   time.Duration // minimum time between two automatic incidents
 }
 
-// Recorder records one module, and the ledger of contracts beside it. Like the module it belongs to one goroutine.
+// Recorder records the calls of one module and of one ledger of contracts. Like the module it must be used by one
+// goroutine only.
 type Recorder struct {
 	balancer *balancer.Balancer
-	sink     balancer.Sink // where the module's actions go
+	sink     balancer.Sink // receives the module's actions
 	writer   *Writer
 	host     Host
 	options  Options
@@ -35,8 +36,8 @@
 	lastEvent uint64 // number of the last event
 
 	// The block that is being filled.
-	blockBuffer     []byte // nil: none
-	blockFirstEvent uint64 // number of its first event
+	blockBuffer     []byte // nil: no block has begun
+	blockFirstEvent uint64 // number of the block's first event
 	blockEvents     uint32
 	blockStartedAt  balancer.Micros
 	blockFlags      uint8
@@ -44,27 +45,27 @@
 	lastRecordAt     balancer.Micros
 	checkpointedAt   balancer.Micros
 	segmentStartedAt balancer.Micros
-	gap              *gap // not nil: records are being lost
+	gap              *gap // the gap in progress; nil: none
 
 	incidentDetector *capturetrigger.Detector // nil: incidents are not detected
-	pendingIncident  string                   // why one is to be saved once the call is recorded; "": none is
-	incidentSavedAt  balancer.Micros          // when the recorder last saved one by itself
+	pendingIncident  string                   // reason of the incident to save after the current call; "": none
+	incidentSavedAt  balancer.Micros          // when saving the last automatic incident was requested; 0: never
 
-	settingsChanged bool   // the settings in force are not those that the run began with
-	firingTimer     *Timer // the timer that is firing: it is no longer pending with the host
+	settingsChanged bool   // since the run began: checkpoints must contain the settings
+	firingTimer     *Timer // the timer that is firing, which the host no longer lists as pending
 
-	current       pb.Record // of the call, reused from call to call
+	current       pb.Record // record of the current call, reused for each call
 	arrival       pb.Arrival
 	outcome       pb.Outcome
 	report        pb.Report
-	actions       []*pb.Action // those of current are the first of these
+	actions       []*pb.Action // reused from call to call; current.Actions is a prefix of it
 	recording     bool         // a call is being recorded
 	inCall        bool         // a call is in progress, recorded or not
-	nestedRecords []*pb.Record // calls of the ledger within the module's call
+	nestedRecords []*pb.Record // calls of the ledger during the current call of the module
 
 	ledger         *contract.Ledger    // nil: no contracts
-	agreement      []byte              // the contracts in force, for checkpoints
-	settlingCharge contract.OpenCharge // the charge that is being settled
+	agreement      []byte              // encoded contracts in force, for checkpoints
+	settlingCharge contract.OpenCharge // the charge that Settle is settling
 	marshalOptions proto.MarshalOptions
 }
 
@@ -78,23 +79,23 @@
 }
 
 const (
-	// diskRetryInterval is how long a recorder waits before it tries a failed disk again.
+	// diskRetryInterval is the time between the start of a gap, or a failed attempt to end it, and the next attempt.
 	diskRetryInterval balancer.Micros = 1_000_000
-	// maxReusedActions bounds the actions of one call that are reused by the next.
+	// maxReusedActions bounds the number of actions that are reused for the next call.
 	maxReusedActions = 4096
-	// recordLengthBytes is the size of a record's length before the record.
+	// recordLengthBytes is the size of the length prefix of a record.
 	recordLengthBytes = 4
 )
 
-// Reasons of gaps, as captures and the log have them.
+// Reasons of gaps, as they appear in captures and in the log.
 const (
 	reasonQueueFull = "the queue to the disk is full"
 	reasonMarshal   = "a record cannot be put into form: "
 )
 
-// NewRecorder puts a recorder before a module whose actions go to a sink. From then on the owner calls the recorder
-// instead of the module, and the recorder instead of the ledger; a nil ledger stands for no contracts. The capture
-// begins with a checkpoint.
+// NewRecorder returns a recorder that wraps a module, and a ledger unless it is nil. It makes itself the module's sink
+// and forwards the actions to the given sink. From then on the owner must call the recorder instead of the module and
+// the ledger. The capture begins with a checkpoint.
 func NewRecorder(now balancer.Micros, b *balancer.Balancer, ledger *contract.Ledger, sink balancer.Sink, w *Writer, host Host, o Options) *Recorder {
 	r := &Recorder{
 		balancer:         b,
@@ -120,17 +121,18 @@
 	return r
 }
 
-// Close ends the recording and gives the module its sink back. The writer must be closed afterwards.
+// Close ends the recording and restores the module's sink. The writer must be closed afterwards.
 func (r *Recorder) Close() {
 	r.flush()
 	r.balancer.SetSink(r.sink)
 }
 
-// SaveIncident makes the writer save the last minutes as an incident. The result is sent on done, which must be
-// buffered, since the writer does not wait for a receiver, or nil.
+// SaveIncident queues a task for the writer to save the last WriterOptions.IncidentWindow of the capture as an incident.
+// The result is sent on done unless done is nil, which stands for an automatic incident. The channel must be buffered,
+// or the send would block the writer or the caller.
 func (r *Recorder) SaveIncident(now balancer.Micros, reason string, done chan<- SavedIncident) {
 	r.now = max(r.now, now)
-	// Begin a new segment, so that the current one is complete and closed.
+	// Begin a new segment: only closed segments are saved.
 	r.flush()
 	if r.gap == nil {
 		r.writeCheckpoint(true, nil)
@@ -140,7 +142,7 @@
 	}
 }
 
-// beginRecord prepares the record of a call, and reports whether the call is recorded.
+// beginRecord prepares the record of a call. It reports whether the call is recorded, which it is not during a gap.
 func (r *Recorder) beginRecord(now balancer.Micros, kind pb.Kind) bool {
 	r.now = now
 	r.lastEvent++
@@ -162,7 +164,7 @@
 	return true
 }
 
-// writeIfDue writes a checkpoint or hands over the block if it is time to.
+// writeIfDue writes a checkpoint, or queues the block for the writer, if the options' intervals or sizes require it.
 func (r *Recorder) writeIfDue() {
 	o := &r.options
 	segmentAge := r.now - r.segmentStartedAt
@@ -176,7 +178,7 @@
 	}
 }
 
-// resetRecord empties the current record for a call of another kind.
+// resetRecord clears the current record and sets its kind.
 func (r *Recorder) resetRecord(kind pb.Kind) {
 	c := &r.current
 	c.Kind = kind
@@ -187,7 +189,7 @@
 	c.Actions = r.actions[:0]
 }
 
-// endRecord ends a call, and writes its record if the call is recorded.
+// endRecord ends a call and adds its record to the block if the call is recorded.
 func (r *Recorder) endRecord(recorded bool) {
 	r.inCall = false
 	if recorded {
@@ -195,7 +197,7 @@
 	}
 }
 
-// commit adds the current record to the block, and then the records nested in its call.
+// commit adds the current record to the block, followed by the records of nested calls of the ledger.
 func (r *Recorder) commit() {
 	r.recording = false
 	r.addRecord(&r.current)
@@ -218,8 +220,8 @@
 	r.savePendingIncident()
 }
 
-// savePendingIncident saves the incident that was detected in the call. Each one begins a new segment: they are not
-// saved more often than the writer would keep them.
+// savePendingIncident saves the incident that was detected during the call. Saving begins a new segment, so incidents
+// that the writer would reject as less than IncidentInterval after the last are dropped here.
 func (r *Recorder) savePendingIncident() {
 	reason := r.pendingIncident
 	if reason == "" {
@@ -232,7 +234,7 @@
 	}
 }
 
-// addRecord adds the record of an event to the block and hands over a full block.
+// addRecord adds the record of an event to the block and queues the block if it is full.
 func (r *Recorder) addRecord(rec *pb.Record) {
 	r.encodeRecord(rec)
 	if r.gap != nil {
@@ -247,7 +249,8 @@
 	}
 }
 
-// encodeRecord appends a record, after its length, to the block's buffer.
+// encodeRecord appends a record, prefixed with its length, to the block's buffer. If the record cannot be encoded, it
+// starts a gap.
 func (r *Recorder) encodeRecord(rec *pb.Record) {
 	if len(r.blockBuffer) == 0 {
 		if r.blockBuffer == nil {
@@ -268,7 +271,7 @@
 	binary.LittleEndian.PutUint32(r.blockBuffer[start:], uint32(len(r.blockBuffer)-start-recordLengthBytes))
 }
 
-// flush hands the block to the writer.
+// flush queues the block for the writer. If the queue is full, it starts a gap.
 func (r *Recorder) flush() {
 	if len(r.blockBuffer) == 0 {
 		return
@@ -289,7 +292,8 @@
 	}
 }
 
-// startGap begins a gap. The records of the block are lost too: a replay could not reach them.
+// startGap begins a gap. The records of the unfinished block are lost too: after a failed write a replay could not
+// reach them.
 func (r *Recorder) startGap(reason string) {
 	r.gap = &gap{
 		reason:    reason,
@@ -304,7 +308,7 @@
 	r.writer.logGap(reason)
 }
 
-// tryEndGap tries to end the gap with a checkpoint, at most once each diskRetryInterval.
+// tryEndGap tries to end the gap with a checkpoint, at most once per diskRetryInterval, and reports whether it has.
 func (r *Recorder) tryEndGap() bool {
 	if r.now < r.gap.retryAt || !r.writer.hasRoom() {
 		return false
@@ -313,7 +317,7 @@
 	r.gap = nil
 	r.writer.clearFailure()
 	r.writeCheckpoint(true, endedGap)
-	if r.gap != nil { // it failed again: the same gap continues
+	if r.gap != nil { // writing failed again: the same gap continues
 		endedGap.retryAt = r.gap.retryAt
 		r.gap = endedGap
 		return false
@@ -322,8 +326,9 @@
 	return true
 }
 
-// writeCheckpoint begins a block, in a new segment if wanted, with the module's complete state. The record of the
-// gap before it, if there was one, comes first. The block is handed over with the records that follow.
+// writeCheckpoint begins a block with the module's complete state, in a new segment if newSegment is set. If the
+// checkpoint ends a gap, the block begins with the record of the gap. The block is queued once the records of further
+// events fill it or it is due.
 func (r *Recorder) writeCheckpoint(newSegment bool, endedGap *gap) {
 	r.flush()
 	if r.gap != nil {
@@ -347,12 +352,12 @@
 	r.resetRecord(pb.Kind_KIND_CHECKPOINT)
 	r.current.Checkpoint = checkpoint
 	r.encodeRecord(&r.current)
-	r.current.Checkpoint = nil // so that its memory is free before the next one
+	r.current.Checkpoint = nil // so that its memory can be freed before the next checkpoint
 	r.checkpointedAt = r.now
 }
 
-// newCheckpoint returns the state of the module and the ledger, with the pending timers, and the names that records
-// refer to by number.
+// newCheckpoint returns the state of the module and of the ledger, the pending timers, and the names of the replicas and
+// requests that records identify by number.
 func (r *Recorder) newCheckpoint() *pb.Checkpoint {
 	c := &pb.Checkpoint{State: r.balancer.Snapshot()}
 	if r.settingsChanged {
@@ -381,7 +386,7 @@
 	return c
 }
 
-// newHeader returns the header of a new segment; the writer fills in the rest.
+// newHeader returns the header of a new segment. The writer fills in the fields that the recorder does not have.
 func (r *Recorder) newHeader() *pb.Header {
 	s := r.balancer.Settings()
 	return &pb.Header{
--- a/internal/capture/recorder_test.go
+++ b/internal/capture/recorder_test.go
@@ -8,7 +8,7 @@
 	"archknot/internal/capturetrigger"
 )
 
-// discardSink ignores a module's actions but for counting timers.
+// discardSink ignores a module's actions, and counts the timers that it sets.
 type discardSink struct{ timers int }
 
 func (n *discardSink) Dispatch(balancer.RequestID, balancer.ReplicaID, balancer.Micros) {}
@@ -20,7 +20,7 @@
 func (n *discardSink) Gossip([]byte)                                                    {}
 func (n *discardSink) WatchDiscovery()                                                  {}
 
-// newTestBalancer returns a started module with 14 replicas.
+// newTestBalancer returns a started balancer with 14 replicas.
 func newTestBalancer(tb testing.TB) *balancer.Balancer {
 	tb.Helper()
 	b, err := balancer.New(balancer.Settings{Gateways: 3, Zone: "a", MaxAttempts: 3, Tick: 2000, MayCancel: true, MayHedge: true,
@@ -52,8 +52,8 @@
 	m.TimerFired(now+1_000_000, 1|uint64(id)<<2)
 }
 
-// BenchmarkModule and BenchmarkRecorded measure what recording adds to an event in the owner's goroutine: their
-// difference, over four events each.
+// BenchmarkModule and BenchmarkRecorded measure the time per event without and with recording. The difference is the
+// cost of recording in the owner's goroutine.
 func BenchmarkModule(b *testing.B) {
 	m := newTestBalancer(b)
 	i := 0
--- a/internal/capture/recordledger.go
+++ b/internal/capture/recordledger.go
@@ -8,14 +8,14 @@
 	"archknot/internal/contract"
 )
 
-// Stages of a checkpoint of balances, as records have them.
+// Stages of a checkpoint of balances, as stored in Kept records.
 const (
 	stageHandedOver = 0
 	stageStored     = 1
 	stageFailed     = 2
 )
 
-// setLedger makes a ledger the recorded one; nil: there are no contracts.
+// setLedger sets the ledger that is recorded; nil: there are no contracts.
 func (r *Recorder) setLedger(l *contract.Ledger) {
 	r.ledger, r.agreement = l, nil
 	if l != nil {
@@ -23,7 +23,7 @@
 	}
 }
 
-// addLedgerState adds the ledger's state to a checkpoint.
+// addLedgerState adds the contracts and the ledger's state to a checkpoint.
 func (r *Recorder) addLedgerState(c *pb.Checkpoint) {
 	if r.ledger == nil {
 		return
@@ -32,7 +32,7 @@
 	if r.host.OpenCharges != nil {
 		open = r.host.OpenCharges()
 	}
-	// The host may have dropped the charge that is being settled already.
+	// The host may already have removed the charge that is being settled from its open charges.
 	settling := r.settlingCharge
 	listed := func(o contract.OpenCharge) bool { return o.Key == settling.Key }
 	if settling.Charge != nil && !slices.ContainsFunc(open, listed) {
@@ -41,8 +41,8 @@
 	c.Agreed, c.Book = r.agreement, r.ledger.Snapshot(open)
 }
 
-// beginLedgerRecord returns the record of a call of the ledger to be filled in, nil if the call is not recorded.
-// A record within a call of the module is nested: it is written after the module's.
+// beginLedgerRecord returns the record of a call of the ledger for the caller to fill in; nil if the call is not
+// recorded. The record of a call during a call of the module is nested: it is written after the module's record.
 func (r *Recorder) beginLedgerRecord(now balancer.Micros, kind pb.Kind) (rec *pb.Record, nested bool) {
 	if r.inCall {
 		if r.recording {
@@ -60,7 +60,7 @@
 	return &r.current, false
 }
 
-// endLedgerRecord ends what beginLedgerRecord has begun.
+// endLedgerRecord ends a call of the ledger. It takes the results of beginLedgerRecord.
 func (r *Recorder) endLedgerRecord(rec *pb.Record, nested bool) {
 	switch {
 	case !nested:
@@ -70,8 +70,8 @@
 	}
 }
 
-// ReplaceLedger records that another ledger, made at the time unix (Unix time in microseconds) with stored balances,
-// takes the place of the one before; nil: there are no contracts from now on.
+// ReplaceLedger replaces the ledger and records the new one with the stored balances that it was created with. unix is
+// the Unix time of its creation in microseconds. A nil ledger means that there are no contracts from now on.
 func (r *Recorder) ReplaceLedger(now balancer.Micros, l *contract.Ledger, unix balancer.Micros, balances []contract.Balance) {
 	rec, nested := r.beginLedgerRecord(now, pb.Kind_KIND_AGREED)
 	r.setLedger(l)
@@ -81,7 +81,7 @@
 	r.endLedgerRecord(rec, nested)
 }
 
-// Charge records and returns the verdict of the contracts on a request, or on a further attempt of it.
+// Charge charges a request, or a further attempt of it, and records and returns the verdict of the contracts.
 func (r *Recorder) Charge(now balancer.Micros, in *balancer.Request, attempt int, c *contract.Charge) contract.Verdict {
 	rec, nested := r.beginLedgerRecord(now, pb.Kind_KIND_CHARGED)
 	v := UnrecordedLedger{r.ledger}.Charge(now, in, attempt, c)
@@ -104,12 +104,13 @@
 	return v
 }
 
-// Settle settles a charge with what was used.
+// Settle replaces the estimate of a charge by the actual usage, and records it. It reports whether the charge was open;
+// the call is not recorded if it was not.
 func (r *Recorder) Settle(now balancer.Micros, id balancer.RequestID, attempt int, c *contract.Charge, used contract.Usage, served bool) bool {
 	if !c.Open() {
 		return false
 	}
-	// A checkpoint may be written at the beginning of the record, before the charge is settled.
+	// beginLedgerRecord may write a checkpoint, which must contain the charge since it is not settled yet.
 	r.settlingCharge = contract.OpenCharge{Key: ChargeKey(id, attempt), Charge: c}
 	rec, nested := r.beginLedgerRecord(now, pb.Kind_KIND_SETTLED)
 	r.settlingCharge = contract.OpenCharge{}
@@ -128,7 +129,7 @@
 	return settled
 }
 
-// RecordShed notes a request that the fleet has shed.
+// RecordShed accounts for a request that the fleet, and not a contract, has shed, and records it.
 func (r *Recorder) RecordShed(now balancer.Micros, in *balancer.Request, estimate contract.Usage, overQuota bool) {
 	rec, nested := r.beginLedgerRecord(now, pb.Kind_KIND_TURNED)
 	r.ledger.RecordShed(now, in.Tenant, in.Class, estimate, overQuota)
@@ -145,7 +146,8 @@
 	r.endLedgerRecord(rec, nested)
 }
 
-// ApplyTerms puts settings and contracts in force, or neither.
+// ApplyTerms replaces the settings and the contracts, and records the change. If the contracts are invalid, it changes
+// and records nothing.
 func (r *Recorder) ApplyTerms(now balancer.Micros, s contract.Settings, terms []contract.Terms) error {
 	if err := contract.ValidateTerms(terms); err != nil {
 		return err
@@ -160,7 +162,7 @@
 	return err
 }
 
-// SetQuotaShares changes this gateway's shares of the contracts.
+// SetQuotaShares sets this gateway's share of the quota of each contract, and records the shares.
 func (r *Recorder) SetQuotaShares(now balancer.Micros, shares []float64) {
 	rec, nested := r.beginLedgerRecord(now, pb.Kind_KIND_PARTS)
 	r.ledger.SetQuotaShares(now, shares)
@@ -170,7 +172,7 @@
 	r.endLedgerRecord(rec, nested)
 }
 
-// Checkpoint returns the balances that the store must have.
+// Checkpoint returns the balances that are due to be stored, and records the checkpoint's number, which it returns too.
 func (r *Recorder) Checkpoint(now balancer.Micros) (uint64, []contract.Balance) {
 	rec, nested := r.beginLedgerRecord(now, pb.Kind_KIND_KEPT)
 	number, balances := r.ledger.Checkpoint()
@@ -181,7 +183,7 @@
 	return number, balances
 }
 
-// CheckpointDone reports whether a checkpoint was stored.
+// CheckpointDone ends a checkpoint of balances, and records whether it was stored.
 func (r *Recorder) CheckpointDone(now balancer.Micros, number uint64, stored bool) {
 	rec, nested := r.beginLedgerRecord(now, pb.Kind_KIND_KEPT)
 	r.ledger.CheckpointDone(number, stored)
--- a/internal/capture/replayledger.go
+++ b/internal/capture/replayledger.go
@@ -8,13 +8,14 @@
 	"archknot/internal/contract"
 )
 
-// ReplayLedger is a ledger with its open charges, for a replay of a capture. The zero value has no contracts.
+// ReplayLedger repeats the recorded calls of a ledger during a replay. The zero value has no contracts.
 type ReplayLedger struct {
 	Ledger      *contract.Ledger            // nil: no contracts
 	OpenCharges map[uint64]*contract.Charge // by ChargeKey
 }
 
-// RestoreReplayLedger returns the ledger of a checkpoint.
+// RestoreReplayLedger returns the ledger with the state of a checkpoint. Without contracts in the checkpoint, it is
+// empty.
 func RestoreReplayLedger(c *pb.Checkpoint) (*ReplayLedger, error) {
 	if len(c.Agreed) == 0 {
 		return &ReplayLedger{}, nil
@@ -28,7 +29,7 @@
 	return l, err
 }
 
-// Snapshot returns the ledger's state as checkpoints have it; nil without contracts.
+// Snapshot returns the ledger's state as checkpoints store it; nil without contracts.
 func (l *ReplayLedger) Snapshot() []byte {
 	if l.Ledger == nil {
 		return nil
@@ -40,11 +41,11 @@
 	return l.Ledger.Snapshot(open)
 }
 
-// IsLedgerRecord reports whether a record is a call of the ledger and not of the decision module.
+// IsLedgerRecord reports whether records of a kind are calls of the ledger.
 func IsLedgerRecord(k pb.Kind) bool { return k >= pb.Kind_KIND_AGREED && k <= pb.Kind_KIND_TURNED }
 
-// Apply repeats a recorded call of the ledger. It describes what the ledger decided and what the record says; the
-// descriptions differ only if this build decides differently.
+// Apply repeats a recorded call of the ledger. It returns descriptions of this build's decision and of the recorded one,
+// which differ only if the decisions do. They are empty for calls without a decision.
 func (l *ReplayLedger) Apply(now balancer.Micros, r *pb.Record) (own, recorded string, err error) {
 	id := balancer.RequestID(r.Request)
 	switch r.Kind {
@@ -77,7 +78,7 @@
 	return "", "", nil
 }
 
-// charge repeats a charge and keeps it if it is open.
+// charge repeats a charge, and adds it to OpenCharges if it is open.
 func (l *ReplayLedger) charge(now balancer.Micros, id balancer.RequestID, r *pb.Charged) (own, recorded string) {
 	in := balancer.Request{
 		ID:           id,
@@ -105,7 +106,7 @@
 	return describeVerdict(v, int64(c.Estimate.OutputTokens)), recorded
 }
 
-// settle repeats the settling of a charge.
+// settle repeats the settlement of a charge.
 func (l *ReplayLedger) settle(now balancer.Micros, id balancer.RequestID, r *pb.Settled) (own, recorded string) {
 	key := ChargeKey(id, int(r.GetCopy()))
 	c := l.OpenCharges[key]
@@ -115,7 +116,7 @@
 	return fmt.Sprintf("settled=%v", settled), fmt.Sprintf("settled=%v", r.GetNews())
 }
 
-// applyAgreement repeats a change of the contracts, or of the ledger as a whole.
+// applyAgreement repeats a change of the contracts, or the replacement or removal of the ledger.
 func (l *ReplayLedger) applyAgreement(now balancer.Micros, text []byte) error {
 	if len(text) == 0 {
 		*l = ReplayLedger{}
@@ -138,7 +139,7 @@
 	return nil
 }
 
-// describeVerdict describes a verdict and the output tokens that were estimated, as differences are printed.
+// describeVerdict returns a verdict and the estimated output tokens as text, for comparison and for display.
 func describeVerdict(v contract.Verdict, outputTokens int64) string {
 	if v.Rejected {
 		return fmt.Sprintf("refuse reason=%s retry_after_us=%d", v.Reason, v.RetryAfter)
--- a/internal/capture/rewrite.go
+++ b/internal/capture/rewrite.go
@@ -12,8 +12,8 @@
 	pb "archknot/internal/capture/capturepb"
 )
 
-// CopySpan copies a span of time into a new segment: complete blocks, from the last checkpoint before the span on. It
-// returns the number of events. On an error no file is left.
+// CopySpan copies a span of time of a run into a new segment at path, which must not exist. It copies complete blocks,
+// from the last checkpoint before the span on, and returns the number of events. On an error it removes the file.
 func CopySpan(run *Run, from, to balancer.Micros, path string) (events uint64, err error) {
 	reader, err := NewReader(run, from)
 	if err != nil {
@@ -61,8 +61,8 @@
 	return err
 }
 
-// writeHeader writes the header of the segment with the span's first block, under another name: the new segment must
-// not be taken for one of the run.
+// writeHeader writes the header of the segment that contains the span's first block. It changes the name of the run, so
+// that FindRuns does not add the new segment to the original run.
 func (c *spanCopier) writeHeader(s *Segment, firstBlock int) error {
 	header := &pb.Header{}
 	proto.Merge(header, s.Header)
@@ -75,7 +75,7 @@
 	return c.writeBlock(b)
 }
 
-// copySegment copies the blocks of a segment that begin within the span.
+// copySegment copies the blocks of a segment, from firstBlock on, that begin at or before the end of the span.
 func (c *spanCopier) copySegment(s *Segment, firstBlock int) error {
 	f, err := os.Open(s.Path)
 	if err != nil {
@@ -88,7 +88,7 @@
 		}
 		copied, err := readBlock(f, b.Offset)
 		if err != nil {
-			return fmt.Errorf("%s: the block at %d: %w", s.Path, b.Offset, err)
+			return fmt.Errorf("%s: read block at offset %d: %w", s.Path, b.Offset, err)
 		}
 		c.index.Blocks = append(c.index.Blocks, &pb.Index_Block{
 			Offset:     uint64(c.offset),
@@ -106,7 +106,7 @@
 	return nil
 }
 
-// writeIndex closes the new segment.
+// writeIndex writes the index block and the trailer, which end a closed segment.
 func (c *spanCopier) writeIndex() error {
 	indexOffset := c.offset
 	b, err := messageBlock(blockIndex, c.index.LastUs, &c.index)
@@ -120,8 +120,8 @@
 	return err
 }
 
-// RewriteHeader writes a copy of a segment with its header changed: for captures that get another name, and for tests
-// of other versions.
+// RewriteHeader writes a copy of the segment at path to out, with its header changed and without its index. Tests use it
+// to create captures of other runs, versions or settings.
 func RewriteHeader(path, out string, change func(*pb.Header)) error {
 	segment, err := os.ReadFile(path)
 	if err != nil {
@@ -140,20 +140,20 @@
 	if headerBlock, err = messageBlock(blockHeader, headerBlock.at, &header); err != nil {
 		return err
 	}
-	// The index is left out, whose offsets are no longer right: a reader finds the blocks without it.
+	// Omit the index: its offsets are wrong if the header's length has changed, and a reader can scan for the blocks.
 	if indexOffset := bytes.LastIndex(blocks, []byte(blockMarker)); indexOffset >= 0 && bytes.HasSuffix(blocks, []byte(indexMarker)) {
 		blocks = blocks[:indexOffset]
 	}
 	return os.WriteFile(out, append(headerBlock.appendTo(nil), blocks...), fileMode)
 }
 
-// ChangeSettings returns a change of a header for RewriteHeader that changes the settings, as a module with other
-// constants would be.
+// ChangeSettings returns a function for RewriteHeader that changes the module's settings in the header. The function
+// panics if the settings cannot be parsed.
 func ChangeSettings(change func(*balancer.Settings)) func(*pb.Header) {
 	return func(h *pb.Header) {
 		s, err := UnmarshalSettings(h.Settings)
 		if err != nil {
-			panic(err) // it was opened with these settings
+			panic(err) // the settings were parsed when the segment was opened
 		}
 		change(&s)
 		h.Settings = marshalSettings(&s)
--- a/internal/capture/run.go
+++ b/internal/capture/run.go
@@ -17,22 +17,22 @@
 	pb "archknot/internal/capture/capturepb"
 )
 
-// Segment is one file of a capture, with the places of its blocks.
+// Segment is one file of a capture, with the locations of its blocks.
 type Segment struct {
 	Path    string
 	Size    int64
 	Header  *pb.Header
-	Closed  bool // it ends with its index
+	Closed  bool // the segment ends with an index
 	Blocks  []Block
-	Missing []Missing // what cannot be read, as far as known: opening finds it where there is no index
+	Missing []Missing // unreadable parts found by scanning; empty if the index was used
 }
 
-// Block is the place of a block of records in a segment.
+// Block is the location of a block of records in a segment.
 type Block struct {
 	Offset     int64
-	FirstEvent uint64 // number of its first event
+	FirstEvent uint64 // number of the block's first event
 	At         balancer.Micros
-	Checkpoint bool // it begins with a checkpoint
+	Checkpoint bool // the block begins with a checkpoint
 	Records    uint32
 }
 
@@ -40,21 +40,21 @@
 type Missing struct {
 	Path       string `json:"path"`
 	Offset     int64  `json:"offset"`
-	Events     uint64 `json:"events"`          // how many events it had; 0: not known
-	FirstEvent uint64 `json:"first,omitempty"` // the number of the first of them, where it is known
+	Events     uint64 `json:"events"`          // number of missing events; 0: unknown
+	FirstEvent uint64 `json:"first,omitempty"` // number of the first missing event; 0: unknown
 	Reason     string `json:"what"`
 }
 
-// Run is one recording: its segments in order.
+// Run is one recording. Its segments are in order.
 type Run struct {
 	Gateway, Name, Build string
 	Seed                 uint64
-	Settings             balancer.Settings // that it began with
+	Settings             balancer.Settings // settings at the beginning of the run
 	Segments             []*Segment
 	Unreadable           []Missing // segments whose header cannot be read
 }
 
-// Begin returns the time of the first block, on the module's clock.
+// Begin returns the time at which the first segment began, on the module's clock.
 func (r *Run) Begin() balancer.Micros { return r.Segments[0].Header.ClockUs }
 
 // End returns the time of the last block, on the module's clock.
@@ -68,13 +68,13 @@
 	return end
 }
 
-// WallTime returns the time of day of a time on the module's clock.
+// WallTime converts a time on the module's clock to wall-clock time, in UTC.
 func (r *Run) WallTime(at balancer.Micros) time.Time {
 	h := r.Segments[0].Header
 	return time.UnixMicro(h.WallUs + at - h.ClockUs).UTC()
 }
 
-// Bytes returns the size of the run's files.
+// Bytes returns the total size of the run's readable segments.
 func (r *Run) Bytes() (n int64) {
 	for _, s := range r.Segments {
 		n += s.Size
@@ -82,8 +82,8 @@
 	return n
 }
 
-// RestoreBalancer returns the module of one of the run's checkpoints, with its actions going to sink, and the settings
-// that were in force.
+// RestoreBalancer returns a module with the state of one of the run's checkpoints, which sends its actions to sink, and
+// the settings that were in force at the checkpoint.
 func (r *Run) RestoreBalancer(c *pb.Checkpoint, sink balancer.Sink) (*balancer.Balancer, balancer.Settings, error) {
 	settings := r.Settings
 	if c.Settings != nil {
@@ -96,12 +96,12 @@
 	return b, settings, err
 }
 
-// ErrUnsupportedVersion says that a capture has a format that this build does not read.
-var ErrUnsupportedVersion = errors.New("format not known to this build")
+// ErrUnsupportedVersion is returned for a capture in a format version that this build cannot read.
+var ErrUnsupportedVersion = errors.New("unsupported capture format")
 
-var errNotACapture = errors.New("not a capture, or its header is damaged")
+var errNotACapture = errors.New("not a capture, or corrupt header")
 
-// OpenSegment reads a segment's header and finds its blocks. The error is ErrUnsupportedVersion for a segment of
+// OpenSegment reads a segment's header and finds its blocks. The error wraps ErrUnsupportedVersion for a segment of
 // another major version of the format.
 func OpenSegment(path string) (*Segment, error) {
 	f, err := os.Open(path)
@@ -120,21 +120,21 @@
 	return s, nil
 }
 
-// load reads the header, and the index or the blocks' heads.
+// load reads the header, and then the index or, if there is no valid one, the heads of all blocks.
 func (s *Segment) load(r io.ReaderAt) error {
 	head, err := readBlockHead(r, 0)
 	if err != nil || head.kind != blockHeader {
 		return errNotACapture
 	}
 	if err := readPayload(r, 0, &head); err != nil {
-		return fmt.Errorf("its header cannot be read: %w", err)
+		return fmt.Errorf("read header: %w", err)
 	}
 	s.Header = &pb.Header{}
 	if err := proto.Unmarshal(head.payload, s.Header); err != nil {
-		return fmt.Errorf("its header cannot be read: %w", err)
+		return fmt.Errorf("read header: %w", err)
 	}
 	if s.Header.Major != FormatMajor {
-		return fmt.Errorf("%w: it is of version %d.%d, written by %q; this build reads version %d", ErrUnsupportedVersion,
+		return fmt.Errorf("%w: version %d.%d, written by %q; this build reads version %d", ErrUnsupportedVersion,
 			s.Header.Major, s.Header.Minor, s.Header.Build, FormatMajor)
 	}
 	if s.readIndex(r) {
@@ -145,7 +145,7 @@
 	return nil
 }
 
-// readIndex takes the blocks' places from the index. It reports false if the segment has no valid one.
+// readIndex reads the blocks' locations from the index. It returns false if the segment has no valid index.
 func (s *Segment) readIndex(r io.ReaderAt) bool {
 	if s.Size < blockHeadSize+trailerSize {
 		return false
@@ -177,7 +177,7 @@
 	return true
 }
 
-// scanBlocks finds the blocks from an offset on, one after another, and notes what lies between them.
+// scanBlocks finds the blocks from an offset on by their heads, and adds the unreadable parts between them to Missing.
 func (s *Segment) scanBlocks(r io.ReaderAt, offset int64) {
 	for offset < s.Size {
 		head, err := readBlockHead(r, offset)
@@ -188,7 +188,7 @@
 				Offset:     offset,
 				Events:     uint64(head.eventCount),
 				FirstEvent: head.firstEvent,
-				Reason:     "the file ends within a block",
+				Reason:     "block truncated by the end of the file",
 			})
 			return
 		}
@@ -201,24 +201,24 @@
 		}
 		if s.Size-offset == trailerSize {
 			if _, ok := readTrailer(r, offset); ok {
-				return // of an index that cannot be read
+				return // the trailer of an unreadable index; no block follows it
 			}
 		}
 		next, err := findBlockHead(r, offset+1)
 		if err != nil {
-			s.Missing = append(s.Missing, Missing{Path: s.Path, Offset: offset, Reason: fmt.Sprintf("the last %d bytes are no whole block", s.Size-offset)})
+			s.Missing = append(s.Missing, Missing{Path: s.Path, Offset: offset, Reason: fmt.Sprintf("no complete block in the last %d bytes", s.Size-offset)})
 			return
 		}
-		s.Missing = append(s.Missing, Missing{Path: s.Path, Offset: offset, Reason: fmt.Sprintf("%d bytes are no block", next-offset)})
+		s.Missing = append(s.Missing, Missing{Path: s.Path, Offset: offset, Reason: fmt.Sprintf("%d bytes are not a valid block", next-offset)})
 		offset = next
 	}
 }
 
-// errNoPath is returned where no path of a capture is given.
-var errNoPath = errors.New("no path of a capture is given")
+var errNoPath = errors.New("no path of a capture given")
 
-// FindRuns opens the captures that the paths name: segments, and directories of segments. The segments of one
-// recording make a run. Segments that cannot be read are noted in the runs, if there is another that can.
+// FindRuns opens the captures at the given paths, which are segments or directories of segments, and groups the segments
+// by run. If at least one segment can be read, unreadable ones are added to the Unreadable of a run; otherwise they are
+// an error. A segment of an unsupported version is always an error.
 func FindRuns(paths ...string) ([]*Run, error) {
 	files, err := findSegments(paths)
 	if err != nil {
@@ -231,7 +231,8 @@
 		case err == nil:
 			err = f.add(s)
 		case !errors.Is(err, ErrUnsupportedVersion) && len(files) > 1:
-			// The disk was full, or the gateway ended just as the segment began: the others can be used.
+			// A full disk, or a gateway that ends while it begins a segment, leaves a file without a valid header. The
+			// other segments are still usable.
 			f.unreadable = append(f.unreadable, Missing{Path: file, Reason: err.Error()})
 			err = nil
 		}
@@ -242,7 +243,7 @@
 	return f.finish()
 }
 
-// findSegments returns the files that the paths name.
+// findSegments returns the paths of files as they are, and for a directory the segments in it.
 func findSegments(paths []string) ([]string, error) {
 	if len(paths) == 0 {
 		return nil, errNoPath
@@ -262,26 +263,26 @@
 			return nil, err
 		}
 		if len(found) == 0 {
-			return nil, fmt.Errorf("%s: no capture in it (*%s)", p, Suffix)
+			return nil, fmt.Errorf("%s: no capture files (*%s) in this directory", p, Suffix)
 		}
 		files = append(files, found...)
 	}
 	return files, nil
 }
 
-// escapeGlob keeps a directory's name from being interpreted as a pattern.
+// escapeGlob escapes the special characters of filepath.Glob in a directory's name.
 func escapeGlob(p string) string {
 	return strings.NewReplacer(`\`, `\\`, "*", `\*`, "?", `\?`, "[", `\[`).Replace(p)
 }
 
-// runFinder groups segments by the run that they are of.
+// runFinder groups segments by run.
 type runFinder struct {
 	runs       []*Run
-	byKey      map[string]*Run // by gateway and name
+	byKey      map[string]*Run // by gateway and name of the run
 	unreadable []Missing
 }
 
-// add adds a segment to its run.
+// add adds a segment to its run. The first segment of a run determines the run's settings.
 func (f *runFinder) add(s *Segment) error {
 	key := s.Header.Gateway + "\x00" + s.Header.Run
 	run := f.byKey[key]
@@ -304,8 +305,8 @@
 	return nil
 }
 
-// finish returns the runs by gateway and name, each with its segments in order and without duplicates. A segment that
-// cannot be read belongs to the run that its file's name says, or else to the first.
+// finish returns the runs sorted by gateway and name, each with its segments in order and without duplicates. A segment
+// that cannot be read is assigned to the run that its file name indicates, or else to the first run.
 func (f *runFinder) finish() ([]*Run, error) {
 	if len(f.runs) == 0 {
 		return nil, errors.New(f.unreadable[0].Reason)
--- a/internal/capture/segment.go
+++ b/internal/capture/segment.go
@@ -13,32 +13,34 @@
 	"archknot/balancer"
 )
 
-// A segment is a file of blocks. Each block has a head of fixed size with a checksum of its own, so that a reader can
-// skip a block whose payload is corrupt, and a marker, so that it can find the next block where a head is corrupt.
+// A segment is a file of blocks. Each block has a head of fixed size. The head has a checksum of its own, so that a
+// reader can skip a block whose payload is corrupt, and a marker, so that a reader can find the next block after a
+// corrupt head.
 //
 //	marker 8 | kind 1 | flags 1 | zero 2 | stored length 4 | raw length 4 |
-//	records 4 | first record's number 8 | time 8 | payload CRC 4 | head CRC 4
+//	events 4 | first event's number 8 | time 8 | payload CRC 4 | head CRC 4
 //
-// Numbers are little-endian, checksums CRC-32C. Each record in a block follows its length (4 bytes). A segment that
-// was closed ends with an index block and a trailer: the index block's offset (8) and a marker (8).
+// Numbers are little-endian, lengths are in bytes, checksums are CRC-32C. Each record in a block is preceded by its
+// length (4 bytes). A segment that was closed ends with an index block and a trailer: the index block's offset (8) and a
+// marker (8). Events are the records other than checkpoints and gaps.
 const (
 	blockMarker   = "\x89AKCAP\r\n"
 	indexMarker   = "AKINDEX1"
 	blockHeadSize = 48
 	trailerSize   = 16
 
-	// FormatMajor is the major version of the format. A capture of another one is not read.
+	// FormatMajor is the major version of the format. Captures of other major versions are rejected.
 	FormatMajor = 1
-	// FormatMinor is the minor version of the format: each adds fields.
+	// FormatMinor is the minor version of the format. Minor versions only add fields.
 	FormatMinor = 8
 
-	// Suffix is the suffix of a segment's file name.
+	// Suffix is the file name extension of segments.
 	Suffix = ".akcap"
 
-	// maxBlockBytes bounds the lengths that a block may claim.
+	// maxBlockBytes bounds the lengths in a block's head, so that a corrupt head cannot cause a huge allocation.
 	maxBlockBytes = 64 << 20
 
-	// searchChunkBytes is how much of a segment is searched for a marker at once.
+	// searchChunkBytes is the size of the reads in a search for a marker.
 	searchChunkBytes = 64 << 10
 )
 
@@ -60,12 +62,12 @@
 	kind         blockKind
 	flags        uint8
 	eventCount   uint32
-	rawLength    uint32 // length of the contents
-	storedLength uint32 // their length in the file
-	firstEvent   uint64 // number of the first record
+	rawLength    uint32 // length of the uncompressed payload
+	storedLength uint32 // length of the payload as stored
+	firstEvent   uint64 // number of the first event
 	at           balancer.Micros
 	checksum     uint32
-	payload      []byte // as stored
+	payload      []byte // as stored: compressed if flagZstd is set
 }
 
 var crc32cTable = crc32.MakeTable(crc32.Castagnoli)
@@ -88,13 +90,14 @@
 	return append(out, b.payload...)
 }
 
-// messageBlock returns a block with one message that is not compressed.
+// messageBlock returns a block whose payload is one uncompressed message.
 func messageBlock(kind blockKind, at balancer.Micros, m proto.Message) (block, error) {
 	text, err := proto.Marshal(m)
 	return block{kind: kind, rawLength: uint32(len(text)), at: at, payload: text}, err
 }
 
-// readTrailer returns the offset of the index block if there is a trailer at an offset.
+// readTrailer reads the trailer at an offset and returns the offset of the index block. It reports false if there is no
+// trailer.
 func readTrailer(r io.ReaderAt, at int64) (indexOffset int64, ok bool) {
 	var trailer [trailerSize]byte
 	if n, _ := r.ReadAt(trailer[:], at); n < trailerSize || string(trailer[8:]) != indexMarker {
@@ -103,9 +106,9 @@
 	return int64(binary.LittleEndian.Uint64(trailer[:])), true
 }
 
-var errCorrupt = errors.New("damaged")
+var errCorrupt = errors.New("corrupt data")
 
-// readBlockHead reads the head of the block at an offset. Its payload is not read.
+// readBlockHead reads and verifies the head of the block at an offset. It does not read the payload.
 func readBlockHead(r io.ReaderAt, offset int64) (block, error) {
 	var buf [blockHeadSize]byte
 	n, err := r.ReadAt(buf[:], offset)
@@ -152,7 +155,8 @@
 	return b, err
 }
 
-// findBlockHead returns the offset of the next valid head, from an offset on; the error is io.EOF if there is none.
+// findBlockHead returns the offset of the first valid head at or after an offset. The error is io.EOF if there is none,
+// or that of a failed read.
 func findBlockHead(r io.ReaderAt, from int64) (int64, error) {
 	buf := make([]byte, searchChunkBytes)
 	for {
@@ -174,20 +178,20 @@
 	}
 }
 
-// nextRecord cuts the first record off the decompressed payload of a block.
+// nextRecord splits the first record off the decompressed payload of a block.
 func nextRecord(in []byte) (record, remainder []byte, err error) {
 	if len(in) < recordLengthBytes {
-		return nil, nil, fmt.Errorf("%w: a record's length is cut off", errCorrupt)
+		return nil, nil, fmt.Errorf("%w: truncated length of a record", errCorrupt)
 	}
 	n := binary.LittleEndian.Uint32(in)
 	if uint64(n) > uint64(len(in)-recordLengthBytes) {
-		return nil, nil, fmt.Errorf("%w: a record is longer than its block", errCorrupt)
+		return nil, nil, fmt.Errorf("%w: record longer than its block", errCorrupt)
 	}
 	end := recordLengthBytes + int(n)
 	return in[recordLengthBytes:end], in[end:], nil
 }
 
-// appendTrailer appends a segment's trailer.
+// appendTrailer appends a segment's trailer to out.
 func appendTrailer(out []byte, indexOffset int64) []byte {
 	return append(binary.LittleEndian.AppendUint64(out, uint64(indexOffset)), indexMarker...)
 }
--- a/internal/capture/stored_test.go
+++ b/internal/capture/stored_test.go
@@ -17,7 +17,7 @@
 	"archknot/internal/contract/contractpb"
 )
 
-// Values that are in the stored file alone.
+// Values of the stored capture that are specific to its file.
 const (
 	storedRunName           = "20261202T150710.125Z-9586"
 	storedWallUs            = 1796224030125732
@@ -41,7 +41,7 @@
 	}
 }
 
-// storedSettingsJSON is the settings as the file has them.
+// storedSettingsJSON is the encoding of storedSettings in the stored capture.
 const storedSettingsJSON = `{"Self":1,"Gateways":3,"Zone":"a","Zones":["a","b"],"Kinds":["k","l"],"Classes":[` +
 	`{"Name":"chat","Aim":500000,"AimPer1000":60000,"TokenAim":50000,"Deadline":3000000,"Worth":2,"LateWorth":0.25,"Effect":0,"Scope":0,"RepeatsKept":0,"Stream":true},` +
 	`{"Name":"order","Aim":1000000,"AimPer1000":0,"TokenAim":0,"Deadline":4000000,"Worth":3,"LateWorth":0.5,"Effect":1,"Scope":1,"RepeatsKept":30000000,"Stream":false}],` +
@@ -78,8 +78,8 @@
 	}
 }
 
-// A capture written by the build of commit b3142ba is read: its header, its settings
-// and its index.
+// Guards against a change of the stored format: the header, the settings and the index of a
+// capture that was written by the build of commit b3142ba must be read as they were written.
 func TestStoredCaptureHeader(t *testing.T) {
 	run := storedRun(t)
 	if run.Gateway != "g" || run.Name != storedRunName || run.Build != "b3142ba" || run.Seed != 3 || len(run.Segments) != 1 || len(run.Unreadable) != 0 {
@@ -108,8 +108,8 @@
 	}
 }
 
-// storedRecords are the records of the stored capture, without settings, contracts and
-// the states in checkpoints, which TestStoredSettingsAndStates checks.
+// storedRecords are the records of the stored capture. They are without settings, contracts
+// and the states in checkpoints, which TestStoredSettingsAndStates checks.
 var storedRecords = []struct {
 	number uint64
 	at     balancer.Micros
@@ -168,7 +168,7 @@
 	Argument any
 }
 
-// calls records the calls of a decision module.
+// calls is a decision module that records its calls.
 type calls struct{ list []call }
 
 func (c *calls) add(name string, at balancer.Micros, argument any) {
@@ -187,7 +187,7 @@
 func (c *calls) ClientGone(now balancer.Micros, id balancer.RequestID) { c.add("ClientGone", now, id) }
 func (c *calls) TimerFired(now balancer.Micros, token uint64)          { c.add("TimerFired", now, token) }
 func (c *calls) HealthCheckEnded(now balancer.Micros, o balancer.Outcome) {
-	c.add("ProbeEnded", now, o)
+	c.add("HealthCheckEnded", now, o)
 }
 func (c *calls) PeerMessage(now balancer.Micros, from int, body []byte) {
 	c.add("PeerMessage", now, []any{from, body})
@@ -197,7 +197,8 @@
 	return nil
 }
 
-// The stored capture makes the calls of the decision module that were made when it was recorded.
+// Guards against stored records that are decoded differently: applying the stored capture
+// must make the calls of the decision module that were made when it was recorded.
 func TestStoredCalls(t *testing.T) {
 	var got calls
 	for _, e := range storedEntries(t, storedRun(t)) {
@@ -225,7 +226,7 @@
 		{"ClientGone", 170000, balancer.RequestID(2)},
 		{"AttemptEnded", 701300, balancer.Outcome{ID: 1, Replica: 1, Status: 0, Elapsed: 700000, Final: true, CachedTokens: 250, OutputTokens: 90,
 			Report: balancer.LoadReport{Has: 63, MemoryShare: 0.25, PrefillBacklogK: 1.5, InFlight: 4, Queued: 2, ServiceMs: 35.5, Utilization: 0.75}}},
-		{"ProbeEnded", 900000, balancer.Outcome{Replica: 3, Status: 3, Elapsed: 40000, Final: true}},
+		{"HealthCheckEnded", 900000, balancer.Outcome{Replica: 3, Status: 3, Elapsed: 40000, Final: true}},
 		{"PeerMessage", 910000, []any{2, []byte{1, 2, 3}}},
 		{"TimerFired", 1001300, uint64(5)},
 		{"Reconfigure", 1100000, reconfigured},
@@ -249,9 +250,9 @@
 func (discard) Gossip([]byte)                                                    {}
 func (discard) WatchDiscovery()                                                  {}
 
-// Settings, contracts and the states in checkpoints of the stored capture are read; the
-// states are marshalled again to the same bytes. A later build may add a field to a state: then
-// the bytes of a snapshot grow, and the comparison is to be made without that field.
+// The settings, the contracts and the states in the checkpoints of the stored capture must be
+// restored, and the states must marshal to the same bytes again. If a later build adds a field
+// to a state, snapshots grow, and the comparison must be made without that field.
 func TestStoredSettingsAndStates(t *testing.T) {
 	run := storedRun(t)
 	wantLedgers := []string{
--- a/internal/capture/writer.go
+++ b/internal/capture/writer.go
@@ -15,54 +15,54 @@
 	pb "archknot/internal/capture/capturepb"
 )
 
-// WriterOptions are where a Writer writes, and the bounds of what it keeps on disk.
+// WriterOptions are the options of a Writer: its directories, and the bounds on its queue and on its disk usage.
 type WriterOptions struct {
 	Directory     string
 	Gateway       string // prefix of the segments' file names
 	Build         string
 	Seed          uint64
-	QueueLength   int  // blocks that may wait for the disk
-	BlockWhenFull bool // block the recorder rather than lose records to a full queue
-	MaxBytes      int64
-	MaxAge        time.Duration
+	QueueLength   int           // blocks and other tasks that may wait for the disk
+	BlockWhenFull bool          // a full queue blocks the recorder instead of causing a gap
+	MaxBytes      int64         // bound on the total size of segments; the oldest are deleted
+	MaxAge        time.Duration // older segments are deleted
 
 	IncidentDirectory string
-	MaxIncidents      int           // 0: none are saved
-	IncidentWindow    time.Duration // how much of the capture an incident has
-	IncidentInterval  time.Duration // at least, between two that the recorder saves by itself
+	MaxIncidents      int           // the oldest are deleted; 0: none are saved
+	IncidentWindow    time.Duration // maximum age of the segments that an incident contains
+	IncidentInterval  time.Duration // minimum time between two automatic incidents
 
-	// Log is called with what operators should know: a gap, an incident, a failure. It may be nil.
+	// Log is called, with an event and its key-value pairs, for gaps, incidents and failures. It may be nil.
 	Log func(msg string, args ...any)
-	// CreateFile creates a segment's file; nil: on the file system. Tests inject disk faults here.
+	// CreateFile creates a segment's file; nil: in the file system. Tests use it to inject disk faults.
 	CreateFile func(path string) (File, error)
 }
 
-// File is what a segment is written to.
+// File is the destination of a segment.
 type File interface {
 	Write(p []byte) (int, error)
 	Close() error
 }
 
-// Stats counts what a Writer has done. It may be read at any time.
+// Stats are counters of a Writer. They may be read from any goroutine.
 type Stats struct {
 	Blocks   atomic.Int64 // written
 	Bytes    atomic.Int64 // written
 	Records  atomic.Int64 // written
-	Lost     atomic.Int64 // records in gaps
+	Lost     atomic.Int64 // records lost, in gaps or because their segment failed
 	Gaps     atomic.Int64
 	Segments atomic.Int64 // begun
-	Dropped  atomic.Int64 // segments deleted for their size or age
+	Dropped  atomic.Int64 // segments deleted because of MaxBytes or MaxAge
 }
 
-// Writer writes blocks into segments, in a goroutine of its own.
+// Writer writes the blocks of one Recorder into segments, in a goroutine of its own.
 type Writer struct {
 	options     WriterOptions
 	runName     string
 	queue       chan writerTask
 	freeBuffers chan []byte
 	done        chan struct{}
-	failure     atomic.Pointer[string] // why nothing can be written; nil: it can
-	currentSize atomic.Int64           // of the segment that is being written
+	failure     atomic.Pointer[string] // why the disk cannot be written; nil: it can
+	currentSize atomic.Int64           // bytes of the segment that is being written
 	Stats       Stats
 
 	// Used by the writer's goroutine alone.
@@ -73,12 +73,12 @@
 	offset                int64
 	index                 pb.Index
 	segmentNumber         uint64
-	skipBlocks            bool // until the next segment begins, blocks are of no use
+	skipBlocks            bool // drop blocks until the next segment begins
 	lastAutomaticIncident time.Time
 	segmentRecords        uint64
 }
 
-// writerTask is what a recorder hands over: a block, the header of a new segment, or an incident to be saved.
+// writerTask is a task that the recorder queues: to write a block, to begin a segment, or to save an incident.
 type writerTask struct {
 	block          block
 	header         *pb.Header // not nil: begin a segment
@@ -87,17 +87,18 @@
 }
 
 const (
-	// minQueueLength is the least length of a writer's queue.
+	// minQueueLength is the minimum length of a writer's queue, in tasks.
 	minQueueLength = 2
-	// maxReusedBuffer bounds the buffers that are reused: those of checkpoints may be far larger.
+	// maxReusedBuffer bounds the size, in bytes, of buffers that are reused. Buffers with checkpoints may be far larger and
+	// are freed instead.
 	maxReusedBuffer = 256 << 10
-	// compressionWindow is the window of the blocks' compression, in bytes.
+	// compressionWindow is the window size of the zstd encoder, in bytes.
 	compressionWindow = 64 << 10
 
 	directoryMode = 0o700
 	fileMode      = 0o600
 
-	// timestampFormat is that of the names of runs and incidents.
+	// timestampFormat is the format of the timestamps in the names of runs and incidents.
 	timestampFormat = "20060102T150405.000Z"
 	// defaultGatewayName is used for a gateway without a name.
 	defaultGatewayName = "gateway"
@@ -105,7 +106,7 @@
 
 var errQueueFull = errors.New(reasonQueueFull)
 
-// NewWriter creates the directory and starts the writer's goroutine.
+// NewWriter creates the directory and starts the writer's goroutine, which Close ends.
 func NewWriter(o WriterOptions) (*Writer, error) {
 	o.QueueLength = max(minQueueLength, o.QueueLength)
 	o.Gateway = cmp.Or(strings.Map(fileNameRune, o.Gateway), defaultGatewayName)
@@ -139,7 +140,7 @@
 	return w, nil
 }
 
-// fileNameRune replaces characters that a file name should not have.
+// fileNameRune replaces all but letters, digits and underscores. The hyphen separates the parts of file names.
 func fileNameRune(c rune) rune {
 	if c >= 'a' && c <= 'z' || c >= 'A' && c <= 'Z' || c >= '0' && c <= '9' || c == '_' {
 		return c
@@ -151,19 +152,20 @@
 	return os.OpenFile(path, os.O_WRONLY|os.O_CREATE|os.O_EXCL, fileMode)
 }
 
-// Close writes what is queued, closes the segment, and waits for the writer's goroutine. The recorder must be closed
-// before.
+// Close processes the queued tasks, closes the segment, and waits for the writer's goroutine to end. The recorder must be
+// closed before.
 func (w *Writer) Close() {
 	close(w.queue)
 	<-w.done
 }
 
-// QueuedTasks returns the number of blocks and other tasks that wait for the disk.
+// QueuedTasks returns the number of queued tasks. It may be called from any goroutine.
 func (w *Writer) QueuedTasks() int { return len(w.queue) }
 
-// The following methods are called by the recorder.
+// The following methods are called in the recorder's goroutine.
 
-// enqueue hands a task over. It reports false if the queue is full, unless the options say to wait.
+// enqueue queues a task for the writer's goroutine. If the queue is full, it blocks with BlockWhenFull and otherwise
+// returns false.
 func (w *Writer) enqueue(task writerTask) bool {
 	if w.options.BlockWhenFull {
 		w.queue <- task
@@ -177,10 +179,10 @@
 	}
 }
 
-// hasRoom reports whether enough of the queue is free to end a gap.
+// hasRoom reports whether at least half of the queue is free, as ending a gap requires.
 func (w *Writer) hasRoom() bool { return len(w.queue) <= cap(w.queue)/2 }
 
-// failureReason returns why nothing can be written; "" if it can.
+// failureReason returns why the disk cannot be written; "" if it can.
 func (w *Writer) failureReason() string {
 	if reason := w.failure.Load(); reason != nil {
 		return *reason
@@ -188,13 +190,13 @@
 	return ""
 }
 
-// clearFailure lets the writer try the disk again.
+// clearFailure clears the failure, before the recorder tries to write again.
 func (w *Writer) clearFailure() { w.failure.Store(nil) }
 
-// segmentSize returns the bytes of the segment that is being written.
+// segmentSize returns the current size in bytes of the segment that is being written.
 func (w *Writer) segmentSize() int64 { return w.currentSize.Load() }
 
-// takeBuffer returns an empty buffer for a block of n bytes.
+// takeBuffer returns an empty buffer, reused or with room for a block of n bytes.
 func (w *Writer) takeBuffer(n int) []byte {
 	select {
 	case b := <-w.freeBuffers:
@@ -204,7 +206,7 @@
 	}
 }
 
-// returnBuffer makes a buffer available for reuse.
+// returnBuffer makes a buffer available to takeBuffer, unless it is larger than maxReusedBuffer.
 func (w *Writer) returnBuffer(b []byte) {
 	if cap(b) > maxReusedBuffer {
 		return
@@ -229,7 +231,7 @@
 	w.options.Log("capture_failed", "err", reason, "path", path)
 }
 
-// The following methods are called by the writer's goroutine.
+// The following methods are called in the writer's goroutine.
 
 func (w *Writer) loop() {
 	defer close(w.done)
@@ -251,8 +253,8 @@
 	w.encoder.Close()
 }
 
-// failSegment abandons the segment. The recorder sees the failure at its next call; blocks that are queued until then
-// are of no use.
+// failSegment abandons the segment and sets the failure, upon which the recorder starts a gap at its next call. Blocks
+// that are queued until then are dropped: without the failed ones before them they cannot be replayed.
 func (w *Writer) failSegment(err error) {
 	reason := err.Error()
 	w.logFailure(reason, w.path)
@@ -264,7 +266,7 @@
 	w.failure.Store(&reason)
 }
 
-// openSegment closes the current segment and begins the next, whose header it completes.
+// openSegment closes the current segment, completes the header of the next, and writes it to a new file.
 func (w *Writer) openSegment(h *pb.Header) {
 	w.closeSegment()
 	w.segmentNumber++
