--- a/internal/capturetrigger/detector.go
+++ b/internal/capturetrigger/detector.go
@@ -1,6 +1,6 @@
-// Package capturetrigger decides when the last minutes of a capture are worth saving as an
-// incident. A Detector receives what the balancer receives and orders, with the time of
-// each; it reads no clock and does no I/O.
+// Package capturetrigger detects conditions upon which the last minutes of a capture are
+// saved as an incident. A Detector receives the events and actions of a balancer, with the
+// time of each. It reads no clock and does no I/O.
 package capturetrigger
 
 import (
@@ -11,74 +11,78 @@
 
 // Settings are the conditions of an incident. Times are microseconds.
 type Settings struct {
-	Window           balancer.Micros // the time that shares are computed over; 0: nothing triggers
-	MinRequests      int             // requests within the window below which no share triggers
-	UnservedShare    float64         // share of late, shed, failed and abandoned requests; 0: never
-	SlowFactor       float64         // first tokens take so many times the baseline; 0: never
-	SlowReplicaShare float64         // share of slow replicas among those with samples in the window
-	DeadlineMargin   balancer.Micros // a final answer so shortly before the deadline; 0: never
+	Window           balancer.Micros // sliding window over which fractions are computed; 0: nothing triggers
+	MinRequests      int             // minimum number of requests in the window for ReasonUnserved
+	UnservedShare    float64         // fraction of late, shed, failed and abandoned requests that triggers; 0: never
+	SlowFactor       float64         // a replica is slow above this multiple of its baseline; 0: never
+	SlowReplicaShare float64         // fraction of slow replicas, among those with enough samples, that triggers
+	DeadlineMargin   balancer.Micros // triggers if a request is shed or failed with less time left; 0: never
 }
 
-// Enabled reports whether anything can trigger.
+// Enabled reports whether any condition can trigger.
 func (s Settings) Enabled() bool { return s.Window > 0 }
 
-// The conditions. The reason of an incident begins with one of these words.
+// The conditions of an incident. Each reason that a Detector returns begins with one of them.
 const (
-	ReasonUnserved     = "unserved"      // too many requests late, shed, failed or abandoned
-	ReasonSlow         = "slow"          // nearly all replicas at once
-	ReasonNearDeadline = "near-deadline" // an answer just before, or past, its deadline
-	ReasonDraining     = "draining"      // an attempt was sent to a replica known as draining or gone
-	ReasonAttempts     = "attempts"      // more attempts than the settings allow
+	ReasonUnserved     = "unserved"      // too many requests were late, shed, failed or abandoned
+	ReasonSlow         = "slow"          // too many replicas were slow at once
+	ReasonNearDeadline = "near-deadline" // a request was shed or failed just before, or after, its deadline
+	ReasonDraining     = "draining"      // an attempt was dispatched to a replica that is not ready
+	ReasonAttempts     = "attempts"      // a request had more attempts than the settings allow
 )
 
 const (
-	// bucketCount is how many buckets the window is divided into.
+	// bucketCount is the number of buckets of the window.
 	bucketCount = 10
-	// baselineSamples is how many first tokens a baseline follows.
+	// baselineSamples is the number of samples over which a baseline adapts: the inverse of
+	// the weight of a new sample.
 	baselineSamples = 200
-	// A replica counts with so many first tokens within the window, and so many in all, so
-	// that it has a baseline.
-	minFirstTokens, minBaselineTokens = 3, 20
-	// minReplicas is how many replicas must count.
+	// minFirstTokens is the minimum number of first tokens of a replica within the window.
+	minFirstTokens = 3
+	// minBaselineTokens is the minimum number of first tokens in all that a replica's
+	// baseline requires.
+	minBaselineTokens = 20
+	// minReplicas is the minimum number of replicas with enough first tokens.
 	minReplicas = 2
-	// maxExtraReplicas is how many replicas may be remembered beyond twice the list.
+	// maxExtraReplicas is the number of replicas that may be tracked in excess of twice the
+	// length of the endpoint list.
 	maxExtraReplicas = 1024
 )
 
-// Detector detects incidents in the events of one balancer. It isn't safe for concurrent
-// use. The methods that return a string return the reason of an incident, or "".
+// Detector detects incidents in the events of one balancer. It is not safe for concurrent
+// use. Methods that return a string return the reason of an incident, or "".
 type Detector struct {
 	settings    Settings
 	classes     map[string]balancer.Class
 	maxAttempts int
 
 	inFlight        map[balancer.RequestID]*request
-	baseline        map[string]float64 // time to the first token by class, microseconds
+	baseline        map[string]float64 // average time to the first token by class, in microseconds
 	replicas        map[balancer.ReplicaID]*replica
 	outcomes        [bucketCount]outcomeCounts
-	bucket          balancer.Micros // the present bucket, counted from time 0
+	bucket          balancer.Micros // number of the current bucket, counted from time 0
 	activeCondition string          // the condition that triggered last and still holds
 }
 
-// request is a request in flight.
 type request struct {
 	objectiveAt, deadline balancer.Micros
 	class                 string
 	attempts              int
-	started               bool // its first token has come
+	started               bool // its first token has been received
 }
 
-// outcomeCounts counts requests, and those of them late or not served.
+// outcomeCounts counts all requests, and those of them that were late or not served.
 type outcomeCounts struct{ total, unserved int }
 
-// ratioSum is a sum of times to the first token, each relative to its class's baseline.
+// ratioSum is the sum and the number of times to the first token, each divided by the
+// baseline of its class.
 type ratioSum struct{ sum, n float64 }
 
-// replica is a replica with its recent times to the first token.
+// replica has the state and the recent times to the first token of a replica.
 type replica struct {
 	state    balancer.EndpointState
-	baseline float64 // time to the first token relative to the class's baseline
-	samples  float64 // first tokens in all
+	baseline float64 // average time to the first token, divided by the baseline of the class
+	samples  float64 // number of first tokens in all
 	ratios   [bucketCount]ratioSum
 }
 
@@ -90,7 +94,8 @@
 	return d
 }
 
-// Reconfigured applies other settings of the balancer to requests that arrive from now on.
+// Reconfigured applies new settings of the balancer to requests that arrive from now on. The
+// attempt limit is only ever raised, since requests in flight may have the earlier limit.
 func (d *Detector) Reconfigured(m balancer.Settings) {
 	d.classes, d.maxAttempts = map[string]balancer.Class{}, max(d.maxAttempts, m.MaxAttempts)
 	for _, c := range m.Classes {
@@ -98,8 +103,8 @@
 	}
 }
 
-// advance moves to the bucket of a time, clears the buckets in between, and returns the
-// bucket's index.
+// advance moves the window to a time. It clears the buckets that it enters and returns the
+// index of the current bucket.
 func (d *Detector) advance(now balancer.Micros) int {
 	width := max(1, d.settings.Window/bucketCount)
 	bucket := now / width
@@ -115,7 +120,8 @@
 	return int(d.bucket % bucketCount)
 }
 
-// ListChanged handles a change of the endpoint list.
+// ListChanged handles a complete or partial update of the endpoint list. It ignores failed
+// ones.
 func (d *Detector) ListChanged(_ balancer.Micros, l balancer.EndpointList) {
 	if l.Kind.Failed() {
 		return
@@ -136,7 +142,8 @@
 	d.pruneReplicas(len(l.Endpoints))
 }
 
-// pruneReplicas forgets replicas that are gone: those without samples, and past a bound all.
+// pruneReplicas deletes removed replicas that have no samples. If too many replicas are left,
+// it deletes all removed ones.
 func (d *Detector) pruneReplicas(listed int) {
 	for id, r := range d.replicas {
 		if r.state == balancer.EndpointRemoved && r.samples == 0 {
@@ -167,7 +174,7 @@
 		}
 	}
 	if r := d.replicas[to]; r != nil && r.state != balancer.EndpointReady {
-		return d.trigger(ReasonDraining, "an attempt of request %d was ordered to worker %d, told as draining or gone", id, to)
+		return d.trigger(ReasonDraining, "an attempt of request %d was dispatched to replica %d, which is draining or removed", id, to)
 	}
 	return ""
 }
@@ -187,7 +194,7 @@
 	return reason
 }
 
-// updateBaseline moves a baseline towards a value.
+// updateBaseline updates an exponential moving average; the first value sets it.
 func updateBaseline(baseline *float64, value float64) {
 	if *baseline == 0 {
 		*baseline = value
@@ -195,7 +202,8 @@
 	*baseline += (value - *baseline) / baselineSamples
 }
 
-// checkSlow compares the time to a first token with the baseline of its class and replica.
+// checkSlow adds the time to a first token to the baselines of its class and replica, and
+// checks whether too many replicas are slow.
 func (d *Detector) checkSlow(bucket int, req *request, o balancer.Outcome) string {
 	r := d.replicas[o.Replica]
 	if d.settings.SlowFactor <= 0 || r == nil || o.Elapsed <= 0 {
@@ -214,11 +222,11 @@
 		d.clearCondition(ReasonSlow)
 		return ""
 	}
-	return d.trigger(ReasonSlow, "first tokens at %d of %d workers take over %g times the usual", slow, eligible, d.settings.SlowFactor)
+	return d.trigger(ReasonSlow, "first tokens at %d of %d replicas take more than %g times their baseline", slow, eligible, d.settings.SlowFactor)
 }
 
-// countSlow counts the replicas with enough first tokens, and those of them that are slow
-// within the window.
+// countSlow counts the replicas that have enough first tokens to be eligible, and those of
+// them that are slow within the window.
 func (d *Detector) countSlow() (eligible, slow int) {
 	for _, r := range d.replicas {
 		sum, n := 0.0, 0.0
@@ -262,7 +270,7 @@
 	return d.countOutcome(d.advance(now), true)
 }
 
-// RequestFailed handles the balancer's order to shed or fail a request.
+// RequestFailed handles the balancer's decision to shed or fail a request.
 func (d *Detector) RequestFailed(now balancer.Micros, id balancer.RequestID) string {
 	r := d.inFlight[id]
 	if r == nil {
@@ -276,7 +284,8 @@
 	return reason
 }
 
-// countOutcome counts a request, and checks the share of bad ones within the window.
+// countOutcome counts a request, and checks the fraction of requests within the window that
+// were late or not served.
 func (d *Detector) countOutcome(bucket int, unserved bool) string {
 	c := &d.outcomes[bucket]
 	if c.total++; unserved {
@@ -293,8 +302,8 @@
 	return d.trigger(ReasonUnserved, "%d of %d requests within %g s were late or not served", totalUnserved, total, float64(d.settings.Window)/1e6)
 }
 
-// trigger returns the reason of an incident. A share that stays over its bound triggers
-// once, until its condition has been cleared.
+// trigger returns the reason of an incident. ReasonUnserved and ReasonSlow hold for a while:
+// they trigger once, and again only after the condition was cleared or another triggered.
 func (d *Detector) trigger(condition, format string, args ...any) string {
 	if d.activeCondition == condition && (condition == ReasonUnserved || condition == ReasonSlow) {
 		return ""
@@ -309,5 +318,5 @@
 	}
 }
 
-// InFlight returns the number of requests that the detector remembers.
+// InFlight returns the number of requests that the detector tracks.
 func (d *Detector) InFlight() int { return len(d.inFlight) }
--- a/internal/capturetrigger/detector_test.go
+++ b/internal/capturetrigger/detector_test.go
@@ -19,7 +19,8 @@
 	return d
 }
 
-// serveRequest has one request served by a replica after a time.
+// serveRequest passes the events of one request to a detector: a replica serves it after the
+// time took. It returns the reasons of the incidents.
 func serveRequest(d *Detector, now balancer.Micros, id balancer.RequestID, to balancer.ReplicaID, took balancer.Micros) string {
 	d.RequestArrived(now, balancer.Request{ID: id, Class: "chat", TimeLeft: 4 * second})
 	reason := d.Dispatched(now, id, to)
@@ -85,7 +86,7 @@
 	if reason != "" {
 		t.Fatal(reason)
 	}
-	// One slow replica is no incident, all of them are.
+	// One slow replica is not an incident; all replicas slow at once are.
 	for i := range 30 {
 		id++
 		reason += serveRequest(d, 40*second+balancer.Micros(i)*second/10, id, 1, 400_000)
