--- a/internal/capture/recordedactions.go
+++ b/internal/capture/recordedactions.go
@@ -33,7 +33,7 @@
 		a.Request, a.Worker, a.AtUs = uint32(id), uint32(to), timeoutAt
 	}
 	if r.incidentDetector != nil {
-		r.noteIncident(r.incidentDetector.Dispatched(r.now, id, to))
+		r.setPendingIncident(r.incidentDetector.Dispatched(r.now, id, to))
 	}
 	r.sink.Dispatch(id, to, timeoutAt)
 }
@@ -44,7 +44,7 @@
 		a.Request, a.AtUs = uint32(id), retryAfter
 	}
 	if r.incidentDetector != nil {
-		r.noteIncident(r.incidentDetector.RequestFailed(r.now, id))
+		r.setPendingIncident(r.incidentDetector.RequestFailed(r.now, id))
 	}
 	r.sink.Shed(id, retryAfter)
 }
@@ -55,7 +55,7 @@
 		a.Request = uint32(id)
 	}
 	if r.incidentDetector != nil {
-		r.noteIncident(r.incidentDetector.RequestFailed(r.now, id))
+		r.setPendingIncident(r.incidentDetector.RequestFailed(r.now, id))
 	}
 	r.sink.Fail(id)
 }
--- a/internal/capture/recordedcalls.go
+++ b/internal/capture/recordedcalls.go
@@ -49,7 +49,7 @@
 		r.current.Request, r.current.Outcome = uint32(o.ID), outcomeToProto(&r.outcome, &r.report, &o)
 	}
 	if r.incidentDetector != nil {
-		r.noteIncident(r.incidentDetector.FirstToken(now, o))
+		r.setPendingIncident(r.incidentDetector.FirstToken(now, o))
 	}
 	r.balancer.FirstToken(now, o)
 	r.endRecord(recorded)
@@ -62,7 +62,7 @@
 		r.current.Request, r.current.Outcome = uint32(o.ID), outcomeToProto(&r.outcome, &r.report, &o)
 	}
 	if r.incidentDetector != nil {
-		r.noteIncident(r.incidentDetector.AttemptEnded(now, o))
+		r.setPendingIncident(r.incidentDetector.AttemptEnded(now, o))
 	}
 	r.balancer.AttemptEnded(now, o)
 	r.endRecord(recorded)
@@ -75,7 +75,7 @@
 		r.current.Request = uint32(id)
 	}
 	if r.incidentDetector != nil {
-		r.noteIncident(r.incidentDetector.ClientGone(now, id))
+		r.setPendingIncident(r.incidentDetector.ClientGone(now, id))
 	}
 	r.balancer.ClientGone(now, id)
 	r.endRecord(recorded)
@@ -130,9 +130,9 @@
 	return err
 }
 
-// noteIncident stores the reason of the first incident detected during a call, until the call is recorded completely.
+// setPendingIncident stores the reason of the first incident detected during a call, until the call is recorded completely.
 // An incident that is detected during a gap is ignored.
-func (r *Recorder) noteIncident(reason string) {
+func (r *Recorder) setPendingIncident(reason string) {
 	if reason != "" && r.pendingIncident == "" && r.gap == nil {
 		r.pendingIncident = reason
 	}
--- a/internal/capture/rewrite.go
+++ b/internal/capture/rewrite.go
@@ -141,8 +141,8 @@
 		return err
 	}
 	// Omit the index: its offsets are wrong if the header's length has changed, and a reader can scan for the blocks.
-	if indexOffset := bytes.LastIndex(blocks, []byte(blockMarker)); indexOffset >= 0 && bytes.HasSuffix(blocks, []byte(indexMarker)) {
-		blocks = blocks[:indexOffset]
+	if indexStart := bytes.LastIndex(blocks, []byte(blockMarker)); indexStart >= 0 && bytes.HasSuffix(blocks, []byte(indexMarker)) {
+		blocks = blocks[:indexStart]
 	}
 	return os.WriteFile(out, append(headerBlock.appendTo(nil), blocks...), fileMode)
 }
