--- a/internal/capture/recorder.go
+++ b/internal/capture/recorder.go
@@ -79,8 +79,8 @@
 }
 
 const (
-	// diskRetryInterval is the time between the start of a gap, or a failed attempt to end it, and the next attempt.
-	diskRetryInterval balancer.Micros = 1_000_000
+	// gapRetryInterval is the time between the start of a gap, or a failed attempt to end it, and the next attempt.
+	gapRetryInterval balancer.Micros = 1_000_000
 	// maxReusedActions bounds the number of actions that are reused for the next call.
 	maxReusedActions = 4096
 	// recordLengthBytes is the size of the length prefix of a record.
@@ -298,7 +298,7 @@
 	r.gap = &gap{
 		reason:    reason,
 		startedAt: r.now,
-		retryAt:   r.now + diskRetryInterval,
+		retryAt:   r.now + gapRetryInterval,
 		events:    uint64(r.blockEvents),
 	}
 	if r.blockBuffer != nil {
@@ -308,7 +308,7 @@
 	r.writer.logGap(reason)
 }
 
-// tryEndGap tries to end the gap with a checkpoint, at most once per diskRetryInterval, and reports whether it has.
+// tryEndGap tries to end the gap with a checkpoint, at most once per gapRetryInterval, and reports whether it has.
 func (r *Recorder) tryEndGap() bool {
 	if r.now < r.gap.retryAt || !r.writer.hasRoom() {
 		return false
