--- a/internal/capture/incident.go
+++ b/internal/capture/incident.go
@@ -17,55 +17,54 @@
 // ManifestName is the name of the manifest in an incident's directory.
 const ManifestName = "incident.json"
 
-// Manifest describes an incident, in the file ManifestName of its directory.
+// Manifest describes an incident. It is stored as JSON in the file ManifestName of the incident's directory.
 type Manifest struct {
 	Reason   string    `json:"reason"`
 	Gateway  string    `json:"gateway"`
 	Build    string    `json:"build"`
 	At       time.Time `json:"at"`
-	Ordered  bool      `json:"ordered"` // by a person, not by a condition
+	Manual   bool      `json:"ordered"` // requested by an operator, not detected
 	Segments []string  `json:"segments"`
 	Bytes    int64     `json:"bytes"`
 }
 
 // SavedIncident is the result of saving an incident.
 type SavedIncident struct {
-	Path     string // its directory
+	Path     string // the incident's directory
 	Segments int
 	Bytes    int64
 	Err      error
 }
 
-// Reasons for not saving an incident.
 var (
-	errNoIncidents     = errors.New("no incidents are kept here")
-	errIncidentTooSoon = errors.New("too soon after the last")
+	errIncidentsDisabled = errors.New("no incidents are kept here")
+	errIncidentTooSoon   = errors.New("too soon after the last automatic incident")
 )
 
-// saveIncident saves the closed segments of the last IncidentWindow in a directory of their own. Incidents that nobody
-// ordered are limited to one in an IncidentInterval.
-func (w *Writer) saveIncident(reason string, ordered bool) SavedIncident {
+// saveIncident saves the closed segments of the last IncidentWindow in a new directory. Automatic incidents, those that
+// no operator requested, are limited to one per IncidentInterval.
+func (w *Writer) saveIncident(reason string, manual bool) SavedIncident {
 	if w.options.MaxIncidents <= 0 {
-		return SavedIncident{Err: errNoIncidents}
+		return SavedIncident{Err: errIncidentsDisabled}
 	}
 	now := time.Now()
-	if !ordered && now.Sub(w.lastAutomaticIncident) < w.options.IncidentInterval {
+	if !manual && now.Sub(w.lastAutomaticIncident) < w.options.IncidentInterval {
 		return SavedIncident{Err: errIncidentTooSoon}
 	}
-	if !ordered {
+	if !manual {
 		w.lastAutomaticIncident = now
 	}
-	saved, err := w.linkSegments(reason, ordered, now)
+	saved, err := w.linkSegments(reason, manual, now)
 	if err != nil {
 		w.options.Log("incident_failed", "err", err.Error(), "reason", reason)
 		return SavedIncident{Err: err}
 	}
-	w.options.Log("incident", "reason", reason, "ordered", ordered, "path", saved.Path, "segments", saved.Segments, "bytes", saved.Bytes)
+	w.options.Log("incident", "reason", reason, "ordered", manual, "path", saved.Path, "segments", saved.Segments, "bytes", saved.Bytes)
 	return saved
 }
 
-// linkSegments makes the incident's directory, with links to the segments and a manifest.
-func (w *Writer) linkSegments(reason string, ordered bool, now time.Time) (SavedIncident, error) {
+// linkSegments creates the incident's directory, with a manifest and hard links to the segments.
+func (w *Writer) linkSegments(reason string, manual bool, now time.Time) (SavedIncident, error) {
 	if err := os.MkdirAll(w.options.IncidentDirectory, directoryMode); err != nil {
 		return SavedIncident{}, err
 	}
@@ -76,7 +75,7 @@
 	if err := os.Mkdir(dir, directoryMode); err != nil {
 		return SavedIncident{}, err
 	}
-	m := Manifest{Reason: reason, Gateway: w.options.Gateway, Build: w.options.Build, At: now.UTC(), Ordered: ordered}
+	m := Manifest{Reason: reason, Gateway: w.options.Gateway, Build: w.options.Build, At: now.UTC(), Manual: manual}
 	for _, s := range listSegments(w.options.Directory, w.options.Gateway) {
 		isOpen := s.path == w.path && w.file != nil
 		if now.Sub(s.modifiedAt) > w.options.IncidentWindow || isOpen {
@@ -85,9 +84,9 @@
 		name := filepath.Base(s.path)
 		err := os.Link(s.path, filepath.Join(dir, name))
 		if errors.Is(err, fs.ErrNotExist) {
-			continue // deleted meanwhile
+			continue // deleted since it was listed
 		}
-		if err != nil { // the directories may be on different file systems
+		if err != nil { // hard links do not cross file systems
 			err = copyFile(s.path, filepath.Join(dir, name))
 		}
 		if err != nil {
@@ -101,51 +100,52 @@
 }
 
 func copyFile(from, to string) error {
-	text, err := os.ReadFile(from)
+	data, err := os.ReadFile(from)
 	if err != nil {
 		return err
 	}
-	return os.WriteFile(to, text, fileMode)
+	return os.WriteFile(to, data, fileMode)
 }
 
 func writeManifest(dir string, m *Manifest) error {
-	text, err := json.MarshalIndent(m, "", "  ")
+	data, err := json.MarshalIndent(m, "", "  ")
 	if err != nil {
 		return err
 	}
-	return renameio.WriteFile(filepath.Join(dir, ManifestName), append(text, '\n'), fileMode)
+	return renameio.WriteFile(filepath.Join(dir, ManifestName), append(data, '\n'), fileMode)
 }
 
-// deleteOldIncidents deletes the oldest incidents of this gateway, until there is room for one more.
+// deleteOldIncidents deletes the oldest incidents of this gateway until fewer than MaxIncidents remain.
 func (w *Writer) deleteOldIncidents() error {
 	entries, err := os.ReadDir(w.options.IncidentDirectory)
 	if err != nil {
 		return err
 	}
-	var own []string
+	var incidents []string
 	for _, e := range entries {
 		if e.IsDir() && strings.HasPrefix(e.Name(), w.options.Gateway+"-") {
-			own = append(own, filepath.Join(w.options.IncidentDirectory, e.Name()))
+			incidents = append(incidents, filepath.Join(w.options.IncidentDirectory, e.Name()))
 		}
 	}
-	slices.Sort(own) // their names begin with their times
-	for len(own) >= w.options.MaxIncidents {
-		if err := os.RemoveAll(own[0]); err != nil {
+	slices.Sort(incidents) // their names differ only in their timestamps
+	for len(incidents) >= w.options.MaxIncidents {
+		if err := os.RemoveAll(incidents[0]); err != nil {
 			return err
 		}
-		own = own[1:]
+		incidents = incidents[1:]
 	}
 	return nil
 }
 
-// segmentFile is a segment in a directory.
+// segmentFile is a segment's entry in a directory.
 type segmentFile struct {
 	path       string
 	size       int64
 	modifiedAt time.Time
 }
 
-// listSegments returns the segments of a gateway in a directory, the oldest first; none if it cannot be read.
+// listSegments returns the segments of a gateway in a directory, oldest first. It returns none if the directory cannot
+// be read.
 func listSegments(dir, gateway string) []segmentFile {
 	entries, err := os.ReadDir(dir)
 	if err != nil {
@@ -164,14 +164,15 @@
 	return out
 }
 
-// deleteOldSegments deletes the oldest segments of this gateway past MaxBytes and MaxAge.
+// deleteOldSegments deletes this gateway's oldest segment while the total size exceeds MaxBytes or that segment is older
+// than MaxAge.
 func (w *Writer) deleteOldSegments() {
-	all := listSegments(w.options.Directory, w.options.Gateway)
+	segments := listSegments(w.options.Directory, w.options.Gateway)
 	var total int64
-	for _, s := range all {
+	for _, s := range segments {
 		total += s.size
 	}
-	for _, s := range all {
+	for _, s := range segments {
 		if total <= w.options.MaxBytes && time.Since(s.modifiedAt) <= w.options.MaxAge {
 			break
 		}
--- a/internal/capture/recordedcalls.go
+++ b/internal/capture/recordedcalls.go
@@ -5,7 +5,8 @@
 	pb "archknot/internal/capture/capturepb"
 )
 
-// The Module that a Recorder is: each call is recorded with the actions that the module takes in it, and forwarded.
+// The methods of this file implement Module. Each records a call, with the actions that the module takes during it,
+// and forwards the call to the module.
 
 // Start records and forwards the start of the module.
 func (r *Recorder) Start(now balancer.Micros) {
@@ -20,8 +21,8 @@
 	if recorded {
 		r.current.List = endpointListToProto(&l, r.host.ReplicaName)
 	}
-	if r.incidentWatch != nil {
-		r.incidentWatch.ListChanged(now, l)
+	if r.incidentDetector != nil {
+		r.incidentDetector.ListChanged(now, l)
 	}
 	r.balancer.ListChanged(now, l)
 	r.endRecord(recorded)
@@ -34,8 +35,8 @@
 		r.current.Request = uint32(in.ID)
 		r.current.Arrival = arrivalToProto(&r.arrival, &in, r.host.RequestName(in.ID))
 	}
-	if r.incidentWatch != nil {
-		r.incidentWatch.RequestArrived(now, in)
+	if r.incidentDetector != nil {
+		r.incidentDetector.RequestArrived(now, in)
 	}
 	r.balancer.RequestArrived(now, in)
 	r.endRecord(recorded)
@@ -47,8 +48,8 @@
 	if recorded {
 		r.current.Request, r.current.Outcome = uint32(o.ID), outcomeToProto(&r.outcome, &r.report, &o)
 	}
-	if r.incidentWatch != nil {
-		r.noteIncident(r.incidentWatch.FirstToken(now, o))
+	if r.incidentDetector != nil {
+		r.setPendingIncident(r.incidentDetector.FirstToken(now, o))
 	}
 	r.balancer.FirstToken(now, o)
 	r.endRecord(recorded)
@@ -60,27 +61,27 @@
 	if recorded {
 		r.current.Request, r.current.Outcome = uint32(o.ID), outcomeToProto(&r.outcome, &r.report, &o)
 	}
-	if r.incidentWatch != nil {
-		r.noteIncident(r.incidentWatch.AttemptEnded(now, o))
+	if r.incidentDetector != nil {
+		r.setPendingIncident(r.incidentDetector.AttemptEnded(now, o))
 	}
 	r.balancer.AttemptEnded(now, o)
 	r.endRecord(recorded)
 }
 
-// ClientGone records and forwards that a request's client has disconnected.
+// ClientGone records and forwards the disconnection of a request's client.
 func (r *Recorder) ClientGone(now balancer.Micros, id balancer.RequestID) {
 	recorded := r.beginRecord(now, pb.Kind_KIND_LEFT)
 	if recorded {
 		r.current.Request = uint32(id)
 	}
-	if r.incidentWatch != nil {
-		r.noteIncident(r.incidentWatch.ClientGone(now, id))
+	if r.incidentDetector != nil {
+		r.setPendingIncident(r.incidentDetector.ClientGone(now, id))
 	}
 	r.balancer.ClientGone(now, id)
 	r.endRecord(recorded)
 }
 
-// TimerFired records and forwards that a timer has fired.
+// TimerFired records and forwards the expiry of a timer.
 func (r *Recorder) TimerFired(now balancer.Micros, token uint64) {
 	r.firingTimer = &Timer{now, token}
 	recorded := r.beginRecord(now, pb.Kind_KIND_TIMER)
@@ -102,7 +103,7 @@
 	r.endRecord(recorded)
 }
 
-// PeerMessage records and forwards a message of another gateway.
+// PeerMessage records and forwards a message from another gateway.
 func (r *Recorder) PeerMessage(now balancer.Micros, from int, body []byte) {
 	recorded := r.beginRecord(now, pb.Kind_KIND_MESSAGE)
 	if recorded {
@@ -112,7 +113,7 @@
 	r.endRecord(recorded)
 }
 
-// Reconfigure records and forwards new settings. The error is the module's: nothing has changed then.
+// Reconfigure records and forwards new settings. An error is the module's, which then keeps its settings.
 func (r *Recorder) Reconfigure(now balancer.Micros, s balancer.Settings) error {
 	recorded := r.beginRecord(now, pb.Kind_KIND_RECONFIGURE)
 	if recorded {
@@ -121,16 +122,17 @@
 	err := r.balancer.Reconfigure(now, s)
 	if err == nil {
 		r.settingsChanged = true
-		if r.incidentWatch != nil {
-			r.incidentWatch.Reconfigured(s)
+		if r.incidentDetector != nil {
+			r.incidentDetector.Reconfigured(s)
 		}
 	}
 	r.endRecord(recorded)
 	return err
 }
 
-// noteIncident remembers the reason of an incident until the call is recorded completely.
-func (r *Recorder) noteIncident(reason string) {
+// setPendingIncident stores the reason of the first incident detected during a call, until the call is recorded completely.
+// An incident that is detected during a gap is ignored.
+func (r *Recorder) setPendingIncident(reason string) {
 	if reason != "" && r.pendingIncident == "" && r.gap == nil {
 		r.pendingIncident = reason
 	}
--- a/internal/capture/stored_test.go
+++ b/internal/capture/stored_test.go
@@ -17,12 +17,12 @@
 	"archknot/internal/contract/contractpb"
 )
 
-// Values that are in the stored file alone.
+// Values of the stored capture that are specific to its file.
 const (
-	storedRunName     = "20261202T150710.125Z-9586"
-	storedWallUs      = 1796224030125732
-	storedSize        = 4278
-	storedSecondBlock = 2607
+	storedRunName           = "20261202T150710.125Z-9586"
+	storedWallUs            = 1796224030125732
+	storedSizeBytes         = 4278
+	storedSecondBlockOffset = 2607
 )
 
 // storedSettings are the decision module's settings that the stored capture began with.
@@ -41,7 +41,7 @@
 	}
 }
 
-// storedSettingsJSON is the settings as the file has them.
+// storedSettingsJSON is the encoding of storedSettings in the stored capture.
 const storedSettingsJSON = `{"Self":1,"Gateways":3,"Zone":"a","Zones":["a","b"],"Kinds":["k","l"],"Classes":[` +
 	`{"Name":"chat","Aim":500000,"AimPer1000":60000,"TokenAim":50000,"Deadline":3000000,"Worth":2,"LateWorth":0.25,"Effect":0,"Scope":0,"RepeatsKept":0,"Stream":true},` +
 	`{"Name":"order","Aim":1000000,"AimPer1000":0,"TokenAim":0,"Deadline":4000000,"Worth":3,"LateWorth":0.5,"Effect":1,"Scope":1,"RepeatsKept":30000000,"Stream":false}],` +
@@ -78,8 +78,8 @@
 	}
 }
 
-// A capture written by the build of commit b3142ba is read: its header, its settings
-// and its index.
+// Guards against a change of the stored format: the header, the settings and the index of a
+// capture that was written by the build of commit b3142ba must be read as they were written.
 func TestStoredCaptureHeader(t *testing.T) {
 	run := storedRun(t)
 	if run.Gateway != "g" || run.Name != storedRunName || run.Build != "b3142ba" || run.Seed != 3 || len(run.Segments) != 1 || len(run.Unreadable) != 0 {
@@ -99,8 +99,8 @@
 	if string(rewritten.Settings) != storedSettingsJSON {
 		t.Errorf("the settings would be written as %s", rewritten.Settings)
 	}
-	blocks := []capture.Block{{Offset: 1064, FirstEvent: 1, At: 1000, Checkpoint: true, Records: 20}, {Offset: storedSecondBlock, FirstEvent: 21, At: 12000000, Checkpoint: true, Records: 1}}
-	if diff := cmp.Diff(blocks, s.Blocks); diff != "" || !s.Closed || s.Size != storedSize || len(s.Missing) != 0 {
+	blocks := []capture.Block{{Offset: 1064, FirstEvent: 1, At: 1000, Checkpoint: true, Records: 20}, {Offset: storedSecondBlockOffset, FirstEvent: 21, At: 12000000, Checkpoint: true, Records: 1}}
+	if diff := cmp.Diff(blocks, s.Blocks); diff != "" || !s.Closed || s.Size != storedSizeBytes || len(s.Missing) != 0 {
 		t.Errorf("closed %v, %d bytes, missing %v, blocks: %s", s.Closed, s.Size, s.Missing, diff)
 	}
 	if run.Begin() != 1000 || run.End() != 12000000 || !run.WallTime(1001000).Equal(time.UnixMicro(storedWallUs+1000000)) {
@@ -108,8 +108,8 @@
 	}
 }
 
-// storedRecords are the records of the stored capture, without settings, contracts and
-// the states in checkpoints, which TestStoredSettingsAndStates checks.
+// storedRecords are the records of the stored capture. They are without settings, contracts
+// and the states in checkpoints, which TestStoredSettingsAndStates checks.
 var storedRecords = []struct {
 	number uint64
 	at     balancer.Micros
@@ -163,41 +163,42 @@
 
 // call is one call of a decision module.
 type call struct {
-	Name string
-	At   balancer.Micros
-	With any
+	Name     string
+	At       balancer.Micros
+	Argument any
 }
 
-// calls records the calls of a decision module.
+// calls is a decision module that records its calls.
 type calls struct{ list []call }
 
-func (c *calls) note(name string, at balancer.Micros, with any) {
-	c.list = append(c.list, call{name, at, with})
+func (c *calls) add(name string, at balancer.Micros, argument any) {
+	c.list = append(c.list, call{name, at, argument})
 }
 
-func (c *calls) Start(now balancer.Micros) { c.note("Start", now, nil) }
+func (c *calls) Start(now balancer.Micros) { c.add("Start", now, nil) }
 func (c *calls) ListChanged(now balancer.Micros, l balancer.EndpointList) {
-	c.note("ListChanged", now, l)
+	c.add("ListChanged", now, l)
 }
 func (c *calls) RequestArrived(now balancer.Micros, in balancer.Request) {
-	c.note("RequestArrived", now, in)
+	c.add("RequestArrived", now, in)
 }
-func (c *calls) FirstToken(now balancer.Micros, o balancer.Outcome)    { c.note("FirstToken", now, o) }
-func (c *calls) AttemptEnded(now balancer.Micros, o balancer.Outcome)  { c.note("AttemptEnded", now, o) }
-func (c *calls) ClientGone(now balancer.Micros, id balancer.RequestID) { c.note("ClientGone", now, id) }
-func (c *calls) TimerFired(now balancer.Micros, token uint64)          { c.note("TimerFired", now, token) }
+func (c *calls) FirstToken(now balancer.Micros, o balancer.Outcome)    { c.add("FirstToken", now, o) }
+func (c *calls) AttemptEnded(now balancer.Micros, o balancer.Outcome)  { c.add("AttemptEnded", now, o) }
+func (c *calls) ClientGone(now balancer.Micros, id balancer.RequestID) { c.add("ClientGone", now, id) }
+func (c *calls) TimerFired(now balancer.Micros, token uint64)          { c.add("TimerFired", now, token) }
 func (c *calls) HealthCheckEnded(now balancer.Micros, o balancer.Outcome) {
-	c.note("ProbeEnded", now, o)
+	c.add("HealthCheckEnded", now, o)
 }
 func (c *calls) PeerMessage(now balancer.Micros, from int, body []byte) {
-	c.note("PeerMessage", now, []any{from, body})
+	c.add("PeerMessage", now, []any{from, body})
 }
 func (c *calls) Reconfigure(now balancer.Micros, s balancer.Settings) error {
-	c.note("Reconfigure", now, s)
+	c.add("Reconfigure", now, s)
 	return nil
 }
 
-// The stored capture makes the calls of the decision module that were made when it was recorded.
+// Guards against stored records that are decoded differently: applying the stored capture
+// must make the calls of the decision module that were made when it was recorded.
 func TestStoredCalls(t *testing.T) {
 	var got calls
 	for _, e := range storedEntries(t, storedRun(t)) {
@@ -225,7 +226,7 @@
 		{"ClientGone", 170000, balancer.RequestID(2)},
 		{"AttemptEnded", 701300, balancer.Outcome{ID: 1, Replica: 1, Status: 0, Elapsed: 700000, Final: true, CachedTokens: 250, OutputTokens: 90,
 			Report: balancer.LoadReport{Has: 63, MemoryShare: 0.25, PrefillBacklogK: 1.5, InFlight: 4, Queued: 2, ServiceMs: 35.5, Utilization: 0.75}}},
-		{"ProbeEnded", 900000, balancer.Outcome{Replica: 3, Status: 3, Elapsed: 40000, Final: true}},
+		{"HealthCheckEnded", 900000, balancer.Outcome{Replica: 3, Status: 3, Elapsed: 40000, Final: true}},
 		{"PeerMessage", 910000, []any{2, []byte{1, 2, 3}}},
 		{"TimerFired", 1001300, uint64(5)},
 		{"Reconfigure", 1100000, reconfigured},
@@ -249,24 +250,24 @@
 func (discard) Gossip([]byte)                                                    {}
 func (discard) WatchDiscovery()                                                  {}
 
-// Settings, contracts and the states in checkpoints of the stored capture are read; the
-// states are marshalled again to the same bytes. A later build may add a field to a state: then
-// the bytes of a snapshot grow, and the comparison is to be made without that field.
+// The settings, the contracts and the states in the checkpoints of the stored capture must be
+// restored, and the states must marshal to the same bytes again. If a later build adds a field
+// to a state, snapshots grow, and the comparison must be made without that field.
 func TestStoredSettingsAndStates(t *testing.T) {
 	run := storedRun(t)
 	wantLedgers := []string{
 		`{"atUs":"1000","unixUs":"1796131234567890","sweptUs":"1000","latestUs":"1796131234567890","accounts":[{"atUs":"1000","level":9000000,"floors":[{"class":"chat","level":1000}],"spans":[{"begunUs":"1796130000000000","endsUs":"1796133600000000"},{"begunUs":"1796083200000000","endsUs":"1796169600000000"},{"begunUs":"1790812800000000","endsUs":"1798761600000000"}],"part":1,"waits":true,"askedUs":"1000"}],"gate":{}}`,
 		`{"pool":6695000,"atUs":"1600000","unixUs":"1796131236166890","sweptUs":"1600000","latestUs":"1796131236166890","means":[{"class":"Y2hhdA==","made":90}],"accounts":[{"atUs":"1600000","level":5734961.030678928,"floors":[{"class":"chat"}],"spans":[{"used":"1765000","begunUs":"1796130000000000","endsUs":"1796133600000000"},{"used":"1765000","begunUs":"1796083200000000","endsUs":"1796169600000000","mark":"250000000","kept":"250000000"},{"used":"1765000","begunUs":"1790812800000000","endsUs":"1798761600000000"}],"open":"1","mayBorrow":125,"part":0.5,"taken":"2","takenUnits":"1180000","used":"505000","asking":68750,"askedUs":"1600000","asked":630000}],"open":[{"key":"769","class":"Y2hhdA==","read":"900","made":"90","priceRead":0.5,"priceMade":2,"units":"630000","periodsUs":["1796130000000000","1796083200000000","1790812800000000"],"part":0.5}],"written":"1","gate":{"atUs":"1600000"}}`,
 	}
-	agreed := &contract.Agreement{Settings: contract.Settings{Location: time.UTC, BorrowPoolSeconds: 2, UnknownTenantWeight: 0.5, ReserveFraction: 0.25, Strict: true},
+	wantAgreement := &contract.Agreement{Settings: contract.Settings{Location: time.UTC, BorrowPoolSeconds: 2, UnknownTenantWeight: 0.5, ReserveFraction: 0.25, Strict: true},
 		Terms: []contract.Terms{{Team: "quay", Tenants: []string{"quay"}, Classes: []string{"chat"}, Rate: 5e6, Burst: 9000000, PriorityWeight: 1.5, OverQuotaWeight: 0.05,
 			Prices: map[string]contract.Price{"chat": {PromptToken: 0.5, OutputToken: 2}}, Floors: map[string]float64{"chat": 1000},
 			Budgets: []contract.Budget{{Period: 1, Soft: 800000000, Hard: 1000000000}}, From: 1796083200000000, Until: 1896169600000000, Borrow: 250, Surge: 4}}}
-	checkAgreed := func(text []byte) {
+	checkAgreement := func(text []byte) {
 		t.Helper()
 		got, err := contract.UnmarshalAgreement(text)
 		sameZone := cmp.Comparer(func(a, b *time.Location) bool { return a.String() == b.String() })
-		if diff := cmp.Diff(agreed, got, sameZone); err != nil || diff != "" {
+		if diff := cmp.Diff(wantAgreement, got, sameZone); err != nil || diff != "" {
 			t.Error(err, diff)
 		}
 	}
@@ -275,7 +276,7 @@
 	checkpoints := 0
 	for _, e := range storedEntries(t, run) {
 		if e.Record.Kind == pb.Kind_KIND_AGREED {
-			checkAgreed(e.Record.Agreed)
+			checkAgreement(e.Record.Agreed)
 		}
 		c := e.Record.Checkpoint
 		if c == nil {
@@ -288,17 +289,17 @@
 		if !cmp.Equal(b.Snapshot(), c.State) {
 			t.Errorf("checkpoint %d: the state is marshalled differently", checkpoints)
 		}
-		wantSettings, wantInHand, wantWorkers := storedSettings(), []balancer.RequestID(nil), 0
+		wantSettings, wantInFlight, wantReplicas := storedSettings(), []balancer.RequestID(nil), 0
 		if checkpoints == 1 {
-			wantSettings, wantInHand, wantWorkers = changed, []balancer.RequestID{2, 3}, 4
+			wantSettings, wantInFlight, wantReplicas = changed, []balancer.RequestID{2, 3}, 4
 		}
 		if diff := cmp.Diff(wantSettings, settings); diff != "" {
 			t.Errorf("checkpoint %d: %s", checkpoints, diff)
 		}
-		if got := b.InFlightRequests(); !cmp.Equal(append([]balancer.RequestID(nil), got...), wantInHand) || len(b.Endpoints()) != wantWorkers {
+		if got := b.InFlightRequests(); !cmp.Equal(append([]balancer.RequestID(nil), got...), wantInFlight) || len(b.Endpoints()) != wantReplicas {
 			t.Errorf("checkpoint %d: requests %v, %d replicas", checkpoints, got, len(b.Endpoints()))
 		}
-		checkAgreed(c.Agreed)
+		checkAgreement(c.Agreed)
 		l, err := capture.RestoreReplayLedger(c)
 		if err != nil {
 			t.Fatal(err)
