--- a/internal/capturetrigger/detector.go
+++ b/internal/capturetrigger/detector.go
@@ -174,7 +174,7 @@
 		}
 	}
 	if r := d.replicas[to]; r != nil && r.state != balancer.EndpointReady {
-		return d.trigger(ReasonDraining, "an attempt of request %d was dispatched to replica %d, which is draining or removed", id, to)
+		return d.trigger(ReasonDraining, "an attempt of request %d was ordered to worker %d, told as draining or gone", id, to)
 	}
 	return ""
 }
@@ -222,7 +222,7 @@
 		d.clearCondition(ReasonSlow)
 		return ""
 	}
-	return d.trigger(ReasonSlow, "first tokens at %d of %d replicas take more than %g times their baseline", slow, eligible, d.settings.SlowFactor)
+	return d.trigger(ReasonSlow, "first tokens at %d of %d workers take over %g times the usual", slow, eligible, d.settings.SlowFactor)
 }
 
 // countSlow counts the replicas that have enough first tokens to be eligible, and those of
