--- a/internal/contract/apply_test.go
+++ b/internal/contract/apply_test.go
@@ -25,9 +25,9 @@
 		"no other contract": func(o *Terms) { o.Successor = "x" }, "expected an end": func(o *Terms) { o.Until = 0 },
 		"begins after": func(o *Terms) { o.Until -= 5 },
 	} {
-		bad := variedTerms(1000)
-		change(&bad[2])
-		if err := ValidateTerms(bad); err == nil || !bytes.Contains([]byte(err.Error()), []byte(want)) {
+		invalid := variedTerms(1000)
+		change(&invalid[2])
+		if err := ValidateTerms(invalid); err == nil || !bytes.Contains([]byte(err.Error()), []byte(want)) {
 			t.Errorf("%s: %v", want, err)
 		}
 	}
@@ -52,10 +52,10 @@
 	if playLoads(ledger, 7*second, 10, l); l.fullWeight < 4900 || l.fullWeight > 5100 {
 		t.Errorf("%d tokens in ten seconds at half of 1000 a second", l.fullWeight)
 	}
-	for _, bad := range [][]float64{{}, {0.1, 0.2}, {-1}, {2}} {
-		ledger.SetQuotaShares(20*second, bad)
+	for _, shares := range [][]float64{{}, {0.1, 0.2}, {-1}, {2}} {
+		ledger.SetQuotaShares(20*second, shares)
 	}
-	if p := ledger.Accounts()[0].QuotaShare; p != 0.5 {
-		t.Error(p)
+	if share := ledger.Accounts()[0].QuotaShare; share != 0.5 {
+		t.Error(share)
 	}
 }
--- a/internal/contract/balance.go
+++ b/internal/contract/balance.go
@@ -27,10 +27,10 @@
 }
 
 // ToProto returns the stored form of a balance.
-func (k *Balance) ToProto() *pb.Balance {
-	m := &pb.Balance{Team: k.Team, Level: k.Level, Clean: k.Clean, LatestUs: k.LatestUnix}
-	for i := range k.Used {
-		m.Spans = append(m.Spans, &pb.Balance_Span{Period: uint32(i), BegunUs: k.PeriodStarts[i], Used: k.Used[i]})
+func (b *Balance) ToProto() *pb.Balance {
+	m := &pb.Balance{Team: b.Team, Level: b.Level, Clean: b.Clean, LatestUs: b.LatestUnix}
+	for i := range b.Used {
+		m.Spans = append(m.Spans, &pb.Balance_Span{Period: uint32(i), BegunUs: b.PeriodStarts[i], Used: b.Used[i]})
 	}
 	return m
 }
@@ -38,13 +38,13 @@
 // BalanceFromProto returns the balance of a message. Periods that this build does
 // not know are skipped.
 func BalanceFromProto(m *pb.Balance) Balance {
-	k := Balance{Team: m.GetTeam(), Level: m.GetLevel(), Clean: m.GetClean(), LatestUnix: m.GetLatestUs()}
+	b := Balance{Team: m.GetTeam(), Level: m.GetLevel(), Clean: m.GetClean(), LatestUnix: m.GetLatestUs()}
 	for _, span := range m.GetSpans() {
 		if i := span.GetPeriod(); i < periodCount {
-			k.PeriodStarts[i], k.Used[i] = span.GetBegunUs(), max(0, span.GetUsed())
+			b.PeriodStarts[i], b.Used[i] = span.GetBegunUs(), max(0, span.GetUsed())
 		}
 	}
-	return k
+	return b
 }
 
 // reserveFor returns how much more than the usage of a budget is written.
@@ -112,11 +112,11 @@
 
 // balance returns an account's balance with what was submitted.
 func (a *account) balance(latestUnix balancer.Micros) Balance {
-	k := Balance{Team: a.terms.Team, LatestUnix: latestUnix}
+	b := Balance{Team: a.terms.Team, LatestUnix: latestUnix}
 	for i := range a.periods {
-		k.PeriodStarts[i], k.Used[i] = a.periods[i].start, max(a.periods[i].used, a.periods[i].submitted)
+		b.PeriodStarts[i], b.Used[i] = a.periods[i].start, max(a.periods[i].used, a.periods[i].submitted)
 	}
-	return k
+	return b
 }
 
 // CheckpointDone reports that a checkpoint is written, or that writing it failed:
@@ -164,11 +164,11 @@
 func (l *Ledger) FinalBalances() []Balance {
 	balances := make([]Balance, 0, len(l.accounts))
 	for _, a := range l.accounts {
-		k := Balance{Team: a.terms.Team, LatestUnix: l.latestUnix, Clean: true, Level: a.level}
+		b := Balance{Team: a.terms.Team, LatestUnix: l.latestUnix, Clean: true, Level: a.level}
 		for i := range a.periods {
-			k.PeriodStarts[i], k.Used[i] = a.periods[i].start, a.periods[i].used
+			b.PeriodStarts[i], b.Used[i] = a.periods[i].start, a.periods[i].used
 		}
-		balances = append(balances, k)
+		balances = append(balances, b)
 	}
 	return balances
 }
@@ -207,14 +207,14 @@
 }
 
 // restoreBalance continues a stored balance in an account.
-func (a *account) restoreBalance(k *Balance) {
+func (a *account) restoreBalance(stored *Balance) {
 	a.level = 0
-	if k.Clean {
-		a.level = max(-a.burst(), min(a.burst(), k.Level))
+	if stored.Clean {
+		a.level = max(-a.burst(), min(a.burst(), stored.Level))
 	}
 	for i := range a.periods {
-		if period := &a.periods[i]; period.start == k.PeriodStarts[i] {
-			period.used, period.submitted, period.durable = k.Used[i], k.Used[i], k.Used[i]
+		if period := &a.periods[i]; period.start == stored.PeriodStarts[i] {
+			period.used, period.submitted, period.durable = stored.Used[i], stored.Used[i], stored.Used[i]
 		}
 	}
 }
--- a/internal/contract/balance_test.go
+++ b/internal/contract/balance_test.go
@@ -34,12 +34,12 @@
 			number, busy := uint64(0), false
 			for range rapid.IntRange(0, 80).Draw(t, "steps") {
 				now += 10_000
-				switch what := rapid.IntRange(0, 4).Draw(t, "what"); {
-				case what < 3:
+				switch action := rapid.IntRange(0, 4).Draw(t, "what"); {
+				case action < 3:
 					var c Charge
-					n := rapid.IntRange(1, 3000).Draw(t, "output")
-					if v := ledger.Charge(now, "a", "", Usage{OutputTokens: n}, &c); !v.Rejected {
-						charged += Units(n) * Token
+					tokens := rapid.IntRange(1, 3000).Draw(t, "output")
+					if v := ledger.Charge(now, "a", "", Usage{OutputTokens: tokens}, &c); !v.Rejected {
+						charged += Units(tokens) * Token
 					} else if v.Reason != ReasonBalanceNotStored && v.Reason != ReasonBudgetSpent {
 						t.Fatal(v)
 					}
@@ -72,25 +72,25 @@
 	ledger.Charge(second, "a", "", Usage{OutputTokens: 300}, &c)
 	ledger.Settle(second, &c, Usage{OutputTokens: 250}, true)
 	stored := ledger.FinalBalances()
-	for _, x := range []struct {
+	for _, test := range []struct {
 		later balancer.Micros
 		used  Units
 	}{{5 * second, 250 * Token}, {3600 * second, 0}, {-3600 * second, 250 * Token}} {
-		n, err := NewLedger(Settings{BorrowPoolSeconds: 1}, []Terms{a}, 0, start+x.later)
+		restored, err := NewLedger(Settings{BorrowPoolSeconds: 1}, []Terms{a}, 0, start+test.later)
 		if err != nil {
 			t.Fatal(err)
 		}
-		if n.RestoreBalances(stored) != 1 {
+		if restored.RestoreBalances(stored) != 1 {
 			t.Error("not restored")
 		}
-		if got := n.Accounts()[0]; got.Used[Hour] != x.used || got.Level != 750*Token {
-			t.Errorf("after %v s: %+v", x.later/second, got)
+		if got := restored.Accounts()[0]; got.Used[Hour] != test.used || got.Level != 750*Token {
+			t.Errorf("after %v s: %+v", test.later/second, got)
 		}
 	}
 	stored[0].Clean = false
-	n := newTestLedger(t, a)
-	n.RestoreBalances(stored)
-	if got := n.Accounts()[0].Level; got != 0 {
+	restored := newTestLedger(t, a)
+	restored.RestoreBalances(stored)
+	if got := restored.Accounts()[0].Level; got != 0 {
 		t.Errorf("after a kill the level is %d", got)
 	}
 }
--- a/internal/contract/charge.go
+++ b/internal/contract/charge.go
@@ -95,7 +95,7 @@
 		return a.reject(Verdict{Rejected: true, Reason: ReasonOverRate, RetryAfter: limiterRetryAfter}, cost)
 	}
 	*charge = Charge{Estimate: estimate, class: class, price: price, units: cost, overQuota: funds.overQuota}
-	a.enter(charge, funds, verdict.OverQuota)
+	a.recordCharge(charge, funds, verdict.OverQuota)
 	l.recordNotices(a)
 	l.queueCheckpoint(a)
 	return verdict
@@ -194,8 +194,8 @@
 	return true
 }
 
-// enter records an admitted charge in its account.
-func (a *account) enter(charge *Charge, funds funding, overQuota bool) {
+// recordCharge records an admitted charge in its account.
+func (a *account) recordCharge(charge *Charge, funds funding, overQuota bool) {
 	if funds.fromFloor > 0 {
 		a.floorLevels[charge.class] -= funds.fromFloor
 	}
--- a/internal/contract/charge_test.go
+++ b/internal/contract/charge_test.go
@@ -6,20 +6,20 @@
 
 // The terms bound what a team may borrow.
 func TestBorrowing(t *testing.T) {
-	for _, x := range []struct {
+	for _, test := range []struct {
 		noBorrow  bool
 		maxBorrow float64
 		low, high float64
 	}{{true, 0, 9_900, 10_200}, {false, 500, 14_000, 15_600}, {false, 0, 58_000, 61_500}} {
 		a, idle := testTerms("a", 1000), testTerms("idle", 5000)
-		a.NoBorrow, a.Borrow = x.noBorrow, x.maxBorrow*float64(Token)
+		a.NoBorrow, a.Borrow = test.noBorrow, test.maxBorrow*float64(Token)
 		ledger := newTestLedger(t, a, idle)
 		alone := &trafficLoad{tenant: "a", tokensPerSecond: 20_000, tokensPerRequest: 50}
 		playLoads(ledger, second, 5, alone)
 		alone.fullWeight = 0
 		playLoads(ledger, 6*second, 10, alone)
-		if got := float64(alone.fullWeight); got < x.low || got > x.high {
-			t.Errorf("no borrowing %v, at most %v: %v tokens in ten seconds", x.noBorrow, x.maxBorrow, got)
+		if got := float64(alone.fullWeight); got < test.low || got > test.high {
+			t.Errorf("no borrowing %v, at most %v: %v tokens in ten seconds", test.noBorrow, test.maxBorrow, got)
 		}
 	}
 }
--- a/internal/contract/demand.go
+++ b/internal/contract/demand.go
@@ -7,13 +7,13 @@
 )
 
 const (
-	// demandWindow is the time over which a team's demand is averaged, in seconds.
-	demandWindow = 8.0
+	// demandWindowSeconds is the time over which a team's demand is averaged, in seconds.
+	demandWindowSeconds = 8.0
 	// demandInterval is how often it is averaged where the caller does not call
 	// UpdateDemand.
 	demandInterval balancer.Micros = 1_000_000
-	// minDemandSpan is the shortest time that a mean is taken over, in seconds.
-	minDemandSpan = 1e-3
+	// minDemandSeconds is the shortest time that a mean is taken over, in seconds.
+	minDemandSeconds = 1e-3
 )
 
 // UpdateDemand averages the demand of all teams up to now. A caller that decides at
@@ -29,8 +29,8 @@
 // updateDemand moves the mean demand towards what was requested since the last
 // update.
 func (a *account) updateDemand(now balancer.Micros) {
-	elapsed := math.Max(minDemandSpan, inSeconds(now-a.demandUpdatedAt))
-	a.demandRate += math.Min(1, elapsed/demandWindow) * (a.demandSinceUpdate/elapsed - a.demandRate)
+	elapsed := math.Max(minDemandSeconds, inSeconds(now-a.demandUpdatedAt))
+	a.demandRate += math.Min(1, elapsed/demandWindowSeconds) * (a.demandSinceUpdate/elapsed - a.demandRate)
 	a.demandSinceUpdate, a.demandUpdatedAt = 0, now
 }
 
--- a/internal/contract/demand_test.go
+++ b/internal/contract/demand_test.go
@@ -27,19 +27,19 @@
 }
 
 // by it.
-func TestSurgeStepsWithTheModule(t *testing.T) {
-	const quota, gateways, span = 11.0, 3.0, 8.0
+func TestSurgeMatchesModuleQuota(t *testing.T) {
+	const quota, gateways, windowSeconds = 11.0, 3.0, 8.0
 	a := testTerms("a", 1)
 	a.Rate, a.Burst, a.Surge = 1.25*quota*float64(Token), Units(1e6*quota*float64(Token)), 1
 	ledger := newTestLedger(t, a)
 	ledger.SetQuotaShares(second, []float64{1 / gateways})
 	rng := rand.New(rand.NewPCG(7, 7))
-	usage, since, last, over, n := 0.0, 0.0, second, 0, 0
+	moduleUsage, sinceTick, lastTick, overQuota, requests := 0.0, 0.0, second, 0, 0
 	for now := second; now < 120*second; now += 2000 + 2000*balancer.Micros(rng.IntN(40)) {
-		if now-last >= 250_000 { // the module's tick
-			dt := float64(now-last) / 1e6
-			usage += dt / span * (since/dt - usage)
-			since, last = 0, now
+		if now-lastTick >= 250_000 { // the module's tick
+			elapsed := float64(now-lastTick) / 1e6
+			moduleUsage += elapsed / windowSeconds * (sinceTick/elapsed - moduleUsage)
+			sinceTick, lastTick = 0, now
 			ledger.UpdateDemand(now)
 		}
 		chance := 0.08
@@ -49,18 +49,18 @@
 		if rng.Float64() > chance {
 			continue
 		}
-		since++
+		sinceTick++
 		var c Charge
 		v := ledger.Charge(now, "a", "chat", Usage{OutputTokens: 1}, &c)
 		ledger.Settle(now, &c, Usage{OutputTokens: 1}, false)
-		if own := usage > 1.25*quota/gateways; v.OverQuota != own {
-			t.Fatalf("at %d: beyond %t by the contract, %t by the quota", now, v.OverQuota, own)
-		} else if own {
-			over++
+		if moduleOverQuota := moduleUsage > 1.25*quota/gateways; v.OverQuota != moduleOverQuota {
+			t.Fatalf("at %d: beyond %t by the contract, %t by the quota", now, v.OverQuota, moduleOverQuota)
+		} else if moduleOverQuota {
+			overQuota++
 		}
-		n++
+		requests++
 	}
-	if over < n/10 || over > n*9/10 {
-		t.Fatalf("%d of %d beyond: this shows nothing", over, n)
+	if overQuota < requests/10 || overQuota > requests*9/10 {
+		t.Fatalf("%d of %d beyond: this shows nothing", overQuota, requests)
 	}
 }
--- a/internal/contract/ledger/ledger_test.go
+++ b/internal/contract/ledger/ledger_test.go
@@ -34,12 +34,12 @@
 	if err != nil {
 		return err
 	}
-	accounts, err := contract.NewLedger(contract.Settings{BorrowPoolSeconds: 1, ReserveFraction: 0.001, Strict: true}, testTerms(), 0, time.Now().UnixMicro())
+	teamLedger, err := contract.NewLedger(contract.Settings{BorrowPoolSeconds: 1, ReserveFraction: 0.001, Strict: true}, testTerms(), 0, time.Now().UnixMicro())
 	if err != nil {
 		return err
 	}
-	accounts.RestoreBalances(stored)
-	fmt.Printf("began %d\n", accounts.Accounts()[0].Used[contract.Day]/contract.Token)
+	teamLedger.RestoreBalances(stored)
+	fmt.Printf("began %d\n", teamLedger.Accounts()[0].Used[contract.Day]/contract.Token)
 	type result struct {
 		number uint64
 		err    error
@@ -49,18 +49,18 @@
 	out, busy := bufio.NewWriter(os.Stdout), false
 	for i := 0; ; i++ {
 		var c contract.Charge
-		if v := accounts.Charge(balancer.Micros(i), "a", "", contract.Usage{OutputTokens: 10}, &c); !v.Rejected {
+		if v := teamLedger.Charge(balancer.Micros(i), "a", "", contract.Usage{OutputTokens: 10}, &c); !v.Rejected {
 			fmt.Fprintln(out, "charged 10")
 		}
 		out.Flush()
 		select {
 		case r := <-results:
-			accounts.CheckpointDone(r.number, r.err == nil)
+			teamLedger.CheckpointDone(r.number, r.err == nil)
 			busy = false
 		default:
 		}
-		if accounts.CheckpointDue() && !busy {
-			busy = w.Write(accounts.Checkpoint())
+		if teamLedger.CheckpointDue() && !busy {
+			busy = w.Write(teamLedger.Checkpoint())
 		}
 	}
 }
@@ -76,16 +76,16 @@
 // A process that charges is killed at random points, again and again: no charge that
 // it printed is ever missing, and each kill costs a reserve at most.
 func TestKilledProcessLosesNoCharge(t *testing.T) {
-	self, err := os.Executable()
+	executable, err := os.Executable()
 	if err != nil {
 		t.Fatal(err)
 	}
 	path := filepath.Join(t.TempDir(), "balances.db")
 	rng := rand.New(rand.NewPCG(3, 3))
-	charged, began := 0, 0
+	charged, usedAtStart := 0, 0
 	const reserve = dailyLimit / 1000
 	for round := range 40 {
-		cmd := exec.Command(self)
+		cmd := exec.Command(executable)
 		cmd.Env = append(os.Environ(), "ARCHKNOT_TEST_LEDGER="+path)
 		out, err := cmd.StdoutPipe()
 		if err != nil {
@@ -98,10 +98,10 @@
 		for stop := rng.IntN(3000); stop > 0 && lines.Scan(); stop-- {
 			if lines.Text() == "charged 10" {
 				charged += 10
-			} else if _, err := fmt.Sscanf(lines.Text(), "began %d", &began); err != nil {
+			} else if _, err := fmt.Sscanf(lines.Text(), "began %d", &usedAtStart); err != nil {
 				t.Fatal(lines.Text())
-			} else if began < charged || began > charged+round*reserve {
-				t.Fatalf("round %d began at %d; %d was charged", round, began, charged)
+			} else if usedAtStart < charged || usedAtStart > charged+round*reserve {
+				t.Fatalf("round %d began at %d; %d was charged", round, usedAtStart, charged)
 			}
 		}
 		cmd.Process.Kill()
@@ -115,7 +115,7 @@
 	if charged < 1000 {
 		t.Errorf("only %d charged", charged)
 	}
-	t.Logf("%d tokens charged over 40 kills; counted at the last start: %d", charged, began)
+	t.Logf("%d tokens charged over 40 kills; counted at the last start: %d", charged, usedAtStart)
 }
 
 // A damaged store is renamed and replaced by a new one; a failing disk is reported.
@@ -143,11 +143,11 @@
 	rng := rand.New(rand.NewPCG(1, 2))
 	renamed := 0
 	for range 60 {
-		bad := append([]byte(nil), intact...)
+		damagedBytes := append([]byte(nil), intact...)
 		for range 1 + rng.IntN(200) {
-			bad[rng.IntN(len(bad))] ^= byte(1 + rng.IntN(255))
+			damagedBytes[rng.IntN(len(damagedBytes))] ^= byte(1 + rng.IntN(255))
 		}
-		if err := os.WriteFile(path, bad[:rng.IntN(len(bad))+1], 0o600); err != nil {
+		if err := os.WriteFile(path, damagedBytes[:rng.IntN(len(damagedBytes))+1], 0o600); err != nil {
 			t.Fatal(err)
 		}
 		s, damaged, err := Open(path)
@@ -172,8 +172,8 @@
 	if _, _, err := Open(filepath.Join(t.TempDir(), "dir", "x")); err != nil {
 		t.Error(err)
 	}
-	var perr *os.PathError
-	if _, _, err := Open(t.TempDir()); !errors.As(err, &perr) && err == nil {
+	var pathError *os.PathError
+	if _, _, err := Open(t.TempDir()); !errors.As(err, &pathError) && err == nil {
 		t.Error("a directory was opened as a store")
 	}
 }
--- a/internal/contract/ledger/stored_test.go
+++ b/internal/contract/ledger/stored_test.go
@@ -21,9 +21,9 @@
 	if err := os.WriteFile(path, text, 0o600); err != nil {
 		t.Fatal(err)
 	}
-	s, aside, err := ledger.Open(path)
-	if err != nil || aside != "" {
-		t.Fatalf("set aside as %q, %v", aside, err)
+	s, damagedPath, err := ledger.Open(path)
+	if err != nil || damagedPath != "" {
+		t.Fatalf("set aside as %q, %v", damagedPath, err)
 	}
 	defer s.Close()
 	got, err := s.Load()
--- a/internal/contract/ledger_test.go
+++ b/internal/contract/ledger_test.go
@@ -62,7 +62,7 @@
 
 // A surge of ten times the rate gets its quota at full weight and no more, and
 // leaves the other teams theirs.
-func TestSurgeKeepsToItsShare(t *testing.T) {
+func TestSurgeKeepsToItsQuota(t *testing.T) {
 	ledger := newTestLedger(t, testTerms("a", 4000), testTerms("b", 3000), testTerms("c", 3000))
 	surge, one, two := &trafficLoad{tenant: "a", tokensPerSecond: 40_000, tokensPerRequest: 100}, &trafficLoad{tenant: "b", tokensPerSecond: 3000, tokensPerRequest: 100}, &trafficLoad{tenant: "c", tokensPerSecond: 3000, tokensPerRequest: 100}
 	playLoads(ledger, second, 5, surge, one, two) // the bursts go
@@ -87,11 +87,11 @@
 	if got := float64(alone.fullWeight); got < 98_000 || got > 102_000 {
 		t.Errorf("%.0f tokens of 100000", got)
 	}
-	// Given back at once: the moment b comes, it has its own.
-	back := &trafficLoad{tenant: "b", tokensPerSecond: 5000, tokensPerRequest: 50}
-	playLoads(ledger, 16*second, 5, alone, back)
-	if back.overQuota > 0 {
-		t.Errorf("b had %d tokens beyond its rate", back.overQuota)
+	// Given returning at once: the moment b comes, it has its own.
+	returning := &trafficLoad{tenant: "b", tokensPerSecond: 5000, tokensPerRequest: 50}
+	playLoads(ledger, 16*second, 5, alone, returning)
+	if returning.overQuota > 0 {
+		t.Errorf("b had %d tokens beyond its rate", returning.overQuota)
 	}
 }
 
@@ -112,18 +112,18 @@
 // A budget is overrun by one request at most, even if estimates are wrong five
 // times, and beyond it requests are rejected with the time until the period ends.
 func TestBudgetUnderBurst(t *testing.T) {
-	for _, wrong := range []float64{0.2, 1, 5} {
+	for _, estimateFactor := range []float64{0.2, 1, 5} {
 		a := testTerms("a", 100_000)
 		a.Budgets = []Budget{{Hour, 800_000 * Token, 1_000_000 * Token}}
 		ledger := newTestLedger(t, a)
 		rng := rand.New(rand.NewPCG(1, 1))
 		var open []Charge
-		actual, soft, rejected, most := Units(0), 0, 0, 0
+		actual, soft, rejected, maxTokens := Units(0), 0, 0, 0
 		for i := range 30_000 {
 			now := second + balancer.Micros(i)*1000
 			u := Usage{OutputTokens: 50 + rng.IntN(100)}
 			var c Charge
-			v := ledger.Charge(now, "a", "", Usage{OutputTokens: int(float64(u.OutputTokens) * wrong)}, &c)
+			v := ledger.Charge(now, "a", "", Usage{OutputTokens: int(float64(u.OutputTokens) * estimateFactor)}, &c)
 			if v.Rejected {
 				rejected++
 				if v.Reason != ReasonBudgetSpent || v.RetryAfter != 3600*second-now {
@@ -134,7 +134,7 @@
 			if v.PriorityWeight < 1 {
 				soft++
 			}
-			most = max(most, u.OutputTokens)
+			maxTokens = max(maxTokens, u.OutputTokens)
 			// Ten are in flight at once; the one admitted first ends first.
 			if open = append(open, c); len(open) > 10 {
 				ledger.Settle(now, &open[0], u, true)
@@ -146,7 +146,7 @@
 		// If estimates are wrong five times, the ten requests in flight may be over.
 		over := got - 1_000_000*Token
 		if rejected == 0 || soft == 0 || over > 10_000*Token {
-			t.Errorf("estimates times %v: rejected %d, soft %d, over by %d tokens", wrong, rejected, soft, over/Token)
+			t.Errorf("estimates times %v: rejected %d, soft %d, over by %d tokens", estimateFactor, rejected, soft, over/Token)
 		}
 	}
 }
--- a/internal/contract/limiter.go
+++ b/internal/contract/limiter.go
@@ -25,9 +25,9 @@
 const (
 	// limiterRetryAfter is the advice to requests that it rejects.
 	limiterRetryAfter balancer.Micros = 1_000_000
-	// limiterHoldTime is how long nothing is admitted after a decrease, so that the
+	// limiterHoldDuration is how long nothing is admitted after a decrease, so that the
 	// replicas' queues empty first.
-	limiterHoldTime balancer.Micros = 300_000
+	limiterHoldDuration balancer.Micros = 300_000
 	// limiterInitialRate, of the total rate, is what slow start begins with.
 	limiterInitialRate = 0.01
 	// limiterGrowth, of the total rate, is added to the rate each second beyond slow start.
@@ -48,14 +48,14 @@
 	elapsed := inSeconds(now - e.refilledAt)
 	e.refilledAt = now
 	e.admittedRate /= 1 + elapsed
-	if !e.active || now < e.decreasedAt+limiterHoldTime {
+	if !e.active || now < e.decreasedAt+limiterHoldDuration {
 		return
 	}
 	if e.rate < e.slowStartTarget {
 		e.rate = math.Min(e.slowStartTarget, e.rate+math.Max(e.rate, limiterInitialRate*totalRate)*elapsed)
 	} else {
-		calm := inSeconds(now - e.decreasedAt) // the longer nothing was shed, the faster it grows
-		e.rate += limiterGrowth * totalRate * elapsed * (1 + calm*calm/4)
+		sinceDecrease := inSeconds(now - e.decreasedAt) // the longer nothing was shed, the faster it grows
+		e.rate += limiterGrowth * totalRate * elapsed * (1 + sinceDecrease*sinceDecrease/4)
 	}
 	if e.rate > limiterOpenThreshold*totalRate {
 		*e = excessLimiter{refilledAt: now, admittedRate: e.admittedRate}
@@ -80,7 +80,7 @@
 
 // decrease cuts the rate after the fleet shed a request within its contract.
 func (e *excessLimiter) decrease(now balancer.Micros) {
-	if e.active && now < e.decreasedAt+limiterHoldTime {
+	if e.active && now < e.decreasedAt+limiterHoldDuration {
 		return // what was admitted before the last decrease is still being shed
 	}
 	e.decreasedAt = now
--- a/internal/contract/limiter_test.go
+++ b/internal/contract/limiter_test.go
@@ -14,11 +14,11 @@
 		ledger := newTestLedger(t, testTerms("a", 4000), testTerms("b", 3000), testTerms("c", 3000))
 		loads := []*trafficLoad{{tenant: "a", tokensPerSecond: 40_000, tokensPerRequest: 50}, {tenant: "b", tokensPerSecond: 3000, tokensPerRequest: 50}, {tenant: "c", tokensPerSecond: 3000, tokensPerRequest: 50}}
 		level := capacity / 5 // of the fleet: a bucket that holds what a short queue does
-		within, shed, over := 0, 0, 0
+		within, shed, overQuota := 0, 0, 0
 		for us := second; us < 61*second; us += 1000 {
 			level = min(capacity/5, level+capacity/1000)
 			if us == 31*second {
-				within, shed, over = 0, 0, 0
+				within, shed, overQuota = 0, 0, 0
 			}
 			for _, l := range loads {
 				for l.next += l.tokensPerSecond / 1000; l.next >= float64(l.tokensPerRequest); l.next -= float64(l.tokensPerRequest) {
@@ -40,13 +40,13 @@
 					}
 					level -= float64(l.tokensPerRequest)
 					if ledger.Settle(us, &c, Usage{OutputTokens: l.tokensPerRequest}, true); v.OverQuota {
-						over += l.tokensPerRequest
+						overQuota += l.tokensPerRequest
 					}
 				}
 			}
 		}
 		spare := min(capacity, 46_000) - 10_000
-		if got := float64(over) / 30; shed*200 > within || got < 0.7*spare || got > spare+50 {
+		if got := float64(overQuota) / 30; shed*200 > within || got < 0.7*spare || got > spare+50 {
 			t.Errorf("capacity %v: %d of %d within contracts were shed; %.0f tokens a second beyond them, %.0f to spare", capacity, shed, within, got, spare)
 		} else {
 			t.Logf("capacity %v: %d of %d within contracts were shed; %.0f tokens a second beyond them, %.0f to spare", capacity, shed, within, got, spare)
--- a/internal/contract/mechanisms_test.go
+++ b/internal/contract/mechanisms_test.go
@@ -20,14 +20,14 @@
 // tokenBuckets are token buckets without lending.
 type tokenBuckets struct {
 	rate, level []float64
-	at          balancer.Micros
+	updatedAt   balancer.Micros
 }
 
 func (m *tokenBuckets) admitFullWeight(now balancer.Micros, team int, cost float64) bool {
-	dt := float64(now-m.at) / 1e6
-	m.at = now
+	elapsed := float64(now-m.updatedAt) / 1e6
+	m.updatedAt = now
 	for i := range m.level {
-		m.level[i] = math.Min(m.rate[i], m.level[i]+m.rate[i]*dt)
+		m.level[i] = math.Min(m.rate[i], m.level[i]+m.rate[i]*elapsed)
 	}
 	if m.level[team] < cost {
 		return false
@@ -40,38 +40,38 @@
 // its team's start tag is less than a second ahead of the virtual time, which runs the
 // faster the fewer teams have tags ahead of it.
 type startTimeFairQueue struct {
-	rate, tag []float64
-	v         float64
-	at        balancer.Micros
+	rate, startTags []float64
+	virtualTime     float64
+	at              balancer.Micros
 }
 
 func (m *startTimeFairQueue) admitFullWeight(now balancer.Micros, team int, cost float64) bool {
-	left, all := float64(now-m.at)/1e6, 0.0
+	remaining, totalRate := float64(now-m.at)/1e6, 0.0
 	m.at = now
 	for _, r := range m.rate {
-		all += r
+		totalRate += r
 	}
-	for left > 1e-12 { // piece by piece, as teams fall behind the virtual time
-		busy, next := 0.0, math.Inf(1)
-		for i, t := range m.tag {
-			if t > m.v {
-				busy += m.rate[i]
-				next = math.Min(next, t-m.v)
+	for remaining > 1e-12 { // piece by piece, as teams fall behind the virtual time
+		busyRate, untilNextTag := 0.0, math.Inf(1)
+		for i, t := range m.startTags {
+			if t > m.virtualTime {
+				busyRate += m.rate[i]
+				untilNextTag = math.Min(untilNextTag, t-m.virtualTime)
 			}
 		}
-		if busy == 0 {
-			m.v += left
+		if busyRate == 0 {
+			m.virtualTime += remaining
 			break
 		}
-		step := math.Min(left, next*busy/all)
-		m.v += step * all / busy
-		left -= step
+		step := math.Min(remaining, untilNextTag*busyRate/totalRate)
+		m.virtualTime += step * totalRate / busyRate
+		remaining -= step
 	}
-	start := math.Max(m.v, m.tag[team])
-	if start > m.v+1 {
+	start := math.Max(m.virtualTime, m.startTags[team])
+	if start > m.virtualTime+1 {
 		return false
 	}
-	m.tag[team] = start + cost/m.rate[team]
+	m.startTags[team] = start + cost/m.rate[team]
 	return true
 }
 
@@ -80,14 +80,14 @@
 // that were rejected, by their weights. A deficit is bounded to a second.
 type deficitRoundRobin struct {
 	rate, level []float64
-	wanted      []bool
-	round       balancer.Micros
+	rejected    []bool
+	lastRound   balancer.Micros
 }
 
 func (m *deficitRoundRobin) admitFullWeight(now balancer.Micros, team int, cost float64) bool {
-	const every = 100_000
-	for now-m.round >= every {
-		m.round += every
+	const roundInterval = 100_000
+	for now-m.lastRound >= roundInterval {
+		m.lastRound += roundInterval
 		spare, weights := 0.0, 0.0
 		for i, r := range m.rate {
 			m.level[i] += r / 10
@@ -95,19 +95,19 @@
 				spare += over
 				m.level[i] = r
 			}
-			if m.wanted[i] {
+			if m.rejected[i] {
 				weights += r
 			}
 		}
 		for i, r := range m.rate {
-			if m.wanted[i] && weights > 0 {
+			if m.rejected[i] && weights > 0 {
 				m.level[i] += spare * r / weights
 			}
-			m.wanted[i] = false
+			m.rejected[i] = false
 		}
 	}
 	if m.level[team] < cost {
-		m.wanted[team] = true
+		m.rejected[team] = true
 		return false
 	}
 	m.level[team] -= cost
@@ -134,9 +134,9 @@
 		terms = append(terms, testTerms(teamNames[i], r))
 		level[i] = r
 	}
-	again := func() []float64 { return append([]float64(nil), level...) }
-	return map[string]admissionMechanism{"1 buckets": &tokenBuckets{rate: rate, level: again()}, "2 fair time": &startTimeFairQueue{rate: rate, tag: make([]float64, len(rate))},
-		"3 deficit": &deficitRoundRobin{rate: rate, level: again(), wanted: make([]bool, len(rate))}, "4 buckets with a pool": pooledBuckets{newTestLedger(tb, terms...)}}
+	copyLevels := func() []float64 { return append([]float64(nil), level...) }
+	return map[string]admissionMechanism{"1 buckets": &tokenBuckets{rate: rate, level: copyLevels()}, "2 fair time": &startTimeFairQueue{rate: rate, startTags: make([]float64, len(rate))},
+		"3 deficit": &deficitRoundRobin{rate: rate, level: copyLevels(), rejected: make([]bool, len(rate))}, "4 buckets with a pool": pooledBuckets{newTestLedger(tb, terms...)}}
 }
 
 // teamTraffic is one team's traffic: tokens a second by time, and tokens a request.
@@ -192,7 +192,7 @@
 // chance, and by requests of what a rate earns in a third of a second.
 func TestMechanisms(t *testing.T) {
 	rate := []float64{4000, 3000, 3000}
-	type figures struct{ surge, alone, back, chance, dear, cost float64 }
+	type figures struct{ surge, singleTeam, returning, rejectedByChance, largeRequests, nsPerRequest float64 }
 	rows := map[string]figures{}
 	for name := range mechanisms(t, rate) {
 		var f figures
@@ -202,29 +202,29 @@
 			f.surge = math.Max(f.surge, math.Abs(total(admitted[0][w:w+10])/40_000-1))
 		}
 		admitted, _ = playTraffic(m(), 2, 30, [3]teamTraffic{{constantRate(30_000), 50}, {constantRate(0), 50}, {constantRate(0), 50}})
-		f.alone = total(admitted[0][5:]) / 250_000
+		f.singleTeam = total(admitted[0][5:]) / 250_000
 		admitted, requested := playTraffic(m(), 3, 30, [3]teamTraffic{{constantRate(40_000), 50}, {func(s float64) float64 {
 			if s < 20 {
 				return 0
 			}
 			return 3000
 		}, 50}, {constantRate(3000), 50}})
-		f.back = 1 - total(admitted[1][20:22])/math.Min(6000, total(requested[1][20:22]))
+		f.returning = 1 - total(admitted[1][20:22])/math.Min(6000, total(requested[1][20:22]))
 		admitted, requested = playTraffic(m(), 4, 60, [3]teamTraffic{{constantRate(3600), 50}, {constantRate(2700), 50}, {constantRate(2700), 50}})
-		f.chance = 1 - (total(admitted[0])+total(admitted[1])+total(admitted[2]))/(total(requested[0])+total(requested[1])+total(requested[2]))
+		f.rejectedByChance = 1 - (total(admitted[0])+total(admitted[1])+total(admitted[2]))/(total(requested[0])+total(requested[1])+total(requested[2]))
 		admitted, _ = playTraffic(m(), 5, 65, [3]teamTraffic{{constantRate(40_000), 1300}, {constantRate(3000), 50}, {constantRate(3000), 50}})
-		f.dear = math.Abs(total(admitted[0][5:])/240_000 - 1)
-		busy, begin, n := m(), time.Now(), 0
+		f.largeRequests = math.Abs(total(admitted[0][5:])/240_000 - 1)
+		mechanism, begin, n := m(), time.Now(), 0
 		for ; n < 200_000; n++ {
-			busy.admitFullWeight(second+balancer.Micros(n*100), n%3, 50)
+			mechanism.admitFullWeight(second+balancer.Micros(n*100), n%3, 50)
 		}
-		f.cost = float64(time.Since(begin).Nanoseconds()) / float64(n)
+		f.nsPerRequest = float64(time.Since(begin).Nanoseconds()) / float64(n)
 		rows[name] = f
 		t.Logf("%-22s surge's quota off by %5.2f%%; alone %5.1f%% of the total; back: lacks %5.1f%%; by chance %5.2f%%; dear off by %5.2f%%; %4.0f ns",
-			name, 100*f.surge, 100*f.alone, 100*f.back, 100*f.chance, 100*f.dear, f.cost)
+			name, 100*f.surge, 100*f.singleTeam, 100*f.returning, 100*f.rejectedByChance, 100*f.largeRequests, f.nsPerRequest)
 	}
 	f := rows["4 buckets with a pool"]
-	if f.surge > 0.03 || f.alone < 0.98 || f.back > 0.02 {
+	if f.surge > 0.03 || f.singleTeam < 0.98 || f.returning > 0.02 {
 		t.Errorf("%+v", f)
 	}
 }
--- a/internal/contract/snapshot_test.go
+++ b/internal/contract/snapshot_test.go
@@ -27,10 +27,10 @@
 
 // step makes the call that random draws choose, and returns its result as text. The
 // same draws make the same call.
-func (d *ledgerDriver) step(what, n, output int) string {
+func (d *ledgerDriver) step(action, n, output int) string {
 	tenants := []string{"a", "b", "old", "nobody"}
 	classes := []string{"agent", "bulk"}
-	switch what {
+	switch action {
 	case 0, 1, 2:
 		d.next++
 		c := &Charge{}
@@ -86,20 +86,20 @@
 			t.Fatal(err)
 		}
 		driver := &ledgerDriver{ledger: ledger, open: map[uint64]*Charge{}, now: second}
-		draw := func(to ...*ledgerDriver) {
+		runSteps := func(drivers ...*ledgerDriver) {
 			for range rapid.IntRange(0, 60).Draw(t, "steps") {
-				what, n, output := rapid.IntRange(0, 8).Draw(t, "what"), rapid.IntRange(0, 99).Draw(t, "n"), rapid.IntRange(0, 4000).Draw(t, "output")
+				action, n, output := rapid.IntRange(0, 8).Draw(t, "what"), rapid.IntRange(0, 99).Draw(t, "n"), rapid.IntRange(0, 4000).Draw(t, "output")
 				first := ""
-				for i, driver := range to {
-					if got := driver.step(what, n, output); i == 0 {
+				for i, driver := range drivers {
+					if got := driver.step(action, n, output); i == 0 {
 						first = got
 					} else if got != first {
-						t.Fatalf("step %d: %s, the restored one %s", what, first, got)
+						t.Fatalf("step %d: %s, the restored one %s", action, first, got)
 					}
 				}
 			}
 		}
-		draw(driver)
+		runSteps(driver)
 		text := driver.ledger.Snapshot(driver.openCharges())
 		agreement, err := UnmarshalAgreement(MarshalAgreement(s, driver.ledger.Terms(), 0, false, nil))
 		if err != nil {
@@ -109,19 +109,19 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		other := &ledgerDriver{ledger: restored, open: open, next: driver.next, now: driver.now}
-		if again := other.ledger.Snapshot(other.openCharges()); !bytes.Equal(again, text) {
+		restoredDriver := &ledgerDriver{ledger: restored, open: open, next: driver.next, now: driver.now}
+		if again := restoredDriver.ledger.Snapshot(restoredDriver.openCharges()); !bytes.Equal(again, text) {
 			t.Fatal("the restored ledger has another state")
 		}
-		draw(driver, other)
-		if !bytes.Equal(driver.ledger.Snapshot(driver.openCharges()), other.ledger.Snapshot(other.openCharges())) {
+		runSteps(driver, restoredDriver)
+		if !bytes.Equal(driver.ledger.Snapshot(driver.openCharges()), restoredDriver.ledger.Snapshot(restoredDriver.openCharges())) {
 			t.Fatal("the ledgers differ")
 		}
 	})
 }
 
 // Two runs of equal events give the same state, even with many floors.
-func TestFloorsAddUpAlike(t *testing.T) {
+func TestFloorsAreSummedInFixedOrder(t *testing.T) {
 	var first []byte
 	for range 30 {
 		a := testTerms("a", 1000)
--- a/internal/contract/split/estimate.go
+++ b/internal/contract/split/estimate.go
@@ -108,23 +108,23 @@
 // rebalance attributes a little of what seems beyond contracts to teams that are
 // within theirs.
 func (e *LocalEstimate) rebalance(teams []TeamUsage, elapsed float64) {
-	beyond, headroom := 0.0, 0.0
+	excess, headroom := 0.0, 0.0
 	for i := range e.teams {
 		team := &e.teams[i]
 		if surplus := team.surplus(teams[i].Rate); surplus > 0 {
-			beyond += math.Min(surplus, team.elsewhere)
+			excess += math.Min(surplus, team.elsewhere)
 		} else {
 			headroom -= surplus
 		}
 	}
-	moved := rebalanceRate * elapsed * math.Min(beyond, headroom)
+	moved := rebalanceRate * elapsed * math.Min(excess, headroom)
 	if moved <= 0 {
 		return
 	}
 	for i := range e.teams {
 		team := &e.teams[i]
 		if surplus := team.surplus(teams[i].Rate); surplus > 0 {
-			team.elsewhere -= moved * math.Min(surplus, team.elsewhere) / beyond
+			team.elsewhere -= moved * math.Min(surplus, team.elsewhere) / excess
 		} else {
 			team.elsewhere -= moved * surplus / headroom
 		}
--- a/internal/contract/split/fleet_test.go
+++ b/internal/contract/split/fleet_test.go
@@ -16,12 +16,12 @@
 // weight runs for a while at the replicas, which report the sum, and half of what is
 // beyond the rate is shed, as a full fleet would.
 type simulatedFleet struct {
-	ledgers    []*contract.Ledger
-	strategies []Strategy
-	inFlight   [][]float64 // by gateway, the work of the last seconds
-	fullWeight []float64   // units admitted at full weight in the current window, by team
-	requested  []float64
-	last       [][]contract.Counters
+	ledgers          []*contract.Ledger
+	strategies       []Strategy
+	inFlight         [][]float64 // by gateway, the work of the last seconds
+	fullWeight       []float64   // units admitted at full weight in the current window, by team
+	requested        []float64
+	previousCounters [][]contract.Counters
 }
 
 const (
@@ -73,7 +73,7 @@
 		}
 		fleet.ledgers, fleet.strategies = append(fleet.ledgers, ledger), append(fleet.strategies, newStrategy(i))
 		fleet.inFlight = append(fleet.inFlight, []float64{0, 0, 0})
-		fleet.last = append(fleet.last, []contract.Counters{{}, {}, {}})
+		fleet.previousCounters = append(fleet.previousCounters, []contract.Counters{{}, {}, {}})
 	}
 	const seconds, surgeAt = 150, 60
 	for s := range seconds {
@@ -123,18 +123,18 @@
 			}
 			observation := Observation{Interval: 1_000_000, OwnInFlight: own, FleetInFlight: all}
 			for t, a := range ledger.Accounts() {
-				d := a.Counters
-				l := &fleet.last[g][t]
-				observation.Teams = append(observation.Teams, TeamUsage{Rate: terms[t].Rate, Requested: float64(d.RequestedUnits() - l.RequestedUnits()), Used: float64(d.Used - l.Used)})
-				*l = d
+				counters := a.Counters
+				previous := &fleet.previousCounters[g][t]
+				observation.Teams = append(observation.Teams, TeamUsage{Rate: terms[t].Rate, Requested: float64(counters.RequestedUnits() - previous.RequestedUnits()), Used: float64(counters.Used - previous.Used)})
+				*previous = counters
 			}
 			ledger.SetQuotaShares(balancer.Micros(s+1)*1_000_000, fleet.strategies[g].Shares(observation))
 		}
 		// Windows of ten seconds: calm from the 30th second, surge from 10 s after it began.
 		if s%10 == 9 {
 			for t := range teamCount {
-				due := min(fleet.requested[t], 10*rate)
-				err := math.Abs(fleet.fullWeight[t]-due) / (10 * rate)
+				expected := min(fleet.requested[t], 10*rate)
+				err := math.Abs(fleet.fullWeight[t]-expected) / (10 * rate)
 				switch {
 				case s >= 30 && s < surgeAt:
 					errs[0] = math.Max(errs[0], err)
@@ -162,22 +162,22 @@
 
 // delayedCounters are counters that gateways would share, a second old.
 type delayedCounters struct {
-	now, before [teamCount]float64
-	reports, n  int
-	down        bool
+	current, previous [teamCount]float64
+	reports, gateways int
+	unavailable       bool
 }
 
 func (c *delayedCounters) Add(own []float64) ([]float64, error) {
-	if c.down {
+	if c.unavailable {
 		return nil, errors.New("no communication")
 	}
 	for i, v := range own {
-		c.now[i] += v
+		c.current[i] += v
 	}
-	if c.reports++; c.reports == c.n {
-		c.before, c.now, c.reports = c.now, [teamCount]float64{}, 0
+	if c.reports++; c.reports == c.gateways {
+		c.previous, c.current, c.reports = c.current, [teamCount]float64{}, 0
 	}
-	out := c.before
+	out := c.previous
 	return out[:], nil
 }
 
@@ -196,7 +196,7 @@
 			line := fmt.Sprintf("%-8s %3d gateways:", traffic.name, n)
 			var calm, surge = map[string]float64{}, map[string]float64{}
 			for _, strategy := range []string{"equal", "front", "alone", "shared"} {
-				c := &delayedCounters{n: n}
+				c := &delayedCounters{gateways: n}
 				e := simulate(n, traffic.split, func(int) Strategy {
 					switch strategy {
 					case "equal":
--- a/internal/contract/terms.go
+++ b/internal/contract/terms.go
@@ -63,9 +63,9 @@
 }
 
 // limit returns the hard limit, or else the soft one; 0: there is none.
-func (g *Budget) limit() Units {
-	if g.Hard == 0 {
-		return g.Soft
+func (b *Budget) limit() Units {
+	if b.Hard == 0 {
+		return b.Soft
 	}
-	return g.Hard
+	return b.Hard
 }
--- a/internal/contract/validate.go
+++ b/internal/contract/validate.go
@@ -152,15 +152,15 @@
 
 // validateSuccessor checks a contract against its successor; nil: there is none of
 // that name.
-func (t *Terms) validateSuccessor(next *Terms) error {
+func (t *Terms) validateSuccessor(successor *Terms) error {
 	switch {
-	case next == nil || next == t:
+	case successor == nil || successor == t:
 		return t.invalid("successor %q: no other contract of that name", t.Successor)
 	case t.Until == 0:
 		return t.invalid("successor %q: expected an end (until)", t.Successor)
-	case next.From > t.Until:
+	case successor.From > t.Until:
 		return t.invalid("successor %q begins after the end", t.Successor)
-	case next.Until != 0 && next.Until <= t.Until:
+	case successor.Until != 0 && successor.Until <= t.Until:
 		return t.invalid("successor %q ends no later", t.Successor)
 	}
 	return nil
