--- a/internal/contract/account.go
+++ b/internal/contract/account.go
@@ -10,36 +10,36 @@
 // account is the state of one contract at this gateway.
 type account struct {
 	terms             Terms
-	index             int             // among the ledger's accounts
-	accruedAt         balancer.Micros // its rate is credited up to this time
-	level             float64         // units saved up; below 0: owed
+	index             int             // position in Ledger.accounts
+	accruedAt         balancer.Micros // time up to which the rate is credited
+	level             float64         // unused units; negative: units used in advance
 	floorLevels       map[string]float64
-	floorClasses      []string // the classes with floors, sorted: float sums must come out the same in each run
-	demandRate        float64  // recent demand, units a second
+	floorClasses      []string // keys of terms.Floors, sorted: floats are summed in the same order in each run
+	demandRate        float64  // recent demand, in units per second
 	demandSinceUpdate float64  // units requested since demandUpdatedAt
 	demandUpdatedAt   balancer.Micros
-	borrowAllowance   float64 // units that it may borrow now: up to a second's, where the terms bound them
-	quotaShare        float64 // this gateway's share of the contract; 1: it is the only one
+	borrowAllowance   float64 // units that may be borrowed now, at most one second's worth; checked only if terms.Borrow is set
+	quotaShare        float64 // this gateway's fraction of the contract; 1 if it is the only gateway
 	periods           [periodCount]periodUsage
-	openCharges       int             // charges that are not settled
-	coveredClasses    map[string]bool // nil: all
+	openCharges       int             // charges not yet settled
+	coveredClasses    map[string]bool // nil: all classes
 	successor         *account
 	predecessor       *account
-	inherited         bool            // it has replaced its predecessor
-	retired           bool            // its contract is gone; charges on it are still settled
-	checkpointQueued  bool            // its balance is in the ledger's checkpointQueue
-	noLendingUntil    balancer.Micros // the pool gets nothing of it before, because the fleet shed its requests
+	inherited         bool            // it has taken over the level and usage of its predecessor
+	retired           bool            // its contract was removed; open charges are still settled
+	checkpointQueued  bool            // it is in Ledger.checkpointQueue
+	noLendingUntil    balancer.Micros // its unused units do not go to the pool before, because the fleet shed its requests
 	counters          Counters
 }
 
 // periodUsage is the usage of the current period of one kind.
 type periodUsage struct {
 	used        Units
-	noticesSent uint8 // how many thresholds of noticePercents have been reported
+	noticesSent uint8 // number of thresholds of noticePercents already reported
 	start, end  balancer.Micros
-	submitted   Units  // usage in the last balance handed out to be written
-	durable     Units  // usage in the last balance known to be written
-	checkpoint  uint64 // number of the checkpoint that submitted went out with; 0: none is being written
+	submitted   Units  // usage in the last balance passed to the store
+	durable     Units  // usage in the last balance that the store has written
+	checkpoint  uint64 // number of the checkpoint that contains submitted; 0: no write is pending
 }
 
 // newAccount returns an account with a full burst and full floors.
@@ -67,7 +67,7 @@
 	return a.terms.From <= unix && (a.terms.Until == 0 || a.terms.Until > unix)
 }
 
-// priorityWeight returns the weight of requests within the rate.
+// priorityWeight returns the priority weight of requests within the rate.
 func (a *account) priorityWeight() float64 {
 	if a.terms.PriorityWeight == 0 {
 		return 1
@@ -75,12 +75,12 @@
 	return a.terms.PriorityWeight
 }
 
-// burst returns what this gateway's share of the contract may save up. The random
-// variation of traffic grows with the square root of its size: a burst cut as far
-// as the rate would reject what the rate allows.
+// burst returns the burst of this gateway's quota share, in units. It scales with the
+// square root of the share, as the random variation of traffic does: a burst scaled
+// linearly would reject traffic that is within the rate.
 func (a *account) burst() float64 { return float64(a.terms.Burst) * math.Sqrt(a.quotaShare) }
 
-// rollPeriods starts new periods in place of those that have ended at a Unix time.
+// rollPeriods replaces the periods that have ended at a Unix time by new ones.
 func (a *account) rollPeriods(unix balancer.Micros, location *time.Location) {
 	for kind := range Period(periodCount) {
 		if period := &a.periods[kind]; unix >= period.end {
@@ -90,14 +90,13 @@
 	}
 }
 
-// reject counts a rejected request and returns its verdict.
+// reject counts a rejected request and returns v.
 func (a *account) reject(v Verdict, cost Units) Verdict {
 	a.counters.Rejected++
 	a.counters.RejectedUnits += cost
 	return v
 }
 
-// status returns the account's state as operators see it.
 func (a *account) status(unix balancer.Micros) AccountStatus {
 	status := AccountStatus{
 		Team:       a.terms.Team,
@@ -120,8 +119,8 @@
 	return status
 }
 
-// fleetWide extrapolates a gateway's usage to the entire fleet by the gateway's share of
-// the contract.
+// fleetWide extrapolates a gateway's usage to the entire fleet by the gateway's quota
+// share.
 func fleetWide(u Units, share float64) Units {
 	if share == 1 {
 		return u
--- a/internal/contract/accrue.go
+++ b/internal/contract/accrue.go
@@ -6,15 +6,14 @@
 	"archknot/balancer"
 )
 
-// accrueAllInterval is how often idle accounts are credited, which moves what they
-// cannot save up to the pool. An account that is charged is credited at once.
+// accrueAllInterval is how often all accounts are credited, so that units beyond the
+// burst of idle accounts reach the pool. An account that is charged is credited at once.
 const accrueAllInterval balancer.Micros = 100_000
 
-// inSeconds converts a time span.
 func inSeconds(span balancer.Micros) float64 { return float64(span) / 1e6 }
 
-// advance moves the ledger's clock on. A clock that stands still or was set back
-// changes nothing, so that nothing is credited twice.
+// advance moves the ledger's clock forward. A time that is not later than the last one
+// changes nothing, so that no time span is credited twice.
 func (l *Ledger) advance(now balancer.Micros) {
 	if now <= l.now {
 		return
@@ -28,7 +27,6 @@
 	}
 }
 
-// accrueAll credits all accounts up to now.
 func (l *Ledger) accrueAll() {
 	l.lastAccrueAll = l.now
 	for _, a := range l.accounts {
@@ -36,8 +34,8 @@
 	}
 }
 
-// accrue credits an account with what its rate earned since the last time, floors
-// first. What it cannot save up goes to the pool.
+// accrue credits an account for the time since the last credit, floors first. Units
+// beyond the burst go to the pool.
 func (l *Ledger) accrue(a *account) {
 	if l.now <= a.accruedAt {
 		return
@@ -47,7 +45,7 @@
 	remainder := a.terms.Rate * a.quotaShare * elapsed
 	for _, class := range a.floorClasses {
 		rate := a.terms.Floors[class] * a.quotaShare
-		credit := math.Max(0, math.Min(rate*elapsed, rate-a.floorLevels[class])) // a floor saves up one second
+		credit := math.Max(0, math.Min(rate*elapsed, rate-a.floorLevels[class])) // a floor accumulates at most one second of its rate
 		a.floorLevels[class] += credit
 		remainder -= credit
 	}
@@ -55,7 +53,7 @@
 		limit := a.terms.Borrow * a.quotaShare
 		a.borrowAllowance = math.Min(limit, a.borrowAllowance+limit*elapsed)
 	}
-	if !a.inForce(l.latestUnix) { // nor does the pool get anything of it
+	if !a.inForce(l.latestUnix) { // a contract that is not in force does not fill the pool either
 		return
 	}
 	capacity := a.burst() - a.level
@@ -65,8 +63,8 @@
 	}
 }
 
-// inheritUsage moves the level and the usage of a predecessor that has ended to its
-// successor, once.
+// inheritUsage copies the level and adds the usage of a predecessor that has ended to
+// its successor, once.
 func (l *Ledger) inheritUsage(a *account) {
 	predecessor := a.predecessor
 	if a.inherited || predecessor == nil || predecessor.inForce(l.latestUnix) {
--- a/internal/contract/apply.go
+++ b/internal/contract/apply.go
@@ -8,9 +8,9 @@
 	"archknot/balancer"
 )
 
-// ApplyTerms puts contracts in force in place of the present ones. A team that has
-// a contract already keeps its level and its usage; open charges are settled on the
-// account that they were charged to. On an error, a TermsError, nothing changes.
+// ApplyTerms replaces the contracts. A team that already has a contract keeps its level
+// and its usage; open charges are settled on the account that they were charged to. The
+// error is a TermsError, and then nothing has changed.
 func (l *Ledger) ApplyTerms(now balancer.Micros, terms []Terms) error {
 	if err := ValidateTerms(terms); err != nil {
 		return err
@@ -36,7 +36,6 @@
 	return nil
 }
 
-// accountsByTeam indexes the accounts by the names of their teams.
 func (l *Ledger) accountsByTeam() map[string]*account {
 	byTeam := make(map[string]*account, len(l.accounts))
 	for _, a := range l.accounts {
@@ -56,8 +55,8 @@
 	}
 }
 
-// linkSuccessors links each account to that of its successor, and starts the
-// periods of all.
+// linkSuccessors links each account to the account of its successor, starts the current
+// periods of all accounts, and queues the checkpoints that are due.
 func (l *Ledger) linkSuccessors() {
 	byTeam := l.accountsByTeam()
 	for _, a := range l.accounts {
@@ -69,7 +68,7 @@
 	}
 }
 
-// applyTerms changes an account's terms. The usage of its periods stays.
+// applyTerms replaces an account's terms. The usage of its periods is kept.
 func (a *account) applyTerms(t Terms) {
 	a.terms, a.retired = t, false
 	a.floorClasses = slices.Sorted(maps.Keys(t.Floors))
@@ -88,20 +87,21 @@
 	}
 }
 
-// ApplySettings puts other settings in force. Periods that have begun run to their
-// end as they are.
+// ApplySettings replaces the settings. Periods that have begun keep their bounds, also
+// if the time zone changes.
 func (l *Ledger) ApplySettings(s Settings) {
 	l.settings = s.withDefaults()
 	l.recomputeTotals()
 }
 
-// minQuotaShare is the smallest share of a contract that a gateway has.
+// minQuotaShare is the lower bound of a gateway's quota share. Rates and usage are divided
+// by the share, so it must not be 0.
 const minQuotaShare = 1e-3
 
-// SetQuotaShares sets this gateway's share of each contract, in their order: it has
-// that share of the rate and of the floors, and takes its own usage for that share
-// of the team's. Shares that are not from 0 to 1 are ignored, and so is a list of
-// the wrong length.
+// SetQuotaShares sets this gateway's fraction of each contract, in the order of the
+// contracts. The gateway gets that fraction of the rate and of the floors, and assumes
+// that its own usage is that fraction of the team's usage. A share outside 0 to 1 is
+// ignored, and so is a list of the wrong length.
 func (l *Ledger) SetQuotaShares(now balancer.Micros, shares []float64) {
 	if len(shares) != len(l.accounts) {
 		return
@@ -117,7 +117,7 @@
 	l.recomputeTotals()
 }
 
-// recomputeTotals sets the sum of the rates and the bound of the pool.
+// recomputeTotals sets totalRate and borrowPoolMax.
 func (l *Ledger) recomputeTotals() {
 	l.borrowPoolMax, l.totalRate = 0, 0
 	for _, a := range l.accounts {
--- a/internal/contract/balance.go
+++ b/internal/contract/balance.go
@@ -8,21 +8,20 @@
 	pb "archknot/internal/contract/contractpb"
 )
 
-// Balances are written ahead of use: a balance counts a reserve on top of what is
-// used of a budget, and is written again when half of the reserve is used up. What
-// was written counts as used after a kill. So a kill costs a team at most the
-// reserve of the budget, and grants none of the budget twice as long as the disk
-// writes half a reserve in the time that the team takes to use one. A strict ledger
-// waits for the disk.
-
-// Balance is the stored usage of one team: what counts as used after a
+// Balances are written ahead of use. A balance contains the usage of a budget plus a
+// reserve, and is written again when half of the reserve is used up. After a kill the
+// stored usage counts as used. A kill thus costs a team at most the reserve, and grants
+// no part of the budget twice as long as the disk writes a balance before the team has
+// used the second half of the reserve. A strict ledger waits for the disk.
+
+// Balance is the stored state of one team's account. Its usage counts as used after a
 // restart.
 type Balance struct {
 	Team         string
 	PeriodStarts [periodCount]balancer.Micros
 	Used         [periodCount]Units
-	Level        float64 // if Clean
-	Clean        bool    // written at a graceful shutdown: exact, without a reserve
+	Level        float64 // meaningful only if Clean
+	Clean        bool    // written at a graceful shutdown: exact usage, without a reserve
 	LatestUnix   balancer.Micros
 }
 
@@ -35,8 +34,8 @@
 	return m
 }
 
-// BalanceFromProto returns the balance of a message. Periods that this build does
-// not know are skipped.
+// BalanceFromProto decodes a balance. Unknown kinds of periods are skipped, and negative
+// usage is read as 0.
 func BalanceFromProto(m *pb.Balance) Balance {
 	b := Balance{Team: m.GetTeam(), Level: m.GetLevel(), Clean: m.GetClean(), LatestUnix: m.GetLatestUs()}
 	for _, span := range m.GetSpans() {
@@ -47,13 +46,13 @@
 	return b
 }
 
-// reserveFor returns how much more than the usage of a budget is written.
+// reserveFor returns the reserve of a budget, at least one token.
 func (l *Ledger) reserveFor(budget *Budget) Units {
 	return max(Token, Units(float64(budget.limit())*l.settings.ReserveFraction))
 }
 
-// queueCheckpoint queues an account for the next checkpoint if one of its budgets
-// has used up half of the reserve that was last written.
+// queueCheckpoint queues an account for the next checkpoint if less than half of the
+// reserve that was last submitted is left in one of its budgets.
 func (l *Ledger) queueCheckpoint(a *account) {
 	if l.settings.ReserveFraction <= 0 || a.checkpointQueued {
 		return
@@ -68,7 +67,6 @@
 	}
 }
 
-// enqueue adds an account to the next checkpoint.
 func (l *Ledger) enqueue(a *account) {
 	a.checkpointQueued = true
 	l.checkpointQueue = append(l.checkpointQueue, a)
@@ -77,8 +75,8 @@
 // CheckpointDue reports whether balances must be written.
 func (l *Ledger) CheckpointDue() bool { return len(l.checkpointQueue) > 0 }
 
-// Checkpoint returns the balances that are due, with their reserves, and a number
-// to call CheckpointDone with once they are written.
+// Checkpoint returns the balances that must be written, reserves included, and the number
+// to pass to CheckpointDone when the write has ended.
 func (l *Ledger) Checkpoint() (number uint64, balances []Balance) {
 	l.lastCheckpoint++
 	balances = make([]Balance, 0, len(l.checkpointQueue))
@@ -95,8 +93,8 @@
 	return l.lastCheckpoint, balances
 }
 
-// submit sets what the checkpoint that is being made counts as used. With the
-// reserve it does not go beyond a hard limit.
+// submit sets the usage that the current checkpoint contains for an account: the actual
+// usage plus the reserve, capped at a hard limit.
 func (l *Ledger) submit(a *account) {
 	a.rollPeriods(l.latestUnix, l.settings.Location)
 	for i := range a.terms.Budgets {
@@ -110,7 +108,7 @@
 	}
 }
 
-// balance returns an account's balance with what was submitted.
+// balance returns an account's balance with the submitted usage.
 func (a *account) balance(latestUnix balancer.Micros) Balance {
 	b := Balance{Team: a.terms.Team, LatestUnix: latestUnix}
 	for i := range a.periods {
@@ -119,8 +117,8 @@
 	return b
 }
 
-// CheckpointDone reports that a checkpoint is written, or that writing it failed:
-// then its balances are due again.
+// CheckpointDone reports the result of writing a checkpoint. The balances of a failed
+// write are queued again. Number 0 is ignored.
 func (l *Ledger) CheckpointDone(number uint64, written bool) {
 	if number == 0 {
 		return
@@ -144,8 +142,8 @@
 	}
 }
 
-// UnstoredUsage returns the most units of any budget that a kill now would grant
-// again.
+// UnstoredUsage returns the largest usage of any budget that is not stored yet, in units:
+// a kill now would grant it a second time. It is 0 without a store.
 func (l *Ledger) UnstoredUsage() (most Units) {
 	if l.settings.ReserveFraction <= 0 {
 		return 0
@@ -173,14 +171,14 @@
 	return balances
 }
 
-// maxClockAhead is how far a stored time may lie ahead of the clock and be
-// believed, so that a clock that was set back keeps the periods it knew. A time
-// further ahead was wrong when it was stored.
+// maxClockAhead is how far a stored time may be ahead of the clock to be used as the
+// latest time, so that a clock that was set back does not start periods again. A time
+// further ahead is taken to have been wrong when it was stored.
 const maxClockAhead balancer.Micros = 24 * 3600 * 1_000_000
 
-// RestoreBalances continues stored balances in a new ledger: what is stored counts
-// as used, if its period has not ended. After a kill levels begin at 0, so that no
-// burst is granted twice. It returns how many balances belong to a contract.
+// RestoreBalances loads stored balances into a new ledger. Stored usage counts as used
+// if its period has not ended. After a kill levels start at 0, so that no burst is
+// granted twice. It returns the number of balances that belong to a contract.
 func (l *Ledger) RestoreBalances(stored []Balance) (restored int) {
 	byTeam := l.accountsByTeam()
 	for i := range stored {
@@ -198,7 +196,7 @@
 		a.rollPeriods(l.latestUnix, l.settings.Location)
 		a.restoreBalance(&stored[i])
 		if a.predecessor != nil {
-			// Once it has begun, its balance includes what its predecessor used.
+			// If the predecessor has ended, the stored balance includes its usage.
 			a.inherited = !a.predecessor.inForce(l.latestUnix)
 		}
 		l.queueCheckpoint(a)
@@ -206,7 +204,7 @@
 	return restored
 }
 
-// restoreBalance continues a stored balance in an account.
+// restoreBalance sets an account's level, and the usage of periods that have not ended.
 func (a *account) restoreBalance(stored *Balance) {
 	a.level = 0
 	if stored.Clean {
--- a/internal/contract/charge.go
+++ b/internal/contract/charge.go
@@ -6,31 +6,31 @@
 	"archknot/balancer"
 )
 
-// Units are thousandths of the work of a token at price 1.
+// Units measure work: one unit is a thousandth of the cost of a token at price 1.
 type Units = int64
 
 // Usage is the work of a request, estimated or actual.
 type Usage struct{ PromptTokens, OutputTokens int }
 
-// Charge is the entry of one attempt in the ledger, from Ledger.Charge to
-// Ledger.Settle. The caller owns it, so that a charge needs no allocation.
+// Charge is the ledger entry of one attempt, open from Ledger.Charge to Ledger.Settle.
+// The caller owns it, so that charging does not allocate.
 type Charge struct {
-	account      *account // nil: nothing was charged, or it is settled
+	account      *account // nil: nothing was charged, or the charge is settled
 	Estimate     Usage    // the usage that was charged
 	class        string
 	price        Price // at the time of the charge
 	units        Units
-	overQuota    bool                         // it was admitted beyond the rate and is not part of the account's level
-	periodStarts [periodCount]balancer.Micros // the periods that it was charged in
-	quotaShare   float64                      // this gateway's share of the contract at the time of the charge
+	overQuota    bool                         // admitted beyond the rate, so that it was not taken off the account's level
+	periodStarts [periodCount]balancer.Micros // starts of the periods that it was charged to
+	quotaShare   float64                      // the account's quotaShare at the time of the charge
 }
 
-// Open reports whether something was charged that is not settled yet.
+// Open reports whether the charge was made and is not settled yet.
 func (c *Charge) Open() bool { return c.account != nil }
 
-// ActualUsage returns what an attempt used, by how it ended: nothing if it never
-// ran, and the estimate if it may have run and did not report its tokens. cached
-// are the prompt tokens that the replica had in its cache.
+// ActualUsage returns the usage of an attempt by its final status: none if the attempt
+// never ran, and the estimate if it may have run but did not report its tokens. cached is
+// the number of prompt tokens that the replica had in its cache; they are not charged.
 func (c *Charge) ActualUsage(status balancer.Status, prompt, cached, tokens int) Usage {
 	switch {
 	case status.NeverRan():
@@ -46,24 +46,26 @@
 	Rejected       bool
 	Reason         string          // one of the Reason constants, if rejected
 	RetryAfter     balancer.Micros // how long to wait before a retry; 0: a retry does not help
-	PriorityWeight float64         // the factor on the priority of its class
-	OverQuota      bool            // it competes beyond the rate, or beyond a soft limit
+	PriorityWeight float64         // factor on the priority of the request's class
+	OverQuota      bool            // admitted beyond the rate or beyond a soft limit
 }
 
-// Reasons of a rejection, as clients get them.
+// Reasons of a rejection, as sent to clients.
 const (
 	ReasonOverRate         = "over_rate"
 	ReasonBudgetSpent      = "budget_spent"
 	ReasonNoContract       = "no_contract"
 	ReasonNotInForce       = "contract_not_valid"
-	ReasonBalanceNotStored = "balance_not_kept" // a strict ledger waits for its store
+	ReasonBalanceNotStored = "balance_not_kept" // a strict ledger has not stored the balance yet
 )
 
-// notStoredRetryAfter is when a strict ledger expects its store to have caught up.
+// notStoredRetryAfter is the retry delay of requests that a strict ledger rejects until
+// its store has written the balance.
 const notStoredRetryAfter balancer.Micros = 1_000_000
 
-// Charge decides on a request, or on a further attempt of one, and charges it to
-// its team unless the contract rejects it. A charge must be settled once.
+// Charge decides on a request, or on a further attempt of a request, and charges it to
+// its team unless the contract rejects it. It resets charge first. Each open charge must
+// be settled once.
 func (l *Ledger) Charge(now balancer.Micros, tenant, class string, estimate Usage, charge *Charge) Verdict {
 	*charge = Charge{}
 	l.advance(now)
@@ -101,8 +103,8 @@
 	return verdict
 }
 
-// decideUnknownTenant decides on a request of a tenant without a contract. Nothing
-// is charged.
+// decideUnknownTenant decides on a request of a tenant without a contract. There is no
+// account to charge.
 func (l *Ledger) decideUnknownTenant(class string, estimate Usage) Verdict {
 	weight := l.settings.UnknownTenantWeight
 	if weight < 0 {
@@ -115,8 +117,8 @@
 	return Verdict{PriorityWeight: weight}
 }
 
-// rejectNotInForce rejects a request under a contract that has not begun, or has
-// ended.
+// rejectNotInForce rejects a request whose contract has not begun, or has ended without a
+// successor in force.
 func (a *account) rejectNotInForce(unix balancer.Micros) Verdict {
 	verdict := Verdict{Rejected: true, Reason: ReasonNotInForce}
 	if a.terms.From > unix {
@@ -125,7 +127,8 @@
 	return a.reject(verdict, 0)
 }
 
-// checkBudgets decides on a cost, in units of the entire fleet, by the budgets alone.
+// checkBudgets decides on a request by the budgets alone. cost is extrapolated to the
+// entire fleet.
 func (l *Ledger) checkBudgets(a *account, cost Units) Verdict {
 	verdict := Verdict{PriorityWeight: a.priorityWeight()}
 	waitsForStore := l.settings.Strict && l.settings.ReserveFraction > 0
@@ -147,18 +150,19 @@
 	return verdict
 }
 
-// funding is what pays for a charge, in units.
+// funding is how a charge is divided between the floor of its class and the account's
+// level, in units.
 type funding struct {
-	fromFloor float64 // of the floor of its class
-	fromLevel float64 // of the account's level
-	// overQuota: nothing pays for it, it competes beyond the rate. It takes nothing
-	// of what the rate earns, else a surge would keep its own team from its quota.
+	fromFloor float64
+	fromLevel float64
+	// overQuota: the charge is beyond the rate and takes nothing from floor or level.
+	// Otherwise requests of a surge would use up the units of the team's own quota.
 	overQuota bool
 }
 
-// fund finds what pays for a charge: the floor of its class, the level, units
-// borrowed from the pool, or nothing. A contract that is hard rejects what nothing
-// pays for: then shortfall, in units, is above 0.
+// fund takes the cost of a charge from the floor of its class, the level, and units
+// borrowed from the pool, in this order; without enough units the charge is over quota.
+// A shortfall above 0, in units, means that the contract is hard and rejects the request.
 func (l *Ledger) fund(a *account, class string, cost Units) (funds funding, shortfall float64) {
 	funds.fromFloor = math.Min(math.Max(0, a.floorLevels[class]), float64(cost))
 	funds.fromLevel = float64(cost) - funds.fromFloor
@@ -178,8 +182,8 @@
 	return funding{overQuota: true}, 0
 }
 
-// borrow moves units from the pool to an account, if the pool has them and the
-// contract allows it.
+// borrow moves units from the pool to an account if the pool has enough and the contract
+// allows it.
 func (l *Ledger) borrow(a *account, units float64) bool {
 	if units > l.borrowPool || a.terms.NoBorrow {
 		return false
--- a/internal/contract/contractpb/generate.go
+++ b/internal/contract/contractpb/generate.go
@@ -1,5 +1,5 @@
-// Package contractpb is the form of contracts and balances: in captures, in the
-// store, and as resources of a streamed configuration.
+// Package contractpb contains the protobuf messages of contracts and balances, as used in
+// captures, in the store of balances, and in the resources of a streamed configuration.
 package contractpb
 
 //go:generate protoc -I . --go_out=../../.. --go_opt=module=archknot contract.proto
--- a/internal/contract/demand.go
+++ b/internal/contract/demand.go
@@ -7,18 +7,18 @@
 )
 
 const (
-	// demandWindowSeconds is the time over which a team's demand is averaged, in seconds.
+	// demandWindowSeconds is the time constant of the mean of a team's demand.
 	demandWindowSeconds = 8.0
-	// demandInterval is how often it is averaged where the caller does not call
-	// UpdateDemand.
+	// demandInterval is how often the mean is updated if the caller does not call
+	// UpdateDemand more often.
 	demandInterval balancer.Micros = 1_000_000
-	// minDemandSeconds is the shortest time that a mean is taken over, in seconds.
+	// minDemandSeconds is the shortest time span of an update, to avoid a division by 0.
 	minDemandSeconds = 1e-3
 )
 
-// UpdateDemand averages the demand of all teams up to now. A caller that decides at
-// moments of its own, as the decision module does at its ticks, calls it at the
-// same moments.
+// UpdateDemand updates the mean demand of all teams. A caller that makes its own decisions
+// on demand at certain times, as the decision module does at its ticks, must call it at
+// the same times, or the decisions differ.
 func (l *Ledger) UpdateDemand(now balancer.Micros) {
 	l.advance(now)
 	for _, a := range l.accounts {
@@ -26,16 +26,15 @@
 	}
 }
 
-// updateDemand moves the mean demand towards what was requested since the last
-// update.
+// updateDemand adds the requests since the last update to the mean demand.
 func (a *account) updateDemand(now balancer.Micros) {
 	elapsed := math.Max(minDemandSeconds, inSeconds(now-a.demandUpdatedAt))
 	a.demandRate += math.Min(1, elapsed/demandWindowSeconds) * (a.demandSinceUpdate/elapsed - a.demandRate)
 	a.demandSinceUpdate, a.demandUpdatedAt = 0, now
 }
 
-// recordDemand adds a request to the demand, and reports whether recent demand is
-// a surge by the terms.
+// recordDemand adds a request to the demand, and reports whether the mean demand is above
+// the surge threshold of the terms.
 func (a *account) recordDemand(now balancer.Micros, cost Units) bool {
 	if a.terms.Surge <= 0 {
 		return false
--- a/internal/contract/doc.go
+++ b/internal/contract/doc.go
@@ -1,17 +1,16 @@
-// Package contract accounts for the contracts of teams that share a fleet: a rate
-// in units a second, floors for some classes of request, and budgets by calendar
-// period.
+// Package contract accounts for the contracts of teams that share a fleet. A contract has
+// a rate in units per second, floors (guaranteed rates) for some request classes, and
+// budgets by calendar period.
 //
-// A Ledger holds one account for each team, in the manner of a token bucket. A
-// request is charged an estimate when it is admitted (Ledger.Charge) and corrected
-// to what it used when it ends (Ledger.Settle). What idle accounts cannot save up
-// goes to a common pool that other teams may borrow from. A request beyond its
-// team's rate is not rejected but competes with a smaller priority weight, unless
-// its contract is marked hard.
+// A Ledger has one account per team, which works as a token bucket. A request is charged
+// an estimate when it is admitted (Ledger.Charge), which is replaced by its actual usage
+// when it ends (Ledger.Settle). Units that exceed the burst of an idle account go to a
+// common pool from which other teams may borrow. A request beyond its team's rate is not
+// rejected but gets a smaller priority weight, unless the contract is hard.
 //
-// The package does no I/O and reads no clock: the caller passes the time with each
-// call. A Ledger may be used by one goroutine at a time. The same calls in the same
-// order give the same state to the byte, which captures and their replay rely on.
+// The package does no I/O and reads no clock: the caller passes the time with each call.
+// A Ledger may be used by one goroutine at a time. The same calls in the same order give
+// the same state, byte for byte; captures and their replay rely on it.
 //
 // See docs/design/contracts.md.
 package contract
--- a/internal/contract/encode.go
+++ b/internal/contract/encode.go
@@ -12,7 +12,8 @@
 	pb "archknot/internal/contract/contractpb"
 )
 
-// ToProto returns a contract as captures and the streamed configuration have it.
+// ToProto encodes a contract for captures and the streamed configuration. Prices and
+// floors are sorted by class.
 func (t *Terms) ToProto() *pb.Terms {
 	out := &pb.Terms{
 		Team:      t.Team,
@@ -43,8 +44,7 @@
 	return out
 }
 
-// TermsFromProto returns the contract of a message. It is not validated: see
-// ValidateTerms.
+// TermsFromProto decodes a contract. It does not validate the contract: see ValidateTerms.
 func TermsFromProto(m *pb.Terms) Terms {
 	t := Terms{
 		Team:            m.GetTeam(),
@@ -81,17 +81,17 @@
 	return t
 }
 
-// Agreement is what was put in force at one time, as a capture records it.
+// Agreement is the settings and contracts that were put in force at one time, as recorded
+// in a capture.
 type Agreement struct {
 	Settings  Settings
 	Terms     []Terms
-	Unix      balancer.Micros // Unix time of the caller's clock at that moment
-	NewLedger bool            // a new ledger began with it, and with Balances
+	Unix      balancer.Micros // Unix time at which they were put in force
+	NewLedger bool            // a new ledger was created with them and with Balances
 	Balances  []Balance
 }
 
-// MarshalAgreement encodes what was put in force, for a capture. created says that
-// a new ledger began with it, and with the balances.
+// MarshalAgreement encodes an Agreement for a capture. created is its NewLedger field.
 func MarshalAgreement(s Settings, terms []Terms, unix balancer.Micros, created bool, balances []Balance) []byte {
 	m := &pb.Agreed{
 		Zone:    s.withDefaults().Location.String(),
@@ -111,15 +111,16 @@
 	return mustMarshal(m)
 }
 
-// UnmarshalAgreement decodes what MarshalAgreement encoded.
+// UnmarshalAgreement decodes the output of MarshalAgreement. It fails if the time zone is
+// unknown on this machine.
 func UnmarshalAgreement(text []byte) (*Agreement, error) {
 	var m pb.Agreed
 	if err := proto.Unmarshal(text, &m); err != nil {
-		return nil, fmt.Errorf("contracts: %w", err)
+		return nil, fmt.Errorf("decode recorded contracts: %w", err)
 	}
 	location, err := time.LoadLocation(m.GetZone())
 	if err != nil {
-		return nil, fmt.Errorf("contracts: %w", err)
+		return nil, fmt.Errorf("load time zone %q of recorded contracts: %w", m.GetZone(), err)
 	}
 	a := &Agreement{
 		Settings: Settings{
@@ -141,11 +142,11 @@
 	return a, nil
 }
 
-// mustMarshal encodes a message, the same message always to the same bytes.
+// mustMarshal encodes a message; equal messages give equal bytes.
 func mustMarshal(m proto.Message) []byte {
 	text, err := proto.MarshalOptions{Deterministic: true}.Marshal(m)
 	if err != nil {
-		panic(err) // ValidateTerms checked that names are UTF-8; nothing else can fail
+		panic(err) // encoding fails only on strings that are not UTF-8, and ValidateTerms has checked the names
 	}
 	return text
 }
--- a/internal/contract/ledger.go
+++ b/internal/contract/ledger.go
@@ -7,24 +7,24 @@
 	"archknot/balancer"
 )
 
-// Settings hold for all contracts of a Ledger.
+// Settings apply to all contracts of a Ledger.
 type Settings struct {
 	Location *time.Location // time zone of days and quarters; nil: UTC
-	// BorrowPoolSeconds bounds the pool that teams borrow from: it holds at most
-	// what all rates together earn in this many seconds.
+	// BorrowPoolSeconds bounds the pool that teams borrow from, in seconds of the sum of
+	// all rates.
 	BorrowPoolSeconds float64
-	// UnknownTenantWeight is the priority weight of a tenant without a contract;
-	// below 0 such tenants are rejected.
+	// UnknownTenantWeight is the priority weight of tenants without a contract. If it is
+	// negative, their requests are rejected.
 	UnknownTenantWeight float64
-	// ReserveFraction is the part of a budget that is written to the store as used
-	// before it is used: the most that a kill costs a team. 0: there is no store.
+	// ReserveFraction is the fraction of a budget that is stored as used before it is
+	// used. A kill costs a team at most this fraction. 0: there is no store.
 	ReserveFraction float64
-	// Strict rejects requests beyond what the store already counts as used, so that
-	// a failing disk together with a kill cannot grant a budget twice either.
+	// Strict rejects requests beyond the stored usage of a hard budget, so that a kill
+	// cannot grant the budget twice even if the disk fails.
 	Strict bool
 }
 
-// withDefaults returns the settings with a location.
+// withDefaults returns the settings with UTC if no location is set.
 func (s Settings) withDefaults() Settings {
 	if s.Location == nil {
 		s.Location = time.UTC
@@ -37,22 +37,22 @@
 	settings        Settings
 	accounts        []*account // in the order of the contracts
 	byTenant        map[string][]*account
-	borrowPool      float64 // units that idle accounts could not save up
+	borrowPool      float64 // units beyond the burst of idle accounts
 	borrowPoolMax   float64
 	now             balancer.Micros // on the caller's clock
 	unixNow         balancer.Micros // Unix time at now
 	lastAccrueAll   balancer.Micros
-	latestUnix      balancer.Micros // the latest Unix time seen: periods do not go back with the clock
+	latestUnix      balancer.Micros // the latest Unix time seen; it does not go back, so that no period starts again
 	outputMeans     map[string]*outputMean
 	notices         []BudgetNotice
 	checkpointQueue []*account // accounts whose balances must be written
-	lastCheckpoint  uint64     // number of the last checkpoint
-	totalRate       float64    // this gateway's shares of all rates, units a second
+	lastCheckpoint  uint64
+	totalRate       float64 // sum of this gateway's shares of all rates, in units per second
 	excess          excessLimiter
 }
 
-// NewLedger creates a ledger with contracts in force. now is the time on the
-// caller's clock that all later calls use, unix the Unix time at that moment. The
+// NewLedger creates a ledger with the given contracts. now is the current time on the
+// clock that the caller uses in all later calls, and unix the current Unix time. The
 // error is a TermsError.
 func NewLedger(s Settings, terms []Terms, now, unix balancer.Micros) (*Ledger, error) {
 	l := &Ledger{
@@ -71,7 +71,7 @@
 // Settings returns the settings in force.
 func (l *Ledger) Settings() Settings { return l.settings }
 
-// Terms returns the contracts in force, in their order.
+// Terms returns the contracts in the order in which they were applied.
 func (l *Ledger) Terms() []Terms {
 	out := make([]Terms, len(l.accounts))
 	for i, a := range l.accounts {
@@ -80,8 +80,8 @@
 	return out
 }
 
-// Team returns the name of the team whose contract covers a tenant's class, if
-// there is one.
+// Team returns the name of the team that requests of a tenant and class are charged to,
+// and whether there is one.
 func (l *Ledger) Team(tenant, class string) (string, bool) {
 	a := l.accountFor(tenant, class)
 	if a == nil {
@@ -90,9 +90,9 @@
 	return a.terms.Team, true
 }
 
-// accountFor returns the account that a tenant's class is charged to, nil if there
-// is none. An account in force goes before one that is not, and a contract that has
-// ended is replaced by its successor.
+// accountFor returns the account that requests of a tenant and class are charged to, nil
+// if there is none. It prefers contracts that are in force, and replaces a contract that
+// is not in force by the first of its successors that is.
 func (l *Ledger) accountFor(tenant, class string) *account {
 	var first *account
 	for _, a := range l.byTenant[tenant] {
@@ -111,30 +111,32 @@
 	return first
 }
 
-// outputMean is a moving average of the tokens of a class's answers.
+// outputMean is the moving average of the answer lengths of a class.
 type outputMean struct{ tokens float64 }
 
 const (
-	// maxOutputMeans bounds the classes whose answers are averaged.
+	// maxOutputMeans bounds the number of classes with a mean.
 	maxOutputMeans = 256
-	// outputMeanWeight is the divisor of the weight that one answer has in the mean.
-	outputMeanWeight = 32
-	// firstOutputFraction is the divisor of a request's limit that is expected of a
-	// class without answers yet.
-	firstOutputFraction = 4
+	// outputMeanDivisor: one answer has a weight of 1/outputMeanDivisor in the mean.
+	outputMeanDivisor = 32
+	// firstOutputDivisor: the expected output of a class without answers yet is the
+	// request's token limit divided by it.
+	firstOutputDivisor = 4
 )
 
-// Estimate returns the expected usage of a request: its prompt, and the recent mean
-// of its class's answers, or a quarter of its limit while there are none.
+// Estimate returns the expected usage of a request, in tokens: its prompt, and the mean
+// answer length of its class, at most limit. While the class has no answers yet, the
+// expected output is a quarter of limit.
 func (l *Ledger) Estimate(class string, prompt, limit int) Usage {
-	output := float64(limit) / firstOutputFraction
+	output := float64(limit) / firstOutputDivisor
 	if mean := l.outputMeans[class]; mean != nil {
 		output = math.Min(float64(limit), mean.tokens)
 	}
 	return Usage{PromptTokens: prompt, OutputTokens: int(output)}
 }
 
-// observeOutput adds an answer to the mean of its class.
+// observeOutput adds the length of an answer to the mean of its class. Further classes
+// beyond maxOutputMeans are ignored.
 func (l *Ledger) observeOutput(class string, tokens int) {
 	mean := l.outputMeans[class]
 	if mean == nil {
@@ -144,41 +146,41 @@
 		mean = &outputMean{tokens: float64(tokens)}
 		l.outputMeans[class] = mean
 	}
-	mean.tokens += (float64(tokens) - mean.tokens) / outputMeanWeight
+	mean.tokens += (float64(tokens) - mean.tokens) / outputMeanDivisor
 }
 
-// AccountStatus is the state of a team's account, as operators see it.
+// AccountStatus is the state of a team's account, as reported to operators.
 type AccountStatus struct {
 	Team       string                       `json:"Team"`
 	Level      Units                        `json:"Level"`
-	Open       int                          `json:"Open"`  // charges that are not settled
+	Open       int                          `json:"Open"`  // charges not yet settled
 	Used       [periodCount]Units           `json:"Used"`  // by Period
 	Ends       [periodCount]balancer.Micros `json:"Ends"`  // Unix time at which each period ends
-	Limit      [periodCount]Units           `json:"Limit"` // the hard limit, else the soft one; 0: none
-	QuotaShare float64                      `json:"Part"`  // this gateway's share of the contract
+	Limit      [periodCount]Units           `json:"Limit"` // by Period, the hard limit, or the soft limit if there is no hard one; 0: no budget
+	QuotaShare float64                      `json:"Part"`  // this gateway's fraction of the contract
 	InForce    bool                         `json:"Valid"`
 	Counters   Counters                     `json:"Count"`
 }
 
-// Counters sum up what a team requested since its account was opened: requests and
-// further attempts, and the units that they were estimated at.
+// Counters count a team's requests and further attempts, and their estimated units, since
+// its account was created.
 type Counters struct {
-	Admitted       int64 `json:"Taken"`   // with the contract's full priority weight
-	OverQuota      int64 `json:"Over"`    // with the weight beyond the rate
+	Admitted       int64 `json:"Taken"`   // at the contract's full priority weight
+	OverQuota      int64 `json:"Over"`    // admitted beyond the rate or a soft limit
 	Rejected       int64 `json:"Refused"` // by the contract
 	AdmittedUnits  Units `json:"TakenUnits"`
 	OverQuotaUnits Units `json:"OverUnits"`
 	RejectedUnits  Units `json:"RefusedUnits"`
-	Borrowed       Units `json:"Borrowed"` // from the pool of what others left idle
-	Used           Units `json:"Used"`     // as settled
+	Borrowed       Units `json:"Borrowed"` // from the pool
+	Used           Units `json:"Used"`     // actual usage of settled charges
 }
 
-// RequestedUnits returns all that was requested, in units.
+// RequestedUnits returns the estimated units of all requests, rejected ones included.
 func (c *Counters) RequestedUnits() Units {
 	return c.AdmittedUnits + c.OverQuotaUnits + c.RejectedUnits
 }
 
-// Accounts returns the state of all accounts, in the order of the contracts.
+// Accounts returns the state of all accounts in the order of the contracts.
 func (l *Ledger) Accounts() []AccountStatus {
 	out := make([]AccountStatus, len(l.accounts))
 	for i, a := range l.accounts {
--- a/internal/contract/limiter.go
+++ b/internal/contract/limiter.go
@@ -6,44 +6,48 @@
 	"archknot/balancer"
 )
 
-// excessLimiter bounds what is admitted beyond contracts once the fleet sheds
-// requests that are within them: a slow start to half of the rate that was too much
-// (Jacobson, 1988), from there an increase that grows with the time since the last
-// decrease (Ha, Rhee and Xu, "CUBIC", 2008), and a multiplicative decrease each time
-// (Chiu and Jain, 1989). It does not bound a fleet that serves everything.
+// excessLimiter limits the rate of requests beyond contracts once the fleet sheds requests
+// that are within them. The rate rises by slow start to half of the rate at which the
+// fleet shed (Jacobson, 1988), then faster the longer ago the last decrease was (Ha, Rhee
+// and Xu, "CUBIC", 2008), and is multiplied by a factor below 1 each time the fleet sheds
+// again (Chiu and Jain, 1989). Until the fleet sheds, the limiter is inactive.
 type excessLimiter struct {
 	active          bool
-	rate            float64 // units a second that it admits beyond contracts
-	slowStartTarget float64 // the rate up to which slow start goes
-	level           float64 // units that it may admit now
-	admittedRate    float64 // units a second that it admitted recently
+	rate            float64 // units per second that may be admitted
+	slowStartTarget float64 // rate at which slow start ends
+	level           float64 // units that may be admitted now
+	admittedRate    float64 // units per second that were admitted in about the last second
 	refilledAt      balancer.Micros
 	decreasedAt     balancer.Micros
 }
 
-// The factors named "of the total rate" are parts of the sum of all contracts' rates.
+// The total rate is the sum of this gateway's shares of all contracts' rates.
 const (
-	// limiterRetryAfter is the advice to requests that it rejects.
+	// limiterRetryAfter is the retry delay of requests that the limiter rejects, and the
+	// time for which a team does not lend to the pool after one of its requests was shed.
 	limiterRetryAfter balancer.Micros = 1_000_000
 	// limiterHoldDuration is how long nothing is admitted after a decrease, so that the
-	// replicas' queues empty first.
+	// queues of the replicas can drain.
 	limiterHoldDuration balancer.Micros = 300_000
-	// limiterInitialRate, of the total rate, is what slow start begins with.
+	// limiterInitialRate is the least growth of the rate per second during slow start, as a
+	// fraction of the total rate.
 	limiterInitialRate = 0.01
-	// limiterGrowth, of the total rate, is added to the rate each second beyond slow start.
+	// limiterGrowth is the least growth of the rate per second after slow start, as a
+	// fraction of the total rate.
 	limiterGrowth = 0.002
-	// limiterOpenThreshold, of the total rate, is the rate from which on it is inactive.
+	// limiterOpenThreshold is the rate above which the limiter becomes inactive, as a
+	// multiple of the total rate.
 	limiterOpenThreshold = 2.0
-	// limiterDecreaseFactor is what remains of the rate after a decrease.
+	// limiterDecreaseFactor multiplies the rate at each decrease.
 	limiterDecreaseFactor = 0.85
-	// limiterAdmittedMargin bounds the rate before a decrease to so many times what
-	// was admitted recently.
+	// limiterAdmittedMargin bounds the rate to this multiple of the recently admitted rate
+	// before a decrease.
 	limiterAdmittedMargin = 1.2
-	// limiterBurstSeconds is the time whose units may be saved up.
+	// limiterBurstSeconds bounds the level, in seconds of the rate.
 	limiterBurstSeconds = 0.2
 )
 
-// refill raises the rate, and the level by what it earned since the last time.
+// refill raises the rate and the level for the time since the last call.
 func (e *excessLimiter) refill(now balancer.Micros, totalRate float64) {
 	elapsed := inSeconds(now - e.refilledAt)
 	e.refilledAt = now
@@ -54,7 +58,7 @@
 	if e.rate < e.slowStartTarget {
 		e.rate = math.Min(e.slowStartTarget, e.rate+math.Max(e.rate, limiterInitialRate*totalRate)*elapsed)
 	} else {
-		sinceDecrease := inSeconds(now - e.decreasedAt) // the longer nothing was shed, the faster it grows
+		sinceDecrease := inSeconds(now - e.decreasedAt)
 		e.rate += limiterGrowth * totalRate * elapsed * (1 + sinceDecrease*sinceDecrease/4)
 	}
 	if e.rate > limiterOpenThreshold*totalRate {
@@ -64,9 +68,9 @@
 	e.level = math.Min(limiterBurstSeconds*e.rate, e.level+e.rate*elapsed)
 }
 
-// admit reports whether so many units beyond contracts are admitted, and takes them
-// off the level. A request that costs more than the level can reach is admitted at
-// the full level, which then is below 0.
+// admit reports whether a request beyond contracts is admitted, and takes its cost, in
+// units, off the level. A request that costs more than the maximum level is admitted
+// when the level is full, and the level becomes negative.
 func (e *excessLimiter) admit(cost float64) bool {
 	if e.active {
 		if e.level < math.Min(cost, limiterBurstSeconds*e.rate) || e.level <= 0 {
@@ -78,10 +82,11 @@
 	return true
 }
 
-// decrease cuts the rate after the fleet shed a request within its contract.
+// decrease reduces the rate after the fleet shed a request within its contract. A call
+// within limiterHoldDuration of the last decrease has no effect.
 func (e *excessLimiter) decrease(now balancer.Micros) {
 	if e.active && now < e.decreasedAt+limiterHoldDuration {
-		return // what was admitted before the last decrease is still being shed
+		return // the shed request may have been admitted before the last decrease
 	}
 	e.decreasedAt = now
 	if e.active {
--- a/internal/contract/mechanisms_test.go
+++ b/internal/contract/mechanisms_test.go
@@ -42,12 +42,12 @@
 type startTimeFairQueue struct {
 	rate, startTags []float64
 	virtualTime     float64
-	at              balancer.Micros
+	updatedAt       balancer.Micros
 }
 
 func (m *startTimeFairQueue) admitFullWeight(now balancer.Micros, team int, cost float64) bool {
-	remaining, totalRate := float64(now-m.at)/1e6, 0.0
-	m.at = now
+	remaining, totalRate := float64(now-m.updatedAt)/1e6, 0.0
+	m.updatedAt = now
 	for _, r := range m.rate {
 		totalRate += r
 	}
--- a/internal/contract/notice.go
+++ b/internal/contract/notice.go
@@ -1,7 +1,7 @@
 package contract
 
-// BudgetNotice reports that the usage of a budget has reached a percentage of its
-// limit.
+// BudgetNotice reports that the usage of a budget has reached a percentage of its limit,
+// which is the hard limit, or the soft limit if there is no hard one.
 type BudgetNotice struct {
 	Team        string
 	Period      Period
@@ -9,11 +9,11 @@
 	Used, Limit Units
 }
 
-// noticePercents are the percentages of a limit that are reported, once a period.
+// noticePercents are the percentages of a limit that are reported, each once per period.
 var noticePercents = [...]int{50, 80, 100}
 
-// recordNotices queues notices of the percentages that an account's budgets have
-// reached since the last call.
+// recordNotices queues a notice for each percentage that one of the account's budgets has
+// newly reached.
 func (l *Ledger) recordNotices(a *account) {
 	for i := range a.terms.Budgets {
 		budget := &a.terms.Budgets[i]
@@ -39,7 +39,7 @@
 	}
 }
 
-// TakeNotices returns the notices since the last call.
+// TakeNotices returns the notices since the last call, and removes them.
 func (l *Ledger) TakeNotices() []BudgetNotice {
 	notices := l.notices
 	l.notices = nil
--- a/internal/contract/period.go
+++ b/internal/contract/period.go
@@ -6,28 +6,27 @@
 	"archknot/balancer"
 )
 
-// Period is the kind of a budget's calendar period.
+// Period is the kind of a budget's calendar period: hour, day or quarter.
 type Period uint8
 
-// The kinds of periods. Their numbers are stored.
+// The kinds of periods. Their numbers are used in stored data.
 const (
 	Hour Period = iota
 	Day
-	Quarter // of the Australian business activity statement: July, October, January, April
+	Quarter // quarters begin in January, April, July and October, as for the Australian business activity statement
 
 	periodCount = 3
 )
 
-// monthsPerQuarter is the length of a Quarter.
 const monthsPerQuarter = 3
 
-// String returns a period's name in the settings.
+// String returns the period's name in the settings; an unknown kind has that of Quarter.
 func (p Period) String() string { return [...]string{"hour", "day", "quarter"}[min(p, Quarter)] }
 
-// Bounds returns the start and the end, in Unix time, of the period that a moment
-// lies in. Days and quarters are the calendar's in the location: a day on which the
-// clock changes has 23 or 25 hours. Hours are of elapsed time: an hour that the
-// clock shows twice is two.
+// Bounds returns the start and the end, in Unix time, of the period that contains a Unix
+// time. Days and quarters follow the calendar of the location: a day with a change to or
+// from daylight saving time has 23 or 25 hours. Hours are hours of Unix time, so that the
+// hour that is repeated at the end of daylight saving time counts as two.
 func (p Period) Bounds(unix balancer.Micros, location *time.Location) (start, end balancer.Micros) {
 	if p == Hour {
 		start = unix - floorMod(unix, time.Hour.Microseconds())
@@ -44,5 +43,5 @@
 	return midnight(first, 1), midnight(first+monthsPerQuarter, 1)
 }
 
-// floorMod is the remainder of a division that rounds down.
+// floorMod returns the remainder of a division rounded down: 0 or more for b above 0.
 func floorMod(a, b int64) int64 { return ((a % b) + b) % b }
--- a/internal/contract/settle.go
+++ b/internal/contract/settle.go
@@ -6,10 +6,10 @@
 	"archknot/balancer"
 )
 
-// Settle replaces the estimate of a charge by what was used, at the price of the
-// time of the charge. served says that the answer was served to its end: its length then
-// counts for estimates. It returns false, and does nothing, if there is nothing to
-// settle or the charge is settled already.
+// Settle replaces the estimate of a charge by its actual usage, at the price that was valid
+// at the time of the charge. If served, the answer was served to its end, and its length
+// is included in later estimates of its class. Settle returns false, and does nothing, if
+// the charge is not open.
 func (l *Ledger) Settle(now balancer.Micros, charge *Charge, used Usage, served bool) bool {
 	a := charge.account
 	if a == nil {
@@ -29,7 +29,7 @@
 	}
 	current := a
 	if a.successor != nil && a.successor.inherited {
-		current = a.successor // it has taken over the charges of the periods
+		current = a.successor // the usage of the periods has moved to the successor
 	}
 	current.correctPeriods(charge, difference)
 	if !a.retired {
@@ -41,14 +41,14 @@
 	return true
 }
 
-// clampLevel bounds a level to the burst, saved up or owed.
+// clampLevel limits a level to the range from -burst to burst.
 func (a *account) clampLevel(level float64) float64 {
 	return math.Max(-a.burst(), math.Min(a.burst(), level))
 }
 
-// correctPeriods adds what a charge used beyond its estimate to the periods that it
-// was charged in. A period that has ended since keeps the estimate: its sum has
-// been reported already.
+// correctPeriods adds the difference of actual and estimated usage to the periods that the
+// charge was made in. A period that has ended since keeps the estimate, because its usage
+// has been reported already.
 func (a *account) correctPeriods(charge *Charge, difference Units) {
 	correction := fleetWide(difference, charge.quotaShare)
 	for i := range a.periods {
@@ -58,11 +58,11 @@
 	}
 }
 
-// RecordShed records that the fleet, and not a contract, shed a request whose
-// charges are all settled. A request within its rate had its chance at full
-// priority: its estimate is taken off the level, or a surge that is shed would go
-// on competing as if it were within its rate. Budgets are not touched, because
-// nothing ran.
+// RecordShed records that the fleet, not a contract, shed a request whose charges are all
+// settled. Since a request within its rate competed at full priority, its estimate is
+// taken off the level; otherwise a surge that is shed would continue to compete as if it
+// were within its rate. Budgets do not change, because nothing ran. A request that was
+// over quota has no effect.
 func (l *Ledger) RecordShed(now balancer.Micros, tenant, class string, estimate Usage, overQuota bool) {
 	l.advance(now)
 	a := l.accountFor(tenant, class)
--- a/internal/contract/snapshot.go
+++ b/internal/contract/snapshot.go
@@ -12,19 +12,20 @@
 	pb "archknot/internal/contract/contractpb"
 )
 
-// OpenCharge is a charge that is not settled, under the key that its owner has for
-// it.
+// OpenCharge is a charge that is not settled yet, with the key by which its owner
+// identifies it.
 type OpenCharge struct {
 	Key    uint64
 	Charge *Charge
 }
 
-// retiredAccount is the index that a snapshot has for an account whose contract is
-// gone.
+// retiredAccount is the index in a snapshot that stands for any account whose contract was
+// removed.
 const retiredAccount = -1
 
-// Snapshot encodes the complete state of a ledger, without its terms and with the open
-// charges that its owner holds. Equal states give equal bytes.
+// Snapshot encodes the complete state of a ledger, without its terms, together with the
+// open charges, which their owner passes. It modifies the slice. Equal states give equal
+// bytes.
 func (l *Ledger) Snapshot(open []OpenCharge) []byte {
 	m := &pb.Book{
 		Pool:     l.borrowPool,
@@ -49,19 +50,19 @@
 	return mustMarshal(m)
 }
 
-// Restore decodes the ledger of a snapshot, with the contracts that were in force,
-// and its open charges by their keys.
+// Restore decodes a snapshot into a ledger, with the contracts that were in force when it
+// was taken, and into the open charges by their keys.
 func Restore(agreement *Agreement, text []byte) (*Ledger, map[uint64]*Charge, error) {
 	var m pb.Book
 	if err := proto.Unmarshal(text, &m); err != nil {
-		return nil, nil, fmt.Errorf("ledger snapshot: %w", err)
+		return nil, nil, fmt.Errorf("decode ledger snapshot: %w", err)
 	}
 	l, err := NewLedger(agreement.Settings, agreement.Terms, m.GetAtUs(), m.GetUnixUs())
 	if err != nil {
-		return nil, nil, fmt.Errorf("ledger snapshot: %w", err)
+		return nil, nil, fmt.Errorf("restore ledger snapshot: %w", err)
 	}
 	if len(m.GetAccounts()) != len(l.accounts) {
-		return nil, nil, fmt.Errorf("ledger snapshot: %d accounts of %d contracts", len(m.GetAccounts()), len(l.accounts))
+		return nil, nil, fmt.Errorf("restore ledger snapshot: found %d accounts, expected %d (one per contract)", len(m.GetAccounts()), len(l.accounts))
 	}
 	l.borrowPool, l.lastAccrueAll, l.latestUnix = m.GetPool(), m.GetSweptUs(), m.GetLatestUs()
 	l.lastCheckpoint, l.checkpointQueue = m.GetWritten(), nil
@@ -71,7 +72,7 @@
 	}
 	for i, a := range l.accounts {
 		if err := a.restore(m.GetAccounts()[i]); err != nil {
-			return nil, nil, fmt.Errorf("ledger snapshot: account %d: %w", i, err)
+			return nil, nil, fmt.Errorf("restore ledger snapshot: account %d of team %q: %w", i, a.terms.Team, err)
 		}
 		if a.checkpointQueued {
 			l.checkpointQueue = append(l.checkpointQueue, a)
@@ -80,7 +81,7 @@
 	l.recomputeTotals()
 	charges, err := l.chargesFromProto(m.GetOpen())
 	if err != nil {
-		return nil, nil, fmt.Errorf("ledger snapshot: %w", err)
+		return nil, nil, fmt.Errorf("restore ledger snapshot: %w", err)
 	}
 	return l, charges, nil
 }
@@ -140,10 +141,10 @@
 	return m
 }
 
-// restore sets an account's state, beside its terms, to that of a snapshot.
+// restore sets an account's state, apart from its terms, from a snapshot.
 func (a *account) restore(m *pb.Book_Account) error {
 	if share := m.GetPart(); len(m.GetSpans()) != periodCount || !(share > 0 && share <= 1) {
-		return fmt.Errorf("%d periods, part %v", len(m.GetSpans()), share)
+		return fmt.Errorf("found %d periods and quota share %v, expected %d periods and a share above 0 and at most 1", len(m.GetSpans()), share, periodCount)
 	}
 	a.accruedAt = m.GetAtUs()
 	a.level = m.GetLevel()
@@ -221,13 +222,13 @@
 	}
 }
 
-// chargesFromProto decodes open charges, by their keys.
+// chargesFromProto decodes open charges and returns them by their keys.
 func (l *Ledger) chargesFromProto(open []*pb.Book_Open) (map[uint64]*Charge, error) {
 	charges := make(map[uint64]*Charge, len(open))
 	for _, m := range open {
 		index := m.GetAccount()
 		if index >= int64(len(l.accounts)) || len(m.GetPeriodsUs()) != periodCount {
-			return nil, fmt.Errorf("a charge on account %d", index)
+			return nil, fmt.Errorf("open charge %d: found account %d and %d periods, expected an account below %d and %d periods", m.GetKey(), index, len(m.GetPeriodsUs()), len(l.accounts), periodCount)
 		}
 		c := &Charge{
 			Estimate:     Usage{PromptTokens: int(m.GetRead()), OutputTokens: int(m.GetMade())},
--- a/internal/contract/validate.go
+++ b/internal/contract/validate.go
@@ -7,13 +7,13 @@
 )
 
 const (
-	// maxNameBytes bounds the names of teams, tenants and classes.
+	// maxNameBytes bounds the length of the names of teams, tenants and classes.
 	maxNameBytes = 256
-	// maxRate bounds a rate, in units a second.
+	// maxRate bounds a rate, in units per second.
 	maxRate = 1e15
 )
 
-// TermsError reports a contract that cannot be put in force.
+// TermsError reports a contract with invalid terms, by its team.
 type TermsError struct {
 	Team    string
 	Problem string
@@ -22,13 +22,12 @@
 // Error returns the team and the problem.
 func (e *TermsError) Error() string { return fmt.Sprintf("contract %q: %s", e.Team, e.Problem) }
 
-// invalid returns the error of a contract.
 func (t *Terms) invalid(format string, args ...any) error {
 	return &TermsError{Team: t.Team, Problem: fmt.Sprintf(format, args...)}
 }
 
-// ValidateTerms returns a TermsError for the first contract of a list that cannot
-// be put in force together with the others.
+// ValidateTerms returns a TermsError for the first contract of a list that is invalid by
+// itself or together with the others.
 func ValidateTerms(terms []Terms) error {
 	teams := map[string]bool{}
 	for i := range terms {
@@ -44,7 +43,7 @@
 	return validateSuccessors(terms)
 }
 
-// validate checks one contract by itself.
+// validate checks one contract without regard to the others.
 func (t *Terms) validate() error {
 	for _, check := range []func() error{t.validateNumbers, t.validateNames, t.validateSurge, t.validateFloors, t.validatePrices, t.validateBudgets} {
 		if err := check(); err != nil {
@@ -126,8 +125,8 @@
 	return nil
 }
 
-// validateSuccessors checks that each successor is in force when its predecessor
-// ends, and has only that one.
+// validateSuccessors checks that each successor is in force when its predecessor ends, and
+// has only one predecessor.
 func validateSuccessors(terms []Terms) error {
 	byTeam := map[string]*Terms{}
 	for i := range terms {
@@ -150,8 +149,8 @@
 	return nil
 }
 
-// validateSuccessor checks a contract against its successor; nil: there is none of
-// that name.
+// validateSuccessor checks a contract against its successor, which is nil if no contract
+// has that name.
 func (t *Terms) validateSuccessor(successor *Terms) error {
 	switch {
 	case successor == nil || successor == t:
