--- a/internal/contract/ledger/writer.go
+++ b/internal/contract/ledger/writer.go
@@ -6,8 +6,8 @@
 	"archknot/internal/contract"
 )
 
-// Writer writes checkpoints one after another in a goroutine of its own, so that a
-// slow disk delays nobody. One checkpoint may wait while another is written.
+// Writer writes checkpoints one after another in a goroutine of its own, so that a slow
+// disk does not block the caller. One checkpoint may be queued while another is written.
 type Writer struct {
 	store     *Store
 	jobs      chan writeJob
@@ -15,14 +15,14 @@
 	onWritten func(number uint64, err error)
 }
 
-// writeJob is one checkpoint.
+// writeJob is a queued checkpoint.
 type writeJob struct {
 	number   uint64
 	balances []contract.Balance
 }
 
-// NewWriter starts the goroutine. It calls onWritten after each checkpoint, with its
-// number and the result.
+// NewWriter returns a Writer and starts its goroutine, which calls onWritten with the
+// number and the result of each checkpoint. The caller must call Close.
 func NewWriter(s *Store, onWritten func(number uint64, err error)) *Writer {
 	w := &Writer{store: s, jobs: make(chan writeJob, 1), onWritten: onWritten}
 	w.stopped.Add(1)
@@ -35,8 +35,8 @@
 	return w
 }
 
-// Write queues a checkpoint. It returns false, and does nothing, if another one waits
-// already.
+// Write queues a checkpoint. It returns false, and does nothing, if another one is queued
+// already. It must not be called after Close.
 func (w *Writer) Write(number uint64, balances []contract.Balance) bool {
 	select {
 	case w.jobs <- writeJob{number, balances}:
@@ -46,8 +46,8 @@
 	}
 }
 
-// Close waits until the queued checkpoints are written and ends the goroutine. The
-// store stays open.
+// Close waits until the queued checkpoints are written, then ends the goroutine. The store
+// stays open.
 func (w *Writer) Close() {
 	close(w.jobs)
 	w.stopped.Wait()
