--- a/internal/contract/split/estimate.go
+++ b/internal/contract/split/estimate.go
@@ -2,12 +2,12 @@
 
 import "math"
 
-// LocalEstimate estimates what each team uses at other gateways, and gives the
-// gateway the share that its own usage has of the sum. It can observe what all teams
-// together use elsewhere, because replicas report all their work. How that divides
-// among the teams it must infer from changes: what changes here and elsewhere at the
-// same time is attributed to the same team. It is a Kalman filter with one
-// observation, the sum, over states that vary as much as each team's own traffic.
+// LocalEstimate estimates each team's usage at other gateways. The gateway's share of a
+// contract is its own usage divided by the total. The usage of all teams together at other
+// gateways is observable, because replicas report all their work. Its division among the
+// teams is inferred from changes: a change in the total that coincides with a change of a
+// team's own usage is attributed to that team. The method is a Kalman filter with the sum
+// as its only observation, and states that vary as much as each team's own traffic.
 type LocalEstimate struct {
 	teams         []teamEstimate
 	ownInFlight   movingAverage
@@ -16,31 +16,30 @@
 
 // teamEstimate is the state of one team.
 type teamEstimate struct {
-	used      movingAverage // units a second at this gateway
-	previous  float64       // used, at the last observation
-	elsewhere float64       // estimated units a second at other gateways
+	used      movingAverage // units per second at this gateway
+	previous  float64       // used.value at the last observation
+	elsewhere float64       // estimated units per second at other gateways
 }
 
-// surplus returns what the team seems to use beyond its rate, below 0 if it is
-// within it.
+// surplus returns the team's estimated usage above its rate, negative if it is within the
+// rate.
 func (t *teamEstimate) surplus(rate float64) float64 { return t.used.value + t.elsewhere - rate }
 
 const (
-	// processNoise is how much a team's usage elsewhere may change by itself in a
+	// processNoise is the expected change of a team's usage at other gateways within a
 	// second, as a fraction of its usage.
 	processNoise = 0.02
-	// observationNoise is how far off the observed sum elsewhere may be, as a
-	// fraction of it.
+	// observationNoise is the expected error of the observed sum, as a fraction of it.
 	observationNoise = 0.05
-	// rebalanceRate is how much of what a team seems to use beyond its contract is
-	// attributed, in a second, to teams that seem to use less than theirs: most
-	// teams stay within their contracts most of the time.
+	// rebalanceRate is the fraction of the usage above contracts that is moved, per second,
+	// to the estimates of teams below their contracts. Most teams stay within their
+	// contracts most of the time, so usage above a contract is probably a wrong estimate.
 	rebalanceRate = 0.02
 )
 
 // Shares implements Strategy.
 func (e *LocalEstimate) Shares(o Observation) []float64 {
-	if len(e.teams) != len(o.Teams) { // other contracts are in force: start again
+	if len(e.teams) != len(o.Teams) { // the contracts have changed
 		e.teams = make([]teamEstimate, len(o.Teams))
 	}
 	elapsed := o.seconds()
@@ -61,7 +60,7 @@
 	return e.shares()
 }
 
-// observeUsage averages what each team used here, and returns the sum of all.
+// observeUsage updates the mean usage of each team at this gateway, and returns the sum.
 func (e *LocalEstimate) observeUsage(o *Observation) (sum float64) {
 	for i := range e.teams {
 		team := &e.teams[i]
@@ -72,14 +71,14 @@
 	return sum
 }
 
-// correct corrects the estimates by the observed sum of all teams' usage elsewhere.
-// ratio is that sum as a multiple of the usage here.
+// correct updates the estimates with sum, the observed usage of all teams at other
+// gateways. ratio is the sum divided by the usage at this gateway.
 func (e *LocalEstimate) correct(sum, ratio, elapsed float64) {
 	estimated := 0.0
 	for i := range e.teams {
 		estimated += e.teams[i].elsewhere
 	}
-	if estimated == 0 { // the first observation: each team is spread as all work is
+	if estimated == 0 { // the first observation: assume that each team is distributed as all work is
 		for i := range e.teams {
 			e.teams[i].elsewhere = e.teams[i].used.value * ratio
 		}
@@ -105,8 +104,8 @@
 	}
 }
 
-// rebalance attributes a little of what seems beyond contracts to teams that are
-// within theirs.
+// rebalance moves a part of the estimated usage above contracts to teams that are below
+// their contracts.
 func (e *LocalEstimate) rebalance(teams []TeamUsage, elapsed float64) {
 	excess, headroom := 0.0, 0.0
 	for i := range e.teams {
@@ -131,8 +130,8 @@
 	}
 }
 
-// shares returns the shares by the present estimates. A team without usage gets the
-// gateway's share of all work.
+// shares returns the shares by the current estimates. For a team without usage it is the
+// gateway's share of all work, and 1 before that is known.
 func (e *LocalEstimate) shares() []float64 {
 	shares := make([]float64, len(e.teams))
 	for i := range e.teams {
--- a/internal/contract/split/shared.go
+++ b/internal/contract/split/shared.go
@@ -2,29 +2,30 @@
 
 import "math"
 
-// Counters are shared among gateways that can communicate, by whatever transport.
+// Counters are counters of usage that several gateways share. The transport is up to the
+// implementation.
 type Counters interface {
-	// Add adds what was requested here of each team since the last call, in units a
-	// second and in the order of the contracts, and returns the sums over all
-	// gateways, this one included. On an error the gateway falls back to what it
-	// observes itself.
+	// Add reports the usage requested of this gateway since the last call, by team in the
+	// order of the contracts and in units per second. It returns the sums over all
+	// gateways, this one included. On an error the gateway uses its own observations.
 	Add(own []float64) (all []float64, err error)
 }
 
-// Shared goes by shared counters, and by a LocalEstimate while they are not
-// available.
+// Shared computes shares from shared counters, and from a LocalEstimate while the counters
+// are not available.
 type Shared struct {
 	Counters Counters
 	fallback LocalEstimate
 	failing  bool
 }
 
-// CountersFailing reports whether the counters were not available the last time.
+// CountersFailing reports whether the last call of Counters.Add failed or returned the
+// wrong number of sums.
 func (s *Shared) CountersFailing() bool { return s.failing }
 
 // Shares implements Strategy.
 func (s *Shared) Shares(o Observation) []float64 {
-	shares := s.fallback.Shares(o) // computed each time, so that it is ready when it is needed
+	shares := s.fallback.Shares(o) // updated each time, so that the estimate is current when the counters fail
 	elapsed := o.seconds()
 	if elapsed <= 0 {
 		return shares
--- a/internal/contract/split/split.go
+++ b/internal/contract/split/split.go
@@ -6,24 +6,23 @@
 	"archknot/balancer"
 )
 
-// TeamUsage is what a gateway observed of one team in an interval.
+// TeamUsage is the usage of one team at a gateway in an interval.
 type TeamUsage struct {
-	Rate      float64 // units a second of the entire contract
-	Requested float64 // units that were requested of this gateway
-	Used      float64 // units that were used of them
+	Rate      float64 // units per second of the entire contract
+	Requested float64 // units requested of this gateway, rejected requests included
+	Used      float64 // units used at this gateway
 }
 
-// Observation is what a gateway observed since its last one.
+// Observation is the usage and the load that a gateway observed in an interval.
 type Observation struct {
 	Interval balancer.Micros
 	Teams    []TeamUsage // in the order of the contracts
-	// OwnInFlight and FleetInFlight are the work in flight at the replicas: what
-	// this gateway sent, and what the replicas report of all gateways together.
+	// OwnInFlight is the work in flight at the replicas that this gateway sent, and
+	// FleetInFlight the work in flight there from all gateways, as the replicas report it.
 	// FleetInFlight 0: nothing was reported.
 	OwnInFlight, FleetInFlight float64
 }
 
-// seconds returns the length of the interval.
 func (o *Observation) seconds() float64 { return float64(o.Interval) / 1e6 }
 
 // Strategy computes a gateway's shares of the contracts.
@@ -33,9 +32,9 @@
 	Shares(o Observation) []float64
 }
 
-// Equal gives each gateway the same share. It is right where the load balancer in
-// front of the gateways spreads each team evenly, and wrong by as much as it does
-// not.
+// Equal gives each gateway the same share. It is correct if the load balancer in front of
+// the gateways distributes the requests of each team evenly; otherwise its error is as
+// large as the imbalance.
 type Equal struct{ Gateways int }
 
 // Shares implements Strategy.
@@ -43,7 +42,7 @@
 	return equalShares(o, 1/float64(max(1, e.Gateways)))
 }
 
-// equalShares returns the same share of all contracts.
+// equalShares returns the same share for all contracts.
 func equalShares(o Observation, share float64) []float64 {
 	shares := make([]float64, len(o.Teams))
 	for i := range shares {
@@ -52,8 +51,8 @@
 	return shares
 }
 
-// Proportional gives the gateway of each contract the share that it has of all
-// work. It is right where the load balancer skews all teams alike.
+// Proportional gives the gateway a share of each contract equal to its share of all work.
+// It is correct if the load balancer distributes all teams in the same way.
 type Proportional struct{ workShare movingAverage }
 
 // Shares implements Strategy.
@@ -67,19 +66,19 @@
 	return equalShares(o, p.workShare.value)
 }
 
-// smoothingSeconds is the time over which observations are averaged. Some shifts of
-// the load balancer are faster, but at hundreds of gateways each one sees only a few
-// requests of a team in a second.
+// smoothingSeconds is the time over which observations are averaged. The load balancer may
+// shift traffic faster, but with hundreds of gateways each one receives only a few requests
+// of a team per second, too few for a shorter average.
 const smoothingSeconds = 5.0
 
 // movingAverage is an exponential moving average that starts as a plain mean.
 type movingAverage struct {
 	value   float64
-	seconds float64 // observed, up to smoothingSeconds
+	seconds float64 // total length of the observed intervals, up to smoothingSeconds
 	started bool
 }
 
-// add adds the value of an interval.
+// add adds the mean value of an interval.
 func (a *movingAverage) add(value float64, interval balancer.Micros) {
 	elapsed := float64(interval) / 1e6
 	a.seconds = math.Min(smoothingSeconds, a.seconds+elapsed)
