--- a/internal/contract/encode.go
+++ b/internal/contract/encode.go
@@ -120,7 +120,7 @@
 	}
 	location, err := time.LoadLocation(m.GetZone())
 	if err != nil {
-		return nil, fmt.Errorf("load time zone %q of recorded contracts: %w", m.GetZone(), err)
+		return nil, fmt.Errorf("load time zone of recorded contracts: %w", err)
 	}
 	a := &Agreement{
 		Settings: Settings{
--- a/internal/contract/snapshot.go
+++ b/internal/contract/snapshot.go
@@ -72,7 +72,7 @@
 	}
 	for i, a := range l.accounts {
 		if err := a.restore(m.GetAccounts()[i]); err != nil {
-			return nil, nil, fmt.Errorf("restore ledger snapshot: account %d of team %q: %w", i, a.terms.Team, err)
+			return nil, nil, fmt.Errorf("restore ledger snapshot: account %d: %w", i, err)
 		}
 		if a.checkpointQueued {
 			l.checkpointQueue = append(l.checkpointQueue, a)
@@ -144,7 +144,7 @@
 // restore sets an account's state, apart from its terms, from a snapshot.
 func (a *account) restore(m *pb.Book_Account) error {
 	if share := m.GetPart(); len(m.GetSpans()) != periodCount || !(share > 0 && share <= 1) {
-		return fmt.Errorf("found %d periods and quota share %v, expected %d periods and a share above 0 and at most 1", len(m.GetSpans()), share, periodCount)
+		return fmt.Errorf("found %d periods and quota share %v, expected one period per kind and a share above 0 and at most 1", len(m.GetSpans()), share)
 	}
 	a.accruedAt = m.GetAtUs()
 	a.level = m.GetLevel()
@@ -228,7 +228,7 @@
 	for _, m := range open {
 		index := m.GetAccount()
 		if index >= int64(len(l.accounts)) || len(m.GetPeriodsUs()) != periodCount {
-			return nil, fmt.Errorf("open charge %d: found account %d and %d periods, expected an account below %d and %d periods", m.GetKey(), index, len(m.GetPeriodsUs()), len(l.accounts), periodCount)
+			return nil, fmt.Errorf("open charge on account %d: no such account, or not one period per kind", index)
 		}
 		c := &Charge{
 			Estimate:     Usage{PromptTokens: int(m.GetRead()), OutputTokens: int(m.GetMade())},
