--- a/internal/contract/apply_test.go
+++ b/internal/contract/apply_test.go
@@ -46,13 +46,13 @@
 	ledger.SetQuotaShares(3*second, []float64{0.5}) // the open charge keeps the share of 0.25
 	ledger.Settle(3*second, &c, Usage{OutputTokens: 50}, true)
 	if got := ledger.Accounts()[0]; got.Used[Hour] != 200*Token || got.Counters.Used != 50*Token {
-		t.Errorf("%+v", got)
+		t.Errorf("account after a change of the quota share: %+v", got)
 	}
 	l := &trafficLoad{tenant: "a", tokensPerSecond: 5000, tokensPerRequest: 10}
 	playLoads(ledger, 4*second, 3, l)
 	l.fullWeight = 0
 	if playLoads(ledger, 7*second, 10, l); l.fullWeight < 4900 || l.fullWeight > 5100 {
-		t.Errorf("%d tokens in ten seconds at half of 1000 a second", l.fullWeight)
+		t.Errorf("got %d tokens at full weight in 10 s, want about 5000 (half of 1000 per second)", l.fullWeight)
 	}
 	for _, shares := range [][]float64{{}, {0.1, 0.2}, {-1}, {2}} {
 		ledger.SetQuotaShares(20*second, shares)
--- a/internal/contract/balance_test.go
+++ b/internal/contract/balance_test.go
@@ -84,16 +84,16 @@
 			t.Fatal(err)
 		}
 		if restored.RestoreBalances(stored) != 1 {
-			t.Error("not restored")
+			t.Error("the balance was not restored")
 		}
 		if got := restored.Accounts()[0]; got.Used[Hour] != test.used || got.Level != 750*Token {
-			t.Errorf("after %v s: %+v", test.later/second, got)
+			t.Errorf("restored after %v s: %+v", test.later/second, got)
 		}
 	}
 	stored[0].Clean = false
 	restored := newTestLedger(t, a)
 	restored.RestoreBalances(stored)
 	if got := restored.Accounts()[0].Level; got != 0 {
-		t.Errorf("after a kill the level is %d", got)
+		t.Errorf("level after a kill: got %d, want 0", got)
 	}
 }
--- a/internal/contract/charge_test.go
+++ b/internal/contract/charge_test.go
@@ -20,7 +20,7 @@
 		alone.fullWeight = 0
 		playLoads(ledger, 6*second, 10, alone)
 		if got := float64(alone.fullWeight); got < test.low || got > test.high {
-			t.Errorf("no borrowing %v, at most %v: %v tokens in ten seconds", test.noBorrow, test.maxBorrow, got)
+			t.Errorf("NoBorrow %v, Borrow %v tokens per second: got %v tokens at full weight in 10 s", test.noBorrow, test.maxBorrow, got)
 		}
 	}
 }
--- a/internal/contract/encode.go
+++ b/internal/contract/encode.go
@@ -91,8 +91,8 @@
 	Balances  []Balance
 }
 
-// MarshalAgreement encodes an Agreement for a capture. created is its NewLedger field.
-func MarshalAgreement(s Settings, terms []Terms, unix balancer.Micros, created bool, balances []Balance) []byte {
+// MarshalAgreement encodes an Agreement for a capture. newLedger is its NewLedger field.
+func MarshalAgreement(s Settings, terms []Terms, unix balancer.Micros, newLedger bool, balances []Balance) []byte {
 	m := &pb.Agreed{
 		Zone:    s.withDefaults().Location.String(),
 		PoolS:   s.BorrowPoolSeconds,
@@ -100,7 +100,7 @@
 		Reserve: s.ReserveFraction,
 		Strict:  s.Strict,
 		UnixUs:  unix,
-		Fresh:   created,
+		Fresh:   newLedger,
 	}
 	for i := range terms {
 		m.Terms = append(m.Terms, terms[i].ToProto())
--- a/internal/contract/ledger/ledger_test.go
+++ b/internal/contract/ledger/ledger_test.go
@@ -131,7 +131,7 @@
 		t.Fatal(err)
 	}
 	if got, err := s.Load(); err != nil || len(got) != 1 || got[0] != balances[0] {
-		t.Errorf("%+v %v", got, err)
+		t.Errorf("loaded %+v, error %v", got, err)
 	}
 	s.Close()
 	if err := s.Write(balances); err == nil {
--- a/internal/contract/ledger_test.go
+++ b/internal/contract/ledger_test.go
@@ -127,7 +127,7 @@
 			if v.Rejected {
 				rejected++
 				if v.Reason != ReasonBudgetSpent || v.RetryAfter != 3600*second-now {
-					t.Fatalf("%+v at %d", v, now)
+					t.Fatalf("rejected with %+v at %d", v, now)
 				}
 				continue
 			}
@@ -193,7 +193,7 @@
 		{Quarter, "2026-12-31 23:59", 92*24 - 1}, {Quarter, "2027-01-01 00:00", 90 * 24}} {
 		from, to := c.p.Bounds(at(c.at), hobart)
 		if got := float64(to-from) / 3600e6; got != c.hours || from > at(c.at) || to <= at(c.at) {
-			t.Errorf("%v of %s has %v hours", c.p, c.at, got)
+			t.Errorf("%v that contains %s: got %v hours", c.p, c.at, got)
 		}
 	}
 	a := testTerms("a", 10)
@@ -231,13 +231,13 @@
 		t.Fatal(err)
 	}
 	if used := ledger.Accounts()[0].Used[Day]; used != 200*Token {
-		t.Errorf("used %d", used)
+		t.Errorf("used units before the charge was settled: got %d, want 200 tokens", used)
 	}
 	if !ledger.Settle(3*second, &c, Usage{PromptTokens: 100, OutputTokens: 80}, true) || ledger.Settle(3*second, &c, Usage{PromptTokens: 100, OutputTokens: 80}, true) {
 		t.Error("charge was not settled exactly once")
 	}
 	if used := ledger.Accounts()[0].Used[Day]; used != 260*Token {
-		t.Errorf("used %d", used)
+		t.Errorf("used units after the charge was settled: got %d, want 260 tokens", used)
 	}
 	if !ledger.Settle(3*second, &g, Usage{OutputTokens: 9}, true) {
 		t.Error("charge of a removed contract was not settled")
--- a/internal/contract/limiter.go
+++ b/internal/contract/limiter.go
@@ -29,9 +29,9 @@
 	// limiterHoldDuration is how long nothing is admitted after a decrease, so that the
 	// queues of the replicas can drain.
 	limiterHoldDuration balancer.Micros = 300_000
-	// limiterInitialRate is the least growth of the rate per second during slow start, as a
-	// fraction of the total rate.
-	limiterInitialRate = 0.01
+	// limiterMinSlowStartGrowth is the least growth of the rate per second during slow
+	// start, as a fraction of the total rate.
+	limiterMinSlowStartGrowth = 0.01
 	// limiterGrowth is the least growth of the rate per second after slow start, as a
 	// fraction of the total rate.
 	limiterGrowth = 0.002
@@ -56,7 +56,7 @@
 		return
 	}
 	if e.rate < e.slowStartTarget {
-		e.rate = math.Min(e.slowStartTarget, e.rate+math.Max(e.rate, limiterInitialRate*totalRate)*elapsed)
+		e.rate = math.Min(e.slowStartTarget, e.rate+math.Max(e.rate, limiterMinSlowStartGrowth*totalRate)*elapsed)
 	} else {
 		sinceDecrease := inSeconds(now - e.decreasedAt)
 		e.rate += limiterGrowth * totalRate * elapsed * (1 + sinceDecrease*sinceDecrease/4)
--- a/internal/contract/limiter_test.go
+++ b/internal/contract/limiter_test.go
@@ -48,9 +48,9 @@
 		}
 		spare := min(capacity, 46_000) - 10_000
 		if got := float64(overQuota) / 30; shed*200 > within || got < 0.7*spare || got > spare+50 {
-			t.Errorf("capacity %v: %d of %d within contracts were shed; %.0f tokens a second beyond them, %.0f to spare", capacity, shed, within, got, spare)
+			t.Errorf("capacity %v: %d of %d requests within contracts were shed; served %.0f tokens per second beyond contracts, spare capacity %.0f", capacity, shed, within, got, spare)
 		} else {
-			t.Logf("capacity %v: %d of %d within contracts were shed; %.0f tokens a second beyond them, %.0f to spare", capacity, shed, within, got, spare)
+			t.Logf("capacity %v: %d of %d requests within contracts were shed; served %.0f tokens per second beyond contracts, spare capacity %.0f", capacity, shed, within, got, spare)
 		}
 	}
 }
@@ -74,7 +74,7 @@
 	for i := range 300_000 {
 		v := ledger.Charge(second+balancer.Micros(i)*10, fmt.Sprint("nobody", i), fmt.Sprint("class", i), Usage{OutputTokens: 10}, &c)
 		if v.PriorityWeight != 0.05 || c.Open() {
-			t.Fatalf("%+v", v)
+			t.Fatalf("unknown tenant: got %+v, want weight 0.05 and no open charge", v)
 		}
 		ledger.Settle(second, &c, Usage{OutputTokens: 10}, true)
 	}
--- a/internal/contract/mechanisms_test.go
+++ b/internal/contract/mechanisms_test.go
@@ -225,6 +225,6 @@
 	}
 	f := rows["4 buckets with a pool"]
 	if f.surge > 0.03 || f.singleTeam < 0.98 || f.returning > 0.02 {
-		t.Errorf("%+v", f)
+		t.Errorf("figures of Ledger out of bounds: %+v", f)
 	}
 }
--- a/internal/contract/split/fleet_test.go
+++ b/internal/contract/split/fleet_test.go
@@ -63,8 +63,8 @@
 	rate := float64(max(200, 10*n)) * tokensPerRequest
 	fleet := &simulatedFleet{fullWeight: []float64{0, 0, 0}, requested: []float64{0, 0, 0}}
 	var terms []contract.Terms
-	for t := range teamCount {
-		terms = append(terms, contract.Terms{Team: fmt.Sprint(t), Tenants: []string{fmt.Sprint(t)}, Rate: rate * float64(contract.Token),
+	for team := range teamCount {
+		terms = append(terms, contract.Terms{Team: fmt.Sprint(team), Tenants: []string{fmt.Sprint(team)}, Rate: rate * float64(contract.Token),
 			Burst: contract.Units(rate) * contract.Token, OverQuotaWeight: 0.05})
 	}
 	for i := range n {
@@ -79,28 +79,28 @@
 	const seconds, surgeAt = 150, 60
 	for s := range seconds {
 		sent := make([]float64, n)
-		for t := range teamCount {
+		for team := range teamCount {
 			demand := 0.9 * rate
 			if s >= surgeAt { // the other teams use all of their rates, so that the pool stays empty
-				if demand = 1.1 * rate; t == 0 {
+				if demand = 1.1 * rate; team == 0 {
 					demand = surge * rate
 				}
 			}
 			weights, sum := make([]float64, n), 0.0
 			for g := range n {
-				weights[g] = split(float64(s), t, g, n)
+				weights[g] = split(float64(s), team, g, n)
 				sum += weights[g]
 			}
 			for g := range n {
 				for k := poisson(rng, demand/tokensPerRequest*weights[g]/sum); k > 0; k-- {
 					now := balancer.Micros((float64(s) + rng.Float64()) * 1e6)
 					var c contract.Charge
-					v := fleet.ledgers[g].Charge(now, terms[t].Team, "", contract.Usage{OutputTokens: tokensPerRequest}, &c)
+					v := fleet.ledgers[g].Charge(now, terms[team].Team, "", contract.Usage{OutputTokens: tokensPerRequest}, &c)
 					ran := v.PriorityWeight == 1 || !v.Rejected && rng.IntN(2) == 0
 					if v.PriorityWeight == 1 {
-						fleet.fullWeight[t] += tokensPerRequest
+						fleet.fullWeight[team] += tokensPerRequest
 					}
-					fleet.requested[t] += tokensPerRequest
+					fleet.requested[team] += tokensPerRequest
 					if ran {
 						sent[g] += tokensPerRequest
 						fleet.ledgers[g].Settle(now, &c, contract.Usage{OutputTokens: tokensPerRequest}, true)
@@ -113,20 +113,20 @@
 		all := 0.0
 		for g := range n {
 			fleet.inFlight[g] = append(fleet.inFlight[g][1:], sent[g])
-			for _, h := range fleet.inFlight[g] {
-				all += h
+			for _, work := range fleet.inFlight[g] {
+				all += work
 			}
 		}
 		for g, ledger := range fleet.ledgers {
 			own := 0.0
-			for _, h := range fleet.inFlight[g] {
-				own += h
+			for _, work := range fleet.inFlight[g] {
+				own += work
 			}
 			observation := Observation{Interval: 1_000_000, OwnInFlight: own, FleetInFlight: all}
-			for t, a := range ledger.Accounts() {
+			for team, a := range ledger.Accounts() {
 				counters := a.Counters
-				previous := &fleet.previousCounters[g][t]
-				observation.Teams = append(observation.Teams, TeamUsage{Rate: terms[t].Rate, Requested: float64(counters.RequestedUnits() - previous.RequestedUnits()), Used: float64(counters.Used - previous.Used)})
+				previous := &fleet.previousCounters[g][team]
+				observation.Teams = append(observation.Teams, TeamUsage{Rate: terms[team].Rate, Requested: float64(counters.RequestedUnits() - previous.RequestedUnits()), Used: float64(counters.Used - previous.Used)})
 				*previous = counters
 			}
 			ledger.SetQuotaShares(balancer.Micros(s+1)*1_000_000, fleet.strategies[g].Shares(observation))
@@ -134,16 +134,16 @@
 		// Errors are measured over windows of 10 s, from 30 s until the surge, and from 20 s
 		// after the start of the surge.
 		if s%10 == 9 {
-			for t := range teamCount {
-				expected := min(fleet.requested[t], 10*rate)
-				err := math.Abs(fleet.fullWeight[t]-expected) / (10 * rate)
+			for team := range teamCount {
+				expected := min(fleet.requested[team], 10*rate)
+				err := math.Abs(fleet.fullWeight[team]-expected) / (10 * rate)
 				switch {
 				case s >= 30 && s < surgeAt:
 					errs[0] = math.Max(errs[0], err)
 				case s >= surgeAt+20:
 					errs[1] = math.Max(errs[1], err)
 				}
-				fleet.fullWeight[t], fleet.requested[t] = 0, 0
+				fleet.fullWeight[team], fleet.requested[team] = 0, 0
 			}
 		}
 	}
