--- a/internal/contract/demand_test.go
+++ b/internal/contract/demand_test.go
@@ -7,7 +7,8 @@
 	"archknot/balancer"
 )
 
-// floors; one that stays within its rate does not.
+// All requests of a team in a surge compete beyond its rate, except those within its
+// floors. A team within its rate is not affected.
 func TestSurge(t *testing.T) {
 	a := testTerms("a", 1000)
 	a.Surge, a.Floors = 1.25, map[string]float64{"agent": 100 * float64(Token)}
@@ -15,31 +16,33 @@
 	bulk, agent := &trafficLoad{tenant: "a", class: "bulk", tokensPerSecond: 900, tokensPerRequest: 30}, &trafficLoad{tenant: "a", class: "agent", tokensPerSecond: 90, tokensPerRequest: 30}
 	playLoads(ledger, second, 20, bulk, agent)
 	if bulk.overQuota+agent.overQuota > 0 {
-		t.Errorf("within its rate %d and %d tokens competed beyond it", bulk.overQuota, agent.overQuota)
+		t.Errorf("team within its rate: %d bulk and %d agent tokens were over quota, want 0", bulk.overQuota, agent.overQuota)
 	}
 	bulk.tokensPerSecond = 4000
 	playLoads(ledger, 21*second, 20, bulk, agent)
 	bulk.fullWeight, agent.overQuota = 0, 0
 	playLoads(ledger, 41*second, 10, bulk, agent)
 	if bulk.fullWeight > 0 || agent.overQuota > 0 {
-		t.Errorf("in a surge %d tokens competed in full, and %d of the floor beyond", bulk.fullWeight, agent.overQuota)
+		t.Errorf("surge: %d bulk tokens at full weight and %d agent tokens over quota, want 0", bulk.fullWeight, agent.overQuota)
 	}
 }
 
-// by it.
-func TestSurgeStepsWithTheModule(t *testing.T) {
-	const quota, gateways, span = 11.0, 3.0, 8.0
+// A ledger whose demand is updated at the ticks of the decision module makes the same
+// decision on each request as the module's own quota. With updates at other times, about 2%
+// of the decisions differed, which cost the standard days of the simulator 0.016.
+func TestSurgeMatchesModuleQuota(t *testing.T) {
+	const quota, gateways, windowSeconds = 11.0, 3.0, 8.0
 	a := testTerms("a", 1)
 	a.Rate, a.Burst, a.Surge = 1.25*quota*float64(Token), Units(1e6*quota*float64(Token)), 1
 	ledger := newTestLedger(t, a)
 	ledger.SetQuotaShares(second, []float64{1 / gateways})
 	rng := rand.New(rand.NewPCG(7, 7))
-	usage, since, last, over, n := 0.0, 0.0, second, 0, 0
+	moduleUsage, sinceTick, lastTick, overQuota, requests := 0.0, 0.0, second, 0, 0
 	for now := second; now < 120*second; now += 2000 + 2000*balancer.Micros(rng.IntN(40)) {
-		if now-last >= 250_000 { // the module's tick
-			dt := float64(now-last) / 1e6
-			usage += dt / span * (since/dt - usage)
-			since, last = 0, now
+		if now-lastTick >= 250_000 { // the module's tick
+			elapsed := float64(now-lastTick) / 1e6
+			moduleUsage += elapsed / windowSeconds * (sinceTick/elapsed - moduleUsage)
+			sinceTick, lastTick = 0, now
 			ledger.UpdateDemand(now)
 		}
 		chance := 0.08
@@ -49,18 +52,18 @@
 		if rng.Float64() > chance {
 			continue
 		}
-		since++
+		sinceTick++
 		var c Charge
 		v := ledger.Charge(now, "a", "chat", Usage{OutputTokens: 1}, &c)
 		ledger.Settle(now, &c, Usage{OutputTokens: 1}, false)
-		if own := usage > 1.25*quota/gateways; v.OverQuota != own {
-			t.Fatalf("at %d: beyond %t by the contract, %t by the quota", now, v.OverQuota, own)
-		} else if own {
-			over++
+		if moduleOverQuota := moduleUsage > 1.25*quota/gateways; v.OverQuota != moduleOverQuota {
+			t.Fatalf("at %d: over quota: %t by the contract, %t by the quota of the module", now, v.OverQuota, moduleOverQuota)
+		} else if moduleOverQuota {
+			overQuota++
 		}
-		n++
+		requests++
 	}
-	if over < n/10 || over > n*9/10 {
-		t.Fatalf("%d of %d beyond: this shows nothing", over, n)
+	if overQuota < requests/10 || overQuota > requests*9/10 {
+		t.Fatalf("%d of %d requests over quota: too few or too many to compare decisions", overQuota, requests)
 	}
 }
--- a/internal/contract/mechanisms_test.go
+++ b/internal/contract/mechanisms_test.go
@@ -9,25 +9,24 @@
 	"archknot/balancer"
 )
 
-// The mechanisms that were weighed, each in the form that a gateway without a
-// queue could use: a request is admitted at full weight at once, or it is not.
-
-// admissionMechanism shares so many units a second among teams.
+// admissionMechanism divides a rate among teams. The implementations are the alternatives
+// that are compared, each in the form that a gateway without a queue can use: a request is
+// admitted at full weight at once, or not at all.
 type admissionMechanism interface {
 	admitFullWeight(now balancer.Micros, team int, cost float64) bool
 }
 
-// tokenBuckets are token buckets without lending.
+// tokenBuckets has a token bucket per team, without borrowing.
 type tokenBuckets struct {
 	rate, level []float64
-	at          balancer.Micros
+	updatedAt   balancer.Micros
 }
 
 func (m *tokenBuckets) admitFullWeight(now balancer.Micros, team int, cost float64) bool {
-	dt := float64(now-m.at) / 1e6
-	m.at = now
+	elapsed := float64(now-m.updatedAt) / 1e6
+	m.updatedAt = now
 	for i := range m.level {
-		m.level[i] = math.Min(m.rate[i], m.level[i]+m.rate[i]*dt)
+		m.level[i] = math.Min(m.rate[i], m.level[i]+m.rate[i]*elapsed)
 	}
 	if m.level[team] < cost {
 		return false
@@ -36,58 +35,58 @@
 	return true
 }
 
-// startTimeFairQueue is start-time fair queuing as admission: a request is admitted while
-// its team's start tag is less than a second ahead of the virtual time, which runs the
-// faster the fewer teams have tags ahead of it.
+// startTimeFairQueue is start-time fair queuing as admission control: a request is admitted
+// while its team's start tag is at most a second ahead of the virtual time. The virtual time
+// runs faster, the fewer teams have tags ahead of it.
 type startTimeFairQueue struct {
-	rate, tag []float64
-	v         float64
-	at        balancer.Micros
+	rate, startTags []float64
+	virtualTime     float64
+	updatedAt       balancer.Micros
 }
 
 func (m *startTimeFairQueue) admitFullWeight(now balancer.Micros, team int, cost float64) bool {
-	left, all := float64(now-m.at)/1e6, 0.0
-	m.at = now
+	remaining, totalRate := float64(now-m.updatedAt)/1e6, 0.0
+	m.updatedAt = now
 	for _, r := range m.rate {
-		all += r
+		totalRate += r
 	}
-	for left > 1e-12 { // piece by piece, as teams fall behind the virtual time
-		busy, next := 0.0, math.Inf(1)
-		for i, t := range m.tag {
-			if t > m.v {
-				busy += m.rate[i]
-				next = math.Min(next, t-m.v)
+	for remaining > 1e-12 { // one step up to the next start tag that the virtual time reaches
+		busyRate, untilNextTag := 0.0, math.Inf(1)
+		for i, t := range m.startTags {
+			if t > m.virtualTime {
+				busyRate += m.rate[i]
+				untilNextTag = math.Min(untilNextTag, t-m.virtualTime)
 			}
 		}
-		if busy == 0 {
-			m.v += left
+		if busyRate == 0 {
+			m.virtualTime += remaining
 			break
 		}
-		step := math.Min(left, next*busy/all)
-		m.v += step * all / busy
-		left -= step
+		step := math.Min(remaining, untilNextTag*busyRate/totalRate)
+		m.virtualTime += step * totalRate / busyRate
+		remaining -= step
 	}
-	start := math.Max(m.v, m.tag[team])
-	if start > m.v+1 {
+	start := math.Max(m.virtualTime, m.startTags[team])
+	if start > m.virtualTime+1 {
 		return false
 	}
-	m.tag[team] = start + cost/m.rate[team]
+	m.startTags[team] = start + cost/m.rate[team]
 	return true
 }
 
-// deficitRoundRobin is deficit round robin as admission: every tenth of a second each team
-// gets its quantum, and what teams that requested less left of theirs goes to those
-// that were rejected, by their weights. A deficit is bounded to a second.
+// deficitRoundRobin is deficit round robin as admission control: every 100 ms each team gets
+// its quantum, and unused quanta go to the teams with rejected requests, by their weights.
+// A team accumulates at most one second of its rate.
 type deficitRoundRobin struct {
 	rate, level []float64
-	wanted      []bool
-	round       balancer.Micros
+	rejected    []bool
+	lastRound   balancer.Micros
 }
 
 func (m *deficitRoundRobin) admitFullWeight(now balancer.Micros, team int, cost float64) bool {
-	const every = 100_000
-	for now-m.round >= every {
-		m.round += every
+	const roundInterval = 100_000
+	for now-m.lastRound >= roundInterval {
+		m.lastRound += roundInterval
 		spare, weights := 0.0, 0.0
 		for i, r := range m.rate {
 			m.level[i] += r / 10
@@ -95,26 +94,26 @@
 				spare += over
 				m.level[i] = r
 			}
-			if m.wanted[i] {
+			if m.rejected[i] {
 				weights += r
 			}
 		}
 		for i, r := range m.rate {
-			if m.wanted[i] && weights > 0 {
+			if m.rejected[i] && weights > 0 {
 				m.level[i] += spare * r / weights
 			}
-			m.wanted[i] = false
+			m.rejected[i] = false
 		}
 	}
 	if m.level[team] < cost {
-		m.wanted[team] = true
+		m.rejected[team] = true
 		return false
 	}
 	m.level[team] -= cost
 	return true
 }
 
-// pooledBuckets is the mechanism that was chosen: Ledger.
+// pooledBuckets is the mechanism of Ledger.
 type pooledBuckets struct{ ledger *Ledger }
 
 func (m pooledBuckets) admitFullWeight(now balancer.Micros, team int, cost float64) bool {
@@ -134,12 +133,12 @@
 		terms = append(terms, testTerms(teamNames[i], r))
 		level[i] = r
 	}
-	again := func() []float64 { return append([]float64(nil), level...) }
-	return map[string]admissionMechanism{"1 buckets": &tokenBuckets{rate: rate, level: again()}, "2 fair time": &startTimeFairQueue{rate: rate, tag: make([]float64, len(rate))},
-		"3 deficit": &deficitRoundRobin{rate: rate, level: again(), wanted: make([]bool, len(rate))}, "4 buckets with a pool": pooledBuckets{newTestLedger(tb, terms...)}}
+	copyLevels := func() []float64 { return append([]float64(nil), level...) }
+	return map[string]admissionMechanism{"1 buckets": &tokenBuckets{rate: rate, level: copyLevels()}, "2 fair time": &startTimeFairQueue{rate: rate, startTags: make([]float64, len(rate))},
+		"3 deficit": &deficitRoundRobin{rate: rate, level: copyLevels(), rejected: make([]bool, len(rate))}, "4 buckets with a pool": pooledBuckets{newTestLedger(tb, terms...)}}
 }
 
-// teamTraffic is one team's traffic: tokens a second by time, and tokens a request.
+// teamTraffic is the traffic of one team, with its rate as a function of the time in seconds.
 type teamTraffic struct {
 	tokensPerSecond  func(s float64) float64
 	tokensPerRequest float64
@@ -147,8 +146,8 @@
 
 func constantRate(v float64) func(float64) float64 { return func(float64) float64 { return v } }
 
-// playTraffic sends Poisson traffic and returns the tokens that were admitted at full
-// weight and those that were requested, by team and second.
+// playTraffic generates Poisson traffic, and returns the tokens admitted at full weight and
+// the requested tokens, by team and second.
 func playTraffic(m admissionMechanism, seed uint64, seconds int, traffic [3]teamTraffic) (admitted, requested [3][]float64) {
 	rng := rand.New(rand.NewPCG(seed, 9))
 	var next [3]float64
@@ -186,13 +185,14 @@
 	return sum
 }
 
-// The figures of docs/measurements/contracts.md, "Mechanisms": how far a surge's
-// quota is off, how much of the total one busy team gets, how much a team that comes
-// back lacks in its first two seconds, what a team at 0.9 of its rate is rejected by
-// chance, and by requests of what a rate earns in a third of a second.
+// Computes the figures of docs/measurements/contracts.md, "Mechanisms": the error of a
+// surging team's quota; the fraction of the total rate that a single busy team gets; the
+// shortfall of a returning team in its first two seconds; the fraction rejected by chance
+// when all teams request 0.9 of their rates; and the error of a surging team's quota with
+// requests that each cost about a third of a second of its rate.
 func TestMechanisms(t *testing.T) {
 	rate := []float64{4000, 3000, 3000}
-	type figures struct{ surge, alone, back, chance, dear, cost float64 }
+	type figures struct{ surge, singleTeam, returning, rejectedByChance, largeRequests, nsPerRequest float64 }
 	rows := map[string]figures{}
 	for name := range mechanisms(t, rate) {
 		var f figures
@@ -202,29 +202,29 @@
 			f.surge = math.Max(f.surge, math.Abs(total(admitted[0][w:w+10])/40_000-1))
 		}
 		admitted, _ = playTraffic(m(), 2, 30, [3]teamTraffic{{constantRate(30_000), 50}, {constantRate(0), 50}, {constantRate(0), 50}})
-		f.alone = total(admitted[0][5:]) / 250_000
+		f.singleTeam = total(admitted[0][5:]) / 250_000
 		admitted, requested := playTraffic(m(), 3, 30, [3]teamTraffic{{constantRate(40_000), 50}, {func(s float64) float64 {
 			if s < 20 {
 				return 0
 			}
 			return 3000
 		}, 50}, {constantRate(3000), 50}})
-		f.back = 1 - total(admitted[1][20:22])/math.Min(6000, total(requested[1][20:22]))
+		f.returning = 1 - total(admitted[1][20:22])/math.Min(6000, total(requested[1][20:22]))
 		admitted, requested = playTraffic(m(), 4, 60, [3]teamTraffic{{constantRate(3600), 50}, {constantRate(2700), 50}, {constantRate(2700), 50}})
-		f.chance = 1 - (total(admitted[0])+total(admitted[1])+total(admitted[2]))/(total(requested[0])+total(requested[1])+total(requested[2]))
+		f.rejectedByChance = 1 - (total(admitted[0])+total(admitted[1])+total(admitted[2]))/(total(requested[0])+total(requested[1])+total(requested[2]))
 		admitted, _ = playTraffic(m(), 5, 65, [3]teamTraffic{{constantRate(40_000), 1300}, {constantRate(3000), 50}, {constantRate(3000), 50}})
-		f.dear = math.Abs(total(admitted[0][5:])/240_000 - 1)
-		busy, begin, n := m(), time.Now(), 0
+		f.largeRequests = math.Abs(total(admitted[0][5:])/240_000 - 1)
+		mechanism, begin, n := m(), time.Now(), 0
 		for ; n < 200_000; n++ {
-			busy.admitFullWeight(second+balancer.Micros(n*100), n%3, 50)
+			mechanism.admitFullWeight(second+balancer.Micros(n*100), n%3, 50)
 		}
-		f.cost = float64(time.Since(begin).Nanoseconds()) / float64(n)
+		f.nsPerRequest = float64(time.Since(begin).Nanoseconds()) / float64(n)
 		rows[name] = f
-		t.Logf("%-22s surge's quota off by %5.2f%%; alone %5.1f%% of the total; back: lacks %5.1f%%; by chance %5.2f%%; dear off by %5.2f%%; %4.0f ns",
-			name, 100*f.surge, 100*f.alone, 100*f.back, 100*f.chance, 100*f.dear, f.cost)
+		t.Logf("%-22s surge: quota off by %5.2f%%; single team: %5.1f%% of the total; returning team: short by %5.1f%%; rejected by chance: %5.2f%%; large requests: quota off by %5.2f%%; %4.0f ns per request",
+			name, 100*f.surge, 100*f.singleTeam, 100*f.returning, 100*f.rejectedByChance, 100*f.largeRequests, f.nsPerRequest)
 	}
 	f := rows["4 buckets with a pool"]
-	if f.surge > 0.03 || f.alone < 0.98 || f.back > 0.02 {
-		t.Errorf("%+v", f)
+	if f.surge > 0.03 || f.singleTeam < 0.98 || f.returning > 0.02 {
+		t.Errorf("figures of Ledger out of bounds: %+v", f)
 	}
 }
--- a/internal/contract/snapshot_test.go
+++ b/internal/contract/snapshot_test.go
@@ -10,7 +10,7 @@
 	"archknot/balancer"
 )
 
-// ledgerDriver runs a random sequence of calls on a ledger, and has its open charges.
+// ledgerDriver makes calls on a ledger, and holds its open charges.
 type ledgerDriver struct {
 	ledger *Ledger
 	open   map[uint64]*Charge
@@ -25,12 +25,12 @@
 	return out
 }
 
-// step makes the call that random draws choose, and returns its result as text. The
-// same draws make the same call.
-func (d *ledgerDriver) step(what, n, output int) string {
+// step makes the call selected by its arguments, and returns the result as text. Equal
+// arguments make equal calls.
+func (d *ledgerDriver) step(action, n, output int) string {
 	tenants := []string{"a", "b", "old", "nobody"}
 	classes := []string{"agent", "bulk"}
-	switch what {
+	switch action {
 	case 0, 1, 2:
 		d.next++
 		c := &Charge{}
@@ -41,7 +41,7 @@
 		}
 		return fmt.Sprint(v, c.Estimate)
 	case 3:
-		for key := uint64(0); key <= d.next; key++ { // the oldest
+		for key := uint64(0); key <= d.next; key++ { // the oldest open charge
 			if c := d.open[key]; c != nil {
 				delete(d.open, key)
 				return fmt.Sprint(d.ledger.Settle(d.now, c, Usage{n, output}, n%3 > 0))
@@ -63,7 +63,7 @@
 	return ""
 }
 
-// variedTerms are contracts with all kinds of terms, one with a successor.
+// variedTerms returns contracts that use all kinds of terms, one with a successor.
 func variedTerms(rate float64) []Terms {
 	a, b, old, successor := testTerms("a", rate), testTerms("b", 500), testTerms("old", 800), testTerms("new", 900)
 	a.Floors = map[string]float64{"agent": 100 * float64(Token)}
@@ -76,8 +76,8 @@
 	return []Terms{a, b, old, successor}
 }
 
-// A ledger restored from a snapshot behaves as the original does: the same verdicts,
-// and in the end the same bytes.
+// A ledger restored from a snapshot gives the same verdicts as the original, and afterwards
+// has the same state, byte for byte.
 func TestSnapshot(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		s := Settings{BorrowPoolSeconds: 1, UnknownTenantWeight: 0.05, ReserveFraction: 0.02, Strict: rapid.Bool().Draw(t, "strict")}
@@ -86,20 +86,20 @@
 			t.Fatal(err)
 		}
 		driver := &ledgerDriver{ledger: ledger, open: map[uint64]*Charge{}, now: second}
-		draw := func(to ...*ledgerDriver) {
+		runSteps := func(drivers ...*ledgerDriver) {
 			for range rapid.IntRange(0, 60).Draw(t, "steps") {
-				what, n, output := rapid.IntRange(0, 8).Draw(t, "what"), rapid.IntRange(0, 99).Draw(t, "n"), rapid.IntRange(0, 4000).Draw(t, "output")
+				action, n, output := rapid.IntRange(0, 8).Draw(t, "what"), rapid.IntRange(0, 99).Draw(t, "n"), rapid.IntRange(0, 4000).Draw(t, "output")
 				first := ""
-				for i, driver := range to {
-					if got := driver.step(what, n, output); i == 0 {
+				for i, driver := range drivers {
+					if got := driver.step(action, n, output); i == 0 {
 						first = got
 					} else if got != first {
-						t.Fatalf("step %d: %s, the restored one %s", what, first, got)
+						t.Fatalf("action %d: original ledger returned %s, restored ledger %s", action, first, got)
 					}
 				}
 			}
 		}
-		draw(driver)
+		runSteps(driver)
 		text := driver.ledger.Snapshot(driver.openCharges())
 		agreement, err := UnmarshalAgreement(MarshalAgreement(s, driver.ledger.Terms(), 0, false, nil))
 		if err != nil {
@@ -109,19 +109,20 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		other := &ledgerDriver{ledger: restored, open: open, next: driver.next, now: driver.now}
-		if again := other.ledger.Snapshot(other.openCharges()); !bytes.Equal(again, text) {
-			t.Fatal("the restored ledger has another state")
+		restoredDriver := &ledgerDriver{ledger: restored, open: open, next: driver.next, now: driver.now}
+		if again := restoredDriver.ledger.Snapshot(restoredDriver.openCharges()); !bytes.Equal(again, text) {
+			t.Fatal("snapshot of the restored ledger differs from the original snapshot")
 		}
-		draw(driver, other)
-		if !bytes.Equal(driver.ledger.Snapshot(driver.openCharges()), other.ledger.Snapshot(other.openCharges())) {
-			t.Fatal("the ledgers differ")
+		runSteps(driver, restoredDriver)
+		if !bytes.Equal(driver.ledger.Snapshot(driver.openCharges()), restoredDriver.ledger.Snapshot(restoredDriver.openCharges())) {
+			t.Fatal("original and restored ledger differ after the same calls")
 		}
 	})
 }
 
-// Two runs of equal events give the same state, even with many floors.
-func TestFloorsAddUpAlike(t *testing.T) {
+// The same calls give the same state: floors are summed in a fixed order, since the order
+// changes a sum of floats.
+func TestFloorsAreSummedInFixedOrder(t *testing.T) {
 	var first []byte
 	for range 30 {
 		a := testTerms("a", 1000)
@@ -134,19 +135,7 @@
 		if text := ledger.Snapshot(nil); first == nil {
 			first = text
 		} else if !bytes.Equal(first, text) {
-			t.Fatal("the same events give another state")
+			t.Fatal("the same calls gave different states")
 		}
 	}
 }
-
-// Whatever the moment of a kill, a strict ledger counts afterwards at least what was
-// charged, and at most a reserve more. When kill follows kill, each costs at most a
-// A graceful shutdown stores balances and levels exactly; a period that has ended
-// A successor continues with the usage of the period, and what its predecessor
-// A team that surges competes beyond its rate with all its requests but those of its
-// Updated together with the decision module, a ledger takes for a surge what the
-// module's own quotas do, request for request. Averaged at other moments, some 2% of
-// the requests were decided otherwise, and the simulator's standard days lost 0.016
-// Once the fleet sheds what is within contracts, what is beyond them is limited; its
-// rate grows back to the spare capacity, and a fleet with capacity for all is not
-// The size of a ledger depends on its contracts only: a flood of unknown tenants
