--- a/internal/configversion/config.go
+++ b/internal/configversion/config.go
@@ -74,9 +74,9 @@
 // Tenant is a tenant with its quota and its share of the fleet; all shares sum to 1
 // at most.
 type Tenant struct {
-	Name      string
-	QuotaPerS float64 // requests a second
-	Share     float64
+	Name          string
+	QuotaPerS     float64 // requests a second
+	FleetFraction float64
 }
 
 // ReplicaMark is an operator's instruction for one replica, beside what discovery says.
@@ -177,6 +177,6 @@
 // It goes by xxHash of the gateway's name and the number, so that each version begins
 // with other gateways.
 func InFirstGroup(gateway string, n Number, percent int) bool {
-	h := xxhash.Sum64String(fmt.Sprintf("%s/%d", gateway, n))
-	return h%(100*bucketsPerPercent) < uint64(percent)*bucketsPerPercent
+	hash := xxhash.Sum64String(fmt.Sprintf("%s/%d", gateway, n))
+	return hash%(100*bucketsPerPercent) < uint64(percent)*bucketsPerPercent
 }
--- a/internal/configversion/machine.go
+++ b/internal/configversion/machine.go
@@ -13,8 +13,8 @@
 // maxReasonLength bounds a rejection's text on the stream, in bytes.
 const maxReasonLength = 4096
 
-// backoffStream is the second word of the seed of the backoff's random numbers.
-const backoffStream = 0x5eed
+// backoffSeed is the second word of the seed of the backoff's random numbers.
+const backoffSeed = 0x5eed
 
 // Machine follows the versions of one gateway. It isn't safe for concurrent use: all
 // calls come from one goroutine. Each call brings its time; NextTick returns when Tick
@@ -46,15 +46,15 @@
 	rejectedSet   map[Number]bool         // the same
 
 	// What a restart begins with.
-	lastGood *Config         // nil: the configuration files
-	saveAt   balancer.Micros // when a failed save is tried again; 0: none has failed
+	lastGood    *Config         // nil: the configuration files
+	saveRetryAt balancer.Micros // when a failed save is tried again; 0: none has failed
 
 	// The verdict on the version in force, and the way back.
 	verifying          bool // within its hold
 	holdUntil          balancer.Micros
 	baseline, observed outcomeTally    // before the hold, and within it
 	rollingBack        bool            // applying is the previous version
-	rollbackAt         balancer.Micros // when a rollback is tried again; 0: none is wanted
+	rollbackRetryAt    balancer.Micros // when a rollback is tried again; 0: none is wanted
 	rollbackReason     string
 }
 
@@ -71,7 +71,7 @@
 // that must not be applied again are as they were before a restart.
 func New(o Options, host Host, inForce *Config, rejected []Number) *Machine {
 	m := &Machine{
-		options: o, host: host, rng: rand.New(rand.NewPCG(o.Seed, backoffStream)),
+		options: o, host: host, rng: rand.New(rand.NewPCG(o.Seed, backoffSeed)),
 		latest: map[ResourceType]*Response{}, undecodable: map[ResourceType]bool{}, ackedVersions: map[ResourceType]string{},
 		inForce: inForce, lastGood: inForce, rejectedSet: map[Number]bool{},
 	}
@@ -146,7 +146,7 @@
 // the version in force on.
 func (m *Machine) Connected(now balancer.Micros) {
 	m.now, m.connected, m.connecting, m.openedAt = now, true, false, now
-	m.forgetResponses()
+	m.resetResponses()
 	for _, t := range ResourceTypes {
 		m.host.SendRequest(t, m.ackedVersions[t], "", "")
 	}
@@ -168,18 +168,18 @@
 		m.backoff = 0
 	}
 	m.connected = false
-	m.forgetResponses()
+	m.resetResponses()
 	// What waits is complete; its nonces belong to a stream that is gone.
 	m.inForceNonces = nil
-	for _, c := range []*candidate{m.waiting, m.applying} {
-		if c != nil {
-			c.nonces = nil
+	for _, pending := range []*candidate{m.waiting, m.applying} {
+		if pending != nil {
+			pending.nonces = nil
 		}
 	}
 	m.reconnect()
 }
 
-func (m *Machine) forgetResponses() {
+func (m *Machine) resetResponses() {
 	clear(m.latest)
 	clear(m.undecodable)
 	m.incompleteSince = 0
@@ -243,7 +243,7 @@
 			r.Fragment.MergeInto(c.config)
 		}
 	}
-	m.consider(c)
+	m.evaluate(c)
 }
 
 // isComplete reports whether there is a manifest, and the resources that it names.
@@ -263,14 +263,14 @@
 	return true
 }
 
-// consider decides what becomes of a complete version.
-func (m *Machine) consider(c *candidate) {
+// evaluate decides what becomes of a complete version.
+func (m *Machine) evaluate(c *candidate) {
 	n := c.config.Number
 	switch {
-	case n == m.currentNumber() && n != 0 && (m.rollingBack || m.rollbackAt > 0):
+	case n == m.currentNumber() && n != 0 && (m.rollingBack || m.rollbackRetryAt > 0):
 		m.rejectNumber(c, fmt.Sprintf("version %d is being given back", n))
 	case n == m.currentNumber() && m.applying == nil || m.applying != nil && !m.rollingBack && n == m.applying.config.Number:
-		m.considerAgain(c)
+		m.evaluateResent(c)
 	case m.rejectedSet[n]:
 		m.rejectNumber(c, fmt.Sprintf("version %d was given back or refused before", n))
 	case m.waiting != nil && n == m.waiting.config.Number:
@@ -278,13 +278,13 @@
 	case n < max(m.currentNumber(), m.waitingNumber(), m.applyingNumber()):
 		m.rejectNumber(c, fmt.Sprintf("version %d is older than %d", n, max(m.currentNumber(), m.waitingNumber(), m.applyingNumber())))
 	default:
-		m.considerNew(c)
+		m.evaluateNew(c)
 	}
 }
 
-// considerAgain takes a version that is in force, or being applied, and was sent again:
+// evaluateResent takes a version that is in force, or being applied, and was sent again:
 // an acknowledgement was lost, or the service started anew.
-func (m *Machine) considerAgain(c *candidate) {
+func (m *Machine) evaluateResent(c *candidate) {
 	if m.applying != nil {
 		m.applying.nonces, m.applying.versions = c.nonces, c.versions
 		return
@@ -293,8 +293,8 @@
 	m.acknowledge(c)
 }
 
-// considerNew validates a version and has it wait for its turn.
-func (m *Machine) considerNew(c *candidate) {
+// evaluateNew validates a version and has it wait for its turn.
+func (m *Machine) evaluateNew(c *candidate) {
 	n := c.config.Number
 	if r := Validate(c.config, m.options.Limits); len(r) > 0 {
 		m.markRejected(n)
@@ -360,16 +360,16 @@
 func (m *Machine) Tick(now balancer.Micros) {
 	m.now = now
 	if m.verifying && now >= m.holdUntil && m.applying == nil {
-		m.judgeHold()
+		m.endHold()
 	}
-	if m.rollbackAt > 0 && now >= m.rollbackAt && m.applying == nil {
+	if m.rollbackRetryAt > 0 && now >= m.rollbackRetryAt && m.applying == nil {
 		m.startRollback(m.rollbackReason)
 	}
 	if c := m.waiting; c != nil && m.applying == nil && now >= m.applicableAt(c) {
 		m.waiting, m.applying, m.rollingBack = nil, c, false
 		m.host.Apply(c.config)
 	}
-	if m.saveAt > 0 && now >= m.saveAt {
+	if m.saveRetryAt > 0 && now >= m.saveRetryAt {
 		m.save()
 	}
 	if m.connected && m.incompleteSince > 0 && now-m.incompleteSince >= m.options.StallTimeout {
@@ -391,25 +391,25 @@
 // NextTick returns when Tick must be called; 0 means that it need not be.
 func (m *Machine) NextTick() balancer.Micros {
 	next := balancer.Micros(0)
-	sooner := func(at balancer.Micros) {
+	addDueTime := func(at balancer.Micros) {
 		if next == 0 || at < next {
 			next = max(1, at)
 		}
 	}
 	if m.verifying && m.applying == nil {
-		sooner(m.holdUntil)
+		addDueTime(m.holdUntil)
 	}
-	if m.rollbackAt > 0 && m.applying == nil {
-		sooner(m.rollbackAt)
+	if m.rollbackRetryAt > 0 && m.applying == nil {
+		addDueTime(m.rollbackRetryAt)
 	}
 	if m.waiting != nil && m.applying == nil {
-		sooner(m.applicableAt(m.waiting))
+		addDueTime(m.applicableAt(m.waiting))
 	}
-	if m.saveAt > 0 {
-		sooner(m.saveAt)
+	if m.saveRetryAt > 0 {
+		addDueTime(m.saveRetryAt)
 	}
 	if m.connected && m.incompleteSince > 0 {
-		sooner(m.incompleteSince + m.options.StallTimeout)
+		addDueTime(m.incompleteSince + m.options.StallTimeout)
 	}
 	return next
 }
@@ -437,8 +437,8 @@
 
 // putInForce makes a version that was applied the one in force.
 func (m *Machine) putInForce(c *candidate) {
-	m.verifying, m.rollbackAt = false, 0   // a newer version ends what was pending about the one before it
-	if !m.rejectedSet[m.currentNumber()] { // a version whose rollback was pending is no way back
+	m.verifying, m.rollbackRetryAt = false, 0 // a newer version ends what was pending about the one before it
+	if !m.rejectedSet[m.currentNumber()] {    // a version whose rollback was pending is no way back
 		m.previous = m.inForce
 	}
 	m.inForce, m.appliedAt = c.config, m.now
@@ -462,10 +462,10 @@
 
 // save saves what a restart begins with. After a failure it is called again by Tick.
 func (m *Machine) save() {
-	m.saveAt = 0
+	m.saveRetryAt = 0
 	if err := m.host.Persist(m.lastGood, m.rejected); err != nil {
 		m.scheduleSave()
 	}
 }
 
-func (m *Machine) scheduleSave() { m.saveAt = m.now + max(1, m.options.SaveRetryInterval) }
+func (m *Machine) scheduleSave() { m.saveRetryAt = m.now + max(1, m.options.SaveRetryInterval) }
--- a/internal/configversion/machine_model_test.go
+++ b/internal/configversion/machine_model_test.go
@@ -265,7 +265,7 @@
 func TestValidateReportsAllProblems(t *testing.T) {
 	c := &Config{Number: 3, Rollout: Rollout{FirstPercent: 101, Hold: -1, MaxRegression: 2}, HasClasses: true, HasTenants: true, HasReplicaMarks: true,
 		Classes: []balancer.Class{{Name: "chat", LatencyObjective: 5 * sec, Deadline: 3 * sec, PriorityWeight: -1, LateWeightShare: 2}, {Name: "chat", Deadline: 0}, {Idempotency: 9, Deadline: sec}},
-		Tenants: []Tenant{{Name: "a", Share: 0.6}, {Name: "b", Share: 0.5, QuotaPerS: -1}, {Name: "b"}}, ReplicaMarks: []ReplicaMark{{Name: ""}, {Name: "w", Kind: 7}},
+		Tenants: []Tenant{{Name: "a", FleetFraction: 0.6}, {Name: "b", FleetFraction: 0.5, QuotaPerS: -1}, {Name: "b"}}, ReplicaMarks: []ReplicaMark{{Name: ""}, {Name: "w", Kind: 7}},
 		Attempts: &Attempts{Max: 4, HedgeRatio: 2}, Admission: &Admission{MaxInFlight: 0, OverQuotaWeight: 2, MaxRetryAfter: -1},
 		Connections: &Connections{Clients: 800, Replicas: 800, IdleTimeout: 0, ConnectTimeout: 0}, Watch: &Watch{Wait: 0, CallTimeout: 1 << 60},
 		Capture: &Capture{Record: true, CheckpointInterval: 1, MaxBytes: 1}, Log: &Log{Level: "loud"}}
--- a/internal/configversion/rollback.go
+++ b/internal/configversion/rollback.go
@@ -16,49 +16,49 @@
 )
 
 // outcomeTally counts requests that ended, and those of them late or not served.
-type outcomeTally struct{ total, bad float64 }
+type outcomeTally struct{ total, lateOrUnserved float64 }
 
-func (t outcomeTally) badShare() float64 {
+func (t outcomeTally) lateOrUnservedFraction() float64 {
 	if t.total == 0 {
 		return 0
 	}
-	return t.bad / t.total
+	return t.lateOrUnserved / t.total
 }
 
 // RequestEnded counts a request that ended; bad is late or not served.
-func (m *Machine) RequestEnded(bad bool) {
-	t := &m.baseline
+func (m *Machine) RequestEnded(lateOrUnserved bool) {
+	tally := &m.baseline
 	if m.verifying {
-		t = &m.observed
-	} else if t.total >= baselineRequests {
-		t.total, t.bad = t.total*baselineDecay, t.bad*baselineDecay
+		tally = &m.observed
+	} else if tally.total >= baselineRequests {
+		tally.total, tally.lateOrUnserved = tally.total*baselineDecay, tally.lateOrUnserved*baselineDecay
 	}
-	t.total++
-	if bad {
-		t.bad++
+	tally.total++
+	if lateOrUnserved {
+		tally.lateOrUnserved++
 	}
 	// What is plainly worse is rolled back before its hold has passed.
 	if m.verifying && m.applying == nil && m.observed.total >= 2*float64(m.options.MinVerdictRequests) && m.isWorse(2) {
-		m.judgeHold()
+		m.endHold()
 	}
 }
 
 // isWorse reports whether the share of bad requests within the hold is higher than before
 // by more than so many times the rollout's MaxRegression.
-func (m *Machine) isWorse(times float64) bool {
-	least := float64(m.options.MinVerdictRequests)
-	return m.observed.total >= least && m.baseline.total >= least && m.observed.badShare() > m.baseline.badShare()+times*m.inForce.Rollout.MaxRegression
+func (m *Machine) isWorse(factor float64) bool {
+	minRequests := float64(m.options.MinVerdictRequests)
+	return m.observed.total >= minRequests && m.baseline.total >= minRequests && m.observed.lateOrUnservedFraction() > m.baseline.lateOrUnservedFraction()+factor*m.inForce.Rollout.MaxRegression
 }
 
-// judgeHold ends the hold: the version in force is good, or it is rolled back.
-func (m *Machine) judgeHold() {
+// endHold ends the hold: the version in force is good, or it is rolled back.
+func (m *Machine) endHold() {
 	m.verifying = false
 	if m.isWorse(1) {
-		m.startRollback(fmt.Sprintf("late or unserved %.1f%% of %.0f requests within the hold, %.1f%% before", 100*m.observed.badShare(), m.observed.total, 100*m.baseline.badShare()))
+		m.startRollback(fmt.Sprintf("late or unserved %.1f%% of %.0f requests within the hold, %.1f%% before", 100*m.observed.lateOrUnservedFraction(), m.observed.total, 100*m.baseline.lateOrUnservedFraction()))
 		return
 	}
-	m.recordEvent(m.currentNumber(), EventVerified, fmt.Sprintf("late or unserved %.1f%% of %.0f requests, %.1f%% before", 100*m.observed.badShare(), m.observed.total, 100*m.baseline.badShare()))
-	m.baseline.total, m.baseline.bad = m.baseline.total+m.observed.total, m.baseline.bad+m.observed.bad
+	m.recordEvent(m.currentNumber(), EventVerified, fmt.Sprintf("late or unserved %.1f%% of %.0f requests, %.1f%% before", 100*m.observed.lateOrUnservedFraction(), m.observed.total, 100*m.baseline.lateOrUnservedFraction()))
+	m.baseline.total, m.baseline.lateOrUnserved = m.baseline.total+m.observed.total, m.baseline.lateOrUnserved+m.observed.lateOrUnserved
 	m.markGood()
 }
 
@@ -110,14 +110,14 @@
 		m.scheduleSave() // what holds is saved again: the failed write may have reached the disk
 		return err
 	}
-	m.lastGood, m.saveAt = m.previous, 0
+	m.lastGood, m.saveRetryAt = m.previous, 0
 	m.markRejected(m.inForce.Number)
 	return nil
 }
 
 // orderPrevious orders the previous version.
 func (m *Machine) orderPrevious(reason string) {
-	m.rollbackAt = 0
+	m.rollbackRetryAt = 0
 	m.applying, m.rollingBack = &candidate{config: m.previous, reason: reason}, true
 	m.host.Apply(m.previous)
 }
@@ -125,25 +125,25 @@
 // finishRollback takes the answer to the order of startRollback. The service learns of a
 // rollback by a rejection of the version that was in force, on each type's last response.
 func (m *Machine) finishRollback(c *candidate, rejections Rejections) {
-	bad := m.inForce
+	rolledBack := m.inForce
 	if len(rejections) > 0 {
 		// Requests in flight don't allow the rollback now; it is tried again.
-		m.recordEvent(bad.Number, EventRejected, "cannot go back now: "+rejections.String())
-		m.rollbackAt, m.rollbackReason = m.now+max(1, m.options.MinInterval), c.reason
+		m.recordEvent(rolledBack.Number, EventRejected, "cannot go back now: "+rejections.String())
+		m.rollbackRetryAt, m.rollbackReason = m.now+max(1, m.options.MinInterval), c.reason
 		return
 	}
-	m.markRejected(bad.Number)
-	if w := m.waiting; w != nil && m.rejectedSet[w.config.Number] { // it was sent again meanwhile
+	m.markRejected(rolledBack.Number)
+	if waiting := m.waiting; waiting != nil && m.rejectedSet[waiting.config.Number] { // it was sent again meanwhile
 		m.waiting = nil
-		m.rejectNumber(w, fmt.Sprintf("version %d was given back", w.config.Number))
+		m.rejectNumber(waiting, fmt.Sprintf("version %d was given back", waiting.config.Number))
 	}
 	m.inForce, m.previous, m.appliedAt = c.config, nil, m.now
-	m.recordEvent(bad.Number, EventRolledBack, c.reason)
+	m.recordEvent(rolledBack.Number, EventRolledBack, c.reason)
 	clear(m.ackedVersions)
 	m.lastGood = m.inForce
 	m.save()
 	if m.connected {
-		m.rejectInForce(bad.Number, c.reason)
+		m.rejectInForce(rolledBack.Number, c.reason)
 	}
 }
 
--- a/internal/configversion/transition.go
+++ b/internal/configversion/transition.go
@@ -62,8 +62,8 @@
 	rejections Rejections
 }
 
-func (t *transition) rejectf(kind ResourceType, resource, field, format string, args ...any) {
-	t.rejections.addf(kind, resource, field, format, args...)
+func (t *transition) rejectf(resourceType ResourceType, resource, field, format string, args ...any) {
+	t.rejections.addf(resourceType, resource, field, format, args...)
 }
 
 // validateClasses rejects a class that is removed, or whose deadline is shortened, under
@@ -143,10 +143,10 @@
 		return
 	}
 	for _, mark := range t.config.ReplicaMarks {
-		replica, known := t.state.Replicas[mark.Name]
+		replica, listed := t.state.Replicas[mark.Name]
 		switch {
 		case mark.Kind != MarkServe:
-		case !known:
+		case !listed:
 			t.rejectf(TypeReplica, mark.Name, "mark", "brought back, but the registry's list does not have it")
 		case replica.Discovered != balancer.EndpointReady:
 			t.rejectf(TypeReplica, mark.Name, "mark", "brought back, but the registry says that it drains or is gone")
@@ -163,12 +163,12 @@
 // change being known once a gateway has gone MaxPollInterval without a poll; one that
 // polls less often learns of a drain too late to stop sending.
 func (t *transition) validateWatch() {
-	w := t.config.Watch
-	if w == nil || w.Wait+w.CallTimeout <= t.limits.MaxPollInterval {
+	watch := t.config.Watch
+	if watch == nil || watch.Wait+watch.CallTimeout <= t.limits.MaxPollInterval {
 		return
 	}
 	t.rejectf(TypeWatch, "", "wait_us", "with the call's time-out %d us, over the %d us after which a drain counts as told (and %d us later nothing may go out)",
-		w.Wait+w.CallTimeout, t.limits.MaxPollInterval, t.limits.DrainGrace)
+		watch.Wait+watch.CallTimeout, t.limits.MaxPollInterval, t.limits.DrainGrace)
 }
 
 // validateCounts rejects limits below what is in flight or open.
--- a/internal/configversion/validate.go
+++ b/internal/configversion/validate.go
@@ -36,7 +36,7 @@
 	minCaptureBytes                       = 256 << 10
 	maxPriorityWeight                     = 1e6
 	maxQuotaPerS                          = 1e9
-	shareRoundingError                    = 1e-9 // of shares that sum to 1
+	fractionSumTolerance                  = 1e-9 // of shares that sum to 1
 )
 
 // Rejection is one reason why a version is not applied.
@@ -49,14 +49,14 @@
 
 // String returns the type, the resource, the field and the reason in one line.
 func (r Rejection) String() string {
-	at := string(r.Type)
+	text := string(r.Type)
 	if r.Resource != "" {
-		at += " " + r.Resource
+		text += " " + r.Resource
 	}
 	if r.Field != "" {
-		at += ": " + r.Field
+		text += ": " + r.Field
 	}
-	return at + ": " + r.Reason
+	return text + ": " + r.Reason
 }
 
 // Rejections are all reasons, in order. None means that the version is accepted.
@@ -65,8 +65,8 @@
 // String joins the reasons, for logs and for the control service.
 func (r Rejections) String() string {
 	lines := make([]string, len(r))
-	for i, one := range r {
-		lines[i] = one.String()
+	for i, rejection := range r {
+		lines[i] = rejection.String()
 	}
 	return strings.Join(lines, "; ")
 }
@@ -103,28 +103,28 @@
 	v.rejections.addf(t, resource, field, format, args...)
 }
 
-// duration rejects a duration that is shorter than least or over the limit.
-func (v *validator) duration(t ResourceType, resource, field string, d, least balancer.Micros) {
-	if d < least || d > v.limits.MaxDuration {
-		v.rejectf(t, resource, field, "expected %d to %d us, got %d", least, v.limits.MaxDuration, d)
+// validateDuration rejects a validateDuration that is shorter than least or over the limit.
+func (v *validator) validateDuration(t ResourceType, resource, field string, duration, minimum balancer.Micros) {
+	if duration < minimum || duration > v.limits.MaxDuration {
+		v.rejectf(t, resource, field, "expected %d to %d us, got %d", minimum, v.limits.MaxDuration, duration)
 	}
 }
 
 // inRange reports whether a value is from 0 to most; NaN is not.
-func inRange(value, most float64) bool { return value >= 0 && value <= most }
+func inRange(value, limit float64) bool { return value >= 0 && value <= limit }
 
 func (v *validator) validateRollout() {
 	if v.config.Number == 0 {
 		v.rejectf(TypeVersion, "", "number", "expected above 0")
 	}
-	r := &v.config.Rollout
-	if r.FirstPercent < 0 || r.FirstPercent > 100 {
-		v.rejectf(TypeVersion, "", "first_percent", "expected 0 to 100, got %d", r.FirstPercent)
+	rollout := &v.config.Rollout
+	if rollout.FirstPercent < 0 || rollout.FirstPercent > 100 {
+		v.rejectf(TypeVersion, "", "first_percent", "expected 0 to 100, got %d", rollout.FirstPercent)
 	}
-	if !inRange(r.MaxRegression, 1) {
-		v.rejectf(TypeVersion, "", "worse_by", "expected 0 to 1, got %v", r.MaxRegression)
+	if !inRange(rollout.MaxRegression, 1) {
+		v.rejectf(TypeVersion, "", "worse_by", "expected 0 to 1, got %v", rollout.MaxRegression)
 	}
-	v.duration(TypeVersion, "", "hold_us", r.Hold, 0)
+	v.validateDuration(TypeVersion, "", "hold_us", rollout.Hold, 0)
 }
 
 func (v *validator) validateClasses() {
@@ -147,11 +147,11 @@
 }
 
 func (v *validator) validateClass(class *balancer.Class) {
-	v.duration(TypeClass, class.Name, "deadline_us", class.Deadline, minTimeout)
-	v.duration(TypeClass, class.Name, "aim_us", class.LatencyObjective, 0)
-	v.duration(TypeClass, class.Name, "aim_per_1000_us", class.ObjectivePer1000Tokens, 0)
-	v.duration(TypeClass, class.Name, "token_aim_us", class.TokenObjective, 0)
-	v.duration(TypeClass, class.Name, "repeats_kept_us", class.DedupWindow, 0)
+	v.validateDuration(TypeClass, class.Name, "deadline_us", class.Deadline, minTimeout)
+	v.validateDuration(TypeClass, class.Name, "aim_us", class.LatencyObjective, 0)
+	v.validateDuration(TypeClass, class.Name, "aim_per_1000_us", class.ObjectivePer1000Tokens, 0)
+	v.validateDuration(TypeClass, class.Name, "token_aim_us", class.TokenObjective, 0)
+	v.validateDuration(TypeClass, class.Name, "repeats_kept_us", class.DedupWindow, 0)
 	if class.LatencyObjective > class.Deadline {
 		v.rejectf(TypeClass, class.Name, "aim_us", "longer than the deadline, %d us", class.Deadline)
 	}
@@ -175,20 +175,20 @@
 		v.rejectf(TypeTenant, "", "", "expected at most %d, got %d", v.limits.MaxTenants, len(tenants))
 	}
 	sum, seen := 0.0, map[string]bool{}
-	for _, t := range tenants {
-		if t.Name == "" || seen[t.Name] {
-			v.rejectf(TypeTenant, t.Name, "name", "missing, or given twice")
+	for _, tenant := range tenants {
+		if tenant.Name == "" || seen[tenant.Name] {
+			v.rejectf(TypeTenant, tenant.Name, "name", "missing, or given twice")
 		}
-		seen[t.Name] = true
-		if !inRange(t.QuotaPerS, maxQuotaPerS) {
-			v.rejectf(TypeTenant, t.Name, "quota_per_s", "expected 0 or more, got %v", t.QuotaPerS)
+		seen[tenant.Name] = true
+		if !inRange(tenant.QuotaPerS, maxQuotaPerS) {
+			v.rejectf(TypeTenant, tenant.Name, "quota_per_s", "expected 0 or more, got %v", tenant.QuotaPerS)
 		}
-		if !inRange(t.Share, 1) {
-			v.rejectf(TypeTenant, t.Name, "share", "expected 0 to 1, got %v", t.Share)
+		if !inRange(tenant.FleetFraction, 1) {
+			v.rejectf(TypeTenant, tenant.Name, "share", "expected 0 to 1, got %v", tenant.FleetFraction)
 		}
-		sum += t.Share
+		sum += tenant.FleetFraction
 	}
-	if sum > 1+shareRoundingError {
+	if sum > 1+fractionSumTolerance {
 		v.rejectf(TypeTenant, "", "share", "the shares sum to %.4f, over 1", sum)
 	}
 }
@@ -226,64 +226,64 @@
 }
 
 func (v *validator) validateAttempts() {
-	a := v.config.Attempts
-	if a == nil {
+	attempts := v.config.Attempts
+	if attempts == nil {
 		return
 	}
-	if a.Max < 1 || a.Max > v.limits.MaxAttempts {
-		v.rejectf(TypeAttempts, "", "most", "expected 1 to %d, got %d", v.limits.MaxAttempts, a.Max)
+	if attempts.Max < 1 || attempts.Max > v.limits.MaxAttempts {
+		v.rejectf(TypeAttempts, "", "most", "expected 1 to %d, got %d", v.limits.MaxAttempts, attempts.Max)
 	}
-	if !inRange(a.HedgeRatio, 1) || !inRange(a.RetryRatio, 1) {
-		v.rejectf(TypeAttempts, "", "hedge_share, retry_share", "expected 0 to 1, got %v and %v", a.HedgeRatio, a.RetryRatio)
+	if !inRange(attempts.HedgeRatio, 1) || !inRange(attempts.RetryRatio, 1) {
+		v.rejectf(TypeAttempts, "", "hedge_share, retry_share", "expected 0 to 1, got %v and %v", attempts.HedgeRatio, attempts.RetryRatio)
 	}
 }
 
 func (v *validator) validateAdmission() {
-	a := v.config.Admission
-	if a == nil {
+	admission := v.config.Admission
+	if admission == nil {
 		return
 	}
-	if a.MaxInFlight < 1 || a.MaxInFlight > v.limits.MaxInFlight {
-		v.rejectf(TypeAdmission, "", "most_held", "expected 1 to %d, got %d", v.limits.MaxInFlight, a.MaxInFlight)
+	if admission.MaxInFlight < 1 || admission.MaxInFlight > v.limits.MaxInFlight {
+		v.rejectf(TypeAdmission, "", "most_held", "expected 1 to %d, got %d", v.limits.MaxInFlight, admission.MaxInFlight)
 	}
-	if !inRange(a.OverQuotaWeight, 1) {
-		v.rejectf(TypeAdmission, "", "over_share_worth", "expected 0 to 1, got %v", a.OverQuotaWeight)
+	if !inRange(admission.OverQuotaWeight, 1) {
+		v.rejectf(TypeAdmission, "", "over_share_worth", "expected 0 to 1, got %v", admission.OverQuotaWeight)
 	}
-	v.duration(TypeAdmission, "", "max_retry_after_us", a.MaxRetryAfter, 0)
+	v.validateDuration(TypeAdmission, "", "max_retry_after_us", admission.MaxRetryAfter, 0)
 }
 
 func (v *validator) validateConnections() {
-	n := v.config.Connections
-	if n == nil {
+	connections := v.config.Connections
+	if connections == nil {
 		return
 	}
-	if n.Clients < 1 || n.Replicas < 1 || n.Clients+n.Replicas > v.limits.Sockets {
-		v.rejectf(TypeConnections, "", "clients, workers", "expected 1 or more each and %d in all, got %d and %d", v.limits.Sockets, n.Clients, n.Replicas)
+	if connections.Clients < 1 || connections.Replicas < 1 || connections.Clients+connections.Replicas > v.limits.Sockets {
+		v.rejectf(TypeConnections, "", "clients, workers", "expected 1 or more each and %d in all, got %d and %d", v.limits.Sockets, connections.Clients, connections.Replicas)
 	}
-	v.duration(TypeConnections, "", "idle_us", n.IdleTimeout, minTimeout)
-	v.duration(TypeConnections, "", "connect_timeout_us", n.ConnectTimeout, minTimeout)
+	v.validateDuration(TypeConnections, "", "idle_us", connections.IdleTimeout, minTimeout)
+	v.validateDuration(TypeConnections, "", "connect_timeout_us", connections.ConnectTimeout, minTimeout)
 }
 
 func (v *validator) validateWatch() {
-	w := v.config.Watch
-	if w == nil {
+	watch := v.config.Watch
+	if watch == nil {
 		return
 	}
-	v.duration(TypeWatch, "", "wait_us", w.Wait, minTimeout)
-	v.duration(TypeWatch, "", "call_timeout_us", w.CallTimeout, minTimeout)
+	v.validateDuration(TypeWatch, "", "wait_us", watch.Wait, minTimeout)
+	v.validateDuration(TypeWatch, "", "call_timeout_us", watch.CallTimeout, minTimeout)
 }
 
 func (v *validator) validateCapture() {
-	p := v.config.Capture
-	if p == nil {
+	capture := v.config.Capture
+	if capture == nil {
 		return
 	}
-	if p.Record && !v.limits.MayCapture {
+	if capture.Record && !v.limits.MayCapture {
 		v.rejectf(TypeCapture, "", "record", "there is no folder for captures on this gateway (capture.directory)")
 	}
-	v.duration(TypeCapture, "", "checkpoint_us", p.CheckpointInterval, minCheckpointInterval)
-	if p.MaxBytes < minCaptureBytes {
-		v.rejectf(TypeCapture, "", "keep_bytes", "expected %d or more, got %d", minCaptureBytes, p.MaxBytes)
+	v.validateDuration(TypeCapture, "", "checkpoint_us", capture.CheckpointInterval, minCheckpointInterval)
+	if capture.MaxBytes < minCaptureBytes {
+		v.rejectf(TypeCapture, "", "keep_bytes", "expected %d or more, got %d", minCaptureBytes, capture.MaxBytes)
 	}
 }
 
--- a/internal/xdsclient/client.go
+++ b/internal/xdsclient/client.go
@@ -34,8 +34,8 @@
 // eventQueueSize is how many events may wait for the client's goroutine.
 const eventQueueSize = 256
 
-// countInterval is how often requests that ended are counted.
-const countInterval = 100 * time.Millisecond
+// requestCountInterval is how often requests that ended are counted.
+const requestCountInterval = 100 * time.Millisecond
 
 // Client follows a control service. The goroutine of Run owns the machine; the stream's
 // goroutines post their events to it.
@@ -49,9 +49,9 @@
 	runContext  context.Context // of Run: the machine's host methods have no context of their own
 	streamCount int
 
-	goodRequests, badRequests atomic.Int64 // requests that ended and aren't counted yet
-	inForce                   atomic.Pointer[configversion.Config]
-	connected                 atomic.Bool
+	onTimeRequests, lateOrUnservedRequests atomic.Int64 // requests that ended and aren't counted yet
+	inForce                                atomic.Pointer[configversion.Config]
+	connected                              atomic.Bool
 }
 
 // New returns a client that starts from the version in the store. It doesn't apply that
@@ -86,11 +86,11 @@
 
 // RequestEnded counts a request that ended; bad is late or not served. It never waits,
 // and may be called by any goroutine.
-func (c *Client) RequestEnded(bad bool) {
-	if bad {
-		c.badRequests.Add(1)
+func (c *Client) RequestEnded(lateOrUnserved bool) {
+	if lateOrUnserved {
+		c.lateOrUnservedRequests.Add(1)
 	} else {
-		c.goodRequests.Add(1)
+		c.onTimeRequests.Add(1)
 	}
 }
 
@@ -127,17 +127,17 @@
 	c.runContext = ctx
 	c.applyStored(ctx)
 	c.machine.Start(c.now())
-	count := time.NewTicker(countInterval)
-	defer count.Stop()
-	wake := time.NewTimer(time.Hour)
-	defer wake.Stop()
+	countTicker := time.NewTicker(requestCountInterval)
+	defer countTicker.Stop()
+	tick := time.NewTimer(time.Hour)
+	defer tick.Stop()
 	for {
 		select {
 		case event := <-c.events:
 			event(c.now())
-		case <-count.C:
+		case <-countTicker.C:
 			c.countRequests()
-		case <-wake.C:
+		case <-tick.C:
 			c.machine.Tick(c.now())
 		case <-ctx.Done():
 			if c.stream != nil {
@@ -146,7 +146,7 @@
 			return
 		}
 		if at := c.machine.NextTick(); at > 0 {
-			wake.Reset(time.Duration(max(0, at-c.now())) * time.Microsecond)
+			tick.Reset(time.Duration(max(0, at-c.now())) * time.Microsecond)
 		}
 	}
 }
@@ -174,10 +174,10 @@
 
 // countRequests passes the requests that ended on to the machine.
 func (c *Client) countRequests() {
-	for range c.goodRequests.Swap(0) {
+	for range c.onTimeRequests.Swap(0) {
 		c.machine.RequestEnded(false)
 	}
-	for range c.badRequests.Swap(0) {
+	for range c.lateOrUnservedRequests.Swap(0) {
 		c.machine.RequestEnded(true)
 	}
 }
@@ -187,8 +187,8 @@
 // Connect opens a stream after a delay.
 func (c *Client) Connect(after balancer.Micros) {
 	c.streamCount++
-	run := c.runContext
-	ctx, cancel := context.WithCancel(run)
+	runContext := c.runContext
+	ctx, cancel := context.WithCancel(runContext)
 	s := &stream{cancel: cancel, requests: make(chan request, sendQueueSize)}
 	c.stream = s
 	go func() {
@@ -198,8 +198,8 @@
 		case <-ctx.Done():
 			return
 		}
-		err := c.follow(ctx, s)
-		c.post(run, func(now balancer.Micros) {
+		err := c.runStream(ctx, s)
+		c.post(runContext, func(now balancer.Micros) {
 			if c.stream == s {
 				c.stream = nil
 				c.connected.Store(false)
@@ -241,13 +241,13 @@
 
 // Apply applies a version to the target in a new goroutine, so that the machine doesn't
 // wait for it.
-func (c *Client) Apply(next *configversion.Config) {
+func (c *Client) Apply(version *configversion.Config) {
 	run := c.runContext
 	go func() {
-		rejections := c.target.Apply(run, next)
+		rejections := c.target.Apply(run, version)
 		c.post(run, func(now balancer.Micros) {
 			if len(rejections) == 0 {
-				c.inForce.Store(next)
+				c.inForce.Store(version)
 			}
 			c.machine.Applied(now, rejections)
 		})
@@ -255,8 +255,8 @@
 }
 
 // Persist saves the last good version in the store. A failure is logged.
-func (c *Client) Persist(v *configversion.Config, rejected []configversion.Number) error {
-	return c.saveVersion(v, rejected)
+func (c *Client) Persist(version *configversion.Config, rejected []configversion.Number) error {
+	return c.saveVersion(version, rejected)
 }
 
 // PersistRollback saves in the store that the version in force is given back. A failure is
@@ -265,11 +265,11 @@
 	return c.saveVersion(previous, rejected)
 }
 
-func (c *Client) saveVersion(v *configversion.Config, rejected []configversion.Number) error {
+func (c *Client) saveVersion(version *configversion.Config, rejected []configversion.Number) error {
 	if c.options.Store == nil {
 		return nil
 	}
-	err := c.options.Store.SaveVersion(v, rejected)
+	err := c.options.Store.SaveVersion(version, rejected)
 	c.logStoreFailure(err)
 	return err
 }
--- a/internal/xdsclient/decode.go
+++ b/internal/xdsclient/decode.go
@@ -63,12 +63,12 @@
 		}
 		merges = append(merges, merge)
 	}
-	if markList := listTypes[t]; markList == nil && len(resources) != 1 {
+	if markPresent := listTypes[t]; markPresent == nil && len(resources) != 1 {
 		return nil, fmt.Errorf("expected one resource, got %d", len(resources))
 	}
 	return &configversion.Fragment{MergeInto: func(c *configversion.Config) {
-		if markList := listTypes[t]; markList != nil {
-			markList(c)
+		if markPresent := listTypes[t]; markPresent != nil {
+			markPresent(c)
 		}
 		for _, merge := range merges {
 			merge(c)
@@ -167,7 +167,7 @@
 }
 
 func mergeTenant(c *configversion.Config, m *pb.Tenant) {
-	c.Tenants = append(c.Tenants, configversion.Tenant{Name: m.Name, QuotaPerS: m.QuotaPerS, Share: m.Share})
+	c.Tenants = append(c.Tenants, configversion.Tenant{Name: m.Name, QuotaPerS: m.QuotaPerS, FleetFraction: m.Share})
 }
 
 func mergeReplicaMark(c *configversion.Config, m *pb.Worker) {
@@ -216,18 +216,18 @@
 }
 
 // UnmarshalConfig reads a version that MarshalConfig wrote.
-func UnmarshalConfig(text []byte) (*configversion.Config, error) {
+func UnmarshalConfig(data []byte) (*configversion.Config, error) {
 	var stored pb.Stored
-	if err := proto.Unmarshal(text, &stored); err != nil {
+	if err := proto.Unmarshal(data, &stored); err != nil {
 		return nil, err
 	}
 	c := &configversion.Config{}
-	for _, p := range stored.Parts {
-		t, ok := ResourceTypeOf(TypeURLPrefix + p.Type)
+	for _, part := range stored.Parts {
+		t, ok := ResourceTypeOf(TypeURLPrefix + part.Type)
 		if !ok {
-			return nil, fmt.Errorf("no type %q", p.Type)
+			return nil, fmt.Errorf("no type %q", part.Type)
 		}
-		fragment, err := Decode(t, p.Resources)
+		fragment, err := Decode(t, part.Resources)
 		if err != nil {
 			return nil, fmt.Errorf("%s: %w", t, err)
 		}
--- a/internal/xdsclient/rollback_test.go
+++ b/internal/xdsclient/rollback_test.go
@@ -95,7 +95,7 @@
 	for range 100 {
 		r.client.RequestEnded(false)
 	}
-	time.Sleep(3 * countInterval) // the client counts them for the version before
+	time.Sleep(3 * requestCountInterval) // the client counts them for the version before
 	r.publish(suspect(automatic))
 	if err := r.await(ctx, func() bool { return numberInForce(r.client) == suspectVersion }); err != nil {
 		return err
--- a/internal/xdsclient/store.go
+++ b/internal/xdsclient/store.go
@@ -38,15 +38,15 @@
 
 // OpenStore opens the store at a path, with mode 0600. A damaged store is set aside: aside
 // is its new name, and an empty one takes its place.
-func OpenStore(path string) (s *Store, aside string, err error) {
-	db, aside, err := boltfile.Open(path, [][]byte{stateBucket, historyBucket}, func(db *bbolt.DB) error {
+func OpenStore(path string) (s *Store, setAside string, err error) {
+	db, setAside, err := boltfile.Open(path, [][]byte{stateBucket, historyBucket}, func(db *bbolt.DB) error {
 		_, _, err := (&Store{db}).Load()
 		return err
 	})
 	if err != nil {
-		return nil, aside, err
+		return nil, setAside, err
 	}
-	return &Store{db}, aside, nil
+	return &Store{db}, setAside, nil
 }
 
 // Close closes the store.
@@ -62,12 +62,12 @@
 				return fmt.Errorf("%s/%s: %w", stateBucket, rejectedKey, err)
 			}
 		}
-		text := b.Get(inForceKey)
-		if text == nil {
+		data := b.Get(inForceKey)
+		if data == nil {
 			return nil
 		}
 		var err error
-		if c, err = UnmarshalConfig(append([]byte(nil), text...)); err != nil {
+		if c, err = UnmarshalConfig(append([]byte(nil), data...)); err != nil {
 			return fmt.Errorf("%s/%s: %w", stateBucket, inForceKey, err)
 		}
 		return nil
@@ -81,9 +81,9 @@
 	if err != nil {
 		return err
 	}
-	var text []byte
+	var data []byte
 	if c != nil {
-		if text, err = MarshalConfig(c); err != nil {
+		if data, err = MarshalConfig(c); err != nil {
 			return err
 		}
 	}
@@ -92,10 +92,10 @@
 		if err := b.Put(rejectedKey, list); err != nil {
 			return err
 		}
-		if text == nil {
+		if data == nil {
 			return b.Delete(inForceKey)
 		}
-		return b.Put(inForceKey, text)
+		return b.Put(inForceKey, data)
 	})
 }
 
--- a/internal/xdsclient/stored_test.go
+++ b/internal/xdsclient/stored_test.go
@@ -44,7 +44,7 @@
 			{Name: "order", LatencyObjective: 1000000, Deadline: 6000000, PriorityWeight: 3, LateWeightShare: 0.5, Idempotency: 1, DedupScope: 2, DedupWindow: 30000000},
 			{Name: "mail", LatencyObjective: 1000001, Deadline: 6000001, PriorityWeight: 1, Idempotency: 2, DedupScope: 1},
 		},
-		Tenants:      []configversion.Tenant{{Name: "quay", QuotaPerS: 12.5, Share: 0.25}, {Name: "reef", QuotaPerS: 20, Share: 0.5}},
+		Tenants:      []configversion.Tenant{{Name: "quay", QuotaPerS: 12.5, FleetFraction: 0.25}, {Name: "reef", QuotaPerS: 20, FleetFraction: 0.5}},
 		ReplicaMarks: []configversion.ReplicaMark{{Name: "s-1", Kind: 0}, {Name: "s-2", Kind: 1}},
 		Attempts:     &configversion.Attempts{Max: 3, MayHedge: true, HedgeRatio: 0.0625, RetryRatio: 0.125},
 		Admission:    &configversion.Admission{MaxInFlight: 500, OverQuotaWeight: 0.75, MaxRetryAfter: 2000000},
--- a/internal/xdsclient/stream.go
+++ b/internal/xdsclient/stream.go
@@ -21,14 +21,14 @@
 
 // Bounds on the stream.
 const (
-	maxMessageSize   = 2 << 20
-	sendQueueSize    = 64
-	maxResources     = 10_100 // in one response
-	dialTimeout      = 10 * time.Second
-	grpcBufferSize   = 8 << 10
-	keepaliveTime    = 10 * time.Second
-	keepaliveTimeout = 5 * time.Second
-	maxNameInError   = 80 // bytes of a name that the service sent
+	maxMessageBytes     = 2 << 20
+	sendQueueSize       = 64
+	maxResources        = 10_100 // in one response
+	streamOpenTimeout   = 10 * time.Second
+	grpcBufferBytes     = 8 << 10
+	keepaliveTime       = 10 * time.Second
+	keepaliveTimeout    = 5 * time.Second
+	maxNameBytesInError = 80 // bytes of a name that the service sent
 )
 
 // userAgent is the gateway's name for the service.
@@ -71,15 +71,15 @@
 	return m
 }
 
-// follow opens the stream and passes on what is received, until it ends.
-func (c *Client) follow(ctx context.Context, s *stream) error {
+// runStream opens the stream and passes on what is received, until it ends.
+func (c *Client) runStream(ctx context.Context, s *stream) error {
 	creds := c.options.TLS
 	if creds == nil {
 		creds = insecure.NewCredentials()
 	}
 	conn, err := grpc.NewClient("passthrough:///"+c.options.Address, grpc.WithTransportCredentials(creds),
-		grpc.WithDefaultCallOptions(grpc.MaxCallRecvMsgSize(maxMessageSize)), grpc.WithDisableServiceConfig(),
-		grpc.WithReadBufferSize(grpcBufferSize), grpc.WithWriteBufferSize(grpcBufferSize),
+		grpc.WithDefaultCallOptions(grpc.MaxCallRecvMsgSize(maxMessageBytes)), grpc.WithDisableServiceConfig(),
+		grpc.WithReadBufferSize(grpcBufferBytes), grpc.WithWriteBufferSize(grpcBufferBytes),
 		// A host that vanished leaves its connection open and silent.
 		grpc.WithKeepaliveParams(keepalive.ClientParameters{Time: keepaliveTime, Timeout: keepaliveTimeout, PermitWithoutStream: true}))
 	if err != nil {
@@ -89,22 +89,22 @@
 	client := discovery.NewAggregatedDiscoveryServiceClient(conn)
 	opening, cancelOpening := context.WithCancel(ctx)
 	defer cancelOpening()
-	timeout := time.AfterFunc(dialTimeout, cancelOpening)
+	timeout := time.AfterFunc(streamOpenTimeout, cancelOpening)
 	defer timeout.Stop()
 	if c.options.Delta {
-		st, err := client.DeltaAggregatedResources(opening, grpc.WaitForReady(false))
+		rpc, err := client.DeltaAggregatedResources(opening, grpc.WaitForReady(false))
 		if err != nil {
 			return err
 		}
 		timeout.Stop()
-		return c.receiveDelta(ctx, s, st)
+		return c.receiveDelta(ctx, s, rpc)
 	}
-	st, err := client.StreamAggregatedResources(opening, grpc.WaitForReady(false))
+	rpc, err := client.StreamAggregatedResources(opening, grpc.WaitForReady(false))
 	if err != nil {
 		return err
 	}
 	timeout.Stop()
-	return c.receiveStateOfTheWorld(ctx, s, st)
+	return c.receiveStateOfTheWorld(ctx, s, rpc)
 }
 
 // startSending notifies the machine that the stream is open, and starts to send the
@@ -141,10 +141,10 @@
 }
 
 // receiveStateOfTheWorld receives responses that each have all resources of a type.
-func (c *Client) receiveStateOfTheWorld(ctx context.Context, s *stream, st discovery.AggregatedDiscoveryService_StreamAggregatedResourcesClient) error {
-	c.startSending(ctx, s, func(r request) error { return st.Send(c.stateOfTheWorldRequest(r)) })
+func (c *Client) receiveStateOfTheWorld(ctx context.Context, s *stream, rpc discovery.AggregatedDiscoveryService_StreamAggregatedResourcesClient) error {
+	c.startSending(ctx, s, func(r request) error { return rpc.Send(c.stateOfTheWorldRequest(r)) })
 	for {
-		m, err := st.Recv()
+		m, err := rpc.Recv()
 		if err != nil {
 			return err
 		}
@@ -166,11 +166,11 @@
 
 // receiveDelta receives responses that each change the resources of a type. The machine
 // gets all resources of the type each time.
-func (c *Client) receiveDelta(ctx context.Context, s *stream, st discovery.AggregatedDiscoveryService_DeltaAggregatedResourcesClient) error {
-	c.startSending(ctx, s, func(r request) error { return st.Send(c.deltaRequest(r)) })
+func (c *Client) receiveDelta(ctx context.Context, s *stream, rpc discovery.AggregatedDiscoveryService_DeltaAggregatedResourcesClient) error {
+	c.startSending(ctx, s, func(r request) error { return rpc.Send(c.deltaRequest(r)) })
 	current := map[configversion.ResourceType]map[string][]byte{} // by name
 	for {
-		m, err := st.Recv()
+		m, err := rpc.Recv()
 		if err != nil {
 			return err
 		}
@@ -234,4 +234,4 @@
 }
 
 // truncate bounds a name that the service sent, for error texts.
-func truncate(s string) string { return s[:min(len(s), maxNameInError)] }
+func truncate(s string) string { return s[:min(len(s), maxNameBytesInError)] }
--- a/internal/xdsclient/tls.go
+++ b/internal/xdsclient/tls.go
@@ -109,7 +109,7 @@
 }
 
 // verifyPeer verifies the other side's certificates against the present authorities.
-func verifyPeer(p certprovider.Provider, chain []*x509.Certificate, name string, use x509.ExtKeyUsage) error {
+func verifyPeer(p certprovider.Provider, chain []*x509.Certificate, name string, usage x509.ExtKeyUsage) error {
 	if len(chain) == 0 {
 		return errNoPeerCertificate
 	}
@@ -121,7 +121,7 @@
 	for _, c := range chain[1:] {
 		intermediates.AddCert(c)
 	}
-	_, err = chain[0].Verify(x509.VerifyOptions{Roots: k.Roots, Intermediates: intermediates, DNSName: name, KeyUsages: []x509.ExtKeyUsage{use}})
+	_, err = chain[0].Verify(x509.VerifyOptions{Roots: k.Roots, Intermediates: intermediates, DNSName: name, KeyUsages: []x509.ExtKeyUsage{usage}})
 	var invalid x509.CertificateInvalidError
 	if errors.As(err, &invalid) && invalid.Reason == x509.Expired {
 		return fmt.Errorf("the other side's certificate is of another time: valid from %s to %s", chain[0].NotBefore.UTC().Format(time.RFC3339), chain[0].NotAfter.UTC().Format(time.RFC3339))
