--- a/internal/configversion/config.go
+++ b/internal/configversion/config.go
@@ -11,13 +11,13 @@
 	"archknot/internal/contract"
 )
 
-// ResourceType names a type of resource. The stream's type URLs end with it.
+// ResourceType names a type of resource. It is the last part of the type URLs on the stream.
 type ResourceType string
 
-// The types of resources that a version may have. A type that a version lacks
-// stays as the configuration files give it.
+// The types of resources that a version may have. For a type that a version does not
+// have, the configuration files apply.
 const (
-	TypeVersion     ResourceType = "Version" // the manifest: always required
+	TypeVersion     ResourceType = "Version" // the manifest; required in each version
 	TypeClass       ResourceType = "Class"
 	TypeTenant      ResourceType = "Tenant"
 	TypeAttempts    ResourceType = "Attempts"
@@ -27,17 +27,17 @@
 	TypeReplica     ResourceType = "Worker"
 	TypeCapture     ResourceType = "Capture"
 	TypeLog         ResourceType = "Log"
-	TypeContract    ResourceType = "Contract" // of a team: an archknot.contract.v1.Terms
+	TypeContract    ResourceType = "Contract" // the contract of a team, an archknot.contract.v1.Terms
 )
 
-// ResourceTypes are all types, in the order in which they are subscribed to.
+// ResourceTypes lists all types, in the order of their subscriptions.
 var ResourceTypes = []ResourceType{TypeVersion, TypeClass, TypeTenant, TypeAttempts, TypeAdmission, TypeConnections, TypeWatch, TypeReplica, TypeCapture, TypeLog, TypeContract}
 
-// Number is a version's number; a higher one is newer. 0 is the configuration files.
+// Number is the number of a version; a higher number is newer. 0 stands for the configuration files.
 type Number uint64
 
-// Config is one complete version. A part that is nil, or a list that is not present
-// (see the Has fields), stays as the configuration files give it.
+// Config is one complete version. The configuration files apply for each part that is
+// nil, and for each list whose Has field is false.
 type Config struct {
 	Number  Number
 	Rollout Rollout
@@ -55,71 +55,70 @@
 	Log          *Log
 	Contracts    []contract.Terms
 
-	// Resources are the messages that the version was decoded from, as received,
-	// for the store.
+	// Resources are the undecoded messages of the version, for the store.
 	Resources map[ResourceType][][]byte
 }
 
-// Rollout is how a version is rolled out: the first group of gateways applies it at
-// once, the others after the hold and a grace period, unless the service has
-// withdrawn it by then. Without a hold, all gateways apply it at once.
+// Rollout defines how a version is rolled out. The first group of gateways applies it
+// immediately; the others apply it after the hold and a grace period, unless the control
+// service has withdrawn it by then. Without a hold, all gateways apply it immediately.
 type Rollout struct {
-	FirstPercent int             // size of the first group
-	Hold         balancer.Micros // how long the first group observes the version
-	// MaxRegression is by how much the share of late and unserved requests may rise
-	// within the hold, as a fraction of 1. A gateway where it rises more rolls back.
+	FirstPercent int             // size of the first group, in percent of the gateways
+	Hold         balancer.Micros // how long the first group observes the version before it is verified
+	// MaxRegression is the permitted increase, within the hold, of the fraction of requests
+	// that are late or unserved. A gateway with a larger increase rolls the version back.
 	MaxRegression float64
 }
 
-// Tenant is a tenant with its quota and its share of the fleet; all shares sum to 1
-// at most.
+// Tenant is a tenant with its quota and its fraction of the fleet. The fractions of all
+// tenants sum to at most 1.
 type Tenant struct {
 	Name          string
-	QuotaPerS     float64 // requests a second
+	QuotaPerS     float64 // requests per second
 	FleetFraction float64
 }
 
-// ReplicaMark is an operator's instruction for one replica, beside what discovery says.
+// ReplicaMark is an operator's instruction for one replica, in addition to its state in discovery.
 type ReplicaMark struct {
 	Name string
 	Kind MarkKind
 }
 
-// MarkKind is what a mark instructs.
+// MarkKind is the instruction of a ReplicaMark.
 type MarkKind uint8
 
 // The kinds of marks.
 const (
-	MarkDrain MarkKind = iota // no new attempts go to the replica
-	MarkServe                 // an earlier MarkDrain is over; discovery's state counts again
+	MarkDrain MarkKind = iota // send no new attempts to the replica
+	MarkServe                 // end an earlier MarkDrain: the state in discovery applies again
 )
 
 // Attempts limits hedged requests and retries.
 type Attempts struct {
-	Max      int // attempts of a request in all
+	Max      int // attempts per request, hedges and retries included
 	MayHedge bool
-	// HedgeRatio and RetryRatio are the hedges and retries allowed for each request,
-	// as a fraction of 1; 0 means the balancer's defaults.
+	// HedgeRatio and RetryRatio are the numbers of hedges and retries allowed per request,
+	// from 0 to 1; 0 selects the balancer's defaults.
 	HedgeRatio, RetryRatio float64
 }
 
-// Admission limits the requests that are admitted.
+// Admission limits the number of requests in flight, and sets how over-quota requests are treated.
 type Admission struct {
 	MaxInFlight     int
 	OverQuotaWeight float64
 	MaxRetryAfter   balancer.Micros
 }
 
-// Connections limits connections and their times.
+// Connections limits the number of connections to clients and replicas, and sets their timeouts.
 type Connections struct {
 	Clients, Replicas           int
 	IdleTimeout, ConnectTimeout balancer.Micros
 }
 
-// Watch is how discovery is polled.
+// Watch sets the timing of polls to discovery: how long discovery may hold a poll open, and the call's timeout.
 type Watch struct{ Wait, CallTimeout balancer.Micros }
 
-// Capture says whether the balancer is recorded, and how much of it is retained.
+// Capture sets whether the balancer's run is recorded, and how much of the recording is retained.
 type Capture struct {
 	Record             bool
 	CheckpointInterval balancer.Micros
@@ -127,11 +126,11 @@
 	MaxAge             balancer.Micros
 }
 
-// Log is the log's level: debug, info, warn or error.
+// Log sets the level of the log: debug, info, warn or error.
 type Log struct{ Level string }
 
-// Overlay returns the balancer's settings with a version's parts in place of those of
-// the configuration files.
+// Overlay returns the balancer's settings: base, which comes from the configuration files,
+// overridden by the parts that the version has.
 func (c *Config) Overlay(base balancer.Settings) balancer.Settings {
 	s := base
 	if c.HasClasses {
@@ -159,7 +158,7 @@
 	return s
 }
 
-// DrainedReplicas returns the names of the replicas that the version's marks drain.
+// DrainedReplicas returns the set of replica names that the version marks as draining.
 func (c *Config) DrainedReplicas() map[string]bool {
 	drained := map[string]bool{}
 	for _, mark := range c.ReplicaMarks {
@@ -170,12 +169,12 @@
 	return drained
 }
 
-// bucketsPerPercent is the resolution of InFirstGroup.
+// bucketsPerPercent sets the resolution of InFirstGroup: one hundredth of a percent.
 const bucketsPerPercent = 100
 
-// InFirstGroup reports whether a gateway is among those that apply a version at once.
-// It goes by xxHash of the gateway's name and the number, so that each version begins
-// with other gateways.
+// InFirstGroup reports whether a gateway is in the group that applies a version
+// immediately. The hash covers the gateway's name and the version's number, so that the
+// group differs from version to version.
 func InFirstGroup(gateway string, n Number, percent int) bool {
 	hash := xxhash.Sum64String(fmt.Sprintf("%s/%d", gateway, n))
 	return hash%(100*bucketsPerPercent) < uint64(percent)*bucketsPerPercent
--- a/internal/configversion/configpb/generate.go
+++ b/internal/configversion/configpb/generate.go
@@ -1,4 +1,4 @@
-// Package configpb has the protocol buffer messages of a streamed configuration.
+// Package configpb defines the protocol buffer messages of a streamed configuration.
 package configpb
 
 //go:generate protoc -I . -I ../../contract/contractpb --go_out=../../.. --go_opt=module=archknot config.proto
--- a/internal/configversion/machine.go
+++ b/internal/configversion/machine.go
@@ -7,68 +7,69 @@
 	"archknot/balancer"
 )
 
-// maxRejected bounds how many versions are remembered as not to be applied again.
+// maxRejected is the number of rejected versions that are remembered. Beyond it, the oldest
+// ones are forgotten.
 const maxRejected = 64
 
-// maxReasonLength bounds a rejection's text on the stream, in bytes.
+// maxReasonLength is the maximum length of a rejection's text on the stream, in bytes.
 const maxReasonLength = 4096
 
-// backoffSeed is the second word of the seed of the backoff's random numbers.
+// backoffSeed is the second word of the seed of the backoff's random number generator.
 const backoffSeed = 0x5eed
 
-// Machine follows the versions of one gateway. It isn't safe for concurrent use: all
-// calls come from one goroutine. Each call brings its time; NextTick returns when Tick
-// must be called.
+// Machine is the state machine of the configuration versions of one gateway. It is not
+// safe for concurrent use. The caller passes the current time to its methods, and calls
+// Tick at the time that NextTick returns.
 type Machine struct {
 	options Options
 	host    Host
 	rng     *rand.Rand
 	now     balancer.Micros
 
-	// The stream.
+	// State of the stream.
 	connected       bool
 	connecting      bool
-	openedAt        balancer.Micros // when the stream opened
-	backoff         balancer.Micros
-	latest          map[ResourceType]*Response
-	undecodable     map[ResourceType]bool   // types whose last response was rejected as undecodable; another is awaited
-	ackedVersions   map[ResourceType]string // the service's names of the version in force, by type
-	incompleteSince balancer.Micros         // since when a version has been incomplete; 0: none is
-
-	// The versions.
+	openedAt        balancer.Micros            // when the stream was opened
+	backoff         balancer.Micros            // current upper bound of the reconnection delay
+	latest          map[ResourceType]*Response // on the present stream
+	undecodable     map[ResourceType]bool      // types whose latest response could not be decoded
+	ackedVersions   map[ResourceType]string    // the control service's version names of the acknowledged resources
+	incompleteSince balancer.Micros            // start of the stall timeout of an incomplete version; 0: not running
+
+	// State of the versions.
 	inForce       *Config                 // nil: the configuration files
-	inForceNonces map[ResourceType]string // of its resources, on the present stream
-	previous      *Config                 // in force before that; nil: the configuration files
+	inForceNonces map[ResourceType]string // nonces of the resources of inForce, on the present stream
+	previous      *Config                 // in force before inForce; nil: the configuration files
 	appliedAt     balancer.Micros         // when a version was last applied; 0: never
-	waiting       *candidate              // complete and valid, not to be applied yet
-	applying      *candidate              // ordered from the host, not answered yet
-	rejected      []Number                // not to be applied again, the oldest first
-	rejectedSet   map[Number]bool         // the same
+	waiting       *candidate              // complete and valid, not due yet
+	applying      *candidate              // passed to Host.Apply, without a result yet
+	rejected      []Number                // versions not to be applied again, the oldest first
+	rejectedSet   map[Number]bool         // the contents of rejected as a set
 
-	// What a restart begins with.
+	// Saved state, from which a restart continues.
 	lastGood    *Config         // nil: the configuration files
-	saveRetryAt balancer.Micros // when a failed save is tried again; 0: none has failed
+	saveRetryAt balancer.Micros // when a failed save is retried; 0: no retry is due
 
-	// The verdict on the version in force, and the way back.
-	verifying          bool // within its hold
+	// Verification and rollback of the version in force.
+	verifying          bool // the version in force is within its hold
 	holdUntil          balancer.Micros
-	baseline, observed outcomeTally    // before the hold, and within it
-	rollingBack        bool            // applying is the previous version
-	rollbackRetryAt    balancer.Micros // when a rollback is tried again; 0: none is wanted
+	baseline, observed outcomeTally    // requests that ended before the hold, and within it
+	rollingBack        bool            // applying holds the previous version
+	rollbackRetryAt    balancer.Micros // when a failed rollback is retried; 0: no retry is due
 	rollbackReason     string
 }
 
-// candidate is a complete version that came over the stream.
+// candidate is a complete version received on the stream, or the target of a rollback.
 type candidate struct {
 	config   *Config
-	nonces   map[ResourceType]string // to be answered
-	versions map[ResourceType]string // the service's names of its resources
-	applyAt  balancer.Micros         // when it may be applied
-	reason   string                  // of a rollback
+	nonces   map[ResourceType]string // nonces of its responses, for the ACK or NACK; nil if the stream has closed
+	versions map[ResourceType]string // the control service's version names of its resources
+	applyAt  balancer.Micros         // earliest time at which it may be applied
+	reason   string                  // reason of a rollback
 }
 
-// New returns a machine. The version in force, if the store had one, and the versions
-// that must not be applied again are as they were before a restart.
+// New returns a machine that continues from the saved state: the version in force, nil if
+// none was saved, and the versions that must not be applied again.
 func New(o Options, host Host, inForce *Config, rejected []Number) *Machine {
 	m := &Machine{
 		options: o, host: host, rng: rand.New(rand.NewPCG(o.Seed, backoffSeed)),
@@ -81,7 +82,7 @@
 	return m
 }
 
-// Start begins to connect.
+// Start opens the first stream.
 func (m *Machine) Start(now balancer.Micros) {
 	m.now = now
 	m.reconnect()
@@ -90,7 +91,7 @@
 // InForce returns the version in force; nil means the configuration files.
 func (m *Machine) InForce() *Config { return m.inForce }
 
-// Rejected returns the versions that are not applied again.
+// Rejected returns the versions that must not be applied again, the oldest first.
 func (m *Machine) Rejected() []Number { return m.rejected }
 
 func (m *Machine) currentNumber() Number { return numberOf(m.inForce) }
@@ -102,8 +103,8 @@
 	return c.Number
 }
 
-// applyingNumber is the number of the version being applied, 0 if none is. A rollback
-// counts as none.
+// applyingNumber returns the number of the version that is being applied, or 0 if there is
+// none. The target of a rollback does not count.
 func (m *Machine) applyingNumber() Number {
 	if m.applying == nil || m.rollingBack {
 		return 0
@@ -111,7 +112,7 @@
 	return m.applying.config.Number
 }
 
-// waitingNumber is the number of the version that waits, 0 if none does.
+// waitingNumber returns the number of the waiting version, or 0 if there is none.
 func (m *Machine) waitingNumber() Number {
 	if m.waiting == nil {
 		return 0
@@ -134,16 +135,16 @@
 	m.host.RecordEvent(Event{m.now, n, kind, reason})
 }
 
-// reconnect opens the stream after a delay drawn from 0 to a bound that doubles, so
-// that hundreds of gateways don't come back together.
+// reconnect opens the stream after a randomized exponential backoff. The jitter keeps
+// hundreds of gateways from reconnecting at the same time.
 func (m *Machine) reconnect() {
 	m.connecting = true
 	m.backoff = min(m.options.MaxBackoff, max(m.options.InitialBackoff, 2*m.backoff))
 	m.host.Connect(balancer.Micros(m.rng.Float64() * float64(m.backoff)))
 }
 
-// Connected is called when the stream is open. The machine subscribes to each type, from
-// the version in force on.
+// Connected must be called when the stream has opened. The machine subscribes to each type,
+// with the version name that it acknowledged last.
 func (m *Machine) Connected(now balancer.Micros) {
 	m.now, m.connected, m.connecting, m.openedAt = now, true, false, now
 	m.resetResponses()
@@ -152,8 +153,8 @@
 	}
 }
 
-// Closed is called when the stream couldn't be opened, or has ended. What was incomplete
-// is lost with it; what is complete is still applied.
+// Closed must be called when the stream could not be opened, or has ended. An incomplete
+// version is discarded; a complete one is still applied.
 func (m *Machine) Closed(now balancer.Micros, reason string) {
 	if !m.connected && !m.connecting {
 		return
@@ -169,7 +170,7 @@
 	}
 	m.connected = false
 	m.resetResponses()
-	// What waits is complete; its nonces belong to a stream that is gone.
+	// Complete versions are retained, but their nonces are invalid on a new stream.
 	m.inForceNonces = nil
 	for _, pending := range []*candidate{m.waiting, m.applying} {
 		if pending != nil {
@@ -185,15 +186,14 @@
 	m.incompleteSince = 0
 }
 
-// Received handles a message of the stream.
+// Received handles a response from the stream.
 func (m *Machine) Received(now balancer.Micros, r Response) {
 	if !m.connected {
 		return
 	}
 	m.now = now
 	if r.DecodeError != "" {
-		// Rejected by itself, at once. The version that it would be part of stays
-		// incomplete.
+		// Only this response is rejected. The version that it belongs to stays incomplete.
 		m.host.SendRequest(r.Type, m.ackedVersions[r.Type], r.Nonce, r.DecodeError)
 		m.recordEvent(m.latestNumber(), EventRejected, string(r.Type)+": "+r.DecodeError)
 		delete(m.latest, r.Type)
@@ -205,7 +205,7 @@
 	m.assemble()
 }
 
-// latestNumber is the number in the stream's latest manifest, 0 if there is none.
+// latestNumber returns the number in the latest manifest on the stream, or 0 if there is none.
 func (m *Machine) latestNumber() Number {
 	if r := m.latest[TypeVersion]; r != nil {
 		return r.Fragment.Manifest.Number
@@ -213,15 +213,16 @@
 	return 0
 }
 
-// markIncomplete notes since when a version has been incomplete. A version that lacks
-// what couldn't be decoded doesn't count as a stalled stream: the service knows of it.
+// markIncomplete starts the stall timeout of an incomplete version. It does not start it
+// while a type is undecodable: the control service has received a NACK, so the stream has
+// not stalled.
 func (m *Machine) markIncomplete() {
 	if m.incompleteSince == 0 && len(m.undecodable) == 0 {
 		m.incompleteSince = m.now
 	}
 }
 
-// assemble considers the version that the latest resources make, if they are complete.
+// assemble builds a version from the latest resources, if they are complete, and evaluates it.
 func (m *Machine) assemble() {
 	if !m.isComplete() {
 		m.markIncomplete()
@@ -246,7 +247,7 @@
 	m.evaluate(c)
 }
 
-// isComplete reports whether there is a manifest, and the resources that it names.
+// isComplete reports whether the manifest and all resources that it lists have been received.
 func (m *Machine) isComplete() bool {
 	version := m.latest[TypeVersion]
 	if version == nil {
@@ -263,7 +264,7 @@
 	return true
 }
 
-// evaluate decides what becomes of a complete version.
+// evaluate decides by its number whether a complete version is rejected, already known or new.
 func (m *Machine) evaluate(c *candidate) {
 	n := c.config.Number
 	switch {
@@ -282,8 +283,8 @@
 	}
 }
 
-// evaluateResent takes a version that is in force, or being applied, and was sent again:
-// an acknowledgement was lost, or the service started anew.
+// evaluateResent handles a version that is in force or being applied, and was received
+// again because an acknowledgement was lost or the control service has restarted.
 func (m *Machine) evaluateResent(c *candidate) {
 	if m.applying != nil {
 		m.applying.nonces, m.applying.versions = c.nonces, c.versions
@@ -293,7 +294,7 @@
 	m.acknowledge(c)
 }
 
-// evaluateNew validates a version and has it wait for its turn.
+// evaluateNew validates a version, and schedules its application.
 func (m *Machine) evaluateNew(c *candidate) {
 	n := c.config.Number
 	if r := Validate(c.config, m.options.Limits); len(r) > 0 {
@@ -325,8 +326,9 @@
 	}
 }
 
-// respond answers the response that a candidate has of a type, once, and only while it
-// is the latest: the service waits for no other answer.
+// respond sends the ACK or NACK for the response of one type of a candidate. It sends it
+// once, and only while that response is the latest: the control service expects no answer
+// to an earlier one.
 func (m *Machine) respond(c *candidate, t ResourceType, version, reason string) {
 	r := m.latest[t]
 	if !m.connected || c.nonces == nil || r == nil || r.Nonce != c.nonces[t] || r.answered {
@@ -336,8 +338,8 @@
 	m.host.SendRequest(t, version, r.Nonce, reason)
 }
 
-// reject rejects a version: each of its resources, since a version is applied as a whole
-// or not at all.
+// reject rejects all resources of a version, since a version is applied as a whole or not
+// at all.
 func (m *Machine) reject(c *candidate, reasons Rejections) {
 	m.recordEvent(c.config.Number, EventRejected, reasons.String())
 	text := fmt.Sprintf("version %d: %s", c.config.Number, reasons)
@@ -351,12 +353,13 @@
 	}
 }
 
-// rejectNumber rejects a version for its number.
+// rejectNumber rejects a version because of its number.
 func (m *Machine) rejectNumber(c *candidate, reason string) {
 	m.reject(c, Rejections{{TypeVersion, "", "number", reason}})
 }
 
-// Tick does what is due.
+// Tick performs the actions that are due: the end of the hold, retries of a rollback or of a
+// save, the application of the waiting version, and the stall timeout.
 func (m *Machine) Tick(now balancer.Micros) {
 	m.now = now
 	if m.verifying && now >= m.holdUntil && m.applying == nil {
@@ -379,7 +382,7 @@
 	}
 }
 
-// applicableAt is when a version that waits may be applied.
+// applicableAt returns the earliest time at which a waiting version may be applied.
 func (m *Machine) applicableAt(c *candidate) balancer.Micros {
 	at := c.applyAt
 	if m.appliedAt > 0 {
@@ -388,7 +391,7 @@
 	return at
 }
 
-// NextTick returns when Tick must be called; 0 means that it need not be.
+// NextTick returns the time at which Tick must be called, or 0 if nothing is scheduled.
 func (m *Machine) NextTick() balancer.Micros {
 	next := balancer.Micros(0)
 	addDueTime := func(at balancer.Micros) {
@@ -414,7 +417,8 @@
 	return next
 }
 
-// Applied answers Host.Apply: the version was applied, or rejected with nothing changed.
+// Applied reports the result of Host.Apply: with no rejections the version was applied,
+// otherwise the gateway is unchanged.
 func (m *Machine) Applied(now balancer.Micros, rejections Rejections) {
 	c := m.applying
 	if c == nil {
@@ -426,8 +430,8 @@
 		m.rollingBack = false
 		m.finishRollback(c, rejections)
 	case len(rejections) > 0:
-		// Not remembered as rejected: the same version may fit when the gateway's state
-		// has changed.
+		// The version is not remembered as rejected: it may be valid once the gateway's
+		// state has changed.
 		m.reject(c, rejections)
 	default:
 		m.putInForce(c)
@@ -435,10 +439,10 @@
 	m.Tick(now)
 }
 
-// putInForce makes a version that was applied the one in force.
+// putInForce makes a version that has been applied the version in force.
 func (m *Machine) putInForce(c *candidate) {
-	m.verifying, m.rollbackRetryAt = false, 0 // a newer version ends what was pending about the one before it
-	if !m.rejectedSet[m.currentNumber()] {    // a version whose rollback was pending is no way back
+	m.verifying, m.rollbackRetryAt = false, 0 // a newer version cancels the verification or rollback of the one before it
+	if !m.rejectedSet[m.currentNumber()] {    // never roll back to a version that is itself rejected
 		m.previous = m.inForce
 	}
 	m.inForce, m.appliedAt = c.config, m.now
@@ -453,14 +457,15 @@
 	m.acknowledge(c)
 }
 
-// markGood makes the version in force the last good one.
+// markGood makes the version in force the last good version, and saves it.
 func (m *Machine) markGood() {
 	m.verifying = false
 	m.lastGood = m.inForce
 	m.save()
 }
 
-// save saves what a restart begins with. After a failure it is called again by Tick.
+// save persists the last good version and the rejected versions. After a failure, Tick calls
+// it again.
 func (m *Machine) save() {
 	m.saveRetryAt = 0
 	if err := m.host.Persist(m.lastGood, m.rejected); err != nil {
--- a/internal/configversion/rollback.go
+++ b/internal/configversion/rollback.go
@@ -8,14 +8,14 @@
 	"archknot/balancer"
 )
 
-// The baseline follows about this many requests: when it has counted baselineRequests,
-// its counts are multiplied by baselineDecay.
+// Whenever the baseline has reached baselineRequests, its counts are multiplied by
+// baselineDecay, so that recent requests outweigh older ones.
 const (
 	baselineRequests = 2000
 	baselineDecay    = 0.5
 )
 
-// outcomeTally counts requests that ended, and those of them late or not served.
+// outcomeTally counts the requests that ended, and those among them that were late or unserved.
 type outcomeTally struct{ total, lateOrUnserved float64 }
 
 func (t outcomeTally) lateOrUnservedFraction() float64 {
@@ -25,7 +25,8 @@
 	return t.lateOrUnserved / t.total
 }
 
-// RequestEnded counts a request that ended; bad is late or not served.
+// RequestEnded counts a request that ended, either in the baseline or, within a hold, against
+// the version in force. It ends the hold early if the version is clearly worse.
 func (m *Machine) RequestEnded(lateOrUnserved bool) {
 	tally := &m.baseline
 	if m.verifying {
@@ -37,20 +38,21 @@
 	if lateOrUnserved {
 		tally.lateOrUnserved++
 	}
-	// What is plainly worse is rolled back before its hold has passed.
+	// With enough requests and twice the permitted regression, do not wait for the end of
+	// the hold.
 	if m.verifying && m.applying == nil && m.observed.total >= 2*float64(m.options.MinVerdictRequests) && m.isWorse(2) {
 		m.endHold()
 	}
 }
 
-// isWorse reports whether the share of bad requests within the hold is higher than before
-// by more than so many times the rollout's MaxRegression.
+// isWorse reports whether the fraction of late or unserved requests within the hold exceeds
+// the baseline by more than factor times the rollout's MaxRegression.
 func (m *Machine) isWorse(factor float64) bool {
 	minRequests := float64(m.options.MinVerdictRequests)
 	return m.observed.total >= minRequests && m.baseline.total >= minRequests && m.observed.lateOrUnservedFraction() > m.baseline.lateOrUnservedFraction()+factor*m.inForce.Rollout.MaxRegression
 }
 
-// endHold ends the hold: the version in force is good, or it is rolled back.
+// endHold ends the hold: the version in force becomes the last good one, or is rolled back.
 func (m *Machine) endHold() {
 	m.verifying = false
 	if m.isWorse(1) {
@@ -62,12 +64,12 @@
 	m.markGood()
 }
 
-// ErrCannotRollBack is returned for an operator's rollback where the configuration files
-// are in force, or a version is being applied.
+// ErrCannotRollBack is returned by Rollback if the configuration files are in force, or if a
+// version is being applied.
 var ErrCannotRollBack = errors.New("there is no streamed version in force, or one is being applied")
 
-// RollbackNotSavedError is returned for an operator's rollback that could not be saved: a
-// restart would have undone it.
+// RollbackNotSavedError is returned by Rollback if the rollback could not be saved. It is not
+// carried out then, since a restart would undo it.
 type RollbackNotSavedError struct{ Err error }
 
 func (e *RollbackNotSavedError) Error() string {
@@ -77,8 +79,8 @@
 // Unwrap returns the error of the store.
 func (e *RollbackNotSavedError) Unwrap() error { return e.Err }
 
-// Rollback is an operator's order to return to the previous version. The return has
-// started, and is saved, when it returns nil; otherwise nothing has changed.
+// Rollback starts an operator's rollback to the previous version. If it returns nil, the
+// rollback has been saved and started; otherwise nothing has changed.
 func (m *Machine) Rollback(now balancer.Micros, reason string) error {
 	m.now = now
 	if m.inForce == nil || m.applying != nil {
@@ -92,22 +94,22 @@
 	return nil
 }
 
-// startRollback starts a rollback that no operator waits for. It goes on where it can't be
-// saved: requests are served worse meanwhile, and the save is tried again.
+// startRollback starts an automatic rollback. A failed save does not stop it, since the
+// version in force degrades service; the save is retried.
 func (m *Machine) startRollback(reason string) {
 	_ = m.persistRollback() // the host has logged it
 	m.orderPrevious(reason)
 }
 
-// persistRollback saves the rollback of the version in force, before it has any effect: a
-// process that ends at any later moment begins with the previous version.
+// persistRollback saves the rollback of the version in force before it takes effect, so that
+// a process that ends at any later moment restarts with the previous version.
 func (m *Machine) persistRollback() error {
 	if m.rejectedSet[m.inForce.Number] {
-		return nil // saved before; requests in flight didn't allow the rollback
+		return nil // saved by an earlier attempt, which requests in flight prevented
 	}
 	rejected := append(slices.Clone(m.rejected), m.inForce.Number)
 	if err := m.host.PersistRollback(m.previous, rejected[max(0, len(rejected)-maxRejected):]); err != nil {
-		m.scheduleSave() // what holds is saved again: the failed write may have reached the disk
+		m.scheduleSave() // restore the saved state: the failed write may have reached the disk
 		return err
 	}
 	m.lastGood, m.saveRetryAt = m.previous, 0
@@ -115,25 +117,25 @@
 	return nil
 }
 
-// orderPrevious orders the previous version.
+// orderPrevious orders the host to apply the previous version.
 func (m *Machine) orderPrevious(reason string) {
 	m.rollbackRetryAt = 0
 	m.applying, m.rollingBack = &candidate{config: m.previous, reason: reason}, true
 	m.host.Apply(m.previous)
 }
 
-// finishRollback takes the answer to the order of startRollback. The service learns of a
-// rollback by a rejection of the version that was in force, on each type's last response.
+// finishRollback handles the result of the order of orderPrevious. The control service is
+// notified of a rollback by a NACK of the latest response of each type of the version.
 func (m *Machine) finishRollback(c *candidate, rejections Rejections) {
 	rolledBack := m.inForce
 	if len(rejections) > 0 {
-		// Requests in flight don't allow the rollback now; it is tried again.
+		// Requests in flight prevent the rollback for now; it is retried.
 		m.recordEvent(rolledBack.Number, EventRejected, "cannot go back now: "+rejections.String())
 		m.rollbackRetryAt, m.rollbackReason = m.now+max(1, m.options.MinInterval), c.reason
 		return
 	}
 	m.markRejected(rolledBack.Number)
-	if waiting := m.waiting; waiting != nil && m.rejectedSet[waiting.config.Number] { // it was sent again meanwhile
+	if waiting := m.waiting; waiting != nil && m.rejectedSet[waiting.config.Number] { // received again during the rollback
 		m.waiting = nil
 		m.rejectNumber(waiting, fmt.Sprintf("version %d was given back", waiting.config.Number))
 	}
@@ -147,9 +149,9 @@
 	}
 }
 
-// rejectInForce sends the rejection of a version that was rolled back. It answers only the
-// responses that belonged to the version and are still the latest: a newer version's
-// resources get an answer of their own.
+// rejectInForce sends a NACK for the version that was rolled back. It answers only those of
+// its responses that are still the latest: the resources of a newer version are answered
+// when that version is evaluated.
 func (m *Machine) rejectInForce(n Number, reason string) {
 	for _, t := range ResourceTypes {
 		if r := m.latest[t]; r != nil && r.Nonce == m.inForceNonces[t] {
--- a/internal/configversion/transition.go
+++ b/internal/configversion/transition.go
@@ -8,41 +8,42 @@
 	"archknot/internal/contract"
 )
 
-// GatewayState is the gateway as it is now, which a version must fit as the next step.
+// GatewayState is the current state of the gateway, which a version is validated against.
 type GatewayState struct {
-	Settings         balancer.Settings // in force in the balancer
+	Settings         balancer.Settings // of the balancer, in force
 	Watch            Watch             // in force
 	Clients          int               // open client connections
 	Replicas         map[string]ReplicaState
 	InFlightByClass  map[string]InFlight
-	InFlight         int            // requests in flight
+	InFlight         int            // all requests in flight
 	InFlightByTenant map[string]int // requests in flight
 	Accounts         []contract.AccountStatus
 }
 
-// ReplicaState is a replica as discovery and earlier marks have it.
+// ReplicaState is the state of a replica according to discovery and to earlier marks.
 type ReplicaState struct {
 	Discovered balancer.EndpointState
 	Marked     bool // drained by a mark
-	// AttemptsInFlight is how many of this gateway's attempts are still in flight at a
-	// replica that is draining.
+	// AttemptsInFlight is the number of this gateway's attempts that are still in flight at
+	// a draining replica.
 	AttemptsInFlight int
 }
 
-// InFlight are the requests in flight of one class.
+// InFlight describes the requests in flight of one class.
 type InFlight struct {
 	Requests int
-	// LongestDeadline is the longest time from arrival that a request which waits for
-	// its first token was given.
+	// LongestDeadline is the longest deadline, counted from arrival, among the requests that
+	// still wait for their first token.
 	LongestDeadline balancer.Micros
 }
 
-// clockTolerance is how much longer than it asked for a request's deadline may seem: the
-// event loop reads its clock once a turn, a little before it admits the request.
+// clockTolerance is by how much the measured deadline of a request may exceed the requested
+// one. The event loop reads its clock once per iteration, shortly before it admits the
+// request.
 const clockTolerance balancer.Micros = 20_000
 
-// ValidateTransition returns why a version that is valid by itself must not be applied
-// from the gateway's present state.
+// ValidateTransition returns the reasons why a version that is valid by itself must not be
+// applied in the gateway's current state; none means that it may be.
 func ValidateTransition(c *Config, l Limits, state *GatewayState) Rejections {
 	t := transition{config: c, limits: l, state: state}
 	t.validateClasses()
@@ -54,7 +55,7 @@
 	return t.rejections
 }
 
-// transition collects what is wrong with the step from a state to a version.
+// transition validates the change from a gateway's state to a version, and collects the rejections.
 type transition struct {
 	config     *Config
 	limits     Limits
@@ -66,8 +67,8 @@
 	t.rejections.addf(resourceType, resource, field, format, args...)
 }
 
-// validateClasses rejects a class that is removed, or whose deadline is shortened, under
-// requests in flight.
+// validateClasses rejects the removal of a class, or a shorter deadline, while requests of
+// the class are in flight.
 func (t *transition) validateClasses() {
 	if !t.config.HasClasses {
 		return
@@ -76,7 +77,7 @@
 	for _, class := range t.config.Classes {
 		next[class.Name] = class
 	}
-	deadline := map[string]balancer.Micros{} // in force
+	deadline := map[string]balancer.Micros{} // of the classes in force
 	for _, class := range t.state.Settings.Classes {
 		deadline[class.Name] = class.Deadline
 	}
@@ -109,9 +110,9 @@
 	}
 }
 
-// validateBudgets rejects a hard limit below what a team that is within its present limit
-// has used already: all of its next requests would be rejected from that moment on. To
-// stop a team, its contract is ended.
+// validateBudgets rejects a hard limit below the usage of a team that is within its present
+// limit: all further requests of the team would be rejected immediately. To stop a team,
+// the operator ends its contract instead.
 func (t *transition) validateBudgets() {
 	if !t.config.HasContracts {
 		return
@@ -136,8 +137,8 @@
 	}
 }
 
-// validateReplicaMarks rejects a replica that would serve again before its drain has
-// ended, and a version that leaves no replica to serve.
+// validateReplicaMarks rejects a MarkServe for a replica whose drain has not ended, and a
+// version that leaves no replica in service.
 func (t *transition) validateReplicaMarks() {
 	if !t.config.HasReplicaMarks {
 		return
@@ -159,9 +160,10 @@
 	}
 }
 
-// validateWatch rejects a poll that takes longer than the limit. Discovery counts on a
-// change being known once a gateway has gone MaxPollInterval without a poll; one that
-// polls less often learns of a drain too late to stop sending.
+// validateWatch rejects poll settings with which one poll may take longer than
+// MaxPollInterval. Discovery assumes that a gateway has received a change after that
+// interval. A gateway that polls less often would receive a drain too late, and would still
+// send attempts to the replica.
 func (t *transition) validateWatch() {
 	watch := t.config.Watch
 	if watch == nil || watch.Wait+watch.CallTimeout <= t.limits.MaxPollInterval {
@@ -171,7 +173,7 @@
 		watch.Wait+watch.CallTimeout, t.limits.MaxPollInterval, t.limits.DrainGrace)
 }
 
-// validateCounts rejects limits below what is in flight or open.
+// validateCounts rejects limits below the number of requests in flight or of open connections.
 func (t *transition) validateCounts() {
 	if a := t.config.Admission; a != nil && a.MaxInFlight < t.state.InFlight {
 		t.rejectf(TypeAdmission, "", "most_held", "below the %d requests in hand", t.state.InFlight)
@@ -181,7 +183,7 @@
 	}
 }
 
-// countServingAfter counts the ready replicas that a version's marks don't drain.
+// countServingAfter counts the ready replicas that the version does not mark as draining.
 func countServingAfter(c *Config, state *GatewayState) (n int) {
 	drained := map[string]bool{}
 	for _, mark := range c.ReplicaMarks {
--- a/internal/configversion/validate.go
+++ b/internal/configversion/validate.go
@@ -9,13 +9,13 @@
 	"archknot/internal/contract"
 )
 
-// Limits are what a version must stay within, from the platform's configuration.
+// Limits are the bounds on the values of a version. They come from the platform's configuration.
 type Limits struct {
-	MaxAttempts     int // of a request, whatever its class; the protocol's limit
+	MaxAttempts     int // attempts per request, in any class; fixed by the protocol
 	Sockets         int // connections to clients and replicas together
 	MaxPollInterval balancer.Micros
-	DrainGrace      balancer.Micros // how long after a drain was learned new attempts may still go out
-	MayCapture      bool            // there is a directory for captures
+	DrainGrace      balancer.Micros // how long new attempts may still be sent after a drain was received
+	MayCapture      bool            // the gateway has a directory for captures
 	MaxClasses      int
 	MaxTenants      int
 	MaxReplicaMarks int
@@ -24,30 +24,30 @@
 	MaxContracts    int
 }
 
-// DefaultLimits are the limits where the platform's configuration says nothing.
+// DefaultLimits are the limits that apply unless the platform's configuration sets others.
 var DefaultLimits = Limits{MaxAttempts: 3, Sockets: 1024, MaxPollInterval: 10_000_000, DrainGrace: 2_500_000, MaxClasses: 64,
 	MaxTenants: 10_000, MaxReplicaMarks: 10_000, MaxDuration: 3_600_000_000, MaxInFlight: 20_000,
 	MaxContracts: 10_000}
 
-// Bounds on single values. Times are microseconds.
+// Bounds on individual values.
 const (
 	minTimeout            balancer.Micros = 1000
 	minCheckpointInterval balancer.Micros = 1_000_000
 	minCaptureBytes                       = 256 << 10
 	maxPriorityWeight                     = 1e6
 	maxQuotaPerS                          = 1e9
-	fractionSumTolerance                  = 1e-9 // of shares that sum to 1
+	fractionSumTolerance                  = 1e-9 // rounding error of fractions that sum to 1
 )
 
 // Rejection is one reason why a version is not applied.
 type Rejection struct {
 	Type     ResourceType `json:"type"`
-	Resource string       `json:"resource"` // its name, "" for the whole type
+	Resource string       `json:"resource"` // name of the resource; "" for the whole type
 	Field    string       `json:"field"`
 	Reason   string       `json:"reason"`
 }
 
-// String returns the type, the resource, the field and the reason in one line.
+// String formats the rejection as "type resource: field: reason", without the parts that are empty.
 func (r Rejection) String() string {
 	text := string(r.Type)
 	if r.Resource != "" {
@@ -59,10 +59,10 @@
 	return text + ": " + r.Reason
 }
 
-// Rejections are all reasons, in order. None means that the version is accepted.
+// Rejections lists all reasons why a version is not applied. If it is empty, the version is accepted.
 type Rejections []Rejection
 
-// String joins the reasons, for logs and for the control service.
+// String joins the reasons by semicolons, for the log and for the control service.
 func (r Rejections) String() string {
 	lines := make([]string, len(r))
 	for i, rejection := range r {
@@ -75,7 +75,8 @@
 	*r = append(*r, Rejection{t, resource, field, fmt.Sprintf(format, args...)})
 }
 
-// Validate returns all that is wrong with a version by itself.
+// Validate checks a version by itself, without the gateway's state, and returns all
+// violations.
 func Validate(c *Config, l Limits) Rejections {
 	v := validator{config: c, limits: l}
 	v.validateRollout()
@@ -92,7 +93,7 @@
 	return v.rejections
 }
 
-// validator collects what is wrong with one version.
+// validator validates one version and collects the rejections.
 type validator struct {
 	config     *Config
 	limits     Limits
@@ -103,14 +104,14 @@
 	v.rejections.addf(t, resource, field, format, args...)
 }
 
-// validateDuration rejects a validateDuration that is shorter than least or over the limit.
+// validateDuration rejects a duration below the minimum or above MaxDuration.
 func (v *validator) validateDuration(t ResourceType, resource, field string, duration, minimum balancer.Micros) {
 	if duration < minimum || duration > v.limits.MaxDuration {
 		v.rejectf(t, resource, field, "expected %d to %d us, got %d", minimum, v.limits.MaxDuration, duration)
 	}
 }
 
-// inRange reports whether a value is from 0 to most; NaN is not.
+// inRange reports whether a value is between 0 and the limit. It is false for NaN.
 func inRange(value, limit float64) bool { return value >= 0 && value <= limit }
 
 func (v *validator) validateRollout() {
@@ -287,7 +288,7 @@
 	}
 }
 
-// logLevels are the levels that a Log resource may name.
+// logLevels are the valid levels of a Log resource.
 var logLevels = []string{"debug", "info", "warn", "error"}
 
 func (v *validator) validateLog() {
