--- a/internal/configversion/bench_test.go
+++ b/internal/configversion/bench_test.go
@@ -7,7 +7,7 @@
 	"archknot/balancer"
 )
 
-// BenchmarkValidate is the check of one version over the number of tenants: a version has all of them.
+// BenchmarkValidate measures the validation of one version, by the number of its tenants.
 func BenchmarkValidate(b *testing.B) {
 	for _, tenants := range []int{10, 100, 1000} {
 		b.Run(fmt.Sprint(tenants), func(b *testing.B) {
--- a/internal/configversion/config.go
+++ b/internal/configversion/config.go
@@ -102,7 +102,8 @@
 	HedgeRatio, RetryRatio float64
 }
 
-// Admission limits the number of requests in flight, and sets how over-quota requests are treated.
+// Admission limits the number of requests in flight, and sets the weight of over-quota
+// requests and the maximum Retry-After; a maximum of 0 disables Retry-After.
 type Admission struct {
 	MaxInFlight     int
 	OverQuotaWeight float64
@@ -115,7 +116,7 @@
 	IdleTimeout, ConnectTimeout balancer.Micros
 }
 
-// Watch sets the timing of polls to discovery: how long discovery may hold a poll open, and the call's timeout.
+// Watch sets how long discovery may hold a poll open, and the timeout of the call.
 type Watch struct{ Wait, CallTimeout balancer.Micros }
 
 // Capture sets whether the balancer's run is recorded, and how much of the recording is retained.
--- a/internal/configversion/machine.go
+++ b/internal/configversion/machine.go
@@ -376,7 +376,7 @@
 		m.save()
 	}
 	if m.connected && m.incompleteSince > 0 && now-m.incompleteSince >= m.options.StallTimeout {
-		m.recordEvent(m.latestNumber(), EventStreamLost, "the stream stalled in the midst of a version")
+		m.recordEvent(m.latestNumber(), EventStreamLost, "stream stalled: version incomplete for longer than the stall timeout")
 		m.host.Close("stalled")
 		m.dropStream()
 	}
--- a/internal/configversion/machine_fleet_test.go
+++ b/internal/configversion/machine_fleet_test.go
@@ -14,8 +14,8 @@
 
 const sec balancer.Micros = 1_000_000
 
-// fleet is a control service and its gateways in virtual time: the machines are real,
-// streams are delays. A script is what the service publishes.
+// fleet simulates a control service and its gateways in virtual time. The machines are
+// real; a stream is a sequence of delayed calls.
 type fleet struct {
 	tb       testing.TB
 	rng      *rand.Rand
@@ -23,22 +23,22 @@
 	schedule schedule
 	seq      int
 
-	gateways      []*gatewaySim
-	current       *published // what the service has; nil: nothing yet
-	up            bool
-	opens         int // streams opened since the service came back
-	openedAt      []balancer.Micros
-	badTransition map[Number]bool // refused as a step by every gateway
-	worse         map[Number]bool // in force, requests go badly
-	lastSent      balancer.Micros
+	gateways          []*gatewaySim
+	current           *published // version that the service publishes; nil: none yet
+	up                bool
+	opens             int // streams opened since the service became reachable again
+	openedAt          []balancer.Micros
+	invalidTransition map[Number]bool // versions that every gateway rejects as a transition
+	regressed         map[Number]bool // versions under which requests are late or unserved
+	lastSent          balancer.Micros
 }
 
 type published struct {
 	number          Number
 	mergeInto       func(*Config)
 	types           map[ResourceType]string
-	truncated       ResourceType // this type comes truncated
-	disconnectAfter int          // the stream ends after so many messages of it; 0: not
+	truncated       ResourceType // type whose message is truncated
+	disconnectAfter int          // number of messages after which the stream ends; 0: it does not end
 	rollout         Rollout
 }
 
@@ -78,21 +78,21 @@
 	f.now = at
 }
 
-// gatewaySim is one gateway: its machine, and the Host that it acts on.
+// gatewaySim simulates one gateway; it is the Host of its machine.
 type gatewaySim struct {
 	fleet     *fleet
 	machine   *Machine
 	name      string
-	stream    int // counts streams; messages of old ones are dropped
+	stream    int // number of the current stream; messages of earlier ones are dropped
 	open      bool
 	nonce     int
-	inForce   *Config // what was applied last
+	inForce   *Config // version applied last
 	persisted *Config
 	rejected  []Number
 	history   []Event
-	acks      map[string]bool // answers by nonce: true is an acknowledgement
+	acks      map[string]bool // by nonce: true for an ACK, false for a NACK
 	applied   []Number
-	wake      balancer.Micros
+	tickAt    balancer.Micros
 
 	storeFails bool
 	onAck      func() // called when a version is acknowledged; may be nil
@@ -102,7 +102,7 @@
 
 func newFleet(tb testing.TB, seed uint64, gateways int) *fleet {
 	tb.Helper()
-	f := &fleet{tb: tb, rng: rand.New(rand.NewPCG(seed, 3)), up: true, now: sec, badTransition: map[Number]bool{}, worse: map[Number]bool{}}
+	f := &fleet{tb: tb, rng: rand.New(rand.NewPCG(seed, 3)), up: true, now: sec, invalidTransition: map[Number]bool{}, regressed: map[Number]bool{}}
 	for i := range gateways {
 		g := &gatewaySim{fleet: f, name: fmt.Sprintf("n%d", i), acks: map[string]bool{}}
 		f.gateways = append(f.gateways, g)
@@ -111,7 +111,7 @@
 	return f
 }
 
-// start makes the gateway's machine, as after a restart: from what was persisted.
+// start creates the gateway's machine from the persisted state, as after a restart.
 func (g *gatewaySim) start(seed uint64) {
 	g.machine = New(DefaultOptions(g.name, seed), g, g.persisted, g.rejected)
 	g.inForce = g.persisted
@@ -119,7 +119,7 @@
 	g.scheduleTick()
 }
 
-// call makes a call of the machine, and schedules its next tick.
+// call runs a function that calls the machine, and schedules the next tick.
 func (g *gatewaySim) call(do func()) {
 	do()
 	g.scheduleTick()
@@ -127,13 +127,13 @@
 
 func (g *gatewaySim) scheduleTick() {
 	at := g.machine.NextTick()
-	if at == 0 || g.wake != 0 && g.wake <= at && g.wake >= g.fleet.now {
+	if at == 0 || g.tickAt != 0 && g.tickAt <= at && g.tickAt >= g.fleet.now {
 		return
 	}
-	g.wake = at
+	g.tickAt = at
 	m := g.machine
 	g.fleet.after(at-g.fleet.now, func() {
-		if g.wake = 0; g.machine == m {
+		if g.tickAt = 0; g.machine == m {
 			g.call(func() { m.Tick(g.fleet.now) })
 		}
 	})
@@ -164,7 +164,7 @@
 
 func (g *gatewaySim) SendRequest(t ResourceType, version, nonce, reason string) {
 	if !g.open {
-		g.fleet.tb.Errorf("%s: sent on no stream", g.name)
+		g.fleet.tb.Errorf("%s: request sent without an open stream", g.name)
 	}
 	if nonce == "" {
 		return
@@ -180,14 +180,14 @@
 
 func (g *gatewaySim) Apply(c *Config) {
 	n := numberOf(c)
-	// The gateway's loop answers a little later.
+	// The result follows after a short delay, as from the gateway's event loop.
 	m := g.machine
 	g.fleet.after(balancer.Micros(g.fleet.rng.IntN(3000)), func() {
 		if g.machine != m {
-			return // it was restarted meanwhile
+			return // the gateway was restarted meanwhile
 		}
 		var r Rejections
-		if g.fleet.badTransition[n] {
+		if g.fleet.invalidTransition[n] {
 			r.addf(TypeClass, "chat", "", "taken out with 3 requests in hand")
 		} else {
 			g.inForce = c
@@ -211,7 +211,7 @@
 
 func (g *gatewaySim) RecordEvent(e Event) {
 	if g.history = append(g.history, e); len(g.history) > 10_000 {
-		g.fleet.tb.Fatal("the history does not end")
+		g.fleet.tb.Fatal("more than 10000 events in the history")
 	}
 }
 
@@ -277,40 +277,40 @@
 	}}
 }
 
-// script plays a seeded script and returns the version that all must end on.
-func (f *fleet) script(steps int) Number {
-	good, n := Number(0), Number(0)
+// runScript runs a random sequence of steps and returns the last valid version published.
+func (f *fleet) runScript(steps int) Number {
+	lastGood, n := Number(0), Number(0)
 	for range steps {
 		n++
 		p := version(n)
-		what := f.rng.IntN(11)
+		step := f.rng.IntN(11)
 		isGood := true
-		switch what {
+		switch step {
 		case 0: // invalid by itself
-			fill := p.mergeInto
-			p.mergeInto = func(c *Config) { fill(c); c.Attempts = &Attempts{Max: 7} }
+			mergeValid := p.mergeInto
+			p.mergeInto = func(c *Config) { mergeValid(c); c.Attempts = &Attempts{Max: 7} }
 			isGood = false
 		case 1: // truncated
 			p.truncated, isGood = TypeClass, false
-		case 2: // valid by itself, not as a step
-			f.badTransition[n], isGood = true, false
-		case 3: // the stream ends between two resources, then the service has the version complete
+		case 2: // valid by itself, rejected as a transition
+			f.invalidTransition[n], isGood = true, false
+		case 3: // the stream ends between two resources; the service then sends the complete version
 			p.disconnectAfter = 1 + f.rng.IntN(2)
 			f.publish(p)
 			f.after(200_000, func() { p.disconnectAfter = 0 })
 			f.runUntil(f.now + 300_000)
-			good = n
+			lastGood = n
 			continue
-		case 4: // flood
+		case 4: // many versions in quick succession
 			for range 20 {
 				f.publish(p)
 				f.runUntil(f.now + balancer.Micros(f.rng.IntN(3000)))
 				n++
 				p = version(n)
 			}
-		case 5: // an old version again
-			if good > 1 {
-				f.publish(version(good - 1))
+		case 5: // an older version is published again
+			if lastGood > 1 {
+				f.publish(version(lastGood - 1))
 				f.runUntil(f.now + 100_000)
 			}
 		case 6: // the service goes down and comes back
@@ -320,74 +320,75 @@
 			}
 			f.runUntil(f.now + balancer.Micros(f.rng.IntN(5_000_000)))
 			f.up, f.opens, f.openedAt = true, 0, nil
-		case 7: // a gateway is killed and starts again
+		case 7: // a gateway is killed and restarted
 			g := f.gateways[f.rng.IntN(len(f.gateways))]
-			g.stream, g.open, g.wake = g.stream+1, false, 0
+			g.stream, g.open, g.tickAt = g.stream+1, false, 0
 			g.start(uint64(n))
-		case 8: // the same again
+		case 8: // the same version is published twice
 			f.publish(p)
 			f.runUntil(f.now + balancer.Micros(f.rng.IntN(200_000)))
 		}
 		f.publish(p)
 		if isGood {
-			good = n
+			lastGood = n
 		}
 		f.runUntil(f.now + balancer.Micros(f.rng.IntN(1_500_000)))
 	}
-	return good
+	return lastGood
 }
 
-// Whatever the service does, each gateway ends on the last good version, within 2 s of
-// the last message that reached it, and never has a version in part.
+// Guards against gateways that do not converge on the last good version, or apply a version
+// in part, after random sequences of invalid versions, stream failures and restarts. Unless
+// streams were reconnecting, they must converge within 2 s of its publication.
 func TestEveryGatewayEndsOnTheLastGood(t *testing.T) {
 	scripts := 250
 	if testing.Short() {
 		scripts = 40
 	}
-	worst := balancer.Micros(0)
+	slowest := balancer.Micros(0)
 	for seed := range uint64(scripts) {
 		f := newFleet(t, seed, 3)
 		f.runUntil(2 * sec)
-		good := f.script(3 + int(seed%8))
-		// A last good version ends each script; the service is up for as long as the
-		// longest backoff.
+		lastGood := f.runScript(3 + int(seed%8))
+		// The service then publishes a valid version. In half of the runs, it has been
+		// reachable for longer than the maximum backoff by then.
 		if f.rng.IntN(2) == 0 {
 			f.runUntil(f.now + 40*sec)
 		}
-		last := version(good + 100)
+		last := version(lastGood + 100)
 		f.publish(last)
-		reach := f.now
-		for i := 0; !f.allOn(last.number) && f.now < reach+60*sec; i++ {
+		publishedAt := f.now
+		for i := 0; !f.allOn(last.number) && f.now < publishedAt+60*sec; i++ {
 			f.runUntil(f.now + 10_000)
 		}
 		if !f.allOn(last.number) {
 			for _, g := range f.gateways {
-				t.Errorf("seed %d: %s is on %d, not %d: %v", seed, g.name, numberOf(g.inForce), last.number, tail(g.history))
+				t.Errorf("seed %d: %s has version %d in force, expected %d: %v", seed, g.name, numberOf(g.inForce), last.number, tail(g.history))
 			}
 			return
 		}
 		for _, g := range f.gateways {
-			// Complete: what is applied is what the version says.
+			// The applied version is complete.
 			if g.inForce.Classes[0].PriorityWeight != float64(last.number) || g.inForce.Attempts.Max != 1+int(last.number%3) {
-				t.Errorf("seed %d: %s has version %d in part: %+v", seed, g.name, g.inForce.Number, g.inForce)
+				t.Errorf("seed %d: %s applied version %d in part: %+v", seed, g.name, g.inForce.Number, g.inForce)
 			}
 			for _, n := range g.applied {
-				if f.badTransition[n] {
-					t.Errorf("seed %d: %s applied version %d", seed, g.name, n)
+				if f.invalidTransition[n] {
+					t.Errorf("seed %d: %s applied version %d, which it must reject", seed, g.name, n)
 				}
 			}
 			if numberOf(g.persisted) != last.number {
 				t.Errorf("seed %d: %s persisted %d", seed, g.name, numberOf(g.persisted))
 			}
 		}
-		if took := f.now - reach; f.settled(reach) {
-			worst = max(worst, took)
+		if took := f.now - publishedAt; f.noStreamOpenedSince(publishedAt) {
+			slowest = max(slowest, took)
 		}
 	}
-	if worst > 2*sec {
-		t.Errorf("the slowest took %d us from the last message", worst)
+	if slowest > 2*sec {
+		t.Errorf("the slowest script converged %d us after the last version was published", slowest)
 	}
-	t.Logf("slowest of %d scripts, where the stream stood: %d us", scripts, worst)
+	t.Logf("slowest of %d scripts, where all streams were open: %d us", scripts, slowest)
 }
 
 func (f *fleet) allOn(n Number) bool {
@@ -399,10 +400,11 @@
 	return true
 }
 
-// settled reports whether all streams were open at a time; otherwise the backoff counts too.
-func (f *fleet) settled(at balancer.Micros) bool {
-	for _, o := range f.openedAt {
-		if o >= at {
+// noStreamOpenedSince reports whether no stream was opened at or after a time. Otherwise the
+// time to converge includes a reconnection backoff.
+func (f *fleet) noStreamOpenedSince(at balancer.Micros) bool {
+	for _, openedAt := range f.openedAt {
+		if openedAt >= at {
 			return false
 		}
 	}
@@ -411,15 +413,15 @@
 
 func tail(h []Event) []Event { return h[max(0, len(h)-6):] }
 
-// 300 gateways are on the last good version in time, and when the service returns after
-// an outage they do not reconnect together.
+// Guards against a reconnection storm: after an outage of the control service, at most 40
+// of 300 gateways may reconnect within one second. All must apply each version within 2 s.
 func TestReconnectsAreSpread(t *testing.T) {
 	f := newFleet(t, 77, 300)
 	f.runUntil(2 * sec)
 	f.publish(version(1))
 	f.runUntil(f.now + 2*sec)
 	if !f.allOn(1) {
-		t.Fatal("not all are on version 1")
+		t.Fatal("not all gateways have applied version 1")
 	}
 	f.up = false
 	for _, g := range f.gateways {
@@ -427,12 +429,12 @@
 	}
 	f.runUntil(f.now + 120*sec)
 	f.up, f.opens, f.openedAt = true, 0, nil
-	back := f.now
-	f.runUntil(back + 31*sec)
+	restoredAt := f.now
+	f.runUntil(restoredAt + 31*sec)
 	if f.opens != 300 {
-		t.Fatalf("%d of 300 came back", f.opens)
+		t.Fatalf("%d of 300 gateways reconnected", f.opens)
 	}
-	most := 0
+	maxPerSecond := 0
 	for i := range f.openedAt {
 		n := 0
 		for _, at := range f.openedAt[i:] {
@@ -440,22 +442,21 @@
 				n++
 			}
 		}
-		most = max(most, n)
+		maxPerSecond = max(maxPerSecond, n)
 	}
-	if most > 40 {
-		t.Errorf("%d came back within one second", most)
+	if maxPerSecond > 40 {
+		t.Errorf("%d gateways reconnected within one second, expected at most 40", maxPerSecond)
 	}
-	t.Logf("at most %d of 300 within a second", most)
+	t.Logf("at most %d of 300 gateways reconnected within one second", maxPerSecond)
 	f.publish(version(2))
 	f.runUntil(f.now + 2*sec)
 	if !f.allOn(2) {
-		t.Error("not all are on version 2")
+		t.Error("not all gateways have applied version 2")
 	}
 }
 
-// A version that makes requests late is rolled back by the gateways that applied it
-// first; the service is notified, the others never apply it, and no gateway applies it
-// again.
+// A version that makes requests late is rolled back by the first group of gateways. The
+// others never apply it, and no gateway applies it again when it is published again.
 func TestWorseVersionIsRolledBack(t *testing.T) {
 	f := newFleet(t, 5, 40)
 	f.runUntil(2 * sec)
@@ -466,41 +467,41 @@
 			f.runUntil(f.now + sec/10)
 			for _, g := range f.gateways {
 				for i := range 3 {
-					g.call(func() { g.machine.RequestEnded(f.worse[numberOf(g.inForce)] && i > 0) })
+					g.call(func() { g.machine.RequestEnded(f.regressed[numberOf(g.inForce)] && i > 0) })
 				}
 			}
 		}
 	}
 	serve(20)
-	bad := version(2)
-	bad.rollout = Rollout{FirstPercent: 25, Hold: 10 * sec, MaxRegression: 0.1}
-	f.worse[2] = true
-	f.publish(bad)
+	regressed := version(2)
+	regressed.rollout = Rollout{FirstPercent: 25, Hold: 10 * sec, MaxRegression: 0.1}
+	f.regressed[2] = true
+	f.publish(regressed)
 	serve(5)
-	first := 0
+	appliedFirst := 0
 	for _, g := range f.gateways {
 		if slices.Contains(g.applied, 2) {
-			first++
+			appliedFirst++
 		}
 	}
-	if first < 3 || first > 20 {
-		t.Fatalf("%d of 40 applied it first", first)
+	if appliedFirst < 3 || appliedFirst > 20 {
+		t.Fatalf("%d of 40 gateways are in the first group", appliedFirst)
 	}
 	serve(5)
-	// The service learns of it and returns to the old contents under a new number.
-	nacked := 0
+	// The service withdraws the version: it publishes a new one.
+	rolledBack := 0
 	for _, g := range f.gateways {
 		for _, e := range g.history {
 			if e.Kind == EventRolledBack {
-				nacked++
+				rolledBack++
 			}
 		}
 		if numberOf(g.inForce) == 2 {
-			t.Errorf("%s is still on it", g.name)
+			t.Errorf("%s still has version 2 in force", g.name)
 		}
 	}
-	if nacked != first {
-		t.Errorf("%d applied it, %d rolled it back", first, nacked)
+	if rolledBack != appliedFirst {
+		t.Errorf("%d gateways applied the version, %d rolled it back", appliedFirst, rolledBack)
 	}
 	next := version(3)
 	next.rollout = Rollout{FirstPercent: 50, Hold: 5 * sec, MaxRegression: 0.1}
@@ -511,7 +512,7 @@
 			t.Errorf("%s applied version 2 after its hold", g.name)
 		}
 	}
-	f.publish(bad) // the old one again: nobody
+	f.publish(regressed) // published again; no gateway may apply it
 	serve(2)
 	f.publish(next)
 	serve(14)
@@ -529,7 +530,7 @@
 	}
 }
 
-// A stream that stops within a version is dropped, and opened again.
+// A stream on which a version stays incomplete is closed after the stall timeout, and reopened.
 func TestStalledStreamIsDropped(t *testing.T) {
 	f := newFleet(t, 6, 1)
 	f.runUntil(2 * sec)
@@ -542,20 +543,21 @@
 	})
 	f.runUntil(f.now + 9*sec)
 	if g.stream != stream {
-		t.Fatal("dropped too soon")
+		t.Fatal("stream closed before the stall timeout")
 	}
 	f.runUntil(f.now + 3*sec)
 	if g.stream == stream {
-		t.Fatal("not dropped")
+		t.Fatal("stream not closed after the stall timeout")
 	}
 	f.publish(p)
 	f.runUntil(f.now + 2*sec)
 	if !f.allOn(1) {
-		t.Error("not on version 1")
+		t.Error("version 1 was not applied on the new stream")
 	}
 }
 
-// A restart begins with what was persisted, whether or not the service is reachable.
+// A restarted gateway has the persisted version in force without the control service, and can
+// roll it back.
 func TestRestartKeepsTheLastGood(t *testing.T) {
 	f := newFleet(t, 8, 1)
 	f.runUntil(2 * sec)
@@ -564,14 +566,14 @@
 	f.up = false
 	g := f.gateways[0]
 	f.disconnect(g, "gone")
-	g.stream, g.open, g.wake = g.stream+1, false, 0
+	g.stream, g.open, g.tickAt = g.stream+1, false, 0
 	g.start(9)
 	f.runUntil(f.now + 5*sec)
 	if numberOf(g.inForce) != 4 || g.machine.InForce().Number != 4 {
-		t.Errorf("on %d", numberOf(g.inForce))
+		t.Errorf("version %d is in force, expected 4", numberOf(g.inForce))
 	}
 	if err := g.machine.Rollback(f.now, "ordered"); err != nil {
-		t.Error("there is a version to roll back", err)
+		t.Error("rollback of version 4 failed:", err)
 	}
 	f.runUntil(f.now + sec)
 	if g.inForce != nil || !slices.Contains(g.machine.Rejected(), 4) {
--- a/internal/configversion/machine_model_test.go
+++ b/internal/configversion/machine_model_test.go
@@ -13,30 +13,30 @@
 	"archknot/balancer"
 )
 
-// model is what a reader of the protocol expects of a machine, written plainly: it
-// stores each message of the stream, and computes anew each time what is complete.
+// model is the host of a machine, and checks its calls against a simple model: it stores
+// each message of the stream, and recomputes each time which version is complete.
 type model struct {
-	t               *rapid.T
-	machine         *Machine
-	now             balancer.Micros
-	open            bool
-	connectOrdered  bool
-	latest          map[ResourceType]Response // of this stream
-	nonces          int
-	answered        map[string]string // by nonce: "" acknowledged, else the reason of the rejection
-	complete        map[Number]bool   // versions that were complete on some stream
-	badTransition   map[Number]bool
-	pending         *Config // ordered, not answered
-	applyPending    bool
-	inForce         Number
-	rejected        map[Number]bool
-	persisted       Number
-	rollbacks       int
-	rejectionReason map[Number]string
-	ended           int
+	t                 *rapid.T
+	machine           *Machine
+	now               balancer.Micros
+	open              bool
+	connectOrdered    bool
+	latest            map[ResourceType]Response // on the current stream
+	nonces            int
+	answered          map[string]string // by nonce: "" for an ACK, otherwise the reason of the NACK
+	complete          map[Number]bool   // versions that have been complete on any stream
+	invalidTransition map[Number]bool
+	pending           *Config // passed to Apply, without a result yet
+	applyPending      bool
+	inForce           Number
+	rejected          map[Number]bool
+	persisted         Number
+	rollbacks         int
+	rejectionReason   map[Number]string
+	ended             int
 }
 
-// attemptsOverLimit is what a version whose number divides by 4 has: too many.
+// attemptsOverLimit makes a version invalid. Each version whose number is divisible by 4 has it.
 const attemptsOverLimit = 9
 
 func (s *model) Connect(balancer.Micros) { s.connectOrdered = true }
@@ -44,32 +44,32 @@
 
 func (s *model) SendRequest(t ResourceType, _, nonce, reason string) {
 	if !s.open {
-		s.t.Fatalf("sent while no stream is open")
+		s.t.Fatalf("request sent without an open stream")
 	}
 	if nonce == "" {
 		return
 	}
 	if reason == "" && s.answered[nonce] != "" {
-		s.t.Fatalf("%s: acknowledged after it was rejected", nonce)
+		s.t.Fatalf("nonce %s: acknowledged after it was rejected", nonce)
 	}
 	s.answered[nonce] = reason
 }
 
 func (s *model) Apply(c *Config) {
 	if s.applyPending {
-		s.t.Fatal("an order before the last was answered")
+		s.t.Fatal("Apply called before the result of the previous call")
 	}
 	n := numberOf(c)
-	if n != 0 && n > s.inForce { // forward: complete, valid and not rolled back
+	if n != 0 && n > s.inForce { // a new version must be complete, valid and not rolled back
 		if !s.complete[n] || n%4 == 0 || s.rejected[n] {
-			s.t.Fatalf("version %d ordered: complete=%t rejected=%t", n, s.complete[n], s.rejected[n])
+			s.t.Fatalf("version %d applied: complete=%t rejected=%t", n, s.complete[n], s.rejected[n])
 		}
 		if !c.HasClasses || c.Classes[0].PriorityWeight != float64(n) || c.Attempts == nil {
-			s.t.Fatalf("version %d ordered in part: %+v", n, c)
+			s.t.Fatalf("version %d applied in part: %+v", n, c)
 		}
 	}
 	if n <= s.inForce && s.persisted != n {
-		s.t.Fatalf("a rollback to %d is ordered, persisted is %d", n, s.persisted)
+		s.t.Fatalf("rollback to %d ordered while %d is persisted", n, s.persisted)
 	}
 	s.pending, s.applyPending = c, true
 }
@@ -77,11 +77,11 @@
 func (s *model) Persist(c *Config, rejected []Number) error {
 	s.persisted = numberOf(c)
 	if s.persisted != s.inForce {
-		s.t.Fatalf("persisted %d, in force is %d", s.persisted, s.inForce)
+		s.t.Fatalf("persisted %d while %d is in force", s.persisted, s.inForce)
 	}
 	for _, n := range rejected {
 		if n == s.persisted {
-			s.t.Fatalf("persisted %d, which must not be applied", n)
+			s.t.Fatalf("persisted %d, which is rejected", n)
 		}
 	}
 	return nil
@@ -90,7 +90,7 @@
 func (s *model) PersistRollback(c *Config, rejected []Number) error {
 	s.persisted = numberOf(c)
 	if s.persisted == s.inForce || s.applyPending || !slices.Contains(rejected, s.inForce) || s.persisted != 0 && slices.Contains(rejected, s.persisted) {
-		s.t.Fatalf("a rollback from %d to %d is persisted, rejected %v", s.inForce, s.persisted, rejected)
+		s.t.Fatalf("invalid rollback from %d to %d persisted, rejected %v", s.inForce, s.persisted, rejected)
 	}
 	return nil
 }
@@ -116,46 +116,48 @@
 	} else {
 		s.latest[r.Type] = r
 	}
-	// What is complete, computed from all that was received.
+	// Recompute from all messages whether the latest version is complete.
 	if v, ok := s.latest[TypeVersion]; ok {
-		f, complete := v.Fragment.Manifest, true
-		for t, name := range f.Types {
+		manifest, complete := v.Fragment.Manifest, true
+		for t, name := range manifest.Types {
 			complete = complete && s.latest[t].Version == name
 		}
 		if complete {
-			s.complete[f.Number] = true
+			s.complete[manifest.Number] = true
 		}
 	}
 	s.machine.Received(s.now, r)
 	if r.DecodeError != "" && !strings.Contains(s.answered[r.Nonce], r.DecodeError) {
-		s.t.Fatal("what cannot be decoded was not rejected at once")
+		s.t.Fatal("undecodable response was not rejected immediately")
 	}
 }
 
+// Runs random sequences of stream messages, failures, results and rollbacks against the model,
+// which checks each call of the machine's host.
 func TestMachineAgainstModel(t *testing.T) {
-	// The same cases each time; -rapid.seed selects others.
+	// A fixed seed makes runs reproducible; -rapid.seed selects other cases.
 	if seed := flag.Lookup("rapid.seed"); seed.Value.String() == "0" {
 		if err := errors.Join(flag.Set("rapid.seed", "1"), flag.Set("rapid.checks", "3000"), flag.Set("rapid.steps", "60"), flag.Set("rapid.nofailfile", "true")); err != nil {
 			t.Fatal(err)
 		}
 	}
 	rapid.Check(t, func(t *rapid.T) {
-		s := &model{t: t, now: sec, latest: map[ResourceType]Response{}, answered: map[string]string{}, complete: map[Number]bool{}, badTransition: map[Number]bool{},
+		s := &model{t: t, now: sec, latest: map[ResourceType]Response{}, answered: map[string]string{}, complete: map[Number]bool{}, invalidTransition: map[Number]bool{},
 			rejected: map[Number]bool{}, rejectionReason: map[Number]string{}}
 		o := DefaultOptions("n1", rapid.Uint64().Draw(t, "seed"))
 		s.machine = New(o, s, nil, nil)
 		s.machine.Start(s.now)
 		number := rapid.Uint64Range(1, 6)
 		types := map[ResourceType]bool{TypeClass: true, TypeAttempts: true}
-		part := func(n Number) map[ResourceType]string {
+		resourceVersions := func(n Number) map[ResourceType]string {
 			out := map[ResourceType]string{}
 			for t := range types {
 				out[t] = fmt.Sprint(t, n)
 			}
 			return out
 		}
-		manifest := func(n Number, st Rollout) {
-			s.receive(Response{Type: TypeVersion, Version: fmt.Sprint("v", n), Fragment: &Fragment{Manifest: &Manifest{Number: n, Types: part(n), Rollout: st}}})
+		manifest := func(n Number, rollout Rollout) {
+			s.receive(Response{Type: TypeVersion, Version: fmt.Sprint("v", n), Fragment: &Fragment{Manifest: &Manifest{Number: n, Types: resourceVersions(n), Rollout: rollout}}})
 		}
 		class := func(n Number) {
 			s.receive(Response{Type: TypeClass, Version: fmt.Sprint(TypeClass, n), Fragment: &Fragment{MergeInto: func(c *Config) {
@@ -163,12 +165,12 @@
 			}}})
 		}
 		attempts := func(n Number) {
-			most := 2
+			maxAttempts := 2
 			if n%4 == 0 {
-				most = attemptsOverLimit
+				maxAttempts = attemptsOverLimit
 			}
 			s.receive(Response{Type: TypeAttempts, Version: fmt.Sprint(TypeAttempts, n), Fragment: &Fragment{MergeInto: func(c *Config) {
-				c.Attempts = &Attempts{Max: most}
+				c.Attempts = &Attempts{Max: maxAttempts}
 			}}})
 		}
 		staged := func(t *rapid.T) Rollout {
@@ -180,11 +182,11 @@
 		t.Repeat(map[string]func(*rapid.T){
 			"publish": func(t *rapid.T) {
 				n := Number(number.Draw(t, "number"))
-				st := staged(t)
+				rollout := staged(t)
 				for _, i := range rapid.Permutation([]int{0, 1, 2}).Draw(t, "order") {
 					switch i {
 					case 0:
-						manifest(n, st)
+						manifest(n, rollout)
 					case 1:
 						class(n)
 					case 2:
@@ -217,7 +219,7 @@
 				s.now += balancer.Micros(rapid.IntRange(1, 8_000_000).Draw(t, "us"))
 				s.machine.Tick(s.now)
 				if at := s.machine.NextTick(); at != 0 && at <= s.now && !s.applyPending {
-					t.Fatalf("due at %d, now %d, after a tick", at, s.now)
+					t.Fatalf("next tick at %d after a tick at %d", at, s.now)
 				}
 			},
 			"applied": func(t *rapid.T) {
@@ -235,9 +237,9 @@
 				s.machine.Applied(s.now, r)
 			},
 			"ended": func(t *rapid.T) {
-				bad := rapid.Bool().Draw(t, "bad")
+				lateOrUnserved := rapid.Bool().Draw(t, "bad")
 				for range 40 {
-					s.machine.RequestEnded(bad)
+					s.machine.RequestEnded(lateOrUnserved)
 				}
 				s.ended += 40
 			},
@@ -248,20 +250,20 @@
 			},
 			"": func(t *rapid.T) {
 				if numberOf(s.machine.InForce()) != s.inForce && !s.applyPending {
-					t.Fatalf("the machine has %d in force, applied is %d", numberOf(s.machine.InForce()), s.inForce)
+					t.Fatalf("machine has version %d in force, expected %d", numberOf(s.machine.InForce()), s.inForce)
 				}
 				if s.rejected[s.inForce] && s.inForce != 0 {
-					t.Fatalf("version %d is in force, and was rolled back", s.inForce)
+					t.Fatalf("version %d is in force, but was rolled back", s.inForce)
 				}
 				if len(s.machine.Rejected()) > maxRejected {
-					t.Fatal("too many are remembered")
+					t.Fatal("more than maxRejected versions are remembered")
 				}
 			},
 		})
 	})
 }
 
-// All that is wrong is returned at once, by resource, field and reason.
+// Validate returns all violations of a version, each with its resource, field and reason.
 func TestValidateReportsAllProblems(t *testing.T) {
 	c := &Config{Number: 3, Rollout: Rollout{FirstPercent: 101, Hold: -1, MaxRegression: 2}, HasClasses: true, HasTenants: true, HasReplicaMarks: true,
 		Classes: []balancer.Class{{Name: "chat", LatencyObjective: 5 * sec, Deadline: 3 * sec, PriorityWeight: -1, LateWeightShare: 2}, {Name: "chat", Deadline: 0}, {Idempotency: 9, Deadline: sec}},
@@ -285,23 +287,23 @@
 	}
 }
 
-// Versions that are valid by themselves, as steps from a state of the gateway.
+// Validates versions as transitions from a gateway's state.
 func TestValidateTransition(t *testing.T) {
-	present := func() *GatewayState {
+	currentState := func() *GatewayState {
 		return &GatewayState{Settings: balancer.Settings{Classes: []balancer.Class{{Name: "chat", Deadline: 3 * sec}, {Name: "docs", Deadline: 3 * sec}}}, InFlight: 5, Clients: 7, InFlightByClass: map[string]InFlight{"chat": {3, 3 * sec}, "docs": {0, 0}}, InFlightByTenant: map[string]int{"a": 2},
 			Replicas: map[string]ReplicaState{"s-1": {Discovered: balancer.EndpointReady}, "s-2": {Discovered: balancer.EndpointDraining}, "s-3": {Discovered: balancer.EndpointReady, Marked: true, AttemptsInFlight: 2},
 				"s-4": {Discovered: balancer.EndpointReady, Marked: true}}}
 	}
 	chat := balancer.Class{Name: "chat", LatencyObjective: sec, Deadline: 3 * sec}
-	short := chat
-	short.Deadline = 2 * sec
+	shorterDeadline := chat
+	shorterDeadline.Deadline = 2 * sec
 	for name, c := range map[string]struct {
 		c    Config
 		want string
 	}{
 		"good":                                {Config{HasClasses: true, Classes: []balancer.Class{chat}}, ""},
 		"class removed":                       {Config{HasClasses: true, Classes: []balancer.Class{{Name: "docs", Deadline: sec}}}, "Class chat: taken out with 3 requests in hand"},
-		"deadline":                            {Config{HasClasses: true, Classes: []balancer.Class{short}}, "Class chat: deadline_us: shortened to 2000000 us"},
+		"deadline":                            {Config{HasClasses: true, Classes: []balancer.Class{shorterDeadline}}, "Class chat: deadline_us: shortened to 2000000 us"},
 		"deadline within the clock tolerance": {Config{HasClasses: true, Classes: []balancer.Class{{Name: "chat", Deadline: 3*sec - 209}}}, ""},
 		"deadline unchanged, a client waits longer": {Config{HasClasses: true, Classes: []balancer.Class{{Name: "chat", Deadline: 3 * sec}}}, ""},
 		"tenant":                {Config{HasTenants: true}, "Tenant a: taken out with 2 requests in hand"},
@@ -315,7 +317,7 @@
 		"requests in flight":    {Config{Admission: &Admission{MaxInFlight: 4}}, "Admission: most_held: below the 5"},
 		"clients":               {Config{Connections: &Connections{Clients: 6}}, "Connections: clients: below the 7"},
 	} {
-		got := ValidateTransition(&c.c, DefaultLimits, present()).String()
+		got := ValidateTransition(&c.c, DefaultLimits, currentState()).String()
 		if (c.want == "") != (got == "") || !strings.Contains(got, c.want) {
 			t.Errorf("%s: %q", name, got)
 		}
@@ -330,6 +332,6 @@
 		}
 	}
 	if n < 1800 || n > 2200 || InFirstGroup("n1", 3, 0) || !InFirstGroup("n1", 3, 100) {
-		t.Errorf("%d of 10000", n)
+		t.Errorf("%d of 10000 gateways in the first group, expected about 2000", n)
 	}
 }
--- a/internal/configversion/rollback.go
+++ b/internal/configversion/rollback.go
@@ -8,8 +8,8 @@
 	"archknot/balancer"
 )
 
-// Whenever the baseline has reached baselineRequests, its counts are multiplied by
-// baselineDecay, so that recent requests outweigh older ones.
+// The baseline covers about the last baselineRequests requests: when it has counted that
+// many, its counts are multiplied by baselineDecay.
 const (
 	baselineRequests = 2000
 	baselineDecay    = 0.5
--- a/internal/configversion/rollback_test.go
+++ b/internal/configversion/rollback_test.go
@@ -6,7 +6,8 @@
 	"testing"
 )
 
-// Guards against: an operator's rollback that is refused for a full disk and takes effect all the same.
+// Guards against an operator's rollback that takes effect although it was rejected because the store could not be
+// written.
 func TestOrderedRollbackChangesNothingWhereItCannotBeSaved(t *testing.T) {
 	f := newFleet(t, 8, 1)
 	f.runUntil(2 * sec)
@@ -17,7 +18,7 @@
 	var notSaved *RollbackNotSavedError
 	g.call(func() {
 		if err := g.machine.Rollback(f.now, "ordered"); !errors.As(err, &notSaved) || !errors.Is(err, errStoreFails) {
-			t.Errorf("answered by %v", err)
+			t.Errorf("Rollback returned %v, expected the store's error", err)
 		}
 	})
 	f.runUntil(f.now + 10*sec)
@@ -37,16 +38,17 @@
 	}
 }
 
-// Guards against: a full disk keeps a worse version in force, or its rollback is never saved when there is space again.
+// Guards against a full disk that prevents an automatic rollback, and against a rollback that is not saved once the
+// disk has space again.
 func TestAutomaticRollbackIsSavedWhenTheStoreCanBeWrittenAgain(t *testing.T) {
 	f := newFleet(t, 8, 1)
 	f.runUntil(2 * sec)
 	f.publish(version(4))
 	f.runUntil(f.now + 2*sec)
 	g := f.gateways[0]
-	serve := func(bad bool) {
+	serve := func(lateOrUnserved bool) {
 		for range 200 {
-			g.call(func() { g.machine.RequestEnded(bad) })
+			g.call(func() { g.machine.RequestEnded(lateOrUnserved) })
 		}
 	}
 	serve(false)
@@ -56,12 +58,12 @@
 	f.publish(worse)
 	f.runUntil(f.now + 2*sec)
 	if numberOf(g.inForce) != 5 {
-		t.Fatalf("on %d", numberOf(g.inForce))
+		t.Fatalf("version %d is in force, expected 5", numberOf(g.inForce))
 	}
 	serve(true)
 	f.runUntil(f.now + sec)
 	if numberOf(g.inForce) != 4 {
-		t.Errorf("on %d while the store fails", numberOf(g.inForce))
+		t.Errorf("version %d is in force while the store fails, expected 4", numberOf(g.inForce))
 	}
 	g.storeFails = false
 	f.runUntil(f.now + 10*sec)
@@ -70,8 +72,8 @@
 	}
 }
 
-// Guards against: a worse version returns to one that was itself to be rolled back, while requests in flight
-// didn't allow it.
+// Guards against a rollback to a version that was itself rejected. Requests in flight prevent the rollback of
+// version 5; version 6, which then comes into force, must return to version 4.
 func TestRollbackPassesOverARejectedVersion(t *testing.T) {
 	f := newFleet(t, 8, 1)
 	f.runUntil(2 * sec)
@@ -80,7 +82,7 @@
 	f.publish(version(5))
 	f.runUntil(f.now + 2*sec)
 	g := f.gateways[0]
-	f.badTransition[4] = true // requests in flight don't allow the way back
+	f.invalidTransition[4] = true // requests in flight prevent the rollback to version 4
 	g.call(func() {
 		if err := g.machine.Rollback(f.now, "ordered"); err != nil {
 			t.Error(err)
@@ -90,9 +92,9 @@
 	f.publish(version(6))
 	f.runUntil(f.now + 2*sec)
 	if numberOf(g.inForce) != 6 {
-		t.Fatalf("on %d", numberOf(g.inForce))
+		t.Fatalf("version %d is in force, expected 6", numberOf(g.inForce))
 	}
-	f.badTransition[4] = false
+	f.invalidTransition[4] = false
 	g.call(func() {
 		if err := g.machine.Rollback(f.now, "ordered"); err != nil {
 			t.Error(err)
@@ -100,12 +102,12 @@
 	})
 	f.runUntil(f.now + 2*sec)
 	if numberOf(g.inForce) != 4 || numberOf(g.persisted) != 4 {
-		t.Errorf("in force %d, persisted %d, not 4", numberOf(g.inForce), numberOf(g.persisted))
+		t.Errorf("in force %d, persisted %d, expected 4", numberOf(g.inForce), numberOf(g.persisted))
 	}
 }
 
-// Guards against: the service is told that a version is in force, and a restart without the service begins with the
-// one before.
+// Guards against an acknowledgement of a version that is not saved yet: after a restart without the control service,
+// the previous version would be in force.
 func TestVersionIsSavedBeforeItIsAcknowledged(t *testing.T) {
 	f := newFleet(t, 8, 1)
 	f.runUntil(2 * sec)
@@ -114,12 +116,12 @@
 	g.onAck = func() {
 		acknowledged = true
 		if numberOf(g.persisted) != 4 {
-			t.Errorf("acknowledged with version %d saved", numberOf(g.persisted))
+			t.Errorf("version 4 was acknowledged while version %d is saved", numberOf(g.persisted))
 		}
 	}
 	f.publish(version(4))
 	f.runUntil(f.now + 2*sec)
 	if !acknowledged {
-		t.Error("not acknowledged")
+		t.Error("version 4 was not acknowledged")
 	}
 }
--- a/internal/configversion/validate.go
+++ b/internal/configversion/validate.go
@@ -36,7 +36,7 @@
 	minCaptureBytes                       = 256 << 10
 	maxPriorityWeight                     = 1e6
 	maxQuotaPerS                          = 1e9
-	fractionSumTolerance                  = 1e-9 // rounding error of fractions that sum to 1
+	fractionSumTolerance                  = 1e-9 // allowed rounding error of fractions that sum to 1
 )
 
 // Rejection is one reason why a version is not applied.
