--- a/internal/xdsclient/client.go
+++ b/internal/xdsclient/client.go
@@ -13,49 +13,49 @@
 	"archknot/internal/configversion"
 )
 
-// Target is what versions are applied to.
+// Target applies versions to the gateway.
 type Target interface {
-	// Apply applies a complete version, or returns to one; nil is the configuration
-	// files. It returns why not, with nothing changed, or nothing. It may wait for the
-	// balancer's goroutine, not for the network.
+	// Apply applies a complete version, or returns to an earlier one; nil stands for the
+	// configuration files. If it returns rejections, nothing has changed. It may block on
+	// the balancer's goroutine, but not on the network.
 	Apply(ctx context.Context, c *configversion.Config) configversion.Rejections
 }
 
-// Options of a Client.
+// Options configures a Client.
 type Options struct {
 	Address string
-	Delta   bool                             // use the incremental form
-	TLS     credentials.TransportCredentials // nil: plain text, for loopback only
+	Delta   bool                             // use the incremental variant of the protocol
+	TLS     credentials.TransportCredentials // nil: no TLS, for loopback addresses only
 	Machine configversion.Options
-	Store   *Store // nil: nothing is saved over restarts
-	Log     func(msg string, args ...any)
+	Store   *Store                        // nil: nothing is saved across restarts
+	Log     func(msg string, args ...any) // nil: no logging; arguments as of slog.Info
 }
 
-// eventQueueSize is how many events may wait for the client's goroutine.
+// eventQueueSize is the capacity of the event queue of the goroutine of Run.
 const eventQueueSize = 256
 
-// requestCountInterval is how often requests that ended are counted.
+// requestCountInterval is how often ended requests are reported to the machine.
 const requestCountInterval = 100 * time.Millisecond
 
-// Client follows a control service. The goroutine of Run owns the machine; the stream's
-// goroutines post their events to it.
+// Client receives versions from a control service and applies them to a Target. The
+// goroutine of Run owns the machine; the goroutines of the stream post events to it.
 type Client struct {
 	options     Options
 	target      Target
 	machine     *configversion.Machine
 	events      chan func(now balancer.Micros)
 	startedAt   time.Time
-	stream      *stream         // the present one; nil: none
-	runContext  context.Context // of Run: the machine's host methods have no context of their own
+	stream      *stream         // the current stream; nil: none
+	runContext  context.Context // context of Run; the methods of configversion.Host have no context parameter
 	streamCount int
 
-	onTimeRequests, lateOrUnservedRequests atomic.Int64 // requests that ended and aren't counted yet
+	onTimeRequests, lateOrUnservedRequests atomic.Int64 // ended requests that the machine has not counted yet
 	inForce                                atomic.Pointer[configversion.Config]
 	connected                              atomic.Bool
 }
 
-// New returns a client that starts from the version in the store. It doesn't apply that
-// version: Run does.
+// New returns a client that continues from the version in the store, which Run applies. It
+// returns an error if the store cannot be read.
 func New(o Options, target Target) (*Client, error) {
 	if o.Log == nil {
 		o.Log = func(string, ...any) {}
@@ -74,18 +74,18 @@
 	return c, nil
 }
 
-// now is the machine's time; it is never 0.
+// now returns the machine's time. It is never 0, which the machine uses for "none".
 func (c *Client) now() balancer.Micros { return 1 + time.Since(c.startedAt).Microseconds() }
 
-// InForce returns the version in force; nil means the configuration files. It may be
-// called by any goroutine.
+// InForce returns the version in force; nil means the configuration files. It is safe for
+// concurrent use.
 func (c *Client) InForce() *configversion.Config { return c.inForce.Load() }
 
-// Connected reports whether the stream is open. It may be called by any goroutine.
+// Connected reports whether the stream is open. It is safe for concurrent use.
 func (c *Client) Connected() bool { return c.connected.Load() }
 
-// RequestEnded counts a request that ended; bad is late or not served. It never waits,
-// and may be called by any goroutine.
+// RequestEnded counts a request that ended, for the verification of the version in force.
+// It never blocks, and is safe for concurrent use.
 func (c *Client) RequestEnded(lateOrUnserved bool) {
 	if lateOrUnserved {
 		c.lateOrUnservedRequests.Add(1)
@@ -94,9 +94,10 @@
 	}
 }
 
-// Rollback starts the return to the previous version. With nil that is saved, and outlives
-// the process; otherwise nothing has changed. It may be called by any goroutine while Run
-// runs.
+// Rollback starts a rollback to the previous version. If it returns nil, the rollback is
+// saved and survives a restart; if it returns an error of configversion, nothing has
+// changed; if ctx has ended, the result is unknown. It is safe for concurrent use while Run
+// is running.
 func (c *Client) Rollback(ctx context.Context, reason string) error {
 	started := make(chan error, 1)
 	if !c.post(ctx, func(now balancer.Micros) { started <- c.machine.Rollback(now, reason) }) {
@@ -110,8 +111,8 @@
 	}
 }
 
-// post queues a function that the goroutine of Run calls. It returns false if the context
-// ended first.
+// post queues a function to be called by the goroutine of Run. It returns false if the
+// context ended before the function was queued.
 func (c *Client) post(ctx context.Context, event func(balancer.Micros)) bool {
 	select {
 	case c.events <- event:
@@ -121,8 +122,8 @@
 	}
 }
 
-// Run applies the stored version and follows the service until the context ends. The
-// gateway's start doesn't wait for it.
+// Run applies the stored version, and then receives versions from the control service until
+// the context ends. The gateway starts without waiting for it.
 func (c *Client) Run(ctx context.Context) {
 	c.runContext = ctx
 	c.applyStored(ctx)
@@ -151,8 +152,9 @@
 	}
 }
 
-// applyStored applies the version that was in force before a restart. No request is in
-// flight yet that it could harm, but the configuration files may have changed since.
+// applyStored applies the version that was in force before a restart. It validates the
+// version again, since the configuration files may have changed. If the version is not
+// valid, the configuration files stay in force.
 func (c *Client) applyStored(ctx context.Context) {
 	stored := c.inForce.Load()
 	if stored == nil {
@@ -167,12 +169,12 @@
 		return
 	}
 	c.options.Log("config_kept_refused", "version", uint64(stored.Number), "reason", rejections.String())
-	_, rejected, _ := c.options.Store.Load() // New has read it before; if that fails now, no version counts as rejected
+	_, rejected, _ := c.options.Store.Load() // read by New before; if it fails now, no version is rejected
 	c.inForce.Store(nil)
 	c.machine = configversion.New(c.options.Machine, c, nil, rejected)
 }
 
-// countRequests passes the requests that ended on to the machine.
+// countRequests reports the ended requests to the machine.
 func (c *Client) countRequests() {
 	for range c.onTimeRequests.Swap(0) {
 		c.machine.RequestEnded(false)
@@ -182,9 +184,10 @@
 	}
 }
 
-// The methods below are configversion.Host. The machine calls them on the goroutine of Run.
+// The methods below implement configversion.Host. The machine calls them on the goroutine of Run.
 
-// Connect opens a stream after a delay.
+// Connect opens a stream after a delay, in a new goroutine. The machine is notified when the
+// stream opens and when it ends.
 func (c *Client) Connect(after balancer.Micros) {
 	c.streamCount++
 	runContext := c.runContext
@@ -209,15 +212,15 @@
 	}()
 }
 
-// closeReason says why a stream ended.
+// closeReason returns the reason why a stream ended, for the log.
 func closeReason(err error) string {
 	if err == nil || errors.Is(err, io.EOF) {
-		return "the service ended the stream"
+		return "control service closed the stream"
 	}
 	return err.Error()
 }
 
-// Close closes the stream.
+// Close closes the stream, without a call of Machine.Closed.
 func (c *Client) Close(string) {
 	if c.stream != nil {
 		c.stream.cancel()
@@ -226,8 +229,8 @@
 	c.connected.Store(false)
 }
 
-// SendRequest queues a request for the stream. A service that doesn't read its requests
-// loses the stream.
+// SendRequest queues a request for the stream. If the queue is full because the control
+// service does not read its requests, the stream is closed.
 func (c *Client) SendRequest(t configversion.ResourceType, version, nonce, reason string) {
 	if c.stream == nil {
 		return
@@ -239,13 +242,13 @@
 	}
 }
 
-// Apply applies a version to the target in a new goroutine, so that the machine doesn't
-// wait for it.
+// Apply applies a version to the target in a new goroutine, so that the machine is not
+// blocked meanwhile.
 func (c *Client) Apply(version *configversion.Config) {
-	run := c.runContext
+	runContext := c.runContext
 	go func() {
-		rejections := c.target.Apply(run, version)
-		c.post(run, func(now balancer.Micros) {
+		rejections := c.target.Apply(runContext, version)
+		c.post(runContext, func(now balancer.Micros) {
 			if len(rejections) == 0 {
 				c.inForce.Store(version)
 			}
@@ -254,13 +257,13 @@
 	}()
 }
 
-// Persist saves the last good version in the store. A failure is logged.
+// Persist saves the last good version in the store. An error is logged and returned.
 func (c *Client) Persist(version *configversion.Config, rejected []configversion.Number) error {
 	return c.saveVersion(version, rejected)
 }
 
-// PersistRollback saves in the store that the version in force is given back. A failure is
-// logged.
+// PersistRollback saves the rollback of the version in force in the store. An error is
+// logged and returned.
 func (c *Client) PersistRollback(previous *configversion.Config, rejected []configversion.Number) error {
 	return c.saveVersion(previous, rejected)
 }
@@ -274,8 +277,8 @@
 	return err
 }
 
-// RecordEvent logs an event, and appends it to the store's history unless it is about the
-// stream.
+// RecordEvent logs an event, and appends it to the store's history unless its kind is
+// EventStreamLost.
 func (c *Client) RecordEvent(e configversion.Event) {
 	c.options.Log("config_"+e.Kind, "version", uint64(e.Number), "reason", e.Reason)
 	if c.options.Store == nil || e.Kind == configversion.EventStreamLost {
--- a/internal/xdsclient/client_test.go
+++ b/internal/xdsclient/client_test.go
@@ -16,7 +16,7 @@
 	"archknot/internal/fakes/controlservice"
 )
 
-// target records what was applied, and rejects some versions as steps.
+// target records the applied versions, and rejects selected ones as transitions.
 type target struct {
 	mu      sync.Mutex
 	inForce *configversion.Config
@@ -56,7 +56,7 @@
 	}}
 }
 
-// gateway is a client with its target.
+// gateway is a running client with its target.
 type gateway struct {
 	*target
 	client *Client
@@ -64,8 +64,8 @@
 	done   chan struct{}
 }
 
-// startClient starts a client that ends with the test.
-func startClient(t *testing.T, name, addr, store string, change func(*Options)) *gateway {
+// startClient starts a client, and stops it when the test ends.
+func startClient(t *testing.T, name, addr, store string, configure func(*Options)) *gateway {
 	t.Helper()
 	g := &gateway{target: &target{rejects: map[configversion.Number]bool{}}, done: make(chan struct{})}
 	o := Options{Address: addr, Machine: configversion.DefaultOptions(name, uint64(len(name))), Log: func(msg string, args ...any) {}}
@@ -77,8 +77,8 @@
 		}
 		o.Store = s
 	}
-	if change != nil {
-		change(&o)
+	if configure != nil {
+		configure(&o)
 	}
 	var err error
 	if g.client, err = New(o, g.target); err != nil {
@@ -100,13 +100,14 @@
 	return g
 }
 
-// waitFor waits until a condition holds, and returns how long that took.
-func waitFor(t *testing.T, what string, done func() bool) time.Duration {
+// waitFor polls until done returns true, and returns the elapsed time. It fails the test after
+// 10 s.
+func waitFor(t *testing.T, condition string, done func() bool) time.Duration {
 	t.Helper()
 	begin := time.Now()
 	for end := begin.Add(10 * time.Second); !done(); time.Sleep(time.Millisecond) {
 		if time.Now().After(end) {
-			t.Fatalf("not in time: %s", what)
+			t.Fatalf("not reached within 10 s: %s", condition)
 		}
 	}
 	return time.Since(begin)
@@ -122,20 +123,21 @@
 	return s
 }
 
-// Three gateways, in both forms of the stream: versions that are valid, invalid, truncated
-// and not valid as a step, a service that ends the stream within a version, a flood of
-// versions, an old version again.
+// Guards against versions that are applied in part, out of order, or although they are invalid,
+// in both variants of the protocol. Three gateways receive valid, invalid, truncated and older
+// versions, one that is rejected as a transition, many in quick succession, and a stream that
+// ends within a version.
 func TestVersionScripts(t *testing.T) {
 	for name, delta := range map[string]bool{"world": false, "delta": true} {
 		t.Run(name, func(t *testing.T) {
 			s := startService(t)
-			var all []*gateway
+			var gateways []*gateway
 			for i := range 3 {
-				all = append(all, startClient(t, fmt.Sprint("n", i), s.Addr(), filepath.Join(t.TempDir(), "store"), func(o *Options) { o.Delta = delta }))
+				gateways = append(gateways, startClient(t, fmt.Sprint("n", i), s.Addr(), filepath.Join(t.TempDir(), "store"), func(o *Options) { o.Delta = delta }))
 			}
 			on := func(n uint64) func() bool {
 				return func() bool {
-					for _, g := range all {
+					for _, g := range gateways {
 						if g.version() != configversion.Number(n) {
 							return false
 						}
@@ -145,47 +147,47 @@
 			}
 			s.Publish(version(1))
 			waitFor(t, "version 1", on(1))
-			bad := version(2)
-			bad.Resources[configversion.TypeAttempts] = []proto.Message{&pb.Attempts{Most: 9}}
-			s.Publish(bad)
+			invalid := version(2)
+			invalid.Resources[configversion.TypeAttempts] = []proto.Message{&pb.Attempts{Most: 9}}
+			s.Publish(invalid)
 			ctx, stop := context.WithTimeout(t.Context(), 10*time.Second)
 			defer stop()
-			refused := func(want string) func([]controlservice.Ack) bool {
+			rejectedByAll := func(want string) func([]controlservice.Ack) bool {
 				return func(list []controlservice.Ack) bool {
-					who := map[string]bool{}
+					rejectedBy := map[string]bool{}
 					for _, a := range list {
 						if strings.Contains(a.Error, want) {
-							who[a.Gateway] = true
+							rejectedBy[a.Gateway] = true
 						}
 					}
-					return len(who) == 3
+					return len(rejectedBy) == 3
 				}
 			}
-			if err := s.AwaitAcks(ctx, refused("version 2: Attempts: most: expected 1 to 3, got 9")); err != nil {
+			if err := s.AwaitAcks(ctx, rejectedByAll("version 2: Attempts: most: expected 1 to 3, got 9")); err != nil {
 				t.Fatal(err, s.Acks())
 			}
-			cut := version(3)
-			cut.Truncate = configversion.TypeClass
-			s.Publish(cut)
-			if err := s.AwaitAcks(ctx, refused("resource 0: proto:")); err != nil {
+			truncated := version(3)
+			truncated.Truncate = configversion.TypeClass
+			s.Publish(truncated)
+			if err := s.AwaitAcks(ctx, rejectedByAll("resource 0: proto:")); err != nil {
 				t.Fatal(err, s.Acks())
 			}
-			for _, g := range all {
+			for _, g := range gateways {
 				g.mu.Lock()
 				g.rejects[4] = true
 				g.mu.Unlock()
 			}
 			s.Publish(version(4))
-			if err := s.AwaitAcks(ctx, refused("version 4: Class chat: taken out with 3 requests in hand")); err != nil {
+			if err := s.AwaitAcks(ctx, rejectedByAll("version 4: Class chat: taken out with 3 requests in hand")); err != nil {
 				t.Fatal(err, s.Acks())
 			}
 			if !on(1)() {
-				t.Fatal("no longer on version 1")
+				t.Fatal("version 1 is no longer in force")
 			}
-			half := version(5)
-			half.CloseAfter = 2
+			incomplete := version(5)
+			incomplete.CloseAfter = 2
 			before := s.Streams()
-			s.Publish(half)
+			s.Publish(incomplete)
 			waitFor(t, "new streams", func() bool { return s.Streams() >= before+6 })
 			if !on(1)() {
 				t.Fatal("a version was applied in part")
@@ -193,31 +195,31 @@
 			s.Publish(version(6))
 			waitFor(t, "version 6", on(6))
 			s.Publish(version(1))
-			if err := s.AwaitAcks(ctx, refused("version 1 is older than 6")); err != nil {
+			if err := s.AwaitAcks(ctx, rejectedByAll("version 1 is older than 6")); err != nil {
 				t.Fatal(err)
 			}
 			for n := range uint64(50) {
 				s.Publish(version(10 + n))
 			}
-			took := waitFor(t, "the flood's last", on(59))
+			took := waitFor(t, "the last of 50 versions", on(59))
 			if took > 2*time.Second {
-				t.Errorf("the flood's last took %v", took)
+				t.Errorf("the last of 50 versions took %v, expected at most 2 s", took)
 			}
-			for _, g := range all {
+			for _, g := range gateways {
 				g.mu.Lock()
 				if n := len(g.applied); n > 40 {
-					t.Errorf("%d versions were applied", n)
+					t.Errorf("%d versions were applied, expected at most 40", n)
 				}
 				if w := g.inForce.Classes[0].PriorityWeight; w != 59 && g.inForce.Classes[1].PriorityWeight != 59 {
-					t.Errorf("in part: %+v", g.inForce)
+					t.Errorf("version applied in part: %+v", g.inForce)
 				}
 				g.mu.Unlock()
 			}
-			// The service stops, and returns with the next version.
+			// The service restarts with the next version.
 			s.Stop()
-			odd := version(60)
-			odd.RepeatNonce = true
-			s.Publish(odd)
+			repeatedNonce := version(60)
+			repeatedNonce.RepeatNonce = true
+			s.Publish(repeatedNonce)
 			if err := s.Restart(); err != nil {
 				t.Fatal(err)
 			}
@@ -232,20 +234,20 @@
 				return n >= 3
 			}
 			if err := s.AwaitAcks(ctx, acked); err != nil {
-				t.Error("not acknowledged")
+				t.Error("version 60 was not acknowledged")
 			}
-			for _, g := range all {
+			for _, g := range gateways {
 				h, err := g.client.options.Store.History()
 				if err != nil || len(h) < 5 {
-					t.Errorf("history: %v %v", h, err)
+					t.Errorf("history has %v, error %v", h, err)
 				}
 			}
 		})
 	}
 }
 
-// A restart begins with the last good version, without the service and without waiting
-// for it.
+// A restarted client applies the last good version while the control service is unreachable,
+// and does not apply a version again that was rolled back.
 func TestRestartWithoutControlService(t *testing.T) {
 	s := startService(t)
 	store := filepath.Join(t.TempDir(), "store")
@@ -263,7 +265,7 @@
 	if err := g.client.Rollback(t.Context(), "ordered"); err != nil {
 		t.Fatal(err)
 	}
-	waitFor(t, "the files", func() bool { return g.version() == 0 })
+	waitFor(t, "the configuration files are in force", func() bool { return g.version() == 0 })
 	g.stop()
 	if err := s.Restart(); err != nil {
 		t.Fatal(err)
--- a/internal/xdsclient/decode.go
+++ b/internal/xdsclient/decode.go
@@ -14,19 +14,19 @@
 	"archknot/internal/contract"
 )
 
-// TypeURLPrefix begins the type URLs of the gateway's resources.
+// TypeURLPrefix is the prefix of the type URLs of the gateway's resources.
 const TypeURLPrefix = "type.googleapis.com/archknot.config.v1."
 
-// maxEnum bounds the numbers of enumerations: configversion has them as bytes.
+// maxEnum is the maximum of an enumeration's value: configversion stores them as uint8.
 const maxEnum = math.MaxUint8
 
-var errNoNumber = errors.New("it has no number")
+var errNoNumber = errors.New("stored version has no number")
 
 // TypeURL returns the type URL of a resource type.
 func TypeURL(t configversion.ResourceType) string { return TypeURLPrefix + string(t) }
 
-// ResourceTypeOf returns the resource type of a type URL; false if it isn't one of the
-// gateway's.
+// ResourceTypeOf returns the resource type of a type URL, or false if it is not a type of
+// the gateway's configuration.
 func ResourceTypeOf(url string) (configversion.ResourceType, bool) {
 	name, ok := strings.CutPrefix(url, TypeURLPrefix)
 	if !ok {
@@ -40,13 +40,16 @@
 	return "", false
 }
 
-// clampInt converts a number to an int that fits 32 bits.
+// clampInt converts a value to an int, limited to the range of int32.
 func clampInt(v uint32) int { return int(min(v, math.MaxInt32)) }
 
-// clampEnum converts an enumeration's number; one that is too high becomes an unknown one.
+// clampEnum converts an enumeration's value. A value that does not fit becomes maxEnum, which
+// validation rejects as unknown.
 func clampEnum[E ~int32](v E) uint8 { return uint8(min(uint32(v), maxEnum)) }
 
-// Decode decodes the resources of one type.
+// Decode decodes the resources of one type. It returns an error if one of them is malformed,
+// if the type is unknown, or if the number of resources is not one where exactly one is
+// required.
 func Decode(t configversion.ResourceType, resources [][]byte) (*configversion.Fragment, error) {
 	if t == configversion.TypeVersion {
 		return decodeManifest(resources)
@@ -77,7 +80,7 @@
 	}}, nil
 }
 
-// addResources stores a type's messages in a version.
+// addResources adds the undecoded messages of a type to a version.
 func addResources(c *configversion.Config, t configversion.ResourceType, resources [][]byte) {
 	if c.Resources == nil {
 		c.Resources = map[configversion.ResourceType][][]byte{}
@@ -107,11 +110,11 @@
 	}}, nil
 }
 
-// mergeFunc merges a decoded resource into a version.
+// mergeFunc adds a decoded resource to a version.
 type mergeFunc func(*configversion.Config)
 
-// listTypes are the types that a version may have any number of resources of. The
-// functions note that the version has the list, even an empty one.
+// listTypes are the types of which a version may have any number of resources. The
+// functions set the Has field of the list, so that an empty list overrides the files too.
 var listTypes = map[configversion.ResourceType]mergeFunc{
 	configversion.TypeClass:    func(c *configversion.Config) { c.HasClasses = true },
 	configversion.TypeTenant:   func(c *configversion.Config) { c.HasTenants = true },
@@ -119,7 +122,7 @@
 	configversion.TypeContract: func(c *configversion.Config) { c.HasContracts = true },
 }
 
-// decoders decode one resource of each type but TypeVersion.
+// decoders decode a single resource, for each type except TypeVersion.
 var decoders = map[configversion.ResourceType]func(raw []byte) (mergeFunc, error){
 	configversion.TypeClass:       decoder(mergeClass),
 	configversion.TypeTenant:      decoder(mergeTenant),
@@ -133,13 +136,14 @@
 	configversion.TypeLog:         decoder(mergeLog),
 }
 
-// messageOf is a pointer to M that is a protocol buffer message.
+// messageOf is the constraint of a pointer to M that is a protocol buffer message.
 type messageOf[M any] interface {
 	*M
 	proto.Message
 }
 
-// decoder returns a function that decodes a message of one type, to be merged by merge.
+// decoder returns a function that decodes a message of type M and returns its merge into a
+// version.
 func decoder[M any, P messageOf[M]](merge func(*configversion.Config, P)) func(raw []byte) (mergeFunc, error) {
 	return func(raw []byte) (mergeFunc, error) {
 		m := P(new(M))
@@ -204,7 +208,7 @@
 	c.Log = &configversion.Log{Level: m.Level}
 }
 
-// MarshalConfig returns a version in the store's form.
+// MarshalConfig encodes a version for the store, from the messages in its Resources.
 func MarshalConfig(c *configversion.Config) ([]byte, error) {
 	var stored pb.Stored
 	for _, t := range configversion.ResourceTypes {
@@ -215,7 +219,7 @@
 	return proto.Marshal(&stored)
 }
 
-// UnmarshalConfig reads a version that MarshalConfig wrote.
+// UnmarshalConfig decodes a version that MarshalConfig encoded. It does not validate it.
 func UnmarshalConfig(data []byte) (*configversion.Config, error) {
 	var stored pb.Stored
 	if err := proto.Unmarshal(data, &stored); err != nil {
@@ -225,7 +229,7 @@
 	for _, part := range stored.Parts {
 		t, ok := ResourceTypeOf(TypeURLPrefix + part.Type)
 		if !ok {
-			return nil, fmt.Errorf("no type %q", part.Type)
+			return nil, fmt.Errorf("unknown resource type %q", part.Type)
 		}
 		fragment, err := Decode(t, part.Resources)
 		if err != nil {
--- a/internal/xdsclient/doc.go
+++ b/internal/xdsclient/doc.go
@@ -1,5 +1,5 @@
-// Package xdsclient is the gateway's side of a streamed configuration: a client of the
-// aggregated discovery service of xDS v3 over gRPC, in both its state-of-the-world and
-// its incremental (delta) form, and the store of the last good version. Package
-// configversion decides what becomes of a version.
+// Package xdsclient receives the gateway's streamed configuration. It contains a client of
+// the xDS v3 aggregated discovery service (ADS) over gRPC, for both the state-of-the-world
+// and the incremental (delta) variant, and the store of the last good version. Package
+// configversion decides which versions are applied and rolled back.
 package xdsclient
--- a/internal/xdsclient/rollback_test.go
+++ b/internal/xdsclient/rollback_test.go
@@ -17,39 +17,39 @@
 	"archknot/internal/fakes/controlservice"
 )
 
-// A rollbackPoint is a moment of a rollback at which a test ends the process.
+// rollbackPoint is a point within a rollback at which a test ends the process.
 type rollbackPoint string
 
 const (
-	pointApplyBegins rollbackPoint = "apply begins" // the target is about to return to the previous version
-	pointApplyEnds   rollbackPoint = "apply ends"   // it has; the machine doesn't know
-	pointLogged      rollbackPoint = "logged"       // the machine knows, and has logged it
-	pointConfirmed   rollbackPoint = "confirmed"    // the operator has the answer
+	pointApplyBegins rollbackPoint = "apply begins" // before the target returns to the previous version
+	pointApplyEnds   rollbackPoint = "apply ends"   // after that, before the machine is notified
+	pointLogged      rollbackPoint = "logged"       // after the machine has logged the rollback
+	pointConfirmed   rollbackPoint = "confirmed"    // after the operator's call has returned
 )
 
-// keptVersion is in force before suspectVersion, which is rolled back.
+// previousVersion is in force before rolledBackVersion, which is rolled back.
 const (
-	keptVersion    = 7
-	suspectVersion = 8
+	previousVersion   = 7
+	rolledBackVersion = 8
 )
 
-// suspect is a version that is rolled back by an operator's order, or by itself within its hold.
-func suspect(automatic bool) *controlservice.Version {
-	v := version(suspectVersion)
+// versionToRollBack returns rolledBackVersion, with a hold for an automatic rollback.
+func versionToRollBack(automatic bool) *controlservice.Version {
+	v := version(rolledBackVersion)
 	if automatic {
 		v.FirstPercent, v.Hold, v.MaxRegression = 100, time.Minute, 0.1
 	}
 	return v
 }
 
-// pointTarget calls a function at the points of a rollback that the target sees.
-type pointTarget struct {
+// observedTarget calls reached before and after the target applies a rollback.
+type observedTarget struct {
 	target
 	reached func(rollbackPoint)
 }
 
-func (p *pointTarget) Apply(ctx context.Context, c *configversion.Config) configversion.Rejections {
-	rollback := p.version() == suspectVersion
+func (p *observedTarget) Apply(ctx context.Context, c *configversion.Config) configversion.Rejections {
+	rollback := p.version() == rolledBackVersion
 	if rollback {
 		p.reached(pointApplyBegins)
 	}
@@ -60,16 +60,16 @@
 	return rejections
 }
 
-// rollbackRun is a client that applies keptVersion and suspectVersion from a service, and rolls the second back.
+// rollbackRun is a client that applies previousVersion and rolledBackVersion, and rolls back the second.
 type rollbackRun struct {
-	target  *pointTarget
+	target  *observedTarget
 	client  *Client
 	store   *Store
 	publish func(*controlservice.Version)
 }
 
 func newRollbackRun(addr, storePath string, publish func(*controlservice.Version), reached func(rollbackPoint)) (*rollbackRun, error) {
-	run := &rollbackRun{target: &pointTarget{reached: reached}, publish: publish}
+	run := &rollbackRun{target: &observedTarget{reached: reached}, publish: publish}
 	var err error
 	if run.store, _, err = OpenStore(storePath); err != nil {
 		return nil, err
@@ -85,19 +85,19 @@
 	return run, err
 }
 
-// rollBack brings the suspect version into force and has it rolled back. It returns the error of an operator's
-// order, and nil for an automatic rollback.
+// rollBack puts rolledBackVersion in force and starts its rollback. For an operator's rollback it returns the error of
+// the call; for an automatic one it returns nil.
 func (r *rollbackRun) rollBack(ctx context.Context, automatic bool) error {
-	r.publish(version(keptVersion))
-	if err := r.await(ctx, func() bool { stored, _, _ := r.store.Load(); return stored != nil && stored.Number == keptVersion }); err != nil {
+	r.publish(version(previousVersion))
+	if err := r.await(ctx, func() bool { stored, _, _ := r.store.Load(); return stored != nil && stored.Number == previousVersion }); err != nil {
 		return err
 	}
 	for range 100 {
 		r.client.RequestEnded(false)
 	}
-	time.Sleep(3 * requestCountInterval) // the client counts them for the version before
-	r.publish(suspect(automatic))
-	if err := r.await(ctx, func() bool { return numberInForce(r.client) == suspectVersion }); err != nil {
+	time.Sleep(3 * requestCountInterval) // until the client has counted them in the baseline
+	r.publish(versionToRollBack(automatic))
+	if err := r.await(ctx, func() bool { return numberInForce(r.client) == rolledBackVersion }); err != nil {
 		return err
 	}
 	if !automatic {
@@ -127,40 +127,40 @@
 	return nil
 }
 
-// expectRolledBack starts a client again on the store of a process that ended within a rollback: the suspect
-// version must not come into force, and the service, which still has it, must get a rejection.
+// expectRolledBack starts a client on the store of a process that ended within a rollback. rolledBackVersion must not
+// come into force, and the service, which still publishes it, must receive a rejection.
 func expectRolledBack(t *testing.T, s *controlservice.Service, storePath string) {
 	t.Helper()
 	g := startClient(t, "n0", s.Addr(), storePath, nil)
 	defer g.stop()
 	ctx, cancel := context.WithTimeout(t.Context(), 5*time.Second)
 	defer cancel()
-	refused := func(acks []controlservice.Ack) bool {
+	rejected := func(acks []controlservice.Ack) bool {
 		return slices.ContainsFunc(acks, func(a controlservice.Ack) bool {
-			return a.Error == fmt.Sprintf("version %[1]d: Version: number: version %[1]d was given back or refused before", suspectVersion)
+			return a.Error == fmt.Sprintf("version %[1]d: Version: number: version %[1]d was given back or refused before", rolledBackVersion)
 		})
 	}
-	if err := s.AwaitAcks(ctx, refused); err != nil {
-		t.Errorf("the service was not told that the version is refused: %v", err)
+	if err := s.AwaitAcks(ctx, rejected); err != nil {
+		t.Errorf("the service received no rejection of the version: %v", err)
 	}
 	g.mu.Lock()
 	applied := slices.Clone(g.applied)
 	g.mu.Unlock()
-	if slices.Contains(applied, suspectVersion) {
-		t.Errorf("a version that was rolled back is applied again: %v", applied)
+	if slices.Contains(applied, rolledBackVersion) {
+		t.Errorf("the version was applied again after its rollback: %v", applied)
 	}
-	if g.version() != keptVersion {
-		t.Errorf("version %d is in force, not the previous one", g.version())
+	if g.version() != previousVersion {
+		t.Errorf("version %d is in force, expected the previous version", g.version())
 	}
 }
 
-// atEachRollbackPoint runs a test for ordered and automatic rollbacks, and for each point that they have.
+// atEachRollbackPoint runs a test for an operator's and an automatic rollback, at each of their points.
 func atEachRollbackPoint(t *testing.T, run func(t *testing.T, automatic bool, point rollbackPoint)) {
 	t.Helper()
 	for _, automatic := range []bool{false, true} {
 		for _, point := range []rollbackPoint{pointApplyBegins, pointApplyEnds, pointLogged, pointConfirmed} {
 			if automatic && point == pointConfirmed {
-				continue // nobody waits for an answer
+				continue // an automatic rollback has no caller
 			}
 			t.Run(fmt.Sprintf("automatic=%t/%s", automatic, point), func(t *testing.T) {
 				t.Parallel()
@@ -170,7 +170,7 @@
 	}
 }
 
-// Guards against: a version that was rolled back is in force again after a clean stop within the rollback.
+// Guards against a version that is in force again after its rollback was interrupted by a clean stop.
 func TestRollbackOutlivesAStop(t *testing.T) {
 	atEachRollbackPoint(t, func(t *testing.T, automatic bool, point rollbackPoint) {
 		t.Helper()
@@ -186,7 +186,7 @@
 			}
 			stop()
 			reachedOnce()
-			if at != pointLogged { // logged by the goroutine that is to end
+			if at != pointLogged { // RecordEvent runs on the goroutine that must end
 				<-ended
 			}
 		})
@@ -216,7 +216,7 @@
 	})
 }
 
-// Environment variables of the process that TestRollbackOutlivesSIGKILL kills.
+// Environment variables of the child process of TestRollbackOutlivesSIGKILL.
 const (
 	rollbackStoreEnv     = "ARCHKNOT_TEST_ROLLBACK_STORE"
 	rollbackServiceEnv   = "ARCHKNOT_TEST_ROLLBACK_SERVICE"
@@ -224,7 +224,7 @@
 	rollbackAutomaticEnv = "ARCHKNOT_TEST_ROLLBACK_AUTOMATIC"
 )
 
-// rollBackUntilKilled is the killed process: it kills itself at the point that the environment names.
+// rollBackUntilKilled is the child process. It kills itself at the point that rollbackPointEnv names.
 func rollBackUntilKilled() {
 	killAt := func(at rollbackPoint) {
 		if string(at) == os.Getenv(rollbackPointEnv) {
@@ -234,7 +234,7 @@
 	}
 	ctx, cancel := context.WithTimeout(context.Background(), 10*time.Second)
 	defer cancel()
-	publish := func(v *controlservice.Version) { fmt.Println(v.Number) } // the test publishes it
+	publish := func(v *controlservice.Version) { fmt.Println(v.Number) } // the parent process publishes the version
 	run, err := newRollbackRun(os.Getenv(rollbackServiceEnv), os.Getenv(rollbackStoreEnv), publish, killAt)
 	if err == nil {
 		go run.client.Run(ctx)
@@ -248,7 +248,7 @@
 	os.Exit(1)
 }
 
-// Guards against: a version that was rolled back is in force again after SIGKILL within the rollback.
+// Guards against a version that is in force again after its rollback was interrupted by SIGKILL.
 func TestRollbackOutlivesSIGKILL(t *testing.T) {
 	atEachRollbackPoint(t, func(t *testing.T, automatic bool, point rollbackPoint) {
 		t.Helper()
@@ -259,7 +259,7 @@
 	})
 }
 
-// killRollback runs a process that is killed at a point of a rollback, and publishes the versions that it orders.
+// killRollback runs a child process that is killed at a point of a rollback, and publishes the versions that it prints.
 func killRollback(t *testing.T, s *controlservice.Service, storePath string, automatic bool, point rollbackPoint) {
 	t.Helper()
 	cmd := exec.Command(os.Args[0])
@@ -267,9 +267,9 @@
 	if automatic {
 		cmd.Env = append(cmd.Env, rollbackAutomaticEnv+"=1")
 	}
-	var problems strings.Builder
-	cmd.Stderr = &problems
-	orders, err := cmd.StdoutPipe()
+	var stderr strings.Builder
+	cmd.Stderr = &stderr
+	stdout, err := cmd.StdoutPipe()
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -278,34 +278,34 @@
 	}
 	for {
 		var n int
-		if _, err := fmt.Fscanln(orders, &n); err != nil {
+		if _, err := fmt.Fscanln(stdout, &n); err != nil {
 			break
 		}
-		if n == suspectVersion {
-			s.Publish(suspect(automatic))
+		if n == rolledBackVersion {
+			s.Publish(versionToRollBack(automatic))
 		} else {
 			s.Publish(version(uint64(n)))
 		}
 	}
 	_ = cmd.Wait()
 	if status, ok := cmd.ProcessState.Sys().(syscall.WaitStatus); !ok || status.Signal() != syscall.SIGKILL {
-		t.Fatalf("%v: %s", cmd.ProcessState, problems.String())
+		t.Fatalf("%v: %s", cmd.ProcessState, stderr.String())
 	}
 }
 
-// Guards against: an operator is told that a version was taken back, and a store that cannot be written brings it
-// back after the next restart.
+// Guards against a confirmed rollback that was not saved: the version would be in force again after a restart. The
+// store is closed before the rollback, which must then fail and change nothing.
 func TestRollbackIsRefusedWhereItCannotBeSaved(t *testing.T) {
 	s := startService(t)
 	g := startClient(t, "n0", s.Addr(), filepath.Join(t.TempDir(), "store"), nil)
-	s.Publish(version(keptVersion))
-	waitFor(t, "the version", func() bool { return numberInForce(g.client) == keptVersion })
+	s.Publish(version(previousVersion))
+	waitFor(t, "the version", func() bool { return numberInForce(g.client) == previousVersion })
 	g.client.options.Store.Close()
 	if err := g.client.Rollback(t.Context(), "ordered"); err == nil || !strings.Contains(err.Error(), "database not open") {
-		t.Errorf("the rollback was answered by %v", err)
+		t.Errorf("Rollback returned %v, expected the store's error", err)
 	}
 	time.Sleep(200 * time.Millisecond)
-	if g.version() != keptVersion {
-		t.Errorf("version %d is in force, though the rollback was refused", g.version())
+	if g.version() != previousVersion {
+		t.Errorf("version %d is in force after a failed rollback", g.version())
 	}
 }
--- a/internal/xdsclient/store.go
+++ b/internal/xdsclient/store.go
@@ -12,12 +12,12 @@
 	"archknot/internal/configversion"
 )
 
-// Store saves the last good version, the versions that must not be applied again, and a
-// history, over restarts. Each change is one transaction: a kill at any point leaves the
-// state before or the state after it.
+// Store persists the last good version, the versions that must not be applied again, and
+// the history of events. Each change is one transaction: if the process is killed at any
+// point, the store has the state before or the state after the change.
 type Store struct{ db *bbolt.DB }
 
-// Buckets and keys in the file.
+// Names of the buckets, and of the keys in the state bucket.
 var (
 	stateBucket   = []byte("state")
 	historyBucket = []byte("history")
@@ -25,10 +25,10 @@
 	rejectedKey   = []byte("never")
 )
 
-// maxHistoryEntries bounds the history.
+// maxHistoryEntries is the number of entries that the history retains.
 const maxHistoryEntries = 1000
 
-// HistoryEntry is one entry of the history.
+// HistoryEntry is one event in the life of a version.
 type HistoryEntry struct {
 	At      time.Time            `json:"at"`
 	Version configversion.Number `json:"version"`
@@ -36,8 +36,8 @@
 	Reason  string               `json:"reason,omitempty"`
 }
 
-// OpenStore opens the store at a path, with mode 0600. A damaged store is set aside: aside
-// is its new name, and an empty one takes its place.
+// OpenStore opens the store at a path, or creates it with mode 0600. A corrupted store is
+// renamed and replaced by an empty one; setAside is then its new path.
 func OpenStore(path string) (s *Store, setAside string, err error) {
 	db, setAside, err := boltfile.Open(path, [][]byte{stateBucket, historyBucket}, func(db *bbolt.DB) error {
 		_, _, err := (&Store{db}).Load()
@@ -49,11 +49,11 @@
 	return &Store{db}, setAside, nil
 }
 
-// Close closes the store.
+// Close closes the store's file.
 func (s *Store) Close() error { return s.db.Close() }
 
-// Load returns the last good version, nil if there is none, and the versions that must not
-// be applied again.
+// Load returns the last good version, or nil if there is none, and the versions that must
+// not be applied again.
 func (s *Store) Load() (c *configversion.Config, rejected []configversion.Number, err error) {
 	err = s.db.View(func(tx *bbolt.Tx) error {
 		b := tx.Bucket(stateBucket)
@@ -75,7 +75,8 @@
 	return c, rejected, err
 }
 
-// SaveVersion makes a version the last good one; nil is the configuration files.
+// SaveVersion saves the last good version, where nil stands for the configuration files, and
+// the versions that must not be applied again.
 func (s *Store) SaveVersion(c *configversion.Config, rejected []configversion.Number) error {
 	list, err := json.Marshal(rejected)
 	if err != nil {
@@ -99,7 +100,8 @@
 	})
 }
 
-// AppendHistory appends an entry to the history, and drops the oldest past the bound.
+// AppendHistory appends an entry to the history, and deletes the oldest entries beyond
+// maxHistoryEntries.
 func (s *Store) AppendHistory(e HistoryEntry) error {
 	text, err := json.Marshal(e)
 	if err != nil {
@@ -124,7 +126,7 @@
 	})
 }
 
-// History returns the entries, the oldest first.
+// History returns the entries of the history, the oldest first.
 func (s *Store) History() (entries []HistoryEntry, err error) {
 	err = s.db.View(func(tx *bbolt.Tx) error {
 		return tx.Bucket(historyBucket).ForEach(func(_, text []byte) error {
--- a/internal/xdsclient/store_kill_test.go
+++ b/internal/xdsclient/store_kill_test.go
@@ -17,9 +17,9 @@
 	pb "archknot/internal/configversion/configpb"
 )
 
-// storeWriterEnv is the environment variable that makes the test program one that saves
-// versions in a store until it is killed.
-const storeWriterEnv = "ARCHKNOT_TEST_KEEPER"
+// storeWriterEnv is the environment variable with the path of the store in which the child
+// process of TestStoreSurvivesSIGKILL saves versions until it is killed.
+const storeWriterEnv = "ARCHKNOT_TEST_STORE_WRITER"
 
 func TestMain(m *testing.M) {
 	if path := os.Getenv(storeWriterEnv); path != "" {
@@ -65,8 +65,9 @@
 	}
 }
 
-// A process that is killed while it saves versions leaves a store that opens, with the
-// version that it reported last, or the one that it was saving.
+// Guards against a store that is corrupted, or lacks a saved version, after SIGKILL. A child
+// process saves versions and is killed at a random time; the store must have the version that
+// was reported last, or the one that was being saved.
 func TestStoreSurvivesSIGKILL(t *testing.T) {
 	path := filepath.Join(t.TempDir(), "store")
 	rng := rand.New(rand.NewPCG(7, 7))
@@ -90,7 +91,7 @@
 			}
 			reported = n
 		}
-		time.Sleep(time.Duration(rng.IntN(2000)) * time.Microsecond) // somewhere in the next ones
+		time.Sleep(time.Duration(rng.IntN(2000)) * time.Microsecond) // while the child saves further versions
 		if err := cmd.Process.Kill(); err != nil {
 			t.Fatal(err)
 		}
@@ -104,9 +105,9 @@
 		if err != nil || aside != "" {
 			t.Fatalf("round %d: %v, set aside as %q", round, err, aside)
 		}
-		c, never, err := s.Load()
-		if err != nil || c == nil || uint64(c.Number) < reported || uint64(c.Number) > reported+1 || len(never) != 1 {
-			t.Fatalf("round %d: %+v, %v; it reported %d", round, c, err, reported)
+		c, rejected, err := s.Load()
+		if err != nil || c == nil || uint64(c.Number) < reported || uint64(c.Number) > reported+1 || len(rejected) != 1 {
+			t.Fatalf("round %d: %+v, %v; reported was %d", round, c, err, reported)
 		}
 		if h, err := s.History(); err != nil || len(h) == 0 || uint64(h[len(h)-1].Version) > uint64(c.Number) {
 			t.Fatalf("round %d: history %v, %v", round, len(h), err)
--- a/internal/xdsclient/store_test.go
+++ b/internal/xdsclient/store_test.go
@@ -13,15 +13,17 @@
 	pb "archknot/internal/configversion/configpb"
 )
 
-// A kill at any point of a write leaves the state before or after it.
+// Guards against a store that cannot be read after a torn write. The test restores the meta
+// pages and a random subset of the other pages to their state before a write; the store must
+// then have the previous version.
 func TestStoreSurvivesKills(t *testing.T) {
 	dir := t.TempDir()
 	path := filepath.Join(dir, "store")
 	rng := rand.New(rand.NewPCG(1, 2))
 	config := func(n uint64) *configversion.Config {
 		c := &configversion.Config{}
-		list, _ := proto.Marshal(&pb.Version{Number: n})
-		part, err := Decode(configversion.TypeVersion, [][]byte{list})
+		manifest, _ := proto.Marshal(&pb.Version{Number: n})
+		part, err := Decode(configversion.TypeVersion, [][]byte{manifest})
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -46,15 +48,15 @@
 		}
 		s.Close()
 		after, _ := os.ReadFile(path)
-		// A kill: some pages of the transaction have reached the disk; the meta page, which
-		// is written last, has not.
+		// Torn write: some pages of the transaction have reached the disk, but not the meta
+		// page, which is written last.
 		torn := append([]byte(nil), after...)
 		page := os.Getpagesize()
 		complete := rng.IntN(3) == 0
 		if !complete {
-			for _, m := range []int{0, 1} { // the newer meta page goes back
-				if m*page+page <= len(before) {
-					copy(torn[m*page:(m+1)*page], before[m*page:(m+1)*page])
+			for _, metaPage := range []int{0, 1} { // restore the meta pages
+				if metaPage*page+page <= len(before) {
+					copy(torn[metaPage*page:(metaPage+1)*page], before[metaPage*page:(metaPage+1)*page])
 				}
 			}
 			for p := 2; p*page+page <= min(len(before), len(torn)); p++ {
@@ -76,7 +78,7 @@
 	}
 }
 
-// A damaged store is set aside, and the configuration files serve.
+// A corrupted store is set aside, and an empty one replaces it.
 func TestDamagedStoreIsSetAside(t *testing.T) {
 	path := filepath.Join(t.TempDir(), "store")
 	for _, text := range []string{"not a store", strings.Repeat("\xff", 64<<10)} {
@@ -114,6 +116,6 @@
 	}
 	h, err := s.History()
 	if err != nil || len(h) != maxHistoryEntries || h[len(h)-1].Version != maxHistoryEntries+49 {
-		t.Errorf("%d lines, %v", len(h), err)
+		t.Errorf("history has %d entries, error %v", len(h), err)
 	}
 }
--- a/internal/xdsclient/stored_test.go
+++ b/internal/xdsclient/stored_test.go
@@ -15,9 +15,9 @@
 	"archknot/internal/xdsclient"
 )
 
-// A configuration store written by the build of commit b3142ba is read with all its
-// fields: the last good version with each type of resource, the versions that must
-// not be taken again, and the history.
+// Guards against a change of the store's format. A store written by the build of commit
+// b3142ba must be read with all fields: the last good version with each type of resource,
+// the versions that must not be applied again, and the history.
 func TestStoredConfiguration(t *testing.T) {
 	text, err := os.ReadFile("testdata/stored/config.db")
 	if err != nil {
@@ -32,7 +32,7 @@
 		t.Fatalf("set aside as %q, %v", aside, err)
 	}
 	defer s.Close()
-	got, never, err := s.Load()
+	got, rejected, err := s.Load()
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -68,7 +68,7 @@
 	if diff := cmp.Diff(wantCount, count); diff != "" {
 		t.Error(diff)
 	}
-	if diff := cmp.Diff([]configversion.Number{40, 41}, never); diff != "" {
+	if diff := cmp.Diff([]configversion.Number{40, 41}, rejected); diff != "" {
 		t.Error(diff)
 	}
 	lines, err := s.History()
--- a/internal/xdsclient/stream.go
+++ b/internal/xdsclient/stream.go
@@ -19,22 +19,22 @@
 	"archknot/internal/configversion"
 )
 
-// Bounds on the stream.
+// Limits of the stream.
 const (
-	maxMessageBytes     = 2 << 20
-	sendQueueSize       = 64
-	maxResources        = 10_100 // in one response
-	streamOpenTimeout   = 10 * time.Second
-	grpcBufferBytes     = 8 << 10
+	maxMessageBytes     = 2 << 20          // of a received message
+	sendQueueSize       = 64               // requests that wait to be sent
+	maxResources        = 10_100           // of one type
+	streamOpenTimeout   = 10 * time.Second // for the connection and the call that opens the stream
+	grpcBufferBytes     = 8 << 10          // for reading, and for writing
 	keepaliveTime       = 10 * time.Second
 	keepaliveTimeout    = 5 * time.Second
-	maxNameBytesInError = 80 // bytes of a name that the service sent
+	maxNameBytesInError = 80 // of a name received from the control service
 )
 
-// userAgent is the gateway's name for the service.
+// userAgent is the user agent name that the gateway sends to the control service.
 const userAgent = "archknot"
 
-// stream is one attempt to follow the service.
+// stream is one stream to the control service, or the attempt to open it.
 type stream struct {
 	cancel   context.CancelFunc
 	requests chan request
@@ -47,7 +47,7 @@
 	version, nonce, reason string
 }
 
-// errorDetail is the reason of a rejection in the form of the protocol, nil for others.
+// errorDetail returns the error detail of a rejection, or nil for other requests.
 func (r *request) errorDetail() *status.Status {
 	if r.reason == "" {
 		return nil
@@ -71,7 +71,7 @@
 	return m
 }
 
-// runStream opens the stream and passes on what is received, until it ends.
+// runStream opens a stream and delivers its responses until it ends. It returns the reason.
 func (c *Client) runStream(ctx context.Context, s *stream) error {
 	creds := c.options.TLS
 	if creds == nil {
@@ -80,7 +80,7 @@
 	conn, err := grpc.NewClient("passthrough:///"+c.options.Address, grpc.WithTransportCredentials(creds),
 		grpc.WithDefaultCallOptions(grpc.MaxCallRecvMsgSize(maxMessageBytes)), grpc.WithDisableServiceConfig(),
 		grpc.WithReadBufferSize(grpcBufferBytes), grpc.WithWriteBufferSize(grpcBufferBytes),
-		// A host that vanished leaves its connection open and silent.
+		// Without keepalive, the connection to a host that became unreachable would stay open.
 		grpc.WithKeepaliveParams(keepalive.ClientParameters{Time: keepaliveTime, Timeout: keepaliveTimeout, PermitWithoutStream: true}))
 	if err != nil {
 		return err
@@ -107,8 +107,8 @@
 	return c.receiveStateOfTheWorld(ctx, s, rpc)
 }
 
-// startSending notifies the machine that the stream is open, and starts to send the
-// requests that it orders.
+// startSending notifies the machine that the stream is open, and starts the goroutine that
+// sends the queued requests.
 func (c *Client) startSending(ctx context.Context, s *stream, send func(request) error) {
 	c.post(ctx, func(now balancer.Micros) {
 		if c.stream == s {
@@ -120,7 +120,7 @@
 		for {
 			select {
 			case r := <-s.requests:
-				if send(r) != nil { // the receiving side has the error as well
+				if send(r) != nil { // the receiver gets and reports the error as well
 					s.cancel()
 					return
 				}
@@ -131,7 +131,7 @@
 	}()
 }
 
-// deliver passes a response on to the machine, unless another stream has taken its place.
+// deliver passes a response to the machine, unless the stream has been closed or replaced.
 func (c *Client) deliver(ctx context.Context, s *stream, r configversion.Response) {
 	c.post(ctx, func(now balancer.Micros) {
 		if c.stream == s {
@@ -140,7 +140,7 @@
 	})
 }
 
-// receiveStateOfTheWorld receives responses that each have all resources of a type.
+// receiveStateOfTheWorld receives responses that contain all resources of a type.
 func (c *Client) receiveStateOfTheWorld(ctx context.Context, s *stream, rpc discovery.AggregatedDiscoveryService_StreamAggregatedResourcesClient) error {
 	c.startSending(ctx, s, func(r request) error { return rpc.Send(c.stateOfTheWorldRequest(r)) })
 	for {
@@ -164,8 +164,8 @@
 	}
 }
 
-// receiveDelta receives responses that each change the resources of a type. The machine
-// gets all resources of the type each time.
+// receiveDelta receives responses that contain the changes to the resources of a type. It
+// delivers the full set of resources of the type each time.
 func (c *Client) receiveDelta(ctx context.Context, s *stream, rpc discovery.AggregatedDiscoveryService_DeltaAggregatedResourcesClient) error {
 	c.startSending(ctx, s, func(r request) error { return rpc.Send(c.deltaRequest(r)) })
 	current := map[configversion.ResourceType]map[string][]byte{} // by name
@@ -186,15 +186,15 @@
 			raw = append(raw, next[name])
 		}
 		r = withFragment(r, raw)
-		if r.DecodeError == "" { // what can't be decoded changes nothing
+		if r.DecodeError == "" { // a response that could not be decoded is not applied
 			current[t] = next
 		}
 		c.deliver(ctx, s, r)
 	}
 }
 
-// applyDelta returns the resources of a type after a response, by name, and what is wrong
-// with the response, if anything is.
+// applyDelta returns the resources of a type, by name, after the changes of a response. If
+// the response contains a resource of another type, decodeError describes it.
 func applyDelta(current map[string][]byte, m *discovery.DeltaDiscoveryResponse) (next map[string][]byte, decodeError string) {
 	next = maps.Clone(current)
 	if next == nil {
@@ -212,7 +212,7 @@
 	return next, decodeError
 }
 
-// withFragment adds the decoded resources to a response, or why they can't be decoded.
+// withFragment decodes the resources and adds the result, or the error, to a response.
 func withFragment(r configversion.Response, raw [][]byte) configversion.Response {
 	if r.DecodeError == "" && len(raw) > maxResources {
 		r.DecodeError = fmt.Sprintf("%d resources, %d are the most", len(raw), maxResources)
@@ -230,8 +230,8 @@
 }
 
 func unexpectedTypeError(typeURL string) error {
-	return fmt.Errorf("a response of type %q, which was not asked for", truncate(typeURL))
+	return fmt.Errorf("received a response of unrequested type %q", truncate(typeURL))
 }
 
-// truncate bounds a name that the service sent, for error texts.
+// truncate shortens a name received from the control service, for error texts.
 func truncate(s string) string { return s[:min(len(s), maxNameBytesInError)] }
--- a/internal/xdsclient/tls.go
+++ b/internal/xdsclient/tls.go
@@ -13,28 +13,29 @@
 	"google.golang.org/grpc/credentials/tls/certprovider/pemfile"
 )
 
-// How TLSFiles are read.
+// Timing of the reads of TLSFiles.
 const (
 	defaultRefreshInterval = 5 * time.Second
 	firstReadTimeout       = 5 * time.Second
-	handshakeReadTimeout   = time.Second // for key material within a handshake
+	handshakeReadTimeout   = time.Second // within a TLS handshake
 )
 
 var (
-	errNoOwnCertificate  = errors.New("no certificate of our own")
-	errNoPeerCertificate = errors.New("the other side has no certificate")
+	errNoOwnCertificate  = errors.New("no local certificate loaded")
+	errNoPeerCertificate = errors.New("peer sent no certificate")
 )
 
-// TLSFiles are the PEM files of one side. They are read again when they are replaced; open
-// connections keep what they were opened with.
+// TLSFiles are the PEM files of a client or a server. They are reloaded when they change;
+// open connections are not affected.
 type TLSFiles struct {
 	Cert, Key       string
-	CA              string        // the authorities of the other side
-	ServerName      string        // the name in the service's certificate; "": the address's
-	RefreshInterval time.Duration // how often the files are looked at; 0: 5 s
+	CA              string        // certificate authorities that verify the peer
+	ServerName      string        // expected name in the control service's certificate; "": the host of its address
+	RefreshInterval time.Duration // how often the files are checked for changes; 0: defaultRefreshInterval
 }
 
-// newProvider starts the reading of the files. An error says which files can't be read.
+// newProvider starts a provider that reloads the files. It returns an error if they cannot
+// be read within firstReadTimeout.
 func (f TLSFiles) newProvider() (certprovider.Provider, error) {
 	if f.RefreshInterval == 0 {
 		f.RefreshInterval = defaultRefreshInterval
@@ -47,20 +48,20 @@
 	defer cancel()
 	if _, err := p.KeyMaterial(ctx); err != nil {
 		p.Close()
-		return nil, fmt.Errorf("%s, %s, %s: cannot be read: %w", f.Cert, f.Key, f.CA, err)
+		return nil, fmt.Errorf("read TLS files %s, %s, %s: %w", f.Cert, f.Key, f.CA, err)
 	}
 	return p, nil
 }
 
-// ClientTLS returns the gateway's credentials. closeFiles ends the reading of the files.
+// ClientTLS returns the gateway's credentials. closeFiles stops the reloading of the files.
 func ClientTLS(f TLSFiles) (creds credentials.TransportCredentials, closeFiles func(), err error) {
 	p, err := f.newProvider()
 	if err != nil {
 		return nil, nil, err
 	}
 	cfg := &tls.Config{MinVersion: tls.VersionTLS12, ServerName: f.ServerName,
-		// The authorities may be replaced: VerifyConnection checks each handshake against
-		// the present ones.
+		// The built-in verification cannot reload the authorities. VerifyConnection
+		// replaces it, and verifies each handshake against the current ones.
 		InsecureSkipVerify: true,
 		GetClientCertificate: func(*tls.CertificateRequestInfo) (*tls.Certificate, error) {
 			return ownCertificate(p)
@@ -71,8 +72,8 @@
 	return credentials.NewTLS(cfg), p.Close, nil
 }
 
-// ServerTLS returns a service's credentials, for fakes. The service requires a certificate
-// of the gateway. closeFiles ends the reading of the files.
+// ServerTLS returns the credentials of a control service that requires a client certificate,
+// for fakes. closeFiles stops the reloading of the files.
 func ServerTLS(f TLSFiles) (creds credentials.TransportCredentials, closeFiles func(), err error) {
 	p, err := f.newProvider()
 	if err != nil {
@@ -88,7 +89,7 @@
 	return credentials.NewTLS(cfg), p.Close, nil
 }
 
-// ownCertificate returns the present certificate of this side.
+// ownCertificate returns the current local certificate.
 func ownCertificate(p certprovider.Provider) (*tls.Certificate, error) {
 	k, err := keyMaterial(p)
 	if err != nil {
@@ -97,7 +98,7 @@
 	return &k.Certs[0], nil
 }
 
-// keyMaterial returns the present contents of the files, with one certificate at least.
+// keyMaterial returns the current contents of the files, with at least one certificate.
 func keyMaterial(p certprovider.Provider) (*certprovider.KeyMaterial, error) {
 	ctx, cancel := context.WithTimeout(context.Background(), handshakeReadTimeout)
 	defer cancel()
@@ -108,7 +109,7 @@
 	return k, err
 }
 
-// verifyPeer verifies the other side's certificates against the present authorities.
+// verifyPeer verifies the peer's certificate chain against the current authorities.
 func verifyPeer(p certprovider.Provider, chain []*x509.Certificate, name string, usage x509.ExtKeyUsage) error {
 	if len(chain) == 0 {
 		return errNoPeerCertificate
@@ -124,10 +125,10 @@
 	_, err = chain[0].Verify(x509.VerifyOptions{Roots: k.Roots, Intermediates: intermediates, DNSName: name, KeyUsages: []x509.ExtKeyUsage{usage}})
 	var invalid x509.CertificateInvalidError
 	if errors.As(err, &invalid) && invalid.Reason == x509.Expired {
-		return fmt.Errorf("the other side's certificate is of another time: valid from %s to %s", chain[0].NotBefore.UTC().Format(time.RFC3339), chain[0].NotAfter.UTC().Format(time.RFC3339))
+		return fmt.Errorf("peer certificate expired or not yet valid: valid from %s to %s", chain[0].NotBefore.UTC().Format(time.RFC3339), chain[0].NotAfter.UTC().Format(time.RFC3339))
 	}
 	if err != nil {
-		return fmt.Errorf("the other side's certificate is not accepted: %w", err)
+		return fmt.Errorf("peer certificate verification failed: %w", err)
 	}
 	return nil
 }
--- a/internal/xdsclient/tls_test.go
+++ b/internal/xdsclient/tls_test.go
@@ -20,7 +20,7 @@
 	"archknot/internal/fakes/controlservice"
 )
 
-// authority makes certificates.
+// authority is a certificate authority.
 type authority struct {
 	t    *testing.T
 	key  *ecdsa.PrivateKey
@@ -43,7 +43,8 @@
 	return &authority{t, key, c}
 }
 
-// issue writes a certificate, its key and the authority's into a folder.
+// issue creates a certificate, and writes it, its key and the authority's certificate into a
+// directory.
 func (a *authority) issue(dir string, notAfter time.Time) TLSFiles {
 	a.t.Helper()
 	key, err := ecdsa.GenerateKey(elliptic.P256(), rand.Reader)
@@ -69,12 +70,12 @@
 	return f
 }
 
-// Both sides present certificates; wrong and expired ones are rejected with a reason, and
-// files that are replaced are read again.
+// Client and server verify each other's certificates: certificates of another authority and
+// expired ones are rejected with a reason in the log, and replaced files are reloaded.
 func TestMutualTLS(t *testing.T) {
 	a, other := newAuthority(t), newAuthority(t)
-	hour := time.Now().Add(time.Hour)
-	creds, closeFiles, err := ServerTLS(a.issue(t.TempDir(), hour))
+	validUntil := time.Now().Add(time.Hour)
+	creds, closeFiles, err := ServerTLS(a.issue(t.TempDir(), validUntil))
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -105,34 +106,34 @@
 			}
 		})
 	}
-	wasLogged := func(what string) func() bool {
+	wasLogged := func(text string) func() bool {
 		return func() bool {
 			mu.Lock()
 			defer mu.Unlock()
-			return strings.Contains(logged, what)
+			return strings.Contains(logged, text)
 		}
 	}
-	g := connect(a.issue(t.TempDir(), hour))
+	g := connect(a.issue(t.TempDir(), validUntil))
 	waitFor(t, "version 1", func() bool { return g.version() == 1 })
 	g.stop()
-	// The gateway's certificate is of another authority: the service rejects it.
+	// The gateway's certificate is from another authority: the service rejects it.
 	dir := t.TempDir()
-	foreign := other.issue(dir, hour)
-	if err := os.WriteFile(foreign.CA, pem.EncodeToMemory(&pem.Block{Type: "CERTIFICATE", Bytes: a.cert.Raw}), 0o600); err != nil {
+	otherCAFiles := other.issue(dir, validUntil)
+	if err := os.WriteFile(otherCAFiles.CA, pem.EncodeToMemory(&pem.Block{Type: "CERTIFICATE", Bytes: a.cert.Raw}), 0o600); err != nil {
 		t.Fatal(err)
 	}
-	g = connect(foreign)
+	g = connect(otherCAFiles)
 	waitFor(t, "a rejection", wasLogged("config_lost"))
 	if g.version() != 0 {
-		t.Error("a foreign gateway was served")
+		t.Error("a gateway with a certificate of another authority received a version")
 	}
-	// Its files are replaced: it is accepted, with no restart.
-	a.issue(dir, hour)
+	// Its files are replaced: it is accepted without a restart.
+	a.issue(dir, validUntil)
 	waitFor(t, "version 1", func() bool { return g.version() == 1 })
 	g.stop()
-	// The service's certificate is of an authority that the gateway does not know.
-	g = connect(other.issue(t.TempDir(), hour))
-	waitFor(t, "the reason", wasLogged("the other side's certificate is not accepted"))
+	// The service's certificate is from an authority that the gateway does not trust.
+	g = connect(other.issue(t.TempDir(), validUntil))
+	waitFor(t, "the reason", wasLogged("peer certificate verification failed"))
 	g.stop()
 	// The service's certificate has expired.
 	expired, closeExpired, err := ServerTLS(a.issue(t.TempDir(), time.Now().Add(-time.Hour)))
@@ -140,15 +141,15 @@
 		t.Fatal(err)
 	}
 	defer closeExpired()
-	old, err := controlservice.Start("127.0.0.1:0", expired)
+	expiredService, err := controlservice.Start("127.0.0.1:0", expired)
 	if err != nil {
 		t.Fatal(err)
 	}
-	defer old.Stop()
-	s = old
-	g = connect(a.issue(t.TempDir(), hour))
-	waitFor(t, "the reason", wasLogged("is of another time: valid from"))
+	defer expiredService.Stop()
+	s = expiredService
+	g = connect(a.issue(t.TempDir(), validUntil))
+	waitFor(t, "the reason", wasLogged("peer certificate expired or not yet valid: valid from"))
 	if g.version() != 0 {
-		t.Error("an expired service was followed")
+		t.Error("a version was received from a service with an expired certificate")
 	}
 }
