--- a/internal/configversion/config.go
+++ b/internal/configversion/config.go
@@ -173,9 +173,8 @@
 // bucketsPerPercent sets the resolution of InFirstGroup: one hundredth of a percent.
 const bucketsPerPercent = 100
 
-// InFirstGroup reports whether a gateway is in the group that applies a version
-// immediately. The hash covers the gateway's name and the version's number, so that the
-// group differs from version to version.
+// InFirstGroup reports whether a gateway is in the group that applies a version immediately. The hash covers
+// the gateway's name and the version's number, so that the group differs from version to version.
 func InFirstGroup(gateway string, n Number, percent int) bool {
 	hash := xxhash.Sum64String(fmt.Sprintf("%s/%d", gateway, n))
 	return hash%(100*bucketsPerPercent) < uint64(percent)*bucketsPerPercent
--- a/internal/configversion/host.go
+++ b/internal/configversion/host.go
@@ -35,14 +35,12 @@
 	Connect(after balancer.Micros)
 	// Close closes the stream. The host does not call Machine.Closed for it.
 	Close(reason string)
-	// SendRequest sends a discovery request for a type. With an empty nonce it subscribes to
-	// the type, and version is the version name that the gateway already has. With the nonce
-	// of a response it acknowledges that response (ACK) if reason is empty, and rejects it
-	// (NACK) otherwise.
+	// SendRequest sends a discovery request for a type. With an empty nonce it subscribes to the type, and
+	// version is the version name that the gateway already has. With the nonce of a response it acknowledges
+	// that response (ACK) if reason is empty, and rejects it (NACK) otherwise.
 	SendRequest(t ResourceType, version, nonce, reason string)
-	// Apply makes the gateway apply a version, or return to an earlier one; nil stands for
-	// the configuration files. The host reports the result by Machine.Applied, after this
-	// call has returned.
+	// Apply makes the gateway apply a version, or return to an earlier one; nil stands for the configuration
+	// files. The host reports the result by Machine.Applied, after this call has returned.
 	Apply(c *Config)
 	// Persist saves the last good version and the versions that must not be applied again.
 	// After an error, the Machine calls it again later.
--- a/internal/configversion/machine.go
+++ b/internal/configversion/machine.go
@@ -7,8 +7,7 @@
 	"archknot/balancer"
 )
 
-// maxRejected is the number of rejected versions that are remembered. Beyond it, the oldest
-// ones are forgotten.
+// maxRejected is how many rejected versions are remembered; the oldest one is forgotten first.
 const maxRejected = 64
 
 // maxReasonLength is the maximum length of a rejection's text on the stream, in bytes.
@@ -17,9 +16,8 @@
 // backoffSeed is the second word of the seed of the backoff's random number generator.
 const backoffSeed = 0x5eed
 
-// Machine is the state machine of the configuration versions of one gateway. It is not
-// safe for concurrent use. The caller passes the current time to its methods, and calls
-// Tick at the time that NextTick returns.
+// Machine is the state machine of the configuration versions of one gateway. It is not safe for concurrent use.
+// The caller passes the current time to its methods, and calls Tick at the time that NextTick returns.
 type Machine struct {
 	options Options
 	host    Host
@@ -213,9 +211,8 @@
 	return 0
 }
 
-// markIncomplete starts the stall timeout of an incomplete version. It does not start it
-// while a type is undecodable: the control service has received a NACK, so the stream has
-// not stalled.
+// markIncomplete starts the stall timeout of an incomplete version. It does not start it while a type is
+// undecodable: the control service has received a NACK, so the stream has not stalled.
 func (m *Machine) markIncomplete() {
 	if m.incompleteSince == 0 && len(m.undecodable) == 0 {
 		m.incompleteSince = m.now
@@ -326,9 +323,8 @@
 	}
 }
 
-// respond sends the ACK or NACK for the response of one type of a candidate. It sends it
-// once, and only while that response is the latest: the control service expects no answer
-// to an earlier one.
+// respond sends the ACK or NACK for the response of one type of a candidate. It sends it once, and only while
+// that response is the latest: the control service expects no answer to an earlier one.
 func (m *Machine) respond(c *candidate, t ResourceType, version, reason string) {
 	r := m.latest[t]
 	if !m.connected || c.nonces == nil || r == nil || r.Nonce != c.nonces[t] || r.answered {
@@ -338,8 +334,7 @@
 	m.host.SendRequest(t, version, r.Nonce, reason)
 }
 
-// reject rejects all resources of a version, since a version is applied as a whole or not
-// at all.
+// reject rejects all resources of a version, since a version is applied as a whole or not at all.
 func (m *Machine) reject(c *candidate, reasons Rejections) {
 	m.recordEvent(c.config.Number, EventRejected, reasons.String())
 	text := fmt.Sprintf("version %d: %s", c.config.Number, reasons)
@@ -358,8 +353,7 @@
 	m.reject(c, Rejections{{TypeVersion, "", "number", reason}})
 }
 
-// Tick performs the actions that are due: the end of the hold, retries of a rollback or of a
-// save, the application of the waiting version, and the stall timeout.
+// Tick performs the actions that are due at the given time.
 func (m *Machine) Tick(now balancer.Micros) {
 	m.now = now
 	if m.verifying && now >= m.holdUntil && m.applying == nil {
@@ -430,8 +424,7 @@
 		m.rollingBack = false
 		m.finishRollback(c, rejections)
 	case len(rejections) > 0:
-		// The version is not remembered as rejected: it may be valid once the gateway's
-		// state has changed.
+		// The version is not remembered as rejected: it may be valid once the gateway's state has changed.
 		m.reject(c, rejections)
 	default:
 		m.putInForce(c)
@@ -464,8 +457,7 @@
 	m.save()
 }
 
-// save persists the last good version and the rejected versions. After a failure, Tick calls
-// it again.
+// save persists the last good version and the rejected versions. Tick retries it after a failure.
 func (m *Machine) save() {
 	m.saveRetryAt = 0
 	if err := m.host.Persist(m.lastGood, m.rejected); err != nil {
--- a/internal/configversion/machine_fleet_test.go
+++ b/internal/configversion/machine_fleet_test.go
@@ -556,8 +556,7 @@
 	}
 }
 
-// A restarted gateway has the persisted version in force without the control service, and can
-// roll it back.
+// A restarted gateway has the persisted version in force without the control service, and can roll it back.
 func TestRestartKeepsTheLastGood(t *testing.T) {
 	f := newFleet(t, 8, 1)
 	f.runUntil(2 * sec)
--- a/internal/configversion/rollback.go
+++ b/internal/configversion/rollback.go
@@ -38,8 +38,7 @@
 	if lateOrUnserved {
 		tally.lateOrUnserved++
 	}
-	// With enough requests and twice the permitted regression, do not wait for the end of
-	// the hold.
+	// With enough requests and twice the permitted regression, do not wait for the end of the hold.
 	if m.verifying && m.applying == nil && m.observed.total >= 2*float64(m.options.MinVerdictRequests) && m.isWorse(2) {
 		m.endHold()
 	}
@@ -149,9 +148,8 @@
 	}
 }
 
-// rejectInForce sends a NACK for the version that was rolled back. It answers only those of
-// its responses that are still the latest: the resources of a newer version are answered
-// when that version is evaluated.
+// rejectInForce sends a NACK for the version that was rolled back. It answers only those of its responses that
+// are still the latest: the resources of a newer version are answered when that version is evaluated.
 func (m *Machine) rejectInForce(n Number, reason string) {
 	for _, t := range ResourceTypes {
 		if r := m.latest[t]; r != nil && r.Nonce == m.inForceNonces[t] {
--- a/internal/configversion/transition.go
+++ b/internal/configversion/transition.go
@@ -24,8 +24,7 @@
 type ReplicaState struct {
 	Discovered balancer.EndpointState
 	Marked     bool // drained by a mark
-	// AttemptsInFlight is the number of this gateway's attempts that are still in flight at
-	// a draining replica.
+	// AttemptsInFlight is the number of this gateway's attempts that are still in flight at a draining replica.
 	AttemptsInFlight int
 }
 
@@ -37,9 +36,8 @@
 	LongestDeadline balancer.Micros
 }
 
-// clockTolerance is by how much the measured deadline of a request may exceed the requested
-// one. The event loop reads its clock once per iteration, shortly before it admits the
-// request.
+// clockTolerance is by how much the measured deadline of a request may exceed the requested one. The event loop
+// reads its clock once per iteration, shortly before it admits the request.
 const clockTolerance balancer.Micros = 20_000
 
 // ValidateTransition returns the reasons why a version that is valid by itself must not be
@@ -110,9 +108,8 @@
 	}
 }
 
-// validateBudgets rejects a hard limit below the usage of a team that is within its present
-// limit: all further requests of the team would be rejected immediately. To stop a team,
-// the operator ends its contract instead.
+// validateBudgets rejects a hard limit below the usage of a team that is within its present limit: all further
+// requests of the team would be rejected immediately. To stop a team, the operator ends its contract instead.
 func (t *transition) validateBudgets() {
 	if !t.config.HasContracts {
 		return
@@ -160,10 +157,9 @@
 	}
 }
 
-// validateWatch rejects poll settings with which one poll may take longer than
-// MaxPollInterval. Discovery assumes that a gateway has received a change after that
-// interval. A gateway that polls less often would receive a drain too late, and would still
-// send attempts to the replica.
+// validateWatch rejects poll settings with which one poll may take longer than MaxPollInterval. Discovery
+// assumes that a gateway has received a change after that interval. A gateway that polls less often would
+// receive a drain too late, and would still send attempts to the replica.
 func (t *transition) validateWatch() {
 	watch := t.config.Watch
 	if watch == nil || watch.Wait+watch.CallTimeout <= t.limits.MaxPollInterval {
--- a/internal/configversion/validate.go
+++ b/internal/configversion/validate.go
@@ -75,8 +75,7 @@
 	*r = append(*r, Rejection{t, resource, field, fmt.Sprintf(format, args...)})
 }
 
-// Validate checks a version by itself, without the gateway's state, and returns all
-// violations.
+// Validate checks a version by itself, without the gateway's state, and returns all violations.
 func Validate(c *Config, l Limits) Rejections {
 	v := validator{config: c, limits: l}
 	v.validateRollout()
--- a/internal/xdsclient/client.go
+++ b/internal/xdsclient/client.go
@@ -77,8 +77,7 @@
 // now returns the machine's time. It is never 0, which the machine uses for "none".
 func (c *Client) now() balancer.Micros { return 1 + time.Since(c.startedAt).Microseconds() }
 
-// InForce returns the version in force; nil means the configuration files. It is safe for
-// concurrent use.
+// InForce returns the version in force; nil means the configuration files. It is safe for concurrent use.
 func (c *Client) InForce() *configversion.Config { return c.inForce.Load() }
 
 // Connected reports whether the stream is open. It is safe for concurrent use.
@@ -94,10 +93,9 @@
 	}
 }
 
-// Rollback starts a rollback to the previous version. If it returns nil, the rollback is
-// saved and survives a restart; if it returns an error of configversion, nothing has
-// changed; if ctx has ended, the result is unknown. It is safe for concurrent use while Run
-// is running.
+// Rollback starts a rollback to the previous version. If it returns nil, the rollback is saved and survives a
+// restart; if it returns an error of configversion, nothing has changed; if ctx has ended, the result is
+// unknown. It is safe for concurrent use while Run is running.
 func (c *Client) Rollback(ctx context.Context, reason string) error {
 	started := make(chan error, 1)
 	if !c.post(ctx, func(now balancer.Micros) { started <- c.machine.Rollback(now, reason) }) {
@@ -152,9 +150,8 @@
 	}
 }
 
-// applyStored applies the version that was in force before a restart. It validates the
-// version again, since the configuration files may have changed. If the version is not
-// valid, the configuration files stay in force.
+// applyStored applies the version that was in force before a restart. It validates the version again, since the
+// configuration files may have changed. If the version is not valid, the configuration files stay in force.
 func (c *Client) applyStored(ctx context.Context) {
 	stored := c.inForce.Load()
 	if stored == nil {
@@ -242,8 +239,7 @@
 	}
 }
 
-// Apply applies a version to the target in a new goroutine, so that the machine is not
-// blocked meanwhile.
+// Apply applies a version to the target in a new goroutine, so that the machine is not blocked meanwhile.
 func (c *Client) Apply(version *configversion.Config) {
 	runContext := c.runContext
 	go func() {
@@ -262,8 +258,7 @@
 	return c.saveVersion(version, rejected)
 }
 
-// PersistRollback saves the rollback of the version in force in the store. An error is
-// logged and returned.
+// PersistRollback saves the rollback of the version in force in the store. An error is logged and returned.
 func (c *Client) PersistRollback(previous *configversion.Config, rejected []configversion.Number) error {
 	return c.saveVersion(previous, rejected)
 }
@@ -277,8 +272,7 @@
 	return err
 }
 
-// RecordEvent logs an event, and appends it to the store's history unless its kind is
-// EventStreamLost.
+// RecordEvent logs an event, and appends it to the store's history unless its kind is EventStreamLost.
 func (c *Client) RecordEvent(e configversion.Event) {
 	c.options.Log("config_"+e.Kind, "version", uint64(e.Number), "reason", e.Reason)
 	if c.options.Store == nil || e.Kind == configversion.EventStreamLost {
--- a/internal/xdsclient/client_test.go
+++ b/internal/xdsclient/client_test.go
@@ -100,8 +100,7 @@
 	return g
 }
 
-// waitFor polls until done returns true, and returns the elapsed time. It fails the test after
-// 10 s.
+// waitFor polls until done returns true, and returns the elapsed time. It fails the test after 10 s.
 func waitFor(t *testing.T, condition string, done func() bool) time.Duration {
 	t.Helper()
 	begin := time.Now()
@@ -123,10 +122,9 @@
 	return s
 }
 
-// Guards against versions that are applied in part, out of order, or although they are invalid,
-// in both variants of the protocol. Three gateways receive valid, invalid, truncated and older
-// versions, one that is rejected as a transition, many in quick succession, and a stream that
-// ends within a version.
+// Guards against versions that are applied in part, out of order, or although they are invalid, in both
+// variants of the protocol. Three gateways receive valid, invalid, truncated and older versions, one that is
+// rejected as a transition, many in quick succession, and a stream that ends within a version.
 func TestVersionScripts(t *testing.T) {
 	for name, delta := range map[string]bool{"world": false, "delta": true} {
 		t.Run(name, func(t *testing.T) {
--- a/internal/xdsclient/decode.go
+++ b/internal/xdsclient/decode.go
@@ -47,9 +47,8 @@
 // validation rejects as unknown.
 func clampEnum[E ~int32](v E) uint8 { return uint8(min(uint32(v), maxEnum)) }
 
-// Decode decodes the resources of one type. It returns an error if one of them is malformed,
-// if the type is unknown, or if the number of resources is not one where exactly one is
-// required.
+// Decode decodes the resources of one type. It returns an error if one of them is malformed, if
+// the type is unknown, or if a type that is not a list has not exactly one resource.
 func Decode(t configversion.ResourceType, resources [][]byte) (*configversion.Fragment, error) {
 	if t == configversion.TypeVersion {
 		return decodeManifest(resources)
@@ -142,8 +141,7 @@
 	proto.Message
 }
 
-// decoder returns a function that decodes a message of type M and returns its merge into a
-// version.
+// decoder returns a function that decodes a message of type M and returns its merge into a version.
 func decoder[M any, P messageOf[M]](merge func(*configversion.Config, P)) func(raw []byte) (mergeFunc, error) {
 	return func(raw []byte) (mergeFunc, error) {
 		m := P(new(M))
--- a/internal/xdsclient/store.go
+++ b/internal/xdsclient/store.go
@@ -52,8 +52,7 @@
 // Close closes the store's file.
 func (s *Store) Close() error { return s.db.Close() }
 
-// Load returns the last good version, or nil if there is none, and the versions that must
-// not be applied again.
+// Load returns the last good version, or nil if there is none, and the versions that must not be applied again.
 func (s *Store) Load() (c *configversion.Config, rejected []configversion.Number, err error) {
 	err = s.db.View(func(tx *bbolt.Tx) error {
 		b := tx.Bucket(stateBucket)
@@ -100,8 +99,7 @@
 	})
 }
 
-// AppendHistory appends an entry to the history, and deletes the oldest entries beyond
-// maxHistoryEntries.
+// AppendHistory appends an entry to the history, and deletes the oldest entries beyond maxHistoryEntries.
 func (s *Store) AppendHistory(e HistoryEntry) error {
 	text, err := json.Marshal(e)
 	if err != nil {
--- a/internal/xdsclient/store_test.go
+++ b/internal/xdsclient/store_test.go
@@ -13,9 +13,8 @@
 	pb "archknot/internal/configversion/configpb"
 )
 
-// Guards against a store that cannot be read after a torn write. The test restores the meta
-// pages and a random subset of the other pages to their state before a write; the store must
-// then have the previous version.
+// Guards against a store that cannot be read after a torn write. The test restores the meta pages and a random
+// subset of the other pages to their state before a write; the store must then have the previous version.
 func TestStoreSurvivesKills(t *testing.T) {
 	dir := t.TempDir()
 	path := filepath.Join(dir, "store")
--- a/internal/xdsclient/tls_test.go
+++ b/internal/xdsclient/tls_test.go
@@ -43,8 +43,7 @@
 	return &authority{t, key, c}
 }
 
-// issue creates a certificate, and writes it, its key and the authority's certificate into a
-// directory.
+// issue creates a certificate, and writes it, its key and the authority's certificate into a directory.
 func (a *authority) issue(dir string, notAfter time.Time) TLSFiles {
 	a.t.Helper()
 	key, err := ecdsa.GenerateKey(elliptic.P256(), rand.Reader)
