--- a/internal/configversion/machine.go
+++ b/internal/configversion/machine.go
@@ -7,71 +7,70 @@
 	"archknot/balancer"
 )
 
-// maxRejected bounds how many versions are remembered as not to be applied again.
+// maxRejected is how many rejected versions are remembered; the oldest one is forgotten first.
 const maxRejected = 64
 
-// maxReasonLength bounds a rejection's text on the stream, in bytes.
+// maxReasonLength is the maximum length of a rejection's text on the stream, in bytes.
 const maxReasonLength = 4096
 
-// backoffStream is the second word of the seed of the backoff's random numbers.
-const backoffStream = 0x5eed
+// backoffSeed is the second word of the seed of the backoff's random number generator.
+const backoffSeed = 0x5eed
 
-// Machine follows the versions of one gateway. It isn't safe for concurrent use: all
-// calls come from one goroutine. Each call brings its time; NextTick returns when Tick
-// must be called.
+// Machine is the state machine of the configuration versions of one gateway. It is not safe for concurrent use.
+// The caller passes the current time to its methods, and calls Tick at the time that NextTick returns.
 type Machine struct {
 	options Options
 	host    Host
 	rng     *rand.Rand
 	now     balancer.Micros
 
-	// The stream.
+	// State of the stream.
 	connected       bool
 	connecting      bool
-	openedAt        balancer.Micros // when the stream opened
-	backoff         balancer.Micros
-	latest          map[ResourceType]*Response
-	undecodable     map[ResourceType]bool   // types whose last response was rejected as undecodable; another is awaited
-	ackedVersions   map[ResourceType]string // the service's names of the version in force, by type
-	incompleteSince balancer.Micros         // since when a version has been incomplete; 0: none is
-
-	// The versions.
+	openedAt        balancer.Micros            // when the stream was opened
+	backoff         balancer.Micros            // current upper bound of the reconnection delay
+	latest          map[ResourceType]*Response // on the present stream
+	undecodable     map[ResourceType]bool      // types whose latest response could not be decoded
+	ackedVersions   map[ResourceType]string    // the control service's version names of the acknowledged resources
+	incompleteSince balancer.Micros            // start of the stall timeout of an incomplete version; 0: not running
+
+	// State of the versions.
 	inForce       *Config                 // nil: the configuration files
-	inForceNonces map[ResourceType]string // of its resources, on the present stream
-	previous      *Config                 // in force before that; nil: the configuration files
+	inForceNonces map[ResourceType]string // nonces of the resources of inForce, on the present stream
+	previous      *Config                 // in force before inForce; nil: the configuration files
 	appliedAt     balancer.Micros         // when a version was last applied; 0: never
-	waiting       *candidate              // complete and valid, not to be applied yet
-	applying      *candidate              // ordered from the host, not answered yet
-	rejected      []Number                // not to be applied again, the oldest first
-	rejectedSet   map[Number]bool         // the same
+	waiting       *candidate              // complete and valid, not due yet
+	applying      *candidate              // passed to Host.Apply, without a result yet
+	rejected      []Number                // versions not to be applied again, the oldest first
+	rejectedSet   map[Number]bool         // the contents of rejected as a set
 
-	// What a restart begins with.
-	lastGood *Config         // nil: the configuration files
-	saveAt   balancer.Micros // when a failed save is tried again; 0: none has failed
+	// Saved state, from which a restart continues.
+	lastGood    *Config         // nil: the configuration files
+	saveRetryAt balancer.Micros // when a failed save is retried; 0: no retry is due
 
-	// The verdict on the version in force, and the way back.
-	verifying          bool // within its hold
+	// Verification and rollback of the version in force.
+	verifying          bool // the version in force is within its hold
 	holdUntil          balancer.Micros
-	baseline, observed outcomeTally    // before the hold, and within it
-	rollingBack        bool            // applying is the previous version
-	rollbackAt         balancer.Micros // when a rollback is tried again; 0: none is wanted
+	baseline, observed outcomeTally    // requests that ended before the hold, and within it
+	rollingBack        bool            // applying holds the previous version
+	rollbackRetryAt    balancer.Micros // when a failed rollback is retried; 0: no retry is due
 	rollbackReason     string
 }
 
-// candidate is a complete version that came over the stream.
+// candidate is a complete version received on the stream, or the target of a rollback.
 type candidate struct {
 	config   *Config
-	nonces   map[ResourceType]string // to be answered
-	versions map[ResourceType]string // the service's names of its resources
-	applyAt  balancer.Micros         // when it may be applied
-	reason   string                  // of a rollback
+	nonces   map[ResourceType]string // nonces of its responses, for the ACK or NACK; nil if the stream has closed
+	versions map[ResourceType]string // the control service's version names of its resources
+	applyAt  balancer.Micros         // earliest time at which it may be applied
+	reason   string                  // reason of a rollback
 }
 
-// New returns a machine. The version in force, if the store had one, and the versions
-// that must not be applied again are as they were before a restart.
+// New returns a machine that continues from the saved state: the version in force, nil if
+// none was saved, and the versions that must not be applied again.
 func New(o Options, host Host, inForce *Config, rejected []Number) *Machine {
 	m := &Machine{
-		options: o, host: host, rng: rand.New(rand.NewPCG(o.Seed, backoffStream)),
+		options: o, host: host, rng: rand.New(rand.NewPCG(o.Seed, backoffSeed)),
 		latest: map[ResourceType]*Response{}, undecodable: map[ResourceType]bool{}, ackedVersions: map[ResourceType]string{},
 		inForce: inForce, lastGood: inForce, rejectedSet: map[Number]bool{},
 	}
@@ -81,7 +80,7 @@
 	return m
 }
 
-// Start begins to connect.
+// Start opens the first stream.
 func (m *Machine) Start(now balancer.Micros) {
 	m.now = now
 	m.reconnect()
@@ -90,7 +89,7 @@
 // InForce returns the version in force; nil means the configuration files.
 func (m *Machine) InForce() *Config { return m.inForce }
 
-// Rejected returns the versions that are not applied again.
+// Rejected returns the versions that must not be applied again, the oldest first.
 func (m *Machine) Rejected() []Number { return m.rejected }
 
 func (m *Machine) currentNumber() Number { return numberOf(m.inForce) }
@@ -102,8 +101,8 @@
 	return c.Number
 }
 
-// applyingNumber is the number of the version being applied, 0 if none is. A rollback
-// counts as none.
+// applyingNumber returns the number of the version that is being applied, or 0 if there is
+// none. The target of a rollback does not count.
 func (m *Machine) applyingNumber() Number {
 	if m.applying == nil || m.rollingBack {
 		return 0
@@ -111,7 +110,7 @@
 	return m.applying.config.Number
 }
 
-// waitingNumber is the number of the version that waits, 0 if none does.
+// waitingNumber returns the number of the waiting version, or 0 if there is none.
 func (m *Machine) waitingNumber() Number {
 	if m.waiting == nil {
 		return 0
@@ -134,26 +133,26 @@
 	m.host.RecordEvent(Event{m.now, n, kind, reason})
 }
 
-// reconnect opens the stream after a delay drawn from 0 to a bound that doubles, so
-// that hundreds of gateways don't come back together.
+// reconnect opens the stream after a randomized exponential backoff. The jitter keeps
+// hundreds of gateways from reconnecting at the same time.
 func (m *Machine) reconnect() {
 	m.connecting = true
 	m.backoff = min(m.options.MaxBackoff, max(m.options.InitialBackoff, 2*m.backoff))
 	m.host.Connect(balancer.Micros(m.rng.Float64() * float64(m.backoff)))
 }
 
-// Connected is called when the stream is open. The machine subscribes to each type, from
-// the version in force on.
+// Connected must be called when the stream has opened. The machine subscribes to each type,
+// with the version name that it acknowledged last.
 func (m *Machine) Connected(now balancer.Micros) {
 	m.now, m.connected, m.connecting, m.openedAt = now, true, false, now
-	m.forgetResponses()
+	m.resetResponses()
 	for _, t := range ResourceTypes {
 		m.host.SendRequest(t, m.ackedVersions[t], "", "")
 	}
 }
 
-// Closed is called when the stream couldn't be opened, or has ended. What was incomplete
-// is lost with it; what is complete is still applied.
+// Closed must be called when the stream could not be opened, or has ended. An incomplete
+// version is discarded; a complete one is still applied.
 func (m *Machine) Closed(now balancer.Micros, reason string) {
 	if !m.connected && !m.connecting {
 		return
@@ -168,32 +167,31 @@
 		m.backoff = 0
 	}
 	m.connected = false
-	m.forgetResponses()
-	// What waits is complete; its nonces belong to a stream that is gone.
+	m.resetResponses()
+	// Complete versions are retained, but their nonces are invalid on a new stream.
 	m.inForceNonces = nil
-	for _, c := range []*candidate{m.waiting, m.applying} {
-		if c != nil {
-			c.nonces = nil
+	for _, pending := range []*candidate{m.waiting, m.applying} {
+		if pending != nil {
+			pending.nonces = nil
 		}
 	}
 	m.reconnect()
 }
 
-func (m *Machine) forgetResponses() {
+func (m *Machine) resetResponses() {
 	clear(m.latest)
 	clear(m.undecodable)
 	m.incompleteSince = 0
 }
 
-// Received handles a message of the stream.
+// Received handles a response from the stream.
 func (m *Machine) Received(now balancer.Micros, r Response) {
 	if !m.connected {
 		return
 	}
 	m.now = now
 	if r.DecodeError != "" {
-		// Rejected by itself, at once. The version that it would be part of stays
-		// incomplete.
+		// Only this response is rejected. The version that it belongs to stays incomplete.
 		m.host.SendRequest(r.Type, m.ackedVersions[r.Type], r.Nonce, r.DecodeError)
 		m.recordEvent(m.latestNumber(), EventRejected, string(r.Type)+": "+r.DecodeError)
 		delete(m.latest, r.Type)
@@ -205,7 +203,7 @@
 	m.assemble()
 }
 
-// latestNumber is the number in the stream's latest manifest, 0 if there is none.
+// latestNumber returns the number in the latest manifest on the stream, or 0 if there is none.
 func (m *Machine) latestNumber() Number {
 	if r := m.latest[TypeVersion]; r != nil {
 		return r.Fragment.Manifest.Number
@@ -213,15 +211,15 @@
 	return 0
 }
 
-// markIncomplete notes since when a version has been incomplete. A version that lacks
-// what couldn't be decoded doesn't count as a stalled stream: the service knows of it.
+// markIncomplete starts the stall timeout of an incomplete version. It does not start it while a type is
+// undecodable: the control service has received a NACK, so the stream has not stalled.
 func (m *Machine) markIncomplete() {
 	if m.incompleteSince == 0 && len(m.undecodable) == 0 {
 		m.incompleteSince = m.now
 	}
 }
 
-// assemble considers the version that the latest resources make, if they are complete.
+// assemble builds a version from the latest resources, if they are complete, and evaluates it.
 func (m *Machine) assemble() {
 	if !m.isComplete() {
 		m.markIncomplete()
@@ -243,10 +241,10 @@
 			r.Fragment.MergeInto(c.config)
 		}
 	}
-	m.consider(c)
+	m.evaluate(c)
 }
 
-// isComplete reports whether there is a manifest, and the resources that it names.
+// isComplete reports whether the manifest and all resources that it lists have been received.
 func (m *Machine) isComplete() bool {
 	version := m.latest[TypeVersion]
 	if version == nil {
@@ -263,14 +261,14 @@
 	return true
 }
 
-// consider decides what becomes of a complete version.
-func (m *Machine) consider(c *candidate) {
+// evaluate decides by its number whether a complete version is rejected, already known or new.
+func (m *Machine) evaluate(c *candidate) {
 	n := c.config.Number
 	switch {
-	case n == m.currentNumber() && n != 0 && (m.rollingBack || m.rollbackAt > 0):
+	case n == m.currentNumber() && n != 0 && (m.rollingBack || m.rollbackRetryAt > 0):
 		m.rejectNumber(c, fmt.Sprintf("version %d is being given back", n))
 	case n == m.currentNumber() && m.applying == nil || m.applying != nil && !m.rollingBack && n == m.applying.config.Number:
-		m.considerAgain(c)
+		m.evaluateResent(c)
 	case m.rejectedSet[n]:
 		m.rejectNumber(c, fmt.Sprintf("version %d was given back or refused before", n))
 	case m.waiting != nil && n == m.waiting.config.Number:
@@ -278,13 +276,13 @@
 	case n < max(m.currentNumber(), m.waitingNumber(), m.applyingNumber()):
 		m.rejectNumber(c, fmt.Sprintf("version %d is older than %d", n, max(m.currentNumber(), m.waitingNumber(), m.applyingNumber())))
 	default:
-		m.considerNew(c)
+		m.evaluateNew(c)
 	}
 }
 
-// considerAgain takes a version that is in force, or being applied, and was sent again:
-// an acknowledgement was lost, or the service started anew.
-func (m *Machine) considerAgain(c *candidate) {
+// evaluateResent handles a version that is in force or being applied, and was received
+// again because an acknowledgement was lost or the control service has restarted.
+func (m *Machine) evaluateResent(c *candidate) {
 	if m.applying != nil {
 		m.applying.nonces, m.applying.versions = c.nonces, c.versions
 		return
@@ -293,8 +291,8 @@
 	m.acknowledge(c)
 }
 
-// considerNew validates a version and has it wait for its turn.
-func (m *Machine) considerNew(c *candidate) {
+// evaluateNew validates a version, and schedules its application.
+func (m *Machine) evaluateNew(c *candidate) {
 	n := c.config.Number
 	if r := Validate(c.config, m.options.Limits); len(r) > 0 {
 		m.markRejected(n)
@@ -325,8 +323,8 @@
 	}
 }
 
-// respond answers the response that a candidate has of a type, once, and only while it
-// is the latest: the service waits for no other answer.
+// respond sends the ACK or NACK for the response of one type of a candidate. It sends it once, and only while
+// that response is the latest: the control service expects no answer to an earlier one.
 func (m *Machine) respond(c *candidate, t ResourceType, version, reason string) {
 	r := m.latest[t]
 	if !m.connected || c.nonces == nil || r == nil || r.Nonce != c.nonces[t] || r.answered {
@@ -336,8 +334,7 @@
 	m.host.SendRequest(t, version, r.Nonce, reason)
 }
 
-// reject rejects a version: each of its resources, since a version is applied as a whole
-// or not at all.
+// reject rejects all resources of a version, since a version is applied as a whole or not at all.
 func (m *Machine) reject(c *candidate, reasons Rejections) {
 	m.recordEvent(c.config.Number, EventRejected, reasons.String())
 	text := fmt.Sprintf("version %d: %s", c.config.Number, reasons)
@@ -351,35 +348,35 @@
 	}
 }
 
-// rejectNumber rejects a version for its number.
+// rejectNumber rejects a version because of its number.
 func (m *Machine) rejectNumber(c *candidate, reason string) {
 	m.reject(c, Rejections{{TypeVersion, "", "number", reason}})
 }
 
-// Tick does what is due.
+// Tick performs the actions that are due at the given time.
 func (m *Machine) Tick(now balancer.Micros) {
 	m.now = now
 	if m.verifying && now >= m.holdUntil && m.applying == nil {
-		m.judgeHold()
+		m.endHold()
 	}
-	if m.rollbackAt > 0 && now >= m.rollbackAt && m.applying == nil {
+	if m.rollbackRetryAt > 0 && now >= m.rollbackRetryAt && m.applying == nil {
 		m.startRollback(m.rollbackReason)
 	}
 	if c := m.waiting; c != nil && m.applying == nil && now >= m.applicableAt(c) {
 		m.waiting, m.applying, m.rollingBack = nil, c, false
 		m.host.Apply(c.config)
 	}
-	if m.saveAt > 0 && now >= m.saveAt {
+	if m.saveRetryAt > 0 && now >= m.saveRetryAt {
 		m.save()
 	}
 	if m.connected && m.incompleteSince > 0 && now-m.incompleteSince >= m.options.StallTimeout {
-		m.recordEvent(m.latestNumber(), EventStreamLost, "the stream stalled in the midst of a version")
+		m.recordEvent(m.latestNumber(), EventStreamLost, "stream stalled: version incomplete for longer than the stall timeout")
 		m.host.Close("stalled")
 		m.dropStream()
 	}
 }
 
-// applicableAt is when a version that waits may be applied.
+// applicableAt returns the earliest time at which a waiting version may be applied.
 func (m *Machine) applicableAt(c *candidate) balancer.Micros {
 	at := c.applyAt
 	if m.appliedAt > 0 {
@@ -388,33 +385,34 @@
 	return at
 }
 
-// NextTick returns when Tick must be called; 0 means that it need not be.
+// NextTick returns the time at which Tick must be called, or 0 if nothing is scheduled.
 func (m *Machine) NextTick() balancer.Micros {
 	next := balancer.Micros(0)
-	sooner := func(at balancer.Micros) {
+	addDueTime := func(at balancer.Micros) {
 		if next == 0 || at < next {
 			next = max(1, at)
 		}
 	}
 	if m.verifying && m.applying == nil {
-		sooner(m.holdUntil)
+		addDueTime(m.holdUntil)
 	}
-	if m.rollbackAt > 0 && m.applying == nil {
-		sooner(m.rollbackAt)
+	if m.rollbackRetryAt > 0 && m.applying == nil {
+		addDueTime(m.rollbackRetryAt)
 	}
 	if m.waiting != nil && m.applying == nil {
-		sooner(m.applicableAt(m.waiting))
+		addDueTime(m.applicableAt(m.waiting))
 	}
-	if m.saveAt > 0 {
-		sooner(m.saveAt)
+	if m.saveRetryAt > 0 {
+		addDueTime(m.saveRetryAt)
 	}
 	if m.connected && m.incompleteSince > 0 {
-		sooner(m.incompleteSince + m.options.StallTimeout)
+		addDueTime(m.incompleteSince + m.options.StallTimeout)
 	}
 	return next
 }
 
-// Applied answers Host.Apply: the version was applied, or rejected with nothing changed.
+// Applied reports the result of Host.Apply: with no rejections the version was applied,
+// otherwise the gateway is unchanged.
 func (m *Machine) Applied(now balancer.Micros, rejections Rejections) {
 	c := m.applying
 	if c == nil {
@@ -426,8 +424,7 @@
 		m.rollingBack = false
 		m.finishRollback(c, rejections)
 	case len(rejections) > 0:
-		// Not remembered as rejected: the same version may fit when the gateway's state
-		// has changed.
+		// The version is not remembered as rejected: it may be valid once the gateway's state has changed.
 		m.reject(c, rejections)
 	default:
 		m.putInForce(c)
@@ -435,10 +432,10 @@
 	m.Tick(now)
 }
 
-// putInForce makes a version that was applied the one in force.
+// putInForce makes a version that has been applied the version in force.
 func (m *Machine) putInForce(c *candidate) {
-	m.verifying, m.rollbackAt = false, 0   // a newer version ends what was pending about the one before it
-	if !m.rejectedSet[m.currentNumber()] { // a version whose rollback was pending is no way back
+	m.verifying, m.rollbackRetryAt = false, 0 // a newer version cancels the verification or rollback of the one before it
+	if !m.rejectedSet[m.currentNumber()] {    // never roll back to a version that is itself rejected
 		m.previous = m.inForce
 	}
 	m.inForce, m.appliedAt = c.config, m.now
@@ -453,19 +450,19 @@
 	m.acknowledge(c)
 }
 
-// markGood makes the version in force the last good one.
+// markGood makes the version in force the last good version, and saves it.
 func (m *Machine) markGood() {
 	m.verifying = false
 	m.lastGood = m.inForce
 	m.save()
 }
 
-// save saves what a restart begins with. After a failure it is called again by Tick.
+// save persists the last good version and the rejected versions. Tick retries it after a failure.
 func (m *Machine) save() {
-	m.saveAt = 0
+	m.saveRetryAt = 0
 	if err := m.host.Persist(m.lastGood, m.rejected); err != nil {
 		m.scheduleSave()
 	}
 }
 
-func (m *Machine) scheduleSave() { m.saveAt = m.now + max(1, m.options.SaveRetryInterval) }
+func (m *Machine) scheduleSave() { m.saveRetryAt = m.now + max(1, m.options.SaveRetryInterval) }
--- a/internal/xdsclient/stored_test.go
+++ b/internal/xdsclient/stored_test.go
@@ -15,9 +15,9 @@
 	"archknot/internal/xdsclient"
 )
 
-// A configuration store written by the build of commit b3142ba is read with all its
-// fields: the last good version with each type of resource, the versions that must
-// not be taken again, and the history.
+// Guards against a change of the store's format. A store written by the build of commit
+// b3142ba must be read with all fields: the last good version with each type of resource,
+// the versions that must not be applied again, and the history.
 func TestStoredConfiguration(t *testing.T) {
 	text, err := os.ReadFile("testdata/stored/config.db")
 	if err != nil {
@@ -32,7 +32,7 @@
 		t.Fatalf("set aside as %q, %v", aside, err)
 	}
 	defer s.Close()
-	got, never, err := s.Load()
+	got, rejected, err := s.Load()
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -44,7 +44,7 @@
 			{Name: "order", LatencyObjective: 1000000, Deadline: 6000000, PriorityWeight: 3, LateWeightShare: 0.5, Idempotency: 1, DedupScope: 2, DedupWindow: 30000000},
 			{Name: "mail", LatencyObjective: 1000001, Deadline: 6000001, PriorityWeight: 1, Idempotency: 2, DedupScope: 1},
 		},
-		Tenants:      []configversion.Tenant{{Name: "quay", QuotaPerS: 12.5, Share: 0.25}, {Name: "reef", QuotaPerS: 20, Share: 0.5}},
+		Tenants:      []configversion.Tenant{{Name: "quay", QuotaPerS: 12.5, FleetFraction: 0.25}, {Name: "reef", QuotaPerS: 20, FleetFraction: 0.5}},
 		ReplicaMarks: []configversion.ReplicaMark{{Name: "s-1", Kind: 0}, {Name: "s-2", Kind: 1}},
 		Attempts:     &configversion.Attempts{Max: 3, MayHedge: true, HedgeRatio: 0.0625, RetryRatio: 0.125},
 		Admission:    &configversion.Admission{MaxInFlight: 500, OverQuotaWeight: 0.75, MaxRetryAfter: 2000000},
@@ -68,7 +68,7 @@
 	if diff := cmp.Diff(wantCount, count); diff != "" {
 		t.Error(diff)
 	}
-	if diff := cmp.Diff([]configversion.Number{40, 41}, never); diff != "" {
+	if diff := cmp.Diff([]configversion.Number{40, 41}, rejected); diff != "" {
 		t.Error(diff)
 	}
 	lines, err := s.History()
