--- a/internal/config/contract.go
+++ b/internal/config/contract.go
@@ -151,11 +151,11 @@
 	return v, nil
 }
 
-// rateInUnits converts tokens a second.
-func rateInUnits(tokens float64) float64 { return tokens * float64(contract.Token) }
+// tokensToRate converts tokens a second.
+func tokensToRate(tokens float64) float64 { return tokens * float64(contract.Token) }
 
-// inUnits converts tokens, without their fraction.
-func inUnits(tokens float64) contract.Units { return contract.Units(tokens) * contract.Token }
+// tokensToUnits converts tokens, without their fraction.
+func tokensToUnits(tokens float64) contract.Units { return contract.Units(tokens) * contract.Token }
 
 func setNames(to *[]string, words []string) error {
 	if len(words) == 0 {
@@ -189,8 +189,8 @@
 	return nil
 }
 
-// oneTokenNumber parses a value of one number of tokens.
-func oneTokenNumber(words []string) (float64, error) {
+// parseSingleTokens parses a value of one number of tokens.
+func parseSingleTokens(words []string) (float64, error) {
 	if err := expectWords(words, 1, "one number of tokens"); err != nil {
 		return 0, err
 	}
@@ -198,20 +198,20 @@
 }
 
 func setRate(t *contract.Terms, words []string) error {
-	tokens, err := oneTokenNumber(words)
+	tokens, err := parseSingleTokens(words)
 	if err != nil {
 		return err
 	}
-	t.Rate = rateInUnits(tokens)
+	t.Rate = tokensToRate(tokens)
 	return nil
 }
 
 func setBurst(t *contract.Terms, words []string) error {
-	tokens, err := oneTokenNumber(words)
+	tokens, err := parseSingleTokens(words)
 	if err != nil {
 		return err
 	}
-	t.Burst = inUnits(tokens)
+	t.Burst = tokensToUnits(tokens)
 	return nil
 }
 
@@ -249,7 +249,7 @@
 	if tokens == 0 {
 		return errors.New("expected any, none, or tokens a second above 0")
 	}
-	t.Borrow = rateInUnits(tokens)
+	t.Borrow = tokensToRate(tokens)
 	return nil
 }
 
@@ -283,7 +283,7 @@
 	if t.Floors == nil {
 		t.Floors = map[string]float64{}
 	}
-	t.Floors[words[0]] = rateInUnits(tokens)
+	t.Floors[words[0]] = tokensToRate(tokens)
 	return nil
 }
 
@@ -303,7 +303,7 @@
 	if err != nil {
 		return err
 	}
-	t.Budgets = append(t.Budgets, contract.Budget{Period: period, Soft: inUnits(soft), Hard: inUnits(hard)})
+	t.Budgets = append(t.Budgets, contract.Budget{Period: period, Soft: tokensToUnits(soft), Hard: tokensToUnits(hard)})
 	return nil
 }
 
--- a/internal/config/grammar.go
+++ b/internal/config/grammar.go
@@ -77,8 +77,8 @@
 // needsQuotes reports whether a word must be quoted in a file.
 func needsQuotes(word string) bool { return strings.ContainsAny(word, " \t#\"[]") }
 
-// plainMessage replaces the parser's messages by ones for operators.
-func plainMessage(message string) string {
+// operatorMessage replaces the parser's messages by ones for operators.
+func operatorMessage(message string) string {
 	switch {
 	case strings.HasPrefix(message, "invalid input text"), strings.Contains(message, "lexer:"):
 		return "a quote that does not end, or a character that cannot stand here"
--- a/internal/config/keys.go
+++ b/internal/config/keys.go
@@ -76,9 +76,9 @@
 }
 
 // checkRange checks a value against its bounds, which are allowed values.
-func checkRange[T cmp.Ordered](v, least, most T, format func(T) string) error {
-	if v < least || v > most {
-		return fmt.Errorf("expected %s to %s, got %s", format(least), format(most), format(v))
+func checkRange[T cmp.Ordered](v, minimum, maximum T, format func(T) string) error {
+	if v < minimum || v > maximum {
+		return fmt.Errorf("expected %s to %s, got %s", format(minimum), format(maximum), format(v))
 	}
 	return nil
 }
@@ -144,13 +144,13 @@
 }
 
 // durationKey is a duration within bounds.
-func durationKey(name string, to *time.Duration, defaultText string, least, most time.Duration, doc string) keySpec {
+func durationKey(name string, to *time.Duration, defaultText string, minimum, maximum time.Duration, doc string) keySpec {
 	parse := func(s string) (time.Duration, error) {
 		v, err := time.ParseDuration(s)
 		if err != nil {
 			return 0, fmt.Errorf("expected a duration such as 30s or 5m, got %q", s)
 		}
-		return v, checkRange(v, least, most, formatDuration)
+		return v, checkRange(v, minimum, maximum, formatDuration)
 	}
 	return newKey(name, "duration", to, defaultText, doc, parse, formatDuration)
 }
@@ -168,9 +168,9 @@
 }
 
 // convertedDurationKey is a duration that is stored by a function, in another unit.
-func convertedDurationKey(name, defaultText string, least, most time.Duration, doc string, store func(time.Duration)) keySpec {
+func convertedDurationKey(name, defaultText string, minimum, maximum time.Duration, doc string, store func(time.Duration)) keySpec {
 	var d time.Duration
-	key := durationKey(name, &d, defaultText, least, most, doc)
+	key := durationKey(name, &d, defaultText, minimum, maximum, doc)
 	setDuration := key.set
 	key.set = func(words []string) error {
 		if err := setDuration(words); err != nil {
@@ -183,8 +183,8 @@
 }
 
 // microsKey is a duration in microseconds.
-func microsKey(name string, to *balancer.Micros, defaultText string, least, most time.Duration, doc string) keySpec {
-	return convertedDurationKey(name, defaultText, least, most, doc, func(d time.Duration) { *to = d.Microseconds() })
+func microsKey(name string, to *balancer.Micros, defaultText string, minimum, maximum time.Duration, doc string) keySpec {
+	return convertedDurationKey(name, defaultText, minimum, maximum, doc, func(d time.Duration) { *to = d.Microseconds() })
 }
 
 // fractionalMicrosKey is a duration in microseconds with a fraction.
@@ -198,13 +198,13 @@
 }
 
 // sizeKey is a number of bytes within bounds.
-func sizeKey(name string, to *int64, defaultText string, least, most int64, doc string) keySpec {
+func sizeKey(name string, to *int64, defaultText string, minimum, maximum int64, doc string) keySpec {
 	parse := func(s string) (int64, error) {
 		v, err := humanize.ParseBytes(s)
 		if err != nil || v > 1<<62 {
 			return 0, fmt.Errorf("expected a size such as 64KiB or 8MiB, got %q", s)
 		}
-		return int64(v), checkRange(int64(v), least, most, formatSize)
+		return int64(v), checkRange(int64(v), minimum, maximum, formatSize)
 	}
 	return newKey(name, "size", to, defaultText, doc, parse, formatSize)
 }
@@ -212,27 +212,27 @@
 func formatSize(v int64) string { return strings.ReplaceAll(humanize.IBytes(uint64(v)), " ", "") }
 
 // intKey is an integer within bounds.
-func intKey(name string, to *int, defaultText string, least, most int, doc string) keySpec {
+func intKey(name string, to *int, defaultText string, minimum, maximum int, doc string) keySpec {
 	parse := func(s string) (int, error) {
 		v, err := strconv.Atoi(s)
 		if err != nil {
 			return 0, fmt.Errorf("expected a whole number, got %q", s)
 		}
-		return v, checkRange(v, least, most, strconv.Itoa)
+		return v, checkRange(v, minimum, maximum, strconv.Itoa)
 	}
 	return newKey(name, "number", to, defaultText, doc, parse, strconv.Itoa)
 }
 
 const (
 	// allIndices is the value of an indexKey that stands for all.
-	allIndices = -1
-	allWord    = "all"
+	allIndices     = -1
+	allIndicesText = "all"
 )
 
 // indexKey is the index of one of some things, or all of them.
 func indexKey(name string, to *int, doc string) keySpec {
 	parse := func(s string) (int, error) {
-		if s == allWord {
+		if s == allIndicesText {
 			return allIndices, nil
 		}
 		v, err := strconv.Atoi(s)
@@ -241,7 +241,7 @@
 		}
 		return v, nil
 	}
-	return newKey(name, "all|number", to, allWord, doc, parse, strconv.Itoa)
+	return newKey(name, "all|number", to, allIndicesText, doc, parse, strconv.Itoa)
 }
 
 // maxListLength bounds the numbers of an intListKey.
@@ -251,7 +251,7 @@
 var errNotIncreasing = errors.New("expected 1 to 20 numbers, each larger than the one before")
 
 // intListKey is a list of increasing integers within bounds.
-func intListKey(name string, to *[]int, defaultText string, least, most int, doc string) keySpec {
+func intListKey(name string, to *[]int, defaultText string, minimum, maximum int, doc string) keySpec {
 	set := func(words []string) error {
 		var list []int
 		for _, word := range strings.Fields(strings.Join(words, " ")) {
@@ -259,7 +259,7 @@
 			if err != nil {
 				return fmt.Errorf("expected whole numbers, got %q", word)
 			}
-			if err := checkRange(n, least, most, strconv.Itoa); err != nil {
+			if err := checkRange(n, minimum, maximum, strconv.Itoa); err != nil {
 				return err
 			}
 			list = append(list, n)
@@ -291,21 +291,21 @@
 }
 
 // floatKey is a number within bounds.
-func floatKey(name string, to *float64, defaultText string, least, most float64, doc string) keySpec {
+func floatKey(name string, to *float64, defaultText string, minimum, maximum float64, doc string) keySpec {
 	parse := func(s string) (float64, error) {
 		v, err := strconv.ParseFloat(s, 64)
 		if err != nil || math.IsNaN(v) {
 			return 0, fmt.Errorf("expected a number, got %q", s)
 		}
-		return v, checkRange(v, least, most, formatFloat)
+		return v, checkRange(v, minimum, maximum, formatFloat)
 	}
 	return newKey(name, "number", to, defaultText, doc, parse, formatFloat)
 }
 
 func formatFloat(v float64) string { return strconv.FormatFloat(v, 'g', -1, 64) }
 
-// shareKey is a share from 0 to 1, which may be given in percent.
-func shareKey(name string, to *float64, defaultText, doc string) keySpec {
+// fractionKey is a share from 0 to 1, which may be given in percent.
+func fractionKey(name string, to *float64, defaultText, doc string) keySpec {
 	parse := func(s string) (float64, error) {
 		text, percent := strings.CutSuffix(s, "%")
 		v, err := strconv.ParseFloat(text, 64)
@@ -325,10 +325,10 @@
 // suggestWord returns the end of an error message about an unknown word: the known
 // word that was likely meant, or all of them.
 func suggestWord(word string, known []string) string {
-	closest, least := "", len(word)/2+1
+	closest, minDistance := "", len(word)/2+1
 	for _, k := range known {
-		if d := levenshtein.ComputeDistance(word, k); d < least {
-			closest, least = k, d
+		if d := levenshtein.ComputeDistance(word, k); d < minDistance {
+			closest, minDistance = k, d
 		}
 	}
 	if closest == "" {
--- a/internal/config/plan.go
+++ b/internal/config/plan.go
@@ -62,8 +62,8 @@
 func (p *Plan) check() (problems SettingErrors) {
 	for i := range p.Variants {
 		for j := range p.Workloads {
-			_, found := p.buildSpec(&p.Variants[i], &p.Workloads[j])
-			for _, problem := range found {
+			_, specProblems := p.buildSpec(&p.Variants[i], &p.Workloads[j])
+			for _, problem := range specProblems {
 				if !slices.ContainsFunc(problems, func(other *SettingError) bool { return *other == *problem }) {
 					problems = append(problems, problem)
 				}
@@ -168,25 +168,25 @@
 
 // override replaces the line of a key, or adds one to its section.
 func override(r *reader, entries []entry, e entry) []entry {
-	at := -1
+	index := -1
 	for i := range entries {
 		if entries[i].section != e.section || entries[i].label != e.label {
 			continue
 		}
-		at = i
+		index = i
 		if entries[i].setting.Key == e.setting.Key {
 			break
 		}
 	}
 	switch {
-	case at < 0 && e.label == "" && isUnlabelledSection(e.section): // it has defaults for all keys
+	case index < 0 && e.label == "" && isUnlabelledSection(e.section): // it has defaults for all keys
 		return append(entries, e)
-	case at < 0:
+	case index < 0:
 		r.addProblem(e.file, e.sectionPos, e.section, "the plan has no section [%s]", strings.TrimSpace(e.section+" "+e.label))
 		return entries
-	case entries[at].setting.Key == e.setting.Key && !isRepeatable(e.setting.Key):
-		entries[at] = e
+	case entries[index].setting.Key == e.setting.Key && !isRepeatable(e.setting.Key):
+		entries[index] = e
 		return entries
 	}
-	return slices.Insert(entries, at+1, e)
+	return slices.Insert(entries, index+1, e)
 }
--- a/internal/config/plan_keys.go
+++ b/internal/config/plan_keys.go
@@ -220,7 +220,7 @@
 		microsKey("for", &s.Duration, "0s", 0, hour, "how long; 0s: to the end"),
 		enumKey("kind", &s.Kind, "kill", "what happens to the gateways", kinds...),
 		indexKey("gateway", &s.Gateway, "index of a gateway"),
-		shareKey("share", &s.Share, "0%", "share of the gateways, drawn at random"),
+		fractionKey("share", &s.Share, "0%", "share of the gateways, drawn at random"),
 		indexKey("site", &s.Site, "index of a zone"),
 		enumKey("when", &s.When, "at", "at a time, or at the gateway of a request when it was sent, or its first event, half of them or the last one arrived",
 			"at", "sent", "first", "half", "last"),
--- a/internal/config/reader.go
+++ b/internal/config/reader.go
@@ -56,13 +56,13 @@
 // readFile reads one file; from is the file that includes it at a position, "" if
 // none does. Sections do not extend across files: an included file begins outside
 // all sections, and the including file continues in its own.
-func (r *reader) readFile(path string, from string, at lexer.Position) {
+func (r *reader) readFile(path string, includedFrom string, pos lexer.Position) {
 	text, resolved, err := r.open(path)
 	if err != nil {
-		if from == "" {
+		if includedFrom == "" {
 			r.addProblem(path, noPosition, "", "%v", err)
 		} else {
-			r.addProblem(from, at, includeKey, "%s: %v", path, err)
+			r.addProblem(includedFrom, pos, includeKey, "%s: %v", path, err)
 		}
 		return
 	}
@@ -114,7 +114,7 @@
 	var syntax participle.Error
 	if errors.As(err, &syntax) {
 		pos.Column = max(1, syntax.Position().Column)
-		message = plainMessage(syntax.Message())
+		message = operatorMessage(syntax.Message())
 	}
 	r.addProblem(path, pos, "", "%s", message)
 }
@@ -134,26 +134,26 @@
 
 // readIncluded reads the files that a pattern matches, in the order of their names.
 // A relative path is relative to the including file.
-func (r *reader) readIncluded(from string, s *setting) {
+func (r *reader) readIncluded(includedFrom string, s *setting) {
 	if len(s.Values) != 1 {
-		r.addProblem(from, s.Pos, s.Key, "expected one path, got %d", len(s.Values))
+		r.addProblem(includedFrom, s.Pos, s.Key, "expected one path, got %d", len(s.Values))
 		return
 	}
 	path := s.Values[0].Text
 	if !filepath.IsAbs(path) {
-		path = filepath.Join(filepath.Dir(from), path)
+		path = filepath.Join(filepath.Dir(includedFrom), path)
 	}
 	if !strings.ContainsAny(path, "*?[") {
-		r.readFile(path, from, s.Pos)
+		r.readFile(path, includedFrom, s.Pos)
 		return
 	}
 	matches, err := filepath.Glob(path)
 	if err != nil {
-		r.addProblem(from, s.Values[0].Pos, s.Key, "%s: %v", path, err)
+		r.addProblem(includedFrom, s.Values[0].Pos, s.Key, "%s: %v", path, err)
 		return
 	}
 	for _, match := range matches {
-		r.readFile(match, from, s.Pos)
+		r.readFile(match, includedFrom, s.Pos)
 	}
 }
 
--- a/internal/config/scale.go
+++ b/internal/config/scale.go
@@ -29,11 +29,11 @@
 // requests a second, replicas and gateways, with the same load for each replica.
 // What a variant or a workload sets grows too. The number of shared prefixes stays,
 // and with keepGateways the number of gateways.
-func ScalePlan(text string, times float64, keepGateways bool) (string, error) {
-	if !(times > 0 && times <= maxScale) {
-		return "", fmt.Errorf("times %v: expected above 0 and at most 1000000", times)
+func ScalePlan(text string, factor float64, keepGateways bool) (string, error) {
+	if !(factor > 0 && factor <= maxScale) {
+		return "", fmt.Errorf("times %v: expected above 0 and at most 1000000", factor)
 	}
-	s := planScaler{times: times, keepGateways: keepGateways, seen: true}
+	s := planScaler{factor: factor, keepGateways: keepGateways, hasScaledKey: true}
 	for i, line := range strings.Split(strings.TrimRight(text, "\n"), "\n") {
 		code, _, _ := strings.Cut(line, "#")
 		if fields := strings.Fields(code); len(fields) > 0 && fields[0] == includeKey {
@@ -42,8 +42,8 @@
 		s.line(line)
 	}
 	s.endSection()
-	if !s.sawRun {
-		s.section, s.seen = runSection, false
+	if !s.hasRunSection {
+		s.section, s.hasScaledKey = runSection, false
 		s.out.WriteString("[" + runSection + "]\n")
 		s.endSection()
 	}
@@ -52,13 +52,13 @@
 
 // planScaler scales a plan line by line.
 type planScaler struct {
-	times        float64
-	keepGateways bool
-	out          strings.Builder
-	section      string // of the current line
-	seen         bool   // the section's scaled key was given
-	sawRun       bool
-	errs         []error
+	factor        float64
+	keepGateways  bool
+	out           strings.Builder
+	section       string // of the current line
+	hasScaledKey  bool   // the section's scaled key was given
+	hasRunSection bool
+	errs          []error
 }
 
 // line scales one line.
@@ -72,15 +72,15 @@
 	case len(fields) > 0 && strings.HasPrefix(fields[0], "["):
 		s.endSection()
 		s.section, _, _ = strings.Cut(strings.Trim(strings.TrimSpace(code), "[] "), " ")
-		s.seen = false
-		s.sawRun = s.sawRun || s.section == runSection
+		s.hasScaledKey = false
+		s.hasRunSection = s.hasRunSection || s.section == runSection
 	case len(fields) == 2 && scaledKeys[s.section].name == fields[0]:
-		s.seen = true
-		line = fields[0] + " " + s.grow(s.section, fields[1]) + comment
+		s.hasScaledKey = true
+		line = fields[0] + " " + s.scaleValue(s.section, fields[1]) + comment
 	case len(fields) == 3 && fields[0] == "set":
 		target := strings.Split(fields[1], ".")
 		if key, ok := scaledKeys[target[0]]; ok && target[len(target)-1] == key.name {
-			line = fields[0] + " " + fields[1] + " " + s.grow(target[0], fields[2]) + comment
+			line = fields[0] + " " + fields[1] + " " + s.scaleValue(target[0], fields[2]) + comment
 		}
 	}
 	s.out.WriteString(line + "\n")
@@ -89,13 +89,13 @@
 // endSection adds the scaled key that a section left at its default.
 func (s *planScaler) endSection() {
 	key, ok := scaledKeys[s.section]
-	if ok && !s.seen {
-		s.out.WriteString(key.name + " " + s.grow(s.section, planDefault(s.section, key.name)) + "\n")
+	if ok && !s.hasScaledKey {
+		s.out.WriteString(key.name + " " + s.scaleValue(s.section, planDefault(s.section, key.name)) + "\n")
 	}
 }
 
-// grow scales the value of a section's key.
-func (s *planScaler) grow(section, value string) string {
+// scaleValue scales the value of a section's key.
+func (s *planScaler) scaleValue(section, value string) string {
 	if section == runSection && s.keepGateways {
 		return value
 	}
@@ -105,7 +105,7 @@
 		s.errs = append(s.errs, fmt.Errorf("%s.%s: expected a number, got %q", section, key.name, value))
 		return ""
 	}
-	v *= s.times
+	v *= s.factor
 	if key.isInt {
 		v = math.Max(1, math.Round(v))
 	}
--- a/internal/config/scale_test.go
+++ b/internal/config/scale_test.go
@@ -41,20 +41,20 @@
 		return p
 	}
 	for _, c := range []struct {
-		keep     bool
-		gateways int
+		keepGateways bool
+		gateways     int
 	}{{false, 30}, {true, 3}} {
-		text, err := ScalePlan(smallPlan, 10, c.keep)
+		text, err := ScalePlan(smallPlan, 10, c.keepGateways)
 		if err != nil {
 			t.Fatal(err)
 		}
 		p := load(text)
 		base := Variant{Name: "base"}
-		was, err := load(smallPlan).Spec(base, base, 1)
+		unscaled, err := load(smallPlan).Spec(base, base, 1)
 		if err != nil {
 			t.Fatal(err)
 		}
-		s, err := p.Spec(base, base, 1)
+		scaled, err := p.Spec(base, base, 1)
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -62,16 +62,16 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		if s.Gateways != c.gateways || s.Groups[0].Count != 40 || s.Groups[1].Count != 10 || s.Streams[0].RequestsPerSecond != 25 || busy.Streams[0].RequestsPerSecond != 70 {
-			t.Errorf("%d gateways, %d and %d replicas, %v and %v a second", s.Gateways, s.Groups[0].Count, s.Groups[1].Count, s.Streams[0].RequestsPerSecond, busy.Streams[0].RequestsPerSecond)
+		if scaled.Gateways != c.gateways || scaled.Groups[0].Count != 40 || scaled.Groups[1].Count != 10 || scaled.Streams[0].RequestsPerSecond != 25 || busy.Streams[0].RequestsPerSecond != 70 {
+			t.Errorf("%d gateways, %d and %d replicas, %v and %v a second", scaled.Gateways, scaled.Groups[0].Count, scaled.Groups[1].Count, scaled.Streams[0].RequestsPerSecond, busy.Streams[0].RequestsPerSecond)
 		}
-		if s.Duration != was.Duration || busy.Streams[0].PromptTokens != 300 || s.Groups[1].Zone != "there" || !strings.Contains(text, "# a second") {
+		if scaled.Duration != unscaled.Duration || busy.Streams[0].PromptTokens != 300 || scaled.Groups[1].Zone != "there" || !strings.Contains(text, "# a second") {
 			t.Errorf("something else changed:\n%s", text)
 		}
 	}
-	for _, bad := range []string{"[traffic t]\nrate many\n", "include other.plan\n"} {
-		if _, err := ScalePlan(bad, 2, false); err == nil {
-			t.Errorf("%q was scaled", bad)
+	for _, invalidPlan := range []string{"[traffic t]\nrate many\n", "include other.plan\n"} {
+		if _, err := ScalePlan(invalidPlan, 2, false); err == nil {
+			t.Errorf("%q was scaled", invalidPlan)
 		}
 	}
 	if _, err := ScalePlan(smallPlan, 0, false); err == nil {
--- a/internal/config/schema.go
+++ b/internal/config/schema.go
@@ -29,12 +29,12 @@
 	}
 }
 
-func logGroup(out *Log) keyGroup {
+func logGroup(log *Log) keyGroup {
 	return keyGroup{
 		name: "log",
 		doc:  "What is written to standard error.",
 		keys: []keySpec{
-			enumKey("level", &out.Level, "info", "the lowest level that is logged", "debug", "info", "warn", "error"),
+			enumKey("level", &log.Level, "info", "the lowest level that is logged", "debug", "info", "warn", "error"),
 		},
 	}
 }
@@ -79,9 +79,9 @@
 			durationKey("pause", &incident.MinInterval, "2m", time.Second, 24*time.Hour, "minimum time between two automatic incidents"),
 			durationKey("over", &incident.EvaluationWindow, "10s", time.Second, 10*time.Minute, "the interval over which the shares below are computed"),
 			intKey("least", &incident.MinRequests, "50", 1, 1_000_000, "minimum number of requests in that interval; with fewer nothing triggers"),
-			shareKey("unserved", &incident.UnservedShare, "40%", "share of late, shed, failed and abandoned requests that triggers; 0%: never"),
+			fractionKey("unserved", &incident.UnservedShare, "40%", "share of late, shed, failed and abandoned requests that triggers; 0%: never"),
 			floatKey("slow-factor", &incident.SlowFactor, "2", 0, 100, "a replica is slow when its first tokens take this many times as long as usual; 0: never"),
-			shareKey("slow-workers", &incident.SlowReplicas, "80%", "share of slow replicas that triggers, among those that answered in the interval"),
+			fractionKey("slow-workers", &incident.SlowReplicas, "80%", "share of slow replicas that triggers, among those that answered in the interval"),
 			durationKey("near-deadline", &incident.NearDeadline, "500us", 0, time.Second, "a final answer less than this before the client's deadline triggers: the deadline was almost missed; 0s: never"),
 		},
 	}
@@ -96,7 +96,7 @@
 			durationKey("pool", &contracts.BorrowPool, "1s", 0, time.Minute, "how much unused quota idle teams may save up for others, as time at the sum of all rates; for as long after its owner is back, lent quota may still be used"),
 			floatKey("others", &contracts.UnknownTenantWeight, "0.05", -1, 1000, "priority weight of tenants without a contract; -1 rejects them"),
 			pathKey("store", &contracts.StorePath, "the file that stores balances across restarts and kills; not stored if not given"),
-			shareKey("reserve", &contracts.ReserveFraction, "1%", "share of a budget that is stored as used in advance: the most that a kill may cost a team"),
+			fractionKey("reserve", &contracts.ReserveFraction, "1%", "share of a budget that is stored as used in advance: the most that a kill may cost a team"),
 			boolKey("strict", &contracts.Strict, "off", "reject what the store has not yet recorded as used"),
 			enumKey("split", &contracts.Split, "whole", "how this gateway determines its share of each contract: all of it (it is the only gateway), equal shares, as the front distributes all requests, or as it sees each team's", "whole", "equal", "front", "alone"),
 			intKey("gateways", &contracts.Gateways, "1", 1, 10_000, "number of gateways, for equal shares"),
@@ -141,7 +141,7 @@
 		doc:  "The subset of a large fleet that this gateway uses: docs/operate/subsets.md.",
 		keys: []keySpec{
 			intKey("most", &settings.MaxReplicas, strconv.Itoa(subset.DefaultMaxReplicas), 0, 100_000, "maximum number of replicas it uses, 16 or more; endpoint lists up to this size are used completely; 0: all lists are"),
-			shareKey("remote", &settings.RemoteShare, "25%", "share of the subset that is drawn from all zones alike: what remains if the gateway's own zone is lost"),
+			fractionKey("remote", &settings.RemoteShare, "25%", "share of the subset that is drawn from all zones alike: what remains if the gateway's own zone is lost"),
 			intKey("index", &settings.GatewayIndex, "-1", -1, 10_000_000, "its index among the gateways, or among those of its zone; -1: the platform's"),
 		},
 	}
--- a/internal/config/validate.go
+++ b/internal/config/validate.go
@@ -44,18 +44,18 @@
 }
 
 func (v *validator) checkCapture() {
-	p := &v.config.Capture
+	capture := &v.config.Capture
 	switch {
-	case p.Record && p.Directory == "":
+	case capture.Record && capture.Directory == "":
 		v.fail("capture.directory", "missing, and needed to record")
-	case p.SegmentSize > p.KeepSize/2:
-		v.fail("capture.segment-size", "expected at most half of keep-size (%s)", humanize.IBytes(uint64(p.KeepSize)))
-	case p.SegmentAge > p.KeepAge/2:
-		v.fail("capture.segment-age", "expected at most half of keep-age (%s)", formatDuration(p.KeepAge))
-	case p.CheckpointInterval > p.KeepAge/2:
-		v.fail("capture.checkpoint", "expected at most half of keep-age (%s): a kept file without one cannot be replayed", formatDuration(p.KeepAge))
-	case v.config.Incident.Window > p.KeepAge:
-		v.fail("incident.window", "expected at most capture.keep-age (%s): older files are gone", formatDuration(p.KeepAge))
+	case capture.SegmentSize > capture.KeepSize/2:
+		v.fail("capture.segment-size", "expected at most half of keep-size (%s)", humanize.IBytes(uint64(capture.KeepSize)))
+	case capture.SegmentAge > capture.KeepAge/2:
+		v.fail("capture.segment-age", "expected at most half of keep-age (%s)", formatDuration(capture.KeepAge))
+	case capture.CheckpointInterval > capture.KeepAge/2:
+		v.fail("capture.checkpoint", "expected at most half of keep-age (%s): a kept file without one cannot be replayed", formatDuration(capture.KeepAge))
+	case v.config.Incident.Window > capture.KeepAge:
+		v.fail("incident.window", "expected at most capture.keep-age (%s): older files are gone", formatDuration(capture.KeepAge))
 	}
 }
 
@@ -70,8 +70,8 @@
 }
 
 func (v *validator) checkSubset() {
-	if most := v.config.Subset.MaxReplicas; most != 0 && most < minSubsetReplicas {
-		v.fail("subset.most", "expected 0, or %d or more, got %d", minSubsetReplicas, most)
+	if maxReplicas := v.config.Subset.MaxReplicas; maxReplicas != 0 && maxReplicas < minSubsetReplicas {
+		v.fail("subset.most", "expected 0, or %d or more, got %d", minSubsetReplicas, maxReplicas)
 	}
 }
 
--- a/internal/contractsim/simulate.go
+++ b/internal/contractsim/simulate.go
@@ -64,7 +64,7 @@
 		}
 		if event.Missing != nil {
 			s.output.Gaps++
-			s.abandonOpenRequests()
+			s.settleOpenRequests()
 			continue
 		}
 		if event.At < from {
@@ -105,7 +105,7 @@
 	seriesPoints int
 	output       *Result
 	teams        map[string]*TeamResult
-	order        []*TeamResult // of their first request, after those of the contracts
+	orderedTeams []*TeamResult // of their first request, after those of the contracts
 	openRequests map[uint32]*openRequest
 }
 
@@ -152,13 +152,13 @@
 		team.Series[i].At = s.run.WallTime(s.from + balancer.Micros(interval*float64(i)))
 	}
 	s.teams[name] = team
-	s.order = append(s.order, team)
+	s.orderedTeams = append(s.orderedTeams, team)
 	return team
 }
 
-// abandonOpenRequests settles all open requests at their estimates, at a gap of the
+// settleOpenRequests settles all open requests at their estimates, at a gap of the
 // recording: how they ended is unknown.
-func (s *simulation) abandonOpenRequests() {
+func (s *simulation) settleOpenRequests() {
 	for _, id := range slices.Sorted(maps.Keys(s.openRequests)) { // the same results for the same capture
 		request := s.openRequests[id]
 		s.ledger.Settle(0, &request.initialCharge, request.initialCharge.Estimate, false)
@@ -174,11 +174,11 @@
 func (s *simulation) apply(at balancer.Micros, record *pb.Record) {
 	switch record.GetKind() {
 	case pb.Kind_KIND_ARRIVED:
-		s.arrived(at, record)
+		s.applyArrival(at, record)
 	case pb.Kind_KIND_ENDED:
-		s.ended(at, record)
+		s.applyAttemptEnd(at, record)
 	case pb.Kind_KIND_LEFT:
-		s.left(at, record.GetRequest())
+		s.applyClientDisconnect(at, record.GetRequest())
 	}
 	for _, action := range record.GetActions() {
 		s.applyAction(at, action)
@@ -197,7 +197,7 @@
 	}
 	switch action.GetKind() {
 	case pb.Action_DISPATCH:
-		s.dispatched(at, request)
+		s.applyDispatch(at, request)
 	case pb.Action_REFUSE, pb.Action_FAIL:
 		s.ledger.Settle(at, &request.initialCharge, contract.Usage{}, false)
 		if len(request.charges) == 0 {
@@ -206,8 +206,8 @@
 	}
 }
 
-// arrived charges a request to its contract and counts the ledger's verdict.
-func (s *simulation) arrived(at balancer.Micros, record *pb.Record) {
+// applyArrival charges a request to its contract and counts the ledger's verdict.
+func (s *simulation) applyArrival(at balancer.Micros, record *pb.Record) {
 	arrival := record.GetArrival()
 	request := &openRequest{
 		arrival: balancer.Request{
@@ -256,9 +256,9 @@
 // seconds returns the length of the simulation.
 func (s *simulation) seconds() float64 { return float64(s.to-s.from) / 1e6 }
 
-// dispatched charges an attempt: the first has the charge of the request, a further
+// applyDispatch charges an attempt: the first has the charge of the request, a further
 // one a charge of its own.
-func (s *simulation) dispatched(at balancer.Micros, request *openRequest) {
+func (s *simulation) applyDispatch(at balancer.Micros, request *openRequest) {
 	attempt := request.attempts
 	request.attempts++
 	if request.rejected {
@@ -278,16 +278,16 @@
 	request.charges[attempt] = charge
 }
 
-// left drops a request whose client is gone before an attempt was dispatched.
-func (s *simulation) left(at balancer.Micros, id uint32) {
+// applyClientDisconnect drops a request whose client is gone before an attempt was dispatched.
+func (s *simulation) applyClientDisconnect(at balancer.Micros, id uint32) {
 	if request := s.openRequests[id]; request != nil && request.attempts == 0 {
 		s.ledger.Settle(at, &request.initialCharge, contract.Usage{}, false)
 		delete(s.openRequests, id)
 	}
 }
 
-// ended settles an attempt.
-func (s *simulation) ended(at balancer.Micros, record *pb.Record) {
+// applyAttemptEnd settles an attempt.
+func (s *simulation) applyAttemptEnd(at balancer.Micros, record *pb.Record) {
 	request := s.openRequests[record.GetRequest()]
 	if request == nil {
 		return
@@ -321,7 +321,7 @@
 		team.Borrowed = float64(counters.Borrowed) / token
 		team.RateShare = float64(counters.Used) / (terms[i].Rate * s.seconds())
 	}
-	for _, team := range s.order {
+	for _, team := range s.orderedTeams {
 		s.output.Teams = append(s.output.Teams, *team)
 	}
 	slices.SortStableFunc(s.output.Teams, func(a, b TeamResult) int {
--- a/internal/contractsim/simulate_test.go
+++ b/internal/contractsim/simulate_test.go
@@ -86,7 +86,7 @@
 	if len(res.Teams) != 3 || res.Teams[2].Team != "" || res.Teams[1].Requests != 0 {
 		t.Fatalf("%+v", res.Teams)
 	}
-	got, none := res.Teams[0], res.Teams[2]
+	got, noContract := res.Teams[0], res.Teams[2]
 	// 200 requests of 150 tokens: 1,500 a second is half of what it sends. The
 	// budget allows about 160 of them.
 	if got.Requests != 200 || got.Admitted < 85 || got.Admitted > 120 || got.Rejected["budget_spent"] < 30 || got.Rejected["budget_spent"] > 45 ||
@@ -94,8 +94,8 @@
 		got.Series = nil
 		t.Errorf("%+v", got)
 	}
-	if none.Requests != 50 || none.OverQuota != 50 || none.Served != 50 {
-		t.Errorf("%+v", none)
+	if noContract.Requests != 50 || noContract.OverQuota != 50 || noContract.Served != 50 {
+		t.Errorf("%+v", noContract)
 	}
 	if got.Used > 24_000 || got.Used < 22_000 || got.ExtraAttempts == 0 {
 		t.Errorf("used %v, copies %d", got.Used, got.ExtraAttempts)
