--- a/internal/contractsim/report/report.go
+++ b/internal/contractsim/report/report.go
@@ -20,31 +20,30 @@
 	"archknot/internal/contractsim"
 )
 
-// pageTemplate is the page. It reads the fields of runView and of the types in
-// package contractsim by name.
+// pageTemplate is the template of the page. It refers by name to the fields of runView
+// and of the types in package contractsim, so a renamed field must change there too.
 //
 //go:embed page.html
 var pageTemplate string
 
-// maxCharts bounds the teams with a chart, those with the most requests first. The
-// table has all teams.
+// maxCharts is the maximum number of charts: the teams with the most requests have one.
+// The table has all teams.
 const maxCharts = 24
 
-// runView is one simulated recording.
+// runView is the template's data of one simulated recording.
 type runView struct {
 	*contractsim.Result
 	Charts  []teamChart
-	Omitted int // teams without a chart
-	Seconds float64
+	Omitted int     // teams with requests that have no chart, beyond maxCharts
+	Seconds float64 // length of the simulated interval
 }
 
-// teamChart is the chart of one team.
 type teamChart struct {
 	Team string
 	SVG  template.HTML
 }
 
-// templateFuncs are the functions that the page calls.
+// templateFuncs are the functions that the template calls.
 var templateFuncs = template.FuncMap{
 	"tokens":  func(v float64) string { return humanize.Comma(int64(v)) },
 	"count":   humanize.Comma,
@@ -65,7 +64,7 @@
 	},
 }
 
-// Write writes the page of some simulations.
+// Write writes one HTML page with the results of all given simulations, in their order.
 func Write(w io.Writer, results []*contractsim.Result) error {
 	page, err := template.New("page").Funcs(templateFuncs).Parse(pageTemplate)
 	if err != nil {
@@ -82,7 +81,7 @@
 	return page.Execute(w, runs)
 }
 
-// newRunView draws the charts of a simulation.
+// newRunView returns the template's data of a simulation, with the charts drawn.
 func newRunView(result *contractsim.Result) (runView, error) {
 	view := runView{Result: result, Seconds: result.To.Sub(result.From).Seconds()}
 	teams := slices.Clone(result.Teams)
@@ -104,18 +103,18 @@
 	return view, nil
 }
 
-// Sizes of a chart, in pixels, and of its axis.
+// Layout of a chart.
 const (
-	chartWidth    = 760
-	chartHeight   = 240
-	chartPadding  = 10
-	legendHeight  = 30
-	chartHeadroom = 1.05 // of the highest value
-	fillAlpha     = 160
+	chartWidth    = 760  // pixels
+	chartHeight   = 240  // pixels
+	chartPadding  = 10   // pixels
+	legendHeight  = 30   // pixels
+	chartHeadroom = 1.05 // maximum of the y axis, as a multiple of the highest value
+	fillAlpha     = 160  // opacity of the areas, from 0 to 255
 )
 
-// renderChart draws a team's traffic over time: at full weight, on top of it beyond
-// the rate, and on top of both what was rejected.
+// renderChart returns the SVG of a team's traffic over time as three stacked areas: at full
+// weight, beyond the rate, and rejected.
 func renderChart(team *contractsim.TeamResult) (template.HTML, error) {
 	highest := 1.0
 	for i := range team.Series {
@@ -130,7 +129,7 @@
 		},
 		XAxis: chart.XAxis{ValueFormatter: chart.TimeValueFormatterWithFormat("15:04:05")},
 		YAxis: chart.YAxis{Name: "tokens/s", Range: &chart.ContinuousRange{Min: 0, Max: highest * chartHeadroom}},
-		// The highest first: each lower one is drawn over it.
+		// Sums, largest first: each smaller area is drawn over the previous one.
 		Series: []chart.Series{
 			series(team, "rejected", chart.ColorRed, func(p *contractsim.SeriesPoint) float64 {
 				return p.FullWeight + p.OverQuota + p.Rejected
@@ -148,10 +147,10 @@
 	if err := g.Render(chart.SVG, &svg); err != nil {
 		return "", err
 	}
-	return template.HTML(svg.String()), nil // it has numbers, times and the names above only
+	return template.HTML(svg.String()), nil // safe without escaping: contains only numbers, times and the names above
 }
 
-// series is one area of a chart.
+// series returns one area of a chart.
 func series(team *contractsim.TeamResult, name string, color drawing.Color, value func(*contractsim.SeriesPoint) float64) chart.TimeSeries {
 	s := chart.TimeSeries{
 		Name:  name,
--- a/internal/contractsim/simulate.go
+++ b/internal/contractsim/simulate.go
@@ -1,6 +1,7 @@
-// Package contractsim simulates contracts on a capture: a ledger decides on the
-// requests of a recording as they arrived, and settles them as they ended. What the
-// decision module did with them stays as it was recorded.
+// Package contractsim simulates contracts on a capture. A ledger charges or rejects each
+// request at its recorded arrival and settles it at its recorded end. The actions of the
+// decision module stay as recorded: rejections by the simulated contracts do not change
+// them.
 package contractsim
 
 import (
@@ -16,26 +17,28 @@
 	"archknot/internal/contract"
 )
 
-// ErrEmptyInterval is returned if no part of the recording lies within the options.
-var ErrEmptyInterval = errors.New("nothing lies between the ends")
+// ErrEmptyInterval is returned by Run if the interval to simulate has no length, for
+// example if Options.From is after the last event.
+var ErrEmptyInterval = errors.New("recording has no events between the requested times")
 
 const (
 	// defaultSeriesPoints is the length of each team's series.
 	defaultSeriesPoints = 120
-	// eventsPerProgress is how often Options.Progress is called.
+	// eventsPerProgress is the number of events per call of Options.Progress.
 	eventsPerProgress = 4096
 )
 
-// Options of a simulation.
+// Options configures a simulation.
 type Options struct {
 	Settings     contract.Settings
 	Terms        []contract.Terms
-	From, To     balancer.Micros          // on the recording's clock; 0: its ends
+	From, To     balancer.Micros          // on the recording's clock; 0: its first block, its last event
 	SeriesPoints int                      // length of each team's series; 0: defaultSeriesPoints
-	Progress     func(at balancer.Micros) // called now and then; nil: not at all
+	Progress     func(at balancer.Micros) // called periodically with the time of the last event; nil: not called
 }
 
-// Run simulates contracts on a recording.
+// Run simulates contracts on a recording. The error is ErrEmptyInterval, an error of the
+// contracts, or one of reading the recording.
 func Run(run *capture.Run, o Options) (*Result, error) {
 	last, err := lastEventTime(run)
 	if err != nil {
@@ -77,8 +80,8 @@
 	}
 }
 
-// lastEventTime returns the time of a recording's last event. The recording's index
-// only has those of its blocks.
+// lastEventTime returns the time of a recording's last event. It reads the last block,
+// since the recording's index holds the times of blocks only.
 func lastEventTime(run *capture.Run) (last balancer.Micros, err error) {
 	events, err := capture.NewReader(run, run.End())
 	if err != nil {
@@ -97,7 +100,8 @@
 	}
 }
 
-// simulation is a ledger with the requests that are open at one time of a recording.
+// simulation is the state of a simulation at one time of a recording: the ledger, the
+// open requests and the results so far.
 type simulation struct {
 	run          *capture.Run
 	ledger       *contract.Ledger
@@ -105,21 +109,22 @@
 	seriesPoints int
 	output       *Result
 	teams        map[string]*TeamResult
-	orderedTeams []*TeamResult // of their first request, after those of the contracts
+	orderedTeams []*TeamResult // teams with a contract, then the others by their first request
 	openRequests map[uint32]*openRequest
 }
 
-// openRequest is a request that has not ended.
+// openRequest is a request that has not ended, with its open charges.
 type openRequest struct {
 	team          *TeamResult
 	arrival       balancer.Request
 	rejected      bool
-	charges       map[int64]*contract.Charge // by attempt
-	initialCharge contract.Charge            // until the first attempt is dispatched
+	charges       map[int64]*contract.Charge // of dispatched attempts, by attempt
+	initialCharge contract.Charge            // of the request, until its first attempt is dispatched
 	attempts      int64
 }
 
-// newSimulation returns a simulation before the first event.
+// newSimulation returns a simulation before the first event, with the teams of all
+// contracts.
 func newSimulation(run *capture.Run, o *Options, from, to balancer.Micros) (*simulation, error) {
 	ledger, err := contract.NewLedger(o.Settings, o.Terms, from, run.WallTime(from).UnixMicro())
 	if err != nil {
@@ -141,7 +146,7 @@
 	return s, nil
 }
 
-// team returns the result of a team, and adds it if it is new.
+// team returns the result of a team, adding an empty one if it is new.
 func (s *simulation) team(name string) *TeamResult {
 	if team := s.teams[name]; team != nil {
 		return team
@@ -156,10 +161,10 @@
 	return team
 }
 
-// settleOpenRequests settles all open requests at their estimates, at a gap of the
-// recording: how they ended is unknown.
+// settleOpenRequests settles all open requests at their estimates. It is called at a gap
+// in the recording, in which the ends of these requests may be missing.
 func (s *simulation) settleOpenRequests() {
-	for _, id := range slices.Sorted(maps.Keys(s.openRequests)) { // the same results for the same capture
+	for _, id := range slices.Sorted(maps.Keys(s.openRequests)) { // sorted, so that the results are reproducible
 		request := s.openRequests[id]
 		s.ledger.Settle(0, &request.initialCharge, request.initialCharge.Estimate, false)
 		for _, attempt := range slices.Sorted(maps.Keys(request.charges)) {
@@ -170,7 +175,7 @@
 	}
 }
 
-// apply applies one record: what happened, then what the decision module did.
+// apply applies one record: its event, then the actions of the decision module.
 func (s *simulation) apply(at balancer.Micros, record *pb.Record) {
 	switch record.GetKind() {
 	case pb.Kind_KIND_ARRIVED:
@@ -240,24 +245,24 @@
 	s.openRequests[record.GetRequest()] = request
 }
 
-// charge charges an attempt of a request.
+// charge charges the estimate of a request, or of one of its attempts, to the ledger.
 func (s *simulation) charge(at balancer.Micros, request *openRequest, charge *contract.Charge) (contract.Usage, contract.Verdict) {
 	arrival := &request.arrival
 	estimate := s.ledger.Estimate(arrival.Class, arrival.PromptTokens, arrival.MaxTokens)
 	return estimate, s.ledger.Charge(at, arrival.Tenant, arrival.Class, estimate, charge)
 }
 
-// seriesIndex returns the point of the series that a time belongs to.
+// seriesIndex returns the index of the series point whose interval contains a time.
 func (s *simulation) seriesIndex(at balancer.Micros) int {
 	i := int(int64(s.seriesPoints) * (at - s.from) / (s.to - s.from))
 	return min(max(0, i), s.seriesPoints-1)
 }
 
-// seconds returns the length of the simulation.
+// seconds returns the length of the simulated interval.
 func (s *simulation) seconds() float64 { return float64(s.to-s.from) / 1e6 }
 
-// applyDispatch charges an attempt: the first has the charge of the request, a further
-// one a charge of its own.
+// applyDispatch charges a dispatched attempt. The first attempt takes over the charge of
+// the request, each further attempt gets a separate charge.
 func (s *simulation) applyDispatch(at balancer.Micros, request *openRequest) {
 	attempt := request.attempts
 	request.attempts++
@@ -278,7 +283,8 @@
 	request.charges[attempt] = charge
 }
 
-// applyClientDisconnect drops a request whose client is gone before an attempt was dispatched.
+// applyClientDisconnect removes a request whose client disconnected before an attempt was
+// dispatched, and settles its charge at no usage.
 func (s *simulation) applyClientDisconnect(at balancer.Micros, id uint32) {
 	if request := s.openRequests[id]; request != nil && request.attempts == 0 {
 		s.ledger.Settle(at, &request.initialCharge, contract.Usage{}, false)
@@ -286,7 +292,8 @@
 	}
 }
 
-// applyAttemptEnd settles an attempt.
+// applyAttemptEnd settles an attempt at its actual usage, and removes the request after
+// its final attempt.
 func (s *simulation) applyAttemptEnd(at balancer.Micros, record *pb.Record) {
 	request := s.openRequests[record.GetRequest()]
 	if request == nil {
@@ -310,7 +317,7 @@
 	}
 }
 
-// finish completes the result from the ledger's accounts.
+// finish completes the result with the counters of the ledger's accounts.
 func (s *simulation) finish(terms []contract.Terms) *Result {
 	const token = float64(contract.Token)
 	for i, account := range s.ledger.Accounts() {
--- a/internal/contractsim/simulate_test.go
+++ b/internal/contractsim/simulate_test.go
@@ -25,9 +25,9 @@
 func (discardSink) Gossip([]byte)                                                    {}
 func (discardSink) WatchDiscovery()                                                  {}
 
-// recordCapture records ten seconds in which tenant a sends 20 requests a second and b
-// 5, each with 100 prompt tokens and 50 output tokens. Every fourth of a's is shed at
-// first and retried.
+// recordCapture records 10 s in which tenant a sends 20 requests per second and tenant b 5,
+// each with 100 prompt tokens and 50 output tokens. The first attempts of a's requests whose
+// ID is a multiple of 4 are shed, and the requests are retried.
 func recordCapture(t *testing.T) *capture.Run {
 	t.Helper()
 	dir := t.TempDir()
@@ -69,7 +69,7 @@
 	return runs[0]
 }
 
-// testTerms are terms at a rate in tokens a second, with a burst of one second.
+// testTerms returns terms with a rate in tokens per second and a burst of one second.
 func testTerms(name string, rate float64) contract.Terms {
 	return contract.Terms{Team: name, Tenants: []string{name}, Rate: rate * float64(contract.Token), Burst: contract.Units(rate) * contract.Token, OverQuotaWeight: 0.05}
 }
@@ -87,8 +87,8 @@
 		t.Fatalf("%+v", res.Teams)
 	}
 	got, noContract := res.Teams[0], res.Teams[2]
-	// 200 requests of 150 tokens: 1,500 a second is half of what it sends. The
-	// budget allows about 160 of them.
+	// Tenant a sends 200 requests of 150 tokens: 3,000 tokens per second, twice its rate.
+	// The budget of 24,000 tokens allows about 160 requests.
 	if got.Requests != 200 || got.Admitted < 85 || got.Admitted > 120 || got.Rejected["budget_spent"] < 30 || got.Rejected["budget_spent"] > 45 ||
 		got.ServedThoughRejected != got.Rejected["budget_spent"] || got.Served != 200 || got.OverQuota+got.Admitted+got.Rejected["budget_spent"] != 200 {
 		got.Series = nil
@@ -98,7 +98,7 @@
 		t.Errorf("%+v", noContract)
 	}
 	if got.Used > 24_000 || got.Used < 22_000 || got.ExtraAttempts == 0 {
-		t.Errorf("used %v, copies %d", got.Used, got.ExtraAttempts)
+		t.Errorf("used %v tokens, %d extra attempts", got.Used, got.ExtraAttempts)
 	}
 	if n := len(res.Notices); n != 3 || res.Notices[2].Percent != 100 {
 		t.Errorf("%+v", res.Notices)
@@ -110,15 +110,15 @@
 	if sum < 25_000 || sum > 30_500 {
 		t.Errorf("the series sums to %v tokens", sum)
 	}
-	// Only a part of the recording.
+	// Options.From restricts the simulation to a part of the recording.
 	part, err := contractsim.Run(run, contractsim.Options{Settings: contract.Settings{BorrowPoolSeconds: 1}, Terms: []contract.Terms{a}, From: run.Begin() + 5_000_000})
 	if err != nil || part.Teams[0].Requests < 95 || part.Teams[0].Requests > 105 {
 		t.Errorf("%v %+v", err, part)
 	}
 	if _, err := contractsim.Run(run, contractsim.Options{Terms: []contract.Terms{a}, From: run.End() + 60_000_000}); !errors.Is(err, contractsim.ErrEmptyInterval) {
-		t.Error("an interval without events was simulated")
+		t.Error("Run did not return ErrEmptyInterval for an interval after the recording")
 	}
-	// The page has all of it, and names from outside are escaped.
+	// The page shows teams, charts, reasons and notices, and escapes the names of teams.
 	res.Teams[0].Team = "<script>a"
 	var page strings.Builder
 	if err := report.Write(&page, []*contractsim.Result{res}); err != nil {
@@ -130,6 +130,6 @@
 		}
 	}
 	if strings.Contains(page.String(), "<script>") || strings.Contains(page.String(), "http://") && !strings.Contains(page.String(), "http://www.w3.org") {
-		t.Error("the page has what it must not have")
+		t.Error("the page has an unescaped script tag or an external URL")
 	}
 }
