--- a/internal/config/config.go
+++ b/internal/config/config.go
@@ -8,9 +8,9 @@
 	"time"
 )
 
-// Config is archknot's own settings, checked and complete.
+// Config holds archknot's own settings, validated and with defaults applied.
 type Config struct {
-	File           string // "": there is none
+	File           string // path of the settings file; "": none
 	Log            Log
 	Control        Control
 	Capture        Capture
@@ -23,10 +23,10 @@
 	Subset    Subset
 }
 
-// Log configures the log on standard error.
+// Log configures logging to standard error.
 type Log struct{ Level string }
 
-// Control configures the gateway's socket for commands of operators on its machine.
+// Control configures the gateway's Unix socket for operator commands.
 type Control struct {
 	Socket string // path; "": none
 }
@@ -35,74 +35,74 @@
 type Capture struct {
 	Record             bool
 	Directory          string
-	CheckpointInterval time.Duration // between two states of the module
+	CheckpointInterval time.Duration // between checkpoints of the module's state
 	BlockSize          int64         // bytes
-	FlushInterval      time.Duration // a record waits no longer for its block to fill
-	QueueBlocks        int           // blocks that may wait for the disk
-	SegmentSize        int64         // bytes
-	SegmentAge         time.Duration
-	KeepSize           int64 // bytes of all segments
-	KeepAge            time.Duration
+	FlushInterval      time.Duration // maximum wait of a record for its block to fill
+	QueueBlocks        int           // blocks that may wait to be written to disk
+	SegmentSize        int64         // bytes; a segment of this size is closed
+	SegmentAge         time.Duration // a segment of this age is closed
+	KeepSize           int64         // bytes of all segments; beyond it the oldest are deleted
+	KeepAge            time.Duration // older segments are deleted
 }
 
-// Incident configures when the last minutes of a capture are saved automatically.
+// Incident configures when the latest part of a capture is saved automatically.
 type Incident struct {
 	Directory        string
-	MaxIncidents     int           // the oldest are deleted beyond
-	Window           time.Duration // what is saved before the trigger
-	MinInterval      time.Duration // between two that no operator ordered
-	EvaluationWindow time.Duration // that the shares below are computed over
-	MinRequests      int           // in that window: with fewer there is no trigger
-	UnservedShare    float64       // of late, shed and failed requests; 0: no trigger
-	SlowFactor       float64       // times the usual time to the first token at a replica; 0: no trigger
-	SlowReplicas     float64       // share of them among those with requests in the window
-	NearDeadline     time.Duration // before the client's deadline; 0: no trigger
-}
-
-// ControlService configures the control service that the configuration is streamed
-// from.
+	MaxIncidents     int           // saved incidents; beyond it the oldest are deleted
+	Window           time.Duration // length of the capture saved before the trigger
+	MinInterval      time.Duration // between two automatic incidents
+	EvaluationWindow time.Duration // interval that the fractions below are computed over
+	MinRequests      int           // in EvaluationWindow; with fewer there is no trigger
+	UnservedShare    float64       // fraction of late, shed, failed and abandoned requests that triggers; 0: never
+	SlowFactor       float64       // a replica is slow at this multiple of its usual time to first token; 0: never
+	SlowReplicas     float64       // fraction of slow replicas that triggers, among those that answered in EvaluationWindow
+	NearDeadline     time.Duration // a final answer closer to the client's deadline triggers; 0: never
+}
+
+// ControlService configures the connection to the control service that streams the
+// configuration.
 type ControlService struct {
-	Address      string // host:port; "": there is none
-	Protocol     string // "world" or "delta"
-	Cert         string // path of the gateway's certificate (PEM)
-	Key          string // path of its key
-	CA           string // path of the service's certificate authorities (PEM)
-	ServerName   string // "": the host of the address
-	StorePath    string // "": versions are not stored
-	MinInterval  time.Duration
-	StallTimeout time.Duration
+	Address      string        // host:port; "": no control service
+	Protocol     string        // "world" or "delta"
+	Cert         string        // path of the gateway's certificate (PEM)
+	Key          string        // path of the certificate's private key (PEM)
+	CA           string        // path of the certificate authorities of the service's certificate (PEM)
+	ServerName   string        // expected in the service's certificate; "": the host of Address
+	StorePath    string        // "": versions are not stored
+	MinInterval  time.Duration // between two applied versions
+	StallTimeout time.Duration // until a stream with an incomplete version is closed
 }
 
 // Metrics configures the Prometheus endpoint.
 type Metrics struct {
-	Listen   string // host:port; "": none
-	MaxTeams int    // teams with metrics of their own
+	Listen   string // host:port; "": disabled
+	MaxTeams int    // teams with separate metrics; the others are summed up
 }
 
-// Peers configures the link to the other gateways, which take over each other's
-// requests.
+// Peers configures the connection to the other gateways, which take over the requests
+// of a lost gateway.
 type Peers struct {
-	Listen               string // host:port; "": there is no link
-	Advertise            string // host:port where others reach it; "": Listen
+	Listen               string // host:port; "": disabled
+	Advertise            string // host:port at which other gateways reach this one; "": Listen
 	Zone                 string
-	Join                 string        // addresses of some other gateways, with commas between
-	Keepers              int           // gateways that record each request
-	ReplyTimeout         time.Duration // for another gateway's answer
-	RecordTTL            time.Duration // of a request, after its gateway's last message about it
-	FreezeThreshold      time.Duration // a gap in the gateway's own time after which it checks its leases
-	HandOverDelay        time.Duration // from SIGTERM until requests are handed over
-	MaxRecords           int
-	MaxRecordsPerGateway int
+	Join                 string        // addresses of some other gateways, comma-separated
+	Keepers              int           // number of backups: gateways that record each request
+	ReplyTimeout         time.Duration // for the answer of another gateway
+	RecordTTL            time.Duration // of a request's record, from its gateway's last message about it
+	FreezeThreshold      time.Duration // after a longer pause of its process the gateway checks its leases
+	HandOverDelay        time.Duration // from SIGTERM until open requests are handed over
+	MaxRecords           int           // requests of other gateways that are recorded at once
+	MaxRecordsPerGateway int           // requests of one other gateway that are recorded at once
 }
 
 // Subset configures which replicas of a large fleet the gateway uses.
 type Subset struct {
-	MaxReplicas  int     // 0: all
-	RemoteShare  float64 // the part that is drawn from all zones
-	GatewayIndex int     // -1: the platform's
+	MaxReplicas  int     // 0: no limit
+	RemoteShare  float64 // fraction of the subset that is drawn from all zones
+	GatewayIndex int     // among the gateways; -1: the platform's value
 }
 
-// Default returns the settings without a file.
+// Default returns the default settings.
 func Default() *Config {
 	c := &Config{}
 	for _, group := range schema(c) {
@@ -111,8 +111,8 @@
 	return c
 }
 
-// Load reads the settings in a file and in those it includes; "" is no file. The
-// error is of type SettingErrors and has all that is wrong.
+// Load reads and validates a settings file and the files that it includes. For "" it
+// returns the defaults. The error is of type SettingErrors and lists all errors.
 func Load(file string) (*Config, error) {
 	c := Default()
 	if file == "" {
@@ -136,10 +136,10 @@
 	return c, nil
 }
 
-// contractSection is the section of a team's contract, which has keys of its own.
+// contractSection is the section of a team's contract, whose keys are contractKeys.
 const contractSection = "contract"
 
-// applyEntry sets the key that an entry names.
+// applyEntry sets the key that an entry names, or adds an error to r.
 func (c *Config) applyEntry(r *reader, groups []keyGroup, e entry, seen map[string]entry) {
 	fullName := e.section + "." + e.setting.Key
 	i := slices.IndexFunc(groups, func(g keyGroup) bool { return g.name == e.section })
@@ -151,13 +151,13 @@
 	case i < 0:
 		r.addProblem(e.file, e.setting.Pos, fullName, "no section [%s]%s", e.section, suggestWord(e.section, sectionNames(groups)))
 	case e.label != "":
-		r.addProblem(e.file, e.sectionPos, e.section, "this section has no label")
+		r.addProblem(e.file, e.sectionPos, e.section, "section takes no label")
 	default:
 		r.assign(groups[i].keys, e, fullName, seen)
 	}
 }
 
-// sectionNames returns all sections of a settings file.
+// sectionNames returns the names of all sections of a settings file.
 func sectionNames(groups []keyGroup) []string {
 	names := []string{contractSection}
 	for _, group := range groups {
@@ -166,18 +166,18 @@
 	return names
 }
 
-// suggestSection returns the end of an error message about a key without a section:
-// the section that it belongs to, if there is one.
+// suggestSection returns the end of an error message about a key outside all sections:
+// the first section that has such a key, "" if none has.
 func suggestSection(groups []keyGroup, name string) string {
 	for _, group := range groups {
 		if slices.Contains(keyNames(group.keys), name) {
-			return fmt.Sprintf("; it belongs into [%s]", group.name)
+			return fmt.Sprintf("; it belongs in [%s]", group.name)
 		}
 	}
 	return ""
 }
 
-// Setting is one key with its value.
+// Setting is one key with its current value and its description.
 type Setting struct {
 	Section string `json:"section"`
 	Key     string `json:"key"`
@@ -205,8 +205,8 @@
 	return settings
 }
 
-// Text returns the settings as a file that reads back as the same, with their
-// documentation as comments if docs.
+// Text returns the settings as a settings file, with documentation as comments if docs
+// is set. It loads to the same settings, except for sizes, which formatSize rounds.
 func (c *Config) Text(docs bool) string {
 	var b strings.Builder
 	for i, group := range schema(c) {
@@ -230,7 +230,8 @@
 	return b.String()
 }
 
-// line returns the line of a file that sets a key; a comment if it has no value.
+// line returns the line of a file that sets a key, or a comment with the key's name if
+// the key has no value.
 func (k *keySpec) line() string {
 	value := k.get()
 	if value == "" {
@@ -239,7 +240,7 @@
 	return fmt.Sprintf("%s %s\n", k.name, quoteWord(value))
 }
 
-// quoteWord quotes a word if a file needs it quoted.
+// quoteWord quotes a word if it needs quotes in a file.
 func quoteWord(word string) string {
 	if needsQuotes(word) {
 		return strconv.Quote(word)
--- a/internal/config/config_test.go
+++ b/internal/config/config_test.go
@@ -12,7 +12,6 @@
 	"archknot/internal/contract"
 )
 
-// writeFile writes a file and returns its path.
 func writeFile(t *testing.T, dir, name, text string) string {
 	t.Helper()
 	p := filepath.Join(dir, name)
@@ -75,7 +74,7 @@
 	if diff := cmp.Diff(want, c); diff != "" {
 		t.Error(diff)
 	}
-	// The text reads back as the same settings.
+	// The text of the settings loads to the same settings.
 	text := writeFile(t, dir, "shown.conf", c.Text(true))
 	again, err := Load(text)
 	if err != nil {
@@ -85,11 +84,11 @@
 		t.Error(cmp.Diff(c, again))
 	}
 	if c, err := Load(""); err != nil || c.Capture.Record {
-		t.Errorf("no file: %v, %v", c, err)
+		t.Errorf("Load without a file: %v, %v", c, err)
 	}
 }
 
-// All errors are reported at once, each with its place.
+// Load reports all errors of a file and its includes, each with its file, line and column.
 func TestProblems(t *testing.T) {
 	dir := t.TempDir()
 	writeFile(t, dir, "loop.conf", "include a.conf\n")
@@ -125,7 +124,7 @@
 `)
 	_, err := Load(p)
 	if err == nil {
-		t.Fatal("accepted")
+		t.Fatal("Load accepted a file with errors")
 	}
 	got := strings.ReplaceAll(err.Error(), dir+"/", "")
 	want := []string{
@@ -138,14 +137,14 @@
 		`a.conf:10:1: capture.keep-size: given already at `,
 		`a.conf:11:7: capture.queue: expected 2 to 1024, got 1`,
 		`a.conf:12:14: capture.segment-size: expected one value (size), got 2`,
-		`a.conf:13:11: a quote that does not end`,
+		`a.conf:13:11: unterminated quote or unexpected character`,
 		`a.conf:14:5: expected [section]`,
 		`a.conf:17:10: incident.unserved: expected 0% to 100%, got 140%`,
-		`loop.conf:1:1: include: a.conf: includes itself, by way of`,
+		`loop.conf:1:1: include: a.conf: include cycle through`,
 		`a.conf:19:1: include: none.conf: no such file or directory`,
-		`a.conf:20:1: control: this section has no label`,
+		`a.conf:20:1: control: section takes no label`,
 		`a.conf:22:1: contract: expected [contract TEAM]`,
-		`a.conf:25:6: contract x.rate: expected tokens, 0 or more, got "soon"`,
+		`a.conf:25:6: contract x.rate: expected a number of tokens from 0 to 1e12, got "soon"`,
 		`a.conf:26:8: contract x.budget: expected hour, day or quarter, got "week"`,
 		`a.conf:27:7: contract x.floor: expected a class and tokens a second, got 1 words`,
 		`a.conf:28:6: contract x.hard: expected on or off`,
@@ -153,7 +152,7 @@
 	}
 	for _, w := range want {
 		if !strings.Contains(got, w) {
-			t.Errorf("not reported: %s", w)
+			t.Errorf("error not reported: %s", w)
 		}
 	}
 	if t.Failed() {
--- a/internal/config/contract.go
+++ b/internal/config/contract.go
@@ -10,23 +10,23 @@
 	"archknot/internal/contract"
 )
 
-// Contracts configures the contracts of teams: the section [contracts] for all, and
-// a section [contract TEAM] for each.
+// Contracts configures the contracts of teams: the section [contracts] holds the common
+// settings, a section [contract TEAM] the terms of each team.
 type Contracts struct {
-	TimeZone            string        // of days and quarters
-	BorrowPool          time.Duration // how much of all rates together may be saved up for borrowing
-	UnknownTenantWeight float64       // priority weight of tenants without a contract; below 0: rejected
+	TimeZone            string        // of the days and quarters of budgets
+	BorrowPool          time.Duration // capacity of the pool for borrowing, as time at the sum of all rates
+	UnknownTenantWeight float64       // priority weight of tenants without a contract; below 0: they are rejected
 	Teams               []contract.Terms
 
-	StorePath       string // "": balances are not stored
-	ReserveFraction float64
-	Strict          bool
-	Split           string // strategy of the gateway's quota shares: "whole", "equal", "front" or "alone"
-	Gateways        int    // how many there are, for the strategy "equal"
+	StorePath       string  // "": balances are not stored
+	ReserveFraction float64 // of a budget, stored as used in advance
+	Strict          bool    // reject usage that the store has not yet recorded
+	Split           string  // strategy that divides quotas among gateways: "whole", "equal", "front" or "alone"
+	Gateways        int     // number of gateways, for the strategy "equal"
 }
 
-// LedgerSettings returns the settings of the ledger. Without a store there is no
-// reserve.
+// LedgerSettings returns the settings of the ledger. Without a store, ReserveFraction
+// and Strict do not apply.
 func (c *Contracts) LedgerSettings() contract.Settings {
 	s := contract.Settings{Location: c.Location(), BorrowPoolSeconds: c.BorrowPool.Seconds(), UnknownTenantWeight: c.UnknownTenantWeight}
 	if c.StorePath != "" {
@@ -35,22 +35,23 @@
 	return s
 }
 
-// Location returns the time zone of days and quarters.
+// Location returns the time zone of days and quarters, or UTC if TimeZone is unknown.
 func (c *Contracts) Location() *time.Location {
 	location, err := time.LoadLocation(c.TimeZone)
 	if err != nil {
-		return time.UTC // not reached: timeZoneKey checked it
+		return time.UTC // unreachable for a loaded file: timeZoneKey validates the name
 	}
 	return location
 }
 
-// defaultOverQuotaWeight is the weight beyond the rate where a contract has none.
+// defaultOverQuotaWeight is the priority weight factor beyond the rate of a contract
+// that does not set `over`.
 const defaultOverQuotaWeight = 0.05
 
 // contractKey is one key of a section [contract TEAM].
 type contractKey struct {
 	name       string
-	repeatable bool // it may be given more than once
+	repeatable bool // may be set more than once
 	set        func(t *contract.Terms, words []string) error
 }
 
@@ -74,18 +75,17 @@
 	{name: "surge", set: func(t *contract.Terms, words []string) error { return setNumber(&t.Surge, words) }},
 }
 
-// contractKeyIndex returns the index of a key among contractKeys, -1 if it is unknown.
+// contractKeyIndex returns the index of a key in contractKeys, -1 if it is unknown.
 func contractKeyIndex(name string) int {
 	return slices.IndexFunc(contractKeys, func(k contractKey) bool { return k.name == name })
 }
 
-// isRepeatable reports whether a key may be given more than once.
+// isRepeatable reports whether a key of a contract may be set more than once.
 func isRepeatable(name string) bool {
 	i := contractKeyIndex(name)
 	return i >= 0 && contractKeys[i].repeatable
 }
 
-// contractKeyNames returns the names of contractKeys.
 func contractKeyNames() []string {
 	names := make([]string, len(contractKeys))
 	for i := range contractKeys {
@@ -94,7 +94,8 @@
 	return names
 }
 
-// applyEntry sets one key of a section [contract TEAM].
+// applyEntry sets one key of a section [contract TEAM], or adds an error to r. seen holds
+// the entries of the keys set so far, by full name.
 func (c *Contracts) applyEntry(r *reader, e entry, seen map[string]entry) {
 	if e.label == "" {
 		r.addProblem(e.file, e.sectionPos, contractSection, "expected [contract TEAM]")
@@ -117,7 +118,7 @@
 	}
 }
 
-// team returns the contract of a team, and adds it if it is new.
+// team returns the contract of a team, adding one with the defaults if it is new.
 func (c *Contracts) team(name string) *contract.Terms {
 	i := slices.IndexFunc(c.Teams, func(t contract.Terms) bool { return t.Team == name })
 	if i < 0 {
@@ -128,13 +129,14 @@
 }
 
 const (
-	// maxTokens bounds rates, bursts, budgets and prices.
+	// maxTokens bounds rates, bursts, budgets, floors, borrowing and prices.
 	maxTokens = 1e12
-	// maxWeight bounds weights.
+	// maxWeight bounds priority weights and the surge factor.
 	maxWeight = 1e6
 )
 
-// expectWords checks the number of words of a value; form says what they are.
+// expectWords returns an error unless there are n words; form describes the expected
+// words.
 func expectWords(words []string, n int, form string) error {
 	if len(words) != n {
 		return fmt.Errorf("expected %s, got %d words", form, len(words))
@@ -142,24 +144,24 @@
 	return nil
 }
 
-// parseTokens parses a number of tokens.
+// parseTokens parses a number of tokens from 0 to maxTokens.
 func parseTokens(s string) (float64, error) {
 	v, err := strconv.ParseFloat(s, 64)
 	if err != nil || !(v >= 0 && v <= maxTokens) {
-		return 0, fmt.Errorf("expected tokens, 0 or more, got %q", s)
+		return 0, fmt.Errorf("expected a number of tokens from 0 to 1e12, got %q", s)
 	}
 	return v, nil
 }
 
-// tokensToRate converts tokens a second.
+// tokensToRate converts tokens per second to units per second.
 func tokensToRate(tokens float64) float64 { return tokens * float64(contract.Token) }
 
-// tokensToUnits converts tokens, without their fraction.
+// tokensToUnits converts tokens to units. A fraction of a token is dropped.
 func tokensToUnits(tokens float64) contract.Units { return contract.Units(tokens) * contract.Token }
 
 func setNames(to *[]string, words []string) error {
 	if len(words) == 0 {
-		return errors.New("expected one name or more")
+		return errors.New("expected at least one name")
 	}
 	*to = words
 	return nil
@@ -171,7 +173,7 @@
 	}
 	v, err := strconv.ParseFloat(words[0], 64)
 	if err != nil || !(v >= 0 && v <= maxWeight) {
-		return fmt.Errorf("expected a number, 0 or more, got %q", words[0])
+		return fmt.Errorf("expected a number from 0 to 1e6, got %q", words[0])
 	}
 	*to = v
 	return nil
@@ -189,7 +191,7 @@
 	return nil
 }
 
-// parseSingleTokens parses a value of one number of tokens.
+// parseSingleTokens parses a value that consists of one number of tokens.
 func parseSingleTokens(words []string) (float64, error) {
 	if err := expectWords(words, 1, "one number of tokens"); err != nil {
 		return 0, err
@@ -235,7 +237,7 @@
 }
 
 func setBorrow(t *contract.Terms, words []string) error {
-	if err := expectWords(words, 1, "any, none, or tokens a second"); err != nil {
+	if err := expectWords(words, 1, "any, none or a number of tokens per second"); err != nil {
 		return err
 	}
 	if words[0] == "any" || words[0] == "none" {
@@ -247,14 +249,14 @@
 		return err
 	}
 	if tokens == 0 {
-		return errors.New("expected any, none, or tokens a second above 0")
+		return errors.New("expected any, none or tokens per second above 0, got 0")
 	}
 	t.Borrow = tokensToRate(tokens)
 	return nil
 }
 
 func setPrice(t *contract.Terms, words []string) error {
-	if err := expectWords(words, 3, "a class, the price of a token read and of one made"); err != nil {
+	if err := expectWords(words, 3, "a class, the price of a prompt token and the price of an output token"); err != nil {
 		return err
 	}
 	prompt, err := parseTokens(words[1])
@@ -288,7 +290,7 @@
 }
 
 func setBudget(t *contract.Terms, words []string) error {
-	if err := expectWords(words, 3, "hour, day or quarter, the soft limit and the hard one"); err != nil {
+	if err := expectWords(words, 3, "a period (hour, day or quarter), a soft limit and a hard limit"); err != nil {
 		return err
 	}
 	period, err := parsePeriod(words[0])
--- a/internal/config/contract_format.go
+++ b/internal/config/contract_format.go
@@ -13,7 +13,8 @@
 // contractWriter writes the lines of a section [contract TEAM].
 type contractWriter struct{ strings.Builder }
 
-// FormatContract returns a contract as a section of a file that reads back as the same.
+// FormatContract returns a contract as a section [contract TEAM] of a settings file,
+// which loads to the same terms. Fractions of a second in From and Until are dropped.
 func FormatContract(t *contract.Terms) string {
 	var w contractWriter
 	w.linef("\n[contract %s]", quoteWord(t.Team))
@@ -42,7 +43,7 @@
 	return w.String()
 }
 
-// writeOptional writes the keys that are left out at their defaults.
+// writeOptional writes the keys that are omitted at their defaults.
 func (w *contractWriter) writeOptional(t *contract.Terms) {
 	switch {
 	case t.NoBorrow:
@@ -60,7 +61,7 @@
 	w.writeTime("until", t.Until)
 }
 
-// writeTime writes a Unix time in microseconds; nothing if it is 0.
+// writeTime writes a Unix time in microseconds as RFC 3339 in UTC; it writes nothing for 0.
 func (w *contractWriter) writeTime(key string, unix int64) {
 	if unix != 0 {
 		w.linef("%s %s", key, time.UnixMicro(unix).UTC().Format(time.RFC3339))
@@ -71,10 +72,10 @@
 	fmt.Fprintf(w, format+"\n", args...)
 }
 
-// formatRate formats a rate in units a second as tokens a second.
+// formatRate formats a rate in units per second as tokens per second.
 func formatRate(units float64) string { return formatFloat(units / float64(contract.Token)) }
 
-// quoteWords quotes the words that a file needs quoted.
+// quoteWords joins words with spaces, quoting each one that needs quotes in a file.
 func quoteWords(words []string) string {
 	quoted := make([]string, len(words))
 	for i, word := range words {
--- a/internal/config/errors.go
+++ b/internal/config/errors.go
@@ -5,15 +5,15 @@
 	"strings"
 )
 
-// SettingError is one error of a settings or plan file.
+// SettingError is one error in a settings or plan file.
 type SettingError struct {
 	File         string
-	Line, Column int    // from 1; 0: no line
-	Key          string // "" if it is not about a key
+	Line, Column int    // from 1; 0: the error belongs to no line
+	Key          string // "": the error belongs to no key
 	Message      string
 }
 
-// Error returns `file:line:column: key: what`, without the parts that are not known.
+// Error returns `file:line:column: key: message`, without the parts that are not set.
 func (e *SettingError) Error() string {
 	place := fmt.Sprintf("%s:%d:%d: ", e.File, e.Line, e.Column)
 	if e.Line == 0 {
@@ -25,11 +25,10 @@
 	return place + e.Message
 }
 
-// SettingErrors are all errors of a file and of those it includes, in the order of
-// their lines.
+// SettingErrors are all errors in a file and in the files that it includes.
 type SettingErrors []*SettingError
 
-// Error returns the errors, one a line.
+// Error returns the errors, one per line.
 func (e SettingErrors) Error() string {
 	lines := make([]string, len(e))
 	for i, err := range e {
--- a/internal/config/grammar.go
+++ b/internal/config/grammar.go
@@ -8,11 +8,10 @@
 	"github.com/alecthomas/participle/v2/lexer"
 )
 
-// The names of the types and fields of the grammar are part of the parser's error
-// messages.
+// The parser's error messages contain the names of the grammar's types and fields.
 
-// line is the grammar of one line. Lines are parsed one by one, so that an error in
-// one does not hide those of the lines after it.
+// line is the grammar of one line. Each line is parsed separately, so that a syntax
+// error does not hide the errors in later lines.
 type line struct {
 	Section *section `parser:"(  @@"`
 	Setting *setting `parser:" | @@ )? Comment?"`
@@ -21,7 +20,7 @@
 type section struct {
 	Pos  lexer.Position
 	Name string `parser:"'[' @Word"`
-	// Label distinguishes sections of one name: [contract island-tax].
+	// Label distinguishes sections of the same name: [contract island-tax].
 	Label *word `parser:"@@? ']'"`
 }
 
@@ -36,7 +35,7 @@
 	Text string `parser:"@(Word | String)"`
 }
 
-// words returns the values.
+// words returns the texts of the values.
 func (s *setting) words() []string {
 	words := make([]string, len(s.Values))
 	for i, value := range s.Values {
@@ -45,7 +44,7 @@
 	return words
 }
 
-// valuePos returns where the values begin, or the key if there are none.
+// valuePos returns the position of the first value, or of the key if there is none.
 func (s *setting) valuePos() lexer.Position {
 	if len(s.Values) > 0 {
 		return s.Values[0].Pos
@@ -53,7 +52,8 @@
 	return s.Pos
 }
 
-// setLine sets the line of a setting, which the parser always takes for the first.
+// setLine sets the line number of a setting and its values. The parser receives single
+// lines and always reports line 1.
 func (s *setting) setLine(number int) {
 	s.Pos.Line = number
 	for _, value := range s.Values {
@@ -61,7 +61,7 @@
 	}
 }
 
-// parser is built at its first use: a gateway without a file never needs it.
+// parser is built on first use, since a gateway without a settings file does not need it.
 var parser = sync.OnceValue(func() *participle.Parser[line] {
 	return participle.MustBuild[line](
 		participle.Lexer(lexer.MustSimple([]lexer.SimpleRule{
@@ -77,11 +77,12 @@
 // needsQuotes reports whether a word must be quoted in a file.
 func needsQuotes(word string) bool { return strings.ContainsAny(word, " \t#\"[]") }
 
-// operatorMessage replaces the parser's messages by ones for operators.
+// operatorMessage replaces parser messages that name internals of the grammar by
+// messages for operators.
 func operatorMessage(message string) string {
 	switch {
 	case strings.HasPrefix(message, "invalid input text"), strings.Contains(message, "lexer:"):
-		return "a quote that does not end, or a character that cannot stand here"
+		return "unterminated quote or unexpected character"
 	case strings.Contains(message, `expected "]"`), strings.Contains(message, "sub-expression"):
 		return "expected [section] or [section label]"
 	}
--- a/internal/config/keys.go
+++ b/internal/config/keys.go
@@ -16,25 +16,26 @@
 	"archknot/balancer"
 )
 
-// keySpec is one key: its name, its type as the documentation has it, its default
-// and its meaning, bound to the variable that it sets.
+// keySpec describes one key: its name, type, default and documentation. set parses the
+// key's values into the variable that the key is bound to, get formats that variable.
 type keySpec struct {
 	name, valueType, defaultText, doc string
 	set                               func(words []string) error
 	get                               func() string
 }
 
-// pathType is the valueType of paths and addresses.
+// pathType is the valueType of file paths and of network addresses.
 const pathType = "path"
 
-// mustSetDefault sets a key of a section to its default.
+// mustSetDefault sets a key of a section to its default. It panics if the default is
+// not a valid value.
 func (k *keySpec) mustSetDefault(section string) {
 	if err := k.set([]string{k.defaultText}); err != nil {
-		panic(section + "." + k.name + ": its default: " + err.Error())
+		panic(section + "." + k.name + ": invalid default: " + err.Error())
 	}
 }
 
-// setDefaults sets the keys of a section that have a default.
+// setDefaults sets all keys of a section that have a default.
 func setDefaults(section string, keys []keySpec) {
 	for i := range keys {
 		if keys[i].defaultText != "" {
@@ -43,7 +44,6 @@
 	}
 }
 
-// keyNames returns the names of keys.
 func keyNames(keys []keySpec) []string {
 	names := make([]string, len(keys))
 	for i := range keys {
@@ -52,7 +52,7 @@
 	return names
 }
 
-// newKey returns a key with one value.
+// newKey returns a key that takes exactly one value.
 func newKey[T any](name, valueType string, to *T, defaultText, doc string, parse func(string) (T, error), format func(T) string) keySpec {
 	set := func(words []string) error {
 		if len(words) != 1 {
@@ -75,7 +75,7 @@
 	}
 }
 
-// checkRange checks a value against its bounds, which are allowed values.
+// checkRange returns an error unless minimum <= v <= maximum.
 func checkRange[T cmp.Ordered](v, minimum, maximum T, format func(T) string) error {
 	if v < minimum || v > maximum {
 		return fmt.Errorf("expected %s to %s, got %s", format(minimum), format(maximum), format(v))
@@ -83,23 +83,21 @@
 	return nil
 }
 
-// identity formats a string.
 func identity(s string) string { return s }
 
-// parseString accepts any string.
 func parseString(s string) (string, error) { return s, nil }
 
-// pathKey is a path or an address, without a default.
+// pathKey returns the key of a path or an address, without a default.
 func pathKey(name string, to *string, doc string) keySpec {
 	return newKey(name, pathType, to, "", doc, parseString, identity)
 }
 
-// stringKey is any name.
+// stringKey returns the key of an arbitrary name.
 func stringKey(name string, to *string, defaultText, doc string) keySpec {
 	return newKey(name, "name", to, defaultText, doc, parseString, identity)
 }
 
-// timeZoneKey is the name of a time zone.
+// timeZoneKey returns the key of an IANA time zone name.
 func timeZoneKey(name string, to *string, defaultText, doc string) keySpec {
 	parse := func(s string) (string, error) {
 		if _, err := time.LoadLocation(s); err != nil || s == "" {
@@ -110,7 +108,7 @@
 	return newKey(name, "time zone", to, defaultText, doc, parse, identity)
 }
 
-// enumKey is one of some words.
+// enumKey returns the key of a value that must be one of words.
 func enumKey(name string, to *string, defaultText, doc string, words ...string) keySpec {
 	parse := func(s string) (string, error) {
 		if !slices.Contains(words, s) {
@@ -121,7 +119,7 @@
 	return newKey(name, strings.Join(words, "|"), to, defaultText, doc, parse, identity)
 }
 
-// boolKey is on or off.
+// boolKey returns the key of a switch: on or off.
 func boolKey(name string, to *bool, defaultText, doc string) keySpec {
 	return newKey(name, "on|off", to, defaultText, doc, parseBool, formatBool)
 }
@@ -143,7 +141,7 @@
 	return "off"
 }
 
-// durationKey is a duration within bounds.
+// durationKey returns the key of a duration from minimum to maximum.
 func durationKey(name string, to *time.Duration, defaultText string, minimum, maximum time.Duration, doc string) keySpec {
 	parse := func(s string) (time.Duration, error) {
 		v, err := time.ParseDuration(s)
@@ -155,7 +153,7 @@
 	return newKey(name, "duration", to, defaultText, doc, parse, formatDuration)
 }
 
-// formatDuration formats a duration without the zero parts of 1h0m0s.
+// formatDuration formats a duration without trailing zero parts: 1h, not 1h0m0s.
 func formatDuration(d time.Duration) string {
 	s := strings.Replace(d.String(), "µs", "us", 1)
 	if strings.HasSuffix(s, "m0s") {
@@ -167,7 +165,8 @@
 	return s
 }
 
-// convertedDurationKey is a duration that is stored by a function, in another unit.
+// convertedDurationKey returns the key of a duration that store converts to another
+// unit and assigns.
 func convertedDurationKey(name, defaultText string, minimum, maximum time.Duration, doc string, store func(time.Duration)) keySpec {
 	var d time.Duration
 	key := durationKey(name, &d, defaultText, minimum, maximum, doc)
@@ -182,22 +181,23 @@
 	return key
 }
 
-// microsKey is a duration in microseconds.
+// microsKey returns the key of a duration that is stored in whole microseconds.
 func microsKey(name string, to *balancer.Micros, defaultText string, minimum, maximum time.Duration, doc string) keySpec {
 	return convertedDurationKey(name, defaultText, minimum, maximum, doc, func(d time.Duration) { *to = d.Microseconds() })
 }
 
-// fractionalMicrosKey is a duration in microseconds with a fraction.
+// fractionalMicrosKey returns the key of a duration that is stored in microseconds
+// with nanosecond precision.
 func fractionalMicrosKey(name string, to *float64, defaultText string, doc string) keySpec {
 	return convertedDurationKey(name, defaultText, 0, time.Minute, doc, func(d time.Duration) { *to = float64(d.Nanoseconds()) / 1000 })
 }
 
-// secondsKey is a duration in seconds.
+// secondsKey returns the key of a duration that is stored in seconds.
 func secondsKey(name string, to *float64, defaultText, doc string) keySpec {
 	return convertedDurationKey(name, defaultText, 0, 24*time.Hour, doc, func(d time.Duration) { *to = d.Seconds() })
 }
 
-// sizeKey is a number of bytes within bounds.
+// sizeKey returns the key of a size in bytes from minimum to maximum.
 func sizeKey(name string, to *int64, defaultText string, minimum, maximum int64, doc string) keySpec {
 	parse := func(s string) (int64, error) {
 		v, err := humanize.ParseBytes(s)
@@ -209,9 +209,11 @@
 	return newKey(name, "size", to, defaultText, doc, parse, formatSize)
 }
 
+// formatSize formats a size in binary units such as MiB, rounded to whole units, or to
+// tenths below 10.
 func formatSize(v int64) string { return strings.ReplaceAll(humanize.IBytes(uint64(v)), " ", "") }
 
-// intKey is an integer within bounds.
+// intKey returns the key of an integer from minimum to maximum.
 func intKey(name string, to *int, defaultText string, minimum, maximum int, doc string) keySpec {
 	parse := func(s string) (int, error) {
 		v, err := strconv.Atoi(s)
@@ -224,12 +226,12 @@
 }
 
 const (
-	// allIndices is the value of an indexKey that stands for all.
+	// allIndices is the value of an indexKey that is set to allIndicesText.
 	allIndices     = -1
 	allIndicesText = "all"
 )
 
-// indexKey is the index of one of some things, or all of them.
+// indexKey returns the key of an index from 0, or of all indices.
 func indexKey(name string, to *int, doc string) keySpec {
 	parse := func(s string) (int, error) {
 		if s == allIndicesText {
@@ -237,20 +239,22 @@
 		}
 		v, err := strconv.Atoi(s)
 		if err != nil || v < 0 {
-			return 0, fmt.Errorf("expected all, or a number from 0, got %q", s)
+			return 0, fmt.Errorf("expected all or an index from 0, got %q", s)
 		}
 		return v, nil
 	}
 	return newKey(name, "all|number", to, allIndicesText, doc, parse, strconv.Itoa)
 }
 
-// maxListLength bounds the numbers of an intListKey.
+// maxListLength is the maximum number of values of an intListKey.
 const maxListLength = 20
 
-// errNotIncreasing rejects a list of numbers.
+// errNotIncreasing reports a list of numbers that is empty, too long or not strictly
+// increasing.
 var errNotIncreasing = errors.New("expected 1 to 20 numbers, each larger than the one before")
 
-// intListKey is a list of increasing integers within bounds.
+// intListKey returns the key of a strictly increasing list of integers, each from
+// minimum to maximum.
 func intListKey(name string, to *[]int, defaultText string, minimum, maximum int, doc string) keySpec {
 	set := func(words []string) error {
 		var list []int
@@ -280,7 +284,7 @@
 	return keySpec{name: name, valueType: "numbers", defaultText: defaultText, doc: doc, set: set, get: get}
 }
 
-// isIncreasing reports whether each number is larger than the one before.
+// isIncreasing reports whether a list is strictly increasing.
 func isIncreasing(list []int) bool {
 	for i := 1; i < len(list); i++ {
 		if list[i] <= list[i-1] {
@@ -290,7 +294,7 @@
 	return true
 }
 
-// floatKey is a number within bounds.
+// floatKey returns the key of a number from minimum to maximum.
 func floatKey(name string, to *float64, defaultText string, minimum, maximum float64, doc string) keySpec {
 	parse := func(s string) (float64, error) {
 		v, err := strconv.ParseFloat(s, 64)
@@ -304,7 +308,7 @@
 
 func formatFloat(v float64) string { return strconv.FormatFloat(v, 'g', -1, 64) }
 
-// fractionKey is a share from 0 to 1, which may be given in percent.
+// fractionKey returns the key of a fraction from 0 to 1, which may be set in percent.
 func fractionKey(name string, to *float64, defaultText, doc string) keySpec {
 	parse := func(s string) (float64, error) {
 		text, percent := strings.CutSuffix(s, "%")
@@ -322,8 +326,8 @@
 
 func formatPercent(v float64) string { return formatFloat(v*100) + "%" }
 
-// suggestWord returns the end of an error message about an unknown word: the known
-// word that was likely meant, or all of them.
+// suggestWord returns the end of an error message about an unknown word: the closest
+// known word by edit distance, or all known words if none is close.
 func suggestWord(word string, known []string) string {
 	closest, minDistance := "", len(word)/2+1
 	for _, k := range known {
--- a/internal/config/plan.go
+++ b/internal/config/plan.go
@@ -7,21 +7,22 @@
 	"archknot/internal/fleet/model"
 )
 
-// Plan is an experiment: a fleet and its traffic, and what is varied about them.
-// Each variant is run with each workload and each seed.
+// Plan is an experiment: a fleet with its traffic, and the variants and workloads to
+// compare. Each variant is run with each workload and each seed.
 type Plan struct {
 	File      string
-	Seeds     int
+	Seeds     int       // runs of each variant with each workload, with seeds from 1
 	Variants  []Variant // at least one
 	Workloads []Variant // at least one
-	entries   []entry   // of all other sections
+	entries   []entry   // the settings of all other sections
 }
 
-// Variant changes some settings of a plan.
+// Variant is a named set of changes to the settings of a plan. A workload has the same
+// form.
 type Variant struct {
 	Name      string
-	Program   string  // the program of another build that runs it; "": this one
-	overrides []entry // replace settings of the plan, or are added to them
+	Program   string  // path of the build that runs it; "": this program
+	overrides []entry // replace settings of the plan, or are added to it
 }
 
 const (
@@ -30,12 +31,12 @@
 	runSection      = "run"
 	seedsKey        = "seeds"
 	maxSeeds        = 10_000
-	// baseVariant is the name of the only variant, or workload, of a plan without any.
+	// baseVariant names the implicit variant, or workload, of a plan that declares none.
 	baseVariant = "base"
 )
 
-// LoadPlan reads a plan and checks it with all its variants and workloads. The error
-// is of type SettingErrors and has all that is wrong.
+// LoadPlan reads a plan and validates each pair of its variants and workloads. The error
+// is of type SettingErrors and lists all errors.
 func LoadPlan(file string) (*Plan, error) {
 	var r reader
 	r.readFile(file, "", noPosition)
@@ -58,7 +59,7 @@
 	return p, nil
 }
 
-// check returns the errors of all variants and workloads, each error once.
+// check returns the errors of all pairs of a variant and a workload, without duplicates.
 func (p *Plan) check() (problems SettingErrors) {
 	for i := range p.Variants {
 		for j := range p.Workloads {
@@ -73,7 +74,7 @@
 	return problems
 }
 
-// addEntry adds a line of the plan.
+// addEntry adds a setting to the plan, or an error to r.
 func (p *Plan) addEntry(r *reader, e entry) {
 	switch {
 	case e.section == variantSection:
@@ -90,10 +91,10 @@
 	}
 }
 
-// addVariantEntry adds a line of a section [variant NAME] or [workload NAME].
+// addVariantEntry adds a setting of a section [variant NAME] or [workload NAME] to a list.
 func (p *Plan) addVariantEntry(r *reader, list *[]Variant, e entry) {
 	if e.label == "" || strings.ContainsAny(e.label, "/\\ ") {
-		r.addProblem(e.file, e.sectionPos, e.section, "expected [%s NAME], without spaces and slashes", e.section)
+		r.addProblem(e.file, e.sectionPos, e.section, "expected [%s NAME] with a name without spaces and slashes", e.section)
 		return
 	}
 	i := slices.IndexFunc(*list, func(v Variant) bool { return v.Name == e.label })
@@ -134,8 +135,8 @@
 	v.overrides = append(v.overrides, override)
 }
 
-// Spec returns the specification of one variant, workload and seed. The error is of
-// type SettingErrors.
+// Spec returns the specification of the run of one variant, workload and seed. The
+// error is of type SettingErrors.
 func (p *Plan) Spec(variant, workload Variant, seed uint64) (*model.Spec, error) {
 	spec, problems := p.buildSpec(&variant, &workload)
 	if len(problems) > 0 {
@@ -145,8 +146,8 @@
 	return spec, nil
 }
 
-// buildSpec returns the specification of the plan's lines, replaced by those of a
-// workload and then by those of a variant.
+// buildSpec returns the specification of the plan's settings, overridden by those of the
+// workload and then by those of the variant.
 func (p *Plan) buildSpec(variant, workload *Variant) (*model.Spec, SettingErrors) {
 	var r reader
 	entries := slices.Clone(p.entries)
@@ -166,7 +167,8 @@
 	return b.spec, r.problems
 }
 
-// override replaces the line of a key, or adds one to its section.
+// override replaces the entry of a key, or adds it to its section. An entry of a
+// repeatable key is always added.
 func override(r *reader, entries []entry, e entry) []entry {
 	index := -1
 	for i := range entries {
@@ -179,7 +181,7 @@
 		}
 	}
 	switch {
-	case index < 0 && e.label == "" && isUnlabelledSection(e.section): // it has defaults for all keys
+	case index < 0 && e.label == "" && isUnlabelledSection(e.section): // the section may be omitted: all its keys have defaults
 		return append(entries, e)
 	case index < 0:
 		r.addProblem(e.file, e.sectionPos, e.section, "the plan has no section [%s]", strings.TrimSpace(e.section+" "+e.label))
--- a/internal/config/plan_spec.go
+++ b/internal/config/plan_spec.go
@@ -10,7 +10,7 @@
 	"archknot/internal/fleet/model"
 )
 
-// Words of a plan's values.
+// Values of the keys gateway.reports and class.effect.
 const (
 	reportsInline    = "inline"
 	reportsNone      = "none"
@@ -18,7 +18,8 @@
 	effectOnce       = "once"
 )
 
-// defaultSpec returns a specification with the settings that no plan can change.
+// defaultSpec returns a specification with the settings that plans cannot change, and
+// with initial values for the others.
 func defaultSpec() *model.Spec {
 	s := &model.Spec{}
 	s.Settings = balancer.Settings{
@@ -39,11 +40,11 @@
 	return s
 }
 
-// specBuilder applies the lines of a plan to a specification.
+// specBuilder applies the entries of a plan to a specification.
 type specBuilder struct {
 	spec       *model.Spec
 	reader     *reader
-	seen       map[string]entry     // by the full names of the keys
+	seen       map[string]entry     // entries applied so far, by the key's full name
 	keys       map[string][]keySpec // by section and label
 	classes    []*balancer.Class
 	tenants    []*balancer.Tenant
@@ -56,7 +57,7 @@
 	reportMode string
 }
 
-// applyEntry applies one line.
+// applyEntry applies one entry, or adds an error to the reader.
 func (b *specBuilder) applyEntry(e entry) {
 	if e.section == contractSection {
 		b.contracts.applyEntry(b.reader, e, b.seen)
@@ -75,7 +76,8 @@
 	b.reader.assign(keys, e, name+"."+e.setting.Key, b.seen)
 }
 
-// addSectionProblem adds the reason why a section has no keys.
+// addSectionProblem adds an error for a section that is unknown, or whose label is
+// missing or not allowed.
 func (b *specBuilder) addSectionProblem(e entry, name string) {
 	known := planSectionNames()
 	switch {
@@ -84,11 +86,12 @@
 	case e.label == "":
 		b.reader.addProblem(e.file, e.sectionPos, name, "expected [%s NAME]", e.section)
 	default:
-		b.reader.addProblem(e.file, e.sectionPos, name, "this section has no label")
+		b.reader.addProblem(e.file, e.sectionPos, name, "section takes no label")
 	}
 }
 
-// finish completes the specification after the last line.
+// finish completes the specification after the last entry: it applies the defaults of
+// omitted sections and moves the collected elements into it.
 func (b *specBuilder) finish() {
 	for _, s := range planSections {
 		if s.isUnlabelled() && b.keys[s.name] == nil {
@@ -120,7 +123,7 @@
 	s.LedgerSettings = b.contracts.LedgerSettings()
 }
 
-// appendValues appends what pointers point to.
+// appendValues appends the values that pointers point to.
 func appendValues[T any](list []T, pointers []*T) []T {
 	for _, p := range pointers {
 		list = append(list, *p)
--- a/internal/config/reader.go
+++ b/internal/config/reader.go
@@ -14,8 +14,8 @@
 )
 
 const (
-	maxFileBytes = 1 << 20
-	maxFileCount = 64
+	maxFileBytes = 1 << 20 // size limit of each file
+	maxFileCount = 64      // limit on all files read, the including file counted
 	// includeKey is the key that includes other files.
 	includeKey = "include"
 )
@@ -23,7 +23,7 @@
 // noPosition is the position of an error that belongs to no line.
 var noPosition lexer.Position
 
-// entry is one setting with the section that it stands in.
+// entry is one setting together with its section and file.
 type entry struct {
 	section, label string
 	sectionPos     lexer.Position
@@ -31,7 +31,8 @@
 	file           string
 }
 
-// reader collects the settings, and the errors, of a file and of those it includes.
+// reader collects the settings and the errors of a file and of the files that it
+// includes.
 type reader struct {
 	entries      []entry
 	problems     SettingErrors
@@ -39,13 +40,13 @@
 	fileCount    int
 }
 
-// addProblem adds an error.
+// addProblem adds an error at a position of a file.
 func (r *reader) addProblem(file string, pos lexer.Position, key, format string, args ...any) {
 	r.problems = append(r.problems,
 		&SettingError{File: file, Line: pos.Line, Column: pos.Column, Key: key, Message: fmt.Sprintf(format, args...)})
 }
 
-// err returns the errors, nil if there are none.
+// err returns the collected errors as a SettingErrors, nil if there are none.
 func (r *reader) err() error {
 	if len(r.problems) == 0 {
 		return nil
@@ -53,9 +54,10 @@
 	return r.problems
 }
 
-// readFile reads one file; from is the file that includes it at a position, "" if
-// none does. Sections do not extend across files: an included file begins outside
-// all sections, and the including file continues in its own.
+// readFile reads one file. includedFrom and pos give the include that refers to it;
+// includedFrom is "" for the top-level file. Sections do not extend across files: an
+// included file begins outside all sections, and the including file continues in its
+// current section.
 func (r *reader) readFile(path string, includedFrom string, pos lexer.Position) {
 	text, resolved, err := r.open(path)
 	if err != nil {
@@ -87,7 +89,8 @@
 	}
 }
 
-// open returns the text of a file and its path without symbolic links.
+// open returns the text of a file and its absolute path without symbolic links. It
+// returns an error for an include cycle and for more than maxFileCount files.
 func (r *reader) open(path string) (text, resolved string, err error) {
 	resolved, err = filepath.Abs(path)
 	if err != nil {
@@ -97,17 +100,17 @@
 		resolved = target
 	}
 	if slices.Contains(r.includeStack, resolved) {
-		return "", "", fmt.Errorf("includes itself, by way of %s", strings.Join(r.includeStack, ", "))
+		return "", "", fmt.Errorf("include cycle through %s", strings.Join(r.includeStack, ", "))
 	}
 	r.fileCount++
 	if r.fileCount > maxFileCount {
-		return "", "", fmt.Errorf("more than %d files", maxFileCount)
+		return "", "", fmt.Errorf("more than %d files in total", maxFileCount)
 	}
 	text, err = readLimited(resolved)
 	return text, resolved, err
 }
 
-// addSyntaxError adds the parser's error for a line.
+// addSyntaxError adds the parser's error for a line, with a message for operators.
 func (r *reader) addSyntaxError(path string, number int, err error) {
 	pos := lexer.Position{Line: number, Column: 1}
 	message := err.Error()
@@ -119,7 +122,7 @@
 	r.addProblem(path, pos, "", "%s", message)
 }
 
-// addSetting adds a setting of a file, or the files that it includes.
+// addSetting adds a setting to the entries. An include key reads the named files.
 func (r *reader) addSetting(path string, in *section, s *setting) {
 	if s.Key == includeKey {
 		r.readIncluded(path, s)
@@ -132,8 +135,9 @@
 	r.entries = append(r.entries, e)
 }
 
-// readIncluded reads the files that a pattern matches, in the order of their names.
-// A relative path is relative to the including file.
+// readIncluded reads the file or the files that an include's path or glob pattern
+// names, in lexical order. A relative path is relative to the including file. A
+// pattern without matches is no error.
 func (r *reader) readIncluded(includedFrom string, s *setting) {
 	if len(s.Values) != 1 {
 		r.addProblem(includedFrom, s.Pos, s.Key, "expected one path, got %d", len(s.Values))
@@ -157,7 +161,8 @@
 	}
 }
 
-// readLimited reads a file of at most maxFileBytes. Its errors do not repeat the path.
+// readLimited reads a file of at most maxFileBytes. Its errors omit the path, which the
+// caller adds.
 func readLimited(path string) (string, error) {
 	f, err := os.Open(path)
 	if err != nil {
@@ -170,13 +175,14 @@
 	defer f.Close()
 	text, err := io.ReadAll(io.LimitReader(f, maxFileBytes+1))
 	if err == nil && len(text) > maxFileBytes {
-		err = fmt.Errorf("over %d bytes", maxFileBytes)
+		err = fmt.Errorf("file larger than %d bytes", maxFileBytes)
 	}
 	return string(text), err
 }
 
-// assign sets the key that an entry names, or adds the reason why it cannot be set.
-// fullName is the key's name with its section; seen has the entries so far by these.
+// assign sets the key that an entry names, or adds an error if it is unknown, set
+// already or invalid. fullName is the key's name with its section; seen holds the entries
+// of the keys set so far, by full name.
 func (r *reader) assign(keys []keySpec, e entry, fullName string, seen map[string]entry) {
 	i := slices.IndexFunc(keys, func(k keySpec) bool { return k.name == e.setting.Key })
 	if i < 0 {
--- a/internal/config/scale.go
+++ b/internal/config/scale.go
@@ -9,26 +9,27 @@
 	"strings"
 )
 
-// scaledKey is a key that grows with a fleet.
+// scaledKey is a key whose value is proportional to the size of a fleet.
 type scaledKey struct {
 	name  string
 	isInt bool
 }
 
-// scaledKeys are the keys that grow with a fleet, by section.
+// scaledKeys are the scaled keys, by section.
 var scaledKeys = map[string]scaledKey{
 	"traffic":  {name: "rate"},
 	"workers":  {name: "count", isInt: true},
 	runSection: {name: "gateways", isInt: true},
 }
 
-// maxScale bounds the factor of ScalePlan.
+// maxScale is the maximum factor of ScalePlan.
 const maxScale = 1e6
 
-// ScalePlan returns a plan's text for a fleet that is so many times as large: more
-// requests a second, replicas and gateways, with the same load for each replica.
-// What a variant or a workload sets grows too. The number of shared prefixes stays,
-// and with keepGateways the number of gateways.
+// ScalePlan returns the text of a plan for a fleet that is larger by factor. It multiplies
+// the request rates and the numbers of replicas and gateways, also where a variant or a
+// workload sets them, so that the load of each replica stays the same. The number of
+// shared prefixes is not scaled, nor is the number of gateways if keepGateways is set.
+// Plans with includes are rejected.
 func ScalePlan(text string, factor float64, keepGateways bool) (string, error) {
 	if !(factor > 0 && factor <= maxScale) {
 		return "", fmt.Errorf("times %v: expected above 0 and at most 1000000", factor)
@@ -37,7 +38,7 @@
 	for i, line := range strings.Split(strings.TrimRight(text, "\n"), "\n") {
 		code, _, _ := strings.Cut(line, "#")
 		if fields := strings.Fields(code); len(fields) > 0 && fields[0] == includeKey {
-			return "", fmt.Errorf("line %d: include: write the plan into one file first", i+1)
+			return "", fmt.Errorf("line %d: include is not supported: merge the plan into one file first", i+1)
 		}
 		s.line(line)
 	}
@@ -55,13 +56,13 @@
 	factor        float64
 	keepGateways  bool
 	out           strings.Builder
-	section       string // of the current line
-	hasScaledKey  bool   // the section's scaled key was given
+	section       string // section of the current line
+	hasScaledKey  bool   // the section sets its scaled key
 	hasRunSection bool
 	errs          []error
 }
 
-// line scales one line.
+// line appends one line to the output, with the value of a scaled key multiplied.
 func (s *planScaler) line(line string) {
 	code, comment, _ := strings.Cut(line, "#")
 	if comment != "" {
@@ -86,7 +87,7 @@
 	s.out.WriteString(line + "\n")
 }
 
-// endSection adds the scaled key that a section left at its default.
+// endSection adds the scaled key to a section that leaves it at its default.
 func (s *planScaler) endSection() {
 	key, ok := scaledKeys[s.section]
 	if ok && !s.hasScaledKey {
@@ -94,7 +95,8 @@
 	}
 }
 
-// scaleValue scales the value of a section's key.
+// scaleValue multiplies the value of a section's scaled key. Integers are rounded to at
+// least 1.
 func (s *planScaler) scaleValue(section, value string) string {
 	if section == runSection && s.keepGateways {
 		return value
@@ -112,7 +114,7 @@
 	return strconv.FormatFloat(v, 'f', -1, 64)
 }
 
-// planDefault returns the default of a plan's key.
+// planDefault returns the default of a key of a plan's section.
 func planDefault(section, name string) string {
 	label := "any"
 	if isUnlabelledSection(section) {
--- a/internal/config/scale_test.go
+++ b/internal/config/scale_test.go
@@ -24,9 +24,8 @@
 set traffic.t.prompt 300
 `
 
-// Ten times the fleet has ten times the requests, replicas and gateways, also where the
-// plan leaves them to their defaults and where a workload sets them; nothing else
-// changes.
+// A plan scaled by 10 has 10 times the request rate, replicas and gateways, also where the
+// plan omits them and where a workload sets them. Other settings and comments stay.
 func TestScaledPlan(t *testing.T) {
 	load := func(text string) *Plan {
 		t.Helper()
@@ -66,7 +65,7 @@
 			t.Errorf("%d gateways, %d and %d replicas, %v and %v a second", scaled.Gateways, scaled.Groups[0].Count, scaled.Groups[1].Count, scaled.Streams[0].RequestsPerSecond, busy.Streams[0].RequestsPerSecond)
 		}
 		if scaled.Duration != unscaled.Duration || busy.Streams[0].PromptTokens != 300 || scaled.Groups[1].Zone != "there" || !strings.Contains(text, "# a second") {
-			t.Errorf("something else changed:\n%s", text)
+			t.Errorf("a setting or comment that is not scaled changed:\n%s", text)
 		}
 	}
 	for _, invalidPlan := range []string{"[traffic t]\nrate many\n", "include other.plan\n"} {
@@ -75,6 +74,6 @@
 		}
 	}
 	if _, err := ScalePlan(smallPlan, 0, false); err == nil {
-		t.Error("scaled by nothing")
+		t.Error("a factor of 0 was accepted")
 	}
 }
--- a/internal/config/scalerun.go
+++ b/internal/config/scalerun.go
@@ -5,66 +5,67 @@
 // scaleSection is the only section of a scale run's plan.
 const scaleSection = "scale"
 
-// ScaleRun is the plan of a scale run: which sizes of fleet are measured, and how.
+// ScaleRun is the plan of a scale run: the fleet sizes to measure, and the load. Hollow
+// gateways are gateways that share a process with others.
 type ScaleRun struct {
-	Seed            int           `json:"Seed"`
-	Repeat          int           `json:"Repeat"`   // runs of each size
-	Duration        time.Duration `json:"For"`      // that is measured of each run
-	SettleTime      time.Duration `json:"Settle"`   // before it
-	Replicas        []int         `json:"Replicas"` // sizes to vary, with BaseGateways
-	Gateways        []int         `json:"Gateways"` // sizes to vary, with BaseReplicas
-	BaseReplicas    int           `json:"BaseReplicas"`
-	BaseGateways    int           `json:"BaseGateways"`
-	FleetGateways   int           `json:"Of"`        // the number of gateways that each assumes; 0: as many as there are
-	Processes       int           `json:"Processes"` // gateways that are processes of their own, beside the hollow ones
-	Rate            float64       `json:"Rate"`      // requests a second at each gateway
-	FirstEventDelay time.Duration `json:"First"`     // the median
-	Events          int           `json:"Events"`    // of an answer
-	EventGap        time.Duration `json:"Gap"`
-	Zones           int           `json:"Zones"`
-	Subset          int           `json:"Subset"`   // replicas that a gateway uses; 0: all
-	Probe           bool          `json:"Probe"`    // gateways may send health checks
-	ChangeInterval  time.Duration `json:"Changes"`  // between two changes of the endpoint list
-	Framing         string        `json:"Framing"`  // of the endpoint list
-	MemoryMB        int           `json:"MemoryMB"` // of all processes together
+	Seed            int           `json:"Seed"`         // of all random draws
+	Repeat          int           `json:"Repeat"`       // runs of each size
+	Duration        time.Duration `json:"For"`          // measured part of each run
+	SettleTime      time.Duration `json:"Settle"`       // from the start of the fleet to the measurement
+	Replicas        []int         `json:"Replicas"`     // numbers of replicas to measure, with BaseGateways
+	Gateways        []int         `json:"Gateways"`     // numbers of hollow gateways to measure, with BaseReplicas
+	BaseReplicas    int           `json:"BaseReplicas"` // while Gateways vary
+	BaseGateways    int           `json:"BaseGateways"` // while Replicas vary
+	FleetGateways   int           `json:"Of"`           // number of gateways in the configuration of each; the number that run, if larger
+	Processes       int           `json:"Processes"`    // gateways in a process each, in addition to the hollow gateways
+	Rate            float64       `json:"Rate"`         // requests a second at each gateway
+	FirstEventDelay time.Duration `json:"First"`        // median time to the first event of an answer
+	Events          int           `json:"Events"`       // per answer
+	EventGap        time.Duration `json:"Gap"`          // between two events of an answer
+	Zones           int           `json:"Zones"`        // that replicas and gateways are distributed over
+	Subset          int           `json:"Subset"`       // replicas that a gateway uses; 0: all
+	Probe           bool          `json:"Probe"`        // gateways may send health checks
+	ChangeInterval  time.Duration `json:"Changes"`      // between two changes of the endpoint list
+	Framing         string        `json:"Framing"`      // of the endpoint list; one of the Framing constants
+	MemoryMB        int           `json:"MemoryMB"`     // limit on all processes together; beyond it the run is aborted
 }
 
 // Framings in which a scale run's discovery can send the endpoint list.
 const (
-	FramingLength   = "length"
-	FramingOneChunk = "one-chunk"
-	FramingChunks   = "chunks"
-	FramingIndented = "indented"
+	FramingLength   = "length"    // body with a Content-Length
+	FramingOneChunk = "one-chunk" // chunked encoding, the body in one chunk
+	FramingChunks   = "chunks"    // chunked encoding, the body in several chunks
+	FramingIndented = "indented"  // indented JSON with a Content-Length
 )
 
-// keys returns the keys of the section, bound to p.
+// keys returns the keys of the section [scale], bound to p.
 func (p *ScaleRun) keys() []keySpec {
 	return []keySpec{
-		intKey("seed", &p.Seed, "1", 0, 1<<30, "of all random draws"),
+		intKey("seed", &p.Seed, "1", 0, 1<<30, "seed of all random draws"),
 		intKey("repeat", &p.Repeat, "2", 1, 20, "runs of each size"),
-		durationKey("for", &p.Duration, "8s", time.Second, 10*time.Minute, "that is measured of each run"),
-		durationKey("settle", &p.SettleTime, "3s", 0, 10*time.Minute, "before it"),
-		intListKey("replicas", &p.Replicas, "100 1000", 1, 20_000, "numbers of replicas to vary, with base-gateways"),
-		intListKey("gateways", &p.Gateways, "10 50", 1, 400, "numbers of hollow gateways to vary, with base-replicas"),
+		durationKey("for", &p.Duration, "8s", time.Second, 10*time.Minute, "length of the measurement in each run"),
+		durationKey("settle", &p.SettleTime, "3s", 0, 10*time.Minute, "time from the start of the fleet to the measurement"),
+		intListKey("replicas", &p.Replicas, "100 1000", 1, 20_000, "numbers of replicas to measure, with base-gateways"),
+		intListKey("gateways", &p.Gateways, "10 50", 1, 400, "numbers of hollow gateways to measure, with base-replicas"),
 		intKey("base-replicas", &p.BaseReplicas, "1000", 1, 20_000, "replicas while gateways vary"),
 		intKey("base-gateways", &p.BaseGateways, "20", 1, 400, "hollow gateways while replicas vary"),
-		intKey("of", &p.FleetGateways, "0", 0, 100_000, "number of gateways that each assumes; 0: as many as there are"),
-		intKey("processes", &p.Processes, "2", 0, 20, "gateways that are processes of their own, beside the hollow ones"),
+		intKey("of", &p.FleetGateways, "0", 0, 100_000, "number of gateways in the configuration of each; the number that run, if larger"),
+		intKey("processes", &p.Processes, "2", 0, 20, "gateways in a process each, in addition to the hollow gateways"),
 		floatKey("rate", &p.Rate, "37", 0, 1000, "requests a second at each gateway"),
 		durationKey("first", &p.FirstEventDelay, "30ms", time.Millisecond, 10*time.Second, "median time to an answer's first event"),
-		intKey("events", &p.Events, "4", 1, 1000, "of an answer"),
-		durationKey("gap", &p.EventGap, "10ms", 0, 10*time.Second, "between two events"),
-		intKey("zones", &p.Zones, "3", 1, 100, "that replicas and gateways are distributed over"),
-		intKey("subset", &p.Subset, "128", 0, 100_000, "subset.most of the gateways; 0: none"),
+		intKey("events", &p.Events, "4", 1, 1000, "events per answer"),
+		durationKey("gap", &p.EventGap, "10ms", 0, 10*time.Second, "time between two events"),
+		intKey("zones", &p.Zones, "3", 1, 100, "zones that replicas and gateways are distributed over"),
+		intKey("subset", &p.Subset, "128", 0, 100_000, "maximum number of replicas that a gateway uses; 0: all"),
 		boolKey("probe", &p.Probe, "on", "health checks that return the load"),
-		durationKey("changes", &p.ChangeInterval, "2s", 100*time.Millisecond, time.Hour, "between two changes of the endpoint list"),
-		enumKey("framing", &p.Framing, FramingLength, "of the endpoint list", FramingLength, FramingOneChunk, FramingChunks, FramingIndented),
-		intKey("memory", &p.MemoryMB, "8192", 256, 1<<20, "megabytes of all processes together; beyond them the run is aborted"),
+		durationKey("changes", &p.ChangeInterval, "2s", 100*time.Millisecond, time.Hour, "time between two changes of the endpoint list"),
+		enumKey("framing", &p.Framing, FramingLength, "framing of the endpoint list", FramingLength, FramingOneChunk, FramingChunks, FramingIndented),
+		intKey("memory", &p.MemoryMB, "8192", 256, 1<<20, "memory limit on all processes together, megabytes; beyond it the run is aborted"),
 	}
 }
 
-// LoadScaleRun reads the plan of a scale run, a section [scale]. The error is of type
-// SettingErrors and has all that is wrong.
+// LoadScaleRun reads the plan of a scale run, which consists of a section [scale]. The
+// error is of type SettingErrors and lists all errors.
 func LoadScaleRun(file string) (*ScaleRun, error) {
 	p := &ScaleRun{}
 	keys := p.keys()
--- a/internal/config/schema.go
+++ b/internal/config/schema.go
@@ -13,8 +13,8 @@
 	keys      []keySpec
 }
 
-// schema returns all sections of the settings, bound to c. Their order and texts are
-// what `archknot config show` prints.
+// schema returns all sections of the settings, bound to c. `archknot config show` prints
+// them in this order, with these texts.
 func schema(c *Config) []keyGroup {
 	return []keyGroup{
 		logGroup(&c.Log),
@@ -44,7 +44,7 @@
 		name: "control",
 		doc:  "The Unix socket for commands of operators on this machine, such as `archknot capture save`.",
 		keys: []keySpec{
-			pathKey("socket", &control.Socket, "its path, created with mode 0600; no socket if not given"),
+			pathKey("socket", &control.Socket, "path of the socket, created with mode 0600; no socket if not given"),
 		},
 	}
 }
@@ -52,12 +52,12 @@
 func captureGroup(capture *Capture) keyGroup {
 	return keyGroup{
 		name: "capture",
-		doc:  "A recording of all events that the decision module gets and of its actions: see docs/operate/capture.md.",
+		doc:  "A recording of all events that the decision module receives and of its actions: see docs/operate/capture.md.",
 		keys: []keySpec{
 			boolKey("record", &capture.Record, "off", "whether to record"),
 			pathKey("directory", &capture.Directory, "the directory of the segments; required to record"),
 			durationKey("checkpoint", &capture.CheckpointInterval, "15s", time.Second, 10*time.Minute, "interval of checkpoints of the module's complete state; a replay can start at each"),
-			sizeKey("block", &capture.BlockSize, "32KiB", 4<<10, 1<<20, "data that is compressed and checksummed together; damage loses a block at least"),
+			sizeKey("block", &capture.BlockSize, "32KiB", 4<<10, 1<<20, "data that is compressed and checksummed together; damage loses at least one block"),
 			durationKey("flush", &capture.FlushInterval, "1s", 10*time.Millisecond, time.Minute, "how long a record may wait for its block to fill; a crash loses no more than that"),
 			intKey("queue", &capture.QueueBlocks, "8", 2, 1024, "blocks that may wait for the disk; beyond that records are lost, and the capture has a gap"),
 			sizeKey("segment-size", &capture.SegmentSize, "8MiB", 64<<10, 1<<30, "a segment is closed when it reaches this size"),
@@ -121,8 +121,8 @@
 		doc:  "The link to the other gateways, which take over the requests of a lost one: docs/operate/takeover.md. Off without an address.",
 		keys: []keySpec{
 			pathKey("listen", &peers.Listen, "host:port for datagrams of other gateways and for their health checks; none if not given"),
-			pathKey("advertise", &peers.Advertise, "host:port at which they reach it, if it differs"),
-			pathKey("site", &peers.Zone, "the gateway's zone: keepers of its requests are chosen in other zones first"),
+			pathKey("advertise", &peers.Advertise, "host:port at which other gateways reach this one, if it differs"),
+			pathKey("site", &peers.Zone, "the gateway's zone: backups of its requests are chosen in other zones first"),
 			pathKey("join", &peers.Join, "host:port of some other gateways, separated by commas"),
 			intKey("copies", &peers.Keepers, "5", 1, 8, "gateways that record each request"),
 			durationKey("silence", &peers.ReplyTimeout, "150ms", 10*time.Millisecond, 5*time.Second, "timeout of another gateway's answer"),
--- a/internal/config/validate.go
+++ b/internal/config/validate.go
@@ -10,18 +10,19 @@
 	"archknot/internal/contract"
 )
 
-// minSubsetReplicas is the least bound of a subset: with fewer replicas one that
-// fails is too large a part.
+// minSubsetReplicas is the smallest allowed subset.most other than 0. In a smaller subset
+// the failure of one replica removes too much of the capacity.
 const minSubsetReplicas = 16
 
-// validator checks what no key can check by itself.
+// validator checks constraints that involve several keys, or that the parsing of a single
+// key does not check.
 type validator struct {
 	config *Config
 	reader *reader
-	seen   map[string]entry // by the full names of the keys
+	seen   map[string]entry // entries of the keys that were set, by full name
 }
 
-// validate checks the settings, and completes those that depend on others.
+// validate checks the settings and completes defaults that depend on other settings.
 func (v *validator) validate() {
 	c := v.config
 	v.checkCapture()
@@ -34,7 +35,7 @@
 	c.Incident.Directory = cmp.Or(c.Incident.Directory, filepath.Join(c.Capture.Directory, "incidents"))
 }
 
-// fail adds an error about a key, at its line if it was set.
+// fail adds an error about a key, with the key's position if the file sets it.
 func (v *validator) fail(key, format string, args ...any) {
 	if e, ok := v.seen[key]; ok {
 		v.reader.addProblem(e.file, e.setting.Pos, key, format, args...)
@@ -47,15 +48,15 @@
 	capture := &v.config.Capture
 	switch {
 	case capture.Record && capture.Directory == "":
-		v.fail("capture.directory", "missing, and needed to record")
+		v.fail("capture.directory", "missing: required if record is on")
 	case capture.SegmentSize > capture.KeepSize/2:
 		v.fail("capture.segment-size", "expected at most half of keep-size (%s)", humanize.IBytes(uint64(capture.KeepSize)))
 	case capture.SegmentAge > capture.KeepAge/2:
 		v.fail("capture.segment-age", "expected at most half of keep-age (%s)", formatDuration(capture.KeepAge))
 	case capture.CheckpointInterval > capture.KeepAge/2:
-		v.fail("capture.checkpoint", "expected at most half of keep-age (%s): a kept file without one cannot be replayed", formatDuration(capture.KeepAge))
+		v.fail("capture.checkpoint", "expected at most half of keep-age (%s): a retained segment without a checkpoint cannot be replayed", formatDuration(capture.KeepAge))
 	case v.config.Incident.Window > capture.KeepAge:
-		v.fail("incident.window", "expected at most capture.keep-age (%s): older files are gone", formatDuration(capture.KeepAge))
+		v.fail("incident.window", "expected at most capture.keep-age (%s): older segments are deleted", formatDuration(capture.KeepAge))
 	}
 }
 
@@ -87,8 +88,8 @@
 	case err != nil || port == "":
 		v.fail("control-service.address", "expected host:port, got %q", service.Address)
 	case (service.Cert == "") != (service.Key == "") || (service.Cert == "") != (service.CA == ""):
-		v.fail("control-service.cert", "cert, key and ca go together")
+		v.fail("control-service.cert", "cert, key and ca must be set together")
 	case service.Cert == "" && !loopback:
-		v.fail("control-service.cert", "needed: without certificates only a loopback address will do")
+		v.fail("control-service.cert", "missing: required unless address is a loopback IP address")
 	}
 }
