--- a/internal/config/scale.go
+++ b/internal/config/scale.go
@@ -25,11 +25,11 @@
 // maxScale is the maximum factor of ScalePlan.
 const maxScale = 1e6
 
-// ScalePlan returns the text of a plan for a fleet that is larger by factor. It multiplies
-// the request rates and the numbers of replicas and gateways, also where a variant or a
-// workload sets them, so that the load of each replica stays the same. The number of
-// shared prefixes is not scaled, nor is the number of gateways if keepGateways is set.
-// Plans with includes are rejected.
+// ScalePlan returns the text of a plan for a fleet that is factor times as large. It
+// multiplies the request rates and the numbers of replicas and gateways, also where a
+// variant or a workload sets them, so that the load of each replica stays the same. The
+// number of shared prefixes is not scaled, nor is the number of gateways if keepGateways
+// is set. Plans with includes are rejected.
 func ScalePlan(text string, factor float64, keepGateways bool) (string, error) {
 	if !(factor > 0 && factor <= maxScale) {
 		return "", fmt.Errorf("times %v: expected above 0 and at most 1000000", factor)
--- a/internal/config/scale_test.go
+++ b/internal/config/scale_test.go
@@ -25,7 +25,8 @@
 `
 
 // A plan scaled by 10 has 10 times the request rate, replicas and gateways, also where the
-// plan omits them and where a workload sets them. Other settings and comments stay.
+// plan omits them and where a workload sets them. With keepGateways the number of gateways
+// stays, and so do all other settings and the comments.
 func TestScaledPlan(t *testing.T) {
 	load := func(text string) *Plan {
 		t.Helper()
