--- a/internal/config/contract.go
+++ b/internal/config/contract.go
@@ -135,8 +135,7 @@
 	maxWeight = 1e6
 )
 
-// expectWords returns an error unless there are n words; form describes the expected
-// words.
+// expectWords returns an error unless there are n words; form describes them.
 func expectWords(words []string, n int, form string) error {
 	if len(words) != n {
 		return fmt.Errorf("expected %s, got %d words", form, len(words))
--- a/internal/config/keys.go
+++ b/internal/config/keys.go
@@ -165,8 +165,7 @@
 	return s
 }
 
-// convertedDurationKey returns the key of a duration that store converts to another
-// unit and assigns.
+// convertedDurationKey returns the key of a duration that store converts and assigns.
 func convertedDurationKey(name, defaultText string, minimum, maximum time.Duration, doc string, store func(time.Duration)) keySpec {
 	var d time.Duration
 	key := durationKey(name, &d, defaultText, minimum, maximum, doc)
@@ -186,8 +185,7 @@
 	return convertedDurationKey(name, defaultText, minimum, maximum, doc, func(d time.Duration) { *to = d.Microseconds() })
 }
 
-// fractionalMicrosKey returns the key of a duration that is stored in microseconds
-// with nanosecond precision.
+// fractionalMicrosKey returns the key of a duration stored in fractional microseconds.
 func fractionalMicrosKey(name string, to *float64, defaultText string, doc string) keySpec {
 	return convertedDurationKey(name, defaultText, 0, time.Minute, doc, func(d time.Duration) { *to = float64(d.Nanoseconds()) / 1000 })
 }
@@ -249,8 +247,7 @@
 // maxListLength is the maximum number of values of an intListKey.
 const maxListLength = 20
 
-// errNotIncreasing reports a list of numbers that is empty, too long or not strictly
-// increasing.
+// errNotIncreasing reports a list that is empty, too long or not strictly increasing.
 var errNotIncreasing = errors.New("expected 1 to 20 numbers, each larger than the one before")
 
 // intListKey returns the key of a strictly increasing list of integers, each from
--- a/internal/config/plan.go
+++ b/internal/config/plan.go
@@ -17,8 +17,7 @@
 	entries   []entry   // the settings of all other sections
 }
 
-// Variant is a named set of changes to the settings of a plan. A workload has the same
-// form.
+// Variant is a named set of changes to a plan: a variant or a workload.
 type Variant struct {
 	Name      string
 	Program   string  // path of the build that runs it; "": this program
--- a/internal/config/plan_keys.go
+++ b/internal/config/plan_keys.go
@@ -36,8 +36,7 @@
 	{name: workloadSection, labelled: true},
 }
 
-// isUnlabelled reports whether a plan has one section of this name, with defaults for all
-// keys.
+// isUnlabelled reports whether the section has no label, and defaults for all keys.
 func (s *planSection) isUnlabelled() bool { return !s.labelled && s.keys != nil }
 
 func planSectionNames() []string {
@@ -48,8 +47,7 @@
 	return names
 }
 
-// isUnlabelledSection reports whether name is that of a section without a label, with
-// defaults for all keys.
+// isUnlabelledSection reports whether there is an unlabelled section of that name.
 func isUnlabelledSection(name string) bool {
 	return slices.ContainsFunc(planSections, func(s planSection) bool { return s.name == name && s.isUnlabelled() })
 }
--- a/internal/config/plan_spec.go
+++ b/internal/config/plan_spec.go
@@ -76,8 +76,7 @@
 	b.reader.assign(keys, e, name+"."+e.setting.Key, b.seen)
 }
 
-// addSectionProblem adds an error for a section that is unknown, or whose label is
-// missing or not allowed.
+// addSectionProblem adds an error for an unknown section or a wrong label.
 func (b *specBuilder) addSectionProblem(e entry, name string) {
 	known := planSectionNames()
 	switch {
--- a/internal/config/reader.go
+++ b/internal/config/reader.go
@@ -31,8 +31,7 @@
 	file           string
 }
 
-// reader collects the settings and the errors of a file and of the files that it
-// includes.
+// reader collects the settings and errors of a file and of its includes.
 type reader struct {
 	entries      []entry
 	problems     SettingErrors
@@ -40,7 +39,6 @@
 	fileCount    int
 }
 
-// addProblem adds an error at a position of a file.
 func (r *reader) addProblem(file string, pos lexer.Position, key, format string, args ...any) {
 	r.problems = append(r.problems,
 		&SettingError{File: file, Line: pos.Line, Column: pos.Column, Key: key, Message: fmt.Sprintf(format, args...)})
@@ -161,8 +159,7 @@
 	}
 }
 
-// readLimited reads a file of at most maxFileBytes. Its errors omit the path, which the
-// caller adds.
+// readLimited reads a file of at most maxFileBytes. Its errors omit the path.
 func readLimited(path string) (string, error) {
 	f, err := os.Open(path)
 	if err != nil {
@@ -180,9 +177,8 @@
 	return string(text), err
 }
 
-// assign sets the key that an entry names, or adds an error if it is unknown, set
-// already or invalid. fullName is the key's name with its section; seen holds the entries
-// of the keys set so far, by full name.
+// assign sets the key that an entry names, or adds an error. fullName is the key's name
+// with its section; seen holds the entries of the keys set so far, by full name.
 func (r *reader) assign(keys []keySpec, e entry, fullName string, seen map[string]entry) {
 	i := slices.IndexFunc(keys, func(k keySpec) bool { return k.name == e.setting.Key })
 	if i < 0 {
--- a/internal/config/validate.go
+++ b/internal/config/validate.go
@@ -14,8 +14,7 @@
 // the failure of one replica removes too much of the capacity.
 const minSubsetReplicas = 16
 
-// validator checks constraints that involve several keys, or that the parsing of a single
-// key does not check.
+// validator checks what the parsing of a single key does not, such as related keys.
 type validator struct {
 	config *Config
 	reader *reader
--- a/internal/contractsim/simulate.go
+++ b/internal/contractsim/simulate.go
@@ -17,8 +17,8 @@
 	"archknot/internal/contract"
 )
 
-// ErrEmptyInterval is returned by Run if the interval to simulate has no length, for
-// example if Options.From is after the last event.
+// ErrEmptyInterval is returned by Run if the interval to simulate is empty, for example
+// if Options.From is after the last event.
 var ErrEmptyInterval = errors.New("recording has no events between the requested times")
 
 const (
@@ -123,8 +123,7 @@
 	attempts      int64
 }
 
-// newSimulation returns a simulation before the first event, with the teams of all
-// contracts.
+// newSimulation returns a simulation before the first event.
 func newSimulation(run *capture.Run, o *Options, from, to balancer.Micros) (*simulation, error) {
 	ledger, err := contract.NewLedger(o.Settings, o.Terms, from, run.WallTime(from).UnixMicro())
 	if err != nil {
@@ -283,8 +282,7 @@
 	request.charges[attempt] = charge
 }
 
-// applyClientDisconnect removes a request whose client disconnected before an attempt was
-// dispatched, and settles its charge at no usage.
+// applyClientDisconnect removes a request without attempts and settles its charge at 0.
 func (s *simulation) applyClientDisconnect(at balancer.Micros, id uint32) {
 	if request := s.openRequests[id]; request != nil && request.attempts == 0 {
 		s.ledger.Settle(at, &request.initialCharge, contract.Usage{}, false)
@@ -292,8 +290,7 @@
 	}
 }
 
-// applyAttemptEnd settles an attempt at its actual usage, and removes the request after
-// its final attempt.
+// applyAttemptEnd settles an attempt at its actual usage and removes an ended request.
 func (s *simulation) applyAttemptEnd(at balancer.Micros, record *pb.Record) {
 	request := s.openRequests[record.GetRequest()]
 	if request == nil {
