--- a/internal/config/keys.go
+++ b/internal/config/keys.go
@@ -16,25 +16,26 @@
 	"archknot/balancer"
 )
 
-// keySpec is one key: its name, its type as the documentation has it, its default
-// and its meaning, bound to the variable that it sets.
+// keySpec describes one key: its name, type, default and documentation. set parses the
+// key's values into the variable that the key is bound to, get formats that variable.
 type keySpec struct {
 	name, valueType, defaultText, doc string
 	set                               func(words []string) error
 	get                               func() string
 }
 
-// pathType is the valueType of paths and addresses.
+// pathType is the valueType of file paths and of network addresses.
 const pathType = "path"
 
-// mustSetDefault sets a key of a section to its default.
+// mustSetDefault sets a key of a section to its default. It panics if the default is
+// not a valid value.
 func (k *keySpec) mustSetDefault(section string) {
 	if err := k.set([]string{k.defaultText}); err != nil {
-		panic(section + "." + k.name + ": its default: " + err.Error())
+		panic(section + "." + k.name + ": invalid default: " + err.Error())
 	}
 }
 
-// setDefaults sets the keys of a section that have a default.
+// setDefaults sets all keys of a section that have a default.
 func setDefaults(section string, keys []keySpec) {
 	for i := range keys {
 		if keys[i].defaultText != "" {
@@ -43,7 +44,6 @@
 	}
 }
 
-// keyNames returns the names of keys.
 func keyNames(keys []keySpec) []string {
 	names := make([]string, len(keys))
 	for i := range keys {
@@ -52,7 +52,7 @@
 	return names
 }
 
-// newKey returns a key with one value.
+// newKey returns a key that takes exactly one value.
 func newKey[T any](name, valueType string, to *T, defaultText, doc string, parse func(string) (T, error), format func(T) string) keySpec {
 	set := func(words []string) error {
 		if len(words) != 1 {
@@ -75,31 +75,29 @@
 	}
 }
 
-// checkRange checks a value against its bounds, which are allowed values.
-func checkRange[T cmp.Ordered](v, least, most T, format func(T) string) error {
-	if v < least || v > most {
-		return fmt.Errorf("expected %s to %s, got %s", format(least), format(most), format(v))
+// checkRange returns an error unless minimum <= v <= maximum.
+func checkRange[T cmp.Ordered](v, minimum, maximum T, format func(T) string) error {
+	if v < minimum || v > maximum {
+		return fmt.Errorf("expected %s to %s, got %s", format(minimum), format(maximum), format(v))
 	}
 	return nil
 }
 
-// identity formats a string.
 func identity(s string) string { return s }
 
-// parseString accepts any string.
 func parseString(s string) (string, error) { return s, nil }
 
-// pathKey is a path or an address, without a default.
+// pathKey returns the key of a path or an address, without a default.
 func pathKey(name string, to *string, doc string) keySpec {
 	return newKey(name, pathType, to, "", doc, parseString, identity)
 }
 
-// stringKey is any name.
+// stringKey returns the key of an arbitrary name.
 func stringKey(name string, to *string, defaultText, doc string) keySpec {
 	return newKey(name, "name", to, defaultText, doc, parseString, identity)
 }
 
-// timeZoneKey is the name of a time zone.
+// timeZoneKey returns the key of an IANA time zone name.
 func timeZoneKey(name string, to *string, defaultText, doc string) keySpec {
 	parse := func(s string) (string, error) {
 		if _, err := time.LoadLocation(s); err != nil || s == "" {
@@ -110,7 +108,7 @@
 	return newKey(name, "time zone", to, defaultText, doc, parse, identity)
 }
 
-// enumKey is one of some words.
+// enumKey returns the key of a value that must be one of words.
 func enumKey(name string, to *string, defaultText, doc string, words ...string) keySpec {
 	parse := func(s string) (string, error) {
 		if !slices.Contains(words, s) {
@@ -121,7 +119,7 @@
 	return newKey(name, strings.Join(words, "|"), to, defaultText, doc, parse, identity)
 }
 
-// boolKey is on or off.
+// boolKey returns the key of a switch: on or off.
 func boolKey(name string, to *bool, defaultText, doc string) keySpec {
 	return newKey(name, "on|off", to, defaultText, doc, parseBool, formatBool)
 }
@@ -143,19 +141,19 @@
 	return "off"
 }
 
-// durationKey is a duration within bounds.
-func durationKey(name string, to *time.Duration, defaultText string, least, most time.Duration, doc string) keySpec {
+// durationKey returns the key of a duration from minimum to maximum.
+func durationKey(name string, to *time.Duration, defaultText string, minimum, maximum time.Duration, doc string) keySpec {
 	parse := func(s string) (time.Duration, error) {
 		v, err := time.ParseDuration(s)
 		if err != nil {
 			return 0, fmt.Errorf("expected a duration such as 30s or 5m, got %q", s)
 		}
-		return v, checkRange(v, least, most, formatDuration)
+		return v, checkRange(v, minimum, maximum, formatDuration)
 	}
 	return newKey(name, "duration", to, defaultText, doc, parse, formatDuration)
 }
 
-// formatDuration formats a duration without the zero parts of 1h0m0s.
+// formatDuration formats a duration without trailing zero parts: 1h, not 1h0m0s.
 func formatDuration(d time.Duration) string {
 	s := strings.Replace(d.String(), "µs", "us", 1)
 	if strings.HasSuffix(s, "m0s") {
@@ -167,10 +165,10 @@
 	return s
 }
 
-// convertedDurationKey is a duration that is stored by a function, in another unit.
-func convertedDurationKey(name, defaultText string, least, most time.Duration, doc string, store func(time.Duration)) keySpec {
+// convertedDurationKey returns the key of a duration that store converts and assigns.
+func convertedDurationKey(name, defaultText string, minimum, maximum time.Duration, doc string, store func(time.Duration)) keySpec {
 	var d time.Duration
-	key := durationKey(name, &d, defaultText, least, most, doc)
+	key := durationKey(name, &d, defaultText, minimum, maximum, doc)
 	setDuration := key.set
 	key.set = func(words []string) error {
 		if err := setDuration(words); err != nil {
@@ -182,76 +180,79 @@
 	return key
 }
 
-// microsKey is a duration in microseconds.
-func microsKey(name string, to *balancer.Micros, defaultText string, least, most time.Duration, doc string) keySpec {
-	return convertedDurationKey(name, defaultText, least, most, doc, func(d time.Duration) { *to = d.Microseconds() })
+// microsKey returns the key of a duration that is stored in whole microseconds.
+func microsKey(name string, to *balancer.Micros, defaultText string, minimum, maximum time.Duration, doc string) keySpec {
+	return convertedDurationKey(name, defaultText, minimum, maximum, doc, func(d time.Duration) { *to = d.Microseconds() })
 }
 
-// fractionalMicrosKey is a duration in microseconds with a fraction.
+// fractionalMicrosKey returns the key of a duration stored in fractional microseconds.
 func fractionalMicrosKey(name string, to *float64, defaultText string, doc string) keySpec {
 	return convertedDurationKey(name, defaultText, 0, time.Minute, doc, func(d time.Duration) { *to = float64(d.Nanoseconds()) / 1000 })
 }
 
-// secondsKey is a duration in seconds.
+// secondsKey returns the key of a duration that is stored in seconds.
 func secondsKey(name string, to *float64, defaultText, doc string) keySpec {
 	return convertedDurationKey(name, defaultText, 0, 24*time.Hour, doc, func(d time.Duration) { *to = d.Seconds() })
 }
 
-// sizeKey is a number of bytes within bounds.
-func sizeKey(name string, to *int64, defaultText string, least, most int64, doc string) keySpec {
+// sizeKey returns the key of a size in bytes from minimum to maximum.
+func sizeKey(name string, to *int64, defaultText string, minimum, maximum int64, doc string) keySpec {
 	parse := func(s string) (int64, error) {
 		v, err := humanize.ParseBytes(s)
 		if err != nil || v > 1<<62 {
 			return 0, fmt.Errorf("expected a size such as 64KiB or 8MiB, got %q", s)
 		}
-		return int64(v), checkRange(int64(v), least, most, formatSize)
+		return int64(v), checkRange(int64(v), minimum, maximum, formatSize)
 	}
 	return newKey(name, "size", to, defaultText, doc, parse, formatSize)
 }
 
+// formatSize formats a size in binary units such as MiB, rounded to whole units, or to
+// tenths below 10.
 func formatSize(v int64) string { return strings.ReplaceAll(humanize.IBytes(uint64(v)), " ", "") }
 
-// intKey is an integer within bounds.
-func intKey(name string, to *int, defaultText string, least, most int, doc string) keySpec {
+// intKey returns the key of an integer from minimum to maximum.
+func intKey(name string, to *int, defaultText string, minimum, maximum int, doc string) keySpec {
 	parse := func(s string) (int, error) {
 		v, err := strconv.Atoi(s)
 		if err != nil {
 			return 0, fmt.Errorf("expected a whole number, got %q", s)
 		}
-		return v, checkRange(v, least, most, strconv.Itoa)
+		return v, checkRange(v, minimum, maximum, strconv.Itoa)
 	}
 	return newKey(name, "number", to, defaultText, doc, parse, strconv.Itoa)
 }
 
 const (
-	// allIndices is the value of an indexKey that stands for all.
-	allIndices = -1
-	allWord    = "all"
+	// allIndices is the value of an indexKey that is set to allIndicesText.
+	allIndices     = -1
+	allIndicesText = "all"
 )
 
-// indexKey is the index of one of some things, or all of them.
+// indexKey returns the key of an index from 0, or of all indices.
 func indexKey(name string, to *int, doc string) keySpec {
 	parse := func(s string) (int, error) {
-		if s == allWord {
+		if s == allIndicesText {
 			return allIndices, nil
 		}
 		v, err := strconv.Atoi(s)
 		if err != nil || v < 0 {
-			return 0, fmt.Errorf("expected all, or a number from 0, got %q", s)
+			return 0, fmt.Errorf("expected all or an index from 0, got %q", s)
 		}
 		return v, nil
 	}
-	return newKey(name, "all|number", to, allWord, doc, parse, strconv.Itoa)
+	return newKey(name, "all|number", to, allIndicesText, doc, parse, strconv.Itoa)
 }
 
-// maxListLength bounds the numbers of an intListKey.
+// maxListLength is the maximum number of values of an intListKey.
 const maxListLength = 20
 
-// errNotIncreasing rejects a list of numbers.
+// errNotIncreasing reports a list that is empty, too long or not strictly increasing.
 var errNotIncreasing = errors.New("expected 1 to 20 numbers, each larger than the one before")
 
-// intListKey is a list of increasing integers within bounds.
-func intListKey(name string, to *[]int, defaultText string, least, most int, doc string) keySpec {
+// intListKey returns the key of a strictly increasing list of integers, each from
+// minimum to maximum.
+func intListKey(name string, to *[]int, defaultText string, minimum, maximum int, doc string) keySpec {
 	set := func(words []string) error {
 		var list []int
 		for _, word := range strings.Fields(strings.Join(words, " ")) {
@@ -259,7 +260,7 @@
 			if err != nil {
 				return fmt.Errorf("expected whole numbers, got %q", word)
 			}
-			if err := checkRange(n, least, most, strconv.Itoa); err != nil {
+			if err := checkRange(n, minimum, maximum, strconv.Itoa); err != nil {
 				return err
 			}
 			list = append(list, n)
@@ -280,7 +281,7 @@
 	return keySpec{name: name, valueType: "numbers", defaultText: defaultText, doc: doc, set: set, get: get}
 }
 
-// isIncreasing reports whether each number is larger than the one before.
+// isIncreasing reports whether a list is strictly increasing.
 func isIncreasing(list []int) bool {
 	for i := 1; i < len(list); i++ {
 		if list[i] <= list[i-1] {
@@ -290,22 +291,22 @@
 	return true
 }
 
-// floatKey is a number within bounds.
-func floatKey(name string, to *float64, defaultText string, least, most float64, doc string) keySpec {
+// floatKey returns the key of a number from minimum to maximum.
+func floatKey(name string, to *float64, defaultText string, minimum, maximum float64, doc string) keySpec {
 	parse := func(s string) (float64, error) {
 		v, err := strconv.ParseFloat(s, 64)
 		if err != nil || math.IsNaN(v) {
 			return 0, fmt.Errorf("expected a number, got %q", s)
 		}
-		return v, checkRange(v, least, most, formatFloat)
+		return v, checkRange(v, minimum, maximum, formatFloat)
 	}
 	return newKey(name, "number", to, defaultText, doc, parse, formatFloat)
 }
 
 func formatFloat(v float64) string { return strconv.FormatFloat(v, 'g', -1, 64) }
 
-// shareKey is a share from 0 to 1, which may be given in percent.
-func shareKey(name string, to *float64, defaultText, doc string) keySpec {
+// fractionKey returns the key of a fraction from 0 to 1, which may be set in percent.
+func fractionKey(name string, to *float64, defaultText, doc string) keySpec {
 	parse := func(s string) (float64, error) {
 		text, percent := strings.CutSuffix(s, "%")
 		v, err := strconv.ParseFloat(text, 64)
@@ -322,13 +323,13 @@
 
 func formatPercent(v float64) string { return formatFloat(v*100) + "%" }
 
-// suggestWord returns the end of an error message about an unknown word: the known
-// word that was likely meant, or all of them.
+// suggestWord returns the end of an error message about an unknown word: the closest
+// known word by edit distance, or all known words if none is close.
 func suggestWord(word string, known []string) string {
-	closest, least := "", len(word)/2+1
+	closest, minDistance := "", len(word)/2+1
 	for _, k := range known {
-		if d := levenshtein.ComputeDistance(word, k); d < least {
-			closest, least = k, d
+		if d := levenshtein.ComputeDistance(word, k); d < minDistance {
+			closest, minDistance = k, d
 		}
 	}
 	if closest == "" {
--- a/internal/config/plan.go
+++ b/internal/config/plan.go
@@ -7,21 +7,21 @@
 	"archknot/internal/fleet/model"
 )
 
-// Plan is an experiment: a fleet and its traffic, and what is varied about them.
-// Each variant is run with each workload and each seed.
+// Plan is an experiment: a fleet with its traffic, and the variants and workloads to
+// compare. Each variant is run with each workload and each seed.
 type Plan struct {
 	File      string
-	Seeds     int
+	Seeds     int       // runs of each variant with each workload, with seeds from 1
 	Variants  []Variant // at least one
 	Workloads []Variant // at least one
-	entries   []entry   // of all other sections
+	entries   []entry   // the settings of all other sections
 }
 
-// Variant changes some settings of a plan.
+// Variant is a named set of changes to a plan: a variant or a workload.
 type Variant struct {
 	Name      string
-	Program   string  // the program of another build that runs it; "": this one
-	overrides []entry // replace settings of the plan, or are added to them
+	Program   string  // path of the build that runs it; "": this program
+	overrides []entry // replace settings of the plan, or are added to it
 }
 
 const (
@@ -30,12 +30,12 @@
 	runSection      = "run"
 	seedsKey        = "seeds"
 	maxSeeds        = 10_000
-	// baseVariant is the name of the only variant, or workload, of a plan without any.
+	// baseVariant names the implicit variant, or workload, of a plan that declares none.
 	baseVariant = "base"
 )
 
-// LoadPlan reads a plan and checks it with all its variants and workloads. The error
-// is of type SettingErrors and has all that is wrong.
+// LoadPlan reads a plan and validates each pair of its variants and workloads. The error
+// is of type SettingErrors and lists all errors.
 func LoadPlan(file string) (*Plan, error) {
 	var r reader
 	r.readFile(file, "", noPosition)
@@ -58,12 +58,12 @@
 	return p, nil
 }
 
-// check returns the errors of all variants and workloads, each error once.
+// check returns the errors of all pairs of a variant and a workload, without duplicates.
 func (p *Plan) check() (problems SettingErrors) {
 	for i := range p.Variants {
 		for j := range p.Workloads {
-			_, found := p.buildSpec(&p.Variants[i], &p.Workloads[j])
-			for _, problem := range found {
+			_, specProblems := p.buildSpec(&p.Variants[i], &p.Workloads[j])
+			for _, problem := range specProblems {
 				if !slices.ContainsFunc(problems, func(other *SettingError) bool { return *other == *problem }) {
 					problems = append(problems, problem)
 				}
@@ -73,7 +73,7 @@
 	return problems
 }
 
-// addEntry adds a line of the plan.
+// addEntry adds a setting to the plan, or an error to r.
 func (p *Plan) addEntry(r *reader, e entry) {
 	switch {
 	case e.section == variantSection:
@@ -90,10 +90,10 @@
 	}
 }
 
-// addVariantEntry adds a line of a section [variant NAME] or [workload NAME].
+// addVariantEntry adds a setting of a section [variant NAME] or [workload NAME] to a list.
 func (p *Plan) addVariantEntry(r *reader, list *[]Variant, e entry) {
 	if e.label == "" || strings.ContainsAny(e.label, "/\\ ") {
-		r.addProblem(e.file, e.sectionPos, e.section, "expected [%s NAME], without spaces and slashes", e.section)
+		r.addProblem(e.file, e.sectionPos, e.section, "expected [%s NAME] with a name without spaces and slashes", e.section)
 		return
 	}
 	i := slices.IndexFunc(*list, func(v Variant) bool { return v.Name == e.label })
@@ -134,8 +134,8 @@
 	v.overrides = append(v.overrides, override)
 }
 
-// Spec returns the specification of one variant, workload and seed. The error is of
-// type SettingErrors.
+// Spec returns the specification of the run of one variant, workload and seed. The
+// error is of type SettingErrors.
 func (p *Plan) Spec(variant, workload Variant, seed uint64) (*model.Spec, error) {
 	spec, problems := p.buildSpec(&variant, &workload)
 	if len(problems) > 0 {
@@ -145,8 +145,8 @@
 	return spec, nil
 }
 
-// buildSpec returns the specification of the plan's lines, replaced by those of a
-// workload and then by those of a variant.
+// buildSpec returns the specification of the plan's settings, overridden by those of the
+// workload and then by those of the variant.
 func (p *Plan) buildSpec(variant, workload *Variant) (*model.Spec, SettingErrors) {
 	var r reader
 	entries := slices.Clone(p.entries)
@@ -166,27 +166,28 @@
 	return b.spec, r.problems
 }
 
-// override replaces the line of a key, or adds one to its section.
+// override replaces the entry of a key, or adds it to its section. An entry of a
+// repeatable key is always added.
 func override(r *reader, entries []entry, e entry) []entry {
-	at := -1
+	index := -1
 	for i := range entries {
 		if entries[i].section != e.section || entries[i].label != e.label {
 			continue
 		}
-		at = i
+		index = i
 		if entries[i].setting.Key == e.setting.Key {
 			break
 		}
 	}
 	switch {
-	case at < 0 && e.label == "" && isUnlabelledSection(e.section): // it has defaults for all keys
+	case index < 0 && e.label == "" && isUnlabelledSection(e.section): // the section may be omitted: all its keys have defaults
 		return append(entries, e)
-	case at < 0:
+	case index < 0:
 		r.addProblem(e.file, e.sectionPos, e.section, "the plan has no section [%s]", strings.TrimSpace(e.section+" "+e.label))
 		return entries
-	case entries[at].setting.Key == e.setting.Key && !isRepeatable(e.setting.Key):
-		entries[at] = e
+	case entries[index].setting.Key == e.setting.Key && !isRepeatable(e.setting.Key):
+		entries[index] = e
 		return entries
 	}
-	return slices.Insert(entries, at+1, e)
+	return slices.Insert(entries, index+1, e)
 }
--- a/internal/config/schema.go
+++ b/internal/config/schema.go
@@ -13,8 +13,8 @@
 	keys      []keySpec
 }
 
-// schema returns all sections of the settings, bound to c. Their order and texts are
-// what `archknot config show` prints.
+// schema returns all sections of the settings, bound to c. `archknot config show` prints
+// them in this order, with these texts.
 func schema(c *Config) []keyGroup {
 	return []keyGroup{
 		logGroup(&c.Log),
@@ -29,12 +29,12 @@
 	}
 }
 
-func logGroup(out *Log) keyGroup {
+func logGroup(log *Log) keyGroup {
 	return keyGroup{
 		name: "log",
 		doc:  "What is written to standard error.",
 		keys: []keySpec{
-			enumKey("level", &out.Level, "info", "the lowest level that is logged", "debug", "info", "warn", "error"),
+			enumKey("level", &log.Level, "info", "the lowest level that is logged", "debug", "info", "warn", "error"),
 		},
 	}
 }
@@ -44,7 +44,7 @@
 		name: "control",
 		doc:  "The Unix socket for commands of operators on this machine, such as `archknot capture save`.",
 		keys: []keySpec{
-			pathKey("socket", &control.Socket, "its path, created with mode 0600; no socket if not given"),
+			pathKey("socket", &control.Socket, "path of the socket, created with mode 0600; no socket if not given"),
 		},
 	}
 }
@@ -52,12 +52,12 @@
 func captureGroup(capture *Capture) keyGroup {
 	return keyGroup{
 		name: "capture",
-		doc:  "A recording of all events that the decision module gets and of its actions: see docs/operate/capture.md.",
+		doc:  "A recording of all events that the decision module receives and of its actions: see docs/operate/capture.md.",
 		keys: []keySpec{
 			boolKey("record", &capture.Record, "off", "whether to record"),
 			pathKey("directory", &capture.Directory, "the directory of the segments; required to record"),
 			durationKey("checkpoint", &capture.CheckpointInterval, "15s", time.Second, 10*time.Minute, "interval of checkpoints of the module's complete state; a replay can start at each"),
-			sizeKey("block", &capture.BlockSize, "32KiB", 4<<10, 1<<20, "data that is compressed and checksummed together; damage loses a block at least"),
+			sizeKey("block", &capture.BlockSize, "32KiB", 4<<10, 1<<20, "data that is compressed and checksummed together; damage loses at least one block"),
 			durationKey("flush", &capture.FlushInterval, "1s", 10*time.Millisecond, time.Minute, "how long a record may wait for its block to fill; a crash loses no more than that"),
 			intKey("queue", &capture.QueueBlocks, "8", 2, 1024, "blocks that may wait for the disk; beyond that records are lost, and the capture has a gap"),
 			sizeKey("segment-size", &capture.SegmentSize, "8MiB", 64<<10, 1<<30, "a segment is closed when it reaches this size"),
@@ -79,9 +79,9 @@
 			durationKey("pause", &incident.MinInterval, "2m", time.Second, 24*time.Hour, "minimum time between two automatic incidents"),
 			durationKey("over", &incident.EvaluationWindow, "10s", time.Second, 10*time.Minute, "the interval over which the shares below are computed"),
 			intKey("least", &incident.MinRequests, "50", 1, 1_000_000, "minimum number of requests in that interval; with fewer nothing triggers"),
-			shareKey("unserved", &incident.UnservedShare, "40%", "share of late, shed, failed and abandoned requests that triggers; 0%: never"),
+			fractionKey("unserved", &incident.UnservedShare, "40%", "share of late, shed, failed and abandoned requests that triggers; 0%: never"),
 			floatKey("slow-factor", &incident.SlowFactor, "2", 0, 100, "a replica is slow when its first tokens take this many times as long as usual; 0: never"),
-			shareKey("slow-workers", &incident.SlowReplicas, "80%", "share of slow replicas that triggers, among those that answered in the interval"),
+			fractionKey("slow-workers", &incident.SlowReplicas, "80%", "share of slow replicas that triggers, among those that answered in the interval"),
 			durationKey("near-deadline", &incident.NearDeadline, "500us", 0, time.Second, "a final answer less than this before the client's deadline triggers: the deadline was almost missed; 0s: never"),
 		},
 	}
@@ -96,7 +96,7 @@
 			durationKey("pool", &contracts.BorrowPool, "1s", 0, time.Minute, "how much unused quota idle teams may save up for others, as time at the sum of all rates; for as long after its owner is back, lent quota may still be used"),
 			floatKey("others", &contracts.UnknownTenantWeight, "0.05", -1, 1000, "priority weight of tenants without a contract; -1 rejects them"),
 			pathKey("store", &contracts.StorePath, "the file that stores balances across restarts and kills; not stored if not given"),
-			shareKey("reserve", &contracts.ReserveFraction, "1%", "share of a budget that is stored as used in advance: the most that a kill may cost a team"),
+			fractionKey("reserve", &contracts.ReserveFraction, "1%", "share of a budget that is stored as used in advance: the most that a kill may cost a team"),
 			boolKey("strict", &contracts.Strict, "off", "reject what the store has not yet recorded as used"),
 			enumKey("split", &contracts.Split, "whole", "how this gateway determines its share of each contract: all of it (it is the only gateway), equal shares, as the front distributes all requests, or as it sees each team's", "whole", "equal", "front", "alone"),
 			intKey("gateways", &contracts.Gateways, "1", 1, 10_000, "number of gateways, for equal shares"),
@@ -121,8 +121,8 @@
 		doc:  "The link to the other gateways, which take over the requests of a lost one: docs/operate/takeover.md. Off without an address.",
 		keys: []keySpec{
 			pathKey("listen", &peers.Listen, "host:port for datagrams of other gateways and for their health checks; none if not given"),
-			pathKey("advertise", &peers.Advertise, "host:port at which they reach it, if it differs"),
-			pathKey("site", &peers.Zone, "the gateway's zone: keepers of its requests are chosen in other zones first"),
+			pathKey("advertise", &peers.Advertise, "host:port at which other gateways reach this one, if it differs"),
+			pathKey("site", &peers.Zone, "the gateway's zone: backups of its requests are chosen in other zones first"),
 			pathKey("join", &peers.Join, "host:port of some other gateways, separated by commas"),
 			intKey("copies", &peers.Keepers, "5", 1, 8, "gateways that record each request"),
 			durationKey("silence", &peers.ReplyTimeout, "150ms", 10*time.Millisecond, 5*time.Second, "timeout of another gateway's answer"),
@@ -141,7 +141,7 @@
 		doc:  "The subset of a large fleet that this gateway uses: docs/operate/subsets.md.",
 		keys: []keySpec{
 			intKey("most", &settings.MaxReplicas, strconv.Itoa(subset.DefaultMaxReplicas), 0, 100_000, "maximum number of replicas it uses, 16 or more; endpoint lists up to this size are used completely; 0: all lists are"),
-			shareKey("remote", &settings.RemoteShare, "25%", "share of the subset that is drawn from all zones alike: what remains if the gateway's own zone is lost"),
+			fractionKey("remote", &settings.RemoteShare, "25%", "share of the subset that is drawn from all zones alike: what remains if the gateway's own zone is lost"),
 			intKey("index", &settings.GatewayIndex, "-1", -1, 10_000_000, "its index among the gateways, or among those of its zone; -1: the platform's"),
 		},
 	}
--- a/internal/contractsim/simulate.go
+++ b/internal/contractsim/simulate.go
@@ -1,6 +1,7 @@
-// Package contractsim simulates contracts on a capture: a ledger decides on the
-// requests of a recording as they arrived, and settles them as they ended. What the
-// decision module did with them stays as it was recorded.
+// Package contractsim simulates contracts on a capture. A ledger charges or rejects each
+// request at its recorded arrival and settles it at its recorded end. The actions of the
+// decision module stay as recorded: rejections by the simulated contracts do not change
+// them.
 package contractsim
 
 import (
@@ -16,26 +17,28 @@
 	"archknot/internal/contract"
 )
 
-// ErrEmptyInterval is returned if no part of the recording lies within the options.
-var ErrEmptyInterval = errors.New("nothing lies between the ends")
+// ErrEmptyInterval is returned by Run if the interval to simulate is empty, for example
+// if Options.From is after the last event.
+var ErrEmptyInterval = errors.New("recording has no events between the requested times")
 
 const (
 	// defaultSeriesPoints is the length of each team's series.
 	defaultSeriesPoints = 120
-	// eventsPerProgress is how often Options.Progress is called.
+	// eventsPerProgress is the number of events per call of Options.Progress.
 	eventsPerProgress = 4096
 )
 
-// Options of a simulation.
+// Options configures a simulation.
 type Options struct {
 	Settings     contract.Settings
 	Terms        []contract.Terms
-	From, To     balancer.Micros          // on the recording's clock; 0: its ends
+	From, To     balancer.Micros          // on the recording's clock; 0: its first block, its last event
 	SeriesPoints int                      // length of each team's series; 0: defaultSeriesPoints
-	Progress     func(at balancer.Micros) // called now and then; nil: not at all
+	Progress     func(at balancer.Micros) // called periodically with the time of the last event; nil: not called
 }
 
-// Run simulates contracts on a recording.
+// Run simulates contracts on a recording. The error is ErrEmptyInterval, an error of the
+// contracts, or one of reading the recording.
 func Run(run *capture.Run, o Options) (*Result, error) {
 	last, err := lastEventTime(run)
 	if err != nil {
@@ -64,7 +67,7 @@
 		}
 		if event.Missing != nil {
 			s.output.Gaps++
-			s.abandonOpenRequests()
+			s.settleOpenRequests()
 			continue
 		}
 		if event.At < from {
@@ -77,8 +80,8 @@
 	}
 }
 
-// lastEventTime returns the time of a recording's last event. The recording's index
-// only has those of its blocks.
+// lastEventTime returns the time of a recording's last event. It reads the last block,
+// since the recording's index holds the times of blocks only.
 func lastEventTime(run *capture.Run) (last balancer.Micros, err error) {
 	events, err := capture.NewReader(run, run.End())
 	if err != nil {
@@ -97,7 +100,8 @@
 	}
 }
 
-// simulation is a ledger with the requests that are open at one time of a recording.
+// simulation is the state of a simulation at one time of a recording: the ledger, the
+// open requests and the results so far.
 type simulation struct {
 	run          *capture.Run
 	ledger       *contract.Ledger
@@ -105,17 +109,17 @@
 	seriesPoints int
 	output       *Result
 	teams        map[string]*TeamResult
-	order        []*TeamResult // of their first request, after those of the contracts
+	orderedTeams []*TeamResult // teams with a contract, then the others by their first request
 	openRequests map[uint32]*openRequest
 }
 
-// openRequest is a request that has not ended.
+// openRequest is a request that has not ended, with its open charges.
 type openRequest struct {
 	team          *TeamResult
 	arrival       balancer.Request
 	rejected      bool
-	charges       map[int64]*contract.Charge // by attempt
-	initialCharge contract.Charge            // until the first attempt is dispatched
+	charges       map[int64]*contract.Charge // of dispatched attempts, by attempt
+	initialCharge contract.Charge            // of the request, until its first attempt is dispatched
 	attempts      int64
 }
 
@@ -141,7 +145,7 @@
 	return s, nil
 }
 
-// team returns the result of a team, and adds it if it is new.
+// team returns the result of a team, adding an empty one if it is new.
 func (s *simulation) team(name string) *TeamResult {
 	if team := s.teams[name]; team != nil {
 		return team
@@ -152,14 +156,14 @@
 		team.Series[i].At = s.run.WallTime(s.from + balancer.Micros(interval*float64(i)))
 	}
 	s.teams[name] = team
-	s.order = append(s.order, team)
+	s.orderedTeams = append(s.orderedTeams, team)
 	return team
 }
 
-// abandonOpenRequests settles all open requests at their estimates, at a gap of the
-// recording: how they ended is unknown.
-func (s *simulation) abandonOpenRequests() {
-	for _, id := range slices.Sorted(maps.Keys(s.openRequests)) { // the same results for the same capture
+// settleOpenRequests settles all open requests at their estimates. It is called at a gap
+// in the recording, in which the ends of these requests may be missing.
+func (s *simulation) settleOpenRequests() {
+	for _, id := range slices.Sorted(maps.Keys(s.openRequests)) { // sorted, so that the results are reproducible
 		request := s.openRequests[id]
 		s.ledger.Settle(0, &request.initialCharge, request.initialCharge.Estimate, false)
 		for _, attempt := range slices.Sorted(maps.Keys(request.charges)) {
@@ -170,15 +174,15 @@
 	}
 }
 
-// apply applies one record: what happened, then what the decision module did.
+// apply applies one record: its event, then the actions of the decision module.
 func (s *simulation) apply(at balancer.Micros, record *pb.Record) {
 	switch record.GetKind() {
 	case pb.Kind_KIND_ARRIVED:
-		s.arrived(at, record)
+		s.applyArrival(at, record)
 	case pb.Kind_KIND_ENDED:
-		s.ended(at, record)
+		s.applyAttemptEnd(at, record)
 	case pb.Kind_KIND_LEFT:
-		s.left(at, record.GetRequest())
+		s.applyClientDisconnect(at, record.GetRequest())
 	}
 	for _, action := range record.GetActions() {
 		s.applyAction(at, action)
@@ -197,7 +201,7 @@
 	}
 	switch action.GetKind() {
 	case pb.Action_DISPATCH:
-		s.dispatched(at, request)
+		s.applyDispatch(at, request)
 	case pb.Action_REFUSE, pb.Action_FAIL:
 		s.ledger.Settle(at, &request.initialCharge, contract.Usage{}, false)
 		if len(request.charges) == 0 {
@@ -206,8 +210,8 @@
 	}
 }
 
-// arrived charges a request to its contract and counts the ledger's verdict.
-func (s *simulation) arrived(at balancer.Micros, record *pb.Record) {
+// applyArrival charges a request to its contract and counts the ledger's verdict.
+func (s *simulation) applyArrival(at balancer.Micros, record *pb.Record) {
 	arrival := record.GetArrival()
 	request := &openRequest{
 		arrival: balancer.Request{
@@ -240,25 +244,25 @@
 	s.openRequests[record.GetRequest()] = request
 }
 
-// charge charges an attempt of a request.
+// charge charges the estimate of a request, or of one of its attempts, to the ledger.
 func (s *simulation) charge(at balancer.Micros, request *openRequest, charge *contract.Charge) (contract.Usage, contract.Verdict) {
 	arrival := &request.arrival
 	estimate := s.ledger.Estimate(arrival.Class, arrival.PromptTokens, arrival.MaxTokens)
 	return estimate, s.ledger.Charge(at, arrival.Tenant, arrival.Class, estimate, charge)
 }
 
-// seriesIndex returns the point of the series that a time belongs to.
+// seriesIndex returns the index of the series point whose interval contains a time.
 func (s *simulation) seriesIndex(at balancer.Micros) int {
 	i := int(int64(s.seriesPoints) * (at - s.from) / (s.to - s.from))
 	return min(max(0, i), s.seriesPoints-1)
 }
 
-// seconds returns the length of the simulation.
+// seconds returns the length of the simulated interval.
 func (s *simulation) seconds() float64 { return float64(s.to-s.from) / 1e6 }
 
-// dispatched charges an attempt: the first has the charge of the request, a further
-// one a charge of its own.
-func (s *simulation) dispatched(at balancer.Micros, request *openRequest) {
+// applyDispatch charges a dispatched attempt. The first attempt takes over the charge of
+// the request, each further attempt gets a separate charge.
+func (s *simulation) applyDispatch(at balancer.Micros, request *openRequest) {
 	attempt := request.attempts
 	request.attempts++
 	if request.rejected {
@@ -278,16 +282,16 @@
 	request.charges[attempt] = charge
 }
 
-// left drops a request whose client is gone before an attempt was dispatched.
-func (s *simulation) left(at balancer.Micros, id uint32) {
+// applyClientDisconnect removes a request without attempts and settles its charge at 0.
+func (s *simulation) applyClientDisconnect(at balancer.Micros, id uint32) {
 	if request := s.openRequests[id]; request != nil && request.attempts == 0 {
 		s.ledger.Settle(at, &request.initialCharge, contract.Usage{}, false)
 		delete(s.openRequests, id)
 	}
 }
 
-// ended settles an attempt.
-func (s *simulation) ended(at balancer.Micros, record *pb.Record) {
+// applyAttemptEnd settles an attempt at its actual usage and removes an ended request.
+func (s *simulation) applyAttemptEnd(at balancer.Micros, record *pb.Record) {
 	request := s.openRequests[record.GetRequest()]
 	if request == nil {
 		return
@@ -310,7 +314,7 @@
 	}
 }
 
-// finish completes the result from the ledger's accounts.
+// finish completes the result with the counters of the ledger's accounts.
 func (s *simulation) finish(terms []contract.Terms) *Result {
 	const token = float64(contract.Token)
 	for i, account := range s.ledger.Accounts() {
@@ -321,7 +325,7 @@
 		team.Borrowed = float64(counters.Borrowed) / token
 		team.RateShare = float64(counters.Used) / (terms[i].Rate * s.seconds())
 	}
-	for _, team := range s.order {
+	for _, team := range s.orderedTeams {
 		s.output.Teams = append(s.output.Teams, *team)
 	}
 	slices.SortStableFunc(s.output.Teams, func(a, b TeamResult) int {
