--- a/internal/adminapi/call.go
+++ b/internal/adminapi/call.go
@@ -7,10 +7,10 @@
 	"sync/atomic"
 )
 
-// pathPrefix begins the path of each call.
+// pathPrefix is the prefix of every call's path.
 const pathPrefix = "/-/"
 
-// callKind is one of the calls.
+// callKind identifies the operation that a call requests.
 type callKind uint8
 
 const (
@@ -23,7 +23,7 @@
 	callKindCount int = iota
 )
 
-// String returns the name of the call in paths, log lines and metrics.
+// String returns the call's name in paths, log lines and metrics.
 func (k callKind) String() string {
 	return [...]string{"ready", "disable", "enable", "drain", "resume", "other"}[k]
 }
@@ -34,8 +34,8 @@
 	replica string // id; "" for calls about the gateway itself
 }
 
-// parseCall parses a request. A status other than 0 means that the request is not a valid call, and is
-// the status of the response.
+// parseCall parses a request. If the request is not a valid call, status is the status code of the
+// response; otherwise it is 0.
 func parseCall(r *http.Request) (c call, status int) {
 	path, ok := strings.CutPrefix(r.URL.EscapedPath(), pathPrefix)
 	if !ok {
@@ -55,7 +55,7 @@
 	return c, 0
 }
 
-// parsePath parses an escaped path behind pathPrefix.
+// parsePath parses the escaped path that follows pathPrefix.
 func parsePath(path string) (c call, status int) {
 	switch path {
 	case callReady.String():
@@ -85,8 +85,8 @@
 	return c, 0
 }
 
-// CallCounts counts the answered calls by name and outcome. The zero value is ready to use, from any
-// goroutine.
+// CallCounts counts the answered calls by kind and outcome. The zero value is ready to use, and any
+// goroutine may use it.
 type CallCounts struct{ succeeded, failed [callKindCount]atomic.Int64 }
 
 func (c *CallCounts) add(kind callKind, succeeded bool) {
@@ -97,7 +97,8 @@
 	}
 }
 
-// Each calls visit with the number of successful and of failed calls of each name, in a fixed order.
+// Each calls visit twice for each kind of call, in a fixed order: with the number of successful calls and
+// with that of failed calls.
 func (c *CallCounts) Each(visit func(call string, succeeded bool, n int64)) {
 	for i := range callKindCount {
 		name := callKind(i).String()
--- a/internal/adminapi/connlimiter.go
+++ b/internal/adminapi/connlimiter.go
@@ -9,18 +9,18 @@
 )
 
 const (
-	// answerCheckInterval is the time between two looks at the calls that are being answered.
-	answerCheckInterval = 5 * time.Millisecond
-	// firstCallGrace is how long after its accept a connection without a call counts as one that sends it.
-	firstCallGrace = 100 * time.Millisecond
+	// outstandingCheckInterval is how often waitForOutstandingCalls checks for outstanding calls.
+	outstandingCheckInterval = 5 * time.Millisecond
+	// firstCallGracePeriod is how long after accept a connection is assumed to be still sending its call.
+	firstCallGracePeriod = 100 * time.Millisecond
 )
 
 // connLimiter bounds the number of open connections to MaxConnections. At the limit a new connection
-// replaces the oldest one that has not sent a complete call: silent clients lock nobody out. Its methods
-// may be called from any goroutine.
+// replaces the oldest one that has not sent a complete call, so that idle clients cannot block others. Its
+// methods may be called from any goroutine.
 type connLimiter struct {
 	mu        sync.Mutex
-	pending   map[net.Conn]time.Time // connections without a complete call, with the time of their accept
+	pending   map[net.Conn]time.Time // connections without a complete call -> accept time
 	answering map[net.Conn]struct{}  // connections whose call is being answered
 }
 
@@ -33,13 +33,13 @@
 	return &limitedListener{Listener: listener, limiter: l}
 }
 
-// limitedListener closes the connections that its limiter does not admit.
+// limitedListener closes connections that its limiter rejects.
 type limitedListener struct {
 	net.Listener
 	limiter *connLimiter
 }
 
-// Accept returns the next connection that the limiter admits.
+// Accept returns the next connection that the limiter admits, and closes those that it rejects.
 func (l *limitedListener) Accept() (net.Conn, error) {
 	for {
 		conn, err := l.Listener.Accept()
@@ -53,8 +53,8 @@
 	}
 }
 
-// admit registers a new connection, and closes the oldest pending one to make room for it. It reports
-// false if the limit is reached and no connection is pending.
+// admit registers a new connection. At the limit it closes the oldest pending connection to make room, or
+// returns false if none is pending.
 func (l *connLimiter) admit(conn net.Conn) bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -80,19 +80,19 @@
 	return oldest
 }
 
-// startAnswer protects a connection from being replaced until it has ended.
-func (l *connLimiter) startAnswer(conn net.Conn) {
+// markAnswering marks a connection's call as being answered: new connections do not replace it any more.
+func (l *connLimiter) markAnswering(conn net.Conn) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	delete(l.pending, conn)
 	l.answering[conn] = struct{}{}
 }
 
-// awaitAnswers waits until each call that has arrived is answered, or the context ends.
-func (l *connLimiter) awaitAnswers(ctx context.Context) {
-	ticker := time.NewTicker(answerCheckInterval)
+// waitForOutstandingCalls waits until every call that has arrived is answered, or the context ends.
+func (l *connLimiter) waitForOutstandingCalls(ctx context.Context) {
+	ticker := time.NewTicker(outstandingCheckInterval)
 	defer ticker.Stop()
-	for l.owesAnswers() {
+	for l.hasOutstandingCalls() {
 		select {
 		case <-ticker.C:
 		case <-ctx.Done():
@@ -101,23 +101,23 @@
 	}
 }
 
-// owesAnswers reports whether a call is being answered, or may be arriving on a connection that is not
-// known as silent yet.
-func (l *connLimiter) owesAnswers() bool {
+// hasOutstandingCalls reports whether a call is being answered, or may still arrive on a connection that was
+// accepted less than firstCallGracePeriod ago.
+func (l *connLimiter) hasOutstandingCalls() bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	if len(l.answering) > 0 {
 		return true
 	}
 	for _, since := range l.pending {
-		if time.Since(since) < firstCallGrace {
+		if time.Since(since) < firstCallGracePeriod {
 			return true
 		}
 	}
 	return false
 }
 
-// trackState forgets connections that have ended; it is the ConnState callback of the HTTP server.
+// trackState removes closed connections; it is the ConnState callback of the HTTP server.
 func (l *connLimiter) trackState(conn net.Conn, state http.ConnState) {
 	if state == http.StateClosed || state == http.StateHijacked {
 		l.mu.Lock()
--- a/internal/adminapi/doc.go
+++ b/internal/adminapi/doc.go
@@ -1,4 +1,4 @@
-// Package adminapi serves the HTTP address for operators: they query readiness, eject and reinstate
-// replicas, and drain the gateway and resume service. Each connection carries one call, and keep-alive is
-// off. A 2xx status means success, 4xx and 5xx failure, with the reason as text.
+// Package adminapi serves the operators' HTTP API: readiness, ejection and reinstatement of replicas, and
+// drain and resume of the gateway. Each connection carries one call; keep-alive is off. A 2xx status means
+// success, 4xx and 5xx mean failure, with the reason as plain text.
 package adminapi
--- a/internal/adminapi/server.go
+++ b/internal/adminapi/server.go
@@ -16,38 +16,38 @@
 )
 
 const (
-	// MaxConnections bounds the connections that are open at once, the listening socket not counted.
+	// MaxConnections bounds the open connections of a Server, excluding its listening socket.
 	MaxConnections = 16
-	// callTimeout bounds a call from its connection's accept to the last byte of the request: a client
-	// that sends nothing, or half a call, occupies a connection no longer than that.
+	// callTimeout bounds the time from accept to the last byte of the request, so that a client that sends
+	// nothing or an incomplete call occupies a connection no longer than that.
 	callTimeout = 2 * time.Second
-	// answerTimeout bounds how long a call waits for the gateway: operators expect an answer within a second.
+	// answerTimeout bounds how long the gateway may take for a call: operators expect a response within 1 s.
 	answerTimeout = 750 * time.Millisecond
-	// closeTimeout bounds how long Close waits for answers.
+	// closeTimeout bounds how long Close waits for outstanding calls.
 	closeTimeout = answerTimeout + 100*time.Millisecond
-	// maxBodyBytes bounds a request's body, which is read and ignored.
+	// maxBodyBytes bounds a request's body, which is read and discarded.
 	maxBodyBytes   = 16 << 10
 	maxHeaderBytes = 8 << 10
-	// bindRetryInterval is the pause between two attempts to bind an address that is in use.
+	// bindRetryInterval is the pause between attempts to bind an address that cannot be bound yet.
 	bindRetryInterval = 200 * time.Millisecond
 )
 
-// Errors of a Gateway that have a status or text of their own in the response.
+// Errors that a Gateway may return. The text of an error is the body of the response.
 var (
-	// ErrUnknownReplica is returned for a replica that no endpoint list ever had.
+	// ErrUnknownReplica is returned for a replica that has never been on an endpoint list.
 	ErrUnknownReplica = errors.New("this replica was never listed")
 	// ErrShuttingDown is returned when the process is shutting down.
 	ErrShuttingDown = errors.New("this process ends")
-	// ErrDiscoveryPending is returned when discovery has not answered this process yet, so that it is not
-	// known whether the replica exists. The replica is ejected in case it is listed later.
+	// ErrDiscoveryPending is returned when this process has no response of discovery yet and cannot check
+	// that the replica exists. The ejection takes effect if the replica is listed later.
 	ErrDiscoveryPending = errors.New("held out, but discovery has not answered yet")
 )
 
-// errNotReady is the answer to a query for readiness while the gateway cannot serve.
+// errNotReady is the result of a readiness query while the gateway cannot serve.
 var errNotReady = errors.New("not ready")
 
-// Gateway carries out the calls. Its methods may be called from any goroutine, and return when their
-// context ends.
+// Gateway executes the calls. Its methods must be safe for concurrent use and return when their context
+// ends.
 type Gateway interface {
 	// CanServe reports whether this process can serve clients.
 	CanServe() bool
@@ -55,13 +55,13 @@
 	Eject(ctx context.Context, replica string) error
 	// Reinstate ends an ejection.
 	Reinstate(ctx context.Context, replica string) error
-	// DrainClients sends clients to other gateways, while this process continues to run.
+	// DrainClients stops serving clients, so that they move to other gateways; the process keeps running.
 	DrainClients(ctx context.Context) error
 	// Resume ends a drain.
 	Resume(ctx context.Context) error
 }
 
-// Server answers operators until Close.
+// Server serves operators' calls until Close.
 type Server struct {
 	gateway   Gateway
 	counts    *CallCounts
@@ -72,11 +72,11 @@
 
 	mu         sync.Mutex
 	listener   net.Listener  // nil: the address is not bound
-	acceptDone chan struct{} // closed once the listener accepts no connection any more
+	acceptDone chan struct{} // closed once the accept loop has ended
 }
 
-// Listen begins to serve an address, and counts the calls in counts. If the address cannot be bound at
-// the moment, that is logged and retried in the background: the gateway serves its clients meanwhile.
+// Listen starts to serve an address, and counts the calls in counts. If the address cannot be bound, Listen
+// logs the error and retries in the background, so that the gateway serves its clients in the meantime.
 func Listen(addr string, gateway Gateway, counts *CallCounts) *Server {
 	s := &Server{gateway: gateway, counts: counts, closed: make(chan struct{}), limiter: newConnLimiter(), acceptDone: make(chan struct{})}
 	s.http = &http.Server{
@@ -99,7 +99,7 @@
 	return s
 }
 
-// retryListen tries to bind the address until it succeeds or the server is closed, then serves it.
+// retryListen retries to bind the address until the server is closed, and serves the address once bound.
 func (s *Server) retryListen(addr string) {
 	for {
 		select {
@@ -128,8 +128,8 @@
 	}
 }
 
-// Close ends the server. Calls that have arrived are answered first, within closeTimeout; connections that
-// have sent no complete call are closed. It may be called more than once.
+// Close stops the server. Calls that have arrived are answered first, within closeTimeout; connections
+// without a complete call are closed. It may be called more than once.
 func (s *Server) Close() {
 	s.closeOnce.Do(func() { close(s.closed) })
 	s.mu.Lock()
@@ -138,14 +138,14 @@
 	if listener != nil {
 		ctx, cancel := context.WithTimeout(context.Background(), closeTimeout)
 		defer cancel()
-		_, _ = sockets.CloseWhenEmpty(ctx, listener) // it is given up either way
+		_, _ = sockets.CloseWhenEmpty(ctx, listener) // closed in any case; a failure changes nothing here
 		<-s.acceptDone
-		s.limiter.awaitAnswers(ctx)
+		s.limiter.waitForOutstandingCalls(ctx)
 	}
 	s.http.Close()
 }
 
-// handle answers one call. A call whose body does not arrive completely has no effect.
+// handle answers one call. A call with an incomplete body has no effect.
 func (s *Server) handle(w http.ResponseWriter, r *http.Request) {
 	start := time.Now()
 	w.Header().Set("Connection", "close")
@@ -153,7 +153,7 @@
 	if status == 0 && !discardBody(w, r) {
 		status = http.StatusBadRequest
 	}
-	s.limiter.startAnswer(connectionOf(r.Context()))
+	s.limiter.markAnswering(connectionOf(r.Context()))
 	var err error
 	if status == 0 {
 		err = s.execute(r.Context(), c)
@@ -168,7 +168,7 @@
 		"status", status, "answer", text, "took_ms", time.Since(start).Milliseconds())
 }
 
-// discardBody reads a request's body, and reports whether it arrived completely and within maxBodyBytes.
+// discardBody reads a request's body, and reports whether it was complete and within maxBodyBytes.
 func discardBody(w http.ResponseWriter, r *http.Request) bool {
 	_, err := io.Copy(io.Discard, http.MaxBytesReader(w, r.Body, maxBodyBytes))
 	return err == nil
@@ -182,11 +182,11 @@
 }
 
 func connectionOf(ctx context.Context) net.Conn {
-	conn, _ := ctx.Value(connectionKey{}).(net.Conn) // withConnection has set it on every connection
+	conn, _ := ctx.Value(connectionKey{}).(net.Conn) // set by withConnection on every connection
 	return conn
 }
 
-// execute carries out a call within answerTimeout.
+// execute passes a call to the gateway, and cancels it after answerTimeout.
 func (s *Server) execute(ctx context.Context, c call) error {
 	ctx, cancel := context.WithTimeout(ctx, answerTimeout)
 	defer cancel()
@@ -232,8 +232,8 @@
 	return http.StatusText(status)
 }
 
-// logLevel returns the level of a call's log line. Queries for readiness come many times a second and
-// change nothing.
+// logLevel returns the level of a call's log line. Readiness queries are logged at debug level: they arrive
+// many times a second and change nothing.
 func logLevel(kind callKind, succeeded bool) slog.Level {
 	switch {
 	case kind == callReady:
--- a/internal/adminapi/server_test.go
+++ b/internal/adminapi/server_test.go
@@ -15,18 +15,18 @@
 	"archknot/internal/maintenance"
 )
 
-// fakeGateway records the calls that it carries out.
+// fakeGateway records the calls that it executes.
 type fakeGateway struct {
 	mu      sync.Mutex
 	calls   []string
 	errs    map[string]error // results, by replica
 	ready   bool
-	release chan struct{} // if not nil, calls hang until it is closed
+	release chan struct{} // if not nil, calls block until it is closed
 }
 
 func (g *fakeGateway) CanServe() bool { return g.ready }
 
-func (g *fakeGateway) carryOut(ctx context.Context, text, replica string) error {
+func (g *fakeGateway) execute(ctx context.Context, text, replica string) error {
 	if g.release != nil {
 		select {
 		case <-g.release:
@@ -41,13 +41,13 @@
 }
 
 func (g *fakeGateway) Eject(ctx context.Context, id string) error {
-	return g.carryOut(ctx, "eject "+id, id)
+	return g.execute(ctx, "eject "+id, id)
 }
 func (g *fakeGateway) Reinstate(ctx context.Context, id string) error {
-	return g.carryOut(ctx, "reinstate "+id, id)
+	return g.execute(ctx, "reinstate "+id, id)
 }
-func (g *fakeGateway) DrainClients(ctx context.Context) error { return g.carryOut(ctx, "drain", "") }
-func (g *fakeGateway) Resume(ctx context.Context) error       { return g.carryOut(ctx, "resume", "") }
+func (g *fakeGateway) DrainClients(ctx context.Context) error { return g.execute(ctx, "drain", "") }
+func (g *fakeGateway) Resume(ctx context.Context) error       { return g.execute(ctx, "resume", "") }
 
 func (g *fakeGateway) recorded() string {
 	g.mu.Lock()
@@ -75,7 +75,7 @@
 	return s, addr, counts
 }
 
-// exchange sends a text on a connection of its own and returns the response's status and how long it took.
+// exchange sends a text on a new connection, and returns the response's status and the time until it arrived.
 // Status 0 means that the connection was closed without a response.
 func exchange(t *testing.T, addr, text string) (status int, took time.Duration) {
 	t.Helper()
@@ -94,7 +94,7 @@
 	}
 	io.Copy(io.Discard, resp.Body)
 	if !resp.Close {
-		t.Errorf("%.40q: the connection stays open", text)
+		t.Errorf("%.40q: the response does not announce the close of the connection", text)
 	}
 	return resp.StatusCode, time.Since(start)
 }
@@ -103,7 +103,7 @@
 	return method + " " + path + " HTTP/1.1\r\nHost: a\r\n\r\n"
 }
 
-// Each call has its status and effect; invalid requests have no effect.
+// Each valid call has the expected status and effect on the gateway; invalid requests have no effect.
 func TestCalls(t *testing.T) {
 	g := &fakeGateway{errs: map[string]error{"unknown": ErrUnknownReplica, "full": maintenance.ErrTooManyEjected, "disk": maintenance.ErrNotSaved, "end": ErrShuttingDown}}
 	addr, counts := startServer(t, g)
@@ -136,16 +136,16 @@
 	}
 	g.ready = true
 	if status, _ := exchange(t, addr, requestText("GET", "/-/ready")); status != 200 {
-		t.Errorf("ready: status %d", status)
+		t.Errorf("readiness query: status %d, want 200", status)
 	}
 	sum := map[bool]int64{}
 	counts.Each(func(_ string, succeeded bool, n int64) { sum[succeeded] += n })
 	if sum[true] != 9 || sum[false] < 14 {
-		t.Errorf("counted %v", sum)
+		t.Errorf("call counts by success %v, want 9 successes and at least 14 failures", sum)
 	}
 }
 
-// An incomplete call has no effect, wherever it is cut.
+// An incomplete call has no effect, wherever the request is cut off.
 func TestPartialCall(t *testing.T) {
 	g := &fakeGateway{}
 	addr, _ := startServer(t, g)
@@ -167,12 +167,12 @@
 	}
 }
 
-// Clients that stay connected and send nothing or half a call lock nobody out: each complete call is answered
-// within a second, and their connections are closed in time.
+// Clients that stay connected and send nothing or an incomplete call do not block others: each complete call
+// is answered within a second, and the idle connections are closed in time.
 func TestIdleCallers(t *testing.T) {
 	g := &fakeGateway{ready: true}
 	addr, _ := startServer(t, g)
-	var silentConns []net.Conn
+	var idleConns []net.Conn
 	for i := range 10 * MaxConnections {
 		c, err := net.Dial("tcp", addr)
 		if err != nil {
@@ -182,23 +182,23 @@
 		if i%2 == 0 {
 			io.WriteString(c, "PUT /-/drain HTTP/1.1\r\nHo")
 		}
-		silentConns = append(silentConns, c)
+		idleConns = append(idleConns, c)
 		if i%8 == 0 {
 			if status, took := exchange(t, addr, requestText("PUT", fmt.Sprintf("/-/replicas/s-%d/disable", i))); status != 200 || took > time.Second {
-				t.Errorf("among %d silent clients: status %d after %v", i, status, took)
+				t.Errorf("call besides %d idle clients: status %d after %v", i, status, took)
 			}
 		}
 	}
 	deadline := time.Now().Add(3 * time.Second)
-	for _, c := range silentConns {
+	for _, c := range idleConns {
 		c.SetReadDeadline(deadline)
 		if _, err := c.Read(make([]byte, 1024)); err != nil && strings.Contains(err.Error(), "timeout") {
-			t.Fatal("a silent client stays connected for over 3 s")
+			t.Fatal("an idle client is still connected after 3 s")
 		}
 	}
 }
 
-// A call that hangs in the gateway fails within a second, and others are answered meanwhile.
+// A call that blocks in the gateway fails within a second, and other calls are answered in the meantime.
 func TestHangingCall(t *testing.T) {
 	g := &fakeGateway{ready: true, release: make(chan struct{})}
 	defer close(g.release)
@@ -207,17 +207,17 @@
 	for range MaxConnections / 2 {
 		exchanges.Go(func() {
 			if status, took := exchange(t, addr, requestText("PUT", "/-/drain")); status != 503 || took > time.Second {
-				t.Errorf("status %d after %v", status, took)
+				t.Errorf("blocked call: status %d after %v", status, took)
 			}
 		})
 	}
 	if status, took := exchange(t, addr, requestText("GET", "/-/ready")); status != 200 || took > 500*time.Millisecond {
-		t.Errorf("meanwhile: status %d after %v", status, took)
+		t.Errorf("readiness query beside blocked calls: status %d after %v", status, took)
 	}
 	exchanges.Wait()
 }
 
-// An address that another process still uses is bound once it is free.
+// An address that is in use when Listen is called is bound once it is free.
 func TestAddressInUseIsRetried(t *testing.T) {
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -233,7 +233,7 @@
 			break
 		}
 		if time.Now().After(deadline) {
-			t.Fatal("the address is never served")
+			t.Fatal("the address is not served within 5 s")
 		}
 	}
 	if status, _ := exchange(t, addr, requestText("GET", "/-/ready")); status != 200 {
@@ -241,16 +241,16 @@
 	}
 }
 
-// Guards against: a close over calls that have arrived, whose callers are owed an answer. Silent callers do
-// not hold the close up.
+// Guards against a Close that drops calls which have arrived: they must be answered first. An idle connection
+// must not delay Close.
 func TestCloseAnswersCallsThatHaveArrived(t *testing.T) {
 	g := &fakeGateway{release: make(chan struct{})}
 	s, addr, _ := startClosableServer(t, g)
-	silent, err := net.Dial("tcp", addr)
+	idle, err := net.Dial("tcp", addr)
 	if err != nil {
 		t.Fatal(err)
 	}
-	defer silent.Close()
+	defer idle.Close()
 	statuses := make(chan int, 2)
 	for _, path := range []string{"/-/drain", "/-/replicas/s-1/disable"} {
 		go func() {
@@ -268,23 +268,23 @@
 			t.Fatal("the calls did not arrive")
 		}
 	}
-	time.Sleep(firstCallGrace) // now the silent one is known as silent
+	time.Sleep(firstCallGracePeriod) // from now on the idle connection does not count as outstanding
 	closed := make(chan struct{})
 	go func() {
 		s.Close()
 		close(closed)
 	}()
-	time.Sleep(50 * time.Millisecond) // the connections would have been closed
+	time.Sleep(50 * time.Millisecond) // time for a faulty Close to drop the connections
 	begun := time.Now()
 	close(g.release)
 	for range cap(statuses) {
 		if status := <-statuses; status != http.StatusOK {
-			t.Errorf("a call that had arrived: status %d", status)
+			t.Errorf("a call that arrived before Close: status %d", status)
 		}
 	}
 	<-closed
-	if took := time.Since(begun); took > firstCallGrace {
-		t.Errorf("the close took %v behind the last answer", took)
+	if took := time.Since(begun); took > firstCallGracePeriod {
+		t.Errorf("Close took %v after the last response", took)
 	}
 	if conn, err := net.Dial("tcp", addr); err == nil {
 		conn.Close()
