--- a/internal/controlsocket/client.go
+++ b/internal/controlsocket/client.go
@@ -9,15 +9,15 @@
 	"net/http"
 )
 
-// CommandError is the reason that a gateway gave for not carrying out a command.
+// CommandError is the gateway's reason for rejecting or failing a command.
 type CommandError string
 
-// Error returns the reason.
+// Error returns the reason as the gateway sent it.
 func (e CommandError) Error() string { return string(e) }
 
-// Call sends one command to the gateway behind a socket, and decodes the response into response. The
-// error is a CommandError if the gateway answered and did not carry the command out; any other error
-// leaves open whether it did.
+// Call sends one command to the gateway that listens on a socket, and decodes the response into response. A
+// CommandError means that the gateway answered and did not execute the command; after any other error it is
+// unknown whether the command was executed.
 func Call(ctx context.Context, socket, name string, request, response any) error {
 	body, err := json.Marshal(request)
 	if err != nil {
@@ -42,7 +42,7 @@
 	return json.Unmarshal(content, response)
 }
 
-// newClient returns an HTTP client that connects to the socket, whatever the host of the URL.
+// newClient returns an HTTP client that connects to the socket and ignores the host of the URL.
 func newClient(socket string) *http.Client {
 	dial := func(ctx context.Context, _, _ string) (net.Conn, error) {
 		return (&net.Dialer{}).DialContext(ctx, "unix", socket)
--- a/internal/controlsocket/server.go
+++ b/internal/controlsocket/server.go
@@ -18,31 +18,31 @@
 	maxRequestBytes  = 64 << 10
 	maxHeaderBytes   = 8 << 10
 	maxResponseBytes = 16 << 20
-	// maxConcurrent bounds the commands that are carried out at once; further ones are rejected.
-	maxConcurrent = 8
-	// commandTimeout bounds how long a command may take, and transferTimeout the time around it to read
-	// the request or write the response.
-	commandTimeout  = 30 * time.Second
+	// maxConcurrentCommands bounds the commands that run at once; further commands are rejected.
+	maxConcurrentCommands = 8
+	// commandTimeout bounds the execution of a command.
+	commandTimeout = 30 * time.Second
+	// transferTimeout bounds the time to read a request, and that to write a response.
 	transferTimeout = 5 * time.Second
-	// probeTimeout bounds the attempt to connect to an existing socket.
+	// probeTimeout bounds the attempt to connect to an existing socket, which shows whether it is stale.
 	probeTimeout = time.Second
-	// socketUmask leaves the socket with mode 0600.
+	// socketUmask gives the socket mode 0600.
 	socketUmask = 0o177
 )
 
-// Handler carries out one kind of command. The response is encoded as JSON; the text of an error is sent
-// to the caller. Handlers may run concurrently, and should return when the context ends.
+// Handler executes one kind of command. Its response is sent as JSON, or its error as text. Handlers may
+// run concurrently, and should return when the context ends.
 type Handler func(ctx context.Context, request json.RawMessage) (response any, err error)
 
 // Server serves commands until Close.
 type Server struct {
 	http     *http.Server
 	listener net.Listener
-	slots    chan struct{} // has one token for each command that is being carried out
+	slots    chan struct{} // holds one token per running command
 }
 
-// Listen opens the socket with mode 0600 and serves the handlers by name. The stale socket of a process
-// that has ended is replaced; a socket on which a process still listens is not.
+// Listen opens the socket with mode 0600 and serves each handler under its name. It replaces the stale socket
+// of a process that has ended, and fails if a process still listens on the socket.
 func Listen(path string, handlers map[string]Handler) (*Server, error) {
 	if err := removeStaleSocket(path); err != nil {
 		return nil, err
@@ -51,7 +51,7 @@
 	if err != nil {
 		return nil, fmt.Errorf("control.socket: %w", err)
 	}
-	s := &Server{listener: listener, slots: make(chan struct{}, maxConcurrent)}
+	s := &Server{listener: listener, slots: make(chan struct{}, maxConcurrentCommands)}
 	mux := http.NewServeMux()
 	for name, handler := range handlers {
 		mux.HandleFunc("POST /"+name, func(w http.ResponseWriter, r *http.Request) { s.serve(w, r, handler) })
@@ -63,20 +63,20 @@
 		MaxHeaderBytes: maxHeaderBytes,
 	}
 	s.http.SetKeepAlivesEnabled(false)
-	go func() { _ = s.http.Serve(listener) }() // returns after Close; callers see a failing socket themselves
+	go func() { _ = s.http.Serve(listener) }() // returns after Close; clients notice a failed socket themselves
 	return s, nil
 }
 
-// removeStaleSocket removes a socket file on which no process listens. It returns an error if one does.
-// Files of other kinds are left alone.
+// removeStaleSocket removes a socket file on which no process listens, and returns an error if one does.
+// It keeps files of other types.
 func removeStaleSocket(path string) error {
 	conn, err := net.DialTimeout("unix", path, probeTimeout)
 	if err == nil {
 		conn.Close()
-		return fmt.Errorf("control.socket: %s: another gateway listens there", path)
+		return fmt.Errorf("control.socket: %s: another gateway listens on this socket", path)
 	}
 	if !errors.Is(err, syscall.ECONNREFUSED) {
-		return nil // mostly no such file; otherwise the attempt to listen fails and reports why
+		return nil // usually no such file; otherwise Listen fails and returns the cause
 	}
 	info, err := os.Lstat(path)
 	if err == nil && info.Mode()&fs.ModeSocket != 0 {
@@ -85,15 +85,15 @@
 	return nil
 }
 
-// listenPrivate listens on a socket that only the current user may open. The umask holds for the whole
-// process while the socket is created.
+// listenPrivate listens on a socket that only the current user may open. It changes the umask of the whole
+// process while it creates the socket.
 func listenPrivate(path string) (net.Listener, error) {
 	previous := syscall.Umask(socketUmask)
 	defer syscall.Umask(previous)
 	return net.Listen("unix", path)
 }
 
-// serve carries out one command.
+// serve executes one command.
 func (s *Server) serve(w http.ResponseWriter, r *http.Request, handler Handler) {
 	select {
 	case s.slots <- struct{}{}:
@@ -115,12 +115,12 @@
 		return
 	}
 	w.Header().Set("Content-Type", "application/json")
-	_ = json.NewEncoder(w).Encode(response) // the caller sees that the response is incomplete
+	_ = json.NewEncoder(w).Encode(response) // the client detects an incomplete response
 }
 
-// Close ends the server and removes the socket.
+// Close stops the server and removes the socket. It closes the connections of running commands.
 func (s *Server) Close() error {
 	err := s.http.Close()
-	s.listener.Close() // needed if Serve has not begun yet
+	s.listener.Close() // needed if Serve has not started yet
 	return err
 }
--- a/internal/controlsocket/server_test.go
+++ b/internal/controlsocket/server_test.go
@@ -11,8 +11,8 @@
 	"testing"
 )
 
-// A command's response or error reaches the caller; the socket has mode 0600 and is not taken from a
-// server that uses it.
+// A command's response or error reaches the caller. The socket has mode 0600 and cannot be taken from the
+// server that listens on it.
 func TestCommands(t *testing.T) {
 	path := filepath.Join(t.TempDir(), "c.sock")
 	s, err := Listen(path, map[string]Handler{
@@ -28,32 +28,32 @@
 	}
 	info, err := os.Stat(path)
 	if err != nil || info.Mode().Perm() != 0o600 {
-		t.Fatalf("%v %v", info.Mode(), err)
+		t.Fatalf("socket mode %v, want 0600: %v", info.Mode(), err)
 	}
 	var got map[string]string
 	if err := Call(t.Context(), path, "echo", map[string]string{"a": "b"}, &got); err != nil || got["a"] != "b" {
-		t.Errorf("%v %v", got, err)
+		t.Errorf("echo: response %v, error %v", got, err)
 	}
 	var commandError CommandError
 	if err := Call(t.Context(), path, "reject", 1, &got); !errors.As(err, &commandError) || commandError != "not now" {
-		t.Errorf("%v", err)
+		t.Errorf("rejected command: error %v", err)
 	}
 	if err := Call(t.Context(), path, "nothing", 1, &got); !errors.As(err, &commandError) {
-		t.Errorf("%v", err)
+		t.Errorf("unknown command: error %v", err)
 	}
 	if err := Call(t.Context(), path, "echo", strings.Repeat("x", maxRequestBytes), &got); !errors.As(err, &commandError) || !strings.Contains(err.Error(), "too large") {
-		t.Errorf("a large request: %v", err)
+		t.Errorf("oversized request: error %v", err)
 	}
 	if _, err := Listen(path, nil); err == nil || !strings.Contains(err.Error(), "another gateway") {
-		t.Errorf("a socket in use: %v", err)
+		t.Errorf("listen on a socket in use: error %v", err)
 	}
 	s.Close()
 	if err := Call(t.Context(), path, "echo", 1, &got); err == nil || errors.As(err, &commandError) {
-		t.Errorf("after Close: %v", err)
+		t.Errorf("call after Close: error %v", err)
 	}
 }
 
-// A gateway that was killed leaves its socket behind. The next one replaces it, but no file of another kind.
+// The stale socket of a killed gateway is replaced; a file of another type is not.
 func TestStaleSocketIsReplaced(t *testing.T) {
 	path := filepath.Join(t.TempDir(), "c.sock")
 	l, err := net.Listen("unix", path)
@@ -71,6 +71,6 @@
 		t.Fatal(err)
 	}
 	if _, err := Listen(path, nil); err == nil {
-		t.Error("a file was replaced")
+		t.Error("Listen replaced a regular file")
 	}
 }
