--- a/internal/endpoint/registry_test.go
+++ b/internal/endpoint/registry_test.go
@@ -22,7 +22,7 @@
 	return out
 }
 
-// Gateways that learned of the same replicas in another order agree on their IDs, also where names collide.
+// Gateways that receive the same replicas in different orders assign the same IDs, even if the hashes collide.
 func TestReplicaIDsDoNotDependOnOrder(t *testing.T) {
 	original := hashReplicaID
 	defer func() { hashReplicaID = original }()
@@ -53,20 +53,21 @@
 			}
 			for _, id := range got {
 				if r.ByID(id) == nil {
-					t.Errorf("%s: no replica %d", name, id)
+					t.Errorf("%s: ByID(%d) = nil", name, id)
 				}
 			}
 		}
 	}
 }
 
-// Apply returns what has changed and which processes have ended or restarted, and converts each start once.
+// Apply returns the changed endpoints and the processes that have ended or restarted, and converts each start
+// time once.
 func TestApplyListsAndDeltas(t *testing.T) {
 	conversions := int64(0)
-	since := func(ms int64) balancer.Micros { conversions++; return ms*1000 + conversions }
+	toGatewayTime := func(ms int64) balancer.Micros { conversions++; return ms*1000 + conversions }
 	r := NewRegistry()
 	apply := func(kind balancer.ListKind, in ...httpwire.Endpoint) (map[balancer.ReplicaID]balancer.EndpointState, []string) {
-		out, retired := r.Apply(httpwire.EndpointList{Endpoints: in}, kind, since)
+		out, retired := r.Apply(httpwire.EndpointList{Endpoints: in}, kind, toGatewayTime)
 		states := map[balancer.ReplicaID]balancer.EndpointState{}
 		for _, e := range out.Endpoints {
 			states[e.Replica] = e.State
@@ -90,7 +91,7 @@
 			map[balancer.ReplicaID]balancer.EndpointState{a: balancer.EndpointRemoved}, []string{"a@127.0.0.1:a/0"}, 1},
 		{balancer.ListDelta, []httpwire.Endpoint{listEntry("b", "ready", 50)},
 			map[balancer.ReplicaID]balancer.EndpointState{b: balancer.EndpointReady}, nil, 1},
-		{balancer.ListDelta, []httpwire.Endpoint{listEntry("b", "ready", 60)}, // it restarted: its connections are dead
+		{balancer.ListDelta, []httpwire.Endpoint{listEntry("b", "ready", 60)}, // a restart: the old connections are to be closed
 			map[balancer.ReplicaID]balancer.EndpointState{b: balancer.EndpointReady}, []string{"b@127.0.0.1:b/50"}, 1},
 		{balancer.ListFull, []httpwire.Endpoint{listEntry("a", "unknown state", 0)},
 			map[balancer.ReplicaID]balancer.EndpointState{a: balancer.EndpointDraining}, []string{"b@127.0.0.1:b/60"}, 0},
@@ -103,9 +104,9 @@
 			t.Errorf("step %d: retired %v, ready %d", i, retired, r.ReadyCount())
 		}
 	}
-	// A start is converted once: one that moved with the clock's drift would look like another start, and
-	// the replica as if it were warming up.
+	// A second conversion of the same start could differ because of clock drift. The replica would seem to have
+	// restarted and to be warming up.
 	if conversions != 2 {
-		t.Errorf("%d conversions of two starts", conversions)
+		t.Errorf("%d conversions of 2 start times, want 2", conversions)
 	}
 }
--- a/internal/endpoint/replica.go
+++ b/internal/endpoint/replica.go
@@ -8,30 +8,31 @@
 	"archknot/internal/httpwire"
 )
 
-// Replica is a replica as the endpoint list names it, with what the gateway knows of it beside the list.
-// It belongs to the gateway's event loop; only Accepting and ConnKey may be called by other goroutines.
+// Replica is an entry of the endpoint list with the gateway's own state of the replica. Only the gateway's
+// event loop may use it, except for Accepting and ConnKey, which any goroutine may call.
 type Replica struct {
 	httpwire.Endpoint
 	ID        balancer.ReplicaID
-	StartedAt balancer.Micros // its last start on the gateway's clock; 0: long ago
+	StartedAt balancer.Micros // last start on the gateway's clock; 0: long ago
 
-	// inFlight counts the gateway's own attempts at the replica. Successive entries of one process share it.
+	// inFlight counts the gateway's own attempts at the replica. Successive entries of one process share the
+	// counter. It is nil in a Replica that newReplica did not create.
 	inFlight *int
-	// accepting becomes false once this process may get no new attempts. Attempts hold an entry that may be
-	// out of date, hence the entries of one process share it. It is nil where there is no such state.
+	// accepting is false while the process may get no new attempts. The entries of one process share it,
+	// because an attempt may hold an outdated entry. It is nil in a Replica that newReplica did not create.
 	accepting *atomic.Bool
 }
 
 // newReplica returns the replica of a list entry. It takes over the state of the replica's previous entry,
-// nil if there is none, as far as both are of the same process.
-func newReplica(entry httpwire.Endpoint, previous *Replica, sinceOf func(int64) balancer.Micros) *Replica {
+// nil if there is none, if both entries are of the same process.
+func newReplica(entry httpwire.Endpoint, previous *Replica, toGatewayTime func(int64) balancer.Micros) *Replica {
 	r := &Replica{Endpoint: entry}
 	switch {
 	case previous != nil && previous.StartedAtMs == entry.StartedAtMs:
 		r.StartedAt = previous.StartedAt
 		r.inFlight = previous.inFlight
 	case entry.StartedAtMs > 0:
-		r.StartedAt = sinceOf(entry.StartedAtMs)
+		r.StartedAt = toGatewayTime(entry.StartedAtMs)
 	}
 	if r.inFlight == nil {
 		r.inFlight = new(int)
@@ -45,24 +46,24 @@
 	return r
 }
 
-// Accepting reports whether the replica may get new attempts by the current list, also for an attempt
-// that was decided before the list changed. It may be called by any goroutine.
+// Accepting reports whether the replica may get new attempts according to the current list, even if the
+// caller's entry is from an earlier list. Any goroutine may call it.
 func (r *Replica) Accepting() bool { return r.accepting == nil || r.accepting.Load() }
 
-// stopAccepting marks that this process gets no new attempts any more.
+// stopAccepting ends new attempts at this process.
 func (r *Replica) stopAccepting() {
 	if r.accepting != nil {
 		r.accepting.Store(false)
 	}
 }
 
-// ConnKey identifies this process at its address. Connections pooled under it are never used for another
-// process that listens there later.
+// ConnKey identifies this process at its address. Connections pooled under the key are never used for another
+// process that later listens on the same address.
 func (r *Replica) ConnKey() string {
 	return fmt.Sprintf("%s@%s/%d", r.Endpoint.ID, r.Addr, r.StartedAtMs)
 }
 
-// InFlight returns the number of the gateway's attempts at the replica that have not ended.
+// InFlight returns the number of the gateway's unfinished attempts at the replica.
 func (r *Replica) InFlight() int {
 	if r.inFlight == nil {
 		return 0
@@ -70,7 +71,7 @@
 	return *r.inFlight
 }
 
-// AddInFlight changes the number of attempts in flight by delta.
+// AddInFlight adds delta, which may be negative, to the number of attempts in flight.
 func (r *Replica) AddInFlight(delta int) {
 	if r.inFlight != nil {
 		*r.inFlight += delta
@@ -90,8 +91,8 @@
 	}
 }
 
-// retire stops new attempts at a previous entry if the current one, nil if there is none, is of another
-// process. It then returns the key of the connections to close.
+// retire stops new attempts at a replica's previous entry if its current entry, nil if there is none, is of
+// another process. It then returns the ConnKey of the connections to close.
 func retire(previous, current *Replica) (connKey string, retired bool) {
 	if previous == nil {
 		return "", false
--- a/internal/endpoint/replicaid.go
+++ b/internal/endpoint/replicaid.go
@@ -7,10 +7,10 @@
 	"archknot/balancer"
 )
 
-// assignIDs gives each replica its balancer ID. The balancer ranks affinity targets by these IDs, so every
-// gateway must assign the same ones in whatever order it learned of the replicas: an ID is a hash of the
-// name, and where two names collide, the later one in sort order takes the next hash. It reports whether
-// a replica that remains on the list has changed its ID.
+// assignIDs assigns each replica its balancer ID. The balancer ranks affinity targets by ID, so every gateway
+// must assign the same IDs, whatever the order in which it received the replicas. Therefore an ID is a hash of
+// the name, and if two names collide, the later one in sort order gets its next free hash. assignIDs reports
+// whether a replica that remains on the list has a new ID.
 func (r *Registry) assignIDs(previous map[string]*Replica) (changed bool) {
 	names := make([]string, 0, len(r.byName))
 	for name := range r.byName {
@@ -18,11 +18,11 @@
 	}
 	slices.Sort(names)
 	clear(r.byID)
-	r.readyCount, r.rehashed = 0, 0
+	r.readyCount, r.rehashedCount = 0, 0
 	for _, name := range names {
 		id := r.freeID(name)
 		if id != hashReplicaID(name, 0) {
-			r.rehashed++
+			r.rehashedCount++
 		}
 		if before := previous[name]; before != nil && before.ID != id {
 			changed = true
@@ -37,7 +37,7 @@
 	return changed
 }
 
-// freeID returns the first hash of the name that no other replica has.
+// freeID returns the first hash of the name that is not assigned to another replica.
 func (r *Registry) freeID(name string) balancer.ReplicaID {
 	id := hashReplicaID(name, 0)
 	for salt := byte(1); r.byID[id] != nil; salt++ {
