--- a/internal/metrics/control.go
+++ b/internal/metrics/control.go
@@ -8,7 +8,7 @@
 	"archknot/internal/controlstats"
 )
 
-// controlCollector collects the statistics of a gateway's control work: discovery, health
+// controlCollector collects the statistics of a gateway's control plane: discovery, health
 // checks, connections and operators' calls.
 type controlCollector struct{ source Source }
 
@@ -22,17 +22,17 @@
 	rejectedListsDesc    = controlDesc("refused_lists_total", "Lists of discovery's that were not taken.")
 	malformedEntriesDesc = controlDesc("odd_entries_total", "Entries of discovery's lists that could not be taken as they stood.")
 	unknownKeysDesc      = controlDesc("config_unknown_keys", "Keys of the platform's configuration in force that the program does not serve.")
-	closedDesc           = controlDesc("client_closed_total", "Clients' connections that were closed, by reason.", "reason")
+	closedClientsDesc    = controlDesc("client_closed_total", "Clients' connections that were closed, by reason.", "reason")
 	ejectedDesc          = controlDesc("replicas_out", "Replicas that operators have taken out.")
 	drainedDesc          = controlDesc("drained", "1 while operators have the gateway drained.")
 	unsavedOrdersDesc    = controlDesc("orders_not_saved", "1 while what operators ordered cannot be read or saved.")
-	operatorDesc         = controlDesc("operator_calls_total", "Operators' calls, by call and answer.", "call", "answer")
-	versionDesc          = controlDesc("list_version", "The version of the list in force.")
+	operatorCallsDesc    = controlDesc("operator_calls_total", "Operators' calls, by call and answer.", "call", "answer")
+	listVersionDesc      = controlDesc("list_version", "The version of the list in force.")
 	listAgeDesc          = controlDesc("list_age_seconds", "Time since discovery's last word on the list in force.")
 	listStaleDesc        = controlDesc("list_stale", "1 while the list in force is too old to be trusted.")
 	pollsDesc            = controlDesc("polls_total", "Polls of discovery that have ended, by outcome.", "outcome")
 	connectionsDesc      = controlDesc("connections", "Connections to replicas that are open.")
-	busyDesc             = controlDesc("decide_seconds_total", "Time that the task that decides was busy.")
+	loopBusyDesc         = controlDesc("decide_seconds_total", "Time that the task that decides was busy.")
 	attemptsDesc         = controlDesc("attempts_total", "Attempts, by whether there was a report of the replica's load.", "report")
 	reportAgeDesc        = controlDesc("report_age_seconds_total", "Ages of the reports that attempts went by, summed up.")
 	callsDesc            = controlDesc("calls_total", "Calls over connections, by purpose.", "purpose")
@@ -40,15 +40,15 @@
 	bytesDesc            = controlDesc("bytes_total", "Bytes over connections, by purpose and way.", "purpose", "way")
 )
 
-// Describe sends the descriptions of all metrics of control work.
+// Describe sends the descriptions of all control plane metrics.
 func (c *controlCollector) Describe(ch chan<- *prometheus.Desc) {
-	for _, d := range []*prometheus.Desc{replicasDesc, subsetChangesDesc, rejectedListsDesc, malformedEntriesDesc, unknownKeysDesc, closedDesc, ejectedDesc, drainedDesc, unsavedOrdersDesc, operatorDesc, versionDesc, listAgeDesc, listStaleDesc, pollsDesc, connectionsDesc, busyDesc, attemptsDesc,
+	for _, d := range []*prometheus.Desc{replicasDesc, subsetChangesDesc, rejectedListsDesc, malformedEntriesDesc, unknownKeysDesc, closedClientsDesc, ejectedDesc, drainedDesc, unsavedOrdersDesc, operatorCallsDesc, listVersionDesc, listAgeDesc, listStaleDesc, pollsDesc, connectionsDesc, loopBusyDesc, attemptsDesc,
 		reportAgeDesc, callsDesc, openedDesc, bytesDesc} {
 		ch <- d
 	}
 }
 
-// Collect sends the statistics.
+// Collect sends the statistics. If the source fails, it sends an invalid metric, so that the scrape fails.
 func (c *controlCollector) Collect(ch chan<- prometheus.Metric) {
 	ctx, cancel := context.WithTimeout(context.Background(), scrapeTimeout)
 	defer cancel()
@@ -63,7 +63,7 @@
 	emitTraffic(e, &stats)
 }
 
-// emitEndpoints sends the metrics of the endpoint list and of the subset.
+// emitEndpoints sends the metrics of the endpoint list, discovery, the subset and client connections.
 func emitEndpoints(e emitter, stats *controlstats.Stats) {
 	e.gauge(replicasDesc, float64(stats.Listed), "listed")
 	e.gauge(replicasDesc, float64(stats.Ready), "ready")
@@ -75,9 +75,9 @@
 	e.counter(malformedEntriesDesc, float64(stats.MalformedEntries))
 	e.gauge(unknownKeysDesc, float64(stats.UnknownKeys))
 	for reason, n := range stats.ClosedConnections {
-		e.counter(closedDesc, float64(n), reason)
+		e.counter(closedClientsDesc, float64(n), reason)
 	}
-	e.gauge(versionDesc, float64(stats.ListVersion))
+	e.gauge(listVersionDesc, float64(stats.ListVersion))
 	e.gauge(listAgeDesc, stats.ListAge.Seconds())
 	e.gauge(listStaleDesc, boolValue(stats.ListStale))
 	for outcome, n := range stats.Polls {
@@ -85,7 +85,7 @@
 	}
 }
 
-// emitOperators sends the metrics of operators' orders and calls.
+// emitOperators sends the metrics of maintenance orders and operators' calls.
 func emitOperators(e emitter, stats *controlstats.Stats) {
 	e.gauge(ejectedDesc, float64(stats.EjectedReplicas))
 	e.gauge(drainedDesc, boolValue(stats.Drained))
@@ -95,14 +95,14 @@
 		if c.Accepted {
 			answer = "yes"
 		}
-		e.counter(operatorDesc, float64(c.Count), c.Call, answer)
+		e.counter(operatorCallsDesc, float64(c.Count), c.Call, answer)
 	}
 }
 
-// emitTraffic sends the metrics of connections, of the event loop and of load reports.
+// emitTraffic sends the metrics of connections, the event loop and load reports.
 func emitTraffic(e emitter, stats *controlstats.Stats) {
 	e.gauge(connectionsDesc, float64(stats.Connections))
-	e.counter(busyDesc, stats.LoopBusy.Seconds())
+	e.counter(loopBusyDesc, stats.LoopBusy.Seconds())
 	e.counter(attemptsDesc, float64(stats.Reports.WithReport), "known")
 	e.counter(attemptsDesc, float64(stats.Reports.WithoutReport), "none")
 	e.counter(reportAgeDesc, stats.Reports.Sum.Seconds())
@@ -115,7 +115,7 @@
 	}
 }
 
-// boolValue is 1 for true.
+// boolValue returns 1 for true and 0 for false.
 func boolValue(on bool) float64 {
 	if on {
 		return 1
--- a/internal/metrics/emitter.go
+++ b/internal/metrics/emitter.go
@@ -2,7 +2,7 @@
 
 import "github.com/prometheus/client_golang/prometheus"
 
-// emitter sends metrics whose first labels are the same.
+// emitter sends metrics that have their first label values in common.
 type emitter struct {
 	ch     chan<- prometheus.Metric
 	labels []string
--- a/internal/metrics/metrics.go
+++ b/internal/metrics/metrics.go
@@ -1,5 +1,5 @@
-// Package metrics serves a gateway's metrics in the Prometheus text format. Its listener
-// is for operators; there is none unless the configuration has an address.
+// Package metrics serves a gateway's metrics in the Prometheus text format, on a listener
+// of its own that exists only if the configuration sets an address.
 package metrics
 
 import (
@@ -17,29 +17,28 @@
 	"archknot/internal/controlstats"
 )
 
-// Source provides the values. Its methods may be called by any goroutine.
+// Source provides the values of the metrics. Its methods must be safe for concurrent use.
 type Source interface {
 	// Accounts returns the state of each team's contract.
 	Accounts(ctx context.Context) ([]contract.AccountStatus, error)
-	// Control returns the statistics of the gateway's control work.
+	// Control returns the statistics of the gateway's control plane.
 	Control(ctx context.Context) (controlstats.Stats, error)
 }
 
-// Bounds on the server.
 const (
-	scrapeTimeout   = 2 * time.Second // for the values of one collector
-	maxScrapes      = 4               // at once
-	readTimeout     = 5 * time.Second
-	writeTimeout    = 10 * time.Second
-	idleTimeout     = time.Minute
-	maxRequestBytes = 8 << 10 // of a request's head
+	scrapeTimeout  = 2 * time.Second // bounds the query of the Source by one collector
+	maxScrapes     = 4               // concurrent scrapes
+	readTimeout    = 5 * time.Second
+	writeTimeout   = 10 * time.Second
+	idleTimeout    = time.Minute
+	maxHeaderBytes = 8 << 10 // request line included
 )
 
-// Server serves /metrics until Close.
+// Server is the HTTP server of /metrics.
 type Server struct{ http *http.Server }
 
-// Listen opens the address and serves /metrics there. At most so many teams have metrics
-// of their own; see OtherTeams.
+// Listen opens the address and serves /metrics there. maxTeams bounds the number of team
+// labels, including OtherTeams, which sums up the remaining teams.
 func Listen(addr string, maxTeams int, source Source) (*Server, error) {
 	l, err := net.Listen("tcp", addr)
 	if err != nil {
@@ -47,19 +46,19 @@
 	}
 	mux := http.NewServeMux()
 	mux.Handle("GET /metrics", Handler(maxTeams, source))
-	s := &Server{&http.Server{Handler: mux, ReadTimeout: readTimeout, WriteTimeout: writeTimeout, IdleTimeout: idleTimeout, MaxHeaderBytes: maxRequestBytes}}
-	go func() { _ = s.http.Serve(l) }() // it ends with Close
+	s := &Server{&http.Server{Handler: mux, ReadTimeout: readTimeout, WriteTimeout: writeTimeout, IdleTimeout: idleTimeout, MaxHeaderBytes: maxHeaderBytes}}
+	go func() { _ = s.http.Serve(l) }() // returns after Close
 	return s, nil
 }
 
-// Close ends the server. A nil server is none.
+// Close stops the server. It does nothing on a nil Server.
 func (s *Server) Close() {
 	if s != nil {
 		s.http.Close()
 	}
 }
 
-// Handler serves the metrics; see Listen for the arguments.
+// Handler returns the handler of /metrics. The parameters are those of Listen.
 func Handler(maxTeams int, source Source) http.Handler {
 	r := prometheus.NewRegistry()
 	r.MustRegister(collectors.NewGoCollector(), &contractCollector{maxTeams, source}, &controlCollector{source})
--- a/internal/metrics/metrics_test.go
+++ b/internal/metrics/metrics_test.go
@@ -17,7 +17,7 @@
 	"archknot/internal/controlstats"
 )
 
-// fakeSource is a Source of fixed values.
+// fakeSource is a Source with fixed values.
 type fakeSource struct {
 	accounts []contract.AccountStatus
 	control  controlstats.Stats
@@ -30,7 +30,7 @@
 
 func (s *fakeSource) Control(context.Context) (controlstats.Stats, error) { return s.control, s.err }
 
-// account is the state of one team's contract.
+// account returns the state of a team's contract.
 func account(i int) contract.AccountStatus {
 	a := contract.AccountStatus{Team: fmt.Sprint("team", i), Level: 5 * contract.Token, Open: 2, QuotaShare: 0.25, InForce: true}
 	a.Used[contract.Hour], a.Limit[contract.Hour] = 30*contract.Token, 100*contract.Token
@@ -38,8 +38,8 @@
 	return a
 }
 
-// However many teams there are, the number of those with metrics of their own is bounded,
-// and the sums are over all teams.
+// The number of team labels is bounded, whatever the number of teams, and the metrics still
+// include the counts of all teams.
 func TestTeamLabelsAreBounded(t *testing.T) {
 	s := &fakeSource{}
 	for i := range 10_000 {
@@ -65,7 +65,7 @@
 		}
 	}
 	if len(teams) != 50 || !teams[OtherTeams] || admitted != 100_000 {
-		t.Errorf("%d teams, %v admitted", len(teams), admitted)
+		t.Errorf("%d team labels, want 50 with OtherTeams; %v admitted, want 100000", len(teams), admitted)
 	}
 }
 
@@ -85,7 +85,7 @@
 	if problems, err := testutil.CollectAndLint(&contractCollector{50, s}); err != nil || len(problems) > 0 {
 		t.Error(problems, err)
 	}
-	// A gateway that does not answer is an error, not metrics with the value 0.
+	// If the gateway does not provide the values, the scrape fails; it does not return zeros.
 	s.err = errors.New("no answer")
 	w := httptest.NewRecorder()
 	Handler(50, s).ServeHTTP(w, httptest.NewRequest(http.MethodGet, "/metrics", nil))
@@ -103,11 +103,11 @@
 	if _, err := Listen("127.0.0.1:notaport", 5, &fakeSource{}); err == nil || !strings.Contains(err.Error(), "metrics.listen") {
 		t.Error(err)
 	}
-	var none *Server
-	none.Close()
+	var nilServer *Server
+	nilServer.Close()
 }
 
-// The statistics of control work are there by name, purpose and direction.
+// The control plane statistics are exported under the expected names and labels.
 func TestControlMetrics(t *testing.T) {
 	s := &fakeSource{control: controlstats.Stats{Listed: 6000, Ready: 5990, Subset: 102, OutsideTargets: 64, Joined: 110, Left: 8, RejectedLists: 3, ListVersion: 41,
 		Connections: 120, LoopBusy: 2500 * time.Millisecond, Reports: controlstats.ReportAge{WithReport: 40, WithoutReport: 2, Sum: 12 * time.Second}}}
@@ -136,8 +136,8 @@
 			t.Errorf("%s: %v, want %v", name, v, want)
 		}
 	}
-	s.err = errors.New("it does not answer")
+	s.err = errors.New("no answer")
 	if _, err := r.Gather(); err == nil {
-		t.Error("metrics are served although there are no values")
+		t.Error("the scrape succeeds although the source fails")
 	}
 }
