--- a/internal/asynclog/asynclog.go
+++ b/internal/asynclog/asynclog.go
@@ -1,5 +1,5 @@
-// Package asynclog writes log lines without ever blocking the caller: a stalled reader of the log or a
-// full disk costs lines and nothing else.
+// Package asynclog writes log lines without blocking the caller: if the reader of the log stalls or the disk
+// is full, lines are dropped.
 package asynclog
 
 import (
@@ -12,11 +12,11 @@
 // maxQueuedBytes bounds the text that is queued for writing.
 const maxQueuedBytes = 256 << 10
 
-// flushPollInterval is how often Flush looks whether all is written.
+// flushPollInterval is how often Flush checks whether all lines are written.
 const flushPollInterval = time.Millisecond
 
 // Writer passes lines to a goroutine that writes them. Lines beyond maxQueuedBytes are dropped and counted.
-// It may be used by many goroutines at once.
+// It is safe for concurrent use.
 type Writer struct {
 	out  io.Writer
 	wake chan struct{}
@@ -29,14 +29,14 @@
 	droppedTotal      int64
 }
 
-// New returns a Writer to out. Its goroutine runs until the process ends.
+// New returns a Writer that writes to out. Its goroutine runs until the process ends.
 func New(out io.Writer) *Writer {
 	w := &Writer{out: out, wake: make(chan struct{}, 1)}
 	go w.run()
 	return w
 }
 
-// Write queues or drops a line. It never fails and never waits for out.
+// Write queues a line, or drops it if the queue is full. It returns no error and never waits for out.
 func (w *Writer) Write(line []byte) (int, error) {
 	w.mu.Lock()
 	if len(w.queued)+len(line) > maxQueuedBytes {
@@ -53,14 +53,14 @@
 	return len(line), nil
 }
 
-// Dropped returns the number of lines that were dropped or failed to be written since the start.
+// Dropped returns the number of lines dropped since the start. A failed write counts as one line.
 func (w *Writer) Dropped() int64 {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	return w.droppedTotal
 }
 
-// Flush waits until all queued lines are written, but no longer than the timeout.
+// Flush waits until all queued lines are written, at most for the timeout.
 func (w *Writer) Flush(timeout time.Duration) {
 	for deadline := time.Now().Add(timeout); time.Now().Before(deadline); time.Sleep(flushPollInterval) {
 		w.mu.Lock()
@@ -80,13 +80,13 @@
 		w.mu.Lock()
 		w.writing, w.recycled = false, text[:0]
 		if err != nil && len(text) > 0 {
-			w.droppedTotal++ // at least one line; how many were written is unknown
+			w.droppedTotal++ // at least one line; the number that was written is unknown
 		}
 		w.mu.Unlock()
 	}
 }
 
-// take returns all queued text, followed by a line with the number of dropped lines if there are any.
+// take returns all queued text, followed by a line with the number of dropped lines if that is not 0.
 func (w *Writer) take() []byte {
 	w.mu.Lock()
 	defer w.mu.Unlock()
--- a/internal/asynclog/asynclog_test.go
+++ b/internal/asynclog/asynclog_test.go
@@ -10,7 +10,7 @@
 	"time"
 )
 
-// blockingWriter is a destination whose writes block until unblocked is closed.
+// blockingWriter blocks each write until unblocked is closed.
 type blockingWriter struct {
 	unblocked chan struct{}
 	mu        sync.Mutex
@@ -28,8 +28,8 @@
 	return out.written.Write(p)
 }
 
-// However long the destination blocks, logging does not; lines that were not dropped are written in order,
-// and the number of dropped lines is logged.
+// While the destination blocks, logging does not block. Lines that were not dropped are written in order, and
+// the number of dropped lines is logged.
 func TestBlockedReaderNeverBlocksWriters(t *testing.T) {
 	out := &blockingWriter{unblocked: make(chan struct{})}
 	w := New(out)
@@ -39,18 +39,18 @@
 		fmt.Fprintf(w, "line %06d %s\n", i, strings.Repeat("x", 50))
 	}
 	if took := time.Since(start); took > 2*time.Second {
-		t.Errorf("logging took %v", took)
+		t.Errorf("logging to a blocked destination took %v, want at most 2 s", took)
 	}
 	if w.Dropped() == 0 {
 		t.Error("nothing was dropped: the queue is not bounded")
 	}
-	w.Flush(10 * time.Millisecond) // returns although nothing is written
+	w.Flush(10 * time.Millisecond) // returns although the destination blocks
 	close(out.unblocked)
 	w.Flush(5 * time.Second)
 	out.mu.Lock()
 	defer out.mu.Unlock()
 	if out.written.Len() > 2*maxQueuedBytes+100 {
-		t.Errorf("%d bytes were queued", out.written.Len())
+		t.Errorf("%d bytes written after the destination blocked, more than the queue may hold", out.written.Len())
 	}
 	last := -1
 	writtenLines := 0
@@ -69,7 +69,7 @@
 	}
 }
 
-// Lines that cannot be written count as dropped.
+// A failed write counts as a dropped line.
 func TestFailedWriteIsCounted(t *testing.T) {
 	out := &blockingWriter{unblocked: make(chan struct{}), err: errors.New("no space left on device")}
 	close(out.unblocked)
@@ -81,6 +81,6 @@
 		w.Flush(time.Second)
 	}
 	if w.Dropped() == 0 {
-		t.Error("a failed write is not counted")
+		t.Error("failed writes are not counted as dropped lines")
 	}
 }
--- a/internal/boltfile/boltfile.go
+++ b/internal/boltfile/boltfile.go
@@ -1,5 +1,5 @@
-// Package boltfile opens small bbolt databases that survive a kill at any point. A
-// damaged one is set aside: it is neither served from nor lost.
+// Package boltfile opens small bbolt databases that survive a kill of the process at any
+// point. A damaged database file is renamed, so that it is neither used nor lost.
 package boltfile
 
 import (
@@ -16,19 +16,19 @@
 	bolterrors "go.etcd.io/bbolt/errors"
 )
 
-// lockTimeout is how long Open waits for another process that has the file open.
+// lockTimeout bounds how long Open waits for the file lock of another process.
 const lockTimeout = time.Second
 
-// asideTime is the time in the name of a database that is set aside.
-const asideTime = "20060102T150405.000000"
+// damagedTimeLayout is the layout of the UTC time in the new name of a damaged database.
+const damagedTimeLayout = "20060102T150405.000000"
 
-// ErrDamaged is wrapped by errors of a database that can't be read.
-var ErrDamaged = errors.New("damaged")
+// ErrDamaged is wrapped by the errors of a database whose content fails a check or cannot be read.
+var ErrDamaged = errors.New("database damaged")
 
-// Open opens the database at a path, with mode 0600, and creates its buckets where they
-// are missing. The function read must be able to read all that the caller needs. A damaged
-// database is set aside: aside is its new name, and an empty one takes its place.
-func Open(path string, buckets [][]byte, read func(*bbolt.DB) error) (db *bbolt.DB, aside string, err error) {
+// Open opens the database at a path, with mode 0600, and creates missing buckets. The function
+// read reads all that the caller needs; its error means that the database is damaged. A damaged
+// database is renamed to damagedPath, and replaced by an empty one.
+func Open(path string, buckets [][]byte, read func(*bbolt.DB) error) (db *bbolt.DB, damagedPath string, err error) {
 	if err := os.MkdirAll(filepath.Dir(path), 0o700); err != nil {
 		return nil, "", err
 	}
@@ -40,21 +40,21 @@
 	if errors.As(err, &pathError) {
 		return nil, "", err
 	}
-	aside = fmt.Sprintf("%s.damaged-%s", path, time.Now().UTC().Format(asideTime))
-	if renameErr := os.Rename(path, aside); renameErr != nil {
+	damagedPath = fmt.Sprintf("%s.damaged-%s", path, time.Now().UTC().Format(damagedTimeLayout))
+	if renameErr := os.Rename(path, damagedPath); renameErr != nil {
 		return nil, "", errors.Join(err, renameErr)
 	}
 	db, err = openChecked(path, buckets, read)
-	return db, aside, err
+	return db, damagedPath, err
 }
 
-// openChecked opens a database and checks all of it.
+// openChecked opens a database, checks its consistency and reads the caller's data.
 func openChecked(path string, buckets [][]byte, read func(*bbolt.DB) error) (db *bbolt.DB, err error) {
 	if err := checkComplete(path); err != nil {
 		return nil, err
 	}
-	// Pages that point nowhere make the library panic, and pages beyond the end of the
-	// file fault.
+	// bbolt panics on invalid page references, and an access to a mapped page beyond the end of
+	// the file faults.
 	defer debug.SetPanicOnFault(debug.SetPanicOnFault(true))
 	defer func() {
 		if p := recover(); p != nil {
@@ -77,7 +77,7 @@
 	return db, err
 }
 
-// createBuckets creates the buckets that are missing, and checks the database.
+// createBuckets creates missing buckets, and checks the consistency of the database.
 func createBuckets(db *bbolt.DB, buckets [][]byte) error {
 	return db.Update(func(tx *bbolt.Tx) error {
 		for _, name := range buckets {
@@ -92,21 +92,21 @@
 	})
 }
 
-// The head of a database, as the library lays it out: two meta pages, of which the one
-// with the higher transaction counts. Each has a page header of 16 bytes before it.
+// bbolt's file layout: the file begins with two meta pages, of which the valid one with the
+// higher transaction ID is current. Offsets and sizes are in bytes.
 const (
-	metaMagic       = 0xED0CDAED
-	headerSize      = 16
-	pageSizeOffset  = headerSize + 8
-	pageCountOffset = headerSize + 40
-	metaSize        = headerSize + 64
+	metaMagic       = 0xED0CDAED          // first field of a meta
+	pageHeaderSize  = 16                  // precedes the meta in a meta page
+	pageSizeOffset  = pageHeaderSize + 8  // of the page size in a meta page
+	pageCountOffset = pageHeaderSize + 40 // of the page count in a meta page
+	metaSize        = pageHeaderSize + 64 // page header and meta
 	minPageSize     = 512
 	maxPageSize     = 64 << 10
-	maxPageCount    = 1 << 40
+	maxPageCount    = 1 << 40 // keeps the product with the page size below 2^63
 )
 
-// checkComplete returns an error if a file is shorter than its head says: the library would
-// map all of it, and fault at what is missing.
+// checkComplete returns an error if a file is shorter than its meta pages state: bbolt would
+// map the full size and fault on the missing pages.
 func checkComplete(path string) error {
 	f, err := os.Open(path)
 	if errors.Is(err, os.ErrNotExist) {
@@ -121,32 +121,32 @@
 		return err
 	}
 	if info.Size() == 0 {
-		return nil // the library makes a new database of it
+		return nil // bbolt initializes an empty file as a new database
 	}
-	var head [metaSize]byte
-	if _, err := f.ReadAt(head[:], 0); err != nil && !errors.Is(err, io.EOF) {
+	var page [metaSize]byte
+	if _, err := f.ReadAt(page[:], 0); err != nil && !errors.Is(err, io.EOF) {
 		return err
 	}
-	pageSize := int64(binary.LittleEndian.Uint32(head[pageSizeOffset:]))
-	if !hasMeta(&head) || pageSize < minPageSize || pageSize > maxPageSize {
-		return nil // the other meta page may do, or the library reports it
+	pageSize := int64(binary.LittleEndian.Uint32(page[pageSizeOffset:]))
+	if !hasMetaMagic(&page) || pageSize < minPageSize || pageSize > maxPageSize {
+		return nil // bbolt uses the other meta page, or returns an error
 	}
-	pages := pageCount(&head)
-	if _, err := f.ReadAt(head[:], pageSize); err == nil && hasMeta(&head) {
-		pages = max(pages, pageCount(&head))
+	pages := pageCount(&page)
+	if _, err := f.ReadAt(page[:], pageSize); err == nil && hasMetaMagic(&page) {
+		pages = max(pages, pageCount(&page))
 	}
 	if pages > maxPageCount || info.Size() < int64(pages)*pageSize {
-		return fmt.Errorf("%w: %d bytes, its head has %d pages of %d", ErrDamaged, info.Size(), pages, pageSize)
+		return fmt.Errorf("%w: file has %d bytes, its meta page states %d pages of %d bytes", ErrDamaged, info.Size(), pages, pageSize)
 	}
 	return nil
 }
 
-// hasMeta reports whether a meta page is there.
-func hasMeta(head *[metaSize]byte) bool {
-	return binary.LittleEndian.Uint32(head[headerSize:]) == metaMagic
+// hasMetaMagic reports whether a page has the magic number of a meta page.
+func hasMetaMagic(page *[metaSize]byte) bool {
+	return binary.LittleEndian.Uint32(page[pageHeaderSize:]) == metaMagic
 }
 
-// pageCount is the number of pages that a meta page has.
-func pageCount(head *[metaSize]byte) uint64 {
-	return binary.LittleEndian.Uint64(head[pageCountOffset:])
+// pageCount returns the number of pages in the file according to a meta page.
+func pageCount(page *[metaSize]byte) uint64 {
+	return binary.LittleEndian.Uint64(page[pageCountOffset:])
 }
--- a/internal/sockets/closeempty.go
+++ b/internal/sockets/closeempty.go
@@ -9,19 +9,20 @@
 	"golang.org/x/sys/unix"
 )
 
-// queueCheckInterval is the time between two looks at an accept queue that is to become empty.
+// queueCheckInterval is how often CloseWhenEmpty checks the accept queue.
 const queueCheckInterval = time.Millisecond
 
-// CloseWhenEmpty closes a listener at a moment when no connection waits in its accept queue. The system
-// resets the connections that wait there at a close, with what their clients have sent. Another goroutine
-// has to accept meanwhile. Once ctx has ended, the listener is closed whatever waits; empty is false then.
+// CloseWhenEmpty closes a listener at a moment when its accept queue is empty. On close the kernel resets all
+// connections in the queue, and the data that their clients have sent is lost. Another goroutine must accept
+// connections in the meantime. Once ctx has ended, the listener is closed with whatever is in its queue, and
+// empty is false.
 //
-// A socket that another process accepts on as well must be closed with Close: its queue outlives this
+// A socket on which another process accepts as well must be closed with Close: its queue outlives this
 // process.
 func CloseWhenEmpty(ctx context.Context, l net.Listener) (empty bool, err error) {
 	ticker := time.NewTicker(queueCheckInterval)
 	defer ticker.Stop()
-	for !stopIfEmpty(l) {
+	for !shutdownIfEmpty(l) {
 		select {
 		case <-ticker.C:
 		case <-ctx.Done():
@@ -31,10 +32,10 @@
 	return true, l.Close()
 }
 
-// stopIfEmpty has a listening socket refuse new connections unless one waits in its queue, and reports
-// whether none waited. Close alone would leave the socket open until the goroutine that accepts has run,
-// and connections would go on arriving.
-func stopIfEmpty(l net.Listener) (empty bool) {
+// shutdownIfEmpty makes a listening socket refuse new connections if its accept queue is empty, and reports
+// whether the queue was empty. After Close alone the socket would still listen until the accepting goroutine
+// has run, and connections that arrive until then would be reset.
+func shutdownIfEmpty(l net.Listener) (empty bool) {
 	conn, ok := l.(syscall.Conn)
 	if !ok {
 		return true
@@ -45,13 +46,13 @@
 	}
 	err = raw.Control(func(fd uintptr) {
 		if empty = !hasWaiting(int(fd)); empty {
-			_ = unix.Shutdown(int(fd), unix.SHUT_RD) // the close that follows does the same, later
+			_ = unix.Shutdown(int(fd), unix.SHUT_RD) // if it fails, the close that follows has the same effect later
 		}
 	})
 	return empty || err != nil
 }
 
-// hasWaiting reports whether a connection waits in the accept queue of a listening socket.
+// hasWaiting reports whether the accept queue of a listening socket holds a connection.
 func hasWaiting(fd int) bool {
 	fds := []unix.PollFd{{Fd: int32(fd), Events: unix.POLLIN}}
 	for {
--- a/internal/sockets/listener.go
+++ b/internal/sockets/listener.go
@@ -1,5 +1,5 @@
-// Package sockets provides listeners that survive failed accepts, and classifies errors of system calls on
-// sockets and files.
+// Package sockets provides listeners that retry failed accepts and that close without losing connections, and
+// classifies errors of system calls on sockets and files.
 package sockets
 
 import (
@@ -14,7 +14,7 @@
 const (
 	minBackoff  = time.Millisecond
 	maxBackoff  = 100 * time.Millisecond
-	logInterval = time.Second // failed accepts are logged at most this often
+	logInterval = time.Second // minimum time between two log lines of a listener's failed accepts
 )
 
 // acceptFailures counts the failed accepts of all listeners.
@@ -23,8 +23,8 @@
 // AcceptFailures returns the number of failed accepts since the process started.
 func AcceptFailures() int64 { return acceptFailures.Load() }
 
-// NewRetryListener returns a listener whose Accept fails only once l is closed. Any other error of an accept
-// concerns a single connection or is transient: Accept retries with backoff.
+// NewRetryListener returns a listener whose Accept fails only if l is closed. Any other error of accept
+// concerns a single connection or is transient, so Accept retries with backoff.
 func NewRetryListener(l net.Listener) net.Listener { return &retryListener{Listener: l} }
 
 type retryListener struct {
@@ -32,7 +32,7 @@
 	lastLogged time.Time
 }
 
-// Accept waits for the next connection. Only one goroutine may call it.
+// Accept returns the next connection. Only one goroutine may call it.
 func (l *retryListener) Accept() (net.Conn, error) {
 	for backoff := minBackoff; ; backoff = min(2*backoff, maxBackoff) {
 		conn, err := l.Listener.Accept()
