--- a/internal/procstat/procstat.go
+++ b/internal/procstat/procstat.go
@@ -12,39 +12,42 @@
 // clockTick is the unit of CPU times in /proc/PID/stat (USER_HZ is 100 on Linux).
 const clockTick = 10 * time.Millisecond
 
-// Positions of fields, from 0: in /proc/PID/stat after the program's name, and in /proc/PID/statm.
 const (
-	statUserTime   = 11
-	statSystemTime = 12
-	statmResident  = 1
+	// statUserTimeField is the index of the user time in /proc/PID/stat, among the fields after the program's
+	// name.
+	statUserTimeField = 11
+	// statSystemTimeField is the index of the system time, likewise.
+	statSystemTimeField = 12
+	// statmResidentField is the index of the number of resident pages in /proc/PID/statm.
+	statmResidentField = 1
 )
 
-// CPUTime returns the CPU time that a process has used; 0 if there is no such process.
+// CPUTime returns the user and system CPU time of a process, 0 if there is no such process.
 func CPUTime(pid int) time.Duration {
 	text, err := os.ReadFile(fmt.Sprintf("/proc/%d/stat", pid))
 	if err != nil {
 		return 0
 	}
-	_, rest, _ := strings.Cut(string(text), ") ") // the program's name may contain spaces
-	fields := strings.Fields(rest)
-	if len(fields) <= statSystemTime {
+	_, afterName, _ := strings.Cut(string(text), ") ") // skips the program's name, which may contain spaces
+	fields := strings.Fields(afterName)
+	if len(fields) <= statSystemTimeField {
 		return 0
 	}
-	userTicks, _ := strconv.ParseInt(fields[statUserTime], 10, 64)
-	systemTicks, _ := strconv.ParseInt(fields[statSystemTime], 10, 64)
+	userTicks, _ := strconv.ParseInt(fields[statUserTimeField], 10, 64)
+	systemTicks, _ := strconv.ParseInt(fields[statSystemTimeField], 10, 64)
 	return time.Duration(userTicks+systemTicks) * clockTick
 }
 
-// ResidentMB returns the resident memory of a process in units of 2^20 bytes; 0 if there is no such process.
+// ResidentMB returns the resident memory of a process in units of 2^20 bytes, 0 if there is no such process.
 func ResidentMB(pid int) float64 {
 	text, err := os.ReadFile(fmt.Sprintf("/proc/%d/statm", pid))
 	if err != nil {
 		return 0
 	}
 	fields := strings.Fields(string(text))
-	if len(fields) <= statmResident {
+	if len(fields) <= statmResidentField {
 		return 0
 	}
-	pages, _ := strconv.ParseFloat(fields[statmResident], 64)
+	pages, _ := strconv.ParseFloat(fields[statmResidentField], 64)
 	return pages * float64(os.Getpagesize()) / (1 << 20)
 }
--- a/internal/syncpoint/syncpoint.go
+++ b/internal/syncpoint/syncpoint.go
@@ -1,6 +1,6 @@
-// Package syncpoint forces the order of two events in tests: the first goroutine that reaches a Point blocks there
-// until the test releases it. Connections that a Listener has accepted can block before or after a read.
-// Only tests import it.
+// Package syncpoint lets tests enforce the order of two events: the first goroutine that reaches a Point blocks
+// there until the test releases it. A Listener can block before an accept, and its connections before or after
+// a read. Only tests import this package.
 package syncpoint
 
 import (
@@ -14,17 +14,17 @@
 	"archknot/internal/connpool"
 )
 
-// maxWait bounds each wait of a test, so that one whose event does not happen fails.
+// maxWait bounds each wait, so that a test fails if the expected event does not happen.
 const maxWait = 5 * time.Second
 
 // Point blocks the first goroutine that reaches it until it is released.
 type Point struct {
-	stopOnce          sync.Once
+	blockOnce         sync.Once
 	reached, released chan struct{}
 	releaseOnce       sync.Once
 }
 
-// NewPoint returns a Point that is released at the end of the test at the latest.
+// NewPoint returns a Point. The end of the test releases it if the test has not.
 func NewPoint(t *testing.T) *Point {
 	t.Helper()
 	p := &Point{reached: make(chan struct{}), released: make(chan struct{})}
@@ -32,35 +32,36 @@
 	return p
 }
 
-// Stop blocks the first caller until Release. Callers in the meantime wait with it; later ones return at once.
-func (p *Point) Stop() {
-	p.stopOnce.Do(func() {
+// Block blocks the first caller until Release, and all callers in the meantime. Callers after Release return at
+// once.
+func (p *Point) Block() {
+	p.blockOnce.Do(func() {
 		close(p.reached)
 		<-p.released
 	})
 }
 
-// WaitReached waits until a caller of Stop blocks, and fails the test after maxWait.
+// WaitReached waits until a caller of Block blocks, and fails the test after maxWait.
 func (p *Point) WaitReached(t *testing.T) {
 	t.Helper()
 	select {
 	case <-p.reached:
 	case <-time.After(maxWait):
-		t.Fatal("the point was not reached")
+		t.Fatal("no goroutine reached the sync point in time")
 	}
 }
 
-// Release unblocks the callers of Stop. It may be called several times.
+// Release unblocks the callers of Block. It may be called more than once.
 func (p *Point) Release() { p.releaseOnce.Do(func() { close(p.released) }) }
 
-// Listener wraps the connections that it accepts. Its Accept can be blocked.
+// Listener wraps each connection that it accepts in a Conn. Its Accept can be blocked.
 type Listener struct {
 	*net.TCPListener
 	accepted     chan *Conn
 	beforeAccept atomic.Pointer[Point]
 }
 
-// NewListener listens on a free port of the loopback address.
+// NewListener listens on a free port of 127.0.0.1.
 func NewListener(t *testing.T) *Listener {
 	t.Helper()
 	l, err := net.ListenTCP("tcp", &net.TCPAddr{IP: net.IPv4(127, 0, 0, 1)})
@@ -70,13 +71,13 @@
 	return &Listener{TCPListener: l, accepted: make(chan *Conn, 256)}
 }
 
-// StopBeforeAccept makes the next Accept stop at the point: connections wait in the accept queue.
+// StopBeforeAccept makes the next Accept block at the point, so that connections stay in the accept queue.
 func (l *Listener) StopBeforeAccept(p *Point) { l.beforeAccept.Store(p) }
 
-// Accept returns the next connection as a *Conn, which NextConn returns too.
+// Accept returns the next connection as a *Conn. NextConn returns the same *Conn to the test.
 func (l *Listener) Accept() (net.Conn, error) {
 	if p := l.beforeAccept.Load(); p != nil {
-		p.Stop()
+		p.Block()
 	}
 	tcp, err := l.AcceptTCP()
 	if err != nil {
@@ -94,24 +95,25 @@
 	case c := <-l.accepted:
 		return c
 	case <-time.After(maxWait):
-		t.Fatal("nothing was accepted")
+		t.Fatal("no connection was accepted in time")
 		return nil
 	}
 }
 
-// Conn is an accepted connection whose reader can be blocked: before it reads bytes that have arrived, or after.
+// Conn is an accepted connection whose reader can be blocked before or after it reads bytes that have arrived.
 type Conn struct {
 	*net.TCPConn
 	beforeRead, afterRead atomic.Pointer[Point]
 }
 
-// StopBeforeRead makes the reader stop at the point when bytes have arrived, before it reads them.
+// StopBeforeRead makes the reader block at the point when bytes have arrived, before it reads them.
 func (c *Conn) StopBeforeRead(p *Point) { c.beforeRead.Store(p) }
 
-// StopAfterRead makes the reader stop at the point when it has read bytes, before it uses them.
+// StopAfterRead makes the reader block at the point when it has read bytes, before it uses them.
 func (c *Conn) StopAfterRead(p *Point) { c.afterRead.Store(p) }
 
-// SyscallConn returns the raw connection, through which the program reads, with the points in its Read.
+// SyscallConn returns the raw connection, through which the code under test reads. Its Read blocks at the
+// connection's points.
 func (c *Conn) SyscallConn() (syscall.RawConn, error) {
 	raw, err := c.TCPConn.SyscallConn()
 	return &rawConn{raw, c}, err
@@ -122,12 +124,12 @@
 	conn *Conn
 }
 
-// Read stops at the connection's points before and after a read of bytes that have arrived.
+// Read blocks at the connection's points before and after a read of bytes that have arrived.
 func (r *rawConn) Read(f func(uintptr) bool) error {
 	bytesRead := false
 	err := r.RawConn.Read(func(fd uintptr) bool {
 		if p := r.conn.beforeRead.Load(); p != nil && hasUnreadBytes(fd) {
-			p.Stop()
+			p.Block()
 		}
 		arrived := hasUnreadBytes(fd)
 		done := f(fd)
@@ -135,12 +137,12 @@
 		return done
 	})
 	if p := r.conn.afterRead.Load(); p != nil && bytesRead {
-		p.Stop()
+		p.Block()
 	}
 	return err
 }
 
-// hasUnreadBytes reports whether the descriptor has bytes to read.
+// hasUnreadBytes reports whether a socket has received bytes that are not read yet.
 func hasUnreadBytes(fd uintptr) bool {
 	n, err := connpool.PeekDescriptor(int(fd))
 	return err == nil && n > 0
