--- a/internal/simwire/decoder.go
+++ b/internal/simwire/decoder.go
@@ -14,9 +14,9 @@
 // Kind is the kind of an Event.
 type Kind uint8
 
-// Kinds of events, with the names of their lines.
+// Kinds of events, with the names of the corresponding lines.
 const (
-	BatchEnd         Kind = iota // OVER_TO_YOU: the reply is due
+	BatchEnd         Kind = iota // OVER_TO_YOU: the reply must be sent
 	InstanceStarted              // BORN
 	InstanceKilled               // KILL
 	EndpointList                 // MEMBERS
@@ -34,7 +34,7 @@
 type Event struct {
 	Kind    Kind
 	Now     balancer.Micros
-	Gateway int // which gateway instance the event is for
+	Gateway int // number of the gateway instance that the event is for
 
 	Seed      uint64                // of InstanceStarted
 	Settings  balancer.Settings     // of InstanceStarted
@@ -47,19 +47,19 @@
 }
 
 const (
-	// maxLine bounds one line in bytes. The longest legal lines carry settings objects.
+	// maxLine bounds the length of a line in bytes. The longest valid lines carry settings objects.
 	maxLine = 64 << 20
-	// maxTables is how many numbered endpoint tables the protocol has.
+	// maxTables is the number of endpoint tables in the protocol.
 	maxTables = 16
-	// maxTableRows bounds the rows of one endpoint table.
+	// maxTableRows bounds the number of rows in an endpoint table.
 	maxTableRows = 1 << 24
-	// maxInterned bounds the remembered names. Names come from a small set; stray ones are not remembered.
+	// maxInterned bounds the number of interned names. Valid names come from a small set; further ones are not interned.
 	maxInterned = 1 << 12
 	// readBufferSize is the size of the input buffer in bytes.
 	readBufferSize = 1 << 20
 )
 
-// Names of the lines on the way in.
+// Names of the input lines.
 const (
 	lineTurn      = "TURN"        // opens a batch
 	lineOn        = "ON"          // names the gateway
@@ -78,7 +78,7 @@
 	lineMessage   = "MESSAGE"
 )
 
-// fieldCounts is the number of fields of each line, its name included. ROW is read with its table.
+// fieldCounts maps each line's name to its number of fields, the name included. ROW lines are read with their table.
 var fieldCounts = map[string]int{
 	lineOn:        2,
 	lineBorn:      3,
@@ -96,19 +96,19 @@
 	lineOverToYou: 1,
 }
 
-// rowFields is the number of fields of a ROW line, its name included.
-const rowFields = 8
+// rowFieldCount is the number of fields of a ROW line, its name included.
+const rowFieldCount = 8
 
-// Errors of the input's structure; Next puts the line's name before most of them.
+// Errors in the structure of the input. Next prefixes most of them with the name of the line.
 var (
 	errLineTooLong    = errors.New("line too long")
 	errTruncatedLine  = errors.New("the last line is cut off")
 	errTruncatedBatch = errors.New("the input ends within a batch")
-	errTruncatedTable = errors.New("the input ends within a list")
-	errBatchOpen      = errors.New("a batch is open already")
-	errOutsideBatch   = errors.New("outside a batch")
-	errNoGateway      = errors.New("no ON line before it")
-	errClockWentBack  = errors.New("field 1 (clock): it went back")
+	errTruncatedTable = errors.New("the input ends within an endpoint table")
+	errBatchOpen      = errors.New("the previous batch has no OVER_TO_YOU")
+	errOutsideBatch   = errors.New("outside a batch: no TURN line before it")
+	errNoGateway      = errors.New("no ON line before it in the batch")
+	errClockWentBack  = errors.New("field 1 (clock): earlier than that of the previous batch")
 )
 
 // Decoder reads batches of events. It must not be used by several goroutines at once.
@@ -119,7 +119,7 @@
 	fields       [][]byte
 	interned     map[string]string
 	tables       [maxTables][]balancer.Endpoint
-	defined      [maxTables]bool
+	tableDefined [maxTables]bool
 	inBatch      bool
 	gatewayNamed bool // an ON line of this batch has named the gateway
 	event        Event
@@ -136,8 +136,8 @@
 // Line returns the number, from 1, of the line that was read last.
 func (d *Decoder) Line() int { return d.lineNumber }
 
-// Next returns the next event. The error is io.EOF where the input ends between batches; any other error says
-// what was expected in the line whose number Line returns.
+// Next returns the next event. The error is io.EOF if the input ends between batches; any other error describes the
+// fault of the line whose number Line returns.
 func (d *Decoder) Next() (*Event, error) {
 	for {
 		line, err := d.readLine()
@@ -185,7 +185,7 @@
 	return line[:len(line)-1], nil
 }
 
-// splitFields cuts a line at its tabs, into n fields at most.
+// splitFields splits a line at its tabs into at most n fields. The result is valid until the next call.
 func (d *Decoder) splitFields(line []byte, n int) [][]byte {
 	d.fields = d.fields[:0]
 	for len(d.fields) < n-1 {
@@ -200,7 +200,7 @@
 	return d.fields
 }
 
-// intern returns the bytes as a string, the same one for equal names.
+// intern returns a name as a string; equal names share one allocation.
 func (d *Decoder) intern(b []byte) string {
 	if name, ok := d.interned[string(b)]; ok {
 		return name
@@ -212,23 +212,23 @@
 	return name
 }
 
-// decodeLine decodes one line and reports whether it makes an event.
+// decodeLine decodes one line and reports whether it completes an event.
 func (d *Decoder) decodeLine(line []byte) (isEvent bool, err error) {
 	name := line
 	if i := bytes.IndexByte(line, '\t'); i >= 0 {
 		name = line[:i]
 	}
-	want, ok := fieldCounts[string(name)]
+	fieldCount, ok := fieldCounts[string(name)]
 	if !ok {
 		return false, fmt.Errorf("unknown event %q", truncate(name))
 	}
-	most := want + 1
-	if string(name) == lineBorn { // its last field runs to the end of the line
-		most = want
+	maxFields := fieldCount + 1
+	if string(name) == lineBorn { // its last field extends to the end of the line and may contain tabs
+		maxFields = fieldCount
 	}
-	p := fieldParser{fields: d.splitFields(line, most)}
-	if len(p.fields) != want {
-		return false, fmt.Errorf("%s: expected %d fields, got %d", name, want-1, bytes.Count(line, []byte{'\t'}))
+	p := fieldParser{fields: d.splitFields(line, maxFields)}
+	if len(p.fields) != fieldCount {
+		return false, fmt.Errorf("%s: expected %d fields, got %d", name, fieldCount-1, bytes.Count(line, []byte{'\t'}))
 	}
 	isEvent, err = d.decode(string(name), &p)
 	if err == nil {
@@ -240,7 +240,7 @@
 	return isEvent, nil
 }
 
-// decode updates d.event from one line's fields and reports whether that makes an event.
+// decode updates d.event from one line's fields and reports whether the event is complete.
 func (d *Decoder) decode(name string, p *fieldParser) (isEvent bool, err error) {
 	if name == lineTurn {
 		return false, d.openBatch(p)
@@ -264,7 +264,7 @@
 	return true, d.decodeEvent(name, p)
 }
 
-// openBatch begins a batch at the clock of the TURN line.
+// openBatch begins a batch and sets the clock from a TURN line.
 func (d *Decoder) openBatch(p *fieldParser) error {
 	if d.inBatch {
 		return errBatchOpen
@@ -330,8 +330,8 @@
 	return nil
 }
 
-// decodeRequest updates d.event from a JOB_IN line. Flags and service time are the simulator's own: they are
-// checked and not used.
+// decodeRequest updates d.event from a JOB_IN line. The flags and the service time are for the simulator only: they are
+// validated but not used.
 func (d *Decoder) decodeRequest(p *fieldParser) {
 	d.event.Kind = RequestArrived
 	p.optionalInt(2, "flags")
@@ -362,7 +362,7 @@
 	d.event.Body = body
 }
 
-// decodeEndpointList updates d.event from a MEMBERS line, which names the table that it lists.
+// decodeEndpointList updates d.event from a MEMBERS line, which refers to an endpoint table by number.
 func (d *Decoder) decodeEndpointList(p *fieldParser) error {
 	ev := &d.event
 	ev.Kind = EndpointList
@@ -382,21 +382,21 @@
 		return p.err
 	}
 	n := p.uint(3, "table", maxTables-1)
-	if p.err == nil && !d.defined[n] {
+	if p.err == nil && !d.tableDefined[n] {
 		return fmt.Errorf("field 3 (table): no INVENTORY has number %d", n)
 	}
 	ev.Endpoints.Endpoints = d.tables[n]
 	return nil
 }
 
-// decodeTable reads an endpoint table: an INVENTORY line and the rows that follow it.
+// decodeTable reads the rows of an endpoint table, which follow its INVENTORY line.
 func (d *Decoder) decodeTable(p *fieldParser) error {
 	table := p.uint(1, "table", maxTables-1)
 	rows := p.uint(2, "items", maxTableRows)
 	if p.err != nil {
 		return p.err
 	}
-	var list []balancer.Endpoint // allocated anew each time: a Balancer may hold the old one
+	var list []balancer.Endpoint // a new slice for each table, since a Balancer may still use the previous one
 	for range rows {
 		line, err := d.readLine()
 		if errors.Is(err, io.EOF) {
@@ -411,14 +411,14 @@
 		}
 		list = append(list, endpoint)
 	}
-	d.tables[table], d.defined[table] = list, true
+	d.tables[table], d.tableDefined[table] = list, true
 	return nil
 }
 
 // decodeRow decodes one row of an endpoint table.
 func (d *Decoder) decodeRow(line []byte) (balancer.Endpoint, error) {
-	p := fieldParser{fields: d.splitFields(line, rowFields+1)}
-	if len(p.fields) != rowFields || string(p.fields[0]) != lineRow {
+	p := fieldParser{fields: d.splitFields(line, rowFieldCount+1)}
+	if len(p.fields) != rowFieldCount || string(p.fields[0]) != lineRow {
 		return balancer.Endpoint{}, fmt.Errorf("expected ROW with 7 fields, got %q", truncate(line))
 	}
 	endpoint := balancer.Endpoint{
--- a/internal/simwire/decoder_test.go
+++ b/internal/simwire/decoder_test.go
@@ -104,17 +104,17 @@
 	for text, want := range map[string]string{
 		"HELLO\n":                                           "unknown event",
 		"TIMER\t1\n":                                        "outside a batch",
-		"TURN\t1\nTIMER\t1\n":                               "no ON line",
+		"TURN\t1\nTIMER\t1\n":                               "no ON line before it in the batch",
 		"TURN\t1\nON\t1\nTIMER\tx\n":                        "field 1 (ref): expected a whole number",
 		"TURN\t1\nON\t1\nTIMER\t1\t2\n":                     "expected 1 fields, got 2",
 		"TURN\t1\nON\t1\nRETURNED\t1\n":                     "expected 8 fields",
 		"TURN\t1\nON\t1\nLAPSED\t4294967296\n":              "at most 4294967295",
-		"TURN\t9\nOVER_TO_YOU\nTURN\t8\n":                   "went back",
+		"TURN\t9\nOVER_TO_YOU\nTURN\t8\n":                   "earlier than that of the previous batch",
 		"TURN\t1\nON\t1\nMEMBERS\tFULL\t1\t3\n":             "no INVENTORY has number 3",
 		"TURN\t1\nINVENTORY\t16\t0\n":                       "at most 15",
 		"TURN\t1\nINVENTORY\t0\t1\nTIMER\t1\n":              "expected ROW",
 		"TURN\t1\nON\t1\nBORN\t1\t{\n":                      "JSON",
-		"TURN\t1\nON\t1\nBORN\t1\t{\"weights\":\"odd\"}\n":  "unknown word",
+		"TURN\t1\nON\t1\nBORN\t1\t{\"weights\":\"odd\"}\n":  "unknown value",
 		"TURN\t1\nON\t1\nMESSAGE\t1\t!!\n":                  "base64",
 		"TURN\t1\nON\t1\nKILL":                              "cut off",
 		"TURN\t1\nON\t1\nKILL\n":                            "within a batch",
@@ -175,7 +175,7 @@
 	})
 }
 
-// Settings that are marshalled parse to the same settings.
+// Marshalled settings parse to the same settings.
 func TestSettingsRoundTrip(t *testing.T) {
 	in := balancer.Settings{Self: 2, Gateways: 5, Zone: "a", Zones: []string{"a", "b"}, Kinds: []string{"k"}, OverQuotaWeight: 0.05, Tick: 2000, ReportSource: balancer.ReportInline,
 		WeightKind: balancer.WeightNominal, PollDiscovery: true, MayHealthCheck: true, MayCancel: true, MayHedge: true, RetryAfter: true, MaxAttempts: 3, MaxRetryAfter: 2_000_000,
--- a/internal/simwire/encoder.go
+++ b/internal/simwire/encoder.go
@@ -8,18 +8,18 @@
 	"archknot/balancer"
 )
 
-// Encoder collects the reply to a batch. It must not be used by several goroutines at once.
+// Encoder buffers the reply to a batch. It must not be used by several goroutines at once.
 type Encoder struct {
 	out          io.Writer
 	buf          []byte
 	gateway      int
-	gatewayNamed bool // a FOR line of this reply has named gateway
+	gatewayNamed bool // this reply has a FOR line, and the last one names gateway
 }
 
 // NewEncoder returns an Encoder that writes to w.
 func NewEncoder(w io.Writer) *Encoder { return &Encoder{out: w} }
 
-// Flush ends the reply and writes it out.
+// Flush completes the reply with DONE, writes it in one call and begins the next reply.
 func (e *Encoder) Flush() error {
 	e.buf = append(e.buf, "DONE\n"...)
 	_, err := e.out.Write(e.buf)
@@ -27,7 +27,7 @@
 	return err
 }
 
-// Sink returns the sink of one gateway's actions, which go into the reply in the order in which they are taken.
+// Sink returns a sink that adds the actions of one gateway to the reply, in the order of the calls.
 func (e *Encoder) Sink(gateway int) balancer.Sink { return &sink{encoder: e, gateway: gateway} }
 
 // sink is the balancer.Sink of one gateway: each action is a line of the encoder's reply.
@@ -36,7 +36,7 @@
 	gateway int
 }
 
-// writeLine adds an action, after a FOR line where the action before it was another gateway's.
+// writeLine adds an action. It adds a FOR line first if the previous action was that of another gateway.
 func (s *sink) writeLine(name string, values ...int64) {
 	e := s.encoder
 	if !e.gatewayNamed || e.gateway != s.gateway {
@@ -92,7 +92,7 @@
 func (s *sink) Gossip(body []byte) {
 	s.writeLine("POST", -1)
 	e := s.encoder
-	e.buf = append(e.buf[:len(e.buf)-1], '\t') // in place of the line end
+	e.buf = append(e.buf[:len(e.buf)-1], '\t') // replaces the line end
 	e.buf = base64.StdEncoding.AppendEncode(e.buf, body)
 	e.buf = append(e.buf, '\n')
 }
--- a/internal/simwire/fieldparser.go
+++ b/internal/simwire/fieldparser.go
@@ -15,7 +15,7 @@
 	err    error
 }
 
-// Bounds of whole numbers.
+// Limits of whole numbers.
 const (
 	maxUint32 = 1<<32 - 1
 	maxUint64 = 1<<64 - 1
@@ -23,20 +23,20 @@
 )
 
 const (
-	// maxQuoted bounds what of a field an error quotes, in bytes.
+	// maxQuoted bounds the part of a field that an error quotes, in bytes.
 	maxQuoted = 40
-	// maxDigits is the number of digits of the largest whole number.
+	// maxDigits is the number of decimal digits of the largest whole number, maxUint64.
 	maxDigits = 20
 	// hexDigits is the number of digits of a hexadecimal key.
 	hexDigits = 16
-	// maxFloat bounds the numbers with decimals.
+	// maxFloat bounds the absolute value of decimal numbers.
 	maxFloat = 1e15
 )
 
-// fail notes that a field is not what was expected.
-func (p *fieldParser) fail(i int, name, want string) {
+// fail sets err for an invalid field, unless an earlier field has set it.
+func (p *fieldParser) fail(i int, name, expected string) {
 	if p.err == nil {
-		p.err = fmt.Errorf("field %d (%s): expected %s, got %q", i, name, want, truncate(p.fields[i]))
+		p.err = fmt.Errorf("field %d (%s): expected %s, got %q", i, name, expected, truncate(p.fields[i]))
 	}
 }
 
@@ -47,10 +47,10 @@
 	return b
 }
 
-// isAbsent reports whether a field stands for no value.
+// isAbsent reports whether a field is "-", which means that it has no value.
 func isAbsent(b []byte) bool { return len(b) == 1 && b[0] == '-' }
 
-// uint parses a whole number of at most limit.
+// uint parses a whole number from 0 to limit.
 func (p *fieldParser) uint(i int, name string, limit uint64) uint64 {
 	digits := p.fields[i]
 	if len(digits) == 0 || len(digits) > maxDigits {
@@ -80,7 +80,7 @@
 	return int64(p.uint(i, name, maxInt63))
 }
 
-// optionalFloat parses a size that may have decimals, 0 if absent.
+// optionalFloat parses a non-negative decimal number, 0 if absent.
 func (p *fieldParser) optionalFloat(i int, name string) float64 {
 	if isAbsent(p.fields[i]) {
 		return 0
@@ -105,7 +105,7 @@
 	return v
 }
 
-// flag parses 1 or 0.
+// flag parses a Boolean that is written as 1 or 0.
 func (p *fieldParser) flag(i int, name string) bool {
 	if len(p.fields[i]) != 1 || (p.fields[i][0] != '0' && p.fields[i][0] != '1') {
 		p.fail(i, name, "1 or 0")
@@ -113,7 +113,7 @@
 	return len(p.fields[i]) == 1 && p.fields[i][0] == '1'
 }
 
-// statuses are the protocol's names of outcomes.
+// statuses maps the protocol's names of outcomes to statuses.
 var statuses = map[string]balancer.Status{
 	"delivered":   balancer.Served,
 	"app_error":   balancer.Errored,
@@ -135,16 +135,16 @@
 	return status
 }
 
-// loadReport parses comma-separated name:number pairs; a report may be absent.
+// loadReport parses a load report of comma-separated name:number pairs; it is empty if absent.
 func (p *fieldParser) loadReport(i int) balancer.LoadReport {
 	var report balancer.LoadReport
-	rest := p.fields[i]
-	if isAbsent(rest) {
+	remaining := p.fields[i]
+	if isAbsent(remaining) {
 		return report
 	}
-	for len(rest) > 0 {
+	for len(remaining) > 0 {
 		var pair []byte
-		pair, rest, _ = bytes.Cut(rest, []byte{','})
+		pair, remaining, _ = bytes.Cut(remaining, []byte{','})
 		name, number, ok := bytes.Cut(pair, []byte{':'})
 		v, err := strconv.ParseFloat(string(number), 64)
 		if !ok || err != nil || !(v > -maxFloat && v < maxFloat) {
@@ -156,8 +156,8 @@
 	return report
 }
 
-// SetReportField sets the field of a load report that has the name on the wire. Unknown names are ignored: later
-// replicas may report more.
+// SetReportField sets the field of a load report that has the given name on the wire. It ignores unknown names, since
+// newer replicas may report more fields.
 func SetReportField(report *balancer.LoadReport, name string, v float64) {
 	switch name {
 	case "x0":
--- a/internal/simwire/settings.go
+++ b/internal/simwire/settings.go
@@ -10,8 +10,8 @@
 	"archknot/balancer"
 )
 
-// setup is the settings object of a BORN line, and of NODE_CONFIG. Keys that it does not name are ignored here;
-// package lifecycle reports them.
+// setup is the JSON settings object of a BORN line and of NODE_CONFIG. Unknown keys are ignored here; package lifecycle
+// reports them.
 type setup struct {
 	SelfIndex      int     `json:"selfIndex"`
 	NInstances     int     `json:"nInstances"`
@@ -76,48 +76,48 @@
 	AllowancePerS float64 `json:"allowancePerS"`
 }
 
-// lookUpWord returns the value of a word. The error names the field and the word.
-func lookUpWord[T any](field, word string, known map[string]T) (T, error) {
-	v, ok := known[word]
+// enumValue returns the value with a name. The error contains the field and an unknown name.
+func enumValue[T any](field, name string, known map[string]T) (T, error) {
+	v, ok := known[name]
 	if !ok {
-		return v, fmt.Errorf("settings: %s: unknown word %q", field, word)
+		return v, fmt.Errorf("settings: %s: unknown value %q", field, name)
 	}
 	return v, nil
 }
 
-// The words of the settings and their values. An empty word stands for a key that is missing.
+// Names of enumeration values in the settings. An empty name is that of a missing key.
 var (
-	idempotencyWords = map[string]balancer.Idempotency{
+	idempotencyNames = map[string]balancer.Idempotency{
 		"repeatable": balancer.Idempotent, "by_key": balancer.IdempotentWithKey, "once": balancer.NonIdempotent}
-	dedupScopeWords = map[string]balancer.DedupScope{
+	dedupScopeNames = map[string]balancer.DedupScope{
 		"": balancer.DedupAll, "all": balancer.DedupAll, "zone": balancer.DedupZone, "cell": balancer.DedupCell}
-	reportSourceWords = map[string]balancer.ReportSource{
+	reportSourceNames = map[string]balancer.ReportSource{
 		"": balancer.ReportNone, "off": balancer.ReportNone,
 		"inline": balancer.ReportInline, "on_probe": balancer.ReportOnHealthCheck}
-	weightKindWords = map[string]balancer.WeightKind{
+	weightKindNames = map[string]balancer.WeightKind{
 		"": balancer.WeightNone, "off": balancer.WeightNone, "nominal": balancer.WeightNominal,
 		"rough": balancer.WeightNominal, "live": balancer.WeightLive}
-	pollDiscoveryWords = map[string]bool{"": false, "pushed": false, "on_request": true}
+	pollDiscoveryNames = map[string]bool{"": false, "pushed": false, "on_request": true}
 )
 
-// SettingsType returns the Go type of the settings object, for callers that check the keys of one.
+// SettingsType returns the Go type of the settings object, for callers that check the object's keys.
 func SettingsType() reflect.Type { return reflect.TypeFor[setup]() }
 
-// ParseSettings parses a settings object. The error names the field at fault.
+// ParseSettings parses a settings object. The error names the invalid field.
 func ParseSettings(text []byte) (balancer.Settings, error) {
 	var in setup
 	if err := json.Unmarshal(text, &in); err != nil {
-		return balancer.Settings{}, fmt.Errorf("settings: not the expected JSON object: %w", err)
+		return balancer.Settings{}, fmt.Errorf("settings: decode JSON object: %w", err)
 	}
-	s := in.plainSettings()
+	s := in.unconvertedSettings()
 	var err error
-	if s.ReportSource, err = lookUpWord("feedback.via", in.Feedback.Via, reportSourceWords); err != nil {
+	if s.ReportSource, err = enumValue("feedback.via", in.Feedback.Via, reportSourceNames); err != nil {
 		return s, err
 	}
-	if s.WeightKind, err = lookUpWord("weights", in.Weights, weightKindWords); err != nil {
+	if s.WeightKind, err = enumValue("weights", in.Weights, weightKindNames); err != nil {
 		return s, err
 	}
-	if s.PollDiscovery, err = lookUpWord("discovery", in.Discovery, pollDiscoveryWords); err != nil {
+	if s.PollDiscovery, err = enumValue("discovery", in.Discovery, pollDiscoveryNames); err != nil {
 		return s, err
 	}
 	s.LocalDiscovery = in.Discovery == "pushed"
@@ -134,8 +134,8 @@
 	return s, nil
 }
 
-// plainSettings are the settings that need no conversion.
-func (in *setup) plainSettings() balancer.Settings {
+// unconvertedSettings returns the settings that are copied without conversion.
+func (in *setup) unconvertedSettings() balancer.Settings {
 	return balancer.Settings{
 		Self:             in.SelfIndex,
 		Gateways:         in.NInstances,
@@ -164,7 +164,7 @@
 	}
 }
 
-// class is the i-th request class, whose objectives per token stand in lists of their own.
+// class returns the i-th request class. Its objectives per token are in separate lists of the settings object.
 func (in *setup) class(i int) (balancer.Class, error) {
 	c := in.RequestClasses[i]
 	class := balancer.Class{
@@ -177,10 +177,10 @@
 		Streaming:        c.Streamed,
 	}
 	var err error
-	if class.Idempotency, err = lookUpWord("requestClasses.effect", c.Effect, idempotencyWords); err != nil {
+	if class.Idempotency, err = enumValue("requestClasses.effect", c.Effect, idempotencyNames); err != nil {
 		return class, err
 	}
-	if class.DedupScope, err = lookUpWord("requestClasses.group", c.Group, dedupScopeWords); err != nil {
+	if class.DedupScope, err = enumValue("requestClasses.group", c.Group, dedupScopeNames); err != nil {
 		return class, err
 	}
 	if i < len(in.Extra.AimUsPer1000) {
@@ -192,8 +192,8 @@
 	return class, nil
 }
 
-// MarshalSettings returns the settings object that ParseSettings reads as these settings, for callers that start
-// gateways.
+// MarshalSettings returns the settings object that ParseSettings parses to these settings, for callers that start
+// gateways. It does not encode LocalDiscovery, which ParseSettings then sets if PollDiscovery is false.
 func MarshalSettings(s balancer.Settings) ([]byte, error) {
 	var out setup
 	out.SelfIndex = s.Self
@@ -224,9 +224,9 @@
 	out.Penalties.Probe = s.HealthCheckCost
 	out.Penalties.Handshake = s.HandshakeCost
 
-	out.Feedback.Via = wordFor(reportSourceWords, s.ReportSource)
-	out.Weights = wordFor(weightKindWords, s.WeightKind)
-	out.Discovery = wordFor(pollDiscoveryWords, s.PollDiscovery)
+	out.Feedback.Via = enumName(reportSourceNames, s.ReportSource)
+	out.Weights = enumName(weightKindNames, s.WeightKind)
+	out.Discovery = enumName(pollDiscoveryNames, s.PollDiscovery)
 	for _, c := range s.Classes {
 		out.Extra.AimUsPer1000 = append(out.Extra.AimUsPer1000, float64(c.ObjectivePer1000Tokens))
 		out.Extra.TokenAimUs = append(out.Extra.TokenAimUs, float64(c.TokenObjective))
@@ -236,8 +236,8 @@
 			DeadlineUs:   c.Deadline,
 			Points:       c.PriorityWeight,
 			LateShare:    c.LateWeightShare,
-			Effect:       wordFor(idempotencyWords, c.Idempotency),
-			Group:        wordFor(dedupScopeWords, c.DedupScope),
+			Effect:       enumName(idempotencyNames, c.Idempotency),
+			Group:        enumName(dedupScopeNames, c.DedupScope),
 			MemorySpanUs: c.DedupWindow,
 			Streamed:     c.Streaming,
 		})
@@ -248,11 +248,11 @@
 	return json.Marshal(out)
 }
 
-// wordFor returns the first word, in alphabetical order, that stands for a value.
-func wordFor[T comparable](known map[string]T, v T) string {
-	for _, word := range slices.Sorted(maps.Keys(known)) {
-		if known[word] == v && word != "" {
-			return word
+// enumName returns the alphabetically first non-empty name of a value; "" if it has none.
+func enumName[T comparable](known map[string]T, v T) string {
+	for _, name := range slices.Sorted(maps.Keys(known)) {
+		if known[name] == v && name != "" {
+			return name
 		}
 	}
 	return ""
