--- a/internal/replay/filter.go
+++ b/internal/replay/filter.go
@@ -21,7 +21,8 @@
 //	class == "agent" and worker == "s-5be2a07c" and elapsed > 2s
 //
 // FilterFields describes the fields. A field with several values (such as the replicas of an event's actions) matches
-// if any value does; a field that the event lacks never matches. Times are durations, or plain numbers in microseconds.
+// if any value does, or with != if no value is equal; a field that the event lacks never matches. Times are durations,
+// or plain numbers in microseconds.
 type Filter struct{ match func(*filterSubject) bool }
 
 // The grammar of conditions. The names of these types occur in the parser's error messages.
