--- a/cmd/adapter/main.go
+++ b/cmd/adapter/main.go
@@ -32,7 +32,7 @@
 // How captures of the simulator's runs are written: nothing is lost to a full queue or deleted, and a batch of a
 // minute's virtual time may be in memory.
 const (
-	captureQueue       = 8
+	captureQueueLength = 8
 	checkpointInterval = 5 * time.Second
 	blockSize          = 64 << 10
 	flushInterval      = time.Minute
@@ -119,7 +119,7 @@
 		Gateway:       name,
 		Build:         buildinfo.Version(),
 		Seed:          ev.Seed,
-		QueueLength:   captureQueue,
+		QueueLength:   captureQueueLength,
 		BlockWhenFull: true,
 		MaxBytes:      math.MaxInt64,
 		MaxAge:        math.MaxInt64,
--- a/cmd/adapter/main_test.go
+++ b/cmd/adapter/main_test.go
@@ -11,18 +11,18 @@
 	"archknot/internal/replay"
 )
 
-const setup = `{"nInstances":3,"selfIndex":%d,"zone":"a","zones":["a"],"kinds":["k"],"discovery":"on_request",` +
+const settingsFormat = `{"nInstances":3,"selfIndex":%d,"zone":"a","zones":["a"],"kinds":["k"],"discovery":"on_request",` +
 	`"feedback":{"via":"inline"},"limits":{"maxAttempts":3,"cancelling":true,"secondCopies":true},"tickUs":4000,` +
 	`"rules":{"startCapacity":0.12,"coldUs":24000000,"fallMultiple":4.0,"tipAfterUs":1500000},` +
 	`"requestClasses":[{"name":"chat","targetUs":1200000,"deadlineUs":4000000,"points":1,"effect":"repeatable","streamed":true}]}`
 
 // script is the input for some of three instances, interleaved batch by batch.
-func script(who ...int) string {
+func script(instances ...int) string {
 	var s strings.Builder
 	clock := 1000
 	batch := func(event func(i int) string) {
 		fmt.Fprintf(&s, "TURN\t%d\n", clock)
-		for _, i := range who {
+		for _, i := range instances {
 			fmt.Fprintf(&s, "ON\t%d\n%s\n", i, event(i))
 		}
 		s.WriteString("OVER_TO_YOU\n")
@@ -31,7 +31,7 @@
 	fmt.Fprintf(&s, "TURN\t0\nINVENTORY\t2\t3\nROW\tactive\t1\t1\t0\tk\t-\ta\nROW\tactive\t2\t1\t0\tk\t-\ta\n"+
 		"ROW\tactive\t3\t1\t1\tk\t-\ta\nOVER_TO_YOU\n")
 	batch(func(i int) string {
-		return fmt.Sprintf("BORN\t%d\t"+setup+"\nMEMBERS\tSAVED\t1\t2", 100+i, i)
+		return fmt.Sprintf("BORN\t%d\t"+settingsFormat+"\nMEMBERS\tSAVED\t1\t2", 100+i, i)
 	})
 	for n := range 200 {
 		batch(func(i int) string {
@@ -54,22 +54,22 @@
 	if err := run(strings.NewReader(in), &out, "", false); err != nil {
 		t.Fatal(err)
 	}
-	got, who := map[string]*strings.Builder{}, ""
+	got, instanceID := map[string]*strings.Builder{}, ""
 	for _, line := range strings.Split(out.String(), "\n") {
 		if rest, ok := strings.CutPrefix(line, "FOR\t"); ok {
-			who = rest
-			if got[who] == nil {
-				got[who] = &strings.Builder{}
+			instanceID = rest
+			if got[instanceID] == nil {
+				got[instanceID] = &strings.Builder{}
 			}
 		} else if line != "DONE" && line != "" {
-			got[who].WriteString(line + "\n")
+			got[instanceID].WriteString(line + "\n")
 		}
 	}
-	all := map[string]string{}
+	byInstance := map[string]string{}
 	for i, b := range got {
-		all[i] = b.String()
+		byInstance[i] = b.String()
 	}
-	return all
+	return byInstance
 }
 
 // Instances share nothing: in one process and in three they take the same actions.
--- a/cmd/archknot/drain_test.go
+++ b/cmd/archknot/drain_test.go
@@ -11,14 +11,14 @@
 )
 
 const (
-	// listTerm is when a change counts as known at the latest, from when discovery had it and could be reached.
-	listTerm = 6 * time.Second
+	// propagationLimit is when a change counts as known at the latest, from when discovery had it and could be reached.
+	propagationLimit = 6 * time.Second
 	// drainGrace is stopSendingWithinUs of drainConfigFormat, with what the protocol adds on sockets.
 	drainGrace = 2500*time.Millisecond + 50*time.Millisecond
 	// clockTolerance is what a busy machine may add between an attempt's first byte and the record of it.
 	clockTolerance = 100 * time.Millisecond
-	// drainFor is how long a drain lasts in these tests: to well past the term and the grace.
-	drainFor = listTerm + drainGrace + 3*time.Second
+	// drainDuration is how long a drain lasts in these tests: to well past the term and the grace.
+	drainDuration = propagationLimit + drainGrace + 3*time.Second
 )
 
 // drainConfigFormat is the configuration of a gateway that is one of several, in a fleet with load reports.
@@ -80,32 +80,32 @@
 }
 
 // attemptsAfter returns how long after a time the attempts began that came later.
-func (r *drainingReplica) attemptsAfter(at time.Time) (late []time.Duration) {
+func (r *drainingReplica) attemptsAfter(at time.Time) (delays []time.Duration) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	for _, begun := range r.attempts {
 		if begun.After(at) {
-			late = append(late, begun.Sub(at))
+			delays = append(delays, begun.Sub(at))
 		}
 	}
-	return late
+	return delays
 }
 
 // drainCase is a way in which a gateway may miss a drain.
 type drainCase struct {
 	name     string
 	gateways int
-	// play has discovery fail and publish the drain. It returns the drain's change, and from when on
+	// injectFault has discovery fail and publish the drain. It returns the drain's change, and from when on
 	// discovery could be reached; zero: always.
-	play     func(d *drainDeployment) (change int, reachableFrom time.Time)
-	restarts bool // the replica is restarted while it drains, and its next process takes work before it is listed
-	servesOn bool // the list never gets too old for new work
+	injectFault      func(d *drainDeployment) (change int, reachableFrom time.Time)
+	restarts         bool // the replica is restarted while it drains, and its next process takes work before it is listed
+	expectNoFailures bool // the list never gets too old for new work
 }
 
 // drainDeployment is a gateway before replicas of which the first drains.
 type drainDeployment struct {
 	*deployment
-	drains *drainingReplica
+	draining *drainingReplica
 }
 
 func newDrainDeployment(t *testing.T, gateways int) *drainDeployment {
@@ -115,7 +115,7 @@
 		r := newDrainingReplica(t, fmt.Sprint("s-", i+1))
 		d.discovery.publish(r.id, endpointJSON(r.id, r.addr, "ready", ""))
 		if i == 0 {
-			d.drains = r
+			d.draining = r
 		}
 	}
 	d.platformConfig = func(adminAddr string) string {
@@ -126,7 +126,7 @@
 
 // drain has discovery list the first replica as draining.
 func (d *drainDeployment) drain() (change int) {
-	return d.discovery.publish(d.drains.id, endpointJSON(d.drains.id, d.drains.addr, "draining", ""))
+	return d.discovery.publish(d.draining.id, endpointJSON(d.draining.id, d.draining.addr, "draining", ""))
 }
 
 // awaitWatch waits until the gateway's watch has been open for a while.
@@ -137,18 +137,18 @@
 }
 
 // failFor has discovery fail for a while, and publish the drain shortly before the end.
-func (d *drainDeployment) failFor(fault discoveryFault, lasts time.Duration) (change int, reachableFrom time.Time) {
+func (d *drainDeployment) failFor(fault discoveryFault, duration time.Duration) (change int, reachableFrom time.Time) {
 	const drainBeforeEnd = 200 * time.Millisecond
 	d.discovery.setFault(fault)
-	time.Sleep(lasts - drainBeforeEnd)
+	time.Sleep(duration - drainBeforeEnd)
 	change = d.drain()
 	time.Sleep(drainBeforeEnd)
 	d.discovery.setFault(discoveryUp)
 	return change, time.Now()
 }
 
-// silentWatch leaves the open watch without an answer, a while after it began, and publishes the drain behind that.
-func silentWatch(openFor time.Duration) func(d *drainDeployment) (int, time.Time) {
+// unansweredWatch leaves the open watch without an answer, a while after it began, and publishes the drain behind that.
+func unansweredWatch(openFor time.Duration) func(d *drainDeployment) (int, time.Time) {
 	return func(d *drainDeployment) (int, time.Time) {
 		d.awaitWatch(openFor)
 		d.discovery.silenceOpenCalls()
@@ -157,21 +157,21 @@
 	}
 }
 
-func outage(fault discoveryFault, lasts time.Duration) func(d *drainDeployment) (int, time.Time) {
-	return func(d *drainDeployment) (int, time.Time) { return d.failFor(fault, lasts) }
+func outage(fault discoveryFault, duration time.Duration) func(d *drainDeployment) (int, time.Time) {
+	return func(d *drainDeployment) (int, time.Time) { return d.failFor(fault, duration) }
 }
 
 var drainCases = []drainCase{
-	{"silent watch, 3 gateways", 3, silentWatch(400 * time.Millisecond), false, true},
-	{"silent watch, 30 gateways", 30, silentWatch(400 * time.Millisecond), false, true},
-	{"silent watch, 200 gateways", 200, silentWatch(400 * time.Millisecond), false, true},
-	{"silent watch, 900 gateways", 900, silentWatch(time.Second), false, true},
-	{"silent watch, next process answers unlisted", 200, silentWatch(400 * time.Millisecond), true, true},
+	{"silent watch, 3 gateways", 3, unansweredWatch(400 * time.Millisecond), false, true},
+	{"silent watch, 30 gateways", 30, unansweredWatch(400 * time.Millisecond), false, true},
+	{"silent watch, 200 gateways", 200, unansweredWatch(400 * time.Millisecond), false, true},
+	{"silent watch, 900 gateways", 900, unansweredWatch(time.Second), false, true},
+	{"silent watch, next process answers unlisted", 200, unansweredWatch(400 * time.Millisecond), true, true},
 	{"503 for 6 s, 3 gateways", 3, outage(discoveryUnavailable, 6*time.Second), false, true},
 	{"503 for 6 s, 200 gateways", 200, outage(discoveryUnavailable, 6*time.Second), false, true},
 	{"503 for 12 s, 900 gateways", 900, outage(discoveryUnavailable, 12*time.Second), false, true},
 	{"resets for 12 s, 200 gateways", 200, outage(discoveryResets, 12*time.Second), false, true},
-	{"no answers for 10 s, 200 gateways", 200, outage(discoverySilent, 10*time.Second), false, false},
+	{"no answers for 10 s, 200 gateways", 200, outage(discoveryUnresponsive, 10*time.Second), false, false},
 }
 
 // No work goes to a draining replica past the grace, counted from 6 s after discovery had the drain and could be
@@ -184,20 +184,20 @@
 			d := newDrainDeployment(t, c.gateways)
 			p := d.start()
 			d.waitUntilReady(p)
-			f := d.startTraffic(3)
-			waitUntil(t, "it serves", func() bool { return len(d.drains.attemptsAfter(time.Time{})) > 20 })
-			change, reachableFrom := c.play(d)
+			traffic := d.startTraffic(3)
+			waitUntil(t, "it serves", func() bool { return len(d.draining.attemptsAfter(time.Time{})) > 20 })
+			change, reachableFrom := c.injectFault(d)
 			if c.restarts { // while the gateway has no request, as one of many often has
-				time.Sleep(listTerm / 2)
-				f.stopAndWait()
-				d.drains.restart(t)
-				f = d.startTraffic(3)
+				time.Sleep(propagationLimit / 2)
+				traffic.stopAndWait()
+				d.draining.restart(t)
+				traffic = d.startTraffic(3)
 			}
 			published, _ := d.discovery.changeTimes(change)
-			time.Sleep(time.Until(published.Add(drainFor)))
-			f.stopAndWait()
+			time.Sleep(time.Until(published.Add(drainDuration)))
+			traffic.stopAndWait()
 			d.expectDrained(change, reachableFrom)
-			if n := f.failed.Load(); c.servesOn && n > 0 {
+			if n := traffic.failed.Load(); c.expectNoFailures && n > 0 {
 				t.Errorf("%d requests were shed or failed", n)
 			}
 			p.signal(t, syscall.SIGTERM)
@@ -210,16 +210,16 @@
 func (d *drainDeployment) expectDrained(change int, reachableFrom time.Time) {
 	d.t.Helper()
 	published, sent := d.discovery.changeTimes(change)
-	known := published.Add(listTerm)
+	knownBy := published.Add(propagationLimit)
 	if reachableFrom.After(published) {
-		known = reachableFrom.Add(listTerm)
+		knownBy = reachableFrom.Add(propagationLimit)
 	}
-	if !sent.IsZero() && sent.Before(known) {
-		known = sent
+	if !sent.IsZero() && sent.Before(knownBy) {
+		knownBy = sent
 	}
-	late := d.drains.attemptsAfter(known.Add(drainGrace + clockTolerance))
+	late := d.draining.attemptsAfter(knownBy.Add(drainGrace + clockTolerance))
 	if len(late) > 0 {
 		d.t.Errorf("%d attempts past the grace, the last one %v past it; the drain counts as known %v after it was published, and was sent at %v",
-			len(late), late[len(late)-1], known.Sub(published), sent)
+			len(late), late[len(late)-1], knownBy.Sub(published), sent)
 	}
 }
--- a/cmd/archknot/fakediscovery_test.go
+++ b/cmd/archknot/fakediscovery_test.go
@@ -15,11 +15,11 @@
 type discoveryFault int
 
 const (
-	discoveryUp          discoveryFault = iota
-	discoveryUnavailable                // it answers with 503
-	discoveryResets                     // it resets each connection without an answer
-	discoverySilent                     // it accepts calls and answers none
-	discoveryBusy                       // it answers with 503 after busyDelay, as one that has too many callers
+	discoveryUp           discoveryFault = iota
+	discoveryUnavailable                 // it answers with 503
+	discoveryResets                      // it resets each connection without an answer
+	discoveryUnresponsive                // it accepts calls and answers none
+	discoveryBusy                        // it answers with 503 after busyDelay, as one that has too many callers
 )
 
 // busyDelay is how long a call waits at a busy discovery for its answer.
@@ -49,8 +49,8 @@
 }
 
 // endpointJSON returns an entry of the endpoint list, with more members.
-func endpointJSON(id, addr, lifecycle, moreMembers string) string {
-	return fmt.Sprintf(`{"instanceId":"%s","hostPort":"%s","zone":"a","machineType":"m","lifecycle":"%s","weight":1%s}`, id, addr, lifecycle, moreMembers)
+func endpointJSON(id, addr, lifecycle, extraFields string) string {
+	return fmt.Sprintf(`{"instanceId":"%s","hostPort":"%s","zone":"a","machineType":"m","lifecycle":"%s","weight":1%s}`, id, addr, lifecycle, extraFields)
 }
 
 // publish adds or changes an entry. It returns the change's number.
@@ -124,11 +124,11 @@
 		fault, changed := d.fault, d.changed
 		silenced := begun.Before(d.silencedAt)
 		if silenced && fault != discoveryResets {
-			fault = discoverySilent
+			fault = discoveryUnresponsive
 		}
-		answer, hasNews := "", false
+		answer, hasChanges := "", false
 		if fault == discoveryUp {
-			answer, hasNews = d.answer(watches, since)
+			answer, hasChanges = d.answer(watches, since)
 		}
 		version := len(d.changes) + 1
 		d.mu.Unlock()
@@ -150,10 +150,10 @@
 			case <-r.Context().Done():
 				return
 			}
-		case fault == discoverySilent:
+		case fault == discoveryUnresponsive:
 			<-r.Context().Done()
 			return
-		case hasNews:
+		case hasChanges:
 			fmt.Fprint(w, answer)
 			d.recordSent(version)
 			return
@@ -170,7 +170,7 @@
 }
 
 // answer returns what a poll gets, and whether there is anything new for it. The caller holds the lock.
-func (d *fakeDiscovery) answer(watches bool, since int) (text string, hasNews bool) {
+func (d *fakeDiscovery) answer(watches bool, since int) (text string, hasChanges bool) {
 	version := len(d.changes) + 1
 	changesOnly := watches && since <= version
 	ids := d.order
--- a/cmd/archknot/faults_test.go
+++ b/cmd/archknot/faults_test.go
@@ -34,25 +34,25 @@
 	d := newDeployment(t, 3)
 	p := d.start()
 	d.waitUntilReady(p)
-	f := d.startTraffic(3)
-	waitUntil(t, "traffic", func() bool { return f.served.Load() > 50 })
+	traffic := d.startTraffic(3)
+	waitUntil(t, "traffic", func() bool { return traffic.served.Load() > 50 })
 	for range 3 {
 		p.limitResource(t, unix.RLIMIT_NOFILE, 5)
-		served, other := f.served.Load(), f.failed.Load()
+		served, failed := traffic.served.Load(), traffic.failed.Load()
 		c := p.dial(t) // waits in the accept queue
 		c.send(requestText(fmt.Sprint("q", lastRequestNumber.Add(1)), "-"))
-		waitUntil(t, "open connections get responses", func() bool { return f.served.Load()+f.failed.Load() > served+other+50 })
+		waitUntil(t, "open connections get responses", func() bool { return traffic.served.Load()+traffic.failed.Load() > served+failed+50 })
 		p.limitResource(t, unix.RLIMIT_NOFILE, noLimit)
 		c.expectServed("the connection that had to wait")
-		from := f.failed.Load()
-		served = f.served.Load()
-		waitUntil(t, "served again", func() bool { return f.served.Load() > served+100 })
-		if n := f.failed.Load() - from; n > 3 { // those that were in flight
+		from := traffic.failed.Load()
+		served = traffic.served.Load()
+		waitUntil(t, "served again", func() bool { return traffic.served.Load() > served+100 })
+		if n := traffic.failed.Load() - from; n > 3 { // those that were in flight
 			t.Errorf("%d requests were rejected although descriptors were there", n)
 		}
 	}
-	f.stopAndWait()
-	if n := f.broken.Load(); n > 0 {
+	traffic.stopAndWait()
+	if n := traffic.broken.Load(); n > 0 {
 		t.Errorf("%d requests got no response", n)
 	}
 	p.signal(t, syscall.SIGTERM)
@@ -66,17 +66,17 @@
 	d := newDeployment(t, 3)
 	p := d.start()
 	d.waitUntilReady(p)
-	f := d.startTraffic(3)
+	traffic := d.startTraffic(3)
 	d.expectAttempts(d.replicas[0], "before")
 	d.expectAttempts(d.replicas[1], "before")
 	p.limitResource(t, unix.RLIMIT_FSIZE, 0)
 	if status := p.callAdmin(http.MethodPut, "/-/replicas/s-1/disable"); !isError(status) {
 		t.Errorf("on a failing disk: status %d, want an error", status)
 	}
-	d.expectNoAttempts(d.replicas[0], f, "not saved")
+	d.expectNoAttempts(d.replicas[0], traffic, "not saved")
 	next := d.start()
 	d.waitUntilReady(next)
-	d.expectNoAttempts(d.replicas[0], f, "handed over")
+	d.expectNoAttempts(d.replicas[0], traffic, "handed over")
 	p.signal(t, syscall.SIGTERM)
 	p.waitForExit(t)
 	d.order(next, http.MethodPut, "/-/replicas/s-2/disable")
@@ -84,9 +84,9 @@
 	<-next.exited
 	last := d.start()
 	d.waitUntilReady(last)
-	d.expectNoAttempts(d.replicas[0], f, "after the kill")
-	d.expectNoAttempts(d.replicas[1], f, "after the kill")
-	f.stopAndWait()
+	d.expectNoAttempts(d.replicas[0], traffic, "after the kill")
+	d.expectNoAttempts(d.replicas[1], traffic, "after the kill")
+	traffic.stopAndWait()
 	last.signal(t, syscall.SIGTERM)
 	last.waitForExit(t)
 }
@@ -100,17 +100,17 @@
 	}
 	p := d.start()
 	d.waitUntilReady(p)
-	f := d.startTraffic(2)
+	traffic := d.startTraffic(2)
 	d.expectAttempts(d.replicas[0], "before")
 	if status := p.callAdmin(http.MethodPut, "/-/replicas/s-1/disable"); !isError(status) {
 		t.Errorf("status %d, want an error", status)
 	}
-	d.expectNoAttempts(d.replicas[0], f, "without a directory")
+	d.expectNoAttempts(d.replicas[0], traffic, "without a directory")
 	if status := p.callAdmin(http.MethodPut, "/-/replicas/s-1/enable"); !isSuccess(status) {
 		t.Errorf("reinstating: status %d, want success", status)
 	}
 	d.expectAttempts(d.replicas[0], "reinstated")
-	f.stopAndWait()
+	traffic.stopAndWait()
 }
 
 // Before discovery has answered, the replicas are unknown: a maintenance order applies but is not acknowledged.
@@ -127,15 +127,15 @@
 	}
 	d.discovery.setFault(discoveryUp)
 	d.waitUntilReady(p)
-	f := d.startTraffic(3)
-	d.expectNoAttempts(d.replicas[0], f, "ordered before discovery answered")
+	traffic := d.startTraffic(3)
+	d.expectNoAttempts(d.replicas[0], traffic, "ordered before discovery answered")
 	d.order(p, http.MethodPut, "/-/replicas/s-1/disable")
 	if status := p.callAdmin(http.MethodPut, "/-/replicas/s-none/disable"); !isError(status) {
 		t.Errorf("never listed: status %d, want an error", status)
 	}
 	d.order(p, http.MethodPut, "/-/replicas/s-1/enable")
 	d.expectAttempts(d.replicas[0], "reinstated")
-	f.stopAndWait()
+	traffic.stopAndWait()
 	p.signal(t, syscall.SIGTERM)
 	p.waitForExit(t)
 }
@@ -153,14 +153,14 @@
 	write.Close()
 	d.log = nil
 	d.waitUntilReady(p)
-	f := d.startTraffic(4)
+	traffic := d.startTraffic(4)
 	// A pipe holds 64 KiB. A hundred times as much is logged while it is not read.
-	waitUntil(t, "requests without a reader", func() bool { return f.served.Load() > 4000 })
+	waitUntil(t, "requests without a reader", func() bool { return traffic.served.Load() > 4000 })
 	read.Close()
-	served := f.served.Load()
-	waitUntil(t, "requests after the reader has gone", func() bool { return f.served.Load() > served+1000 })
-	f.stopAndWait()
-	if n := f.broken.Load() + f.failed.Load(); n > 0 {
+	served := traffic.served.Load()
+	waitUntil(t, "requests after the reader has gone", func() bool { return traffic.served.Load() > served+1000 })
+	traffic.stopAndWait()
+	if n := traffic.broken.Load() + traffic.failed.Load(); n > 0 {
 		t.Errorf("%d requests were not served", n)
 	}
 	p.signal(t, syscall.SIGTERM)
--- a/cmd/archknot/fleet_test.go
+++ b/cmd/archknot/fleet_test.go
@@ -203,12 +203,12 @@
 
 // startTraffic starts clients.
 func (d *deployment) startTraffic(clients int) *testTraffic {
-	f := &testTraffic{}
+	traffic := &testTraffic{}
 	for range clients {
-		f.clients.Go(func() {
+		traffic.clients.Go(func() {
 			var c *testClient
-			for !f.stop.Load() {
-				c = f.sendRequest(d, c)
+			for !traffic.stop.Load() {
+				c = traffic.sendRequest(d, c)
 				time.Sleep(thinkTime)
 			}
 			if c != nil {
@@ -216,19 +216,19 @@
 			}
 		})
 	}
-	d.t.Cleanup(f.stopAndWait)
-	return f
+	d.t.Cleanup(traffic.stopAndWait)
+	return traffic
 }
 
 // stopAndWait stops the clients and waits for their last requests.
-func (f *testTraffic) stopAndWait() {
-	f.stop.Store(true)
-	f.clients.Wait()
+func (traffic *testTraffic) stopAndWait() {
+	traffic.stop.Store(true)
+	traffic.clients.Wait()
 }
 
 // sendRequest sends a request and returns the connection if it stays open. If a reused connection is closed
 // without a response the client sends the request again on a new one.
-func (f *testTraffic) sendRequest(d *deployment, c *testClient) *testClient {
+func (traffic *testTraffic) sendRequest(d *deployment, c *testClient) *testClient {
 	n := lastRequestNumber.Add(1)
 	text := fmt.Sprintf("POST /v1/chat/completions HTTP/1.1\r\nHost: a\r\nReq-Kind: chat\r\nReq-Id: t%d\r\nReq-Key: %016x\r\n"+
 		"Req-Extra: prompt_len=400,max_out=100\r\nContent-Length: 0\r\n\r\n", n, uint64(n)*0x9e3779b97f4a7c15)
@@ -241,14 +241,14 @@
 		if !reused {
 			conn, err := net.Dial("tcp", d.addr)
 			if err != nil {
-				f.broken.Add(1)
+				traffic.broken.Add(1)
 				time.Sleep(10 * time.Millisecond)
 				return nil
 			}
 			c = &testClient{Conn: conn, t: d.t}
 			c.reader = newReader(conn)
 		}
-		c.SetDeadline(time.Now().Add(waitLimit))
+		c.SetDeadline(time.Now().Add(waitTimeout))
 		_, err := io.WriteString(c, text)
 		var resp *http.Response
 		if err == nil {
@@ -259,16 +259,16 @@
 		}
 		switch {
 		case err == nil && resp.StatusCode == http.StatusOK:
-			f.served.Add(1)
+			traffic.served.Add(1)
 		case err == nil:
-			f.failed.Add(1)
+			traffic.failed.Add(1)
 		case reused && resp == nil:
-			f.resent.Add(1)
+			traffic.resent.Add(1)
 			c.Close()
 			c = nil
 			continue
 		default:
-			f.broken.Add(1)
+			traffic.broken.Add(1)
 		}
 		if err != nil || resp.Close {
 			c.Close()
@@ -276,7 +276,7 @@
 		}
 		return c
 	}
-	f.broken.Add(1)
+	traffic.broken.Add(1)
 	return nil
 }
 
--- a/cmd/archknot/main_test.go
+++ b/cmd/archknot/main_test.go
@@ -30,7 +30,7 @@
 }
 
 const (
-	waitLimit    = 10 * time.Second // of each wait
+	waitTimeout  = 10 * time.Second // of each wait
 	firstEvent   = "data: {\"choices\":[{\"index\":0,\"delta\":{\"content\":\"a\"},\"finish_reason\":null}]}\n\n"
 	lastEvent    = "data: [DONE]\n\n"
 	configFormat = `{"name":"g","listen":"%s","discovery":"%s","limits":{"cores":1,"memory_mb":32,"sockets":%d},
@@ -173,7 +173,7 @@
 		if err != nil {
 			t.Errorf("the process ended with %v", err)
 		}
-	case <-time.After(waitLimit):
+	case <-time.After(waitTimeout):
 		t.Error("the process does not end")
 	}
 }
@@ -181,7 +181,7 @@
 // waitUntil waits until a condition holds.
 func waitUntil(t *testing.T, what string, condition func() bool) {
 	t.Helper()
-	for end := time.Now().Add(waitLimit); !condition(); time.Sleep(2 * time.Millisecond) {
+	for end := time.Now().Add(waitTimeout); !condition(); time.Sleep(2 * time.Millisecond) {
 		if time.Now().After(end) {
 			t.Fatalf("not in time: %s", what)
 		}
@@ -213,7 +213,7 @@
 		t.Fatal(err)
 	}
 	t.Cleanup(func() { c.Close() })
-	c.SetDeadline(time.Now().Add(2 * waitLimit))
+	c.SetDeadline(time.Now().Add(2 * waitTimeout))
 	return &testClient{c, bufio.NewReader(c), t}
 }
 
@@ -331,9 +331,9 @@
 		c.expectServed("a new client's")
 	}
 	f.startDiscovery(t, "draining")
-	back := time.Now()
+	discoveryStarted := time.Now()
 	waitUntil(t, "two calls of discovery", func() bool { return f.listCalls.Load() >= 2 })
-	if d := time.Since(back); d > 6*time.Second {
+	if d := time.Since(discoveryStarted); d > 6*time.Second {
 		t.Errorf("it polled discovery only %v after that was up", d)
 	}
 	n := f.attempts.Load()
--- a/cmd/archknot/operators_test.go
+++ b/cmd/archknot/operators_test.go
@@ -18,11 +18,11 @@
 const decisionTime = 50 * time.Millisecond
 
 // expectNoAttempts expects a replica to get no attempts for a while, under traffic that others serve.
-func (d *deployment) expectNoAttempts(r *fakeReplica, f *testTraffic, what string) {
+func (d *deployment) expectNoAttempts(r *fakeReplica, traffic *testTraffic, what string) {
 	d.t.Helper()
-	from, served := time.Now().Add(decisionTime), f.served.Load()
+	from, served := time.Now().Add(decisionTime), traffic.served.Load()
 	waitUntil(d.t, what+": others serve", func() bool {
-		return time.Since(from) > 300*time.Millisecond && f.served.Load() > served+50
+		return time.Since(from) > 300*time.Millisecond && traffic.served.Load() > served+50
 	})
 	if n := r.attemptsSince(from); n > 0 {
 		d.t.Errorf("%s: %d requests went to %s, which is ejected", what, n, r.id)
@@ -42,28 +42,28 @@
 	d := newDeployment(t, 3)
 	p := d.start()
 	d.waitUntilReady(p)
-	f := d.startTraffic(4)
+	traffic := d.startTraffic(4)
 	ejected := d.replicas[0]
 	d.expectAttempts(ejected, "before")
 	d.order(p, http.MethodPut, "/-/replicas/s-1/disable")
-	d.expectNoAttempts(ejected, f, "disabled")
+	d.expectNoAttempts(ejected, traffic, "disabled")
 	d.order(p, http.MethodPut, "/-/replicas/s-1/disable") // may be repeated
 	d.discovery.publish("s-1", endpointJSON("s-1", ejected.addr, "draining", ""))
 	d.discovery.publish("s-1", endpointJSON("s-1", ejected.addr, "ready", ""))
-	d.expectNoAttempts(ejected, f, "listed again")
+	d.expectNoAttempts(ejected, traffic, "listed again")
 	d.discovery.publish("s-1", endpointJSON("s-1", ejected.addr, "gone", ""))
 	d.discovery.publish("s-1", endpointJSON("s-1", ejected.addr, "ready", fmt.Sprintf(`,"startedAtMs":%d`, time.Now().UnixMilli())))
-	d.expectNoAttempts(ejected, f, "restarted")
+	d.expectNoAttempts(ejected, traffic, "restarted")
 	p.signal(t, syscall.SIGHUP)
-	d.expectNoAttempts(ejected, f, "after a SIGHUP")
+	d.expectNoAttempts(ejected, traffic, "after a SIGHUP")
 	for i := range 2 {
 		next := d.start()
 		d.waitUntilReady(next)
-		d.expectNoAttempts(ejected, f, "beside the next process")
+		d.expectNoAttempts(ejected, traffic, "beside the next process")
 		p.signal(t, syscall.SIGTERM)
 		p.waitForExit(t)
 		p = next
-		d.expectNoAttempts(ejected, f, fmt.Sprintf("after upgrade %d", i+1))
+		d.expectNoAttempts(ejected, traffic, fmt.Sprintf("after upgrade %d", i+1))
 	}
 	for _, path := range []string{"/-/replicas/s-9/disable", "/-/replicas/s-9/enable"} {
 		if status := p.callAdmin(http.MethodPut, path); !isError(status) {
@@ -77,9 +77,9 @@
 	<-p.exited
 	p = d.start()
 	d.waitUntilReady(p)
-	d.expectNoAttempts(d.replicas[1], f, "after a kill")
-	f.stopAndWait()
-	if n := f.failed.Load(); n > 0 {
+	d.expectNoAttempts(d.replicas[1], traffic, "after a kill")
+	traffic.stopAndWait()
+	if n := traffic.failed.Load(); n > 0 {
 		t.Errorf("%d requests were rejected or failed", n)
 	}
 }
@@ -118,8 +118,8 @@
 	idle, unused, stream := p.dial(t), p.dial(t), d.startOpenStream()
 	idle.send(requestText("r", "-"))
 	idle.expectServed("before the drain")
-	f := d.startTraffic(2)
-	waitUntil(t, "traffic", func() bool { return f.served.Load() > 20 })
+	traffic := d.startTraffic(2)
+	waitUntil(t, "traffic", func() bool { return traffic.served.Load() > 20 })
 	d.order(p, http.MethodPut, "/-/drain")
 	drained := time.Now()
 	if status := p.readyStatus(); status == http.StatusOK {
@@ -136,7 +136,7 @@
 	if status, _, last := early.readResponse(); status != http.StatusOK || !last {
 		t.Errorf("early in the drain: status %d, last %v", status, last)
 	}
-	f.stopAndWait()
+	traffic.stopAndWait()
 	time.Sleep(time.Until(drained.Add(2100 * time.Millisecond)))
 	late := p.dial(t)
 	late.send(requestText("l", "hold"))
@@ -177,12 +177,12 @@
 			d := newDeployment(t, 3)
 			p := d.start()
 			waitUntil(t, "ready", func() bool { return p.readyStatus() == http.StatusOK })
-			f := d.startTraffic(2)
+			traffic := d.startTraffic(2)
 			d.expectAttempts(d.replicas[0], "before")
 			d.discovery.publish("s-odd", invalid)
 			d.discovery.publish("s-1", endpointJSON("s-1", d.replicas[0].addr, "draining", ""))
 			waitUntil(t, "the changes are applied", d.discovery.allDelivered)
-			d.expectNoAttempts(d.replicas[0], f, "drained after the invalid entry")
+			d.expectNoAttempts(d.replicas[0], traffic, "drained after the invalid entry")
 		})
 	}
 }
--- a/cmd/archknot/unseendrain_test.go
+++ b/cmd/archknot/unseendrain_test.go
@@ -7,17 +7,17 @@
 )
 
 // expectUnseenDrainHeld plays a drain that the gateway cannot see, and expects it to be held all the same.
-func expectUnseenDrainHeld(t *testing.T, gateways int, play func(d *drainDeployment) (change int)) {
+func expectUnseenDrainHeld(t *testing.T, gateways int, injectFault func(d *drainDeployment) (change int)) {
 	t.Helper()
 	d := newDrainDeployment(t, gateways)
 	p := d.start()
 	d.waitUntilReady(p)
-	f := d.startTraffic(3)
-	waitUntil(t, "it serves", func() bool { return len(d.drains.attemptsAfter(time.Time{})) > 20 })
-	change := play(d)
+	traffic := d.startTraffic(3)
+	waitUntil(t, "it serves", func() bool { return len(d.draining.attemptsAfter(time.Time{})) > 20 })
+	change := injectFault(d)
 	published, _ := d.discovery.changeTimes(change)
-	time.Sleep(time.Until(published.Add(drainFor)))
-	f.stopAndWait()
+	time.Sleep(time.Until(published.Add(drainDuration)))
+	traffic.stopAndWait()
 	d.expectDrained(change, time.Time{})
 	p.signal(t, syscall.SIGTERM)
 	p.waitForExit(t)
--- a/cmd/archknot/upgrade_test.go
+++ b/cmd/archknot/upgrade_test.go
@@ -18,20 +18,20 @@
 	d := newDeployment(t, 4)
 	p := d.start()
 	d.waitUntilReady(p)
-	f := d.startTraffic(8)
-	waitUntil(t, "traffic", func() bool { return f.served.Load() > 100 })
+	traffic := d.startTraffic(8)
+	waitUntil(t, "traffic", func() bool { return traffic.served.Load() > 100 })
 	d.order(p, "PUT", "/-/replicas/s-4/disable")
 	for range *upgrades {
-		served := f.served.Load()
+		served := traffic.served.Load()
 		p = d.upgrade(p)
-		waitUntil(t, "the next process serves", func() bool { return f.served.Load() > served+50 })
-		d.expectNoAttempts(d.replicas[3], f, "after the upgrade")
+		waitUntil(t, "the next process serves", func() bool { return traffic.served.Load() > served+50 })
+		d.expectNoAttempts(d.replicas[3], traffic, "after the upgrade")
 	}
-	f.stopAndWait()
-	most := int64(maxResentPerUpgrade * *upgrades)
-	t.Logf("%d upgrades: %d served, %d rejected or failed, %d broken, %d sent again", *upgrades, f.served.Load(), f.failed.Load(), f.broken.Load(), f.resent.Load())
-	if f.failed.Load() > 0 || f.broken.Load() > 0 || f.resent.Load() > most {
-		t.Errorf("in %d upgrades: %d rejected or failed, %d broken, %d sent again", *upgrades, f.failed.Load(), f.broken.Load(), f.resent.Load())
+	traffic.stopAndWait()
+	maxResent := int64(maxResentPerUpgrade * *upgrades)
+	t.Logf("%d upgrades: %d served, %d rejected or failed, %d broken, %d sent again", *upgrades, traffic.served.Load(), traffic.failed.Load(), traffic.broken.Load(), traffic.resent.Load())
+	if traffic.failed.Load() > 0 || traffic.broken.Load() > 0 || traffic.resent.Load() > maxResent {
+		t.Errorf("in %d upgrades: %d rejected or failed, %d broken, %d sent again", *upgrades, traffic.failed.Load(), traffic.broken.Load(), traffic.resent.Load())
 	}
 	p.signal(t, syscall.SIGTERM)
 	p.waitForExit(t)
