--- a/cmd/adapter/main.go
+++ b/cmd/adapter/main.go
@@ -1,5 +1,5 @@
 // Adapter runs many instances of the decision module for the simulator, which sends batches of events on standard
-// input and reads the replies on standard output. With -capture each instance is recorded in a folder of its own.
+// input and reads the replies on standard output. With -capture each instance is recorded in a directory of its own.
 package main
 
 import (
@@ -29,36 +29,35 @@
 	}
 }
 
-// How captures of the simulator's runs are written: nothing is lost to a full queue or deleted, and a batch of a
-// minute's virtual time may be in memory.
+// Settings of captures. Captures are complete: a full queue blocks the adapter, and no segment is deleted.
 const (
-	captureQueueLength = 8
+	captureQueueLength = 8 // blocks
 	checkpointInterval = 5 * time.Second
-	blockSize          = 64 << 10
-	flushInterval      = time.Minute
-	segmentSize        = 64 << 20
+	blockSize          = 64 << 10    // bytes
+	flushInterval      = time.Minute // of virtual time, for which records may stay in memory
+	segmentSize        = 64 << 20    // bytes
 	segmentAge         = time.Hour
 )
 
 // host runs the gateway instances of one process.
 type host struct {
 	encoder    *simwire.Encoder
-	captureDir string // directory of captures; "": none
-	contracts  bool   // quotas are enforced by contracts
+	captureDir string // parent directory of the captures; empty if instances are not recorded
+	contracts  bool   // enforce quotas by contracts
 	instances  map[int]*instance
-	started    int // instances so far: each has a capture of its own
+	started    int // recorded instances so far, which number the captures
 }
 
-// instance is one gateway: its decision module, or the recorder before it.
+// instance is one gateway: its decision module, or a recorder that wraps the module.
 type instance struct {
 	capture.Module
 	recorder *capture.Recorder
 	writer   *capture.Writer
 	timers   *timers
-	ledger   *contract.Ledger // nil: the module's own quotas
+	ledger   *contract.Ledger // nil if the module enforces quotas by its own rule
 }
 
-// run serves batches until the input ends. The error names the line.
+// run processes batches of events until the input ends. A returned error names the input line.
 func run(in io.Reader, out io.Writer, captureDir string, contracts bool) error {
 	decoder := simwire.NewDecoder(in)
 	h := &host{
@@ -86,7 +85,7 @@
 	}
 }
 
-// start makes the instance that an InstanceStarted event describes.
+// start creates the instance that an InstanceStarted event describes.
 func (h *host) start(ev *simwire.Event) (*instance, error) {
 	sink := h.encoder.Sink(ev.Gateway)
 	n := &instance{}
@@ -110,7 +109,7 @@
 	return n, err
 }
 
-// record puts a recorder before an instance's module.
+// record wraps the module of an instance in a recorder.
 func (h *host) record(n *instance, ev *simwire.Event, b *balancer.Balancer, sink balancer.Sink) error {
 	h.started++
 	name := fmt.Sprintf("instance%d_%d", ev.Gateway, h.started)
@@ -181,7 +180,7 @@
 			n.timers.pending.Remove(ev.Token)
 		}
 		n.TimerFired(ev.Now, ev.Token)
-		if n.ledger != nil && ev.Token == 0 { // the module's tick, at which it updates its averages too
+		if n.ledger != nil && ev.Token == 0 { // the periodic tick, at which the module updates its own averages
 			n.ledger.UpdateDemand(ev.Now)
 		}
 	case simwire.HealthCheckEnded:
@@ -198,12 +197,12 @@
 	return nil
 }
 
-// demandHeadroom is how far above its quota a tenant's recent demand may be before all that it sends is over quota,
-// as in the module's own rule.
+// demandHeadroom is the ratio of a tenant's recent demand to its quota above which all its requests count as over
+// quota. The module's own rule uses the same ratio.
 const demandHeadroom = 1.25
 
-// newLedger returns the deployment's quotas as contracts, in which a request counts as one token. Each instance has
-// an equal share of them.
+// newLedger returns a ledger with one contract for each tenant that has a quota. A request counts as one token, and
+// each instance enforces an equal fraction of the quotas.
 func newLedger(ev *simwire.Event) (*contract.Ledger, error) {
 	s := &ev.Settings
 	var terms []contract.Terms
@@ -217,7 +216,7 @@
 			Team:    t.Name,
 			Tenants: []string{t.Name},
 			Rate:    rate,
-			// Only recent demand counts: the burst is never used up.
+			// A burst that is never used up: only the rate of recent demand counts.
 			Burst:           contract.Units(max(1, 1e5*rate)),
 			OverQuotaWeight: s.OverQuotaWeight,
 			Surge:           1,
@@ -232,7 +231,7 @@
 	return l, nil
 }
 
-// chargeRequest sets the priority factor of an arriving request by its tenant's contract.
+// chargeRequest sets the priority factor of an arriving request from its tenant's contract.
 func (n *instance) chargeRequest(ev *simwire.Event) {
 	if n.ledger == nil {
 		return
@@ -244,17 +243,17 @@
 	ev.Request.PriorityFactor = max(minPriorityFactor, v.PriorityWeight)
 }
 
-// minPriorityFactor stands for no priority: a factor of 0 would mean that none is set.
+// minPriorityFactor is the factor of a request without priority: 0 would mean that no factor is set.
 const minPriorityFactor = 1e-6
 
-// setClock sets the time of the next event, from which the instance's timers are counted.
+// setClock sets the time of the next event, to which the delays of the instance's timers are added.
 func (n *instance) setClock(now balancer.Micros) {
 	if n.timers != nil {
 		n.timers.now = now
 	}
 }
 
-// timers tracks the timers that a module has set: the simulator holds them, and checkpoints of a capture need them.
+// timers tracks the pending timers of a module, which the simulator runs. The checkpoints of a capture include them.
 type timers struct {
 	balancer.Sink
 	now     balancer.Micros
--- a/cmd/adapter/main_test.go
+++ b/cmd/adapter/main_test.go
@@ -16,7 +16,7 @@
 	`"rules":{"startCapacity":0.12,"coldUs":24000000,"fallMultiple":4.0,"tipAfterUs":1500000},` +
 	`"requestClasses":[{"name":"chat","targetUs":1200000,"deadlineUs":4000000,"points":1,"effect":"repeatable","streamed":true}]}`
 
-// script is the input for some of three instances, interleaved batch by batch.
+// script returns the input for some of three instances; each batch has an event for each of them.
 func script(instances ...int) string {
 	var s strings.Builder
 	clock := 1000
@@ -47,7 +47,7 @@
 	return s.String()
 }
 
-// actions runs a script and returns each instance's actions.
+// actions runs a script and returns the actions of each instance.
 func actions(t *testing.T, in string) map[string]string {
 	t.Helper()
 	var out bytes.Buffer
@@ -72,16 +72,16 @@
 	return byInstance
 }
 
-// Instances share nothing: in one process and in three they take the same actions.
+// Guards against state shared between instances: each takes the same actions alone in a process and with others.
 func TestOneProcessOrThree(t *testing.T) {
 	together := actions(t, script(0, 1, 2))
 	if !strings.Contains(together["1"], "SUBMIT_TO") || !strings.Contains(together["1"], "TRACK\t1") {
-		t.Fatalf("instance 1 did nothing: %q", together["1"])
+		t.Fatalf("instance 1 sent no request or did not watch discovery: %q", together["1"])
 	}
 	for i := range 3 {
 		who := fmt.Sprint(i)
 		if alone := actions(t, script(i)); alone[who] != together[who] {
-			t.Errorf("instance %d acts differently when alone", i)
+			t.Errorf("instance %d: other actions in a process of its own than with the others", i)
 		}
 	}
 }
@@ -97,7 +97,7 @@
 	s.WriteString("OVER_TO_YOU\n")
 	got := actions(t, s.String())["0"]
 	if n := strings.Count(got, "SUBMIT_TO") + strings.Count(got, "BUSY"); n != 20000 {
-		t.Fatalf("%d of 20000 requests answered or sent", n)
+		t.Fatalf("%d requests answered or sent, want 20000", n)
 	}
 }
 
@@ -118,7 +118,7 @@
 	}
 }
 
-// With -capture each instance is recorded, and a replay of the recording makes the same decisions.
+// With -capture the replies stay the same, each instance is recorded, and a replay makes the same decisions.
 func TestCapture(t *testing.T) {
 	in := []byte(script(0, 1, 2))
 	dir := t.TempDir()
@@ -140,10 +140,10 @@
 	for _, r := range runs {
 		res, err := replay.Replay(r, replay.Options{})
 		if err != nil || res.Differing != 0 || res.Gaps != 0 || res.Events == 0 {
-			t.Errorf("%v %v", res, err)
+			t.Errorf("replay: result %v, error %v; want events, and no gaps or differences", res, err)
 		}
 	}
 	if len(runs) != 3 {
-		t.Errorf("%d runs", len(runs))
+		t.Errorf("%d recorded runs, want 3", len(runs))
 	}
 }
--- a/cmd/archknot/drain_test.go
+++ b/cmd/archknot/drain_test.go
@@ -11,29 +11,30 @@
 )
 
 const (
-	// propagationLimit is when a change counts as known at the latest, from when discovery had it and could be reached.
+	// propagationLimit is the latest time at which the gateway has to know a change, counted from when discovery had
+	// the change and could be reached.
 	propagationLimit = 6 * time.Second
-	// drainGrace is stopSendingWithinUs of drainConfigFormat, with what the protocol adds on sockets.
+	// drainGrace is stopSendingWithinUs of drainConfigFormat plus the allowance of the protocol for sockets.
 	drainGrace = 2500*time.Millisecond + 50*time.Millisecond
-	// clockTolerance is what a busy machine may add between an attempt's first byte and the record of it.
+	// clockTolerance allows for a delay, on a loaded machine, between an attempt's first byte and the record of it.
 	clockTolerance = 100 * time.Millisecond
-	// drainDuration is how long a drain lasts in these tests: to well past the term and the grace.
+	// drainDuration is how long a drain lasts in these tests, well beyond propagationLimit and drainGrace.
 	drainDuration = propagationLimit + drainGrace + 3*time.Second
 )
 
-// drainConfigFormat is the configuration of a gateway that is one of several, in a fleet with load reports.
+// drainConfigFormat is the configuration of one of several gateways, in a fleet whose replicas send load reports.
 const drainConfigFormat = `{"name":"g","listen":"%s","discovery":"%s","admin":"%s","limits":{"cores":1,"memory_mb":64,"sockets":512},
  "settings":{"nInstances":%d,"selfIndex":0,"discovery":"on_request","zone":"a","zones":["a"],"kinds":["m"],"feedback":{"via":"inline","names":["busy_reqs","cpu_share"]},
   "limits":{"maxAttempts":3,"connIdleUs":60000000,"connectTimeoutUs":50000,"mostHeld":2000,"mayProbe":true,"cancelling":true,"secondCopies":true},
   "rules":{"askWithinUs":10000000,"stopSendingWithinUs":2500000,"startCapacity":1},
   "requestClasses":[{"name":"chat","targetUs":1000000,"deadlineUs":3000000,"effect":"repeatable","streamed":true}]}}`
 
-// drainingReplica is a replica that takes work and passes health checks also while it drains.
+// drainingReplica is a replica that serves requests and passes health checks even while it drains.
 type drainingReplica struct {
 	id, addr string
 	mu       sync.Mutex
 	server   *http.Server
-	attempts []time.Time // when each began
+	attempts []time.Time // start times
 }
 
 func newDrainingReplica(t *testing.T, id string) *drainingReplica {
@@ -70,7 +71,7 @@
 	io.WriteString(w, firstEvent+lastEvent)
 }
 
-// restart ends the replica's process and starts the next one, which takes work before discovery lists it.
+// restart ends the replica's process and starts the next one, which serves requests before discovery lists it.
 func (r *drainingReplica) restart(t *testing.T) {
 	t.Helper()
 	r.mu.Lock()
@@ -79,7 +80,7 @@
 	r.listen(t)
 }
 
-// attemptsAfter returns how long after a time the attempts began that came later.
+// attemptsAfter returns the attempts that began after a time, each as its delay from that time.
 func (r *drainingReplica) attemptsAfter(at time.Time) (delays []time.Duration) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -95,14 +96,14 @@
 type drainCase struct {
 	name     string
 	gateways int
-	// injectFault has discovery fail and publish the drain. It returns the drain's change, and from when on
-	// discovery could be reached; zero: always.
+	// injectFault makes discovery fail and publishes the drain. It returns the index of that change, and the time
+	// from which discovery could be reached; zero if it always could.
 	injectFault      func(d *drainDeployment) (change int, reachableFrom time.Time)
-	restarts         bool // the replica is restarted while it drains, and its next process takes work before it is listed
-	expectNoFailures bool // the list never gets too old for new work
+	restarts         bool // the replica restarts while it drains, and its next process serves before it is listed
+	expectNoFailures bool // every request is served: the endpoint list never gets too old for new requests
 }
 
-// drainDeployment is a gateway before replicas of which the first drains.
+// drainDeployment is a gateway in front of four replicas, of which the first drains.
 type drainDeployment struct {
 	*deployment
 	draining *drainingReplica
@@ -124,19 +125,19 @@
 	return d
 }
 
-// drain has discovery list the first replica as draining.
+// drain lists the first replica as draining and returns the index of the change.
 func (d *drainDeployment) drain() (change int) {
 	return d.discovery.publish(d.draining.id, endpointJSON(d.draining.id, d.draining.addr, "draining", ""))
 }
 
-// awaitWatch waits until the gateway's watch has been open for a while.
+// awaitWatch waits until the gateway has opened a new watch, and then for openFor.
 func (d *drainDeployment) awaitWatch(openFor time.Duration) {
 	calls := d.discovery.callCount()
 	waitUntil(d.t, "a new watch", func() bool { return d.discovery.callCount() > calls })
 	time.Sleep(openFor)
 }
 
-// failFor has discovery fail for a while, and publish the drain shortly before the end.
+// failFor makes discovery fail for a duration and publishes the drain shortly before the end of the outage.
 func (d *drainDeployment) failFor(fault discoveryFault, duration time.Duration) (change int, reachableFrom time.Time) {
 	const drainBeforeEnd = 200 * time.Millisecond
 	d.discovery.setFault(fault)
@@ -147,7 +148,8 @@
 	return change, time.Now()
 }
 
-// unansweredWatch leaves the open watch without an answer, a while after it began, and publishes the drain behind that.
+// unansweredWatch lets the gateway's watch be open for openFor, leaves it without an answer from then on, and then
+// publishes the drain.
 func unansweredWatch(openFor time.Duration) func(d *drainDeployment) (int, time.Time) {
 	return func(d *drainDeployment) (int, time.Time) {
 		d.awaitWatch(openFor)
@@ -174,9 +176,8 @@
 	{"no answers for 10 s, 200 gateways", 200, outage(discoveryUnresponsive, 10*time.Second), false, false},
 }
 
-// No work goes to a draining replica past the grace, counted from 6 s after discovery had the drain and could be
-// reached, however discovery failed to tell it, however many gateways there are, and although the replica takes
-// work.
+// Guards against requests to a draining replica when a fault of discovery hides the drain from the gateway. None may
+// begin later than drainGrace after propagationLimit, although the replica still serves, with any number of gateways.
 func TestNoWorkForDrainingReplicaWithoutAList(t *testing.T) {
 	for _, c := range drainCases {
 		t.Run(c.name, func(t *testing.T) {
@@ -185,9 +186,9 @@
 			p := d.start()
 			d.waitUntilReady(p)
 			traffic := d.startTraffic(3)
-			waitUntil(t, "it serves", func() bool { return len(d.draining.attemptsAfter(time.Time{})) > 20 })
+			waitUntil(t, "the replica serves requests", func() bool { return len(d.draining.attemptsAfter(time.Time{})) > 20 })
 			change, reachableFrom := c.injectFault(d)
-			if c.restarts { // while the gateway has no request, as one of many often has
+			if c.restarts { // while the gateway is idle, as one of many gateways often is
 				time.Sleep(propagationLimit / 2)
 				traffic.stopAndWait()
 				d.draining.restart(t)
@@ -198,7 +199,7 @@
 			traffic.stopAndWait()
 			d.expectDrained(change, reachableFrom)
 			if n := traffic.failed.Load(); c.expectNoFailures && n > 0 {
-				t.Errorf("%d requests were shed or failed", n)
+				t.Errorf("%d requests were shed or failed, want 0", n)
 			}
 			p.signal(t, syscall.SIGTERM)
 			p.waitForExit(t)
@@ -206,7 +207,8 @@
 	}
 }
 
-// expectDrained expects no attempts at the draining replica past the grace.
+// expectDrained expects no attempts at the draining replica from drainGrace after the time by which the gateway has
+// to know the drain: propagationLimit after discovery had it and could be reached, or when it was sent, if earlier.
 func (d *drainDeployment) expectDrained(change int, reachableFrom time.Time) {
 	d.t.Helper()
 	published, sent := d.discovery.changeTimes(change)
@@ -219,7 +221,7 @@
 	}
 	late := d.draining.attemptsAfter(knownBy.Add(drainGrace + clockTolerance))
 	if len(late) > 0 {
-		d.t.Errorf("%d attempts past the grace, the last one %v past it; the drain counts as known %v after it was published, and was sent at %v",
+		d.t.Errorf("%d attempts at the draining replica after the grace, the last one %v after it; the drain had to be known %v after it was published, and was sent at %v",
 			len(late), late[len(late)-1], knownBy.Sub(published), sent)
 	}
 }
--- a/cmd/archknot/fakediscovery_test.go
+++ b/cmd/archknot/fakediscovery_test.go
@@ -11,34 +11,34 @@
 	"time"
 )
 
-// discoveryFault is what is wrong with a fakeDiscovery.
+// discoveryFault is the state of a fakeDiscovery: up, or the way in which it fails.
 type discoveryFault int
 
 const (
 	discoveryUp           discoveryFault = iota
-	discoveryUnavailable                 // it answers with 503
-	discoveryResets                      // it resets each connection without an answer
-	discoveryUnresponsive                // it accepts calls and answers none
-	discoveryBusy                        // it answers with 503 after busyDelay, as one that has too many callers
+	discoveryUnavailable                 // calls get a 503
+	discoveryResets                      // each connection is reset without an answer
+	discoveryUnresponsive                // calls are accepted and get no answer
+	discoveryBusy                        // calls get a 503 after busyDelay, as from an overloaded service
 )
 
-// busyDelay is how long a call waits at a busy discovery for its answer.
+// busyDelay is how long a call waits for its answer in the state discoveryBusy.
 const busyDelay = time.Second
 
 // fakeDiscovery is a discovery service with long polls.
 type fakeDiscovery struct {
 	addr        string
 	mu          sync.Mutex
-	entries     map[string]string // by id, as they stand in the list
-	order       []string
-	changes     []string    // the id that each version changed, from version 2
-	publishedAt []time.Time // of each change
-	sentAt      []time.Time // when each change was first sent to a gateway; zero: it was not
-	polledSince int         // the latest version that a poll gave as its own
+	entries     map[string]string // by id: JSON text of the endpoint list's entry
+	order       []string          // ids in the order of their first publication
+	changes     []string          // the id that each version changed, from version 2
+	publishedAt []time.Time       // of each change
+	sentAt      []time.Time       // when each change was first sent to a gateway; zero if never
+	polledSince int               // the highest version that a poll has sent in its parameter "since"
 	calls       int
 	fault       discoveryFault
-	silencedAt  time.Time     // calls that began before get no answer, but a reset if the service resets all
-	changed     chan struct{} // closed with the next change of any kind
+	silencedAt  time.Time     // calls that began earlier get no answer, or a reset in the state discoveryResets
+	changed     chan struct{} // closed at the next change of the entries or of fault
 }
 
 func newFakeDiscovery(t *testing.T) *fakeDiscovery {
@@ -48,12 +48,12 @@
 	return d
 }
 
-// endpointJSON returns an entry of the endpoint list, with more members.
+// endpointJSON returns an entry of the endpoint list. extraFields is empty or further JSON members after a comma.
 func endpointJSON(id, addr, lifecycle, extraFields string) string {
 	return fmt.Sprintf(`{"instanceId":"%s","hostPort":"%s","zone":"a","machineType":"m","lifecycle":"%s","weight":1%s}`, id, addr, lifecycle, extraFields)
 }
 
-// publish adds or changes an entry. It returns the change's number.
+// publish adds or changes an entry and returns the index of the change.
 func (d *fakeDiscovery) publish(id, text string) int {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -67,13 +67,13 @@
 	return len(d.changes) - 1
 }
 
-// wakeAll has the calls that wait look at the state again. The caller holds the lock.
+// wakeAll makes the waiting calls check the state again. The caller holds the lock.
 func (d *fakeDiscovery) wakeAll() {
 	close(d.changed)
 	d.changed = make(chan struct{})
 }
 
-// setFault sets what is wrong with the service. It applies to open calls, too.
+// setFault sets the state of the service, for open calls as well as new ones.
 func (d *fakeDiscovery) setFault(fault discoveryFault) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -81,7 +81,7 @@
 	d.wakeAll()
 }
 
-// silenceOpenCalls leaves the calls that wait now without an answer. Later ones are answered.
+// silenceOpenCalls leaves the calls that are open now without an answer. Later calls are answered.
 func (d *fakeDiscovery) silenceOpenCalls() {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -95,21 +95,21 @@
 	return d.calls
 }
 
-// changeTimes returns when a change was published, and when it was first sent; zero: it was not.
+// changeTimes returns when a change was published, and when it was first sent; zero if never.
 func (d *fakeDiscovery) changeTimes(change int) (published, sent time.Time) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	return d.publishedAt[change], d.sentAt[change]
 }
 
-// allDelivered reports whether the gateway has applied all changes: it polls for later ones.
+// allDelivered reports whether the gateway has all changes, which holds once it polls for later versions.
 func (d *fakeDiscovery) allDelivered() bool {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	return d.polledSince > len(d.changes)
 }
 
-// serve answers a poll.
+// serve handles a call for the list, or a long poll for changes since a version.
 func (d *fakeDiscovery) serve(w http.ResponseWriter, r *http.Request) {
 	begun := time.Now()
 	since, err := strconv.Atoi(r.FormValue("since"))
@@ -169,7 +169,8 @@
 	}
 }
 
-// answer returns what a poll gets, and whether there is anything new for it. The caller holds the lock.
+// answer returns the body of the response to a poll, and whether it holds changes or the whole list. The caller holds
+// the lock.
 func (d *fakeDiscovery) answer(watches bool, since int) (text string, hasChanges bool) {
 	version := len(d.changes) + 1
 	changesOnly := watches && since <= version
--- a/cmd/archknot/faults_test.go
+++ b/cmd/archknot/faults_test.go
@@ -14,7 +14,7 @@
 	"golang.org/x/sys/unix"
 )
 
-// limitResource limits a resource of the running process, so that its system calls fail.
+// limitResource sets a resource limit of the running process, to make its system calls fail or succeed again.
 func (p *gatewayProcess) limitResource(t *testing.T, resource int, limit uint64) {
 	t.Helper()
 	var usual unix.Rlimit
@@ -28,8 +28,8 @@
 
 const noLimit = 1 << 62
 
-// While the process can open no descriptor, accepts and connects fail. Requests on open connections get a
-// response all the same, no replica counts as faulty, and requests are served as soon as descriptors are there.
+// Guards against lost service when the process is out of descriptors, so that accepts and connects fail. Requests on
+// open connections still get a response, no replica is treated as faulty, and service returns with the descriptors.
 func TestNoDescriptorsForAWhile(t *testing.T) {
 	d := newDeployment(t, 3)
 	p := d.start()
@@ -39,29 +39,28 @@
 	for range 3 {
 		p.limitResource(t, unix.RLIMIT_NOFILE, 5)
 		served, failed := traffic.served.Load(), traffic.failed.Load()
-		c := p.dial(t) // waits in the accept queue
+		c := p.dial(t) // stays in the accept queue
 		c.send(requestText(fmt.Sprint("q", lastRequestNumber.Add(1)), "-"))
 		waitUntil(t, "open connections get responses", func() bool { return traffic.served.Load()+traffic.failed.Load() > served+failed+50 })
 		p.limitResource(t, unix.RLIMIT_NOFILE, noLimit)
-		c.expectServed("the connection that had to wait")
+		c.expectServed("the connection from the accept queue")
 		from := traffic.failed.Load()
 		served = traffic.served.Load()
 		waitUntil(t, "served again", func() bool { return traffic.served.Load() > served+100 })
-		if n := traffic.failed.Load() - from; n > 3 { // those that were in flight
-			t.Errorf("%d requests were rejected although descriptors were there", n)
+		if n := traffic.failed.Load() - from; n > 3 { // requests that were in flight
+			t.Errorf("%d requests failed while descriptors were available, want at most 3", n)
 		}
 	}
 	traffic.stopAndWait()
 	if n := traffic.broken.Load(); n > 0 {
-		t.Errorf("%d requests got no response", n)
+		t.Errorf("%d requests got no response, want 0", n)
 	}
 	p.signal(t, syscall.SIGTERM)
 	p.waitForExit(t)
 }
 
-// While nothing can be written to disk, maintenance orders apply but are not acknowledged, and the process
-// continues to serve. An acknowledged order outlasts the process. A process hands over to its successor what
-// it could not save.
+// While the process cannot write to disk, maintenance orders apply but are not acknowledged, and requests are
+// served. The process hands unsaved orders over to its successor, and an acknowledged order survives a kill.
 func TestNoDiskForAWhile(t *testing.T) {
 	d := newDeployment(t, 3)
 	p := d.start()
@@ -71,7 +70,7 @@
 	d.expectAttempts(d.replicas[1], "before")
 	p.limitResource(t, unix.RLIMIT_FSIZE, 0)
 	if status := p.callAdmin(http.MethodPut, "/-/replicas/s-1/disable"); !isError(status) {
-		t.Errorf("on a failing disk: status %d, want an error", status)
+		t.Errorf("order without a writable disk: status %d, want an error", status)
 	}
 	d.expectNoAttempts(d.replicas[0], traffic, "not saved")
 	next := d.start()
@@ -91,7 +90,7 @@
 	last.waitForExit(t)
 }
 
-// A gateway starts and serves also if the directory for maintenance orders cannot be created.
+// A gateway starts and serves even if the directory for maintenance orders cannot be created.
 func TestNoFolderForOrders(t *testing.T) {
 	d := newDeployment(t, 2)
 	d.tempDir = filepath.Join(d.tempDir, "file")
@@ -103,7 +102,7 @@
 	traffic := d.startTraffic(2)
 	d.expectAttempts(d.replicas[0], "before")
 	if status := p.callAdmin(http.MethodPut, "/-/replicas/s-1/disable"); !isError(status) {
-		t.Errorf("status %d, want an error", status)
+		t.Errorf("order without a directory: status %d, want an error", status)
 	}
 	d.expectNoAttempts(d.replicas[0], traffic, "without a directory")
 	if status := p.callAdmin(http.MethodPut, "/-/replicas/s-1/enable"); !isSuccess(status) {
@@ -114,12 +113,12 @@
 }
 
 // Before discovery has answered, the replicas are unknown: a maintenance order applies but is not acknowledged.
-// Later it stays in force for a replica that is listed, and is dropped for one that is not.
+// After the answer the order stays in force for a listed replica, and is dropped for one that is not listed.
 func TestOrdersBeforeDiscoveryAnswers(t *testing.T) {
 	d := newDeployment(t, 3)
 	d.discovery.setFault(discoveryUnavailable)
 	p := d.start()
-	waitUntil(t, "it answers operators", func() bool { return p.callAdmin(http.MethodGet, "/-/ready") != 0 })
+	waitUntil(t, "the process answers operators' calls", func() bool { return p.callAdmin(http.MethodGet, "/-/ready") != 0 })
 	for _, id := range []string{"s-1", "s-none"} {
 		if status := p.callAdmin(http.MethodPut, "/-/replicas/"+id+"/disable"); !isError(status) {
 			t.Errorf("%s before discovery has answered: status %d, want an error", id, status)
@@ -140,7 +139,7 @@
 	p.waitForExit(t)
 }
 
-// A log that is not read delays no request, and one whose reader has gone ends no process.
+// A log pipe that is not read delays no request, and a log pipe whose reader has closed it does not end the process.
 func TestNobodyReadsTheLog(t *testing.T) {
 	d := newDeployment(t, 2)
 	read, write, err := os.Pipe()
@@ -154,20 +153,20 @@
 	d.log = nil
 	d.waitUntilReady(p)
 	traffic := d.startTraffic(4)
-	// A pipe holds 64 KiB. A hundred times as much is logged while it is not read.
-	waitUntil(t, "requests without a reader", func() bool { return traffic.served.Load() > 4000 })
+	// A pipe holds 64 KiB; these requests log about a hundred times as much.
+	waitUntil(t, "requests while the log is not read", func() bool { return traffic.served.Load() > 4000 })
 	read.Close()
 	served := traffic.served.Load()
-	waitUntil(t, "requests after the reader has gone", func() bool { return traffic.served.Load() > served+1000 })
+	waitUntil(t, "requests after the log's reader has closed", func() bool { return traffic.served.Load() > served+1000 })
 	traffic.stopAndWait()
 	if n := traffic.broken.Load() + traffic.failed.Load(); n > 0 {
-		t.Errorf("%d requests were not served", n)
+		t.Errorf("%d requests were not served, want 0", n)
 	}
 	p.signal(t, syscall.SIGTERM)
 	p.waitForExit(t)
 }
 
-// A gateway starts also if the clients' address is in use for a moment, as after a process was killed.
+// A gateway whose listen address is in use retries until the address is free, as after its predecessor was killed.
 func TestAddressInUseForAMoment(t *testing.T) {
 	f := newFleet(t)
 	f.startDiscovery(t, "ready")
@@ -193,7 +192,7 @@
 	}
 	t.Cleanup(func() { next.cmd.Process.Kill() })
 	go func() { next.exited <- next.cmd.Wait() }()
-	waitUntil(t, "it waits for the address", func() bool {
+	waitUntil(t, "the next process retries to listen", func() bool {
 		text, _ := os.ReadFile(log.Name())
 		return strings.Contains(string(text), "msg=retrying")
 	})
@@ -207,8 +206,8 @@
 	next.waitForExit(t)
 }
 
-// A request that is completely received 0.75 s after SIGTERM is rejected without an attempt: the platform may
-// kill the process 0.7 s after the longest deadline.
+// A request that is complete only 0.75 s after SIGTERM is rejected without an attempt: the platform may kill the
+// process 0.7 s after the longest deadline, when the request could still be in flight.
 func TestRequestLateInShutdown(t *testing.T) {
 	d := newDeployment(t, 2)
 	p := d.start()
@@ -218,7 +217,7 @@
 	half.send(text[:len(text)-10])
 	p.signal(t, syscall.SIGTERM)
 	terminatedAt := time.Now()
-	<-time.After(time.Until(terminatedAt.Add(750 * time.Millisecond))) // a request now may be in flight at the kill
+	<-time.After(time.Until(terminatedAt.Add(750 * time.Millisecond))) // a request that begins now could be in flight at the kill
 	half.send(text[len(text)-10:])
 	if status, _, last := half.readResponse(); status != http.StatusServiceUnavailable || !last {
 		t.Errorf("a request that was complete 0.75 s after SIGTERM: status %d, last %v; want it rejected", status, last)
@@ -226,13 +225,13 @@
 	p.waitForExit(t)
 	for _, r := range d.replicas {
 		if n := r.attemptsSince(terminatedAt); n > 0 {
-			t.Errorf("%d attempts at %s", n, r.id)
+			t.Errorf("%d attempts at %s after SIGTERM, want 0", n, r.id)
 		}
 	}
 }
 
-// The time that a request has waited in the accept queue counts towards its deadline: attempts get only what
-// is left of it.
+// The time that a request has waited in the accept queue counts towards its deadline: an attempt gets only the
+// remaining time.
 func TestTimeInTheQueueCounts(t *testing.T) {
 	const queueTime, deadline, tolerance = 700 * time.Millisecond, 3 * time.Second, 150 * time.Millisecond
 	d := newDeployment(t, 1)
@@ -244,7 +243,7 @@
 	sent := time.Now()
 	<-time.After(queueTime)
 	p.limitResource(t, unix.RLIMIT_NOFILE, noLimit)
-	c.expectServed("the request that had to wait")
+	c.expectServed("the request from the accept queue")
 	got, receivedAt := d.replicas[0].lastDeadline()
 	if left := deadline - receivedAt.Sub(sent); got > left+tolerance || got < left-time.Second {
 		t.Errorf("the replica got a deadline of %v, the client has %v left", got, left)
--- a/cmd/archknot/fleet_test.go
+++ b/cmd/archknot/fleet_test.go
@@ -18,8 +18,8 @@
 	"archknot/internal/connpool"
 )
 
-// fakeReplica answers each request at once and records when it arrived. A request with the key "hold" gets
-// its first event, and the others when the test closes release.
+// fakeReplica answers each request after serviceTime and records when it arrived. The stream of a request with the
+// key "hold" stays open after its first event until the test closes release.
 type fakeReplica struct {
 	id, addr   string
 	mu         sync.Mutex
@@ -28,10 +28,10 @@
 	release    chan struct{}
 }
 
-// thinkTime is the time between two requests of a client. Without it the tests that run in parallel starve.
+// thinkTime is the pause between two requests of a client. Without it, tests that run in parallel get too little CPU.
 const thinkTime = 2 * time.Millisecond
 
-// serviceTime is how long a replica takes for a request. Without it one replica would serve all clients.
+// serviceTime is how long a replica takes to answer. Without it one replica would serve all clients.
 const serviceTime = time.Millisecond
 
 // attemptsSince returns how many requests have arrived after a time.
@@ -46,7 +46,7 @@
 	return n
 }
 
-// lastDeadline returns the deadline of the last request, and when that arrived.
+// lastDeadline returns the deadline of the last request, and when the request arrived.
 func (r *fakeReplica) lastDeadline() (deadline time.Duration, at time.Time) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -74,8 +74,8 @@
 	io.WriteString(w, lastEvent)
 }
 
-// deployment is a gateway in front of several replicas. The test opens its listening socket for clients, as a
-// platform does, and makes operators' calls.
+// deployment is a gateway in front of several replicas. The test plays the platform, which opens the listening
+// socket for clients, and the operators.
 type deployment struct {
 	t            *testing.T
 	replicas     []*fakeReplica
@@ -84,8 +84,8 @@
 	addr         string // for clients
 	tempDir      string // $TMPDIR
 	starts       int
-	log          *os.File // where the next processes log; nil: into a file each
-	// platformConfig returns the platform's configuration of the next process; nil: configFormat's.
+	log          *os.File // for the next processes; nil for a file each
+	// platformConfig returns the configuration of the next process; nil for configFormat.
 	platformConfig func(adminAddr string) string
 }
 
@@ -113,10 +113,10 @@
 type gatewayProcess struct {
 	program
 	adminAddr string
-	logPath   string // file
+	logPath   string
 }
 
-// start starts the gateway's next process, with more variables of the environment.
+// start starts the gateway's next process with additional environment variables.
 func (d *deployment) start(env ...string) *gatewayProcess {
 	d.t.Helper()
 	d.starts++
@@ -158,16 +158,16 @@
 	return p
 }
 
-// adminTimeout bounds an operator's call.
+// adminTimeout is the timeout of an operator's call.
 const adminTimeout = time.Second
 
-// callAdmin makes an operator's call and returns the status, 0 without an answer in time.
+// callAdmin makes an operator's call and returns its status, or 0 if there is no answer within adminTimeout.
 func (p *gatewayProcess) callAdmin(method, path string) int {
 	client := http.Client{Timeout: adminTimeout, Transport: &http.Transport{DisableKeepAlives: true},
 		CheckRedirect: func(*http.Request, []*http.Request) error { return http.ErrUseLastResponse }}
 	req, err := http.NewRequest(method, "http://"+p.adminAddr+path, nil)
 	if err != nil {
-		panic(err) // the test's own constants
+		panic(err) // method and path are constants of the tests
 	}
 	resp, err := client.Do(req)
 	if err != nil {
@@ -188,20 +188,20 @@
 	}
 }
 
-// testTraffic is clients that send one request after another on reused connections, and count the outcomes,
-// until the test stops them.
+// testTraffic is a group of clients that send requests one after another on reused connections and count the
+// outcomes until the test stops them.
 type testTraffic struct {
 	stop    atomic.Bool
 	clients sync.WaitGroup
 	served  atomic.Int64
 	failed  atomic.Int64 // any other response
-	broken  atomic.Int64 // connections that ended during a request that was not sent again
+	broken  atomic.Int64 // failed connects, and connections that ended during a request that was not sent again
 	resent  atomic.Int64 // requests sent again because the reused connection was closed without a response
 }
 
 var lastRequestNumber atomic.Int64
 
-// startTraffic starts clients.
+// startTraffic starts clients, which stop at the end of the test at the latest.
 func (d *deployment) startTraffic(clients int) *testTraffic {
 	traffic := &testTraffic{}
 	for range clients {
@@ -226,13 +226,13 @@
 	traffic.clients.Wait()
 }
 
-// sendRequest sends a request and returns the connection if it stays open. If a reused connection is closed
-// without a response the client sends the request again on a new one.
+// sendRequest sends a request and returns the connection if it stays open, otherwise nil. If a reused connection is
+// closed without a response, the request is sent again on a new connection.
 func (traffic *testTraffic) sendRequest(d *deployment, c *testClient) *testClient {
 	n := lastRequestNumber.Add(1)
 	text := fmt.Sprintf("POST /v1/chat/completions HTTP/1.1\r\nHost: a\r\nReq-Kind: chat\r\nReq-Id: t%d\r\nReq-Key: %016x\r\n"+
 		"Req-Extra: prompt_len=400,max_out=100\r\nContent-Length: 0\r\n\r\n", n, uint64(n)*0x9e3779b97f4a7c15)
-	if c != nil && connpool.PeerClosed(c.Conn) { // closed while it was idle, which a client notices before it sends
+	if c != nil && connpool.PeerClosed(c.Conn) { // closed while idle, which a client detects before it sends
 		c.Close()
 		c = nil
 	}
@@ -280,13 +280,13 @@
 	return nil
 }
 
-// waitUntilReady waits until the process answers operators that it can serve.
+// waitUntilReady waits until the operators' readiness check of the process succeeds.
 func (d *deployment) waitUntilReady(p *gatewayProcess) {
 	d.t.Helper()
 	waitUntil(d.t, "GET /-/ready succeeds", func() bool { return isSuccess(p.callAdmin(http.MethodGet, "/-/ready")) })
 }
 
-// upgrade replaces the process: it starts the next one, and terminates the old one once the next can serve.
+// upgrade starts the next process and terminates the old one as soon as the next is ready.
 func (d *deployment) upgrade(old *gatewayProcess, env ...string) *gatewayProcess {
 	d.t.Helper()
 	next := d.start(env...)
@@ -296,7 +296,7 @@
 	return next
 }
 
-// relevantLines returns the end of a log, and its lines about requests that were not served.
+// relevantLines returns the last lines of a log, and earlier ones other than of served requests and endpoint lists.
 func relevantLines(log []byte) string {
 	var out []string
 	lines := strings.Split(string(log), "\n")
--- a/cmd/archknot/main_test.go
+++ b/cmd/archknot/main_test.go
@@ -18,8 +18,8 @@
 	"time"
 )
 
-// The tests run the program as a process and send it signals: with ARCHKNOT_TEST_PROGRAM set the test binary
-// is the program.
+// TestMain runs the program instead of the tests if ARCHKNOT_TEST_PROGRAM is set, so that tests can start the test
+// binary as a gateway process and send it signals.
 func TestMain(m *testing.M) {
 	if os.Getenv("ARCHKNOT_TEST_PROGRAM") != "" {
 		os.Args = os.Args[:1]
@@ -30,7 +30,7 @@
 }
 
 const (
-	waitTimeout  = 10 * time.Second // of each wait
+	waitTimeout  = 10 * time.Second
 	firstEvent   = "data: {\"choices\":[{\"index\":0,\"delta\":{\"content\":\"a\"},\"finish_reason\":null}]}\n\n"
 	lastEvent    = "data: [DONE]\n\n"
 	configFormat = `{"name":"g","listen":"%s","discovery":"%s","limits":{"cores":1,"memory_mb":32,"sockets":%d},
@@ -38,16 +38,16 @@
   "rules":{"askWithinUs":10000000,"startCapacity":0.5},"requestClasses":[{"name":"chat","targetUs":1000000,"deadlineUs":6000000,"effect":"repeatable","streamed":true}]}}`
 )
 
-// fakeFleet is one replica, whose streams with the key "hold" stay open, and discovery.
+// fakeFleet is discovery and one replica, at which streams with the key "hold" stay open until the test ends them.
 type fakeFleet struct {
 	replicaAddr, discoveryAddr string
 	attempts                   atomic.Int32
 	listCalls                  atomic.Int32
-	streamStarted              chan struct{} // receives for each open stream
-	endStreams                 chan struct{} // closed: the open streams end
+	streamStarted              chan struct{} // gets a value for each stream that stays open
+	endStreams                 chan struct{} // closed to end the open streams
 }
 
-// freeAddress returns an address that no other process uses: it has a random loopback IP address.
+// freeAddress returns a free port on a random loopback IP address, which other processes hardly ever use.
 func freeAddress(t *testing.T) string {
 	t.Helper()
 	l, err := net.Listen("tcp", fmt.Sprintf("127.%d.%d.%d:0", 2+rand.IntN(250), rand.IntN(250), 1+rand.IntN(250)))
@@ -58,7 +58,7 @@
 	return l.Addr().String()
 }
 
-// listen listens on an address that was free before. Another process may use its port for a moment.
+// listen listens on an address of freeAddress. It retries, since another process may use the port for a short time.
 func listen(t *testing.T, addr string) net.Listener {
 	t.Helper()
 	l, err := net.Listen("tcp", addr)
@@ -72,7 +72,7 @@
 	return l
 }
 
-// serve serves on an address that was free before.
+// serve serves on an address of freeAddress until the test ends.
 func serve(t *testing.T, addr string, h http.HandlerFunc) {
 	t.Helper()
 	s := &http.Server{Handler: h}
@@ -80,7 +80,7 @@
 	t.Cleanup(func() { s.Close() })
 }
 
-// newFleet starts the replica. Discovery is down until startDiscovery.
+// newFleet starts the replica. Discovery is down until startDiscovery is called.
 func newFleet(t *testing.T) *fakeFleet {
 	t.Helper()
 	f := &fakeFleet{replicaAddr: freeAddress(t), discoveryAddr: freeAddress(t), streamStarted: make(chan struct{}, 64), endStreams: make(chan struct{})}
@@ -106,7 +106,7 @@
 	return fmt.Sprintf(`{"instanceId":"s-1","hostPort":"%s","zone":"a","machineType":"m","lifecycle":"%s","weight":1,"startedAtMs":0}`, f.replicaAddr, lifecycle)
 }
 
-// startDiscovery starts discovery, which lists the replica with a lifecycle.
+// startDiscovery starts discovery, which lists the replica with the given lifecycle.
 func (f *fakeFleet) startDiscovery(t *testing.T, lifecycle string) {
 	t.Helper()
 	serve(t, f.discoveryAddr, func(w http.ResponseWriter, r *http.Request) {
@@ -129,14 +129,13 @@
 	exited chan error
 }
 
-// run starts the program with a limit on descriptors, with or without a known endpoint list in its
-// configuration.
+// run starts the program with a limit on descriptors, and with or without an endpoint list in its configuration.
 func (f *fakeFleet) run(t *testing.T, sockets int, listKnown bool) *program {
 	t.Helper()
 	return f.runOneOf(t, sockets, listKnown, 0, 1)
 }
 
-// runOneOf starts the program as one gateway of several.
+// runOneOf is run for one gateway of several.
 func (f *fakeFleet) runOneOf(t *testing.T, sockets int, listKnown bool, index, gateways int) *program {
 	t.Helper()
 	p := &program{addr: freeAddress(t), exited: make(chan error, 1)}
@@ -171,10 +170,10 @@
 	select {
 	case err := <-p.exited:
 		if err != nil {
-			t.Errorf("the process ended with %v", err)
+			t.Errorf("the process ended with %v, want success", err)
 		}
 	case <-time.After(waitTimeout):
-		t.Error("the process does not end")
+		t.Errorf("the process did not end within %v", waitTimeout)
 	}
 }
 
@@ -183,12 +182,12 @@
 	t.Helper()
 	for end := time.Now().Add(waitTimeout); !condition(); time.Sleep(2 * time.Millisecond) {
 		if time.Now().After(end) {
-			t.Fatalf("not in time: %s", what)
+			t.Fatalf("timed out waiting for: %s", what)
 		}
 	}
 }
 
-// readyStatus returns the status of the readiness check for clients, 0 without an answer.
+// readyStatus returns the status of the clients' readiness check, or 0 if there is no answer.
 func (p *program) readyStatus() int {
 	resp, err := (&http.Client{Transport: &http.Transport{DisableKeepAlives: true}, Timeout: time.Second}).Get("http://" + p.addr + "/health/ready")
 	if err != nil {
@@ -229,7 +228,7 @@
 	}
 }
 
-// readResponse reads a response. last says that the connection is closed after it.
+// readResponse reads a response. last reports whether the gateway closes the connection after it.
 func (c *testClient) readResponse() (status int, body string, last bool) {
 	c.t.Helper()
 	resp, err := http.ReadResponse(c.reader, nil)
@@ -248,13 +247,13 @@
 func (c *testClient) expectServed(what string) {
 	c.t.Helper()
 	if status, body, _ := c.readResponse(); status != 200 || body != firstEvent+lastEvent {
-		c.t.Errorf("%s: status %d, %q", what, status, body)
+		c.t.Errorf("%s: status %d, body %q; want 200 and a complete stream", what, status, body)
 	}
 }
 
-// SIGTERM arrives once, twice, before and after a SIGHUP, and at each stage of a connection: idle, within a
-// request, just accepted, and within a stream. Every accepted request gets its complete response, its
-// connection is closed after it, and the process ends with success.
+// Guards against lost requests at SIGTERM, sent once, twice, before and after a SIGHUP, with connections that are
+// idle, within a request, just accepted, and within a stream. Every accepted request gets its complete response, its
+// connection is closed afterwards, and the process ends with success.
 func TestTerm(t *testing.T) {
 	for name, signals := range map[string][]syscall.Signal{
 		"once": {syscall.SIGTERM}, "twice": {syscall.SIGTERM, syscall.SIGTERM},
@@ -280,7 +279,7 @@
 				p.signal(t, s)
 			}
 			if _, err := idle.reader.ReadByte(); !errors.Is(err, io.EOF) { // the drain has begun
-				t.Errorf("the idle connection: %v, want a clean end", err)
+				t.Errorf("the idle connection: error %v, want EOF", err)
 			}
 			half.send(requestText("p", "-")[40:])
 			half.expectServed("half a request")
@@ -292,18 +291,18 @@
 			streaming.expectServed("the stream")
 			for _, c := range []*testClient{half, next, accepted, streaming} {
 				if _, err := c.reader.ReadByte(); !errors.Is(err, io.EOF) {
-					t.Errorf("after the last response: %v", err)
+					t.Errorf("after the last response: error %v, want EOF", err)
 				}
 			}
 			p.waitForExit(t)
 			if n := f.attempts.Load(); n != 6 {
-				t.Errorf("%d attempts for six requests", n)
+				t.Errorf("%d attempts, want 6 for 6 requests", n)
 			}
 		})
 	}
 }
 
-// SIGTERM ends the process also before discovery has ever answered.
+// SIGTERM ends the process even if discovery has never answered.
 func TestTermBeforeTheFirstList(t *testing.T) {
 	f := newFleet(t)
 	p := f.run(t, 256, false)
@@ -312,15 +311,15 @@
 	p.waitForExit(t)
 }
 
-// With discovery down, idle clients use all descriptors of the limit. The program serves new clients all the
-// same, and gets the endpoint list once discovery is back.
+// Guards against idle client connections that take all descriptors while discovery is down: the program still serves
+// new clients, and gets the endpoint list once discovery is up.
 func TestIdleClientsFillTheDescriptors(t *testing.T) {
 	f := newFleet(t)
 	p := f.run(t, 128, true)
 	waitUntil(t, "ready", func() bool { return p.readyStatus() == 200 })
 	for i := range 150 {
 		c := p.dial(t)
-		if i%2 == 0 { // half of them have had a response
+		if i%2 == 0 { // half of the clients have had a response
 			c.send(requestText(fmt.Sprint("i", i), "-"))
 			c.expectServed("an idle client's")
 		}
@@ -334,24 +333,24 @@
 	discoveryStarted := time.Now()
 	waitUntil(t, "two calls of discovery", func() bool { return f.listCalls.Load() >= 2 })
 	if d := time.Since(discoveryStarted); d > 6*time.Second {
-		t.Errorf("it polled discovery only %v after that was up", d)
+		t.Errorf("discovery polled twice only %v after it was up, want at most 6 s", d)
 	}
 	n := f.attempts.Load()
 	c := p.dial(t)
 	c.send(requestText("late", "-"))
 	if status, _, _ := c.readResponse(); status != 503 || f.attempts.Load() != n {
-		t.Errorf("status %d, %d attempts at a replica that drains", status, f.attempts.Load()-n)
+		t.Errorf("status %d, %d attempts at a draining replica; want 503 and none", status, f.attempts.Load()-n)
 	}
 	fds, err := os.ReadDir(fmt.Sprintf("/proc/%d/fd", p.cmd.Process.Pid))
 	if err != nil || len(fds) > 128 {
-		t.Errorf("%d descriptors, %v", len(fds), err)
+		t.Errorf("%d open descriptors, want at most 128; error %v", len(fds), err)
 	}
 	p.signal(t, syscall.SIGTERM)
 	p.waitForExit(t)
 }
 
-// Nine in ten of twenty processes that start without an endpoint list while discovery is down are ready
-// within 10 s of its return. With a known list they are ready while it is down.
+// Twenty processes start together while discovery is down. With an endpoint list in the configuration, nine in ten
+// get ready while discovery is down; without one, within 10 s of its return.
 func TestTwentyStartTogether(t *testing.T) {
 	for name, listKnown := range map[string]bool{"with a known list": true, "without a list": false} {
 		t.Run(name, func(t *testing.T) {
@@ -378,7 +377,7 @@
 			}
 			waitUntil(t, "nine in ten ready", func() bool { return status(200) >= all*9/10 })
 			t.Logf("nine in ten ready after %v", time.Since(begun).Round(10*time.Millisecond))
-			waitUntil(t, "all up", func() bool { return status(0) == 0 }) // before that SIGTERM would end a process by its default action
+			waitUntil(t, "all up", func() bool { return status(0) == 0 }) // a process that is not up yet would end by the default action of SIGTERM
 			for _, p := range programs {
 				p.signal(t, syscall.SIGTERM)
 			}
@@ -407,7 +406,7 @@
 		}
 		p.signal(t, syscall.SIGHUP)
 		calls := f.listCalls.Load()
-		waitUntil(t, "the polling of discovery goes on", func() bool { return f.listCalls.Load() > calls+1 })
+		waitUntil(t, "polls of discovery continue", func() bool { return f.listCalls.Load() > calls+1 })
 		c := p.dial(t)
 		c.send(requestText(fmt.Sprint("o", i), "-"))
 		c.expectServed("after an invalid reload")
--- a/cmd/archknot/operators_test.go
+++ b/cmd/archknot/operators_test.go
@@ -14,10 +14,10 @@
 
 func newReader(c net.Conn) *bufio.Reader { return bufio.NewReader(c) }
 
-// decisionTime is how long after an order is acknowledged an attempt may begin that was decided before.
+// decisionTime is how long after the acknowledgement of an order an attempt dispatched before it may still begin.
 const decisionTime = 50 * time.Millisecond
 
-// expectNoAttempts expects a replica to get no attempts for a while, under traffic that others serve.
+// expectNoAttempts expects a replica to get no attempts while the other replicas serve traffic.
 func (d *deployment) expectNoAttempts(r *fakeReplica, traffic *testTraffic, what string) {
 	d.t.Helper()
 	from, served := time.Now().Add(decisionTime), traffic.served.Load()
@@ -25,7 +25,7 @@
 		return time.Since(from) > 300*time.Millisecond && traffic.served.Load() > served+50
 	})
 	if n := r.attemptsSince(from); n > 0 {
-		d.t.Errorf("%s: %d requests went to %s, which is ejected", what, n, r.id)
+		d.t.Errorf("%s: %d attempts at %s, want 0", what, n, r.id)
 	}
 }
 
@@ -36,8 +36,8 @@
 	waitUntil(d.t, what+": "+r.id+" gets attempts", func() bool { return r.attemptsSince(from) > 0 })
 }
 
-// A replica that operators have ejected gets no attempts, whatever the endpoint list says: listed again, listed
-// as restarted, after SIGHUP, after an upgrade, after a restart. One call reinstates it.
+// A replica that operators have ejected gets no attempts after it is listed again, even as restarted, nor after a
+// SIGHUP, an upgrade or a restart of the gateway. One call reinstates it.
 func TestEjectedReplicaGetsNoAttempts(t *testing.T) {
 	d := newDeployment(t, 3)
 	p := d.start()
@@ -67,7 +67,7 @@
 	}
 	for _, path := range []string{"/-/replicas/s-9/disable", "/-/replicas/s-9/enable"} {
 		if status := p.callAdmin(http.MethodPut, path); !isError(status) {
-			t.Errorf("%s of an id that was never listed: status %d", path, status)
+			t.Errorf("%s of an id that was never listed: status %d, want an error", path, status)
 		}
 	}
 	d.order(p, http.MethodPut, "/-/replicas/s-1/enable")
@@ -80,12 +80,12 @@
 	d.expectNoAttempts(d.replicas[1], traffic, "after a kill")
 	traffic.stopAndWait()
 	if n := traffic.failed.Load(); n > 0 {
-		t.Errorf("%d requests were rejected or failed", n)
+		t.Errorf("%d requests were rejected or failed, want 0", n)
 	}
 }
 
-// startOpenStream sends a request whose stream stays open after its first event, and returns the remainder of
-// the stream.
+// startOpenStream sends a request whose stream stays open after its first event, and returns a reader of the rest
+// of the stream.
 func (d *deployment) startOpenStream() io.Reader {
 	d.t.Helper()
 	c := (&program{addr: d.addr}).dial(d.t)
@@ -100,17 +100,17 @@
 	return resp.Body
 }
 
-// expectClosedBy expects the connection to be closed by a time.
+// expectClosedBy expects the gateway to close the connection by a time.
 func (c *testClient) expectClosedBy(end time.Time, what string) {
 	c.t.Helper()
 	c.SetReadDeadline(end)
 	if _, err := c.reader.ReadByte(); !errors.Is(err, io.EOF) {
-		c.t.Errorf("%s: %v, want a clean end", what, err)
+		c.t.Errorf("%s: error %v, want EOF", what, err)
 	}
 }
 
-// A gateway that operators drain is not ready at once, closes idle connections, completes requests in flight
-// and rejects new ones after 2 s. It continues to run, and is ready 2 s after it is resumed.
+// When operators drain a gateway, its readiness check for clients fails at once; the gateway closes idle connections,
+// completes requests in flight and rejects new ones after 2 s. It is ready within 2 s after it is resumed.
 func TestOperatorsDrainTheGateway(t *testing.T) {
 	d := newDeployment(t, 2)
 	p := d.start()
@@ -123,37 +123,37 @@
 	d.order(p, http.MethodPut, "/-/drain")
 	drained := time.Now()
 	if status := p.readyStatus(); status == http.StatusOK {
-		t.Errorf("readiness has status %d after the drain call", status)
+		t.Errorf("status %d of the readiness check after the drain call, want it to fail", status)
 	}
 	if !isSuccess(p.callAdmin(http.MethodGet, "/-/ready")) {
-		t.Error("the process can serve, and answers operators that it cannot")
+		t.Error("the operators' readiness check fails although the process can serve")
 	}
 	idle.expectClosedBy(drained.Add(time.Second), "an idle connection")
 	unused.expectClosedBy(drained.Add(3*time.Second), "an unused connection")
-	// New clients get a response and their connection is closed: served at first, rejected later.
+	// New clients get a response, at first a served one and later a rejection, and their connection is closed.
 	early := p.dial(t)
 	early.send(requestText("e", "-"))
 	if status, _, last := early.readResponse(); status != http.StatusOK || !last {
-		t.Errorf("early in the drain: status %d, last %v", status, last)
+		t.Errorf("early in the drain: status %d, last %v; want 200 and the connection closed", status, last)
 	}
 	traffic.stopAndWait()
 	time.Sleep(time.Until(drained.Add(2100 * time.Millisecond)))
 	late := p.dial(t)
 	late.send(requestText("l", "hold"))
 	if status, _, last := late.readResponse(); status != http.StatusServiceUnavailable || !last {
-		t.Errorf("late in the drain: status %d, last %v", status, last)
+		t.Errorf("late in the drain: status %d, last %v; want 503 and the connection closed", status, last)
 	}
 	d.order(p, http.MethodPut, "/-/resume")
 	resumed := time.Now()
 	waitUntil(t, "ready again", func() bool { return p.readyStatus() == http.StatusOK })
 	if took := time.Since(resumed); took > 2*time.Second {
-		t.Errorf("ready %v after the drain's end", took)
+		t.Errorf("ready %v after the end of the drain, want at most 2 s", took)
 	}
 	for _, r := range d.replicas {
 		close(r.release)
 	}
 	if remainder, err := io.ReadAll(stream); err != nil || string(remainder) != lastEvent {
-		t.Errorf("the open stream: %q, %v", remainder, err)
+		t.Errorf("the open stream: rest %q, error %v", remainder, err)
 	}
 	reused := p.dial(t)
 	for i := range 2 { // connections stay open again
@@ -164,7 +164,7 @@
 	p.waitForExit(t)
 }
 
-// An invalid entry of the endpoint list is skipped: changes in the same list and in later ones apply.
+// An invalid entry of the endpoint list is skipped: the other changes of the same list and of later lists apply.
 func TestInvalidEndpointIsSkipped(t *testing.T) {
 	for name, invalid := range map[string]string{
 		"unknown zone": `{"instanceId":"s-odd","hostPort":"127.0.0.1:1","zone":"elsewhere","lifecycle":"draining"}`,
--- a/cmd/archknot/unseendrain_test.go
+++ b/cmd/archknot/unseendrain_test.go
@@ -6,14 +6,15 @@
 	"time"
 )
 
-// expectUnseenDrainHeld plays a drain that the gateway cannot see, and expects it to be held all the same.
+// expectUnseenDrainHeld publishes a drain that a fault of discovery hides from the gateway, and expects no attempts
+// at the draining replica after the grace.
 func expectUnseenDrainHeld(t *testing.T, gateways int, injectFault func(d *drainDeployment) (change int)) {
 	t.Helper()
 	d := newDrainDeployment(t, gateways)
 	p := d.start()
 	d.waitUntilReady(p)
 	traffic := d.startTraffic(3)
-	waitUntil(t, "it serves", func() bool { return len(d.draining.attemptsAfter(time.Time{})) > 20 })
+	waitUntil(t, "the replica serves requests", func() bool { return len(d.draining.attemptsAfter(time.Time{})) > 20 })
 	change := injectFault(d)
 	published, _ := d.discovery.changeTimes(change)
 	time.Sleep(time.Until(published.Add(drainDuration)))
@@ -23,8 +24,8 @@
 	p.waitForExit(t)
 }
 
-// Guards against: work for a draining replica while discovery is up, tells others of the drain, and turns this gateway
-// away with 503 for longer than the term and the grace.
+// Guards against requests to a draining replica while discovery is up and sends the drain to other gateways, but
+// answers this gateway with 503 for longer than propagationLimit and drainGrace.
 func TestDrainIsHeldWhileDiscoveryTurnsTheGatewayAway(t *testing.T) {
 	t.Parallel()
 	expectUnseenDrainHeld(t, 200, func(d *drainDeployment) int {
@@ -34,8 +35,8 @@
 	})
 }
 
-// Guards against: work for a draining replica where the watch had fallen silent before the drain, and was reset, with
-// the end of discovery, before the silence was noticed.
+// Guards against requests to a draining replica when the gateway's watch got no answer from before the drain on, and
+// discovery failed and reset the watch before the gateway had detected that.
 func TestDrainIsHeldBehindASilentWatchThatIsReset(t *testing.T) {
 	t.Parallel()
 	expectUnseenDrainHeld(t, 200, func(d *drainDeployment) int {
@@ -48,8 +49,8 @@
 	})
 }
 
-// Guards against: work for a draining replica where discovery was back, with the drain, between two of the gateway's
-// calls that it refused.
+// Guards against requests to a draining replica when discovery was back, and had the drain, only between two calls of
+// the gateway that it reset.
 func TestDrainIsHeldWhereDiscoveryReturnsBetweenTwoRefusals(t *testing.T) {
 	t.Parallel()
 	expectUnseenDrainHeld(t, 900, func(d *drainDeployment) int {
--- a/cmd/archknot/upgrade_test.go
+++ b/cmd/archknot/upgrade_test.go
@@ -6,14 +6,15 @@
 	"testing"
 )
 
-// upgrades is how many upgrades the test makes; a run by hand makes 50.
+// upgrades is how many upgrades the test makes; 50 for a manual run.
 var upgrades = flag.Int("upgrades", 4, "upgrades under load")
 
-// maxResentPerUpgrade is how many requests may meet a refused, reset or unread connection in an upgrade.
+// maxResentPerUpgrade is how many requests per upgrade may have to be sent again because their connection was
+// refused, reset or closed unread.
 const maxResentPerUpgrade = 2
 
-// The process is replaced under load, again and again. Every request gets a response, at most two of an
-// upgrade are sent again, and an ejected replica stays ejected.
+// Guards against lost requests and orders when the process is replaced repeatedly under load. Every request gets a
+// response, at most two per upgrade are sent again, and an ejected replica stays ejected.
 func TestUpgradesUnderLoad(t *testing.T) {
 	d := newDeployment(t, 4)
 	p := d.start()
