--- a/internal/fleet/model/attempt.go
+++ b/internal/fleet/model/attempt.go
@@ -12,14 +12,14 @@
 	index        int
 	host         *host
 	jobID        uint64
-	incarnation  int // of the host that got it
+	incarnation  int // of the host when the attempt arrived
 	sentAt       balancer.Micros
-	ended        bool // the gateway has its outcome
+	ended        bool // the gateway has received or decided the outcome
 	cachedTokens int
 	outputTokens int
 
 	firstTokenSeen    bool
-	firstTokenArrival balancer.Micros // at the gateway; later messages do not overtake it
+	firstTokenArrival balancer.Micros // at the gateway; the outcome does not arrive earlier
 }
 
 // loadReport returns the replica's current load report.
@@ -27,21 +27,21 @@
 	if h.simulator == nil {
 		return balancer.LoadReport{}
 	}
-	running, waiting, memory, unread := h.simulator.Load()
+	running, waiting, memoryFraction, unreadTokens := h.simulator.Load()
 	return balancer.LoadReport{
 		Has:             balancer.HasInFlight | balancer.HasQueued | balancer.HasMemory | balancer.HasPrefillBacklog,
 		InFlight:        float64(running + waiting),
 		Queued:          float64(waiting),
-		MemoryShare:     memory,
-		PrefillBacklogK: float64(unread) / 1000,
+		MemoryShare:     memoryFraction,
+		PrefillBacklogK: float64(unreadTokens) / 1000,
 	}
 }
 
-// arrive is the attempt's arrival at the replica.
+// arrive handles the attempt's arrival at the replica.
 func (a *attempt) arrive(now balancer.Micros) {
 	h := a.host
 	a.incarnation = h.incarnation
-	if h.silent {
+	if h.unresponsive {
 		return
 	}
 	if h.simulator == nil {
@@ -80,17 +80,18 @@
 	}
 }
 
-// breakConnection is the end of the connection when the replica ends.
+// breakConnection reports a broken connection to the gateway.
 func (a *attempt) breakConnection() { a.notifyGateway(balancer.ConnBroken, balancer.LoadReport{}) }
 
-// notifyGateway sends the outcome to the gateway, which gets it a network delay later.
+// notifyGateway sends the outcome to the gateway. It arrives a network delay later, and not before the
+// first token.
 func (a *attempt) notifyGateway(status balancer.Status, report balancer.LoadReport) {
 	s := a.gateway.sim
 	at := max(s.engine.Now()+s.networkDelay(a.host.zone, a.gateway.zone), a.firstTokenArrival)
 	s.engine.At(at, func(now balancer.Micros) { a.gateway.attemptEnded(now, a, status, report) })
 }
 
-// cancel cancels the job at the replica, which gets the cancellation a network delay later.
+// cancel sends a cancellation to the replica, which arrives a network delay later.
 func (a *attempt) cancel() {
 	s, h := a.gateway.sim, a.host
 	s.engine.After(s.networkDelay(h.zone, a.gateway.zone), func(balancer.Micros) {
--- a/internal/fleet/model/clients.go
+++ b/internal/fleet/model/clients.go
@@ -9,10 +9,10 @@
 )
 
 const (
-	// meanRetryDelay is the mean time, beyond Retry-After, after which a client retries a request that was shed.
+	// meanRetryDelay is the mean delay, in addition to Retry-After, before a client retries a shed request.
 	meanRetryDelay = 500_000 // microseconds
-	// maxGatewayPicks is how often the load balancer before the gateways picks another one if a gateway
-	// refuses the connection.
+	// maxGatewayPicks limits how often the load balancer in front of the gateways picks another gateway
+	// after a refused connection.
 	maxGatewayPicks = 8
 )
 
@@ -25,13 +25,13 @@
 
 // NewSource returns a source for a stream.
 func NewSource(stream *Stream, rng *rand.Rand) *Source {
-	c := &Source{stream: stream, rng: rng}
+	source := &Source{stream: stream, rng: rng}
 	sum := 0.0
 	for rank := range stream.Prefixes {
 		sum += 1 / float64(rank+1) // Zipf's law
-		c.weights = append(c.weights, sum)
+		source.weights = append(source.weights, sum)
 	}
-	return c
+	return source
 }
 
 // Session is one client's conversation.
@@ -43,62 +43,63 @@
 	contextTokens int    // prompts and answers so far
 }
 
-// NextArrival draws the time to the arrival of the next session. Sessions arrive so that their turns make
-// up the stream's rate, times a factor.
-func (c *Source) NextArrival(factor float64) balancer.Micros {
-	return balancer.Micros(engine.Exponential(c.rng, 1e6/(c.stream.RequestsPerSecond/c.stream.Turns*factor)))
+// NextArrival draws the time to the arrival of the next session. On average, the turns of the arriving
+// sessions add up to the stream's request rate times the factor.
+func (source *Source) NextArrival(factor float64) balancer.Micros {
+	return balancer.Micros(engine.Exponential(source.rng, 1e6/(source.stream.RequestsPerSecond/source.stream.Turns*factor)))
 }
 
-// NewSession draws a session. A share of hotShare has the most popular prefix in any case.
-func (c *Source) NewSession(hotShare float64) *Session {
-	session := &Session{key: c.rng.Uint64() | 1, TurnsLeft: 1}
-	for c.stream.Turns > 1 && c.rng.Float64() > 1/c.stream.Turns { // geometric with that mean
+// NewSession draws a session. A fraction hotPrefixFraction of the sessions gets the most popular prefix,
+// in addition to those that draw it by popularity.
+func (source *Source) NewSession(hotPrefixFraction float64) *Session {
+	session := &Session{key: source.rng.Uint64() | 1, TurnsLeft: 1}
+	for source.stream.Turns > 1 && source.rng.Float64() > 1/source.stream.Turns { // geometric with mean Turns
 		session.TurnsLeft++
 	}
-	if len(c.weights) > 0 {
-		rank := c.drawPrefix(hotShare)
-		session.prefix = uint64(rank+1)*0x9e3779b97f4a7c15 ^ uint64(len(c.stream.Class))
-		session.contextTokens = c.stream.PrefixTokens
+	if len(source.weights) > 0 {
+		rank := source.drawPrefix(hotPrefixFraction)
+		session.prefix = uint64(rank+1)*0x9e3779b97f4a7c15 ^ uint64(len(source.stream.Class))
+		session.contextTokens = source.stream.PrefixTokens
 	}
 	return session
 }
 
-// drawPrefix draws the rank of a shared prefix, from 0.
-func (c *Source) drawPrefix(hotShare float64) int {
-	draw := c.rng.Float64() * c.weights[len(c.weights)-1]
+// drawPrefix draws the popularity rank of a shared prefix; 0 is the most popular one.
+func (source *Source) drawPrefix(hotPrefixFraction float64) int {
+	draw := source.rng.Float64() * source.weights[len(source.weights)-1]
 	rank := 0
-	for rank < len(c.weights)-1 && c.weights[rank] < draw {
+	for rank < len(source.weights)-1 && source.weights[rank] < draw {
 		rank++
 	}
-	if hotShare > 0 && c.rng.Float64() < hotShare {
+	if hotPrefixFraction > 0 && source.rng.Float64() < hotPrefixFraction {
 		rank = 0
 	}
 	return rank
 }
 
-// SessionsInProgress draws the sessions that are between two turns when a run begins, with the times to
-// their next turns: as many as there are in the long run, so that the stream's rate is reached at once.
-// The time that their earlier turns took at replicas is neglected.
-func (c *Source) SessionsInProgress() (sessions []*Session, nextTurnIn []balancer.Micros) {
-	meanThink := c.stream.ThinkSeconds * math.Exp(c.stream.Spread*c.stream.Spread/2)
-	for n := c.stream.RequestsPerSecond / c.stream.Turns * (c.stream.Turns - 1) * meanThink; n > 0 && (n >= 1 || c.rng.Float64() < n); n-- {
-		// The number of turns is geometric: a session in progress has as many to come as a new one.
-		session := c.NewSession(0)
-		for more := true; more; more = c.rng.Float64() > 1/c.stream.Turns {
-			session.contextTokens += int(c.stream.PromptTokens + c.stream.AnswerTokens)
+// SessionsInProgress draws the sessions that are between two turns when a run begins, and the times to
+// their next turns. Their number is that of the steady state, so that the stream reaches its rate at once.
+// The time that turns spend at replicas is neglected.
+func (source *Source) SessionsInProgress() (sessions []*Session, nextTurnIn []balancer.Micros) {
+	meanThink := source.stream.ThinkSeconds * math.Exp(source.stream.Spread*source.stream.Spread/2)
+	for remaining := source.stream.RequestsPerSecond / source.stream.Turns * (source.stream.Turns - 1) * meanThink; remaining > 0 && (remaining >= 1 || source.rng.Float64() < remaining); remaining-- {
+		// The geometric distribution is memoryless: a session in progress has as many turns left as a new one.
+		session := source.NewSession(0)
+		for hasEarlierTurn := true; hasEarlierTurn; hasEarlierTurn = source.rng.Float64() > 1/source.stream.Turns {
+			session.contextTokens += int(source.stream.PromptTokens + source.stream.AnswerTokens)
 		}
 		sessions = append(sessions, session)
-		nextTurnIn = append(nextTurnIn, balancer.Micros(c.rng.Float64()*meanThink*1e6))
+		nextTurnIn = append(nextTurnIn, balancer.Micros(source.rng.Float64()*meanThink*1e6))
 	}
 	return sessions, nextTurnIn
 }
 
-// NextTurn draws a session's next request, and the length of its answer.
-func (c *Source) NextTurn(session *Session) (request balancer.Request, outputTokens int) {
+// NextTurn draws a session's next request and the length of its answer.
+func (source *Source) NextTurn(session *Session) (request balancer.Request, outputTokens int) {
 	session.TurnsLeft--
-	s := c.stream
-	promptTokens := session.contextTokens + max(1, int(engine.LogNormal(c.rng, s.PromptTokens, s.Spread)))
-	outputTokens = min(s.MaxOutputTokens, max(1, int(engine.LogNormal(c.rng, s.AnswerTokens, s.Spread))))
+	s := source.stream
+	promptTokens := session.contextTokens + max(1, int(engine.LogNormal(source.rng, s.PromptTokens, s.Spread)))
+	outputTokens = min(s.MaxOutputTokens, max(1, int(engine.LogNormal(source.rng, s.AnswerTokens, s.Spread))))
 	request = balancer.Request{Class: s.Class, Tenant: s.Tenant, PromptTokens: promptTokens, MaxTokens: s.MaxOutputTokens}
 	if s.Turns > 1 {
 		request.Session = session.key
@@ -109,19 +110,19 @@
 	return request, outputTokens
 }
 
-// AddTurn adds a turn to the session's context.
+// AddTurn adds the prompt and the answer of a turn to the session's context.
 func (session *Session) AddTurn(request *balancer.Request, outputTokens int) {
 	session.contextTokens = request.PromptTokens + outputTokens
 }
 
 // ThinkTime draws the time to a session's next turn.
-func (c *Source) ThinkTime() balancer.Micros {
-	return balancer.Micros(engine.LogNormal(c.rng, math.Max(1, c.stream.ThinkSeconds*1e6), c.stream.Spread))
+func (source *Source) ThinkTime() balancer.Micros {
+	return balancer.Micros(engine.LogNormal(source.rng, math.Max(1, source.stream.ThinkSeconds*1e6), source.stream.Spread))
 }
 
-// RetryDelay draws the time, beyond Retry-After, after which a client retries a request that was shed.
-func (c *Source) RetryDelay() balancer.Micros {
-	return balancer.Micros(engine.Exponential(c.rng, meanRetryDelay))
+// RetryDelay draws the delay, in addition to Retry-After, before a client retries a shed request.
+func (source *Source) RetryDelay() balancer.Micros {
+	return balancer.Micros(engine.Exponential(source.rng, meanRetryDelay))
 }
 
 // FirstTokenTimeout returns how long a client of the stream waits for its first token.
@@ -132,7 +133,7 @@
 	return class.Deadline
 }
 
-// ClassOf returns the class of a stream, nil if the settings do not have it.
+// ClassOf returns the class of a stream, or nil if the settings do not define it.
 func (s *Spec) ClassOf(stream *Stream) *balancer.Class {
 	for i := range s.Settings.Classes {
 		if class := &s.Settings.Classes[i]; class.Name == stream.Class {
@@ -142,7 +143,7 @@
 	return nil
 }
 
-// traffic is the clients of a stream in the model.
+// traffic simulates the clients of a stream.
 type traffic struct {
 	sim    *sim
 	stream *Stream
@@ -150,7 +151,7 @@
 	source *Source
 }
 
-// startTraffic starts the arrivals of a stream.
+// startTraffic starts the sessions in progress and the arrivals of a stream.
 func (s *sim) startTraffic(index int) {
 	stream := &s.spec.Streams[index]
 	rng := s.engine.Rand("stream" + string(rune('0'+index)) + stream.Class + stream.Tenant)
@@ -165,7 +166,7 @@
 // scheduleNext schedules the arrival of the next session.
 func (t *traffic) scheduleNext() {
 	t.sim.engine.After(t.source.NextArrival(t.sim.arrivalFactor), func(now balancer.Micros) {
-		t.nextTurn(now, t.source.NewSession(t.sim.hotPrefixShare))
+		t.nextTurn(now, t.source.NewSession(t.sim.hotPrefixFraction))
 		t.scheduleNext()
 	})
 }
@@ -175,13 +176,13 @@
 	t.send(now, &request{balancerRequest: balancerRequest, outputTokens: outputTokens, session: session, traffic: t})
 }
 
-// send sends a request to a gateway that accepts connections.
+// send sends a request to a random gateway. Gateways that are down are skipped, up to maxGatewayPicks times.
 func (t *traffic) send(now balancer.Micros, r *request) {
 	r.sentAt = now
 	r.deadline = now + t.stream.FirstTokenTimeout(t.class)
 	g := t.pickGateway()
 	for range maxGatewayPicks {
-		if !g.dead {
+		if !g.killed {
 			break
 		}
 		g = t.pickGateway()
@@ -193,7 +194,8 @@
 	return t.sim.gateways[t.source.rng.IntN(len(t.sim.gateways))]
 }
 
-// requestEnded is the end of a request at its client, which retries it or begins the session's next turn.
+// requestEnded handles the end of a request at its client: the client retries a rejected request, or
+// schedules the session's next turn after a served one.
 func (s *sim) requestEnded(now balancer.Micros, r *request, outcome string, retryAfter balancer.Micros) {
 	t := r.traffic
 	if (outcome == OutcomeShed || outcome == OutcomeContract) && r.clientRetries < t.stream.MaxRetries {
--- a/internal/fleet/model/discovery.go
+++ b/internal/fleet/model/discovery.go
@@ -2,7 +2,7 @@
 
 import "archknot/balancer"
 
-// discoveryCallTimeout is how long a call may wait for its turn at discovery.
+// discoveryCallTimeout is the longest time that a call may take in discovery's queue.
 const discoveryCallTimeout balancer.Micros = 2_000_000
 
 // listChange is an entry of discovery's log.
@@ -11,7 +11,7 @@
 	endpoint balancer.Endpoint
 }
 
-// publish has discovery list a replica with a new state.
+// publish changes a replica's state in discovery's endpoint list.
 func (s *sim) publish(h *host, state balancer.EndpointState) {
 	h.state = state
 	s.version++
@@ -33,8 +33,9 @@
 	}
 }
 
-// initialList returns the list with which the gateway starts. A gateway that was killed has the list as it
-// knew it before, which it treats as cached unless its watch has begun at once.
+// initialList returns the list with which the gateway starts. A restarted gateway gets the list of its
+// previous incarnation: replicas that have changed since are listed as ready. The list counts as cached
+// unless the gateway has already begun a watch.
 func (g *gateway) initialList() balancer.EndpointList {
 	list := balancer.EndpointList{Kind: balancer.ListFull, Version: g.sim.version}
 	for _, h := range g.sim.hosts {
@@ -48,7 +49,7 @@
 		return list
 	}
 	for _, change := range g.sim.changeLog {
-		if change.version > g.listVersion { // it does not know of this change
+		if change.version > g.listVersion { // the previous incarnation did not receive this change
 			entry := &list.Endpoints[change.endpoint.Replica-1]
 			entry.State = balancer.EndpointReady
 			entry.StartedAt = 0
@@ -57,8 +58,8 @@
 	return list
 }
 
-// WatchDiscovery implements balancer.Sink. Where discovery takes time for a call, calls are answered in
-// turn, and it spends the time also on those that then fail.
+// WatchDiscovery implements balancer.Sink. With a service time, discovery processes calls one after
+// another, and calls that time out in the queue take up service time as well.
 func (g *gateway) WatchDiscovery() {
 	if g.watching {
 		return
@@ -78,7 +79,7 @@
 	g.sim.result.DiscoveryCallsFailed++
 	g.sim.engine.After(discoveryCallTimeout, func(now balancer.Micros) {
 		g.watching = false
-		if !g.dead {
+		if !g.killed {
 			g.module.ListChanged(now, balancer.EndpointList{Kind: balancer.ListFailed})
 		}
 	})
@@ -94,7 +95,7 @@
 			return
 		}
 		g.watching = false
-		if g.sim.discoveryDown && !g.dead {
+		if g.sim.discoveryDown && !g.killed {
 			g.module.ListChanged(now, balancer.EndpointList{Kind: balancer.ListFailed})
 			return
 		}
@@ -110,9 +111,9 @@
 	}
 }
 
-// answerWatch is the arrival of discovery's answer. The gateway begins the next watch by itself.
+// answerWatch handles the arrival of discovery's answer and begins the next watch.
 func (g *gateway) answerWatch(now balancer.Micros) {
-	if g.dead {
+	if g.killed {
 		return
 	}
 	delta := balancer.EndpointList{Kind: balancer.ListDelta, Version: g.sim.version}
--- a/internal/fleet/model/faults.go
+++ b/internal/fleet/model/faults.go
@@ -6,13 +6,13 @@
 )
 
 const (
-	// failureDetectionTime is the time after which discovery notices that a replica's process has ended.
+	// failureDetectionTime is the time from the end of a replica's process until discovery removes it.
 	failureDetectionTime balancer.Micros = 500_000
-	// streamIdleTimeout is how long a gateway waits for the next event of a stream.
+	// streamIdleTimeout is the time without an event after which a gateway ends a stream.
 	streamIdleTimeout balancer.Micros = 4_000_000
 )
 
-// scheduleFault schedules the beginning of a fault and its end, if it has one.
+// scheduleFault schedules the beginning of a fault and, if it has a duration, its end.
 func (s *sim) scheduleFault(f Fault) {
 	hosts := s.hostsOf(f)
 	s.engine.At(startTime+f.At, func(balancer.Micros) {
@@ -31,7 +31,7 @@
 	}
 }
 
-// hostsOf returns the hosts that a fault concerns.
+// hostsOf returns the hosts in the scope of a fault.
 func (s *sim) hostsOf(f Fault) (hosts []*host) {
 	for _, h := range s.hosts {
 		if (f.Replica < 0 || f.Replica == h.index) && (f.Zone == "" || f.Zone == h.zone) {
@@ -41,7 +41,7 @@
 	return hosts
 }
 
-// beginFleetFault begins what a fault does to discovery, gateways and clients.
+// beginFleetFault applies a fault to discovery, gateways and clients.
 func (s *sim) beginFleetFault(f Fault) {
 	switch f.Kind {
 	case FaultDiscovery:
@@ -61,7 +61,7 @@
 	case FaultBurst:
 		s.arrivalFactor = f.Factor
 	case FaultHotPrefix:
-		s.hotPrefixShare = f.Factor
+		s.hotPrefixFraction = f.Factor
 	}
 }
 
@@ -75,11 +75,11 @@
 	case FaultBurst:
 		s.arrivalFactor = 1
 	case FaultHotPrefix:
-		s.hotPrefixShare = 0
+		s.hotPrefixFraction = 0
 	}
 }
 
-// beginHostFault begins what a fault does to a replica.
+// beginHostFault applies a fault to a replica.
 func (s *sim) beginHostFault(f Fault, h *host) {
 	switch f.Kind {
 	case FaultSlow:
@@ -91,7 +91,7 @@
 	case FaultDrain:
 		s.publish(h, balancer.EndpointDraining)
 	case FaultSilent:
-		h.silent = true
+		h.unresponsive = true
 	case FaultFlushCache:
 		h.simulator.FlushCache()
 	}
@@ -105,16 +105,17 @@
 		s.restart(now, h)
 	case FaultLoseMachine:
 		s.resetHung(h)
-		h.silent = false
+		h.unresponsive = false
 		s.restart(now, h)
 	case FaultDrain:
 		s.publish(h, balancer.EndpointReady)
 	case FaultSilent:
-		h.silent = false
+		h.unresponsive = false
 	}
 }
 
-// kill ends a replica's process: its connections break, and discovery notices it a little later.
+// kill ends a replica's process. Its connections break at once; discovery removes it after
+// failureDetectionTime.
 func (s *sim) kill(h *host) {
 	h.incarnation++
 	for _, id := range sortedKeys(h.jobs) {
@@ -130,17 +131,18 @@
 	})
 }
 
-// loseMachine takes a replica's machine away without notice: its connections stay open and silent until
-// the gateways time out or the machine is back. Discovery notices it after noticedAfter.
-func (s *sim) loseMachine(h *host, noticedAfter balancer.Micros) {
+// loseMachine simulates the loss of a replica's machine without notice. Its connections stay open without
+// responses until the gateways time out or the machine is back. Discovery removes the replica after
+// detectionDelay.
+func (s *sim) loseMachine(h *host, detectionDelay balancer.Micros) {
 	h.incarnation++
 	for _, id := range sortedKeys(h.jobs) {
-		h.hung = append(h.hung, h.jobs[id])
+		h.hungAttempts = append(h.hungAttempts, h.jobs[id])
 	}
 	clear(h.jobs)
-	h.simulator, h.stepScheduledAt, h.silent = nil, 0, true
+	h.simulator, h.stepScheduledAt, h.unresponsive = nil, 0, true
 	incarnation := h.incarnation
-	s.engine.After(noticedAfter, func(balancer.Micros) {
+	s.engine.After(detectionDelay, func(balancer.Micros) {
 		if h.incarnation == incarnation {
 			s.publish(h, balancer.EndpointRemoved)
 		}
@@ -152,15 +154,16 @@
 	})
 }
 
-// resetHung breaks the connections that a lost machine has left open.
+// resetHung breaks the connections that were open when the machine was lost.
 func (s *sim) resetHung(h *host) {
-	for _, a := range h.hung {
+	for _, a := range h.hungAttempts {
 		a.breakConnection()
 	}
-	h.hung = nil
+	h.hungAttempts = nil
 }
 
-// restart starts a replica's process anew, with empty memory and warming up.
+// restart starts a new replica process with empty memory. It is listed as ready after its startup time and
+// then warms up.
 func (s *sim) restart(now balancer.Micros, h *host) {
 	h.incarnation++
 	h.startedAt = now
--- a/internal/fleet/model/gateway.go
+++ b/internal/fleet/model/gateway.go
@@ -13,21 +13,21 @@
 	"archknot/internal/subset"
 )
 
-// gateway is one incarnation of a gateway: the balancer behind the gateway's subset of the fleet, its
+// gateway is one incarnation of a gateway: its balancer, the selector of its subset of the fleet, its
 // contract ledger, timers and requests. It implements balancer.Sink.
 type gateway struct {
 	sim         *sim
 	index       int
 	zone        string
 	incarnation int
-	dead        bool // killed: what arrives is lost
+	killed      bool // messages that arrive are dropped
 	rng         *rand.Rand
 
 	balancer       *balancer.Balancer
-	module         capture.Module // the balancer, or the recorder before it
+	module         capture.Module // the balancer, or the recorder that wraps it
 	selector       *subset.Selector
 	ledger         *contract.Ledger       // nil: no contracts
-	recordedLedger capture.ContractLedger // the ledger, or the recorder before it
+	recordedLedger capture.ContractLedger // the ledger, or the recorder that wraps it
 	recorder       *capture.Recorder      // nil: no capture
 	writer         *capture.Writer
 	timers         capture.Timers
@@ -35,7 +35,7 @@
 	requests map[balancer.RequestID]*request
 	nextID   balancer.RequestID
 
-	listVersion int64 // of discovery's list that the gateway has
+	listVersion int64 // version of discovery's list that the gateway has
 	watching    bool
 	watchCount  int
 }
@@ -132,7 +132,7 @@
 	return nil
 }
 
-// start starts the balancer and gives it its first list.
+// start starts the balancer and passes it the initial list.
 func (g *gateway) start() {
 	now := g.sim.engine.Now()
 	g.module.Start(now)
@@ -147,14 +147,14 @@
 	}
 }
 
-// kill ends the gateway with all its requests. After restartAfter its next incarnation starts with the
-// list that it had. A gateway that is captured isn't killed: a capture has one incarnation.
+// kill ends the gateway and all its requests. After restartAfter its next incarnation starts with the
+// same endpoint list. In captured runs, kill does nothing: a capture covers one incarnation.
 func (g *gateway) kill(restartAfter balancer.Micros) {
 	s := g.sim
-	if g.dead || s.spec.Capture != "" {
+	if g.killed || s.spec.Capture != "" {
 		return
 	}
-	g.dead = true
+	g.killed = true
 	for _, id := range sortedKeys(g.requests) {
 		r := g.requests[id]
 		for _, a := range r.attempts {
@@ -171,7 +171,7 @@
 	s.engine.After(max(1, restartAfter), func(balancer.Micros) {
 		next, err := s.newGateway(g.index)
 		if err != nil {
-			panic(err) // the same settings were valid before
+			panic(err) // the same settings were valid for the previous incarnation
 		}
 		next.incarnation = g.incarnation + 1
 		next.listVersion = g.listVersion
@@ -185,7 +185,7 @@
 	at := g.sim.engine.Now() + delay
 	g.timers.Add(at, token)
 	g.sim.engine.At(at, func(now balancer.Micros) {
-		if g.dead {
+		if g.killed {
 			return
 		}
 		g.timers.Remove(token)
@@ -193,7 +193,7 @@
 	})
 }
 
-// healthCheckTimeout is how long a gateway waits for a health check of a silent replica.
+// healthCheckTimeout is the timeout of a health check.
 const healthCheckTimeout balancer.Micros = 250_000
 
 // HealthCheck implements balancer.Sink.
@@ -203,23 +203,23 @@
 	h, sentAt := s.hosts[to-1], s.engine.Now()
 	s.engine.After(s.networkDelay(g.zone, h.zone), func(balancer.Micros) {
 		outcome := balancer.Outcome{Replica: to, Status: balancer.Served, Report: h.loadReport()}
-		if h.simulator == nil && !h.silent {
+		if h.simulator == nil && !h.unresponsive {
 			outcome.Status = balancer.ConnectFailed
 		}
 		responseDelay := s.networkDelay(h.zone, g.zone)
-		if h.silent {
+		if h.unresponsive {
 			outcome.Status = balancer.TimedOut
 			outcome.Report = balancer.LoadReport{}
 			responseDelay = healthCheckTimeout
 		}
 		s.engine.After(responseDelay, func(now balancer.Micros) {
 			outcome.Elapsed = now - sentAt
-			if !g.dead {
+			if !g.killed {
 				g.module.HealthCheckEnded(now, outcome)
 			}
 		})
 	})
 }
 
-// Gossip implements balancer.Sink. The gateways of the model do not gossip.
+// Gossip implements balancer.Sink. It does nothing: the gateways of the model do not gossip.
 func (g *gateway) Gossip([]byte) {}
--- a/internal/fleet/model/model.go
+++ b/internal/fleet/model/model.go
@@ -1,9 +1,9 @@
 // Package model simulates a fleet in virtual time: gateways, replicas, the network, discovery and clients.
-// The balancers and contract ledgers in it are those of the gateway itself; each gateway can be captured,
-// and its capture replays.
+// The balancers and contract ledgers in it are those of the real gateway; each gateway can be captured, and
+// its capture can be replayed.
 //
-// Sources: package replica names those of its model. Clients have sessions with several turns, as in
-// published traces of chat services; sessions arrive as a Poisson process, lengths and think times are
+// Package replica documents the sources of the replica model. Clients have sessions with several turns, as
+// in published traces of chat services. Sessions arrive as a Poisson process; lengths and think times are
 // log-normal.
 package model
 
@@ -19,9 +19,9 @@
 )
 
 const (
-	// startTime is when virtual time begins. It is above 0, because 0 means "long ago" for a replica's start.
+	// startTime is the beginning of virtual time. It is above 0 because a StartedAt of 0 means "long ago".
 	startTime balancer.Micros = 1_000_000_000
-	// initialUptime is how long the replicas have been ready when a run begins.
+	// initialUptime is the uptime of the replicas when a run begins.
 	initialUptime balancer.Micros = 3600_000_000
 )
 
@@ -38,30 +38,31 @@
 	version         int64           // of the endpoint list
 	changeLog       []listChange    // discovery's changes of the list
 	discoveryDown   bool            // discovery does not answer
-	discoveryFreeAt balancer.Micros // when discovery has answered the calls that wait
+	discoveryFreeAt balancer.Micros // when discovery will have processed all queued calls
 
-	networkRand    *rand.Rand
-	arrivalFactor  float64 // factor on the arrival rate
-	hotPrefixShare float64 // share of sessions with the most popular prefix in addition
-	lastJobID      uint64
+	networkRand       *rand.Rand
+	arrivalFactor     float64 // factor on the arrival rate
+	hotPrefixFraction float64 // fraction of sessions forced to the most popular prefix
+	lastJobID         uint64
 }
 
-// host is an address at which replicas run, one incarnation after another.
+// host is an address at which successive incarnations of a replica run.
 type host struct {
 	index           int
 	group           *Group
 	zone            string
-	simulator       *replica.Simulator // nil: no process runs
+	simulator       *replica.Simulator // nil: no process is running
 	state           balancer.EndpointState
 	startedAt       balancer.Micros
 	incarnation     int
-	silent          bool       // it accepts everything and answers nothing
-	hung            []*attempt // open connections of a lost machine
+	unresponsive    bool       // accepts requests and sends no responses
+	hungAttempts    []*attempt // open connections of a lost machine
 	jobs            map[uint64]*attempt
 	stepScheduledAt balancer.Micros
 }
 
-// Run simulates a run to its end. The same Spec gives the same Result.
+// Run simulates a whole run. It is deterministic: the same Spec gives the same Result. It returns an error
+// if the Spec is not valid.
 func Run(spec *Spec) (*Result, error) {
 	if err := spec.Check(); err != nil {
 		return nil, err
@@ -105,7 +106,7 @@
 	}
 }
 
-// addGateways adds all gateways and then starts them.
+// addGateways creates all gateways before it starts the first one.
 func (s *sim) addGateways() error {
 	for i := range s.spec.Gateways {
 		g, err := s.newGateway(i)
@@ -163,5 +164,5 @@
 	})
 }
 
-// sortedKeys returns a map's keys in order, so that every run visits them alike.
+// sortedKeys returns a map's keys in order, so that every run visits them in the same order.
 func sortedKeys[K cmp.Ordered, V any](m map[K]V) []K { return slices.Sorted(maps.Keys(m)) }
--- a/internal/fleet/model/model_test.go
+++ b/internal/fleet/model/model_test.go
@@ -36,20 +36,21 @@
 	return r
 }
 
-// allFaults has most kinds of faults in turn.
+// allFaults schedules most kinds of faults one after another.
 var allFaults = []Fault{{At: 8e6, Duration: 6e6, Kind: "slow", Replica: 2, Factor: 5}, {At: 10e6, Duration: 5e6, Kind: "kill", Replica: 4}, {At: 12e6, Duration: 5e6, Kind: "drain", Replica: 5},
 	{At: 14e6, Duration: 4e6, Kind: "silent", Replica: 6}, {At: 16e6, Duration: 5e6, Kind: "registry", Replica: -1}, {At: 18e6, Kind: "flush", Replica: -1},
 	{At: 20e6, Duration: 5e6, Kind: "burst", Replica: -1, Factor: 3}, {At: 26e6, Duration: 5e6, Kind: "hot", Replica: -1, Factor: 0.8}, {At: 31e6, Duration: 3e6, Kind: "slow", Replica: -1, Factor: 4}}
 
-// The same seed gives the same result, byte for byte, on one core and on four; another seed gives another.
+// Results must not depend on the number of cores: the same seed gives identical bytes on one and on four, and
+// another seed a different result.
 func TestSameSeedSameResult(t *testing.T) {
 	s := spec()
 	s.Faults = allFaults
-	was := runtime.GOMAXPROCS(1)
+	previous := runtime.GOMAXPROCS(1)
 	one := mustRun(t, s).JSON()
 	runtime.GOMAXPROCS(4)
 	four := mustRun(t, s).JSON()
-	runtime.GOMAXPROCS(was)
+	runtime.GOMAXPROCS(previous)
 	if !bytes.Equal(one, four) {
 		t.Error("one core and four give different results")
 	}
@@ -59,7 +60,7 @@
 	}
 }
 
-// largeSpec returns a run of many gateways and sixty replicas at a high load.
+// largeSpec returns a run of the given number of gateways and sixty replicas at a high load.
 func largeSpec(gateways int, faults ...Fault) *Spec {
 	s := spec()
 	s.Gateways, s.Duration, s.Faults = gateways, 25_000_000, faults
@@ -71,7 +72,7 @@
 	return s
 }
 
-// zoneLost ends a zone with a third of the replicas for a while.
+// zoneLost kills the replicas of zone b, a third of all, for four seconds.
 func zoneLost() (f []Fault) {
 	for i := range 20 {
 		f = append(f, Fault{At: 8e6, Duration: 4e6, Kind: "kill", Replica: 40 + i})
@@ -87,23 +88,23 @@
 	return f
 }
 
-// Eighty gateways that check a replica's load before they dispatch serve more in time than with the load
-// reports of their own attempts alone, where replicas are lost and return warming up.
-func TestEightyGatewaysSeeTheLoad(t *testing.T) {
+// Guards against dispatch on stale load: among eighty gateways, each sees few load reports from its own
+// attempts. Health checks must raise the weighted goodput while replicas are lost and return warming up.
+func TestHealthChecksRaiseGoodputOfManyGateways(t *testing.T) {
 	for name, faults := range map[string][]Fault{"zone lost": zoneLost(), "replaced": rollingRestart()} {
 		s := largeSpec(80, faults...)
-		blind := mustRun(t, s).All.WeightedGoodput()
+		unchecked := mustRun(t, s).All.WeightedGoodput()
 		s.Settings.MayHealthCheck = true
 		checked := mustRun(t, s).All.WeightedGoodput()
-		t.Logf("%s: in time %.3f without health checks, %.3f with", name, blind, checked)
-		if checked < blind+0.05 {
-			t.Errorf("%s: in time %.3f without health checks, %.3f with", name, blind, checked)
+		t.Logf("%s: weighted goodput %.3f without health checks, %.3f with", name, unchecked, checked)
+		if checked < unchecked+0.05 {
+			t.Errorf("%s: weighted goodput %.3f without health checks, %.3f with; expected a gain of at least 0.05", name, unchecked, checked)
 		}
 	}
 }
 
-// At a low load thirty gateways leave sessions where their prompts are cached: when sessions migrated for
-// every small difference in load, 0.33 of the prompt tokens were cached instead of 0.39.
+// Guards against sessions that leave the replica with their cached prompt for small differences in load. With
+// thirty gateways at low load, this lowers the cached fraction of the prompt tokens from 0.39 to 0.33.
 func TestSessionsStayAtCachedPromptsUnderLowLoad(t *testing.T) {
 	s := spec()
 	s.Gateways, s.Duration, s.Settings.MayHealthCheck, s.Settings.HealthCheckCost = 30, 20_000_000, true, 0.002
@@ -113,49 +114,50 @@
 	}
 	r := mustRun(t, s)
 	if cached := float64(r.PromptTokensReused) / float64(r.PromptTokensReused+r.PromptTokensRead); cached < 0.36 || r.All.WeightedGoodput() < 0.99 {
-		t.Errorf("%.3f of the prompt tokens were cached, %.3f served in time", cached, r.All.WeightedGoodput())
+		t.Errorf("%.3f of the prompt tokens were cached, weighted goodput %.3f; expected at least 0.36 and 0.99", cached, r.All.WeightedGoodput())
 	} else {
-		t.Logf("cached %.3f", cached)
+		t.Logf("%.3f of the prompt tokens were cached", cached)
 	}
 }
 
-// Seven in ten of eighty gateways are killed at once while a zone is lost, and discovery answers ten calls a
-// second. All get their watch back in turn, with hardly any call failed; when all called at once, some
-// hundreds failed and most gateways never learned of the replicas that returned.
+// Guards against an overload of discovery, which answers ten calls a second, when 70% of eighty gateways
+// restart at once during the loss of a zone. If they all called at once, hundreds of calls would time out and
+// most gateways would not receive the return of the replicas.
 func TestMassKillDoesNotStallDiscovery(t *testing.T) {
 	s := largeSpec(80, append(zoneLost(), Fault{At: 9e6, Duration: 1_600_000, Kind: "restart", Replica: -1, Factor: 0.7})...)
 	s.Settings.MayHealthCheck, s.DiscoveryServiceTime = true, 100_000
 	r := mustRun(t, s)
-	t.Logf("%d calls failed, %.3f in time, %v", r.DiscoveryCallsFailed, r.All.WeightedGoodput(), r.All.Ends)
+	t.Logf("%d calls failed, weighted goodput %.3f, %v", r.DiscoveryCallsFailed, r.All.WeightedGoodput(), r.All.Ends)
 	if r.DiscoveryCallsFailed > 8 {
-		t.Errorf("%d calls of discovery failed", r.DiscoveryCallsFailed)
+		t.Errorf("%d calls to discovery failed, expected at most 8", r.DiscoveryCallsFailed)
 	}
 	if w := r.All.WeightedGoodput(); w < 0.7 {
-		t.Errorf("%.3f in time", w)
+		t.Errorf("weighted goodput %.3f, expected at least 0.7", w)
 	}
 	if n := r.All.Ends["broken"]; n == 0 {
-		t.Error("no request was lost with its gateway: nothing was killed")
+		t.Error("no request was interrupted: no gateway was killed")
 	}
 }
 
-// BenchmarkGateways reports the weighted goodput of such runs by the number of gateways.
+// BenchmarkGateways reports the weighted goodput with lost and with restarted replicas, by the number of
+// gateways, with and without health checks.
 func BenchmarkGateways(b *testing.B) {
 	for _, n := range []int{3, 8, 14, 30, 80, 300} {
 		for _, check := range []bool{false, true} {
 			b.Run(fmt.Sprintf("%d/check=%t", n, check), func(b *testing.B) {
 				for range b.N {
-					zone, join := largeSpec(n, zoneLost()...), largeSpec(n, rollingRestart()...)
-					zone.Settings.MayHealthCheck, join.Settings.MayHealthCheck = check, check
+					zone, restart := largeSpec(n, zoneLost()...), largeSpec(n, rollingRestart()...)
+					zone.Settings.MayHealthCheck, restart.Settings.MayHealthCheck = check, check
 					b.ReportMetric(mustRun(b, zone).All.WeightedGoodput(), "zone-lost")
-					b.ReportMetric(mustRun(b, join).All.WeightedGoodput(), "replaced")
+					b.ReportMetric(mustRun(b, restart).All.WeightedGoodput(), "replaced")
 				}
 			})
 		}
 	}
 }
 
-// With all faults each request ends once (the model panics otherwise), and the sums over classes, tenants
-// and windows are equal.
+// With faults and contracts, each request ends exactly once (the model panics if one ends twice), and the
+// sums over classes, tenants, windows and outcomes equal the number of requests.
 func TestConservation(t *testing.T) {
 	s := spec()
 	s.Faults = allFaults
@@ -179,12 +181,12 @@
 		t.Errorf("sent %d; classes %d, tenants %d, windows %d, ends %d", r.All.Sent, classes, tenants, windows, ends)
 	}
 	if r.All.Ends["served"] < r.All.Sent*6/10 || r.All.OutputTokens > r.OutputTokens {
-		t.Errorf("%+v; made %d of which clients have %d", r.All.Ends, r.OutputTokens, r.All.OutputTokens)
+		t.Errorf("outcomes %v; replicas produced %d tokens, of which clients received %d", r.All.Ends, r.OutputTokens, r.All.OutputTokens)
 	}
 }
 
-// The capture of a simulated run replays without a difference, the contract ledger included.
-func TestRunsAreCaptures(t *testing.T) {
+// Captures of simulated runs replay without a difference, including the verdicts of the contract ledger.
+func TestCapturesOfRunsReplay(t *testing.T) {
 	s := spec()
 	s.Duration, s.Faults = 15_000_000, allFaults[:3]
 	s.Contracts = []contract.Terms{{Team: "t", Tenants: []string{"t"}, Rate: 3_000_000, Burst: 3_000_000, OverQuotaWeight: 0.1}}
@@ -203,7 +205,7 @@
 	}
 }
 
-// A higher load is served worse, and traffic avoids a slow replica.
+// A higher load lowers the weighted goodput, traffic avoids a slow replica, and an unknown class is rejected.
 func TestPlausible(t *testing.T) {
 	calm, busy, slow := spec(), spec(), spec()
 	busy.Streams[0].RequestsPerSecond, busy.Streams[1].RequestsPerSecond = 150, 40
@@ -212,10 +214,10 @@
 	if a.All.WeightedGoodput() < 0.97 || b.All.WeightedGoodput() > a.All.WeightedGoodput()-0.1 || c.All.WeightedGoodput() < 0.9 {
 		t.Errorf("weighted goodput: low load %.3f, high load %.3f, one replica slow %.3f", a.All.WeightedGoodput(), b.All.WeightedGoodput(), c.All.WeightedGoodput())
 	}
-	bad := spec()
-	bad.Streams[0].Class = "none"
-	if _, err := Run(bad); err == nil {
-		t.Error("traffic without a class was accepted")
+	unknownClass := spec()
+	unknownClass.Streams[0].Class = "none"
+	if _, err := Run(unknownClass); err == nil {
+		t.Error("traffic of an unknown class was accepted")
 	}
 }
 
--- a/internal/fleet/model/requests.go
+++ b/internal/fleet/model/requests.go
@@ -6,31 +6,31 @@
 	"archknot/internal/contract"
 )
 
-// request is a client's request at a gateway.
+// request is a client's request to a gateway.
 type request struct {
 	balancerRequest balancer.Request
 	traffic         *traffic
 	session         *Session
-	clientRetries   int // retries of the client before this one
+	clientRetries   int // number of earlier tries by the client
 	sentAt          balancer.Micros
 	deadline        balancer.Micros // for the first token
 	outputTokens    int
 	attempts        []*attempt
-	winner          *attempt // the attempt whose stream the client gets
+	winner          *attempt // the attempt whose stream is forwarded to the client
 	finished        bool     // the client has its final answer or has disconnected
 	firstTokenAt    balancer.Micros
-	wastedAttempts  int  // attempts that may have run and served nobody
-	counted         bool // in the result
+	wastedAttempts  int  // attempts that may have run and whose output was not used
+	counted         bool // the request is in the result
 
-	charge       contract.Charge          // until the first attempt takes it over
-	charges      map[int]*contract.Charge // by attempt
+	charge       contract.Charge          // open until the first attempt takes it over
+	charges      map[int]*contract.Charge // by attempt index
 	estimatedUse contract.Usage
 	overQuota    bool
 }
 
-// arrive is the arrival of a client's request.
+// arrive handles the arrival of a client's request.
 func (g *gateway) arrive(now balancer.Micros, r *request) {
-	if g.dead {
+	if g.killed {
 		g.sim.requestEnded(now, r, OutcomeFailed, 0)
 		return
 	}
@@ -68,7 +68,7 @@
 	return true
 }
 
-// clientTimedOut is the disconnection of a client that has waited too long for its first token.
+// clientTimedOut handles the disconnection of a client whose first token has not arrived by the deadline.
 func (g *gateway) clientTimedOut(now balancer.Micros, r *request) {
 	if r.finished || r.winner != nil {
 		return
@@ -144,8 +144,8 @@
 	s.engine.After(s.networkDelay(g.zone, h.zone)+h.group.Params.ConnectTime, a.arrive)
 }
 
-// chargeAttempt charges an attempt to the contract: the first one takes over the request's charge. It
-// returns false if the contract rejects the attempt.
+// chargeAttempt charges an attempt to the contract. The first attempt takes over the request's charge.
+// chargeAttempt returns false if the contract rejects the attempt.
 func (g *gateway) chargeAttempt(now balancer.Micros, a *attempt) bool {
 	r := a.request
 	charge := &contract.Charge{}
@@ -161,7 +161,8 @@
 	return true
 }
 
-// firstToken is the arrival of an attempt's first token. The first attempt to get there wins.
+// firstToken handles the arrival of an attempt's first token. The first attempt of a request with a token
+// is the winner; later ones are cancelled.
 func (g *gateway) firstToken(now balancer.Micros, a *attempt) {
 	r := a.request
 	if a.ended || a.firstTokenSeen {
@@ -182,7 +183,7 @@
 	})
 }
 
-// attemptEnded is the end of an attempt, and of its request if the attempt is the winner.
+// attemptEnded handles the end of an attempt, and that of its request if the attempt is the winner.
 func (g *gateway) attemptEnded(now balancer.Micros, a *attempt, status balancer.Status, report balancer.LoadReport) {
 	if a.ended {
 		return
@@ -217,7 +218,7 @@
 	}
 	if !status.NeverRan() && status != balancer.Served {
 		r.wastedAttempts++
-		if r.counted && r.sentAt-startTime >= g.sim.spec.WarmUp { // the attempt ended after its request
+		if r.counted && r.sentAt-startTime >= g.sim.spec.WarmUp { // counted here because the request ended before the attempt
 			g.sim.result.Wasted++
 		}
 	}
--- a/internal/fleet/model/result.go
+++ b/internal/fleet/model/result.go
@@ -12,32 +12,32 @@
 	"archknot/internal/fleet/replica"
 )
 
-// Outcomes of a request for its client.
+// Outcomes of a request as its client sees them.
 const (
 	OutcomeServed   = "served"
-	OutcomeBroken   = "broken"   // the answer broke off
+	OutcomeBroken   = "broken"   // the answer was interrupted
 	OutcomeShed     = "refused"  // an overload response
-	OutcomeFailed   = "failed"   // a failure response, or none
-	OutcomeLate     = "late"     // no first token within the client's timeout
+	OutcomeFailed   = "failed"   // a failure response or no response
+	OutcomeLate     = "late"     // no first token before the client's timeout
 	OutcomeContract = "contract" // rejected by the team's contract
 )
 
-// defaultWindowLength is the length of a Window if the Spec has none, in microseconds.
-const defaultWindowLength = 10_000_000
+// defaultWindowLength is the length of a Window if the Spec does not set one.
+const defaultWindowLength = 10_000_000 // microseconds
 
-// Bounds of the histograms of latencies, in microseconds, and their significant digits.
+// Parameters of the latency histograms.
 const (
-	minLatency    = 1
-	maxLatency    = 600_000_000
-	latencyDigits = 3
+	minLatency    = 1           // microseconds
+	maxLatency    = 600_000_000 // microseconds
+	latencyDigits = 3           // significant decimal digits
 )
 
-// Count sums up how requests ended. "Weight" is the priority weight of their classes.
+// Count holds the totals of a set of requests. Weights are the priority weights of their classes.
 type Count struct {
 	Sent          int64            `json:"sent"`
 	Ends          map[string]int64 `json:"ends"`    // by outcome
 	InTime        int64            `json:"in_time"` // served, with the first token within the latency objective
-	WeightServed  float64          `json:"points"`  // of served requests; late ones count by their class's LateWeightShare
+	WeightServed  float64          `json:"points"`  // of served requests; late ones are multiplied by their class's LateWeightShare
 	WeightOffered float64          `json:"most"`    // of all requests
 	Retried       int64            `json:"retried"` // retries of clients whose requests were shed
 	OutputTokens  int64            `json:"made"`    // of served requests
@@ -47,32 +47,33 @@
 	ResponseMs    map[string]float64 `json:"whole_ms"` // percentiles of the time to the end of the answer
 }
 
-// Result is the result of a run.
+// Result holds the measurements of a run. Requests that are sent during WarmUp are not in the counts, the
+// windows, Attempts and Wasted; the totals of replicas, discovery and health checks cover the whole run.
 type Result struct {
 	All      *Count            `json:"all"`
 	Classes  map[string]*Count `json:"classes"`
 	Tenants  map[string]*Count `json:"tenants"`
 	Windows  []Window          `json:"windows"`
 	Attempts int64             `json:"attempts"`
-	Wasted   int64             `json:"wasted"` // attempts that may have run and served nobody
-	Events   uint64            `json:"events"` // of the simulation
-	// DiscoveryCallsFailed counts calls of discovery that waited for too long.
+	Wasted   int64             `json:"wasted"` // attempts that may have run and whose output was not used
+	Events   uint64            `json:"events"` // processed by the simulation
+	// DiscoveryCallsFailed counts the calls to discovery that timed out in its queue.
 	DiscoveryCallsFailed int     `json:"asks_failed"`
 	Steps                int64   `json:"steps"`
-	OutputTokens         int64   `json:"made"` // by all replicas, those of unserved requests included
+	OutputTokens         int64   `json:"made"` // of all replicas, including those of unserved requests
 	PromptTokensRead     int64   `json:"read"`
-	PromptTokensReused   int64   `json:"reused"` // cached and not read again
+	PromptTokensReused   int64   `json:"reused"` // found in a replica's cache
 	Preempted            int64   `json:"preempted"`
 	Declined             int64   `json:"declined"`
 	HealthChecks         int64   `json:"probes"`
-	BusyShare            float64 `json:"busy"` // of the replicas' time
+	BusyShare            float64 `json:"busy"` // busy fraction of the replicas' time
 	spec                 *Spec
 	replicaCount         int
 }
 
-// Window sums up the requests that were sent within a span of the run.
+// Window holds the totals of the requests that were sent within an interval of the run.
 type Window struct {
-	At            float64 `json:"at_s"` // its beginning
+	At            float64 `json:"at_s"` // beginning, in seconds since the run began
 	Sent          int64   `json:"sent"`
 	Served        int64   `json:"served"`
 	InTime        int64   `json:"in_time"`
@@ -80,7 +81,7 @@
 	WeightOffered float64 `json:"most"`
 }
 
-// RequestEnd describes a request that has ended. Times are since the run began.
+// RequestEnd describes a request that has ended. Times are relative to the beginning of the run.
 type RequestEnd struct {
 	Class                         *balancer.Class
 	Request                       *balancer.Request
@@ -90,7 +91,7 @@
 	Attempts, Wasted              int
 }
 
-// WeightedGoodput returns the share of the offered weight that was served.
+// WeightedGoodput returns the fraction of the offered weight that was served, 0 if none was offered.
 func (c *Count) WeightedGoodput() float64 {
 	if c.WeightOffered == 0 {
 		return 0
@@ -106,7 +107,7 @@
 	}
 }
 
-// NewResult returns an empty result with the windows of a run.
+// NewResult returns an empty result with one Window for each interval of the run.
 func NewResult(spec *Spec) *Result {
 	res := &Result{All: newCount(), Classes: map[string]*Count{}, Tenants: map[string]*Count{}, spec: spec}
 	for at := balancer.Micros(0); at < spec.Duration; at += spec.windowLength() {
@@ -117,7 +118,7 @@
 
 func (s *Spec) windowLength() balancer.Micros { return cmp.Or(s.WindowLength, defaultWindowLength) }
 
-// countsOf returns the counts to which a request belongs.
+// countsOf returns the counts of all requests, of the request's class and of its tenant.
 func (res *Result) countsOf(request *balancer.Request) []*Count {
 	if res.Classes[request.Class] == nil {
 		res.Classes[request.Class] = newCount()
@@ -128,7 +129,8 @@
 	return []*Count{res.All, res.Classes[request.Class], res.Tenants[request.Tenant]}
 }
 
-// CountRetry counts the retry of a request that was sent at sentAt since the run began.
+// CountRetry counts the retry of a request. sentAt is the request's send time since the run began; requests
+// sent during WarmUp are not counted.
 func (res *Result) CountRetry(sentAt balancer.Micros, request *balancer.Request) {
 	if sentAt < res.spec.WarmUp {
 		return
@@ -138,7 +140,7 @@
 	}
 }
 
-// CountEnd counts the end of a request.
+// CountEnd counts a request that has ended, unless it was sent during WarmUp.
 func (res *Result) CountEnd(e RequestEnd) {
 	if e.SentAt < res.spec.WarmUp {
 		return
@@ -153,7 +155,7 @@
 		c.WeightServed += weight
 		if served {
 			c.OutputTokens += int64(e.OutputTokens)
-			// Values over maxLatency are left out of the percentiles.
+			// RecordValue returns an error above maxLatency: such values are left out of the percentiles.
 			_ = c.firstToken.RecordValue(max(minLatency, e.firstTokenLatency()))
 			_ = c.response.RecordValue(max(minLatency, e.EndedAt-e.SentAt))
 		}
@@ -181,7 +183,7 @@
 	return e.Outcome == OutcomeServed && e.firstTokenLatency() <= objective
 }
 
-// weightServed returns the weight that counts as served.
+// weightServed returns the priority weight credited to the request; late ones get LateWeightShare of it.
 func (e *RequestEnd) weightServed() float64 {
 	switch {
 	case e.Outcome != OutcomeServed:
@@ -193,7 +195,7 @@
 	}
 }
 
-// addReplica adds the counts of a replica, nil if its process does not run.
+// addReplica adds the counts of a replica; r is nil if its process is not running.
 func (res *Result) addReplica(r *replica.Simulator) {
 	res.replicaCount++
 	if r == nil {
@@ -208,13 +210,13 @@
 	res.BusyShare += float64(r.BusyTime)
 }
 
-// percentiles are those that results have.
+// percentiles lists the percentiles in FirstTokenMs and ResponseMs.
 var percentiles = []struct {
 	name     string
 	quantile float64
 }{{"p50", 50}, {"p90", 90}, {"p95", 95}, {"p99", 99}, {"max", 100}}
 
-// Finish computes percentiles and shares after the last request.
+// Finish computes the percentiles and BusyShare. Call it once, after the last request has been counted.
 func (res *Result) Finish() {
 	res.BusyShare /= float64(res.spec.Duration) * float64(max(1, res.replicaCount))
 	for _, c := range slices.Concat([]*Count{res.All}, slices.Collect(maps.Values(res.Classes)), slices.Collect(maps.Values(res.Tenants))) {
@@ -226,11 +228,11 @@
 	}
 }
 
-// JSON returns the result as indented JSON: the same bytes for the same run.
+// JSON returns the result as indented JSON. Equal results give equal bytes.
 func (res *Result) JSON() []byte {
 	text, err := json.MarshalIndent(res, "", "  ")
 	if err != nil {
-		panic(err) // a result has only numbers and strings
+		panic(err) // cannot happen: a result contains only numbers and strings
 	}
 	return text
 }
