--- a/internal/fleet/fit/estimators.go
+++ b/internal/fleet/fit/estimators.go
@@ -8,10 +8,10 @@
 // z95 is the quantile of the normal distribution for a two-sided 95% interval.
 const z95 = 1.96
 
-// minDispersionSeconds is the least number of seconds from which a dispersion is estimated.
+// minDispersionSeconds is the minimum observation time for an estimate of the dispersion.
 const minDispersionSeconds = 10
 
-// median returns the median with its interval between ranks.
+// median returns the median. The interval's bounds are order statistics.
 func median(values []float64) Value {
 	n := len(values)
 	if n == 0 {
@@ -23,12 +23,13 @@
 	if n%2 == 0 {
 		middle = (sorted[n/2-1] + sorted[n/2]) / 2
 	}
-	halfWidth := 0.98 * math.Sqrt(float64(n)) // z95/2 standard deviations of the rank
+	halfWidth := 0.98 * math.Sqrt(float64(n)) // z95 standard deviations of the rank, each sqrt(n)/2
 	return Value{middle, atRank(float64(n)/2 - halfWidth - 1), atRank(float64(n)/2 + halfWidth), n}
 }
 
-// meanTurns returns the mean of a geometric number of turns, from how many turns were followed by another
-// one and how many ended their session. The interval is Wilson's.
+// meanTurns returns the mean number of turns in a session, which is geometrically distributed. continued
+// turns were followed by another one, ended turns were the last of their session. The interval is derived
+// from Wilson's.
 func meanTurns(continued, ended int) Value {
 	n := float64(continued + ended)
 	if n == 0 {
@@ -41,8 +42,8 @@
 	return Value{mean(p), mean(math.Max(0, center-halfWidth)), mean(math.Min(1, center+halfWidth)), continued + ended}
 }
 
-// deviation returns the standard deviation.
-func deviation(values []float64) Value {
+// standardDeviation returns the sample standard deviation, or the zero Value for fewer than three values.
+func standardDeviation(values []float64) Value {
 	n := float64(len(values))
 	if n < 3 {
 		return Value{}
@@ -57,12 +58,12 @@
 	return Value{sd, math.Max(0, sd-halfWidth), sd + halfWidth, len(values)}
 }
 
-// fitPrefixes returns the number of shared prefixes, those that were not seen included by Chao's
-// estimator, and the median of their lengths.
+// fitPrefixes returns Chao's estimate of the number of shared prefixes, which includes unseen ones, and the
+// median of their lengths.
 func fitPrefixes(turns []Turn) (count, length Value) {
 	type sessionPrefix struct{ session, prefix uint64 }
 	sightings := map[uint64]int{}
-	seenInSession := map[sessionPrefix]bool{} // the turns of a session count once
+	seenInSession := map[sessionPrefix]bool{} // each session counts once per prefix
 	var lengths []float64
 	for _, t := range turns {
 		key := sessionPrefix{t.Session, t.Prefix}
@@ -79,8 +80,8 @@
 	return chao(sightings, len(lengths)), median(lengths)
 }
 
-// chao estimates a number of kinds from how often each kind that was seen was seen (Chao's estimator,
-// bias-corrected, with its log-normal interval).
+// chao estimates the total number of kinds, including unseen ones, from the number of sightings of each kind
+// seen (Chao's bias-corrected estimator with its log-normal interval). n is the number of observations.
 func chao(sightings map[uint64]int, n int) Value {
 	once, twice := 0.0, 0.0
 	for _, c := range sightings {
@@ -102,7 +103,7 @@
 	return estimate
 }
 
-// dispersion returns the variance of the counts in each second over their mean.
+// dispersion returns the index of dispersion of the counts per second: their variance divided by their mean.
 func dispersion(counts map[int64]int, from, to int64) Value {
 	n := float64(to - from)
 	if n < minDispersionSeconds {
--- a/internal/fleet/fit/fit_test.go
+++ b/internal/fleet/fit/fit_test.go
@@ -12,7 +12,7 @@
 	"archknot/internal/fleet/replica"
 )
 
-// runAndRead runs a fleet with known traffic and reads the captures of its gateways.
+// runAndRead simulates a fleet with known traffic and reads the captures of its gateways.
 func runAndRead(t *testing.T, seed uint64, think float64) (*Recording, []model.Stream) {
 	t.Helper()
 	p := replica.Params{MaxRunning: 64, MaxQueued: 64, MemoryTokens: 400_000, BlockTokens: 16, ChunkTokens: 2048, StepBase: 4000, StepPerSequence: 50, StepPerContext: 10, StepPerPrompt: 10_000,
@@ -39,14 +39,14 @@
 	return r, s.Streams
 }
 
-// For known traffic, captured by three gateways that serve each other's sessions, at least nine in ten
-// intervals contain the true value.
+// For known traffic, whose sessions are spread over three captured gateways, at least 90% of the intervals
+// contain the true value and no estimate is off by more than a factor of 1.4.
 func TestKnownTrafficIsFound(t *testing.T) {
-	inside, all := 0, 0
+	containing, all := 0, 0
 	var missed []string
 	for seed := range uint64(8) {
 		think := 2.0
-		if seed%2 == 1 { // a session counts as ended only after half of the capture
+		if seed%2 == 1 { // sessionEndGap is limited to half of the capture
 			think = 8
 		}
 		r, actual := runAndRead(t, seed+1, think)
@@ -66,13 +66,13 @@
 				"spread": {s.Spread, want.Spread}, "prefixes": {s.Prefixes, float64(want.Prefixes)}, "shared": {s.Shared, float64(want.PrefixTokens)}, "dispersion": {s.Dispersion, 1}} {
 				if c.want == 0 || c.got.N == 0 {
 					if c.got.N > 0 {
-						t.Errorf("%s of %s: %v where there is none", name, s.Class, c.got)
+						t.Errorf("%s of %s: got %v, expected no estimate", name, s.Class, c.got)
 					}
 					continue
 				}
 				all++
 				if c.got.Low <= c.want && c.want <= c.got.High {
-					inside++
+					containing++
 				} else {
 					missed = append(missed, fmt.Sprintf("seed %d %s %s: %v, true value %v", seed+1, s.Class, name, c.got, c.want))
 				}
@@ -82,19 +82,19 @@
 			}
 		}
 	}
-	t.Logf("%d of %d intervals contain the true value", inside, all)
-	if all < 100 || inside < all*9/10 {
-		t.Errorf("%d of %d intervals contain the true value:\n%s", inside, all, strings.Join(missed, "\n"))
+	t.Logf("%d of %d intervals contain the true value", containing, all)
+	if all < 100 || containing < all*9/10 {
+		t.Errorf("%d of %d intervals contain the true value:\n%s", containing, all, strings.Join(missed, "\n"))
 	}
 }
 
-// Bursts are distinguished from Poisson arrivals; turns that were cut off, not served or never seen again are
-// noted as unknown and do not count as the end of a session.
+// Bursts raise the dispersion above that of Poisson arrivals. Unserved requests are noted as unknown, and a
+// session whose last turn was not served does not count as ended.
 func TestUnknownsOfARecording(t *testing.T) {
 	rng := rand.New(rand.NewPCG(1, 2))
 	var turns []Turn
 	for s := range 200 {
-		at := balancer.Micros(s/20) * 10_000_000 // twenty at once, every ten seconds
+		at := balancer.Micros(s/20) * 10_000_000 // bursts of twenty, ten seconds apart
 		turns = append(turns, Turn{At: at + balancer.Micros(rng.IntN(1000)), EndedAt: at + 500_000, Class: "c", PromptTokens: 100, OutputTokens: 10})
 	}
 	turns = append(turns, Turn{At: 85_000_000, EndedAt: 86_000_000, Class: "c", Session: 7, PromptTokens: 100, OutputTokens: 10},
@@ -104,9 +104,9 @@
 		t.Errorf("bursts of twenty: dispersion %v", s.Dispersion)
 	}
 	if s.Turns.N != 201 || s.Turns.Value > 1.01 {
-		t.Errorf("turns %v: one session went on, and is then not served", s.Turns)
+		t.Errorf("turns %v: expected 201 observations and a mean of at most 1.01; the only session continued once and was then not served", s.Turns)
 	}
 	if notes := strings.Join(s.Unknown, "\n"); !strings.Contains(notes, "1 of 202 requests") {
-		t.Errorf("not noted: %s", notes)
+		t.Errorf("the unserved request is not noted: %s", notes)
 	}
 }
--- a/internal/fleet/fit/plan.go
+++ b/internal/fleet/fit/plan.go
@@ -7,7 +7,8 @@
 	"strings"
 )
 
-// Plan returns the [traffic] sections of a plan with the estimates of streams.
+// Plan returns the [traffic] sections of a plan with the estimates of the streams. Keys without an estimate
+// are left out.
 func Plan(streams []Stream) string {
 	var b strings.Builder
 	for i := range streams {
@@ -16,7 +17,7 @@
 	return b.String()
 }
 
-// writeSection writes the stream's section; number distinguishes sections of one class.
+// writeSection writes the stream's section. number makes the names of sections of the same class unique.
 func (s *Stream) writeSection(b *strings.Builder, number int) {
 	writeValue := func(key, format string, v Value) {
 		if v.N > 0 {
@@ -42,13 +43,14 @@
 	b.WriteString("\n")
 }
 
-// atLeast returns the value raised to a minimum.
+// atLeast returns a copy of the estimate whose value is at least minimum.
 func (v Value) atLeast(minimum float64) Value {
 	v.Value = math.Max(minimum, v.Value)
 	return v
 }
 
-// sectionName returns a class's name with the characters that a section's name may have.
+// sectionName returns a class's name with every character that is not allowed in a section name replaced by
+// a hyphen.
 func sectionName(class string) string {
 	allowed := strings.Map(func(r rune) rune {
 		if r == '-' || r == '_' || r >= 'a' && r <= 'z' || r >= 'A' && r <= 'Z' || r >= '0' && r <= '9' {
--- a/internal/fleet/fit/read.go
+++ b/internal/fleet/fit/read.go
@@ -11,21 +11,22 @@
 	pb "archknot/internal/capture/capturepb"
 )
 
-// Errors of Read.
+// Errors returned by Read.
 var (
-	ErrNoCapture    = errors.New("no recording")
-	ErrNoCommonTime = errors.New("the recordings have no time in common")
+	ErrNoCapture = errors.New("no capture to read")
+	ErrNoOverlap = errors.New("the captures do not overlap in time")
 )
 
-// Recording is the turns in the captures of one fleet's gateways.
+// Recording holds the turns in the captures of one fleet's gateways.
 type Recording struct {
 	Turns    []Turn
-	From, To balancer.Micros // Unix time in microseconds: while all gateways were captured
-	Gaps     int             // places at which records are missing
+	From, To balancer.Micros // interval in which all gateways were captured, as Unix times in microseconds
+	Gaps     int             // number of places at which records are missing
 }
 
-// Read reads the turns of captures, one for each gateway. Turns outside the time that all captures have in
-// common are left out, because sessions move from one gateway to another.
+// Read reads the turns of captures, one for each gateway. Turns outside the interval that all captures cover
+// are left out, because a session's turns can be at any gateway. Read returns ErrNoCapture for no runs, and
+// ErrNoOverlap if that interval is empty.
 func Read(runs []*capture.Run) (*Recording, error) {
 	if len(runs) == 0 {
 		return nil, ErrNoCapture
@@ -43,7 +44,7 @@
 		rec.From, rec.To = max(rec.From, from), min(rec.To, to)
 	}
 	if rec.To <= rec.From {
-		return nil, ErrNoCommonTime
+		return nil, ErrNoOverlap
 	}
 	rec.Turns = slices.DeleteFunc(rec.Turns, func(t Turn) bool { return t.At < rec.From || t.At > rec.To })
 	return rec, nil
@@ -56,7 +57,7 @@
 		return 0, err
 	}
 	defer reader.Close()
-	open := map[uint32]int{} // index in Turns by request
+	turnIndexes := map[uint32]int{} // index in Turns by request, while the request is in progress
 	for {
 		entry, err := reader.Next()
 		if errors.Is(err, io.EOF) {
@@ -67,23 +68,23 @@
 		}
 		if entry.Missing != nil {
 			rec.Gaps++
-			clear(open)
+			clear(turnIndexes)
 			continue
 		}
 		at := run.WallTime(entry.At).UnixMicro()
 		last = max(last, at)
-		rec.add(entry.Record, at, open)
+		rec.add(entry.Record, at, turnIndexes)
 	}
 }
 
-// add adds what a record says of a turn.
-func (rec *Recording) add(record *pb.Record, at balancer.Micros, open map[uint32]int) {
+// add adds the arrival of a turn, or the outcome of one, from a record.
+func (rec *Recording) add(record *pb.Record, at balancer.Micros, turnIndexes map[uint32]int) {
 	switch record.Kind {
 	case pb.Kind_KIND_ARRIVED:
-		open[record.Request] = len(rec.Turns)
+		turnIndexes[record.Request] = len(rec.Turns)
 		rec.Turns = append(rec.Turns, newTurn(record.Arrival, at))
 	case pb.Kind_KIND_ENDED:
-		i, ok := open[record.Request]
+		i, ok := turnIndexes[record.Request]
 		if !ok || !record.Outcome.GetFinal() {
 			return
 		}
@@ -91,7 +92,7 @@
 			rec.Turns[i].EndedAt = at
 			rec.Turns[i].OutputTokens = int(record.Outcome.GetTokens())
 		}
-		delete(open, record.Request)
+		delete(turnIndexes, record.Request)
 	}
 }
 
