--- a/internal/fleet/emulate/answer.go
+++ b/internal/fleet/emulate/answer.go
@@ -38,11 +38,11 @@
 // except for what depends on the replica's state.
 func isCompleteAnswer(text []byte, outputTokens int) bool {
 	for n := 1; n <= outputTokens; n++ {
-		rest, ok := bytes.CutPrefix(text, fmt.Appendf(nil, tokenEvent, tokenText(n)))
+		remaining, ok := bytes.CutPrefix(text, fmt.Appendf(nil, tokenEvent, tokenText(n)))
 		if !ok {
 			return false
 		}
-		text = rest
+		text = remaining
 	}
 	usage, end, ok := bytes.Cut(text, []byte("\n\n"))
 	return ok && bytes.HasPrefix(usage, []byte(usageEventStart)) && bytes.HasPrefix(end, []byte(doneEvent))
--- a/internal/fleet/emulate/attempts.go
+++ b/internal/fleet/emulate/attempts.go
@@ -24,14 +24,14 @@
 	minResumeDelay, maxResumeDelay = 10_000, 500_000
 	// maxAnswerTime bounds the time for a complete answer.
 	maxAnswerTime = 10 * time.Minute
-	// maxErrorText bounds the bytes that are read of a response that is not 200.
-	maxErrorText = 4096
-	// maxRetryAfter is the longest Retry-After in seconds that a client accepts.
-	maxRetryAfter = 3600
+	// maxErrorBodyBytes bounds the bytes that are read of a response that is not 200.
+	maxErrorBodyBytes = 4096
+	// maxRetryAfterSeconds is the longest Retry-After in seconds that a client accepts.
+	maxRetryAfterSeconds = 3600
 	// maxGatewayPicks bounds how often a client picks another gateway for an attempt.
 	maxGatewayPicks = 8
-	// readBufferSize is the size in bytes of the reads of an answer.
-	readBufferSize = 16 << 10
+	// readBufferBytes is the size in bytes of the reads of an answer.
+	readBufferBytes = 16 << 10
 )
 
 // States of a client attempt for an Observer.
@@ -77,12 +77,12 @@
 // sendRequest sends a request and resumes its answer where it breaks off. A request that was sent goes on
 // to its end although the context ends.
 func (c *sessionClient) sendRequest(ctx context.Context, request *balancer.Request, outputTokens int) attemptEnd {
-	p := c.player
+	generator := c.generator
 	var received []byte
 	var total attemptEnd
-	rootID := p.newID()
-	for n, resumeIndex := 0, 0; ; n, resumeIndex = n+1, resumeIndex+1 {
-		a := &ClientAttempt{
+	rootID := generator.newID()
+	for attemptIndex, resumeIndex := 0, 0; ; attemptIndex, resumeIndex = attemptIndex+1, resumeIndex+1 {
+		attempt := &ClientAttempt{
 			RootID:            rootID,
 			ID:                rootID,
 			ResumeIndex:       resumeIndex,
@@ -91,32 +91,32 @@
 			FirstTokenTimeout: c.stream.FirstTokenTimeout(c.class),
 		}
 		if resumeIndex > 0 {
-			a.ID = p.newID()
+			attempt.ID = generator.newID()
 		}
-		end := c.sendAttempt(context.WithoutCancel(ctx), a, request, &received)
-		if n == 0 {
+		end := c.sendAttempt(context.WithoutCancel(ctx), attempt, request, &received)
+		if attemptIndex == 0 {
 			total = end
 		} else {
 			total.add(end)
 		}
-		a.Outcome = end.Outcome
-		a.RequestedAt = total.SentAt
-		inTime := total.FirstTokenAt > 0 || p.now()-total.SentAt < a.FirstTokenTimeout
-		unknown := a.Status == http.StatusNotFound && len(received) == 0 // no gateway has a record of the request
-		if (unknown || a.Status == http.StatusServiceUnavailable) && n < c.stream.MaxResumes && inTime {
+		attempt.Outcome = end.Outcome
+		attempt.RequestedAt = total.SentAt
+		inTime := total.FirstTokenAt > 0 || generator.now()-total.SentAt < attempt.FirstTokenTimeout
+		requestUnknown := attempt.Status == http.StatusNotFound && len(received) == 0 // no gateway has a record of the request
+		if (requestUnknown || attempt.Status == http.StatusServiceUnavailable) && attemptIndex < c.stream.MaxResumes && inTime {
 			// Send a new request, or resume again where there was no capacity.
-			p.observer.OnEnd(a)
-			if unknown || resumeIndex == 0 {
-				rootID, resumeIndex = p.newID(), -1
+			generator.observer.OnEnd(attempt)
+			if requestUnknown || resumeIndex == 0 {
+				rootID, resumeIndex = generator.newID(), -1
 			}
 			time.Sleep(time.Duration(min(max(end.retryAfter, minResumeDelay), maxResumeDelay)) * time.Microsecond)
 			continue
 		}
 		// Without a first token yet, the client waits no longer than for the first attempt.
-		canResume := a.Outcome == model.OutcomeBroken || a.Outcome == model.OutcomeFailed
-		a.Last = n >= c.stream.MaxResumes || !canResume || !inTime
-		p.observer.OnEnd(a)
-		if a.Last {
+		canResume := attempt.Outcome == model.OutcomeBroken || attempt.Outcome == model.OutcomeFailed
+		attempt.Last = attemptIndex >= c.stream.MaxResumes || !canResume || !inTime
+		generator.observer.OnEnd(attempt)
+		if attempt.Last {
 			return total
 		}
 	}
@@ -134,70 +134,70 @@
 }
 
 // newID returns a new request ID.
-func (p *player) newID() string {
-	p.mu.Lock()
-	defer p.mu.Unlock()
-	p.lastID++
-	return fmt.Sprintf("e%016x%08x", p.spec.Seed, p.lastID)
+func (g *loadGenerator) newID() string {
+	g.mu.Lock()
+	defer g.mu.Unlock()
+	g.lastID++
+	return fmt.Sprintf("e%016x%08x", g.spec.Seed, g.lastID)
 }
 
 // sendAttempt sends an attempt and reads its answer to the end. received is the answer as far as all
 // attempts have received it.
-func (c *sessionClient) sendAttempt(ctx context.Context, a *ClientAttempt, request *balancer.Request, received *[]byte) attemptEnd {
-	p := c.player
-	a.SentAt = p.now()
-	end := attemptEnd{RequestEnd: model.RequestEnd{Class: a.Class, Request: request, OutputTokens: a.OutputTokens, SentAt: a.SentAt, Attempts: 1}}
+func (c *sessionClient) sendAttempt(ctx context.Context, attempt *ClientAttempt, request *balancer.Request, received *[]byte) attemptEnd {
+	generator := c.generator
+	attempt.SentAt = generator.now()
+	end := attemptEnd{RequestEnd: model.RequestEnd{Class: attempt.Class, Request: request, OutputTokens: attempt.OutputTokens, SentAt: attempt.SentAt, Attempts: 1}}
 	ctx, stop := context.WithTimeout(ctx, maxAnswerTime)
 	defer stop()
 	// FirstTokenTimeout ends the attempt only before its first token.
 	var gotFirstToken atomic.Bool
-	timer := time.AfterFunc(time.Duration(a.FirstTokenTimeout)*time.Microsecond, func() {
+	timer := time.AfterFunc(time.Duration(attempt.FirstTokenTimeout)*time.Microsecond, func() {
 		if !gotFirstToken.Load() {
 			stop()
 		}
 	})
 	defer timer.Stop()
 	finish := func(outcome string) attemptEnd {
-		a.EndedAt = p.now()
-		timedOut := a.FirstTokenAt == 0 && a.EndedAt-a.SentAt >= a.FirstTokenTimeout
+		attempt.EndedAt = generator.now()
+		timedOut := attempt.FirstTokenAt == 0 && attempt.EndedAt-attempt.SentAt >= attempt.FirstTokenTimeout
 		if timedOut && (outcome == model.OutcomeFailed || outcome == model.OutcomeBroken) {
 			outcome = model.OutcomeLate
 		}
-		end.FirstTokenAt, end.EndedAt, end.Outcome = a.FirstTokenAt, a.EndedAt, outcome
+		end.FirstTokenAt, end.EndedAt, end.Outcome = attempt.FirstTokenAt, attempt.EndedAt, outcome
 		return end
 	}
-	resp, err := c.post(ctx, a, request, *received)
+	resp, err := c.post(ctx, attempt, request, *received)
 	if err != nil {
 		return finish(model.OutcomeFailed)
 	}
 	defer resp.Body.Close()
-	a.Status = resp.StatusCode
-	if a.Status != http.StatusOK {
-		text, _ := io.ReadAll(io.LimitReader(resp.Body, maxErrorText)) // a part of the text is enough
-		a.ErrorText = strings.TrimSpace(string(text))
+	attempt.Status = resp.StatusCode
+	if attempt.Status != http.StatusOK {
+		text, _ := io.ReadAll(io.LimitReader(resp.Body, maxErrorBodyBytes)) // a part of the text is enough
+		attempt.ErrorText = strings.TrimSpace(string(text))
 		end.retryAfter = retryAfter(resp.Header)
-		return finish(errorOutcome(a, text))
+		return finish(errorOutcome(attempt, text))
 	}
-	return finish(c.readAnswer(a, resp.Body, received, func() { gotFirstToken.Store(true) }))
+	return finish(c.readAnswer(attempt, resp.Body, received, func() { gotFirstToken.Store(true) }))
 }
 
 // retryAfter returns the Retry-After of a response; 0: none or not valid.
 func retryAfter(h http.Header) balancer.Micros {
 	seconds, err := strconv.ParseFloat(h.Get("Retry-After"), 64)
-	if err != nil || seconds <= 0 || seconds >= maxRetryAfter {
+	if err != nil || seconds <= 0 || seconds >= maxRetryAfterSeconds {
 		return 0
 	}
 	return balancer.Micros(seconds * 1e6)
 }
 
 // errorOutcome returns the outcome of a response that is not 200.
-func errorOutcome(a *ClientAttempt, text []byte) string {
+func errorOutcome(attempt *ClientAttempt, text []byte) string {
 	switch {
-	case a.Status == http.StatusTooManyRequests && bytes.Contains(text, []byte(`"contract"`)):
+	case attempt.Status == http.StatusTooManyRequests && bytes.Contains(text, []byte(`"contract"`)):
 		return model.OutcomeContract
-	case a.Status == http.StatusServiceUnavailable || a.Status == http.StatusTooManyRequests:
+	case attempt.Status == http.StatusServiceUnavailable || attempt.Status == http.StatusTooManyRequests:
 		return model.OutcomeShed
-	case a.ResumeIndex > 0:
+	case attempt.ResumeIndex > 0:
 		return model.OutcomeShed // a clear answer: the rest cannot be had
 	default:
 		return model.OutcomeFailed
@@ -205,21 +205,21 @@
 }
 
 // readAnswer reads an answer, appends it to received, and returns the attempt's outcome.
-func (c *sessionClient) readAnswer(a *ClientAttempt, body io.Reader, received *[]byte, onFirstToken func()) (outcome string) {
-	states := stateNotifier{observer: &c.player.observer, attempt: a}
-	buffer := make([]byte, readBufferSize)
+func (c *sessionClient) readAnswer(attempt *ClientAttempt, body io.Reader, received *[]byte, onFirstToken func()) (outcome string) {
+	states := stateNotifier{observer: &c.generator.observer, attempt: attempt}
+	buffer := make([]byte, readBufferBytes)
 	for {
 		n, err := body.Read(buffer)
 		if n > 0 {
-			if a.FirstTokenAt == 0 {
+			if attempt.FirstTokenAt == 0 {
 				onFirstToken()
-				a.FirstTokenAt = c.player.now()
+				attempt.FirstTokenAt = c.generator.now()
 			}
 			*received = append(*received, buffer[:n]...)
 		}
 		states.update(n, *received)
 		if err != nil { // the answer may be complete although its last chunk is missing
-			if a.Complete = isCompleteAnswer(*received, a.OutputTokens); a.Complete {
+			if attempt.Complete = isCompleteAnswer(*received, attempt.OutputTokens); attempt.Complete {
 				return model.OutcomeServed
 			}
 			return model.OutcomeBroken
@@ -254,19 +254,19 @@
 
 // post sends an attempt to a gateway. Like a load balancer, it goes on to another gateway if one refuses
 // the connection.
-func (c *sessionClient) post(ctx context.Context, a *ClientAttempt, request *balancer.Request, received []byte) (*http.Response, error) {
+func (c *sessionClient) post(ctx context.Context, attempt *ClientAttempt, request *balancer.Request, received []byte) (*http.Response, error) {
 	const body = `{"model":"chat","stream":true}`
-	p := c.player
+	generator := c.generator
 	for n := 0; ; n++ {
-		a.Gateway = c.pickGateway()
-		req, err := http.NewRequestWithContext(ctx, http.MethodPost, "http://"+a.Gateway+httpwire.CompletionsPath, strings.NewReader(body))
+		attempt.Gateway = c.pickGateway()
+		req, err := http.NewRequestWithContext(ctx, http.MethodPost, "http://"+attempt.Gateway+httpwire.CompletionsPath, strings.NewReader(body))
 		if err != nil {
 			return nil, err
 		}
 		req.GetBody = nil // a request that may have arrived is not sent again by the transport
-		setHeaders(req.Header, a, request, received, p.now())
-		p.observer.OnState(a, StateSent)
-		resp, err := p.client.Do(req)
+		setHeaders(req.Header, attempt, request, received, generator.now())
+		generator.observer.OnState(attempt, StateSent)
+		resp, err := generator.client.Do(req)
 		if errors.Is(err, syscall.ECONNREFUSED) && n < maxGatewayPicks {
 			continue
 		}
@@ -276,11 +276,11 @@
 
 // pickGateway picks a gateway at random, one that is offered if possible.
 func (c *sessionClient) pickGateway() string {
-	p := c.player
-	pick := func() string { return p.gateways[c.rng.IntN(len(p.gateways))] }
+	generator := c.generator
+	pick := func() string { return generator.gateways[c.rng.IntN(len(generator.gateways))] }
 	gateway := pick()
 	for range maxGatewayPicks {
-		if p.observer.IsOffered == nil || p.observer.IsOffered(gateway) {
+		if generator.observer.IsOffered == nil || generator.observer.IsOffered(gateway) {
 			break
 		}
 		gateway = pick()
@@ -289,11 +289,11 @@
 }
 
 // setHeaders sets the platform's headers of an attempt.
-func setHeaders(h http.Header, a *ClientAttempt, request *balancer.Request, received []byte, now balancer.Micros) {
-	h.Set(requestIDHeader, a.ID)
+func setHeaders(h http.Header, attempt *ClientAttempt, request *balancer.Request, received []byte, now balancer.Micros) {
+	h.Set(requestIDHeader, attempt.ID)
 	h.Set("Req-Kind", request.Class)
 	h.Set("Req-Owner", request.Tenant)
-	h.Set("Req-Deadline", fmt.Sprintf("%du", max(1, a.FirstTokenTimeout-(now-a.SentAt))))
+	h.Set("Req-Deadline", fmt.Sprintf("%du", max(1, attempt.FirstTokenTimeout-(now-attempt.SentAt))))
 	if request.Session != 0 {
 		h.Set("Req-Key", fmt.Sprintf("%016x", request.Session))
 	}
@@ -302,9 +302,9 @@
 		extra += fmt.Sprintf(",prefix=%016x,prefix_len=%d", request.Prefix, request.PrefixTokens)
 	}
 	h.Set("Req-Extra", extra)
-	h.Set(outputTokensHeader, strconv.Itoa(a.OutputTokens))
-	if a.ResumeIndex > 0 {
+	h.Set(outputTokensHeader, strconv.Itoa(attempt.OutputTokens))
+	if attempt.ResumeIndex > 0 {
 		h.Set("Req-Retry", "again")
-		h.Set(httpwire.ResumeHeader, fmt.Sprintf("id=%s,ask=%d,bytes=%d,sum=%08x", a.RootID, a.ResumeIndex, len(received), crc32.ChecksumIEEE(received)))
+		h.Set(httpwire.ResumeHeader, fmt.Sprintf("id=%s,ask=%d,bytes=%d,sum=%08x", attempt.RootID, attempt.ResumeIndex, len(received), crc32.ChecksumIEEE(received)))
 	}
 }
--- a/internal/fleet/emulate/clients.go
+++ b/internal/fleet/emulate/clients.go
@@ -29,29 +29,29 @@
 			return nil, 0, fmt.Errorf("%s: %w", addr, errNotLoopback)
 		}
 	}
-	p := newPlayer(spec, gateways, observer)
+	generator := newLoadGenerator(spec, gateways, observer)
 	ctx, stop := context.WithTimeout(ctx, time.Duration(spec.Duration)*time.Microsecond)
 	defer stop()
 	for _, fault := range spec.Faults {
 		if fault.Kind == model.FaultBurst || fault.Kind == model.FaultHotPrefix {
-			p.trafficFaults = append(p.trafficFaults, fault)
+			generator.trafficFaults = append(generator.trafficFaults, fault)
 			continue
 		}
-		p.tasks.Go(func() { runFault(ctx, f, fault) })
+		generator.tasks.Go(func() { runFault(ctx, f, fault) })
 	}
 	for i := range spec.Streams {
-		p.tasks.Go(func() { p.runStream(ctx, i) })
-	}
-	p.tasks.Wait()
-	p.client.CloseIdleConnections()
-	p.mu.Lock()
-	defer p.mu.Unlock()
-	p.result.Finish()
-	return p.result, p.skippedSessions, nil
+		generator.tasks.Go(func() { generator.runStream(ctx, i) })
+	}
+	generator.tasks.Wait()
+	generator.client.CloseIdleConnections()
+	generator.mu.Lock()
+	defer generator.mu.Unlock()
+	generator.result.Finish()
+	return generator.result, generator.skippedSessions, nil
 }
 
-// player is the clients of a run.
-type player struct {
+// loadGenerator is the clients of a run.
+type loadGenerator struct {
 	spec          *model.Spec
 	observer      Observer
 	gateways      []string
@@ -67,9 +67,9 @@
 	lastID          int
 }
 
-func newPlayer(spec *model.Spec, gateways []string, observer Observer) *player {
+func newLoadGenerator(spec *model.Spec, gateways []string, observer Observer) *loadGenerator {
 	transport := &http.Transport{MaxIdleConnsPerHost: 1000, DisableCompression: true, IdleConnTimeout: 5 * time.Second}
-	return &player{
+	return &loadGenerator{
 		spec:      spec,
 		observer:  observer,
 		gateways:  gateways,
@@ -81,7 +81,7 @@
 }
 
 // now returns the time since the traffic began.
-func (p *player) now() balancer.Micros { return time.Since(p.startedAt).Microseconds() }
+func (g *loadGenerator) now() balancer.Micros { return time.Since(g.startedAt).Microseconds() }
 
 // sleep waits for a time and returns true, or returns false once the context has ended.
 func sleep(ctx context.Context, d balancer.Micros) bool {
@@ -99,21 +99,21 @@
 }
 
 // runFault begins and ends a fault at the fleet in its time.
-func runFault(ctx context.Context, f *Fleet, fault model.Fault) {
-	if f == nil || !sleep(ctx, fault.At) {
+func runFault(ctx context.Context, fleet *Fleet, fault model.Fault) {
+	if fleet == nil || !sleep(ctx, fault.At) {
 		return
 	}
-	f.StartFault(fault)
+	fleet.StartFault(fault)
 	if fault.Duration > 0 {
 		sleep(ctx, fault.Duration)
-		f.EndFault(fault)
+		fleet.EndFault(fault)
 	}
 }
 
 // trafficFactor returns the factor of a fault of the clients' own that is in progress, or else normal.
-func (p *player) trafficFactor(kind string, normal float64) float64 {
-	now := p.now()
-	for _, fault := range p.trafficFaults {
+func (g *loadGenerator) trafficFactor(kind string, normal float64) float64 {
+	now := g.now()
+	for _, fault := range g.trafficFaults {
 		if fault.Kind == kind && now >= fault.At && (fault.Duration == 0 || now < fault.At+fault.Duration) {
 			return fault.Factor
 		}
@@ -122,50 +122,50 @@
 }
 
 // runStream starts a stream's sessions until the context ends.
-func (p *player) runStream(ctx context.Context, index int) {
-	stream := &p.spec.Streams[index]
-	arrivals := model.NewSource(stream, rand.New(rand.NewPCG(p.spec.Seed, uint64(index)*2)))
-	number := uint64(0)
-	start := func(session *model.Session, in balancer.Micros) {
-		number++
-		p.startSession(ctx, index, number, session, in)
+func (g *loadGenerator) runStream(ctx context.Context, index int) {
+	stream := &g.spec.Streams[index]
+	arrivals := model.NewSource(stream, rand.New(rand.NewPCG(g.spec.Seed, uint64(index)*2)))
+	sessionNumber := uint64(0)
+	start := func(session *model.Session, delay balancer.Micros) {
+		sessionNumber++
+		g.startSession(ctx, index, sessionNumber, session, delay)
 	}
 	sessions, nextTurnIn := arrivals.SessionsInProgress()
 	for i, session := range sessions {
 		start(session, nextTurnIn[i])
 	}
-	for next := p.now(); ; {
-		next += arrivals.NextArrival(p.trafficFactor(model.FaultBurst, 1))
-		if !sleep(ctx, next-p.now()) {
+	for next := g.now(); ; {
+		next += arrivals.NextArrival(g.trafficFactor(model.FaultBurst, 1))
+		if !sleep(ctx, next-g.now()) {
 			return
 		}
-		start(arrivals.NewSession(p.trafficFactor(model.FaultHotPrefix, 0)), 0)
+		start(arrivals.NewSession(g.trafficFactor(model.FaultHotPrefix, 0)), 0)
 	}
 }
 
 // startSession starts a session of a stream after a time. Sessions have random numbers of their own, so
 // that they do not depend on how quickly others are served.
-func (p *player) startSession(ctx context.Context, streamIndex int, number uint64, session *model.Session, in balancer.Micros) {
+func (g *loadGenerator) startSession(ctx context.Context, streamIndex int, sessionNumber uint64, session *model.Session, delay balancer.Micros) {
 	select {
-	case p.slots <- struct{}{}:
+	case g.slots <- struct{}{}:
 	default:
-		p.mu.Lock()
-		p.skippedSessions++
-		p.mu.Unlock()
+		g.mu.Lock()
+		g.skippedSessions++
+		g.mu.Unlock()
 		return
 	}
-	stream := &p.spec.Streams[streamIndex]
+	stream := &g.spec.Streams[streamIndex]
 	c := &sessionClient{
-		player:  p,
-		stream:  stream,
-		class:   p.spec.ClassOf(stream),
-		session: session,
-		source:  model.NewSource(stream, rand.New(rand.NewPCG(p.spec.Seed^number<<20, uint64(streamIndex)*2+1))),
-		rng:     rand.New(rand.NewPCG(p.spec.Seed+number, 77)),
-	}
-	p.tasks.Go(func() {
-		defer func() { <-p.slots }()
-		if sleep(ctx, in) {
+		generator: g,
+		stream:    stream,
+		class:     g.spec.ClassOf(stream),
+		session:   session,
+		source:    model.NewSource(stream, rand.New(rand.NewPCG(g.spec.Seed^sessionNumber<<20, uint64(streamIndex)*2+1))),
+		rng:       rand.New(rand.NewPCG(g.spec.Seed+sessionNumber, 77)),
+	}
+	g.tasks.Go(func() {
+		defer func() { <-g.slots }()
+		if sleep(ctx, delay) {
 			c.run(ctx)
 		}
 	})
@@ -173,12 +173,12 @@
 
 // sessionClient is the client of one session.
 type sessionClient struct {
-	player  *player
-	stream  *model.Stream
-	class   *balancer.Class
-	session *model.Session
-	source  *model.Source
-	rng     *rand.Rand // for the choice of gateways
+	generator *loadGenerator
+	stream    *model.Stream
+	class     *balancer.Class
+	session   *model.Session
+	source    *model.Source
+	rng       *rand.Rand // for the choice of gateways
 }
 
 // run sends the session's turns one after another, as long as they are served.
@@ -195,21 +195,21 @@
 
 // runTurn sends a request, and again if it was shed, and counts its end.
 func (c *sessionClient) runTurn(ctx context.Context, request *balancer.Request, outputTokens int) (outcome string) {
-	p := c.player
+	generator := c.generator
 	for retries := 0; ; retries++ {
 		end := c.sendRequest(ctx, request, outputTokens)
 		shed := end.Outcome == model.OutcomeShed || end.Outcome == model.OutcomeContract
 		if shed && retries < c.stream.MaxRetries {
-			p.mu.Lock()
-			p.result.CountRetry(end.SentAt, request)
-			p.mu.Unlock()
+			generator.mu.Lock()
+			generator.result.CountRetry(end.SentAt, request)
+			generator.mu.Unlock()
 			if sleep(ctx, end.retryAfter+c.source.RetryDelay()) {
 				continue
 			}
 		}
-		p.mu.Lock()
-		p.result.CountEnd(end.RequestEnd)
-		p.mu.Unlock()
+		generator.mu.Lock()
+		generator.result.CountEnd(end.RequestEnd)
+		generator.mu.Unlock()
 		return end.Outcome
 	}
 }
--- a/internal/fleet/emulate/discovery.go
+++ b/internal/fleet/emulate/discovery.go
@@ -56,7 +56,7 @@
 	generation, changed, unresponsive := d.list.Generation, d.changed, d.unresponsive
 	d.mu.Unlock()
 	if unresponsive {
-		waitForClient(r)
+		waitForDisconnect(r)
 		return
 	}
 	if hasSince && since == generation {
@@ -79,11 +79,11 @@
 func (d *discoveryServer) encodeList(hasSince bool, since int64) ([]byte, error) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	out := httpwire.EndpointList{Generation: d.list.Generation, Reset: true, Endpoints: d.list.Endpoints}
-	if hasSince && since == out.Generation {
-		out.Reset, out.Endpoints = false, nil
+	response := httpwire.EndpointList{Generation: d.list.Generation, Reset: true, Endpoints: d.list.Endpoints}
+	if hasSince && since == response.Generation {
+		response.Reset, response.Endpoints = false, nil
 	}
-	text, err := json.Marshal(out)
+	text, err := json.Marshal(response)
 	return append(text, '\n'), err
 }
 
@@ -112,10 +112,10 @@
 	d.update(index, func(e *httpwire.Endpoint) { e.Lifecycle = lifecycle })
 }
 
-// waitForClient keeps a request unanswered until its client gives up.
-func waitForClient(r *http.Request) {
+// waitForDisconnect keeps a request unanswered until its client gives up.
+func waitForDisconnect(r *http.Request) {
 	select {
 	case <-r.Context().Done():
-	case <-time.After(silentTimeout):
+	case <-time.After(unresponsiveTimeout):
 	}
 }
--- a/internal/fleet/emulate/faults.go
+++ b/internal/fleet/emulate/faults.go
@@ -69,7 +69,7 @@
 			r.simulator.SetSlowdown(slowdown)
 		}
 	case model.FaultSilent:
-		r.silent = on
+		r.unresponsive = on
 	case model.FaultFlushCache:
 		if on && r.simulator != nil {
 			r.simulator.FlushCache()
@@ -105,10 +105,10 @@
 
 // loseMachine takes a replica's machine away without notice: it falls silent, and discovery notices it
 // after noticedAfter. It still accepts connections, because a loopback address cannot be silent before.
-func (f *Fleet) loseMachine(r *Replica, noticedAfter time.Duration) {
-	r.setSilent(true)
-	time.AfterFunc(noticedAfter, func() {
-		if r.isSilent() {
+func (f *Fleet) loseMachine(r *Replica, detectionDelay time.Duration) {
+	r.setUnresponsive(true)
+	time.AfterFunc(detectionDelay, func() {
+		if r.isUnresponsive() {
 			f.discovery.setLifecycle(r.index, lifecycleGone)
 		}
 	})
@@ -116,7 +116,7 @@
 
 // returnMachine brings a lost machine back: open connections are reset, and the replica restarts.
 func (f *Fleet) returnMachine(r *Replica) {
-	r.setSilent(false)
+	r.setUnresponsive(false)
 	r.stop()
 	f.restart(r)
 }
--- a/internal/fleet/emulate/fleet.go
+++ b/internal/fleet/emulate/fleet.go
@@ -19,8 +19,8 @@
 	initialUptime balancer.Micros = 3600_000_000
 	// readHeaderTimeout is that of the fleet's HTTP servers.
 	readHeaderTimeout = 5 * time.Second
-	// silentTimeout ends the requests to a silent server.
-	silentTimeout = time.Minute
+	// unresponsiveTimeout ends the requests to a silent server.
+	unresponsiveTimeout = time.Minute
 )
 
 // Fleet is a discovery server and replicas that run until Close.
--- a/internal/fleet/emulate/fleet_test.go
+++ b/internal/fleet/emulate/fleet_test.go
@@ -27,12 +27,12 @@
 		Streams: []model.Stream{{Class: "chat", Tenant: "t", RequestsPerSecond: 40, Turns: 3, ThinkSeconds: 0.3, PromptTokens: 100, AnswerTokens: 20, Spread: 0.4, MaxOutputTokens: 60, Prefixes: 3, PrefixTokens: 128}}}
 }
 
-// serve runs a gateway in this process and returns its address.
-func serve(t *testing.T, s *model.Spec, discoveryAddr string) string {
+// startGateway runs a gateway in this process and returns its address.
+func startGateway(t *testing.T, s *model.Spec, discoveryAddr string) string {
 	t.Helper()
-	set := s.Settings
-	set.Gateways, set.Zone, set.Zones, set.Kinds = 1, "a", []string{"a"}, []string{"k"}
-	g, err := gateway.New(gateway.Options{Name: "e", Discovery: discoveryAddr, Seed: 1, CachedList: httpwire.EndpointList{Generation: httpwire.NoGeneration}, Settings: set,
+	settings := s.Settings
+	settings.Gateways, settings.Zone, settings.Zones, settings.Kinds = 1, "a", []string{"a"}, []string{"k"}
+	g, err := gateway.New(gateway.Options{Name: "e", Discovery: discoveryAddr, Seed: 1, CachedList: httpwire.EndpointList{Generation: httpwire.NoGeneration}, Settings: settings,
 		MaxInFlight: 500, MaxClientConns: 500, OverflowConns: 8, MaxReplicaConns: 500, MaxBodyBytes: 1 << 20, ConnectTimeout: time.Second, ReplicaConnIdleTimeout: 10 * time.Second,
 		ClientConnIdleTimeout: 10 * time.Second, StreamIdleTimeout: 4 * time.Second, HealthCheckTimeout: time.Second, MaxPollInterval: 10 * time.Second, WatchWait: time.Second,
 		DiscoveryTimeout: time.Second, DrainAcceptPeriod: 50 * time.Millisecond})
@@ -53,24 +53,24 @@
 // and a restart at the same address, draining, a slow and a silent replica, resets, malformed streams and
 // discovery that does not answer.
 func TestEmulator(t *testing.T) {
-	was := slog.Default()
+	previousLogger := slog.Default()
 	slog.SetDefault(slog.New(slog.DiscardHandler))
-	defer slog.SetDefault(was)
-	for _, x := range []struct {
-		name   string
-		least  float64
-		faults []model.Fault
+	defer slog.SetDefault(previousLogger)
+	for _, test := range []struct {
+		name              string
+		minServedFraction float64
+		faults            []model.Fault
 	}{{"calm", 0.97, nil}, {"faults", 0.6, []model.Fault{{At: 700_000, Duration: 1_000_000, Kind: "kill", Replica: 0}, {At: 1_000_000, Duration: 800_000, Kind: "drain", Replica: 1},
 		{At: 1_200_000, Duration: 800_000, Kind: "slow", Replica: 2, Factor: 4}, {At: 2_000_000, Duration: 400_000, Kind: "reset", Replica: 3}, {At: 2_400_000, Duration: 300_000, Kind: "spoil", Replica: 3},
 		{At: 2_700_000, Duration: 600_000, Kind: "silent", Replica: 1}, {At: 2_000_000, Duration: 1_000_000, Kind: "registry", Replica: -1}, {At: 3_000_000, Kind: "flush", Replica: -1},
 		{At: 3_200_000, Duration: 500_000, Kind: "burst", Factor: 2}, {At: 3_000_000, Kind: "hot", Factor: 0.5}}}} {
 		s := spec()
-		s.Faults = x.faults
+		s.Faults = test.faults
 		f, err := Start(s, "127.0.0.1:0")
 		if err != nil {
 			t.Fatal(err)
 		}
-		res, skipped, err := Play(t.Context(), f, s, []string{serve(t, s, f.DiscoveryAddr)})
+		res, skipped, err := Play(t.Context(), f, s, []string{startGateway(t, s, f.DiscoveryAddr)})
 		f.Close()
 		if err != nil {
 			t.Fatal(err)
@@ -79,15 +79,15 @@
 		for _, n := range res.All.Ends {
 			ends += n
 		}
-		if skipped > 0 || res.All.Sent < 60 || ends != res.All.Sent || float64(res.All.Ends["served"]) < x.least*float64(res.All.Sent) {
-			t.Errorf("%s: skipped %d sessions, sent %d: %v", x.name, skipped, res.All.Sent, res.All.Ends)
+		if skipped > 0 || res.All.Sent < 60 || ends != res.All.Sent || float64(res.All.Ends["served"]) < test.minServedFraction*float64(res.All.Sent) {
+			t.Errorf("%s: skipped %d sessions, sent %d: %v", test.name, skipped, res.All.Sent, res.All.Ends)
 		}
-		m, err := model.Run(s)
+		modelResult, err := model.Run(s)
 		if err != nil {
 			t.Fatal(err)
 		}
-		t.Logf("%s: the model: sent %d: %v, first token p95 %.0f ms", x.name, m.All.Sent, m.All.Ends, m.All.FirstTokenMs["p95"])
-		t.Logf("%s: sent %d: %v, first token p95 %.0f ms", x.name, res.All.Sent, res.All.Ends, res.All.FirstTokenMs["p95"])
+		t.Logf("%s: the model: sent %d: %v, first token p95 %.0f ms", test.name, modelResult.All.Sent, modelResult.All.Ends, modelResult.All.FirstTokenMs["p95"])
+		t.Logf("%s: sent %d: %v, first token p95 %.0f ms", test.name, res.All.Sent, res.All.Ends, res.All.FirstTokenMs["p95"])
 	}
 	if _, err := Start(spec(), "0.0.0.0:0"); err == nil || !strings.Contains(err.Error(), "loopback") {
 		t.Error(err)
--- a/internal/fleet/emulate/replica.go
+++ b/internal/fleet/emulate/replica.go
@@ -22,8 +22,8 @@
 	listenRetryInterval = 5 * time.Millisecond
 	// idleWait is the wait of a replica that has no step in progress; a new job ends it.
 	idleWait = time.Hour
-	// faultyFromToken is the token from which on answers are reset or malformed.
-	faultyFromToken = 3
+	// firstFaultyToken is the token from which on answers are reset or malformed.
+	firstFaultyToken = 3
 	// maxOutputTokens is the longest answer that a client may choose.
 	maxOutputTokens = 1 << 20
 )
@@ -47,12 +47,12 @@
 	simulator      *replica.Simulator // nil: the process is stopped
 	jobs           map[uint64]*job
 	lastJobID      uint64
-	silent         bool
+	unresponsive   bool
 	malformed      bool // answers become malformed
 	resetMidAnswer bool // connections are reset during the answer
 	draining       bool
-	drainManner    DrainManner
-	endSteps       func() // ends the goroutine that runs the steps
+	drainMode      DrainManner
+	stopStepLoop   func() // ends the goroutine that runs the steps
 	server         *http.Server
 	wake           chan struct{} // a job was added
 }
@@ -77,10 +77,10 @@
 )
 
 // SetDrainManner sets what the replica does while it drains.
-func (r *Replica) SetDrainManner(manner DrainManner) {
+func (r *Replica) SetDrainManner(mode DrainManner) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	r.drainManner = manner
+	r.drainMode = mode
 }
 
 func (r *Replica) setDraining(on bool) {
@@ -89,14 +89,14 @@
 	r.draining = on
 }
 
-// mannerNow returns what the replica does with new work.
-func (r *Replica) mannerNow() DrainManner {
+// activeDrainMode returns what the replica does with new work.
+func (r *Replica) activeDrainMode() DrainManner {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	if !r.draining {
 		return DrainAccepts
 	}
-	return r.drainManner
+	return r.drainMode
 }
 
 // listEntry returns the replica's entry on the endpoint list.
@@ -126,11 +126,11 @@
 	r.draining = false
 	r.jobs = map[uint64]*job{}
 	r.wake = make(chan struct{}, 1)
-	ended := make(chan struct{})
-	r.endSteps = sync.OnceFunc(func() { close(ended) })
+	done := make(chan struct{})
+	r.stopStepLoop = sync.OnceFunc(func() { close(done) })
 	r.server = &http.Server{Handler: r, ReadHeaderTimeout: readHeaderTimeout}
 	go serveHTTP(r.server, l)
-	go r.runSteps(ended, r.wake)
+	go r.runSteps(done, r.wake)
 	return nil
 }
 
@@ -145,11 +145,11 @@
 // stop ends the process and its connections.
 func (r *Replica) stop() {
 	r.mu.Lock()
-	server, endSteps := r.server, r.endSteps
+	server, stopStepLoop := r.server, r.stopStepLoop
 	r.simulator = nil
 	r.mu.Unlock()
 	if server != nil {
-		endSteps()
+		stopStepLoop()
 		server.Close()
 	}
 }
@@ -160,20 +160,20 @@
 	return r.simulator == nil
 }
 
-func (r *Replica) isSilent() bool {
+func (r *Replica) isUnresponsive() bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	return r.silent
+	return r.unresponsive
 }
 
-func (r *Replica) setSilent(on bool) {
+func (r *Replica) setUnresponsive(on bool) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	r.silent = on
+	r.unresponsive = on
 }
 
 // runSteps ends the simulator's steps in real time, until the process ends.
-func (r *Replica) runSteps(ended, wake <-chan struct{}) {
+func (r *Replica) runSteps(done, wake <-chan struct{}) {
 	timer := time.NewTimer(idleWait)
 	defer timer.Stop()
 	for {
@@ -181,7 +181,7 @@
 		select {
 		case <-timer.C:
 		case <-wake:
-		case <-ended:
+		case <-done:
 			return
 		}
 	}
@@ -214,8 +214,8 @@
 	if r.simulator == nil {
 		return ""
 	}
-	running, waiting, memory, unread := r.simulator.Load()
-	return fmt.Sprintf("busy_reqs=%d,pending=%d,x0=%.4f,x1=%.3f", running+waiting, waiting, memory, float64(unread)/1000)
+	running, waiting, memory, uncomputed := r.simulator.Load()
+	return fmt.Sprintf("busy_reqs=%d,pending=%d,x0=%.4f,x1=%.3f", running+waiting, waiting, memory, float64(uncomputed)/1000)
 }
 
 func (r *Replica) currentLoadReport() string {
@@ -227,19 +227,19 @@
 // ServeHTTP implements http.Handler with the platform's protocol.
 func (r *Replica) ServeHTTP(w http.ResponseWriter, req *http.Request) {
 	r.mu.Lock()
-	silent, load := r.silent, r.loadReport()
+	unresponsive, load := r.unresponsive, r.loadReport()
 	r.mu.Unlock()
-	if silent {
-		r.serveSilent(w, req)
+	if unresponsive {
+		r.serveUnresponsive(w, req)
 		return
 	}
-	manner, isWork := r.mannerNow(), req.URL.Path == httpwire.CompletionsPath
+	drainMode, isCompletion := r.activeDrainMode(), req.URL.Path == httpwire.CompletionsPath
 	switch {
-	case manner == DrainHangs && isWork:
-		r.serveSilent(w, req)
+	case drainMode == DrainHangs && isCompletion:
+		r.serveUnresponsive(w, req)
 		return
-	case manner == DrainDeclines:
-		r.decline(w, req, isWork)
+	case drainMode == DrainDeclines:
+		r.decline(w, req, isCompletion)
 		return
 	}
 	switch req.URL.Path {
@@ -254,8 +254,8 @@
 }
 
 // decline answers work and health checks as a replica that declines while it drains.
-func (r *Replica) decline(w http.ResponseWriter, req *http.Request, isWork bool) {
-	if isWork && r.fleet.OnAttemptEnd != nil {
+func (r *Replica) decline(w http.ResponseWriter, req *http.Request, isCompletion bool) {
+	if isCompletion && r.fleet.OnAttemptEnd != nil {
 		attempt := r.declinedAttempt(req)
 		attempt.EndedAt = attempt.ReceivedAt
 		r.fleet.OnAttemptEnd(attempt)
@@ -270,8 +270,8 @@
 	return ReplicaAttempt{ID: id, RootID: rootID(req.Header, id), Replica: r.Name, ReceivedAt: time.Now(), Declined: true}
 }
 
-// serveSilent accepts a request like a half-open connection does: it reads everything and answers nothing.
-func (r *Replica) serveSilent(w http.ResponseWriter, req *http.Request) {
+// serveUnresponsive accepts a request like a half-open connection does: it reads everything and answers nothing.
+func (r *Replica) serveUnresponsive(w http.ResponseWriter, req *http.Request) {
 	if req.URL.Path == httpwire.CompletionsPath && r.fleet.OnAttemptEnd != nil {
 		attempt := r.declinedAttempt(req)
 		defer func() {
@@ -281,7 +281,7 @@
 		// Once the body is read, the server notices the end of the connection.
 		_, _ = io.Copy(io.Discard, http.MaxBytesReader(w, req.Body, httpwire.MaxBodyBytes))
 	}
-	waitForClient(req)
+	waitForDisconnect(req)
 }
 
 // rootID returns the ID of a request's first attempt: its own, unless it resumes another's answer.
@@ -318,7 +318,7 @@
 			r.fleet.OnAttemptEnd(attempt)
 		}
 	}()
-	j, load, stopped := r.offer(&parsed.Request, outputTokens(req.Header, parsed.Request.MaxTokens))
+	j, load, stopped := r.submit(&parsed.Request, outputTokens(req.Header, parsed.Request.MaxTokens))
 	if stopped {
 		return
 	}
@@ -342,8 +342,8 @@
 	return n
 }
 
-// offer submits a request to the simulator. The job is nil if it was declined; load is the load report then.
-func (r *Replica) offer(request *balancer.Request, outputTokens int) (j *job, load string, stopped bool) {
+// submit submits a request to the simulator. The job is nil if it was declined; load is the load report then.
+func (r *Replica) submit(request *balancer.Request, outputTokens int) (j *job, load string, stopped bool) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	if r.simulator == nil {
@@ -399,7 +399,7 @@
 		case <-req.Context().Done():
 			return false
 		}
-		if r.isSilent() { // an answer in progress falls silent too
+		if r.isUnresponsive() { // an answer in progress falls silent too
 			<-req.Context().Done()
 			return false
 		}
@@ -410,8 +410,8 @@
 		switch event.Kind {
 		case replica.FirstToken:
 			cachedTokens = event.CachedTokens
-		case replica.TokenMade:
-			faulty := event.OutputTokens >= faultyFromToken
+		case replica.TokenGenerated:
+			faulty := event.OutputTokens >= firstFaultyToken
 			if j.resetMidAnswer && faulty {
 				ResetConnection(w)
 				return false
--- a/internal/fleet/engine/queue.go
+++ b/internal/fleet/engine/queue.go
@@ -62,11 +62,11 @@
 	if first >= len(q) {
 		return -1
 	}
-	least := first
+	earliest := first
 	for child := first + 1; child < first+arity && child < len(q); child++ {
-		if q[child].before(&q[least]) {
-			least = child
+		if q[child].before(&q[earliest]) {
+			earliest = child
 		}
 	}
-	return least
+	return earliest
 }
--- a/internal/fleet/replica/blocks.go
+++ b/internal/fleet/replica/blocks.go
@@ -22,8 +22,8 @@
 	return m
 }
 
-// inUseShare returns the share of memory that sequences use.
-func (m *blockMemory) inUseShare() float64 {
+// inUseFraction returns the share of memory that sequences use.
+func (m *blockMemory) inUseFraction() float64 {
 	return float64(m.usedCount-m.cachedCount) / float64(m.totalCount)
 }
 
--- a/internal/fleet/replica/simulator.go
+++ b/internal/fleet/replica/simulator.go
@@ -30,9 +30,9 @@
 
 // The kinds of events.
 const (
-	FirstToken EventKind = iota
-	Completed            // with the last token
-	TokenMade            // for each token, if Simulator.EmitTokens is set
+	FirstToken     EventKind = iota
+	Completed                // with the last token
+	TokenGenerated           // for each token, if Simulator.EmitTokens is set
 )
 
 // Event is something that happened to a job at the end of a step.
@@ -45,16 +45,18 @@
 
 // sequence is a job in the queue or in the batch.
 type sequence struct {
-	job            Job
-	readTokens     int // tokens of its context that are in memory
-	outputTokens   int
-	cachedTokens   int
-	blocks         []*block
-	firstTokenMade bool
+	job                 Job
+	computedTokens      int // tokens of its context that are in memory
+	outputTokens        int
+	cachedTokens        int
+	blocks              []*block
+	firstTokenGenerated bool
 }
 
-// unreadTokens returns how many tokens must be read before the next one can be made.
-func (s *sequence) unreadTokens() int { return s.job.PromptTokens + s.outputTokens - s.readTokens }
+// uncomputedTokens returns how many tokens must be read before the next one can be made.
+func (s *sequence) uncomputedTokens() int {
+	return s.job.PromptTokens + s.outputTokens - s.computedTokens
+}
 
 // contextTokens returns the length of the prompt and the tokens made so far.
 func (s *sequence) contextTokens() int { return s.job.PromptTokens + s.outputTokens }
@@ -93,14 +95,14 @@
 
 // Load returns what the replica would report: the running and waiting sequences, the share of memory that
 // they use, and the prompt tokens that are still to be read.
-func (s *Simulator) Load() (running, waiting int, memory float64, unread int) {
+func (s *Simulator) Load() (running, waiting int, memory float64, uncomputed int) {
 	for _, seq := range s.running {
-		unread += seq.unreadTokens()
+		uncomputed += seq.uncomputedTokens()
 	}
 	for _, seq := range s.waiting {
-		unread += seq.unreadTokens()
+		uncomputed += seq.uncomputedTokens()
 	}
-	return len(s.running), len(s.waiting), s.memory.inUseShare(), unread
+	return len(s.running), len(s.waiting), s.memory.inUseFraction(), uncomputed
 }
 
 // Offer submits a job. It returns false if the replica declines it, because the queue is full or memory
@@ -167,8 +169,8 @@
 	}
 	remaining := s.running[:0]
 	for i, seq := range s.running {
-		seq.readTokens += s.stepTokens[i]
-		if seq.unreadTokens() > 0 || !s.makeToken(seq) {
+		seq.computedTokens += s.stepTokens[i]
+		if seq.uncomputedTokens() > 0 || !s.generateToken(seq) {
 			remaining = append(remaining, seq)
 		}
 	}
@@ -179,16 +181,16 @@
 	return s.events
 }
 
-// makeToken adds a token to a sequence that has read its context, and returns true if it was the last one.
-func (s *Simulator) makeToken(seq *sequence) (completed bool) {
+// generateToken adds a token to a sequence that has read its context, and returns true if it was the last one.
+func (s *Simulator) generateToken(seq *sequence) (completed bool) {
 	seq.outputTokens++
 	s.OutputTokens++
-	if !seq.firstTokenMade {
-		seq.firstTokenMade = true
+	if !seq.firstTokenGenerated {
+		seq.firstTokenGenerated = true
 		s.emit(seq, FirstToken)
 	}
 	if s.EmitTokens {
-		s.emit(seq, TokenMade)
+		s.emit(seq, TokenGenerated)
 	}
 	if seq.outputTokens < seq.job.OutputTokens {
 		return false
@@ -228,17 +230,17 @@
 	chunkLeft := s.params.ChunkTokens
 	s.stepTokens = s.stepTokens[:0]
 	for _, seq := range s.running {
-		unread := seq.unreadTokens()
-		if unread <= 1 && seq.outputTokens > 0 { // only the token made last
+		uncomputed := seq.uncomputedTokens()
+		if uncomputed <= 1 && seq.outputTokens > 0 { // only the token made last
 			decoding++
-			contextTokens += seq.readTokens
-			s.stepTokens = append(s.stepTokens, unread)
+			contextTokens += seq.computedTokens
+			s.stepTokens = append(s.stepTokens, uncomputed)
 			continue
 		}
-		n := min(unread, chunkLeft)
+		n := min(uncomputed, chunkLeft)
 		chunkLeft -= n
 		promptTokens += n
-		contextTokens += seq.readTokens * min(n, 1)
+		contextTokens += seq.computedTokens * min(n, 1)
 		s.stepTokens = append(s.stepTokens, n)
 	}
 	return decoding, contextTokens, promptTokens
@@ -262,11 +264,11 @@
 		s.release(seq)
 		return false
 	}
-	seq.readTokens = len(seq.blocks) * s.params.BlockTokens
-	if !seq.firstTokenMade {
-		seq.cachedTokens = seq.readTokens
+	seq.computedTokens = len(seq.blocks) * s.params.BlockTokens
+	if !seq.firstTokenGenerated {
+		seq.cachedTokens = seq.computedTokens
 	}
-	s.PromptTokensReused += int64(seq.readTokens)
+	s.PromptTokensReused += int64(seq.computedTokens)
 	for len(seq.blocks) < needed {
 		seq.blocks = append(seq.blocks, s.memory.allocate(s.blockKey(seq, len(seq.blocks))))
 	}
@@ -288,7 +290,7 @@
 		s.memory.release(b)
 	}
 	seq.blocks = seq.blocks[:0]
-	seq.readTokens = 0
+	seq.computedTokens = 0
 }
 
 // growBlocks allocates memory for the next token of each sequence. If there is none, it preempts the
--- a/internal/fleet/replica/simulator_test.go
+++ b/internal/fleet/replica/simulator_test.go
@@ -33,7 +33,7 @@
 	rapid.Check(t, func(t *rapid.T) {
 		sim := New(params(), 0)
 		now := balancer.Micros(1)
-		want, got, first := map[uint64]int{}, map[uint64]int{}, map[uint64]bool{}
+		want, got, firstTokenSeen := map[uint64]int{}, map[uint64]int{}, map[uint64]bool{}
 		check := func() {
 			inUse, blocks := map[*block]int{}, 0
 			for _, s := range append(append([]*sequence{}, sim.running...), sim.waiting...) {
@@ -60,10 +60,10 @@
 			for _, e := range sim.Advance(now) {
 				switch e.Kind {
 				case FirstToken:
-					if first[e.Job] {
+					if firstTokenSeen[e.Job] {
 						t.Fatal("two first tokens")
 					}
-					first[e.Job] = true
+					firstTokenSeen[e.Job] = true
 				case Completed:
 					got[e.Job] += e.OutputTokens
 				}
@@ -84,9 +84,9 @@
 				check()
 			}
 			if jobs := sim.JobIDs(); len(jobs) > 0 && rapid.IntRange(0, 5).Draw(t, "leaves") == 0 {
-				gone := jobs[rapid.IntRange(0, len(jobs)-1).Draw(t, "which")]
-				sim.Cancel(gone)
-				delete(want, gone)
+				cancelledID := jobs[rapid.IntRange(0, len(jobs)-1).Draw(t, "which")]
+				sim.Cancel(cancelledID)
+				delete(want, cancelledID)
 				check()
 			}
 			if rapid.IntRange(0, 20).Draw(t, "flush") == 0 {
@@ -148,7 +148,7 @@
 
 // Steps of a replica that is slowed down or warming up take longer by the factor.
 func TestSteps(t *testing.T) {
-	first := func(p Params, jobs int, slow float64, at balancer.Micros) balancer.Micros {
+	firstStepTime := func(p Params, jobs int, slow float64, at balancer.Micros) balancer.Micros {
 		sim := New(p, 1)
 		sim.SetSlowdown(slow)
 		for id := range uint64(jobs) {
@@ -157,17 +157,17 @@
 		return sim.StepEnd() - at
 	}
 	p := params()
-	one, slow := first(p, 1, 1, 1), first(p, 1, 3, 1)
+	one, slow := firstStepTime(p, 1, 1, 1), firstStepTime(p, 1, 3, 1)
 	if slow < 3*one-3 || slow > 3*one+3 {
 		t.Errorf("%d us, and three times slower %d", one, slow)
 	}
 	p.WarmUpTime, p.WarmUpSlowdown = 8_000_000, 4
-	if initial, half, warm := first(p, 1, 1, 1), first(p, 1, 1, 4_000_001), first(p, 1, 1, 8_000_001); initial < 4*one-4 || warm != one || half <= warm || half >= initial {
+	if initial, half, warm := firstStepTime(p, 1, 1, 1), firstStepTime(p, 1, 1, 4_000_001), firstStepTime(p, 1, 1, 8_000_001); initial < 4*one-4 || warm != one || half <= warm || half >= initial {
 		t.Errorf("warming up %d, half way %d, warm %d; expected %d", initial, half, warm, one)
 	}
-	bad := params()
-	bad.MemoryTokens = 1
-	if bad.Check() == nil || p.Check() != nil {
+	invalid := params()
+	invalid.MemoryTokens = 1
+	if invalid.Check() == nil || p.Check() != nil {
 		t.Error("a memory of less than a block was accepted, or valid parameters were not")
 	}
 }
