--- a/internal/fleet/emulate/attempts.go
+++ b/internal/fleet/emulate/attempts.go
@@ -20,21 +20,23 @@
 )
 
 const (
-	// minResumeDelay and maxResumeDelay bound the Retry-After before an answer is resumed, in microseconds.
-	minResumeDelay, maxResumeDelay = 10_000, 500_000
-	// maxAnswerTime bounds the time for a complete answer.
+	// minResumeDelay is the shortest delay after a rejected attempt; a shorter Retry-After is raised to it.
+	minResumeDelay balancer.Micros = 10_000
+	// maxResumeDelay is the longest delay after a rejected attempt; a longer Retry-After is cut to it.
+	maxResumeDelay balancer.Micros = 500_000
+	// maxAnswerTime is the timeout of an attempt.
 	maxAnswerTime = 10 * time.Minute
-	// maxErrorBodyBytes bounds the bytes that are read of a response that is not 200.
+	// maxErrorBodyBytes limits how much of the body of a response other than 200 is read.
 	maxErrorBodyBytes = 4096
-	// maxRetryAfterSeconds is the longest Retry-After in seconds that a client accepts.
+	// maxRetryAfterSeconds is the limit from which on clients ignore a Retry-After.
 	maxRetryAfterSeconds = 3600
-	// maxGatewayPicks bounds how often a client picks another gateway for an attempt.
+	// maxGatewayPicks limits how often a client picks another gateway for an attempt.
 	maxGatewayPicks = 8
-	// readBufferBytes is the size in bytes of the reads of an answer.
+	// readBufferBytes is the size of the buffer into which an answer is read.
 	readBufferBytes = 16 << 10
 )
 
-// States of a client attempt for an Observer.
+// States of a client attempt that are reported to an Observer.
 const (
 	StateSent       = "sent"
 	StateFirstToken = "first"
@@ -42,40 +44,40 @@
 	StateLastToken  = "last"
 )
 
-// Observer is notified of client attempts. Its functions are called from many goroutines at once.
+// Observer is notified of client attempts. Its functions are called concurrently.
 type Observer struct {
 	OnState func(attempt *ClientAttempt, state string)
 	OnEnd   func(attempt *ClientAttempt)
-	// IsOffered reports whether the load balancer before the gateways offers this one to clients, by its
-	// readiness. Nil: all are offered.
+	// IsOffered reports whether the load balancer in front of the gateways routes clients to the gateway at
+	// addr, which depends on its readiness. If it is nil, all gateways are offered.
 	IsOffered func(addr string) bool
 }
 
 // ClientAttempt is one HTTP request of a client: the first one for a request, or one that resumes an
-// answer that broke off. Times are since the traffic began.
+// interrupted answer. Times are relative to the start of the traffic.
 type ClientAttempt struct {
 	RootID, ID, Gateway           string
 	ResumeIndex                   int // 0: the first attempt
 	Class                         *balancer.Class
 	OutputTokens                  int // length of the complete answer
 	FirstTokenTimeout             balancer.Micros
-	RequestedAt                   balancer.Micros // when the request's first attempt was sent, under any ID
-	SentAt, FirstTokenAt, EndedAt balancer.Micros // FirstTokenAt 0: none
-	Status                        int             // HTTP status; 0: the connection broke before
-	ErrorText                     string          // body of a response that is not 200
-	Outcome                       string          // a model.Outcome constant
-	Complete                      bool            // the answer is complete, with what earlier attempts received
-	Last                          bool            // the client does not resume again
+	RequestedAt                   balancer.Micros // when the first attempt was sent, also if it had another RootID
+	SentAt, FirstTokenAt, EndedAt balancer.Micros // FirstTokenAt is 0 before the first token
+	Status                        int             // HTTP status; 0: no response was received
+	ErrorText                     string          // body of a response other than 200, truncated
+	Outcome                       string          // one of the model.Outcome constants
+	Complete                      bool            // this and earlier attempts together received the complete answer
+	Last                          bool            // the client sends no further attempt
 }
 
-// attemptEnd is the end of an attempt, or of a request with all its attempts.
+// attemptEnd is the result of an attempt, or of a request with all its attempts.
 type attemptEnd struct {
 	model.RequestEnd
 	retryAfter balancer.Micros
 }
 
-// sendRequest sends a request and resumes its answer where it breaks off. A request that was sent goes on
-// to its end although the context ends.
+// sendRequest sends a request, and resumes its answer when it is interrupted. It ignores the cancellation of
+// ctx, so that requests that were sent before the end of a run are completed.
 func (c *sessionClient) sendRequest(ctx context.Context, request *balancer.Request, outputTokens int) attemptEnd {
 	generator := c.generator
 	var received []byte
@@ -102,9 +104,9 @@
 		attempt.Outcome = end.Outcome
 		attempt.RequestedAt = total.SentAt
 		inTime := total.FirstTokenAt > 0 || generator.now()-total.SentAt < attempt.FirstTokenTimeout
-		requestUnknown := attempt.Status == http.StatusNotFound && len(received) == 0 // no gateway has a record of the request
+		requestUnknown := attempt.Status == http.StatusNotFound && len(received) == 0 // no gateway has a record of the request to resume
 		if (requestUnknown || attempt.Status == http.StatusServiceUnavailable) && attemptIndex < c.stream.MaxResumes && inTime {
-			// Send a new request, or resume again where there was no capacity.
+			// Send a new request, or resume again if the resume was rejected for lack of capacity.
 			generator.observer.OnEnd(attempt)
 			if requestUnknown || resumeIndex == 0 {
 				rootID, resumeIndex = generator.newID(), -1
@@ -112,7 +114,7 @@
 			time.Sleep(time.Duration(min(max(end.retryAfter, minResumeDelay), maxResumeDelay)) * time.Microsecond)
 			continue
 		}
-		// Without a first token yet, the client waits no longer than for the first attempt.
+		// A client without a first token sends no attempt after the FirstTokenTimeout of its first attempt.
 		canResume := attempt.Outcome == model.OutcomeBroken || attempt.Outcome == model.OutcomeFailed
 		attempt.Last = attemptIndex >= c.stream.MaxResumes || !canResume || !inTime
 		generator.observer.OnEnd(attempt)
@@ -122,7 +124,7 @@
 	}
 }
 
-// add adds the end of a further attempt to that of the request.
+// add merges the result of a further attempt into that of the request.
 func (total *attemptEnd) add(end attemptEnd) {
 	total.EndedAt = end.EndedAt
 	total.Outcome = end.Outcome
@@ -133,7 +135,6 @@
 	}
 }
 
-// newID returns a new request ID.
 func (g *loadGenerator) newID() string {
 	g.mu.Lock()
 	defer g.mu.Unlock()
@@ -141,15 +142,15 @@
 	return fmt.Sprintf("e%016x%08x", g.spec.Seed, g.lastID)
 }
 
-// sendAttempt sends an attempt and reads its answer to the end. received is the answer as far as all
-// attempts have received it.
+// sendAttempt sends an attempt and reads its answer to the end. It appends the answer to received, which holds
+// the part that earlier attempts received.
 func (c *sessionClient) sendAttempt(ctx context.Context, attempt *ClientAttempt, request *balancer.Request, received *[]byte) attemptEnd {
 	generator := c.generator
 	attempt.SentAt = generator.now()
 	end := attemptEnd{RequestEnd: model.RequestEnd{Class: attempt.Class, Request: request, OutputTokens: attempt.OutputTokens, SentAt: attempt.SentAt, Attempts: 1}}
 	ctx, stop := context.WithTimeout(ctx, maxAnswerTime)
 	defer stop()
-	// FirstTokenTimeout ends the attempt only before its first token.
+	// FirstTokenTimeout cancels the attempt only if it has no first token yet.
 	var gotFirstToken atomic.Bool
 	timer := time.AfterFunc(time.Duration(attempt.FirstTokenTimeout)*time.Microsecond, func() {
 		if !gotFirstToken.Load() {
@@ -173,7 +174,7 @@
 	defer resp.Body.Close()
 	attempt.Status = resp.StatusCode
 	if attempt.Status != http.StatusOK {
-		text, _ := io.ReadAll(io.LimitReader(resp.Body, maxErrorBodyBytes)) // a part of the text is enough
+		text, _ := io.ReadAll(io.LimitReader(resp.Body, maxErrorBodyBytes)) // a truncated text is sufficient
 		attempt.ErrorText = strings.TrimSpace(string(text))
 		end.retryAfter = retryAfter(resp.Header)
 		return finish(errorOutcome(attempt, text))
@@ -181,7 +182,7 @@
 	return finish(c.readAnswer(attempt, resp.Body, received, func() { gotFirstToken.Store(true) }))
 }
 
-// retryAfter returns the Retry-After of a response; 0: none or not valid.
+// retryAfter returns the Retry-After of a response, or 0 if it is missing, invalid or too long.
 func retryAfter(h http.Header) balancer.Micros {
 	seconds, err := strconv.ParseFloat(h.Get("Retry-After"), 64)
 	if err != nil || seconds <= 0 || seconds >= maxRetryAfterSeconds {
@@ -190,7 +191,7 @@
 	return balancer.Micros(seconds * 1e6)
 }
 
-// errorOutcome returns the outcome of a response that is not 200.
+// errorOutcome returns the outcome of a response other than 200.
 func errorOutcome(attempt *ClientAttempt, text []byte) string {
 	switch {
 	case attempt.Status == http.StatusTooManyRequests && bytes.Contains(text, []byte(`"contract"`)):
@@ -198,13 +199,14 @@
 	case attempt.Status == http.StatusServiceUnavailable || attempt.Status == http.StatusTooManyRequests:
 		return model.OutcomeShed
 	case attempt.ResumeIndex > 0:
-		return model.OutcomeShed // a clear answer: the rest cannot be had
+		return model.OutcomeShed // the gateway rejected the resume: the remaining answer is unavailable
 	default:
 		return model.OutcomeFailed
 	}
 }
 
-// readAnswer reads an answer, appends it to received, and returns the attempt's outcome.
+// readAnswer reads an answer, appends it to received, and returns the attempt's outcome. It calls onFirstToken
+// when the first bytes arrive.
 func (c *sessionClient) readAnswer(attempt *ClientAttempt, body io.Reader, received *[]byte, onFirstToken func()) (outcome string) {
 	states := stateNotifier{observer: &c.generator.observer, attempt: attempt}
 	buffer := make([]byte, readBufferBytes)
@@ -218,7 +220,7 @@
 			*received = append(*received, buffer[:n]...)
 		}
 		states.update(n, *received)
-		if err != nil { // the answer may be complete although its last chunk is missing
+		if err != nil { // the answer can be complete although the terminating chunk is missing
 			if attempt.Complete = isCompleteAnswer(*received, attempt.OutputTokens); attempt.Complete {
 				return model.OutcomeServed
 			}
@@ -227,14 +229,14 @@
 	}
 }
 
-// stateNotifier notifies the observer of an attempt's states, at most one for each read.
+// stateNotifier notifies the observer of an attempt's states, at most one per read.
 type stateNotifier struct {
 	observer *Observer
 	attempt  *ClientAttempt
-	state    string // the last one
+	state    string // the last one that was reported
 }
 
-// update is called after a read of n bytes with all that was received.
+// update must be called after each read with its n bytes; received is the answer up to now.
 func (s *stateNotifier) update(n int, received []byte) {
 	tokens := bytes.Count(received, []byte(`"content"`))
 	var next string
@@ -252,8 +254,8 @@
 	s.observer.OnState(s.attempt, next)
 }
 
-// post sends an attempt to a gateway. Like a load balancer, it goes on to another gateway if one refuses
-// the connection.
+// post sends an attempt to a gateway. Like a load balancer, it tries another gateway if the connection is
+// refused.
 func (c *sessionClient) post(ctx context.Context, attempt *ClientAttempt, request *balancer.Request, received []byte) (*http.Response, error) {
 	const body = `{"model":"chat","stream":true}`
 	generator := c.generator
@@ -263,7 +265,7 @@
 		if err != nil {
 			return nil, err
 		}
-		req.GetBody = nil // a request that may have arrived is not sent again by the transport
+		req.GetBody = nil // keeps the transport from resending a request that may have been received
 		setHeaders(req.Header, attempt, request, received, generator.now())
 		generator.observer.OnState(attempt, StateSent)
 		resp, err := generator.client.Do(req)
@@ -274,7 +276,7 @@
 	}
 }
 
-// pickGateway picks a gateway at random, one that is offered if possible.
+// pickGateway picks a random gateway, and prefers one that the load balancer offers.
 func (c *sessionClient) pickGateway() string {
 	generator := c.generator
 	pick := func() string { return generator.gateways[c.rng.IntN(len(generator.gateways))] }
@@ -288,7 +290,7 @@
 	return gateway
 }
 
-// setHeaders sets the platform's headers of an attempt.
+// setHeaders sets the request headers of the platform's protocol.
 func setHeaders(h http.Header, attempt *ClientAttempt, request *balancer.Request, received []byte, now balancer.Micros) {
 	h.Set(requestIDHeader, attempt.ID)
 	h.Set("Req-Kind", request.Class)
--- a/internal/fleet/emulate/clients.go
+++ b/internal/fleet/emulate/clients.go
@@ -12,17 +12,19 @@
 	"archknot/internal/fleet/model"
 )
 
-// maxSessions bounds the sessions of a run that are open at once. Sessions beyond it are skipped and counted.
+// maxSessions limits the concurrent sessions of a run. Further sessions are skipped and counted.
 const maxSessions = 4000
 
-// Play sends a Spec's traffic to gateways at loopback addresses for its duration, with its faults at the
-// fleet. It returns how the requests ended, and how many sessions were skipped.
+// Play sends the traffic of a Spec to gateways for the duration of the Spec, and injects its faults into the
+// fleet. The gateways must have loopback addresses. It returns the results of the requests, and the number of
+// sessions that were skipped because too many were open.
 func Play(ctx context.Context, f *Fleet, spec *model.Spec, gateways []string) (result *model.Result, skippedSessions int, err error) {
 	ignore := Observer{OnState: func(*ClientAttempt, string) {}, OnEnd: func(*ClientAttempt) {}}
 	return PlayObserved(ctx, f, spec, gateways, ignore)
 }
 
-// PlayObserved is Play with an observer of each client attempt. A nil fleet has no faults.
+// PlayObserved sends the traffic and notifies an observer of each client attempt. If the fleet is nil, only the
+// faults of the traffic are injected.
 func PlayObserved(ctx context.Context, f *Fleet, spec *model.Spec, gateways []string, observer Observer) (result *model.Result, skippedSessions int, err error) {
 	for _, addr := range gateways {
 		if !isLoopback(addr) {
@@ -50,15 +52,15 @@
 	return generator.result, generator.skippedSessions, nil
 }
 
-// loadGenerator is the clients of a run.
+// loadGenerator emulates the clients of a run.
 type loadGenerator struct {
 	spec          *model.Spec
 	observer      Observer
 	gateways      []string
-	trafficFaults []model.Fault // faults of the clients' own
+	trafficFaults []model.Fault // bursts and hot prefixes, which change the clients' traffic
 	startedAt     time.Time
 	client        *http.Client
-	slots         chan struct{} // one for each open session
+	slots         chan struct{} // semaphore of the open sessions
 	tasks         sync.WaitGroup
 
 	mu              sync.Mutex
@@ -80,10 +82,10 @@
 	}
 }
 
-// now returns the time since the traffic began.
+// now returns the time since the start of the traffic.
 func (g *loadGenerator) now() balancer.Micros { return time.Since(g.startedAt).Microseconds() }
 
-// sleep waits for a time and returns true, or returns false once the context has ended.
+// sleep returns true after the delay d, or false once ctx is done.
 func sleep(ctx context.Context, d balancer.Micros) bool {
 	if d <= 0 {
 		return ctx.Err() == nil
@@ -98,7 +100,7 @@
 	}
 }
 
-// runFault begins and ends a fault at the fleet in its time.
+// runFault starts and ends a fault of the fleet at its scheduled times. A fault without a duration does not end.
 func runFault(ctx context.Context, fleet *Fleet, fault model.Fault) {
 	if fleet == nil || !sleep(ctx, fault.At) {
 		return
@@ -110,7 +112,7 @@
 	}
 }
 
-// trafficFactor returns the factor of a fault of the clients' own that is in progress, or else normal.
+// trafficFactor returns the factor of the active traffic fault of the kind, or normal if there is none.
 func (g *loadGenerator) trafficFactor(kind string, normal float64) float64 {
 	now := g.now()
 	for _, fault := range g.trafficFaults {
@@ -121,7 +123,7 @@
 	return normal
 }
 
-// runStream starts a stream's sessions until the context ends.
+// runStream starts the sessions of a stream until ctx is done.
 func (g *loadGenerator) runStream(ctx context.Context, index int) {
 	stream := &g.spec.Streams[index]
 	arrivals := model.NewSource(stream, rand.New(rand.NewPCG(g.spec.Seed, uint64(index)*2)))
@@ -143,8 +145,8 @@
 	}
 }
 
-// startSession starts a session of a stream after a time. Sessions have random numbers of their own, so
-// that they do not depend on how quickly others are served.
+// startSession starts a session of a stream after a delay. Each session has its own random number generators,
+// so that its requests do not depend on how quickly other sessions are served.
 func (g *loadGenerator) startSession(ctx context.Context, streamIndex int, sessionNumber uint64, session *model.Session, delay balancer.Micros) {
 	select {
 	case g.slots <- struct{}{}:
@@ -178,10 +180,10 @@
 	class     *balancer.Class
 	session   *model.Session
 	source    *model.Source
-	rng       *rand.Rand // for the choice of gateways
+	rng       *rand.Rand // picks gateways
 }
 
-// run sends the session's turns one after another, as long as they are served.
+// run sends the session's turns one after another until one is not served.
 func (c *sessionClient) run(ctx context.Context) {
 	for {
 		request, outputTokens := c.source.NextTurn(c.session)
@@ -193,7 +195,7 @@
 	}
 }
 
-// runTurn sends a request, and again if it was shed, and counts its end.
+// runTurn sends a request, retries it while it is rejected, and records its result.
 func (c *sessionClient) runTurn(ctx context.Context, request *balancer.Request, outputTokens int) (outcome string) {
 	generator := c.generator
 	for retries := 0; ; retries++ {
--- a/internal/fleet/emulate/discovery.go
+++ b/internal/fleet/emulate/discovery.go
@@ -19,10 +19,10 @@
 	lifecycleGone     = "gone"
 )
 
-// maxPollWait is the longest wait of a poll that the discovery server accepts.
+// maxPollWait limits how long a poll waits for a change.
 const maxPollWait = time.Minute
 
-// discoveryServer serves the endpoint list, and long polls for its changes.
+// discoveryServer serves the endpoint list, with long polls for changes.
 type discoveryServer struct {
 	server   *http.Server
 	onChange func(ListChange)
@@ -43,7 +43,7 @@
 
 func (d *discoveryServer) close() { d.server.Close() }
 
-// ServeHTTP answers a poll. One with the current generation waits for a change.
+// ServeHTTP answers a poll. A poll with the current generation waits for a change.
 func (d *discoveryServer) ServeHTTP(w http.ResponseWriter, r *http.Request) {
 	if r.URL.Path != httpwire.ListPath {
 		http.NotFound(w, r)
@@ -72,10 +72,10 @@
 		http.Error(w, err.Error(), http.StatusInternalServerError)
 		return
 	}
-	_, _ = w.Write(text) // a client that is gone needs no answer
+	_, _ = w.Write(text) // fails only if the client has disconnected
 }
 
-// encodeList returns the list, without entries if the client has its generation.
+// encodeList returns the list as JSON, without entries if the client already has the current generation.
 func (d *discoveryServer) encodeList(hasSince bool, since int64) ([]byte, error) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -87,18 +87,18 @@
 	return append(text, '\n'), err
 }
 
-// setUnresponsive makes the server accept polls without answering them.
+// setUnresponsive sets whether the server accepts polls without answering them.
 func (d *discoveryServer) setUnresponsive(on bool) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	d.unresponsive = on
 }
 
-// update changes an entry of the list and ends the polls that wait.
+// update changes an entry of the list and completes the waiting polls.
 func (d *discoveryServer) update(index int, change func(*httpwire.Endpoint)) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	d.list.Endpoints = slices.Clone(d.list.Endpoints) // answers in progress share the old one
+	d.list.Endpoints = slices.Clone(d.list.Endpoints) // copy on write
 	entry := &d.list.Endpoints[index]
 	change(entry)
 	d.list.Generation++
@@ -107,12 +107,11 @@
 	d.changed = make(chan struct{})
 }
 
-// setLifecycle changes the lifecycle of an entry.
 func (d *discoveryServer) setLifecycle(index int, lifecycle string) {
 	d.update(index, func(e *httpwire.Endpoint) { e.Lifecycle = lifecycle })
 }
 
-// waitForDisconnect keeps a request unanswered until its client gives up.
+// waitForDisconnect keeps a request unanswered until its client disconnects, or for unresponsiveTimeout.
 func waitForDisconnect(r *http.Request) {
 	select {
 	case <-r.Context().Done():
--- a/internal/fleet/emulate/faults.go
+++ b/internal/fleet/emulate/faults.go
@@ -7,13 +7,13 @@
 	"archknot/internal/httpwire"
 )
 
-// failureDetectionTime is the time after which discovery notices that a replica's process has ended.
+// failureDetectionTime is the delay until discovery detects that a replica's process has ended.
 const failureDetectionTime = 500 * time.Millisecond
 
-// StartFault begins a fault.
+// StartFault injects a fault into the fleet; faults of the clients' traffic have no effect here.
 func (f *Fleet) StartFault(fault model.Fault) { f.setFault(fault, true) }
 
-// EndFault ends a fault.
+// EndFault ends a fault that StartFault injected.
 func (f *Fleet) EndFault(fault model.Fault) { f.setFault(fault, false) }
 
 func (f *Fleet) setFault(fault model.Fault, on bool) {
@@ -55,7 +55,7 @@
 	}
 }
 
-// setFault begins or ends a fault of the process itself.
+// setFault starts or ends a fault of the replica's process.
 func (r *Replica) setFault(fault model.Fault, on bool) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -81,7 +81,7 @@
 	}
 }
 
-// kill ends a replica's process at once. Discovery notices it a little later.
+// kill ends a replica's process. Discovery marks the replica as gone after failureDetectionTime.
 func (f *Fleet) kill(r *Replica) {
 	r.stop()
 	time.AfterFunc(failureDetectionTime, func() {
@@ -91,11 +91,12 @@
 	})
 }
 
-// restart starts a replica's process anew at the same address, warming up.
+// restart starts a replica's process again at the same address. Discovery lists it as ready after the startup
+// time, when it begins to warm up.
 func (f *Fleet) restart(r *Replica) {
 	startup := r.group.Params.StartupTime
 	if err := r.start(f.now() + startup); err != nil {
-		return // its port is taken by another process: it stays gone
+		return // another process has bound the port: the replica stays stopped
 	}
 	startedAtMs := time.Now().UnixMilli()
 	time.AfterFunc(time.Duration(startup)*time.Microsecond, func() {
@@ -103,8 +104,9 @@
 	})
 }
 
-// loseMachine takes a replica's machine away without notice: it falls silent, and discovery notices it
-// after noticedAfter. It still accepts connections, because a loopback address cannot be silent before.
+// loseMachine emulates the loss of a replica's machine: the replica becomes unresponsive, and discovery marks it
+// as gone after detectionDelay. Unlike a lost machine, it still accepts connections, because a listener
+// on a loopback address cannot drop them.
 func (f *Fleet) loseMachine(r *Replica, detectionDelay time.Duration) {
 	r.setUnresponsive(true)
 	time.AfterFunc(detectionDelay, func() {
@@ -114,7 +116,7 @@
 	})
 }
 
-// returnMachine brings a lost machine back: open connections are reset, and the replica restarts.
+// returnMachine emulates the return of a lost machine: open connections are closed, and the replica restarts.
 func (f *Fleet) returnMachine(r *Replica) {
 	r.setUnresponsive(false)
 	r.stop()
--- a/internal/fleet/emulate/fleet.go
+++ b/internal/fleet/emulate/fleet.go
@@ -1,6 +1,6 @@
-// Package emulate runs the fleet model's replicas on loopback sockets in real time: they answer with the
-// platform's protocol, and a discovery server lists them, so that complete gateways can be tested with
-// them. It listens on loopback addresses only.
+// Package emulate runs the fleet model's replicas on loopback sockets in real time, to test complete gateways.
+// The replicas serve the platform's protocol, and a discovery server lists them. All servers listen on loopback
+// addresses only.
 package emulate
 
 import (
@@ -15,47 +15,48 @@
 )
 
 const (
-	// initialUptime is how long the replicas have been ready when the fleet starts.
+	// initialUptime is the time since the replicas became ready, when the fleet starts.
 	initialUptime balancer.Micros = 3600_000_000
-	// readHeaderTimeout is that of the fleet's HTTP servers.
+	// readHeaderTimeout is the ReadHeaderTimeout of the fleet's HTTP servers.
 	readHeaderTimeout = 5 * time.Second
-	// unresponsiveTimeout ends the requests to a silent server.
+	// unresponsiveTimeout is the time after which an unresponsive server ends a request.
 	unresponsiveTimeout = time.Minute
 )
 
-// Fleet is a discovery server and replicas that run until Close.
+// Fleet is a set of replicas and a discovery server. They run until Close.
 type Fleet struct {
 	DiscoveryAddr string
 	Replicas      []*Replica
 	discovery     *discoveryServer
 	startedAt     time.Time
 
-	// OnAttemptEnd, if it is set before the first request, is called for each attempt that ends at a
-	// replica, from many goroutines at once.
+	// OnAttemptEnd, if set, is called concurrently for each attempt that ends at a replica. It must be set
+	// before the first request.
 	OnAttemptEnd func(ReplicaAttempt)
-	// OnListChange, if it is set, is called for each change of the endpoint list, in their order.
+	// OnListChange, if set, is called for each change of the endpoint list, in order.
 	OnListChange func(ListChange)
 }
 
-// ListChange is a change of one replica's entry on the endpoint list.
+// ListChange is a change of a replica's entry on the endpoint list.
 type ListChange struct {
 	Generation int64
 	Replica    string
-	Ready      bool // the replica may get new attempts
+	Ready      bool // the replica may receive new attempts
 	At         time.Time
 }
 
-// ReplicaAttempt is a request as a replica got it.
+// ReplicaAttempt is an attempt as a replica received it.
 type ReplicaAttempt struct {
 	RootID, ID, Replica string
 	Class               string
-	ReceivedAt, EndedAt time.Time // from the last byte of the request until nothing of it runs
-	FirstTokenBy        time.Time // until when the gateway waits for the first token
-	Declined            bool      // it never ran
-	Complete            bool      // the answer was written to its end
+	ReceivedAt, EndedAt time.Time // from the last byte of the request to the end of its processing
+	FirstTokenBy        time.Time // when the gateway's timeout for the first token ends
+	Declined            bool      // the replica did not process it
+	Complete            bool      // the whole answer was written
 }
 
-// Start starts a fleet. Discovery listens at an address such as 127.0.0.1:8500, or one with port 0.
+// Start starts a fleet. discoveryAddr is the loopback address of the discovery server, such as 127.0.0.1:8500;
+// port 0 selects a free port.
 func Start(spec *model.Spec, discoveryAddr string) (*Fleet, error) {
 	f := &Fleet{startedAt: time.Now(), discovery: newDiscoveryServer()}
 	f.discovery.onChange = func(change ListChange) {
@@ -92,7 +93,7 @@
 	return nil
 }
 
-// Close stops all servers.
+// Close stops the replicas and the discovery server, and closes their connections.
 func (f *Fleet) Close() {
 	for _, r := range f.Replicas {
 		r.stop()
@@ -100,10 +101,10 @@
 	f.discovery.close()
 }
 
-// now returns the time since the fleet's start, which is the clock of its replicas.
+// now returns the time of the replicas' clock, which starts with the fleet.
 func (f *Fleet) now() balancer.Micros { return time.Since(f.startedAt).Microseconds() }
 
-// errNotLoopback reports that an address is not of this machine alone.
+// errNotLoopback is returned for an address that is malformed or not a loopback address.
 var errNotLoopback = errors.New("expected a loopback address and port, such as 127.0.0.1:8500")
 
 func isLoopback(addr string) bool {
@@ -119,5 +120,5 @@
 	return net.Listen("tcp", addr)
 }
 
-// serveHTTP serves until the server is closed. If it fails before, its clients notice.
+// serveHTTP serves until the server is closed. Earlier errors are ignored: they show as errors of its clients.
 func serveHTTP(server *http.Server, l net.Listener) { _ = server.Serve(l) }
--- a/internal/fleet/emulate/fleet_test.go
+++ b/internal/fleet/emulate/fleet_test.go
@@ -15,7 +15,7 @@
 	"archknot/internal/httpwire"
 )
 
-// spec returns four replicas with a light load for four seconds.
+// spec returns a Spec of four replicas with a light load for four seconds.
 func spec() *model.Spec {
 	p := replica.Params{MaxRunning: 8, MaxQueued: 32, MemoryTokens: 50_000, BlockTokens: 16, ChunkTokens: 512, StepBase: 4000, StepPerSequence: 100, StepPerContext: 20, StepPerPrompt: 20_000,
 		StartupTime: 300_000, WarmUpTime: 1_000_000, WarmUpSlowdown: 2}
@@ -27,7 +27,7 @@
 		Streams: []model.Stream{{Class: "chat", Tenant: "t", RequestsPerSecond: 40, Turns: 3, ThinkSeconds: 0.3, PromptTokens: 100, AnswerTokens: 20, Spread: 0.4, MaxOutputTokens: 60, Prefixes: 3, PrefixTokens: 128}}}
 }
 
-// startGateway runs a gateway in this process and returns its address.
+// startGateway runs a gateway in this process until the test ends, and returns its address.
 func startGateway(t *testing.T, s *model.Spec, discoveryAddr string) string {
 	t.Helper()
 	settings := s.Settings
@@ -49,9 +49,9 @@
 	return l.Addr().String()
 }
 
-// With a gateway before the emulated fleet most requests are served and every request ends, through a kill
-// and a restart at the same address, draining, a slow and a silent replica, resets, malformed streams and
-// discovery that does not answer.
+// With a gateway in front of the emulated fleet, each request ends once and most requests are served: without faults,
+// and with a kill and a restart at the same address, a drain, slow and unresponsive replicas, connection resets,
+// malformed answers, an unresponsive discovery, a burst and a hot prefix. Start refuses non-loopback addresses.
 func TestEmulator(t *testing.T) {
 	previousLogger := slog.Default()
 	slog.SetDefault(slog.New(slog.DiscardHandler))
--- a/internal/fleet/emulate/replica.go
+++ b/internal/fleet/emulate/replica.go
@@ -16,27 +16,28 @@
 )
 
 const (
-	// listenTimeout and listenRetryInterval bound the wait for an address that is taken for a moment, by the
-	// outgoing connection of some other process.
-	listenTimeout       = 2 * time.Second
+	// listenTimeout limits the wait for a port that is in use, for example by a short-lived outgoing
+	// connection of another process.
+	listenTimeout = 2 * time.Second
+	// listenRetryInterval is the interval between attempts to listen on a port that is in use.
 	listenRetryInterval = 5 * time.Millisecond
-	// idleWait is the wait of a replica that has no step in progress; a new job ends it.
+	// idleWait is the timer interval of a replica without a step in progress; a new job wakes it earlier.
 	idleWait = time.Hour
-	// firstFaultyToken is the token from which on answers are reset or malformed.
+	// firstFaultyToken is the number of the first token at which an answer is reset or malformed.
 	firstFaultyToken = 3
-	// maxOutputTokens is the longest answer that a client may choose.
+	// maxOutputTokens is the longest answer that a client can select by outputTokensHeader.
 	maxOutputTokens = 1 << 20
 )
 
 // Headers of the emulator and of replicas.
 const (
-	outputTokensHeader = "X-Emulate-Out" // the length of the answer, which only the client knows
+	outputTokensHeader = "X-Emulate-Out" // length of the answer in tokens, which the client selects
 	declinedHeader     = "Srv-Declined"
 	loadHeader         = "Srv-Load"
 	requestIDHeader    = "Req-Id"
 )
 
-// Replica is a model replica behind an HTTP server.
+// Replica is an HTTP server in front of a simulated replica.
 type Replica struct {
 	Name, Addr string
 	group      *model.Group
@@ -48,35 +49,35 @@
 	jobs           map[uint64]*job
 	lastJobID      uint64
 	unresponsive   bool
-	malformed      bool // answers become malformed
-	resetMidAnswer bool // connections are reset during the answer
+	malformed      bool // answers contain malformed events
+	resetMidAnswer bool // connections are reset during an answer
 	draining       bool
 	drainMode      DrainManner
-	stopStepLoop   func() // ends the goroutine that runs the steps
+	stopStepLoop   func() // ends the goroutine that runs runSteps
 	server         *http.Server
-	wake           chan struct{} // a job was added
+	wake           chan struct{} // notified when a job was added
 }
 
-// job is a request that the replica runs.
+// job is a request that the replica processes.
 type job struct {
 	id     uint64
-	events chan replica.Event // with capacity for all events: a slow reader delays no step
-	// Faults of its answer.
+	events chan replica.Event // has capacity for all events, so that a slow client does not delay the steps
+	// Faults to inject into the answer.
 	malformed, resetMidAnswer bool
 }
 
-// DrainManner is what a draining replica does with new work.
+// DrainManner is how a draining replica handles new requests.
 type DrainManner uint8
 
-// The manners of a drain.
+// The modes of a drain, and their number.
 const (
-	DrainAccepts     DrainManner = iota // it takes work, and passes health checks
-	DrainDeclines                       // it declines work, and fails health checks
-	DrainHangs                          // it takes work and does not answer, and passes health checks
+	DrainAccepts     DrainManner = iota // accepts requests, and passes health checks
+	DrainDeclines                       // declines requests, and fails health checks
+	DrainHangs                          // accepts requests without answering them, and passes health checks
 	DrainMannerCount int         = iota
 )
 
-// SetDrainManner sets what the replica does while it drains.
+// SetDrainManner sets how the replica handles new requests while it drains. It may be called during a drain.
 func (r *Replica) SetDrainManner(mode DrainManner) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -89,7 +90,7 @@
 	r.draining = on
 }
 
-// activeDrainMode returns what the replica does with new work.
+// activeDrainMode returns how the replica handles new requests now: DrainAccepts unless it drains.
 func (r *Replica) activeDrainMode() DrainManner {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -112,7 +113,7 @@
 	}
 }
 
-// start starts the process, at its previous address if it had one. It accepts jobs from readyAt on.
+// start starts the process, at its previous address if it had one. Jobs run from readyAt on.
 func (r *Replica) start(readyAt balancer.Micros) error {
 	l, err := r.listen()
 	if err != nil {
@@ -142,7 +143,7 @@
 	}
 }
 
-// stop ends the process and its connections.
+// stop ends the process and closes its connections.
 func (r *Replica) stop() {
 	r.mu.Lock()
 	server, stopStepLoop := r.server, r.stopStepLoop
@@ -172,7 +173,7 @@
 	r.unresponsive = on
 }
 
-// runSteps ends the simulator's steps in real time, until the process ends.
+// runSteps advances the simulator in real time until done is closed.
 func (r *Replica) runSteps(done, wake <-chan struct{}) {
 	timer := time.NewTimer(idleWait)
 	defer timer.Stop()
@@ -187,8 +188,9 @@
 	}
 }
 
-// advance ends the steps that are over and returns the time to the end of the next one. Steps end at their
-// own times and not when the goroutine was scheduled, so that the replica has the model's speed.
+// advance completes all steps that end by now and returns the time to the end of the next one. It passes the
+// simulator the scheduled end of each step instead of the current time, so that late scheduling of the goroutine
+// does not slow the replica down.
 func (r *Replica) advance() time.Duration {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -209,7 +211,7 @@
 	return idleWait
 }
 
-// loadReport returns the load report in the platform's form. The caller holds the lock.
+// loadReport returns the load report in the platform's format. The caller must hold r.mu.
 func (r *Replica) loadReport() string {
 	if r.simulator == nil {
 		return ""
@@ -224,7 +226,7 @@
 	return r.loadReport()
 }
 
-// ServeHTTP implements http.Handler with the platform's protocol.
+// ServeHTTP serves the platform's protocol: completions, health checks and load reports.
 func (r *Replica) ServeHTTP(w http.ResponseWriter, req *http.Request) {
 	r.mu.Lock()
 	unresponsive, load := r.unresponsive, r.loadReport()
@@ -245,7 +247,7 @@
 	switch req.URL.Path {
 	case httpwire.LivePath:
 	case httpwire.StatsPath:
-		_, _ = io.WriteString(w, load) // a client that is gone needs no answer
+		_, _ = io.WriteString(w, load) // fails only if the client has disconnected
 	case httpwire.CompletionsPath:
 		r.serveCompletion(w, req)
 	default:
@@ -253,7 +255,7 @@
 	}
 }
 
-// decline answers work and health checks as a replica that declines while it drains.
+// decline answers requests and health checks of a replica with DrainDeclines.
 func (r *Replica) decline(w http.ResponseWriter, req *http.Request, isCompletion bool) {
 	if isCompletion && r.fleet.OnAttemptEnd != nil {
 		attempt := r.declinedAttempt(req)
@@ -264,13 +266,13 @@
 	w.WriteHeader(http.StatusServiceUnavailable)
 }
 
-// declinedAttempt is the record of an attempt that comes now and gets no work done.
+// declinedAttempt returns the record of an attempt that is received now and not processed.
 func (r *Replica) declinedAttempt(req *http.Request) ReplicaAttempt {
 	id := req.Header.Get(requestIDHeader)
 	return ReplicaAttempt{ID: id, RootID: rootID(req.Header, id), Replica: r.Name, ReceivedAt: time.Now(), Declined: true}
 }
 
-// serveUnresponsive accepts a request like a half-open connection does: it reads everything and answers nothing.
+// serveUnresponsive emulates a half-open connection: it reads the request and sends no answer.
 func (r *Replica) serveUnresponsive(w http.ResponseWriter, req *http.Request) {
 	if req.URL.Path == httpwire.CompletionsPath && r.fleet.OnAttemptEnd != nil {
 		attempt := r.declinedAttempt(req)
@@ -278,13 +280,13 @@
 			attempt.EndedAt = time.Now()
 			r.fleet.OnAttemptEnd(attempt)
 		}()
-		// Once the body is read, the server notices the end of the connection.
+		// The server detects the end of the connection only after the body was read.
 		_, _ = io.Copy(io.Discard, http.MaxBytesReader(w, req.Body, httpwire.MaxBodyBytes))
 	}
 	waitForDisconnect(req)
 }
 
-// rootID returns the ID of a request's first attempt: its own, unless it resumes another's answer.
+// rootID returns the ID of the request's first attempt: id, unless the request resumes an earlier answer.
 func rootID(h http.Header, id string) string {
 	if resume, resumes, err := httpwire.ParseResume(h); resumes && err == nil {
 		return resume.ID
@@ -333,7 +335,8 @@
 	attempt.Complete = r.streamTokens(w, req, j, parsed.Request.PromptTokens)
 }
 
-// outputTokens returns the length of the answer: what the client chose, or a quarter of its limit.
+// outputTokens returns the length of the answer that the client selected, or a quarter of maxTokens without a
+// valid selection.
 func outputTokens(h http.Header, maxTokens int) int {
 	n, err := strconv.Atoi(h.Get(outputTokensHeader))
 	if err != nil || n < 1 || n > maxOutputTokens {
@@ -342,7 +345,8 @@
 	return n
 }
 
-// submit submits a request to the simulator. The job is nil if it was declined; load is the load report then.
+// submit passes a request to the simulator. If the request is declined, the job is nil and load is the load
+// report.
 func (r *Replica) submit(request *balancer.Request, outputTokens int) (j *job, load string, stopped bool) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -352,7 +356,7 @@
 	r.lastJobID++
 	j = &job{
 		id:             r.lastJobID,
-		events:         make(chan replica.Event, outputTokens+3), // also the first token and the end
+		events:         make(chan replica.Event, outputTokens+3), // also FirstToken and Completed
 		malformed:      r.malformed,
 		resetMidAnswer: r.resetMidAnswer,
 	}
@@ -375,7 +379,7 @@
 	return j, "", false
 }
 
-// cancelJob cancels a job, if the process that has it still runs.
+// cancelJob cancels a job unless the process that ran it was stopped.
 func (r *Replica) cancelJob(j *job) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -388,7 +392,7 @@
 	}
 }
 
-// streamTokens streams a job's tokens as they are made. It returns true if the answer is complete.
+// streamTokens writes a job's tokens as they are generated. It returns true if the whole answer was written.
 func (r *Replica) streamTokens(w http.ResponseWriter, req *http.Request, j *job, promptTokens int) (complete bool) {
 	control := http.NewResponseController(w)
 	started, cachedTokens := false, 0
@@ -399,7 +403,7 @@
 		case <-req.Context().Done():
 			return false
 		}
-		if r.isUnresponsive() { // an answer in progress falls silent too
+		if r.isUnresponsive() { // answers in progress stop as well
 			<-req.Context().Done()
 			return false
 		}
@@ -427,14 +431,15 @@
 	}
 }
 
-// ResetConnection closes the connection of a response with a TCP reset.
+// ResetConnection closes the connection of a response with a TCP reset. It does nothing if the connection
+// cannot be hijacked, as with HTTP/2.
 func ResetConnection(w http.ResponseWriter) {
 	conn, _, err := http.NewResponseController(w).Hijack()
 	if err != nil {
 		return
 	}
 	if tcp, ok := conn.(*net.TCPConn); ok {
-		_ = tcp.SetLinger(0) // without it the connection is closed all the same
+		_ = tcp.SetLinger(0) // on an error the connection is closed without a reset
 	}
 	conn.Close()
 }
--- a/internal/fleet/engine/queue.go
+++ b/internal/fleet/engine/queue.go
@@ -5,17 +5,17 @@
 // event is a function that is scheduled for a time.
 type event struct {
 	at  balancer.Micros
-	seq uint64 // orders events of the same time
+	seq uint64 // tie-breaker for events of the same time: scheduling order
 	run func(now balancer.Micros)
 }
 
 func (a *event) before(b *event) bool { return a.at < b.at || a.at == b.at && a.seq < b.seq }
 
-// arity is the number of children of a node in the heap: with four it is flatter than a binary heap, and
-// the children of a node lie together in memory.
+// arity is the number of children of a heap node. A heap of arity 4 is flatter than a binary heap, and the
+// children of a node are adjacent in memory.
 const arity = 4
 
-// eventQueue is a heap of events; the first element is the next one.
+// eventQueue is a d-ary min-heap; the first element is the next event.
 type eventQueue []event
 
 func (q *eventQueue) push(e event) {
@@ -33,11 +33,11 @@
 	*q = heap
 }
 
-// pop removes and returns the next event of a queue that is not empty.
+// pop removes and returns the next event. The queue must not be empty.
 func (q *eventQueue) pop() event {
 	heap := *q
 	top, last := heap[0], heap[len(heap)-1]
-	heap[len(heap)-1] = event{} // release the function
+	heap[len(heap)-1] = event{} // release the function for garbage collection
 	heap = heap[:len(heap)-1]
 	*q = heap
 	if len(heap) == 0 {
@@ -56,7 +56,7 @@
 	return top
 }
 
-// firstChild returns the index of a node's child that comes first, -1 if it has none.
+// firstChild returns the index of the node's earliest child, or -1 if the node has no children.
 func (q eventQueue) firstChild(node int) int {
 	first := node*arity + 1
 	if first >= len(q) {
--- a/internal/fleet/replica/blocks.go
+++ b/internal/fleet/replica/blocks.go
@@ -1,18 +1,18 @@
 package replica
 
-// block is a block of key-value memory.
+// block is a block of the key-value (KV) cache.
 type block struct {
-	key        uint64 // names its content for reuse; 0: private to one sequence
-	refs       int    // sequences that use it
-	prev, next *block // in the list of cached blocks while refs is 0
+	key        uint64 // identifies the content for reuse; 0: not reusable, private to one sequence
+	refs       int    // number of sequences that use the block
+	prev, next *block // links in the ring of cached blocks, while refs is 0
 }
 
-// blockMemory hands out the blocks of a replica's key-value memory. A block with a key that no sequence
-// uses any more stays cached for reuse until its memory is needed.
+// blockMemory allocates the blocks of a replica's KV cache. A block with a key stays cached after its last
+// sequence releases it, until it is reused or evicted to free memory.
 type blockMemory struct {
 	byKey  map[uint64]*block
-	cached block // ring of the cached blocks, the least recently used first
-	// Numbers of blocks: usedCount counts those in use or cached, cachedCount those that are only cached.
+	cached block // head of the ring of cached blocks, least recently used first
+	// Numbers of blocks: in use or cached, cached without being in use, and in total.
 	usedCount, cachedCount, totalCount int
 }
 
@@ -22,7 +22,7 @@
 	return m
 }
 
-// inUseFraction returns the share of memory that sequences use.
+// inUseFraction returns the fraction of the blocks that sequences use.
 func (m *blockMemory) inUseFraction() float64 {
 	return float64(m.usedCount-m.cachedCount) / float64(m.totalCount)
 }
@@ -30,8 +30,8 @@
 // available returns the number of blocks that are free or can be evicted.
 func (m *blockMemory) available() int { return m.totalCount - m.usedCount + m.cachedCount }
 
-// allocate returns a new block with the key: a free one, or the least recently used cached one. It returns
-// nil if all blocks are in use.
+// allocate returns a new block with the key, and evicts the least recently used cached block if none is free.
+// It returns nil if all blocks are in use.
 func (m *blockMemory) allocate(key uint64) *block {
 	if m.usedCount == m.totalCount && !m.evict() {
 		return nil
@@ -41,12 +41,12 @@
 	if key != 0 && m.byKey[key] == nil {
 		m.byKey[key] = b
 	} else {
-		b.key = 0 // another block has this content already
+		b.key = 0 // not reusable, or another block already has this content
 	}
 	return b
 }
 
-// evict frees the least recently used cached block, if there is any.
+// evict frees the least recently used cached block. It returns false if no block is cached.
 func (m *blockMemory) evict() bool {
 	oldest := m.cached.next
 	if oldest == &m.cached {
@@ -58,7 +58,7 @@
 	return true
 }
 
-// reuse takes one more reference to the block with the key, nil if there is none.
+// reuse adds a reference to the block with the key and returns it, or nil if there is no such block.
 func (m *blockMemory) reuse(key uint64) *block {
 	if key == 0 {
 		return nil
@@ -74,7 +74,7 @@
 	return b
 }
 
-// release drops a reference to a block. Blocks with a key are cached once nobody uses them.
+// release drops a reference to a block. After the last one, a block with a key is cached, and others are freed.
 func (m *blockMemory) release(b *block) {
 	if b.refs--; b.refs > 0 {
 		return
@@ -94,14 +94,15 @@
 	}
 }
 
-// unlink takes a block out of the ring of cached blocks.
+// unlink removes a block from the ring of cached blocks.
 func (m *blockMemory) unlink(b *block) {
 	b.prev.next, b.next.prev = b.next, b.prev
 	b.prev, b.next = nil, nil
 	m.cachedCount--
 }
 
-// blockKey returns the key for a part of a context: equal contents have equal keys.
+// blockKey returns the key of the block at an index of a content, or 0 without a content. Equal arguments give
+// equal keys.
 func blockKey(content, index uint64) uint64 {
 	if content == 0 {
 		return 0
@@ -109,7 +110,7 @@
 	return mix(content, index)
 }
 
-// mix is the finalizer of SplitMix64 (Steele et al., OOPSLA 2014) over both words. It is never 0.
+// mix hashes a and b with the finalizer of SplitMix64 (Steele et al., OOPSLA 2014). The result is never 0.
 func mix(a, b uint64) uint64 {
 	z := a + b*0x9e3779b97f4a7c15
 	z = (z ^ z>>30) * 0xbf58476d1ce4e5b9
--- a/internal/fleet/replica/params.go
+++ b/internal/fleet/replica/params.go
@@ -6,22 +6,22 @@
 	"archknot/balancer"
 )
 
-// Params describe a kind of replica.
+// Params are the capacity and the timing of a kind of replica.
 type Params struct {
-	MaxRunning   int // sequences in the running batch
-	MaxQueued    int // sequences waiting; a replica declines more
-	MemoryTokens int // tokens of keys and values that memory holds
-	BlockTokens  int // tokens in a block of memory
-	ChunkTokens  int // most prompt tokens that are read in one step
-
-	// Parts of a step's time in microseconds: the base, for each sequence that makes a token, for each
-	// 1,000 tokens of context that these attend to, and for each 1,000 prompt tokens read.
+	MaxRunning   int // largest number of sequences in the running batch
+	MaxQueued    int // largest number of waiting sequences; the replica declines further ones
+	MemoryTokens int // capacity of the KV cache in tokens
+	BlockTokens  int // tokens per block of the KV cache
+	ChunkTokens  int // largest number of prefill tokens in one step
+
+	// Terms of the duration of a step in microseconds: constant, per decoding sequence, per 1,000 context
+	// tokens attended to, and per 1,000 prefill tokens.
 	StepBase, StepPerSequence, StepPerContext, StepPerPrompt float64
 
-	StartupTime    balancer.Micros // from the process start until it accepts jobs
-	WarmUpTime     balancer.Micros // then steps take longer for this time, because caches and kernels are cold
-	WarmUpSlowdown float64         // factor on steps at the beginning of the warm-up; it falls linearly to 1
-	ConnectTime    balancer.Micros // to set up a connection
+	StartupTime    balancer.Micros // from the process start until it runs jobs
+	WarmUpTime     balancer.Micros // time after the startup during which steps are slower, because caches and kernels are cold
+	WarmUpSlowdown float64         // factor on the duration of steps when the warm-up starts; falls linearly to 1
+	ConnectTime    balancer.Micros // time to establish a connection
 }
 
 // Largest values that Check accepts.
@@ -31,7 +31,7 @@
 	maxMemoryTokens = 1 << 30
 )
 
-// Check returns an error for the first value that is out of its range.
+// Check returns an error for the first parameter that is out of range.
 func (p *Params) Check() error {
 	switch {
 	case p.MaxRunning < 1 || p.MaxQueued < 0 || p.MaxRunning > maxRunningLimit || p.MaxQueued > maxQueuedLimit:
@@ -48,10 +48,10 @@
 	return nil
 }
 
-// blocksFor returns how many blocks a context of so many tokens needs.
+// blocksFor returns the number of blocks for a context of so many tokens.
 func (p *Params) blocksFor(tokens int) int { return (tokens + p.BlockTokens - 1) / p.BlockTokens }
 
-// warmUpFactor returns the factor on the time of a step that begins at a time since the replica accepts jobs.
+// warmUpFactor returns the factor on the duration of a step that starts sinceReady after the end of the startup.
 func (p *Params) warmUpFactor(sinceReady balancer.Micros) float64 {
 	if p.WarmUpTime <= 0 || sinceReady >= p.WarmUpTime {
 		return 1
--- a/internal/fleet/replica/simulator_test.go
+++ b/internal/fleet/replica/simulator_test.go
@@ -18,7 +18,7 @@
 	out := map[uint64][]Event{}
 	for n := 0; sim.StepEnd() != 0; n++ {
 		if n > 1_000_000 {
-			t.Fatal("the replica never becomes idle")
+			t.Fatal("replica did not become idle")
 		}
 		for _, e := range sim.Advance(sim.StepEnd()) {
 			out[e.Job] = append(out[e.Job], e)
@@ -27,8 +27,8 @@
 	return out
 }
 
-// Whatever jobs come and go, memory stays within its limit and adds up, each job that is not cancelled
-// completes once with all its tokens, and in the end no memory is in use.
+// For random sequences of jobs, cancellations and flushes: the block counts are consistent and within the limit,
+// each accepted job that is not cancelled completes once with all its tokens, and no blocks leak.
 func TestInvariants(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		sim := New(params(), 0)
@@ -43,7 +43,7 @@
 			}
 			for b, n := range inUse {
 				if b.refs != n {
-					t.Fatalf("a block counts %d users, and has %d", b.refs, n)
+					t.Fatalf("block has %d refs, but %d sequences use it", b.refs, n)
 				}
 			}
 			for b := sim.memory.cached.next; b != &sim.memory.cached; b = b.next {
@@ -96,7 +96,7 @@
 		}
 		for n := 0; sim.StepEnd() != 0; n++ {
 			if n > 200_000 {
-				t.Fatal("the replica never becomes idle")
+				t.Fatal("replica did not become idle")
 			}
 			advance()
 		}
@@ -112,8 +112,8 @@
 	})
 }
 
-// Of a prompt with a cached beginning only the rest is read, and its first token comes sooner; after a flush
-// all of it is read.
+// Cached prefix and session blocks are not computed again, so that the first token is earlier. After a flush the
+// whole prompt is computed.
 func TestPrefixesAreCached(t *testing.T) {
 	sim := New(params(), 0)
 	submit := func(id uint64, session uint64) (Event, balancer.Micros) {
@@ -146,7 +146,7 @@
 	}
 }
 
-// Steps of a replica that is slowed down or warming up take longer by the factor.
+// Slowdown and warm-up multiply the duration of steps by their factors; Check rejects invalid parameters.
 func TestSteps(t *testing.T) {
 	firstStepTime := func(p Params, jobs int, slow float64, at balancer.Micros) balancer.Micros {
 		sim := New(p, 1)
@@ -172,7 +172,8 @@
 	}
 }
 
-// Where memory runs out, the sequence that was admitted last is preempted and read again; all complete.
+// When memory is exhausted, sequences are preempted, and all jobs still complete with all their tokens. A job that
+// exceeds the capacity of the KV cache is declined.
 func TestPreemption(t *testing.T) {
 	p := params()
 	p.MemoryTokens = 640
