--- a/internal/fleet/emulate/attempts.go
+++ b/internal/fleet/emulate/attempts.go
@@ -20,21 +20,23 @@
 )
 
 const (
-	// minResumeDelay and maxResumeDelay bound the Retry-After before an answer is resumed, in microseconds.
-	minResumeDelay, maxResumeDelay = 10_000, 500_000
-	// maxAnswerTime bounds the time for a complete answer.
+	// minResumeDelay is the shortest delay after a rejected attempt; a shorter Retry-After is raised to it.
+	minResumeDelay balancer.Micros = 10_000
+	// maxResumeDelay is the longest delay after a rejected attempt; a longer Retry-After is cut to it.
+	maxResumeDelay balancer.Micros = 500_000
+	// maxAnswerTime is the timeout of an attempt.
 	maxAnswerTime = 10 * time.Minute
-	// maxErrorText bounds the bytes that are read of a response that is not 200.
-	maxErrorText = 4096
-	// maxRetryAfter is the longest Retry-After in seconds that a client accepts.
-	maxRetryAfter = 3600
-	// maxGatewayPicks bounds how often a client picks another gateway for an attempt.
+	// maxErrorBodyBytes limits how much of the body of a response other than 200 is read.
+	maxErrorBodyBytes = 4096
+	// maxRetryAfterSeconds is the limit from which on clients ignore a Retry-After.
+	maxRetryAfterSeconds = 3600
+	// maxGatewayPicks limits how often a client picks another gateway for an attempt.
 	maxGatewayPicks = 8
-	// readBufferSize is the size in bytes of the reads of an answer.
-	readBufferSize = 16 << 10
+	// readBufferBytes is the size of the buffer into which an answer is read.
+	readBufferBytes = 16 << 10
 )
 
-// States of a client attempt for an Observer.
+// States of a client attempt that are reported to an Observer.
 const (
 	StateSent       = "sent"
 	StateFirstToken = "first"
@@ -42,47 +44,47 @@
 	StateLastToken  = "last"
 )
 
-// Observer is notified of client attempts. Its functions are called from many goroutines at once.
+// Observer is notified of client attempts. Its functions are called concurrently.
 type Observer struct {
 	OnState func(attempt *ClientAttempt, state string)
 	OnEnd   func(attempt *ClientAttempt)
-	// IsOffered reports whether the load balancer before the gateways offers this one to clients, by its
-	// readiness. Nil: all are offered.
+	// IsOffered reports whether the load balancer in front of the gateways routes clients to the gateway at
+	// addr, which depends on its readiness. If it is nil, all gateways are offered.
 	IsOffered func(addr string) bool
 }
 
 // ClientAttempt is one HTTP request of a client: the first one for a request, or one that resumes an
-// answer that broke off. Times are since the traffic began.
+// interrupted answer. Times are relative to the start of the traffic.
 type ClientAttempt struct {
 	RootID, ID, Gateway           string
 	ResumeIndex                   int // 0: the first attempt
 	Class                         *balancer.Class
 	OutputTokens                  int // length of the complete answer
 	FirstTokenTimeout             balancer.Micros
-	RequestedAt                   balancer.Micros // when the request's first attempt was sent, under any ID
-	SentAt, FirstTokenAt, EndedAt balancer.Micros // FirstTokenAt 0: none
-	Status                        int             // HTTP status; 0: the connection broke before
-	ErrorText                     string          // body of a response that is not 200
-	Outcome                       string          // a model.Outcome constant
-	Complete                      bool            // the answer is complete, with what earlier attempts received
-	Last                          bool            // the client does not resume again
+	RequestedAt                   balancer.Micros // when the first attempt was sent, also if it had another RootID
+	SentAt, FirstTokenAt, EndedAt balancer.Micros // FirstTokenAt is 0 before the first token
+	Status                        int             // HTTP status; 0: no response was received
+	ErrorText                     string          // body of a response other than 200, truncated
+	Outcome                       string          // one of the model.Outcome constants
+	Complete                      bool            // this and earlier attempts together received the complete answer
+	Last                          bool            // the client sends no further attempt
 }
 
-// attemptEnd is the end of an attempt, or of a request with all its attempts.
+// attemptEnd is the result of an attempt, or of a request with all its attempts.
 type attemptEnd struct {
 	model.RequestEnd
 	retryAfter balancer.Micros
 }
 
-// sendRequest sends a request and resumes its answer where it breaks off. A request that was sent goes on
-// to its end although the context ends.
+// sendRequest sends a request, and resumes its answer when it is interrupted. It ignores the cancellation of
+// ctx, so that requests that were sent before the end of a run are completed.
 func (c *sessionClient) sendRequest(ctx context.Context, request *balancer.Request, outputTokens int) attemptEnd {
-	p := c.player
+	generator := c.generator
 	var received []byte
 	var total attemptEnd
-	rootID := p.newID()
-	for n, resumeIndex := 0, 0; ; n, resumeIndex = n+1, resumeIndex+1 {
-		a := &ClientAttempt{
+	rootID := generator.newID()
+	for attemptIndex, resumeIndex := 0, 0; ; attemptIndex, resumeIndex = attemptIndex+1, resumeIndex+1 {
+		attempt := &ClientAttempt{
 			RootID:            rootID,
 			ID:                rootID,
 			ResumeIndex:       resumeIndex,
@@ -91,38 +93,38 @@
 			FirstTokenTimeout: c.stream.FirstTokenTimeout(c.class),
 		}
 		if resumeIndex > 0 {
-			a.ID = p.newID()
+			attempt.ID = generator.newID()
 		}
-		end := c.sendAttempt(context.WithoutCancel(ctx), a, request, &received)
-		if n == 0 {
+		end := c.sendAttempt(context.WithoutCancel(ctx), attempt, request, &received)
+		if attemptIndex == 0 {
 			total = end
 		} else {
 			total.add(end)
 		}
-		a.Outcome = end.Outcome
-		a.RequestedAt = total.SentAt
-		inTime := total.FirstTokenAt > 0 || p.now()-total.SentAt < a.FirstTokenTimeout
-		unknown := a.Status == http.StatusNotFound && len(received) == 0 // no gateway has a record of the request
-		if (unknown || a.Status == http.StatusServiceUnavailable) && n < c.stream.MaxResumes && inTime {
-			// Send a new request, or resume again where there was no capacity.
-			p.observer.OnEnd(a)
-			if unknown || resumeIndex == 0 {
-				rootID, resumeIndex = p.newID(), -1
+		attempt.Outcome = end.Outcome
+		attempt.RequestedAt = total.SentAt
+		inTime := total.FirstTokenAt > 0 || generator.now()-total.SentAt < attempt.FirstTokenTimeout
+		requestUnknown := attempt.Status == http.StatusNotFound && len(received) == 0 // no gateway has a record of the request to resume
+		if (requestUnknown || attempt.Status == http.StatusServiceUnavailable) && attemptIndex < c.stream.MaxResumes && inTime {
+			// Send a new request, or resume again if the resume was rejected for lack of capacity.
+			generator.observer.OnEnd(attempt)
+			if requestUnknown || resumeIndex == 0 {
+				rootID, resumeIndex = generator.newID(), -1
 			}
 			time.Sleep(time.Duration(min(max(end.retryAfter, minResumeDelay), maxResumeDelay)) * time.Microsecond)
 			continue
 		}
-		// Without a first token yet, the client waits no longer than for the first attempt.
-		canResume := a.Outcome == model.OutcomeBroken || a.Outcome == model.OutcomeFailed
-		a.Last = n >= c.stream.MaxResumes || !canResume || !inTime
-		p.observer.OnEnd(a)
-		if a.Last {
+		// A client without a first token sends no attempt after the FirstTokenTimeout of its first attempt.
+		canResume := attempt.Outcome == model.OutcomeBroken || attempt.Outcome == model.OutcomeFailed
+		attempt.Last = attemptIndex >= c.stream.MaxResumes || !canResume || !inTime
+		generator.observer.OnEnd(attempt)
+		if attempt.Last {
 			return total
 		}
 	}
 }
 
-// add adds the end of a further attempt to that of the request.
+// add merges the result of a further attempt into that of the request.
 func (total *attemptEnd) add(end attemptEnd) {
 	total.EndedAt = end.EndedAt
 	total.Outcome = end.Outcome
@@ -133,93 +135,93 @@
 	}
 }
 
-// newID returns a new request ID.
-func (p *player) newID() string {
-	p.mu.Lock()
-	defer p.mu.Unlock()
-	p.lastID++
-	return fmt.Sprintf("e%016x%08x", p.spec.Seed, p.lastID)
+func (g *loadGenerator) newID() string {
+	g.mu.Lock()
+	defer g.mu.Unlock()
+	g.lastID++
+	return fmt.Sprintf("e%016x%08x", g.spec.Seed, g.lastID)
 }
 
-// sendAttempt sends an attempt and reads its answer to the end. received is the answer as far as all
-// attempts have received it.
-func (c *sessionClient) sendAttempt(ctx context.Context, a *ClientAttempt, request *balancer.Request, received *[]byte) attemptEnd {
-	p := c.player
-	a.SentAt = p.now()
-	end := attemptEnd{RequestEnd: model.RequestEnd{Class: a.Class, Request: request, OutputTokens: a.OutputTokens, SentAt: a.SentAt, Attempts: 1}}
+// sendAttempt sends an attempt and reads its answer to the end. It appends the answer to received, which holds
+// the part that earlier attempts received.
+func (c *sessionClient) sendAttempt(ctx context.Context, attempt *ClientAttempt, request *balancer.Request, received *[]byte) attemptEnd {
+	generator := c.generator
+	attempt.SentAt = generator.now()
+	end := attemptEnd{RequestEnd: model.RequestEnd{Class: attempt.Class, Request: request, OutputTokens: attempt.OutputTokens, SentAt: attempt.SentAt, Attempts: 1}}
 	ctx, stop := context.WithTimeout(ctx, maxAnswerTime)
 	defer stop()
-	// FirstTokenTimeout ends the attempt only before its first token.
+	// FirstTokenTimeout cancels the attempt only if it has no first token yet.
 	var gotFirstToken atomic.Bool
-	timer := time.AfterFunc(time.Duration(a.FirstTokenTimeout)*time.Microsecond, func() {
+	timer := time.AfterFunc(time.Duration(attempt.FirstTokenTimeout)*time.Microsecond, func() {
 		if !gotFirstToken.Load() {
 			stop()
 		}
 	})
 	defer timer.Stop()
 	finish := func(outcome string) attemptEnd {
-		a.EndedAt = p.now()
-		timedOut := a.FirstTokenAt == 0 && a.EndedAt-a.SentAt >= a.FirstTokenTimeout
+		attempt.EndedAt = generator.now()
+		timedOut := attempt.FirstTokenAt == 0 && attempt.EndedAt-attempt.SentAt >= attempt.FirstTokenTimeout
 		if timedOut && (outcome == model.OutcomeFailed || outcome == model.OutcomeBroken) {
 			outcome = model.OutcomeLate
 		}
-		end.FirstTokenAt, end.EndedAt, end.Outcome = a.FirstTokenAt, a.EndedAt, outcome
+		end.FirstTokenAt, end.EndedAt, end.Outcome = attempt.FirstTokenAt, attempt.EndedAt, outcome
 		return end
 	}
-	resp, err := c.post(ctx, a, request, *received)
+	resp, err := c.post(ctx, attempt, request, *received)
 	if err != nil {
 		return finish(model.OutcomeFailed)
 	}
 	defer resp.Body.Close()
-	a.Status = resp.StatusCode
-	if a.Status != http.StatusOK {
-		text, _ := io.ReadAll(io.LimitReader(resp.Body, maxErrorText)) // a part of the text is enough
-		a.ErrorText = strings.TrimSpace(string(text))
+	attempt.Status = resp.StatusCode
+	if attempt.Status != http.StatusOK {
+		text, _ := io.ReadAll(io.LimitReader(resp.Body, maxErrorBodyBytes)) // a truncated text is sufficient
+		attempt.ErrorText = strings.TrimSpace(string(text))
 		end.retryAfter = retryAfter(resp.Header)
-		return finish(errorOutcome(a, text))
+		return finish(errorOutcome(attempt, text))
 	}
-	return finish(c.readAnswer(a, resp.Body, received, func() { gotFirstToken.Store(true) }))
+	return finish(c.readAnswer(attempt, resp.Body, received, func() { gotFirstToken.Store(true) }))
 }
 
-// retryAfter returns the Retry-After of a response; 0: none or not valid.
+// retryAfter returns the Retry-After of a response, or 0 if it is missing, invalid or too long.
 func retryAfter(h http.Header) balancer.Micros {
 	seconds, err := strconv.ParseFloat(h.Get("Retry-After"), 64)
-	if err != nil || seconds <= 0 || seconds >= maxRetryAfter {
+	if err != nil || seconds <= 0 || seconds >= maxRetryAfterSeconds {
 		return 0
 	}
 	return balancer.Micros(seconds * 1e6)
 }
 
-// errorOutcome returns the outcome of a response that is not 200.
-func errorOutcome(a *ClientAttempt, text []byte) string {
+// errorOutcome returns the outcome of a response other than 200.
+func errorOutcome(attempt *ClientAttempt, text []byte) string {
 	switch {
-	case a.Status == http.StatusTooManyRequests && bytes.Contains(text, []byte(`"contract"`)):
+	case attempt.Status == http.StatusTooManyRequests && bytes.Contains(text, []byte(`"contract"`)):
 		return model.OutcomeContract
-	case a.Status == http.StatusServiceUnavailable || a.Status == http.StatusTooManyRequests:
+	case attempt.Status == http.StatusServiceUnavailable || attempt.Status == http.StatusTooManyRequests:
 		return model.OutcomeShed
-	case a.ResumeIndex > 0:
-		return model.OutcomeShed // a clear answer: the rest cannot be had
+	case attempt.ResumeIndex > 0:
+		return model.OutcomeShed // the gateway rejected the resume: the remaining answer is unavailable
 	default:
 		return model.OutcomeFailed
 	}
 }
 
-// readAnswer reads an answer, appends it to received, and returns the attempt's outcome.
-func (c *sessionClient) readAnswer(a *ClientAttempt, body io.Reader, received *[]byte, onFirstToken func()) (outcome string) {
-	states := stateNotifier{observer: &c.player.observer, attempt: a}
-	buffer := make([]byte, readBufferSize)
+// readAnswer reads an answer, appends it to received, and returns the attempt's outcome. It calls onFirstToken
+// when the first bytes arrive.
+func (c *sessionClient) readAnswer(attempt *ClientAttempt, body io.Reader, received *[]byte, onFirstToken func()) (outcome string) {
+	states := stateNotifier{observer: &c.generator.observer, attempt: attempt}
+	buffer := make([]byte, readBufferBytes)
 	for {
 		n, err := body.Read(buffer)
 		if n > 0 {
-			if a.FirstTokenAt == 0 {
+			if attempt.FirstTokenAt == 0 {
 				onFirstToken()
-				a.FirstTokenAt = c.player.now()
+				attempt.FirstTokenAt = c.generator.now()
 			}
 			*received = append(*received, buffer[:n]...)
 		}
 		states.update(n, *received)
-		if err != nil { // the answer may be complete although its last chunk is missing
-			if a.Complete = isCompleteAnswer(*received, a.OutputTokens); a.Complete {
+		if err != nil { // the answer can be complete although the terminating chunk is missing
+			if attempt.Complete = isCompleteAnswer(*received, attempt.OutputTokens); attempt.Complete {
 				return model.OutcomeServed
 			}
 			return model.OutcomeBroken
@@ -227,14 +229,14 @@
 	}
 }
 
-// stateNotifier notifies the observer of an attempt's states, at most one for each read.
+// stateNotifier notifies the observer of an attempt's states, at most one per read.
 type stateNotifier struct {
 	observer *Observer
 	attempt  *ClientAttempt
-	state    string // the last one
+	state    string // the last one that was reported
 }
 
-// update is called after a read of n bytes with all that was received.
+// update must be called after each read with its n bytes; received is the answer up to now.
 func (s *stateNotifier) update(n int, received []byte) {
 	tokens := bytes.Count(received, []byte(`"content"`))
 	var next string
@@ -252,21 +254,21 @@
 	s.observer.OnState(s.attempt, next)
 }
 
-// post sends an attempt to a gateway. Like a load balancer, it goes on to another gateway if one refuses
-// the connection.
-func (c *sessionClient) post(ctx context.Context, a *ClientAttempt, request *balancer.Request, received []byte) (*http.Response, error) {
+// post sends an attempt to a gateway. Like a load balancer, it tries another gateway if the connection is
+// refused.
+func (c *sessionClient) post(ctx context.Context, attempt *ClientAttempt, request *balancer.Request, received []byte) (*http.Response, error) {
 	const body = `{"model":"chat","stream":true}`
-	p := c.player
+	generator := c.generator
 	for n := 0; ; n++ {
-		a.Gateway = c.pickGateway()
-		req, err := http.NewRequestWithContext(ctx, http.MethodPost, "http://"+a.Gateway+httpwire.CompletionsPath, strings.NewReader(body))
+		attempt.Gateway = c.pickGateway()
+		req, err := http.NewRequestWithContext(ctx, http.MethodPost, "http://"+attempt.Gateway+httpwire.CompletionsPath, strings.NewReader(body))
 		if err != nil {
 			return nil, err
 		}
-		req.GetBody = nil // a request that may have arrived is not sent again by the transport
-		setHeaders(req.Header, a, request, received, p.now())
-		p.observer.OnState(a, StateSent)
-		resp, err := p.client.Do(req)
+		req.GetBody = nil // keeps the transport from resending a request that may have been received
+		setHeaders(req.Header, attempt, request, received, generator.now())
+		generator.observer.OnState(attempt, StateSent)
+		resp, err := generator.client.Do(req)
 		if errors.Is(err, syscall.ECONNREFUSED) && n < maxGatewayPicks {
 			continue
 		}
@@ -274,13 +276,13 @@
 	}
 }
 
-// pickGateway picks a gateway at random, one that is offered if possible.
+// pickGateway picks a random gateway, and prefers one that the load balancer offers.
 func (c *sessionClient) pickGateway() string {
-	p := c.player
-	pick := func() string { return p.gateways[c.rng.IntN(len(p.gateways))] }
+	generator := c.generator
+	pick := func() string { return generator.gateways[c.rng.IntN(len(generator.gateways))] }
 	gateway := pick()
 	for range maxGatewayPicks {
-		if p.observer.IsOffered == nil || p.observer.IsOffered(gateway) {
+		if generator.observer.IsOffered == nil || generator.observer.IsOffered(gateway) {
 			break
 		}
 		gateway = pick()
@@ -288,12 +290,12 @@
 	return gateway
 }
 
-// setHeaders sets the platform's headers of an attempt.
-func setHeaders(h http.Header, a *ClientAttempt, request *balancer.Request, received []byte, now balancer.Micros) {
-	h.Set(requestIDHeader, a.ID)
+// setHeaders sets the request headers of the platform's protocol.
+func setHeaders(h http.Header, attempt *ClientAttempt, request *balancer.Request, received []byte, now balancer.Micros) {
+	h.Set(requestIDHeader, attempt.ID)
 	h.Set("Req-Kind", request.Class)
 	h.Set("Req-Owner", request.Tenant)
-	h.Set("Req-Deadline", fmt.Sprintf("%du", max(1, a.FirstTokenTimeout-(now-a.SentAt))))
+	h.Set("Req-Deadline", fmt.Sprintf("%du", max(1, attempt.FirstTokenTimeout-(now-attempt.SentAt))))
 	if request.Session != 0 {
 		h.Set("Req-Key", fmt.Sprintf("%016x", request.Session))
 	}
@@ -302,9 +304,9 @@
 		extra += fmt.Sprintf(",prefix=%016x,prefix_len=%d", request.Prefix, request.PrefixTokens)
 	}
 	h.Set("Req-Extra", extra)
-	h.Set(outputTokensHeader, strconv.Itoa(a.OutputTokens))
-	if a.ResumeIndex > 0 {
+	h.Set(outputTokensHeader, strconv.Itoa(attempt.OutputTokens))
+	if attempt.ResumeIndex > 0 {
 		h.Set("Req-Retry", "again")
-		h.Set(httpwire.ResumeHeader, fmt.Sprintf("id=%s,ask=%d,bytes=%d,sum=%08x", a.RootID, a.ResumeIndex, len(received), crc32.ChecksumIEEE(received)))
+		h.Set(httpwire.ResumeHeader, fmt.Sprintf("id=%s,ask=%d,bytes=%d,sum=%08x", attempt.RootID, attempt.ResumeIndex, len(received), crc32.ChecksumIEEE(received)))
 	}
 }
--- a/internal/fleet/replica/simulator_test.go
+++ b/internal/fleet/replica/simulator_test.go
@@ -18,7 +18,7 @@
 	out := map[uint64][]Event{}
 	for n := 0; sim.StepEnd() != 0; n++ {
 		if n > 1_000_000 {
-			t.Fatal("the replica never becomes idle")
+			t.Fatal("replica did not become idle")
 		}
 		for _, e := range sim.Advance(sim.StepEnd()) {
 			out[e.Job] = append(out[e.Job], e)
@@ -27,13 +27,13 @@
 	return out
 }
 
-// Whatever jobs come and go, memory stays within its limit and adds up, each job that is not cancelled
-// completes once with all its tokens, and in the end no memory is in use.
+// For random sequences of jobs, cancellations and flushes: the block counts are consistent and within the limit,
+// each accepted job that is not cancelled completes once with all its tokens, and no blocks leak.
 func TestInvariants(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		sim := New(params(), 0)
 		now := balancer.Micros(1)
-		want, got, first := map[uint64]int{}, map[uint64]int{}, map[uint64]bool{}
+		want, got, firstTokenSeen := map[uint64]int{}, map[uint64]int{}, map[uint64]bool{}
 		check := func() {
 			inUse, blocks := map[*block]int{}, 0
 			for _, s := range append(append([]*sequence{}, sim.running...), sim.waiting...) {
@@ -43,7 +43,7 @@
 			}
 			for b, n := range inUse {
 				if b.refs != n {
-					t.Fatalf("a block counts %d users, and has %d", b.refs, n)
+					t.Fatalf("block has %d refs, but %d sequences use it", b.refs, n)
 				}
 			}
 			for b := sim.memory.cached.next; b != &sim.memory.cached; b = b.next {
@@ -60,10 +60,10 @@
 			for _, e := range sim.Advance(now) {
 				switch e.Kind {
 				case FirstToken:
-					if first[e.Job] {
+					if firstTokenSeen[e.Job] {
 						t.Fatal("two first tokens")
 					}
-					first[e.Job] = true
+					firstTokenSeen[e.Job] = true
 				case Completed:
 					got[e.Job] += e.OutputTokens
 				}
@@ -84,9 +84,9 @@
 				check()
 			}
 			if jobs := sim.JobIDs(); len(jobs) > 0 && rapid.IntRange(0, 5).Draw(t, "leaves") == 0 {
-				gone := jobs[rapid.IntRange(0, len(jobs)-1).Draw(t, "which")]
-				sim.Cancel(gone)
-				delete(want, gone)
+				cancelledID := jobs[rapid.IntRange(0, len(jobs)-1).Draw(t, "which")]
+				sim.Cancel(cancelledID)
+				delete(want, cancelledID)
 				check()
 			}
 			if rapid.IntRange(0, 20).Draw(t, "flush") == 0 {
@@ -96,7 +96,7 @@
 		}
 		for n := 0; sim.StepEnd() != 0; n++ {
 			if n > 200_000 {
-				t.Fatal("the replica never becomes idle")
+				t.Fatal("replica did not become idle")
 			}
 			advance()
 		}
@@ -112,8 +112,8 @@
 	})
 }
 
-// Of a prompt with a cached beginning only the rest is read, and its first token comes sooner; after a flush
-// all of it is read.
+// Cached prefix and session blocks are not computed again, so that the first token is earlier. After a flush the
+// whole prompt is computed.
 func TestPrefixesAreCached(t *testing.T) {
 	sim := New(params(), 0)
 	submit := func(id uint64, session uint64) (Event, balancer.Micros) {
@@ -146,9 +146,9 @@
 	}
 }
 
-// Steps of a replica that is slowed down or warming up take longer by the factor.
+// Slowdown and warm-up multiply the duration of steps by their factors; Check rejects invalid parameters.
 func TestSteps(t *testing.T) {
-	first := func(p Params, jobs int, slow float64, at balancer.Micros) balancer.Micros {
+	firstStepTime := func(p Params, jobs int, slow float64, at balancer.Micros) balancer.Micros {
 		sim := New(p, 1)
 		sim.SetSlowdown(slow)
 		for id := range uint64(jobs) {
@@ -157,22 +157,23 @@
 		return sim.StepEnd() - at
 	}
 	p := params()
-	one, slow := first(p, 1, 1, 1), first(p, 1, 3, 1)
+	one, slow := firstStepTime(p, 1, 1, 1), firstStepTime(p, 1, 3, 1)
 	if slow < 3*one-3 || slow > 3*one+3 {
 		t.Errorf("%d us, and three times slower %d", one, slow)
 	}
 	p.WarmUpTime, p.WarmUpSlowdown = 8_000_000, 4
-	if initial, half, warm := first(p, 1, 1, 1), first(p, 1, 1, 4_000_001), first(p, 1, 1, 8_000_001); initial < 4*one-4 || warm != one || half <= warm || half >= initial {
+	if initial, half, warm := firstStepTime(p, 1, 1, 1), firstStepTime(p, 1, 1, 4_000_001), firstStepTime(p, 1, 1, 8_000_001); initial < 4*one-4 || warm != one || half <= warm || half >= initial {
 		t.Errorf("warming up %d, half way %d, warm %d; expected %d", initial, half, warm, one)
 	}
-	bad := params()
-	bad.MemoryTokens = 1
-	if bad.Check() == nil || p.Check() != nil {
+	invalid := params()
+	invalid.MemoryTokens = 1
+	if invalid.Check() == nil || p.Check() != nil {
 		t.Error("a memory of less than a block was accepted, or valid parameters were not")
 	}
 }
 
-// Where memory runs out, the sequence that was admitted last is preempted and read again; all complete.
+// When memory is exhausted, sequences are preempted, and all jobs still complete with all their tokens. A job that
+// exceeds the capacity of the KV cache is declined.
 func TestPreemption(t *testing.T) {
 	p := params()
 	p.MemoryTokens = 640
