--- a/internal/scaletest/discovery.go
+++ b/internal/scaletest/discovery.go
@@ -18,14 +18,15 @@
 	"archknot/internal/httpwire"
 )
 
-// DiscoverySpec is the specification of the role RoleDiscovery.
+// DiscoverySpec is the specification of a process with RoleDiscovery: the initial endpoint list and the
+// framing of its responses, one of the config.Framing constants.
 type DiscoverySpec struct {
 	Endpoints []httpwire.Endpoint `json:"instances"`
 	Framing   string              `json:"framing"`
 }
 
-// discovery is a fake discovery service. It serves complete lists, changes since a version, and long
-// polls, in any framing that the protocol allows.
+// discovery is a fake discovery service. It serves complete endpoint lists, the changes since a version, and
+// long polls, in any framing that the protocol allows.
 type discovery struct {
 	framing   string
 	server    *http.Server
@@ -35,8 +36,8 @@
 	mu         sync.Mutex
 	version    int64
 	endpoints  []httpwire.Endpoint
-	changedIn  []int64       // the version of each endpoint's last change
-	nextChange chan struct{} // closed with the next change of the list
+	changedIn  []int64       // version of each endpoint's last change, in the order of endpoints
+	nextChange chan struct{} // closed and replaced at each change of the list
 }
 
 func startDiscovery(spec DiscoverySpec) (*discovery, Greeting, error) {
@@ -56,7 +57,8 @@
 	return d, Greeting{Address: l.Addr().String()}, nil
 }
 
-// ServeHTTP serves the endpoint list.
+// ServeHTTP serves the endpoint list. The form value "since" requests the changes since a version, and
+// "timeout_ms" makes the request a long poll of at most a minute.
 func (d *discovery) ServeHTTP(w http.ResponseWriter, r *http.Request) {
 	if r.URL.Path != httpwire.ListPath {
 		http.NotFound(w, r)
@@ -74,8 +76,8 @@
 	d.writeList(w, d.listSince(since))
 }
 
-// waitForChange waits until the list has another version than since, for at most wait. It reports
-// whether the caller still waits for an answer.
+// waitForChange returns at once if the list's version differs from since, and otherwise waits for the next
+// change for at most wait. It reports false if the context ends first, since the client has then left.
 func (d *discovery) waitForChange(ctx context.Context, since int64, wait time.Duration) bool {
 	d.mu.Lock()
 	version, nextChange := d.version, d.nextChange
@@ -107,10 +109,10 @@
 	return list
 }
 
-// chunkSize is the size in bytes of a chunk in FramingChunks.
+// chunkSize is the size in bytes of a chunk with config.FramingChunks.
 const chunkSize = 4096
 
-// The lifecycles of an endpoint in the list.
+// The values of Endpoint.Lifecycle that the list contains.
 const (
 	lifecycleReady    = "ready"
 	lifecycleDraining = "draining"
@@ -145,8 +147,8 @@
 	}
 }
 
-// writeOneChunk writes a body as one chunk and closes the connection. net/http itself never writes a
-// body that way.
+// writeOneChunk writes a response whose body is one chunk and closes the connection. It hijacks the
+// connection because net/http chooses the chunks of a response by itself.
 func writeOneChunk(w http.ResponseWriter, text []byte) {
 	conn, _, err := http.NewResponseController(w).Hijack()
 	if err != nil {
@@ -158,7 +160,7 @@
 	_, _ = io.Copy(conn, &response)
 }
 
-// Handle measures the service or changes the list.
+// Handle carries out a command: CommandMeasure, or CommandChangeList, whose reply has the new version.
 func (d *discovery) Handle(_ context.Context, command Command) Reply {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -177,8 +179,8 @@
 	}
 }
 
-// changeNext has one replica drain, or one that drains become ready again. Each replica changes twice
-// in a row.
+// changeNext switches the lifecycle of one endpoint between ready and draining. Each endpoint is switched by
+// two successive versions, then the next endpoint is.
 func (d *discovery) changeNext() {
 	d.version++
 	i := int(d.version/2) % len(d.endpoints)
@@ -192,5 +194,5 @@
 	d.nextChange = make(chan struct{})
 }
 
-// Close ends the service.
+// Close stops the service and closes its connections.
 func (d *discovery) Close() { d.server.Close() }
--- a/internal/scaletest/driver.go
+++ b/internal/scaletest/driver.go
@@ -16,19 +16,19 @@
 	"archknot/internal/httpwire"
 )
 
-// loadGenerator sends random requests to gateways.
+// loadGenerator sends random requests to gateways, with exponentially distributed intervals.
 type loadGenerator struct {
-	rate         float64 // requests a second, for each gateway
+	rate         float64 // requests per second and gateway
 	seed         uint64
 	gatewayCount atomic.Uint64
 	ctx          context.Context
 	stop         context.CancelFunc
 	tasks        sync.WaitGroup
-	served       atomic.Int64
-	unserved     atomic.Int64
+	served       atomic.Int64 // requests with a complete 200 response
+	unserved     atomic.Int64 // requests that failed, or were not sent because maxConcurrent were in flight
 }
 
-// newLoadGenerator returns a generator whose traffic ends with the context or with close.
+// newLoadGenerator returns a load generator whose traffic ends when the context ends or close is called.
 func newLoadGenerator(ctx context.Context, rate float64, seed uint64) *loadGenerator {
 	ctx, stop := context.WithCancel(ctx)
 	return &loadGenerator{rate: rate, seed: seed, ctx: ctx, stop: stop}
@@ -46,7 +46,8 @@
 // requestTimeout bounds a request and its whole response.
 const requestTimeout = 10 * time.Second
 
-// startTraffic starts to send requests to a gateway, over TCP or over the connections of dial.
+// startTraffic starts to send requests to a gateway, over the connections that dial returns, or over TCP to
+// the address if dial is nil.
 func (g *loadGenerator) startTraffic(address string, dial func(context.Context) (net.Conn, error)) {
 	if g.rate <= 0 {
 		return
@@ -84,14 +85,14 @@
 	})
 }
 
-// The numbers of different sessions and shared prefixes are those that one gateway of a large fleet sees.
+// The parameters of random requests.
 const (
-	sessionCount = 100_000
-	prefixCount  = 20_000
-	promptMedian = 300 // tokens
+	sessionCount = 100_000 // sessions at one gateway of a large fleet
+	prefixCount  = 20_000  // shared prefixes at one gateway of a large fleet
+	promptMedian = 300     // tokens
 )
 
-// randomHeaders returns the headers of a random request.
+// randomHeaders returns the headers of a request with a random session, prefix and prompt length.
 func randomHeaders(rng *rand.Rand, id string) http.Header {
 	promptTokens := max(20, int(promptMedian*math.Exp(0.7*rng.NormFloat64())))
 	h := http.Header{}
@@ -111,7 +112,7 @@
 	body := bytes.NewReader([]byte(`{"model":"m","stream":true,"messages":[{"role":"user","content":"` + string(bytes.Repeat([]byte("word "), 60)) + `"}]}`))
 	req, err := http.NewRequestWithContext(ctx, http.MethodPost, "http://"+address+httpwire.CompletionsPath, body)
 	if err != nil {
-		panic(err) // all parts are constants but the address, which is one of our own
+		panic(err) // the address is a gateway's own, and all other parts are constants
 	}
 	req.Header = headers
 	resp, err := client.Do(req)
@@ -124,7 +125,8 @@
 	g.count(err == nil && resp.StatusCode == http.StatusOK)
 }
 
-// count counts a request. One that the end of the run has cancelled does not count.
+// count counts a request as served or unserved. A request that was cancelled by the end of the run is not
+// counted.
 func (g *loadGenerator) count(served bool) {
 	switch {
 	case served:
--- a/internal/scaletest/figures.go
+++ b/internal/scaletest/figures.go
@@ -9,51 +9,51 @@
 	"archknot/internal/controlstats"
 )
 
-// The names of figures. Those of gateways are for hollow ones; with RealPrefix they are for gateways that
-// are processes.
+// The names of figures. Figures are means over gateways or replicas unless noted. The names of gateway
+// figures are those of hollow gateways; with RealPrefix they are the figures of gateway processes.
 const (
-	GatewayCPU              = "gateway.cpu_share"    // of a core, for everything
-	GatewayBusy             = "gateway.decide_share" // of a core, in the decision loop
-	GatewayResident         = "gateway.resident_mb"  // of hollow ones: the memory of their process by their number
-	GatewayHeap             = "gateway.heap_mb"      // of hollow ones only
-	GatewayConns            = "gateway.connections"  // to replicas
-	GatewayAttempts         = "gateway.attempts_per_s"
-	GatewayConnsOpened      = "gateway.opened_per_s" // connections for attempts
-	GatewayProbes           = "gateway.probes_per_s"
-	GatewayProbeBytes       = "gateway.probe_b_per_s" // in both directions
-	GatewayListBytes        = "gateway.list_b_per_s"  // in both directions
-	GatewayLists            = "gateway.lists_per_s"
-	GatewayReportAge        = "gateway.report_age_ms"  // of the load reports that attempts were decided on
-	GatewayReportUnknown    = "gateway.report_unknown" // share of attempts without a load report
-	GatewaySubset           = "gateway.subset"         // number of replicas
-	GatewayUnserved         = "gateway.unserved_share" // share of requests
-	ReplicaCPU              = "replica.cpu_share"
-	ReplicaProbes           = "replica.probes_per_s"
-	ReplicaConns            = "replica.connections"     // mean over replicas
-	ReplicaConnsMaxOverMean = "replica.conns_most_mean" // the largest over the mean
-	DiscoveryCPU            = "discovery.cpu_share"
-	DiscoveryBytes          = "discovery.b_per_s" // in both directions
-	DiscoveryCalls          = "discovery.lists_per_s"
-	ChangePropagation       = "change.in_force_ms" // until the last gateway has the change
+	GatewayCPU              = "gateway.cpu_share"       // CPU time of the gateway as a fraction of a core
+	GatewayBusy             = "gateway.decide_share"    // time in the decision loop as a fraction of a core
+	GatewayResident         = "gateway.resident_mb"     // hollow gateways: memory of their processes over their number
+	GatewayHeap             = "gateway.heap_mb"         // hollow gateways only
+	GatewayConns            = "gateway.connections"     // to replicas
+	GatewayAttempts         = "gateway.attempts_per_s"  // attempts sent to replicas
+	GatewayConnsOpened      = "gateway.opened_per_s"    // connections opened for attempts
+	GatewayProbes           = "gateway.probes_per_s"    // health checks
+	GatewayProbeBytes       = "gateway.probe_b_per_s"   // bytes of health checks, both directions
+	GatewayListBytes        = "gateway.list_b_per_s"    // bytes exchanged with discovery, both directions
+	GatewayLists            = "gateway.lists_per_s"     // requests to discovery
+	GatewayReportAge        = "gateway.report_age_ms"   // age of the load reports used to place attempts
+	GatewayReportUnknown    = "gateway.report_unknown"  // fraction of attempts placed without a load report
+	GatewaySubset           = "gateway.subset"          // replicas in the subset
+	GatewayUnserved         = "gateway.unserved_share"  // fraction of requests
+	ReplicaCPU              = "replica.cpu_share"       // fraction of a core
+	ReplicaProbes           = "replica.probes_per_s"    // health checks received
+	ReplicaConns            = "replica.connections"     // open connections
+	ReplicaConnsMaxOverMean = "replica.conns_most_mean" // maximum over replicas divided by the mean
+	DiscoveryCPU            = "discovery.cpu_share"     // fraction of a core
+	DiscoveryBytes          = "discovery.b_per_s"       // both directions
+	DiscoveryCalls          = "discovery.lists_per_s"   // requests received
+	ChangePropagation       = "change.in_force_ms"      // until the last gateway has a change of the endpoint list
 )
 
-// RealPrefix is the prefix for the figures of gateways that are processes.
+// RealPrefix precedes the name of a gateway figure that was measured on gateway processes.
 const RealPrefix = "real."
 
-// measurement is the state of all processes at one moment.
+// measurement contains the counters and usage of all processes at one moment.
 type measurement struct {
 	at              time.Time
 	replicas        []Reply
 	discovery       Reply
-	hollow          Reply // the sum over all processes
+	hollow          Reply // sum over the processes with hollow gateways
 	real            []controlstats.Stats
 	realUsage       []Usage
-	realServed      [2]int64
-	oldestList      int64     // the oldest version of the endpoint list that any gateway has
-	newestListSince time.Time // when the last gateway got its version
+	realServed      [2]int64  // requests to real gateways: served, unserved
+	oldestList      int64     // lowest version of the endpoint list at any gateway
+	newestListSince time.Time // latest time at which a gateway received its version
 }
 
-// measure measures all processes.
+// measure queries all processes of the fleet.
 func (f *testFleet) measure(ctx context.Context) (v measurement, err error) {
 	v.at = time.Now()
 	for _, r := range f.replicas {
@@ -91,7 +91,7 @@
 	return v, nil
 }
 
-// add adds the reply of another process.
+// add adds the usage, request counts and gateways of another process's reply.
 func (a *Reply) add(b Reply) {
 	a.Usage.CPU += b.Usage.CPU
 	a.Usage.ResidentMB += b.Usage.ResidentMB
@@ -100,7 +100,7 @@
 	a.Gateways = append(a.Gateways, b.Gateways...)
 }
 
-// figuresBetween returns the figures of the time between two measurements.
+// figuresBetween returns the figures of the period between measurements a and b.
 func figuresBetween(a, b measurement, size Size) map[string]float64 {
 	out := map[string]float64{}
 	seconds := b.at.Sub(a.at).Seconds()
@@ -108,7 +108,7 @@
 	addGatewayFigures(out, "", a.hollow.Gateways, b.hollow.Gateways, seconds)
 	out[GatewayCPU] = (b.hollow.Usage.CPU - a.hollow.Usage.CPU).Seconds() / seconds / n
 	out[GatewayResident], out[GatewayHeap] = b.hollow.Usage.ResidentMB/n, b.hollow.Usage.HeapMB/n
-	out[GatewayUnserved] = share(b.hollow.Unserved-a.hollow.Unserved, b.hollow.Served-a.hollow.Served)
+	out[GatewayUnserved] = fraction(b.hollow.Unserved-a.hollow.Unserved, b.hollow.Served-a.hollow.Served)
 	if len(b.real) > 0 {
 		addGatewayFigures(out, RealPrefix, a.real, b.real, seconds)
 		cpu, resident := 0.0, 0.0
@@ -117,7 +117,7 @@
 			resident += b.realUsage[i].ResidentMB
 		}
 		out[RealPrefix+GatewayCPU], out[RealPrefix+GatewayResident] = cpu/float64(len(b.real)), resident/float64(len(b.real))
-		out[RealPrefix+GatewayUnserved] = share(b.realServed[1]-a.realServed[1], b.realServed[0]-a.realServed[0])
+		out[RealPrefix+GatewayUnserved] = fraction(b.realServed[1]-a.realServed[1], b.realServed[0]-a.realServed[0])
 	}
 	addReplicaFigures(out, a, b, seconds, float64(size.Replicas))
 	calls, before := b.discovery.Calls, a.discovery.Calls
@@ -127,27 +127,27 @@
 	return out
 }
 
-// share returns a as a share of a and b together, 0 if both are 0.
-func share(a, b int64) float64 {
+// fraction returns a/(a+b), or 0 if both are 0.
+func fraction(a, b int64) float64 {
 	if a+b == 0 {
 		return 0
 	}
 	return float64(a) / float64(a+b)
 }
 
-// addGatewayFigures adds the means over gateways.
+// addGatewayFigures adds the gateway figures, whose names get the prefix, to out.
 func addGatewayFigures(out map[string]float64, prefix string, a, b []controlstats.Stats, seconds float64) {
 	n := float64(len(b))
 	add := func(name string, v float64) { out[prefix+name] += v / n }
 	var known, unknown int64
 	var age time.Duration
 	for i := range b {
-		was, is := a[i], b[i]
-		add(GatewayBusy, (is.LoopBusy-was.LoopBusy).Seconds()/seconds)
-		add(GatewayConns, float64(is.Connections))
-		add(GatewaySubset, float64(is.Subset))
+		before, after := a[i], b[i]
+		add(GatewayBusy, (after.LoopBusy-before.LoopBusy).Seconds()/seconds)
+		add(GatewayConns, float64(after.Connections))
+		add(GatewaySubset, float64(after.Subset))
 		traffic := func(p controlstats.Purpose) (calls, opened, bytes float64) {
-			t, s := is.Traffic[p], was.Traffic[p]
+			t, s := after.Traffic[p], before.Traffic[p]
 			return float64(t.Calls-s.Calls) / seconds, float64(t.ConnectionsOpened-s.ConnectionsOpened) / seconds,
 				float64(t.BytesIn+t.BytesOut-s.BytesIn-s.BytesOut) / seconds
 		}
@@ -160,28 +160,28 @@
 		calls, _, bytes = traffic(controlstats.PurposeDiscovery)
 		add(GatewayLists, calls)
 		add(GatewayListBytes, bytes)
-		known, unknown = known+is.Reports.WithReport-was.Reports.WithReport, unknown+is.Reports.WithoutReport-was.Reports.WithoutReport
-		age += is.Reports.Sum - was.Reports.Sum
+		known, unknown = known+after.Reports.WithReport-before.Reports.WithReport, unknown+after.Reports.WithoutReport-before.Reports.WithoutReport
+		age += after.Reports.Sum - before.Reports.Sum
 	}
 	if known > 0 {
 		out[prefix+GatewayReportAge] = age.Seconds() * 1000 / float64(known)
 	}
-	out[prefix+GatewayReportUnknown] = share(unknown, known)
+	out[prefix+GatewayReportUnknown] = fraction(unknown, known)
 }
 
-// addReplicaFigures adds the means over replicas.
+// addReplicaFigures adds the figures of n replicas to out.
 func addReplicaFigures(out map[string]float64, a, b measurement, seconds, n float64) {
-	conns, most := 0, 0
+	conns, maxConns := 0, 0
 	for i := range b.replicas {
-		is, was := b.replicas[i], a.replicas[i]
-		out[ReplicaCPU] += (is.Usage.CPU - was.Usage.CPU).Seconds() / seconds / n
-		out[ReplicaProbes] += float64(is.Calls.Probes-was.Calls.Probes) / seconds / n
-		for _, open := range is.ReplicaConns {
-			conns, most = conns+open, max(most, open)
+		after, before := b.replicas[i], a.replicas[i]
+		out[ReplicaCPU] += (after.Usage.CPU - before.Usage.CPU).Seconds() / seconds / n
+		out[ReplicaProbes] += float64(after.Calls.Probes-before.Calls.Probes) / seconds / n
+		for _, open := range after.ReplicaConns {
+			conns, maxConns = conns+open, max(maxConns, open)
 		}
 	}
 	out[ReplicaConns] = float64(conns) / n
 	if conns > 0 {
-		out[ReplicaConnsMaxOverMean] = float64(most) / out[ReplicaConns]
+		out[ReplicaConnsMaxOverMean] = float64(maxConns) / out[ReplicaConns]
 	}
 }
--- a/internal/scaletest/fit.go
+++ b/internal/scaletest/fit.go
@@ -9,22 +9,24 @@
 	"gonum.org/v1/gonum/stat/distuv"
 )
 
-// Slope is how a figure grows with the size that was varied, by least squares.
+// Slope is the least-squares line of a figure over the size that was varied.
 type Slope struct {
 	Figure       string     `json:"figure"`
 	Varied       string     `json:"varied"`
 	Points       int        `json:"points"`
-	At0          float64    `json:"at_0"`
+	Intercept    float64    `json:"at_0"`
 	Slope        float64    `json:"slope"`
-	Interval     [2]float64 `json:"interval"` // of the slope, 95%
-	Linear       bool       `json:"straight"` // the mean of each size lies within linearTolerance of the line
-	MaxDeviation float64    `json:"worst_miss"`
+	Interval     [2]float64 `json:"interval"`   // 95% confidence interval of the slope
+	Linear       bool       `json:"straight"`   // MaxDeviation is at most linearTolerance
+	MaxDeviation float64    `json:"worst_miss"` // largest relative deviation of a size's mean from the line
 }
 
-// linearTolerance is how far from the line the mean of a size may lie, as a share of the line's value.
+// linearTolerance is the largest deviation of a size's mean from the line, relative to the larger of the mean
+// and the line's value, at which the line fits.
 const linearTolerance = 0.2
 
-// FitSlopes fits a line to each figure over the size that was varied.
+// FitSlopes fits a line to each figure over each size that was varied. Figures with fewer than three points
+// or with points of only one size are left out.
 func FitSlopes(points []Point) (out []Slope) {
 	for _, varied := range []string{variedReplicas, variedGateways} {
 		var x []float64
@@ -53,7 +55,7 @@
 	return out
 }
 
-// size returns the size that was varied.
+// size returns the number of replicas or gateways, whichever was varied.
 func (p *Point) size(varied string) float64 {
 	if varied == variedReplicas {
 		return float64(p.Replicas)
@@ -61,29 +63,29 @@
 	return float64(p.Gateways)
 }
 
-// fitLine returns the least-squares line and the interval of its slope by Student's distribution. It
-// needs at least three points of two sizes.
+// fitLine returns the least-squares line and the confidence interval of its slope by Student's t
+// distribution. It reports false for fewer than three points or points of only one size.
 func fitLine(x, y []float64) (s Slope, ok bool) {
 	n := len(x)
 	if n < 3 || len(y) != n || slices.Min(x) == slices.Max(x) {
 		return s, false
 	}
 	s.Points = n
-	s.At0, s.Slope = stat.LinearRegression(x, y, nil, false)
-	mean, residual, spread := stat.Mean(x, nil), 0.0, 0.0
+	s.Intercept, s.Slope = stat.LinearRegression(x, y, nil, false)
+	mean, residualSum, sumSquaredX := stat.Mean(x, nil), 0.0, 0.0
 	sums, counts := map[float64]float64{}, map[float64]float64{}
 	for i := range x {
-		off := y[i] - s.At0 - s.Slope*x[i]
-		residual += off * off
-		spread += (x[i] - mean) * (x[i] - mean)
+		residual := y[i] - s.Intercept - s.Slope*x[i]
+		residualSum += residual * residual
+		sumSquaredX += (x[i] - mean) * (x[i] - mean)
 		sums[x[i]] += y[i]
 		counts[x[i]]++
 	}
 	t := distuv.StudentsT{Mu: 0, Sigma: 1, Nu: float64(n - 2)}.Quantile(0.975)
-	half := t * math.Sqrt(residual/float64(n-2)/spread)
-	s.Interval = [2]float64{s.Slope - half, s.Slope + half}
+	halfWidth := t * math.Sqrt(residualSum/float64(n-2)/sumSquaredX)
+	s.Interval = [2]float64{s.Slope - halfWidth, s.Slope + halfWidth}
 	for size, sum := range sums {
-		line, measured := s.At0+s.Slope*size, sum/counts[size]
+		line, measured := s.Intercept+s.Slope*size, sum/counts[size]
 		if scale := max(math.Abs(line), math.Abs(measured)); scale > 0 {
 			s.MaxDeviation = max(s.MaxDeviation, math.Abs(line-measured)/scale)
 		}
@@ -92,19 +94,20 @@
 	return s, true
 }
 
-// Comparison compares a figure of hollow gateways with that of real ones, over all sizes.
+// Comparison compares a figure of hollow gateways with that of real gateways. Hollow and Real are means over
+// all points.
 type Comparison struct {
 	Figure string  `json:"figure"`
 	Hollow float64 `json:"hollow"`
 	Real   float64 `json:"real"`
-	Ratio  float64 `json:"ratio"` // hollow over real, of the size where it is farthest from 1
-	Agrees bool    `json:"counts"`
+	Ratio  float64 `json:"ratio"`  // hollow over real, at the size where it is farthest from 1; 0 if undefined
+	Agrees bool    `json:"counts"` // Ratio is within agreementTolerance of 1
 }
 
-// agreementTolerance is how far a hollow figure may be from the real one to agree with it, as a share.
+// agreementTolerance is the largest difference between Comparison.Ratio and 1 at which the figures agree.
 const agreementTolerance = 0.2
 
-// Compare compares hollow figures with real ones, size by size.
+// Compare compares the figures of hollow gateways with those of real gateways, size by size.
 func Compare(points []Point) (out []Comparison) {
 	names := map[string]bool{}
 	for _, p := range points {
--- a/internal/scaletest/gateways.go
+++ b/internal/scaletest/gateways.go
@@ -17,11 +17,12 @@
 	"archknot/internal/simwire"
 )
 
-// GatewaysSpec describes gateways, both hollow ones and processes.
+// GatewaysSpec is the specification of a process with RoleGateways. It also describes the gateways that are
+// processes of their own.
 type GatewaysSpec struct {
-	First       int     `json:"first"` // index of the first
+	First       int     `json:"first"` // index of the first gateway
 	Count       int     `json:"count"`
-	FleetSize   int     `json:"of"` // the number of gateways in each one's configuration
+	FleetSize   int     `json:"of"` // number of gateways in the configuration of each gateway
 	Discovery   string  `json:"discovery"`
 	Zones       int     `json:"zones"`
 	SubsetSize  int     `json:"subset"`
@@ -30,13 +31,13 @@
 	Seed        uint64  `json:"seed"`
 }
 
-// The limits in the configuration of each gateway.
+// The limits in the platform's configuration of each gateway.
 const (
 	gatewayMemoryMB = 128
 	gatewaySockets  = 1024
 )
 
-// config returns the platform's configuration of one gateway.
+// config returns the platform's configuration of a gateway as JSON.
 func (s *GatewaysSpec) config(index int, listen string) ([]byte, error) {
 	const second = 1_000_000
 	settings := balancer.Settings{
@@ -105,15 +106,16 @@
 	Sockets  float64 `json:"sockets"`
 }
 
-// hollowGateways are the hollow gateways of one process. They run the program's own code; their clients
-// are in the same process.
+// hollowGateways are the hollow gateways of one process. They run the program's own code, with their
+// clients in the same process.
 type hollowGateways struct {
 	list    []*gateway.Gateway
 	traffic *loadGenerator
 	stop    context.CancelFunc
 }
 
-// startHollowGateways starts the gateways and their traffic. They end with the context or with Close.
+// startHollowGateways starts the gateways and their traffic. They stop when the context ends or Close is
+// called.
 func startHollowGateways(ctx context.Context, spec GatewaysSpec) (*hollowGateways, error) {
 	ctx, stop := context.WithCancel(ctx)
 	p := &hollowGateways{traffic: newLoadGenerator(ctx, spec.Rate, spec.Seed), stop: stop}
@@ -137,19 +139,20 @@
 		}
 		p.list = append(p.list, g)
 		listener := newMemoryListener()
-		go func() { _ = g.Serve(ctx, listener) }() // it ends with the context
+		go func() { _ = g.Serve(ctx, listener) }() // returns when the context ends
 		p.traffic.startTraffic("hollow", listener.dial)
 	}
 	return p, nil
 }
 
-// unusedAddress is the listen address in the configuration of a hollow gateway, which never listens there.
+// unusedAddress is the listen address in the configuration of a hollow gateway, which serves a memoryListener
+// instead.
 const unusedAddress = "127.0.0.1:1"
 
-// measureTimeout bounds the time that all gateways of a process take to return their statistics.
+// measureTimeout bounds the time in which all gateways of a process return their statistics.
 const measureTimeout = 10 * time.Second
 
-// Handle measures the gateways.
+// Handle carries out CommandMeasure: it returns the statistics of all gateways and their request counts.
 func (p *hollowGateways) Handle(ctx context.Context, command Command) Reply {
 	if command.Name != CommandMeasure {
 		return Reply{Error: "gateways: unknown command " + command.Name}
@@ -169,14 +172,14 @@
 	return reply
 }
 
-// Close ends all gateways.
+// Close stops the traffic, then all gateways.
 func (p *hollowGateways) Close() {
 	p.traffic.close()
 	p.stop()
 }
 
-// memoryListener accepts connections from within this process. They are pairs of connected descriptors,
-// because the gateway queries the system for the state of its clients' connections.
+// memoryListener accepts connections from within this process. The connections are socket pairs rather than
+// pipes in memory, because the gateway queries the kernel for the state of its clients' connections.
 type memoryListener struct {
 	accept chan net.Conn
 	closed chan struct{}
@@ -186,7 +189,7 @@
 	return &memoryListener{accept: make(chan net.Conn), closed: make(chan struct{})}
 }
 
-// dial returns one end of a new connection once the other is accepted.
+// dial returns the client's end of a new connection after the server's end was accepted.
 func (l *memoryListener) dial(ctx context.Context) (net.Conn, error) {
 	clientEnd, serverEnd, err := connPair()
 	if err != nil {
@@ -205,7 +208,7 @@
 	return nil, err
 }
 
-// connPair returns the two ends of a connection.
+// connPair returns the two ends of a Unix socket pair.
 func connPair() (a, b net.Conn, err error) {
 	ends, err := unix.Socketpair(unix.AF_UNIX, unix.SOCK_STREAM|unix.SOCK_CLOEXEC|unix.SOCK_NONBLOCK, 0)
 	if err != nil {
@@ -222,10 +225,10 @@
 	return a, b, nil
 }
 
-// connOfDescriptor returns the connection of a descriptor, which it closes.
+// connOfDescriptor returns a connection with a duplicate of a descriptor, and closes the descriptor.
 func connOfDescriptor(fd int) (net.Conn, error) {
 	f := os.NewFile(uintptr(fd), "pair")
-	defer f.Close() // the connection has a duplicate
+	defer f.Close() // net.FileConn duplicates the descriptor
 	return net.FileConn(f)
 }
 
@@ -239,7 +242,7 @@
 	}
 }
 
-// Close implements net.Listener. It may be called once.
+// Close implements net.Listener. It must not be called twice.
 func (l *memoryListener) Close() error {
 	close(l.closed)
 	return nil
--- a/internal/scaletest/processes.go
+++ b/internal/scaletest/processes.go
@@ -20,7 +20,7 @@
 // gatewayProcesses are gateways that run `archknot serve` in processes of their own.
 type gatewayProcesses struct{ list []*gatewayProcess }
 
-// gatewayProcess is one such process.
+// gatewayProcess is a process that runs `archknot serve`.
 type gatewayProcess struct {
 	address     string
 	controlPath string
@@ -28,7 +28,7 @@
 	cmd         *exec.Cmd
 }
 
-// startProcesses starts n gateways whose indexes begin at spec.First.
+// startProcesses starts n gateways with consecutive indexes from spec.First on.
 func startProcesses(program, dir string, spec GatewaysSpec, n int) (*gatewayProcesses, error) {
 	all := &gatewayProcesses{}
 	for i := range n {
@@ -71,7 +71,7 @@
 	return p, p.cmd.Start()
 }
 
-// freeAddress returns a loopback address that no socket listens on.
+// freeAddress returns a loopback address on which no socket listens at the moment.
 func freeAddress() (string, error) {
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -81,7 +81,7 @@
 	return listener.Addr().String(), nil
 }
 
-// waitUntilReady waits until all gateways are ready for clients.
+// waitUntilReady waits until the ready endpoint of each gateway returns 200.
 func (all *gatewayProcesses) waitUntilReady(ctx context.Context) error {
 	client := &http.Client{Timeout: time.Second}
 	for _, p := range all.list {
@@ -94,7 +94,7 @@
 				}
 			}
 			if !pause(ctx, 50*time.Millisecond) {
-				return fmt.Errorf("%s is not ready: %w", p.address, ctx.Err())
+				return fmt.Errorf("gateway %s is not ready: %w", p.address, ctx.Err())
 			}
 		}
 	}
@@ -104,7 +104,7 @@
 // measure returns the statistics of a gateway and the usage of its process.
 func (p *gatewayProcess) measure(ctx context.Context) (stats controlstats.Stats, usage Usage, err error) {
 	if err := controlsocket.Call(ctx, p.controlPath, "figures", struct{}{}, &stats); err != nil {
-		return stats, usage, fmt.Errorf("statistics of %s: %w", p.address, err)
+		return stats, usage, fmt.Errorf("read statistics of gateway %s: %w", p.address, err)
 	}
 	pid := p.cmd.Process.Pid
 	return stats, Usage{CPU: procstat.CPUTime(pid), ResidentMB: procstat.ResidentMB(pid)}, nil
--- a/internal/scaletest/replicas.go
+++ b/internal/scaletest/replicas.go
@@ -14,44 +14,43 @@
 	"archknot/internal/httpwire"
 )
 
-// ReplicasSpec is the specification of the role RoleReplicas.
+// ReplicasSpec is the specification of a process with RoleReplicas.
 type ReplicasSpec struct {
-	First      int           `json:"first"` // the number of the first replica
+	First      int           `json:"first"` // number of the first replica
 	Count      int           `json:"count"`
 	Zones      int           `json:"zones"`
 	Seed       uint64        `json:"seed"`
-	FirstEvent time.Duration `json:"first_event"` // the median time to the first event of a stream
+	FirstEvent time.Duration `json:"first_event"` // median time to the first event of a stream
 	Events     int           `json:"events"`
 	Gap        time.Duration `json:"gap"` // between two events of a stream
 }
 
-// hollowReplicas are the hollow replicas of one process. Each has its own address, id, zone, kind and
-// start time. They answer attempts after a random time, and health checks and load reports at once, and
-// do no work.
+// hollowReplicas are the hollow replicas of one process. Each has an address, id, zone, kind and start time
+// of its own. They respond to attempts after a random time and to health checks at once, and do no work.
 type hollowReplicas struct {
 	spec         ReplicasSpec
 	server       *http.Server
-	byAddress    map[string]*replicaState // by address
-	byNumber     []*replicaState
+	byAddress    map[string]*replicaState
+	byNumber     []*replicaState // in the order of replica numbers, from spec.First on
 	meter        connMeter
 	attempts     atomic.Int64
 	healthChecks atomic.Int64
 }
 
 type replicaState struct {
-	running     atomic.Int64
-	connections atomic.Int64
+	running     atomic.Int64 // attempts
+	connections atomic.Int64 // open connections
 }
 
 // replicaPort is the port of all hollow replicas. Their IP addresses differ.
 const replicaPort = 18081
 
-// replicaAddress returns the loopback address of a replica.
+// replicaAddress returns the loopback address of the replica with number n.
 func replicaAddress(n int) string {
 	return fmt.Sprintf("127.%d.%d.%d:%d", 64+n/62_500, n/250%250, 1+n%250, replicaPort)
 }
 
-// startHollowReplicas starts the replicas. The Greeting lists their endpoints.
+// startHollowReplicas starts the replicas and returns their endpoints in the Greeting.
 func startHollowReplicas(spec ReplicasSpec) (*hollowReplicas, Greeting, error) {
 	p := &hollowReplicas{spec: spec, byAddress: map[string]*replicaState{}}
 	p.server = &http.Server{Handler: p, IdleTimeout: time.Minute, ConnState: p.trackConn}
@@ -87,7 +86,7 @@
 
 // serveInBackground serves a listener until the server is closed.
 func serveInBackground(server *http.Server, listener net.Listener) {
-	go func() { _ = server.Serve(listener) }() // always returns an error, http.ErrServerClosed at the end
+	go func() { _ = server.Serve(listener) }() // the error is http.ErrServerClosed after Close
 }
 
 // trackConn counts the open connections of each replica.
@@ -101,7 +100,7 @@
 	}
 }
 
-// ServeHTTP serves the replica whose address the connection was made to.
+// ServeHTTP serves a request as the replica whose address is the local address of the connection.
 func (p *hollowReplicas) ServeHTTP(w http.ResponseWriter, r *http.Request) {
 	localAddr, ok := r.Context().Value(http.LocalAddrContextKey).(net.Addr)
 	if !ok {
@@ -123,15 +122,15 @@
 	}
 }
 
-// loadReport returns the load report of a replica that can run slots attempts at once.
+// loadReport returns the load report of a replica with a capacity of slots concurrent attempts.
 func (s *replicaState) loadReport() string {
 	const slots = 16
 	running := s.running.Load()
 	return fmt.Sprintf("busy_reqs=%d,pending=0,x0=%.4f", running, min(1, float64(running)/slots))
 }
 
-// serveAttempt answers an attempt with a stream of events: the first after a random time, the others
-// each after ReplicasSpec.Gap.
+// serveAttempt responds to an attempt with a stream of events: the first after a log-normal time with median
+// ReplicasSpec.FirstEvent, the others at intervals of ReplicasSpec.Gap.
 func (p *hollowReplicas) serveAttempt(w http.ResponseWriter, r *http.Request, state *replicaState) {
 	state.running.Add(1)
 	defer state.running.Add(-1)
@@ -158,7 +157,7 @@
 		"data: [DONE]\n\n: Srv-Load: %s\n\n", p.spec.Events, state.loadReport())
 }
 
-// pause waits for a duration, and reports false if the context ends first.
+// pause waits for a duration. It reports false if the context ends first.
 func pause(ctx context.Context, d time.Duration) bool {
 	timer := time.NewTimer(d)
 	defer timer.Stop()
@@ -170,7 +169,7 @@
 	}
 }
 
-// Handle measures the replicas.
+// Handle carries out CommandMeasure: it returns the calls served and each replica's open connections.
 func (p *hollowReplicas) Handle(_ context.Context, command Command) Reply {
 	if command.Name != CommandMeasure {
 		return Reply{Error: "replicas: unknown command " + command.Name}
@@ -191,13 +190,13 @@
 	return reply
 }
 
-// Close ends all replicas.
+// Close stops all replicas and closes their connections.
 func (p *hollowReplicas) Close() { p.server.Close() }
 
-// connMeter counts the bytes of connections.
+// connMeter counts the bytes that connections have received and sent.
 type connMeter struct{ in, out atomic.Int64 }
 
-// countedListener accepts connections whose bytes are counted.
+// countedListener accepts connections whose bytes are counted in a meter.
 type countedListener struct {
 	net.Listener
 	meter *connMeter
--- a/internal/scaletest/report.go
+++ b/internal/scaletest/report.go
@@ -6,8 +6,8 @@
 	"strings"
 )
 
-// WriteTables writes the result as Markdown tables: the slopes, hollow figures beside real ones, and the
-// means of each size.
+// WriteTables writes the result as Markdown tables: the slopes, the comparison of hollow and real gateways,
+// and the mean figures of each size. Errors of w are ignored.
 func (r *Result) WriteTables(w io.Writer) {
 	fmt.Fprintf(w, "Build %s, seed %d, %d runs of each size, %s measured of each.\n\n", r.Build, r.Plan.Seed, r.Plan.Repeat, r.Plan.Duration)
 	fmt.Fprint(w, "| figure | varied | at 0 | slope | 95% of the slope | a line fits |\n| --- | --- | --- | --- | --- | --- |\n")
@@ -16,7 +16,7 @@
 		if !s.Linear {
 			fits = fmt.Sprintf("no: off by %.0f%%", 100*s.MaxDeviation)
 		}
-		fmt.Fprintf(w, "| %s | %s | %.4g | %.4g | %.4g to %.4g | %s |\n", s.Figure, s.Varied, s.At0, s.Slope, s.Interval[0], s.Interval[1], fits)
+		fmt.Fprintf(w, "| %s | %s | %.4g | %.4g | %.4g to %.4g | %s |\n", s.Figure, s.Varied, s.Intercept, s.Slope, s.Interval[0], s.Interval[1], fits)
 	}
 	fmt.Fprint(w, "\n| hollow beside real | hollow | real | hollow over real, worst size | counts |\n| --- | --- | --- | --- | --- |\n")
 	for _, c := range r.Comparisons {
@@ -29,7 +29,7 @@
 	r.writeMeans(w)
 }
 
-// writeMeans writes the means of each size.
+// writeMeans writes the table of the mean figures of each size.
 func (r *Result) writeMeans(w io.Writer) {
 	var order []Size
 	sums, counts := map[Size]map[string]float64{}, map[Size]float64{}
--- a/internal/scaletest/role.go
+++ b/internal/scaletest/role.go
@@ -20,34 +20,35 @@
 )
 
 // The roles that a scale run starts as processes: `archknot drill scale-role ROLE`. Such a process reads
-// its specification and then commands from its standard input, one line of JSON each, and ends with it.
+// its specification and then commands from its standard input, one line of JSON each, and exits at the end
+// of the input.
 const (
-	RoleReplicas  = "replicas"
-	RoleDiscovery = "discovery"
-	RoleGateways  = "gateways"
+	RoleReplicas  = "replicas"  // hollow replicas
+	RoleDiscovery = "discovery" // the discovery service
+	RoleGateways  = "gateways"  // hollow gateways
 )
 
-// The commands of a role.
+// The commands that a process with a role accepts; CommandChangeList is for RoleDiscovery only.
 const (
 	CommandMeasure    = "look"   // reply with measurements
 	CommandChangeList = "change" // change the endpoint list
 )
 
-// Command is a line that a role reads.
+// Command is the line of JSON that requests an action of a process with a role.
 type Command struct {
 	Name string `json:"do"`
 }
 
-// Greeting is the first line that a role writes, once it is ready.
+// Greeting is the first line that a process with a role writes: that it is ready, or why it failed to start.
 type Greeting struct {
 	Address   string              `json:"address,omitempty"`
 	Endpoints []httpwire.Endpoint `json:"instances,omitempty"`
 	Error     string              `json:"error,omitempty"`
 }
 
-// Reply is the line that a role writes for a command.
+// Reply is the line of JSON that responds to a Command.
 type Reply struct {
-	Version int64     `json:"version,omitempty"` // of the endpoint list
+	Version int64     `json:"version,omitempty"` // version of the endpoint list
 	At      time.Time `json:"at"`
 	Usage   Usage     `json:"usage"`
 	Calls   Calls     `json:"calls"`
@@ -59,7 +60,7 @@
 	Error        string               `json:"error,omitempty"`
 }
 
-// Calls counts the requests that a role has served, by kind, and the bytes of its connections.
+// Calls counts the requests that a process has served, by kind, and the bytes of its connections.
 type Calls struct {
 	Attempts int64 `json:"attempts"`
 	Probes   int64 `json:"probes"`
@@ -68,7 +69,7 @@
 	BytesOut int64 `json:"bytes_out"`
 }
 
-// Usage is what a process has used of the machine.
+// Usage is the CPU time that a process has used and its present memory.
 type Usage struct {
 	CPU        time.Duration `json:"cpu_ns"`
 	ResidentMB float64       `json:"resident_mb"`
@@ -88,7 +89,7 @@
 	}
 }
 
-// roleProcess is a process that was started with a role.
+// roleProcess is a child process with a role.
 type roleProcess struct {
 	cmd      *exec.Cmd
 	in       io.WriteCloser
@@ -97,11 +98,11 @@
 	greeting Greeting
 }
 
-// startRole starts a process with a role and waits until it is ready.
+// startRole starts a process with a role, sends its specification and waits for its greeting.
 func startRole(ctx context.Context, program, name string, spec any) (*roleProcess, error) {
 	r := &roleProcess{cmd: exec.Command(program, "drill", "scale-role", name)}
 	r.cmd.Stderr = os.Stderr
-	r.cmd.SysProcAttr = &syscall.SysProcAttr{Setpgid: true} // an interrupt ends the run, which ends its roles
+	r.cmd.SysProcAttr = &syscall.SysProcAttr{Setpgid: true} // an interrupt reaches only the run, which stops the processes
 	var err error
 	if r.in, err = r.cmd.StdinPipe(); err != nil {
 		return nil, err
@@ -125,7 +126,7 @@
 	return r, nil
 }
 
-// exchange writes a line and reads the reply to it.
+// exchange writes a line of JSON to the process and reads the line that responds to it.
 func (r *roleProcess) exchange(ctx context.Context, request, reply any) error {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -141,7 +142,7 @@
 		}
 		line, err := r.out.ReadBytes('\n')
 		if err != nil {
-			done <- fmt.Errorf("ended by itself: %w", err)
+			done <- fmt.Errorf("process ended before it replied: %w", err)
 			return
 		}
 		done <- json.Unmarshal(line, reply)
@@ -154,7 +155,7 @@
 	}
 }
 
-// command has a role carry out a command.
+// command sends a command and returns the reply, or the error that the reply contains.
 func (r *roleProcess) command(ctx context.Context, command Command) (Reply, error) {
 	var reply Reply
 	if err := r.exchange(ctx, command, &reply); err != nil {
@@ -166,7 +167,7 @@
 	return reply, nil
 }
 
-// pid returns the id of the process, 0 if there is none.
+// pid returns the id of the process, or 0 if it was not started.
 func (r *roleProcess) pid() int {
 	if r == nil || r.cmd.Process == nil {
 		return 0
@@ -188,16 +189,17 @@
 type RoleServer interface {
 	// Handle carries out a command.
 	Handle(ctx context.Context, command Command) Reply
-	// Close ends the work.
+	// Close stops the server.
 	Close()
 }
 
-// Serve runs a role until its input ends.
+// Serve runs a role until the end of in: it reads the specification and commands from in, and writes the
+// Greeting and replies to out. An error of the start is reported in the Greeting.
 func Serve(ctx context.Context, name string, in io.Reader, out io.Writer) error {
 	lines := bufio.NewReaderSize(in, 1<<16)
 	spec, err := lines.ReadBytes('\n')
 	if err != nil {
-		return fmt.Errorf("scale-role: no specification: %w", err)
+		return fmt.Errorf("scale-role: read specification: %w", err)
 	}
 	ctx, stop := context.WithCancel(ctx)
 	defer stop()
@@ -220,7 +222,7 @@
 		}
 		var command Command
 		if err := json.Unmarshal(line, &command); err != nil {
-			return fmt.Errorf("scale-role: command: %w", err)
+			return fmt.Errorf("scale-role: parse command: %w", err)
 		}
 		if err := replies.Encode(server.Handle(ctx, command)); err != nil {
 			return err
@@ -228,7 +230,7 @@
 	}
 }
 
-// startServer starts a role with its specification.
+// startServer starts the server of a role. spec is the JSON of the role's specification.
 func startServer(ctx context.Context, name string, spec []byte) (RoleServer, Greeting, error) {
 	switch name {
 	case RoleReplicas:
--- a/internal/scaletest/scale.go
+++ b/internal/scaletest/scale.go
@@ -1,9 +1,10 @@
-// Package scaletest measures what a gateway, a replica and discovery cost as a fleet grows. Replicas and
-// most gateways are hollow: thousands of replicas that do no work, and many gateways, in a few
-// processes. Hollow gateways run the program's own code, with their clients in the same process. A few
-// gateways are processes of their own, with which the figures of the hollow ones are compared.
+// Package scaletest measures the CPU time, memory, connections and traffic of gateways, replicas and discovery
+// as a fleet grows. Replicas and most gateways are hollow: thousands of replicas that do no work, and many
+// gateways, share a few processes. Hollow gateways run the program's own code, with their clients in the
+// same process. A few gateways are processes of their own; the figures of the hollow gateways are compared
+// with theirs.
 //
-// Everything is on loopback addresses, and each process is ended by its id.
+// All addresses are loopback addresses, and each process is killed by its id.
 package scaletest
 
 import (
@@ -23,17 +24,17 @@
 
 // Options are the parameters of a run besides its plan.
 type Options struct {
-	Program    string                                    // file of the program for roles and gateways; empty: this process's
-	OnProgress func(done, total int, description string) // before each point; may be nil
+	Program    string                                    // executable of roles and gateways; empty: this process's own
+	OnProgress func(done, total int, description string) // called before each point; may be nil
 }
 
-// Size is the size of a fleet.
+// Size is the number of replicas and hollow gateways of a fleet.
 type Size struct {
 	Replicas int `json:"replicas"`
 	Gateways int `json:"gateways"` // hollow ones
 }
 
-// Point is a measurement at one size.
+// Point is one measurement of a fleet of one size.
 type Point struct {
 	Size
 	Varied  string             `json:"varied"` // variedReplicas or variedGateways
@@ -41,7 +42,7 @@
 	Figures map[string]float64 `json:"figures"` // by name, see GatewayCPU and the following
 }
 
-// Result is the result of a run.
+// Result contains the measurements of a run and the lines and comparisons computed from them.
 type Result struct {
 	Build       string           `json:"build"`
 	Plan        *config.ScaleRun `json:"plan"`
@@ -56,7 +57,7 @@
 	variedGateways = "gateways"
 )
 
-// PlannedPoints returns the points that a plan measures, in order, without their figures.
+// PlannedPoints returns the points that a plan measures, in order and without figures.
 func PlannedPoints(p *config.ScaleRun) (out []Point) {
 	for repeat := range p.Repeat {
 		for _, n := range p.Replicas {
@@ -69,7 +70,8 @@
 	return out
 }
 
-// Run measures all points of a plan.
+// Run measures all points of a plan one after another, each with a fleet of its own. It stops at the first
+// error.
 func Run(ctx context.Context, p *config.ScaleRun, o Options) (*Result, error) {
 	if o.Program == "" {
 		self, err := os.Executable()
@@ -93,10 +95,10 @@
 	return result, nil
 }
 
-// startAndStopTime is how long a fleet may take besides settling and being measured.
+// startAndStopTime bounds the time of a point besides settling and traffic.
 const startAndStopTime = 3 * time.Minute
 
-// measurePoint starts a fleet of one size, measures its figures and ends all its processes.
+// measurePoint starts a fleet of one size, measures its figures and stops all its processes.
 func measurePoint(ctx context.Context, p *config.ScaleRun, program string, point *Point, seed uint64) error {
 	ctx, stop := context.WithTimeout(ctx, p.SettleTime+p.Duration+startAndStopTime)
 	defer stop()
@@ -133,7 +135,7 @@
 	return nil
 }
 
-// testFleet is the processes of one point.
+// testFleet contains the processes of one point.
 type testFleet struct {
 	plan           *config.ScaleRun
 	program        string
@@ -145,11 +147,11 @@
 	hollowGateways []*roleProcess
 	realGateways   *gatewayProcesses
 	endpoints      []httpwire.Endpoint
-	traffic        *loadGenerator // to the real gateways
+	traffic        *loadGenerator // sends to the real gateways
 }
 
-// The hollow replicas and gateways of one process stay within the usual limit on descriptors, with a
-// listener and connections for each.
+// The largest numbers of hollow replicas and gateways in one process. Each has a listener and connections,
+// which stay within the usual limit on file descriptors.
 const (
 	replicasPerProcess = 2500
 	gatewaysPerProcess = 25
@@ -193,7 +195,7 @@
 	return nil
 }
 
-// close ends the traffic, then all processes.
+// close stops the traffic, then kills all processes.
 func (f *testFleet) close() {
 	if f.traffic != nil {
 		f.traffic.close()
@@ -213,7 +215,7 @@
 	return out
 }
 
-// wait waits for a duration. It returns an error once the processes use more memory than the plan allows.
+// wait waits for a duration. It returns an error as soon as the processes use more memory than the plan allows.
 func (f *testFleet) wait(ctx context.Context, d time.Duration) error {
 	const checkInterval = 500 * time.Millisecond
 	for end := time.Now().Add(d); time.Now().Before(end); {
@@ -223,7 +225,7 @@
 			return ctx.Err()
 		}
 		if mb := f.residentMB(); mb > float64(f.plan.MemoryMB) {
-			return fmt.Errorf("all processes take %.0f MB, scale.memory allows %d", mb, f.plan.MemoryMB)
+			return fmt.Errorf("resident memory of all processes is %.0f MB, scale.memory allows %d MB", mb, f.plan.MemoryMB)
 		}
 	}
 	return nil
@@ -241,7 +243,7 @@
 	return sum
 }
 
-// runTraffic waits for the measured time, and changes the endpoint list at the plan's interval.
+// runTraffic lets the traffic run for the plan's duration and changes the endpoint list at the plan's interval.
 func (f *testFleet) runTraffic(ctx context.Context) error {
 	for end := time.Now().Add(f.plan.Duration); ; {
 		if err := f.wait(ctx, min(f.plan.ChangeInterval, time.Until(end))); err != nil {
@@ -256,10 +258,10 @@
 	}
 }
 
-// timedChanges is how many changes of the endpoint list are timed until all gateways have them, and
-// propagationTimeout how long each may take.
 const (
-	timedChanges       = 3
+	// timedChanges is the number of changes of the endpoint list whose propagation time is measured.
+	timedChanges = 3
+	// propagationTimeout bounds the time until all gateways have a change of the endpoint list.
 	propagationTimeout = 6 * time.Second
 )
 
@@ -280,10 +282,12 @@
 	return sum / timedChanges, nil
 }
 
-// errNotPropagated is the error for a change of the endpoint list that some gateway did not get in time.
-var errNotPropagated = errors.New("a change was not in force at all gateways in time")
+// errNotPropagated reports a change of the endpoint list that some gateway did not receive within
+// propagationTimeout.
+var errNotPropagated = errors.New("change of the endpoint list did not reach all gateways within the time limit")
 
-// waitForPropagation returns when the last gateway got a version of the endpoint list.
+// waitForPropagation waits until all gateways have a version of the endpoint list, and returns the time at
+// which the last gateway received it.
 func (f *testFleet) waitForPropagation(ctx context.Context, version int64, since time.Time) (last time.Time, err error) {
 	for time.Since(since) < propagationTimeout {
 		if err := f.wait(ctx, 200*time.Millisecond); err != nil {
--- a/internal/scaletest/scale_test.go
+++ b/internal/scaletest/scale_test.go
@@ -15,7 +15,7 @@
 	"archknot/internal/scaletest"
 )
 
-// The gateways and roles of a run are processes of the test binary.
+// TestMain runs the program's own command line when a scale run starts the test binary as a gateway or a role.
 func TestMain(m *testing.M) {
 	if len(os.Args) > 1 && (os.Args[1] == "serve" || os.Args[1] == "drill") {
 		cli.Exec()
@@ -23,11 +23,11 @@
 	os.Exit(m.Run())
 }
 
-// A small run has all figures at each size: hollow and real gateways follow an endpoint list that comes in
-// one chunk and its changes, use only their subsets, poll discovery and send requests.
+// A small run measures all figures at each size. Hollow and real gateways receive the endpoint list in one
+// chunk and then its changes, stay within their subsets, poll discovery and send attempts.
 func TestSmallRun(t *testing.T) {
 	if testing.Short() {
-		t.Skip("it starts processes")
+		t.Skip("starts processes")
 	}
 	p, err := config.LoadScaleRun("testdata/small.plan")
 	if err != nil {
@@ -40,35 +40,36 @@
 		t.Fatal(err)
 	}
 	if len(res.Points) != 4 {
-		t.Fatalf("%d points", len(res.Points))
+		t.Fatalf("%d points, want 4", len(res.Points))
 	}
 	for _, point := range res.Points {
 		f := point.Figures
 		for _, prefix := range []string{"", scaletest.RealPrefix} {
-			if got := f[prefix+scaletest.GatewayAttempts]; got < 5 || got > 45 { // beyond a Poisson count of 20 by chance once in 10,000
-				t.Errorf("%+v %s: %.1f attempts a second, 20 are drawn", point.Size, prefix, got)
+			if got := f[prefix+scaletest.GatewayAttempts]; got < 5 || got > 45 { // a Poisson count with mean 20 is outside once in 10,000
+				t.Errorf("%+v %s: %.1f attempts per second, want 5 to 45 at a rate of 20", point.Size, prefix, got)
 			}
 			if got := f[prefix+scaletest.GatewaySubset]; got > 32 || got < 12 {
-				t.Errorf("%+v %s: a subset of %.1f", point.Size, prefix, got)
+				t.Errorf("%+v %s: %.1f replicas in the subset, want 12 to 32", point.Size, prefix, got)
 			}
 			if f[prefix+scaletest.GatewayUnserved] > 0.5 || f[prefix+scaletest.GatewayBusy] <= 0 || f[prefix+scaletest.GatewayConns] <= 0 || f[prefix+scaletest.GatewayListBytes] <= 0 {
-				t.Errorf("%+v %s: %v", point.Size, prefix, f)
+				t.Errorf("%+v %s: figure out of range: %v", point.Size, prefix, f)
 			}
 		}
 		if f[scaletest.ChangePropagation] <= 0 || f[scaletest.ChangePropagation] > 4000 || f[scaletest.DiscoveryCalls] <= 0 || f[scaletest.ReplicaConns] <= 0 {
-			t.Errorf("%+v: %v", point.Size, f)
+			t.Errorf("%+v: figure out of range: %v", point.Size, f)
 		}
 	}
 	var out bytes.Buffer
 	res.WriteTables(&out)
 	for _, want := range []string{"gateway.attempts_per_s", "| figure | 40 x 3 | 80 x 3 | 80 x 2 | 80 x 4 |", "hollow beside real"} {
 		if !strings.Contains(out.String(), want) {
-			t.Errorf("no %q in the table:\n%s", want, out.String())
+			t.Errorf("tables do not contain %q:\n%s", want, out.String())
 		}
 	}
 }
 
-// FitSlopes finds a line with its interval, and reports a curve as not linear.
+// FitSlopes returns the slope of a noisy line with an interval that contains it, and reports a curve as not
+// linear. Compare reports figures that differ by half as not in agreement.
 func TestFitSlopes(t *testing.T) {
 	points := func(f func(n float64) float64) (out []scaletest.Point) {
 		for _, n := range []int{100, 1000, 3000, 6000} {
@@ -88,14 +89,15 @@
 		t.Errorf("%+v", s)
 	}
 	if s := scaletest.FitSlopes(points(func(n float64) float64 { return n * n }))[1]; s.Linear {
-		t.Errorf("a square is taken for a line: %+v", s)
+		t.Errorf("a quadratic figure is reported as linear: %+v", s)
 	}
 	if c := scaletest.Compare(points(func(n float64) float64 { return n })); len(c) != 1 || c[0].Agrees || math.Abs(c[0].Ratio-2/3.0) > 0.01 {
-		t.Errorf("hollow beside real: %+v", c)
+		t.Errorf("comparison of hollow and real figures: %+v", c)
 	}
 }
 
-// An error in a plan names its key.
+// Each invalid plan is rejected with an error that names the key and the expected value, and `drill scale`
+// exits with ExitError.
 func TestPlansAreChecked(t *testing.T) {
 	for text, want := range map[string]string{
 		"[scale]\nreplicas 100 20\n":        "scale.replicas: expected 1 to 20 numbers, each larger",
@@ -119,7 +121,7 @@
 		}
 		out := bytes.Buffer{}
 		if code := cli.Main([]string{"drill", "scale", path}, &out, &out, func(string) string { return "" }); code != cli.ExitError {
-			t.Errorf("%q: exit code %d", text, code)
+			t.Errorf("%q: exit code %d, want cli.ExitError", text, code)
 		}
 	}
 }
