--- a/internal/siteforecast/forecast.go
+++ b/internal/siteforecast/forecast.go
@@ -1,6 +1,6 @@
-// Package siteforecast forecasts the effects of the loss of a site: it runs a plan's fleet and traffic on
-// the fleet model, which has the gateway's own balancer, with and without the loss. It does no I/O, and all
-// random numbers come from the seeds.
+// Package siteforecast forecasts the effects of the loss of a site. It simulates a plan's fleet and traffic with
+// and without the loss on the fleet model, which uses the gateway's own balancer. It does no I/O, and all
+// random numbers are derived from the seeds.
 package siteforecast
 
 import (
@@ -18,64 +18,67 @@
 )
 
 const (
-	// keptThreshold is the share of the goodput without a loss from which the fleet counts as keeping it.
-	keptThreshold = 0.98
-	// recoveredThreshold is that share for a single second, from which it counts as recovered.
-	recoveredThreshold = 0.95
-	// maxSpareSeeds is how many seeds each spare factor is run with.
+	// sustainedFraction is the least goodput with a loss, as a fraction of the goodput without it, at which
+	// the fleet sustains its goodput.
+	sustainedFraction = 0.98
+	// recoveredFraction is the least goodput of a second after a loss, as a fraction of the goodput of the same
+	// second without it, at which the fleet has recovered.
+	recoveredFraction = 0.95
+	// maxSpareSeeds bounds the number of seeds that each spare factor is run with.
 	maxSpareSeeds = 3
-	// notRecovered is RecoverySeconds if the fleet does not recover in the observed time.
+	// notRecovered is the value of RecoverySeconds if the fleet does not recover in the observed time.
 	notRecovered = -1
 )
 
-// spareFactors are the factors on the replicas of other sites that are tried.
+// spareFactors are the candidates for Forecast.SpareFactor, in ascending order.
 var spareFactors = []float64{1.1, 1.2, 1.3, 1.5, 1.75, 2, 2.5, 3}
 
-// Class is a class's part of a forecast.
+// Class is the forecast for the requests of one class.
 type Class struct {
 	Name              string  `json:"name"`
 	RequestsPerSecond float64 `json:"per_s"`
-	WorkMs            float64 `json:"work_ms"`    // a replica's time for a request, with a full batch
-	WeightPerWork     float64 `json:"per_work"`   // priority weight for a second of work: the lowest is shed first
-	Baseline          float64 `json:"calm"`       // share of weight served without the loss
-	Served            Range   `json:"served"`     // share of weight served with the loss
-	Shed              Range   `json:"refused"`    // share of requests shed
-	Late              float64 `json:"late_share"` // share of requests served after the latency objective
+	WorkMs            float64 `json:"work_ms"`    // mean time of a replica for a request, with a full batch
+	WeightPerWork     float64 `json:"per_work"`   // priority weight per second of work; the class with the lowest is shed first
+	Baseline          float64 `json:"calm"`       // fraction of weight served without the loss
+	Served            Range   `json:"served"`     // fraction of weight served with the loss
+	Shed              Range   `json:"refused"`    // fraction of requests shed with the loss
+	Late              float64 `json:"late_share"` // fraction of requests served after the latency objective, with the loss
 }
 
-// Second is a second of the run, from the loss on: the shares of weight served.
+// Second contains the fractions of weight served in one second of the runs.
 type Second struct {
-	At       float64 `json:"at_s"`
+	At       float64 `json:"at_s"` // start in seconds after the loss
 	WithLoss Range   `json:"loss"`
 	Baseline Range   `json:"calm"`
 }
 
-// Forecast is what is to be expected of a loss.
+// Forecast contains the predicted effects of a loss.
 type Forecast struct {
 	Lost            Loss      `json:"lost"`
 	Seeds           int       `json:"seeds"`
 	Sites           []Site    `json:"sites"`
 	Classes         []Class   `json:"classes"` // in the order in which they are shed
-	Served          Range     `json:"served"`  // share of weight served with the loss
-	Baseline        Range     `json:"calm"`    // share of weight served without it
-	FluidBound      float64   `json:"fluid"`   // see fluidBound
-	RecoverySeconds float64   `json:"back_s"`  // from the site's return until as much is served as without the loss; -1: longer than observed
-	SpareFactor     float64   `json:"spare"`   // factor on the replicas of other sites with which the goodput is kept; 0: more than the largest tried
-	Seconds         []Second  `json:"seconds"`
-	ServedBySeed    []float64 `json:"-"` // share of weight served with the loss
+	Served          Range     `json:"served"`  // fraction of weight served with the loss
+	Baseline        Range     `json:"calm"`    // fraction of weight served without the loss
+	FluidBound      float64   `json:"fluid"`   // upper bound of Served, see fluidBound
+	RecoverySeconds float64   `json:"back_s"`  // from the site's return until recoveredFraction is reached for good; -1: not in the observed time
+	SpareFactor     float64   `json:"spare"`   // factor on the replicas of the other sites that sustains the goodput; 0: above the largest candidate
+	Seconds         []Second  `json:"seconds"` // from the loss on
+	ServedBySeed    []float64 `json:"-"`       // fraction of weight served with the loss, for each seed
 }
 
-// Options of a forecast.
+// Options are the parameters of a forecast.
 type Options struct {
-	Seeds     int
-	FirstSeed uint64
-	OnRunDone func() // called after each run, from many goroutines; may be nil
+	Seeds     int    // number of successive seeds; each is run with and without the loss
+	FirstSeed uint64 // lowest seed
+	OnRunDone func() // called concurrently, after each of the 2*Seeds runs; may be nil
 }
 
-// SpecFunc returns the run of a plan with a seed. It is called from many goroutines at once.
+// SpecFunc returns the specification of a plan's run with a seed. It must be safe for concurrent use.
 type SpecFunc func(seed uint64) (*model.Spec, error)
 
-// Run runs a plan with and without a loss, and forecasts the loss.
+// Run simulates a plan with and without a loss and forecasts the effects of the loss. It returns an error if the
+// plan has no such site, a time of the loss is invalid, a run fails or the context ends.
 func Run(ctx context.Context, spec SpecFunc, l Loss, o Options) (*Forecast, error) {
 	base, err := spec(o.FirstSeed)
 	if err != nil {
@@ -104,7 +107,7 @@
 	return f, f.findSpareFactor(ctx, spec, o)
 }
 
-// runPairs runs each seed with and without the loss.
+// runPairs runs each seed with and without the loss. The results are in the order of seeds.
 func runPairs(ctx context.Context, spec SpecFunc, l Loss, o Options) (withLoss, baseline []*model.Result, err error) {
 	withLoss, baseline = make([]*model.Result, o.Seeds), make([]*model.Result, o.Seeds)
 	err = runParallel(ctx, o.Seeds*2, func(i int) error {
@@ -119,7 +122,7 @@
 		results := withLoss
 		if i%2 == 1 {
 			results = baseline
-			s.Faults = s.Faults[:len(s.Faults)-1] // without the loss, which is the last one
+			s.Faults = s.Faults[:len(s.Faults)-1] // Loss.Spec appends the loss of the replicas
 		}
 		results[i/2], err = model.Run(s)
 		if o.OnRunDone != nil {
@@ -130,7 +133,8 @@
 	return withLoss, baseline, err
 }
 
-// runParallel calls do with 0 to n-1 on all cores, until one of the calls fails.
+// runParallel calls do with each of 0 to n-1, GOMAXPROCS calls at a time. After an error, or when the context
+// ends, it starts no further calls; it returns the first error.
 func runParallel(ctx context.Context, n int, do func(i int) error) error {
 	group, ctx := errgroup.WithContext(ctx)
 	group.SetLimit(runtime.GOMAXPROCS(0))
@@ -145,7 +149,7 @@
 	return group.Wait()
 }
 
-// forecastClass forecasts a class. It returns false if the class has no traffic.
+// forecastClass returns the forecast of a class. It reports false if the class has no traffic.
 func forecastClass(s *model.Spec, class *balancer.Class, withLoss, baseline []*model.Result) (Class, bool) {
 	work, requests := 0.0, 0.0 // per second
 	for i := range s.Streams {
@@ -179,46 +183,48 @@
 	}, true
 }
 
-// goodputs returns the share of weight served in each run, of a class or, for "", of all.
-func goodputs(results []*model.Result, class string) (shares []float64) {
+// goodputs returns the fraction of weight served in each run, for one class or, if class is "", for all. Runs
+// without such requests are left out.
+func goodputs(results []*model.Result, class string) (fractions []float64) {
 	for _, r := range results {
 		c := r.All
 		if class != "" {
 			c = r.Classes[class]
 		}
 		if c != nil && c.WeightOffered > 0 {
-			shares = append(shares, c.WeightedGoodput())
+			fractions = append(fractions, c.WeightedGoodput())
 		}
 	}
-	return shares
+	return fractions
 }
 
-// compareSeconds compares the goodput second by second, from the loss on.
+// compareSeconds sets Seconds: the goodput with and without the loss, second by second from the loss on.
 func (f *Forecast) compareSeconds(withLoss, baseline []*model.Result) {
 	for i := int(f.Lost.At / windowLength); i < len(withLoss[0].Windows); i++ {
-		lossShares, baselineShares := windowGoodputs(withLoss, i), windowGoodputs(baseline, i)
-		if len(lossShares) == 0 || len(baselineShares) == 0 {
+		lossFractions, baselineFractions := windowGoodputs(withLoss, i), windowGoodputs(baseline, i)
+		if len(lossFractions) == 0 || len(baselineFractions) == 0 {
 			continue
 		}
 		at := withLoss[0].Windows[i].At - f.lostAtSeconds()
-		f.Seconds = append(f.Seconds, Second{at, newRange(lossShares), newRange(baselineShares)})
+		f.Seconds = append(f.Seconds, Second{at, newRange(lossFractions), newRange(baselineFractions)})
 	}
 }
 
 func (f *Forecast) lostAtSeconds() float64 { return float64(f.Lost.At) / 1e6 }
 
-// windowGoodputs returns the share of weight served in a window of each run.
-func windowGoodputs(results []*model.Result, index int) (shares []float64) {
+// windowGoodputs returns the fraction of weight served in a window of each run. Runs without requests in the
+// window are left out.
+func windowGoodputs(results []*model.Result, index int) (fractions []float64) {
 	for _, r := range results {
 		if w := r.Windows[index]; w.WeightOffered > 0 {
-			shares = append(shares, w.WeightServed/w.WeightOffered)
+			fractions = append(fractions, w.WeightServed/w.WeightOffered)
 		}
 	}
-	return shares
+	return fractions
 }
 
-// findRecovery sets RecoverySeconds: the fleet has recovered from the first second after the last one that
-// fell short.
+// findRecovery sets RecoverySeconds. The fleet has recovered at the start of the first second from which on no
+// second's goodput is below recoveredFraction of the baseline.
 func (f *Forecast) findRecovery() {
 	returnAt := float64(f.Lost.At+f.Lost.Duration) / 1e6
 	for _, s := range slices.Backward(f.Seconds) {
@@ -227,16 +233,17 @@
 			f.RecoverySeconds = max(0, f.RecoverySeconds)
 			return
 		}
-		if s.WithLoss.Mean < recoveredThreshold*s.Baseline.Mean {
+		if s.WithLoss.Mean < recoveredFraction*s.Baseline.Mean {
 			return
 		}
 		f.RecoverySeconds = max(0, at-returnAt)
 	}
 }
 
-// findSpareFactor sets SpareFactor: the first of spareFactors with which the fleet keeps its goodput.
+// findSpareFactor sets SpareFactor to 1 if the fleet sustains its goodput as it is, and otherwise to the first
+// of spareFactors with which it does.
 func (f *Forecast) findSpareFactor(ctx context.Context, spec SpecFunc, o Options) error {
-	if f.Served.Mean >= keptThreshold*f.Baseline.Mean {
+	if f.Served.Mean >= sustainedFraction*f.Baseline.Mean {
 		f.SpareFactor = 1
 		return nil
 	}
@@ -261,8 +268,8 @@
 	if err != nil {
 		return err
 	}
-	for i, shares := range goodput {
-		if stat.Mean(shares, nil) >= keptThreshold*f.Baseline.Mean {
+	for i, fractions := range goodput {
+		if stat.Mean(fractions, nil) >= sustainedFraction*f.Baseline.Mean {
 			f.SpareFactor = spareFactors[i]
 			return nil
 		}
@@ -270,7 +277,7 @@
 	return nil
 }
 
-// runWithSpare runs the loss with a factor on the replicas of the other sites.
+// runWithSpare runs the loss with the replicas of the other sites multiplied by a factor.
 func (f *Forecast) runWithSpare(s *model.Spec, factor float64) (*model.Result, error) {
 	s, err := f.Lost.Spec(s)
 	if err != nil {
@@ -285,7 +292,7 @@
 	return model.Run(s)
 }
 
-// ByClass returns the forecast's classes by name.
+// ByClass returns the forecasts of the classes, keyed by class name.
 func (f *Forecast) ByClass() map[string]Class {
 	byName := map[string]Class{}
 	for _, class := range f.Classes {
--- a/internal/siteforecast/forecast_test.go
+++ b/internal/siteforecast/forecast_test.go
@@ -12,7 +12,7 @@
 
 const second balancer.Micros = 1_000_000
 
-// plan returns the runs of a variant of the site-loss plan.
+// plan returns a SpecFunc for a variant of the site-loss plan.
 func plan(t *testing.T, variant string) SpecFunc {
 	t.Helper()
 	p, err := config.LoadPlan("../../deploy/site-loss.plan")
@@ -28,8 +28,8 @@
 	return nil
 }
 
-// A forecast is deterministic, within the fluid bound, sheds the lowest weight for its work first, and is worse
-// for more traffic.
+// A forecast is deterministic, stays within the fluid bound, sheds the classes with the lowest weight per work
+// first, and predicts less goodput for more traffic.
 func TestForecast(t *testing.T) {
 	l := Loss{Site: "south", At: 4 * second, Duration: 5 * second, NoticedAfter: 6 * second, Observed: 15 * second}
 	forecast := func(variant string) *Forecast {
@@ -42,25 +42,26 @@
 	}
 	usual, full := forecast("usual"), forecast("full")
 	if !reflect.DeepEqual(usual, forecast("usual")) {
-		t.Error("two forecasts of one plan differ")
+		t.Error("two forecasts of the same plan differ")
 	}
 	if usual.Served.Mean < full.Served.Mean || full.FluidBound >= usual.FluidBound || full.Sites[0].LoadAfterLoss <= 1 || usual.Sites[0].LoadAfterLoss >= 1 {
-		t.Errorf("more traffic is no worse: %+v and %+v", usual.Sites, full.Sites)
+		t.Errorf("the forecast for more traffic is not worse: %+v and %+v", usual.Sites, full.Sites)
 	}
 	if full.Served.Mean > full.FluidBound+0.03 {
-		t.Errorf("served %.3f, above the fluid bound %.3f", full.Served.Mean, full.FluidBound)
+		t.Errorf("fraction served %.3f is above the fluid bound %.3f", full.Served.Mean, full.FluidBound)
 	}
 	for i := 1; i < len(full.Classes); i++ {
 		if full.Classes[i].WeightPerWork < full.Classes[i-1].WeightPerWork {
-			t.Errorf("the order in which classes are shed: %+v", full.Classes)
+			t.Errorf("classes are not in ascending order of weight per work: %+v", full.Classes)
 		}
 	}
 	if len(full.Seconds) < 14 || full.SpareFactor < 1.1 || usual.SpareFactor != 1 {
-		t.Errorf("%d seconds, spare %.2f and %.2f", len(full.Seconds), full.SpareFactor, usual.SpareFactor)
+		t.Errorf("%d seconds, want 14 or more; spare factors %.2f and %.2f, want 1.1 or more and 1", len(full.Seconds), full.SpareFactor, usual.SpareFactor)
 	}
 }
 
-// A loss of an unknown site or without a duration is rejected; the plan's own run stays unchanged.
+// Loss.Spec rejects a loss of an unknown site or without a duration, and does not modify the specification that
+// it was given.
 func TestInvalidLosses(t *testing.T) {
 	s, err := plan(t, "usual")(1)
 	if err != nil {
@@ -68,10 +69,10 @@
 	}
 	for name, l := range map[string]Loss{"no such site": {Site: "east", At: 1, Duration: 1, Observed: 1}, "no time": {Site: "south", At: 1, Observed: 1}} {
 		if _, err := l.Spec(s); err == nil {
-			t.Errorf("%s: accepted", name)
+			t.Errorf("%s: loss accepted, want an error", name)
 		}
 	}
 	if len(s.Faults) != 0 || len(s.Strikes) != 0 {
-		t.Error("the plan's own spec was changed")
+		t.Error("Loss.Spec modified the plan's specification")
 	}
 }
--- a/internal/siteforecast/range.go
+++ b/internal/siteforecast/range.go
@@ -8,20 +8,20 @@
 	"gonum.org/v1/gonum/stat/distuv"
 )
 
-// modelError is how far drills with processes differ from the model beyond its own variance, because of
-// requests in flight at the moment of the loss and the first health checks after it
+// modelError is the difference between drills with processes and the model beyond the model's variance. It is
+// caused by the requests in flight at the moment of the loss and by the first health checks after it
 // (docs/measurements/site.md).
 const modelError = 0.03
 
-// Range contains the value of a further run like those simulated with a probability of 95%: a prediction
-// interval (Student's), extended by modelError to each side.
+// Range is a 95% prediction interval for one further run: Student's interval of the simulated runs, extended by
+// modelError to each side and limited to 0 to 1.
 type Range struct {
 	Mean float64 `json:"mean"`
 	Low  float64 `json:"low"`
 	High float64 `json:"high"`
 }
 
-// newRange returns the range of values that are shares.
+// newRange returns the range for values between 0 and 1. A single value has only modelError to each side.
 func newRange(values []float64) Range {
 	n := float64(len(values))
 	mean := stat.Mean(values, nil)
@@ -32,8 +32,8 @@
 	return Range{Mean: mean, Low: max(0, mean-halfWidth), High: min(1, mean+halfWidth)}
 }
 
-// Within reports whether a value lies in the range.
+// Within reports whether a value lies in the range, including its ends.
 func (r Range) Within(v float64) bool { return v >= r.Low && v <= r.High }
 
-// String returns the range for tables.
+// String returns the mean and the ends of the range, for tables.
 func (r Range) String() string { return fmt.Sprintf("%.3f (%.3f to %.3f)", r.Mean, r.Low, r.High) }
