--- a/internal/experiment/digest_test.go
+++ b/internal/experiment/digest_test.go
@@ -20,10 +20,10 @@
 	digestSeeds = 2
 )
 
-var updateDigests = flag.Bool("update", false, "write the digests of the fleet model anew")
+var updateDigests = flag.Bool("update", false, "rewrite the digests of the fleet model's results")
 
-// TestModelDigests holds the fleet model's results, to the byte, against checked-in digests: a
-// change that is meant to keep all decisions as they are must keep every one of them.
+// TestModelDigests compares digests of the fleet model's encoded results with the checked-in digests. A change
+// that must not affect any decision must leave all of them unchanged.
 func TestModelDigests(t *testing.T) {
 	var got bytes.Buffer
 	for _, name := range []string{"testdata/behavior/slow-start.plan", "deploy/no-hedging.plan"} {
--- a/internal/experiment/experiment_test.go
+++ b/internal/experiment/experiment_test.go
@@ -13,11 +13,11 @@
 	"archknot/internal/config"
 )
 
-// Equal variants are found different in at most 7 of 100 experiments, also with few pairs and skewed values;
-// a difference of one standard deviation is found in nearly all.
+// Compare reports a difference between equal variants in at most 7 of 100 experiments, also with few pairs and
+// skewed values. With 12 or more pairs it detects a shift of 1 in at least 80 of 100.
 func TestVerdicts(t *testing.T) {
 	rng := rand.New(rand.NewPCG(4, 4))
-	draw := func(n int, by float64, skewed bool) (a, b []float64) {
+	draw := func(n int, shift float64, skewed bool) (a, b []float64) {
 		for range n {
 			common := rng.NormFloat64()
 			noise := func() float64 {
@@ -26,7 +26,7 @@
 				}
 				return rng.NormFloat64()
 			}
-			a, b = append(a, common+0.5*noise()), append(b, common+0.5*noise()+by)
+			a, b = append(a, common+0.5*noise()), append(b, common+0.5*noise()+shift)
 		}
 		return a, b
 	}
@@ -44,7 +44,7 @@
 				}
 			}
 			if falsePositives > 21 || n > 8 && found < 240 {
-				t.Errorf("%d pairs, skewed %v: %d of 300 equal ones found different, %d of 300 others found", n, skewed, falsePositives, found)
+				t.Errorf("%d pairs, skewed %v: %d of 300 equal variants reported as different, %d of 300 differences detected", n, skewed, falsePositives, found)
 			}
 		}
 	}
@@ -53,11 +53,11 @@
 		t.Error(d.Describe())
 	}
 	if d := Compare([]float64{5, 6, 7, 8}, []float64{1, 2, 3, 4}, false, 1); d.Verdict != Better {
-		t.Errorf("lower is better: %+v", d)
+		t.Errorf("lower is better: %+v, want Better", d)
 	}
 }
 
-const plan = `[run]
+const planText = `[run]
 for 20s
 warm 5s
 seeds 6
@@ -86,7 +86,7 @@
 set workers.k.slots 3
 `
 
-func write(t *testing.T, text string) string {
+func writePlan(t *testing.T, text string) string {
 	t.Helper()
 	p := filepath.Join(t.TempDir(), "a.plan")
 	if err := os.WriteFile(p, []byte(text), 0o600); err != nil {
@@ -95,36 +95,36 @@
 	return p
 }
 
-// An experiment that was interrupted continues with the missing runs, finds the planted setting, and is
-// inconclusive about the variant that is the same.
+// An interrupted experiment continues with the missing runs. It reports the variant with fewer slots and no load
+// reports as worse, and is inconclusive about the variant that is the same as the base.
 func TestExperiment(t *testing.T) {
-	file := write(t, plan)
+	file := writePlan(t, planText)
 	p, err := config.LoadPlan(file)
 	if err != nil {
 		t.Fatal(err)
 	}
 	dir := t.TempDir()
-	s, _, err := OpenStore(dir, []byte(plan))
+	s, _, err := OpenStore(dir, []byte(planText))
 	if err != nil {
 		t.Fatal(err)
 	}
 	ctx, stop := context.WithCancel(t.Context())
 	err = RunPlan(ctx, p, s, Options{Jobs: 2, Progress: func(done, all int) {
 		if all != 18 {
-			t.Errorf("%d runs", all)
+			t.Errorf("%d runs, want 18", all)
 		}
 		if done == 5 {
 			stop()
 		}
 	}})
 	if !errors.Is(err, context.Canceled) {
-		t.Errorf("interrupted: %v", err)
+		t.Errorf("interrupted experiment: %v, want context.Canceled", err)
 	}
 	s.Close()
 	if _, _, err := OpenStore(dir, []byte("another")); !errors.Is(err, ErrOtherPlan) {
-		t.Errorf("another plan's results: %v", err)
+		t.Errorf("results of another plan: %v, want ErrOtherPlan", err)
 	}
-	if s, _, err = OpenStore(dir, []byte(plan)); err != nil {
+	if s, _, err = OpenStore(dir, []byte(planText)); err != nil {
 		t.Fatal(err)
 	}
 	defer s.Close()
@@ -137,7 +137,7 @@
 		t.Fatal(err)
 	}
 	if doneAtStart < 5 {
-		t.Errorf("it continued from %d", doneAtStart)
+		t.Errorf("continued after %d runs, want at least 5", doneAtStart)
 	}
 	records, err := s.Records()
 	if err != nil || len(records) != 18 {
@@ -155,11 +155,11 @@
 			t.Errorf("%s: %s", r.Metric, d.Describe())
 		}
 	}
-	if bad, err := sum.Gate("worth_in_time", 0.001); err != nil || len(bad) != 1 || bad[0].Variant != "planted" {
-		t.Errorf("%v %v", bad, err)
+	if failed, err := sum.Gate("worth_in_time", 0.001); err != nil || len(failed) != 1 || failed[0].Variant != "planted" {
+		t.Errorf("gate: failed rows %v, error %v; want one row of variant planted", failed, err)
 	}
 	if _, err := sum.Gate("nothing", 1); err == nil {
-		t.Error("a gate on a metric that does not exist")
+		t.Error("gate accepted a metric that does not exist")
 	}
 	if _, err := Summarize(records, "nobody"); !errors.Is(err, ErrNoBase) {
 		t.Error(err)
@@ -169,7 +169,7 @@
 		t.Fatal(err)
 	}
 	if strings.Count(csv.String(), "\n") != 19 || !strings.Contains(page.String(), "<svg") || !strings.Contains(page.String(), `class="worse"`) || !strings.Contains(js.String(), `"worse"`) {
-		t.Errorf("csv has %d lines; %s", strings.Count(csv.String(), "\n"), js.String()[:200])
+		t.Errorf("CSV has %d lines, want 19, or the page or the JSON is incomplete: %s", strings.Count(csv.String(), "\n"), js.String()[:200])
 	}
 }
 
@@ -185,12 +185,12 @@
 		"no section [worker] in a plan; did you mean workers?":                                                                     {"[workers k]", "[worker k]"},
 		"expected `set section.key value`":                                                                                         {"set workers.k.slots 3", "put workers.k.slots 3"},
 	} {
-		if !strings.Contains(plan, change[0]) {
+		if !strings.Contains(planText, change[0]) {
 			t.Fatal(change[0])
 		}
-		_, err := config.LoadPlan(write(t, strings.Replace(plan, change[0], change[1], 1)))
+		_, err := config.LoadPlan(writePlan(t, strings.Replace(planText, change[0], change[1], 1)))
 		if err == nil || !strings.Contains(err.Error(), want) {
-			t.Errorf("wanted %q:\n%v", want, err)
+			t.Errorf("want %q, got:\n%v", want, err)
 		}
 	}
 }
--- a/internal/experiment/metrics.go
+++ b/internal/experiment/metrics.go
@@ -2,14 +2,14 @@
 
 import "archknot/internal/fleet/model"
 
-// Metric is a figure by which variants are compared.
+// Metric is a scalar computed from a run's result by which variants are compared.
 type Metric struct {
-	Name           string
+	Name           string // in summaries, and of the flag --figure of `experiment gate`
 	HigherIsBetter bool
 	value          func(*model.Result) float64
 }
 
-// Metrics are all metrics; the first one is the default of a gate.
+// Metrics contains all metrics in the order in which they are printed; the first is the default of a gate.
 var Metrics = []Metric{
 	{"worth_in_time", true, func(r *model.Result) float64 { return r.All.WeightedGoodput() }},
 	{"worst_class", true, func(r *model.Result) float64 { return worstGoodput(r.Classes) }},
@@ -20,10 +20,10 @@
 	{"first_p99_ms", false, func(r *model.Result) float64 { return r.All.FirstTokenMs["p99"] }},
 	{"whole_p95_ms", false, func(r *model.Result) float64 { return r.All.ResponseMs["p95"] }},
 	{"refused_share", false, func(r *model.Result) float64 {
-		return outcomeShare(r.All, model.OutcomeShed, model.OutcomeFailed, model.OutcomeContract)
+		return outcomeFraction(r.All, model.OutcomeShed, model.OutcomeFailed, model.OutcomeContract)
 	}},
 	{"late_share", false, func(r *model.Result) float64 {
-		return outcomeShare(r.All, model.OutcomeLate, model.OutcomeBroken)
+		return outcomeFraction(r.All, model.OutcomeLate, model.OutcomeBroken)
 	}},
 	{"attempts_a_request", false, func(r *model.Result) float64 { return float64(r.Attempts) / float64(max(1, r.All.Sent)) }},
 	{"wasted_a_request", false, func(r *model.Result) float64 { return float64(r.Wasted) / float64(max(1, r.All.Sent)) }},
@@ -32,7 +32,7 @@
 	}},
 }
 
-// worstGoodput returns the least weighted goodput of several counts.
+// worstGoodput returns the least weighted goodput of several counts, or 1 if none has weight.
 func worstGoodput(counts map[string]*model.Count) float64 {
 	worst := 1.0
 	for _, c := range counts {
@@ -43,7 +43,7 @@
 	return worst
 }
 
-// worstWindow returns the least weighted goodput of a run's windows.
+// worstWindow returns the least weighted goodput of a run's windows, or 1 if none has weight.
 func worstWindow(r *model.Result) float64 {
 	worst := 1.0
 	for _, w := range r.Windows {
@@ -54,8 +54,8 @@
 	return worst
 }
 
-// outcomeShare returns the share of requests with one of the outcomes.
-func outcomeShare(c *model.Count, outcomes ...string) float64 {
+// outcomeFraction returns the fraction of requests with one of the outcomes.
+func outcomeFraction(c *model.Count, outcomes ...string) float64 {
 	n := int64(0)
 	for _, outcome := range outcomes {
 		n += c.Ends[outcome]
--- a/internal/experiment/report.go
+++ b/internal/experiment/report.go
@@ -21,14 +21,16 @@
 
 // Errors of Summarize and Gate.
 var (
-	ErrNoBase           = errors.New("no runs of the variant to compare with")
-	ErrNothingToCompare = errors.New("nothing to compare: there is one variant")
+	// ErrNoBase reports that Summarize got no records of the base variant.
+	ErrNoBase = errors.New("no runs of the base variant")
+	// ErrNothingToCompare reports that a Summary given to Gate has no variant besides the base.
+	ErrNothingToCompare = errors.New("nothing to compare: the results have only one variant")
 )
 
-// defaultBase is the name of the variant that others are compared with if there is one of this name.
+// defaultBase is the name of the variant that is the base if none is given.
 const defaultBase = "base"
 
-// Row compares a variant with the base by a metric on a workload.
+// Row is the comparison of a variant with the base, for one metric and workload.
 type Row struct {
 	Workload   string     `json:"workload"`
 	Variant    string     `json:"variant"`
@@ -36,7 +38,7 @@
 	Difference Difference `json:"difference"`
 }
 
-// Summary is the comparison of all variants with the base.
+// Summary is the comparison of all variants with the base, for all metrics and workloads.
 type Summary struct {
 	Base      string   `json:"base"`
 	Workloads []string `json:"workloads"`
@@ -46,10 +48,11 @@
 	records   []Record
 }
 
-// resultsBySeed are the results of a variant with a workload.
+// resultsBySeed contains the results of a variant with a workload.
 type resultsBySeed map[uint64]*model.Result
 
-// Summarize compares all variants with a base variant. "" is the one named base, or else the first by name.
+// Summarize compares all variants with a base variant. An empty base means the variant named "base" or, if there
+// is none, the first variant by name. It returns ErrNoBase if the base has no records.
 func Summarize(records []Record, base string) (*Summary, error) {
 	s := &Summary{Base: base, Runs: len(records), records: records}
 	type cell struct{ workload, variant string }
@@ -96,7 +99,7 @@
 	return nil
 }
 
-// compare adds the rows of a variant on a workload, by pairs of runs with the same seed.
+// compare adds the rows of a variant on a workload. It compares pairs of runs with the same seed.
 func (s *Summary) compare(workload, variant string, base, other resultsBySeed) {
 	for _, metric := range Metrics {
 		var baseValues, otherValues []float64
@@ -111,8 +114,9 @@
 	}
 }
 
-// Gate returns the rows of a metric in which a variant is, or may be, worse than the base by more than a
-// bound.
+// Gate returns the rows of a metric in which the 95% interval does not exclude that the variant is worse than
+// the base by more than a bound, or has too few pairs. It returns an error for an unknown metric, and
+// ErrNothingToCompare if the metric has no rows.
 func (s *Summary) Gate(metricName string, bound float64) (failed []Row, err error) {
 	i := slices.IndexFunc(Metrics, func(m Metric) bool { return m.Name == metricName })
 	if i < 0 {
@@ -139,14 +143,14 @@
 	return failed, nil
 }
 
-// WriteJSON writes the summary as JSON.
+// WriteJSON writes the summary as indented JSON.
 func (s *Summary) WriteJSON(w io.Writer) error {
 	encoder := json.NewEncoder(w)
 	encoder.SetIndent("", "  ")
 	return encoder.Encode(s)
 }
 
-// WriteCSV writes a line with all metrics for each run.
+// WriteCSV writes a header and, for each run, a line with its metrics.
 func (s *Summary) WriteCSV(w io.Writer) error {
 	writer := csv.NewWriter(w)
 	header := []string{"variant", "workload", "seed", "sent", "served"}
@@ -182,7 +186,7 @@
 //go:embed page.html
 var pageTemplate string
 
-// WriteHTML writes a self-contained page with charts and tables.
+// WriteHTML writes a self-contained HTML page with the charts and tables of all workloads.
 func (s *Summary) WriteHTML(w io.Writer) error {
 	functions := template.FuncMap{
 		"num":   func(v float64) string { return strconv.FormatFloat(v, 'g', 5, 64) },
@@ -205,8 +209,8 @@
 	return rows
 }
 
-// chart draws the weighted goodput over the time of a run on a workload, for each variant the mean over
-// seeds.
+// chart returns an SVG chart of the weighted goodput over the time of a run on a workload: for each variant, the
+// mean over seeds. It returns "" if no variant has two windows.
 func (s *Summary) chart(workload string) (template.HTML, error) {
 	graph := chart.Chart{
 		Width:      820,
@@ -230,10 +234,10 @@
 	if err := graph.Render(chart.SVG, &svg); err != nil {
 		return "", err
 	}
-	return template.HTML(svg.String()), nil // names are escaped; the rest is numbers
+	return template.HTML(svg.String()), nil // variant names are escaped, all other values are constants and numbers
 }
 
-// goodputSeries returns a variant's weighted goodput by the start of the window.
+// goodputSeries returns a variant's weighted goodput, averaged over seeds, by the start of the window.
 func (s *Summary) goodputSeries(workload, variant string) chart.ContinuousSeries {
 	sums, counts := map[float64]float64{}, map[float64]float64{}
 	for _, r := range s.records {
--- a/internal/experiment/run.go
+++ b/internal/experiment/run.go
@@ -1,6 +1,6 @@
-// Package experiment compares variants of a plan on the fleet model: it runs each one with each workload and
-// seed in parallel, stores the results, and compares pairs of runs. An experiment that was interrupted
-// continues with the runs that are missing.
+// Package experiment compares variants of a plan on the fleet model. It runs each variant with each workload and
+// seed, in parallel, stores the results, and compares pairs of runs. An interrupted experiment continues with
+// the missing runs.
 package experiment
 
 import (
@@ -17,20 +17,21 @@
 	"archknot/internal/fleet/model"
 )
 
-// Options of an experiment.
+// Options are the parameters of RunPlan besides the plan.
 type Options struct {
-	Jobs     int                   // runs at once; 0: GOMAXPROCS
-	Progress func(done, total int) // called at the start and after each run; may be nil
+	Jobs     int                   // concurrent runs; 0: GOMAXPROCS
+	Progress func(done, total int) // called at the start and after each stored run, not concurrently; may be nil
 }
 
-// plannedRun is a run that the store does not have.
+// plannedRun is a run of the plan whose result is not stored.
 type plannedRun struct {
 	Run
 	variant, workload config.Variant
 }
 
-// RunPlan runs what the plan has and the store has not, and stores the results. It stops at the first error
-// or when the context ends; runs in progress in this process are completed and stored.
+// RunPlan executes the runs of the plan whose results are not stored, and stores their results. It stops at the
+// first error or when the context ends. Runs in progress in this process are completed and stored; those of
+// other programs are killed.
 func RunPlan(ctx context.Context, plan *config.Plan, store *Store, options Options) error {
 	missing, total, err := missingRuns(plan, store)
 	if err != nil {
@@ -75,8 +76,8 @@
 	}
 }
 
-// missingRuns returns the plan's runs that the store does not have, and the number of all. Pairs of runs
-// come first, so that an early summary can compare variants.
+// missingRuns returns the plan's runs whose results are not stored, and the number of all its runs. All variants
+// of a workload and seed are adjacent, so that a summary of an unfinished experiment can compare variants.
 func missingRuns(plan *config.Plan, store *Store) (missing []plannedRun, total int, err error) {
 	for seed := uint64(1); seed <= uint64(plan.Seeds); seed++ {
 		for _, workload := range plan.Workloads {
@@ -96,20 +97,20 @@
 	return missing, total, nil
 }
 
-// runner runs and stores planned runs, and keeps count.
+// runner executes planned runs, stores their results and counts them.
 type runner struct {
 	plan     *config.Plan
 	store    *Store
 	progress func(done, total int)
 	total    int
-	stop     context.CancelFunc // ends the experiment
+	stop     context.CancelFunc // stops the experiment
 
 	mu       sync.Mutex
 	done     int
 	firstErr error
 }
 
-// run runs a planned run and stores its result. The first error stops the experiment.
+// run executes a planned run and stores its result. The first error stops the experiment.
 func (r *runner) run(ctx context.Context, planned plannedRun) {
 	result, err := runOnce(ctx, r.plan, planned)
 	r.mu.Lock()
@@ -128,14 +129,14 @@
 	}
 }
 
-// reportProgress reports the progress. The caller holds the lock once runs are in progress.
+// reportProgress calls the progress function, if any. The caller must hold r.mu once runs are in progress.
 func (r *runner) reportProgress() {
 	if r.progress != nil {
 		r.progress(r.done, r.total)
 	}
 }
 
-// runOnce runs a planned run in this process, or with the program of another build.
+// runOnce executes a planned run in this process or, if the variant names a program, with that program.
 func runOnce(ctx context.Context, plan *config.Plan, planned plannedRun) (*model.Result, error) {
 	if planned.variant.Program != "" {
 		return runProgram(ctx, plan, planned)
@@ -147,7 +148,7 @@
 	return model.Run(spec)
 }
 
-// runProgram runs a planned run with another build's program, which prints the result as JSON.
+// runProgram executes a planned run with the variant's program, another build, which prints the result as JSON.
 func runProgram(ctx context.Context, plan *config.Plan, planned plannedRun) (*model.Result, error) {
 	program := planned.variant.Program
 	cmd := exec.CommandContext(ctx, program, "experiment", "one", plan.File,
--- a/internal/experiment/stats.go
+++ b/internal/experiment/stats.go
@@ -11,37 +11,37 @@
 	"gonum.org/v1/gonum/stat/distuv"
 )
 
-// Verdict is what pairs of runs show of a difference.
+// Verdict is the conclusion that a comparison of pairs of runs allows.
 type Verdict uint8
 
-// The verdicts.
+// The verdicts on a variant.
 const (
-	Inconclusive Verdict = iota
+	Inconclusive Verdict = iota // the interval contains 0, or there are fewer than minPairs pairs
 	Better
 	Worse
 )
 
-// String returns the verdict in words.
+// String returns the verdict in the words that summaries contain.
 func (v Verdict) String() string { return [...]string{"cannot tell", "better", "worse"}[v] }
 
-// MarshalText returns String.
+// MarshalText returns the text of String and never fails.
 func (v Verdict) MarshalText() ([]byte, error) { return []byte(v.String()), nil }
 
 // Difference is the difference of a metric between a variant and the base, over pairs of runs with the
 // same workload and seed.
 type Difference struct {
 	Pairs    int        `json:"pairs"`
-	Base     float64    `json:"base"`       // the mean
-	Variant  float64    `json:"variant"`    // the mean
-	Mean     float64    `json:"difference"` // of the variant from the base
-	Interval [2]float64 `json:"interval"`   // 95% interval of the difference
+	Base     float64    `json:"base"`       // mean of the base
+	Variant  float64    `json:"variant"`    // mean of the variant
+	Mean     float64    `json:"difference"` // Variant - Base
+	Interval [2]float64 `json:"interval"`   // 95% confidence interval of Mean
 	Verdict  Verdict    `json:"verdict"`
-	// PairsNeeded is about how many pairs in all would show a difference as large as the mean; 0: this many
-	// do, or there is no difference.
+	// PairsNeeded is the approximate number of pairs at which a difference as large as Mean is detected. It is 0
+	// if there is a verdict, no difference, or fewer than minPairs pairs.
 	PairsNeeded int `json:"pairs_needed,omitempty"`
 }
 
-// Describe returns the difference in words.
+// Describe returns the verdict with its interval, or the reason why the comparison is inconclusive.
 func (d *Difference) Describe() string {
 	switch {
 	case d.Verdict != Inconclusive:
@@ -56,22 +56,25 @@
 }
 
 const (
-	// minPairs is the least number of pairs for a verdict.
+	// minPairs is the minimum number of pairs for a verdict.
 	minPairs = 4
-	// resamples is the number of bootstrap resamples of an interval.
+	// resamples is the number of bootstrap resamples for an interval.
 	resamples = 2000
-	// upperQuantile and lowerQuantile bound a 95% interval.
-	upperQuantile, lowerQuantile = 0.975, 0.025
-	// degenerateWidth is the width of the interval, in standard errors to each side, where nearly all
-	// resamples have a single value.
+	// upperQuantile is the upper end of a 95% interval.
+	upperQuantile = 0.975
+	// lowerQuantile is the lower end of a 95% interval.
+	lowerQuantile = 0.025
+	// degenerateWidth is the half width of the interval, in standard errors, if more than half of the resamples
+	// consist of a single value.
 	degenerateWidth = 4
 	// detectionZ is the sum of the normal quantiles of a 5% two-sided test with a power of 80%.
 	detectionZ = 1.96 + 0.84
 )
 
-// Compare compares a variant with the base pair by pair. The interval is the studentized bootstrap's (Efron
-// and Tibshirani, An Introduction to the Bootstrap, 1993, chapter 12), or Student's where that is wider:
-// with few pairs the plain percentile interval is too narrow.
+// Compare compares a variant with the base pair by pair; surplus values of the longer slice are ignored. Each
+// end of the interval is that of the studentized bootstrap (Efron and Tibshirani, An Introduction to the
+// Bootstrap, 1993, chapter 12) or of Student's interval, whichever is farther from the mean. With few pairs the
+// plain percentile interval is too narrow.
 func Compare(base, variant []float64, higherIsBetter bool, seed uint64) Difference {
 	n := min(len(base), len(variant))
 	d := Difference{Pairs: n}
@@ -107,7 +110,7 @@
 	return d
 }
 
-// bootstrapInterval returns the interval of a mean with its standard error.
+// bootstrapInterval returns the 95% interval of the mean of values, given the mean and its standard error.
 func bootstrapInterval(values []float64, mean, standardError float64, seed uint64) (low, high float64) {
 	n := len(values)
 	statistics := bootstrapStatistics(values, mean, seed)
@@ -117,13 +120,14 @@
 	slices.SortFunc(statistics, cmp.Compare)
 	low = mean - stat.Quantile(upperQuantile, stat.Empirical, statistics, nil)*standardError
 	high = mean - stat.Quantile(lowerQuantile, stat.Empirical, statistics, nil)*standardError
-	// With a dozen pairs the bootstrap's interval found a difference between equal variants in 7 to 11 of
-	// 100 experiments, hence it is never narrower than Student's.
+	// With 12 pairs the bootstrap interval alone excludes 0 for equal variants in 7 to 11 of 100 experiments
+	// instead of 5. The result is therefore never narrower than Student's interval.
 	halfWidth := studentQuantile(n) * standardError
 	return min(low, mean-halfWidth), max(high, mean+halfWidth)
 }
 
-// bootstrapStatistics returns the t statistics of resamples. Those of resamples of a single value are left out.
+// bootstrapStatistics returns the t statistics of bootstrap resamples. Resamples that consist of a single value
+// have no t statistic and are left out.
 func bootstrapStatistics(values []float64, mean float64, seed uint64) []float64 {
 	rng := rand.New(rand.NewPCG(seed, uint64(len(values))))
 	n := len(values)
@@ -141,12 +145,12 @@
 	return statistics
 }
 
-// studentQuantile returns the quantile of Student's distribution for a 95% interval from n values.
+// studentQuantile returns the quantile of Student's t distribution for a 95% interval of the mean of n values.
 func studentQuantile(n int) float64 {
 	return distuv.StudentsT{Mu: 0, Sigma: 1, Nu: float64(n - 1)}.Quantile(upperQuantile)
 }
 
-// Interval is a mean with its 95% interval.
+// Interval is a mean of N values with its 95% confidence interval.
 type Interval struct {
 	N    int     `json:"n"`
 	Mean float64 `json:"mean"`
@@ -154,7 +158,7 @@
 	High float64 `json:"high"`
 }
 
-// String returns the interval for tables.
+// String returns the interval for tables, or only the mean if N is below 2.
 func (i Interval) String() string {
 	if i.N < 2 {
 		return fmt.Sprintf("%.4g", i.Mean)
@@ -162,7 +166,8 @@
 	return fmt.Sprintf("%.4g (%.4g to %.4g, n=%d)", i.Mean, i.Low, i.High, i.N)
 }
 
-// MeanInterval returns the mean of values with Student's interval.
+// MeanInterval returns the mean of values with Student's interval. The interval of a single value has no width,
+// and without values all fields are 0.
 func MeanInterval(values []float64) Interval {
 	n := len(values)
 	if n == 0 {
--- a/internal/experiment/store.go
+++ b/internal/experiment/store.go
@@ -25,32 +25,33 @@
 )
 
 // ErrOtherPlan reports that a directory has the results of another plan.
-var ErrOtherPlan = errors.New("it has the results of another plan")
+var ErrOtherPlan = errors.New("the directory has the results of another plan")
 
-// Run identifies a run of an experiment.
+// Run identifies a run of an experiment: one variant on one workload with one seed.
 type Run struct {
 	Variant  string `json:"variant"`
 	Workload string `json:"workload"`
 	Seed     uint64 `json:"seed"`
 }
 
-// String returns the run's key.
+// String returns the run's key in the store, "variant/workload/seed".
 func (r Run) String() string { return fmt.Sprintf("%s/%s/%d", r.Variant, r.Workload, r.Seed) }
 
 func (r Run) key() []byte { return []byte(r.String()) }
 
-// Record is a run with its result.
+// Record is a run with its result, as it is stored.
 type Record struct {
 	Run
 	Result *model.Result `json:"result"`
 }
 
-// Store holds the records of an experiment in a file. Each record is one transaction: a kill loses only
-// the runs in progress.
+// Store contains the records of an experiment in a file. Each record is written in a transaction of its own, so
+// that a killed process loses only the runs in progress.
 type Store struct{ db *bbolt.DB }
 
-// OpenStore opens the results of a plan in a directory; a nil plan accepts those of any plan. It returns
-// ErrOtherPlan for those of another one. A damaged file is set aside under the name that is returned.
+// OpenStore opens the store of a plan's results in a directory. plan is the text of the plan; a nil plan accepts
+// the results of any plan. It returns ErrOtherPlan if the directory has the results of another plan. A damaged
+// file is renamed, and setAside is its new name.
 func OpenStore(dir string, plan []byte) (s *Store, setAside string, err error) {
 	readable := func(db *bbolt.DB) error {
 		_, err := (&Store{db}).Records()
@@ -71,7 +72,7 @@
 	return s, setAside, nil
 }
 
-// setPlan stores the plan's digest, or compares it with the stored one.
+// setPlan stores the plan's digest. It returns ErrOtherPlan if a different digest is stored.
 func (s *Store) setPlan(plan []byte) error {
 	digest := strconv.AppendUint(nil, xxhash.Sum64(plan), 16)
 	return s.db.Update(func(tx *bbolt.Tx) error {
@@ -83,10 +84,10 @@
 	})
 }
 
-// Close closes the store.
+// Close closes the store's file. The store must not be used afterwards.
 func (s *Store) Close() error { return s.db.Close() }
 
-// Records returns the records by variant, workload and seed.
+// Records returns all records in the order of their keys (see Run.String).
 func (s *Store) Records() (records []Record, err error) {
 	err = s.db.View(func(tx *bbolt.Tx) error {
 		return tx.Bucket(runsBucket).ForEach(func(key, text []byte) error {
@@ -101,7 +102,7 @@
 	return records, err
 }
 
-// has reports whether the store has a run's record.
+// has reports whether the store contains a run's record.
 func (s *Store) has(r Run) (found bool, err error) {
 	err = s.db.View(func(tx *bbolt.Tx) error {
 		found = tx.Bucket(runsBucket).Get(r.key()) != nil
--- a/internal/experiment/stored_test.go
+++ b/internal/experiment/stored_test.go
@@ -13,8 +13,8 @@
 	"archknot/internal/fleet/model"
 )
 
-// Results written by the build of commit b3142ba are read with all their fields, and
-// are known to be of their plan.
+// Results that the build of commit b3142ba stored are read with all their fields, and are rejected for another
+// plan than theirs.
 func TestStoredResults(t *testing.T) {
 	text, err := os.ReadFile("testdata/stored/results.db")
 	if err != nil {
@@ -25,19 +25,19 @@
 		t.Fatal(err)
 	}
 	if _, _, err := experiment.OpenStore(dir, []byte("another plan")); !errors.Is(err, experiment.ErrOtherPlan) {
-		t.Errorf("with another plan: %v", err)
+		t.Errorf("opened with another plan: %v, want ErrOtherPlan", err)
 	}
-	s, aside, err := experiment.OpenStore(dir, []byte("a plan"))
-	if err != nil || aside != "" {
-		t.Fatalf("set aside as %q, %v", aside, err)
+	s, setAside, err := experiment.OpenStore(dir, []byte("a plan"))
+	if err != nil || setAside != "" {
+		t.Fatalf("stored results set aside as %q, error %v", setAside, err)
 	}
 	defer s.Close()
 	got, err := s.Records()
 	if err != nil {
 		t.Fatal(err)
 	}
-	count := func(sent, served, inTime, made int64, points, most float64) *model.Count {
-		return &model.Count{Sent: sent, Ends: map[string]int64{"served": served, "late": 3, "refused": 1}, InTime: inTime, WeightServed: points, WeightOffered: most, Retried: 2, OutputTokens: made,
+	count := func(sent, served, inTime, outputTokens int64, weightServed, weightOffered float64) *model.Count {
+		return &model.Count{Sent: sent, Ends: map[string]int64{"served": served, "late": 3, "refused": 1}, InTime: inTime, WeightServed: weightServed, WeightOffered: weightOffered, Retried: 2, OutputTokens: outputTokens,
 			FirstTokenMs: map[string]float64{"p50": 210.5, "p99": 1900.25}, ResponseMs: map[string]float64{"p50": 1210.5, "max": 4100}}
 	}
 	result := func(busy float64) *model.Result {
