--- a/internal/scaletest/figures.go
+++ b/internal/scaletest/figures.go
@@ -19,8 +19,8 @@
 	GatewayConns            = "gateway.connections"     // to replicas
 	GatewayAttempts         = "gateway.attempts_per_s"  // attempts sent to replicas
 	GatewayConnsOpened      = "gateway.opened_per_s"    // connections opened for attempts
-	GatewayProbes           = "gateway.probes_per_s"    // health checks
-	GatewayProbeBytes       = "gateway.probe_b_per_s"   // bytes of health checks, both directions
+	GatewayHealthChecks     = "gateway.probes_per_s"    // health checks sent
+	GatewayHealthCheckBytes = "gateway.probe_b_per_s"   // bytes of health checks, both directions
 	GatewayListBytes        = "gateway.list_b_per_s"    // bytes exchanged with discovery, both directions
 	GatewayLists            = "gateway.lists_per_s"     // requests to discovery
 	GatewayReportAge        = "gateway.report_age_ms"   // age of the load reports used to place attempts
@@ -28,7 +28,7 @@
 	GatewaySubset           = "gateway.subset"          // replicas in the subset
 	GatewayUnserved         = "gateway.unserved_share"  // fraction of requests
 	ReplicaCPU              = "replica.cpu_share"       // fraction of a core
-	ReplicaProbes           = "replica.probes_per_s"    // health checks received
+	ReplicaHealthChecks     = "replica.probes_per_s"    // health checks received
 	ReplicaConns            = "replica.connections"     // open connections
 	ReplicaConnsMaxOverMean = "replica.conns_most_mean" // maximum over replicas divided by the mean
 	DiscoveryCPU            = "discovery.cpu_share"     // fraction of a core
@@ -155,8 +155,8 @@
 		add(GatewayAttempts, calls)
 		add(GatewayConnsOpened, opened)
 		calls, _, bytes := traffic(controlstats.PurposeHealthCheck)
-		add(GatewayProbes, calls)
-		add(GatewayProbeBytes, bytes)
+		add(GatewayHealthChecks, calls)
+		add(GatewayHealthCheckBytes, bytes)
 		calls, _, bytes = traffic(controlstats.PurposeDiscovery)
 		add(GatewayLists, calls)
 		add(GatewayListBytes, bytes)
@@ -175,7 +175,7 @@
 	for i := range b.replicas {
 		after, before := b.replicas[i], a.replicas[i]
 		out[ReplicaCPU] += (after.Usage.CPU - before.Usage.CPU).Seconds() / seconds / n
-		out[ReplicaProbes] += float64(after.Calls.Probes-before.Calls.Probes) / seconds / n
+		out[ReplicaHealthChecks] += float64(after.Calls.HealthChecks-before.Calls.HealthChecks) / seconds / n
 		for _, open := range after.ReplicaConns {
 			conns, maxConns = conns+open, max(maxConns, open)
 		}
--- a/internal/scaletest/replicas.go
+++ b/internal/scaletest/replicas.go
@@ -178,10 +178,10 @@
 		At:    time.Now(),
 		Usage: ownUsage(),
 		Calls: Calls{
-			Attempts: p.attempts.Load(),
-			Probes:   p.healthChecks.Load(),
-			BytesIn:  p.meter.in.Load(),
-			BytesOut: p.meter.out.Load(),
+			Attempts:     p.attempts.Load(),
+			HealthChecks: p.healthChecks.Load(),
+			BytesIn:      p.meter.in.Load(),
+			BytesOut:     p.meter.out.Load(),
 		},
 	}
 	for _, state := range p.byNumber {
--- a/internal/scaletest/role.go
+++ b/internal/scaletest/role.go
@@ -62,11 +62,11 @@
 
 // Calls counts the requests that a process has served, by kind, and the bytes of its connections.
 type Calls struct {
-	Attempts int64 `json:"attempts"`
-	Probes   int64 `json:"probes"`
-	Lists    int64 `json:"lists"`
-	BytesIn  int64 `json:"bytes_in"`
-	BytesOut int64 `json:"bytes_out"`
+	Attempts     int64 `json:"attempts"`
+	HealthChecks int64 `json:"probes"`
+	Lists        int64 `json:"lists"`
+	BytesIn      int64 `json:"bytes_in"`
+	BytesOut     int64 `json:"bytes_out"`
 }
 
 // Usage is the CPU time that a process has used and its present memory.
