--- a/internal/faulttest/audit.go
+++ b/internal/faulttest/audit.go
@@ -13,25 +13,25 @@
 
 // The rules that Audit checks, as Violation.Rule.
 const (
-	ruleAttempts   = "attempts"    // not more attempts than allowed
-	ruleConcurrent = "at_once"     // no two attempts at once, unless hedging is allowed
-	ruleDeadline   = "deadline"    // no attempt after the deadline
-	ruleDrain      = "drain"       // no attempt at a replica that drains
-	ruleOnce       = "once"        // a request that is not idempotent runs once
-	ruleAnswers    = "answers"     // one complete response
-	ruleLateAnswer = "late_answer" // no response without a token after the deadline
+	ruleAttempts   = "attempts"    // a request has at most Rules.MaxAttempts attempts
+	ruleConcurrent = "at_once"     // attempts of a request do not overlap, unless hedging is allowed
+	ruleDeadline   = "deadline"    // no attempt begins after the request's deadline
+	ruleDrain      = "drain"       // no attempt reaches a draining replica
+	ruleOnce       = "once"        // a non-idempotent request runs at most once
+	ruleAnswers    = "answers"     // a request gets at most one complete response
+	ruleLateAnswer = "late_answer" // an error response does not arrive after the deadline
 )
 
 // Rules are the parameters of an audit.
 type Rules struct {
-	MaxAttempts   int                  // of a request, over all gateways
-	MayHedge      bool                 // two attempts may run at once
+	MaxAttempts   int                  // per request, over all gateways
+	MayHedge      bool                 // attempts of a request may overlap
 	NonIdempotent map[string]bool      // by class
-	Tolerance     time.Duration        // of all times
-	DrainedBy     map[string]time.Time // by replica: no attempt may reach it later
+	Tolerance     time.Duration        // by which a time limit may be exceeded
+	DrainedBy     map[string]time.Time // by replica: the last time at which an attempt may reach it
 }
 
-// newRules returns the rules of a specification, without DrainedBy.
+// newRules returns the rules for a specification. DrainedBy is left empty.
 func newRules(spec *model.Spec, tolerance time.Duration) Rules {
 	rules := Rules{
 		MaxAttempts:   spec.Settings.MaxAttempts,
@@ -45,15 +45,15 @@
 	return rules
 }
 
-// Violation is a rule that did not hold for a request.
+// Violation reports that a rule did not hold. RequestID is empty if the rule is not about a request.
 type Violation struct {
 	Rule      string `json:"rule"`
 	RequestID string `json:"request"`
 	Details   string `json:"what"`
 }
 
-// Audit checks what clients and replicas recorded. The result is sorted by request, the replicas' part
-// first.
+// Audit checks the records of clients and replicas against the rules. Violations found in the replicas'
+// records come first; each part is sorted by request.
 func Audit(rules Rules, requests []emulate.ClientAttempt, attempts []emulate.ReplicaAttempt) []Violation {
 	a := &audit{rules: rules}
 	attemptsByRoot := map[string][]emulate.ReplicaAttempt{}
@@ -73,7 +73,7 @@
 	return a.violations
 }
 
-// audit is an audit under way.
+// audit collects the violations of one call of Audit.
 type audit struct {
 	rules      Rules
 	violations []Violation
@@ -120,11 +120,11 @@
 	}
 	drainedBy, drains := a.rules.DrainedBy[attempt.Replica]
 	if late := attempt.ReceivedAt.Sub(drainedBy); drains && late > a.rules.Tolerance {
-		a.add(ruleDrain, root, "an attempt came to %s %v too late", attempt.Replica, late)
+		a.add(ruleDrain, root, "an attempt reached %s %v after the limit for its drain", attempt.Replica, late)
 	}
 }
 
-// checkResponses checks the responses to one request and its resume requests.
+// checkResponses checks the responses to a request and to its resume requests.
 func (a *audit) checkResponses(root string, requests []emulate.ClientAttempt) {
 	slices.SortFunc(requests, func(a, b emulate.ClientAttempt) int { return cmp.Compare(a.ResumeIndex, b.ResumeIndex) })
 	complete := 0
--- a/internal/faulttest/cluster.go
+++ b/internal/faulttest/cluster.go
@@ -22,17 +22,19 @@
 )
 
 const (
-	// freeAddrTries is how many ports are tried before there counts as none free.
+	// freeAddrTries is the number of ports that are tried before freeAddr fails.
 	freeAddrTries = 200
-	// The range of the gateways' ports lies below those that the system assigns itself.
-	firstPort, portCount = 10_000, 20_000
-	// readyPollInterval is the time between two requests whether a gateway is ready.
+	// firstPort is the lowest port of gateways.
+	firstPort = 10_000
+	// portCount keeps the gateways' ports below the system's range of ephemeral ports.
+	portCount = 20_000
+	// readyPollInterval is the time between two readiness checks of a gateway.
 	readyPollInterval = 10 * time.Millisecond
-	// logTailLines is how many lines of a log an error quotes.
+	// logTailLines is the number of log lines that an error quotes.
 	logTailLines = 8
 )
 
-// cluster is the gateways of a drill or soak, each a process.
+// cluster holds the gateways of a drill or soak. Each gateway is a process.
 type cluster struct {
 	spec          *model.Spec
 	program       string
@@ -40,11 +42,11 @@
 	discoveryAddr func(gateway int) string
 	relays        *relayNetwork // nil: the gateways reach each other directly
 	nodes         []*node
-	starts        chan func() // run by one thread, with which the processes end
+	starts        chan func() // functions that start processes, run by runStarts
 	client        *http.Client
 }
 
-// newCluster starts the gateways of a specification. Their configurations and logs are in dir.
+// newCluster starts the gateways of a specification. Their configurations and logs are written to dir.
 func newCluster(spec *model.Spec, program, dir string, discoveryAddr func(gateway int) string) (*cluster, error) {
 	c := &cluster{
 		spec:          spec,
@@ -62,8 +64,8 @@
 	return c, nil
 }
 
-// runStarts starts processes. It has a thread of its own because Pdeathsig is sent when the thread that
-// started a process ends.
+// runStarts runs the functions from starts, on one locked thread: the kernel sends Pdeathsig to a process
+// when the thread that started the process ends.
 func (c *cluster) runStarts() {
 	runtime.LockOSThread()
 	for start := range c.starts {
@@ -71,7 +73,8 @@
 	}
 }
 
-// startAll creates all nodes, so that each knows the addresses of the others, and starts their processes.
+// startAll creates all nodes before it starts their processes, because a node's configuration has the
+// addresses of other nodes.
 func (c *cluster) startAll() error {
 	if c.spec.Drill.Peers && c.spec.Drill.Relays {
 		c.relays = newRelayNetwork(c.spec.Seed)
@@ -99,7 +102,7 @@
 	return nil
 }
 
-// newNode assigns a gateway its addresses, and opens its relay if there is one.
+// newNode assigns addresses to a gateway, and opens its relay if the cluster uses relays.
 func (c *cluster) newNode(index int) (*node, error) {
 	n := &node{
 		index:         index,
@@ -125,14 +128,14 @@
 	return n, err
 }
 
-// triedAddrs are the addresses that drills of this process have tried.
+// triedAddrs holds the addresses that freeAddr has tried in this process.
 var triedAddrs sync.Map
 
-// freeAddr returns a loopback address whose port no socket uses, neither TCP nor UDP.
+// freeAddr returns a loopback address whose port is free for both TCP and UDP.
 func (c *cluster) freeAddr() (string, error) {
 	for range freeAddrTries {
 		addr := fmt.Sprintf("127.0.0.1:%d", firstPort+rand.IntN(portCount))
-		// Only one drill of this process tries an address: to try it takes the port for a moment.
+		// Concurrent drills must not try the same address: the attempt binds the port for a short time.
 		if _, tried := triedAddrs.LoadOrStore(addr, true); tried {
 			continue
 		}
@@ -148,10 +151,10 @@
 		packetConn.Close()
 		return addr, nil
 	}
-	return "", errors.New("no free port found")
+	return "", errors.New("find a free port on 127.0.0.1: all tried ports are in use")
 }
 
-// advertisedAddr returns where the other gateways reach a gateway.
+// advertisedAddr returns the address at which the other gateways reach a gateway.
 func (c *cluster) advertisedAddr(n *node) string {
 	if n.relay != nil {
 		return n.relay.addr
@@ -164,9 +167,9 @@
 	return filepath.Join(c.dir, n.name+"."+extension)
 }
 
-// logTimes returns when a gateway's processes logged an event.
+// logTimes returns the times at which a gateway's processes logged an event.
 func (c *cluster) logTimes(n *node, event string) (times []time.Time) {
-	text, _ := os.ReadFile(c.path(n, "log")) // without a log there are no times
+	text, _ := os.ReadFile(c.path(n, "log")) // a missing log has no events
 	for line := range strings.Lines(string(text)) {
 		fields := strings.Fields(line)
 		if !slices.Contains(fields, "msg="+event) {
@@ -180,14 +183,14 @@
 	return times
 }
 
-// logTail returns the end of a gateway's log.
+// logTail returns the last logTailLines lines of a gateway's log.
 func (c *cluster) logTail(n *node) string {
-	text, _ := os.ReadFile(c.path(n, "log")) // without a log there is nothing to quote
+	text, _ := os.ReadFile(c.path(n, "log")) // a missing log is quoted as empty
 	lines := bytes.Split(bytes.TrimSpace(text), []byte("\n"))
 	return string(bytes.Join(lines[max(0, len(lines)-logTailLines):], []byte("\n")))
 }
 
-// waitUntilReady waits until all gateways are ready for clients.
+// waitUntilReady waits until all gateways are ready. It fails if one has no process, or when the context ends.
 func (c *cluster) waitUntilReady(ctx context.Context) error {
 	for _, n := range c.nodes {
 		if err := c.waitUntilNodeReady(ctx, n); err != nil {
@@ -197,11 +200,11 @@
 	return nil
 }
 
-// waitUntilNodeReady waits until a gateway is ready for clients.
+// waitUntilNodeReady is waitUntilReady for one gateway.
 func (c *cluster) waitUntilNodeReady(ctx context.Context, n *node) error {
 	for {
 		if n.pid() == 0 {
-			return fmt.Errorf("%s does not run: %s", n.name, c.logTail(n))
+			return fmt.Errorf("wait until %s is ready: its process has ended; end of its log: %s", n.name, c.logTail(n))
 		}
 		if c.isReady(ctx, n) {
 			return nil
@@ -209,12 +212,12 @@
 		select {
 		case <-time.After(readyPollInterval):
 		case <-ctx.Done():
-			return fmt.Errorf("%s is not ready: %s", n.name, c.logTail(n))
+			return fmt.Errorf("wait until %s is ready: timed out; end of its log: %s", n.name, c.logTail(n))
 		}
 	}
 }
 
-// isReady reports whether a gateway answers that it is ready for clients.
+// isReady reports whether a gateway's readiness check succeeds.
 func (c *cluster) isReady(ctx context.Context, n *node) bool {
 	req, err := http.NewRequestWithContext(ctx, http.MethodGet, "http://"+n.addr+httpwire.ReadyPath, nil)
 	if err != nil {
@@ -228,7 +231,7 @@
 	return resp.StatusCode == http.StatusOK
 }
 
-// indexOf returns the index of the gateway at an address for clients, -1 if there is none.
+// indexOf returns the index of the gateway with a client address, or -1 if there is none.
 func (c *cluster) indexOf(addr string) int {
 	for i, n := range c.nodes {
 		if n.addr == addr {
@@ -238,10 +241,11 @@
 	return -1
 }
 
-// offered reports whether clients are directed to the gateway at an address.
-func (c *cluster) offered(addr string) bool {
+// inRotation reports whether the load balancer directs clients to the gateway with a client address. It does
+// for an unknown address.
+func (c *cluster) inRotation(addr string) bool {
 	i := c.indexOf(addr)
-	return i < 0 || c.nodes[i].isOffered()
+	return i < 0 || c.nodes[i].inRotation()
 }
 
 // crashes returns a description of each process that ended unexpectedly.
@@ -254,11 +258,11 @@
 	return out
 }
 
-// close kills all processes, by their ids, and waits for them.
+// close kills all processes by id, waits for their ends, and closes sockets and relays.
 func (c *cluster) close() {
 	var exits []<-chan struct{}
 	for _, n := range c.nodes {
-		exits = append(exits, n.signal(syscall.SIGKILL)) // this ends a stopped process as well
+		exits = append(exits, n.signal(syscall.SIGKILL)) // also ends a process stopped by SIGSTOP
 	}
 	for _, exited := range exits {
 		if exited != nil {
--- a/internal/faulttest/discoveryfront.go
+++ b/internal/faulttest/discoveryfront.go
@@ -13,69 +13,70 @@
 	"archknot/internal/fleet/emulate"
 )
 
-// frontMode is what a discovery front does with the calls of its gateway.
+// frontMode selects how a discovery front handles the calls of its gateway.
 type frontMode uint8
 
 // The modes of a front.
 const (
 	frontPass            frontMode = iota
-	frontIndented                  // passes lists on in another layout
-	frontCrowded                   // calls are served in turn, behind others
-	frontUnavailable               // answers 503 at once
-	frontLateUnavailable           // answers 503 after a wait
+	frontIndented                  // forwards lists with other white space
+	frontSerialized                // serves one call at a time, each after serializedCallTime
+	frontUnavailable               // responds with 503 at once
+	frontLateUnavailable           // responds with 503 after lateUnavailableAfter
 	frontResets                    // resets connections
-	frontMalformed                 // answers with lists that cannot be read
+	frontMalformed                 // responds with truncated JSON
 	frontModeCount       int       = iota
 )
 
-// String returns the mode's name in a timeline.
+// String returns the mode's name in the timeline of a soak.
 func (m frontMode) String() string {
-	return [...]string{"passes", "indents", "is crowded", "answers 503", "answers 503 late", "resets", "answers malformed"}[m]
+	return [...]string{"passes", "indents", "serves one call at a time", "answers 503", "answers 503 late", "resets", "answers malformed"}[m]
 }
 
-// reachable reports whether the gateway can reach discovery in this mode.
-func (m frontMode) reachable() bool { return m <= frontCrowded }
+// reachable reports whether the gateway gets valid lists from discovery in this mode.
+func (m frontMode) reachable() bool { return m <= frontSerialized }
 
 const (
-	// crowdedCallTime is how long others' calls take before a call in a crowd.
-	crowdedCallTime = 600 * time.Millisecond
-	// lateUnavailableAfter is how long a call waits in vain: what the platform's discovery lets it wait.
+	// serializedCallTime is the delay of each call in the mode frontSerialized.
+	serializedCallTime = 600 * time.Millisecond
+	// lateUnavailableAfter is the time after which the platform's discovery ends a waiting call with 503.
 	lateUnavailableAfter = 2 * time.Second
-	// frontCallTimeout bounds a call behind a front; polls wait for less.
+	// frontCallTimeout bounds a call from the front to discovery. The gateways' polls have shorter timeouts.
 	frontCallTimeout = 30 * time.Second
 )
 
-// discoveryFront stands between one gateway and discovery. It plays faults and records what it has sent.
+// discoveryFront is an HTTP proxy between one gateway and discovery. It injects faults and reports the
+// generations of the lists that it sends.
 type discoveryFront struct {
 	target   string
 	listener net.Listener
 	server   *http.Server
 	client   *http.Client
-	// written is called with each generation that has been written to the gateway.
-	written func(generation int64)
+	// onWritten is called with the generation of each list that has been written to the gateway.
+	onWritten func(generation int64)
 
 	mu         sync.Mutex
 	mode       frontMode
 	changed    chan struct{} // closed at the next change of mode
-	silencedAt time.Time     // calls that began before get no answer
-	turn       sync.Mutex    // held by the call that is served in a crowd
+	hangBefore time.Time     // calls that began earlier get no response
+	serialCall sync.Mutex    // held by the call that is served in the mode frontSerialized
 }
 
-// newDiscoveryFront starts a front before discovery. It ends with close.
-func newDiscoveryFront(target string, written func(generation int64)) (*discoveryFront, error) {
+// newDiscoveryFront starts a front for discovery at target. The caller has to close it.
+func newDiscoveryFront(target string, onWritten func(generation int64)) (*discoveryFront, error) {
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		return nil, err
 	}
 	f := &discoveryFront{
-		target:   target,
-		listener: listener,
-		client:   &http.Client{Timeout: frontCallTimeout, Transport: &http.Transport{}},
-		written:  written,
-		changed:  make(chan struct{}),
+		target:    target,
+		listener:  listener,
+		client:    &http.Client{Timeout: frontCallTimeout, Transport: &http.Transport{}},
+		onWritten: onWritten,
+		changed:   make(chan struct{}),
 	}
 	f.server = &http.Server{Handler: f, ReadHeaderTimeout: time.Second}
-	go func() { _ = f.server.Serve(listener) }() // it ends with close
+	go func() { _ = f.server.Serve(listener) }() // returns after close
 	return f, nil
 }
 
@@ -83,7 +84,7 @@
 
 func (f *discoveryFront) close() { f.server.Close() }
 
-// setMode changes the mode, also of open calls.
+// setMode changes the mode, also for calls in progress.
 func (f *discoveryFront) setMode(mode frontMode) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -92,26 +93,26 @@
 	f.changed = make(chan struct{})
 }
 
-// silenceCalls leaves the calls that begin before a time without an answer.
-func (f *discoveryFront) silenceCalls(before time.Time) {
+// hangCallsBefore makes calls that begin before a time hang until the gateway ends them.
+func (f *discoveryFront) hangCallsBefore(begunBefore time.Time) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	f.silencedAt = before
+	f.hangBefore = begunBefore
 }
 
-// state returns the mode, a channel that is closed when it changes, and whether a call that began at a time is
-// silenced.
-func (f *discoveryFront) state(begun time.Time) (mode frontMode, changed <-chan struct{}, silenced bool) {
+// state returns the mode, a channel that is closed when the mode changes, and whether a call that began at a time
+// hangs.
+func (f *discoveryFront) state(begun time.Time) (mode frontMode, changed <-chan struct{}, hangs bool) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	return f.mode, f.changed, begun.Before(f.silencedAt)
+	return f.mode, f.changed, begun.Before(f.hangBefore)
 }
 
-// ServeHTTP passes a call on to discovery, or plays the mode's fault.
+// ServeHTTP forwards a call to discovery, or responds with the fault of the mode.
 func (f *discoveryFront) ServeHTTP(w http.ResponseWriter, r *http.Request) {
 	begun := time.Now()
 	mode, changed, _ := f.state(begun)
-	if mode == frontCrowded && !f.awaitTurn(r.Context()) {
+	if mode == frontSerialized && !f.awaitTurn(r.Context()) {
 		return
 	}
 	if !mode.reachable() {
@@ -125,7 +126,7 @@
 	for {
 		select {
 		case text := <-answer:
-			if _, _, silenced := f.state(begun); silenced {
+			if _, _, hangs := f.state(begun); hangs {
 				<-r.Context().Done()
 				return
 			}
@@ -133,7 +134,7 @@
 			return
 		case <-changed:
 			mode, changed, _ = f.state(begun)
-			if !mode.reachable() { // watches end when discovery goes down
+			if !mode.reachable() { // open watches fail when discovery goes down
 				f.playFault(w, r, mode)
 				return
 			}
@@ -143,15 +144,15 @@
 	}
 }
 
-// awaitTurn waits for the calls of others, and reports whether the caller is still there.
+// awaitTurn waits for earlier calls and for the call's own delay, and reports whether the context is still active.
 func (f *discoveryFront) awaitTurn(ctx context.Context) bool {
-	f.turn.Lock()
-	defer f.turn.Unlock()
-	pause(ctx, crowdedCallTime)
+	f.serialCall.Lock()
+	defer f.serialCall.Unlock()
+	pause(ctx, serializedCallTime)
 	return ctx.Err() == nil
 }
 
-// playFault ends a call as discovery does that cannot be reached.
+// playFault ends a call with the response, or the reset, of a mode in which discovery is not reachable.
 func (f *discoveryFront) playFault(w http.ResponseWriter, r *http.Request, mode frontMode) {
 	switch mode {
 	case frontResets:
@@ -166,7 +167,7 @@
 	}
 }
 
-// call gets discovery's answer, nil if there is none.
+// call returns the body of discovery's response, or nil if the call fails or its status is not 200.
 func (f *discoveryFront) call(ctx context.Context, path string) []byte {
 	req, err := http.NewRequestWithContext(ctx, http.MethodGet, "http://"+f.target+path, nil)
 	if err != nil {
@@ -184,7 +185,8 @@
 	return text
 }
 
-// sendList writes an answer to the gateway and records its generation.
+// sendList writes a list to the gateway and reports its generation to onWritten. It responds with 503 if there is
+// no valid list.
 func (f *discoveryFront) sendList(w http.ResponseWriter, text []byte) {
 	var list struct {
 		Generation int64 `json:"generation"`
@@ -200,6 +202,6 @@
 		}
 	}
 	if _, err := w.Write(text); err == nil {
-		f.written(list.Generation)
+		f.onWritten(list.Generation)
 	}
 }
--- a/internal/faulttest/discoverylink.go
+++ b/internal/faulttest/discoverylink.go
@@ -5,8 +5,8 @@
 	"time"
 )
 
-// discoveryLink is one gateway's way to discovery: a fault proxy for its connections, and behind it a front that
-// plays discovery's own faults. It records what the audit has to know.
+// discoveryLink connects one gateway to discovery through a fault proxy, which injects faults of connections, and
+// a front, which injects faults of discovery itself. It records faults and list writes for the audit.
 type discoveryLink struct {
 	proxy *faultProxy
 	front *discoveryFront
@@ -16,20 +16,20 @@
 	faults []linkFault
 }
 
-// listWrite is a generation of the endpoint list that was written to the gateway.
+// listWrite records that a generation of the endpoint list was written to the gateway.
 type listWrite struct {
 	generation int64
 	at         time.Time
 }
 
-// linkFault is a time in which something was wrong with the link. Its end is zero while it lasts.
+// linkFault is a period with a fault on the link. Its end is zero while the fault lasts.
 type linkFault struct {
 	interval
-	reachable bool // discovery could be reached all the same
+	reachable bool // further calls could reach discovery in spite of the fault
 	name      string
 }
 
-// newDiscoveryLink starts a link to discovery. It ends with close.
+// newDiscoveryLink starts a link to discovery at target. The caller has to close it.
 func newDiscoveryLink(target string) (*discoveryLink, error) {
 	l := &discoveryLink{}
 	var err error
@@ -48,9 +48,9 @@
 	l.front.close()
 }
 
-// recordWrite records a list that was written. What is written into a silent connection does not count.
+// recordWrite records a list that the front has written. Lists that the proxy does not forward are not recorded.
 func (l *discoveryLink) recordWrite(generation int64) {
-	if mode, _ := l.proxy.currentMode(); mode == proxySilent || mode == proxyRefuse {
+	if mode, _ := l.proxy.currentMode(); mode == proxyBlackhole || mode == proxyRefuse {
 		return
 	}
 	l.mu.Lock()
@@ -63,10 +63,10 @@
 	l.mu.Lock()
 	l.faults = append(l.faults, linkFault{interval{from: time.Now()}, fault.reachable(), fault.String()})
 	l.mu.Unlock()
-	fault.set(l)
+	fault.apply(l)
 }
 
-// end ends the fault that began last.
+// end ends the fault that began last. Faults of a link do not overlap.
 func (l *discoveryLink) end() {
 	l.front.setMode(frontPass)
 	l.proxy.setMode(proxyForward)
@@ -75,31 +75,31 @@
 	l.faults[len(l.faults)-1].to = time.Now()
 }
 
-// silence leaves the open watch without an answer. Discovery can be reached by further calls.
-func (l *discoveryLink) silence() {
+// hangOpenCalls makes open calls, such as the watch, hang. Later calls reach discovery.
+func (l *discoveryLink) hangOpenCalls() {
 	l.mu.Lock()
 	now := time.Now()
-	l.faults = append(l.faults, linkFault{interval{now, now}, true, "the open watch falls silent"})
+	l.faults = append(l.faults, linkFault{interval{now, now}, true, "the open watch hangs"})
 	l.mu.Unlock()
-	l.front.silenceCalls(now)
+	l.front.hangCallsBefore(now)
 }
 
-// silenceFor leaves all calls without an answer for a duration. Others can reach discovery meanwhile.
-func (l *discoveryLink) silenceFor(duration time.Duration) {
+// hangCallsFor makes all calls that begin within a duration hang. The audit still counts discovery as reachable.
+func (l *discoveryLink) hangCallsFor(duration time.Duration) {
 	l.mu.Lock()
 	now := time.Now()
-	l.faults = append(l.faults, linkFault{interval{now, now.Add(duration)}, true, "no call is answered"})
+	l.faults = append(l.faults, linkFault{interval{now, now.Add(duration)}, true, "all calls hang"})
 	l.mu.Unlock()
-	l.front.silenceCalls(now.Add(duration))
+	l.front.hangCallsBefore(now.Add(duration))
 }
 
-// linkFaultKind is a mode of the front or of the proxy: one of both is not zero.
+// linkFaultKind is a fault of either the front or the proxy: exactly one mode is not zero.
 type linkFaultKind struct {
 	front frontMode
 	proxy proxyMode
 }
 
-// linkFaultKinds are all faults of a link.
+// linkFaultKinds returns all kinds of faults of a link.
 func linkFaultKinds() (kinds []linkFaultKind) {
 	for mode := 1; mode < frontModeCount; mode++ {
 		kinds = append(kinds, linkFaultKind{front: frontMode(mode)})
@@ -111,7 +111,7 @@
 }
 
 func (k linkFaultKind) reachable() bool {
-	return k.front.reachable() && k.proxy != proxySilent && k.proxy != proxyRefuse
+	return k.front.reachable() && k.proxy != proxyBlackhole && k.proxy != proxyRefuse
 }
 
 func (k linkFaultKind) String() string {
@@ -121,12 +121,12 @@
 	return "discovery " + k.front.String()
 }
 
-func (k linkFaultKind) set(l *discoveryLink) {
+func (k linkFaultKind) apply(l *discoveryLink) {
 	l.front.setMode(k.front)
 	l.proxy.setMode(k.proxy)
 }
 
-// linkHistory is what happened on a link, for the audit.
+// linkHistory holds the records of a link for the audit.
 type linkHistory struct {
 	writes []listWrite
 	faults []linkFault
@@ -138,7 +138,7 @@
 	return linkHistory{l.writes, l.faults}
 }
 
-// firstWrite returns when a generation or a later one was first written; zero: never.
+// firstWrite returns when a list of the generation or a later one was first written, or zero if none was.
 func (h *linkHistory) firstWrite(generation int64) time.Time {
 	for _, write := range h.writes {
 		if write.generation >= generation {
@@ -148,7 +148,8 @@
 	return time.Time{}
 }
 
-// reachableFrom returns when discovery could first be reached from a time on.
+// reachableFrom returns the first time from at on at which discovery was reachable. If it never was again, the
+// result lies an hour ahead, after the end of any soak.
 func (h *linkHistory) reachableFrom(at time.Time) time.Time {
 	for _, fault := range h.faults {
 		if !fault.reachable && fault.from.Before(at) && (fault.to.IsZero() || fault.to.After(at)) {
@@ -161,8 +162,8 @@
 	return at
 }
 
-// undisturbedSince reports whether nothing was wrong with the link from one time to another.
-func (h *linkHistory) undisturbedSince(from, to time.Time) bool {
+// faultFreeBetween reports whether the link had no fault between two times.
+func (h *linkHistory) faultFreeBetween(from, to time.Time) bool {
 	for _, fault := range h.faults {
 		if fault.from.Before(to) && (fault.to.IsZero() || fault.to.After(from)) {
 			return false
--- a/internal/faulttest/drill.go
+++ b/internal/faulttest/drill.go
@@ -16,27 +16,28 @@
 )
 
 const (
-	// startTimeout and startTimeoutPerGateway bound the start of a drill's gateways.
-	startTimeout           = 30 * time.Second
+	// startTimeout bounds the time until all gateways are ready.
+	startTimeout = 30 * time.Second
+	// startTimeoutPerGateway is added to startTimeout for each gateway of a drill.
 	startTimeoutPerGateway = 200 * time.Millisecond
-	// endTimeout bounds how long a drill may take beyond its specification's duration.
+	// endTimeout bounds the time that a drill may take beyond its specification's duration.
 	endTimeout = time.Minute
-	// drillTolerance is the tolerance of a drill's audit.
+	// drillTolerance is Rules.Tolerance of a drill's audit.
 	drillTolerance = 50 * time.Millisecond
-	// drainLimit is how long after the start of a drain attempts may still reach the replica.
+	// drainLimit is the time from the start of a drain after which no attempt may reach the replica.
 	drainLimit = 2500 * time.Millisecond
-	// strikeStream selects the random numbers of strikes among those of a seed.
-	strikeStream = 41
+	// gatewayFaultStream is the random number stream that selects the targets of gateway faults.
+	gatewayFaultStream = 41
 )
 
 // Options are the parameters of a drill or soak besides its specification.
 type Options struct {
-	Program string // file of the gateways' program; empty: this process's
-	Dir     string // for configurations and logs; empty: a temporary one, removed at the end
+	Program string // path of the gateways' executable; empty: that of this process
+	Dir     string // directory for configurations and logs; empty: a temporary one, removed at the end
 }
 
-// withDefaults returns the options with their defaults. The function remove deletes what was created
-// for them.
+// withDefaults returns the options with defaults in place of empty fields. remove deletes the temporary
+// directory, if one was created.
 func (o Options) withDefaults() (complete Options, remove func(), err error) {
 	remove = func() {}
 	if o.Program == "" {
@@ -53,17 +54,18 @@
 	return o, func() { os.RemoveAll(o.Dir) }, nil
 }
 
-// drill is a drill under way.
+// drill holds the state of a running drill.
 type drill struct {
 	spec     *model.Spec
 	fleet    *emulate.Fleet
 	cluster  *cluster
 	recorder *recorder
-	striker  *striker
+	injector *gatewayFaultInjector
 }
 
-// Run carries out a drill: it starts the gateways of a specification in front of an emulated fleet,
-// plays its clients and strikes, and audits what clients and replicas recorded.
+// Run carries out a drill: it starts the gateways of a specification in front of an emulated fleet, sends
+// the clients' requests, injects the gateway faults, and audits the records of clients and replicas. Rule
+// violations and crashes are part of the result, not errors.
 func Run(ctx context.Context, spec *model.Spec, options Options) (*Result, error) {
 	options, remove, err := options.withDefaults()
 	if err != nil {
@@ -88,8 +90,8 @@
 	return d.run(ctx)
 }
 
-// waitUntilStarted waits until the gateways are ready and, if they are connected, for the time that
-// they have to find each other.
+// waitUntilStarted waits until the gateways are ready and, if they are peers, for the time that the
+// specification allows them to discover each other.
 func (d *drill) waitUntilStarted(ctx context.Context) error {
 	startCtx, stop := context.WithTimeout(ctx, startTimeout+time.Duration(d.spec.Gateways)*startTimeoutPerGateway)
 	defer stop()
@@ -107,67 +109,68 @@
 	}
 }
 
-// run plays clients and strikes, and returns the result.
+// run sends the clients' requests, injects the gateway faults, and returns the result.
 func (d *drill) run(ctx context.Context) (*Result, error) {
 	ctx, stop := context.WithTimeout(ctx, time.Duration(d.spec.Duration)*time.Microsecond+endTimeout)
 	defer stop()
 	usageBefore := d.cluster.processUsage()
-	d.striker = &striker{
+	d.injector = &gatewayFaultInjector{
 		cluster:   d.cluster,
 		spec:      d.spec,
-		random:    rand.New(rand.NewPCG(d.spec.Seed, strikeStream)),
+		random:    rand.New(rand.NewPCG(d.spec.Seed, gatewayFaultStream)),
 		startedAt: time.Now(),
-		endedAt:   map[string][]time.Time{},
+		endTimes:  map[string][]time.Time{},
 	}
-	d.scheduleStrikes(ctx)
+	d.scheduleGatewayFaults(ctx)
 	var addrs []string
 	for _, n := range d.cluster.nodes {
 		addrs = append(addrs, n.addr)
 	}
-	drainedBy := drainDeadlines(d.spec, d.striker.startedAt)
-	observer := emulate.Observer{OnState: d.recorder.onState, IsOffered: d.cluster.offered, OnEnd: d.recorder.recordRequest}
+	drainedBy := drainDeadlines(d.spec, d.injector.startedAt)
+	observer := emulate.Observer{OnState: d.recorder.onState, IsOffered: d.cluster.inRotation, OnEnd: d.recorder.recordRequest}
 	_, skipped, err := emulate.PlayObserved(ctx, d.fleet, d.spec, addrs, observer)
 	if err != nil {
 		return nil, err
 	}
 	stop()
-	d.striker.tasks.Wait()
+	d.injector.tasks.Wait()
 	for _, n := range d.cluster.nodes {
 		n.signal(syscall.SIGCONT)
 	}
 	result := &Result{Seed: d.spec.Seed, Skipped: skipped, Crashes: d.cluster.crashes()}
 	d.cluster.addUsage(usageBefore, result)
 	d.recorder.waitForAttempts()
-	result.measure(d.spec, d.recorder, d.striker)
-	result.ToVanishedShare = vanishedShare(d.spec, d.recorder, d.striker.startedAt)
+	result.measure(d.spec, d.recorder, d.injector)
+	result.ToVanishedShare = vanishedFraction(d.spec, d.recorder, d.injector.startedAt)
 	rules := newRules(d.spec, drillTolerance)
 	rules.DrainedBy = drainedBy
 	result.Violations = Audit(rules, d.recorder.requests, d.recorder.attempts)
 	return result, nil
 }
 
-// scheduleStrikes starts a task for each strike at a time, and makes the recorder fire those at a state of a
-// request.
-func (d *drill) scheduleStrikes(ctx context.Context) {
-	strikes := map[string][]*stateStrike{}
+// scheduleGatewayFaults starts a task for each fault that is scheduled at a time, and registers with the recorder
+// those that a request's state triggers.
+func (d *drill) scheduleGatewayFaults(ctx context.Context) {
+	byState := map[string][]*stateFault{}
 	for i := range d.spec.Strikes {
-		strike := &d.spec.Strikes[i]
-		if strike.When != "" && strike.When != "at" {
-			strikes[strike.When] = append(strikes[strike.When], &stateStrike{strike: strike})
+		fault := &d.spec.Strikes[i]
+		if fault.When != "" && fault.When != "at" {
+			byState[fault.When] = append(byState[fault.When], &stateFault{fault: fault})
 			continue
 		}
-		d.striker.tasks.Go(func() {
+		d.injector.tasks.Go(func() {
 			select {
-			case <-time.After(time.Until(d.striker.startedAt.Add(time.Duration(strike.At) * time.Microsecond))):
-				d.striker.strike(ctx, strike, -1)
+			case <-time.After(time.Until(d.injector.startedAt.Add(time.Duration(fault.At) * time.Microsecond))):
+				d.injector.inject(ctx, fault, -1)
 			case <-ctx.Done():
 			}
 		})
 	}
-	d.recorder.setStrikes(d.cluster, strikes, func(strike *model.Strike, serving int) { d.striker.strike(ctx, strike, serving) })
+	d.recorder.setFaults(d.cluster, byState, func(fault *model.Strike, serving int) { d.injector.inject(ctx, fault, serving) })
 }
 
-// drainDeadlines returns, by replica that drains for good, when the last attempt may reach it.
+// drainDeadlines returns, for each replica that drains to the end of the run, the last time at which an attempt
+// may reach it.
 func drainDeadlines(spec *model.Spec, startedAt time.Time) map[string]time.Time {
 	deadlines := map[string]time.Time{}
 	for i, replica := range replicasOf(spec) {
@@ -180,7 +183,7 @@
 	return deadlines
 }
 
-// specReplica is a replica of a specification.
+// specReplica is the name and zone of a replica of a specification.
 type specReplica struct{ name, zone string }
 
 // replicasOf returns the replicas of a specification in the order of their indexes.
@@ -194,33 +197,34 @@
 	return replicas
 }
 
-// recorder records what clients and replicas see, and fires strikes at states of requests.
+// recorder records the attempts of clients and replicas, and injects gateway faults that a request's state
+// triggers.
 type recorder struct {
 	mu       sync.Mutex
 	requests []emulate.ClientAttempt
 	attempts []emulate.ReplicaAttempt
 
-	strikes map[string][]*stateStrike // by state
+	faults  map[string][]*stateFault // by state
 	cluster *cluster
-	fire    func(strike *model.Strike, serving int)
+	inject  func(fault *model.Strike, serving int)
 }
 
-// stateStrike is a strike at the nth request that reaches a state.
-type stateStrike struct {
-	strike *model.Strike
-	seen   int // requests that have reached the state
+// stateFault is a gateway fault that the nth request to reach a state triggers.
+type stateFault struct {
+	fault *model.Strike
+	seen  int // requests that have reached the state
 }
 
 func newRecorder() *recorder { return &recorder{} }
 
-// setStrikes sets the strikes at states of requests. fire gets the index of the gateway that serves the
-// request.
-func (r *recorder) setStrikes(c *cluster, strikes map[string][]*stateStrike, fire func(strike *model.Strike, serving int)) {
+// setFaults sets the gateway faults that requests trigger, by state. inject is called with the index of the
+// gateway that serves the request.
+func (r *recorder) setFaults(c *cluster, faults map[string][]*stateFault, inject func(fault *model.Strike, serving int)) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.cluster = c
-	r.strikes = strikes
-	r.fire = fire
+	r.faults = faults
+	r.inject = inject
 }
 
 func (r *recorder) recordAttempt(attempt emulate.ReplicaAttempt) {
@@ -235,22 +239,22 @@
 	r.requests = append(r.requests, *request)
 }
 
-// onState fires the strikes that wait for a request in a state. Resume requests do not count.
+// onState injects the gateway faults that a request triggers by reaching a state. Resume requests are ignored.
 func (r *recorder) onState(request *emulate.ClientAttempt, state string) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	if request.ResumeIndex > 0 {
 		return
 	}
-	for _, waiting := range r.strikes[state] {
+	for _, waiting := range r.faults[state] {
 		waiting.seen++
-		if waiting.seen == waiting.strike.Nth {
-			go r.fire(waiting.strike, r.cluster.indexOf(request.Gateway))
+		if waiting.seen == waiting.fault.Nth {
+			go r.inject(waiting.fault, r.cluster.indexOf(request.Gateway))
 		}
 	}
 }
 
-// waitForAttempts waits until the replicas report no more attempts, for at most a second.
+// waitForAttempts waits until the replicas have reported no attempt for 20 ms, for at most a second.
 func (r *recorder) waitForAttempts() {
 	for last, end := -1, time.Now().Add(time.Second); time.Now().Before(end); time.Sleep(20 * time.Millisecond) {
 		r.mu.Lock()
@@ -263,24 +267,24 @@
 	}
 }
 
-// processUsage is what a process has used.
+// processUsage is the id of a gateway's process and the CPU time that the process has used.
 type processUsage struct {
 	pid     int // 0: the gateway does not run
 	cpuTime time.Duration
 }
 
-// processUsage returns the usage of each gateway's process.
+// processUsage returns the usage of each gateway's current process.
 func (c *cluster) processUsage() []processUsage {
-	usage := make([]processUsage, len(c.nodes))
+	usages := make([]processUsage, len(c.nodes))
 	for i, n := range c.nodes {
 		if pid := n.pid(); pid != 0 {
-			usage[i] = processUsage{pid, procstat.CPUTime(pid)}
+			usages[i] = processUsage{pid, procstat.CPUTime(pid)}
 		}
 	}
-	return usage
+	return usages
 }
 
-// addUsage enters into a result what the processes used that ran all the time.
+// addUsage sets the resource usage in a result. It counts only processes that ran during the whole drill.
 func (c *cluster) addUsage(before []processUsage, result *Result) {
 	total := time.Duration(0)
 	for i, now := range c.processUsage() {
--- a/internal/faulttest/node.go
+++ b/internal/faulttest/node.go
@@ -10,41 +10,41 @@
 	"time"
 )
 
-// node is a gateway, over all its processes.
+// node is a gateway. It outlives the processes that run the gateway one after another.
 type node struct {
 	index    int
 	name     string
-	addr     string // for clients
-	peerAddr string // where its process listens for other gateways
-	relay    *relay // nil: none
+	addr     string // listening address for clients
+	peerAddr string // listening address for other gateways
+	relay    *relay // nil: other gateways use peerAddr
 	zone     int
-	// discoveryAddr is discovery's address in the configuration. Only the task of the gateway's events uses it.
+	// discoveryAddr is the address of discovery in the gateway's configuration.
 	discoveryAddr string
-	listenSocket  *os.File // the clients' listening socket, shared by its processes; nil: each opens its own
+	listenSocket  *os.File // listening socket for clients, inherited by all processes; nil: each opens its own
 
 	mu       sync.Mutex
 	process  *gatewayProcess // nil: none runs
-	starting bool            // a restarted process is not ready: clients are not directed to it
-	crashes  []string
+	starting bool            // the load balancer directs no clients here, because a restarted process is not ready
+	crashes  []string        // descriptions of unexpected ends
 }
 
 // gatewayProcess is one process of a gateway.
 type gatewayProcess struct {
 	cmd         *exec.Cmd
-	adminAddr   string // the operators' address; empty: none
-	exited      chan struct{}
-	endExpected bool
-	killSentAt  time.Time // when SIGKILL was sent first; zero: never
+	adminAddr   string        // address of the operators' API; empty: none
+	exited      chan struct{} // closed after the process has ended
+	endExpected bool          // SIGTERM or SIGKILL was sent
+	killSentAt  time.Time     // when SIGKILL was first sent; zero: never
 	end         processEnd
 }
 
-// processEnd is how a process has ended. It is set before exited is closed.
+// processEnd describes the end of a process. It is set before exited is closed.
 type processEnd struct {
 	at     time.Time // when the wait for the process returned
-	killed bool      // SIGKILL has ended it
+	killed bool      // SIGKILL ended the process
 }
 
-// openListenSocket opens the clients' listening socket that a gateway's processes share.
+// openListenSocket opens the listening socket for clients that a gateway's processes inherit.
 func (n *node) openListenSocket() error {
 	listener, err := retryListen(func() (net.Listener, error) { return net.Listen("tcp", n.addr) })
 	if err != nil {
@@ -53,13 +53,13 @@
 	defer listener.Close()
 	tcp, ok := listener.(*net.TCPListener)
 	if !ok {
-		return fmt.Errorf("%s: listens with a %T, expected a TCP listener", n.addr, listener)
+		return fmt.Errorf("listen on %s: got a listener of type %T, expected *net.TCPListener", n.addr, listener)
 	}
 	n.listenSocket, err = tcp.File()
 	return err
 }
 
-// start starts the next process of a gateway, unless one runs.
+// start starts the next process of a gateway. It does nothing if one runs.
 func (c *cluster) start(n *node) error {
 	n.mu.Lock()
 	defer n.mu.Unlock()
@@ -86,7 +86,7 @@
 	return nil
 }
 
-// newProcess returns a process of a gateway that has not been started.
+// newProcess prepares a gateway's next process without starting it.
 func (c *cluster) newProcess(n *node, log *os.File) (*gatewayProcess, error) {
 	cmd := exec.Command(c.program, "serve", "--config", c.path(n, "conf"))
 	cmd.Env = append(os.Environ(), "NODE_CONFIG="+c.path(n, "json"), "NODE_NAME=", "NODE_LISTEN=", "NODE_DISCOVERY=", "NODE_SOCKET_FD=", "ARCHKNOT_CONF=")
@@ -114,7 +114,7 @@
 	return <-started
 }
 
-// awaitExit waits for the end of a process, and records it as a crash if it was not expected.
+// awaitExit waits for the end of a process, and records a crash if neither SIGTERM nor SIGKILL was sent to it.
 func (c *cluster) awaitExit(n *node, process *gatewayProcess, log *os.File) {
 	err := process.cmd.Wait()
 	process.end.at = time.Now()
@@ -127,7 +127,7 @@
 		n.relay.down()
 	}
 	if !process.endExpected {
-		n.crashes = append(n.crashes, fmt.Sprintf("%s ended by itself: %v\n%s", n.name, err, c.logTail(n)))
+		n.crashes = append(n.crashes, fmt.Sprintf("%s: process ended unexpectedly: %v; end of its log:\n%s", n.name, err, c.logTail(n)))
 	}
 	if n.process == process {
 		n.process = nil
@@ -135,8 +135,8 @@
 	close(process.exited)
 }
 
-// signal sends a signal to a gateway's process. It returns a channel that is closed when the process has
-// ended, nil if none runs.
+// signal sends a signal to a gateway's current process. It returns a channel that is closed when the process
+// has ended, or nil if none runs.
 func (n *node) signal(s syscall.Signal) (exited <-chan struct{}) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
@@ -146,21 +146,22 @@
 	return n.process.signal(s)
 }
 
-// currentProcess returns the gateway's process, nil if none runs.
+// currentProcess returns the gateway's current process, or nil if none runs.
 func (n *node) currentProcess() *gatewayProcess {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	return n.process
 }
 
-// signalProcess sends a signal to one of the gateway's processes, also one that has a successor.
+// signalProcess sends a signal to a process of the gateway, which may already have a successor.
 func (n *node) signalProcess(process *gatewayProcess, s syscall.Signal) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	process.signal(s)
 }
 
-// exited returns a channel that is closed once the gateway's process has ended.
+// exited returns a channel that is closed once the gateway's current process has ended. It is closed already if
+// none runs.
 func (n *node) exited() <-chan struct{} {
 	n.mu.Lock()
 	defer n.mu.Unlock()
@@ -172,7 +173,7 @@
 	return none
 }
 
-// pid returns the id of the gateway's process, 0 if none runs.
+// pid returns the id of the gateway's current process, or 0 if none runs.
 func (n *node) pid() int {
 	n.mu.Lock()
 	defer n.mu.Unlock()
@@ -182,7 +183,7 @@
 	return n.process.cmd.Process.Pid
 }
 
-// adminAddr returns the operators' address of the gateway's process, empty if none runs.
+// adminAddr returns the address of the current process's operators' API, or "" if no process runs.
 func (n *node) adminAddr() string {
 	n.mu.Lock()
 	defer n.mu.Unlock()
@@ -192,20 +193,20 @@
 	return n.process.adminAddr
 }
 
-// setOffered sets whether clients are directed to the gateway.
-func (n *node) setOffered(offered bool) {
+// setInRotation sets whether the load balancer directs clients to the gateway.
+func (n *node) setInRotation(inRotation bool) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	n.starting = !offered
+	n.starting = !inRotation
 }
 
-func (n *node) isOffered() bool {
+func (n *node) inRotation() bool {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	return !n.starting
 }
 
-// signal sends a signal to a process. The caller holds the gateway's lock.
+// signal sends a signal to a process. The caller must hold the lock of the process's node.
 func (p *gatewayProcess) signal(s syscall.Signal) (exited <-chan struct{}) {
 	if s == syscall.SIGKILL || s == syscall.SIGTERM {
 		p.endExpected = true
@@ -213,6 +214,6 @@
 	if s == syscall.SIGKILL && p.killSentAt.IsZero() {
 		p.killSentAt = time.Now()
 	}
-	_ = p.cmd.Process.Signal(s) // fails only if the process has ended
+	_ = p.cmd.Process.Signal(s) // it fails only if the process has ended
 	return p.exited
 }
--- a/internal/faulttest/nodeconfig.go
+++ b/internal/faulttest/nodeconfig.go
@@ -9,10 +9,10 @@
 	"archknot/internal/simwire"
 )
 
-// seedNodes is how many gateways each gateway knows from the start.
+// seedNodes is the number of gateways in each gateway's list of peers to join.
 const seedNodes = 3
 
-// platformConfig is the content of the file that NODE_CONFIG names.
+// platformConfig is the content of the platform's configuration file, whose path is in NODE_CONFIG.
 type platformConfig struct {
 	Discovery string          `json:"discovery"`
 	Limits    platformLimits  `json:"limits"`
@@ -28,12 +28,12 @@
 	Sockets  int `json:"sockets"`
 }
 
-// writeConfig writes a gateway's platform configuration and its own, and creates its directory for
-// temporary files.
+// writeConfig writes the platform's and the gateway's own configuration file, and creates the gateway's
+// directory for temporary files.
 func (c *cluster) writeConfig(n *node) error {
 	platform, err := c.platformConfig(n)
 	if err != nil {
-		return fmt.Errorf("configuration of %s: %w", n.name, err)
+		return fmt.Errorf("create the platform configuration of %s: %w", n.name, err)
 	}
 	if err := os.WriteFile(c.path(n, "json"), platform, 0o600); err != nil {
 		return err
@@ -44,7 +44,7 @@
 	return os.WriteFile(c.path(n, "conf"), []byte(c.ownConfig(n)), 0o600)
 }
 
-// platformConfig returns the configuration that the platform gives a gateway.
+// platformConfig returns a gateway's platform configuration as JSON.
 func (c *cluster) platformConfig(n *node) ([]byte, error) {
 	settings := c.spec.Settings
 	settings.Gateways = max(c.spec.Gateways, c.spec.Drill.FleetSize)
@@ -75,7 +75,7 @@
 	})
 }
 
-// ownConfig returns the configuration in the form of deploy/archknot.conf.
+// ownConfig returns a gateway's own configuration in the format of deploy/archknot.conf.
 func (c *cluster) ownConfig(n *node) string {
 	text := "[log]\nlevel info\n"
 	drill := c.spec.Drill
--- a/internal/faulttest/proxy.go
+++ b/internal/faulttest/proxy.go
@@ -8,32 +8,32 @@
 	"time"
 )
 
-// proxyMode is what a fault proxy does to its connections.
+// proxyMode selects how a fault proxy handles its connections.
 type proxyMode uint8
 
 // The modes of a proxy.
 const (
 	proxyForward    proxyMode = iota
-	proxySilent               // accepts connections, and forwards nothing
-	proxyRefuse               // closes each connection at once
-	proxyDelay                // forwards with a delay
+	proxyBlackhole            // accepts connections and forwards nothing
+	proxyRefuse               // closes new connections at once, and open ones at their next data
+	proxyDelay                // forwards after proxyDelayTime
 	proxyByteByByte           // forwards each byte in a write of its own
 	proxyModeCount  int       = iota
 )
 
-// String returns the mode's name in a timeline.
+// String returns the mode's name in the timeline of a soak.
 func (m proxyMode) String() string {
 	return [...]string{"passes", "silent", "refuses", "slow", "in pieces"}[m]
 }
 
 const (
-	// proxyDelayTime is the delay of proxyDelay.
+	// proxyDelayTime is the delay of each read's data in the mode proxyDelay.
 	proxyDelayTime = 300 * time.Millisecond
-	// proxyBufferSize is the most bytes that a proxy forwards at once.
+	// proxyBufferSize is the maximum number of bytes that a proxy forwards at once.
 	proxyBufferSize = 16 << 10
 )
 
-// faultProxy forwards TCP connections to a server, with faults that are the same for all connections.
+// faultProxy forwards TCP connections to a server. Its mode applies to all connections.
 type faultProxy struct {
 	addr        string
 	target      string
@@ -47,7 +47,7 @@
 	modeChanged chan struct{} // closed with the next change of mode
 }
 
-// newProxy starts a proxy to a server. It ends with close.
+// newProxy starts a proxy for the server at target. The caller has to close it.
 func newProxy(target string) (*faultProxy, error) {
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -59,7 +59,7 @@
 	return p, nil
 }
 
-// setMode changes the mode, also of open connections.
+// setMode changes the mode, also for open connections.
 func (p *faultProxy) setMode(mode proxyMode) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -68,14 +68,14 @@
 	p.modeChanged = make(chan struct{})
 }
 
-// currentMode returns the mode, and a channel that is closed when it changes.
+// currentMode returns the mode and a channel that is closed when the mode changes.
 func (p *faultProxy) currentMode() (mode proxyMode, changed <-chan struct{}) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	return p.mode, p.modeChanged
 }
 
-// close ends the proxy with all its connections.
+// close closes the listener and all connections, and waits until their goroutines have ended.
 func (p *faultProxy) close() {
 	p.stop()
 	p.listener.Close()
@@ -96,7 +96,7 @@
 	}
 }
 
-// forwardConn forwards in both directions until one side ends.
+// forwardConn forwards in both directions until one direction ends or the proxy is closed.
 func (p *faultProxy) forwardConn(client net.Conn) {
 	defer client.Close()
 	server, err := net.Dial("tcp", p.target)
@@ -116,7 +116,7 @@
 	directions.Wait()
 }
 
-// forward forwards in one direction.
+// forward copies data in one direction until either side fails or ends.
 func (p *faultProxy) forward(out io.Writer, in io.Reader) {
 	buffer := make([]byte, proxyBufferSize)
 	for {
@@ -127,14 +127,14 @@
 	}
 }
 
-// write forwards data in the current mode, and reports whether the connection continues.
+// write writes data in the current mode, and reports whether the connection stays open.
 func (p *faultProxy) write(out io.Writer, data []byte) bool {
 	for {
 		mode, changed := p.currentMode()
 		switch mode {
 		case proxyRefuse:
 			return false
-		case proxySilent:
+		case proxyBlackhole:
 			select {
 			case <-changed:
 				continue
--- a/internal/faulttest/relay.go
+++ b/internal/faulttest/relay.go
@@ -14,25 +14,26 @@
 )
 
 const (
-	// listenRetryTime and listenRetryInterval are how long and how often retryListen tries.
-	listenRetryTime     = 2 * time.Second
+	// listenRetryTime bounds the time for which retryListen tries.
+	listenRetryTime = 2 * time.Second
+	// listenRetryInterval is the time between two tries of retryListen.
 	listenRetryInterval = 5 * time.Millisecond
-	// probeConnTimeout bounds a probe's connections through a relay.
+	// probeConnTimeout bounds the lifetime of a probe's connections through a relay.
 	probeConnTimeout = 10 * time.Second
-	// maxProbeLine is the most bytes of the line that a probe begins with.
+	// maxProbeLine is the maximum length in bytes of a probe's first line.
 	maxProbeLine = 256
-	// relayStream selects the random numbers of relays among those of a seed.
+	// relayStream is the random number stream for the loss and delay of datagrams.
 	relayStream = 99
 )
 
-// relayNetwork is the network between the gateways: whoever sends to gateway j sends to relay j.
+// relayNetwork emulates the network between the gateways: datagrams and probes for a gateway pass its relay.
 type relayNetwork struct {
 	mu         sync.Mutex
 	rng        *rand.Rand
-	lossRate   float64 // of datagrams
-	maxDelay   time.Duration
-	partitions map[[2]int]bool // from one gateway to another
-	byPort     map[uint16]int  // the gateways by the ports of their own
+	lossRate   float64         // fraction of datagrams that are lost
+	maxDelay   time.Duration   // of datagrams
+	partitions map[[2]int]bool // cut links, by the indexes of sender and receiver
+	byPort     map[uint16]int  // indexes by the gateways' peer ports, not their relays' ports
 	byName     map[string]int
 	list       []*relay
 }
@@ -41,12 +42,12 @@
 type relay struct {
 	network *relayNetwork
 	index   int
-	addr    string         // where it listens
-	target  netip.AddrPort // where the gateway listens
+	addr    string         // listening address of the relay
+	target  netip.AddrPort // listening address of the gateway
 	udp     *net.UDPConn
 
 	mu  sync.Mutex
-	tcp net.Listener // nil while the gateway's process is dead, so that probes are refused
+	tcp net.Listener // nil while the gateway has no process, so that probes are refused
 }
 
 func newRelayNetwork(seed uint64) *relayNetwork {
@@ -58,7 +59,7 @@
 	}
 }
 
-// add opens the relay for a gateway, which listens at target, on addr.
+// add opens a relay on addr for the gateway that listens on target.
 func (n *relayNetwork) add(name, target, addr string) (*relay, error) {
 	targetAddr, err := netip.ParseAddrPort(target)
 	if err != nil {
@@ -72,7 +73,7 @@
 	if err != nil {
 		return nil, err
 	}
-	_ = udp.SetReadBuffer(1 << 20) // a smaller buffer works as well
+	_ = udp.SetReadBuffer(1 << 20) // on failure the default size suffices
 	r := &relay{network: n, index: len(n.list), target: targetAddr, udp: udp, addr: addr}
 	n.mu.Lock()
 	n.list = append(n.list, r)
@@ -94,8 +95,8 @@
 	}
 }
 
-// retryListen tries to listen for a moment. A process that another drill is just starting holds
-// duplicates of all sockets of this process until it executes its own program.
+// retryListen calls listen until it succeeds, for at most listenRetryTime. A port may be busy for a short
+// time: a process that another drill starts holds duplicates of all sockets of this process until exec.
 func retryListen[T any](listen func() (T, error)) (listener T, err error) {
 	for end := time.Now().Add(listenRetryTime); ; time.Sleep(listenRetryInterval) {
 		if listener, err = listen(); err == nil || time.Now().After(end) {
@@ -104,7 +105,7 @@
 	}
 }
 
-// setPartition cuts or heals the link from one gateway to another.
+// setPartition cuts or restores the link from one gateway to another.
 func (n *relayNetwork) setPartition(from, to int, cut bool) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
@@ -115,15 +116,15 @@
 	}
 }
 
-// setQuality sets the share of datagrams that are lost, and the longest delay of the others.
-func (n *relayNetwork) setQuality(lossRate float64, maxDelay time.Duration) {
+// setLossAndDelay sets the fraction of datagrams that are lost, and the maximum delay of the others.
+func (n *relayNetwork) setLossAndDelay(lossRate float64, maxDelay time.Duration) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	n.lossRate = lossRate
 	n.maxDelay = maxDelay
 }
 
-// transmit decides whether something gets from one gateway to another, and after what delay.
+// transmit decides whether a datagram or probe passes from one gateway to another, and draws a datagram's delay.
 func (n *relayNetwork) transmit(from, to int, datagram bool) (ok bool, delay time.Duration) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
@@ -136,7 +137,7 @@
 	return true, 0
 }
 
-// senderByPort returns the gateway whose process has a port.
+// senderByPort returns the index of the gateway whose process has a peer port.
 func (n *relayNetwork) senderByPort(port uint16) (index int, ok bool) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
@@ -151,7 +152,7 @@
 	return index, ok
 }
 
-// up accepts probes, as the gateway's port does while its process lives.
+// up starts to accept probes. It is called when the gateway's process starts.
 func (r *relay) up() error {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -175,7 +176,7 @@
 	return nil
 }
 
-// down refuses probes: the process is dead.
+// down refuses further probes. It is called when the gateway's process has ended.
 func (r *relay) down() {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -185,7 +186,7 @@
 	}
 }
 
-// forwardDatagrams forwards datagrams of other gateways until the socket is closed.
+// forwardDatagrams forwards datagrams from other gateways until the socket is closed.
 func (r *relay) forwardDatagrams() {
 	buffer := make([]byte, 64<<10)
 	for {
@@ -194,7 +195,7 @@
 			return
 		}
 		if err != nil {
-			continue // the gateway's port was closed for an earlier datagram
+			continue // the gateway's port was closed when an earlier datagram arrived
 		}
 		sender, ok := r.network.senderByPort(from.Port())
 		if !ok {
@@ -213,13 +214,13 @@
 	}
 }
 
-// writeDatagram sends a datagram to the gateway. One that cannot be sent is lost, as on any network.
+// writeDatagram sends a datagram to the gateway. A datagram that cannot be sent is lost.
 func (r *relay) writeDatagram(datagram []byte) {
 	_, _ = r.udp.WriteToUDPAddrPort(datagram, r.target)
 }
 
-// forwardProbe forwards a probe, which begins with the name of the prober. If the link is cut in either
-// direction the probe gets no answer.
+// forwardProbe forwards a probe, whose first word is the prober's name. A probe gets no response if the
+// prober is unknown or the link is cut in either direction.
 func (r *relay) forwardProbe(conn net.Conn) {
 	defer conn.Close()
 	_ = conn.SetDeadline(time.Now().Add(probeConnTimeout))
@@ -229,10 +230,10 @@
 	}
 	prober, _, _ := strings.Cut(line, " ")
 	sender, known := r.network.senderByName(prober)
-	there, _ := r.network.transmit(sender, r.index, false)
-	back, _ := r.network.transmit(r.index, sender, false)
-	if !known || !there || !back {
-		_, _ = io.Copy(io.Discard, conn) // until the prober gives up
+	requestPasses, _ := r.network.transmit(sender, r.index, false)
+	responsePasses, _ := r.network.transmit(r.index, sender, false)
+	if !known || !requestPasses || !responsePasses {
+		_, _ = io.Copy(io.Discard, conn) // until the prober closes the connection
 		return
 	}
 	gateway, err := net.DialTimeout("tcp", r.target.String(), time.Second)
@@ -242,5 +243,5 @@
 	defer gateway.Close()
 	_ = gateway.SetDeadline(time.Now().Add(probeConnTimeout))
 	fmt.Fprint(gateway, line)
-	_, _ = io.Copy(conn, gateway) // a broken connection is the prober's to notice
+	_, _ = io.Copy(conn, gateway) // the prober detects a broken connection
 }
--- a/internal/faulttest/result.go
+++ b/internal/faulttest/result.go
@@ -10,12 +10,13 @@
 )
 
 const (
-	// interruptedAfter is how long a request must have been in flight at a gateway that ends to count as
+	// interruptedAfter is the minimum time in flight, before the gateway's end, of a request that counts as
 	// interrupted.
 	interruptedAfter balancer.Micros = 50_000
-	// lossWindow is how long after the first strike requests count for Result.WeightLost.
+	// lossWindow is the time after the first gateway fault in which new requests count for Result.WeightLost.
 	lossWindow balancer.Micros = 10_000_000
-	// vanishGrace is how long after a machine vanished attempts to it do not count.
+	// vanishGrace is the time after the loss of a machine in which attempts do not count for
+	// Result.ToVanishedShare.
 	vanishGrace = 1500 * time.Millisecond
 )
 
@@ -23,37 +24,37 @@
 type Result struct {
 	Seed            uint64                  `json:"seed"`
 	Sent            int                     `json:"sent"`
-	Outcomes        map[string]int          `json:"ends"` // number of requests by how they ended for the client
+	Outcomes        map[string]int          `json:"ends"` // number of requests by their outcome for the client
 	WeightServed    float64                 `json:"worth"`
 	WeightOffered   float64                 `json:"worth_asked"`
 	Interrupted     int                     `json:"caught"`         // idempotent requests in flight for over 50 ms at a gateway that was killed or terminated
 	Recovered       int                     `json:"saved"`          // of those, completely served in time
-	WeightLost      float64                 `json:"worth_lost_10s"` // of requests in flight at the first strike or sent within 10 s of it
+	WeightLost      float64                 `json:"worth_lost_10s"` // priority weight not served, of requests in flight at the first gateway fault or sent within 10 s after it
 	FirstTokenMs    map[string]float64      `json:"first_ms"`       // percentiles
 	CPUMsPerRequest float64                 `json:"cpu_ms_request"` // of the gateways' processes that ran to the end
 	MemoryMB        float64                 `json:"memory_mb"`      // the largest resident memory of one of them at the end
 	OpenFiles       int                     `json:"files"`          // the most open descriptors of one of them at the end
 	Classes         map[string]*ClassResult `json:"classes"`
-	ToVanishedShare float64                 `json:"to_lost"` // share of the attempts that went to vanished replicas, from 1.5 s after they vanished
+	ToVanishedShare float64                 `json:"to_lost"` // fraction of the attempts that went to vanished replicas, from 1.5 s after they vanished
 	Violations      []Violation             `json:"breaks"`
 	Crashes         []string                `json:"crashes"`
 	Skipped         int                     `json:"left_out"` // requests that the emulator did not send
 }
 
-// ClassResult is the part of a result for the requests of a class.
+// ClassResult is the part of a Result for the requests of one class.
 type ClassResult struct {
 	Sent          int     `json:"sent"`
-	InTime        int     `json:"in_time"` // with the first token within the latency objective
+	InTime        int     `json:"in_time"` // served with the first token within the latency objective
 	Shed          int     `json:"refused"`
 	WeightServed  float64 `json:"worth"`
 	WeightOffered float64 `json:"worth_asked"`
 }
 
-// clientRequest is a client's request with all its resume requests.
+// clientRequest holds the first and the last attempt of a client's request.
 type clientRequest struct{ first, last emulate.ClientAttempt }
 
-// groupRequests returns the requests by the id of their first attempt. A client whose request no gateway
-// knows sends it again under a new id, and it still belongs to the first.
+// groupRequests groups attempts by the id of their request's first attempt. A client resends a request of which no
+// gateway has a record under a new id; the resent request belongs to the first one's group.
 func groupRequests(attempts []emulate.ClientAttempt) map[string]*clientRequest {
 	byRoot := map[string]*clientRequest{}
 	for _, attempt := range attempts {
@@ -72,7 +73,7 @@
 	return byRoot
 }
 
-// firstTokenAt returns when the client got its first token, 0 if it got none.
+// firstTokenAt returns when the client received its first token, or 0 if it received none.
 func (r *clientRequest) firstTokenAt() balancer.Micros {
 	if r.first.FirstTokenAt != 0 {
 		return r.first.FirstTokenAt
@@ -90,7 +91,8 @@
 	return r.last.Outcome == model.OutcomeServed && r.firstTokenAt() > 0 && r.firstTokenLatency() <= r.first.FirstTokenTimeout
 }
 
-// weightServed returns the priority weight that the request earned.
+// weightServed returns the priority weight that counts as served: all of it within the latency objective, a
+// fraction later within the client's timeout, else 0.
 func (r *clientRequest) weightServed() float64 {
 	if !r.inTime() {
 		return 0
@@ -102,8 +104,8 @@
 	return class.PriorityWeight
 }
 
-// measure enters how the requests ended.
-func (r *Result) measure(spec *model.Spec, recorder *recorder, striker *striker) {
+// measure sets the counts, weights and latencies of the requests.
+func (r *Result) measure(spec *model.Spec, recorder *recorder, injector *gatewayFaultInjector) {
 	r.Outcomes = map[string]int{}
 	r.Classes = map[string]*ClassResult{}
 	requests := groupRequests(recorder.requests)
@@ -111,10 +113,10 @@
 	for _, root := range sortedKeys(requests) {
 		request := requests[root]
 		if !request.last.Last || request.first.RequestedAt < spec.WarmUp {
-			continue // sent again as another request, which counts; or during the warm-up
+			continue // resent as another request, which is counted; or requested during the warm-up
 		}
 		r.addRequest(request)
-		r.addLosses(request, striker)
+		r.addLosses(request, injector)
 		if request.inTime() {
 			latenciesMs = append(latenciesMs, float64(request.firstTokenLatency())/1000)
 		}
@@ -125,7 +127,7 @@
 	}
 }
 
-// addRequest counts a request for the fleet and for its class.
+// addRequest counts a request in the totals and in the result of its class.
 func (r *Result) addRequest(request *clientRequest) {
 	class := request.first.Class
 	weight := request.weightServed()
@@ -133,36 +135,36 @@
 	r.Outcomes[request.last.Outcome]++
 	r.WeightOffered += class.PriorityWeight
 	r.WeightServed += weight
-	ofClass := r.Classes[class.Name]
-	if ofClass == nil {
-		ofClass = &ClassResult{}
-		r.Classes[class.Name] = ofClass
+	classResult := r.Classes[class.Name]
+	if classResult == nil {
+		classResult = &ClassResult{}
+		r.Classes[class.Name] = classResult
 	}
-	ofClass.Sent++
-	ofClass.WeightOffered += class.PriorityWeight
-	ofClass.WeightServed += weight
+	classResult.Sent++
+	classResult.WeightOffered += class.PriorityWeight
+	classResult.WeightServed += weight
 	if weight >= class.PriorityWeight && class.PriorityWeight > 0 {
-		ofClass.InTime++
+		classResult.InTime++
 	}
 	if request.last.Outcome == model.OutcomeShed {
-		ofClass.Shed++
+		classResult.Shed++
 	}
 }
 
-// addLosses counts what strikes did to a request.
-func (r *Result) addLosses(request *clientRequest, striker *striker) {
+// addLosses counts the effects of gateway faults on a request.
+func (r *Result) addLosses(request *clientRequest, injector *gatewayFaultInjector) {
 	class := request.first.Class
-	if !striker.firstStrikeAt.IsZero() {
-		firstStrike := striker.firstStrikeAt.Sub(striker.startedAt).Microseconds()
-		if request.last.EndedAt >= firstStrike && request.first.RequestedAt < firstStrike+lossWindow {
+	if !injector.firstFaultAt.IsZero() {
+		firstFault := injector.firstFaultAt.Sub(injector.startedAt).Microseconds()
+		if request.last.EndedAt >= firstFault && request.first.RequestedAt < firstFault+lossWindow {
 			r.WeightLost += class.PriorityWeight - request.weightServed()
 		}
 	}
 	if class.Idempotency == balancer.NonIdempotent {
 		return
 	}
-	for _, at := range striker.endedAt[request.first.Gateway] {
-		ended := at.Sub(striker.startedAt).Microseconds()
+	for _, at := range injector.endTimes[request.first.Gateway] {
+		ended := at.Sub(injector.startedAt).Microseconds()
 		if request.first.SentAt <= ended-interruptedAfter && request.first.EndedAt >= ended {
 			r.Interrupted++
 			if request.inTime() {
@@ -172,8 +174,8 @@
 	}
 }
 
-// percentiles returns the median, 95th and 99th percentile, and sorts the values. It is empty without
-// values.
+// percentiles sorts the values and returns their median, 95th and 99th percentile. The result is empty if there
+// are no values.
 func percentiles(values []float64) map[string]float64 {
 	slices.Sort(values)
 	out := map[string]float64{}
@@ -185,9 +187,9 @@
 	return out
 }
 
-// vanishedShare returns the share of attempts that went to vanished machines, of all attempts while
-// machines were gone. The first vanishGrace does not count.
-func vanishedShare(spec *model.Spec, recorder *recorder, startedAt time.Time) float64 {
+// vanishedFraction returns the fraction of attempts that went to vanished machines, among the attempts made while
+// machines had vanished. The time vanishGrace after each loss does not count.
+func vanishedFraction(spec *model.Spec, recorder *recorder, startedAt time.Time) float64 {
 	zones := map[string]string{}
 	for _, replica := range replicasOf(spec) {
 		zones[replica.name] = replica.zone
--- a/internal/faulttest/soak.go
+++ b/internal/faulttest/soak.go
@@ -17,115 +17,119 @@
 type SoakResult struct {
 	Seed       uint64        `json:"seed"`
 	Sent       int           `json:"sent"`
-	Outcomes   string        `json:"ends"` // the number of requests by outcome
+	Outcomes   string        `json:"ends"` // number of requests by outcome, as text
 	Attempts   int           `json:"attempts"`
-	Events     []string      `json:"events"` // the timeline
+	Events     []string      `json:"events"` // timeline, one line per event
 	Violations []Violation   `json:"breaks"`
 	Crashes    []string      `json:"crashes"`
 	Duration   time.Duration `json:"took_ns"`
 }
 
-// The rules of a soak besides those of Audit and ruleDrain, as Violation.Rule.
+// The rules that only a soak checks, as Violation.Rule.
 const (
-	ruleStart    = "start"    // a process starts
+	ruleStart    = "start"    // a gateway's process can be started
 	ruleReady    = "ready"    // a started gateway becomes ready in time
-	ruleOperator = "operator" // an operator's call has the expected result
-	ruleDrained  = "drained"  // a drained gateway gets rid of its clients, and takes them again when resumed
+	ruleOperator = "operator" // an operator's call succeeds, or fails if it is invalid
+	ruleDrained  = "drained"  // a drained gateway loses all clients, and is ready again soon after it is resumed
 	ruleLost     = "lost"     // a request gets a response, unless its gateway was killed
 )
 
 const (
-	// clientsPerGateway is the number of clients for each gateway, meanThinkTime the mean time that each
-	// waits between two requests.
+	// clientsPerGateway is the number of clients for each gateway.
 	clientsPerGateway = 10
-	meanThinkTime     = 120 * time.Millisecond
-	// idleClientCount is how many clients without requests some seeds have.
+	// meanThinkTime is the mean time that a client waits between two requests.
+	meanThinkTime = 120 * time.Millisecond
+	// idleClientCount is the number of clients without requests, in the seeds that have them.
 	idleClientCount = 60
-	// killDelay is the time from the longest deadline after SIGTERM to the earliest SIGKILL. Deadlines over
-	// longestDeadline count as that.
-	killDelay, longestDeadline = 700 * time.Millisecond, 3 * time.Second
-	// maxFreeze is how long a process may be stopped.
+	// killDelay is added to the longest deadline to give the earliest time of SIGKILL after SIGTERM.
+	killDelay = 700 * time.Millisecond
+	// maxCountedDeadline is the upper limit of the deadline that counts for the time of SIGKILL.
+	maxCountedDeadline = 3 * time.Second
+	// maxFreeze is the longest time for which SIGSTOP stops a process.
 	maxFreeze = 150 * time.Millisecond
-	// drainCheckDelay is when a drained gateway must have no client any more.
+	// drainCheckDelay is the time from the start of a drain after which the gateway must have no clients.
 	drainCheckDelay = 4 * time.Second
-	// adminTimeout bounds an operator's call.
+	// adminTimeout is the time in which a gateway has to respond to an operator's call.
 	adminTimeout = time.Second
-	// ejectionGrace is how long after an accepted ejection attempts may still reach the replica.
+	// ejectionGrace is the time after an accepted ejection in which attempts may still reach the replica.
 	ejectionGrace = 1500 * time.Millisecond
-	// drainGrace is the settings' grace for drains and ends in the endpoint list, and socketGrace what the
-	// protocol adds to it on sockets.
-	drainGrace, socketGrace = 2500 * time.Millisecond, 50 * time.Millisecond
-	// readyTimeout is how long a started gateway may take to become ready, outageAllowance what is added
-	// because discovery may be down.
-	readyTimeout, outageAllowance = 10 * time.Second, 6 * time.Second
-	// soakTolerance is the tolerance of a soak's audit.
+	// drainGrace is the setting for the time in which attempts may still reach a replica that drains or is no
+	// longer on the endpoint list.
+	drainGrace = 2500 * time.Millisecond
+	// transportGrace is added to drainGrace for the transport of an attempt over a socket.
+	transportGrace = 50 * time.Millisecond
+	// readyTimeout is the time in which a started gateway has to become ready while discovery is reachable.
+	readyTimeout = 10 * time.Second
+	// discoveryOutageAllowance is added to readyTimeout because discovery may be down.
+	discoveryOutageAllowance = 6 * time.Second
+	// soakTolerance is Rules.Tolerance of a soak's audit.
 	soakTolerance = 100 * time.Millisecond
 )
 
-// The random numbers of a soak's tasks among those of a seed. Those of gateway i begin at gatewayStream.
+// The random number streams of a soak's tasks. Gateway i has the stream gatewayStream + i.
 const (
-	operatorStream  = 1
-	replicaStream   = 2
-	discoveryStream = 3
-	mannerStream    = 4
-	waveStream      = 5
-	gatewayStream   = 10
+	operatorStream    = 1
+	replicaStream     = 2
+	discoveryStream   = 3
+	drainMannerStream = 4
+	drainBatchStream  = 5
+	gatewayStream     = 10
 )
 
-// soakRun is a soak under way.
+// soakRun holds the state of a running soak.
 type soakRun struct {
 	spec    *model.Spec
 	cluster *cluster
 	fleet   *emulate.Fleet
 	links   []*discoveryLink // by gateway
 
-	// waveOccasions start waves of drains.
-	waveOccasions chan struct{}
-	clients       *soakClients
-	// shutdownClients are the clients of shutdowns.
-	shutdownClients sync.WaitGroup
-	startedAt       time.Time
-	deadline        time.Duration // the longest, as it counts for a shutdown
+	// drainBatchTriggers starts batches of drains.
+	drainBatchTriggers chan struct{}
+	clients            *soakClients
+	// shutdownClients counts the clients that startShutdownClients has started.
+	shutdownClients  sync.WaitGroup
+	startedAt        time.Time
+	shutdownDeadline time.Duration // the longest deadline of a class, at most maxCountedDeadline
 
 	mu         sync.Mutex
 	events     []string
 	violations []Violation
 	attempts   []emulate.ReplicaAttempt
 	intervals  faultIntervals
-	reserved   map[int]bool // replicas that an event is under way for
+	reserved   map[int]bool // indexes of replicas with an event in progress
 }
 
-// faultIntervals are the times of events, for the audit.
+// faultIntervals holds the times of events for the audit.
 type faultIntervals struct {
 	ejections []ejectionInterval
 	changes   []emulate.ListChange
 	links     []linkHistory // by gateway
 	shutdowns []shutdownInterval
-	pushed    bool // lists are pushed to the gateways
+	pushed    bool // the gateways get pushed lists instead of polling discovery
 
-	listenerCloses [][]time.Time // by gateway, as its processes logged them
+	listenerCloses [][]time.Time // by gateway, from its log
 }
 
 type interval struct{ from, to time.Time }
 
-// ejectionInterval is a time in which a gateway must send a replica nothing.
+// ejectionInterval is the time in which a replica is ejected at a gateway, which must send it no attempts.
 type ejectionInterval struct {
 	gateway int
 	replica string
 	interval
 }
 
-// shutdownInterval is the end of a gateway's process, from its first signal to its exit.
+// shutdownInterval is the shutdown of a gateway's process, from the first signal to its exit.
 type shutdownInterval struct {
 	gateway  int
 	graceful bool      // the first signal was SIGTERM
-	killedAt time.Time // when the SIGKILL that ended it was sent; zero: it ended by itself
+	killedAt time.Time // when the SIGKILL that ended it was sent; zero: it exited without one
 	interval
 }
 
-// Soak runs a specification's fleet and gateways for its duration, with events drawn by its seed, and
-// audits what clients and replicas recorded. Each gateway has a link of its own to discovery, which plays
-// faults.
+// Soak runs a specification's fleet and gateways for its duration, with events drawn at random from its seed,
+// and audits the records of clients and replicas. Each gateway has its own link to discovery, which injects
+// faults. Rule violations and crashes are part of the result, not errors.
 func Soak(ctx context.Context, spec *model.Spec, options Options) (*SoakResult, error) {
 	options, remove, err := options.withDefaults()
 	if err != nil {
@@ -138,13 +142,13 @@
 		return nil, err
 	}
 	defer fleet.Close()
-	s := &soakRun{spec: spec, fleet: fleet, reserved: map[int]bool{}, waveOccasions: make(chan struct{})}
+	s := &soakRun{spec: spec, fleet: fleet, reserved: map[int]bool{}, drainBatchTriggers: make(chan struct{})}
 	fleet.OnAttemptEnd, fleet.OnListChange = s.recordAttempt, s.recordListChange
 	defer s.closeLinks()
 	if err := s.openLinks(); err != nil {
 		return nil, err
 	}
-	s.drawSettings()
+	s.applySeedSettings()
 	if s.cluster, err = newCluster(spec, options.Program, options.Dir, func(i int) string { return s.links[i].proxy.addr }); err != nil {
 		return nil, err
 	}
@@ -159,33 +163,35 @@
 	return s.result(time.Since(begun)), nil
 }
 
-// fleetSizes are the numbers of gateways that the settings name, and pushedEvery is how many seeds have one with
-// pushed lists.
+// fleetSizes are the numbers of gateways in the settings, selected by the seed.
 var fleetSizes = []int{3, 200, 30, 900, 8}
 
-const pushedEvery = 4
-
-// openingEvery is how many seeds have one of each opening that playOpening has; the longer one is for polled lists.
-const openingEvery = 3
+const (
+	// pushedListPeriod is the number of consecutive seeds of which one has pushed lists.
+	pushedListPeriod = 4
+	// openingPeriod is the number of consecutive seeds of which one hangs open calls at the start, and one, if its
+	// lists are polled, hangs all calls for openingHangTime.
+	openingPeriod = 3
+)
 
-// drawSettings sets what a seed decides about the deployment.
-func (s *soakRun) drawSettings() {
+// applySeedSettings sets the settings and the replicas' behavior that depend on the seed.
+func (s *soakRun) applySeedSettings() {
 	seed := s.spec.Seed
 	s.spec.Drill.Operators = true
 	s.spec.Drill.SharedListener = seed%2 == 1
 	s.spec.Drill.FleetSize = fleetSizes[seed%uint64(len(fleetSizes))]
-	s.spec.Settings.PollDiscovery = seed%pushedEvery != 0
+	s.spec.Settings.PollDiscovery = seed%pushedListPeriod != 0
 	s.spec.Settings.DrainGrace = drainGrace.Microseconds()
 	s.intervals.pushed = !s.spec.Settings.PollDiscovery
-	rng := s.newRandom(mannerStream)
+	rng := s.newRandom(drainMannerStream)
 	for _, replica := range s.fleet.Replicas {
 		replica.SetDrainManner(emulate.DrainManner(rng.IntN(emulate.DrainMannerCount)))
 	}
 	s.startedAt = time.Now()
-	s.logEvent("the settings name %d gateways, pushed lists: %t", s.spec.Drill.FleetSize, s.intervals.pushed)
+	s.logEvent("fleet size in the settings: %d gateways, pushed lists: %t", s.spec.Drill.FleetSize, s.intervals.pushed)
 }
 
-// openLinks opens each gateway's link to discovery.
+// openLinks opens a link to discovery for each gateway.
 func (s *soakRun) openLinks() error {
 	for range s.spec.Gateways {
 		link, err := newDiscoveryLink(s.fleet.DiscoveryAddr)
@@ -203,23 +209,23 @@
 	}
 }
 
-// run plays traffic and events for the specification's duration.
+// run generates traffic and events for the specification's duration.
 func (s *soakRun) run(ctx context.Context) {
 	s.startedAt = time.Now()
 	for _, class := range s.spec.Settings.Classes {
-		s.deadline = max(s.deadline, time.Duration(class.Deadline)*time.Microsecond)
+		s.shutdownDeadline = max(s.shutdownDeadline, time.Duration(class.Deadline)*time.Microsecond)
 	}
-	s.deadline = min(s.deadline, longestDeadline)
+	s.shutdownDeadline = min(s.shutdownDeadline, maxCountedDeadline)
 	s.clients = newSoakClients(s.spec, s.cluster.nodes)
 	trafficCtx, endTraffic := context.WithCancel(ctx)
 	defer endTraffic()
 	var traffic, events sync.WaitGroup
 	s.startTraffic(trafficCtx, &traffic)
-	switch opening := s.spec.Seed % openingEvery; {
+	switch opening := s.spec.Seed % openingPeriod; {
 	case opening == 1:
-		s.playOpening(ctx, (*discoveryLink).silence)
-	case opening == 2 && !s.intervals.pushed: // an agent that answers no call has learnt nothing either
-		s.playOpening(ctx, func(link *discoveryLink) { link.silenceFor(openingSilence) })
+		s.playOpening(ctx, (*discoveryLink).hangOpenCalls)
+	case opening == 2 && !s.intervals.pushed: // with pushed lists the agent's calls would hang too, so it would have no new list to push
+		s.playOpening(ctx, func(link *discoveryLink) { link.hangCallsFor(openingHangTime) })
 	}
 	eventCtx, endEvents := context.WithTimeout(ctx, time.Duration(s.spec.Duration)*time.Microsecond)
 	defer endEvents()
@@ -230,7 +236,7 @@
 	traffic.Wait()
 }
 
-// startTraffic starts the clients. Each third seed has idle ones as well.
+// startTraffic starts the clients. Every third seed has idle clients as well.
 func (s *soakRun) startTraffic(ctx context.Context, tasks *sync.WaitGroup) {
 	nodes := len(s.cluster.nodes)
 	tasks.Go(func() { s.clients.checkReadiness(ctx) })
@@ -242,7 +248,7 @@
 	}
 }
 
-// startEvents starts the tasks that draw events.
+// startEvents starts the tasks that draw and play events. Each has its own random number stream.
 func (s *soakRun) startEvents(ctx context.Context, tasks *sync.WaitGroup) {
 	for i, n := range s.cluster.nodes {
 		tasks.Go(func() { s.gatewayEvents(ctx, n, s.newRandom(uint64(i)+gatewayStream)) })
@@ -250,14 +256,14 @@
 	tasks.Go(func() { s.operatorEvents(ctx, s.newRandom(operatorStream)) })
 	tasks.Go(func() { s.replicaEvents(ctx, s.newRandom(replicaStream)) })
 	tasks.Go(func() { s.discoveryEvents(ctx, s.newRandom(discoveryStream)) })
-	tasks.Go(func() { s.waveEvents(ctx, s.newRandom(waveStream)) })
+	tasks.Go(func() { s.drainBatchEvents(ctx, s.newRandom(drainBatchStream)) })
 }
 
 func (s *soakRun) newRandom(stream uint64) *rand.Rand {
 	return rand.New(rand.NewPCG(s.spec.Seed, stream))
 }
 
-// between draws a duration between two others.
+// between draws a duration from the range [least, most).
 func between(rng *rand.Rand, least, most time.Duration) time.Duration {
 	return least + time.Duration(rng.Float64()*float64(most-least))
 }
@@ -269,7 +275,7 @@
 	s.events = append(s.events, fmt.Sprintf("%7.3f ", time.Since(s.startedAt).Seconds())+fmt.Sprintf(format, args...))
 }
 
-// addViolation adds a violation that no request belongs to.
+// addViolation adds a violation that is not about a request.
 func (s *soakRun) addViolation(rule, format string, args ...any) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
--- a/internal/faulttest/soakaudit.go
+++ b/internal/faulttest/soakaudit.go
@@ -8,22 +8,24 @@
 )
 
 const (
-	// auditTolerance is what a busy machine may add to each time.
+	// auditTolerance is added to each time limit, for delays on a busy machine.
 	auditTolerance = 150 * time.Millisecond
-	// maxPropagation is when a change of the endpoint list counts as known at the latest, from when discovery
-	// had it and could be reached by the gateway; usualPropagation is how long it takes where nothing was wrong
-	// with the gateway's link for undisturbedTime.
-	maxPropagation, usualPropagation = 6 * time.Second, 500 * time.Millisecond
-	undisturbedTime                  = 12 * time.Second
-	// cancelDelay is how long after its client closed the connection an attempt may begin.
+	// maxPropagation is the time after which a gateway has to know a change of the endpoint list, counted from when
+	// discovery had the change and the gateway could reach discovery.
+	maxPropagation = 6 * time.Second
+	// normalPropagation is the time after which a gateway has to know a change if its link had no fault.
+	normalPropagation = 500 * time.Millisecond
+	// faultFreeTime is the time before a change without faults of the link that normalPropagation requires.
+	faultFreeTime = 12 * time.Second
+	// cancelDelay is the time after the client closed its connection in which an attempt may still begin.
 	cancelDelay = 100 * time.Millisecond
-	// maxDeadlineExcess is by how much an attempt's deadline may exceed the client's.
+	// maxDeadlineExcess is the time by which an attempt's deadline may exceed the client's.
 	maxDeadlineExcess = 150 * time.Millisecond
-	// shutdownAcceptTime is how long after SIGTERM a request may arrive that SIGKILL leaves unanswered.
+	// shutdownAcceptTime is the time after SIGTERM in which a request may arrive that SIGKILL leaves unanswered.
 	shutdownAcceptTime = 700 * time.Millisecond
 )
 
-// soakAuditor audits what clients and replicas recorded in a soak, by the times of its events.
+// soakAuditor audits the records of clients and replicas in a soak against the times of its events.
 type soakAuditor struct {
 	faultIntervals
 	inOrder  []*soakRequest
@@ -47,12 +49,12 @@
 	return a
 }
 
-// withoutClientRetries removes the violations that a client has caused: it sends a request again when its
-// reused connection was closed, and cannot know that a killed gateway had forwarded it.
+// withoutClientRetries removes the violations that client retries cause: a client resends a request when its
+// reused connection was closed, although a gateway that was killed may already have forwarded the request.
 func (a *soakAuditor) withoutClientRetries(violations []Violation) (remaining []Violation) {
 	for _, violation := range violations {
 		request := a.requests[violation.RequestID]
-		if request == nil || request.resentAt.IsZero() || !a.killedUnder(request.gateway, request.firstStartedAt, request.resentAt) {
+		if request == nil || request.resentAt.IsZero() || !a.killedDuring(request.gateway, request.firstStartedAt, request.resentAt) {
 			remaining = append(remaining, violation)
 		}
 	}
@@ -82,31 +84,31 @@
 	for _, ejection := range a.ejections {
 		applies := ejection.gateway == request.gateway && ejection.replica == attempt.Replica
 		if applies && received.After(ejection.from.Add(ejectionGrace+auditTolerance)) && received.Before(ejection.to) {
-			add(ruleDrain, "came to %s %v after operators had ejected it", attempt.Replica, received.Sub(ejection.from))
+			add(ruleDrain, "reached %s %v after operators had ejected it", attempt.Replica, received.Sub(ejection.from))
 		}
 	}
 	if change, ok := a.withdrawnBy(attempt); ok {
-		known, how := a.knownAt(request.gateway, change)
-		if late := received.Sub(known.Add(drainGrace + socketGrace)); late > auditTolerance {
-			add(ruleDrain, "came to %s %v past the grace, at %s; generation %d of %s withdrew it; %s", attempt.Replica, late,
-				received.Format(auditTimeFormat), change.Generation, change.At.Format(auditTimeFormat), how)
+		known, reason := a.knownAt(request.gateway, change)
+		if late := received.Sub(known.Add(drainGrace + transportGrace)); late > auditTolerance {
+			add(ruleDrain, "reached %s %v after the end of the drain grace, at %s; generation %d of %s withdrew the replica; %s", attempt.Replica, late,
+				received.Format(auditTimeFormat), change.Generation, change.At.Format(auditTimeFormat), reason)
 		}
 	}
 	if request.outcome == outcomeCanceled && received.After(request.endedAt.Add(cancelDelay+auditTolerance)) {
-		add(ruleLost, "an attempt at %s began %v after the client had left", attempt.Replica, received.Sub(request.endedAt))
+		add(ruleLost, "an attempt at %s began %v after the client had closed its connection", attempt.Replica, received.Sub(request.endedAt))
 	}
 	excess := attempt.FirstTokenBy.Sub(request.sentAt.Add(request.timeout))
 	if !attempt.FirstTokenBy.IsZero() && !request.sentAt.IsZero() && excess > maxDeadlineExcess+auditTolerance {
-		add(ruleDeadline, "the attempt at %s got %v more time than was left", attempt.Replica, excess)
+		add(ruleDeadline, "the attempt at %s got a deadline %v after the client's", attempt.Replica, excess)
 	}
 	return violations
 }
 
-// auditTimeFormat is how violations give times.
+// auditTimeFormat is the format of times in violations.
 const auditTimeFormat = "15:04:05.000"
 
-// withdrawnBy returns the change of the endpoint list from which on the attempt's replica was not ready, when the
-// attempt came to it. ok is false if the replica was ready, or was withdrawn for less than the grace.
+// withdrawnBy returns the change of the endpoint list that withdrew the attempt's replica before the attempt reached
+// it. ok is false if the replica was ready at that time.
 func (a *soakAuditor) withdrawnBy(attempt emulate.ReplicaAttempt) (change emulate.ListChange, ok bool) {
 	for _, next := range a.changes {
 		switch {
@@ -122,97 +124,98 @@
 	return change, ok
 }
 
-// knownAt returns when a change counts as known to a gateway, and why.
-func (a *soakAuditor) knownAt(gateway int, change emulate.ListChange) (at time.Time, how string) {
+// knownAt returns the time from which a gateway has to know a change, and the reason for a violation's text.
+func (a *soakAuditor) knownAt(gateway int, change emulate.ListChange) (at time.Time, reason string) {
 	link := &a.links[gateway]
 	reachable := link.reachableFrom(change.At)
 	at = reachable.Add(maxPropagation)
-	how = "known 6 s after discovery could be reached, at " + at.Format(auditTimeFormat)
+	reason = "known 6 s after discovery was reachable, at " + at.Format(auditTimeFormat)
 	if a.pushed {
-		at, how = reachable, "the agent had it at "+reachable.Format(auditTimeFormat)
+		at, reason = reachable, "the agent could get the list at "+reachable.Format(auditTimeFormat)
 	}
-	if link.undisturbedSince(change.At.Add(-undisturbedTime), change.At.Add(usualPropagation)) && !a.restarted(gateway, change.At) {
-		if usual := change.At.Add(usualPropagation); usual.Before(at) {
-			at, how = usual, "nothing was wrong with the link"
+	if link.faultFreeBetween(change.At.Add(-faultFreeTime), change.At.Add(normalPropagation)) && !a.restarted(gateway, change.At) {
+		if normal := change.At.Add(normalPropagation); normal.Before(at) {
+			at, reason = normal, "the link had no fault"
 		}
 	}
 	if written := link.firstWrite(change.Generation); !written.IsZero() && written.Before(at) {
-		at, how = written, "written at "+written.Format(auditTimeFormat)
+		at, reason = written, "written at "+written.Format(auditTimeFormat)
 	}
-	return at, how
+	return at, reason
 }
 
-// restarted reports whether a gateway's process ended in the time before.
+// restarted reports whether a shutdown of a gateway's process was in progress within faultFreeTime before a time.
 func (a *soakAuditor) restarted(gateway int, at time.Time) bool {
 	for _, shutdown := range a.shutdowns {
-		if shutdown.gateway == gateway && shutdown.from.Before(at) && shutdown.to.After(at.Add(-undisturbedTime)) {
+		if shutdown.gateway == gateway && shutdown.from.Before(at) && shutdown.to.After(at.Add(-faultFreeTime)) {
 			return true
 		}
 	}
 	return false
 }
 
-// auditOutcome audits whether a request got its response.
+// auditOutcome checks that a request got its complete response, unless a kill of its gateway excuses the loss.
 func (a *soakAuditor) auditOutcome(request *soakRequest) (violations []Violation) {
 	switch request.outcome {
 	case outcomeClosed, outcomeTimedOut:
 		neverSent := request.outcome == outcomeClosed && request.sentAt.IsZero()
 		if !neverSent && !a.excused(request) {
-			violations = append(violations, violationOf(ruleLost, request, "got no answer (%s) %v after it was sent%s",
+			violations = append(violations, violationOf(ruleLost, request, "got no response (%s) %v after it was sent%s",
 				request.outcome, request.endedAt.Sub(request.sentAt), a.describeEnd(request)))
 		}
 	case outcomeBroken:
 		for _, attempt := range a.attempts[request.id] {
 			if attempt.Complete && !a.excused(request) {
-				violations = append(violations, violationOf(ruleLost, request, "was cut off, though %s had answered to the end%s", attempt.Replica, a.describeEnd(request)))
+				violations = append(violations, violationOf(ruleLost, request, "got a truncated response, although %s had sent a complete one%s", attempt.Replica, a.describeEnd(request)))
 			}
 		}
 	}
 	return violations
 }
 
-// auditResend audits whether a request that its client sent again had been forwarded before.
+// auditResend checks that a request that its client resent had not been forwarded before, unless a kill of its
+// gateway excuses that.
 func (a *soakAuditor) auditResend(request *soakRequest) (violations []Violation) {
-	if request.resentAt.IsZero() || a.excusedFirst(request) {
+	if request.resentAt.IsZero() || a.firstSendExcused(request) {
 		return nil
 	}
 	for _, attempt := range a.attempts[request.id] {
 		if attempt.ReceivedAt.Before(request.resentAt) {
-			violations = append(violations, violationOf(ruleLost, request, "was forwarded to %s, and its connection closed without an answer%s", attempt.Replica, a.describeEnd(request)))
+			violations = append(violations, violationOf(ruleLost, request, "was forwarded to %s, but its connection was closed without a response%s", attempt.Replica, a.describeEnd(request)))
 		}
 	}
 	return violations
 }
 
-// killedUnder reports whether a gateway's process was killed while it had a request: the request's client
-// began before the process ended, and saw the connection's end once the kill had been sent.
-func (a *soakAuditor) killedUnder(gateway int, startedAt, closedAt time.Time) bool {
+// killedDuring reports whether a gateway's process was killed while it had a request: the client started the
+// request before the process ended, and its connection was closed after SIGKILL had been sent.
+func (a *soakAuditor) killedDuring(gateway int, startedAt, closedAt time.Time) bool {
 	return slices.ContainsFunc(a.shutdowns, func(shutdown shutdownInterval) bool {
-		return shutdown.gateway == gateway && shutdown.killsUnder(startedAt, closedAt)
+		return shutdown.gateway == gateway && shutdown.killedDuring(startedAt, closedAt)
 	})
 }
 
-// killsUnder reports whether the process was killed between a request's begin and the end of its connection.
-func (s shutdownInterval) killsUnder(startedAt, closedAt time.Time) bool {
+// killedDuring reports whether the process was killed between the start of a request and the end of its connection.
+func (s shutdownInterval) killedDuring(startedAt, closedAt time.Time) bool {
 	return !s.killedAt.IsZero() && !startedAt.After(s.to) && closedAt.After(s.killedAt)
 }
 
-// excuses reports whether the process was killed while it had a request that was sent at a time. After
-// SIGTERM that excuses only requests that arrived soon.
+// excuses reports whether the kill of the process excuses the loss of a request. After SIGTERM it excuses only
+// requests sent within shutdownAcceptTime.
 func (s shutdownInterval) excuses(startedAt, sentAt, closedAt time.Time) bool {
 	accepted := !s.graceful || sentAt.Before(s.from.Add(shutdownAcceptTime))
-	return accepted && s.killsUnder(startedAt, closedAt)
+	return accepted && s.killedDuring(startedAt, closedAt)
 }
 
-// excused reports whether a kill excuses the end of a request's connection.
+// excused reports whether a kill of its gateway excuses the loss of a request.
 func (a *soakAuditor) excused(request *soakRequest) bool {
 	return slices.ContainsFunc(a.shutdowns, func(shutdown shutdownInterval) bool {
 		return shutdown.gateway == request.gateway && shutdown.excuses(request.startedAt, request.sentAt, request.endedAt)
 	})
 }
 
-// excusedFirst is excused for the first connection of a request that was sent again.
-func (a *soakAuditor) excusedFirst(request *soakRequest) bool {
+// firstSendExcused is excused for the first connection of a request that was resent.
+func (a *soakAuditor) firstSendExcused(request *soakRequest) bool {
 	return slices.ContainsFunc(a.shutdowns, func(shutdown shutdownInterval) bool {
 		return shutdown.gateway == request.gateway && shutdown.excuses(request.firstStartedAt, request.firstSentAt, request.resentAt)
 	})
--- a/internal/faulttest/soakclient.go
+++ b/internal/faulttest/soakclient.go
@@ -20,37 +20,37 @@
 	"archknot/internal/httpwire"
 )
 
-// The outcomes of a soak's request for its client.
+// The outcomes of a soak's request, as its client records them.
 const (
 	outcomeServed   = "served"
 	outcomeShed     = "refused" // 429 or 503
-	outcomeFailed   = "failed"  // any other response without success
-	outcomeBroken   = "broken"  // the stream ended after its first event
+	outcomeFailed   = "failed"  // any other status than 200
+	outcomeBroken   = "broken"  // the response's body could not be read to its end
 	outcomeClosed   = "closed"  // the connection was closed without a response
-	outcomeTimedOut = "late"    // no response within the timeout and answerTolerance
+	outcomeTimedOut = "late"    // no response within the timeout and responseTolerance
 	outcomeCanceled = "left"    // the client closed its connection first
 	outcomeUnsent   = "unsent"  // no connection could be opened
 )
 
-// soakRequest is a request as its client saw it.
+// soakRequest is a client's record of a request.
 type soakRequest struct {
 	id        string
 	gateway   int
 	class     string
 	timeout   time.Duration
-	startedAt time.Time // when its client looked for a connection
+	startedAt time.Time // when the client began to get a connection
 	sentAt    time.Time // when its last byte was written
 	endedAt   time.Time
 	outcome   string
-	resentAt  time.Time // when it was sent again because its reused connection was closed; zero: never
+	resentAt  time.Time // when it was resent because its reused connection was closed; zero: never
 
-	firstStartedAt time.Time // startedAt and sentAt, of the first time that it was sent
-	firstSentAt    time.Time
-	reusedConn     bool  // the connection was a reused one
-	err            error // of its connection; nil: none
+	firstStartedAt time.Time // startedAt of the first sending
+	firstSentAt    time.Time // sentAt of the first sending
+	reusedConn     bool      // the last connection had carried an earlier request
+	err            error     // error of the last connection; nil: none
 }
 
-// soakClients sends requests to gateways as clients behind a load balancer do, and records their outcomes.
+// soakClients sends requests to gateways like clients behind a load balancer, and records their outcomes.
 type soakClients struct {
 	spec  *model.Spec
 	nodes []*node
@@ -59,7 +59,7 @@
 	mu       sync.Mutex
 	requests []*soakRequest
 	lastID   int
-	ready    []bool                   // by gateway, as the load balancer knows
+	ready    []bool                   // by gateway: result of the load balancer's last readiness check
 	idle     []map[*soakConn]struct{} // idle connections, by gateway
 	inFlight map[*soakRequest]struct{}
 }
@@ -74,23 +74,29 @@
 const (
 	// readinessInterval is the time between two readiness checks of a gateway.
 	readinessInterval = 100 * time.Millisecond
-	// answerTolerance is how long a response is waited for beyond the timeout: half a second by the protocol,
-	// and as much for a busy machine.
-	answerTolerance = time.Second
-	// streamTimeout bounds a response with its body.
+	// responseTolerance is the time that a client waits for a response beyond the timeout: half a second that the
+	// protocol allows, and as much for a busy machine.
+	responseTolerance = time.Second
+	// streamTimeout bounds the reading of a response's body.
 	streamTimeout = 20 * time.Second
-	// The shares of requests that their clients cancel, and that are written in pieces.
-	cancelShare, slowWriteShare = 0.08, 0.06
+	// cancelFraction is the fraction of requests that clients cancel.
+	cancelFraction = 0.08
+	// slowWriteFraction is the fraction of requests that clients write in pieces.
+	slowWriteFraction = 0.06
 	// meanCancelTime is the mean time after which a client cancels.
 	meanCancelTime = 100 * time.Millisecond
-	// Requests in pieces are written pieceSize bytes at a time, with a pause of pieceInterval.
-	pieceSize, pieceInterval = 60, 2 * time.Millisecond
+	// pieceSize is the number of bytes per write of a request that is written in pieces.
+	pieceSize = 60
+	// pieceInterval is the pause after each piece.
+	pieceInterval = 2 * time.Millisecond
 	// writeTimeout bounds the writing of a request.
 	writeTimeout = 2 * time.Second
-	// clientStream is where the random numbers of clients begin among those of a seed.
-	clientStream     = 1000
+	// clientStream is the random number stream of the first client of runClient.
+	clientStream = 1000
+	// persistentStream is the random number stream of the first client of runPersistentClient.
 	persistentStream = 2000
-	crowdStream      = 3000
+	// newConnStream is the random number stream of the first client of runNewConnClient.
+	newConnStream = 3000
 )
 
 func newSoakClients(spec *model.Spec, nodes []*node) *soakClients {
@@ -101,7 +107,7 @@
 	return s
 }
 
-// checkReadiness checks whether the gateways are ready, until the context ends.
+// checkReadiness checks at intervals whether the gateways are ready, until the context ends.
 func (s *soakClients) checkReadiness(ctx context.Context) {
 	var checks sync.WaitGroup
 	for i, n := range s.nodes {
@@ -131,8 +137,8 @@
 	}
 }
 
-// chooseGateway returns the gateway that the load balancer directs a client to: a random one that is ready,
-// if any is.
+// chooseGateway returns the gateway to which the load balancer directs a client: a random one that is ready, or
+// any if none is ready.
 func (s *soakClients) chooseGateway(rng *rand.Rand) int {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -146,7 +152,7 @@
 	return gateway
 }
 
-// runClient sends one request after another until the context ends.
+// runClient sends one request after another to gateways that the load balancer chooses, until the context ends.
 func (s *soakClients) runClient(ctx context.Context, index int, meanThinkTime time.Duration) {
 	rng := rand.New(rand.NewPCG(s.seed, uint64(index)+clientStream))
 	for ctx.Err() == nil {
@@ -156,114 +162,114 @@
 	}
 }
 
-// connSource returns an open connection to a gateway; nil: a new one is to be opened.
+// connSource returns an open connection to a gateway, or nil if the client has to open a new one.
 type connSource func(gateway int) *soakConn
 
 // noOpenConn is the connSource of clients that open a connection for each request.
 func noOpenConn(int) *soakConn { return nil }
 
-// sendRequest sends one request and waits for its end. It is sent again once if a reused connection was
+// sendRequest sends a request and waits for its end. It resends the request once if a reused connection was
 // closed without a response.
 func (s *soakClients) sendRequest(rng *rand.Rand, stream *model.Stream, gateway int, openConn connSource) (outcome string) {
 	class := s.spec.ClassOf(stream)
-	t := s.newRequest(stream, class, gateway)
-	text := s.requestText(rng, t, stream, class)
+	request := s.newRequest(stream, class, gateway)
+	text := s.requestText(rng, request, stream, class)
 	cancelAfter := time.Duration(0)
-	if rng.Float64() < cancelShare {
+	if rng.Float64() < cancelFraction {
 		cancelAfter = time.Duration(rng.ExpFloat64() * float64(meanCancelTime))
 	}
-	inPieces := rng.Float64() < slowWriteShare
-	t.firstStartedAt = time.Now()
-	t.startedAt = t.firstStartedAt
-	c := openConn(gateway)
+	slowWrite := rng.Float64() < slowWriteFraction
+	request.firstStartedAt = time.Now()
+	request.startedAt = request.firstStartedAt
+	conn := openConn(gateway)
 	for {
-		if c == nil {
-			conn, err := net.DialTimeout("tcp", s.nodes[gateway].addr, time.Second)
+		if conn == nil {
+			dialed, err := net.DialTimeout("tcp", s.nodes[gateway].addr, time.Second)
 			if err != nil {
-				t.endedAt, t.outcome = time.Now(), outcomeUnsent
+				request.endedAt, request.outcome = time.Now(), outcomeUnsent
 				return outcomeUnsent
 			}
-			c = &soakConn{Conn: conn, reader: bufio.NewReader(conn)}
+			conn = &soakConn{Conn: dialed, reader: bufio.NewReader(dialed)}
 		}
-		outcome, mayResend := s.exchange(t, c, text, inPieces, cancelAfter)
-		if !mayResend || !t.resentAt.IsZero() {
-			t.outcome = outcome
+		outcome, mayResend := s.exchange(request, conn, text, slowWrite, cancelAfter)
+		if !mayResend || !request.resentAt.IsZero() {
+			request.outcome = outcome
 			return outcome
 		}
-		c.Close()
-		c = nil
-		t.resentAt = time.Now()
-		t.startedAt = t.resentAt
+		conn.Close()
+		conn = nil
+		request.resentAt = time.Now()
+		request.startedAt = request.resentAt
 	}
 }
 
-// newRequest records a new request.
+// newRequest creates and records a request with a new id.
 func (s *soakClients) newRequest(stream *model.Stream, class *balancer.Class, gateway int) *soakRequest {
-	t := &soakRequest{gateway: gateway, class: class.Name, timeout: time.Duration(stream.FirstTokenTimeout(class)) * time.Microsecond}
+	request := &soakRequest{gateway: gateway, class: class.Name, timeout: time.Duration(stream.FirstTokenTimeout(class)) * time.Microsecond}
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.lastID++
-	t.id = fmt.Sprintf("s%08x%08x", s.seed, s.lastID)
-	s.requests = append(s.requests, t)
-	return t
+	request.id = fmt.Sprintf("s%08x%08x", s.seed, s.lastID)
+	s.requests = append(s.requests, request)
+	return request
 }
 
-// requestText returns a request in the platform's form.
-func (s *soakClients) requestText(rng *rand.Rand, t *soakRequest, stream *model.Stream, class *balancer.Class) string {
+// requestText returns the HTTP text of a request with the platform's headers.
+func (s *soakClients) requestText(rng *rand.Rand, request *soakRequest, stream *model.Stream, class *balancer.Class) string {
 	const body = `{"model":"chat","stream":true}`
 	return fmt.Sprintf("POST %s HTTP/1.1\r\nHost: app.svc\r\nReq-Id: %s\r\nReq-Kind: %s\r\nReq-Owner: %s\r\nReq-Key: %016x\r\nReq-Deadline: %dm\r\n"+
-		"Req-Extra: prompt_len=%d,max_out=%d\r\nX-Emulate-Out: %d\r\nContent-Length: %d\r\n\r\n%s", httpwire.CompletionsPath, t.id, class.Name, stream.Tenant, rng.Uint64(),
-		t.timeout.Milliseconds(), int(stream.PromptTokens), stream.MaxOutputTokens, max(1, int(stream.AnswerTokens)), len(body), body)
+		"Req-Extra: prompt_len=%d,max_out=%d\r\nX-Emulate-Out: %d\r\nContent-Length: %d\r\n\r\n%s", httpwire.CompletionsPath, request.id, class.Name, stream.Tenant, rng.Uint64(),
+		request.timeout.Milliseconds(), int(stream.PromptTokens), stream.MaxOutputTokens, max(1, int(stream.AnswerTokens)), len(body), body)
 }
 
-// exchange sends a request on a connection and reads its response. mayResend says that a reused connection
-// was closed without a response, so that the request may be sent again.
-func (s *soakClients) exchange(t *soakRequest, c *soakConn, text string, inPieces bool, cancelAfter time.Duration) (outcome string, mayResend bool) {
-	t.reusedConn = c.reused
-	if err := writeRequest(c, text, inPieces); err != nil {
-		t.err = err
-		return s.finish(t, c, outcomeClosed, false), c.reused
+// exchange sends a request on a connection and reads its response. mayResend is true if a reused connection was
+// closed without a response.
+func (s *soakClients) exchange(request *soakRequest, conn *soakConn, text string, slowWrite bool, cancelAfter time.Duration) (outcome string, mayResend bool) {
+	request.reusedConn = conn.reused
+	if err := writeRequest(conn, text, slowWrite); err != nil {
+		request.err = err
+		return s.finish(request, conn, outcomeClosed, false), conn.reused
 	}
-	t.sentAt = time.Now()
-	if t.resentAt.IsZero() {
-		t.firstSentAt = t.sentAt
+	request.sentAt = time.Now()
+	if request.resentAt.IsZero() {
+		request.firstSentAt = request.sentAt
 	}
-	s.setInFlight(t, true)
-	defer s.setInFlight(t, false)
+	s.setInFlight(request, true)
+	defer s.setInFlight(request, false)
 	if cancelAfter > 0 {
-		_ = c.SetReadDeadline(t.sentAt.Add(cancelAfter))
+		_ = conn.SetReadDeadline(request.sentAt.Add(cancelAfter))
 	} else {
-		_ = c.SetReadDeadline(t.sentAt.Add(t.timeout + answerTolerance))
+		_ = conn.SetReadDeadline(request.sentAt.Add(request.timeout + responseTolerance))
 	}
-	resp, err := http.ReadResponse(c.reader, nil)
+	resp, err := http.ReadResponse(conn.reader, nil)
 	if err != nil {
-		return s.finishUnanswered(t, c, err, cancelAfter > 0)
+		return s.finishUnanswered(request, conn, err, cancelAfter > 0)
 	}
 	if resp.StatusCode != http.StatusOK {
 		_ = readBody(resp) // only the status matters
-		return s.finish(t, c, outcomeOfStatus(resp.StatusCode), !resp.Close), false
+		return s.finish(request, conn, outcomeOfStatus(resp.StatusCode), !resp.Close), false
 	}
 	if cancelAfter == 0 {
-		_ = c.SetReadDeadline(time.Now().Add(streamTimeout))
+		_ = conn.SetReadDeadline(time.Now().Add(streamTimeout))
 	}
 	if err := readBody(resp); err != nil {
-		t.err = err
+		request.err = err
 		if cancelAfter > 0 && isTimeout(err) {
-			return s.finish(t, c, outcomeCanceled, false), false
+			return s.finish(request, conn, outcomeCanceled, false), false
 		}
-		return s.finish(t, c, outcomeBroken, false), false
+		return s.finish(request, conn, outcomeBroken, false), false
 	}
-	return s.finish(t, c, outcomeServed, !resp.Close), false
+	return s.finish(request, conn, outcomeServed, !resp.Close), false
 }
 
-// readBody reads a response to its end.
+// readBody reads and discards a response's body, and closes it.
 func readBody(resp *http.Response) error {
 	defer resp.Body.Close()
 	_, err := io.Copy(io.Discard, resp.Body)
 	return err
 }
 
-// outcomeOfStatus returns the outcome of a response without success.
+// outcomeOfStatus returns the outcome of a response whose status is not 200.
 func outcomeOfStatus(status int) string {
 	if status == http.StatusServiceUnavailable || status == http.StatusTooManyRequests {
 		return outcomeShed
@@ -272,15 +278,15 @@
 }
 
 // finishUnanswered records the outcome of a request without a response.
-func (s *soakClients) finishUnanswered(t *soakRequest, c *soakConn, err error, cancels bool) (outcome string, mayResend bool) {
-	t.err = err
+func (s *soakClients) finishUnanswered(request *soakRequest, conn *soakConn, err error, cancels bool) (outcome string, mayResend bool) {
+	request.err = err
 	switch {
 	case isTimeout(err) && cancels:
-		return s.finish(t, c, outcomeCanceled, false), false
+		return s.finish(request, conn, outcomeCanceled, false), false
 	case isTimeout(err):
-		return s.finish(t, c, outcomeTimedOut, false), false
+		return s.finish(request, conn, outcomeTimedOut, false), false
 	}
-	return s.finish(t, c, outcomeClosed, false), c.reused
+	return s.finish(request, conn, outcomeClosed, false), conn.reused
 }
 
 func isTimeout(err error) bool {
@@ -288,16 +294,16 @@
 	return errors.As(err, &timeout) && timeout.Timeout()
 }
 
-// writeRequest writes a request, at once or in pieces.
-func writeRequest(c *soakConn, text string, inPieces bool) error {
-	_ = c.SetWriteDeadline(time.Now().Add(writeTimeout))
-	if !inPieces {
-		_, err := io.WriteString(c, text)
+// writeRequest writes a request with one call, or in pieces if slowWrite is set.
+func writeRequest(conn *soakConn, text string, slowWrite bool) error {
+	_ = conn.SetWriteDeadline(time.Now().Add(writeTimeout))
+	if !slowWrite {
+		_, err := io.WriteString(conn, text)
 		return err
 	}
 	for part := text; part != ""; {
 		n := min(len(part), pieceSize)
-		if _, err := io.WriteString(c, part[:n]); err != nil {
+		if _, err := io.WriteString(conn, part[:n]); err != nil {
 			return err
 		}
 		part = part[n:]
@@ -306,48 +312,49 @@
 	return nil
 }
 
-// finish records the end of a request, and returns its connection to the idle ones or closes it.
-func (s *soakClients) finish(t *soakRequest, c *soakConn, outcome string, reuse bool) string {
-	t.endedAt = time.Now()
+// finish records the end of a request, and keeps its connection as an idle one or closes it. It returns the
+// outcome.
+func (s *soakClients) finish(request *soakRequest, conn *soakConn, outcome string, reuse bool) string {
+	request.endedAt = time.Now()
 	if !reuse {
-		c.Close()
+		conn.Close()
 		return outcome
 	}
-	c.reused = true
-	_ = c.SetDeadline(time.Time{})
+	conn.reused = true
+	_ = conn.SetDeadline(time.Time{})
 	s.mu.Lock()
-	s.idle[t.gateway][c] = struct{}{}
+	s.idle[request.gateway][conn] = struct{}{}
 	s.mu.Unlock()
 	return outcome
 }
 
-// setInFlight records whether a request is in flight.
-func (s *soakClients) setInFlight(t *soakRequest, inFlight bool) {
+// setInFlight adds a request to those in flight, or removes it.
+func (s *soakClients) setInFlight(request *soakRequest, inFlight bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if inFlight {
-		s.inFlight[t] = struct{}{}
+		s.inFlight[request] = struct{}{}
 	} else {
-		delete(s.inFlight, t)
+		delete(s.inFlight, request)
 	}
 }
 
-// takeIdleConn returns an idle connection that the gateway has not closed, nil if there is none.
+// takeIdleConn removes and returns an idle connection that the gateway has not closed, or nil if there is none.
 func (s *soakClients) takeIdleConn(gateway int) *soakConn {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	for c := range s.idle[gateway] {
-		delete(s.idle[gateway], c)
-		if !connpool.PeerClosed(c.Conn) {
-			return c
+	for conn := range s.idle[gateway] {
+		delete(s.idle[gateway], conn)
+		if !connpool.PeerClosed(conn.Conn) {
+			return conn
 		}
-		c.Close()
+		conn.Close()
 	}
 	return nil
 }
 
-// remainingAt lists what a gateway should not have that was drained drainCheckDelay ago: idle connections,
-// and requests that were sent after from. Those of the last moment do not count: they are being rejected.
+// remainingAt describes the idle connections, and the requests sent after a time, that a drained gateway still
+// has. Requests of the last auditTolerance do not count, since the gateway may be about to reject them.
 func (s *soakClients) remainingAt(gateway int, from time.Time) (out []string) {
 	justNow := time.Now().Add(-auditTolerance)
 	s.mu.Lock()
@@ -357,9 +364,9 @@
 			out = append(out, "an idle connection from "+c.LocalAddr().String())
 		}
 	}
-	for t := range s.inFlight {
-		if t.gateway == gateway && t.sentAt.After(from) && t.sentAt.Before(justNow) {
-			out = append(out, "request "+t.id)
+	for request := range s.inFlight {
+		if request.gateway == gateway && request.sentAt.After(from) && request.sentAt.Before(justNow) {
+			out = append(out, "request "+request.id)
 		}
 	}
 	return out
@@ -381,7 +388,7 @@
 	}
 }
 
-// outcomeCounts returns the number of requests by outcome, as text.
+// outcomeCounts returns the number of requests by outcome, as text such as "broken=1 served=20".
 func (s *soakClients) outcomeCounts() string {
 	s.mu.Lock()
 	defer s.mu.Unlock()
--- a/internal/faulttest/soakevents.go
+++ b/internal/faulttest/soakevents.go
@@ -14,19 +14,22 @@
 	"archknot/internal/fleet/model"
 )
 
-// This file has the events of a soak. Each task draws its events from its own random numbers.
+// This file has the events of a soak. Each task draws its events from its own random number stream.
 
 const (
-	// pollInterval is the time between two checks for a condition that an event waits for.
+	// pollInterval is the time between two checks of a condition for which an event waits.
 	pollInterval = 20 * time.Millisecond
-	// resumeTimeout is how long a resumed gateway is waited for, maxResumeTime how long it may take.
-	resumeTimeout, maxResumeTime = 3 * time.Second, 2 * time.Second
-	// orderTries is how often a maintenance order is given until it is accepted, at orderInterval.
-	orderTries, orderInterval = 60, 50 * time.Millisecond
-	// limitWhileShort is the limit on descriptors, or on the size of files, of a process that is short of
-	// them.
-	limitWhileShort = 5
-	// slowFactor is how much slower a replica with the fault model.FaultSlow is.
+	// resumeTimeout is the time after which the check of a resumed gateway's readiness stops.
+	resumeTimeout = 3 * time.Second
+	// maxResumeTime is the time in which a resumed gateway has to become ready.
+	maxResumeTime = 2 * time.Second
+	// orderTries is the maximum number of tries of a maintenance order.
+	orderTries = 60
+	// orderInterval is the time between two tries of a maintenance order.
+	orderInterval = 50 * time.Millisecond
+	// exhaustedLimit is the limit on open descriptors, or on the size of files in bytes, during limitResource.
+	exhaustedLimit = 5
+	// slowFactor is the factor by which the fault model.FaultSlow slows a replica down.
 	slowFactor = 3
 )
 
@@ -36,7 +39,7 @@
 	orderEnable  = "enable"  // reinstate it
 )
 
-// gatewayEvent is something that happens to a gateway.
+// gatewayEvent plays an event of a gateway to its end.
 type gatewayEvent func(ctx context.Context, n *node, rng *rand.Rand)
 
 // gatewayEvents plays events of a gateway, one after another, until the context ends.
@@ -68,7 +71,7 @@
 	}
 }
 
-// freeze stops the process for moments.
+// freeze stops the process for a short time, up to three times.
 func (s *soakRun) freeze(_ context.Context, n *node, rng *rand.Rand) {
 	for range 1 + rng.IntN(3) {
 		n.signal(syscall.SIGSTOP)
@@ -76,10 +79,10 @@
 		n.signal(syscall.SIGCONT)
 		time.Sleep(maxFreeze)
 	}
-	s.logEvent("%s was stopped for moments", n.name)
+	s.logEvent("%s was stopped briefly", n.name)
 }
 
-// drainClients has operators drain a gateway, checks it drainCheckDelay later, and has them resume it.
+// drainClients drains a gateway by an operator's call, checks the gateway after drainCheckDelay, and resumes it.
 func (s *soakRun) drainClients(ctx context.Context, n *node, _ *rand.Rand) {
 	if status := s.callAdmin(ctx, n, http.MethodPut, "/-/drain"); !isSuccess(status) {
 		s.addViolation(ruleOperator, "%s drain: status %d", n.name, status)
@@ -91,7 +94,7 @@
 	if remaining := s.clients.remainingAt(n.index, from.Add(drainCheckDelay/2)); len(remaining) > 0 {
 		s.addViolation(ruleDrained, "%s has %d connections and requests of clients 4 s after the call: %s", n.name, len(remaining), remaining[0])
 	}
-	checkCtx := context.WithoutCancel(ctx) // a drain that has begun is completed
+	checkCtx := context.WithoutCancel(ctx) // a drain in progress is completed after the context has ended
 	if s.cluster.isReady(checkCtx, n) {
 		s.addViolation(ruleDrained, "%s answers that it is ready 4 s after the call", n.name)
 	}
@@ -103,13 +106,13 @@
 		time.Sleep(pollInterval)
 	}
 	if took := time.Since(resumed); took > maxResumeTime {
-		s.addViolation(ruleDrained, "%s is ready %v after the drain's end", n.name, took)
+		s.addViolation(ruleDrained, "%s not ready for %v after the resume call", n.name, took)
 	}
 	s.logEvent("%s resumed", n.name)
 }
 
 // limitResource returns an event in which a process's system calls fail for a while because a resource is
-// short.
+// exhausted.
 func (s *soakRun) limitResource(resource int, name string) gatewayEvent {
 	return func(_ context.Context, n *node, rng *rand.Rand) {
 		restore, ok := limitProcess(n.pid(), resource)
@@ -126,23 +129,23 @@
 // limitProcess limits a resource of a process to limitWhileShort until restore is called. ok is false if the
 // process does not run.
 func limitProcess(pid, resource int) (restore func(), ok bool) {
-	var usual unix.Rlimit
-	if pid == 0 || unix.Prlimit(pid, resource, nil, &usual) != nil {
+	var original unix.Rlimit
+	if pid == 0 || unix.Prlimit(pid, resource, nil, &original) != nil {
 		return nil, false
 	}
-	// The process may end meanwhile: then there is nothing to limit.
-	_ = unix.Prlimit(pid, resource, &unix.Rlimit{Cur: min(limitWhileShort, usual.Max), Max: usual.Max}, nil)
-	return func() { _ = unix.Prlimit(pid, resource, &usual, nil) }, true
+	// An error means that the process has ended.
+	_ = unix.Prlimit(pid, resource, &unix.Rlimit{Cur: min(exhaustedLimit, original.Max), Max: original.Max}, nil)
+	return func() { _ = unix.Prlimit(pid, resource, &original, nil) }, true
 }
 
-// callAdmin makes an operator's call to the process that serves now. It returns the status, 0 without an
-// answer in time. A call is made also once the context has ended.
+// callAdmin makes an operator's call to the gateway's current process. It returns the status, or 0 if there is no
+// response in time. The call is made even if the context has ended.
 func (s *soakRun) callAdmin(ctx context.Context, n *node, method, path string) int {
 	adminAddr := n.adminAddr()
 	if adminAddr == "" {
 		return 0
 	}
-	client := http.Client{Timeout: adminTimeout + answerTolerance, Transport: &http.Transport{DisableKeepAlives: true}}
+	client := http.Client{Timeout: adminTimeout + responseTolerance, Transport: &http.Transport{DisableKeepAlives: true}}
 	req, err := http.NewRequestWithContext(context.WithoutCancel(ctx), method, "http://"+adminAddr+path, nil)
 	if err != nil {
 		return 0
@@ -155,10 +158,11 @@
 	return resp.StatusCode
 }
 
-// isSuccess reports whether a status is one of success.
+// isSuccess reports whether an HTTP status is 2xx.
 func isSuccess(status int) bool { return status >= 200 && status < 300 }
 
-// operatorEvents ejects replicas at all gateways, restarts some and reinstates them.
+// operatorEvents ejects replicas at all gateways, restarts some of them, and reinstates them. It also checks that
+// an order for an unknown replica fails.
 func (s *soakRun) operatorEvents(ctx context.Context, rng *rand.Rand) {
 	for pause(ctx, between(rng, 0, time.Second)); ctx.Err() == nil; pause(ctx, between(rng, 500*time.Millisecond, time.Second)) {
 		index := s.reserve(rng)
@@ -174,7 +178,7 @@
 	}
 }
 
-// maintainReplica ejects a replica at all gateways, restarts it at times, and reinstates it.
+// maintainReplica ejects a replica at all gateways, restarts it in half of the cases, and reinstates it.
 func (s *soakRun) maintainReplica(ctx context.Context, rng *rand.Rand, index int) {
 	replica := s.fleet.Replicas[index].Name
 	s.logEvent("operators eject %s", replica)
@@ -206,8 +210,8 @@
 	s.intervals.ejections = append(s.intervals.ejections, ejectionInterval{gateway, replica, interval{from, time.Now()}})
 }
 
-// orderUntilAccepted gives a maintenance order until the gateway accepts it: it may be starting, ending, or
-// short of disk space. It returns when the gateway accepted it, or the zero time.
+// orderUntilAccepted repeats a maintenance order until the gateway accepts it. A gateway may reject an order while
+// it starts, ends, or lacks disk space. The result is the time of acceptance, or zero if all tries failed.
 func (s *soakRun) orderUntilAccepted(ctx context.Context, n *node, replica, order string) time.Time {
 	for range orderTries {
 		if isSuccess(s.callAdmin(ctx, n, http.MethodPut, "/-/replicas/"+replica+"/"+order)) {
@@ -218,12 +222,12 @@
 		}
 		time.Sleep(orderInterval)
 	}
-	s.logEvent("%s does not accept %s %s", n.name, order, replica)
+	s.logEvent("%s did not accept the order %s %s", n.name, order, replica)
 	return time.Time{}
 }
 
-// reserve reserves a replica without an event under way for the next event. It returns its index, or -1 if
-// half of the replicas have one.
+// reserve reserves a random unreserved replica for an event. It returns the replica's index, or -1 if half of the
+// replicas are reserved.
 func (s *soakRun) reserve(rng *rand.Rand) int {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -245,7 +249,7 @@
 	delete(s.reserved, index)
 }
 
-// replicaEvents plays faults of replicas, and drains in the endpoint list.
+// replicaEvents plays faults of replicas, drains among them, one after another.
 func (s *soakRun) replicaEvents(ctx context.Context, rng *rand.Rand) {
 	kinds := []string{
 		model.FaultDrain,
@@ -278,57 +282,62 @@
 	s.fleet.StartFault(fault)
 	pause(ctx, duration)
 	s.fleet.EndFault(fault)
-	s.logEvent("%s: the end of %s", replica, fault.Kind)
+	s.logEvent("%s: end of %s", replica, fault.Kind)
 }
 
 const (
-	// maxWave is how many replicas drain at once at most, and the next ones how long they do.
-	maxWave                    = 3
-	minWaveDrain, maxWaveDrain = time.Second, 12 * time.Second
-	// drainToEndShare is the part of the drained replicas that drain to the end.
-	drainToEndShare = 0.25
-	// minReplaceTime and maxReplaceTime bound the time between two processes of a replica.
-	minReplaceTime, maxReplaceTime = 100 * time.Millisecond, 800 * time.Millisecond
+	// maxDrainBatch is the maximum number of replicas that one batch drains at once.
+	maxDrainBatch = 3
+	// minBatchDrain is the lower bound of drainedReplica.drainsFor.
+	minBatchDrain = time.Second
+	// maxBatchDrain is the upper bound of drainedReplica.drainsFor.
+	maxBatchDrain = 12 * time.Second
+	// drainToEndFraction is the fraction of replicas in batches that drain to the end of the run.
+	drainToEndFraction = 0.25
+	// minReplaceTime is the minimum time between two processes of a replica.
+	minReplaceTime = 100 * time.Millisecond
+	// maxReplaceTime is the maximum time between two processes of a replica.
+	maxReplaceTime = 800 * time.Millisecond
 )
 
-// waveEvents drains replicas in waves, and replaces them in place: one is gone, and ready again under its id,
-// while the rest of the wave drains. Some drain to the end. A wave begins from time to time, or when a fault of
-// discovery gives the occasion.
-func (s *soakRun) waveEvents(ctx context.Context, rng *rand.Rand) {
-	var waves sync.WaitGroup
+// drainBatchEvents drains replicas in batches and replaces them in place: one replica ends and is ready again under
+// its id while the others of its batch still drain. Some drain to the end of the run. A batch begins at random
+// intervals, or when a fault of discovery triggers it.
+func (s *soakRun) drainBatchEvents(ctx context.Context, rng *rand.Rand) {
+	var batches sync.WaitGroup
 	for ctx.Err() == nil {
 		select {
-		case <-s.waveOccasions:
+		case <-s.drainBatchTriggers:
 		case <-time.After(between(rng, 2*time.Second, 6*time.Second)):
 		case <-ctx.Done():
 		}
-		var wave []drainedReplica
-		for range 1 + rng.IntN(maxWave) {
+		var batch []drainedReplica
+		for range 1 + rng.IntN(maxDrainBatch) {
 			if index := s.reserve(rng); index >= 0 && ctx.Err() == nil {
-				toEnd := rng.Float64() < drainToEndShare
-				wave = append(wave, drainedReplica{index, between(rng, minWaveDrain, maxWaveDrain), between(rng, minReplaceTime, maxReplaceTime), toEnd})
+				toEnd := rng.Float64() < drainToEndFraction
+				batch = append(batch, drainedReplica{index, between(rng, minBatchDrain, maxBatchDrain), between(rng, minReplaceTime, maxReplaceTime), toEnd})
 			}
 		}
-		waves.Go(func() { s.playWave(ctx, wave) })
+		batches.Go(func() { s.playDrainBatch(ctx, batch) })
 	}
-	waves.Wait()
+	batches.Wait()
 }
 
-// drainedReplica is a replica of a wave.
+// drainedReplica is a replica of a batch.
 type drainedReplica struct {
 	index       int
-	drainsFor   time.Duration // from the end of the replica before it
-	replaceTime time.Duration
-	toEnd       bool // it drains to the end of the run
+	drainsFor   time.Duration // from the replacement of the previous replica, or the start of the batch
+	replaceTime time.Duration // between its two processes
+	toEnd       bool          // it is not replaced, and drains to the end of the run
 }
 
-// playWave drains replicas at once, and replaces one after the other.
-func (s *soakRun) playWave(ctx context.Context, wave []drainedReplica) {
-	for _, replica := range wave {
-		s.logEvent("%s: drains in a wave", s.fleet.Replicas[replica.index].Name)
+// playDrainBatch drains all replicas of a batch at once, and replaces them one after another.
+func (s *soakRun) playDrainBatch(ctx context.Context, batch []drainedReplica) {
+	for _, replica := range batch {
+		s.logEvent("%s: drains in a batch", s.fleet.Replicas[replica.index].Name)
 		s.fleet.StartFault(model.Fault{Kind: model.FaultDrain, Replica: replica.index})
 	}
-	for _, replica := range wave {
+	for _, replica := range batch {
 		if replica.toEnd {
 			continue
 		}
@@ -339,36 +348,36 @@
 }
 
 const (
-	// openingWave is how many replicas drain in the opening, and for how long.
-	openingWave  = 4
-	openingDrain = 11 * time.Second
-	// openingWatch is how long watches are open before they fall silent, openingChange how long behind that the
-	// replicas begin to drain.
-	openingWatch, openingChange = 500 * time.Millisecond, 100 * time.Millisecond
-	// openingSilence is how long no call is answered in the opening of the seeds that have this one: longer than
-	// the replicas drain, which is longer than a list is used.
-	openingSilence = openingDrain + time.Second
+	// openingDrainCount is the number of replicas that drain in the opening.
+	openingDrainCount = 4
+	// openingDrainTime is the duration of their drains. It is longer than a gateway uses a list without an update.
+	openingDrainTime = 11 * time.Second
+	// openingWatchTime is the time from the start of the opening until the open watches hang.
+	openingWatchTime = 500 * time.Millisecond
+	// openingDrainDelay is the time from then until the replicas begin to drain.
+	openingDrainDelay = 100 * time.Millisecond
+	// openingHangTime is the time for which all calls hang, in seeds with that opening. It is longer than the drains.
+	openingHangTime = openingDrainTime + time.Second
 )
 
-// playOpening has all open watches fall silent, or all calls for longer than a list is used, and replicas that take
-// work begin to drain right behind that; nothing else happens meanwhile, so that a gateway has nothing but its own
-// calls to learn of it.
-func (s *soakRun) playOpening(ctx context.Context, silence func(*discoveryLink)) {
-	pause(ctx, openingWatch)
-	s.logEvent("open watches of all gateways fall silent")
+// playOpening makes calls of all gateways to discovery hang, and then drains replicas that still accept attempts.
+// No other event is played meanwhile, so a gateway can learn of the drains only by its own calls to discovery.
+func (s *soakRun) playOpening(ctx context.Context, hang func(*discoveryLink)) {
+	pause(ctx, openingWatchTime)
+	s.logEvent("open watches of all gateways hang")
 	for _, link := range s.links {
-		silence(link)
+		hang(link)
 	}
-	pause(ctx, openingChange)
+	pause(ctx, openingDrainDelay)
 	var drained sync.WaitGroup
-	for index := range openingWave {
+	for index := range openingDrainCount {
 		s.fleet.Replicas[index].SetDrainManner(emulate.DrainAccepts)
-		drained.Go(func() { s.playFault(ctx, model.Fault{Kind: model.FaultDrain, Replica: index}, openingDrain) })
+		drained.Go(func() { s.playFault(ctx, model.Fault{Kind: model.FaultDrain, Replica: index}, openingDrainTime) })
 	}
 	drained.Wait()
 }
 
-// replaceInPlace ends a draining replica's process and starts the next one, which discovery lists later.
+// replaceInPlace ends a draining replica's process and starts the next one under the same id.
 func (s *soakRun) replaceInPlace(replica drainedReplica) {
 	fault := model.Fault{Kind: model.FaultKill, Replica: replica.index}
 	s.fleet.StartFault(fault)
@@ -378,55 +387,57 @@
 }
 
 const (
-	// silenceShare is the part of discovery's events that silence open watches.
-	silenceShare = 0.45
-	// occasionWithin is how soon after that a wave of drains may begin.
-	occasionWithin = time.Second
-	// minLinkFault and maxLinkFault bound how long a fault of discovery lasts.
-	minLinkFault, maxLinkFault = time.Second, 9 * time.Second
+	// hangFraction is the fraction of discovery's events that make open watches hang.
+	hangFraction = 0.45
+	// maxDrainBatchDelay is the maximum time from such an event to the batch of drains that it triggers.
+	maxDrainBatchDelay = time.Second
+	// minLinkFault is the minimum duration of a fault of discovery.
+	minLinkFault = time.Second
+	// maxLinkFault is the maximum duration of a fault of discovery.
+	maxLinkFault = 9 * time.Second
 )
 
-// discoveryEvents plays faults of discovery, for all gateways or for one.
+// discoveryEvents plays faults of discovery, for all gateways or for one, and triggers batches of drains with them.
 func (s *soakRun) discoveryEvents(ctx context.Context, rng *rand.Rand) {
 	kinds := linkFaultKinds()
 	for pause(ctx, between(rng, time.Second, 4*time.Second)); ctx.Err() == nil; pause(ctx, between(rng, 500*time.Millisecond, 5*time.Second)) {
-		links, whose := s.links, "all gateways"
+		links, scope := s.links, "all gateways"
 		if i := rng.IntN(2 * len(s.links)); i < len(s.links) {
-			links, whose = s.links[i:i+1], s.cluster.nodes[i].name
+			links, scope = s.links[i:i+1], s.cluster.nodes[i].name
 		}
-		if rng.Float64() < silenceShare {
-			s.logEvent("open watches of %s fall silent", whose)
+		if rng.Float64() < hangFraction {
+			s.logEvent("open watches of %s hang", scope)
 			for _, link := range links {
-				link.silence()
+				link.hangOpenCalls()
 			}
-			s.offerWave(ctx, between(rng, 0, occasionWithin))
+			s.triggerDrainBatch(ctx, between(rng, 0, maxDrainBatchDelay))
 			continue
 		}
-		s.playLinkFault(ctx, links, whose, kinds[rng.IntN(len(kinds))], between(rng, minLinkFault, maxLinkFault))
+		s.playLinkFault(ctx, links, scope, kinds[rng.IntN(len(kinds))], between(rng, minLinkFault, maxLinkFault))
 	}
 }
 
-// offerWave has a wave of drains begin after a time, unless one begins just now.
-func (s *soakRun) offerWave(ctx context.Context, after time.Duration) {
+// triggerDrainBatch starts a batch of drains after a time, if drainBatchEvents is waiting for a trigger then.
+func (s *soakRun) triggerDrainBatch(ctx context.Context, after time.Duration) {
 	pause(ctx, after)
 	select {
-	case s.waveOccasions <- struct{}{}:
+	case s.drainBatchTriggers <- struct{}{}:
 	default:
 	}
 }
 
-// playLinkFault plays a fault of discovery for a duration.
-func (s *soakRun) playLinkFault(ctx context.Context, links []*discoveryLink, whose string, kind linkFaultKind, duration time.Duration) {
-	s.logEvent("%s, for %s", kind, whose)
+// playLinkFault plays a fault of discovery for a duration. It triggers a batch of drains shortly before the end.
+func (s *soakRun) playLinkFault(ctx context.Context, links []*discoveryLink, scope string, kind linkFaultKind, duration time.Duration) {
+	s.logEvent("%s, for %s", kind, scope)
 	for _, link := range links {
 		link.begin(kind)
 	}
 	const drainBeforeEnd = 300 * time.Millisecond
 	pause(ctx, duration-drainBeforeEnd)
-	s.offerWave(ctx, 0)
+	s.triggerDrainBatch(ctx, 0)
 	pause(ctx, drainBeforeEnd)
 	for _, link := range links {
 		link.end()
 	}
-	s.logEvent("%s no more, for %s", kind, whose)
+	s.logEvent("end of: %s, for %s", kind, scope)
 }
--- a/internal/faulttest/soakviolation.go
+++ b/internal/faulttest/soakviolation.go
@@ -6,14 +6,14 @@
 	"time"
 )
 
-// violationOf returns a violation by a request.
+// violationOf returns a violation of a rule that is about a request.
 func violationOf(rule string, request *soakRequest, format string, args ...any) Violation {
 	details := fmt.Sprintf("%s request to g%d ", request.class, request.gateway+1) + fmt.Sprintf(format, args...)
 	return Violation{Rule: rule, RequestID: request.id, Details: details}
 }
 
-// describeEnd describes the end of a request's connection, beside the shutdown of its gateway that is nearest:
-// which kind of connection it was, its error, and the shutdown's times relative to the end.
+// describeEnd describes the end of a request's connection: the kind of connection, its error, and the times of the
+// gateway's nearest shutdown relative to the end.
 func (a *soakAuditor) describeEnd(request *soakRequest) string {
 	var text strings.Builder
 	kind := "a new"
@@ -39,11 +39,12 @@
 	if !shutdown.killedAt.IsZero() {
 		fmt.Fprintf(&text, ", killed at %s", since(shutdown.killedAt))
 	}
-	fmt.Fprintf(&text, ", end seen at %s", since(shutdown.to))
+	fmt.Fprintf(&text, ", process end seen at %s", since(shutdown.to))
 	return text.String()
 }
 
-// nearestShutdown returns the shutdown of a gateway that is nearest to a time. ok is false if there is none.
+// nearestShutdown returns the shutdown of a gateway that is nearest to a time. ok is false if the gateway was
+// never shut down.
 func (a *soakAuditor) nearestShutdown(gateway int, at time.Time) (nearest shutdownInterval, ok bool) {
 	for _, shutdown := range a.shutdowns {
 		if shutdown.gateway == gateway && (!ok || shutdown.distance(at) < nearest.distance(at)) {
@@ -53,7 +54,7 @@
 	return nearest, ok
 }
 
-// distance returns how long a time is before or behind the interval, 0 within it.
+// distance returns the time between at and the interval, or 0 if at lies within the interval.
 func (i interval) distance(at time.Time) time.Duration {
 	return max(i.from.Sub(at), at.Sub(i.to), 0)
 }
--- a/internal/faulttest/strikes.go
+++ b/internal/faulttest/strikes.go
@@ -11,51 +11,51 @@
 	"archknot/internal/fleet/model"
 )
 
-// The kinds of strikes that a plan names.
+// The kinds of gateway faults, as plans name them.
 const (
-	strikeKill   = "kill"   // SIGKILL
-	strikeTerm   = "term"   // SIGTERM, later SIGKILL
-	strikeFreeze = "freeze" // SIGSTOP, later SIGCONT
-	strikeCut    = "cut"    // a partition of the peer network
-	strikeMute   = "mute"   // what the gateways send is lost
-	strikeDeaf   = "deaf"   // what is sent to the gateways is lost
-	strikeLose   = "lose"   // a share of all datagrams is lost
-	strikeSlow   = "slow"   // datagrams are delayed
+	gatewayFaultKill         = "kill"   // SIGKILL
+	gatewayFaultTerminate    = "term"   // SIGTERM, and SIGKILL if the process does not end in time
+	gatewayFaultFreeze       = "freeze" // SIGSTOP, later SIGCONT
+	gatewayFaultPartition    = "cut"    // a partition between the targets and the other gateways
+	gatewayFaultDropOutgoing = "mute"   // datagrams and probes from the targets are lost
+	gatewayFaultDropIncoming = "deaf"   // datagrams and probes to the targets are lost
+	gatewayFaultLoss         = "lose"   // a fraction of all datagrams is lost
+	gatewayFaultDelay        = "slow"   // all datagrams are delayed
 )
 
-// termTimeout is how long a gateway has from the end of a strike with SIGTERM to SIGKILL.
+// termTimeout is the time from the end of a fault of kind gatewayFaultTerminate to SIGKILL.
 const termTimeout = 2 * time.Second
 
-// striker carries out strikes.
-type striker struct {
+// gatewayFaultInjector injects faults into the processes of gateways and the network between them.
+type gatewayFaultInjector struct {
 	cluster   *cluster
 	spec      *model.Spec
 	startedAt time.Time
 	tasks     sync.WaitGroup
 
-	mu            sync.Mutex // guards the fields below until all tasks are done
-	random        *rand.Rand
-	firstStrikeAt time.Time
-	endedAt       map[string][]time.Time // by a gateway's address: when its process was killed or terminated
+	mu           sync.Mutex // guards the fields below until all tasks have ended
+	random       *rand.Rand
+	firstFaultAt time.Time
+	endTimes     map[string][]time.Time // times at which SIGKILL or SIGTERM was sent, by the gateway's client address
 }
 
-// targets selects the gateways of a strike. serving is the index of the gateway that serves the request
-// that fires the strike, -1 if none does.
-func (s *striker) targets(strike *model.Strike, serving int) (targets []*node) {
+// targets selects the gateways of a fault. serving is the index of the gateway that serves the request that
+// triggers the fault, or -1 if none does.
+func (s *gatewayFaultInjector) targets(fault *model.Strike, serving int) (targets []*node) {
 	nodes := s.cluster.nodes
 	if serving >= 0 {
 		return []*node{nodes[serving]}
 	}
-	if strike.Gateway >= 0 {
-		return []*node{nodes[strike.Gateway%len(nodes)]}
+	if fault.Gateway >= 0 {
+		return []*node{nodes[fault.Gateway%len(nodes)]}
 	}
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	for _, i := range s.random.Perm(len(nodes)) {
-		if strike.Site >= 0 && nodes[i].zone != strike.Site {
+		if fault.Site >= 0 && nodes[i].zone != fault.Site {
 			continue
 		}
-		if strike.Share > 0 && float64(len(targets)) >= strike.Share*float64(len(nodes))-0.5 {
+		if fault.Share > 0 && float64(len(targets)) >= fault.Share*float64(len(nodes))-0.5 {
 			break
 		}
 		targets = append(targets, nodes[i])
@@ -63,61 +63,61 @@
 	return targets
 }
 
-// strike begins a strike now, and ends it after its duration or with the drill.
-func (s *striker) strike(ctx context.Context, strike *model.Strike, serving int) {
-	targets := s.targets(strike, serving)
-	s.record(strike, targets)
+// inject begins a fault now, and ends it after its duration unless the drill ends first.
+func (s *gatewayFaultInjector) inject(ctx context.Context, fault *model.Strike, serving int) {
+	targets := s.targets(fault, serving)
+	s.record(fault, targets)
 	for _, n := range targets {
-		beginStrike(strike.Kind, n)
+		beginProcessFault(fault.Kind, n)
 	}
-	s.setLinks(strike, targets, true)
-	if strike.Duration <= 0 {
+	s.setNetworkFault(fault, targets, true)
+	if fault.Duration <= 0 {
 		return
 	}
 	select {
-	case <-time.After(time.Duration(strike.Duration) * time.Microsecond):
+	case <-time.After(time.Duration(fault.Duration) * time.Microsecond):
 	case <-ctx.Done():
 		return
 	}
-	s.setLinks(strike, targets, false)
+	s.setNetworkFault(fault, targets, false)
 	for _, n := range targets {
-		s.endStrike(ctx, strike.Kind, n)
+		s.endProcessFault(ctx, fault.Kind, n)
 	}
 }
 
-// record records the time of a strike.
-func (s *striker) record(strike *model.Strike, targets []*node) {
+// record records the time of a fault for the result.
+func (s *gatewayFaultInjector) record(fault *model.Strike, targets []*node) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if s.firstStrikeAt.IsZero() {
-		s.firstStrikeAt = time.Now()
+	if s.firstFaultAt.IsZero() {
+		s.firstFaultAt = time.Now()
 	}
-	if strike.Kind != strikeKill && strike.Kind != strikeTerm {
+	if fault.Kind != gatewayFaultKill && fault.Kind != gatewayFaultTerminate {
 		return
 	}
 	for _, n := range targets {
-		s.endedAt[n.addr] = append(s.endedAt[n.addr], time.Now())
+		s.endTimes[n.addr] = append(s.endTimes[n.addr], time.Now())
 	}
 }
 
-// beginStrike does to a process what a strike of a kind begins with.
-func beginStrike(kind string, n *node) {
+// beginProcessFault sends a gateway's process the signal with which a fault of a kind begins, if any.
+func beginProcessFault(kind string, n *node) {
 	switch kind {
-	case strikeKill:
+	case gatewayFaultKill:
 		if exited := n.signal(syscall.SIGKILL); exited != nil {
 			<-exited
 		}
-	case strikeTerm:
+	case gatewayFaultTerminate:
 		n.signal(syscall.SIGTERM)
-	case strikeFreeze:
+	case gatewayFaultFreeze:
 		n.signal(syscall.SIGSTOP)
 	}
 }
 
-// endStrike continues a process, or starts the next one of a gateway.
-func (s *striker) endStrike(ctx context.Context, kind string, n *node) {
+// endProcessFault continues a stopped process, or starts the next process of a gateway whose process was ended.
+func (s *gatewayFaultInjector) endProcessFault(ctx context.Context, kind string, n *node) {
 	switch kind {
-	case strikeTerm:
+	case gatewayFaultTerminate:
 		exited := n.exited()
 		select {
 		case <-exited:
@@ -126,57 +126,58 @@
 			<-exited
 		}
 		s.restart(ctx, n)
-	case strikeKill:
+	case gatewayFaultKill:
 		s.restart(ctx, n)
-	case strikeFreeze:
+	case gatewayFaultFreeze:
 		n.signal(syscall.SIGCONT)
 	}
 }
 
-// restart starts a gateway again, unless the drill has ended. Clients are directed to it once it is ready.
-func (s *striker) restart(ctx context.Context, n *node) {
+// restart starts a gateway's next process, unless the drill has ended. The load balancer directs clients to it
+// once it is ready.
+func (s *gatewayFaultInjector) restart(ctx context.Context, n *node) {
 	if ctx.Err() != nil {
 		return
 	}
-	n.setOffered(false)
+	n.setInRotation(false)
 	_ = s.cluster.start(n) // a gateway that cannot start is reported as a crash
 	s.tasks.Go(func() {
-		defer n.setOffered(true)
-		_ = s.cluster.waitUntilNodeReady(ctx, n) // it ends with the drill at the latest
+		defer n.setInRotation(true)
+		_ = s.cluster.waitUntilNodeReady(ctx, n) // returns at the latest when the drill ends
 	})
 }
 
-// setLinks begins or ends what a strike does to the peer network.
-func (s *striker) setLinks(strike *model.Strike, targets []*node, on bool) {
+// setNetworkFault begins or ends the effect of a fault on the network between gateways.
+func (s *gatewayFaultInjector) setNetworkFault(fault *model.Strike, targets []*node, active bool) {
 	relays := s.cluster.relays
 	if relays == nil {
 		return
 	}
-	switch strike.Kind {
-	case strikeCut, strikeMute, strikeDeaf:
+	switch fault.Kind {
+	case gatewayFaultPartition, gatewayFaultDropOutgoing, gatewayFaultDropIncoming:
 		for _, target := range targets {
 			for _, other := range s.cluster.nodes {
 				if slices.Contains(targets, other) {
 					continue
 				}
-				if strike.Kind != strikeDeaf {
-					relays.setPartition(target.index, other.index, on)
+				if fault.Kind != gatewayFaultDropIncoming {
+					relays.setPartition(target.index, other.index, active)
 				}
-				if strike.Kind != strikeMute {
-					relays.setPartition(other.index, target.index, on)
+				if fault.Kind != gatewayFaultDropOutgoing {
+					relays.setPartition(other.index, target.index, active)
 				}
 			}
 		}
-	case strikeLose:
-		relays.setQuality(onlyIf(on, strike.Factor), 0)
-	case strikeSlow:
-		relays.setQuality(0, time.Duration(onlyIf(on, strike.Factor)*float64(time.Millisecond)))
+	case gatewayFaultLoss:
+		relays.setLossAndDelay(valueIf(active, fault.Factor), 0)
+	case gatewayFaultDelay:
+		relays.setLossAndDelay(0, time.Duration(valueIf(active, fault.Factor)*float64(time.Millisecond)))
 	}
 }
 
-// onlyIf returns the value if on, else 0.
-func onlyIf(on bool, value float64) float64 {
-	if on {
+// valueIf returns the value if active, else 0.
+func valueIf(active bool, value float64) float64 {
+	if active {
 		return value
 	}
 	return 0
