--- a/internal/faulttest/drill_test.go
+++ b/internal/faulttest/drill_test.go
@@ -15,7 +15,7 @@
 	"archknot/internal/siteforecast"
 )
 
-// The gateways of a drill are processes of the test binary.
+// TestMain runs the command line instead of the tests if the test binary was started as a gateway of a drill.
 func TestMain(m *testing.M) {
 	if len(os.Args) > 1 && os.Args[1] == "serve" {
 		cli.Exec()
@@ -23,39 +23,40 @@
 	os.Exit(m.Run())
 }
 
-// Gateways are killed, frozen, partitioned and restarted. No rule is violated, no process ends by itself,
-// and most requests in flight at lost gateways are completely served.
+// Guards against rule violations, crashes and lost requests when gateways are killed, stopped, partitioned and
+// restarted. Most requests in flight at lost gateways must be completely served.
 func TestDrills(t *testing.T) {
 	if testing.Short() {
 		t.Skip("it starts processes")
 	}
 	for _, c := range []struct {
 		plan, variant string
-		minRecovered  float64 // share of the interrupted requests that are completely served in time
+		minRecovered  float64 // fraction of the interrupted requests that are completely served in time
 	}{
 		{"states", "strict", 0.7}, {"many", "beside", 0.7}, {"frozen", "strict", 0}, {"cut", "strict", 0}, {"cut", "beside", 0},
 		{"rolling", "strict", 0.8}, {"full", "strict", 0},
 	} {
 		t.Run(c.plan+"/"+c.variant, func(t *testing.T) {
 			t.Parallel()
-			r := run(t, "testdata/"+c.plan+".plan", c.variant)
-			for _, b := range r.Violations {
-				t.Errorf("rule %s, request %s: %s", b.Rule, b.RequestID, b.Details)
+			result := run(t, "testdata/"+c.plan+".plan", c.variant)
+			for _, violation := range result.Violations {
+				t.Errorf("rule %s, request %s: %s", violation.Rule, violation.RequestID, violation.Details)
 			}
-			for _, text := range r.Crashes {
+			for _, text := range result.Crashes {
 				t.Error(text)
 			}
-			if r.Sent < 100 || r.Outcomes["served"] < r.Sent/2 {
-				t.Errorf("of %d requests: %v", r.Sent, r.Outcomes)
+			if result.Sent < 100 || result.Outcomes["served"] < result.Sent/2 {
+				t.Errorf("outcomes of %d requests: %v", result.Sent, result.Outcomes)
 			}
-			if r.Interrupted >= 5 && float64(r.Recovered) < c.minRecovered*float64(r.Interrupted) {
-				t.Errorf("in flight at lost gateways: %d, completely served: %d", r.Interrupted, r.Recovered)
+			if result.Interrupted >= 5 && float64(result.Recovered) < c.minRecovered*float64(result.Interrupted) {
+				t.Errorf("in flight at lost gateways: %d, completely served: %d", result.Interrupted, result.Recovered)
 			}
 		})
 	}
 }
 
-// Without a connection between gateways the requests at a lost gateway are lost, which the drill reports.
+// Guards against a drill that does not detect lost requests: the gateways are not connected, so that requests at a
+// lost gateway are lost.
 func TestDrillDetectsLoss(t *testing.T) {
 	if testing.Short() {
 		t.Skip("it starts processes")
@@ -66,33 +67,33 @@
 	}
 }
 
-func run(t *testing.T, plan, variant string) *faulttest.Result {
+func run(t *testing.T, planPath, variant string) *faulttest.Result {
 	t.Helper()
-	p, err := config.LoadPlan(plan)
+	loaded, err := config.LoadPlan(planPath)
 	if err != nil {
 		t.Fatal(err)
 	}
-	for _, v := range p.Variants {
+	for _, v := range loaded.Variants {
 		if v.Name == variant {
-			spec, err := p.Spec(v, p.Workloads[0], 1)
+			spec, err := loaded.Spec(v, loaded.Workloads[0], 1)
 			if err != nil {
 				t.Fatal(err)
 			}
 			ctx, stop := context.WithTimeout(t.Context(), time.Minute)
 			defer stop()
-			r, err := faulttest.Run(ctx, spec, faulttest.Options{Dir: t.TempDir()})
+			result, err := faulttest.Run(ctx, spec, faulttest.Options{Dir: t.TempDir()})
 			if err != nil {
 				t.Fatal(err)
 			}
-			t.Logf("sent=%d %v interrupted=%d recovered=%d", r.Sent, r.Outcomes, r.Interrupted, r.Recovered)
-			return r
+			t.Logf("sent=%d %v interrupted=%d recovered=%d", result.Sent, result.Outcomes, result.Interrupted, result.Recovered)
+			return result
 		}
 	}
-	t.Fatalf("%s has no variant %s", plan, variant)
+	t.Fatalf("%s has no variant %s", planPath, variant)
 	return nil
 }
 
-// The audit finds each violation, and nothing where there is none.
+// Checks that the audit finds a violation of each rule, and none in valid records.
 func TestAuditFindsViolations(t *testing.T) {
 	began := time.Now()
 	at := func(ms int) time.Time { return began.Add(time.Duration(ms) * time.Millisecond) }
@@ -110,7 +111,7 @@
 	rules := faulttest.Rules{MaxAttempts: 3, NonIdempotent: map[string]bool{"once": true}, Tolerance: 50 * time.Millisecond, DrainedBy: map[string]time.Time{"k-9": at(1000)}}
 	once := func(a *emulate.ReplicaAttempt) { a.Class = "once" }
 	for _, c := range []struct {
-		rule     string // "": none is violated
+		rule     string // "": no rule is violated
 		requests []emulate.ClientAttempt
 		attempts []emulate.ReplicaAttempt
 	}{
@@ -128,16 +129,16 @@
 		got := faulttest.Audit(rules, c.requests, c.attempts)
 		switch {
 		case c.rule == "" && len(got) > 0:
-			t.Errorf("nothing was violated, found: %v", got)
+			t.Errorf("valid records: found violations %v", got)
 		case c.rule != "" && (len(got) == 0 || got[0].Rule != c.rule):
-			t.Errorf("%s was violated, found: %v", c.rule, got)
+			t.Errorf("violation of rule %s not found first; found: %v", c.rule, got)
 		}
 	}
 }
 
-// One of three zones is lost with its gateways and returns with empty caches; is lost repeatedly; or is only
-// slow. The others bear the load: hardly any attempt goes to vanished machines, no rule is violated, and what
-// can be served is served.
+// Guards against lost requests when one of three zones is lost with its gateways and returns with empty caches, is
+// lost repeatedly, or is slow. The other zones must take over the load: very few attempts go to vanished machines, no
+// rule is violated, and most of the priority weight is served.
 func TestSiteLost(t *testing.T) {
 	if testing.Short() {
 		t.Skip("it starts processes")
--- a/internal/faulttest/soakaudit_test.go
+++ b/internal/faulttest/soakaudit_test.go
@@ -8,8 +8,9 @@
 	"time"
 )
 
-// A request without an answer is excused by the kill of its gateway alone: by when the kill was sent, not by
-// when the process's end was seen, and after SIGTERM only if the request arrived soon.
+// Guards against an audit that excuses lost requests too often: only a kill of the gateway excuses a request without
+// a response. The time that counts is when SIGKILL was sent, not when the process's end was seen. After SIGTERM the
+// kill excuses only requests that arrived soon.
 func TestAuditExcusesRequestsOfKilledProcesses(t *testing.T) {
 	start := time.Date(2026, 1, 2, 3, 4, 5, 0, time.UTC)
 	at := func(ms int) time.Time { return start.Add(time.Duration(ms) * time.Millisecond) }
@@ -20,7 +21,7 @@
 		}
 		return shutdown
 	}
-	const byItself = -1
+	const notKilled = -1
 	for name, c := range map[string]struct {
 		shutdown       shutdownInterval
 		sentAt, endsAt int
@@ -30,11 +31,11 @@
 		"closed by SIGKILL, whose process's end is seen late": {ended(false, 1000, 1000, 1450), 970, 1003, false},
 		"closed before SIGKILL":                               {ended(false, 1000, 1000, 1002), 950, 990, true},
 		"closed before SIGKILL, seen late":                    {ended(false, 1000, 1000, 1450), 950, 990, true},
-		"sent behind the end":                                 {ended(false, 1000, 1000, 1002), 1003, 1004, true},
-		"closed by the kill behind SIGTERM":                   {ended(true, 1000, 4200, 4203), 1600, 4201, false},
-		"closed by it, sent too late":                         {ended(true, 1000, 4200, 4203), 1800, 4201, true},
-		"closed 50 ms before it":                              {ended(true, 1000, 4200, 4203), 1600, 4150, true},
-		"closed behind SIGTERM by the process itself":         {ended(true, 1000, byItself, 4300), 1600, 4250, true},
+		"sent after the end":                                  {ended(false, 1000, 1000, 1002), 1003, 1004, true},
+		"closed by SIGKILL after SIGTERM":                     {ended(true, 1000, 4200, 4203), 1600, 4201, false},
+		"closed by SIGKILL after SIGTERM, sent too late":      {ended(true, 1000, 4200, 4203), 1800, 4201, true},
+		"closed 50 ms before SIGKILL after SIGTERM":           {ended(true, 1000, 4200, 4203), 1600, 4150, true},
+		"closed after SIGTERM by the process itself":          {ended(true, 1000, notKilled, 4300), 1600, 4250, true},
 	} {
 		t.Run(name, func(t *testing.T) {
 			request := &soakRequest{id: "r", outcome: outcomeClosed, startedAt: at(c.sentAt), sentAt: at(c.sentAt), endedAt: at(c.endsAt), err: syscall.ECONNRESET}
@@ -50,7 +51,8 @@
 	}
 }
 
-// A violation says what tells its causes apart: the kind of connection, its error, and the shutdown beside it.
+// Checks that a violation has the details that distinguish its possible causes: the kind of connection, its error, and
+// the nearest shutdown.
 func TestViolationDescribesTheConnectionsEnd(t *testing.T) {
 	start := time.Date(2026, 1, 2, 3, 4, 5, 0, time.UTC)
 	request := &soakRequest{id: "r", class: "chat", outcome: outcomeClosed, startedAt: start, sentAt: start,
@@ -61,7 +63,7 @@
 		listenerCloses: [][]time.Time{{start.Add(23 * time.Millisecond)}},
 	}, []*soakRequest{request}, nil).audit(nil)
 	if len(violations) != 1 {
-		t.Fatalf("%d violations", len(violations))
+		t.Fatalf("found %d violations, want 1", len(violations))
 	}
 	for _, part := range []string{"24ms after it was sent", "on a new connection", "reset", "the nearest SIGTERM at -504ms", "listener closed at -1ms", "end seen at 976ms"} {
 		if !strings.Contains(violations[0].Details, part) {
