--- a/internal/faulttest/cluster.go
+++ b/internal/faulttest/cluster.go
@@ -212,7 +212,7 @@
 		select {
 		case <-time.After(readyPollInterval):
 		case <-ctx.Done():
-			return fmt.Errorf("wait until %s is ready: timed out; end of its log: %s", n.name, c.logTail(n))
+			return fmt.Errorf("wait until %s is ready: not ready in time, or canceled; end of its log: %s", n.name, c.logTail(n))
 		}
 	}
 }
