--- a/internal/fakes/controlservice/service.go
+++ b/internal/fakes/controlservice/service.go
@@ -1,6 +1,6 @@
-// Package controlservice is a fake control service: an xDS v3 aggregated discovery server
-// of scripted versions, valid and invalid. It is for tests and trials on loopback addresses
-// only.
+// Package controlservice is a fake control service: an xDS v3 aggregated discovery server that
+// sends scripted configuration versions, valid and invalid. It is for tests and trials, and
+// listens on loopback addresses only.
 package controlservice
 
 import (
@@ -20,26 +20,26 @@
 	"archknot/internal/configversion"
 )
 
-// Restart retries to bind the address: another connection may have the port for a moment.
-const (
-	bindTimeout = 3 * time.Second
-	bindPause   = 10 * time.Millisecond
-)
+// bindTimeout bounds the attempts of Restart to bind its address: another connection may occupy
+// the port for a moment.
+const bindTimeout = 3 * time.Second
+
+// bindPause is the time between two attempts to bind the address.
+const bindPause = 10 * time.Millisecond
 
-// maxAcks bounds the acknowledgements that are remembered; past it, the older half is
-// forgotten.
+// maxAcks bounds the recorded answers; when it is exceeded, the older half is discarded.
 const maxAcks = 100_000
 
 // Ack is a gateway's answer to one response: an acknowledgement, or a rejection (NACK).
 type Ack struct {
 	Gateway string
 	Type    configversion.ResourceType
-	Version string // accepted so far
+	Version string // last accepted version
 	Nonce   string
-	Error   string // of a rejection; "": acknowledged
+	Error   string // reason of a rejection; empty for an acknowledgement
 }
 
-// Service is the fake. Its methods may be called by any goroutine.
+// Service is a fake control service. Its methods other than Restart are safe for concurrent use.
 type Service struct {
 	discovery.UnimplementedAggregatedDiscoveryServiceServer
 	addr string
@@ -50,13 +50,14 @@
 	current *Version
 	changed chan struct{} // closed when current changes
 	acks    []Ack
-	acked   chan struct{} // closed at the next acknowledgement
-	streams int           // opened so far
-	nonce   int           // the last one
+	acked   chan struct{} // closed at the next answer
+	streams int           // number of streams opened so far
+	nonce   int           // number in the last nonce
 }
 
-// Start starts a service on a loopback address; port 0 selects a free one. With no
-// credentials it speaks plain text.
+// Start starts a service on a loopback address; port 0 selects a free port. Without
+// credentials the service uses plain text. It returns an error if the address is not a loopback
+// address or cannot be bound.
 func Start(addr string, tls credentials.TransportCredentials) (*Service, error) {
 	s := &Service{addr: addr, tls: tls, changed: make(chan struct{}), acked: make(chan struct{})}
 	return s, s.Restart()
@@ -65,11 +66,12 @@
 // Addr returns the address that the service listens on.
 func (s *Service) Addr() string { return s.addr }
 
-// Restart starts to serve again after Stop, at the same address as before.
+// Restart resumes serving after Stop, at the same address. It must not run concurrently with
+// itself or Addr, since it sets the address.
 func (s *Service) Restart() error {
 	host, _, err := net.SplitHostPort(s.addr)
 	if ip := net.ParseIP(host); err != nil || ip == nil || !ip.IsLoopback() {
-		return fmt.Errorf("%s: not a loopback address", s.addr)
+		return fmt.Errorf("listen %s: not a loopback address", s.addr)
 	}
 	l, err := s.bind()
 	if err != nil {
@@ -85,7 +87,7 @@
 	s.mu.Lock()
 	s.server = server
 	s.mu.Unlock()
-	go func() { _ = server.Serve(l) }() // it ends with Stop
+	go func() { _ = server.Serve(l) }() // returns when Stop is called
 	return nil
 }
 
@@ -108,7 +110,8 @@
 	}
 }
 
-// Publish makes a version the current one.
+// Publish makes v the current version and sends it on all open streams. A version that is
+// replaced before a stream sends it is skipped on that stream.
 func (s *Service) Publish(v *Version) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -117,21 +120,22 @@
 	s.changed = make(chan struct{})
 }
 
-// Streams returns the number of streams that were opened so far.
+// Streams returns the number of streams opened since Start.
 func (s *Service) Streams() int {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.streams
 }
 
-// Acks returns the answers so far.
+// Acks returns a copy of the recorded answers, oldest first. Old answers may have been discarded.
 func (s *Service) Acks() []Ack {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return slices.Clone(s.acks)
 }
 
-// AwaitAcks waits until the answers satisfy a condition, or the context ends.
+// AwaitAcks waits until done returns true for the recorded answers. It returns the context's
+// error if the context ends first.
 func (s *Service) AwaitAcks(ctx context.Context, done func([]Ack) bool) error {
 	for {
 		s.mu.Lock()
@@ -148,7 +152,8 @@
 	}
 }
 
-// recordAck records a gateway's answer; a subscription, which has no nonce, is none.
+// recordAck records a gateway's answer to a response. A request without a nonce is a
+// subscription and is not recorded.
 func (s *Service) recordAck(node *corev3.Node, typeURL, version, nonce string, detail *status.Status) {
 	if nonce == "" {
 		return
--- a/internal/fakes/controlservice/stream.go
+++ b/internal/fakes/controlservice/stream.go
@@ -13,14 +13,14 @@
 	"archknot/internal/configversion"
 )
 
-// typeURLPrefix is xdsclient.TypeURLPrefix. The tests of that package use this one, so it
-// can't be imported here.
+// typeURLPrefix equals xdsclient.TypeURLPrefix. Importing xdsclient here would be an import
+// cycle, because its tests import this package.
 const typeURLPrefix = "type.googleapis.com/archknot.config.v1."
 
-// repeatedNonce is the nonce of all messages of a version with RepeatNonce.
+// repeatedNonce is the nonce of every message of a version that has RepeatNonce set.
 const repeatedNonce = "always"
 
-// errStreamClosed ends a stream as Version.CloseAfter orders.
+// errStreamClosed ends a stream after Version.CloseAfter messages.
 var errStreamClosed = errors.New("the service vanishes")
 
 func (s *Service) nextNonce(m message) string {
@@ -33,7 +33,8 @@
 	return fmt.Sprint("n", s.nonce)
 }
 
-// serve sends each version that is published to one stream, until the stream ends.
+// serve sends the current version to one stream, then each newly published version, until the
+// stream ends.
 func (s *Service) serve(ctx context.Context, send func(message) error) error {
 	s.mu.Lock()
 	s.streams++
@@ -55,7 +56,7 @@
 	}
 }
 
-// sendVersion sends a version's messages.
+// sendVersion sends a version's messages with the delay and the early end that it specifies.
 func sendVersion(ctx context.Context, v *Version, send func(message) error) error {
 	messages, err := v.encode()
 	if err != nil {
@@ -80,7 +81,8 @@
 	return nil
 }
 
-// receive handles the requests of a stream until it ends, then cancels the stream's context.
+// receive handles the requests of a stream until the client ends it, then cancels the stream's
+// context.
 func receive[R any](cancel context.CancelFunc, next func() (R, error), handle func(R)) {
 	defer cancel()
 	for {
@@ -92,7 +94,8 @@
 	}
 }
 
-// StreamAggregatedResources serves a stream of the state-of-the-world form.
+// StreamAggregatedResources serves a stream of the state-of-the-world variant of xDS: each
+// message has all resources of its type.
 func (s *Service) StreamAggregatedResources(st discovery.AggregatedDiscoveryService_StreamAggregatedResourcesServer) error {
 	ctx, cancel := context.WithCancel(st.Context())
 	defer cancel()
@@ -104,15 +107,15 @@
 	})
 }
 
-// DeltaAggregatedResources serves a stream of the incremental form: only what has changed
-// on this stream is sent.
+// DeltaAggregatedResources serves a stream of the incremental variant of xDS: each message has
+// only the resources that changed since the previous message of its type on this stream.
 func (s *Service) DeltaAggregatedResources(st discovery.AggregatedDiscoveryService_DeltaAggregatedResourcesServer) error {
 	ctx, cancel := context.WithCancel(st.Context())
 	defer cancel()
 	go receive(cancel, st.Recv, func(m *discovery.DeltaDiscoveryRequest) {
 		s.recordAck(m.Node, m.TypeUrl, "", m.ResponseNonce, m.ErrorDetail)
 	})
-	sent := map[configversion.ResourceType]map[string]string{} // contents by type and name
+	sent := map[configversion.ResourceType]map[string]string{} // encoded resources by type and name
 	return s.serve(ctx, func(m message) error {
 		r := &discovery.DeltaDiscoveryResponse{TypeUrl: typeURLPrefix + string(m.resourceType), SystemVersionInfo: m.version, Nonce: s.nextNonce(m)}
 		sent[m.resourceType] = fillDelta(r, m, sent[m.resourceType])
@@ -120,8 +123,8 @@
 	})
 }
 
-// fillDelta adds to a response what has changed since the contents sent before, and returns
-// the present contents by name.
+// fillDelta adds to r the resources of m that differ from those sent before and the names of
+// removed resources. It returns the encoded resources of m by name.
 func fillDelta(r *discovery.DeltaDiscoveryResponse, m message, sent map[string]string) map[string]string {
 	present := map[string]string{}
 	for i, a := range m.resources {
@@ -140,8 +143,8 @@
 	return present
 }
 
-// resourceName is the name that a resource has in itself, or the type and the position in
-// the list.
+// resourceName returns the resource's own name. If the resource has no name or cannot be
+// decoded, it returns the type followed by the position in the list.
 func resourceName(t configversion.ResourceType, i int, a *anypb.Any) string {
 	m, err := a.UnmarshalNew()
 	if err == nil {
--- a/internal/fakes/controlservice/version.go
+++ b/internal/fakes/controlservice/version.go
@@ -11,7 +11,7 @@
 	pb "archknot/internal/configversion/configpb"
 )
 
-// Version is one version as the service sends it, and the faults in how it does.
+// Version is a configuration version, and the faults that the service injects when it sends it.
 type Version struct {
 	Number        uint64
 	FirstPercent  uint32
@@ -19,26 +19,26 @@
 	MaxRegression float64
 	Resources     map[configversion.ResourceType][]proto.Message
 
-	Truncate    configversion.ResourceType // the resources of this type are cut off
-	CloseAfter  int                        // the stream is closed after so many messages; 0: it isn't
-	Delay       time.Duration              // between two messages
-	RepeatNonce bool                       // all messages have one nonce
+	Truncate    configversion.ResourceType // resources of this type are sent truncated
+	CloseAfter  int                        // number of messages after which the stream is closed; 0: never
+	Delay       time.Duration              // pause after each message
+	RepeatNonce bool                       // send all messages with the same nonce
 }
 
-// message is the part of a version that has one type.
+// message has the resources of one type in a version.
 type message struct {
 	resourceType configversion.ResourceType
-	version      string // its name
+	version      string // version of this resource type, as sent
 	resources    []*anypb.Any
 	repeatNonce  bool
 }
 
-// truncatedEnd follows the first half of a resource that is cut off: no field can begin
-// with it.
+// truncatedEnd is appended to the first half of a truncated resource, so that decoding fails: no
+// protobuf field can start with this byte at the end of the data.
 const truncatedEnd = 0xff
 
-// encode returns a version's messages, in the order of the types. The manifest is the first
-// for even numbers, and the last for odd ones.
+// encode returns a version's messages in the order of configversion.ResourceTypes. The manifest
+// comes first for even version numbers and last for odd ones.
 func (v *Version) encode() ([]message, error) {
 	manifest := &pb.Version{Number: v.Number, Types: map[string]string{}, FirstPercent: v.FirstPercent, HoldUs: v.Hold.Microseconds(), WorseBy: v.MaxRegression}
 	var messages []message
@@ -65,7 +65,7 @@
 	return append(messages, m), nil
 }
 
-// encodeType returns the message of one type.
+// encodeType returns the message for one type, with truncated resources if v.Truncate is the type.
 func (v *Version) encodeType(t configversion.ResourceType, resources []proto.Message) (message, error) {
 	m := message{resourceType: t, version: fmt.Sprintf("%s-%d", t, v.Number), repeatNonce: v.RepeatNonce}
 	for _, r := range resources {
