--- a/example/control/main.go
+++ b/example/control/main.go
@@ -1,5 +1,5 @@
-// Command control is a fake control service on a loopback address: it reads commands from standard input,
-// one a line, and publishes configuration versions.
+// Command control is a fake control service on a loopback address. It reads commands from standard input, one per
+// line, and publishes a configuration version or interrupts the service for each.
 package main
 
 import (
@@ -24,7 +24,7 @@
 	Class string `default:"chat" help:"The class that the versions have."`
 }
 
-// usage lists the commands.
+// usage describes the commands on standard input.
 const usage = `good N            a good version
 bad N             four attempts: refused by itself
 truncated N       its class comes cut off
@@ -59,10 +59,10 @@
 	select {} // serve until the process is killed
 }
 
-// ackPollInterval is how often printAcks looks for new acknowledgements.
+// ackPollInterval is the interval at which printAcks checks for new answers.
 const ackPollInterval = 50 * time.Millisecond
 
-// printAcks prints what gateways answer to versions.
+// printAcks prints the gateways' acknowledgements and rejections of versions.
 func printAcks(s *controlservice.Service) {
 	for printed := 0; ; time.Sleep(ackPollInterval) {
 		acks := s.Acks()
@@ -74,11 +74,11 @@
 				fmt.Printf("%s refuses %s: %s\n", ack.Gateway, ack.Type, ack.Error)
 			}
 		}
-		printed = min(printed, len(acks)) // the service was restarted
+		printed = min(printed, len(acks)) // the service has discarded old answers
 	}
 }
 
-// newVersion returns a valid version.
+// newVersion returns a valid version that defines one class.
 func newVersion(n uint64, class string) *controlservice.Version {
 	return &controlservice.Version{Number: n, Resources: map[configversion.ResourceType][]proto.Message{
 		configversion.TypeClass:    {&pb.Class{Name: class, AimUs: 1_000_000, TokenAimUs: 300_000, DeadlineUs: 3_000_000, Worth: 2, LateWorth: 0.3, Stream: true}},
@@ -86,7 +86,7 @@
 	}}
 }
 
-// execute executes a command with its arguments.
+// execute executes a command: its name, followed by its arguments.
 func execute(s *controlservice.Service, command []string) error {
 	name := command[0]
 	if name == "help" {
@@ -94,7 +94,7 @@
 		return nil
 	}
 	if len(command) < 2 {
-		return errors.New("expected a number behind it; `help` lists the words")
+		return errors.New("missing number after the command; `help` lists the commands")
 	}
 	n, err := strconv.ParseUint(command[1], 10, 32)
 	if err != nil {
@@ -139,16 +139,16 @@
 	case "staged":
 		percent, err := intArg(args)
 		if err != nil || percent < 0 || percent > 100 {
-			return nil, errors.New("expected 0 to 100 percent")
+			return nil, errors.New("invalid percentage: expected 0 to 100")
 		}
 		v.FirstPercent, v.Hold, v.MaxRegression = uint32(percent), 10*time.Second, 0.1
 	case "drain":
 		if len(args) < 1 {
-			return nil, errors.New("expected a worker's name")
+			return nil, errors.New("missing replica name")
 		}
 		v.Resources[configversion.TypeReplica] = []proto.Message{&pb.Worker{Name: args[0], Mark: pb.Worker_DRAIN}}
 	default:
-		return nil, errors.New("no such word; `help` lists them")
+		return nil, errors.New("unknown command; `help` lists the commands")
 	}
 	return v, nil
 }
@@ -157,7 +157,7 @@
 func flood(s *controlservice.Service, first uint64, args []string) error {
 	count, err := intArg(args)
 	if err != nil || count < 1 || count > 10_000 {
-		return errors.New("expected 1 to 10000 versions")
+		return errors.New("invalid number of versions: expected 1 to 10000")
 	}
 	for i := range uint64(count) {
 		s.Publish(newVersion(first+i, flags.Class))
@@ -165,10 +165,10 @@
 	return nil
 }
 
-// intArg returns a command's additional argument.
+// intArg returns the first argument after a command's number, as an integer.
 func intArg(args []string) (int, error) {
 	if len(args) < 1 {
-		return 0, errors.New("expected one more word")
+		return 0, errors.New("missing argument")
 	}
 	return strconv.Atoi(args[0])
 }
--- a/example/load/main.go
+++ b/example/load/main.go
@@ -1,5 +1,5 @@
-// Command load sends requests in the platform's form to a gateway on this machine, at a rate and with a
-// bounded number at once, and prints how they ended.
+// Command load sends requests in the platform's format to a gateway on this machine, at a given mean rate and with a
+// bounded number in flight, and prints the counts of their outcomes.
 package main
 
 import (
@@ -32,20 +32,20 @@
 	Seed     uint64        `default:"1" help:"For the draws."`
 }
 
-// tally counts how requests ended.
+// tally counts the outcomes of requests.
 type tally struct {
 	mu         sync.Mutex
 	ends       map[string]int
 	firstEvent *hdrhistogram.Histogram // microseconds
 }
 
-// count counts the end of a request; firstEvent is the time to its first event, 0: none.
+// count records the outcome of a request. firstEvent is the time to its first event; 0: it had none.
 func (t *tally) count(end string, firstEvent time.Duration) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	t.ends[end]++
 	if firstEvent > 0 {
-		_ = t.firstEvent.RecordValue(firstEvent.Microseconds()) // larger values are left out
+		_ = t.firstEvent.RecordValue(firstEvent.Microseconds()) // values above the histogram's maximum are not recorded
 	}
 }
 
@@ -64,7 +64,7 @@
 	t.print()
 }
 
-// sendAll sends requests for the time of --for and waits until all have ended.
+// sendAll sends requests with Poisson arrivals for the duration of --for and waits until all have ended.
 func sendAll(t *tally, client *http.Client) {
 	rng := rand.New(rand.NewPCG(args.Seed, 0))
 	slots := make(chan struct{}, args.Most)
@@ -93,7 +93,7 @@
 	}
 }
 
-// print prints the counts and percentiles on one line.
+// print prints the counts and the percentiles of the time to the first event on one line.
 func (t *tally) print() {
 	for _, end := range slices.Sorted(maps.Keys(t.ends)) {
 		fmt.Printf(" %s=%d", strings.ReplaceAll(end, " ", "_"), t.ends[end])
@@ -104,7 +104,7 @@
 
 func ms(us int64) float64 { return float64(us) / 1000 }
 
-// newRequest returns a request with random class, tenant, session, prefix and length.
+// newRequest returns the nth request, with a random class, tenant, session, prefix and length.
 func newRequest(rng *rand.Rand, n int) *http.Request {
 	text := strings.Repeat("word ", 20+rng.IntN(200))
 	body := fmt.Sprintf(`{"model":"chat","stream":true,"max_tokens":100,"messages":[{"role":"user","content":%q}]}`, text)
@@ -122,7 +122,7 @@
 	return req
 }
 
-// send sends a request and returns how it ended, and the time to its first event.
+// send sends a request and returns its outcome and the time to its first event.
 func send(client *http.Client, req *http.Request) (end string, firstEvent time.Duration) {
 	ctx, stop := context.WithTimeout(context.Background(), time.Minute)
 	defer stop()
--- a/example/teams/main.go
+++ b/example/teams/main.go
@@ -1,7 +1,7 @@
-// Command teams measures contracts on sockets: three teams with contracts, a fleet of fake replicas with the
-// capacity that the contracts sum to, and a gateway in this process, all on loopback. One team surges to ten
-// times its rate. The command prints each team's share by windows, and how the `agent` requests of the other
-// teams ended.
+// Command teams measures contracts over loopback sockets. It runs three teams with contracts, a fleet of fake replicas
+// whose capacity equals the sum of the contracts, and a gateway in this process. One team surges to a multiple of its
+// rate. The command prints each team's share of the served requests, its worst window, and the fraction of its `agent`
+// requests that was served.
 package main
 
 import (
@@ -46,21 +46,21 @@
 	Deadline time.Duration `default:"2s" help:"What clients wait for the first token."`
 }
 
-// quotaShares are the teams' shares of the fleet.
+// quotaShares are the teams' fractions of the fleet's capacity.
 var quotaShares = []float64{0.4, 0.3, 0.3}
 
-// teamNames are the teams, each with a tenant of its name.
+// teamNames are the names of the teams. Each team has one tenant of the same name.
 var teamNames = []string{"a", "b", "c"}
 
 const (
-	outputTokens   = 100 // of each answer
-	tokenEvents    = 2   // of each answer
-	warmUpSeconds  = 5   // of each phase, not counted in the results
-	windowSeconds  = 10  // length of the windows of the results
+	outputTokens   = 100 // output tokens that each answer reports
+	tokenEvents    = 2   // content events in each answer
+	warmUpSeconds  = 5   // start of each phase that the results exclude
+	windowSeconds  = 10  // length of the sliding windows in the results
 	requestTimeout = 10 * time.Second
 )
 
-// exitOn ends the program if there is an error.
+// exitOn prints a non-nil error and ends the program with status 2.
 func exitOn(err error) {
 	if err != nil {
 		fmt.Fprintln(os.Stderr, "teams:", err)
@@ -74,25 +74,25 @@
 	return l, l.Addr().String()
 }
 
-// serve serves until the program ends.
+// serve serves in the background until the program ends.
 func serve(l net.Listener, handler http.Handler) {
 	go func() { _ = http.Serve(l, handler) }()
 }
 
-// fleet is discovery and replicas with a number of slots each, at loopback addresses.
+// fleet is a set of replicas at loopback addresses, each with the same number of slots, and their endpoint list.
 type fleet struct {
 	list  httpwire.EndpointList
 	slots int64
 }
 
-// replica is a fake replica that takes the same time for every request.
+// replica is a fake replica with the same service time for every request.
 type replica struct {
 	slots    int64
 	inFlight atomic.Int64
 	running  chan struct{} // has an element for each request in a slot
 }
 
-// addReplica starts a replica and adds it to the list.
+// addReplica starts a replica and adds it to the endpoint list.
 func (f *fleet) addReplica(name string) {
 	l, addr := listen()
 	f.list.Endpoints = append(f.list.Endpoints, httpwire.Endpoint{ID: name, Addr: addr, Zone: "here", Kind: "toy", Lifecycle: "ready", Weight: 1})
@@ -117,7 +117,7 @@
 }
 
 func (r *replica) serveCompletion(w http.ResponseWriter, req *http.Request) {
-	_, _ = io.Copy(io.Discard, req.Body) // so that the end of the connection is noticed
+	_, _ = io.Copy(io.Discard, req.Body) // the server detects a closed connection only after the body was read
 	defer r.inFlight.Add(-1)
 	if r.inFlight.Add(1) > r.slots+int64(args.Queue) {
 		w.Header().Set("Srv-Declined", "1")
@@ -136,13 +136,13 @@
 	for i := range tokenEvents {
 		time.Sleep(args.Service / tokenEvents)
 		fmt.Fprintf(w, "data: {\"choices\":[{\"index\":0,\"delta\":{\"content\":\"word %d\"},\"finish_reason\":null}]}\n\n", i)
-		_ = control.Flush() // a client that is gone needs no answer
+		_ = control.Flush() // fails only if the client has disconnected
 	}
 	fmt.Fprintf(w, "data: {\"choices\":[],\"usage\":{\"prompt_tokens\":0,\"completion_tokens\":%d,\"prompt_tokens_details\":{\"cached_tokens\":0}}}\n\n"+
 		"data: [DONE]\n\n: Srv-Load: %s\n\n", outputTokens, r.loadReport())
 }
 
-// serveDiscovery serves the list, which does not change, and returns its address.
+// serveDiscovery serves the endpoint list, which does not change any more, and returns the address of discovery.
 func (f *fleet) serveDiscovery() string {
 	l, addr := listen()
 	serve(l, http.HandlerFunc(func(w http.ResponseWriter, req *http.Request) {
@@ -155,12 +155,12 @@
 			}
 			out.Reset, out.Endpoints = false, nil
 		}
-		_ = json.NewEncoder(w).Encode(out) // a client that is gone needs no answer
+		_ = json.NewEncoder(w).Encode(out) // fails only if the client has disconnected
 	}))
 	return addr
 }
 
-// startGateway starts the fleet and a gateway before it.
+// startGateway starts the fleet and a gateway in front of it. It returns the gateway's address.
 func startGateway() (addr string, g *gateway.Gateway, stop func()) {
 	f := &fleet{slots: int64(math.Ceil(args.Rate*args.Service.Seconds()/float64(args.Workers) - 0.05))}
 	f.list.Generation, f.list.Reset = 1, true
@@ -186,11 +186,11 @@
 	exitOn(err)
 	l, addr := listen()
 	ctx, cancel := context.WithCancel(context.Background())
-	go func() { _ = g.Serve(ctx, l) }() // it ends with the program
+	go func() { _ = g.Serve(ctx, l) }() // returns when stop is called
 	return addr, g, cancel
 }
 
-// contracts returns the teams' contracts, which sum to the fleet's capacity.
+// contracts returns the teams' contracts, whose sum is the fleet's capacity.
 func contracts() *gateway.Contracts {
 	c := &gateway.Contracts{Settings: contract.Settings{Location: time.UTC, BorrowPoolSeconds: 1, UnknownTenantWeight: 0.05}}
 	for i, name := range teamNames {
@@ -207,15 +207,15 @@
 	return c
 }
 
-// tally counts how one team's requests ended.
+// tally counts one team's requests and the served ones among them.
 type tally struct {
 	mu                     sync.Mutex
-	sent                   []int // by second
-	served                 []int // by second
+	sent                   []int // by second of the phase
+	served                 []int // by the second in which the request was sent
 	agentSent, agentServed int
 }
 
-// count counts the end of a request that was sent in a second.
+// count records the outcome of a request that was sent in the given second of the phase.
 func (t *tally) count(second int, agent, served bool) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -234,7 +234,8 @@
 	}
 }
 
-// runPhase sends requests at each team's rate per second for the time of --for, and waits for their ends.
+// runPhase sends requests at each team's rate, in requests per second, for the duration of --for. It returns when all
+// have ended.
 func runPhase(client *http.Client, addr string, rates []float64, number int) []*tally {
 	var tallies []*tally
 	var tasks sync.WaitGroup
@@ -269,7 +270,7 @@
 	return tallies
 }
 
-// send sends a request and returns true if it was served.
+// send sends a request and reports whether it was served completely.
 func send(client *http.Client, addr string, team int, agent bool, id string) bool {
 	ctx, stop := context.WithTimeout(context.Background(), requestTimeout)
 	defer stop()
@@ -300,13 +301,13 @@
 	Team    string    `json:"team"`
 	Sent    float64   `json:"sent_per_s"`
 	Served  float64   `json:"served_per_s"`
-	Share   float64   `json:"share"` // of all served requests
+	Share   float64   `json:"share"` // fraction of all teams' served requests
 	Worst   float64   `json:"worst_window"`
 	Agent   float64   `json:"agent_served"`
-	Windows []float64 `json:"windows"` // served in each window over what the contract allows, or over what was sent if that is less
+	Windows []float64 `json:"windows"` // requests served in each window, divided by the contract's quota or by the requests sent, whichever is less
 }
 
-// results returns each team's result in a phase.
+// results returns each team's result in a phase, without the warm-up.
 func results(phase string, tallies []*tally) (list []result) {
 	seconds := int(args.For / time.Second)
 	totalServed := 0
@@ -340,7 +341,7 @@
 	return list
 }
 
-// sum sums up the counts of the seconds from one to before another.
+// sum adds up the counts of the seconds in [from, to).
 func sum(counts []int, from, to int) (total int) {
 	for second := from; second < min(to, len(counts)); second++ {
 		total += counts[second]
@@ -378,7 +379,7 @@
 		fmt.Fprintf(w, "%s\t%s\t%.1f\t%.1f\t%.1f%%\t%.1f%%\t%.2f%%\t\n", r.Phase, r.Team, r.Sent, r.Served, 100*r.Share, 100*r.Worst, 100*r.Agent)
 	}
 	w.Flush()
-	accounts, _ := g.Accounts(context.Background()) // none without contracts
+	accounts, _ := g.Accounts(context.Background()) // empty without contracts
 	for _, a := range accounts {
 		fmt.Printf("%s: taken %d, over %d, refused %d\n", a.Team, a.Counters.Admitted, a.Counters.OverQuota, a.Counters.Rejected)
 	}
--- a/example/toy/main.go
+++ b/example/toy/main.go
@@ -1,6 +1,6 @@
-// Command toy is a fleet to try the gateway with: discovery on 127.0.0.1:8500 and some replicas that answer
-// every chat with a few words, one event each. On standard input, an empty line drains the first replica or
-// makes it ready again; a number makes all replicas so many times slower.
+// Command toy is a fleet to try the gateway with: discovery on 127.0.0.1:8500, and replicas that answer every chat
+// request with a short sentence, one event per word. On standard input, an empty line drains the first replica or
+// makes it ready again; a number sets the factor by which all replicas are slowed down.
 package main
 
 import (
@@ -29,7 +29,7 @@
 	replicas = flag.Int("workers", 3, "number of replicas, at 127.0.0.1:9001 and the following ports")
 	pause    = flag.Duration("pause", 150*time.Millisecond, "between two events")
 	slots    = flag.Int("slots", 20, "requests at once; beyond them a replica sheds requests")
-	slowdown atomic.Int64 // factor on the pause, in hundredths
+	slowdown atomic.Int64 // factor for the pause, in hundredths
 )
 
 func main() {
@@ -48,13 +48,13 @@
 	serve(discoveryAddr, d)
 }
 
-// serve serves until it fails, which ends the program.
+// serve serves h at an address. A failure ends the program.
 func serve(addr string, h http.Handler) {
 	log.Printf("msg=listening addr=%s", addr)
 	log.Fatal(http.ListenAndServe(addr, h))
 }
 
-// replica streams short answers.
+// replica is a fake replica that streams short answers.
 type replica struct {
 	name     string
 	inFlight atomic.Int64
@@ -87,7 +87,7 @@
 	r.streamAnswer(w, load)
 }
 
-// streamAnswer streams an answer, one event a word.
+// streamAnswer streams an answer, one event per word.
 func (r *replica) streamAnswer(w http.ResponseWriter, load string) {
 	r.pauseStep()
 	w.Header().Set("Content-Type", "text/event-stream")
@@ -105,19 +105,19 @@
 		"\"prompt_tokens_details\":{\"cached_tokens\":0}}}\n\ndata: [DONE]\n\n: Srv-Load: %s\n\n", len(words), load)
 }
 
-// pauseStep waits for a step of the batch, which takes longer the more requests run.
+// pauseStep waits for the duration of a batch step, which grows with the number of requests in flight.
 func (r *replica) pauseStep() {
 	time.Sleep(time.Duration(float64(*pause) * float64(slowdown.Load()) / 100 * (1 + float64(r.inFlight.Load())/10)))
 }
 
-// discovery serves the endpoint list, and long polls for its changes.
+// discovery serves the endpoint list, with long polls that wait for changes.
 type discovery struct {
 	mu      sync.Mutex
 	list    httpwire.EndpointList
 	changed chan struct{} // closed at the next change
 }
 
-// ServeHTTP answers a poll. One with the current generation waits for a change.
+// ServeHTTP answers a poll. A poll that has the current generation waits for a change or its timeout.
 func (d *discovery) ServeHTTP(w http.ResponseWriter, r *http.Request) {
 	if r.URL.Path != httpwire.ListPath {
 		http.NotFound(w, r)
@@ -142,10 +142,10 @@
 	if hasSince && since == out.Generation {
 		out.Reset, out.Endpoints = false, nil
 	}
-	_ = json.NewEncoder(w).Encode(out) // a client that is gone needs no answer
+	_ = json.NewEncoder(w).Encode(out) // fails only if the client has disconnected
 }
 
-// readCommands reads commands from standard input.
+// readCommands reads and executes commands from standard input until its end.
 func (d *discovery) readCommands() {
 	for in := bufio.NewScanner(os.Stdin); in.Scan(); {
 		text := strings.TrimSpace(in.Text())
@@ -160,7 +160,7 @@
 	}
 }
 
-// toggleFirst drains the first replica, or makes it ready again.
+// toggleFirst switches the first replica between ready and draining, and wakes waiting polls.
 func (d *discovery) toggleFirst() {
 	d.mu.Lock()
 	defer d.mu.Unlock()
