--- a/internal/buildinfo/buildinfo.go
+++ b/internal/buildinfo/buildinfo.go
@@ -6,11 +6,11 @@
 // unknownVersion is the version of a build without version control information, such as a test.
 const unknownVersion = "devel"
 
-// revisionDigits is how much of the commit's hash a version has.
+// revisionDigits is the number of digits of the commit hash in a version.
 const revisionDigits = 12
 
-// Version returns the commit that the program was built from, in 12 digits, with "+" if the tree had changes that
-// were not committed; "devel" where the build does not know its commit.
+// Version returns the first 12 digits of the commit that the program was built from, followed by "+" if the work tree
+// had uncommitted changes. It returns "devel" if the build has no commit recorded.
 func Version() string {
 	info, ok := debug.ReadBuildInfo()
 	if !ok {
