--- a/internal/cli/capture.go
+++ b/internal/cli/capture.go
@@ -32,13 +32,13 @@
 	Save    saveCmd    `cmd:"" help:"Have a running gateway save its last minutes as an incident."`
 }
 
-// timeSpan selects a part of a run by flags.
+// timeSpan has the flags that select a part of a run by time.
 type timeSpan struct {
 	From string `placeholder:"TIME" help:"Start: +30s from the start of the capture, -30s from its end, or a time such as 2026-12-01T10:00:00Z."`
 	To   string `placeholder:"TIME" help:"End, in the same forms."`
 }
 
-// within returns the span's ends on a run's clock; 0: none.
+// within returns the start and the end of the span on a run's clock. 0 is an end that was not given.
 func (s timeSpan) within(run *capture.Run) (from, to balancer.Micros, err error) {
 	if from, err = parseMoment(s.From, run); err == nil {
 		to, err = parseMoment(s.To, run)
@@ -46,7 +46,8 @@
 	return from, to, err
 }
 
-// parseMoment parses a time relative to a run's start or end, or a time of day. It returns it on the run's clock.
+// parseMoment parses a time relative to a run's start (+) or end (-), or an absolute time in RFC 3339 format. It
+// returns the time on the run's clock; 0 for an empty text.
 func parseMoment(text string, run *capture.Run) (balancer.Micros, error) {
 	if text == "" {
 		return 0, nil
@@ -75,7 +76,7 @@
 
 func (infoCmd) Help() string { return "Example:\n  archknot capture info /var/lib/archknot/capture" }
 
-// runInfo describes a run for printing.
+// runInfo is the description of a run that the info command prints.
 type runInfo struct {
 	Gateway     string    `json:"gateway"`
 	Run         string    `json:"run"`
@@ -136,7 +137,7 @@
 	return info
 }
 
-// incidentReason returns the reason in the manifest beside a run, if there is a manifest.
+// incidentReason returns the incident's reason from the manifest in a run's directory, or "" if there is none.
 func incidentReason(run *capture.Run) string {
 	text, err := os.ReadFile(filepath.Join(filepath.Dir(run.Segments[0].Path), capture.ManifestName))
 	if err != nil {
@@ -189,7 +190,7 @@
 	return nil
 }
 
-// verification is what the verify command finds.
+// verification is the result of the verify command: the number of events, and the gaps.
 type verification struct {
 	Events  uint64            `json:"events"`
 	Missing []capture.Missing `json:"missing"`
@@ -202,7 +203,7 @@
 	case entry.Record.Kind == pb.Kind_KIND_GAP:
 		gap := entry.Record.Gap
 		reason := "not recorded: " + gap.Reason
-		if n := len(v.Missing); n > 0 && v.Missing[n-1].Events > 0 { // found by the jump of the event numbers
+		if n := len(v.Missing); n > 0 && v.Missing[n-1].Events > 0 { // the reader has reported this gap, by the jump in event numbers
 			v.Missing[n-1].Reason = reason
 			return
 		}
@@ -212,7 +213,7 @@
 	}
 }
 
-// eachEntry reads a span of a run, entry by entry.
+// eachEntry calls do with each entry of a run up to the end of the span, from the checkpoint before its start.
 func eachEntry(run *capture.Run, sp timeSpan, do func(capture.Entry) error) error {
 	from, to, err := sp.within(run)
 	if err != nil {
@@ -304,7 +305,7 @@
 	return err
 }
 
-// dumpText prints an event and the balancer's actions in one line.
+// dumpText prints an event and the balancer's actions on one line.
 func dumpText(w io.Writer, run *capture.Run, names *replay.Names, entry capture.Entry) error {
 	line := fmt.Sprintf("%s #%d %s", replay.FormatOffset(run, entry.At), entry.Number, names.DescribeEvent(entry.Record))
 	actions := make([]string, len(entry.Record.Actions))
@@ -318,7 +319,7 @@
 	return err
 }
 
-// dumpJSON prints an entry as a JSON object in one line. A checkpoint's state is decoded beside the record.
+// dumpJSON prints an entry as a JSON object on one line. The state of a checkpoint is decoded into a field of its own.
 func dumpJSON(w io.Writer, entry capture.Entry) error {
 	record := entry.Record
 	state := ""
@@ -339,7 +340,7 @@
 	return err
 }
 
-// stateJSON converts a checkpoint's state to JSON.
+// stateJSON converts the encoded state of a checkpoint to JSON.
 func stateJSON(encoded []byte) ([]byte, error) {
 	var state pb.State
 	if err := proto.Unmarshal(encoded, &state); err != nil {
--- a/internal/cli/cli.go
+++ b/internal/cli/cli.go
@@ -18,14 +18,14 @@
 // Exit codes.
 const (
 	ExitOK       = 0
-	ExitNegative = 1 // the command answers no, such as a check that fails
+	ExitNegative = 1 // the command ran and its result is negative, such as a failed check
 	ExitError    = 2 // wrong usage, or an input that cannot be read
 )
 
-// filePermissions are those of files that commands write.
+// filePermissions are the permissions of files that commands write.
 const filePermissions = 0o644
 
-// commands is the command line as kong parses it.
+// commands is the grammar of the command line, for kong.
 type commands struct {
 	Serve      serveCmd      `cmd:"" default:"withargs" aliases:"run" help:"Serve clients; also the default without a command."`
 	Config     configCmd     `cmd:"" help:"Check and show archknot's own settings."`
@@ -39,20 +39,20 @@
 	Version    versionCmd    `cmd:"" help:"Print the version of this build."`
 }
 
-// streams are a command's output and environment.
+// streams has the output streams of a command, and its environment variables.
 type streams struct {
 	out, err io.Writer
 	getenv   func(string) string
 }
 
-// errNegative ends a command with ExitNegative. The command has printed why.
+// errNegative ends a command with ExitNegative. The command has already printed the reason.
 var errNegative = errors.New("no")
 
-// Main runs the command of the arguments and returns its exit code. Without arguments it serves.
+// Main runs the command that args name and returns its exit code. Without arguments it runs the serve command.
 func Main(args []string, out, errOut io.Writer, getenv func(string) string) int {
 	s := &streams{out, errOut, getenv}
 	if len(args) == 0 {
-		// This is how the platform starts the program; it spares the memory of the parser.
+		// The platform starts the program without arguments. This path saves the memory of the command line parser.
 		return s.exitCode((&serveCmd{Config: getenv("ARCHKNOT_CONF")}).Run(s))
 	}
 	var c commands
@@ -61,7 +61,7 @@
 		kong.Writers(out, errOut), kong.Exit(func(code int) { exited = code }), kong.UsageOnError(),
 		kong.ConfigureHelp(kong.HelpOptions{Compact: true}), kong.Bind(s))
 	if err != nil {
-		panic(err) // the commands struct is malformed, whatever the arguments
+		panic(err) // the commands struct is malformed, independent of the arguments
 	}
 	ctx, err := parser.Parse(args)
 	if exited >= 0 { // --help has been shown
@@ -84,7 +84,7 @@
 		return ExitOK
 	case errors.Is(err, errNegative):
 		return ExitNegative
-	case errors.As(err, &configErr): // in the log's form, which a supervisor reads
+	case errors.As(err, &configErr): // in the format of the log, which a supervisor parses
 		fmt.Fprintf(s.err, "level=ERROR msg=failed err=%q\n", configErr.Error())
 		return ExitError
 	case errors.As(err, &serveErr):
@@ -102,18 +102,18 @@
 	return encoder.Encode(v)
 }
 
-// writeFileAtomically writes a file so that it is either complete or unchanged.
+// writeFileAtomically replaces a file atomically: after an error the old file is unchanged.
 func writeFileAtomically(path string, write func(io.Writer) error) error {
 	return replaceFile(path, write, renameio.WithPermissions(filePermissions))
 }
 
-// replaceFile writes a pending file and puts it in the place of path.
+// replaceFile writes a temporary file and renames it to path.
 func replaceFile(path string, write func(io.Writer) error, options ...renameio.Option) error {
 	f, err := renameio.NewPendingFile(path, options...)
 	if err != nil {
 		return err
 	}
-	defer func() { _ = f.Cleanup() }() // removes a file that was not put in place
+	defer func() { _ = f.Cleanup() }() // removes the temporary file unless it was renamed
 	if err := write(f); err != nil {
 		return err
 	}
@@ -144,7 +144,7 @@
 		"Example:\n  NODE_CONFIG=example/config.json archknot serve --config deploy/archknot.conf"
 }
 
-// serveError is an error with which a gateway could not start or continue.
+// serveError is an error, other than an invalid configuration, that ended the serve command.
 type serveError struct{ error }
 
 func (c *serveCmd) Run(s *streams) error {
@@ -158,5 +158,5 @@
 	return err
 }
 
-// Exec runs Main with the process's arguments and exits.
+// Exec runs Main with the process's arguments, standard streams and environment, and exits with its code.
 func Exec() { os.Exit(Main(os.Args[1:], os.Stdout, os.Stderr, os.Getenv)) }
--- a/internal/cli/drill.go
+++ b/internal/cli/drill.go
@@ -30,7 +30,7 @@
 	Run       drillRunCmd   `cmd:"" help:"Run gateway processes in front of an emulated fleet under the faults of a plan, and check the rules."`
 }
 
-// drillRunCmd runs drills.
+// drillRunCmd runs the drills of a plan, one for each seed.
 type drillRunCmd struct {
 	Plan     string `arg:"" help:"The plan: see deploy/take-over.plan."`
 	Program  string `placeholder:"FILE" help:"The program of another build to start in place of this one."`
@@ -40,7 +40,7 @@
 	seedFlags
 }
 
-// seedFlags select the seeds of drills or soaks.
+// seedFlags are the flags for the seeds, the parallelism and the log directory of drills or soaks.
 type seedFlags struct {
 	Seed  uint64 `default:"1" help:"The first seed; the same seed gives the same random draws."`
 	Seeds int    `default:"1" help:"Number of drills, each with the next seed."`
@@ -48,7 +48,8 @@
 	Logs  string `placeholder:"DIR" help:"Directory in which configurations and logs stay; by default they are removed."`
 }
 
-// each calls run with each seed, f.Jobs at once, until one returns an error or the user interrupts it.
+// each calls run for each seed, at most f.Jobs at once. An error, or an interrupt by the user, cancels the context of
+// the other calls.
 func (f *seedFlags) each(run func(ctx context.Context, seed uint64, options faulttest.Options) error) error {
 	if f.Seeds < 1 || f.Jobs < 1 {
 		return errors.New("--seeds, --jobs: expected 1 or more")
@@ -81,7 +82,7 @@
 		"Exit code 1: a rule was broken.\n\nExample:\n  archknot drill run deploy/take-over.plan --seeds 10 --jobs 3"
 }
 
-// runSummary is the result of several drills.
+// runSummary is the combined result of several drills.
 type runSummary struct {
 	Drills          int                 `json:"drills"`
 	Sent            int                 `json:"sent"`
@@ -89,7 +90,7 @@
 	Recovered       int                 `json:"saved"`
 	Violations      int                 `json:"breaks"`
 	Crashes         int                 `json:"crashes"`
-	WeightServed    experiment.Interval `json:"worth_served"` // share of the offered weight
+	WeightServed    experiment.Interval `json:"worth_served"` // fraction of the offered weight
 	WeightLost      experiment.Interval `json:"worth_lost_10s"`
 	FirstTokenMs    experiment.Interval `json:"first_p50_ms"`
 	CPUMsPerRequest experiment.Interval `json:"cpu_ms_request"`
@@ -97,7 +98,8 @@
 	OpenFiles       int                 `json:"files"`
 }
 
-// Run carries out the drills and prints their results. It returns errNo if a rule was violated.
+// Run carries out the drills and prints their results. It returns errNegative if a rule was violated or a
+// process ended unexpectedly.
 func (c *drillRunCmd) Run(s *streams) error {
 	plan, variant, workload, err := loadPlan(c.Plan, c.Variant, c.Workload)
 	if err != nil {
@@ -119,7 +121,7 @@
 		mu.Lock()
 		defer mu.Unlock()
 		if bar != nil {
-			_ = bar.Add(1) // a progress bar that cannot be drawn is no reason to stop
+			_ = bar.Add(1) // a failure to draw the progress bar is ignored
 		}
 		results = append(results, result)
 		return c.printResult(s, result)
@@ -137,7 +139,7 @@
 	return nil
 }
 
-// printSummary prints the result of all drills.
+// printSummary prints the combined result of all drills.
 func (c *drillRunCmd) printSummary(s *streams, sum runSummary) error {
 	if c.JSON {
 		return json.NewEncoder(s.out).Encode(sum)
@@ -180,10 +182,10 @@
 	}
 }
 
-// minWeight keeps a share finite where no weight was offered.
+// minWeight is the smallest divisor of served weight: it keeps the fraction finite if no weight was offered.
 const minWeight = 1e-9
 
-// summarize returns the summary of several drills.
+// summarize combines the results of several drills.
 func summarize(results []*faulttest.Result) (summary runSummary) {
 	var served, lost, firstTokenMs, cpuMs []float64
 	for _, r := range results {
--- a/internal/cli/experiment.go
+++ b/internal/cli/experiment.go
@@ -70,7 +70,8 @@
 	return nil
 }
 
-// runsProgress returns a function that shows how many runs are done on a terminal, and nil elsewhere.
+// runsProgress returns a function that shows the number of finished runs on a terminal. It returns nil if standard
+// error is not a terminal.
 func (s *streams) runsProgress() func(done, all int) {
 	f, ok := s.err.(*os.File)
 	if !ok || !term.IsTerminal(int(f.Fd())) {
@@ -86,7 +87,7 @@
 	}
 }
 
-// loadSummary summarizes the results in a directory.
+// loadSummary summarizes the experiment results in a directory.
 func loadSummary(dir, base string) (*experiment.Summary, error) {
 	if _, err := os.Stat(filepath.Join(dir, experiment.FileName)); err != nil {
 		return nil, err
@@ -226,7 +227,7 @@
 	return plan, variant, workload, nil
 }
 
-// pickVariant returns the variant or workload of the name; "" is the first one.
+// pickVariant returns the named variant or workload; for an empty name, the first one.
 func pickVariant(list []config.Variant, name string) (config.Variant, error) {
 	if name == "" {
 		return list[0], nil
--- a/internal/cli/fleet.go
+++ b/internal/cli/fleet.go
@@ -128,7 +128,7 @@
 	return nil
 }
 
-// printTable prints the estimates of each stream as a table.
+// printTable prints a table of the estimates, one row for each stream.
 func (c *fitCmd) printTable(s *streams, r *fit.Recording, got []fit.Stream) error {
 	fmt.Fprintf(s.out, "seconds=%.0f requests=%d gaps=%d\n", float64(r.To-r.From)/1e6, len(r.Turns), r.Gaps)
 	for _, t := range got {
--- a/internal/cli/publicnames_test.go
+++ b/internal/cli/publicnames_test.go
@@ -12,7 +12,7 @@
 	"archknot/internal/publicnames"
 )
 
-// Commands keep their names, flags and arguments.
+// The names, flags and arguments of commands do not change: scripts of operators use them.
 func TestCommandsStay(t *testing.T) {
 	parser, err := kong.New(&commands{}, kong.Name("archknot"), kong.Bind(&streams{}))
 	if err != nil {
@@ -38,7 +38,7 @@
 	publicnames.Compare(t, "commands", names)
 }
 
-// What the check of a settings file prints as JSON keeps its fields' names.
+// The field names in the JSON output of config check do not change.
 func TestConfigCheckJSONStays(t *testing.T) {
 	bad := filepath.Join(t.TempDir(), "bad.conf")
 	if err := os.WriteFile(bad, []byte("[log]\nlevel loud\n"), 0o600); err != nil {
@@ -61,7 +61,7 @@
 	}
 }
 
-// Exit codes are 0, 1 and 2 for good, no, and wrong use.
+// The exit codes are 0 for success, 1 for a negative result and 2 for wrong usage.
 func TestExitCodesStay(t *testing.T) {
 	bad := filepath.Join(t.TempDir(), "bad.conf")
 	if err := os.WriteFile(bad, []byte("[log]\nlevel loud\n"), 0o600); err != nil {
--- a/internal/cli/replay.go
+++ b/internal/cli/replay.go
@@ -46,7 +46,7 @@
 		"\nExample:\n  archknot replay --where 'class == agent and elapsed > 2s' /var/lib/archknot/capture"
 }
 
-// parseFilter parses a condition; no condition matches everything.
+// parseFilter parses a condition. It returns nil, which matches every event, for an empty text.
 func parseFilter(text string) (*replay.Filter, error) {
 	if text == "" {
 		return nil, nil
@@ -105,7 +105,7 @@
 	return nil
 }
 
-// acceptedDifferences is the content of a file beside a capture whose differences are intended.
+// acceptedDifferences is the content of the file next to a capture that records the differences accepted for it.
 type acceptedDifferences struct {
 	Build       string               `json:"build"`
 	Differ      uint64               `json:"differ"`
@@ -114,7 +114,7 @@
 	First       []*replay.Difference `json:"first"`
 }
 
-// acceptedPath returns the path of a run's accepted differences.
+// acceptedPath returns the path of the file with a run's accepted differences.
 func acceptedPath(run *capture.Run) string {
 	first := run.Segments[0].Path
 	if len(run.Segments) == 1 {
@@ -123,10 +123,10 @@
 	return filepath.Join(filepath.Dir(first), run.Gateway+"-"+run.Name+".accepted")
 }
 
-// maxStoredDifferences is how many differences are stored with accepted ones.
+// maxStoredDifferences bounds the differences that are collected for printing and stored in full in a file of accepted ones.
 const maxStoredDifferences = 20
 
-// replayRun replays a run and prints its differences. It returns true if there are none, or only accepted ones.
+// replayRun replays a run and prints its differences. It returns true if there are none or they were accepted.
 func (c *replayCmd) replayRun(s *streams, run *capture.Run, options replay.Options) (*replay.Result, bool, error) {
 	var first []*replay.Difference
 	options.OnDifference = func(d *replay.Difference) {
@@ -162,8 +162,8 @@
 	return result, ok, nil
 }
 
-// checkAccepted accepts the differences of a run, or compares them with those that were accepted before. It
-// returns whether the run is as expected, and a note for its summary.
+// checkAccepted stores the differences of a run as accepted if --accept is set; otherwise it compares them with the
+// accepted ones. It returns true if the run has no differences or only accepted ones, and a note for its summary.
 func (c *replayCmd) checkAccepted(run *capture.Run, options replay.Options, result *replay.Result, first []*replay.Difference) (ok bool, note string, err error) {
 	path := acceptedPath(run)
 	if c.Accept {
@@ -190,7 +190,7 @@
 	return text, err == nil
 }
 
-// loadAccepted reads the accepted differences. It returns nil if there is no file: nothing was accepted.
+// loadAccepted reads the accepted differences. It returns nil if the file cannot be read, as when nothing was accepted.
 func loadAccepted(path string) (*acceptedDifferences, error) {
 	text, ok := readOptional(path)
 	if !ok {
@@ -203,7 +203,7 @@
 	return accepted, nil
 }
 
-// storeAccepted stores a run's differences as accepted, or removes the file if there are none.
+// storeAccepted stores a run's differences as accepted, or removes the file if the run has none.
 func storeAccepted(path string, result *replay.Result, first []*replay.Difference) error {
 	if result.Differing == 0 {
 		if err := os.Remove(path); err != nil && !errors.Is(err, fs.ErrNotExist) {
@@ -219,7 +219,7 @@
 	return renameio.WriteFile(path, append(text, '\n'), filePermissions)
 }
 
-// printDifferences prints the first differences, up to the number of --show.
+// printDifferences prints the first differences, at most as many as --show specifies.
 func (c *replayCmd) printDifferences(w io.Writer, run *capture.Run, differences []*replay.Difference, names *replay.Names) {
 	for _, d := range differences[:min(len(differences), max(0, c.Show))] {
 		fmt.Fprintf(w, "%s event %d: %s\n  %s: this build: %s; recorded: %s\n", replay.FormatOffset(run, d.At), d.Number, d.Event, d.Kind, d.Own, d.Recorded)
@@ -229,15 +229,16 @@
 	}
 }
 
-// printCounts prints counts, the largest first.
-func printCounts(w io.Writer, what string, counts map[string]uint64) {
+// printCounts prints counts by name in descending order, each on a line that starts with the label.
+func printCounts(w io.Writer, label string, counts map[string]uint64) {
 	largestFirst := func(a, b string) int { return int(counts[b]) - int(counts[a]) }
 	for _, key := range slices.SortedFunc(maps.Keys(counts), largestFirst) {
-		fmt.Fprintf(w, "  %s %s: %d\n", what, key, counts[key])
+		fmt.Fprintf(w, "  %s %s: %d\n", label, key, counts[key])
 	}
 }
 
-// replayProgress returns a function that shows the progress of a replay on a terminal.
+// replayProgress returns a function that shows the progress of a replay. It does nothing for small captures or if
+// standard error is not a terminal.
 func replayProgress(s *streams, run *capture.Run) func(balancer.Micros) {
 	f, ok := s.err.(*os.File)
 	if !ok || !term.IsTerminal(int(f.Fd())) || run.Bytes() < 4<<20 {
@@ -248,7 +249,7 @@
 	return func(at balancer.Micros) { _ = bar.Set64(at - run.Begin()) }
 }
 
-// compareBuilds compares this build's decisions with those of another build's program.
+// compareBuilds replays the captures with this build and with the program of another build and compares the decisions.
 func (c *replayCmd) compareBuilds(s *streams) error {
 	self, err := os.Executable()
 	if err != nil {
--- a/internal/cli/scale.go
+++ b/internal/cli/scale.go
@@ -13,7 +13,7 @@
 	"archknot/internal/scaletest"
 )
 
-// drillScaleCmd measures what grows with a fleet.
+// drillScaleCmd measures the costs that grow with the size of a fleet.
 type drillScaleCmd struct {
 	Plan    string `arg:"" help:"The plan: see deploy/scale.plan."`
 	Program string `placeholder:"FILE" help:"The program of another build to start in place of this one."`
@@ -40,7 +40,7 @@
 	onProgress := func(done, _ int, description string) {
 		if bar != nil {
 			bar.Describe(description)
-			_ = bar.Set(done) // a progress bar that cannot be drawn is no reason to stop
+			_ = bar.Set(done) // a failure to draw the progress bar is ignored
 		}
 	}
 	result, err := scaletest.Run(ctx, plan, scaletest.Options{Program: c.Program, OnProgress: onProgress})
@@ -59,7 +59,7 @@
 	return nil
 }
 
-// scaleRoleCmd runs a role of a scale run in this process.
+// scaleRoleCmd runs one role of a scale measurement in this process.
 type scaleRoleCmd struct {
 	Role string `arg:"" help:"The role."`
 }
--- a/internal/cli/site.go
+++ b/internal/cli/site.go
@@ -29,7 +29,7 @@
 	Drill siteDrillCmd `cmd:"" help:"Simulate the loss of a site of a plan's fleet with gateway processes, and compare the outcome with the forecast."`
 }
 
-// lossFlags are the flags of both commands.
+// lossFlags are the flags that the plan and drill commands share.
 type lossFlags struct {
 	File     string        `arg:"" name:"plan" help:"The plan: see deploy/site-loss.plan."`
 	Lose     string        `required:"" placeholder:"SITE" help:"The site: a zone of the plan's replicas."`
@@ -51,7 +51,7 @@
 	return siteforecast.Loss{Site: c.Lose, At: c.At.Microseconds(), Duration: c.For.Microseconds(), NoticedAfter: c.Told.Microseconds(), Observed: c.Watch.Microseconds()}, nil
 }
 
-// forecast runs the forecast. It also returns the plan's runs by seed.
+// forecast runs the forecast. It also returns the function that makes the plan's run for a seed.
 func (c *lossFlags) forecast(ctx context.Context, s *streams) (*siteforecast.Forecast, siteforecast.SpecFunc, error) {
 	l, err := c.loss()
 	if err != nil {
@@ -70,7 +70,7 @@
 	return f, spec, err
 }
 
-// countBar returns a bar of n steps on a terminal, and nil elsewhere.
+// countBar returns a progress bar of n steps, or nil if standard error is not a terminal.
 func countBar(s *streams, n int) *progressbar.ProgressBar {
 	if f, ok := s.err.(*os.File); ok && term.IsTerminal(int(f.Fd())) {
 		return progressbar.NewOptions(n, progressbar.OptionSetWriter(f), progressbar.OptionShowCount(), progressbar.OptionClearOnFinish())
@@ -137,7 +137,7 @@
 	return t.Flush()
 }
 
-// writeChart writes a chart of the seconds from the loss on.
+// writeChart writes a chart of the seconds that follow the loss.
 func writeChart(path string, f *siteforecast.Forecast) error {
 	graph := chart.Chart{
 		Width:      820,
@@ -174,19 +174,19 @@
 		"Example:\n  archknot site drill deploy/site-loss.plan --lose south --seeds 3"
 }
 
-// siteDrillResult compares a drill with the forecast.
+// siteDrillResult is the result of one drill, compared with the forecast.
 type siteDrillResult struct {
 	Seed     uint64              `json:"seed"`
 	Served   float64             `json:"worth_served"`
 	Within   bool                `json:"within"`
-	Classes  map[string]float64  `json:"classes"`              // worth served, as a share
-	ToLost   float64             `json:"to_lost_after_1500ms"` // share of attempts sent to the lost site then
+	Classes  map[string]float64  `json:"classes"`              // fraction of the offered weight that was served
+	ToLost   float64             `json:"to_lost_after_1500ms"` // fraction of attempts that went to the lost site, from 1.5 s after the loss until its end
 	Breaks   int                 `json:"breaks"`
 	Crashes  int                 `json:"crashes"`
 	Forecast *siteforecast.Range `json:"forecast,omitempty"`
 }
 
-// maxSiteDrills is the largest number of drills of a command.
+// maxSiteDrills is the maximum number of drills in one command.
 const maxSiteDrills = 10_000
 
 func (c *siteDrillCmd) Run(s *streams) error {
@@ -230,7 +230,7 @@
 	return nil
 }
 
-// drill loses the site of a run with processes, and compares the outcome with the forecast.
+// drill simulates the loss of the site with gateway processes and compares the outcome with the forecast.
 func (c *siteDrillCmd) drill(ctx context.Context, f *siteforecast.Forecast, spec siteforecast.SpecFunc, seed uint64) (*siteDrillResult, *faulttest.Result, error) {
 	run, err := spec(seed)
 	if err != nil {
@@ -263,7 +263,7 @@
 	return result, drill, nil
 }
 
-// printResult prints the outcome of a drill in one line, and what it broke.
+// printResult prints the outcome of a drill on one line, followed by its violations.
 func (c *siteDrillCmd) printResult(w io.Writer, result *siteDrillResult, drill *faulttest.Result) error {
 	if c.JSON {
 		return json.NewEncoder(w).Encode(result)
--- a/internal/cli/soak.go
+++ b/internal/cli/soak.go
@@ -10,7 +10,7 @@
 	"archknot/internal/faulttest"
 )
 
-// drillSoakCmd runs soaks.
+// drillSoakCmd runs soaks, one for each seed.
 type drillSoakCmd struct {
 	Plan     string `arg:"" help:"The plan: see deploy/soak.plan."`
 	Program  string `placeholder:"FILE" help:"The program of another build to start in place of this one."`
@@ -28,7 +28,8 @@
 		"or send in pieces, many idle clients (every third seed). Everything is on loopback addresses. Exit code 1: a rule was broken.\n\nExample:\n  archknot drill soak deploy/soak.plan --seeds 50 --jobs 2"
 }
 
-// Run carries out the soaks and prints their results. It returns errNo if a rule was violated.
+// Run carries out the soaks and prints their results. It returns errNegative if a rule was violated or a
+// process ended unexpectedly.
 func (c *drillSoakCmd) Run(s *streams) error {
 	plan, variant, workload, err := loadPlan(c.Plan, "", "")
 	if err != nil {
--- a/internal/cli/version.go
+++ b/internal/cli/version.go
@@ -12,14 +12,14 @@
 	"archknot/internal/xdsclient"
 )
 
-// socketFlags name a running gateway's control socket.
+// socketFlags are the flags that locate the control socket of a running gateway.
 type socketFlags struct {
 	Socket string `placeholder:"PATH" help:"The gateway's control socket; by default that of the settings."`
 	Config string `env:"ARCHKNOT_CONF" placeholder:"FILE" help:"The gateway's settings file, for the path of the socket."`
 }
 
-// call sends a command to the gateway and decodes its response. If the gateway cannot carry it out, call prints
-// why and returns errNegative.
+// call sends a command to the gateway and decodes its response. If the gateway cannot execute the command, call prints
+// the gateway's error and returns errNegative.
 func (f *socketFlags) call(s *streams, name string, request, response any) error {
 	path := f.Socket
 	if path == "" {
@@ -60,7 +60,7 @@
 	return s.printStatus(a, c.JSON)
 }
 
-// printStatus prints the status of the streamed configuration.
+// printStatus prints the status of the configuration that the control service streams.
 func (s *streams) printStatus(a lifecycle.ConfigStatus, asJSON bool) error {
 	if asJSON {
 		return s.printJSON(a)
@@ -118,7 +118,7 @@
 	return s.printStatus(a, c.JSON)
 }
 
-// settingDifference is a setting that differs between two files.
+// settingDifference is a setting whose values differ between two files.
 type settingDifference struct {
 	Key   string `json:"key"`
 	One   string `json:"one"`
