--- a/internal/gateway/accounting.go
+++ b/internal/gateway/accounting.go
@@ -75,7 +75,7 @@
 		return inflight.Action{Kind: inflight.ActionDeny, Reason: verdict.Reason, RetryAfter: verdict.RetryAfter}, false
 	}
 	r.BalancerRequest.PriorityFactor = max(minPriorityWeight, verdict.PriorityWeight)
-	r.OverRate = verdict.OverQuota
+	r.OverQuota = verdict.OverQuota
 	r.EstimatedUse = r.Charge.Estimate
 	return inflight.Action{}, true
 }
@@ -116,7 +116,7 @@
 			return
 		}
 	}
-	a.recordedLedger.RecordShed(now, &r.BalancerRequest, r.EstimatedUse, r.OverRate)
+	a.recordedLedger.RecordShed(now, &r.BalancerRequest, r.EstimatedUse, r.OverQuota)
 }
 
 // releaseCharge settles, with no usage, a request's charge that no attempt has taken over.
--- a/internal/gateway/actions.go
+++ b/internal/gateway/actions.go
@@ -147,14 +147,14 @@
 func (l *eventLoop) attemptBasis(r *inflight.Request, to balancer.ReplicaID) inflight.Basis {
 	reportAge, known := l.balancer.ReportAge(l.now, to)
 	if !known {
-		reportAge = inflight.ReportUnknown
+		reportAge = inflight.ReportAgeUnknown
 	}
 	return inflight.Basis{ListVersion: l.endpoints.Version(), ListAge: l.balancer.ListAge(l.now), ReportAge: reportAge, After: r.LastStatus}
 }
 
 // recordReportAge adds the age of an attempt's load report to the totals.
 func (l *eventLoop) recordReportAge(age balancer.Micros) {
-	if age == inflight.ReportUnknown {
+	if age == inflight.ReportAgeUnknown {
 		l.reportAges.WithoutReport++
 		return
 	}
--- a/internal/gateway/attempt.go
+++ b/internal/gateway/attempt.go
@@ -76,7 +76,7 @@
 	// The attempt may have been cancelled, or its client may have disconnected, while the attempt
 	// connected or waited to be scheduled. Nothing may be sent after that, and every attempt
 	// passes here before it sends.
-	if !x.lease.isHolder() || attempt.Request.ClientGone() || attempt.Ctx.Err() != nil {
+	if !x.lease.isHolder() || attempt.Request.ClientDisconnected() || attempt.Ctx.Err() != nil {
 		return balancer.Cancelled
 	}
 	if !x.gateway.acceptsWork(attempt.Replica) { // ejected or draining since the dispatch
--- a/internal/gateway/events.go
+++ b/internal/gateway/events.go
@@ -179,7 +179,7 @@
 
 // reportAgeMillis returns the age of a load report in milliseconds, or -1 if there is none.
 func reportAgeMillis(age balancer.Micros) balancer.Micros {
-	if age == inflight.ReportUnknown {
+	if age == inflight.ReportAgeUnknown {
 		return -1
 	}
 	return age / microsPerMilli
--- a/internal/inflight/request.go
+++ b/internal/inflight/request.go
@@ -50,7 +50,7 @@
 	LastStatus      string          // status of the attempt that ended last, for the log
 	Charge          contract.Charge // the contract charge; moved to the first attempt when that starts
 	EstimatedUse    contract.Usage  // the estimated usage that was charged
-	OverRate        bool            // the request is over its team's rate or a soft limit
+	OverQuota       bool            // the request is over its team's rate or a soft limit
 
 	attemptsInFlight int
 }
@@ -67,9 +67,9 @@
 	}
 }
 
-// ClientGone reports whether the client has disconnected, and cancels Ctx if it has. The HTTP server cancels
+// ClientDisconnected reports whether the client has disconnected, and cancels Ctx if it has. The HTTP server cancels
 // Ctx too, but late on a busy core, or if the client had sent more bytes after its request.
-func (r *Request) ClientGone() bool {
+func (r *Request) ClientDisconnected() bool {
 	if r.Ctx.Err() == nil && r.ClientClosed != nil && r.ClientClosed() {
 		r.Cancel()
 	}
@@ -79,8 +79,8 @@
 // AttemptsInFlight returns the number of the request's attempts that have not ended.
 func (r *Request) AttemptsInFlight() int { return r.attemptsInFlight }
 
-// ReportUnknown is the ReportAge of a replica that has sent no load report since it started.
-const ReportUnknown balancer.Micros = -1
+// ReportAgeUnknown is the ReportAge of a replica that has sent no load report since it started.
+const ReportAgeUnknown balancer.Micros = -1
 
 // Basis is the information on which the decision for an attempt was based, for the log.
 type Basis struct {
