--- a/cmd/adapter/main.go
+++ b/cmd/adapter/main.go
@@ -219,7 +219,7 @@
 			// A burst that is never used up: only the rate of recent demand counts.
 			Burst:           contract.Units(max(1, 1e5*rate)),
 			OverQuotaWeight: s.OverQuotaWeight,
-			Surge:           1,
+			SurgeFactor:     1,
 		})
 		quotaShares = append(quotaShares, 1/float64(max(1, s.Gateways)))
 	}
--- a/internal/capture/recordledger.go
+++ b/internal/capture/recordledger.go
@@ -19,7 +19,7 @@
 func (r *Recorder) setLedger(l *contract.Ledger) {
 	r.ledger, r.agreement = l, nil
 	if l != nil {
-		r.agreement = contract.MarshalAgreement(l.Settings(), l.Terms(), 0, false, nil)
+		r.agreement = contract.MarshalAppliedContracts(l.Settings(), l.Terms(), 0, false, nil)
 	}
 }
 
@@ -76,7 +76,7 @@
 	rec, nested := r.beginLedgerRecord(now, pb.Kind_KIND_AGREED)
 	r.setLedger(l)
 	if rec != nil && l != nil {
-		rec.Agreed = contract.MarshalAgreement(l.Settings(), l.Terms(), unix, true, balances)
+		rec.Agreed = contract.MarshalAppliedContracts(l.Settings(), l.Terms(), unix, true, balances)
 	}
 	r.endLedgerRecord(rec, nested)
 }
--- a/internal/capture/replayledger.go
+++ b/internal/capture/replayledger.go
@@ -20,7 +20,7 @@
 	if len(c.Agreed) == 0 {
 		return &ReplayLedger{}, nil
 	}
-	agreement, err := contract.UnmarshalAgreement(c.Agreed)
+	agreement, err := contract.UnmarshalAppliedContracts(c.Agreed)
 	if err != nil {
 		return nil, err
 	}
@@ -122,7 +122,7 @@
 		*l = ReplayLedger{}
 		return nil
 	}
-	agreement, err := contract.UnmarshalAgreement(text)
+	agreement, err := contract.UnmarshalAppliedContracts(text)
 	if err != nil {
 		return err
 	}
--- a/internal/capture/stored_test.go
+++ b/internal/capture/stored_test.go
@@ -259,13 +259,13 @@
 		`{"atUs":"1000","unixUs":"1796131234567890","sweptUs":"1000","latestUs":"1796131234567890","accounts":[{"atUs":"1000","level":9000000,"floors":[{"class":"chat","level":1000}],"spans":[{"begunUs":"1796130000000000","endsUs":"1796133600000000"},{"begunUs":"1796083200000000","endsUs":"1796169600000000"},{"begunUs":"1790812800000000","endsUs":"1798761600000000"}],"part":1,"waits":true,"askedUs":"1000"}],"gate":{}}`,
 		`{"pool":6695000,"atUs":"1600000","unixUs":"1796131236166890","sweptUs":"1600000","latestUs":"1796131236166890","means":[{"class":"Y2hhdA==","made":90}],"accounts":[{"atUs":"1600000","level":5734961.030678928,"floors":[{"class":"chat"}],"spans":[{"used":"1765000","begunUs":"1796130000000000","endsUs":"1796133600000000"},{"used":"1765000","begunUs":"1796083200000000","endsUs":"1796169600000000","mark":"250000000","kept":"250000000"},{"used":"1765000","begunUs":"1790812800000000","endsUs":"1798761600000000"}],"open":"1","mayBorrow":125,"part":0.5,"taken":"2","takenUnits":"1180000","used":"505000","asking":68750,"askedUs":"1600000","asked":630000}],"open":[{"key":"769","class":"Y2hhdA==","read":"900","made":"90","priceRead":0.5,"priceMade":2,"units":"630000","periodsUs":["1796130000000000","1796083200000000","1790812800000000"],"part":0.5}],"written":"1","gate":{"atUs":"1600000"}}`,
 	}
-	wantAgreement := &contract.Agreement{Settings: contract.Settings{Location: time.UTC, BorrowPoolSeconds: 2, UnknownTenantWeight: 0.5, ReserveFraction: 0.25, Strict: true},
+	wantAgreement := &contract.AppliedContracts{Settings: contract.Settings{Location: time.UTC, BorrowPoolSeconds: 2, UnknownTenantWeight: 0.5, ReserveFraction: 0.25, Strict: true},
 		Terms: []contract.Terms{{Team: "quay", Tenants: []string{"quay"}, Classes: []string{"chat"}, Rate: 5e6, Burst: 9000000, PriorityWeight: 1.5, OverQuotaWeight: 0.05,
 			Prices: map[string]contract.Price{"chat": {PromptToken: 0.5, OutputToken: 2}}, Floors: map[string]float64{"chat": 1000},
-			Budgets: []contract.Budget{{Period: 1, Soft: 800000000, Hard: 1000000000}}, From: 1796083200000000, Until: 1896169600000000, Borrow: 250, Surge: 4}}}
+			Budgets: []contract.Budget{{Period: 1, Soft: 800000000, Hard: 1000000000}}, From: 1796083200000000, Until: 1896169600000000, MaxBorrowRate: 250, SurgeFactor: 4}}}
 	checkAgreement := func(text []byte) {
 		t.Helper()
-		got, err := contract.UnmarshalAgreement(text)
+		got, err := contract.UnmarshalAppliedContracts(text)
 		sameZone := cmp.Comparer(func(a, b *time.Location) bool { return a.String() == b.String() })
 		if diff := cmp.Diff(wantAgreement, got, sameZone); err != nil || diff != "" {
 			t.Error(err, diff)
--- a/internal/cli/contracts.go
+++ b/internal/cli/contracts.go
@@ -98,7 +98,7 @@
 				budgets = append(budgets, fmt.Sprintf("%s %.1f%%", contract.Period(p), 100*float64(a.Used[p])/float64(limit)))
 			}
 		}
-		fmt.Fprintf(w, "%s\t%v\t%.3f\t%s\t%d\t%d\t%d\t%d\t%s\t%s\t%s\t\n", a.Team, a.InForce, a.QuotaShare, formatTokens(a.Level), a.Open, a.Counters.Admitted, a.Counters.OverQuota,
+		fmt.Fprintf(w, "%s\t%v\t%.3f\t%s\t%d\t%d\t%d\t%d\t%s\t%s\t%s\t\n", a.Team, a.InForce, a.QuotaShare, formatTokens(a.Level), a.OpenCharges, a.Counters.Admitted, a.Counters.OverQuota,
 			a.Counters.Rejected, formatTokens(a.Counters.Used), formatTokens(a.Counters.Borrowed), strings.Join(budgets, ", "))
 	}
 	return w.Flush()
--- a/internal/config/config_test.go
+++ b/internal/config/config_test.go
@@ -69,8 +69,8 @@
 	want.Contracts.Teams = []contract.Terms{{Team: "island-tax", Tenants: []string{"island-tax", "old name"}, Rate: 4e6, Burst: 8e6, OverQuotaWeight: 0.05,
 		Prices: map[string]contract.Price{"agent": {PromptToken: 1, OutputToken: 2.5}, "chat": {PromptToken: 1, OutputToken: 1}}, Floors: map[string]float64{"agent": 3e5},
 		Budgets: []contract.Budget{{Period: contract.Hour, Hard: 1e9}, {Period: contract.Quarter, Soft: 5e6, Hard: 9e6}},
-		Until:   time.Date(2027, 6, 30, 14, 0, 0, 0, time.UTC).UnixMicro(), Borrow: 5e4, Successor: "next"},
-		{Team: "next", Tenants: []string{"next"}, Rate: 1e3, OverQuotaWeight: 0.05, NoBorrow: true, Surge: 1.25, From: time.Date(2027, 6, 30, 14, 0, 0, 0, time.UTC).UnixMicro()}}
+		Until:   time.Date(2027, 6, 30, 14, 0, 0, 0, time.UTC).UnixMicro(), MaxBorrowRate: 5e4, Successor: "next"},
+		{Team: "next", Tenants: []string{"next"}, Rate: 1e3, OverQuotaWeight: 0.05, NoBorrow: true, SurgeFactor: 1.25, From: time.Date(2027, 6, 30, 14, 0, 0, 0, time.UTC).UnixMicro()}}
 	if diff := cmp.Diff(want, c); diff != "" {
 		t.Error(diff)
 	}
--- a/internal/config/contract.go
+++ b/internal/config/contract.go
@@ -72,7 +72,7 @@
 	{name: "until", set: func(t *contract.Terms, words []string) error { return setTime(&t.Until, words) }},
 	{name: "successor", set: setSuccessor},
 	{name: "borrow", set: setBorrow},
-	{name: "surge", set: func(t *contract.Terms, words []string) error { return setNumber(&t.Surge, words) }},
+	{name: "surge", set: func(t *contract.Terms, words []string) error { return setNumber(&t.SurgeFactor, words) }},
 }
 
 // contractKeyIndex returns the index of a key in contractKeys, -1 if it is unknown.
@@ -250,7 +250,7 @@
 	if tokens == 0 {
 		return errors.New("expected any, none or tokens per second above 0, got 0")
 	}
-	t.Borrow = tokensToRate(tokens)
+	t.MaxBorrowRate = tokensToRate(tokens)
 	return nil
 }
 
--- a/internal/config/contract_format.go
+++ b/internal/config/contract_format.go
@@ -48,11 +48,11 @@
 	switch {
 	case t.NoBorrow:
 		w.linef("borrow none")
-	case t.Borrow > 0:
-		w.linef("borrow %s", formatRate(t.Borrow))
+	case t.MaxBorrowRate > 0:
+		w.linef("borrow %s", formatRate(t.MaxBorrowRate))
 	}
-	if t.Surge > 0 {
-		w.linef("surge %s", formatFloat(t.Surge))
+	if t.SurgeFactor > 0 {
+		w.linef("surge %s", formatFloat(t.SurgeFactor))
 	}
 	if t.Successor != "" {
 		w.linef("successor %s", quoteWord(t.Successor))
--- a/internal/contract/account.go
+++ b/internal/contract/account.go
@@ -99,12 +99,12 @@
 
 func (a *account) status(unix balancer.Micros) AccountStatus {
 	status := AccountStatus{
-		Team:       a.terms.Team,
-		Level:      Units(a.level),
-		Open:       a.openCharges,
-		QuotaShare: a.quotaShare,
-		InForce:    a.inForce(unix),
-		Counters:   a.counters,
+		Team:        a.terms.Team,
+		Level:       Units(a.level),
+		OpenCharges: a.openCharges,
+		QuotaShare:  a.quotaShare,
+		InForce:     a.inForce(unix),
+		Counters:    a.counters,
 	}
 	for i, period := range a.periods {
 		status.Ends[i] = period.end
--- a/internal/contract/accrue.go
+++ b/internal/contract/accrue.go
@@ -49,8 +49,8 @@
 		a.floorLevels[class] += credit
 		remainder -= credit
 	}
-	if a.terms.Borrow > 0 {
-		limit := a.terms.Borrow * a.quotaShare
+	if a.terms.MaxBorrowRate > 0 {
+		limit := a.terms.MaxBorrowRate * a.quotaShare
 		a.borrowAllowance = math.Min(limit, a.borrowAllowance+limit*elapsed)
 	}
 	if !a.inForce(l.latestUnix) { // a contract that is not in force does not fill the pool either
--- a/internal/contract/charge.go
+++ b/internal/contract/charge.go
@@ -188,7 +188,7 @@
 	if units > l.borrowPool || a.terms.NoBorrow {
 		return false
 	}
-	if a.terms.Borrow != 0 && units > a.borrowAllowance {
+	if a.terms.MaxBorrowRate != 0 && units > a.borrowAllowance {
 		return false
 	}
 	l.borrowPool -= units
--- a/internal/contract/charge_test.go
+++ b/internal/contract/charge_test.go
@@ -13,7 +13,7 @@
 		low, high float64
 	}{{true, 0, 9_900, 10_200}, {false, 500, 14_000, 15_600}, {false, 0, 58_000, 61_500}} {
 		a, idle := testTerms("a", 1000), testTerms("idle", 5000)
-		a.NoBorrow, a.Borrow = test.noBorrow, test.maxBorrow*float64(Token)
+		a.NoBorrow, a.MaxBorrowRate = test.noBorrow, test.maxBorrow*float64(Token)
 		ledger := newTestLedger(t, a, idle)
 		alone := &trafficLoad{tenant: "a", tokensPerSecond: 20_000, tokensPerRequest: 50}
 		playLoads(ledger, second, 5, alone)
--- a/internal/contract/demand.go
+++ b/internal/contract/demand.go
@@ -36,12 +36,12 @@
 // recordDemand adds a request to the demand, and reports whether the mean demand is above
 // the surge threshold of the terms.
 func (a *account) recordDemand(now balancer.Micros, cost Units) bool {
-	if a.terms.Surge <= 0 {
+	if a.terms.SurgeFactor <= 0 {
 		return false
 	}
 	if now-a.demandUpdatedAt >= demandInterval {
 		a.updateDemand(now)
 	}
 	a.demandSinceUpdate += float64(cost)
-	return a.demandRate > a.terms.Surge*a.terms.Rate*a.quotaShare
+	return a.demandRate > a.terms.SurgeFactor*a.terms.Rate*a.quotaShare
 }
--- a/internal/contract/demand_test.go
+++ b/internal/contract/demand_test.go
@@ -11,7 +11,7 @@
 // floors. A team within its rate is not affected.
 func TestSurge(t *testing.T) {
 	a := testTerms("a", 1000)
-	a.Surge, a.Floors = 1.25, map[string]float64{"agent": 100 * float64(Token)}
+	a.SurgeFactor, a.Floors = 1.25, map[string]float64{"agent": 100 * float64(Token)}
 	ledger := newTestLedger(t, a)
 	bulk, agent := &trafficLoad{tenant: "a", class: "bulk", tokensPerSecond: 900, tokensPerRequest: 30}, &trafficLoad{tenant: "a", class: "agent", tokensPerSecond: 90, tokensPerRequest: 30}
 	playLoads(ledger, second, 20, bulk, agent)
@@ -33,7 +33,7 @@
 func TestSurgeMatchesModuleQuota(t *testing.T) {
 	const quota, gateways, windowSeconds = 11.0, 3.0, 8.0
 	a := testTerms("a", 1)
-	a.Rate, a.Burst, a.Surge = 1.25*quota*float64(Token), Units(1e6*quota*float64(Token)), 1
+	a.Rate, a.Burst, a.SurgeFactor = 1.25*quota*float64(Token), Units(1e6*quota*float64(Token)), 1
 	ledger := newTestLedger(t, a)
 	ledger.SetQuotaShares(second, []float64{1 / gateways})
 	rng := rand.New(rand.NewPCG(7, 7))
--- a/internal/contract/encode.go
+++ b/internal/contract/encode.go
@@ -28,8 +28,8 @@
 		UntilUs:   t.Until,
 		Successor: t.Successor,
 		NoBorrow:  t.NoBorrow,
-		Borrow:    t.Borrow,
-		Surge:     t.Surge,
+		Borrow:    t.MaxBorrowRate,
+		Surge:     t.SurgeFactor,
 	}
 	for _, class := range slices.Sorted(maps.Keys(t.Prices)) {
 		price := t.Prices[class]
@@ -59,8 +59,8 @@
 		Until:           m.GetUntilUs(),
 		Successor:       m.GetSuccessor(),
 		NoBorrow:        m.GetNoBorrow(),
-		Borrow:          m.GetBorrow(),
-		Surge:           m.GetSurge(),
+		MaxBorrowRate:   m.GetBorrow(),
+		SurgeFactor:     m.GetSurge(),
 	}
 	if prices := m.GetPrices(); len(prices) > 0 {
 		t.Prices = make(map[string]Price, len(prices))
@@ -81,9 +81,9 @@
 	return t
 }
 
-// Agreement is the settings and contracts that were put in force at one time, as recorded
+// AppliedContracts is the settings and contracts that were put in force at one time, as recorded
 // in a capture.
-type Agreement struct {
+type AppliedContracts struct {
 	Settings  Settings
 	Terms     []Terms
 	Unix      balancer.Micros // Unix time at which they were put in force
@@ -91,8 +91,8 @@
 	Balances  []Balance
 }
 
-// MarshalAgreement encodes an Agreement for a capture. newLedger is its NewLedger field.
-func MarshalAgreement(s Settings, terms []Terms, unix balancer.Micros, newLedger bool, balances []Balance) []byte {
+// MarshalAppliedContracts encodes an Agreement for a capture. newLedger is its NewLedger field.
+func MarshalAppliedContracts(s Settings, terms []Terms, unix balancer.Micros, newLedger bool, balances []Balance) []byte {
 	m := &pb.Agreed{
 		Zone:    s.withDefaults().Location.String(),
 		PoolS:   s.BorrowPoolSeconds,
@@ -111,9 +111,9 @@
 	return mustMarshal(m)
 }
 
-// UnmarshalAgreement decodes the output of MarshalAgreement. It fails if the time zone is
+// UnmarshalAppliedContracts decodes the output of MarshalAgreement. It fails if the time zone is
 // unknown on this machine.
-func UnmarshalAgreement(text []byte) (*Agreement, error) {
+func UnmarshalAppliedContracts(text []byte) (*AppliedContracts, error) {
 	var m pb.Agreed
 	if err := proto.Unmarshal(text, &m); err != nil {
 		return nil, fmt.Errorf("decode recorded contracts: %w", err)
@@ -122,7 +122,7 @@
 	if err != nil {
 		return nil, fmt.Errorf("load time zone of recorded contracts: %w", err)
 	}
-	a := &Agreement{
+	a := &AppliedContracts{
 		Settings: Settings{
 			Location:            location,
 			BorrowPoolSeconds:   m.GetPoolS(),
--- a/internal/contract/ledger.go
+++ b/internal/contract/ledger.go
@@ -151,15 +151,15 @@
 
 // AccountStatus is the state of a team's account, as reported to operators.
 type AccountStatus struct {
-	Team       string                       `json:"Team"`
-	Level      Units                        `json:"Level"`
-	Open       int                          `json:"Open"`  // charges not yet settled
-	Used       [periodCount]Units           `json:"Used"`  // by Period
-	Ends       [periodCount]balancer.Micros `json:"Ends"`  // Unix time at which each period ends
-	Limit      [periodCount]Units           `json:"Limit"` // by Period, the hard limit, or the soft limit if there is no hard one; 0: no budget
-	QuotaShare float64                      `json:"Part"`  // this gateway's fraction of the contract
-	InForce    bool                         `json:"Valid"`
-	Counters   Counters                     `json:"Count"`
+	Team        string                       `json:"Team"`
+	Level       Units                        `json:"Level"`
+	OpenCharges int                          `json:"Open"`  // charges not yet settled
+	Used        [periodCount]Units           `json:"Used"`  // by Period
+	Ends        [periodCount]balancer.Micros `json:"Ends"`  // Unix time at which each period ends
+	Limit       [periodCount]Units           `json:"Limit"` // by Period, the hard limit, or the soft limit if there is no hard one; 0: no budget
+	QuotaShare  float64                      `json:"Part"`  // this gateway's fraction of the contract
+	InForce     bool                         `json:"Valid"`
+	Counters    Counters                     `json:"Count"`
 }
 
 // Counters count a team's requests and further attempts, and their estimated units, since
--- a/internal/contract/ledger_test.go
+++ b/internal/contract/ledger_test.go
@@ -245,7 +245,7 @@
 	if v := ledger.Charge(4*second, "gone", "", Usage{OutputTokens: 5}, &g); v.Rejected || v.PriorityWeight != 0.05 {
 		t.Errorf("tenant whose contract was removed: got %+v, want weight 0.05", v)
 	}
-	if n := ledger.Accounts()[0].Open; n != 0 {
+	if n := ledger.Accounts()[0].OpenCharges; n != 0 {
 		t.Errorf("%d open charges, want 0", n)
 	}
 }
@@ -294,8 +294,8 @@
 			"time": func(t *rapid.T) { now += balancer.Micros(rapid.IntRange(-100_000, 300_000).Draw(t, "us")) },
 			"": func(t *rapid.T) {
 				got := ledger.Accounts()[0]
-				if now-second < 3500*second && (got.Used[Hour] != sum || got.Open != len(open)) {
-					t.Fatalf("used: got %d, want %d (settled and open); open charges: got %d, want %d", got.Used[Hour], sum, got.Open, len(open))
+				if now-second < 3500*second && (got.Used[Hour] != sum || got.OpenCharges != len(open)) {
+					t.Fatalf("used: got %d, want %d (settled and open); open charges: got %d, want %d", got.Used[Hour], sum, got.OpenCharges, len(open))
 				}
 			},
 		})
--- a/internal/contract/snapshot.go
+++ b/internal/contract/snapshot.go
@@ -52,7 +52,7 @@
 
 // Restore decodes a snapshot into a ledger, with the contracts that were in force when it
 // was taken, and into the open charges by their keys.
-func Restore(agreement *Agreement, text []byte) (*Ledger, map[uint64]*Charge, error) {
+func Restore(agreement *AppliedContracts, text []byte) (*Ledger, map[uint64]*Charge, error) {
 	var m pb.Book
 	if err := proto.Unmarshal(text, &m); err != nil {
 		return nil, nil, fmt.Errorf("decode ledger snapshot: %w", err)
--- a/internal/contract/snapshot_test.go
+++ b/internal/contract/snapshot_test.go
@@ -68,7 +68,7 @@
 	a, b, old, successor := testTerms("a", rate), testTerms("b", 500), testTerms("old", 800), testTerms("new", 900)
 	a.Floors = map[string]float64{"agent": 100 * float64(Token)}
 	a.Budgets = []Budget{{Hour, 20_000 * Token, 40_000 * Token}, {Day, 0, 900_000 * Token}}
-	b.Hard, b.Borrow, b.Surge = true, 50*float64(Token), 1.5
+	b.Hard, b.MaxBorrowRate, b.SurgeFactor = true, 50*float64(Token), 1.5
 	b.Prices = map[string]Price{"bulk": {0.5, 3}}
 	old.Until, old.Successor = start+30*second, "new"
 	old.Budgets, successor.Budgets = []Budget{{Quarter, 0, 50_000 * Token}}, []Budget{{Quarter, 0, 60_000 * Token}}
@@ -101,7 +101,7 @@
 		}
 		runSteps(driver)
 		text := driver.ledger.Snapshot(driver.openCharges())
-		agreement, err := UnmarshalAgreement(MarshalAgreement(s, driver.ledger.Terms(), 0, false, nil))
+		agreement, err := UnmarshalAppliedContracts(MarshalAppliedContracts(s, driver.ledger.Terms(), 0, false, nil))
 		if err != nil {
 			t.Fatal(err)
 		}
--- a/internal/contract/terms.go
+++ b/internal/contract/terms.go
@@ -38,12 +38,12 @@
 	// Successor is the team whose contract replaces this one at Until. It takes over the
 	// level and the usage of the current periods.
 	Successor string `json:"Successor"`
-	// Surge, if above 0, is the multiple of the rate above which the team's recent demand
+	// SurgeFactor, if above 0, is the multiple of the rate above which the team's recent demand
 	// counts as a surge. During a surge all its requests compete with OverQuotaWeight,
 	// except within floors, and not only the requests beyond the rate.
-	Surge    float64 `json:"Surge"`
-	NoBorrow bool    `json:"NoBorrow"` // the team may not borrow from the pool
-	Borrow   float64 `json:"Borrow"`   // units per second that the team may borrow; 0: no bound
+	SurgeFactor   float64 `json:"Surge"`
+	NoBorrow      bool    `json:"NoBorrow"` // the team may not borrow from the pool
+	MaxBorrowRate float64 `json:"Borrow"`   // units per second that the team may borrow; 0: no bound
 }
 
 // priceOf returns the price of a class.
--- a/internal/contract/validate.go
+++ b/internal/contract/validate.go
@@ -77,10 +77,10 @@
 }
 
 func (t *Terms) validateSurge() error {
-	if !(t.Surge >= 0) {
+	if !(t.SurgeFactor >= 0) {
 		return t.invalid("surge: expected 0 or more")
 	}
-	if !(t.Borrow >= 0) {
+	if !(t.MaxBorrowRate >= 0) {
 		return t.invalid("borrow: expected 0 or more")
 	}
 	return nil
--- a/internal/gateway/contracts_test.go
+++ b/internal/gateway/contracts_test.go
@@ -54,7 +54,7 @@
 			break
 		}
 		served++
-		waitUntil(t, "settled", func() bool { return g.accounts(t)["a"].Open == 0 })
+		waitUntil(t, "settled", func() bool { return g.accounts(t)["a"].OpenCharges == 0 })
 	}
 	// Each request uses 5120-4096 prompt and 200 output tokens; the next is estimated at 5120 and 200.
 	if served != 4 || last.StatusCode != http.StatusTooManyRequests || !strings.Contains(text, `"code":"budget_spent"`) || last.Header.Get("Retry-After") == "" {
@@ -101,7 +101,7 @@
 		if resp, _ := cl.readAnswer(); resp.StatusCode != http.StatusServiceUnavailable {
 			t.Error(resp.Status)
 		}
-		waitUntil(t, "settled", func() bool { return g.accounts(t)["a"].Open == 0 })
+		waitUntil(t, "settled", func() bool { return g.accounts(t)["a"].OpenCharges == 0 })
 		_, n1 := replica1.counts()
 		_, n2 := replica2.counts()
 		if got := n1 + n2 - before1 - before2; got != c.attempts {
@@ -117,7 +117,7 @@
 	cl := dial(t, g.addr)
 	cl.sendRequestFor("y", "a")
 	cl.readAnswer()
-	waitUntil(t, "settled", func() bool { return g.accounts(t)["a"].Open == 0 })
+	waitUntil(t, "settled", func() bool { return g.accounts(t)["a"].OpenCharges == 0 })
 	if a := g.accounts(t)["a"]; a.Used[contract.Quarter] != 0 {
 		t.Errorf("an attempt that never ran was charged %d", a.Used[contract.Quarter])
 	}
--- a/internal/gateway/ledger_test.go
+++ b/internal/gateway/ledger_test.go
@@ -79,7 +79,7 @@
 	if rejected == 0 {
 		t.Error("no request was rejected")
 	}
-	waitUntil(t, "settled", func() bool { return g.accounts(t)["a"].Open == 0 })
+	waitUntil(t, "settled", func() bool { return g.accounts(t)["a"].OpenCharges == 0 })
 	ctx, stop := context.WithTimeout(t.Context(), 5*time.Second)
 	defer stop()
 	if err := g.SetCapture(ctx, nil); err != nil {
@@ -152,7 +152,7 @@
 				if resp, text := cl.readAnswer(); resp.StatusCode == http.StatusTooManyRequests && !strings.Contains(text, "balance_not_kept") {
 					t.Error(text)
 				}
-				waitUntil(t, "settled", func() bool { return g.accounts(t)["a"].Open == 0 })
+				waitUntil(t, "settled", func() bool { return g.accounts(t)["a"].OpenCharges == 0 })
 			}
 			used = g.accounts(t)["a"].Used[contract.Quarter]
 			if clean {
@@ -201,7 +201,7 @@
 		if resp, text := cl.readAnswer(); resp.StatusCode != want {
 			t.Errorf("%s: %s %s", id, resp.Status, text)
 		}
-		waitUntil(t, "settled", func() bool { return g.accounts(t)["a"].Open == 0 })
+		waitUntil(t, "settled", func() bool { return g.accounts(t)["a"].OpenCharges == 0 })
 	}
 	expect("files", http.StatusOK)
 	tight := testContracts(7_000).Teams
@@ -237,7 +237,7 @@
 	g := startGateway(t, func(o *Options) { o.Capture, o.Contracts = captureTo(dir), testContracts(100_000) }, replica)
 	cl := dial(t, g.addr)
 	cl.sendRequestFor("in-flight", "a")
-	waitUntil(t, "the request to be charged", func() bool { return g.accounts(t)["a"].Open == 1 })
+	waitUntil(t, "the request to be charged", func() bool { return g.accounts(t)["a"].OpenCharges == 1 })
 	for _, c := range []*Contracts{nil, testContracts(100_000)} {
 		if err := g.SetContracts(t.Context(), c); err != nil {
 			t.Fatal(err)
--- a/internal/metrics/contract.go
+++ b/internal/metrics/contract.go
@@ -78,7 +78,7 @@
 	total.Borrowed += added.Borrowed
 	total.Used += added.Used
 	sum.Level += a.Level
-	sum.Open += a.Open
+	sum.OpenCharges += a.OpenCharges
 }
 
 // tokens converts units to tokens at price 1.
@@ -99,7 +99,7 @@
 	team.counter(usedTokensDesc, tokens(c.Used))
 	team.counter(borrowedTokensDesc, tokens(c.Borrowed))
 	team.gauge(levelDesc, tokens(a.Level))
-	team.gauge(openChargesDesc, float64(a.Open))
+	team.gauge(openChargesDesc, float64(a.OpenCharges))
 }
 
 // emitBudgets sends the metrics that only a single team has: its quota share and its budgets.
--- a/internal/metrics/metrics_test.go
+++ b/internal/metrics/metrics_test.go
@@ -32,7 +32,7 @@
 
 // account returns the state of a team's contract.
 func account(i int) contract.AccountStatus {
-	a := contract.AccountStatus{Team: fmt.Sprint("team", i), Level: 5 * contract.Token, Open: 2, QuotaShare: 0.25, InForce: true}
+	a := contract.AccountStatus{Team: fmt.Sprint("team", i), Level: 5 * contract.Token, OpenCharges: 2, QuotaShare: 0.25, InForce: true}
 	a.Used[contract.Hour], a.Limit[contract.Hour] = 30*contract.Token, 100*contract.Token
 	a.Counters = contract.Counters{Admitted: 10, OverQuota: 3, Rejected: 1, AdmittedUnits: 100 * contract.Token, Used: 90 * contract.Token}
 	return a
--- a/internal/replay/names.go
+++ b/internal/replay/names.go
@@ -184,7 +184,7 @@
 func (n *Names) describeLedgerEvent(d *description, r *pb.Record) {
 	switch r.Kind {
 	case pb.Kind_KIND_AGREED:
-		if a, err := contract.UnmarshalAgreement(r.Agreed); err == nil && len(r.Agreed) > 0 {
+		if a, err := contract.UnmarshalAppliedContracts(r.Agreed); err == nil && len(r.Agreed) > 0 {
 			d.add("contracts=%d fresh=%t", len(a.Terms), a.NewLedger)
 		} else {
 			d.add("contracts=0")
--- a/internal/xdsclient/stored_test.go
+++ b/internal/xdsclient/stored_test.go
@@ -55,7 +55,7 @@
 		Contracts: []contract.Terms{{Team: "quay", Tenants: []string{"a", "b"}, Classes: []string{"chat"}, Rate: 1500.5, Burst: 90000, PriorityWeight: 1.5, OverQuotaWeight: 0.05, Hard: true,
 			Prices: map[string]contract.Price{"chat": {PromptToken: 0.5, OutputToken: 2}}, Floors: map[string]float64{"chat": 100},
 			Budgets: []contract.Budget{{Period: 1, Soft: 800000, Hard: 1000000}}, From: 1796083200000000, Until: 1796169600000000, Successor: "reef",
-			NoBorrow: true, Borrow: 250, Surge: 4}},
+			NoBorrow: true, MaxBorrowRate: 250, SurgeFactor: 4}},
 	}
 	if diff := cmp.Diff(want, got, cmpopts.IgnoreFields(configversion.Config{}, "Resources")); diff != "" {
 		t.Error(diff)
