--- a/internal/configversion/validate.go
+++ b/internal/configversion/validate.go
@@ -12,7 +12,7 @@
 // Limits are the bounds on the values of a version. They come from the platform's configuration.
 type Limits struct {
 	MaxAttempts     int // attempts per request, in any class; fixed by the protocol
-	Sockets         int // connections to clients and replicas together
+	MaxConnections  int // connections to clients and replicas together
 	MaxPollInterval balancer.Micros
 	DrainGrace      balancer.Micros // how long new attempts may still be sent after a drain was received
 	MayCapture      bool            // the gateway has a directory for captures
@@ -25,7 +25,7 @@
 }
 
 // DefaultLimits are the limits that apply unless the platform's configuration sets others.
-var DefaultLimits = Limits{MaxAttempts: 3, Sockets: 1024, MaxPollInterval: 10_000_000, DrainGrace: 2_500_000, MaxClasses: 64,
+var DefaultLimits = Limits{MaxAttempts: 3, MaxConnections: 1024, MaxPollInterval: 10_000_000, DrainGrace: 2_500_000, MaxClasses: 64,
 	MaxTenants: 10_000, MaxReplicaMarks: 10_000, MaxDuration: 3_600_000_000, MaxInFlight: 20_000,
 	MaxContracts: 10_000}
 
@@ -257,8 +257,8 @@
 	if connections == nil {
 		return
 	}
-	if connections.Clients < 1 || connections.Replicas < 1 || connections.Clients+connections.Replicas > v.limits.Sockets {
-		v.rejectf(TypeConnections, "", "clients, workers", "expected 1 or more each and %d in all, got %d and %d", v.limits.Sockets, connections.Clients, connections.Replicas)
+	if connections.Clients < 1 || connections.Replicas < 1 || connections.Clients+connections.Replicas > v.limits.MaxConnections {
+		v.rejectf(TypeConnections, "", "clients, workers", "expected 1 or more each and %d in all, got %d and %d", v.limits.MaxConnections, connections.Clients, connections.Replicas)
 	}
 	v.validateDuration(TypeConnections, "", "idle_us", connections.IdleTimeout, minTimeout)
 	v.validateDuration(TypeConnections, "", "connect_timeout_us", connections.ConnectTimeout, minTimeout)
--- a/internal/lifecycle/configstream.go
+++ b/internal/lifecycle/configstream.go
@@ -87,7 +87,7 @@
 func (s *server) versionLimits() configversion.Limits {
 	limits := configversion.DefaultLimits
 	o := &s.config.Gateway
-	limits.Sockets = o.MaxClientConns + o.MaxReplicaConns
+	limits.MaxConnections = o.MaxClientConns + o.MaxReplicaConns
 	limits.MaxPollInterval = min(o.MaxPollInterval.Microseconds(), o.Settings.ListTrust())
 	limits.MaxInFlight = o.MaxClientConns
 	limits.MayCapture = s.currentSettings().Capture.Directory != ""
