--- a/internal/config/config.go
+++ b/internal/config/config.go
@@ -47,16 +47,16 @@
 
 // Incident configures when the latest part of a capture is saved automatically.
 type Incident struct {
-	Directory        string
-	MaxIncidents     int           // saved incidents; beyond it the oldest are deleted
-	Window           time.Duration // length of the capture saved before the trigger
-	MinInterval      time.Duration // between two automatic incidents
-	EvaluationWindow time.Duration // interval that the fractions below are computed over
-	MinRequests      int           // in EvaluationWindow; with fewer there is no trigger
-	UnservedShare    float64       // fraction of late, shed, failed and abandoned requests that triggers; 0: never
-	SlowFactor       float64       // a replica is slow at this multiple of its usual time to first token; 0: never
-	SlowReplicas     float64       // fraction of slow replicas that triggers, among those that answered in EvaluationWindow
-	NearDeadline     time.Duration // a final answer closer to the client's deadline triggers; 0: never
+	Directory           string
+	MaxIncidents        int           // saved incidents; beyond it the oldest are deleted
+	Window              time.Duration // length of the capture saved before the trigger
+	MinInterval         time.Duration // between two automatic incidents
+	EvaluationWindow    time.Duration // interval that the fractions below are computed over
+	MinRequests         int           // in EvaluationWindow; with fewer there is no trigger
+	UnservedFraction    float64       // fraction of late, shed, failed and abandoned requests that triggers; 0: never
+	SlowFactor          float64       // a replica is slow at this multiple of its usual time to first token; 0: never
+	SlowReplicaFraction float64       // fraction of slow replicas that triggers, among those that answered in EvaluationWindow
+	NearDeadline        time.Duration // a final answer closer to the client's deadline triggers; 0: never
 }
 
 // ControlService configures the connection to the control service that streams the
@@ -86,7 +86,7 @@
 	Advertise            string // host:port at which other gateways reach this one; "": Listen
 	Zone                 string
 	Join                 string        // addresses of some other gateways, comma-separated
-	Keepers              int           // number of backups: gateways that record each request
+	Backups              int           // number of backups: gateways that record each request
 	ReplyTimeout         time.Duration // for the answer of another gateway
 	RecordTTL            time.Duration // of a request's record, from its gateway's last message about it
 	FreezeThreshold      time.Duration // after a longer pause of its process the gateway checks its leases
@@ -97,9 +97,9 @@
 
 // Subset configures which replicas of a large fleet the gateway uses.
 type Subset struct {
-	MaxReplicas  int     // 0: no limit
-	RemoteShare  float64 // fraction of the subset that is drawn from all zones
-	GatewayIndex int     // among the gateways; -1: the platform's value
+	MaxReplicas    int     // 0: no limit
+	RemoteFraction float64 // fraction of the subset that is drawn from all zones
+	GatewayIndex   int     // among the gateways; -1: the platform's value
 }
 
 // Default returns the default settings.
--- a/internal/config/config_test.go
+++ b/internal/config/config_test.go
@@ -64,7 +64,7 @@
 	want.File = p
 	want.Capture.Record, want.Capture.Directory, want.Capture.CheckpointInterval, want.Capture.SegmentSize = true, "/var/a b/#1", 30*time.Second, 2<<20
 	want.Control.Socket = "/run/x.sock"
-	want.Incident.UnservedShare, want.Incident.EvaluationWindow, want.Incident.Directory = 0.25, 20*time.Second, "/var/a b/#1/incidents"
+	want.Incident.UnservedFraction, want.Incident.EvaluationWindow, want.Incident.Directory = 0.25, 20*time.Second, "/var/a b/#1/incidents"
 	want.Contracts.TimeZone = "Australia/Hobart"
 	want.Contracts.Teams = []contract.Terms{{Team: "island-tax", Tenants: []string{"island-tax", "old name"}, Rate: 4e6, Burst: 8e6, OverQuotaWeight: 0.05,
 		Prices: map[string]contract.Price{"agent": {PromptToken: 1, OutputToken: 2.5}, "chat": {PromptToken: 1, OutputToken: 1}}, Floors: map[string]float64{"agent": 3e5},
--- a/internal/config/schema.go
+++ b/internal/config/schema.go
@@ -79,9 +79,9 @@
 			durationKey("pause", &incident.MinInterval, "2m", time.Second, 24*time.Hour, "minimum time between two automatic incidents"),
 			durationKey("over", &incident.EvaluationWindow, "10s", time.Second, 10*time.Minute, "the interval over which the shares below are computed"),
 			intKey("least", &incident.MinRequests, "50", 1, 1_000_000, "minimum number of requests in that interval; with fewer nothing triggers"),
-			fractionKey("unserved", &incident.UnservedShare, "40%", "share of late, shed, failed and abandoned requests that triggers; 0%: never"),
+			fractionKey("unserved", &incident.UnservedFraction, "40%", "share of late, shed, failed and abandoned requests that triggers; 0%: never"),
 			floatKey("slow-factor", &incident.SlowFactor, "2", 0, 100, "a replica is slow when its first tokens take this many times as long as usual; 0: never"),
-			fractionKey("slow-workers", &incident.SlowReplicas, "80%", "share of slow replicas that triggers, among those that answered in the interval"),
+			fractionKey("slow-workers", &incident.SlowReplicaFraction, "80%", "share of slow replicas that triggers, among those that answered in the interval"),
 			durationKey("near-deadline", &incident.NearDeadline, "500us", 0, time.Second, "a final answer less than this before the client's deadline triggers: the deadline was almost missed; 0s: never"),
 		},
 	}
@@ -124,7 +124,7 @@
 			pathKey("advertise", &peers.Advertise, "host:port at which other gateways reach this one, if it differs"),
 			pathKey("site", &peers.Zone, "the gateway's zone: backups of its requests are chosen in other zones first"),
 			pathKey("join", &peers.Join, "host:port of some other gateways, separated by commas"),
-			intKey("copies", &peers.Keepers, "5", 1, 8, "gateways that record each request"),
+			intKey("copies", &peers.Backups, "5", 1, 8, "gateways that record each request"),
 			durationKey("silence", &peers.ReplyTimeout, "150ms", 10*time.Millisecond, 5*time.Second, "timeout of another gateway's answer"),
 			durationKey("remember", &peers.RecordTTL, "30s", 2*time.Second, 10*time.Minute, "how long a request stays recorded after its gateway's last message about it"),
 			durationKey("frozen", &peers.FreezeThreshold, "500ms", 100*time.Millisecond, time.Minute, "a pause of the gateway's own process after which it checks that it still holds the leases of its requests"),
@@ -141,7 +141,7 @@
 		doc:  "The subset of a large fleet that this gateway uses: docs/operate/subsets.md.",
 		keys: []keySpec{
 			intKey("most", &settings.MaxReplicas, strconv.Itoa(subset.DefaultMaxReplicas), 0, 100_000, "maximum number of replicas it uses, 16 or more; endpoint lists up to this size are used completely; 0: all lists are"),
-			fractionKey("remote", &settings.RemoteShare, "25%", "share of the subset that is drawn from all zones alike: what remains if the gateway's own zone is lost"),
+			fractionKey("remote", &settings.RemoteFraction, "25%", "share of the subset that is drawn from all zones alike: what remains if the gateway's own zone is lost"),
 			intKey("index", &settings.GatewayIndex, "-1", -1, 10_000_000, "its index among the gateways, or among those of its zone; -1: the platform's"),
 		},
 	}
