--- a/internal/cli/capture.go
+++ b/internal/cli/capture.go
@@ -431,8 +431,8 @@
 }
 
 func (c *saveCmd) Run(s *streams) error {
-	var a lifecycle.SaveResponse
-	if err := c.call(s, "capture/save", lifecycle.SaveRequest{Reason: c.Reason}, &a); err != nil {
+	var a lifecycle.SaveCaptureResponse
+	if err := c.call(s, "capture/save", lifecycle.SaveCaptureRequest{Reason: c.Reason}, &a); err != nil {
 		return err
 	}
 	if c.JSON {
--- a/internal/lifecycle/commands.go
+++ b/internal/lifecycle/commands.go
@@ -37,20 +37,20 @@
 	}
 }
 
-// SaveRequest is the request of `archknot capture save`.
-type SaveRequest struct {
+// SaveCaptureRequest is the request of `archknot capture save`.
+type SaveCaptureRequest struct {
 	Reason string `json:"reason"`
 }
 
-// SaveResponse is the response to a SaveRequest.
-type SaveResponse struct {
+// SaveCaptureResponse is the response to a SaveRequest.
+type SaveCaptureResponse struct {
 	Path     string `json:"path"` // directory of the saved incident
 	Segments int    `json:"segments"`
 	Bytes    int64  `json:"bytes"`
 }
 
 func (s *server) saveCapture(ctx context.Context, text json.RawMessage) (any, error) {
-	var request SaveRequest
+	var request SaveCaptureRequest
 	if err := json.Unmarshal(text, &request); err != nil {
 		return nil, err
 	}
@@ -58,7 +58,7 @@
 		request.Reason = defaultCaptureReason
 	}
 	saved, err := s.gateway.SaveIncident(ctx, request.Reason)
-	return SaveResponse{Path: saved.Path, Segments: saved.Segments, Bytes: saved.Bytes}, err
+	return SaveCaptureResponse{Path: saved.Path, Segments: saved.Segments, Bytes: saved.Bytes}, err
 }
 
 // ConfigStatus is the response to `archknot config status` and `archknot config rollback`. The counts are
--- a/internal/lifecycle/run_test.go
+++ b/internal/lifecycle/run_test.go
@@ -56,8 +56,8 @@
 		}
 		return err == nil
 	})
-	var saved SaveResponse
-	if err := controlsocket.Call(t.Context(), socket, "capture/save", SaveRequest{Reason: "a test"}, &saved); err != nil || saved.Segments != 1 {
+	var saved SaveCaptureResponse
+	if err := controlsocket.Call(t.Context(), socket, "capture/save", SaveCaptureRequest{Reason: "a test"}, &saved); err != nil || saved.Segments != 1 {
 		t.Errorf("saved %+v, %v", saved, err)
 	}
 	h.write(settingsFile, "[capture]\nrecrod off\n")
--- a/internal/lifecycle/stored_test.go
+++ b/internal/lifecycle/stored_test.go
@@ -67,7 +67,7 @@
 		name                string
 		request, read, want any
 	}{
-		{"capture/save", lifecycle.SaveRequest{Reason: "chat is late"}, &lifecycle.SaveResponse{}, &lifecycle.SaveResponse{Path: "captures/incidents/1", Segments: 3, Bytes: 4096}},
+		{"capture/save", lifecycle.SaveCaptureRequest{Reason: "chat is late"}, &lifecycle.SaveCaptureResponse{}, &lifecycle.SaveCaptureResponse{Path: "captures/incidents/1", Segments: 3, Bytes: 4096}},
 		{"config/status", struct{}{}, &lifecycle.ConfigStatus{}, &lifecycle.ConfigStatus{Service: "127.0.0.1:18000", Connected: true, Version: 42, Classes: 3, Tenants: 2, Marks: 1}},
 		{"config/history", struct{}{}, &[]xdsclient.HistoryEntry{}, &[]xdsclient.HistoryEntry{{At: at, Version: 41, Event: "refused", Reason: "no"},
 			{At: time.Date(2026, 12, 2, 9, 31, 0, 0, time.UTC), Version: 42, Event: "taken"}}},
