--- a/internal/controlstats/controlstats.go
+++ b/internal/controlstats/controlstats.go
@@ -110,8 +110,8 @@
 	OrdersNotSaved  bool                `json:"orders_not_saved"` // the last read or save of the maintenance orders failed
 	OperatorCalls   []OperatorCallCount `json:"operator_calls"`
 
-	ListVersion int64     `json:"version"`  // version of the current endpoint list
-	ListSince   time.Time `json:"in_force"` // when the current endpoint list was received
+	ListVersion    int64     `json:"version"`  // version of the current endpoint list
+	ListReceivedAt time.Time `json:"in_force"` // when the current endpoint list was received
 
 	Connections int                   `json:"connections"` // open connections to replicas
 	LoopBusy    time.Duration         `json:"busy_ns"`     // time that the event loop spent on events
--- a/internal/gateway/controlstats.go
+++ b/internal/gateway/controlstats.go
@@ -23,7 +23,7 @@
 		Joined:         subsetStats.Joined,
 		Left:           subsetStats.Left,
 		ListVersion:    l.endpoints.Version(),
-		ListSince:      l.endpoints.receivedAt,
+		ListReceivedAt: l.endpoints.receivedAt,
 		ListAge:        time.Duration(l.balancer.ListAge(l.now)) * time.Microsecond,
 		ListStale:      l.balancer.ListStale(l.now),
 		LoopBusy:       l.busyTime,
--- a/internal/gateway/drain_test.go
+++ b/internal/gateway/drain_test.go
@@ -70,7 +70,7 @@
 		return func(t *testing.T, c *testClient, conn *syncpoint.Conn, drain func()) int {
 			t.Helper()
 			afterRead := syncpoint.NewPoint(t)
-			conn.StopAfterRead(afterRead)
+			conn.BlockAfterRead(afterRead)
 			c.sendRaw(request("b")[:n])
 			afterRead.WaitReached(t)
 			drain()
@@ -85,7 +85,7 @@
 		"all of it has arrived and none was read": func(t *testing.T, c *testClient, conn *syncpoint.Conn, drain func()) int {
 			t.Helper()
 			beforeRead := syncpoint.NewPoint(t)
-			conn.StopBeforeRead(beforeRead)
+			conn.BlockBeforeRead(beforeRead)
 			c.sendRaw(request("b"))
 			beforeRead.WaitReached(t)
 			drain()
@@ -256,7 +256,7 @@
 	w := newFakeReplica(t, "s-1", answerCompletely)
 	g, l := startGatewayWithSyncpoints(t, func(o *Options) { o.DrainAcceptPeriod = acceptPeriod }, w)
 	beforeAccept := syncpoint.NewPoint(t)
-	l.StopBeforeAccept(beforeAccept)
+	l.BlockBeforeAccept(beforeAccept)
 	dial(t, g.addr) // ends the accept that has begun
 	beforeAccept.WaitReached(t)
 	var waiting []*testClient
@@ -295,7 +295,7 @@
 		o.Settings.Classes[0].Deadline = longestDeadline
 	}, newFakeReplica(t, "s-1", answerCompletely))
 	beforeAccept := syncpoint.NewPoint(t)
-	l.StopBeforeAccept(beforeAccept)
+	l.BlockBeforeAccept(beforeAccept)
 	dial(t, g.addr)
 	beforeAccept.WaitReached(t)
 	waiting := dial(t, g.addr)
@@ -328,7 +328,7 @@
 	}
 	defer successor.Close()
 	beforeAccept := syncpoint.NewPoint(t)
-	l.StopBeforeAccept(beforeAccept)
+	l.BlockBeforeAccept(beforeAccept)
 	first := dial(t, g.addr)
 	beforeAccept.WaitReached(t)
 	first.Close()
--- a/internal/lifecycle/stored_test.go
+++ b/internal/lifecycle/stored_test.go
@@ -74,7 +74,7 @@
 		{"config/rollback", lifecycle.RollbackRequest{Reason: "ordered"}, &lifecycle.ConfigStatus{}, &lifecycle.ConfigStatus{Service: "127.0.0.1:18000"}},
 		{"figures", struct{}{}, &controlstats.Stats{}, &controlstats.Stats{Listed: 1, Ready: 2, Subset: 3, OutsideTargets: 4, Joined: 5, Left: 6, RejectedLists: 7, MalformedEntries: 8, UnknownKeys: 9,
 			ClosedConnections: map[string]int64{"idle": 10}, EjectedReplicas: 11, Drained: true, OrdersNotSaved: true, OperatorCalls: []controlstats.OperatorCallCount{{Call: "drain", Accepted: true, Count: 12}}, ListVersion: 13,
-			ListSince: time.Date(2026, 12, 2, 9, 32, 0, 0, time.UTC), Connections: 14, LoopBusy: 15, Reports: controlstats.ReportAge{WithReport: 16, WithoutReport: 17, Sum: 18},
+			ListReceivedAt: time.Date(2026, 12, 2, 9, 32, 0, 0, time.UTC), Connections: 14, LoopBusy: 15, Reports: controlstats.ReportAge{WithReport: 16, WithoutReport: 17, Sum: 18},
 			Traffic: [3]controlstats.Traffic{{Calls: 19, ConnectionsOpened: 20, BytesIn: 21, BytesOut: 22}, {Calls: 23, ConnectionsOpened: 24, BytesIn: 25, BytesOut: 26}, {Calls: 27, ConnectionsOpened: 28, BytesIn: 29, BytesOut: 30}}}},
 		{"contracts/accounts", struct{}{}, &[]contract.AccountStatus{}, &[]contract.AccountStatus{{Team: "quay", Level: 1, OpenCharges: 2, Used: [3]contract.Units{3, 4, 5}, Ends: [3]int64{6, 7, 8},
 			Limit: [3]contract.Units{9, 10, 11}, QuotaShare: 0.5, InForce: true,
--- a/internal/scaletest/figures.go
+++ b/internal/scaletest/figures.go
@@ -84,8 +84,8 @@
 	v.oldestList = math.MaxInt64
 	for _, c := range slices.Concat(v.hollow.Gateways, v.real) {
 		v.oldestList = min(v.oldestList, c.ListVersion)
-		if c.ListSince.After(v.newestListSince) {
-			v.newestListSince = c.ListSince
+		if c.ListReceivedAt.After(v.newestListSince) {
+			v.newestListSince = c.ListReceivedAt
 		}
 	}
 	return v, nil
--- a/internal/syncpoint/syncpoint.go
+++ b/internal/syncpoint/syncpoint.go
@@ -71,8 +71,8 @@
 	return &Listener{TCPListener: l, accepted: make(chan *Conn, 256)}
 }
 
-// StopBeforeAccept makes the next Accept block at the point, so that connections stay in the accept queue.
-func (l *Listener) StopBeforeAccept(p *Point) { l.beforeAccept.Store(p) }
+// BlockBeforeAccept makes the next Accept block at the point, so that connections stay in the accept queue.
+func (l *Listener) BlockBeforeAccept(p *Point) { l.beforeAccept.Store(p) }
 
 // Accept returns the next connection as a *Conn. NextConn returns the same *Conn to the test.
 func (l *Listener) Accept() (net.Conn, error) {
@@ -106,11 +106,11 @@
 	beforeRead, afterRead atomic.Pointer[Point]
 }
 
-// StopBeforeRead makes the reader block at the point when bytes have arrived, before it reads them.
-func (c *Conn) StopBeforeRead(p *Point) { c.beforeRead.Store(p) }
+// BlockBeforeRead makes the reader block at the point when bytes have arrived, before it reads them.
+func (c *Conn) BlockBeforeRead(p *Point) { c.beforeRead.Store(p) }
 
-// StopAfterRead makes the reader block at the point when it has read bytes, before it uses them.
-func (c *Conn) StopAfterRead(p *Point) { c.afterRead.Store(p) }
+// BlockAfterRead makes the reader block at the point when it has read bytes, before it uses them.
+func (c *Conn) BlockAfterRead(p *Point) { c.afterRead.Store(p) }
 
 // SyscallConn returns the raw connection, through which the code under test reads. Its Read blocks at the
 // connection's points.
