--- a/internal/capture/incident.go
+++ b/internal/capture/incident.go
@@ -153,7 +153,7 @@
 	}
 	var out []segmentFile
 	for _, e := range entries {
-		if e.IsDir() || !strings.HasPrefix(e.Name(), gateway+"-") || !strings.HasSuffix(e.Name(), Suffix) {
+		if e.IsDir() || !strings.HasPrefix(e.Name(), gateway+"-") || !strings.HasSuffix(e.Name(), SegmentSuffix) {
 			continue
 		}
 		if info, err := e.Info(); err == nil {
@@ -181,6 +181,6 @@
 			return
 		}
 		total -= s.size
-		w.Stats.Dropped.Add(1)
+		w.Stats.DeletedSegments.Add(1)
 	}
 }
--- a/internal/capture/reader.go
+++ b/internal/capture/reader.go
@@ -16,7 +16,7 @@
 	Number  uint64 // number of the event; for a checkpoint or a gap, that of the next event
 	At      balancer.Micros
 	Record  *pb.Record // nil if Missing is set
-	Missing *Missing
+	Missing *MissingPart
 }
 
 // Reader reads a run's records in order. It skips corrupt parts and reports them as missing. It is not safe for
@@ -87,7 +87,7 @@
 }
 
 // reportMissing makes a missing part the next entry.
-func (r *Reader) reportMissing(m Missing) {
+func (r *Reader) reportMissing(m MissingPart) {
 	r.pending = &Entry{Number: r.expected, At: r.at, Missing: &m}
 	if m.Events > 0 && m.FirstEvent == r.expected { // so that loadBlock does not report the same events again
 		r.expected += m.Events
@@ -101,7 +101,7 @@
 	if err != nil {
 		r.remaining = nil
 		s := r.run.Segments[r.segmentPos]
-		return Entry{Number: r.number, At: r.at, Missing: &Missing{
+		return Entry{Number: r.number, At: r.at, Missing: &MissingPart{
 			Path:       s.Path,
 			Offset:     s.Blocks[r.blockPos-1].Offset,
 			Events:     uint64(r.eventsLeft),
@@ -175,7 +175,7 @@
 		loaded.payload, err = r.decoder.DecodeAll(loaded.payload, make([]byte, 0, loaded.rawLength))
 	}
 	if err != nil {
-		r.reportMissing(Missing{
+		r.reportMissing(MissingPart{
 			Path:       path,
 			Offset:     b.Offset,
 			Events:     uint64(b.Records),
@@ -186,7 +186,7 @@
 	}
 	r.remaining, r.at, r.number, r.eventsLeft = loaded.payload, loaded.at, loaded.firstEvent, loaded.eventCount
 	if r.expected > 0 && loaded.eventCount > 0 && loaded.firstEvent > r.expected {
-		r.reportMissing(Missing{
+		r.reportMissing(MissingPart{
 			Path:       path,
 			Offset:     b.Offset,
 			Events:     loaded.firstEvent - r.expected,
--- a/internal/capture/recorder_test.go
+++ b/internal/capture/recorder_test.go
@@ -72,7 +72,7 @@
 	m := newTestBalancer(b)
 	r := NewRecorder(1000, m, nil, &discardSink{}, w, Host{RequestName: func(balancer.RequestID) string { return "9b1f03aa5c7e2d41" }},
 		Options{CheckpointInterval: 24 * time.Hour, BlockSize: 32 << 10, FlushInterval: 24 * time.Hour, SegmentSize: 8 << 20, SegmentAge: 24 * time.Hour,
-			Incident: capturetrigger.Settings{Window: 10e6, MinRequests: 50, UnservedShare: 0.4, SlowFactor: 2, SlowReplicaShare: 0.8, DeadlineMargin: 500}})
+			Incident: capturetrigger.Settings{Window: 10e6, MinRequests: 50, UnservedFraction: 0.4, SlowFactor: 2, SlowReplicaFraction: 0.8, DeadlineMargin: 500}})
 	i := 0
 	for b.Loop() {
 		i++
--- a/internal/capture/run.go
+++ b/internal/capture/run.go
@@ -24,7 +24,7 @@
 	Header  *pb.Header
 	Closed  bool // the segment ends with an index
 	Blocks  []Block
-	Missing []Missing // unreadable parts found by scanning; empty if the index was used
+	Missing []MissingPart // unreadable parts found by scanning; empty if the index was used
 }
 
 // Block is the location of a block of records in a segment.
@@ -36,8 +36,8 @@
 	Records    uint32
 }
 
-// Missing is a part of a capture that cannot be read or was not recorded.
-type Missing struct {
+// MissingPart is a part of a capture that cannot be read or was not recorded.
+type MissingPart struct {
 	Path       string `json:"path"`
 	Offset     int64  `json:"offset"`
 	Events     uint64 `json:"events"`          // number of missing events; 0: unknown
@@ -51,7 +51,7 @@
 	Seed                 uint64
 	Settings             balancer.Settings // settings at the beginning of the run
 	Segments             []*Segment
-	Unreadable           []Missing // segments whose header cannot be read
+	Unreadable           []MissingPart // segments whose header cannot be read
 }
 
 // Begin returns the time at which the first segment began, on the module's clock.
@@ -183,7 +183,7 @@
 		head, err := readBlockHead(r, offset)
 		end := offset + blockHeadSize + int64(head.storedLength)
 		if err == nil && end > s.Size {
-			s.Missing = append(s.Missing, Missing{
+			s.Missing = append(s.Missing, MissingPart{
 				Path:       s.Path,
 				Offset:     offset,
 				Events:     uint64(head.eventCount),
@@ -206,10 +206,10 @@
 		}
 		next, err := findBlockHead(r, offset+1)
 		if err != nil {
-			s.Missing = append(s.Missing, Missing{Path: s.Path, Offset: offset, Reason: fmt.Sprintf("no complete block in the last %d bytes", s.Size-offset)})
+			s.Missing = append(s.Missing, MissingPart{Path: s.Path, Offset: offset, Reason: fmt.Sprintf("no complete block in the last %d bytes", s.Size-offset)})
 			return
 		}
-		s.Missing = append(s.Missing, Missing{Path: s.Path, Offset: offset, Reason: fmt.Sprintf("%d bytes are not a valid block", next-offset)})
+		s.Missing = append(s.Missing, MissingPart{Path: s.Path, Offset: offset, Reason: fmt.Sprintf("%d bytes are not a valid block", next-offset)})
 		offset = next
 	}
 }
@@ -233,7 +233,7 @@
 		case !errors.Is(err, ErrUnsupportedVersion) && len(files) > 1:
 			// A full disk, or a gateway that ends while it begins a segment, leaves a file without a valid header. The
 			// other segments are still usable.
-			f.unreadable = append(f.unreadable, Missing{Path: file, Reason: err.Error()})
+			f.unreadable = append(f.unreadable, MissingPart{Path: file, Reason: err.Error()})
 			err = nil
 		}
 		if err != nil {
@@ -258,12 +258,12 @@
 			files = append(files, p)
 			continue
 		}
-		found, err := filepath.Glob(filepath.Join(escapeGlob(p), "*"+Suffix))
+		found, err := filepath.Glob(filepath.Join(escapeGlob(p), "*"+SegmentSuffix))
 		if err != nil {
 			return nil, err
 		}
 		if len(found) == 0 {
-			return nil, fmt.Errorf("%s: no capture files (*%s) in this directory", p, Suffix)
+			return nil, fmt.Errorf("%s: no capture files (*%s) in this directory", p, SegmentSuffix)
 		}
 		files = append(files, found...)
 	}
@@ -279,7 +279,7 @@
 type runFinder struct {
 	runs       []*Run
 	byKey      map[string]*Run // by gateway and name of the run
-	unreadable []Missing
+	unreadable []MissingPart
 }
 
 // add adds a segment to its run. The first segment of a run determines the run's settings.
--- a/internal/capture/segment.go
+++ b/internal/capture/segment.go
@@ -34,8 +34,8 @@
 	// FormatMinor is the minor version of the format. Minor versions only add fields.
 	FormatMinor = 8
 
-	// Suffix is the file name extension of segments.
-	Suffix = ".akcap"
+	// SegmentSuffix is the file name extension of segments.
+	SegmentSuffix = ".akcap"
 
 	// maxBlockBytes bounds the lengths in a block's head, so that a corrupt head cannot cause a huge allocation.
 	maxBlockBytes = 64 << 20
--- a/internal/capture/writer.go
+++ b/internal/capture/writer.go
@@ -45,13 +45,13 @@
 
 // Stats are counters of a Writer. They may be read from any goroutine.
 type Stats struct {
-	Blocks   atomic.Int64 // written
-	Bytes    atomic.Int64 // written
-	Records  atomic.Int64 // written
-	Lost     atomic.Int64 // records lost, in gaps or because their segment failed
-	Gaps     atomic.Int64
-	Segments atomic.Int64 // begun
-	Dropped  atomic.Int64 // segments deleted because of MaxBytes or MaxAge
+	Blocks          atomic.Int64 // written
+	Bytes           atomic.Int64 // written
+	Records         atomic.Int64 // written
+	LostRecords     atomic.Int64 // records lost, in gaps or because their segment failed
+	Gaps            atomic.Int64
+	Segments        atomic.Int64 // begun
+	DeletedSegments atomic.Int64 // segments deleted because of MaxBytes or MaxAge
 }
 
 // Writer writes the blocks of one Recorder into segments, in a goroutine of its own.
@@ -223,7 +223,7 @@
 }
 
 func (w *Writer) logResumed(lost uint64) {
-	w.Stats.Lost.Add(int64(lost))
+	w.Stats.LostRecords.Add(int64(lost))
 	w.options.Log("capture_resumed", "lost", lost)
 }
 
@@ -272,7 +272,7 @@
 	w.segmentNumber++
 	h.Build, h.Gateway, h.Seed = w.options.Build, w.options.Gateway, w.options.Seed
 	h.Run, h.Segment = w.runName, w.segmentNumber
-	w.path = filepath.Join(w.options.Directory, fmt.Sprintf("%s-%s-%06d%s", w.options.Gateway, w.runName, w.segmentNumber, Suffix))
+	w.path = filepath.Join(w.options.Directory, fmt.Sprintf("%s-%s-%06d%s", w.options.Gateway, w.runName, w.segmentNumber, SegmentSuffix))
 	w.deleteOldSegments()
 	file, err := w.options.CreateFile(w.path)
 	if err != nil {
@@ -309,14 +309,14 @@
 // writeRecords compresses and writes a block of records.
 func (w *Writer) writeRecords(b block) {
 	if w.skipBlocks || w.file == nil {
-		w.Stats.Lost.Add(int64(b.eventCount))
+		w.Stats.LostRecords.Add(int64(b.eventCount))
 		return
 	}
 	start := w.offset
 	b.payload = w.encoder.EncodeAll(b.payload, nil)
 	b.flags |= flagZstd
 	if !w.writeBlock(b) {
-		w.Stats.Lost.Add(int64(b.eventCount))
+		w.Stats.LostRecords.Add(int64(b.eventCount))
 		return
 	}
 	w.Stats.Blocks.Add(1)
--- a/internal/capturetrigger/detector.go
+++ b/internal/capturetrigger/detector.go
@@ -11,12 +11,12 @@
 
 // Settings are the conditions of an incident. Times are microseconds.
 type Settings struct {
-	Window           balancer.Micros // sliding window over which fractions are computed; 0: nothing triggers
-	MinRequests      int             // minimum number of requests in the window for ReasonUnserved
-	UnservedShare    float64         // fraction of late, shed, failed and abandoned requests that triggers; 0: never
-	SlowFactor       float64         // a replica is slow above this multiple of its baseline; 0: never
-	SlowReplicaShare float64         // fraction of slow replicas, among those with enough samples, that triggers
-	DeadlineMargin   balancer.Micros // triggers if a request is shed or failed with less time left; 0: never
+	Window              balancer.Micros // sliding window over which fractions are computed; 0: nothing triggers
+	MinRequests         int             // minimum number of requests in the window for ReasonUnserved
+	UnservedFraction    float64         // fraction of late, shed, failed and abandoned requests that triggers; 0: never
+	SlowFactor          float64         // a replica is slow above this multiple of its baseline; 0: never
+	SlowReplicaFraction float64         // fraction of slow replicas, among those with enough samples, that triggers
+	DeadlineMargin      balancer.Micros // triggers if a request is shed or failed with less time left; 0: never
 }
 
 // Enabled reports whether any condition can trigger.
@@ -218,7 +218,7 @@
 	r.samples++
 	updateBaseline(&r.baseline, ratio)
 	eligible, slow := d.countSlow()
-	if eligible < minReplicas || float64(slow) < d.settings.SlowReplicaShare*float64(eligible) {
+	if eligible < minReplicas || float64(slow) < d.settings.SlowReplicaFraction*float64(eligible) {
 		d.clearCondition(ReasonSlow)
 		return ""
 	}
@@ -295,7 +295,7 @@
 	for _, c := range d.outcomes {
 		total, totalUnserved = total+c.total, totalUnserved+c.unserved
 	}
-	if d.settings.UnservedShare <= 0 || total < d.settings.MinRequests || float64(totalUnserved) < d.settings.UnservedShare*float64(total) {
+	if d.settings.UnservedFraction <= 0 || total < d.settings.MinRequests || float64(totalUnserved) < d.settings.UnservedFraction*float64(total) {
 		d.clearCondition(ReasonUnserved)
 		return ""
 	}
--- a/internal/capturetrigger/detector_test.go
+++ b/internal/capturetrigger/detector_test.go
@@ -10,7 +10,7 @@
 const second balancer.Micros = 1_000_000
 
 func newTestDetector(change func(*Settings)) *Detector {
-	s := Settings{Window: 10 * second, MinRequests: 10, UnservedShare: 0.4, SlowFactor: 2, SlowReplicaShare: 0.8, DeadlineMargin: 2000}
+	s := Settings{Window: 10 * second, MinRequests: 10, UnservedFraction: 0.4, SlowFactor: 2, SlowReplicaFraction: 0.8, DeadlineMargin: 2000}
 	if change != nil {
 		change(&s)
 	}
@@ -76,7 +76,7 @@
 }
 
 func TestAllReplicasSlow(t *testing.T) {
-	d := newTestDetector(func(s *Settings) { s.UnservedShare = 0 })
+	d := newTestDetector(func(s *Settings) { s.UnservedFraction = 0 })
 	id := balancer.RequestID(0)
 	reason := ""
 	for i := range 300 {
--- a/internal/cli/capture.go
+++ b/internal/cli/capture.go
@@ -164,7 +164,7 @@
 	if err != nil {
 		return err
 	}
-	out := verification{Missing: []capture.Missing{}}
+	out := verification{Missing: []capture.MissingPart{}}
 	for _, run := range runs {
 		err := eachEntry(run, timeSpan{}, func(entry capture.Entry) error {
 			out.add(run, entry)
@@ -192,8 +192,8 @@
 
 // verification is the result of the verify command: the number of events, and the gaps.
 type verification struct {
-	Events  uint64            `json:"events"`
-	Missing []capture.Missing `json:"missing"`
+	Events  uint64                `json:"events"`
+	Missing []capture.MissingPart `json:"missing"`
 }
 
 func (v *verification) add(run *capture.Run, entry capture.Entry) {
@@ -207,7 +207,7 @@
 			v.Missing[n-1].Reason = reason
 			return
 		}
-		v.Missing = append(v.Missing, capture.Missing{Path: run.Segments[0].Path, Events: gap.Events, Reason: reason})
+		v.Missing = append(v.Missing, capture.MissingPart{Path: run.Segments[0].Path, Events: gap.Events, Reason: reason})
 	case entry.Record.Kind != pb.Kind_KIND_CHECKPOINT:
 		v.Events++
 	}
@@ -296,7 +296,7 @@
 	})
 }
 
-func (c *dumpCmd) dumpMissing(w io.Writer, missing *capture.Missing) error {
+func (c *dumpCmd) dumpMissing(w io.Writer, missing *capture.MissingPart) error {
 	format := "# missing: %s (events: %d)\n"
 	if c.JSON {
 		format = "{\"missing\":%q,\"events\":%d}\n"
--- a/internal/cli/replay.go
+++ b/internal/cli/replay.go
@@ -118,7 +118,7 @@
 func acceptedPath(run *capture.Run) string {
 	first := run.Segments[0].Path
 	if len(run.Segments) == 1 {
-		return strings.TrimSuffix(first, capture.Suffix) + ".accepted"
+		return strings.TrimSuffix(first, capture.SegmentSuffix) + ".accepted"
 	}
 	return filepath.Join(filepath.Dir(first), run.Gateway+"-"+run.Name+".accepted")
 }
--- a/internal/lifecycle/gatewayoptions.go
+++ b/internal/lifecycle/gatewayoptions.go
@@ -48,12 +48,12 @@
 			SegmentAge:         c.SegmentAge,
 			IncidentInterval:   incident.MinInterval,
 			Incident: capturetrigger.Settings{
-				Window:           incident.EvaluationWindow.Microseconds(),
-				MinRequests:      incident.MinRequests,
-				UnservedShare:    incident.UnservedFraction,
-				SlowFactor:       incident.SlowFactor,
-				SlowReplicaShare: incident.SlowReplicaFraction,
-				DeadlineMargin:   incident.NearDeadline.Microseconds(),
+				Window:              incident.EvaluationWindow.Microseconds(),
+				MinRequests:         incident.MinRequests,
+				UnservedFraction:    incident.UnservedFraction,
+				SlowFactor:          incident.SlowFactor,
+				SlowReplicaFraction: incident.SlowReplicaFraction,
+				DeadlineMargin:      incident.NearDeadline.Microseconds(),
 			},
 		},
 	}
--- a/internal/publicnames/publicnames_test.go
+++ b/internal/publicnames/publicnames_test.go
@@ -158,7 +158,7 @@
 	for root, of := range map[string]reflect.Type{
 		"capture settings":    reflect.TypeFor[balancer.Settings](),
 		"capture manifest":    reflect.TypeFor[capture.Manifest](),
-		"capture missing":     reflect.TypeFor[capture.Missing](),
+		"capture missing":     reflect.TypeFor[capture.MissingPart](),
 		"config history":      reflect.TypeFor[xdsclient.HistoryEntry](),
 		"control accounts":    reflect.TypeFor[contract.AccountStatus](),
 		"control figures":     reflect.TypeFor[controlstats.Stats](),
--- a/internal/replay/damage_test.go
+++ b/internal/replay/damage_test.go
@@ -234,8 +234,8 @@
 	r.Close()
 	w.Close()
 	run := openRun(t, dir)
-	if n := run.Bytes(); n > writerOptions.MaxBytes+200<<10 || w.Stats.Dropped.Load() == 0 {
-		t.Errorf("%d bytes on disk, %d segments deleted", n, w.Stats.Dropped.Load())
+	if n := run.Bytes(); n > writerOptions.MaxBytes+200<<10 || w.Stats.DeletedSegments.Load() == 0 {
+		t.Errorf("%d bytes on disk, %d segments deleted", n, w.Stats.DeletedSegments.Load())
 	}
 	if res := mustReplay(t, run, Options{}); res.Differing != 0 || res.Gaps != 0 || res.Events == 0 {
 		t.Error(res.Line())
--- a/internal/replay/replay_test.go
+++ b/internal/replay/replay_test.go
@@ -268,7 +268,7 @@
 		run := openRun(t, path)
 		res := mustReplay(t, run, Options{})
 		want := ""
-		if text, err := os.ReadFile(strings.TrimSuffix(path, capture.Suffix) + ".accepted"); err == nil {
+		if text, err := os.ReadFile(strings.TrimSuffix(path, capture.SegmentSuffix) + ".accepted"); err == nil {
 			want = string(text)
 		}
 		if res.Gaps != 0 || res.Events == 0 || res.Differing > 0 && !strings.Contains(want, res.Differences) || res.Differing == 0 && want != "" {
