--- a/internal/cli/capture.go
+++ b/internal/cli/capture.go
@@ -285,7 +285,7 @@
 		if entry.Missing != nil {
 			return c.dumpMissing(w, entry.Missing)
 		}
-		names.Learn(entry.Record)
+		names.AddRecord(entry.Record)
 		if c.Exact && entry.At < from || !filter.Match(names, entry.Record, entry.At-run.Begin()) {
 			return nil
 		}
--- a/internal/replay/names.go
+++ b/internal/replay/names.go
@@ -27,8 +27,8 @@
 	return &Names{replicas: map[uint32]string{}, requests: map[uint32]*pb.Arrival{}}
 }
 
-// Learn adds the names that a record contains; it ignores records without names.
-func (n *Names) Learn(r *pb.Record) {
+// AddRecord adds the names that a record contains; it ignores records without names.
+func (n *Names) AddRecord(r *pb.Record) {
 	switch r.Kind {
 	case pb.Kind_KIND_LIST:
 		for _, m := range r.List.GetMembers() {
--- a/internal/replay/player.go
+++ b/internal/replay/player.go
@@ -71,7 +71,7 @@
 		return nil
 	}
 	p.now, p.number, p.record = e.At, e.Number, e.Record
-	p.names.Learn(e.Record)
+	p.names.AddRecord(e.Record)
 	switch e.Record.Kind {
 	case pb.Kind_KIND_CHECKPOINT:
 		return p.compareCheckpoint(e.Record.Checkpoint)
