--- a/internal/cli/site.go
+++ b/internal/cli/site.go
@@ -251,7 +251,7 @@
 		Seed:     run.Seed,
 		Served:   drill.WeightServed / max(minWeight, drill.WeightOffered),
 		Classes:  map[string]float64{},
-		ToLost:   drill.ToVanishedShare,
+		ToLost:   drill.ToVanishedFraction,
 		Breaks:   len(drill.Violations),
 		Crashes:  len(drill.Crashes),
 		Forecast: &f.Served,
--- a/internal/faulttest/drill.go
+++ b/internal/faulttest/drill.go
@@ -141,7 +141,7 @@
 	d.cluster.addUsage(usageBefore, result)
 	d.recorder.waitForAttempts()
 	result.measure(d.spec, d.recorder, d.injector)
-	result.ToVanishedShare = vanishedFraction(d.spec, d.recorder, d.injector.startedAt)
+	result.ToVanishedFraction = vanishedFraction(d.spec, d.recorder, d.injector.startedAt)
 	rules := newRules(d.spec, drillTolerance)
 	rules.DrainedBy = drainedBy
 	result.Violations = Audit(rules, d.recorder.requests, d.recorder.attempts)
--- a/internal/faulttest/drill_test.go
+++ b/internal/faulttest/drill_test.go
@@ -185,9 +185,9 @@
 			for _, text := range r.Crashes {
 				t.Error(text)
 			}
-			t.Logf("%d requests, %.3f of the priority weight served, %.4f of the attempts to the lost zone", r.Sent, r.WeightServed/r.WeightOffered, r.ToVanishedShare)
-			if served := r.WeightServed / r.WeightOffered; r.Sent < 150 || served < c.minServed || r.ToVanishedShare > c.maxToVanished {
-				t.Errorf("of %d requests %.3f of the priority weight served, %.3f of the attempts to the lost zone", r.Sent, served, r.ToVanishedShare)
+			t.Logf("%d requests, %.3f of the priority weight served, %.4f of the attempts to the lost zone", r.Sent, r.WeightServed/r.WeightOffered, r.ToVanishedFraction)
+			if served := r.WeightServed / r.WeightOffered; r.Sent < 150 || served < c.minServed || r.ToVanishedFraction > c.maxToVanished {
+				t.Errorf("of %d requests %.3f of the priority weight served, %.3f of the attempts to the lost zone", r.Sent, served, r.ToVanishedFraction)
 			}
 		})
 	}
--- a/internal/faulttest/result.go
+++ b/internal/faulttest/result.go
@@ -22,23 +22,23 @@
 
 // Result is the result of a drill.
 type Result struct {
-	Seed            uint64                  `json:"seed"`
-	Sent            int                     `json:"sent"`
-	Outcomes        map[string]int          `json:"ends"` // number of requests by their outcome for the client
-	WeightServed    float64                 `json:"worth"`
-	WeightOffered   float64                 `json:"worth_asked"`
-	Interrupted     int                     `json:"caught"`         // idempotent requests in flight for over 50 ms at a gateway that was killed or terminated
-	Recovered       int                     `json:"saved"`          // of those, completely served in time
-	WeightLost      float64                 `json:"worth_lost_10s"` // priority weight not served, of requests in flight at the first gateway fault or sent within 10 s after it
-	FirstTokenMs    map[string]float64      `json:"first_ms"`       // percentiles
-	CPUMsPerRequest float64                 `json:"cpu_ms_request"` // of the gateways' processes that ran to the end
-	MemoryMB        float64                 `json:"memory_mb"`      // the largest resident memory of one of them at the end
-	OpenFiles       int                     `json:"files"`          // the most open descriptors of one of them at the end
-	Classes         map[string]*ClassResult `json:"classes"`
-	ToVanishedShare float64                 `json:"to_lost"` // fraction of the attempts that went to vanished replicas, from 1.5 s after they vanished
-	Violations      []Violation             `json:"breaks"`
-	Crashes         []string                `json:"crashes"`
-	Skipped         int                     `json:"left_out"` // requests that the emulator did not send
+	Seed               uint64                  `json:"seed"`
+	Sent               int                     `json:"sent"`
+	Outcomes           map[string]int          `json:"ends"` // number of requests by their outcome for the client
+	WeightServed       float64                 `json:"worth"`
+	WeightOffered      float64                 `json:"worth_asked"`
+	Interrupted        int                     `json:"caught"`         // idempotent requests in flight for over 50 ms at a gateway that was killed or terminated
+	Recovered          int                     `json:"saved"`          // of those, completely served in time
+	WeightLost         float64                 `json:"worth_lost_10s"` // priority weight not served, of requests in flight at the first gateway fault or sent within 10 s after it
+	FirstTokenMs       map[string]float64      `json:"first_ms"`       // percentiles
+	CPUMsPerRequest    float64                 `json:"cpu_ms_request"` // of the gateways' processes that ran to the end
+	MemoryMB           float64                 `json:"memory_mb"`      // the largest resident memory of one of them at the end
+	OpenFiles          int                     `json:"files"`          // the most open descriptors of one of them at the end
+	Classes            map[string]*ClassResult `json:"classes"`
+	ToVanishedFraction float64                 `json:"to_lost"` // fraction of the attempts that went to vanished replicas, from 1.5 s after they vanished
+	Violations         []Violation             `json:"breaks"`
+	Crashes            []string                `json:"crashes"`
+	Skipped            int                     `json:"left_out"` // requests that the emulator did not send
 }
 
 // ClassResult is the part of a Result for the requests of one class.
