--- a/internal/cli/fleet.go
+++ b/internal/cli/fleet.go
@@ -138,7 +138,7 @@
 			what string
 			v    fit.Value
 		}{{"rate, requests a second", t.Rate}, {"turns of a session", t.Turns}, {"think, seconds", t.Think}, {"prompt, new tokens", t.Prompt}, {"answer, tokens", t.Answer},
-			{"spread", t.Spread}, {"prefixes", t.Prefixes}, {"shared, tokens", t.Shared}, {"dispersion of session starts", t.Dispersion}} {
+			{"spread", t.Spread}, {"prefixes", t.Prefixes}, {"shared, tokens", t.PrefixTokens}, {"dispersion of session starts", t.Dispersion}} {
 			fmt.Fprintf(w, "  %s\t%s\n", v.what, v.v)
 		}
 		if err := w.Flush(); err != nil {
--- a/internal/config/plan_keys.go
+++ b/internal/config/plan_keys.go
@@ -167,7 +167,7 @@
 		intKey("most", &t.MaxOutputTokens, "600", 1, 1<<24, "maximum output tokens of an answer"),
 		intKey("prefixes", &t.Prefixes, "0", 0, 1<<20, "number of shared prefixes"),
 		intKey("shared", &t.PrefixTokens, "0", 0, 1<<24, "tokens of a shared prefix"),
-		secondsKey("patience", &t.PatienceSeconds, "0s", "the client's time limit for the first token; 0s: the class's deadline"),
+		secondsKey("patience", &t.FirstTokenTimeoutSeconds, "0s", "the client's time limit for the first token; 0s: the class's deadline"),
 		intKey("retries", &t.MaxRetries, "0", 0, 100, "retries by clients, after a rejection"),
 		intKey("rest", &t.MaxResumes, "0", 0, 10, "requests for the remainder of an interrupted answer (emulator only)"),
 	}
@@ -200,26 +200,26 @@
 	d := &b.spec.Drill
 	return []keySpec{
 		boolKey("peers", &d.Peers, "on", "gateways take over each other's requests"),
-		boolKey("relays", &d.Relays, "on", "messages between gateways pass relays that can drop and delay them"),
+		boolKey("relays", &d.GossipRelays, "on", "messages between gateways pass relays that can drop and delay them"),
 		intKey("copies", &d.RequestCopies, "5", 1, 8, "gateways that record each request"),
 		intKey("records", &d.MaxRecords, "4096", 16, 100_000, "requests of other gateways that a gateway records at once"),
 		intKey("sites", &d.Sites, "1", 1, 100, "zones that gateways are distributed over"),
 		intKey("memory", &d.MemoryMB, "32", 16, 4096, "memory limit of a gateway, megabytes"),
 		intKey("files", &d.MaxFiles, "256", 64, 65536, "file descriptor limit of a gateway"),
-		microsKey("settle", &d.Settle, "1500ms", 0, time.Minute, "time from the start of the last gateway to the start of traffic"),
+		microsKey("settle", &d.SettleTime, "1500ms", 0, time.Minute, "time from the start of the last gateway to the start of traffic"),
 	}
 }
 
 func (b *specBuilder) strikeKeys(string) []keySpec {
-	s := &model.Strike{}
+	s := &model.GatewayFault{}
 	b.strikes = append(b.strikes, s)
-	kinds := slices.Sorted(maps.Keys(model.StrikeKinds))
+	kinds := slices.Sorted(maps.Keys(model.GatewayFaultKinds))
 	return []keySpec{
 		microsKey("at", &s.At, "0s", 0, hour, "when it begins"),
 		microsKey("for", &s.Duration, "0s", 0, hour, "how long it lasts; 0s: until the end of the run"),
 		enumKey("kind", &s.Kind, "kill", "what happens to the gateways", kinds...),
 		indexKey("gateway", &s.Gateway, "index of a gateway"),
-		fractionKey("share", &s.Share, "0%", "fraction of the gateways, drawn at random"),
+		fractionKey("share", &s.GatewayFraction, "0%", "fraction of the gateways, drawn at random"),
 		indexKey("site", &s.Site, "index of a zone"),
 		enumKey("when", &s.When, "at", "trigger: a time, or a request that was sent, or whose first event, half of the events or last event has arrived; the latter hit the gateway of the request",
 			"at", "sent", "first", "half", "last"),
--- a/internal/config/plan_spec.go
+++ b/internal/config/plan_spec.go
@@ -51,7 +51,7 @@
 	groups     []*model.Group
 	streams    []*model.Stream
 	faults     []*model.Fault
-	strikes    []*model.Strike
+	strikes    []*model.GatewayFault
 	effects    []*string // by class
 	contracts  Contracts
 	reportMode string
@@ -113,7 +113,7 @@
 	slices.SortFunc(s.Settings.Tenants, func(x, y balancer.Tenant) int { return cmp.Compare(x.Name, y.Name) })
 	s.Groups = appendValues(s.Groups, b.groups)
 	s.Streams = appendValues(s.Streams, b.streams)
-	s.Strikes = appendValues(s.Strikes, b.strikes)
+	s.GatewayFaults = appendValues(s.GatewayFaults, b.strikes)
 	s.Faults = appendValues(s.Faults, b.faults)
 	s.Contracts = b.contracts.Teams
 	if err := contract.ValidateTerms(s.Contracts); err != nil {
--- a/internal/experiment/stored_test.go
+++ b/internal/experiment/stored_test.go
@@ -46,7 +46,7 @@
 			Classes:  map[string]*model.Count{"chat": count(40, 36, 34, 4000, 35.5, 40)},
 			Tenants:  map[string]*model.Count{"quay": count(20, 16, 14, 2000, 15.5, 20)},
 			Windows:  []model.Window{{At: 0, Sent: 30, Served: 28, InTime: 27, WeightServed: 27.5, WeightOffered: 30}, {At: 10.5, Sent: 31, Served: 29, InTime: 26, WeightServed: 26.25, WeightOffered: 32}},
-			Attempts: 71, Wasted: 5, Events: 1234, DiscoveryCallsFailed: 6, Steps: 789, OutputTokens: 6000, PromptTokensRead: 7000, PromptTokensReused: 800, Preempted: 9, Declined: 10, HealthChecks: 11, BusyShare: busy,
+			Attempts: 71, Wasted: 5, Events: 1234, DiscoveryCallsFailed: 6, Steps: 789, OutputTokens: 6000, PromptTokensRead: 7000, PromptTokensReused: 800, Preempted: 9, Declined: 10, HealthChecks: 11, BusyFraction: busy,
 		}
 	}
 	want := []experiment.Record{
--- a/internal/faulttest/cluster.go
+++ b/internal/faulttest/cluster.go
@@ -76,7 +76,7 @@
 // startAll creates all nodes before it starts their processes, because a node's configuration has the
 // addresses of other nodes.
 func (c *cluster) startAll() error {
-	if c.spec.Drill.Peers && c.spec.Drill.Relays {
+	if c.spec.Drill.Peers && c.spec.Drill.GossipRelays {
 		c.relays = newRelayNetwork(c.spec.Seed)
 	}
 	for i := range c.spec.Gateways {
--- a/internal/faulttest/drill.go
+++ b/internal/faulttest/drill.go
@@ -102,7 +102,7 @@
 		return nil
 	}
 	select {
-	case <-time.After(time.Duration(d.spec.Drill.Settle) * time.Microsecond):
+	case <-time.After(time.Duration(d.spec.Drill.SettleTime) * time.Microsecond):
 		return nil
 	case <-ctx.Done():
 		return ctx.Err()
@@ -152,8 +152,8 @@
 // those that a request's state triggers.
 func (d *drill) scheduleGatewayFaults(ctx context.Context) {
 	byState := map[string][]*stateFault{}
-	for i := range d.spec.Strikes {
-		fault := &d.spec.Strikes[i]
+	for i := range d.spec.GatewayFaults {
+		fault := &d.spec.GatewayFaults[i]
 		if fault.When != "" && fault.When != "at" {
 			byState[fault.When] = append(byState[fault.When], &stateFault{fault: fault})
 			continue
@@ -166,7 +166,7 @@
 			}
 		})
 	}
-	d.recorder.setFaults(d.cluster, byState, func(fault *model.Strike, serving int) { d.injector.inject(ctx, fault, serving) })
+	d.recorder.setFaults(d.cluster, byState, func(fault *model.GatewayFault, serving int) { d.injector.inject(ctx, fault, serving) })
 }
 
 // drainDeadlines returns, for each replica that drains to the end of the run, the last time at which an attempt
@@ -206,12 +206,12 @@
 
 	faults  map[string][]*stateFault // by state
 	cluster *cluster
-	inject  func(fault *model.Strike, serving int)
+	inject  func(fault *model.GatewayFault, serving int)
 }
 
 // stateFault is a gateway fault that the nth request to reach a state triggers.
 type stateFault struct {
-	fault *model.Strike
+	fault *model.GatewayFault
 	seen  int // requests that have reached the state
 }
 
@@ -219,7 +219,7 @@
 
 // setFaults sets the gateway faults that requests trigger, by state. inject is called with the index of the
 // gateway that serves the request.
-func (r *recorder) setFaults(c *cluster, faults map[string][]*stateFault, inject func(fault *model.Strike, serving int)) {
+func (r *recorder) setFaults(c *cluster, faults map[string][]*stateFault, inject func(fault *model.GatewayFault, serving int)) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.cluster = c
--- a/internal/faulttest/drill_test.go
+++ b/internal/faulttest/drill_test.go
@@ -170,7 +170,7 @@
 				t.Fatal(err)
 			}
 			if c.lostFor == 0 {
-				spec.Faults, spec.Strikes = nil, nil
+				spec.Faults, spec.GatewayFaults = nil, nil
 			}
 			spec.Faults = append(spec.Faults, c.moreFaults...)
 			ctx, stop := context.WithTimeout(t.Context(), time.Minute)
--- a/internal/faulttest/soakevents.go
+++ b/internal/faulttest/soakevents.go
@@ -255,7 +255,7 @@
 		model.FaultDrain,
 		model.FaultDrain,
 		model.FaultKill,
-		model.FaultSilent,
+		model.FaultUnresponsive,
 		model.FaultSlow,
 		model.FaultReset,
 		model.FaultMalformed,
--- a/internal/faulttest/strikes.go
+++ b/internal/faulttest/strikes.go
@@ -41,7 +41,7 @@
 
 // targets selects the gateways of a fault. serving is the index of the gateway that serves the request that
 // triggers the fault, or -1 if none does.
-func (s *gatewayFaultInjector) targets(fault *model.Strike, serving int) (targets []*node) {
+func (s *gatewayFaultInjector) targets(fault *model.GatewayFault, serving int) (targets []*node) {
 	nodes := s.cluster.nodes
 	if serving >= 0 {
 		return []*node{nodes[serving]}
@@ -55,7 +55,7 @@
 		if fault.Site >= 0 && nodes[i].zone != fault.Site {
 			continue
 		}
-		if fault.Share > 0 && float64(len(targets)) >= fault.Share*float64(len(nodes))-0.5 {
+		if fault.GatewayFraction > 0 && float64(len(targets)) >= fault.GatewayFraction*float64(len(nodes))-0.5 {
 			break
 		}
 		targets = append(targets, nodes[i])
@@ -64,7 +64,7 @@
 }
 
 // inject begins a fault now, and ends it after its duration unless the drill ends first.
-func (s *gatewayFaultInjector) inject(ctx context.Context, fault *model.Strike, serving int) {
+func (s *gatewayFaultInjector) inject(ctx context.Context, fault *model.GatewayFault, serving int) {
 	targets := s.targets(fault, serving)
 	s.record(fault, targets)
 	for _, n := range targets {
@@ -86,7 +86,7 @@
 }
 
 // record records the time of a fault for the result.
-func (s *gatewayFaultInjector) record(fault *model.Strike, targets []*node) {
+func (s *gatewayFaultInjector) record(fault *model.GatewayFault, targets []*node) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if s.firstFaultAt.IsZero() {
@@ -148,7 +148,7 @@
 }
 
 // setNetworkFault begins or ends the effect of a fault on the network between gateways.
-func (s *gatewayFaultInjector) setNetworkFault(fault *model.Strike, targets []*node, active bool) {
+func (s *gatewayFaultInjector) setNetworkFault(fault *model.GatewayFault, targets []*node, active bool) {
 	relays := s.cluster.relays
 	if relays == nil {
 		return
--- a/internal/fleet/emulate/faults.go
+++ b/internal/fleet/emulate/faults.go
@@ -68,7 +68,7 @@
 		if r.simulator != nil {
 			r.simulator.SetSlowdown(slowdown)
 		}
-	case model.FaultSilent:
+	case model.FaultUnresponsive:
 		r.unresponsive = on
 	case model.FaultFlushCache:
 		if on && r.simulator != nil {
--- a/internal/fleet/fit/fit.go
+++ b/internal/fleet/fit/fit.go
@@ -40,20 +40,20 @@
 
 // Stream holds the estimated traffic parameters of one class and tenant, under the names of a plan's keys.
 type Stream struct {
-	Class      string   `json:"class"`
-	Tenant     string   `json:"tenant"`
-	Requests   int      `json:"requests"`
-	Rate       Value    `json:"rate"`       // requests per second
-	Turns      Value    `json:"turns"`      // mean number in a session
-	Think      Value    `json:"think_s"`    // median time between two turns, in seconds
-	Prompt     Value    `json:"prompt"`     // median number of new tokens in a turn
-	Answer     Value    `json:"answer"`     // median number of tokens
-	Spread     Value    `json:"spread"`     // standard deviation of the logarithms of prompt and answer lengths
-	Prefixes   Value    `json:"prefixes"`   // number of shared prefixes, including unseen ones
-	Shared     Value    `json:"shared"`     // median length of shared prefixes, in tokens
-	Dispersion Value    `json:"dispersion"` // of session starts per second: 1 for a Poisson process, more for bursts
-	MaxTokens  int      `json:"most"`       // largest output token limit of a request
-	Unknown    []string `json:"untold"`     // notes on data that the capture lacks
+	Class        string   `json:"class"`
+	Tenant       string   `json:"tenant"`
+	Requests     int      `json:"requests"`
+	Rate         Value    `json:"rate"`       // requests per second
+	Turns        Value    `json:"turns"`      // mean number in a session
+	Think        Value    `json:"think_s"`    // median time between two turns, in seconds
+	Prompt       Value    `json:"prompt"`     // median number of new tokens in a turn
+	Answer       Value    `json:"answer"`     // median number of tokens
+	Spread       Value    `json:"spread"`     // standard deviation of the logarithms of prompt and answer lengths
+	Prefixes     Value    `json:"prefixes"`   // number of shared prefixes, including unseen ones
+	PrefixTokens Value    `json:"shared"`     // median length of shared prefixes, in tokens
+	Dispersion   Value    `json:"dispersion"` // of session starts per second: 1 for a Poisson process, more for bursts
+	MaxTokens    int      `json:"most"`       // largest output token limit of a request
+	Unknown      []string `json:"untold"`     // notes on data that the capture lacks
 }
 
 const (
@@ -106,7 +106,7 @@
 	s.Turns = meanTurns(o.continued, o.ended)
 	s.Prompt, s.Answer = median(o.newPromptTokens), median(o.outputTokens)
 	s.Spread = standardDeviation(slices.Concat(logRatios(o.newPromptTokens, s.Prompt.Value), logRatios(o.outputTokens, s.Answer.Value)))
-	s.Prefixes, s.Shared = fitPrefixes(turns)
+	s.Prefixes, s.PrefixTokens = fitPrefixes(turns)
 	firstSecond := int64(0)
 	if len(o.sessions) > 0 {
 		firstSecond = sessionEndGap/second + 1
--- a/internal/fleet/fit/fit_test.go
+++ b/internal/fleet/fit/fit_test.go
@@ -63,7 +63,7 @@
 				got  Value
 				want float64
 			}{"rate": {s.Rate, want.RequestsPerSecond}, "turns": {s.Turns, want.Turns}, "think": {s.Think, want.ThinkSeconds}, "prompt": {s.Prompt, want.PromptTokens}, "answer": {s.Answer, want.AnswerTokens},
-				"spread": {s.Spread, want.Spread}, "prefixes": {s.Prefixes, float64(want.Prefixes)}, "shared": {s.Shared, float64(want.PrefixTokens)}, "dispersion": {s.Dispersion, 1}} {
+				"spread": {s.Spread, want.Spread}, "prefixes": {s.Prefixes, float64(want.Prefixes)}, "shared": {s.PrefixTokens, float64(want.PrefixTokens)}, "dispersion": {s.Dispersion, 1}} {
 				if c.want == 0 || c.got.N == 0 {
 					if c.got.N > 0 {
 						t.Errorf("%s of %s: got %v, expected no estimate", name, s.Class, c.got)
--- a/internal/fleet/fit/plan.go
+++ b/internal/fleet/fit/plan.go
@@ -39,7 +39,7 @@
 		fmt.Fprintf(b, "most %d\n", s.MaxTokens)
 	}
 	writeValue("prefixes", "%.0f", s.Prefixes)
-	writeValue("shared", "%.0f", s.Shared)
+	writeValue("shared", "%.0f", s.PrefixTokens)
 	b.WriteString("\n")
 }
 
--- a/internal/fleet/model/clients.go
+++ b/internal/fleet/model/clients.go
@@ -127,8 +127,8 @@
 
 // FirstTokenTimeout returns how long a client of the stream waits for its first token.
 func (s *Stream) FirstTokenTimeout(class *balancer.Class) balancer.Micros {
-	if s.PatienceSeconds > 0 {
-		return min(class.Deadline, balancer.Micros(s.PatienceSeconds*1e6))
+	if s.FirstTokenTimeoutSeconds > 0 {
+		return min(class.Deadline, balancer.Micros(s.FirstTokenTimeoutSeconds*1e6))
 	}
 	return class.Deadline
 }
--- a/internal/fleet/model/faults.go
+++ b/internal/fleet/model/faults.go
@@ -90,7 +90,7 @@
 		s.loseMachine(h, balancer.Micros(f.Factor*1e6))
 	case FaultDrain:
 		s.publish(h, balancer.EndpointDraining)
-	case FaultSilent:
+	case FaultUnresponsive:
 		h.unresponsive = true
 	case FaultFlushCache:
 		h.simulator.FlushCache()
@@ -109,7 +109,7 @@
 		s.restart(now, h)
 	case FaultDrain:
 		s.publish(h, balancer.EndpointReady)
-	case FaultSilent:
+	case FaultUnresponsive:
 		h.unresponsive = false
 	}
 }
--- a/internal/fleet/model/result.go
+++ b/internal/fleet/model/result.go
@@ -66,7 +66,7 @@
 	Preempted            int64   `json:"preempted"`
 	Declined             int64   `json:"declined"`
 	HealthChecks         int64   `json:"probes"`
-	BusyShare            float64 `json:"busy"` // busy fraction of the replicas' time
+	BusyFraction         float64 `json:"busy"` // busy fraction of the replicas' time
 	spec                 *Spec
 	replicaCount         int
 }
@@ -207,7 +207,7 @@
 	res.PromptTokensReused += r.PromptTokensReused
 	res.Preempted += r.Preempted
 	res.Declined += r.Declined
-	res.BusyShare += float64(r.BusyTime)
+	res.BusyFraction += float64(r.BusyTime)
 }
 
 // percentiles lists the percentiles in FirstTokenMs and ResponseMs.
@@ -218,7 +218,7 @@
 
 // Finish computes the percentiles and BusyShare. Call it once, after the last request has been counted.
 func (res *Result) Finish() {
-	res.BusyShare /= float64(res.spec.Duration) * float64(max(1, res.replicaCount))
+	res.BusyFraction /= float64(res.spec.Duration) * float64(max(1, res.replicaCount))
 	for _, c := range slices.Concat([]*Count{res.All}, slices.Collect(maps.Values(res.Classes)), slices.Collect(maps.Values(res.Tenants))) {
 		c.FirstTokenMs, c.ResponseMs = map[string]float64{}, map[string]float64{}
 		for _, p := range percentiles {
--- a/internal/fleet/model/spec.go
+++ b/internal/fleet/model/spec.go
@@ -20,19 +20,19 @@
 
 // Stream describes the sessions of one class and tenant.
 type Stream struct {
-	Class, Tenant     string
-	RequestsPerSecond float64 // sum over all gateways
-	Turns             float64 // mean number of turns in a session
-	ThinkSeconds      float64 // median time between two turns
-	PromptTokens      float64 // median number of new tokens in a turn
-	AnswerTokens      float64 // median number of tokens in an answer
-	Spread            float64 // standard deviation of the logarithms of lengths and think times
-	MaxOutputTokens   int
-	Prefixes          int     // number of shared prefixes; their popularity follows Zipf's law
-	PrefixTokens      int     // length of each shared prefix
-	PatienceSeconds   float64 // client's timeout for the first token; 0: the class's deadline
-	MaxRetries        int     // retries by the client after a rejection
-	MaxResumes        int     // requests by the client to resume an interrupted answer (the emulator only)
+	Class, Tenant            string
+	RequestsPerSecond        float64 // sum over all gateways
+	Turns                    float64 // mean number of turns in a session
+	ThinkSeconds             float64 // median time between two turns
+	PromptTokens             float64 // median number of new tokens in a turn
+	AnswerTokens             float64 // median number of tokens in an answer
+	Spread                   float64 // standard deviation of the logarithms of lengths and think times
+	MaxOutputTokens          int
+	Prefixes                 int     // number of shared prefixes; their popularity follows Zipf's law
+	PrefixTokens             int     // length of each shared prefix
+	FirstTokenTimeoutSeconds float64 // client's timeout for the first token; 0: the class's deadline
+	MaxRetries               int     // retries by the client after a rejection
+	MaxResumes               int     // requests by the client to resume an interrupted answer (the emulator only)
 }
 
 // Kinds of faults.
@@ -40,7 +40,7 @@
 	FaultSlow            = "slow"
 	FaultKill            = "kill"
 	FaultDrain           = "drain"
-	FaultSilent          = "silent"
+	FaultUnresponsive    = "silent"
 	FaultLoseMachine     = "lose"
 	FaultFlushCache      = "flush"
 	FaultReset           = "reset"
@@ -56,7 +56,7 @@
 	FaultSlow:            "steps take Factor times as long",
 	FaultKill:            "the replica's process is killed; it restarts after Duration, warming up",
 	FaultDrain:           "discovery lists the replica as draining, and as ready again after Duration",
-	FaultSilent:          "the replica accepts requests and sends no responses",
+	FaultUnresponsive:    "the replica accepts requests and sends no responses",
 	FaultLoseMachine:     "the replica's machine is lost without notice; discovery removes the replica after Factor seconds, and it restarts after Duration, warming up. If a whole zone is lost, its gateways are killed too",
 	FaultFlushCache:      "the replica's cached prompts are evicted",
 	FaultReset:           "connections are reset after two tokens of an answer (the emulator only)",
@@ -95,19 +95,19 @@
 	WindowLength                  balancer.Micros
 	SubsetSize                    int // maximum number of replicas in a gateway's subset; 0: all
 	Drill                         Drill
-	Strikes                       []Strike // only in drills, which run gateway processes
+	GatewayFaults                 []GatewayFault // only in drills, which run gateway processes
 }
 
 // Drill holds the settings of drills, which run gateway processes.
 type Drill struct {
 	Peers         bool            // gateways take over each other's requests
-	Relays        bool            // gossip passes through relays, which inject network faults
+	GossipRelays  bool            // gossip passes through relays, which inject network faults
 	RequestCopies int             // number of gateways that store a copy of each request
 	MaxRecords    int             // maximum number of other gateways' requests that a gateway stores
 	Sites         int             // number of sites, to which gateways are assigned in turn
 	MemoryMB      int             // memory limit of a gateway, in megabytes
 	MaxFiles      int             // file descriptor limit of a gateway
-	Settle        balancer.Micros // from the last gateway's start to the beginning of the traffic
+	SettleTime    balancer.Micros // from the last gateway's start to the beginning of the traffic
 
 	// FleetSize is the number of gateways in the settings, of which Spec.Gateways run; 0: Spec.Gateways.
 	FleetSize int
@@ -116,20 +116,20 @@
 	SharedListener bool // successive incarnations of a gateway share its listening socket
 }
 
-// Strike is a fault of gateways or of the network between them that a drill injects.
-type Strike struct {
-	At, Duration balancer.Micros // Duration 0: until the end of the run
-	Kind         string          // a key of StrikeKinds
-	Gateway      int             // index; -1: selected by Share and Site, or the gateway that serves the request selected by When
-	Share        float64         // fraction of all gateways; 0: all
-	Site         int             // only gateways of this site; -1: any
-	When         string          // "" or "at": at At; otherwise when a request reaches this state
-	Nth          int             // number of the request that triggers When
-	Factor       float64         // see StrikeKinds
+// GatewayFault is a fault of gateways or of the network between them that a drill injects.
+type GatewayFault struct {
+	At, Duration    balancer.Micros // Duration 0: until the end of the run
+	Kind            string          // a key of StrikeKinds
+	Gateway         int             // index; -1: selected by Share and Site, or the gateway that serves the request selected by When
+	GatewayFraction float64         // fraction of all gateways; 0: all
+	Site            int             // only gateways of this site; -1: any
+	When            string          // "" or "at": at At; otherwise when a request reaches this state
+	Nth             int             // number of the request that triggers When
+	Factor          float64         // see StrikeKinds
 }
 
-// StrikeKinds maps each kind of strike to its description.
-var StrikeKinds = map[string]string{
+// GatewayFaultKinds maps each kind of strike to its description.
+var GatewayFaultKinds = map[string]string{
 	"kill":   "SIGKILL; started again after Duration",
 	"term":   "SIGTERM; started again after Duration",
 	"freeze": "SIGSTOP, and SIGCONT after Duration",
--- a/internal/siteforecast/forecast_test.go
+++ b/internal/siteforecast/forecast_test.go
@@ -72,7 +72,7 @@
 			t.Errorf("%s: loss accepted, want an error", name)
 		}
 	}
-	if len(s.Faults) != 0 || len(s.Strikes) != 0 {
+	if len(s.Faults) != 0 || len(s.GatewayFaults) != 0 {
 		t.Error("Loss.Spec modified the plan's specification")
 	}
 }
--- a/internal/siteforecast/loss.go
+++ b/internal/siteforecast/loss.go
@@ -47,7 +47,7 @@
 		Zone:     l.Site,
 		Factor:   float64(l.NoticedAfter) / 1e6,
 	})
-	out.Strikes = append(slices.Clone(s.Strikes), model.Strike{
+	out.GatewayFaults = append(slices.Clone(s.GatewayFaults), model.GatewayFault{
 		At:       l.At,
 		Duration: l.Duration,
 		Kind:     "kill",
