--- a/internal/cli/fleet.go
+++ b/internal/cli/fleet.go
@@ -71,7 +71,7 @@
 	case <-ctx.Done():
 		return ctx.Err()
 	}
-	res, skipped, err := emulate.Play(ctx, f, spec, c.Gateway)
+	res, skipped, err := emulate.GenerateLoad(ctx, f, spec, c.Gateway)
 	if err != nil {
 		return err
 	}
--- a/internal/faulttest/audit.go
+++ b/internal/faulttest/audit.go
@@ -115,7 +115,7 @@
 }
 
 func (a *audit) checkTimes(root string, attempt emulate.ReplicaAttempt) {
-	if late := attempt.ReceivedAt.Sub(attempt.FirstTokenBy); late > a.rules.Tolerance {
+	if late := attempt.ReceivedAt.Sub(attempt.FirstTokenDeadline); late > a.rules.Tolerance {
 		a.add(ruleDeadline, root, "an attempt at %s began %v after its deadline", attempt.Replica, late)
 	}
 	drainedBy, drains := a.rules.DrainedBy[attempt.Replica]
--- a/internal/faulttest/drill.go
+++ b/internal/faulttest/drill.go
@@ -128,7 +128,7 @@
 	}
 	drainedBy := drainDeadlines(d.spec, d.injector.startedAt)
 	observer := emulate.Observer{OnState: d.recorder.onState, IsOffered: d.cluster.inRotation, OnEnd: d.recorder.recordRequest}
-	_, skipped, err := emulate.PlayObserved(ctx, d.fleet, d.spec, addrs, observer)
+	_, skipped, err := emulate.GenerateLoadObserved(ctx, d.fleet, d.spec, addrs, observer)
 	if err != nil {
 		return nil, err
 	}
--- a/internal/faulttest/drill_test.go
+++ b/internal/faulttest/drill_test.go
@@ -98,7 +98,7 @@
 	began := time.Now()
 	at := func(ms int) time.Time { return began.Add(time.Duration(ms) * time.Millisecond) }
 	attempt := func(root string, from, to int, change func(*emulate.ReplicaAttempt)) emulate.ReplicaAttempt {
-		a := emulate.ReplicaAttempt{RootID: root, ID: root, Replica: "k-1", Class: "chat", ReceivedAt: at(from), EndedAt: at(to), FirstTokenBy: at(4000)}
+		a := emulate.ReplicaAttempt{RootID: root, ID: root, Replica: "k-1", Class: "chat", ReceivedAt: at(from), EndedAt: at(to), FirstTokenDeadline: at(4000)}
 		if change != nil {
 			change(&a)
 		}
--- a/internal/faulttest/soak.go
+++ b/internal/faulttest/soak.go
@@ -185,7 +185,7 @@
 	s.intervals.pushed = !s.spec.Settings.PollDiscovery
 	rng := s.newRandom(drainMannerStream)
 	for _, replica := range s.fleet.Replicas {
-		replica.SetDrainManner(emulate.DrainManner(rng.IntN(emulate.DrainMannerCount)))
+		replica.SetDrainMode(emulate.DrainMode(rng.IntN(emulate.DrainModeCount)))
 	}
 	s.startedAt = time.Now()
 	s.logEvent("fleet size in the settings: %d gateways, pushed lists: %t", s.spec.Drill.FleetSize, s.intervals.pushed)
--- a/internal/faulttest/soakaudit.go
+++ b/internal/faulttest/soakaudit.go
@@ -97,8 +97,8 @@
 	if request.outcome == outcomeCanceled && received.After(request.endedAt.Add(cancelDelay+auditTolerance)) {
 		add(ruleLost, "an attempt at %s began %v after the client had closed its connection", attempt.Replica, received.Sub(request.endedAt))
 	}
-	excess := attempt.FirstTokenBy.Sub(request.sentAt.Add(request.timeout))
-	if !attempt.FirstTokenBy.IsZero() && !request.sentAt.IsZero() && excess > maxDeadlineExcess+auditTolerance {
+	excess := attempt.FirstTokenDeadline.Sub(request.sentAt.Add(request.timeout))
+	if !attempt.FirstTokenDeadline.IsZero() && !request.sentAt.IsZero() && excess > maxDeadlineExcess+auditTolerance {
 		add(ruleDeadline, "the attempt at %s got a deadline %v after the client's", attempt.Replica, excess)
 	}
 	return violations
--- a/internal/faulttest/soakevents.go
+++ b/internal/faulttest/soakevents.go
@@ -371,7 +371,7 @@
 	pause(ctx, openingDrainDelay)
 	var drained sync.WaitGroup
 	for index := range openingDrainCount {
-		s.fleet.Replicas[index].SetDrainManner(emulate.DrainAccepts)
+		s.fleet.Replicas[index].SetDrainMode(emulate.DrainAccepts)
 		drained.Go(func() { s.playFault(ctx, model.Fault{Kind: model.FaultDrain, Replica: index}, openingDrainTime) })
 	}
 	drained.Wait()
--- a/internal/fleet/emulate/clients.go
+++ b/internal/fleet/emulate/clients.go
@@ -15,17 +15,17 @@
 // maxSessions limits the concurrent sessions of a run. Further sessions are skipped and counted.
 const maxSessions = 4000
 
-// Play sends the traffic of a Spec to gateways for the duration of the Spec, and injects its faults into the
+// GenerateLoad sends the traffic of a Spec to gateways for the duration of the Spec, and injects its faults into the
 // fleet. The gateways must have loopback addresses. It returns the results of the requests, and the number of
 // sessions that were skipped because too many were open.
-func Play(ctx context.Context, f *Fleet, spec *model.Spec, gateways []string) (result *model.Result, skippedSessions int, err error) {
+func GenerateLoad(ctx context.Context, f *Fleet, spec *model.Spec, gateways []string) (result *model.Result, skippedSessions int, err error) {
 	ignore := Observer{OnState: func(*ClientAttempt, string) {}, OnEnd: func(*ClientAttempt) {}}
-	return PlayObserved(ctx, f, spec, gateways, ignore)
+	return GenerateLoadObserved(ctx, f, spec, gateways, ignore)
 }
 
-// PlayObserved sends the traffic and notifies an observer of each client attempt. If the fleet is nil, only the
+// GenerateLoadObserved sends the traffic and notifies an observer of each client attempt. If the fleet is nil, only the
 // faults of the traffic are injected.
-func PlayObserved(ctx context.Context, f *Fleet, spec *model.Spec, gateways []string, observer Observer) (result *model.Result, skippedSessions int, err error) {
+func GenerateLoadObserved(ctx context.Context, f *Fleet, spec *model.Spec, gateways []string, observer Observer) (result *model.Result, skippedSessions int, err error) {
 	for _, addr := range gateways {
 		if !isLoopback(addr) {
 			return nil, 0, fmt.Errorf("%s: %w", addr, errNotLoopback)
--- a/internal/fleet/emulate/fleet.go
+++ b/internal/fleet/emulate/fleet.go
@@ -50,7 +50,7 @@
 	RootID, ID, Replica string
 	Class               string
 	ReceivedAt, EndedAt time.Time // from the last byte of the request to the end of its processing
-	FirstTokenBy        time.Time // when the gateway's timeout for the first token ends
+	FirstTokenDeadline  time.Time // when the gateway's timeout for the first token ends
 	Declined            bool      // the replica did not process it
 	Complete            bool      // the whole answer was written
 }
--- a/internal/fleet/emulate/fleet_test.go
+++ b/internal/fleet/emulate/fleet_test.go
@@ -70,7 +70,7 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		res, skipped, err := Play(t.Context(), f, s, []string{startGateway(t, s, f.DiscoveryAddr)})
+		res, skipped, err := GenerateLoad(t.Context(), f, s, []string{startGateway(t, s, f.DiscoveryAddr)})
 		f.Close()
 		if err != nil {
 			t.Fatal(err)
--- a/internal/fleet/emulate/replica.go
+++ b/internal/fleet/emulate/replica.go
@@ -52,7 +52,7 @@
 	malformed      bool // answers contain malformed events
 	resetMidAnswer bool // connections are reset during an answer
 	draining       bool
-	drainMode      DrainManner
+	drainMode      DrainMode
 	stopStepLoop   func() // ends the goroutine that runs runSteps
 	server         *http.Server
 	wake           chan struct{} // notified when a job was added
@@ -66,19 +66,19 @@
 	malformed, resetMidAnswer bool
 }
 
-// DrainManner is how a draining replica handles new requests.
-type DrainManner uint8
+// DrainMode is how a draining replica handles new requests.
+type DrainMode uint8
 
 // The modes of a drain, and their number.
 const (
-	DrainAccepts     DrainManner = iota // accepts requests, and passes health checks
-	DrainDeclines                       // declines requests, and fails health checks
-	DrainHangs                          // accepts requests without answering them, and passes health checks
-	DrainMannerCount int         = iota
+	DrainAccepts   DrainMode = iota // accepts requests, and passes health checks
+	DrainDeclines                   // declines requests, and fails health checks
+	DrainHangs                      // accepts requests without answering them, and passes health checks
+	DrainModeCount int       = iota
 )
 
-// SetDrainManner sets how the replica handles new requests while it drains. It may be called during a drain.
-func (r *Replica) SetDrainManner(mode DrainManner) {
+// SetDrainMode sets how the replica handles new requests while it drains. It may be called during a drain.
+func (r *Replica) SetDrainMode(mode DrainMode) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.drainMode = mode
@@ -91,7 +91,7 @@
 }
 
 // activeDrainMode returns how the replica handles new requests now: DrainAccepts unless it drains.
-func (r *Replica) activeDrainMode() DrainManner {
+func (r *Replica) activeDrainMode() DrainMode {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	if !r.draining {
@@ -307,12 +307,12 @@
 	}
 	parsed.EstimatePrompt(len(body))
 	attempt := ReplicaAttempt{
-		ID:           parsed.ID,
-		RootID:       rootID(req.Header, parsed.ID),
-		Replica:      r.Name,
-		Class:        parsed.Request.Class,
-		ReceivedAt:   time.Now(),
-		FirstTokenBy: time.Now().Add(time.Duration(parsed.Timeout) * time.Microsecond),
+		ID:                 parsed.ID,
+		RootID:             rootID(req.Header, parsed.ID),
+		Replica:            r.Name,
+		Class:              parsed.Request.Class,
+		ReceivedAt:         time.Now(),
+		FirstTokenDeadline: time.Now().Add(time.Duration(parsed.Timeout) * time.Microsecond),
 	}
 	defer func() {
 		attempt.EndedAt = time.Now()
@@ -360,7 +360,7 @@
 		malformed:      r.malformed,
 		resetMidAnswer: r.resetMidAnswer,
 	}
-	accepted := r.simulator.Offer(r.fleet.now(), replica.Job{
+	accepted := r.simulator.Submit(r.fleet.now(), replica.Job{
 		ID:           j.id,
 		PromptTokens: max(1, request.PromptTokens),
 		OutputTokens: outputTokens,
--- a/internal/fleet/model/attempt.go
+++ b/internal/fleet/model/attempt.go
@@ -57,7 +57,7 @@
 		PrefixTokens: r.PrefixTokens,
 		Session:      r.Session,
 	}
-	if !h.simulator.Offer(now, job) {
+	if !h.simulator.Submit(now, job) {
 		a.notifyGateway(balancer.Shed, h.loadReport())
 		return
 	}
--- a/internal/fleet/replica/simulator.go
+++ b/internal/fleet/replica/simulator.go
@@ -102,9 +102,9 @@
 	return len(s.running), len(s.waiting), s.memory.inUseFraction(), uncomputed
 }
 
-// Offer submits a job. It returns false if the replica declines the job, because the queue is full or the job
+// Submit submits a job. It returns false if the replica declines the job, because the queue is full or the job
 // exceeds the capacity of the KV cache.
-func (s *Simulator) Offer(now balancer.Micros, job Job) bool {
+func (s *Simulator) Submit(now balancer.Micros, job Job) bool {
 	if s.queueFull() || s.params.blocksFor(job.PromptTokens+job.OutputTokens) > s.memory.totalCount {
 		s.Declined++
 		return false
--- a/internal/fleet/replica/simulator_test.go
+++ b/internal/fleet/replica/simulator_test.go
@@ -75,7 +75,7 @@
 			if j.Prefix > 0 {
 				j.PrefixTokens = min(j.PromptTokens, 160)
 			}
-			if sim.Offer(max(now, 1), j) {
+			if sim.Submit(max(now, 1), j) {
 				want[id] = j.OutputTokens
 			}
 			check()
@@ -121,7 +121,7 @@
 		if at == 1 {
 			at = balancer.Micros(id) * 10_000_000
 		}
-		if !sim.Offer(at, Job{ID: id, PromptTokens: 640, OutputTokens: 2, Prefix: 7, PrefixTokens: 480, Session: session}) {
+		if !sim.Submit(at, Job{ID: id, PromptTokens: 640, OutputTokens: 2, Prefix: 7, PrefixTokens: 480, Session: session}) {
 			t.Fatal("declined")
 		}
 		for {
@@ -152,7 +152,7 @@
 		sim := New(p, 1)
 		sim.SetSlowdown(slow)
 		for id := range uint64(jobs) {
-			sim.Offer(at, Job{ID: id + 1, PromptTokens: 100, OutputTokens: 5, Session: id + 1})
+			sim.Submit(at, Job{ID: id + 1, PromptTokens: 100, OutputTokens: 5, Session: id + 1})
 		}
 		return sim.StepEnd() - at
 	}
@@ -179,7 +179,7 @@
 	p.MemoryTokens = 640
 	sim := New(p, 0)
 	for id := range uint64(4) {
-		if !sim.Offer(1, Job{ID: id + 1, PromptTokens: 140, OutputTokens: 300, Session: id + 1}) {
+		if !sim.Submit(1, Job{ID: id + 1, PromptTokens: 140, OutputTokens: 300, Session: id + 1}) {
 			t.Fatal("declined")
 		}
 	}
@@ -192,7 +192,7 @@
 	if sim.Preempted == 0 {
 		t.Error("nothing was preempted")
 	}
-	if sim.Offer(1, Job{ID: 9, PromptTokens: 600, OutputTokens: 100}) {
+	if sim.Submit(1, Job{ID: 9, PromptTokens: 600, OutputTokens: 100}) {
 		t.Error("a job that memory can never hold was accepted")
 	}
 }
