--- a/internal/gateway/ledger_test.go
+++ b/internal/gateway/ledger_test.go
@@ -185,7 +185,7 @@
 	}
 	t.Cleanup(s.Stop)
 	g := startGateway(t, func(o *Options) { o.Contracts = testContracts(1_000_000) }, replica)
-	v := follow(t, "n0", s.Addr(), g)
+	v := followControlService(t, "n0", s.Addr(), g)
 	cl := dial(t, g.addr)
 	publish := func(n uint64, teams ...contract.Terms) {
 		version := chatVersion(n)
--- a/internal/gateway/version_test.go
+++ b/internal/gateway/version_test.go
@@ -41,7 +41,7 @@
 	return 0
 }
 
-func follow(t *testing.T, name, addr string, g *testGateway) *controlledGateway {
+func followControlService(t *testing.T, name, addr string, g *testGateway) *controlledGateway {
 	t.Helper()
 	v := &controlledGateway{testGateway: g}
 	o := xdsclient.Options{Address: addr, Machine: configversion.DefaultOptions(name, 1)}
@@ -93,7 +93,7 @@
 		dir := t.TempDir()
 		dirs = append(dirs, dir)
 		g := startGateway(t, func(o *Options) { o.Capture = captureTo(dir) }, w1, w2, w3)
-		gateways = append(gateways, follow(t, fmt.Sprint("n", i), service.Addr(), g))
+		gateways = append(gateways, followControlService(t, fmt.Sprint("n", i), service.Addr(), g))
 	}
 	allInForce := func(n uint64) func() bool {
 		return func() bool {
