--- a/internal/gateway/actions.go
+++ b/internal/gateway/actions.go
@@ -37,12 +37,12 @@
 
 // Shed answers a request with an overload response; retryAfter 0: without advice.
 func (l *eventLoop) Shed(id balancer.RequestID, retryAfter balancer.Micros) {
-	l.sendFinalAnswer(id, inflight.Action{Kind: inflight.ActionShed, RetryAfter: retryAfter, Reason: l.shedReason(id)})
+	l.sendFinalResponse(id, inflight.Action{Kind: inflight.ActionShed, RetryAfter: retryAfter, Reason: l.shedReason(id)})
 }
 
 // Fail answers a request with a failure response.
 func (l *eventLoop) Fail(id balancer.RequestID) {
-	l.sendFinalAnswer(id, inflight.Action{Kind: inflight.ActionFail})
+	l.sendFinalResponse(id, inflight.Action{Kind: inflight.ActionFail})
 }
 
 // Cancel cancels an attempt, unless its stream is being relayed to the client.
@@ -80,8 +80,8 @@
 // connection to each other.
 func (l *eventLoop) Gossip([]byte) {}
 
-// sendFinalAnswer ends a request with a final response, unless it is finished or a stream has begun.
-func (l *eventLoop) sendFinalAnswer(id balancer.RequestID, action inflight.Action) {
+// sendFinalResponse ends a request with a final response, unless it is finished or a stream has begun.
+func (l *eventLoop) sendFinalResponse(id balancer.RequestID, action inflight.Action) {
 	r := l.requests.Get(id)
 	if r == nil || r.Finished || r.Winner != nil {
 		return
--- a/internal/gateway/events.go
+++ b/internal/gateway/events.go
@@ -22,7 +22,7 @@
 	r := e.request
 	l.requests.Add(r)
 	if err := e.adoptCurrentVersion(l.gateway.config.Load()); err != nil {
-		l.sendFinalAnswer(r.ID, inflight.Action{Kind: inflight.ActionReject, Reason: err.Error()})
+		l.sendFinalResponse(r.ID, inflight.Action{Kind: inflight.ActionReject, Reason: err.Error()})
 		return
 	}
 	r.BalancerRequest.TimeLeft = max(0, r.Deadline-l.now)
