--- a/balancer/balancer.go
+++ b/balancer/balancer.go
@@ -105,7 +105,7 @@
 // Start begins the watch of discovery and the periodic timer. It must be called once,
 // before all other events.
 func (b *Balancer) Start(now Micros) {
-	b.lastTickAt, b.lastHeardAt = now, now
+	b.lastTickAt, b.listCurrentAt = now, now
 	if b.settings.PollDiscovery {
 		// The first calls of all gateways are spread, in the order of their indices.
 		b.nextPollAt = now + b.pollSpread()*int64(b.settings.Self)/int64(b.settings.Gateways)
--- a/balancer/discovery.go
+++ b/balancer/discovery.go
@@ -46,10 +46,10 @@
 	unspreadCallTime Micros = 500_000
 )
 
-// ListTrust returns how long the list may be used after the last time at which it was current.
+// ListValidity returns how long the list may be used after the last time at which it was current.
 // An attempt that is written by then is within DrainGrace of every change that the gateway does
 // not have yet. The changes of a local agent count as known as soon as the agent has them.
-func (s *Settings) ListTrust() Micros {
+func (s *Settings) ListValidity() Micros {
 	grace := max(0, s.DrainGrace-writeDelay)
 	if s.LocalDiscovery {
 		return max(minLocalListValidity, grace)
@@ -59,11 +59,11 @@
 
 // discoveryState is the state of the watch of discovery.
 type discoveryState struct {
-	listReceived bool // discovery itself has sent a list
-	watching     bool
-	nextPollAt   Micros // 0: not due
-	pollBackoff  Micros
-	lastHeardAt  Micros // the list includes all changes up to this time
+	listReceived  bool // discovery itself has sent a list
+	watching      bool
+	nextPollAt    Micros // 0: not due
+	pollBackoff   Micros
+	listCurrentAt Micros // the list includes all changes up to this time
 	// unavailableAt is the start of the last call to which discovery answered that it serves
 	// no list, because it is down or overloaded.
 	unavailableAt Micros
@@ -104,7 +104,7 @@
 
 // recordListCurrent records that the list includes all changes up to asOf; 0: now.
 func (b *Balancer) recordListCurrent(now, asOf Micros) {
-	b.lastHeardAt = max(b.lastHeardAt, min(now, cmp.Or(asOf, now)))
+	b.listCurrentAt = max(b.listCurrentAt, min(now, cmp.Or(asOf, now)))
 }
 
 // markAbsentRemoved marks the replicas as removed that are not in a complete list.
@@ -155,10 +155,10 @@
 		minBackoff, maxBackoff = localPollBackoff, localPollBackoff
 	case unreachable && !b.listReceived && b.readyCount == 0: // without a list the gateway cannot serve
 		minBackoff, maxBackoff = max(pollBackoffMin, spread/8), max(pollBackoffMax, spread/4)
-	case unreachable || b.unavailableAt > b.lastHeardAt:
+	case unreachable || b.unavailableAt > b.listCurrentAt:
 		// The next call must begin before the list is stale. It costs little, since discovery
 		// serves no gateway at this time.
-		maxBackoff = max(pollBackoffMax, min(spread, b.ListTrustedUntil()-now-2*tickInterval))
+		maxBackoff = max(pollBackoffMax, min(spread, b.ListValidUntil()-now-2*tickInterval))
 		minBackoff = min(minBackoff, maxBackoff)
 	}
 	b.pollBackoff = min(maxBackoff, max(minBackoff, 2*b.pollBackoff))
@@ -166,27 +166,27 @@
 }
 
 // ListAge returns the time since the list was last known to include all changes.
-func (b *Balancer) ListAge(now Micros) Micros { return now - b.lastHeardAt }
+func (b *Balancer) ListAge(now Micros) Micros { return now - b.listCurrentAt }
 
-// ListTrustedUntil returns the time until which attempts may be written according to the list.
+// ListValidUntil returns the time until which attempts may be written according to the list.
 // Later a replica may be draining or removed, and its DrainGrace over, without this gateway
 // having the change.
-func (b *Balancer) ListTrustedUntil() Micros {
+func (b *Balancer) ListValidUntil() Micros {
 	if b.settings.WatchInterval <= 0 { // discovery sends only changes, so the list does not expire
 		return math.MaxInt64
 	}
-	return max(b.lastHeardAt, b.unavailableAt) + b.settings.ListTrust()
+	return max(b.listCurrentAt, b.unavailableAt) + b.settings.ListValidity()
 }
 
 // ListStale reports whether the list is too old for new attempts.
-func (b *Balancer) ListStale(now Micros) bool { return now >= b.ListTrustedUntil() }
+func (b *Balancer) ListStale(now Micros) bool { return now >= b.ListValidUntil() }
 
 // ListUnconfirmed reports whether ListTrust has passed since the list was last current. Such a
 // list, which logs call doubtful, is used until ListTrustedUntil, while discovery answers that it
 // serves none. If discovery is overloaded rather than down, changes may be missing, so new
 // attempts go only to replicas that a health check has confirmed.
 func (b *Balancer) ListUnconfirmed(now Micros) bool {
-	return b.settings.WatchInterval > 0 && now >= b.lastHeardAt+b.settings.ListTrust()
+	return b.settings.WatchInterval > 0 && now >= b.listCurrentAt+b.settings.ListValidity()
 }
 
 // isConfirmed reports whether a replica may get new attempts while the list is unconfirmed: it has
@@ -199,7 +199,7 @@
 // confirmReplicas checks replicas shortly before and while the list is unconfirmed, in fleets in
 // which requests poll no replicas.
 func (b *Balancer) confirmReplicas(now Micros) {
-	if !b.settings.MayHealthCheck || b.largeFleet() || b.unavailableAt <= b.lastHeardAt || !b.ListUnconfirmed(now+confirmationLead) || b.ListStale(now) {
+	if !b.settings.MayHealthCheck || b.largeFleet() || b.unavailableAt <= b.listCurrentAt || !b.ListUnconfirmed(now+confirmationLead) || b.ListStale(now) {
 		return
 	}
 	for _, row := range b.rows {
--- a/balancer/discovery_test.go
+++ b/balancer/discovery_test.go
@@ -196,7 +196,7 @@
 	s := largeFleetSettings()
 	s.Gateways, s.DrainGrace, s.MayHedge = 3, 2_500_000, true
 	b, rec := balancerAfterFailedCalls(t, s, 107*second, ListFailed)
-	now := b.ListTrustedUntil() - 1
+	now := b.ListValidUntil() - 1
 	first := dispatched(b, rec, now, testRequest(1))
 	if first == 0 {
 		t.Fatal("no dispatch before the list is stale")
@@ -221,7 +221,7 @@
 		grace, validity Micros
 	}{{false, 0, 6_000_000}, {false, 2_500_000, 8_200_000}, {true, 2_500_000, 2_200_000}, {true, 0, minLocalListValidity}} {
 		s := Settings{LocalDiscovery: c.local, DrainGrace: c.grace}
-		if got := s.ListTrust(); got != c.validity {
+		if got := s.ListValidity(); got != c.validity {
 			t.Errorf("%+v: ListTrust is %d", c, got)
 		}
 	}
@@ -245,7 +245,7 @@
 		t.Errorf("the agent is polled again after %d", wait)
 	}
 	b.ListChanged(100*second, EndpointList{Kind: ListOverride, Endpoints: []Endpoint{{Replica: 1, State: EndpointDraining}}})
-	if b.watching || b.nextPollAt == 0 || math.Abs(float64(b.lastHeardAt-100*second)) > 0 {
+	if b.watching || b.nextPollAt == 0 || math.Abs(float64(b.listCurrentAt-100*second)) > 0 {
 		t.Errorf("after an override: watching %t, next poll at %d", b.watching, b.nextPollAt)
 	}
 }
@@ -374,13 +374,13 @@
 			now := 110 * second
 			b.ListChanged(now, EndpointList{Kind: ListFull, Endpoints: fleet(2)})
 			b.ListChanged(now+second, EndpointList{Kind: ListFailed})
-			if begins := b.nextPollAt + tickInterval; begins > now+second+maxPollSpread/2+tickInterval || begins >= b.ListTrustedUntil() {
+			if begins := b.nextPollAt + tickInterval; begins > now+second+maxPollSpread/2+tickInterval || begins >= b.ListValidUntil() {
 				t.Errorf("%d gateways: after an open watch has ended, polled after %d us", gateways, begins-now-second)
 			}
 			for range 8 {
 				now = b.nextPollAt
 				b.ListChanged(now, EndpointList{Kind: ListUnreachable})
-				if begins := b.nextPollAt + tickInterval; begins >= b.ListTrustedUntil() {
+				if begins := b.nextPollAt + tickInterval; begins >= b.ListValidUntil() {
 					t.Errorf("%d gateways: while discovery is unreachable, polled after %d us", gateways, begins-now)
 				}
 			}
@@ -413,14 +413,14 @@
 			s := largeFleetSettings()
 			s.Gateways, s.DrainGrace = gateways, 2_500_000
 			b, rec := balancerAfterFailedCalls(t, s, 107*second, ListUnavailable)
-			now := 100*second + s.ListTrust()
+			now := 100*second + s.ListValidity()
 			if !b.ListUnconfirmed(now) || b.ListStale(now) {
 				t.Fatalf("list unconfirmed %t, stale %t", b.ListUnconfirmed(now), b.ListStale(now))
 			}
 			if to := dispatchedIfChecksEnd(b, rec, now, 1, c.check); (to != 0) != c.allowed {
 				t.Errorf("%d gateways, %s: dispatched to %d", gateways, name, to)
 			}
-			stale := 107*second + s.ListTrust()
+			stale := 107*second + s.ListValidity()
 			if to := dispatchedIfChecksEnd(b, rec, stale, 2, c.check); to != 0 {
 				t.Errorf("%d gateways, %s: dispatched to %d, %d us after the last call", gateways, name, to, stale-107*second)
 			}
@@ -458,7 +458,7 @@
 	s := largeFleetSettings()
 	s.Gateways, s.DrainGrace = 3, 2_500_000
 	b, rec := balancerAfterFailedCalls(t, s, 107*second, ListUnavailable)
-	now := 100*second + s.ListTrust()
+	now := 100*second + s.ListValidity()
 	rec.actions = nil
 	b.requests[1] = b.newRequest(now, testRequest(1))
 	if reason := b.ExclusionReason(now, 1, b.rows[0].id); !strings.Contains(reason, "doubtful") {
--- a/balancer/slowstart_test.go
+++ b/balancer/slowstart_test.go
@@ -235,7 +235,7 @@
 		now := Micros(at * 1e6)
 		for ; lastTick < now; lastTick += tickInterval {
 			b.tick(lastTick)
-			b.lastHeardAt = lastTick // the endpoint list stays current
+			b.listCurrentAt = lastTick // the endpoint list stays current
 		}
 		for len(scheduledEnds) > 0 && scheduledEnds[0].at <= now {
 			b.AttemptEnded(scheduledEnds[0].at, scheduledEnds[0].outcome)
--- a/balancer/snapshot.go
+++ b/balancer/snapshot.go
@@ -158,7 +158,7 @@
 	a.skip(7, 9, 24, 25, 29, 30)
 	integer(a, 31, &b.unavailableAt)
 	sortedMap(a, 26, &b.zones.Zones, archiveZone)
-	integer(a, 27, &b.lastHeardAt)
+	integer(a, 27, &b.listCurrentAt)
 	a.float(28, &b.meanWork)
 	if !a.saving && (len(b.tenantRate) != len(b.settings.Tenants) || len(b.tenantArrivals) != len(b.settings.Tenants)) {
 		a.fail(fmt.Errorf("state has %d tenants, settings have %d", len(b.tenantRate), len(b.settings.Tenants)))
--- a/internal/faulttest/soak_test.go
+++ b/internal/faulttest/soak_test.go
@@ -140,17 +140,17 @@
 		{"internal/gateway/drain.go", "return t.drainedAt.Load() > 0 || t.shutdownAt.Load() > 0", "return t.drainedAt.Load() > 0"},
 		{"internal/gateway/drain.go", "|| shutdownAt > 0 && now-shutdownAt >= shutdownAdmitPeriod", "&& shutdownAt == 0"}}},
 	{"a stale list is used, and poll intervals grow with the fleet", "drain", []uint64{1, 7, 13}, mutantDuration, []change{
-		{"balancer/discovery.go", "return now >= b.ListTrustedUntil() }", "_ = now; return false }"},
-		{"balancer/discovery.go", "return max(b.lastHeardAt, b.unavailableAt) + b.settings.ListTrust()", "return math.MaxInt64"},
-		{"balancer/discovery.go", "return b.settings.WatchInterval > 0 && now >= b.lastHeardAt+b.settings.ListTrust()", "_ = now; return false"},
+		{"balancer/discovery.go", "return now >= b.ListValidUntil() }", "_ = now; return false }"},
+		{"balancer/discovery.go", "return max(b.listCurrentAt, b.unavailableAt) + b.settings.ListValidity()", "return math.MaxInt64"},
+		{"balancer/discovery.go", "return b.settings.WatchInterval > 0 && now >= b.listCurrentAt+b.settings.ListValidity()", "_ = now; return false"},
 		{"balancer/discovery.go", "max(pollBackoffMin, spread), max(pollBackoffMax, spread)", "max(pollBackoffMin, spread), max(pollBackoffMax, 2*spread)"},
 		{"balancer/discovery.go", "b.nextPollAt = now + int64(b.random()*float64(spread)/2)", "b.nextPollAt = now + spread"},
 		{"internal/gateway/discoverypoll.go", "return trust - maxTransit - min(answerTimeout, openWatchTimeout) - firstWatchWait - answerTimeout", "_ = trust; return 7500 * time.Millisecond"},
 		{"internal/gateway/discoverypoll.go", "openWatchTimeout = 1500 * time.Millisecond", "openWatchTimeout = 2500 * time.Millisecond"}}},
 	{"a stale list is used", "drain", []uint64{2, 5}, mutantDuration, []change{
-		{"balancer/discovery.go", "return now >= b.ListTrustedUntil() }", "_ = now; return false }"},
-		{"balancer/discovery.go", "return max(b.lastHeardAt, b.unavailableAt) + b.settings.ListTrust()", "return math.MaxInt64"},
-		{"balancer/discovery.go", "return b.settings.WatchInterval > 0 && now >= b.lastHeardAt+b.settings.ListTrust()", "_ = now; return false"}}},
+		{"balancer/discovery.go", "return now >= b.ListValidUntil() }", "_ = now; return false }"},
+		{"balancer/discovery.go", "return max(b.listCurrentAt, b.unavailableAt) + b.settings.ListValidity()", "return math.MaxInt64"},
+		{"balancer/discovery.go", "return b.settings.WatchInterval > 0 && now >= b.listCurrentAt+b.settings.ListValidity()", "_ = now; return false"}}},
 	{"drains of the list are ignored", "drain", []uint64{1, 2}, mutantDuration, []change{
 		{"internal/endpoint/replica.go", "State:     r.State(),", "State:     balancer.EndpointReady,"},
 		{"internal/endpoint/replica.go", "return r.accepting == nil || r.accepting.Load()", "return true"}}},
--- a/internal/gateway/endpoints.go
+++ b/internal/gateway/endpoints.go
@@ -252,7 +252,7 @@
 
 // publishListExpiry publishes until when the attempts' goroutines may use the list.
 func (l *eventLoop) publishListExpiry() {
-	l.gateway.listValidUntil.Store(l.balancer.ListTrustedUntil())
+	l.gateway.listValidUntil.Store(l.balancer.ListValidUntil())
 }
 
 // updateReady makes the gateway ready once a replica can take work. The cached list is
--- a/internal/lifecycle/configstream.go
+++ b/internal/lifecycle/configstream.go
@@ -88,7 +88,7 @@
 	limits := configversion.DefaultLimits
 	o := &s.config.Gateway
 	limits.MaxConnections = o.MaxClientConns + o.MaxReplicaConns
-	limits.MaxPollInterval = min(o.MaxPollInterval.Microseconds(), o.Settings.ListTrust())
+	limits.MaxPollInterval = min(o.MaxPollInterval.Microseconds(), o.Settings.ListValidity())
 	limits.MaxInFlight = o.MaxClientConns
 	limits.MayCapture = s.currentSettings().Capture.Directory != ""
 	return limits
--- a/internal/lifecycle/nodeconfig_test.go
+++ b/internal/lifecycle/nodeconfig_test.go
@@ -187,8 +187,8 @@
 			s := balancer.Settings{Gateways: gateways, DrainGrace: grace}
 			watchWait, responseTimeout := watchTimeouts(&s, 10*time.Second)
 			detection := watchWait + min(responseTimeout, 1500*time.Millisecond)
-			if maxAge := transit + detection + firstCall + responseTimeout; maxAge > microseconds(s.ListTrust()) && watchWait > minWatchWait {
-				t.Errorf("%d gateways, grace %d us: the list is %v old, but expires after %d us", gateways, grace, maxAge, s.ListTrust())
+			if maxAge := transit + detection + firstCall + responseTimeout; maxAge > microseconds(s.ListValidity()) && watchWait > minWatchWait {
+				t.Errorf("%d gateways, grace %d us: the list is %v old, but expires after %d us", gateways, grace, maxAge, s.ListValidity())
 			}
 		}
 	}
@@ -196,7 +196,7 @@
 	server.config.Gateway.MaxPollInterval = 10 * time.Second
 	server.config.Gateway.Settings.DrainGrace = 2_500_000
 	server.fileSettings = &config.Config{}
-	if got, trust := server.versionLimits().MaxPollInterval, server.config.Gateway.Settings.ListTrust(); got > trust {
+	if got, trust := server.versionLimits().MaxPollInterval, server.config.Gateway.Settings.ListValidity(); got > trust {
 		t.Errorf("a version may set a poll interval of %d us, but a list expires after %d us", got, trust)
 	}
 }
--- a/internal/lifecycle/transportsettings.go
+++ b/internal/lifecycle/transportsettings.go
@@ -97,7 +97,7 @@
 	// must queue again.
 	responseTimeout = min(maxResponseTimeout, maxPollInterval/2)
 	// An unresponsive watch must be detected before the endpoint list is too old, however many gateways there are.
-	maxWatchWait := min(gateway.MaxWatchWait(microseconds(s.ListTrust()), responseTimeout), maxPollInterval-responseTimeout)
+	maxWatchWait := min(gateway.MaxWatchWait(microseconds(s.ListValidity()), responseTimeout), maxPollInterval-responseTimeout)
 	watchWait = time.Duration(s.Gateways) * watchIntervalPerGateway
 	return max(minWatchWait, min(watchWait, maxWatchWait)), responseTimeout
 }
