--- a/balancer/discovery.go
+++ b/balancer/discovery.go
@@ -15,7 +15,7 @@
 	// writeDelay is the longest time between the decision for an attempt and its write to the
 	// connection. Half of it allows for a pause between reading the clock and writing.
 	writeDelay Micros = 300_000
-	// minLocalListValidity is the least ListTrust with an agent on this machine. It leaves time
+	// minLocalListValidity is the least ListValidity with an agent on this machine. It leaves time
 	// for a call to the agent.
 	minLocalListValidity Micros = 2_000_000
 	// minConfirmedConnAge is the least age of a connection over which a health check confirms a
@@ -181,8 +181,8 @@
 // ListStale reports whether the list is too old for new attempts.
 func (b *Balancer) ListStale(now Micros) bool { return now >= b.ListValidUntil() }
 
-// ListUnconfirmed reports whether ListTrust has passed since the list was last current. Such a
-// list, which logs call doubtful, is used until ListTrustedUntil, while discovery answers that it
+// ListUnconfirmed reports whether ListValidity has passed since the list was last current. Such a
+// list, which logs call doubtful, is used until ListValidUntil, while discovery answers that it
 // serves none. If discovery is overloaded rather than down, changes may be missing, so new
 // attempts go only to replicas that a health check has confirmed.
 func (b *Balancer) ListUnconfirmed(now Micros) bool {
--- a/internal/config/plan_keys.go
+++ b/internal/config/plan_keys.go
@@ -224,6 +224,6 @@
 		enumKey("when", &s.When, "at", "trigger: a time, or a request that was sent, or whose first event, half of the events or last event has arrived; the latter hit the gateway of the request",
 			"at", "sent", "first", "half", "last"),
 		intKey("nth", &s.Nth, "1", 1, 1<<20, "number of the request that triggers"),
-		floatKey("factor", &s.Factor, "1", 0, 1e6, "parameter of the kind: see model.StrikeKinds"),
+		floatKey("factor", &s.Factor, "1", 0, 1e6, "parameter of the kind: see model.GatewayFaultKinds"),
 	}
 }
--- a/internal/contract/encode.go
+++ b/internal/contract/encode.go
@@ -111,7 +111,7 @@
 	return mustMarshal(m)
 }
 
-// UnmarshalAppliedContracts decodes the output of MarshalAgreement. It fails if the time zone is
+// UnmarshalAppliedContracts decodes the output of MarshalAppliedContracts. It fails if the time zone is
 // unknown on this machine.
 func UnmarshalAppliedContracts(text []byte) (*AppliedContracts, error) {
 	var m pb.Agreed
--- a/internal/faulttest/result.go
+++ b/internal/faulttest/result.go
@@ -16,7 +16,7 @@
 	// lossWindow is the time after the first gateway fault in which new requests count for Result.WeightLost.
 	lossWindow balancer.Micros = 10_000_000
 	// vanishGrace is the time after the loss of a machine in which attempts do not count for
-	// Result.ToVanishedShare.
+	// Result.ToVanishedFraction.
 	vanishGrace = 1500 * time.Millisecond
 )
 
--- a/internal/faulttest/soakevents.go
+++ b/internal/faulttest/soakevents.go
@@ -126,7 +126,7 @@
 	}
 }
 
-// limitProcess limits a resource of a process to limitWhileShort until restore is called. ok is false if the
+// limitProcess limits a resource of a process to exhaustedLimit until restore is called. ok is false if the
 // process does not run.
 func limitProcess(pid, resource int) (restore func(), ok bool) {
 	var original unix.Rlimit
--- a/internal/fleet/model/result.go
+++ b/internal/fleet/model/result.go
@@ -216,7 +216,7 @@
 	quantile float64
 }{{"p50", 50}, {"p90", 90}, {"p95", 95}, {"p99", 99}, {"max", 100}}
 
-// Finish computes the percentiles and BusyShare. Call it once, after the last request has been counted.
+// Finish computes the percentiles and BusyFraction. Call it once, after the last request has been counted.
 func (res *Result) Finish() {
 	res.BusyFraction /= float64(res.spec.Duration) * float64(max(1, res.replicaCount))
 	for _, c := range slices.Concat([]*Count{res.All}, slices.Collect(maps.Values(res.Classes)), slices.Collect(maps.Values(res.Tenants))) {
--- a/internal/fleet/model/spec.go
+++ b/internal/fleet/model/spec.go
@@ -119,16 +119,16 @@
 // GatewayFault is a fault of gateways or of the network between them that a drill injects.
 type GatewayFault struct {
 	At, Duration    balancer.Micros // Duration 0: until the end of the run
-	Kind            string          // a key of StrikeKinds
-	Gateway         int             // index; -1: selected by Share and Site, or the gateway that serves the request selected by When
+	Kind            string          // a key of GatewayFaultKinds
+	Gateway         int             // index; -1: selected by GatewayFraction and Site, or the gateway that serves the request selected by When
 	GatewayFraction float64         // fraction of all gateways; 0: all
 	Site            int             // only gateways of this site; -1: any
 	When            string          // "" or "at": at At; otherwise when a request reaches this state
 	Nth             int             // number of the request that triggers When
-	Factor          float64         // see StrikeKinds
+	Factor          float64         // see GatewayFaultKinds
 }
 
-// GatewayFaultKinds maps each kind of strike to its description.
+// GatewayFaultKinds maps each kind of gateway fault to its description.
 var GatewayFaultKinds = map[string]string{
 	"kill":   "SIGKILL; started again after Duration",
 	"term":   "SIGTERM; started again after Duration",
--- a/internal/lifecycle/commands.go
+++ b/internal/lifecycle/commands.go
@@ -42,7 +42,7 @@
 	Reason string `json:"reason"`
 }
 
-// SaveCaptureResponse is the response to a SaveRequest.
+// SaveCaptureResponse is the response to a SaveCaptureRequest.
 type SaveCaptureResponse struct {
 	Path     string `json:"path"` // directory of the saved incident
 	Segments int    `json:"segments"`
